--- a/duties/src/lib.rs
+++ b/leases/src/lib.rs
@@ -13,15 +13,15 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod book;
-mod gate;
+mod fencing;
 mod holder;
-mod keeper;
+mod manager;
+mod state_machine;
 
-pub use book::{Book, Command, Fact, No};
-pub use gate::Gate;
+pub use fencing::Gate;
 pub use holder::{Holder, Says};
-pub use keeper::Keeper;
+pub use manager::Keeper;
+pub use state_machine::{Book, Command, Fact, No};
 
 /// A moment on somebody's own monotonic clock, in microseconds; it goes on while the process is stopped.
 pub type Time = u64;
--- a/duties/tests/fleet.rs
+++ b/leases/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Fleets with a log that is led now here, now there, on clocks that drift; words lost, doubled and held up; fronts stopped and
 //! killed. Acts at the resource are what the verdict rests on.
-use cranesill_duties::{Book, Command, Duty, Fact, Fence, Gate, Holder, Keeper, Says, Time};
+use cranesill_leases::{Book, Command, Duty, Fact, Fence, Gate, Holder, Keeper, Says, Time};
 use std::collections::BTreeMap;
 
 const MS: Time = 1_000;
