--- a/front/src/program/drivers/tls.rs
+++ b/front/src/program/drivers/tls.rs
@@ -4,7 +4,7 @@
 use super::{Driver, Effect, Secured, Turn};
 use crate::transport::{listen, Registered};
 use cranesill::api::{Span, Time};
-use cranesill_budget::{CoreTime, Places};
+use cranesill_limits::{CoreTime, Places};
 use cranesill_daemon::{Daemon, Expired, Tls as Settings};
 use rustls::server::Acceptor;
 use rustls::{ServerConfig, ServerConnection};
--- a/budget/src/lib.rs
+++ b/limits/src/lib.rs
@@ -3,11 +3,11 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod core_time;
-mod places;
+mod concurrency;
+mod cpu;
 
-pub use core_time::CoreTime;
-pub use places::{Place, Places};
+pub use concurrency::{Place, Places};
+pub use cpu::CoreTime;
 
 /// A moment, in microseconds on a clock that never goes back.
 pub type Time = u64;
