--- a/front/src/program/drivers/tls.rs
+++ b/front/src/program/drivers/tls.rs
@@ -4,8 +4,8 @@
 use super::{Driver, Effect, Secured, Turn};
 use crate::transport::{listen, Registered};
 use cranesill::api::{Span, Time};
-use cranesill_limits::{CoreTime, Places};
 use cranesill_daemon::{Daemon, Expired, Tls as Settings};
+use cranesill_limits::{CpuShare, Slots};
 use rustls::server::Acceptor;
 use rustls::{ServerConfig, ServerConnection};
 use serde_json::json;
@@ -73,8 +73,8 @@
     settings: Settings,
     table: Arc<Table>,
     proofs: HashMap<String, Arc<Proof>>,
-    places: Places,
-    budget: CoreTime,
+    slots: Slots,
+    cpu_share: CpuShare,
     /// When each place was taken, oldest first; some have gone.
     taken: std::collections::VecDeque<(Time, usize)>,
     all: HashMap<usize, Handshake>,
@@ -103,8 +103,8 @@
             listener_key,
             at,
             accepting: true,
-            places: Places::new(settings.handshakes_most, span),
-            budget: CoreTime::new(turn.now, settings.core_percent),
+            slots: Slots::new(settings.handshakes_most, span),
+            cpu_share: CpuShare::new(turn.now, settings.core_percent),
             settings,
             table: Arc::default(),
             proofs: HashMap::new(),
@@ -123,7 +123,7 @@
         while self.taken.front().is_some_and(|(_, key)| !self.all.contains_key(key)) {
             self.taken.pop_front();
         }
-        let free = self.places.len() < self.settings.handshakes_most;
+        let free = self.slots.len() < self.settings.handshakes_most;
         match self.taken.front() {
             Some((since, _)) if !free && now < since + KEPT_LEAST => Err(since + KEPT_LEAST),
             _ => Ok(()),
@@ -132,7 +132,7 @@
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
         for _ in 0..ACCEPTS_MOST {
-            if self.room(turn.now).is_err() || self.places.any_waiting() && !self.budget.may(turn.now) {
+            if self.room(turn.now).is_err() || self.slots.has_ready() && !self.cpu_share.may_start(turn.now) {
                 // The rest waits in the system's queue.
                 return self.watch(false);
             }
@@ -150,7 +150,7 @@
             let ready = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
             let Ok(socket) = ready.and_then(|()| turn.reactor.watch(socket, key, false)) else { continue };
             self.counts.accepted += 1;
-            let (_, displaced) = self.places.take(turn.now, key);
+            let displaced = self.slots.acquire(turn.now, key).displaced;
             for old in displaced {
                 self.counts.displaced += 1;
                 self.all.remove(&old);
@@ -172,12 +172,12 @@
     /// Lets handshakes go on that something came for, as far as their share of the core goes.
     fn work(&mut self, turn: &mut Turn<'_>) {
         let mut spent = 0;
-        while spent < SLICE && self.budget.may(turn.now) {
-            let Some(key) = self.places.turn() else { break };
+        while spent < SLICE && self.cpu_share.may_start(turn.now) {
+            let Some(key) = self.slots.next_ready() else { break };
             let begun = Instant::now();
             let step = self.step(key);
             let took = begun.elapsed().as_micros() as Span;
-            self.budget.took(took.max(1));
+            self.cpu_share.charge(took.max(1));
             self.counts.core_us += took;
             spent += took.max(1);
             match step {
@@ -193,7 +193,7 @@
                 }
                 Step::Done => self.done(turn, key),
                 Step::Over(why) => {
-                    self.places.leave(key);
+                    self.slots.release(key);
                     self.all.remove(&key);
                     *self.counts.failed.entry(why).or_default() += 1;
                     *self.untold.entry(why).or_default() += 1;
@@ -203,7 +203,7 @@
     }
 
     fn done(&mut self, turn: &mut Turn<'_>, key: usize) {
-        self.places.leave(key);
+        self.slots.release(key);
         if let Some(Handshake { socket, phase: Phase::Shake(connection), .. }) = self.all.remove(&key) {
             self.counts.complete += 1;
             self.counts.resumed +=
@@ -329,7 +329,7 @@
         if key == self.listener_key {
             return self.accept(turn);
         }
-        self.places.wants(key);
+        self.slots.mark_ready(key);
         if let Some(handshake) = self.all.get(&key) {
             // It waits for its turn: the poller would tell of it without end. It can't fail for a watched socket.
             let _ = handshake.socket.rewatch(false, false);
@@ -337,29 +337,29 @@
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        for key in self.places.overdue(turn.now) {
+        for key in self.slots.take_expired(turn.now) {
             self.counts.late += 1;
             *self.untold.entry("late").or_default() += 1;
             self.all.remove(&key);
         }
         self.work(turn);
         let rested = turn.now >= self.rests && !self.draining;
-        if !self.accepting && rested && self.room(turn.now).is_ok() && self.budget.may(turn.now) {
+        if !self.accepting && rested && self.room(turn.now).is_ok() && self.cpu_share.may_start(turn.now) {
             self.watch(true);
         }
         self.note(turn.now);
     }
 
     fn next(&self) -> Option<Time> {
-        let work = self.places.any_waiting().then(|| self.budget.next());
+        let work = self.slots.has_ready().then(|| self.cpu_share.next_start());
         let accept = (!self.accepting && !self.draining).then(|| {
-            let full = self.places.len() >= self.settings.handshakes_most;
+            let full = self.slots.len() >= self.settings.handshakes_most;
             let oldest = self.taken.front().filter(|(_, key)| full && self.all.contains_key(key));
             let room = oldest.map_or(0, |(since, _)| since + KEPT_LEAST);
-            room.max(self.budget.next()).max(self.rests)
+            room.max(self.cpu_share.next_start()).max(self.rests)
         });
         let note = (!self.untold.is_empty()).then_some(self.note_at);
-        [self.places.next(), work, accept, note].into_iter().flatten().min()
+        [self.slots.next_deadline(), work, accept, note].into_iter().flatten().min()
     }
 
     fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
@@ -391,8 +391,8 @@
         if let Some(new) = &settings.tls {
             let listen = std::mem::take(&mut self.settings.listen);
             self.settings = Settings { listen, ..new.clone() };
-            self.places.set(new.handshakes_most, new.handshake_ms * 1_000);
-            self.budget.set(turn.now, new.core_percent);
+            self.slots.set_limits(new.handshakes_most, new.handshake_ms * 1_000);
+            self.cpu_share.set_percent(turn.now, new.core_percent);
         }
     }
 
--- a/limits/src/concurrency.rs
+++ b/limits/src/concurrency.rs
@@ -1,104 +1,134 @@
-//! Places for those that nothing is known of yet.
-use crate::{Span, Time};
+//! Slots for connections that are not yet trusted.
+use crate::{ConnectionKey, Micros, Timestamp};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Whom a place is for: the key under which its connection is known.
-pub type Place = usize;
+/// Numbers slots in the order in which they were taken, so that a key that is used again is told apart.
+type Ticket = u64;
 
-/// A bounded number of places, each held until an absolute deadline. One that comes when all are taken displaces
-/// the oldest: under a flood who is quick gets through, and who holds a place without using it makes room first.
+#[derive(Clone, Copy, Debug)]
+struct Slot {
+    deadline: Timestamp,
+    ticket: Ticket,
+}
+
+/// The result of taking a slot.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Admission {
+    /// When the connection has to be done with its slot.
+    pub deadline: Timestamp,
+    /// Connections that lost their slots to make room, and are to be closed.
+    pub displaced: Vec<ConnectionKey>,
+}
+
+/// A bounded number of slots, each held until an absolute deadline. When all are taken, a newcomer displaces the oldest:
+/// under a flood, connections that finish quickly get through, and idle ones make room first.
 #[derive(Debug)]
-pub struct Places {
-    most: usize,
-    span: Span,
-    /// When each has to be done, and its number in order of arrival.
-    held: HashMap<Place, (Time, u64)>,
-    order: BTreeMap<u64, Place>,
-    /// Those that have something to be dealt with and wait for their turn, in order.
-    waiting: VecDeque<(Place, u64)>,
-    last: u64,
+pub struct Slots {
+    capacity: usize,
+    /// How long a slot may be held.
+    lease: Micros,
+    slots: HashMap<ConnectionKey, Slot>,
+    by_age: BTreeMap<Ticket, ConnectionKey>,
+    /// Connections with work to do, in the order in which they are served.
+    ready: VecDeque<(ConnectionKey, Ticket)>,
+    last_ticket: Ticket,
 }
 
-impl Places {
-    /// `most` places, each for `span` microseconds.
-    pub fn new(most: usize, span: Span) -> Self {
-        let (held, order, waiting) = (HashMap::new(), BTreeMap::new(), VecDeque::new());
-        Places { most: most.max(1), span, held, order, waiting, last: 0 }
+impl Slots {
+    /// `capacity` slots (at least one), each for `lease` microseconds.
+    pub fn new(capacity: usize, lease: Micros) -> Self {
+        Slots {
+            capacity: capacity.max(1),
+            lease,
+            slots: HashMap::new(),
+            by_age: BTreeMap::new(),
+            ready: VecDeque::new(),
+            last_ticket: 0,
+        }
     }
 
-    /// Changes the limits; deadlines that were given stand, and places beyond the new number are displaced as new
-    /// ones come.
-    pub fn set(&mut self, most: usize, span: Span) {
-        (self.most, self.span) = (most.max(1), span);
+    /// Changes the limits. Deadlines that were given out stand; slots beyond a smaller capacity are displaced as new
+    /// connections arrive.
+    pub fn set_limits(&mut self, capacity: usize, lease: Micros) {
+        self.capacity = capacity.max(1);
+        self.lease = lease;
     }
 
-    /// Places that are taken.
+    /// The number of slots that are taken.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.slots.len()
     }
 
-    /// Whether none is taken.
+    /// Whether no slot is taken.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.slots.is_empty()
+    }
+
+    /// Takes a slot for a connection.
+    pub fn acquire(&mut self, now: Timestamp, key: ConnectionKey) -> Admission {
+        let displaced = self.displace_oldest();
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
+        let deadline = now + self.lease;
+        self.slots.insert(key, Slot { deadline, ticket });
+        self.by_age.insert(ticket, key);
+        Admission { deadline, displaced }
     }
 
-    /// Takes a place. Returns its deadline, and who has to go for it.
-    pub fn take(&mut self, now: Time, who: Place) -> (Time, Vec<Place>) {
+    fn displace_oldest(&mut self) -> Vec<ConnectionKey> {
         let mut displaced = Vec::new();
-        while self.held.len() >= self.most {
-            let Some((_, oldest)) = self.order.pop_first() else { break };
-            self.held.remove(&oldest);
+        while self.slots.len() >= self.capacity {
+            let Some((_, oldest)) = self.by_age.pop_first() else { break };
+            self.slots.remove(&oldest);
             displaced.push(oldest);
         }
-        self.last += 1;
-        let due = now + self.span;
-        self.held.insert(who, (due, self.last));
-        self.order.insert(self.last, who);
-        (due, displaced)
+        displaced
     }
 
-    /// Gives a place up. `false`: it was not held any more.
-    pub fn leave(&mut self, who: Place) -> bool {
-        let held = self.held.remove(&who);
-        held.is_some_and(|(_, number)| self.order.remove(&number).is_some())
+    /// Gives a slot back. Returns whether it was still held.
+    pub fn release(&mut self, key: ConnectionKey) -> bool {
+        let Some(slot) = self.slots.remove(&key) else { return false };
+        self.by_age.remove(&slot.ticket).is_some()
     }
 
-    /// Notes that something came for a place; it waits for its turn once, however often that is told.
-    pub fn wants(&mut self, who: Place) {
-        let Some((_, number)) = self.held.get(&who) else { return };
-        if !self.waiting.iter().any(|(w, _)| *w == who) {
-            self.waiting.push_back((who, *number));
+    /// Notes that a connection has work to do. It is queued once, however often this is called.
+    pub fn mark_ready(&mut self, key: ConnectionKey) {
+        let Some(slot) = self.slots.get(&key) else { return };
+        if !self.ready.iter().any(|(queued, _)| *queued == key) {
+            self.ready.push_back((key, slot.ticket));
         }
     }
 
-    /// Whose turn it is.
-    pub fn turn(&mut self) -> Option<Place> {
+    /// Takes the next connection with work to do off the queue, in a fair order.
+    pub fn next_ready(&mut self) -> Option<ConnectionKey> {
         loop {
-            let (who, number) = self.waiting.pop_front()?;
-            if self.held.get(&who).is_some_and(|(_, held)| *held == number) {
-                return Some(who);
+            let (key, ticket) = self.ready.pop_front()?;
+            let holds_same_slot = self.slots.get(&key).is_some_and(|slot| slot.ticket == ticket);
+            if holds_same_slot {
+                return Some(key);
             }
         }
     }
 
-    /// Whether somebody waits for a turn.
-    pub fn any_waiting(&self) -> bool {
-        !self.waiting.is_empty()
+    /// Whether a connection is queued.
+    pub fn has_ready(&self) -> bool {
+        !self.ready.is_empty()
     }
 
-    /// Takes out those whose time is over.
-    pub fn overdue(&mut self, now: Time) -> Vec<Place> {
-        // In order of arrival; a changed span may have put a later one first, so all are looked at.
-        let over: Vec<_> = self.order.values().copied().filter(|who| self.held[who].0 <= now).collect();
-        for who in &over {
-            self.leave(*who);
+    /// Takes back the slots whose deadline has passed, and returns who held them.
+    pub fn take_expired(&mut self, now: Timestamp) -> Vec<ConnectionKey> {
+        // In order of arrival. A changed lease may give a later slot an earlier deadline, so all are checked.
+        let in_order = self.by_age.values().copied();
+        let expired: Vec<_> = in_order.filter(|key| self.slots[key].deadline <= now).collect();
+        for key in &expired {
+            self.release(*key);
         }
-        over
+        expired
     }
 
-    /// The first deadline.
-    pub fn next(&self) -> Option<Time> {
-        self.held.values().map(|(due, _)| *due).min()
+    /// The earliest deadline of all slots.
+    pub fn next_deadline(&self) -> Option<Timestamp> {
+        self.slots.values().map(|slot| slot.deadline).min()
     }
 }
 
--- a/limits/src/cpu.rs
+++ b/limits/src/cpu.rs
@@ -1,63 +1,69 @@
-//! A share of the core.
-use crate::{Span, Time};
+//! A share of one CPU core.
+use crate::{Micros, Timestamp};
 
-/// How much a rest may lay by: a burst after a calm spell, in microseconds at a share of one.
-const LAID_BY_MOST: Span = 100_000;
+/// Longest idle time whose share is saved for a burst.
+const MAX_SAVED: Micros = 100_000;
+/// Longest time between two refills that is credited. Only guards the arithmetic: far more than [`MAX_SAVED`].
+const MAX_REFILL: Micros = 10 * 60 * 1_000_000;
+/// Longest single piece of work that is charged. Only guards the arithmetic.
+const MAX_CHARGE: Micros = 60_000_000;
+/// The balance counts hundredths of a microsecond, so that a percentage of a microsecond is a whole number.
+const UNITS_PER_MICROSECOND: i64 = 100;
 
-/// Core time that some kind of work may take: a share of the time that passes, with a little laid by while it
-/// rests. What was taken is told afterwards, so one piece of work may run into debt; nothing more begins until
-/// the debt is paid.
+/// CPU time that one kind of work may take: a share of the time that passes, with a little saved up while it is idle.
+/// Work is charged after it is done, so one piece may overdraw the balance; no other starts until that is paid back.
 #[derive(Clone, Copy, Debug)]
-pub struct CoreTime {
+pub struct CpuShare {
     percent: u32,
-    /// Hundredths of a microsecond that may be taken; negative: owed.
-    left: i64,
-    at: Time,
+    /// Hundredths of a microsecond that may be used; negative if overdrawn.
+    balance: i64,
+    refilled_at: Timestamp,
 }
 
-impl CoreTime {
-    /// A share in percent, 1 to 100, with all laid by that may be.
-    pub fn new(now: Time, percent: u32) -> Self {
+impl CpuShare {
+    /// A share of 1 to 100 percent of a core, with a full balance.
+    pub fn new(now: Timestamp, percent: u32) -> Self {
         let percent = percent.clamp(1, 100);
-        CoreTime { percent, left: Self::most(percent), at: now }
+        CpuShare { percent, balance: Self::max_balance(percent), refilled_at: now }
     }
 
-    fn most(percent: u32) -> i64 {
-        LAID_BY_MOST as i64 * i64::from(percent)
+    fn max_balance(percent: u32) -> i64 {
+        MAX_SAVED as i64 * i64::from(percent)
     }
 
-    /// Changes the share; what is owed stays owed.
-    pub fn set(&mut self, now: Time, percent: u32) {
-        self.earn(now);
+    /// Changes the share. An overdrawn balance stays overdrawn.
+    pub fn set_percent(&mut self, now: Timestamp, percent: u32) {
+        self.refill(now);
         self.percent = percent.clamp(1, 100);
-        self.left = self.left.min(Self::most(self.percent));
+        self.balance = self.balance.min(Self::max_balance(self.percent));
     }
 
-    fn earn(&mut self, now: Time) {
-        let passed = now.saturating_sub(self.at).min(10 * 60 * 1_000_000) as i64;
-        self.at = self.at.max(now);
-        self.left = (self.left + passed * i64::from(self.percent)).min(Self::most(self.percent));
+    fn refill(&mut self, now: Timestamp) {
+        let elapsed = now.saturating_sub(self.refilled_at).min(MAX_REFILL) as i64;
+        let credit = elapsed * i64::from(self.percent);
+        self.refilled_at = self.refilled_at.max(now);
+        self.balance = (self.balance + credit).min(Self::max_balance(self.percent));
     }
 
-    /// Whether a piece of work may begin.
-    pub fn may(&mut self, now: Time) -> bool {
-        self.earn(now);
-        self.left > 0
+    /// Whether a piece of work may start.
+    pub fn may_start(&mut self, now: Timestamp) -> bool {
+        self.refill(now);
+        self.balance > 0
     }
 
-    /// Tells how long a piece of work took, in microseconds of the core.
-    pub fn took(&mut self, span: Span) {
-        self.left = self.left.saturating_sub((span.min(60_000_000) as i64) * 100);
+    /// Charges a piece of work that took this long on the core.
+    pub fn charge(&mut self, duration: Micros) {
+        let cost = duration.min(MAX_CHARGE) as i64 * UNITS_PER_MICROSECOND;
+        self.balance = self.balance.saturating_sub(cost);
     }
 
-    /// The earliest moment from which work may begin.
-    pub fn next(&self) -> Time {
-        let owed = (-self.left).max(0) as u64;
-        if self.left > 0 {
-            self.at
-        } else {
-            self.at + owed / u64::from(self.percent) + 1
+    /// The earliest timestamp at which work may start.
+    pub fn next_start(&self) -> Timestamp {
+        if self.balance > 0 {
+            return self.refilled_at;
         }
+        let debt = self.balance.unsigned_abs();
+        self.refilled_at + debt / u64::from(self.percent) + 1
     }
 }
 
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -1,15 +1,16 @@
-//! Limits that subsystems share. No input or output, no clock: moments come in, choices go out. Moments and spans
-//! are microseconds.
+//! Limits that subsystems share, without I/O or a clock: timestamps are passed in, decisions come out.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 mod concurrency;
 mod cpu;
 
-pub use concurrency::{Place, Places};
-pub use cpu::CoreTime;
+pub use concurrency::{Admission, Slots};
+pub use cpu::CpuShare;
 
-/// A moment, in microseconds on a clock that never goes back.
-pub type Time = u64;
-/// A span, in microseconds.
-pub type Span = u64;
+/// A timestamp on the caller's monotonic clock, in microseconds.
+pub type Timestamp = u64;
+/// A duration in microseconds.
+pub type Micros = u64;
+/// The key under which the caller knows a connection.
+pub type ConnectionKey = usize;
