--- a/startup/src/lib.rs
+++ b/startup/src/lib.rs
@@ -6,17 +6,17 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod calls;
-mod peers;
-mod ramp;
-mod ready;
+mod call_budget;
+mod peer_bootstrap;
+mod readiness;
 pub mod rng;
+mod slow_start;
 mod snapshot;
 
-pub use calls::{Budget, Calls, End};
-pub use peers::Peers;
-pub use ramp::{Ramp, Take};
-pub use ready::{Needs, Ready, Waits};
+pub use call_budget::{Budget, Calls, End};
+pub use peer_bootstrap::Peers;
+pub use readiness::{Needs, Ready, Waits};
+pub use slow_start::{Ramp, Take};
 pub use snapshot::{judge, Aside, Dated};
 
 /// A moment on the caller's monotonic clock, in microseconds.
