--- a/emulator/src/lists.rs
+++ b/emulator/src/lists.rs
@@ -1,7 +1,7 @@
 //! Calls on a list service that fails for a time and returns with room for so many.
 use crate::rng::Rng;
 use crate::{Time, S};
-use cranesill_startup::{Budget, Calls, End};
+use cranesill_startup::{CallBudget, CallEnd, CallSchedule, FleetPosition};
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -80,7 +80,7 @@
 
 /// Calls of one front.
 enum Caller {
-    Core(Calls),
+    Core(CallSchedule),
     Doubling { wait: Time, most: Time, random: bool },
 }
 
@@ -90,14 +90,14 @@
 impl Caller {
     fn begin(&mut self, now: Time) -> Time {
         match self {
-            Caller::Core(calls) => calls.begin(now),
+            Caller::Core(calls) => calls.start_call(now),
             Caller::Doubling { .. } => now + DIAL,
         }
     }
 
-    fn end(&mut self, now: Time, end: End, rng: &mut Rng) -> Time {
+    fn end(&mut self, now: Time, end: CallEnd, rng: &mut Rng) -> Time {
         match self {
-            Caller::Core(calls) => calls.end(now, end),
+            Caller::Core(calls) => calls.end_call(now, end),
             Caller::Doubling { wait, most, random } => {
                 *wait = (*wait * 2).clamp(FIRST, *most);
                 now + if *random { (*wait as f64 * rng.roll()) as Time } else { *wait }
@@ -128,13 +128,14 @@
         let n = self.fronts as usize;
         let mut fronts: Vec<_> = (0..n)
             .map(|front| {
-                let place = (front as u32, self.fronts);
+                let place = FleetPosition { number: front as u32, fronts: self.fronts };
                 let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(front as u64);
                 match way {
-                    Way::NoBudget => Caller::Core(Calls::new(0, place, seed, None)),
+                    Way::NoBudget => Caller::Core(CallSchedule::new(0, place, seed, None)),
                     Way::Budget { per_s, most } => {
-                        let budget = Budget { calls_per_s: per_s.into(), wait_most: most, haste: 0 };
-                        Caller::Core(Calls::new(0, place, seed, Some(budget)))
+                        let budget =
+                            CallBudget { calls_per_s: per_s.into(), max_wait: most, urgent_period: 0 };
+                        Caller::Core(CallSchedule::new(0, place, seed, Some(budget)))
                     }
                     Way::Doubling { most } => Caller::Doubling { wait: 0, most, random: false },
                     Way::DoublingAtRandom { most } => Caller::Doubling { wait: 0, most, random: true },
@@ -144,7 +145,7 @@
         let mut steps: BinaryHeap<Reverse<(Time, Step)>> = BinaryHeap::new();
         for (front, caller) in fronts.iter_mut().enumerate() {
             let first = match caller {
-                Caller::Core(calls) => calls.first(0, false),
+                Caller::Core(calls) => calls.first_call(0, false),
                 Caller::Doubling { random, .. } => {
                     if *random {
                         rng.below(FIRST)
@@ -169,7 +170,7 @@
                     number[front] += 1;
                     let until = fronts[front].begin(now);
                     if now < self.back {
-                        let again = fronts[front].end(now + CLOSES, End::Closed, &mut rng);
+                        let again = fronts[front].end(now + CLOSES, CallEnd::Closed, &mut rng);
                         steps.push(Reverse((again.max(now + CLOSES), Step::Call(front))));
                         continue;
                     }
@@ -185,7 +186,7 @@
                 Step::GiveUp(front, of) => {
                     if waits[front] && number[front] == of {
                         waits[front] = false;
-                        let again = fronts[front].end(now, End::Unanswered, &mut rng);
+                        let again = fronts[front].end(now, CallEnd::Unanswered, &mut rng);
                         steps.push(Reverse((again.max(now), Step::Call(front))));
                     }
                 }
--- a/emulator/src/nodes.rs
+++ b/emulator/src/nodes.rs
@@ -2,7 +2,7 @@
 use crate::lists::worst;
 use crate::rng::Rng;
 use crate::{Time, S};
-use cranesill_startup::{Ramp, Take};
+use cranesill_startup::{Admission, FleetPosition, Group, ListedEndpoint, SlowStart};
 use serde::Serialize;
 
 /// When a front begins a connection.
@@ -51,11 +51,14 @@
                 }
             }
             Use::Ramp { per_s } => {
-                let mut ramp = Ramp::new((front, fronts), per_s.into(), Time::MAX);
-                let list = (0..nodes).map(|node| (node, Take::Turn(0, true), node)).collect();
-                ramp.listed(0, true, list).into_iter().for_each(|node| at[node as usize].push(0));
-                while let Some(next) = ramp.next() {
-                    ramp.due(next).into_iter().for_each(|node| at[node as usize].push(next));
+                let position = FleetPosition { number: front, fronts };
+                let mut ramp = SlowStart::new(position, per_s.into(), Time::MAX);
+                let admission = Admission::Staggered(Group { kind: 0, near: true });
+                let list =
+                    (0..nodes).map(|node| ListedEndpoint { id: node, admission, entry: node }).collect();
+                ramp.update(0, true, list).into_iter().for_each(|node| at[node as usize].push(0));
+                while let Some(next) = ramp.next_deadline() {
+                    ramp.poll(next).into_iter().for_each(|node| at[node as usize].push(next));
                 }
             }
         }
--- a/emulator/src/rng.rs
+++ b/emulator/src/rng.rs
@@ -5,7 +5,7 @@
 
 impl Rng {
     fn next(&mut self) -> u64 {
-        cranesill_startup::rng::next(&mut self.0)
+        cranesill_startup::rng::next_u64(&mut self.0)
     }
 
     /// From 0 to 1.
--- a/front/src/program/drivers/peers.rs
+++ b/front/src/program/drivers/peers.rs
@@ -7,7 +7,7 @@
 use crate::transport::{dial, listen, Outgoing, Registered, Stream};
 use cranesill::api::{Span, Time};
 use cranesill_daemon::Peers as Settings;
-use cranesill_startup::{judge, Dated, Peers as Core};
+use cranesill_startup::{check_snapshot, ListOffer, PeerBootstrap, SnapshotHeader};
 use serde_json::json;
 use std::collections::HashMap;
 use std::io;
@@ -42,7 +42,7 @@
     listener: Registered<TcpListener>,
     listener_key: usize,
     peers: Vec<SocketAddr>,
-    core: Core,
+    core: PeerBootstrap,
     known: Snapshot,
     purge_ms: u64,
     serve_ms: u64,
@@ -78,7 +78,7 @@
         let listener =
             listen(own).and_then(|l| turn.reactor.watch(l, listener_key, false)).map_err(failed)?;
         tracing::info!(at = %own, peers = peers.len(), "the list is served to peers");
-        let core = Core::new(turn.now, peers.len(), settings.agree, settings.every_ms * 1_000, seed);
+        let core = PeerBootstrap::new(turn.now, peers.len(), settings.agree, settings.every_ms * 1_000, seed);
         Ok(Peers {
             listener,
             listener_key,
@@ -144,7 +144,7 @@
                 stream.push(Outgoing { tag: (), head, body: Rc::default(), tail: b"" });
                 self.asked.insert(key, Asked { peer, stream, until: turn.now + EXCHANGE_MOST, held });
             }
-            Err(_) => self.core.failed(turn.now, peer),
+            Err(_) => self.core.record_failure(turn.now, peer),
         }
     }
 
@@ -172,18 +172,20 @@
     fn said(&mut self, turn: &mut Turn<'_>, asked: &Asked) {
         let (peer, text) = (asked.peer, asked.stream.input());
         if text.is_empty() {
-            return self.core.nothing(peer);
+            return self.core.record_no_update(peer);
         }
         let judged = Snapshot::read(text).map_err(str::to_string).and_then(|list| {
-            let dated = Dated { source: list.source, number: list.number, at_ms: list.at_ms };
+            let header =
+                SnapshotHeader { source: list.source, revision: list.number, current_at_ms: list.at_ms };
             let held = asked.held.max(self.known.number);
-            let good = judge(wall_ms(), dated, self.known.source, held, self.serve_ms);
+            let good = check_snapshot(wall_ms(), header, self.known.source, held, self.serve_ms);
             good.map_err(|why| why.to_string()).map(|()| list)
         });
         match judged {
             Ok(list) => {
                 self.offered += 1;
-                if self.core.offered(turn.now, peer, self.known.number, list.number, list.digest()) {
+                let offer = ListOffer { revision: list.number, digest: list.digest() };
+                if self.core.record_offer(turn.now, peer, self.known.number, offer) {
                     turn.effects.push(Effect::Offered(Box::new(list)));
                 }
             }
@@ -197,7 +199,7 @@
 
     fn lost(&mut self, now: Time, peer: usize) {
         self.failed += 1;
-        self.core.failed(now, peer);
+        self.core.record_failure(now, peer);
     }
 }
 
@@ -236,8 +238,8 @@
                 self.lost(now, asked.peer);
             }
         }
-        if now >= self.core.next() {
-            let asked = self.core.ask(now);
+        if now >= self.core.next_round() {
+            let asked = self.core.start_round(now);
             let unheard = self.heard.is_none_or(|at| now >= at + UNHEARD);
             for peer in asked.into_iter().filter(|_| unheard) {
                 self.ask(turn, peer);
@@ -247,7 +249,7 @@
 
     fn next(&self) -> Option<Time> {
         let ends = self.askers.values().map(|a| a.until).chain(self.asked.values().map(|a| a.until));
-        ends.chain([self.core.next()]).min()
+        ends.chain([self.core.next_round()]).min()
     }
 
     fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
--- a/front/src/program/drivers/snapshot.rs
+++ b/front/src/program/drivers/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::Workers;
 use cranesill::api::{Span, Time};
-use cranesill_startup::{judge, Dated};
+use cranesill_startup::{check_snapshot, SnapshotHeader};
 use std::fs::File;
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -48,8 +48,11 @@
         Ok(_) => Snapshot::read(&text).map_err(str::to_string),
     };
     let found = found.and_then(|found| {
-        let dated = Dated { source: found.source, number: found.number, at_ms: found.at_ms };
-        judge(wall_ms(), dated, source, known, serve_ms).map_err(|why| why.to_string()).map(|()| found)
+        let header =
+            SnapshotHeader { source: found.source, revision: found.number, current_at_ms: found.at_ms };
+        check_snapshot(wall_ms(), header, source, known, serve_ms)
+            .map_err(|why| why.to_string())
+            .map(|()| found)
     });
     let at = path.display();
     match found {
--- a/front/src/program/feed.rs
+++ b/front/src/program/feed.rs
@@ -2,7 +2,7 @@
 use crate::protocol::feed::{decode, hello, News};
 use crate::transport::{dial, Outgoing, Reactor, Stream};
 use cranesill::api::{Span, Time};
-use cranesill_startup::{Calls, End};
+use cranesill_startup::{CallEnd, CallSchedule};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,21 +27,21 @@
     /// It is connected.
     up: bool,
     /// When it calls: the service is one for all fronts.
-    calls: Calls,
+    calls: CallSchedule,
     /// Since when nothing is heard of the service, and whether that was told.
     lost: Option<(Time, bool)>,
     /// Since when this connection says that its last event is before the one held here.
     behind: Option<Time>,
     /// When it is given up if nothing more is heard, or tried again.
     pub due: Time,
-    /// Calls that were made.
+    /// CallSchedule that were made.
     pub called: u64,
 }
 
 impl Discovery {
     /// Is not connected yet: that is due soon.
-    pub fn new(now: Time, address: SocketAddr, last: u64, mut calls: Calls, others: bool) -> Self {
-        let (scratch, due) = (vec![0; READ_MOST], calls.first(now, others));
+    pub fn new(now: Time, address: SocketAddr, last: u64, mut calls: CallSchedule, others: bool) -> Self {
+        let (scratch, due) = (vec![0; READ_MOST], calls.first_call(now, others));
         Discovery {
             address,
             last,
@@ -63,7 +63,7 @@
 
     /// Whether the service is heard now: it has said something on this connection.
     pub fn heard(&self) -> bool {
-        self.up && self.lost.is_none() && self.calls.spoke()
+        self.up && self.lost.is_none() && self.calls.has_received()
     }
 
     /// Whether this is the connection to the feed.
@@ -86,17 +86,17 @@
     /// What is due: to connect, or to give up what has been silent for too long and call again later.
     pub fn go(&mut self, now: Time, reactor: &Reactor, key: usize) {
         if self.stream.is_some() {
-            self.end(now, if self.up { End::Silent } else { End::Unanswered });
+            self.end(now, if self.up { CallEnd::Silent } else { CallEnd::Unanswered });
             if self.due > now {
                 return;
             }
         }
-        self.due = self.calls.begin(now);
+        self.due = self.calls.start_call(now);
         self.called += 1;
         self.behind = None;
         match dial(self.address).and_then(|s| Stream::new(reactor, s, key, true)) {
             Ok(stream) => (self.stream, self.up) = (Some((key, stream)), false),
-            Err(_) => return self.end(now, End::Refused),
+            Err(_) => return self.end(now, CallEnd::Refused),
         }
         let head = hello(self.last).to_vec();
         if let Some((_, stream)) = &mut self.stream {
@@ -111,9 +111,9 @@
             self.end(
                 now,
                 match e.kind() {
-                    io::ErrorKind::ConnectionRefused => End::Refused,
-                    io::ErrorKind::InvalidData => End::Garbage,
-                    _ => End::Closed,
+                    io::ErrorKind::ConnectionRefused => CallEnd::Refused,
+                    io::ErrorKind::InvalidData => CallEnd::Malformed,
+                    _ => CallEnd::Closed,
                 },
             );
         }
@@ -121,12 +121,12 @@
     }
 
     /// A call, or the connection that came of it, has ended.
-    fn end(&mut self, now: Time, end: End) {
+    fn end(&mut self, now: Time, end: CallEnd) {
         self.stream = None;
-        self.due = self.calls.end(now, end);
+        self.due = self.calls.end_call(now, end);
         let (since, told) = self.lost.unwrap_or((now, false));
         // One break is nothing to wake anybody for.
-        let tell = !told && self.calls.fails();
+        let tell = !told && self.calls.is_failing();
         if tell {
             let again_ms = (self.due - now) / 1_000;
             tracing::warn!(kind = "list", ?end, again_ms, at = %self.address, "the list service fails: what is known stands");
@@ -155,12 +155,12 @@
                 stream.consume(used);
                 // Only a whole frame is a sign of life: a feed may stop in the middle of one.
                 self.due = now + SILENCE_MOST;
-                self.calls.heard(now);
+                self.calls.record_message(now);
                 if let Some((since, true)) = self.lost.take() {
                     let lost_ms = now.saturating_sub(since) / 1_000;
                     tracing::info!(kind = "list", lost_ms, "the list service is heard again");
                 }
-                let behind = number < self.last && event.is_none() && self.calls.budgeted();
+                let behind = number < self.last && event.is_none() && self.calls.has_budget();
                 self.behind = behind.then(|| self.behind.unwrap_or(now));
                 if self.behind.is_some_and(|since| now >= since + BEHIND_MOST) {
                     tracing::warn!(
--- a/front/src/program/feed/tests.rs
+++ b/front/src/program/feed/tests.rs
@@ -5,8 +5,13 @@
 fn a_feed_that_stops_in_the_middle_of_an_event_is_given_up() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut reactor = Reactor::new().unwrap();
-    let mut feed =
-        Discovery::new(0, listener.local_addr().unwrap(), 7, Calls::new(0, (0, 3), 1, None), false);
+    let mut feed = Discovery::new(
+        0,
+        listener.local_addr().unwrap(),
+        7,
+        CallSchedule::new(0, cranesill_startup::FleetPosition { number: 0, fronts: 3 }, 1, None),
+        false,
+    );
     assert!(feed.due <= 200_000);
     feed.go(0, &reactor, 5);
     assert!(feed.due <= 1_000_000, "a connection that never comes up is given up soon");
--- a/front/src/program/startup.rs
+++ b/front/src/program/startup.rs
@@ -6,22 +6,26 @@
 use crate::routing::Origin;
 use cranesill::api::{Listed, MemberId, Time};
 use cranesill_daemon::Startup as Settings;
-use cranesill_startup::{Budget, Calls, Needs, Ramp, Ready, Take, Waits};
+use cranesill_startup::{
+    Admission, CallBudget, CallSchedule, FleetPosition, Group, ListedEndpoint, NotReady, Readiness,
+    ReadinessPolicy, SlowStart,
+};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
 /// When this front calls the list service.
-pub fn calls(now: Time, config: &Config, settings: Option<&Settings>) -> Calls {
-    let budget = settings.map(|startup| Budget {
+pub fn calls(now: Time, config: &Config, settings: Option<&Settings>) -> CallSchedule {
+    let budget = settings.map(|startup| CallBudget {
         calls_per_s: startup.calls_per_s.into(),
-        wait_most: startup.wait_most_ms * 1_000,
-        haste: startup.haste_ms * 1_000,
+        max_wait: startup.wait_most_ms * 1_000,
+        urgent_period: startup.haste_ms * 1_000,
     });
-    Calls::new(now, place(config), config.seed, budget)
+    CallSchedule::new(now, position(config), config.seed, budget)
 }
 
-fn place(config: &Config) -> (u32, u32) {
-    (config.deployment.settings.number, config.deployment.settings.routers)
+fn position(config: &Config) -> FleetPosition {
+    let settings = &config.deployment.settings;
+    FleetPosition { number: settings.number, fronts: settings.routers }
 }
 
 /// Where the list is kept on disk; `None`: it is not.
@@ -69,10 +73,10 @@
 /// What the settings switch on of it.
 pub struct Startup {
     /// Members that are listed and wait to be used.
-    ramp: Option<Ramp<Listing>>,
-    ready: Option<Ready>,
+    slow_start: Option<SlowStart<Listing>>,
+    ready: Option<Readiness>,
     /// What was last waited for, as it was logged.
-    waits: Option<Waits>,
+    waits: Option<NotReady>,
     zone: u16,
     origin: Option<u8>,
 }
@@ -82,60 +86,64 @@
     pub fn new(now: Time, config: &Config, settings: Option<&Settings>) -> Self {
         // One process that takes the place of another is no cold fleet: its clients are there already.
         let settings = settings.filter(|_| config.accept_fd.is_none());
-        let ramp = settings.and_then(|s| {
+        let slow_start = settings.and_then(|s| {
             let most = s.ramp_most_ms * 1_000;
-            s.handshakes_per_s.map(|per_s| Ramp::new(place(config), per_s.into(), most))
+            s.handshakes_per_s.map(|per_s| SlowStart::new(position(config), per_s.into(), most))
         });
         let ready = settings.map(|s| {
             let (most, spread) = (s.ready_most_ms * 1_000, s.ready_spread_ms * 1_000);
-            Ready::new(now, place(config), Needs { percent: s.ready_percent, most, spread })
+            let policy = ReadinessPolicy { min_percent: s.ready_percent, max_wait: most, spread };
+            Readiness::new(now, position(config), policy)
         });
         let (zone, origin) = (config.deployment.settings.zone, config.deployment.settings.origin_kind);
-        Startup { ramp, ready, waits: None, zone, origin }
+        Startup { slow_start, ready, waits: None, zone, origin }
     }
 
     /// The list tells of members: those that are to be taken over now.
     pub fn listed(&mut self, now: Time, whole: bool, list: Vec<Listing>) -> Vec<Listing> {
-        let Some(ramp) = &mut self.ramp else { return list };
-        let take = |l: &Listing| match l.state {
-            Listed::Ready if Some(l.kind) != self.origin => Take::Turn(l.kind, l.zone == self.zone),
-            Listed::Gone => Take::Gone,
-            _ => Take::Now,
+        let Some(slow_start) = &mut self.slow_start else { return list };
+        let admission = |l: &Listing| match l.state {
+            Listed::Ready if Some(l.kind) != self.origin => {
+                Admission::Staggered(Group { kind: l.kind, near: l.zone == self.zone })
+            }
+            Listed::Gone => Admission::Removed,
+            _ => Admission::Immediate,
         };
-        ramp.listed(now, whole, list.into_iter().map(|l| (l.id.into(), take(&l), l)).collect())
+        let endpoint = |l: Listing| ListedEndpoint { id: l.id.into(), admission: admission(&l), entry: l };
+        slow_start.update(now, whole, list.into_iter().map(endpoint).collect())
     }
 
     /// Members whose turn has come.
     pub fn due(&mut self, now: Time) -> Vec<Listing> {
-        self.ramp.as_mut().map_or_else(Vec::new, |ramp| ramp.due(now))
+        self.slow_start.as_mut().map_or_else(Vec::new, |slow_start| slow_start.poll(now))
     }
 
     /// When the next one's turn comes.
     pub fn next(&self) -> Option<Time> {
-        self.ramp.as_ref().and_then(Ramp::next)
+        self.slow_start.as_ref().and_then(SlowStart::next_deadline)
     }
 
     /// Whether connections are begun before anything is asked.
     pub fn dials(&self) -> bool {
-        self.ramp.is_some()
+        self.slow_start.is_some()
     }
 
     /// Whether a member is listed and waits.
     pub fn has(&self, member: MemberId) -> bool {
-        self.ramp.as_ref().is_some_and(|ramp| ramp.waits(member.0))
+        self.slow_start.as_ref().is_some_and(|slow_start| slow_start.is_waiting(member.0))
     }
 
     /// How many members are listed and wait.
     pub fn waiting(&self) -> usize {
-        self.ramp.as_ref().map_or(0, Ramp::waiting)
+        self.slow_start.as_ref().map_or(0, SlowStart::waiting)
     }
 
     /// Whether the front is ready, with so many members in use and so many of them reached. Tells the log what changes.
     pub fn ready(&mut self, now: Time, used: usize, reached: usize) -> bool {
         let waiting = self.waiting();
         let Some(ready) = &mut self.ready else { return true };
-        let waits = ready.look(now, used + waiting, reached);
-        let kind = |waits: &Option<Waits>| waits.as_ref().map(std::mem::discriminant);
+        let waits = ready.check(now, used + waiting, reached).err();
+        let kind = |waits: &Option<NotReady>| waits.as_ref().map(std::mem::discriminant);
         if kind(&waits) != kind(&self.waits) {
             match &waits {
                 Some(waits) => tracing::info!(kind = "startup", %waits, "not ready"),
--- a/startup/src/call_budget.rs
+++ b/startup/src/call_budget.rs
@@ -1,179 +1,224 @@
-//! When a front calls the list service again. The service is one for all fronts: what each does by itself is harmless, and
+//! When a front calls the list service again. All fronts share one service: what each does by itself is harmless, and
 //! what all do in step keeps it down.
-use crate::{Span, Time};
-
-/// The next call after a connection that broke: a break alone says nothing of the service. Without a budget it is so after
-/// every end.
-const AGAIN: Span = 200_000;
-/// Wait between two calls while haste has a reason.
-const SOON: Span = 500_000;
-/// A front's share of the budget as a wait between two calls, at least.
-const SHARE_LEAST: Span = 1_000_000;
-/// Waits are spread by so much of them to either side, by each front's own random numbers; less once the fleet is strewn evenly, which
-/// these would undo.
-const SPREAD: f64 = 0.25;
-const STREWN_SPREAD: f64 = 0.03;
-/// A connection that was heard over this long was well. What was told on a shorter one is known, but no reason for haste.
-const WELL: Span = 2_000_000;
-/// A connection is waited for this long at first; once calls are rare, twice as long after each one that never came up: a
-/// service that is slow to answer gets longer, not more calls.
-const DIAL: Span = 500_000;
-const DIAL_MOST: Span = 4_000_000;
-const DIAL_GROWTH: u64 = 2;
-
-/// How a call, or the connection that came of it, ended.
+use crate::rng::next_fraction;
+use crate::{FleetPosition, Micros, Timestamp};
+
+/// Wait before the next call after a connection that had worked: one broken connection says nothing about the service.
+/// Without a budget, the wait after every call.
+const RETRY_INTERVAL: Micros = 200_000;
+/// Wait between two calls in the urgent period (see [`CallBudget::urgent_period`]).
+const URGENT_INTERVAL: Micros = 500_000;
+/// Smallest share of the budget, as a wait between two calls of one front.
+const MIN_SHARE: Micros = 1_000_000;
+/// Relative jitter of a wait, to either side.
+const JITTER: f64 = 0.25;
+/// The same once the calls of the fleet are spread evenly, which more jitter would undo.
+const SPREAD_JITTER: f64 = 0.03;
+/// A connection that delivered messages over this long had worked. One that broke sooner is no reason for haste.
+const MIN_HEALTHY: Micros = 2_000_000;
+/// First connect timeout.
+const CONNECT_TIMEOUT: Micros = 500_000;
+/// Longest connect timeout. Once calls are rare, the timeout grows with each call that was never answered: a service
+/// that is slow to answer gets more time, not more calls.
+const MAX_CONNECT_TIMEOUT: Micros = 4_000_000;
+const CONNECT_TIMEOUT_GROWTH: u64 = 2;
+
+/// How a call, or the connection that it opened, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Nobody listens there, or no socket was to be had.
+pub enum CallEnd {
+    /// Nobody listens there, or no socket could be opened.
     Refused,
-    /// It did not come up in time.
+    /// The connection did not come up in time.
     Unanswered,
-    /// It broke or was closed.
+    /// The connection broke or was closed.
     Closed,
-    /// It fell silent, in the middle of an event or between two.
+    /// The connection fell silent, within a message or between two.
     Silent,
-    /// What came could not be read.
-    Garbage,
+    /// A message could not be decoded.
+    Malformed,
 }
 
 /// What all fronts together may ask of a service that fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
-    /// Calls a second.
+pub struct CallBudget {
+    /// Calls per second of the whole fleet.
     pub calls_per_s: f64,
-    /// The longest wait of one front between two calls, whatever its share.
-    pub wait_most: Span,
-    /// For so long after the last word of the service calls are made twice a second: all that came about since then is learned
-    /// in time by a call before it must be heeded. Later than that nothing is to be gained by haste.
-    pub haste: Span,
+    /// Longest wait of one front between two calls, whatever its share.
+    pub max_wait: Micros,
+    /// For this long after the last message of the service, calls are made twice a second: whatever has changed since
+    /// then is learned in time by a call before it must be obeyed. Later, nothing is gained by haste.
+    pub urgent_period: Micros,
+}
+
+/// The budget of one front.
+#[derive(Clone, Copy, Debug)]
+struct FrontBudget {
+    /// Wait between two calls at this front's share.
+    share: Micros,
+    urgent_period: Micros,
+}
+
+impl FrontBudget {
+    fn new(fronts: u32, budget: CallBudget) -> Self {
+        let seconds = f64::from(fronts) / budget.calls_per_s.max(f64::MIN_POSITIVE);
+        let share = (seconds * 1e6) as Micros;
+        FrontBudget { share: share.max(MIN_SHARE).min(budget.max_wait), urgent_period: budget.urgent_period }
+    }
 }
 
-/// The calls of one front.
+/// Schedules the calls of one front.
 #[derive(Clone, Debug)]
-pub struct Calls {
-    /// Wait between two calls at this front's share of the budget, and for how long there is haste; `None`: no budget.
-    budget: Option<(Span, Span)>,
-    /// Which of the fronts it is, and how many there are.
-    place: (u32, u32),
-    /// Ends in a row, the last well connection's among them.
+pub struct CallSchedule {
+    budget: Option<FrontBudget>,
+    position: FleetPosition,
+    /// Ends in a row, counting that of the last healthy connection.
     failures: u32,
-    /// Calls in a row that were not answered at all while calls were rare.
+    /// Calls in a row that were never answered while calls were rare.
     unanswered: u32,
-    /// It has waited its share since the service was last well: from then on the fleet is spread.
+    /// This front has waited its share since the service was last healthy, so the calls of the fleet are spread.
     spread: bool,
-    began: Time,
-    /// When something whole was last heard, on any connection; at first the start, whose news the configuration brings.
-    heard: Time,
-    /// When something whole was first heard on this connection.
-    first: Option<Time>,
-    rng: u64,
+    call_started_at: Timestamp,
+    /// When the last complete message arrived on any connection; at first the start, whose events the configuration
+    /// holds.
+    last_message_at: Timestamp,
+    /// When the first complete message arrived on this connection.
+    first_message_at: Option<Timestamp>,
+    rng_state: u64,
 }
 
-impl Calls {
-    /// The front of this number, from 0, of so many, with random numbers of its own; all up to `now` is known. Without a budget it calls
-    /// anew after a fifth of a second, however often that fails.
-    pub fn new(now: Time, (number, fronts): (u32, u32), seed: u64, budget: Option<Budget>) -> Self {
-        let fronts = fronts.max(1);
-        let share = |b: Budget| {
-            let share = (f64::from(fronts) / b.calls_per_s.max(f64::MIN_POSITIVE) * 1e6) as Span;
-            (share.max(SHARE_LEAST).min(b.wait_most), b.haste)
-        };
-        let (place, rng, budget) = ((number % fronts, fronts), seed, budget.map(share));
-        Calls {
-            budget,
-            place,
+impl CallSchedule {
+    /// The schedule of a front that knows everything up to `now`. Without a budget it calls again after a fifth of a
+    /// second, however often that fails.
+    pub fn new(now: Timestamp, position: FleetPosition, seed: u64, budget: Option<CallBudget>) -> Self {
+        let position = position.normalized();
+        CallSchedule {
+            budget: budget.map(|budget| FrontBudget::new(position.fronts, budget)),
+            position,
             failures: 0,
             unanswered: 0,
             spread: false,
-            began: now,
-            heard: now,
-            first: None,
-            rng,
+            call_started_at: now,
+            last_message_at: now,
+            first_message_at: None,
+            rng_state: seed,
         }
     }
 
-    /// A number from 0 to 1.
-    fn roll(&mut self) -> f64 {
-        (crate::rng::next(&mut self.rng) >> 11) as f64 / (1u64 << 53) as f64
+    fn random(&mut self) -> f64 {
+        next_fraction(&mut self.rng_state)
     }
 
-    /// When the first call is made by a front that starts: all of a fleet may start at one moment. One that learns of the list
-    /// from others meanwhile waits for its place among all.
-    pub fn first(&mut self, now: Time, others: bool) -> Time {
-        if let Some((share, _)) = self.budget.filter(|_| others) {
-            // The fleet is strewn by this already, and what was never well has not broken: no quick second call.
-            (self.failures, self.spread) = (1, true);
-            let (number, fronts) = (f64::from(self.place.0), f64::from(self.place.1));
-            return now + AGAIN + (share as f64 * (number + self.roll()) / fronts) as Span;
-        }
-        now + (AGAIN as f64 * self.roll()) as Span
+    /// When a front that starts makes its first call; a whole fleet may start at once. With `has_peers` the front can
+    /// learn the list from peers meanwhile, and waits for its place in the fleet.
+    pub fn first_call(&mut self, now: Timestamp, has_peers: bool) -> Timestamp {
+        let Some(budget) = self.budget.filter(|_| has_peers) else {
+            return now + (RETRY_INTERVAL as f64 * self.random()) as Micros;
+        };
+        // This spreads the fleet, and a service that never answered has not broken: no quick second call.
+        self.failures = 1;
+        self.spread = true;
+        let place = f64::from(self.position.number) + self.random();
+        now + RETRY_INTERVAL + (budget.share as f64 * place / f64::from(self.position.fronts)) as Micros
     }
 
-    /// A call is made. It is given up at the moment returned if it has not come up by then.
-    pub fn begin(&mut self, now: Time) -> Time {
-        (self.began, self.first) = (now, None);
-        let most = self.budget.map_or(DIAL, |(share, _)| DIAL_MOST.min(share / 2).max(DIAL));
-        let allowed = DIAL.saturating_mul(DIAL_GROWTH.saturating_pow(self.unanswered)).min(most);
-        now + (allowed as f64 * (1.0 - SPREAD + 2.0 * SPREAD * self.roll())) as Span
+    /// A call is made. Returns the deadline by which it must have connected.
+    pub fn start_call(&mut self, now: Timestamp) -> Timestamp {
+        self.call_started_at = now;
+        self.first_message_at = None;
+        let share_limit =
+            |budget: FrontBudget| MAX_CONNECT_TIMEOUT.min(budget.share / 2).max(CONNECT_TIMEOUT);
+        let longest = self.budget.map_or(CONNECT_TIMEOUT, share_limit);
+        let growth = CONNECT_TIMEOUT_GROWTH.saturating_pow(self.unanswered);
+        let timeout = CONNECT_TIMEOUT.saturating_mul(growth).min(longest);
+        now + (timeout as f64 * self.jitter(JITTER)) as Micros
     }
 
-    /// Whether a budget is set: the service is not the platform's.
-    pub fn budgeted(&self) -> bool {
+    /// A factor around 1.
+    fn jitter(&mut self, relative: f64) -> f64 {
+        1.0 - relative + 2.0 * relative * self.random()
+    }
+
+    /// Whether calls are limited by a budget.
+    pub fn has_budget(&self) -> bool {
         self.budget.is_some()
     }
 
-    /// Whether something whole was heard on this connection.
-    pub fn spoke(&self) -> bool {
-        self.first.is_some()
+    /// Whether a complete message has arrived on this connection.
+    pub fn has_received(&self) -> bool {
+        self.first_message_at.is_some()
     }
 
-    /// Whether the service fails: more than a break that was mended at once.
-    pub fn fails(&self) -> bool {
+    /// Whether the service is failing: more than one broken connection that was replaced at once.
+    pub fn is_failing(&self) -> bool {
         self.failures > 1
     }
 
-    /// Something whole was heard.
-    pub fn heard(&mut self, now: Time) {
-        (self.heard, self.unanswered) = (now, 0);
-        self.first.get_or_insert(now);
+    /// A complete message has arrived.
+    pub fn record_message(&mut self, now: Timestamp) {
+        self.last_message_at = now;
+        self.unanswered = 0;
+        self.first_message_at.get_or_insert(now);
     }
 
-    /// The call, or its connection, has ended. When the next is made: never before now.
-    pub fn end(&mut self, now: Time, end: End) -> Time {
-        // By what was heard, not by how long it was open: one that says nothing is not well.
-        let spoke = self.first.take().map(|first| self.heard.saturating_sub(first));
-        if spoke.is_some_and(|span| span >= WELL) {
-            (self.failures, self.spread) = (0, false);
+    /// A call, or its connection, has ended. Returns when the next call is made, never before `now`.
+    pub fn end_call(&mut self, now: Timestamp, end: CallEnd) -> Timestamp {
+        // Judged by the messages, not by how long it was open: a silent connection is not healthy.
+        let first_message_at = self.first_message_at.take();
+        let delivered_for = first_message_at.map(|first| self.last_message_at.saturating_sub(first));
+        if delivered_for.is_some_and(|duration| duration >= MIN_HEALTHY) {
+            self.failures = 0;
+            self.spread = false;
         }
-        let (share, haste) = self.budget.unwrap_or((AGAIN, Span::MAX));
-        let soon = spoke.is_none() && now < self.heard.saturating_add(haste);
-        self.unanswered = if end == End::Unanswered && !soon { self.unanswered.saturating_add(1) } else { 0 };
+        let budget = self.budget.unwrap_or(FrontBudget { share: RETRY_INTERVAL, urgent_period: Micros::MAX });
+        let urgent_until = self.last_message_at.saturating_add(budget.urgent_period);
+        let urgent = delivered_for.is_none() && now < urgent_until;
+        let rare = !urgent;
+        self.unanswered = match end {
+            CallEnd::Unanswered if rare => self.unanswered.saturating_add(1),
+            _ => 0,
+        };
         let wait = match self.failures {
-            0 => AGAIN,
-            _ if soon => SOON.min(share),
-            _ => share,
+            0 => RETRY_INTERVAL,
+            _ if urgent => URGENT_INTERVAL.min(budget.share),
+            _ => budget.share,
         };
         self.failures = self.failures.saturating_add(1);
-        let roll = self.roll();
-        // From when the call was made, or from the silence's begin: time that it waited in vain is part of the wait.
-        let vain = matches!(end, End::Unanswered | End::Silent);
-        let gone = if vain { now.saturating_sub(self.began.max(self.heard)) as f64 } else { 0.0 };
-        let long = wait as f64;
-        if wait < share || soon || self.budget.is_none() {
-            // All may have heard of the end at one moment, and a silence ends for all of them at once.
-            let wait = (long * (1.0 - SPREAD + 2.0 * SPREAD * roll) - gone).max(AGAIN as f64 * roll);
-            return now + wait as Span;
+        let waited = self.waited_in_vain(now, end);
+        let at_own_share = self.budget.is_some() && rare && wait >= budget.share;
+        match at_own_share {
+            true => now + self.share_wait(wait, waited),
+            false => now + self.short_wait(wait, waited),
         }
-        let wait = if self.spread {
-            (long * (1.0 - STREWN_SPREAD + 2.0 * STREWN_SPREAD * roll) - gone).max(0.0)
-        } else {
-            // A fleet that began in step is strewn over the whole share, each front by its place in it.
-            let place = (f64::from(self.place.0) + roll) / f64::from(self.place.1);
-            // A silence may have taken longer than the share.
-            (long - gone).max(long / 2.0) * place
-        };
+    }
+
+    /// Time that was spent waiting for an answer counts towards the wait before the next call.
+    fn waited_in_vain(&self, now: Timestamp, end: CallEnd) -> Micros {
+        match end {
+            CallEnd::Unanswered | CallEnd::Silent => {
+                now.saturating_sub(self.call_started_at.max(self.last_message_at))
+            }
+            _ => 0,
+        }
+    }
+
+    /// All fronts may have noticed the end at once, and a silence ends for all of them at once: never without a wait.
+    fn short_wait(&mut self, wait: Micros, waited: Micros) -> Micros {
+        let random = self.random();
+        let jitter = 1.0 - JITTER + 2.0 * JITTER * random;
+        let left = wait as f64 * jitter - waited as f64;
+        left.max(RETRY_INTERVAL as f64 * random) as Micros
+    }
+
+    fn share_wait(&mut self, wait: Micros, waited: Micros) -> Micros {
+        let (wait, waited) = (wait as f64, waited as f64);
+        if self.spread {
+            return (wait * self.jitter(SPREAD_JITTER) - waited).max(0.0) as Micros;
+        }
+        // A fleet that started in step is spread over the whole share, each front by its number. A silence may have
+        // taken longer than the share.
         self.spread = true;
-        now + wait as Span
+        let place = (f64::from(self.position.number) + self.random()) / f64::from(self.position.fronts);
+        ((wait - waited).max(wait / 2.0) * place) as Micros
     }
 }
 
--- a/startup/src/call_budget/tests.rs
+++ b/startup/src/call_budget/tests.rs
@@ -1,58 +1,60 @@
 #[test]
-fn a_fleet_that_has_others_to_ask_calls_evenly_from_the_first_call_on() {
-    let budget = Budget { calls_per_s: 10.0, wait_most: 600_000_000, haste: 0 };
+fn a_fleet_with_peers_calls_evenly_from_the_first_call_on() {
+    let budget = CallBudget { calls_per_s: 10.0, max_wait: 600_000_000, urgent_period: 0 };
     let mut all = Vec::new();
     for n in 0..300 {
-        let mut calls = Calls::new(0, (n, 300), u64::from(n), Some(budget));
-        let mut now = calls.first(0, true);
+        let mut calls =
+            CallSchedule::new(0, FleetPosition { number: n, fronts: 300 }, u64::from(n), Some(budget));
+        let mut now = calls.first_call(0, true);
         while now < 60_000_000 {
             all.push(now);
-            calls.begin(now);
-            now = calls.end(now + 1_000, End::Closed);
+            calls.start_call(now);
+            now = calls.end_call(now + 1_000, CallEnd::Closed);
         }
     }
     assert!((550..=660).contains(&all.len()), "{} calls in a minute", all.len());
-    let second = |from: &Time| all.iter().filter(|at| (*from..from + 1_000_000).contains(at)).count();
+    let second = |from: &Timestamp| all.iter().filter(|at| (*from..from + 1_000_000).contains(at)).count();
     assert!(all.iter().map(second).max() <= Some(16), "{:?}", all.iter().map(second).max());
 }
 
 use super::*;
 
-const S: Time = 1_000_000;
-const TOLD: Span = 7_500_000;
+const SECOND: Timestamp = 1_000_000;
+const URGENT_PERIOD: Micros = 7_500_000;
 
-fn budget() -> Option<Budget> {
-    Some(Budget { calls_per_s: 10.0, wait_most: 5_500_000, haste: TOLD })
+fn budget() -> Option<CallBudget> {
+    Some(CallBudget { calls_per_s: 10.0, max_wait: 5_500_000, urgent_period: URGENT_PERIOD })
 }
 
 #[test]
-fn without_a_budget_a_front_calls_anew_after_a_fifth_of_a_second_whatever_happens() {
-    // The platform counts what came about as told as soon as it could have been learned.
-    let mut calls = Calls::new(0, (250, 300), 7, None);
+fn without_a_budget_a_front_retries_after_a_fifth_of_a_second_whatever_happens() {
+    // The platform expects a change to be obeyed as soon as it could have been learned.
+    let mut calls = CallSchedule::new(0, FleetPosition { number: 250, fronts: 300 }, 7, None);
     let mut now = 0;
     for n in 0..400u64 {
-        let until = calls.begin(now);
+        let until = calls.start_call(now);
         assert!(until <= now + 625_000);
-        let ends = [End::Refused, End::Closed, End::Garbage, End::Unanswered, End::Silent];
+        let ends =
+            [CallEnd::Refused, CallEnd::Closed, CallEnd::Malformed, CallEnd::Unanswered, CallEnd::Silent];
         if n % 7 == 0 {
-            calls.heard(now);
+            calls.record_message(now);
         }
-        let next = calls.end(now, ends[(n % 5) as usize]);
+        let next = calls.end_call(now, ends[(n % 5) as usize]);
         assert!((now..=now + 250_000).contains(&next), "{n}: {} us", next - now);
         now = next + n * 10_000;
     }
 }
 
 #[test]
-fn calls_are_quick_while_what_was_missed_is_not_taken_for_told_and_rare_afterwards() {
-    let mut calls = Calls::new(0, (250, 300), 7, budget());
-    let mut now = calls.first(0, false);
-    assert!(now <= AGAIN);
+fn calls_are_frequent_in_the_urgent_period_and_rare_afterwards() {
+    let mut calls = CallSchedule::new(0, FleetPosition { number: 250, fronts: 300 }, 7, budget());
+    let mut now = calls.first_call(0, false);
+    assert!(now <= RETRY_INTERVAL);
     let (mut quick, mut rare) = (Vec::new(), Vec::new());
-    while now < 40 * S {
-        calls.begin(now);
-        let next = calls.end(now, End::Closed);
-        if now < TOLD {
+    while now < 40 * SECOND {
+        calls.start_call(now);
+        let next = calls.end_call(now, CallEnd::Closed);
+        if now < URGENT_PERIOD {
             quick.push(next - now)
         } else {
             rare.push(next - now)
@@ -64,56 +66,59 @@
 }
 
 #[test]
-fn a_connection_that_was_well_makes_calls_quick_again_and_one_that_only_opened_does_not() {
-    let mut calls = Calls::new(0, (250, 300), 7, budget());
-    let failed = |calls: &mut Calls, now: Time| {
-        calls.begin(now);
-        calls.end(now, End::Refused) - now
+fn a_healthy_connection_makes_calls_frequent_again_and_a_merely_open_one_does_not() {
+    let mut calls = CallSchedule::new(0, FleetPosition { number: 250, fronts: 300 }, 7, budget());
+    let failed = |calls: &mut CallSchedule, now: Timestamp| {
+        calls.start_call(now);
+        calls.end_call(now, CallEnd::Refused) - now
     };
     for n in 0..20 {
-        failed(&mut calls, n * S);
+        failed(&mut calls, n * SECOND);
     }
-    // Open for a minute, and not a word.
-    calls.begin(20 * S);
-    assert!(calls.end(80 * S, End::Closed) - 80 * S > S);
-    // A word at its begin: what came about up to then is known, so there is time.
-    calls.begin(90 * S);
-    calls.heard(90 * S);
-    assert!(calls.end(90 * S, End::Closed) - 90 * S > 5 * S);
-    // Nothing was heard since: before it is too late for what came about since that word it is quick.
-    assert!(failed(&mut calls, 95 * S + S / 2) <= 625_000);
-    assert!(failed(&mut calls, 98 * S) > S);
-    calls.begin(100 * S);
-    (0..30).for_each(|s| calls.heard((100 + s) * S));
-    assert!(calls.end(130 * S, End::Silent) - 130 * S <= 250_000);
+    // Open for a minute without a message.
+    calls.start_call(20 * SECOND);
+    assert!(calls.end_call(80 * SECOND, CallEnd::Closed) - 80 * SECOND > SECOND);
+    // A message at its start: all changes up to then are known, so there is time.
+    calls.start_call(90 * SECOND);
+    calls.record_message(90 * SECOND);
+    assert!(calls.end_call(90 * SECOND, CallEnd::Closed) - 90 * SECOND > 5 * SECOND);
+    // No message since: calls are frequent while changes since that message can still be learned in time.
+    assert!(failed(&mut calls, 95 * SECOND + SECOND / 2) <= 625_000);
+    assert!(failed(&mut calls, 98 * SECOND) > SECOND);
+    calls.start_call(100 * SECOND);
+    (0..30).for_each(|s| calls.record_message((100 + s) * SECOND));
+    assert!(calls.end_call(130 * SECOND, CallEnd::Silent) - 130 * SECOND <= 250_000);
 }
 
 #[test]
-fn a_small_fleet_never_waits_long_and_garbage_counts_as_any_failure() {
-    let mut calls = Calls::new(0, (1, 3), 1, budget());
+fn a_small_fleet_never_waits_long_and_malformed_messages_count_as_any_failure() {
+    let mut calls = CallSchedule::new(0, FleetPosition { number: 1, fronts: 3 }, 1, budget());
     for n in 0..50 {
-        calls.begin(n * S);
-        let end = if n % 2 == 0 { End::Refused } else { End::Garbage };
-        assert!(calls.end(n * S, end) - n * S <= 1_250_000);
+        calls.start_call(n * SECOND);
+        let end = if n % 2 == 0 { CallEnd::Refused } else { CallEnd::Malformed };
+        assert!(calls.end_call(n * SECOND, end) - n * SECOND <= 1_250_000);
     }
 }
 
 #[test]
-fn a_slow_service_gets_longer_for_each_call_and_no_more_calls_for_it() {
-    let mut calls = Calls::new(0, (250, 300), 3, budget());
+fn a_slow_service_gets_a_longer_timeout_for_each_call_and_no_more_calls() {
+    let mut calls = CallSchedule::new(0, FleetPosition { number: 250, fronts: 300 }, 3, budget());
     let (mut now, mut allowed, mut made) = (0, Vec::new(), Vec::new());
-    while now < 60 * S {
+    while now < 60 * SECOND {
         made.push(now);
-        let until = calls.begin(now);
-        if now >= TOLD + S {
+        let until = calls.start_call(now);
+        if now >= URGENT_PERIOD + SECOND {
             allowed.push(until - now);
         }
-        now = calls.end(until, End::Unanswered);
+        now = calls.end_call(until, CallEnd::Unanswered);
         assert!(now >= until);
     }
     assert!(allowed.windows(2).take(2).all(|w| w[1] > w[0]), "{allowed:?}");
-    assert!(allowed.iter().all(|span| *span <= 3_500_000) && allowed[2] >= 2 * DIAL, "{allowed:?}");
+    assert!(
+        allowed.iter().all(|span| *span <= 3_500_000) && allowed[2] >= 2 * CONNECT_TIMEOUT,
+        "{allowed:?}"
+    );
     assert!(made.windows(2).all(|w| w[1] - w[0] <= 5_700_000), "{made:?}");
-    // Time in vain is part of the wait: the calls are no rarer for it.
-    assert!(made.iter().filter(|at| **at > 12 * S).count() >= 8, "{made:?}");
+    // Time spent on unanswered calls is part of the wait: the calls are no rarer for it.
+    assert!(made.iter().filter(|at| **at > 12 * SECOND).count() >= 8, "{made:?}");
 }
--- a/startup/src/peer_bootstrap.rs
+++ b/startup/src/peer_bootstrap.rs
@@ -1,91 +1,115 @@
-//! The list from one another: whom a front asks while the list service is not heard, and whose word it takes.
-use crate::{Span, Time};
+//! The list from peers: which peers a front asks while it does not hear from the list service, and whose list it takes.
+use crate::rng::next_u64;
+use crate::{Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// Peers asked in one round.
-const ASKED: usize = 3;
-/// What a peer offered counts for this many rounds.
-const ROUNDS: u64 = 5;
-/// A peer that fails rests for a round, and each time for twice as many, up to this.
-const REST_ROUNDS_MOST: u64 = 32;
-/// Rounds are spread by so much to either side.
-const SPREAD: f64 = 0.25;
+/// Peers that are asked in one round.
+const PEERS_PER_ROUND: usize = 3;
+/// An offer counts for this many rounds.
+const OFFER_ROUNDS: u64 = 5;
+/// A peer that fails backs off for two rounds, and for twice as many each time, up to this many.
+const MAX_BACKOFF_ROUNDS: u64 = 32;
+/// Relative jitter of the interval between rounds, to either side.
+const JITTER: f64 = 0.25;
 
+/// Identifies a list that a peer offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Offer {
-    at: Time,
-    number: u64,
-    digest: u64,
+pub struct ListOffer {
+    /// The revision of the list: the number of its last event.
+    pub revision: u64,
+    /// Tells lists of the same revision apart.
+    pub digest: u64,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct TimedOffer {
+    offered_at: Timestamp,
+    offer: ListOffer,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Backoff {
+    until: Timestamp,
+    failures: u32,
 }
 
 /// The peers of one front.
 #[derive(Clone, Debug)]
-pub struct Peers {
-    count: usize,
-    /// So many must offer the same before it is taken.
-    agree: usize,
-    every: Span,
-    next: Time,
-    rng: u64,
-    offers: BTreeMap<usize, Offer>,
-    /// Until when each rests that has failed, and how often in a row it has.
-    rests: BTreeMap<usize, (Time, u32)>,
+pub struct PeerBootstrap {
+    peers: usize,
+    /// This many peers must offer the same list before it is taken.
+    quorum: usize,
+    interval: Micros,
+    next_round: Timestamp,
+    rng_state: u64,
+    offers: BTreeMap<usize, TimedOffer>,
+    backoffs: BTreeMap<usize, Backoff>,
 }
 
-impl Peers {
-    /// So many others can be asked. A list is taken once `agree` of them offer the same.
-    pub fn new(now: Time, count: usize, agree: usize, every: Span, seed: u64) -> Self {
-        let agree = agree.max(1);
-        // It is asked before the service is called.
-        Peers { count, agree, every, next: now, rng: seed, offers: BTreeMap::new(), rests: BTreeMap::new() }
-    }
-
-    fn roll(&mut self) -> u64 {
-        crate::rng::next(&mut self.rng)
+impl PeerBootstrap {
+    /// A list is taken once `quorum` of the `peers` offer the same. Rounds are `interval` apart; the first is due
+    /// immediately, before the service is called.
+    pub fn new(now: Timestamp, peers: usize, quorum: usize, interval: Micros, seed: u64) -> Self {
+        PeerBootstrap {
+            peers,
+            quorum: quorum.max(1),
+            interval,
+            next_round: now,
+            rng_state: seed,
+            offers: BTreeMap::new(),
+            backoffs: BTreeMap::new(),
+        }
     }
 
     /// When the next round is due.
-    pub fn next(&self) -> Time {
-        self.next
+    pub fn next_round(&self) -> Timestamp {
+        self.next_round
     }
 
-    /// A round: whom to ask.
-    pub fn ask(&mut self, now: Time) -> Vec<usize> {
-        let spread = (self.every as f64 * 2.0 * SPREAD) as u64;
-        self.next = now + (self.every as f64 * (1.0 - SPREAD)) as u64 + self.roll() % spread.max(1);
-        let mut awake: Vec<_> =
-            (0..self.count).filter(|peer| self.rests.get(peer).is_none_or(|rest| rest.0 <= now)).collect();
-        let mut asked = Vec::new();
-        while asked.len() < ASKED && !awake.is_empty() {
-            let place = self.roll() as usize % awake.len();
-            asked.push(awake.swap_remove(place));
+    /// Starts a round, and returns the peers to ask.
+    pub fn start_round(&mut self, now: Timestamp) -> Vec<usize> {
+        let jitter_range = (self.interval as f64 * 2.0 * JITTER) as u64;
+        let shortest = (self.interval as f64 * (1.0 - JITTER)) as u64;
+        self.next_round = now + shortest + next_u64(&mut self.rng_state) % jitter_range.max(1);
+        let is_available = |peer: &usize| self.backoffs.get(peer).is_none_or(|backoff| backoff.until <= now);
+        let mut available: Vec<_> = (0..self.peers).filter(is_available).collect();
+        let mut chosen = Vec::new();
+        while chosen.len() < PEERS_PER_ROUND && !available.is_empty() {
+            let place = next_u64(&mut self.rng_state) as usize % available.len();
+            chosen.push(available.swap_remove(place));
         }
-        asked
+        chosen
     }
 
-    /// A peer has nothing newer.
-    pub fn nothing(&mut self, peer: usize) {
-        self.rests.remove(&peer);
+    /// A peer has no newer list.
+    pub fn record_no_update(&mut self, peer: usize) {
+        self.backoffs.remove(&peer);
         self.offers.remove(&peer);
     }
 
-    /// A peer could not be reached, was too slow, or said what can't be read or is not to be served from.
-    pub fn failed(&mut self, now: Time, peer: usize) {
-        let failures = self.rests.get(&peer).map_or(0, |rest| rest.1) + 1;
-        let rounds = 1u64.checked_shl(failures).unwrap_or(REST_ROUNDS_MOST).min(REST_ROUNDS_MOST);
-        self.rests.insert(peer, (now + rounds * self.every, failures));
+    /// A peer could not be reached, was too slow, or sent something that cannot be decoded or used.
+    pub fn record_failure(&mut self, now: Timestamp, peer: usize) {
+        let failures = self.backoffs.get(&peer).map_or(0, |backoff| backoff.failures) + 1;
+        let rounds = 1u64.checked_shl(failures).unwrap_or(MAX_BACKOFF_ROUNDS).min(MAX_BACKOFF_ROUNDS);
+        self.backoffs.insert(peer, Backoff { until: now + rounds * self.interval, failures });
         self.offers.remove(&peer);
     }
 
-    /// A peer offers a list that ends with this event and is told apart by this digest. Whether so many offer the same
-    /// now that it is to be taken by a front that holds events up to `held`.
-    pub fn offered(&mut self, now: Time, peer: usize, held: u64, number: u64, digest: u64) -> bool {
-        self.rests.remove(&peer);
-        self.offers.insert(peer, Offer { at: now, number, digest });
-        let since = now.saturating_sub(ROUNDS * self.every);
-        self.offers.retain(|_, offer| offer.at >= since && offer.number > held);
-        let same = |offer: &&Offer| (offer.number, offer.digest) == (number, digest);
-        number > held && self.offers.values().filter(same).count() >= self.agree
+    /// A peer offers a list to a front that knows `known_revision`. Returns whether enough peers offer the same.
+    pub fn record_offer(
+        &mut self,
+        now: Timestamp,
+        peer: usize,
+        known_revision: u64,
+        offer: ListOffer,
+    ) -> bool {
+        self.backoffs.remove(&peer);
+        self.offers.insert(peer, TimedOffer { offered_at: now, offer });
+        let oldest = now.saturating_sub(OFFER_ROUNDS * self.interval);
+        let counts = |timed: &TimedOffer| timed.offered_at >= oldest && timed.offer.revision > known_revision;
+        self.offers.retain(|_, timed| counts(timed));
+        let agreeing = self.offers.values().filter(|timed| timed.offer == offer).count();
+        offer.revision > known_revision && agreeing >= self.quorum
     }
 }
 
--- a/startup/src/peer_bootstrap/tests.rs
+++ b/startup/src/peer_bootstrap/tests.rs
@@ -1,43 +1,50 @@
 use super::*;
 
-const S: Span = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 #[test]
-fn one_that_lies_is_not_taken_and_two_that_agree_are() {
-    let mut peers = Peers::new(0, 5, 2, 2 * S, 1);
-    assert!(!peers.offered(0, 0, 7, 999, 0xbad), "one alone");
-    assert!(!peers.offered(1, 0, 7, 999, 0xbad), "the same one again");
-    assert!(!peers.offered(2, 1, 7, 9, 0xa));
-    assert!(!peers.offered(3, 2, 7, 9, 0xb), "the same number of another list");
-    assert!(peers.offered(4, 3, 7, 9, 0xa));
-    assert!(!peers.offered(5, 4, 9, 9, 0xa), "it is held already");
-    // What was offered long ago is nobody's word any more.
-    let mut peers = Peers::new(0, 5, 2, 2 * S, 1);
-    peers.offered(0, 1, 7, 9, 0xa);
-    assert!(!peers.offered(11 * S, 2, 7, 9, 0xa));
-    // Nor what a peer has taken back, or one that failed since.
-    peers.nothing(2);
-    assert!(!peers.offered(11 * S, 3, 7, 9, 0xa));
-    peers.failed(11 * S, 3);
-    assert!(!peers.offered(11 * S, 4, 7, 9, 0xa));
+fn a_list_is_taken_only_once_a_quorum_of_peers_offers_the_same() {
+    let mut peers = PeerBootstrap::new(0, 5, 2, 2 * SECOND, 1);
+    assert!(!peers.record_offer(0, 0, 7, ListOffer { revision: 999, digest: 0xbad }), "a single peer");
+    assert!(!peers.record_offer(1, 0, 7, ListOffer { revision: 999, digest: 0xbad }), "the same peer again");
+    assert!(!peers.record_offer(2, 1, 7, ListOffer { revision: 9, digest: 0xa }));
+    assert!(
+        !peers.record_offer(3, 2, 7, ListOffer { revision: 9, digest: 0xb }),
+        "the same number of another list"
+    );
+    assert!(peers.record_offer(4, 3, 7, ListOffer { revision: 9, digest: 0xa }));
+    assert!(!peers.record_offer(5, 4, 9, ListOffer { revision: 9, digest: 0xa }), "that revision is known");
+    // An old offer does not count.
+    let mut peers = PeerBootstrap::new(0, 5, 2, 2 * SECOND, 1);
+    peers.record_offer(0, 1, 7, ListOffer { revision: 9, digest: 0xa });
+    assert!(!peers.record_offer(11 * SECOND, 2, 7, ListOffer { revision: 9, digest: 0xa }));
+    // Neither does one that a peer withdrew, or one of a peer that failed since.
+    peers.record_no_update(2);
+    assert!(!peers.record_offer(11 * SECOND, 3, 7, ListOffer { revision: 9, digest: 0xa }));
+    peers.record_failure(11 * SECOND, 3);
+    assert!(!peers.record_offer(11 * SECOND, 4, 7, ListOffer { revision: 9, digest: 0xa }));
 }
 
 #[test]
-fn rounds_ask_a_few_of_those_that_do_not_rest_and_all_in_time() {
-    let mut peers = Peers::new(0, 40, 2, 2 * S, 3);
+fn each_round_asks_a_few_peers_that_do_not_back_off_and_all_are_asked_in_time() {
+    let mut peers = PeerBootstrap::new(0, 40, 2, 2 * SECOND, 3);
     let (mut now, mut seen) = (0, std::collections::BTreeSet::new());
     for _ in 0..200 {
-        assert!(peers.next() >= now && peers.next() <= now + 5 * S / 2);
-        now = peers.next();
-        let asked = peers.ask(now);
-        assert_eq!(asked.len(), ASKED);
+        assert!(peers.next_round() >= now && peers.next_round() <= now + 5 * SECOND / 2);
+        now = peers.next_round();
+        let asked = peers.start_round(now);
+        assert_eq!(asked.len(), PEERS_PER_ROUND);
         seen.extend(asked);
     }
     assert_eq!(seen.len(), 40);
     for peer in 1..40 {
-        (0..9).for_each(|_| peers.failed(now, peer));
+        (0..9).for_each(|_| peers.record_failure(now, peer));
     }
-    assert_eq!(peers.ask(now), [0], "the others rest");
-    assert_eq!(peers.ask(now + 2 * S * REST_ROUNDS_MOST).len(), ASKED, "none for ever");
-    assert_eq!(Peers::new(0, 0, 2, S, 1).ask(0), [] as [usize; 0]);
+    assert_eq!(peers.start_round(now), [0], "the others back off");
+    assert_eq!(
+        peers.start_round(now + 2 * SECOND * MAX_BACKOFF_ROUNDS).len(),
+        PEERS_PER_ROUND,
+        "no backoff lasts for ever"
+    );
+    assert_eq!(PeerBootstrap::new(0, 0, 2, SECOND, 1).start_round(0), [] as [usize; 0]);
 }
--- a/startup/src/readiness.rs
+++ b/startup/src/readiness.rs
@@ -1,75 +1,83 @@
-//! When a front says that it is ready.
-use crate::{Span, Time};
+//! When a front reports that it is ready.
+use crate::{FleetPosition, Micros, Timestamp};
 use std::fmt;
 
-/// What a front is to have before it says yes, and by when it says so with less.
+/// What a front needs before it reports that it is ready, and when it does so with less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Needs {
-    /// Of the members listed so many in a hundred have a connection that is up.
-    pub percent: u32,
-    /// So long after its start it says yes with fewer, if it has a list at all.
-    pub most: Span,
-    /// The yes of a whole fleet is spread over this.
-    pub spread: Span,
+pub struct ReadinessPolicy {
+    /// Percentage of the listed endpoints that must have a connection.
+    pub min_percent: u32,
+    /// After this long the front is ready with fewer, if it has a list at all.
+    pub max_wait: Micros,
+    /// The fronts of a fleet become ready spread over this time.
+    pub spread: Micros,
 }
 
 /// What a front waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waits {
-    /// It knows no members.
-    List,
-    /// Connections that are up, and how many are needed.
-    Members(usize, usize),
-    /// Its place in the spread.
+pub enum NotReady {
+    /// It knows no endpoints.
+    NoEndpoints,
+    /// Too few endpoints are connected.
+    Connections {
+        /// Connected endpoints.
+        connected: usize,
+        /// Connected endpoints that are needed.
+        needed: usize,
+    },
+    /// Its turn among the fronts.
     Turn,
 }
 
-impl fmt::Display for Waits {
+impl fmt::Display for NotReady {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Waits::List => write!(f, "a list of members"),
-            Waits::Members(up, needed) => write!(f, "connections: {up} of {needed} members are reached"),
-            Waits::Turn => write!(f, "its turn among the fronts"),
+            NotReady::NoEndpoints => write!(f, "a list of members"),
+            NotReady::Connections { connected, needed } => {
+                write!(f, "connections: {connected} of {needed} members are reached")
+            }
+            NotReady::Turn => write!(f, "its turn among the fronts"),
         }
     }
 }
 
-/// A front's yes.
+/// The readiness of one front.
 #[derive(Clone, Debug)]
-pub struct Ready {
-    needs: Needs,
-    began: Time,
-    /// Its place in the spread.
-    turn: Span,
-    /// It has said yes. It does not take that back for connections: members that are lost are the decisions' business.
-    said: bool,
+pub struct Readiness {
+    policy: ReadinessPolicy,
+    started_at: Timestamp,
+    /// When this front's turn in the spread comes.
+    turn: Timestamp,
+    /// The front has been ready. Lost connections do not take that back: they are a matter of health checks.
+    was_ready: bool,
 }
 
-impl Ready {
-    /// The front of this number of so many, which starts now.
-    pub fn new(now: Time, (number, fronts): (u32, u32), needs: Needs) -> Self {
-        let turn = needs.spread / u64::from(fronts.max(1)) * u64::from(number % fronts.max(1));
-        Ready { needs, began: now, turn, said: false }
+impl Readiness {
+    /// A front that starts now.
+    pub fn new(now: Timestamp, position: FleetPosition, policy: ReadinessPolicy) -> Self {
+        let FleetPosition { number, fronts } = position.normalized();
+        let turn = now + policy.spread / u64::from(fronts) * u64::from(number);
+        Readiness { policy, started_at: now, turn, was_ready: false }
     }
 
-    /// What it waits for; `None`: it is ready. `listed` members are known, `up` of them have a connection that is up.
-    pub fn look(&mut self, now: Time, listed: usize, up: usize) -> Option<Waits> {
-        // Without a list nothing can be served, whatever was said before.
+    /// Whether the front is ready with `connected` of `listed` endpoints, or what it waits for.
+    pub fn check(&mut self, now: Timestamp, listed: usize, connected: usize) -> Result<(), NotReady> {
+        // Without a list nothing can be served, whatever was reported before.
         if listed == 0 {
-            return Some(Waits::List);
+            return Err(NotReady::NoEndpoints);
         }
-        let needed = (listed * self.needs.percent as usize).div_ceil(100);
-        let late = now >= self.began + self.needs.most;
-        if !self.said && !late {
-            if up < needed {
-                return Some(Waits::Members(up, needed));
+        let waited_enough = now >= self.started_at + self.policy.max_wait;
+        if !self.was_ready && !waited_enough {
+            let needed = (listed * self.policy.min_percent as usize).div_ceil(100);
+            if connected < needed {
+                return Err(NotReady::Connections { connected, needed });
             }
-            if now < self.began + self.turn {
-                return Some(Waits::Turn);
+            if now < self.turn {
+                return Err(NotReady::Turn);
             }
         }
-        self.said = true;
-        None
+        self.was_ready = true;
+        Ok(())
     }
 }
 
--- a/startup/src/slow_start.rs
+++ b/startup/src/slow_start.rs
@@ -1,132 +1,168 @@
-//! When a front begins to use members that are new to it. Connections to a member are begun by all fronts that learn of it at one
-//! moment; a budget of them over the whole fleet makes that a ramp, and each front goes its own way through the members.
-use crate::rng::mixed;
-use crate::{Span, Time};
+//! When a front starts to use endpoints that are new to it. All fronts learn of an endpoint at the same time; a budget of
+//! connections over the whole fleet spreads their use of it, and each front takes the endpoints in its own order.
+use crate::rng::mix;
+use crate::{FleetPosition, Micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members of each kind that a front uses at once, whatever the budget: it has something to serve by.
-const AT_ONCE: usize = 2;
+/// Endpoints of each group that a front uses immediately, whatever the budget, so that it can serve at all.
+const IMMEDIATE_PER_GROUP: usize = 2;
 
-/// How a member is to be taken over.
+/// Endpoints that can stand in for each other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Group {
+    /// Their kind.
+    pub kind: u8,
+    /// Whether they are in the zone of this front.
+    pub near: bool,
+}
+
+/// How a listed endpoint is admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// Immediately: it is not to be used any more, or there is no other of its kind.
+    Immediate,
+    /// Immediately, and it counts as new if it comes back.
+    Removed,
+    /// In its turn among those of its group.
+    Staggered(Group),
+}
+
+/// An endpoint as the list tells of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Take {
-    /// At once: it is no longer to be used, or there is no other of its kind.
-    Now,
-    /// At once, and it is new once it comes back.
-    Gone,
-    /// In its turn among those of this kind, near ones by themselves.
-    Turn(u8, bool),
+pub struct ListedEndpoint<T> {
+    /// Its id.
+    pub id: u64,
+    /// How it is admitted.
+    pub admission: Admission,
+    /// What the caller wants back once it is admitted.
+    pub entry: T,
 }
 
-/// The members that wait for their turn, each with what is known of it.
 #[derive(Clone, Debug)]
-pub struct Ramp<T> {
-    /// Which of the fronts it is, and how many there are.
-    place: (u32, u32),
-    /// By then a member that all learned of at one moment is used by all.
-    span: Span,
-    /// Members that are used, with their kind.
-    used: BTreeMap<u64, (u8, bool)>,
-    waits: BTreeMap<u64, (Time, (u8, bool), T)>,
+struct Waiting<T> {
+    due: Timestamp,
+    group: Group,
+    entry: T,
 }
 
-fn gcd(a: u64, b: u64) -> u64 {
+/// The endpoints that wait for their turn.
+#[derive(Clone, Debug)]
+pub struct SlowStart<T> {
+    position: FleetPosition,
+    /// Within this time all fronts use an endpoint that they learned of at the same time.
+    duration: Micros,
+    in_use: BTreeMap<u64, Group>,
+    waiting: BTreeMap<u64, Waiting<T>>,
+}
+
+fn greatest_common_divisor(a: u64, b: u64) -> u64 {
     if b == 0 {
         a
     } else {
-        gcd(b, a % b)
+        greatest_common_divisor(b, a % b)
     }
 }
 
-impl<T> Ramp<T> {
-    /// The front of this number, from 0, of so many. So many of all fronts together begin to use a member in a second, unless
-    /// that took longer than `most`.
-    pub fn new((number, fronts): (u32, u32), per_s: f64, most: Span) -> Self {
-        let fronts = fronts.max(1);
-        let span = (f64::from(fronts) / per_s.max(f64::MIN_POSITIVE) * 1e6) as Span;
-        Ramp {
-            place: (number % fronts, fronts),
-            span: span.min(most),
-            used: BTreeMap::new(),
-            waits: BTreeMap::new(),
+impl<T> SlowStart<T> {
+    /// `fleet_rate` fronts per second start to use an endpoint, unless that took all of them longer than
+    /// `max_duration`.
+    pub fn new(position: FleetPosition, fleet_rate: f64, max_duration: Micros) -> Self {
+        let position = position.normalized();
+        let seconds = f64::from(position.fronts) / fleet_rate.max(f64::MIN_POSITIVE);
+        let duration = (seconds * 1e6) as Micros;
+        SlowStart {
+            position,
+            duration: duration.min(max_duration),
+            in_use: BTreeMap::new(),
+            waiting: BTreeMap::new(),
         }
     }
 
-    /// For how long after a member became known this front waits. Of all fronts no two wait equally long for one member, and
-    /// each front goes through the members in an order of its own.
-    fn wait(&self, member: u64) -> Span {
-        let (number, fronts) = (u64::from(self.place.0), u64::from(self.place.1));
-        let of = mixed(member);
-        // A step that has no divisor with the number of fronts in common reaches each place once.
-        let step = (0..fronts)
-            .map(|more| 1 + (of % fronts + more) % fronts)
-            .find(|step| gcd(*step, fronts) == 1)
-            .unwrap_or(1);
-        (number * step + (of >> 32)) % fronts * (self.span / fronts)
+    /// How long this front waits after an endpoint became known. No two fronts wait equally long for one endpoint, and
+    /// each front takes the endpoints in its own order.
+    fn wait(&self, id: u64) -> Micros {
+        let number = u64::from(self.position.number);
+        let fronts = u64::from(self.position.fronts);
+        let hash = mix(id);
+        // A step that is coprime to the number of fronts reaches each place once.
+        let steps = (0..fronts).map(|offset| 1 + (hash % fronts + offset) % fronts);
+        let coprime = |step: &u64| greatest_common_divisor(*step, fronts) == 1;
+        let step = { steps }.find(coprime).unwrap_or(1);
+        let place = (number * step + (hash >> 32)) % fronts;
+        place * (self.duration / fronts)
     }
 
-    /// The list tells of members; `whole`: of all that there are. Those are returned that are to be taken over now.
-    pub fn listed(&mut self, now: Time, whole: bool, list: Vec<(u64, Take, T)>) -> Vec<T> {
-        if whole {
-            let named: BTreeSet<u64> = list.iter().map(|(member, ..)| *member).collect();
-            self.used.retain(|member, _| named.contains(member));
-            self.waits.retain(|member, _| named.contains(member));
+    /// Takes in a list, which is `complete` or holds changes only. Returns the entries to admit now.
+    pub fn update(&mut self, now: Timestamp, complete: bool, list: Vec<ListedEndpoint<T>>) -> Vec<T> {
+        if complete {
+            let listed: BTreeSet<u64> = list.iter().map(|endpoint| endpoint.id).collect();
+            self.in_use.retain(|id, _| listed.contains(id));
+            self.waiting.retain(|id, _| listed.contains(id));
         }
-        let (mut now_used, mut kinds) = (Vec::new(), BTreeSet::new());
-        for (member, take, what) in list {
-            match take {
-                Take::Turn(kind, near) if !self.used.contains_key(&member) => {
-                    let due = self.waits.get(&member).map_or(now + self.wait(member), |waits| waits.0);
-                    self.waits.insert(member, (due, (kind, near), what));
-                    kinds.insert((kind, near));
+        let mut admitted = Vec::new();
+        let mut groups = BTreeSet::new();
+        for ListedEndpoint { id, admission, entry } in list {
+            match admission {
+                Admission::Staggered(group) if !self.in_use.contains_key(&id) => {
+                    let due = self.waiting.get(&id).map_or(now + self.wait(id), |waiting| waiting.due);
+                    self.waiting.insert(id, Waiting { due, group, entry });
+                    groups.insert(group);
+                }
+                // An endpoint in use stays so: the front knows best what to do with it.
+                Admission::Staggered(_) => admitted.push(entry),
+                Admission::Immediate => {
+                    self.waiting.remove(&id);
+                    admitted.push(entry);
                 }
-                // What is used stays so: the front knows best what to do with it.
-                Take::Turn(..) => now_used.push(what),
-                Take::Now | Take::Gone => {
-                    if take == Take::Gone {
-                        self.used.remove(&member);
-                    }
-                    self.waits.remove(&member);
-                    now_used.push(what);
+                Admission::Removed => {
+                    self.in_use.remove(&id);
+                    self.waiting.remove(&id);
+                    admitted.push(entry);
                 }
             }
         }
-        for kind in kinds {
-            let used = self.used.values().filter(|of| **of == kind).count();
-            let mut next: Vec<_> =
-                self.waits.iter().filter(|(_, w)| w.1 == kind).map(|(member, w)| (w.0, *member)).collect();
-            next.sort_unstable();
-            let few = next.into_iter().take(AT_ONCE.saturating_sub(used)).map(|(_, member)| member);
-            few.collect::<Vec<_>>().into_iter().for_each(|member| now_used.extend(self.begin(member)));
+        for group in groups {
+            admitted.extend(self.admit_immediately(group));
         }
-        now_used
+        admitted
+    }
+
+    /// Admits the first endpoints of a group of which too few are in use.
+    fn admit_immediately(&mut self, group: Group) -> Vec<T> {
+        let in_use = self.in_use.values().filter(|other| **other == group).count();
+        let of_group = self.waiting.iter().filter(|(_, waiting)| waiting.group == group);
+        let mut by_due: Vec<_> = of_group.map(|(id, waiting)| (waiting.due, *id)).collect();
+        by_due.sort_unstable();
+        by_due.truncate(IMMEDIATE_PER_GROUP.saturating_sub(in_use));
+        by_due.into_iter().filter_map(|(_, id)| self.admit(id)).collect()
     }
 
-    fn begin(&mut self, member: u64) -> Option<T> {
-        let (_, kind, what) = self.waits.remove(&member)?;
-        self.used.insert(member, kind);
-        Some(what)
+    fn admit(&mut self, id: u64) -> Option<T> {
+        let waiting = self.waiting.remove(&id)?;
+        self.in_use.insert(id, waiting.group);
+        Some(waiting.entry)
     }
 
-    /// Those whose turn has come.
-    pub fn due(&mut self, now: Time) -> Vec<T> {
-        let due = self.waits.iter().filter(|(_, (at, ..))| *at <= now).map(|(member, _)| *member);
-        due.collect::<Vec<_>>().into_iter().filter_map(|member| self.begin(member)).collect()
+    /// Admits the endpoints whose turn has come.
+    pub fn poll(&mut self, now: Timestamp) -> Vec<T> {
+        let due = self.waiting.iter().filter(|(_, waiting)| waiting.due <= now);
+        let ids: Vec<_> = due.map(|(id, _)| *id).collect();
+        ids.into_iter().filter_map(|id| self.admit(id)).collect()
     }
 
-    /// When the next one's turn comes.
-    pub fn next(&self) -> Option<Time> {
-        self.waits.values().map(|(at, ..)| *at).min()
+    /// When the next endpoint's turn comes.
+    pub fn next_deadline(&self) -> Option<Timestamp> {
+        self.waiting.values().map(|waiting| waiting.due).min()
     }
 
-    /// Whether this one waits.
-    pub fn waits(&self, member: u64) -> bool {
-        self.waits.contains_key(&member)
+    /// Whether this endpoint waits for its turn.
+    pub fn is_waiting(&self, id: u64) -> bool {
+        self.waiting.contains_key(&id)
     }
 
-    /// How many wait.
+    /// How many endpoints wait for their turn.
     pub fn waiting(&self) -> usize {
-        self.waits.len()
+        self.waiting.len()
     }
 }
 
--- a/startup/src/snapshot.rs
+++ b/startup/src/snapshot.rs
@@ -1,58 +1,62 @@
-//! Whether a list that lies on disk is to be served from.
-use std::fmt;
+//! Whether a list from disk or from a peer may be used.
+use thiserror::Error;
 
-/// What is known of a list without reading all of it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Dated {
-    /// Which list it is: where it is asked for, and what its records refer to.
-    pub source: u64,
-    /// The last event in it.
-    pub number: u64,
-    /// When it was known so, in Unix milliseconds.
-    pub at_ms: u64,
-}
+/// Wall clocks of one machine may be set back by this much between two starts.
+const MAX_CLOCK_STEP_MS: u64 = 60_000;
 
-/// Why it is left aside.
+/// What is known of a list without decoding all of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Aside {
-    /// It is of another list.
-    Other,
-    /// The configuration knows as much.
-    Known,
-    /// It is older than may be served from, by so many seconds.
-    Old(u64),
-    /// It is of the future.
-    Future,
+pub struct SnapshotHeader {
+    /// Identifies the list: the service that it is from, and the names that its records refer to.
+    pub source: u64,
+    /// The revision of the list: the number of its last event.
+    pub revision: u64,
+    /// When the list was known to be current, in Unix milliseconds.
+    pub current_at_ms: u64,
 }
 
-impl fmt::Display for Aside {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Aside::Other => write!(f, "it is of another list"),
-            Aside::Known => write!(f, "the configuration knows as much"),
-            Aside::Old(by) => write!(f, "it is {by} s older than may be served from"),
-            Aside::Future => write!(f, "it is of the future"),
-        }
-    }
+/// Why a list is not used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum SnapshotRejected {
+    /// It is of another list service.
+    #[error("it is of another list")]
+    OtherSource,
+    /// It is no newer than what is known.
+    #[error("the configuration knows as much")]
+    NotNewer,
+    /// It is too old.
+    #[error("it is {excess_s} s older than may be served from")]
+    TooOld {
+        /// By how many seconds.
+        excess_s: u64,
+    },
+    /// Its time is in the future.
+    #[error("it is of the future")]
+    FromFuture,
 }
 
-/// Clocks of one machine may be set back by this between two starts.
-const AHEAD_MOST_MS: u64 = 60_000;
-
-/// Whether a snapshot is to be served from by a front that starts now and knows so much of that list by its configuration.
-pub fn judge(now_ms: u64, found: Dated, source: u64, known: u64, serve_ms: u64) -> Result<(), Aside> {
-    if found.source != source {
-        return Err(Aside::Other);
+/// Whether a front may use a list at `now_ms` (Unix milliseconds), when it knows `known_revision` of the list `source`
+/// and may use lists up to `max_age_ms` old.
+pub fn check_snapshot(
+    now_ms: u64,
+    header: SnapshotHeader,
+    source: u64,
+    known_revision: u64,
+    max_age_ms: u64,
+) -> Result<(), SnapshotRejected> {
+    if header.source != source {
+        return Err(SnapshotRejected::OtherSource);
     }
-    if found.number <= known {
-        return Err(Aside::Known);
+    if header.revision <= known_revision {
+        return Err(SnapshotRejected::NotNewer);
     }
-    if found.at_ms > now_ms.saturating_add(AHEAD_MOST_MS) {
-        return Err(Aside::Future);
+    if header.current_at_ms > now_ms.saturating_add(MAX_CLOCK_STEP_MS) {
+        return Err(SnapshotRejected::FromFuture);
     }
-    match now_ms.saturating_sub(found.at_ms).saturating_sub(serve_ms) {
+    let age_ms = now_ms.saturating_sub(header.current_at_ms);
+    match age_ms.saturating_sub(max_age_ms) {
         0 => Ok(()),
-        by => Err(Aside::Old(by.div_ceil(1_000))),
+        excess_ms => Err(SnapshotRejected::TooOld { excess_s: excess_ms.div_ceil(1_000) }),
     }
 }
 
