--- a/quorum/src/lib.rs
+++ b/quorum/src/lib.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-pub mod disk;
 mod node;
+pub mod storage;
 
 pub use node::{Node, Sent, Step, MESSAGE_MOST};
--- a/quorum/src/node.rs
+++ b/quorum/src/node.rs
@@ -1,5 +1,5 @@
 //! One voter.
-use crate::disk::{self, Found};
+use crate::storage::{self, Found};
 use protobuf::Message as _;
 use raft::eraftpb::{EntryType, Message};
 use raft::storage::MemStorage;
@@ -126,13 +126,13 @@
         let now = sent(ready.take_messages());
         let agreed = commands(ready.take_committed_entries());
         let entries = ready.take_entries();
-        let mut write: Vec<u8> = entries.iter().flat_map(disk::entry).collect();
+        let mut write: Vec<u8> = entries.iter().flat_map(storage::entry).collect();
         let storage = self.raw.store().clone();
         let mut core = storage.wl();
         // Its own entries fit behind each other: raft says so.
         core.append(&entries).ok()?;
         if let Some(state) = ready.hs() {
-            write.extend(disk::state(state));
+            write.extend(storage::state(state));
             core.set_hardstate(state.clone());
         }
         drop(core);
--- a/quorum/tests/cluster.rs
+++ b/quorum/tests/cluster.rs
@@ -1,6 +1,6 @@
 //! Whole clusters from one seed: messages late, lost, doubled and held up; voters cut off in one or both directions, stopped and
 //! killed; disks that sync late and tear what was not synced. A voter that comes back has what its disk has.
-use cranesill_quorum::disk::{self, Owner};
+use cranesill_quorum::storage::{self, Owner};
 use cranesill_quorum::{Node, Sent, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -62,12 +62,12 @@
     let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let ids: Vec<u64> = (1..=voters).collect();
     let start = |id: u64, disk: &[u8], rng: &mut Rng| {
-        let found = disk::read(disk, owner(id)).map_err(|d| format!("seed {seed}: {d:?}"))?;
+        let found = storage::read(disk, owner(id)).map_err(|d| format!("seed {seed}: {d:?}"))?;
         Node::new(id, &ids, found, 12 + rng.below(12) as usize)
     };
     let mut all = Vec::new();
     for id in &ids {
-        let disk = disk::new(owner(*id));
+        let disk = storage::new(owner(*id));
         let node = Some(start(*id, &disk, &mut rng)?);
         let (unsynced, agreed) = (None, Vec::new());
         all.push(Voter {
@@ -115,10 +115,12 @@
             }
             if voter.node.is_none() && (now >= voter.down_until || !faulty) {
                 if voter.disk.is_empty() && order == Order::EmptyVotes {
-                    voter.disk = disk::new(owner(id));
+                    voter.disk = storage::new(owner(id));
                 }
                 // One without its file stays away: the others go on without it.
-                let Ok(whole) = disk::read(&voter.disk, owner(id)).map(|found| found.whole) else { continue };
+                let Ok(whole) = storage::read(&voter.disk, owner(id)).map(|found| found.whole) else {
+                    continue;
+                };
                 voter.disk.truncate(whole);
                 voter.agreed.clear();
                 voter.node = Some(start(id, &voter.disk, &mut rng)?);
