--- a/quorum/src/lib.rs
+++ b/quorum/src/lib.rs
@@ -1,9 +1,11 @@
-//! Agreement between a few fronts: an ordered, durable log by raft (the crate `raft`). No input, output or clock here: ticks and
-//! messages come in, and what is to be written and sent comes out, in the order that [`Step`] says.
+//! A replicated log of a few fronts, by Raft (the crate `raft`), without I/O or a clock: the caller passes ticks and
+//! messages in, and writes and sends what comes out in the order that [`Step`] gives.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+mod error;
 mod node;
 pub mod storage;
 
-pub use node::{Node, Sent, Step, MESSAGE_MOST};
+pub use error::{NodeError, ProposeError, ReceiveError};
+pub use node::{Node, OutgoingMessage, Step, ELECTION_TICKS, MAX_MESSAGE_BYTES};
--- a/quorum/src/node.rs
+++ b/quorum/src/node.rs
@@ -1,85 +1,108 @@
-//! One voter.
-use crate::storage::{self, Found};
+//! One voter of the replicated log.
+use crate::error::{NodeError, ProposeError, ReceiveError};
+use crate::storage::{encode_entry, encode_state, StoredLog};
 use protobuf::Message as _;
-use raft::eraftpb::{EntryType, Message};
+use raft::eraftpb::{Entry, EntryType, Message};
 use raft::storage::MemStorage;
-use raft::{Config, RawNode, StateRole};
+use raft::{Config, RawNode, Ready, StateRole};
 
-/// Bytes of one message at most, and of one command.
-pub const MESSAGE_MOST: usize = 1 << 20;
-const COMMAND_MOST: usize = 1 << 12;
+/// Longest message, in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Longest command, in bytes.
+const MAX_COMMAND_BYTES: usize = 1 << 12;
 /// Ticks between two heartbeats.
-const HEARTBEAT: usize = 3;
-/// Ticks without a leader after which a voter may ask for votes: from so many on.
-pub const ELECTION: usize = 12;
+const HEARTBEAT_TICKS: usize = 3;
+/// Shortest election timeout, in ticks: for this long a voter waits for a leader before it asks for votes.
+pub const ELECTION_TICKS: usize = 12;
+/// Append messages under way to one voter.
+const MAX_INFLIGHT_MESSAGES: usize = 64;
 
 /// A message to another voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sent {
-    /// To whom.
+pub struct OutgoingMessage {
+    /// The recipient.
     pub to: u64,
-    /// As it crosses the wire.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// What is to be done, in this order: `now` may be sent at once. `write` is added to the file and synced. Only then is
-/// [`Node::written`] called, which gives out what rests on it: votes and answers to a leader.
+impl OutgoingMessage {
+    fn encode_all(messages: impl IntoIterator<Item = Message>) -> Vec<OutgoingMessage> {
+        let encode = |message: Message| {
+            let bytes = message.write_to_bytes().ok()?;
+            Some(OutgoingMessage { to: message.to, bytes })
+        };
+        messages.into_iter().filter_map(encode).collect()
+    }
+}
+
+/// What is to be done, in this order: [`Step::send`] may be sent immediately; [`Step::write`] is appended to the file and
+/// synced. Only then is [`Node::persisted`] called, which returns the messages that depend on durability: votes, and
+/// answers to a leader.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Step {
-    /// Rests on nothing that is not durable yet.
-    pub now: Vec<Sent>,
-    /// To be synced.
+    /// Messages that do not depend on anything that is not durable yet.
+    pub send: Vec<OutgoingMessage>,
+    /// Records to append and sync.
     pub write: Vec<u8>,
-    /// Commands that are agreed on, in order: all voters come to the same.
-    pub agreed: Vec<Vec<u8>>,
+    /// Commands that are committed, in order. All voters see the same.
+    pub committed: Vec<Vec<u8>>,
+}
+
+/// A step whose records are not durable yet.
+struct PendingWrite {
+    ready_number: u64,
+    /// Messages to send once they are.
+    messages: Vec<Message>,
 }
 
 /// A voter.
 pub struct Node {
     raw: RawNode<MemStorage>,
-    /// Given out by [`Node::step`] and not written yet.
-    open: Option<(u64, Vec<Message>)>,
+    pending_write: Option<PendingWrite>,
+}
+
+fn commands(entries: Vec<Entry>) -> Vec<Vec<u8>> {
+    let is_command =
+        |entry: &Entry| entry.get_entry_type() == EntryType::EntryNormal && !entry.data.is_empty();
+    entries.into_iter().filter(is_command).map(|entry| entry.data.to_vec()).collect()
 }
 
-fn sent(messages: impl IntoIterator<Item = Message>) -> Vec<Sent> {
-    let one = |m: Message| m.write_to_bytes().ok().map(|bytes| Sent { to: m.to, bytes });
-    messages.into_iter().filter_map(one).collect()
+fn config(id: u64, election_timeout: usize) -> Config {
+    let election_timeout = election_timeout.clamp(ELECTION_TICKS, 2 * ELECTION_TICKS - 1);
+    Config {
+        id,
+        election_tick: ELECTION_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        min_election_tick: election_timeout,
+        max_election_tick: election_timeout + 1,
+        max_size_per_msg: MAX_MESSAGE_BYTES as u64 / 4,
+        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        check_quorum: true,
+        pre_vote: true,
+        ..Config::default()
+    }
 }
 
-fn commands(entries: Vec<raft::eraftpb::Entry>) -> Vec<Vec<u8>> {
-    let normal =
-        |e: &raft::eraftpb::Entry| e.get_entry_type() == EntryType::EntryNormal && !e.data.is_empty();
-    entries.into_iter().filter(normal).map(|e| e.data.to_vec()).collect()
+fn storage(voters: &[u64], log: StoredLog) -> Result<MemStorage, raft::Error> {
+    let storage = MemStorage::new_with_conf_state((voters.to_vec(), Vec::new()));
+    let mut core = storage.wl();
+    core.append(&log.entries)?;
+    if !log.entries.is_empty() || log.state.term > 0 {
+        core.set_hardstate(log.state);
+    }
+    drop(core);
+    Ok(storage)
 }
 
 impl Node {
-    /// A voter with what it has on its disk. `patience` are ticks, from [`ELECTION`] up to twice that, of each voter's own: voters
-    /// in step would ask for votes at the same moment. All that was agreed on comes again.
-    pub fn new(id: u64, voters: &[u64], found: Found, patience: usize) -> Result<Self, String> {
-        let storage = MemStorage::new_with_conf_state((voters.to_vec(), Vec::new()));
-        {
-            let mut core = storage.wl();
-            core.append(&found.entries).map_err(|e| e.to_string())?;
-            if !found.entries.is_empty() || found.state.term > 0 {
-                core.set_hardstate(found.state);
-            }
-        }
-        let patience = patience.clamp(ELECTION, 2 * ELECTION - 1);
-        let config = Config {
-            id,
-            election_tick: ELECTION,
-            heartbeat_tick: HEARTBEAT,
-            min_election_tick: patience,
-            max_election_tick: patience + 1,
-            max_size_per_msg: MESSAGE_MOST as u64 / 4,
-            max_inflight_msgs: 64,
-            check_quorum: true,
-            pre_vote: true,
-            ..Config::default()
-        };
+    /// Starts a voter from its stored log. `election_timeout` is in ticks, from [`ELECTION_TICKS`] up to twice that, and
+    /// must differ between voters, which would otherwise all ask for votes at the same time. All committed commands are
+    /// delivered again.
+    pub fn new(id: u64, voters: &[u64], log: StoredLog, election_timeout: usize) -> Result<Self, NodeError> {
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, storage, &logger).map_err(|e| e.to_string())?;
-        Ok(Node { raw, open: None })
+        let raw = RawNode::new(&config(id, election_timeout), storage(voters, log)?, &logger)?;
+        Ok(Node { raw, pending_write: None })
     }
 
     /// A tick has passed.
@@ -87,68 +110,77 @@
         self.raw.tick();
     }
 
-    /// A message has come. An error: nobody who follows the protocol sends this.
-    pub fn hear(&mut self, bytes: &[u8]) -> Result<(), String> {
-        if bytes.len() > MESSAGE_MOST {
-            return Err("a message that is too long".into());
+    /// Takes in a message of another voter.
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<(), ReceiveError> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(ReceiveError::TooLong { length: bytes.len() });
         }
-        let message = Message::parse_from_bytes(bytes).map_err(|e| e.to_string())?;
-        self.raw.step(message).map_err(|e| e.to_string())
+        let message = Message::parse_from_bytes(bytes)?;
+        self.raw.step(message)?;
+        Ok(())
     }
 
-    /// Whether the log is led here.
-    pub fn leads(&self) -> bool {
+    /// Whether this voter is the leader.
+    pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader
     }
 
-    /// Who leads, as far as this voter knows; 0: nobody.
-    pub fn leader(&self) -> u64 {
-        self.raw.raft.leader_id
+    /// The leader as far as this voter knows; `None` if there is none.
+    pub fn leader(&self) -> Option<u64> {
+        Some(self.raw.raft.leader_id).filter(|leader| *leader != raft::INVALID_ID)
     }
 
-    /// Puts a command into the log. It may be lost with the leader: it is agreed on once it comes out of a [`Step`].
-    pub fn propose(&mut self, command: &[u8]) -> Result<(), String> {
-        if command.is_empty() || command.len() > COMMAND_MOST {
-            return Err("a command that is empty or too long".into());
+    /// Proposes a command. It may be lost with the leader: it is committed once a [`Step`] returns it.
+    pub fn propose(&mut self, command: &[u8]) -> Result<(), ProposeError> {
+        let length = command.len();
+        if !(1..=MAX_COMMAND_BYTES).contains(&length) {
+            return Err(ProposeError::Length { length, max_length: MAX_COMMAND_BYTES });
         }
-        if !self.leads() {
-            return Err("the log is not led here".into());
+        if !self.is_leader() {
+            return Err(ProposeError::NotLeader);
         }
-        self.raw.propose(Vec::new(), command.to_vec()).map_err(|e| e.to_string())
+        self.raw.propose(Vec::new(), command.to_vec())?;
+        Ok(())
     }
 
-    /// What is to be done. `None`: nothing, or what was given out last is not written yet.
+    /// What is to be done next. `None` if there is nothing, or the last step is not durable yet.
     pub fn step(&mut self) -> Option<Step> {
-        if self.open.is_some() || !self.raw.has_ready() {
+        if self.pending_write.is_some() || !self.raw.has_ready() {
             return None;
         }
         let mut ready = self.raw.ready();
-        let now = sent(ready.take_messages());
-        let agreed = commands(ready.take_committed_entries());
+        let send = OutgoingMessage::encode_all(ready.take_messages());
+        let committed = commands(ready.take_committed_entries());
+        let write = self.store(&mut ready)?;
+        let pending_write =
+            PendingWrite { ready_number: ready.number(), messages: ready.take_persisted_messages() };
+        // Messages that arrive while the disk is busy extend the log behind the records that are being written.
+        self.raw.advance_append_async(ready);
+        self.raw.advance_apply();
+        self.pending_write = Some(pending_write);
+        Some(Step { send, write, committed })
+    }
+
+    /// Appends new entries to the log in memory, and returns the records for the file.
+    fn store(&mut self, ready: &mut Ready) -> Option<Vec<u8>> {
         let entries = ready.take_entries();
-        let mut write: Vec<u8> = entries.iter().flat_map(storage::entry).collect();
+        let mut records: Vec<u8> = entries.iter().flat_map(encode_entry).collect();
         let storage = self.raw.store().clone();
         let mut core = storage.wl();
-        // Its own entries fit behind each other: raft says so.
+        // Raft guarantees that its own entries follow each other.
         core.append(&entries).ok()?;
         if let Some(state) = ready.hs() {
-            write.extend(storage::state(state));
+            records.extend(encode_state(state));
             core.set_hardstate(state.clone());
         }
-        drop(core);
-        let after = ready.take_persisted_messages();
-        // Words that come while the disk is busy go on into the log behind what is being written.
-        let number = ready.number();
-        self.raw.advance_append_async(ready);
-        self.raw.advance_apply();
-        self.open = Some((number, after));
-        Some(Step { now, write, agreed })
+        Some(records)
     }
 
-    /// What [`Step::write`] said is durable: what rests on it may be sent. What is agreed on by it comes with the next step.
-    pub fn written(&mut self) -> Vec<Sent> {
-        let Some((number, after)) = self.open.take() else { return Vec::new() };
-        self.raw.on_persist_ready(number);
-        sent(after)
+    /// The records of the last step are durable. Returns the messages that depend on them; commands that are committed by
+    /// them come with the next step.
+    pub fn persisted(&mut self) -> Vec<OutgoingMessage> {
+        let Some(pending) = self.pending_write.take() else { return Vec::new() };
+        self.raw.on_persist_ready(pending.ready_number);
+        OutgoingMessage::encode_all(pending.messages)
     }
 }
--- a/quorum/tests/cluster.rs
+++ b/quorum/tests/cluster.rs
@@ -1,7 +1,7 @@
 //! Whole clusters from one seed: messages late, lost, doubled and held up; voters cut off in one or both directions, stopped and
 //! killed; disks that sync late and tear what was not synced. A voter that comes back has what its disk has.
 use cranesill_quorum::storage::{self, Owner};
-use cranesill_quorum::{Node, Sent, Step};
+use cranesill_quorum::{Node, OutgoingMessage, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A tick is 10 ms.
@@ -62,12 +62,12 @@
     let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let ids: Vec<u64> = (1..=voters).collect();
     let start = |id: u64, disk: &[u8], rng: &mut Rng| {
-        let found = storage::read(disk, owner(id)).map_err(|d| format!("seed {seed}: {d:?}"))?;
-        Node::new(id, &ids, found, 12 + rng.below(12) as usize)
+        let log = storage::read(disk, owner(id)).map_err(|error| format!("seed {seed}: {error}"))?;
+        Node::new(id, &ids, log, 12 + rng.below(12) as usize).map_err(|error| format!("seed {seed}: {error}"))
     };
     let mut all = Vec::new();
     for id in &ids {
-        let disk = storage::new(owner(*id));
+        let disk = storage::header(owner(*id));
         let node = Some(start(*id, &disk, &mut rng)?);
         let (unsynced, agreed) = (None, Vec::new());
         all.push(Voter {
@@ -115,10 +115,10 @@
             }
             if voter.node.is_none() && (now >= voter.down_until || !faulty) {
                 if voter.disk.is_empty() && order == Order::EmptyVotes {
-                    voter.disk = storage::new(owner(id));
+                    voter.disk = storage::header(owner(id));
                 }
                 // One without its file stays away: the others go on without it.
-                let Ok(whole) = storage::read(&voter.disk, owner(id)).map(|found| found.whole) else {
+                let Ok(whole) = storage::read(&voter.disk, owner(id)).map(|log| log.complete_bytes) else {
                     continue;
                 };
                 voter.disk.truncate(whole);
@@ -135,9 +135,9 @@
             {
                 let (_, bytes) = way.remove(&key).expect("seen");
                 // An answer from before a restart is none of this node's.
-                let _ = node.hear(&bytes);
+                let _ = node.receive(&bytes);
             }
-            if node.leads() {
+            if node.is_leader() {
                 terms.insert((id, now / 50));
                 if rng.one_in(4) {
                     command += 1;
@@ -146,21 +146,21 @@
                     }
                 }
             }
-            let mut out: Vec<Sent> = Vec::new();
+            let mut out: Vec<OutgoingMessage> = Vec::new();
             let mut agreed = Vec::new();
             if voter.unsynced.as_ref().is_some_and(|u| now >= u.1) {
                 let (bytes, _) = voter.unsynced.take().expect("seen");
                 voter.disk.extend(bytes);
                 if order == Order::Kept {
-                    out.extend(node.written());
+                    out.extend(node.persisted());
                 }
             }
             while voter.unsynced.is_none() {
-                let Some(Step { now: soon, write, agreed: more }) = node.step() else { break };
-                out.extend(soon);
-                agreed.extend(more);
+                let Some(Step { send, write, committed }) = node.step() else { break };
+                out.extend(send);
+                agreed.extend(committed);
                 if write.is_empty() || order == Order::SentFirst {
-                    out.extend(node.written());
+                    out.extend(node.persisted());
                 }
                 if !write.is_empty() {
                     let takes = if rng.one_in(30) { rng.below(60) } else { rng.below(2) };
@@ -185,7 +185,7 @@
                 }
             }
             let cut = voter.cut;
-            for Sent { to, bytes } in out {
+            for OutgoingMessage { to, bytes } in out {
                 let far = all[to as usize - 1].cut;
                 let lost = now < cut.0 && cut.1 || now < far.0 && far.2 || rng.one_in(15);
                 if faulty && lost {
