--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
 run: build
 	target/release/cranesill serve $(CONFIG)
--- a/front/src/protocol/feed.rs
+++ b/front/src/protocol/feed.rs
@@ -87,7 +87,7 @@
     Ok(Some((number, news, 4 + length)))
 }
 
-fn listing(mut record: Cursor) -> Option<Listing> {
+fn listing(mut record: Cursor<'_>) -> Option<Listing> {
     let id = record.u32()?;
     let address = SocketAddr::from((Ipv4Addr::from(record.array::<4>()?), record.u16()?));
     let state = match record.u8()? {
--- a/rig/src/list.rs
+++ b/rig/src/list.rs
@@ -95,7 +95,7 @@
         self.hand.told.lock().expect("no holder panics").0.clear();
     }
 
-    /// All that it has told or would tell, from the number [`FIRST`] on.
+    /// All that it has told or would tell, from its first event on.
     pub fn events(&self) -> Vec<Event> {
         self.hand.told.lock().expect("no holder panics").0.clone()
     }
