--- a/Makefile
+++ b/Makefile
@@ -45,6 +45,11 @@
 measure-daily: build
 	cargo run --release --locked -p cranesill-front --example measure-daily
 
+# One front beside 200, 800 and 3,200 cache nodes.
+.PHONY: measure-scale
+measure-scale: build
+	cargo run --release --locked -p cranesill-front --example measure-scale
+
 .PHONY: measure-startup
 measure-startup: build
 	cargo run --release --locked -p cranesill-front --example measure-startup -- 60
--- /dev/null
+++ b/front/examples/measure-scale.rs
@@ -0,0 +1,202 @@
+//! Measures what one front needs beside 200, 800 and 3,200 cache nodes: the load of the front and the capacity of all
+//! cache nodes together stay the same, also with the shares of one front of 900. `make measure-scale` runs it; the
+//! figures stand in `docs/design/fleet.md`.
+//!
+//! `measure-scale [OBJECTS]`: how many objects clients ask for, all alike. The run ends with 1 if a bound is exceeded.
+use cranesill_rig::{
+    Asks, Clients, Event, Fleet, History, ListService, Listed, Mode, Mood, Nodes, Seen, State,
+};
+use serde_json::{json, Value};
+use std::path::PathBuf;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+/// Cache nodes of each run; the first is the size that the others are compared with.
+const SIZES: [usize; 3] = [200, 800, 3_200];
+/// Fronts that share the cache nodes, and the weight of all cache nodes together: beside one front a node carries at
+/// least one request, of 900 fronts none has a share of a whole one.
+const FLEETS: [(u32, usize); 2] = [(1, 3_200), (900, 6_400)];
+const PARENTS: usize = 4;
+/// Weight of all parents together over that of all cache nodes.
+const PARENTS_SHARE: f64 = 0.5;
+const LOAD_LASTS: Duration = Duration::from_secs(10);
+/// Pause between two looks at the process, each with one change of the list.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+const ANSWER_TAKES: Duration = Duration::from_millis(30);
+/// Clients with one request at a time, and their pause: about 150 requests a second.
+const CLIENTS: usize = 16;
+const CLIENT_PAUSE: Duration = Duration::from_millis(74);
+const OBJECTS: u64 = 20_000;
+/// The event that the configuration holds.
+const KNOWN_EVENT: u64 = 1;
+
+/// What one front needed in one run.
+struct Usage {
+    cpu_s: f64,
+    peak_memory_mb: f64,
+    descriptors: f64,
+    connections: f64,
+    list_kb: f64,
+    asked: usize,
+    served: usize,
+}
+
+impl Usage {
+    fn share_served(&self) -> f64 {
+        self.served as f64 / self.asked.max(1) as f64
+    }
+
+    /// The bounds of growth over `usual` beside `nodes` cache nodes: what, the figure, its bound, and whether it holds.
+    fn rows(&self, usual: &Usage, nodes: usize) -> [(&'static str, f64, f64, bool); 6] {
+        let thousands = nodes as f64 / 1_000.0;
+        let most = |what, figure: f64, bound: f64| (what, figure, bound, figure <= bound);
+        let least = usual.share_served() * 0.85;
+        [
+            most("CPU seconds", self.cpu_s, 1.4 * usual.cpu_s + 0.02 + 0.03 * thousands),
+            most("peak memory, MB", self.peak_memory_mb, 1.5 * usual.peak_memory_mb + 8.0 + 4.0 * thousands),
+            most("descriptors", self.descriptors, 2.0 * usual.descriptors + 40.0),
+            most("connections made", self.connections, 2.5 * usual.connections + 40.0),
+            most("list bytes, KB", self.list_kb, 2.0 * usual.list_kb + 64.0 + 500.0 * thousands),
+            ("share served", self.share_served(), least, self.share_served() >= least),
+        ]
+    }
+}
+
+/// One front with its nodes, its list service and its clients.
+struct Run {
+    history: History,
+    nodes: Nodes,
+    list: ListService,
+    fleet: Fleet,
+    listed: Vec<Listed>,
+}
+
+impl Run {
+    fn start(caches: usize, fronts: u32, capacity: usize) -> Run {
+        let history = History::default();
+        let ids: Vec<u32> = (0..caches + PARENTS + 1).map(|place| 0x101 + place as u32).collect();
+        let nodes = Nodes::new(&history, &ids, &["book-car"]);
+        (0..ids.len()).for_each(|place| nodes.set(place, Mood::Answers(ANSWER_TAKES)));
+        let cache_weight = (capacity / caches) as u32;
+        let parent_weight = (capacity as f64 * PARENTS_SHARE) as u32 / PARENTS as u32;
+        let listed: Vec<Listed> = ids
+            .iter()
+            .enumerate()
+            .map(|(place, id)| {
+                let (zone, kind, weight) = match place {
+                    _ if place < caches => (1, 0, cache_weight),
+                    _ if place < caches + PARENTS => (0, 1, parent_weight),
+                    _ => (0, 2, 1),
+                };
+                Listed { place, id: *id, state: State::Ready, zone, kind, weight, started_ms: 0 }
+            })
+            .collect();
+        let addresses = nodes.all.iter().map(|(_, at)| *at).collect();
+        let list = ListService::with_doors(&history, Mode::Serves, vec![addresses]);
+        let config = configuration(&nodes, &listed, &list, fronts);
+        let beside =
+            std::env::current_exe().ok().and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
+        let binary: PathBuf = beside.expect("the program lies beside its examples");
+        let fleet = Fleet::start(&binary, 1, None, |_| config.clone());
+        Run { history, nodes, list, fleet, listed }
+    }
+
+    /// Loads the front while the list changes: one cache node after another drains and comes back.
+    fn measure(mut self, objects: u64) -> Usage {
+        let asks = Asks {
+            read: "page-bits".into(),
+            write: "book-car".into(),
+            objects,
+            at_once: CLIENTS,
+            pause: CLIENT_PAUSE,
+            limit: Duration::from_millis(2_500),
+        };
+        let addresses = Arc::new(Mutex::new(vec![Some(self.fleet.address(0))]));
+        let process = format!("/proc/{}", self.fleet.process_id(0).expect("it runs"));
+        self.list.tell(Event::Nodes(true, self.listed.clone()));
+        let clients = Clients::begin(&self.history, &addresses, &asks, 1);
+        let (began, mut descriptors, mut changes) = (Instant::now(), 0, 0);
+        while began.elapsed() < LOAD_LASTS {
+            std::thread::sleep(SAMPLE_INTERVAL);
+            descriptors =
+                descriptors.max(std::fs::read_dir(format!("{process}/fd")).map_or(0, Iterator::count));
+            let node = &mut self.listed[changes / 2];
+            node.state = if changes % 2 == 0 { State::Draining } else { State::Ready };
+            self.list.tell(Event::Nodes(false, vec![*node]));
+            changes += 1;
+        }
+        clients.end();
+        assert!(self.fleet.dead().is_empty(), "{:#?}", self.fleet.dead());
+        let addresses: Vec<_> = self.nodes.all.iter().map(|(_, at)| *at).collect();
+        let list_bytes: usize = self.list.events().iter().map(|event| event.frame(0, &addresses).len()).sum();
+        let count = |of: fn(&Seen) -> bool| self.history.count(of);
+        Usage {
+            cpu_s: cpu_seconds(&process),
+            peak_memory_mb: peak_memory_mb(&process),
+            descriptors: descriptors as f64,
+            connections: count(|seen| matches!(seen, Seen::Dialled(_))) as f64,
+            list_kb: list_bytes as f64 / 1_000.0,
+            asked: count(|seen| matches!(seen, Seen::Asked { .. })),
+            served: count(|seen| matches!(seen, Seen::Answered(_, _, 1))),
+        }
+    }
+}
+
+fn configuration(nodes: &Nodes, listed: &[Listed], list: &ListService, fronts: u32) -> Value {
+    let mut config: Value = serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
+    let settings = &mut config["settings"];
+    settings["nInstances"] = fronts.into();
+    settings["familyInfo"]["seatsByZone"] = json!([0, fronts]);
+    let name = |key: &str, at: u8| settings[key][usize::from(at)].clone();
+    let member = |one: &Listed| {
+        json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": nodes.all[one.place].1.to_string(),
+               "zone": name("zones", one.zone), "machineType": name("kinds", one.kind), "cell": 0,
+               "lifecycle": "in_service", "weight": one.weight, "startedAtMs": 0})
+    };
+    let all: Vec<Value> = listed.iter().map(member).collect();
+    let members = json!({"generation": 1, "reset": true, "instances": all});
+    config["known"] = json!({"n": KNOWN_EVENT, "events": [{"n": KNOWN_EVENT, "members": members}]});
+    config["listen"] = "127.0.0.1:0".into();
+    config["feed"] = list.address.to_string().into();
+    config
+}
+
+/// Processor time of a process, of all of its threads.
+fn cpu_seconds(process: &str) -> f64 {
+    let tasks = std::fs::read_dir(format!("{process}/task")).expect("it runs").flatten();
+    let nanoseconds = |task: std::fs::DirEntry| -> Option<f64> {
+        let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
+        text.split_whitespace().next()?.parse().ok()
+    };
+    tasks.filter_map(nanoseconds).sum::<f64>() / 1e9
+}
+
+fn peak_memory_mb(process: &str) -> f64 {
+    let status = std::fs::read_to_string(format!("{process}/status")).expect("it runs");
+    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+    let kb = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
+    kb.expect("a figure in KB") / 1_024.0
+}
+
+fn main() {
+    let objects = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(OBJECTS);
+    let mut exceeded = 0;
+    for (fronts, capacity) in FLEETS {
+        println!("shares of one front of {fronts}, {objects} objects");
+        let mut usual: Option<Usage> = None;
+        for caches in SIZES {
+            let usage = Run::start(caches, fronts, capacity).measure(objects);
+            println!("  {caches} cache nodes: served {} of {}", usage.served, usage.asked);
+            for (what, figure, bound, holds) in usage.rows(usual.as_ref().unwrap_or(&usage), caches) {
+                let verdict = if holds { "holds" } else { "EXCEEDED" };
+                println!("    {what:<18} {figure:>9.3}  bound {bound:>9.3}  {verdict}");
+                exceeded += usize::from(!holds);
+            }
+            usual.get_or_insert(usage);
+        }
+    }
+    if exceeded > 0 {
+        println!("{exceeded} bounds exceeded");
+        std::process::exit(1);
+    }
+}
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -150,6 +150,11 @@
         self.processes.len()
     }
 
+    /// The process id of a front that runs.
+    pub fn process_id(&self, n: usize) -> Option<u32> {
+        self.processes[n].as_ref().map(Child::id)
+    }
+
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
