--- a/front/src/program/members.rs
+++ b/front/src/program/members.rs
@@ -204,7 +204,7 @@
     }
 
     /// The whole list is about to come: what it lacks is gone.
-    pub fn keep_only(&mut self, listed: &[MemberId]) {
+    pub fn keep_only(&mut self, listed: &HashSet<MemberId>) {
         self.listed.retain(|member, _| listed.contains(member));
         self.links.values_mut().filter(|l| !listed.contains(&l.member)).for_each(|l| l.retired = true);
     }
--- a/front/src/program/serve.rs
+++ b/front/src/program/serve.rs
@@ -26,7 +26,7 @@
 use cranesill::api::{Entry, Listed, MemberId, Span, Time};
 use cranesill_daemon::{changes, Daemon, Level};
 use serde_json::{json, Value};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::io;
 use std::net::TcpListener;
 use std::os::unix::net::UnixStream;
@@ -841,17 +841,16 @@
     fn take_members(&mut self, now: Time, whole: bool, list: Vec<Listing>, origin: Origin) {
         let mut ends = Vec::new();
         let entries: Vec<_> = list.iter().map(entry).collect();
-        let before: Vec<_> = if whole { self.nodes.listed().collect() } else { Vec::new() };
+        let mut before: Vec<_> = if whole { self.nodes.listed().collect() } else { Vec::new() };
         if whole {
-            let ids: Vec<_> = entries.iter().map(|e| e.member).collect();
-            self.nodes.keep_only(&ids);
+            let listed: HashSet<_> = entries.iter().map(|e| e.member).collect();
+            self.nodes.keep_only(&listed);
+            before.retain(|id| !listed.contains(id));
         }
         entries.iter().zip(&list).for_each(|(entry, l)| self.nodes.list(entry, l.address));
         let mut left_out: Vec<_> =
             entries.iter().filter(|e| e.state != Listed::Ready).map(|e| e.member).collect();
-        if whole {
-            left_out.extend(before.into_iter().filter(|id| entries.iter().all(|e| e.member != *id)));
-        }
+        left_out.extend(before);
         let new: Vec<_> = entries.iter().filter(|e| e.state == Listed::Ready).map(|e| e.member).collect();
         self.front.members(now, whole, entries, origin);
         left_out.into_iter().for_each(|id| self.nodes.leave_out(id, &mut ends));
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,5 +1,9 @@
 //! Mixing of ids into evenly spread numbers, for rendezvous hashing.
 
+/// Bits of a hash that rendezvous scores are made of, and the number of hashes that they tell apart.
+const HASH_BITS: u32 = 53;
+pub const HASH_RANGE: f64 = (1u64 << HASH_BITS) as f64;
+
 /// Mixes two numbers into one (the finaliser of SplitMix64 over a combination of both).
 pub fn mix(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31);
@@ -11,10 +15,16 @@
     z
 }
 
+/// The bits of the hash of `member` for `object` that its rendezvous score is made of: of two members of the same
+/// weight the one with the larger bits has the higher score.
+pub fn hashed_bits(object: u64, member: u64) -> u64 {
+    mix(object, member) >> (u64::BITS - HASH_BITS)
+}
+
 /// Weighted rendezvous score of `member` for `object`: the highest score among the members wins, and each
 /// member wins a share of the objects in proportion to its weight.
 pub fn rendezvous(object: u64, member: u64, weight: f64) -> f64 {
-    let unit = ((mix(object, member) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+    let unit = (hashed_bits(object, member) as f64 + 0.5) / HASH_RANGE;
     -weight / unit.ln()
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! cranesill makes the decisions of a request router for caches that fill from parent caches and an origin.
 //!
 //! The library does no input or output and reads no clock. The embedding program feeds [`api::Event`]s to a
-//! [`Router`] and carries out the [`api::Action`]s that it answers with. All decisions are in one module,
-//! `policy`; the types that it speaks are in [`api`].
+//! [`Router`] and carries out the [`api::Action`]s that it answers with. The decisions are in the module
+//! `policy`, with `placement` beside it; the types that it speaks are in [`api`].
 #![doc = include_str!("../README.md")]
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
@@ -10,6 +10,7 @@
 pub mod api;
 mod hash;
 mod parts;
+mod placement;
 mod policy;
 mod state;
 
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -139,6 +139,11 @@
         }
     }
 
+    /// The keys of queues that are not empty, in order.
+    pub fn keys(&self) -> impl Iterator<Item = &K> {
+        self.0.keys()
+    }
+
     /// The whole queue of `key`, which is empty afterwards.
     pub fn take(&mut self, key: &K) -> BTreeSet<T> {
         self.0.remove(key).unwrap_or_default()
--- /dev/null
+++ b/src/placement/tests.rs
@@ -0,0 +1,61 @@
+use super::*;
+
+/// The order as a full sort gives it.
+fn sorted(key: u64, members: &[(u64, f64)]) -> Vec<usize> {
+    let mut all: Vec<_> = members
+        .iter()
+        .enumerate()
+        .map(|(at, (id, weight))| (rendezvous(key, *id, *weight), *id, at))
+        .collect();
+    all.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
+    all.into_iter().map(|(_, _, at)| at).collect()
+}
+
+fn ranking(members: &[(u64, f64)]) -> Ranking {
+    let mut ranking = Ranking::default();
+    members.iter().enumerate().for_each(|(at, (id, weight))| ranking.insert(MemberId(*id), *weight, at));
+    ranking
+}
+
+fn walked(ranking: &mut Ranking, key: u64) -> Vec<usize> {
+    let mut order = ranking.order(key);
+    (0..).map_while(|position| order.get(ranking, position)).collect()
+}
+
+#[test]
+fn orders_are_those_of_a_full_sort_for_any_number_of_members_and_any_weights() {
+    let weights: [fn(u64) -> f64; 3] = [|_| 8.0, |n| (1 + n % 3) as f64, |n| 0.1 + n as f64 * 0.37];
+    for weight in weights {
+        for count in [0, 1, 2, 15, 16, 17, 63, 64, 200, 900] {
+            let members: Vec<_> = (0..count).map(|n| (0x101 + n, weight(n))).collect();
+            let mut ranking = ranking(&members);
+            for object in 0..20 {
+                let key = crate::hash::mix(object, count);
+                assert_eq!(walked(&mut ranking, key), sorted(key, &members), "{count} members, {object}");
+            }
+        }
+    }
+}
+
+#[test]
+fn what_is_remembered_of_an_order_ends_with_the_next_change() {
+    let mut members: Vec<_> = (0..40).map(|n| (n, 2.0)).collect();
+    let mut ranking = ranking(&members);
+    let first = walked(&mut ranking, 7);
+    assert_eq!(walked(&mut ranking, 7), first);
+    let (id, weight) = members[first[0]];
+    ranking.remove(MemberId(id), weight);
+    assert_eq!(walked(&mut ranking, 7), first[1..]);
+    members.push((99, 5.0));
+    ranking.insert(MemberId(id), weight, first[0]);
+    ranking.insert(MemberId(99), 5.0, 40);
+    assert_eq!(walked(&mut ranking, 7), sorted(7, &members));
+    assert_eq!(ranking.weight(), 85.0);
+}
+
+#[test]
+fn memory_of_orders_is_bounded() {
+    let mut ranking = ranking(&[(1, 1.0), (2, 1.0)]);
+    (0..10_000).for_each(|key| drop(ranking.order(key)));
+    assert!(ranking.recent.new.len() + ranking.recent.old.len() <= 2 * REMEMBERED);
+}
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,10 +4,12 @@
 //! window at a threshold, probes it afterwards as SUSPECT with real requests, and moves on to the next member
 //! in hash order. `docs/design.md` cites the source and tells under what condition each departure acts.
 use crate::api::*;
-use crate::hash::{mix, rendezvous};
+use crate::hash::mix;
 use crate::parts::{Bucket, Count, Purges, Queues, Seen, Timers};
 use crate::state::{Attempt, Due, Failure, Member, Pace, Pending, Plan, Role, Roster, Spot, State};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
+
+mod choice;
 
 // ------------------------------------------------------------------------------------------ tuned values
 const MS: Span = 1_000;
@@ -153,6 +155,8 @@
     now: Time,
     out: Vec<Action>,
     members: Roster,
+    /// Members that are in slow start, or were when last looked at.
+    warming: BTreeSet<usize>,
     seen: Seen<(ObjectId, u32)>,
     pending: BTreeMap<RequestId, Pending>,
     purges: Purges,
@@ -181,6 +185,7 @@
             settings,
             now: 0,
             members: Roster::default(),
+            warming: BTreeSet::new(),
             seen: Seen::default(),
             pending: BTreeMap::new(),
             purges: Purges::default(),
@@ -238,7 +243,7 @@
             };
             let known = self.members.find(entry.member);
             if let Some(at) = known.filter(|at| self.members[*at].listed.started == entry.started) {
-                self.members[at].listed = entry;
+                self.members.update(at, entry);
                 continue;
             }
             // New, or cold and empty again: its old health says nothing.
@@ -254,14 +259,14 @@
                 budget: Bucket::new(self.now),
                 listed: entry,
             };
-            self.members.put(member);
+            let at = self.members.put(member);
+            self.warming.insert(at);
         }
-        let known = self.members.sort_out();
+        self.members.forget_gone();
         // Where the size of the link is not told it is at first taken for that of the caches behind it.
-        let weight = |at: &usize| self.members[*at].listed.weight;
-        let sum = |role: Role| self.members.ready(role).iter().map(weight).sum::<f64>();
-        let behind = sum(Role::Cache);
-        let origin = sum(Role::Parent) * ORIGIN_SIZE / f64::from(self.routers(Role::Origin));
+        let behind = self.members.ranking(Role::Cache).weight();
+        let parents = self.members.ranking(Role::Parent).weight();
+        let origin = parents * ORIGIN_SIZE / f64::from(self.routers(Role::Origin));
         if let Some(at) = self.origin() {
             let pace = &mut self.members[at].pace;
             pace.least = LIMIT_LEAST.min(origin);
@@ -271,9 +276,18 @@
         let share = if told > 0.0 { told } else { behind } / f64::from(self.routers(Role::Cache));
         self.link.limit = if self.link_told.is_none() { LIMIT_START * share } else { self.link.limit };
         self.link.least = if told > 0.0 { share } else { LIMIT_LEAST.min(share) };
-        for at in known {
-            self.release(Spot::Member(at));
-        }
+        self.release_members();
+    }
+
+    /// After a change of the list: what waits for members looks again, in the order of their ids.
+    fn release_members(&mut self) {
+        let member = |spot: &Spot| match spot {
+            Spot::Member(at) => Some((self.members[*at].listed.member, *at)),
+            _ => None,
+        };
+        let mut waited_for: Vec<_> = self.queues.keys().filter_map(member).collect();
+        waited_for.sort_unstable();
+        waited_for.into_iter().for_each(|(_, at)| self.release(Spot::Member(at)));
     }
 
     /// An operator takes a member out, or gives it back; the list has no say in it. What comes back was
@@ -287,6 +301,7 @@
             let member = &mut self.members[at];
             member.cold_since = started;
             (member.budget, member.health) = (Bucket::new(now), Health { changed: now, ..Health::default() });
+            self.warming.insert(at);
         }
         self.members_changed(ListKind::Delta, Vec::new());
         self.release(Spot::Cache);
@@ -312,6 +327,7 @@
         let Some(at) = self.members.find(one.member).filter(same) else { return };
         let member = &mut self.members[at];
         member.cold_since = member.cold_since.max(one.cold_since);
+        self.warming.insert(at);
         if one.down && member.health.down_since.is_none() {
             member.health.down_since = Some(self.now.saturating_sub(FAIL_WINDOW));
             member.health.lost = one.lost;
@@ -333,53 +349,6 @@
         }
     }
 
-    /// The usable members of a role in rendezvous order of the object. Caches keep each part of an object by
-    /// itself, so there the part is hashed too: a much watched object would else rest on one cache alone.
-    fn order(&self, role: Role, ask: &Request) -> Vec<usize> {
-        let part = if role == Role::Cache { u64::from(ask.part) } else { 0 };
-        let key = mix(ask.object.0, part);
-        let listed = |at: usize| &self.members[at].listed;
-        let score = |&at: &usize| (rendezvous(key, listed(at).member.0, listed(at).weight), at);
-        let mut order: Vec<_> = self.members.ready(role).iter().map(score).collect();
-        order.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| listed(a.1).member.cmp(&listed(b.1).member)));
-        order.into_iter().map(|(_, at)| at).collect()
-    }
-
-    /// The cache for a request: the first in hash order that is selectable, has not failed it (while there is
-    /// another) and is not pushed over. Only safe requests probe a SUSPECT one.
-    fn cache_for(&mut self, req: &Pending) -> Option<usize> {
-        let mut fit = self.order(Role::Cache, &req.ask);
-        fit.retain(|&at| {
-            let health = &self.members[at].health;
-            let trusted = req.safe() || health.state(self.now) == State::Up;
-            trusted && health.selectable(self.now) && self.cold_room(at)
-        });
-        if fit.iter().any(|at| !req.failed.contains(at)) {
-            fit.retain(|at| !req.failed.contains(at));
-        }
-        // A cache without room is passed over while another has some.
-        if fit.iter().any(|at| self.room(*at)) {
-            fit.retain(|at| self.room(*at));
-        }
-        let first = *fit.first()?;
-        let whole = |m: &Member| f64::from(m.pace.held * self.routers(Role::Cache)) / m.listed.weight;
-        let much = whole(&self.members[first]);
-        let spill = |at: &&usize| whole(&self.members[**at]) < much / 2.0;
-        let crowd = much > SPILL_LOAD && self.members[first].pace.held >= SPILL_HELD;
-        let other =
-            fit.iter().find(spill).filter(|_| crowd && self.link_told().is_none_or(|x| x < SPILL_LINK));
-        Some(other.copied().unwrap_or(first))
-    }
-
-    /// The source of a fill: the parent first in hash order that is selectable and not pushed over, after
-    /// three failed tries the next; the origin when there is none.
-    fn source_for(&mut self, req: &Pending) -> Option<usize> {
-        let mut fit = self.order(Role::Parent, &req.ask);
-        fit.retain(|&at| self.members[at].health.selectable(self.now) && self.cold_room(at));
-        let given_up = |at: &usize| req.failed_sources.iter().filter(|s| *s == at).count() >= RR_RETRIES;
-        fit.iter().find(|at| !given_up(at)).or(fit.first()).copied().or_else(|| self.origin())
-    }
-
     fn origin(&self) -> Option<usize> {
         self.members.ready(Role::Origin).first().copied()
     }
@@ -576,6 +545,9 @@
             Spot::Fill(object, part) => !router.filling.contains(&(object, part)),
         };
         let mut queue = self.queues.take(&spot);
+        if queue.is_empty() {
+            return;
+        }
         while open(self) {
             let Some((_, id)) = queue.pop_first() else { break };
             self.next_attempt(id);
@@ -633,7 +605,8 @@
             // What a parent has no room for goes to the origin while that has some, where the parents left
             // carry a DOWN one's fills, or where one place is more than this router's share of the parent: a
             // late fill holds all of such a limit, and many routers would wait beside an idle origin.
-            let home = self.order(Role::Parent, &req.ask).first().copied();
+            let mut order = self.order(Role::Parent, &req.ask);
+            let home = self.ranked(Role::Parent, &mut order, 0);
             let bereft =
                 home.is_some_and(|at| !self.members[at].health.selectable(self.now)) || self.thin(source);
             let spare = self.origin().filter(|o| bereft && !self.room(source) && self.room(*o));
@@ -950,6 +923,7 @@
                 // No connection was made before: the process died and comes back cold.
                 member.cold_since = started;
                 member.budget = Bucket::new(self.now);
+                self.warming.insert(at);
             }
             self.out.push(Action::Log(format!("{:?} {:x} UP again", member.role, member.listed.member.0)));
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,7 @@
 //! What a router remembers of its members and requests. No decision is made here.
 use crate::api::*;
 use crate::parts::Bucket;
+use crate::placement::Ranking;
 use crate::policy::Health;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
@@ -116,21 +117,32 @@
     pub budget: Bucket,
 }
 
-/// The members, each at a place that it keeps while it is listed or has something out.
+/// The members, each at a place that it keeps while it is listed or has something out. A change of one member costs
+/// no look at the others.
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
     all: Vec<Member>,
     index: BTreeMap<MemberId, usize>,
     /// Places of members that were forgotten.
     free: Vec<usize>,
-    /// Places of the members that are listed as ready, by role, in the order of their ids.
-    usable: [Vec<usize>; 3],
+    /// Members that are gone from the list, of which some may still have something out.
+    gone: BTreeSet<MemberId>,
+    /// Members that are listed as ready and not out by hand, by role.
+    usable: [Usable; 3],
     /// Members that operators took out: by id, since each outlives its place in the list.
     by_hand: BTreeSet<MemberId>,
     /// How far this clock is ahead of that by which starts are dated.
     pub ahead: Span,
 }
 
+/// The usable members of a role.
+#[derive(Debug, Default)]
+struct Usable {
+    /// Their places, in the order of their ids.
+    places: Vec<usize>,
+    ranking: Ranking,
+}
+
 impl Roster {
     pub fn find(&self, member: MemberId) -> Option<usize> {
         self.index.get(&member).copied()
@@ -143,11 +155,11 @@
 
     /// Takes a member out by hand, or gives it back. Whether that changes anything.
     pub fn set_by_hand(&mut self, member: MemberId, out: bool) -> bool {
-        if out {
-            self.by_hand.insert(member)
-        } else {
-            self.by_hand.remove(&member)
-        }
+        let known = self.find(member);
+        known.into_iter().for_each(|at| self.remove_usable(at));
+        let changed = if out { self.by_hand.insert(member) } else { self.by_hand.remove(&member) };
+        known.into_iter().for_each(|at| self.insert_usable(at));
+        changed
     }
 
     /// All members that are known, in the order of their ids.
@@ -167,16 +179,35 @@
 
     /// The members of a role that are listed as ready and not out by hand.
     pub fn ready(&self, role: Role) -> &[usize] {
-        &self.usable[role as usize]
+        &self.usable[role as usize].places
+    }
+
+    /// The same members, to be put in order for an object.
+    pub fn ranking(&self, role: Role) -> &Ranking {
+        &self.usable[role as usize].ranking
+    }
+
+    pub fn ranking_mut(&mut self, role: Role) -> &mut Ranking {
+        &mut self.usable[role as usize].ranking
     }
 
     pub fn all_gone(&mut self) {
+        self.usable = Default::default();
+        self.gone = self.index.keys().copied().collect();
         self.all.iter_mut().for_each(|m| m.listed.state = Listed::Gone);
     }
 
-    /// Puts a member in its old place, or in a new one.
-    pub fn put(&mut self, member: Member) {
+    /// Takes over what the list says now of a member that is known.
+    pub fn update(&mut self, at: usize, entry: Entry) {
+        self.remove_usable(at);
+        self.all[at].listed = entry;
+        self.insert_usable(at);
+    }
+
+    /// Puts a member in its old place, or in a new one, and returns the place.
+    pub fn put(&mut self, member: Member) -> usize {
         let known = self.find(member.listed.member);
+        known.into_iter().for_each(|at| self.remove_usable(at));
         let at = known.or_else(|| self.free.pop()).unwrap_or(self.all.len());
         self.index.insert(member.listed.member, at);
         if at == self.all.len() {
@@ -184,23 +215,48 @@
         } else {
             self.all[at] = member;
         }
+        self.insert_usable(at);
+        at
     }
 
-    /// After a change of the list: forgets members that are gone and have nothing out, lists the usable ones
-    /// anew, and returns the places of all that were known.
-    pub fn sort_out(&mut self) -> Vec<usize> {
-        let known: Vec<usize> = self.index.values().copied().collect();
-        self.usable = Default::default();
-        for &at in &known {
-            let Member { listed, role, pace, .. } = &self.all[at];
-            if self.is_ready(at) {
-                self.usable[*role as usize].push(at);
-            } else if listed.state == Listed::Gone && pace.held == 0 {
-                self.index.remove(&listed.member);
-                self.free.push(at);
-            }
+    /// Forgets members that are gone from the list and have nothing out.
+    pub fn forget_gone(&mut self) {
+        let all = &self.all;
+        let place = |id: &MemberId| self.index.get(id).copied().filter(|at| all[*at].pace.held == 0);
+        let over: Vec<_> = self.gone.iter().filter_map(|id| place(id).map(|at| (*id, at))).collect();
+        for (id, at) in over {
+            self.gone.remove(&id);
+            self.index.remove(&id);
+            self.free.push(at);
+        }
+    }
+
+    /// Before a change of a member: it is not among the usable ones.
+    fn remove_usable(&mut self, at: usize) {
+        let Member { listed, role, .. } = &self.all[at];
+        self.gone.remove(&listed.member);
+        let (member, weight, usable) = (listed.member, listed.weight, &mut self.usable[*role as usize]);
+        if let Ok(position) = usable.places.binary_search_by_key(&member, |i| self.all[*i].listed.member) {
+            usable.places.remove(position);
+            usable.ranking.remove(member, weight);
+        }
+    }
+
+    /// After a change of a member: it is among the usable ones if it can be.
+    fn insert_usable(&mut self, at: usize) {
+        let Member { listed, role, .. } = &self.all[at];
+        if listed.state == Listed::Gone {
+            self.gone.insert(listed.member);
+        }
+        if !self.is_ready(at) {
+            return;
+        }
+        let usable = &mut self.usable[*role as usize];
+        let position = usable.places.binary_search_by_key(&listed.member, |i| self.all[*i].listed.member);
+        if let Err(position) = position {
+            usable.places.insert(position, at);
+            usable.ranking.insert(listed.member, listed.weight, at);
         }
-        known
     }
 }
 
