--- a/front/src/program/members.rs
+++ b/front/src/program/members.rs
@@ -12,6 +12,9 @@
 /// Share of the members' idle time after which a connection is closed here: a request must not cross their
 /// close.
 const IDLE_SHARE: f64 = 0.5;
+/// Share of the connections that first ones to cache nodes may take up; the rest is for parents, the origin, and second
+/// ones to nodes that are busy.
+const CACHES_SHARE: f64 = 0.75;
 /// For how long, or up to twice that, a connection remembers an id that it carried: answers to it may still come.
 const CARRIED: Span = 10_000_000;
 /// Bytes that one read takes at most, and reads of one connection in one turn: a node that sends without end keeps neither
@@ -159,6 +162,11 @@
         self.idle = idle.unwrap_or(self.idle);
     }
 
+    /// How many cache nodes can be reached at once, each by a connection, and how long one stays open that carries nothing.
+    pub fn reach(&self) -> (usize, Span) {
+        ((self.links_most as f64 * CACHES_SHARE) as usize, self.idle)
+    }
+
     /// Whether this is a connection to a member.
     pub fn has(&self, key: usize) -> bool {
         self.links.contains_key(&key)
@@ -188,6 +196,19 @@
         }
     }
 
+    /// Makes room for one more connection, if there is none: the one that has carried nothing for longest is closed. Guards
+    /// against requests that find no connection while others lie idle. Whether there is room.
+    fn make_room(&mut self) -> bool {
+        if self.links.len() < self.links_most {
+            return true;
+        }
+        let idle = self.links.iter().filter(|(_, link)| link.up && link.open.is_empty());
+        let longest =
+            idle.min_by_key(|(key, link)| (!link.retired, link.idle_since, **key)).map(|(key, _)| *key);
+        longest.into_iter().for_each(|key| self.fail(key, "idle", &mut Vec::new()));
+        self.links.len() < self.links_most
+    }
+
     /// Takes over where a member listens. Connections to an earlier process of it get nothing new.
     pub fn list(&mut self, entry: &Entry, address: SocketAddr) {
         let now = Some((address, entry.started));
@@ -276,15 +297,18 @@
         let calm = chosen.as_ref().is_some_and(|key| carries(key) < STREAMS_CALM);
         let keys = self.of.entry(to).or_default();
         let most = (self.links_most / self.listed.len().max(1)).max(2);
-        let (mut begun, mut end) = (None, End::Unplaced);
         // Those to an earlier process may stay silent for long and must not keep a new one from being reached.
         let live = keys.iter().filter(|key| self.links.get(key).is_some_and(|l| !l.retired)).count();
         let address = self.listed.get(&to).map(|l| l.0).filter(|_| !calm && live < most);
-        if let Some(address) = address.filter(|_| self.links.len() < self.links_most) {
+        // One that would only be the second to a node closes none to another.
+        let room = self.links.len() < self.links_most;
+        let room = room || address.is_some() && chosen.is_none() && self.make_room();
+        let (mut begun, mut end) = (None, End::Unplaced);
+        if let Some(address) = address.filter(|_| room) {
             match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
                 Ok(stream) => {
                     self.links.insert(key, Link::new(now, to, stream));
-                    keys.push(key);
+                    self.of.entry(to).or_default().push(key);
                     (chosen, begun) = (Some(key), Some(key));
                 }
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => end = End::Unsent { along: false },
--- a/front/src/program/members/tests.rs
+++ b/front/src/program/members/tests.rs
@@ -293,3 +293,33 @@
         assert!(seen > 1_000, "{seen}: too little was out to tell anything");
     }
 }
+
+#[test]
+fn where_all_connections_are_made_one_to_another_node_takes_the_place_of_the_one_idle_for_longest() {
+    let listeners: Vec<_> = (0..4).map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
+    let mut members = members(3, &listeners[0]);
+    for (id, listener) in (1..).zip(&listeners) {
+        let (member, state) = (MemberId(id), Listed::Ready);
+        let entry = Entry { member, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
+        members.list(&entry, listener.local_addr().unwrap());
+    }
+    // The second and the third carry nothing any more, the third for longer; the first still does.
+    for n in 1..=3 {
+        let target = (attempt(n), MemberId(n), Time::MAX);
+        members.send(0, &reactor, n as usize, target, &fetch(n), &mut ends);
+        while !members.links[&(n as usize)].up {
+            reactor.wait(0, Some(100_000)).unwrap();
+            members.ready(0, n as usize, false, &mut ends);
+        }
+    }
+    members.abort(1_000, attempt(3), &mut ends);
+    members.abort(2_000, attempt(2), &mut ends);
+    members.send(3_000, &reactor, 4, (attempt(4), MemberId(4), Time::MAX), &fetch(4), &mut ends);
+    let mut kept: Vec<_> = members.links.keys().copied().collect();
+    kept.sort_unstable();
+    assert_eq!((kept, ends.len()), (vec![1, 2, 4], 0));
+    // A second one to a node that has one closes none.
+    members.send(4_000, &reactor, 5, (attempt(5), MEMBER, Time::MAX), &fetch(5), &mut ends);
+    assert!(members.has(2) && !members.has(5) && ends.is_empty());
+}
--- a/front/src/program/serve.rs
+++ b/front/src/program/serve.rs
@@ -195,6 +195,7 @@
         let now = server.clock.now();
         let at = server.listener.local_addr().map_err(failed("listener"))?;
         tracing::info!(name = server.config.name, %at, "listening");
+        server.front.set_reach(now, server.nodes.reach());
         server.drivers(now, list)?;
         news.into_iter().for_each(|news| server.news(now, news, from));
         server.hears =
@@ -448,7 +449,7 @@
             tracing::info!(kind = "upgrade", "waits for another process to leave the clients' socket");
         }
         self.accepts = accepts;
-        self.halve(!alone);
+        self.halve(now, !alone);
         self.listen(true);
         if !accepts || !alone {
             self.deadlines.add(now + TAKE_OVER, Due::TakeOver);
@@ -456,9 +457,10 @@
     }
 
     /// Shares the limits with another process of this front, or no longer.
-    fn halve(&mut self, halved: bool) {
+    fn halve(&mut self, now: Time, halved: bool) {
         if std::mem::replace(&mut self.config.halved, halved) != halved {
             self.nodes.limit(self.config.links_most(), self.draining.map(|_| LINK_IDLE));
+            self.front.set_reach(now, self.nodes.reach());
             self.front.set_room(self.config.room());
         }
     }
@@ -695,7 +697,7 @@
             let learned = self.front.learned();
             if let Some(shared) = &mut self.shared {
                 shared.hand_over(now, &learned);
-                self.halve(true);
+                self.halve(now, true);
             }
             drain.moments().into_iter().for_each(|at| self.deadlines.add(at, Due::Drain));
         }
--- a/front/src/routing/route.rs
+++ b/front/src/routing/route.rs
@@ -67,6 +67,11 @@
         self.tell(now, Event::Learned(learned));
     }
 
+    /// How many cache nodes can be reached at once, each by a connection, and how long one stays open that carries nothing.
+    pub fn set_reach(&mut self, now: Time, (at_most, idle): (usize, Span)) {
+        self.tell(now, Event::Connections(at_most, idle));
+    }
+
     /// Changes the room for requests.
     pub fn set_room(&mut self, room: Room) {
         self.room = room;
--- a/src/api.rs
+++ b/src/api.rs
@@ -312,6 +312,9 @@
     ByHand(MemberId, bool),
     /// What an earlier process of this router has learned.
     Learned(Vec<Learned>),
+    /// Connections to caches that the embedding program can hold at once (0: any number), and how long one stays
+    /// open that carries nothing.
+    Connections(usize, Span),
 }
 
 /// Where a miss is filled from, and what happens with the copy.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -163,6 +163,16 @@
 }
 
 impl Order {
+    /// An order of few members, worked out in full: those of `places`, each with its id and weight.
+    pub fn among(key: u64, places: impl Iterator<Item = (MemberId, f64, usize)>) -> Self {
+        let scored = |(member, weight, place)| Scored::new(key, weight, Candidate { member, place });
+        let mut all: Vec<Scored> = places.map(scored).collect();
+        all.sort_by(|a, b| {
+            b.score.total_cmp(&a.score).then_with(|| a.candidate.member.cmp(&b.candidate.member))
+        });
+        Order { key, places: all.into_iter().map(|scored| scored.candidate.place).collect(), complete: true }
+    }
+
     /// The member at a position, from 0.
     pub fn get(&mut self, ranking: &Ranking, position: usize) -> Option<usize> {
         while position >= self.places.len() && !self.complete {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -6,6 +6,7 @@
 use crate::api::*;
 use crate::hash::mix;
 use crate::parts::{Bucket, Count, Purges, Queues, Seen, Timers};
+use crate::reach::Reach;
 use crate::state::{Attempt, Due, Failure, Member, Pace, Pending, Plan, Role, Roster, Spot, State};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -155,6 +156,7 @@
     now: Time,
     out: Vec<Action>,
     members: Roster,
+    reach: Reach,
     /// Members that are in slow start, or were when last looked at.
     warming: BTreeSet<usize>,
     seen: Seen<(ObjectId, u32)>,
@@ -185,6 +187,7 @@
             settings,
             now: 0,
             members: Roster::default(),
+            reach: Reach::default(),
             warming: BTreeSet::new(),
             seen: Seen::default(),
             pending: BTreeMap::new(),
@@ -203,6 +206,7 @@
     /// Takes one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
+        self.reach.expire(now);
         match event {
             Event::Members(kind, entries) => self.members_changed(kind, entries),
             Event::Request(ask) => self.request(ask),
@@ -222,6 +226,7 @@
             Event::Ahead(span) => self.members.ahead = span,
             Event::ByHand(member, out) => self.by_hand(member, out),
             Event::Learned(all) => all.into_iter().for_each(|one| self.learn(one)),
+            Event::Connections(at_most, idle) => self.reach.set_limits(at_most, idle),
         }
         actions.append(&mut self.out);
     }
@@ -260,9 +265,11 @@
                 listed: entry,
             };
             let at = self.members.put(member);
+            self.reach.forget(at);
             self.warming.insert(at);
         }
-        self.members.forget_gone();
+        let forgotten = self.members.forget_gone();
+        forgotten.into_iter().for_each(|at| self.reach.forget(at));
         // Where the size of the link is not told it is at first taken for that of the caches behind it.
         let behind = self.members.ranking(Role::Cache).weight();
         let parents = self.members.ranking(Role::Parent).weight();
@@ -591,7 +598,7 @@
                 Some(source) => Plan::Go(source, self.origin().filter(|o| *o != source)),
             };
         };
-        if !self.room(target) {
+        if !self.cache_room(target) {
             // The parents may carry what the caches left have no room for.
             let spare =
                 source.filter(|at| self.settings.direct && self.fill_waits(*at, false, &req.ask).is_none());
@@ -651,6 +658,9 @@
         if attempt.by_link {
             self.take(Spot::Link);
         }
+        if self.members[target].role == Role::Cache {
+            self.reach.sent(self.now, target);
+        }
         for (at, trial) in attempt.members() {
             self.take(Spot::Member(at));
             self.members[at].health.trials += u32::from(trial);
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -28,14 +28,30 @@
         self.members.ranking_mut(role).order(Self::placement_key(role, ask))
     }
 
+    /// The usable caches that connections are held to, in rendezvous order of the object.
+    fn order_in_reach(&self, ask: &Request) -> Order {
+        let usable = self.reach.places().filter(|at| self.members.is_ready(*at));
+        let listed = usable.map(|at| (&self.members[at].listed, at));
+        let candidates = listed.map(|(listed, at)| (listed.member, listed.weight, at));
+        Order::among(Self::placement_key(Role::Cache, ask), candidates)
+    }
+
     /// The member at a position in an order.
     pub(super) fn ranked(&self, role: Role, order: &mut Order, position: usize) -> Option<usize> {
         order.get(self.members.ranking(role), position)
     }
 
-    /// The cache for a request: the first in hash order that will do.
+    /// The cache for a request: the first in hash order that will do. While connections are held to as many
+    /// caches as can be, the first among those, unless none of them has room.
     pub(super) fn cache_for(&mut self, req: &Pending) -> Option<usize> {
         self.refill(Role::Cache, req.safe());
+        if self.reach.is_full() {
+            let order = self.order_in_reach(&req.ask);
+            let found = self.first_cache(req, order);
+            if let Some((at, _)) = found.filter(|(_, fitness)| *fitness == Fitness::BEST) {
+                return Some(at);
+            }
+        }
         let order = self.order(Role::Cache, &req.ask);
         self.first_cache(req, order).map(|(at, _)| at)
     }
@@ -83,7 +99,13 @@
     /// How well a cache would do for a request; `None`: not at all. Only safe requests probe a SUSPECT one.
     fn fitness(&mut self, req: &Pending, at: usize) -> Option<Fitness> {
         let fits = self.trusts(at, req.safe()) && self.cold_room(at);
-        fits.then(|| Fitness { untried: !req.failed.contains(&at), has_room: self.room(at) })
+        fits.then(|| Fitness { untried: !req.failed.contains(&at), has_room: self.cache_room(at) })
+    }
+
+    /// Whether a cache has room for one more request of this router.
+    pub(super) fn cache_room(&self, at: usize) -> bool {
+        let widening = self.reach.widening(at, self.members.ready(Role::Cache).len());
+        self.members[at].pace.wider_room(self.now, widening)
     }
 
     /// The next cache in the order, from `position` on, for an object that the `first` one has too many
--- a/src/state.rs
+++ b/src/state.rs
@@ -46,16 +46,23 @@
     pub late: f64,
     /// Moving average of how long each is out.
     pub service: f64,
-    /// The next one over the whole part of the limit may go then.
-    pub turn: Time,
+    /// The last one over the whole part of the limit went then; the next may go after this span.
+    pub turn_began: Time,
+    pub turn_wait: Span,
 }
 
 impl Pace {
     /// Room for one more. The fraction of a limit is held to by turns: one more may be out for that share of
     /// the time.
     pub fn room(&self, now: Time) -> bool {
-        let held = f64::from(self.held);
-        held + 1.0 <= self.limit || (held < self.limit && now >= self.turn)
+        self.wider_room(now, 1.0)
+    }
+
+    /// The same under a limit that is wider by this factor: turns come as much sooner.
+    pub fn wider_room(&self, now: Time, factor: f64) -> bool {
+        let (held, limit) = (f64::from(self.held), self.limit * factor);
+        let turn = self.turn_began.saturating_add((self.turn_wait as f64 / factor) as Span);
+        held + 1.0 <= limit || (held < limit && now >= turn)
     }
 
     /// Whether so many times the limit are out.
@@ -69,7 +76,7 @@
         self.held += 1;
         (0.0 < over && over < 1.0).then(|| {
             let wait = (self.service / over) as Span;
-            self.turn = now + wait;
+            (self.turn_began, self.turn_wait) = (now, wait);
             wait
         })
     }
@@ -219,16 +226,17 @@
         at
     }
 
-    /// Forgets members that are gone from the list and have nothing out.
-    pub fn forget_gone(&mut self) {
+    /// Forgets members that are gone from the list and have nothing out, and returns their places.
+    pub fn forget_gone(&mut self) -> Vec<usize> {
         let all = &self.all;
         let place = |id: &MemberId| self.index.get(id).copied().filter(|at| all[*at].pace.held == 0);
         let over: Vec<_> = self.gone.iter().filter_map(|id| place(id).map(|at| (*id, at))).collect();
-        for (id, at) in over {
-            self.gone.remove(&id);
-            self.index.remove(&id);
-            self.free.push(at);
+        for (id, at) in &over {
+            self.gone.remove(id);
+            self.index.remove(id);
+            self.free.push(*at);
         }
+        over.into_iter().map(|(_, at)| at).collect()
     }
 
     /// Before a change of a member: it is not among the usable ones.
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,9 +1,13 @@
-//! Fleets with many times the usual caches: what a router needs does not grow with them.
+//! Fleets with many more caches than one router can hold connections to: what it needs does not grow with them.
 mod common;
 use common::*;
 use cranesill::api::*;
+use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// A connection that carries nothing is closed after this long.
+const IDLE: Span = 7_500 * MS;
+
 /// One router of so many, with caches of this weight, two parents and the origin.
 fn stand(caches: u64, routers: u32, weight: f64) -> Stand {
     let caches = (1_000..1_000 + caches).map(|id| Entry { weight, ..entry(id, CACHE) });
@@ -30,6 +34,54 @@
     Duration::from_nanos(text.split_whitespace().next().unwrap().parse().unwrap())
 }
 
+#[test]
+fn a_router_keeps_to_as_many_caches_as_it_can_hold_connections_to() {
+    // Beside one router a cache has room for one request, beside 900 for a small part of one of each.
+    for (routers, weight) in [(1, 1.0), (900, 2.0)] {
+        let mut stand = stand(3_200, routers, weight);
+        stand.tell(Event::Connections(100, IDLE));
+        let targets: BTreeSet<_> = (0..1_000).map(|n| served(&mut stand, n, n)).collect();
+        assert_eq!(targets.len(), 100);
+        assert!(stand.answers.is_empty() && stand.checker.broken.is_empty(), "{:?}", stand.checker.broken);
+    }
+}
+
+#[test]
+fn while_connections_are_to_be_had_an_object_goes_to_its_own_cache() {
+    let (mut free, mut bound) = (stand(80, 1, 40.0), stand(80, 1, 40.0));
+    bound.tell(Event::Connections(100, IDLE));
+    for n in 0..1_000 {
+        assert_eq!(served(&mut free, n, n), served(&mut bound, n, n));
+    }
+}
+
+#[test]
+fn caches_that_are_no_longer_used_make_room_for_others() {
+    let mut stand = stand(3_200, 1, 1.0);
+    stand.tell(Event::Connections(10, IDLE));
+    let first: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
+    stand.advance(2 * IDLE);
+    let second: BTreeSet<_> = (0..100).map(|n| served(&mut stand, 1_000 + n, 1_000 + n)).collect();
+    assert_eq!((first.len(), second.len()), (10, 10));
+    assert!(first.intersection(&second).count() < 5);
+}
+
+#[test]
+fn a_cache_that_leaves_is_no_longer_kept_to() {
+    let mut stand = stand(3_200, 1, 1.0);
+    stand.tell(Event::Connections(10, IDLE));
+    let before: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
+    let gone = *before.first().unwrap();
+    let weight = 1.0;
+    stand.tell(Event::Members(
+        ListKind::Delta,
+        vec![Entry { weight, state: Listed::Draining, ..entry(gone, CACHE) }],
+    ));
+    let after: BTreeSet<_> = (0..100).map(|n| served(&mut stand, 1_000 + n, n)).collect();
+    assert!(!after.contains(&gone));
+    assert!(stand.checker.broken.is_empty(), "{:?}", stand.checker.broken);
+}
+
 /// Processor time of requests and of changes of the list beside so many caches.
 fn cost(caches: u64) -> [Duration; 2] {
     const OBJECTS: u64 = 100;
@@ -74,3 +126,54 @@
         assert!(large < 5 * usual, "{usual:?} beside 200 caches, {large:?} beside 3,200");
     }
 }
+
+#[test]
+fn caches_that_just_started_are_not_pushed_over_by_routers_that_keep_to_some() {
+    const ROUTERS: u32 = 60;
+    const CACHES: u64 = 100;
+    const WEIGHT: f64 = 2.0;
+    const STEP: Span = 10 * MS;
+    let started = stand(1, 1, 1.0).now;
+    // Six in ten are new.
+    let listed =
+        |id| Entry { weight: WEIGHT, started: if id % 10 < 6 { started } else { 0 }, ..entry(id, CACHE) };
+    let members = || (1_000..1_000 + CACHES).map(listed).chain([entry(20, PARENT), entry(30, ORIGIN)]);
+    let fleet = Settings { routers: ROUTERS, routers_by_zone: vec![0, 0, ROUTERS], ..settings() };
+    let one = |number| Stand::new(Settings { number, ..fleet.clone() }, members().collect());
+    let mut stands: Vec<_> = (0..ROUTERS).map(one).collect();
+    for stand in &mut stands {
+        stand.tell(Event::Connections(8, IDLE));
+    }
+    let (began, mut rng, mut sent) = (stands[0].now, Rng(7), Vec::new());
+    for id in 0..600 {
+        for stand in &mut stands {
+            stand.advance(STEP);
+            for attempt in stand.live() {
+                stand.served(&attempt);
+            }
+            if rng.roll(10) < 3 {
+                let begun = stand.ask(ask(id, rng.roll(5_000)));
+                sent.extend(begun.iter().map(|s| (s.target, s.at)));
+            }
+        }
+    }
+    let limits = settings().cold_cache;
+    let span = settings().overload_span;
+    for id in (1_000..1_000 + CACHES).filter(|id| id % 10 < 6) {
+        let times: Vec<Time> = sent.iter().filter(|(target, _)| *target == id).map(|(_, at)| *at).collect();
+        for end in &times {
+            let age = (end - began) as f64 / limits.warm_in as f64;
+            let capacity = WEIGHT * (limits.from + (1.0 - limits.from) * age);
+            let calls = capacity * limits.fall_multiple * span as f64 / 300_000.0;
+            let bound = if calls < 30.0 {
+                calls + 3.0 * calls.sqrt() + 3.0
+            } else {
+                calls + 2.0 * calls.sqrt() + 2.0
+            };
+            let within = times.iter().filter(|at| **at <= *end && **at + span > *end).count();
+            assert!(within as f64 <= bound, "{within} calls at {id} within the span, {bound} can be borne");
+        }
+    }
+    let warm = sent.iter().filter(|(target, _)| target % 10 >= 6).count();
+    assert!(sent.len() > 10_000 && warm < sent.len(), "{warm} of {}", sent.len());
+}
