--- a/front/src/program/serve.rs
+++ b/front/src/program/serve.rs
@@ -26,7 +26,7 @@
 use cranesill::api::{Entry, Listed, MemberId, Span, Time};
 use cranesill_daemon::{changes, Daemon, Level};
 use serde_json::{json, Value};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::io;
 use std::net::TcpListener;
 use std::os::unix::net::UnixStream;
@@ -195,6 +195,7 @@
         let now = server.clock.now();
         let at = server.listener.local_addr().map_err(failed("listener"))?;
         tracing::info!(name = server.config.name, %at, "listening");
+        server.front.set_reach(now, server.nodes.reach());
         server.drivers(now, list)?;
         news.into_iter().for_each(|news| server.news(now, news, from));
         server.hears =
@@ -448,7 +449,7 @@
             tracing::info!(kind = "upgrade", "waits for another process to leave the clients' socket");
         }
         self.accepts = accepts;
-        self.halve(!alone);
+        self.halve(now, !alone);
         self.listen(true);
         if !accepts || !alone {
             self.deadlines.add(now + TAKE_OVER, Due::TakeOver);
@@ -456,9 +457,10 @@
     }
 
     /// Shares the limits with another process of this front, or no longer.
-    fn halve(&mut self, halved: bool) {
+    fn halve(&mut self, now: Time, halved: bool) {
         if std::mem::replace(&mut self.config.halved, halved) != halved {
             self.nodes.limit(self.config.links_most(), self.draining.map(|_| LINK_IDLE));
+            self.front.set_reach(now, self.nodes.reach());
             self.front.set_room(self.config.room());
         }
     }
@@ -695,7 +697,7 @@
             let learned = self.front.learned();
             if let Some(shared) = &mut self.shared {
                 shared.hand_over(now, &learned);
-                self.halve(true);
+                self.halve(now, true);
             }
             drain.moments().into_iter().for_each(|at| self.deadlines.add(at, Due::Drain));
         }
@@ -841,17 +843,16 @@
     fn take_members(&mut self, now: Time, whole: bool, list: Vec<Listing>, origin: Origin) {
         let mut ends = Vec::new();
         let entries: Vec<_> = list.iter().map(entry).collect();
-        let before: Vec<_> = if whole { self.nodes.listed().collect() } else { Vec::new() };
+        let mut before: Vec<_> = if whole { self.nodes.listed().collect() } else { Vec::new() };
         if whole {
-            let ids: Vec<_> = entries.iter().map(|e| e.member).collect();
-            self.nodes.keep_only(&ids);
+            let listed: HashSet<_> = entries.iter().map(|e| e.member).collect();
+            self.nodes.keep_only(&listed);
+            before.retain(|id| !listed.contains(id));
         }
         entries.iter().zip(&list).for_each(|(entry, l)| self.nodes.list(entry, l.address));
         let mut left_out: Vec<_> =
             entries.iter().filter(|e| e.state != Listed::Ready).map(|e| e.member).collect();
-        if whole {
-            left_out.extend(before.into_iter().filter(|id| entries.iter().all(|e| e.member != *id)));
-        }
+        left_out.extend(before);
         let new: Vec<_> = entries.iter().filter(|e| e.state == Listed::Ready).map(|e| e.member).collect();
         self.front.members(now, whole, entries, origin);
         left_out.into_iter().for_each(|id| self.nodes.leave_out(id, &mut ends));
