--- a/tests/many.rs
+++ b/tests/many.rs
@@ -9,6 +9,8 @@
 /// How long a member takes for an answer.
 const ANSWER: u64 = 60 * MS;
 const CACHES: u64 = 12;
+/// Requests a second of a router of the usual fleet.
+const USUAL_RATE: f64 = 10.0;
 
 /// Many routers of one location, their shared members, and what was sent to whom.
 struct Fleet {
@@ -17,29 +19,52 @@
     out: VecDeque<(Time, usize, Sent)>,
     /// Every attempt, with the member that it was for.
     sent: Vec<(Time, usize, u64)>,
+    /// Requests that each router is asked in a step.
+    asked_in_step: f64,
     rng: Rng,
     next: u64,
     now: Time,
 }
 
+fn members() -> Vec<Entry> {
+    let caches = (10..10 + CACHES).map(|id| entry(id, CACHE));
+    caches.chain([entry(50, PARENT), entry(51, PARENT), entry(60, ORIGIN)]).collect()
+}
+
 impl Fleet {
     fn new(seed: u64) -> Self {
-        let members = || -> Vec<Entry> {
-            let caches = (10..10 + CACHES).map(|id| entry(id, CACHE));
-            caches.chain([entry(50, PARENT), entry(51, PARENT), entry(60, ORIGIN)]).collect()
-        };
-        let stands = (0..ROUTERS).map(|number| {
-            let routers_by_zone = vec![0, 0, ROUTERS];
-            let fleet =
-                Settings { routers: ROUTERS, routers_by_zone, number, second_copies: false, ..settings() };
+        Fleet::of(ROUTERS, USUAL_RATE, seed)
+    }
+
+    /// So many routers, each of which is asked so often a second.
+    fn of(routers: u32, rate: f64, seed: u64) -> Self {
+        let stands = (0..routers).map(|number| {
+            let routers_by_zone = vec![0, 0, routers];
+            let fleet = Settings { routers, routers_by_zone, number, second_copies: false, ..settings() };
             Stand::new(fleet, members())
         });
         let stands: Vec<_> = stands.collect();
         let now = stands[0].now;
-        Fleet { stands, out: VecDeque::new(), sent: Vec::new(), rng: Rng(seed), next: 0, now }
+        let asked_in_step = rate * STEP as f64 / S as f64;
+        let (out, sent) = (VecDeque::new(), Vec::new());
+        Fleet { stands, out, sent, asked_in_step, rng: Rng(seed), next: 0, now }
+    }
+
+    /// All routers are told of members.
+    fn tell(&mut self, kind: ListKind, members: &[Entry]) {
+        for n in 0..self.stands.len() {
+            let begun = self.stands[n].tell(Event::Members(kind, members.to_vec()));
+            self.note(n, begun, &[]);
+        }
     }
 
-    /// Plays on for a time: each router is asked ten times a second, and `dead` answers no connection.
+    /// How often a router is asked in this step.
+    fn asks(&mut self) -> u64 {
+        let chance = (self.asked_in_step.fract() * 10_000.0) as u64;
+        self.asked_in_step as u64 + u64::from(self.rng.roll(10_000) < chance)
+    }
+
+    /// Plays on for a time; `dead` answers no connection.
     fn play(&mut self, span: Span, dead: &[u64]) {
         let until = self.now + span;
         while self.now < until {
@@ -47,7 +72,7 @@
             for n in 0..self.stands.len() {
                 let left = self.now - self.stands[n].now;
                 let mut begun = self.stands[n].advance(left);
-                if self.rng.roll(10) == 0 {
+                for _ in 0..self.asks() {
                     self.next += 1;
                     let object = self.rng.roll(5_000);
                     begun.extend(self.stands[n].ask(ask(self.next, object)));
@@ -152,3 +177,102 @@
         assert!(got > 0, "seed {seed}: nothing was sent to it");
     }
 }
+
+/// The cache that returns cold in the tests of the budget, of a tenth of the others' size, so that its budget binds.
+const RETURNED: u64 = 11;
+
+fn returned(started: Time) -> Entry {
+    Entry { started, weight: 2.0, ..entry(RETURNED, CACHE) }
+}
+
+/// Requests of mean work that a cache bears which started at that time, in the span that begins now: what the settings allow it
+/// then, and what chance adds to that.
+fn budget(started: Time, now: Time) -> f64 {
+    let settings = settings();
+    let limits = settings.cold_cache;
+    let age = (now - started) as f64 / limits.warm_in as f64;
+    let capacity = returned(started).weight * (limits.from + (1.0 - limits.from) * age);
+    let allowed = limits.fall_multiple * capacity * settings.overload_span as f64 / (300 * MS) as f64;
+    if allowed < 30.0 {
+        allowed + 3.0 * allowed.sqrt() + 3.0
+    } else {
+        allowed + 2.0 * allowed.sqrt() + 2.0
+    }
+}
+
+/// Checks each span of a ramp against the budget. Returns the requests in the fullest one.
+fn keeps_the_budget(fleet: &Fleet, started: Time, until: Time, what: &str) -> usize {
+    let settings = settings();
+    let ramp = started..until.min(started + settings.cold_cache.warm_in);
+    let to_it = |(at, _, to): &&(Time, usize, u64)| *to == RETURNED && ramp.contains(at);
+    let all: Vec<Time> = fleet.sent.iter().filter(to_it).map(|sent| sent.0).collect();
+    let mut fullest = 0;
+    for at in &all {
+        let sent = all.iter().filter(|other| (*at..at + settings.overload_span).contains(*other)).count();
+        fullest = fullest.max(sent);
+        let most = budget(started, *at);
+        let age_ms = (at - started) / MS;
+        assert!(
+            sent as f64 <= most,
+            "{what}: {sent} in a span {age_ms} ms after the start, {most:.1} at most"
+        );
+    }
+    fullest
+}
+
+/// Fleets of one, of some and of hundreds, with the same load over all.
+const FLEETS: [(u32, f64); 3] = [(1, 480.0), (ROUTERS, USUAL_RATE), (400, 1.2)];
+
+#[test]
+fn the_budget_of_a_slow_start_binds_with_one_router_and_with_hundreds_that_share_less_than_a_request() {
+    for (routers, rate) in FLEETS {
+        let mut fleet = Fleet::of(routers, rate, 7);
+        fleet.play(3 * S, &[]);
+        let started = fleet.now;
+        fleet.tell(ListKind::Delta, &[returned(started)]);
+        fleet.play(12 * S, &[]);
+        let fullest = keeps_the_budget(&fleet, started, fleet.now, &format!("{routers} routers"));
+        assert!(fullest > 0, "{routers} routers: nothing was sent to it");
+    }
+}
+
+#[test]
+fn a_list_that_is_told_anew_in_a_slow_start_gives_no_second_budget() {
+    for (routers, rate) in FLEETS {
+        let mut fleet = Fleet::of(routers, rate, 8);
+        fleet.play(3 * S, &[]);
+        let started = fleet.now;
+        fleet.tell(ListKind::Delta, &[returned(started)]);
+        for _ in 0..8 {
+            fleet.play(S, &[]);
+            // As after a reload: another service tells all of it.
+            let mut all = members();
+            all.retain(|one| one.member != MemberId(RETURNED));
+            all.push(returned(started));
+            fleet.tell(ListKind::Full, &all);
+        }
+        fleet.play(4 * S, &[]);
+        keeps_the_budget(&fleet, started, fleet.now, &format!("{routers} routers"));
+    }
+}
+
+#[test]
+fn a_second_return_within_a_slow_start_begins_the_budget_anew() {
+    for (routers, rate) in FLEETS {
+        let mut fleet = Fleet::of(routers, rate, 9);
+        fleet.play(3 * S, &[]);
+        let first = fleet.now;
+        fleet.tell(ListKind::Delta, &[returned(first)]);
+        fleet.play(6 * S, &[]);
+        let what = format!("{routers} routers");
+        keeps_the_budget(&fleet, first, fleet.now, &what);
+        let gone = Entry { state: Listed::Gone, ..returned(first) };
+        fleet.tell(ListKind::Delta, &[gone]);
+        fleet.play(S, &[]);
+        let second = fleet.now;
+        fleet.tell(ListKind::Delta, &[returned(second)]);
+        fleet.play(12 * S, &[]);
+        let fullest = keeps_the_budget(&fleet, second, fleet.now, &what);
+        assert!(fullest > 0, "{what}: nothing was sent to it");
+    }
+}
