--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -9,6 +9,7 @@
 use crate::planner::{Choice, Notice, Plan, Planner, Row};
 use crate::renewal::{Held, Turns};
 use crate::retry::Cause;
+use crate::unsaved::{Ended, Unsaved, Waiting};
 use crate::url::Url;
 use crate::wire::{self, Directory, Problem};
 use crate::{tame, Moment, Span, Time, SECOND};
@@ -304,6 +305,7 @@
     skew: Option<i64>,
     started: bool,
     saved: State,
+    unsaved: Unsaved,
 }
 
 impl Client {
@@ -324,6 +326,7 @@
             skew: None,
             started: false,
             saved: State::default(),
+            unsaved: Unsaved::default(),
         }
     }
 
@@ -343,6 +346,7 @@
             Event::Done(task, done) => self.done(moment, task, done, out),
             Event::Reread(task, found) => self.reread(moment, task, found, out),
             Event::Tick => {
+                self.save_again(moment.now, out);
                 let due = self.tasks.iter().filter(|(_, t)| t.wake.is_some_and(|at| at <= moment.now));
                 let due: Vec<_> = due.map(|(id, _)| *id).collect();
                 for task in due {
@@ -383,7 +387,7 @@
         let least = moment.now + LOOK_LEAST;
         let next = [planned, info].into_iter().flatten().map(|at| at.max(least)).min();
         let most = moment.now + LOOK_EACH;
-        tasks.into_iter().chain(next).min().unwrap_or(most).min(most)
+        tasks.into_iter().chain(next).chain(self.unsaved.next()).min().unwrap_or(most).min(most)
     }
 
     /// How each certificate stands, and what is served for it.
@@ -465,7 +469,7 @@
                 self.planner.resumes(moment, &id);
                 self.pending.insert(id, pending);
             } else {
-                out.push(Action::Save(0, Keep::Forget(id)));
+                self.save(Keep::Forget(id), None, out);
             }
         }
         self.started = true;
@@ -614,7 +618,9 @@
             }
             Output::Keep(pending) => {
                 self.pending.insert(id.clone(), pending.clone());
-                out.push(Action::Save(task, Keep::Pending(id, pending)));
+                let keep = Keep::Pending(id, pending);
+                self.unsaved.supersede(&keep);
+                out.push(Action::Save(task, keep));
             }
             Output::Sleep(until) => {
                 self.tasks.get_mut(&task).into_iter().for_each(|t| t.wake = Some(until));
@@ -629,14 +635,14 @@
                     &id,
                     &format!("serial {} until {until}", identity.serial),
                 ));
-                out.push(Action::Save(0, Keep::Identity(id.clone(), (*identity).clone())));
+                self.save(Keep::Identity(id.clone(), (*identity).clone()), None, out);
                 self.take(moment, &id, *identity, true, out);
                 self.keep_state(out);
             }
             Output::Failed(failure) => {
                 self.end(task, out);
                 if !failure.keeps_order && self.pending.remove(&id).is_some() {
-                    out.push(Action::Save(0, Keep::Forget(id.clone())));
+                    self.save(Keep::Forget(id.clone()), None, out);
                 }
                 self.failed(moment, &id, &failure, out);
             }
@@ -697,10 +703,11 @@
             return out.push(Action::Reply(operator, Err("it has expired".into())));
         }
         out.push(tell(Loud::Info, "imported", &id, &format!("serial {}", identity.serial)));
-        out.push(Action::Save(0, Keep::Identity(id.clone(), identity.clone())));
-        let serial = identity.serial.clone();
+        let text = format!("{id} is served with serial {}", identity.serial);
+        let keep = Keep::Identity(id.clone(), identity.clone());
+        // The operator may throw the files away that were imported: the answer waits for the disk.
+        self.save(keep, Some(Waiting { operator, text }), out);
         self.take(moment, &id, identity, false, out);
-        out.push(Action::Reply(operator, Ok(format!("{id} is served with serial {serial}"))));
     }
 
     fn revoke(&mut self, moment: Moment, operator: u64, id: &str, reason: u8, out: &mut Vec<Action>) {
@@ -776,13 +783,17 @@
                     self.settings.as_ref().map(|s| s.directory_url.clone()).unwrap_or_default();
                 let account = Account { directory_url, key: key.pem().into(), next_key: None, url: None };
                 (self.key, self.account) = (Some(key), Some(account.clone()));
-                out.push(Action::Save(task, Keep::Account(account)));
+                let keep = Keep::Account(account);
+                self.unsaved.supersede(&keep);
+                out.push(Action::Save(task, keep));
             }
             Kind::Roll { new, .. } => {
                 *new = Some(Arc::clone(&key));
                 if let Some(account) = &mut self.account {
                     account.next_key = Some(key.pem().into());
-                    out.push(Action::Save(task, Keep::Account(account.clone())));
+                    let keep = Keep::Account(account.clone());
+                    self.unsaved.supersede(&keep);
+                    out.push(Action::Save(task, keep));
                 }
             }
             _ => {}
@@ -790,6 +801,9 @@
     }
 
     fn done(&mut self, moment: Moment, task: u64, done: Result<(), String>, out: &mut Vec<Action>) {
+        if let Some(ended) = self.unsaved.ended(moment.now, task, done.is_ok()) {
+            return self.write_ended(ended, done, out);
+        }
         if let Err(why) = &done {
             // Published challenges that fail are told with their order.
             let publishing = self.tasks.get(&task).is_some_and(|t| !t.shown.is_empty());
@@ -961,7 +975,8 @@
                 (account.key, self.key) = (next, Some(Arc::new(key)));
             }
         }
-        out.push(Action::Save(0, Keep::Account(account.clone())));
+        let account = account.clone();
+        self.save(Keep::Account(account), None, out);
         let text = if taken { "it has the new key" } else { "it kept its key" };
         out.push(tell(Loud::Info, "account", "", text));
     }
@@ -976,7 +991,8 @@
         account.next_key = None;
         self.tasks.remove(&task);
         self.planner.answers();
-        out.push(Action::Save(0, Keep::Account(account.clone())));
+        let account = account.clone();
+        self.save(Keep::Account(account), None, out);
         out.push(tell(Loud::Info, "account", "", &tame(&url, 200)));
     }
 
@@ -1024,7 +1040,8 @@
         if let (Ok(_), Some((new, account))) = (&done, new.zip(self.account.as_mut())) {
             (account.key, account.next_key) = (new.pem().into(), None);
             self.key = Some(new);
-            out.push(Action::Save(0, Keep::Account(account.clone())));
+            let account = account.clone();
+            self.save(Keep::Account(account), None, out);
             out.push(tell(Loud::Info, "account", "", "it has a new key"));
         }
         out.push(Action::Reply(operator, done));
@@ -1082,12 +1099,48 @@
         }
     }
 
+    /// Keeps something in the background, and again until it is durable.
+    fn save(&mut self, what: Keep, waiting: Option<Waiting>, out: &mut Vec<Action>) {
+        self.last += 1;
+        if let Some(Waiting { operator, .. }) = self.unsaved.begin(self.last, what.clone(), waiting) {
+            out.push(Action::Reply(operator, Err("something newer has taken its place".into())));
+        }
+        out.push(Action::Save(self.last, what));
+    }
+
+    /// Writes what could not be kept again where that is due.
+    fn save_again(&mut self, now: Time, out: &mut Vec<Action>) {
+        let (pending, last) = (&self.pending, &mut self.last);
+        // A certificate ends the order of its name on disk: not one that was begun since.
+        let holds = |what: &Keep| matches!(what, Keep::Identity(id, _) if pending.contains_key(id));
+        let number = || {
+            *last += 1;
+            *last
+        };
+        let again = self.unsaved.retries(now, holds, number);
+        out.extend(again.into_iter().map(|(task, what)| Action::Save(task, what)));
+    }
+
+    /// A write in the background has ended.
+    fn write_ended(&mut self, ended: Ended, done: Result<(), String>, out: &mut Vec<Action>) {
+        if let (Err(why), 1) = (&done, ended.failures) {
+            out.push(tell(Loud::Warn, "not-kept", "", why));
+        }
+        if let Some(Waiting { operator, text }) = ended.waiting {
+            let answer = match done {
+                Ok(()) => Ok(text),
+                Err(why) => Err(format!("{text}, and could not be kept yet: {why}; it is tried again")),
+            };
+            out.push(Action::Reply(operator, answer));
+        }
+    }
+
     fn keep_state(&mut self, out: &mut Vec<Action>) {
         let (orders, refused) = self.planner.memory();
         let state = State { orders, refused };
         if state != self.saved {
             self.saved = state.clone();
-            out.push(Action::Save(0, Keep::State(state)));
+            self.save(Keep::State(state), None, out);
         }
     }
 
--- a/certs/src/lib.rs
+++ b/certs/src/lib.rs
@@ -21,6 +21,7 @@
 pub mod planner;
 pub mod renewal;
 pub mod retry;
+mod unsaved;
 pub mod url;
 pub mod wire;
 
--- /dev/null
+++ b/certs/src/unsaved.rs
@@ -0,0 +1,103 @@
+//! What is to be kept on disk and is not durable yet. A write that failed is made again, with a pause that grows, until it
+//! succeeds or something newer takes its place: what is served from memory alone would be gone at the next start.
+use crate::disk::Keep;
+use crate::{Span, Time, SECOND};
+use std::collections::BTreeMap;
+
+/// Pause before the first retry, and the longest.
+const RETRY_FIRST: Span = SECOND;
+const RETRY_MAX: Span = 60 * SECOND;
+
+/// An operator who is answered once something is durable.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Waiting {
+    /// Who asked.
+    pub operator: u64,
+    /// What is answered then.
+    pub text: String,
+}
+
+#[derive(Debug)]
+struct Write {
+    what: Keep,
+    /// By which its end is known, while it is under way.
+    task: u64,
+    /// When it is made again after a failure.
+    retry_at: Option<Time>,
+    failures: u32,
+    waiting: Option<Waiting>,
+}
+
+/// How a write ended.
+#[derive(Debug)]
+pub struct Ended {
+    /// Failures in a row: 0 if it is durable.
+    pub failures: u32,
+    /// Who is to be answered now.
+    pub waiting: Option<Waiting>,
+}
+
+/// The writes, one for each file: the newest.
+#[derive(Debug, Default)]
+pub struct Unsaved(BTreeMap<String, Write>);
+
+fn file(what: &Keep) -> String {
+    match what {
+        Keep::Account(_) => "account".into(),
+        Keep::State(_) => "state".into(),
+        Keep::Pending(id, _) | Keep::Forget(id) => format!("{id}.order"),
+        Keep::Identity(id, _) => format!("{id}.pem"),
+    }
+}
+
+impl Unsaved {
+    /// A write begins under a number of its own. An older one of the same file is over: returns who waited for it.
+    pub fn begin(&mut self, task: u64, what: Keep, waiting: Option<Waiting>) -> Option<Waiting> {
+        let write = Write { task, retry_at: None, failures: 0, waiting, what };
+        self.0.insert(file(&write.what), write)?.waiting
+    }
+
+    /// Something newer is written by another way: an older write of the same file is over.
+    pub fn supersede(&mut self, what: &Keep) {
+        self.0.remove(&file(what));
+    }
+
+    /// A write has ended. `None`: it is none of these, or something newer has taken its place.
+    pub fn ended(&mut self, now: Time, task: u64, durable: bool) -> Option<Ended> {
+        let name = self.0.iter().find(|(_, w)| w.task == task).map(|(name, _)| name.clone())?;
+        if durable {
+            let write = self.0.remove(&name)?;
+            return Some(Ended { failures: 0, waiting: write.waiting });
+        }
+        let write = self.0.get_mut(&name)?;
+        write.failures += 1;
+        let pause = RETRY_FIRST << (write.failures - 1).min(10);
+        write.retry_at = Some(now + pause.min(RETRY_MAX));
+        Some(Ended { failures: write.failures, waiting: write.waiting.take() })
+    }
+
+    /// What is due to be written again, each under a new number. What `holds` says has to wait stays for the next time.
+    pub fn retries(
+        &mut self,
+        now: Time,
+        holds: impl Fn(&Keep) -> bool,
+        mut number: impl FnMut() -> u64,
+    ) -> Vec<(u64, Keep)> {
+        let due = |write: &&mut Write| write.retry_at.is_some_and(|at| at <= now);
+        let mut again = Vec::new();
+        for write in self.0.values_mut().filter(due) {
+            if holds(&write.what) {
+                write.retry_at = Some(now + RETRY_MAX);
+                continue;
+            }
+            (write.task, write.retry_at) = (number(), None);
+            again.push((write.task, write.what.clone()));
+        }
+        again
+    }
+
+    /// When the next retry is due.
+    pub fn next(&self) -> Option<Time> {
+        self.0.values().filter_map(|write| write.retry_at).min()
+    }
+}
