--- a/front/src/program/drivers/peers.rs
+++ b/front/src/program/drivers/peers.rs
@@ -254,8 +254,7 @@
         match effect {
             Effect::Heard(number, news) => {
                 self.heard = Some(turn.now);
-                let now = wall_ms();
-                self.known.take(*number, now, self.purge_ms, news);
+                self.known.take(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
             }
             Effect::Current => {
                 self.heard = Some(turn.now);
--- a/front/src/program/drivers/snapshot.rs
+++ b/front/src/program/drivers/snapshot.rs
@@ -14,8 +14,9 @@
 
 /// Pause between two writes.
 const EACH: Span = 1_000_000;
-/// While nothing changes the list is written this often, with the time at which it was still known to be so.
-const AGAIN_MS: u64 = 20_000;
+/// While nothing changes the list is written this often, with the time at which it was still known to be so. It is dated by the
+/// wall clock, which the next process compares; a step of that is made up for by the next of these writes.
+const AGAIN: Span = 20_000_000;
 /// Purges are kept this much longer than members may hold older copies.
 const PURGE_SLACK_MS: u64 = 2_000;
 
@@ -68,11 +69,14 @@
 
 fn write(path: &Path, text: &str) -> io::Result<()> {
     let aside = path.with_extension(format!("{}.tmp", std::process::id()));
+    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let written = File::create(&aside).and_then(|mut file| {
         file.write_all(text.as_bytes())?;
         // A name must not come to stand for what the disk does not have yet.
         file.sync_data()?;
-        std::fs::rename(&aside, path)
+        std::fs::rename(&aside, path)?;
+        // The name itself is durable with its folder.
+        File::open(folder)?.sync_all()
     });
     if written.is_err() {
         let _ = std::fs::remove_file(&aside);
@@ -92,6 +96,8 @@
     busy: bool,
     due: Time,
     failed: bool,
+    /// When the list was last dated.
+    dated: Time,
 }
 
 impl Snapshots {
@@ -109,12 +115,13 @@
             busy: false,
             due: turn.now,
             failed: false,
+            dated: 0,
         })
     }
 
-    fn news(&mut self, number: u64, news: &News) {
-        let now = wall_ms();
-        self.known.take(number, now, self.purge_ms, news);
+    fn news(&mut self, now: Time, number: u64, news: &News) {
+        self.known.take(number, wall_ms(), now / 1_000, self.purge_ms, news);
+        self.dated = now;
         self.dirty = true;
     }
 }
@@ -161,11 +168,11 @@
         (self.dirty && !self.busy).then_some(self.due)
     }
 
-    fn told(&mut self, _: &mut Turn<'_>, effect: &Effect) {
+    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
         match effect {
-            Effect::Heard(number, news) => self.news(*number, news),
-            Effect::Current if wall_ms() >= self.known.at_ms + AGAIN_MS => {
-                self.known.at_ms = wall_ms();
+            Effect::Heard(number, news) => self.news(turn.now, *number, news),
+            Effect::Current if turn.now >= self.dated + AGAIN => {
+                (self.known.at_ms, self.dated) = (wall_ms(), turn.now);
                 self.dirty = self.known.number > 0;
             }
             Effect::Taken(list) => {
--- a/front/src/program/shared.rs
+++ b/front/src/program/shared.rs
@@ -100,6 +100,8 @@
         let text = if text.len() <= LEARNED_MOST { text } else { learned(now, &[]) };
         let written = fs::write(&aside, text).and_then(|()| fs::rename(&aside, self.folder.join("learned")));
         if let Err(error) = written {
+            // Best effort: what is half written is of no use to anybody.
+            let _ = fs::remove_file(&aside);
             tracing::warn!(kind = "upgrade", %error, "what was learned is not handed over");
         }
         if let Err(error) = self.accept.file.unlock() {
--- a/front/src/program/shared/tests.rs
+++ b/front/src/program/shared/tests.rs
@@ -40,6 +40,19 @@
     }
 }
 
+#[test]
+fn a_hand_over_that_can_not_be_written_leaves_nothing_behind_and_the_next_process_accepts() {
+    let folder = tempfile::tempdir().unwrap();
+    let (mut old, mut new) = (Shared::new(folder.path()).unwrap(), Shared::new(folder.path()).unwrap());
+    assert!(old.accepts());
+    // Nothing can take the place of a folder.
+    fs::create_dir_all(folder.path().join("cranesill/learned/held")).unwrap();
+    old.hand_over(5, &[]);
+    let names = fs::read_dir(folder.path().join("cranesill")).unwrap().flatten().map(|file| file.file_name());
+    assert!(names.into_iter().all(|name| !name.to_string_lossy().ends_with(".tmp")));
+    assert!(new.accepts());
+}
+
 #[test]
 fn members_out_by_hand_are_seen_by_all_and_what_is_foreign_is_passed_over() {
     let folder = tempfile::tempdir().unwrap();
--- a/front/src/program/startup.rs
+++ b/front/src/program/startup.rs
@@ -62,7 +62,9 @@
         return Known { last: list.number, news, from: Origin::Kept, list };
     }
     let mut list = Snapshot { source, ..Snapshot::default() };
-    news.iter().for_each(|one| list.take(last, wall_ms(), u64::MAX, one));
+    news.iter().for_each(|one| list.take(last, wall_ms(), 0, u64::MAX, one));
+    // Purges that were known at the start are kept from the first news on.
+    list.got_ms.clear();
     Known { last, news, from: Origin::Known, list }
 }
 
--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -23,14 +23,16 @@
     pub members: BTreeMap<u32, Listing>,
     /// Purges: object or group, and when.
     pub purges: Vec<(Option<u64>, u32, u64)>,
-    /// When each of them was heard of here. How long they are kept follows from this: clocks may differ.
+    /// When each of them was heard of here, by a clock that is never stepped. How long they are kept follows from this: wall
+    /// clocks may differ, and may be set at any time.
     pub got_ms: Vec<u64>,
 }
 
 impl Snapshot {
-    /// Takes news over. Purges that were heard of longer ago than `keep_ms` are over.
-    pub fn take(&mut self, number: u64, now_ms: u64, keep_ms: u64, news: &News) {
-        (self.number, self.at_ms) = (number, now_ms);
+    /// Takes news over that are heard of at `heard_ms` of the monotonic clock, which is `at_ms` of the wall clock. Purges that
+    /// were heard of longer ago than `keep_ms` are over.
+    pub fn take(&mut self, number: u64, at_ms: u64, heard_ms: u64, keep_ms: u64, news: &News) {
+        (self.number, self.at_ms) = (number, at_ms);
         match news {
             News::Members { whole, list } => {
                 if *whole {
@@ -46,9 +48,9 @@
             }
             News::Purge { object, group, at_ms } => self.purges.push((*object, *group, *at_ms)),
         }
-        self.got_ms.resize(self.purges.len(), now_ms);
+        self.got_ms.resize(self.purges.len(), heard_ms);
         // They stand in the order in which they came; one more than may be written says that there were too many.
-        let over = self.got_ms.iter().take_while(|got| **got < now_ms.saturating_sub(keep_ms)).count();
+        let over = self.got_ms.iter().take_while(|got| **got < heard_ms.saturating_sub(keep_ms)).count();
         let over = over.max(self.purges.len().saturating_sub(PURGES_MOST + 1));
         self.purges.drain(..over);
         self.got_ms.drain(..over);
