--- a/front/src/program/drivers/control/tests.rs
+++ b/front/src/program/drivers/control/tests.rs
@@ -15,7 +15,8 @@
         let folder = tempfile::tempdir().unwrap();
         let (reactor, mut effects, mut last) = (Reactor::new().unwrap(), Vec::new(), 0);
         let path = folder.path().join("c.sock");
-        let mut turn = Turn { now: 0, reactor: &reactor, effects: &mut effects, slot: (1, &mut last) };
+        let mut turn =
+            Turn { now: 0, behind_ms: 0, reactor: &reactor, effects: &mut effects, slot: (1, &mut last) };
         let control = Control::new(&mut turn, &path, [("status", "how it stands")].into()).unwrap();
         Stage { reactor, effects, last, control, _folder: folder }
     }
@@ -32,7 +33,8 @@
             }
             for (key, readable, writable) in events {
                 let slot = (1, &mut self.last);
-                let mut turn = Turn { now, reactor: &self.reactor, effects: &mut self.effects, slot };
+                let mut turn =
+                    Turn { now, behind_ms: 0, reactor: &self.reactor, effects: &mut self.effects, slot };
                 self.control.ready(&mut turn, key, readable, writable);
             }
         }
@@ -89,11 +91,12 @@
     // The first is still served.
     let mut effects = Vec::new();
     let slot = (1, &mut stage.last);
-    let mut turn = Turn { now: 5, reactor: &stage.reactor, effects: &mut effects, slot };
+    let mut turn = Turn { now: 5, behind_ms: 0, reactor: &stage.reactor, effects: &mut effects, slot };
     stage.control.told(&mut turn, &Effect::Answer(4, Ok(json!({"a": 1}))));
     assert_eq!(lines.next().unwrap().unwrap(), r#"{"ok":{"a":1}}"#);
     let mut turn = Turn {
         now: IDLE_MOST + 6,
+        behind_ms: 0,
         reactor: &stage.reactor,
         effects: &mut effects,
         slot: (1, &mut stage.last),
@@ -111,7 +114,7 @@
     assert_eq!(stage.effects.len(), OPEN_MOST);
     let mut effects = Vec::new();
     let slot = (1, &mut stage.last);
-    let mut turn = Turn { now: 2, reactor: &stage.reactor, effects: &mut effects, slot };
+    let mut turn = Turn { now: 2, behind_ms: 0, reactor: &stage.reactor, effects: &mut effects, slot };
     stage.control.told(&mut turn, &Effect::Answer(1, Ok(Value::Null)));
     assert_eq!(effects.len(), 1, "the next one takes its place");
 }
--- a/front/src/program/drivers/mod.rs
+++ b/front/src/program/drivers/mod.rs
@@ -24,6 +24,8 @@
 pub struct Turn<'a> {
     /// Now.
     pub now: Time,
+    /// By how many milliseconds `now` is behind the clock of the list service, as far as that is known.
+    pub behind_ms: u64,
     /// Watches sources.
     pub reactor: &'a Reactor,
     /// For others.
--- a/front/src/program/drivers/purges/mod.rs
+++ b/front/src/program/drivers/purges/mod.rs
@@ -9,7 +9,7 @@
 use boxes::BoxLinks;
 use cranesill::api::{Span, Time};
 use cranesill_daemon::Purges as Settings;
-use cranesill_purges::journal::{self, File, Opened};
+use cranesill_purges::journal::{self, File, Guarded, Opened};
 use cranesill_purges::ledger::{Command, Ledger, Refused, Taken};
 use cranesill_purges::matching::{compile, Set};
 use cranesill_purges::{Ms, Purge, What};
@@ -20,7 +20,6 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
-use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Bytes that the file may have.
 const FILE_MOST: u64 = 1 << 30;
@@ -86,16 +85,39 @@
 enum Done {
     /// A purge was kept, or why not.
     Kept(Result<(), String>),
-    /// A batch from the writer was kept up to a number, or why not.
-    KeptBatch(u64, Result<(), String>),
-    Rewritten(Result<(), String>),
+    /// A batch from the writer was kept, or why not.
+    KeptBatch(Durable, Result<(), String>),
+    /// The file was written anew, or why not.
+    Rewritten(Durable, Result<(), String>),
     Compiled(Result<Set, String>),
 }
 
+/// Up to which purge of which ledger the file is durable.
+#[derive(Clone, Copy, Debug)]
+struct Durable {
+    ledger: u64,
+    number: u64,
+}
+
+impl Durable {
+    fn of(ledger: &Ledger) -> Self {
+        Durable { ledger: ledger.identity, number: ledger.last() }
+    }
+
+    /// Takes in what was written later.
+    fn advance(&mut self, written: Durable) {
+        if self.ledger == written.ledger {
+            self.number = self.number.max(written.number);
+        }
+    }
+}
+
 /// The driver.
 pub struct Purges {
     ledger: Ledger,
-    disk: Option<Arc<Mutex<Disk>>>,
+    disk: Option<Arc<Mutex<Guarded<Disk>>>>,
+    /// What a restart would find. A follower claims no more than this, to its writer, than it would know then.
+    durable: Durable,
     workers: Workers<Done>,
     workers_key: usize,
     settings: Settings,
@@ -119,11 +141,11 @@
 }
 
 /// What was purged before is not known: everything is, as a purge like any other, so that it is kept and reaches boxes.
-fn everything(ledger: &mut Ledger, why: &str) {
+fn everything(now: Time, ledger: &mut Ledger, why: &str) {
     let (number, identity) = (ledger.last() + 1, ledger.identity);
     let what = What::Pattern("*".into());
     let id = format!("start-{identity:016x}").into();
-    let purge = Purge { number, at: wall(), what, id, who: "cranesill".into(), why: why.into() };
+    let purge = Purge { number, at: unix_ms(now), what, id, who: "cranesill".into(), why: why.into() };
     // It is the next one of this very ledger.
     let _ = ledger.append(identity, purge);
 }
@@ -137,8 +159,16 @@
     wanted.iter().map(at).collect()
 }
 
-fn wall() -> Ms {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as Ms
+/// Unix milliseconds by the clock of the loop, which goes on from the start of the process whatever becomes of the wall clock: a
+/// horizon by one that is set forward would forget purges.
+fn unix_ms(now: Time) -> Ms {
+    now / 1_000
+}
+
+/// When a purge that is taken in now counts from. One that is dated by a clock that is behind would let older copies pass, so what
+/// the list service has shown of that is added.
+fn purged_ms(turn: &Turn<'_>) -> Ms {
+    unix_ms(turn.now) + turn.behind_ms
 }
 
 impl Purges {
@@ -147,15 +177,15 @@
         let boxes = settings.boxes.as_ref().map(|b| positions(&b.kinds, kinds)).transpose()?;
         let workers_key = turn.key();
         let workers = Workers::new(turn.reactor, workers_key).map_err(|e| format!("purges: {e}"))?;
-        let identity = wall() ^ (u64::from(std::process::id()) << 44);
+        let identity = unix_ms(turn.now) ^ (u64::from(std::process::id()) << 44);
         let (mut ledger, mut disk, mut unknown) = (Ledger::new(identity), None, true);
         if let Some(path) = &settings.file {
-            let mut file = Disk { path: path.clone(), tail: None };
+            let mut file = Guarded::new(Disk { path: path.clone(), tail: None });
             let failed = |e: io::Error| format!("purges.file: {}: {e}", path.display());
             match journal::open(&mut file).map_err(failed)? {
                 Opened::Missing => {
                     // A lost disk looks the same as a first start.
-                    everything(&mut ledger, "the file was missing");
+                    everything(turn.now, &mut ledger, "the file was missing");
                     journal::rewrite(&mut file, &ledger).map_err(failed)?;
                 }
                 Opened::Whole { ledger: found, torn } => {
@@ -183,7 +213,7 @@
                         // The same purges under their own order; none can be refused.
                         let _ = fresh.append(identity, Purge { number, ..purge.clone() });
                     }
-                    everything(&mut fresh, "the file was damaged");
+                    everything(turn.now, &mut fresh, "the file was damaged");
                     std::fs::copy(path, path.with_extension("damaged")).map_err(failed)?;
                     journal::rewrite(&mut file, &fresh).map_err(failed)?;
                     ledger = fresh;
@@ -198,10 +228,11 @@
             unknown = false;
             disk = Some(Arc::new(Mutex::new(file)));
         }
-        let horizon = wall().saturating_sub(settings.horizon_s * 1_000);
+        let horizon = unix_ms(turn.now).saturating_sub(settings.horizon_s * 1_000);
         let live: Vec<Purge> = ledger.iter().filter(|p| p.at >= horizon).cloned().collect();
         tracing::info!(last = ledger.last(), live = live.len(), unknown, "purges");
-        turn.effects.push(Effect::Purges(Purging::Floors(settings.clone(), unknown.then(wall))));
+        turn.effects
+            .push(Effect::Purges(Purging::Floors(settings.clone(), unknown.then(|| unix_ms(turn.now)))));
         turn.effects.push(Effect::Purges(Purging::Purged(live)));
         let boxes = boxes
             .zip(settings.boxes.as_ref())
@@ -210,6 +241,7 @@
         let follow = settings.follow.as_ref().map(|f| f.address.as_str());
         let following = follow.map(|at| Following::new(turn.now, at)).transpose()?;
         Ok(Purges {
+            durable: Durable::of(&ledger),
             followers,
             following,
             boxes,
@@ -237,7 +269,7 @@
                 turn.effects.push(Effect::Answer(number, Err(format!("the ledger can't be kept: {why}"))));
                 continue;
             }
-            match self.ledger.take(wall(), &command) {
+            match self.ledger.take(purged_ms(turn), &command) {
                 Ok(Taken::Known(known)) => {
                     self.answer(turn, number, known, true);
                 }
@@ -294,7 +326,11 @@
             followers.work(turn.now, &self.ledger);
         }
         if let Some(following) = &mut self.following {
-            following.work(turn, &self.ledger);
+            let held = match self.disk {
+                Some(_) => self.durable.number,
+                None => self.ledger.last(),
+            };
+            following.work(turn, self.ledger.identity, held);
         }
         let Some((boxes, _)) = &mut self.boxes else { return };
         boxes.work(turn, &self.ledger);
@@ -324,13 +360,15 @@
                 let lost = self.ledger.last() > 0;
                 tracing::warn!(kind = "anew", base = frame.base, lost, "purges: the ledger begins anew");
                 self.ledger = Ledger::after(frame.ledger, frame.base);
+                self.durable = Durable::of(&self.ledger);
                 if lost {
-                    turn.effects.push(Effect::Purges(Purging::Everything(wall())));
+                    turn.effects.push(Effect::Purges(Purging::Everything(purged_ms(turn))));
                 }
                 self.rewrite(turn);
                 continue;
             }
             let mut new = Vec::new();
+            let sent = frame.purges.last().map(|purge| purge.number);
             for purge in frame.purges {
                 match self.ledger.append(frame.ledger, purge.clone()) {
                     Ok(true) => new.push(purge),
@@ -350,20 +388,13 @@
                 }
             }
             let last = self.ledger.last();
-            if let Some(end) = new.last().map(|p| p.number) {
+            if !new.is_empty() {
                 turn.effects.push(Effect::Purges(Purging::Purged(new.clone())));
-                match self.disk.clone() {
-                    None => self.following.iter_mut().for_each(|f| f.kept(turn.now, end)),
-                    Some(disk) => {
-                        let work = move || match disk.lock() {
-                            Ok(mut disk) => journal::keep_all(&mut *disk, &new).map_err(|e| e.to_string()),
-                            Err(_) => Err("its writer has failed".into()),
-                        };
-                        if let Err(e) = self.workers.in_order(move || Done::KeptBatch(end, work())) {
-                            self.failed(turn, &e.to_string());
-                        }
-                    }
-                }
+                self.keep_batch(turn, new);
+            }
+            if let (Some(number), Some(following)) = (sent, &mut self.following) {
+                following.owe(number);
+                following.kept(turn.now, self.durable.number);
             }
             if frame.ledger == self.ledger.identity && frame.head == last {
                 turn.effects.push(Effect::Purges(Purging::Contact));
@@ -371,6 +402,22 @@
         }
     }
 
+    /// Keeps purges that came from the writer and are in the ledger.
+    fn keep_batch(&mut self, turn: &mut Turn<'_>, new: Vec<Purge>) {
+        let kept = Durable::of(&self.ledger);
+        let Some(disk) = self.disk.clone() else {
+            self.durable = kept;
+            return;
+        };
+        let work = move || match disk.lock() {
+            Ok(mut disk) => journal::keep_all(&mut *disk, &new).map_err(|e| e.to_string()),
+            Err(_) => Err("its writer has failed".into()),
+        };
+        if let Err(e) = self.workers.in_order(move || Done::KeptBatch(kept, work())) {
+            self.failed(turn, &e.to_string());
+        }
+    }
+
     /// A write failed: what the file holds is not known until it is written anew. The purge takes effect here all the
     /// same, since it may be in the file; whoever asked is told that it may not last.
     fn failed(&mut self, turn: &mut Turn<'_>, why: &str) {
@@ -391,11 +438,12 @@
     fn rewrite(&mut self, turn: &mut Turn<'_>) {
         let Some(disk) = self.disk.clone() else { return };
         let ledger = self.ledger.clone();
+        let written = Durable::of(&ledger);
         let work = move || match disk.lock() {
             Ok(mut disk) => journal::rewrite(&mut *disk, &ledger).map_err(|e| e.to_string()),
             Err(_) => Err("its writer has failed".into()),
         };
-        if let Err(e) = self.workers.in_order(move || Done::Rewritten(work())) {
+        if let Err(e) = self.workers.in_order(move || Done::Rewritten(written, work())) {
             self.failed(turn, &e.to_string());
         }
     }
@@ -460,19 +508,22 @@
                     self.go_on(turn);
                 }
                 Done::Kept(Err(why)) => self.failed(turn, &why),
-                Done::KeptBatch(number, Ok(())) => {
-                    self.following.iter_mut().for_each(|f| f.kept(turn.now, number));
+                Done::KeptBatch(kept, Ok(())) => {
+                    self.durable.advance(kept);
+                    self.following.iter_mut().for_each(|f| f.kept(turn.now, self.durable.number));
                 }
                 Done::KeptBatch(_, Err(why)) => {
                     self.following.iter_mut().for_each(|f| f.lost(turn.now, "what it sent can't be kept"));
                     self.failed(turn, &why);
                 }
-                Done::Rewritten(Ok(())) => {
+                Done::Rewritten(written, Ok(())) => {
+                    self.durable.advance(written);
+                    self.following.iter_mut().for_each(|f| f.kept(turn.now, self.durable.number));
                     if self.broken.take().is_some() {
                         tracing::info!("purges: the ledger can be kept again");
                     }
                 }
-                Done::Rewritten(Err(why)) => {
+                Done::Rewritten(_, Err(why)) => {
                     if self.broken.replace(why.clone()).is_none() {
                         tracing::error!(kind = "not-kept", error = why, "purges: the ledger can't be kept");
                     }
@@ -489,7 +540,7 @@
             return;
         }
         self.sweep = turn.now + SWEEP;
-        let horizon = wall().saturating_sub(self.settings.horizon_s * 1_000);
+        let horizon = unix_ms(turn.now).saturating_sub(self.settings.horizon_s * 1_000);
         turn.effects.push(Effect::Purges(Purging::Horizon(horizon)));
         // Nothing is being written: what is compacted or cut off can't be what waits.
         if self.keeping.is_none() {
@@ -585,3 +636,6 @@
         ]
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/front/src/program/drivers/purges/replicas.rs
+++ b/front/src/program/drivers/purges/replicas.rs
@@ -185,6 +185,8 @@
     heard: Time,
     due: Time,
     failures: u32,
+    /// The last purge that came on this connection and is not confirmed.
+    owed: Option<Number>,
     scratch: Vec<u8>,
 }
 
@@ -192,7 +194,15 @@
     /// Not connected yet.
     pub fn new(now: Time, address: &str) -> Result<Self, String> {
         let address = address.parse().map_err(|e| format!("purges.follow.address: {address}: {e}"))?;
-        Ok(Following { address, link: None, heard: now, due: now, failures: 0, scratch: vec![0; READ_MOST] })
+        Ok(Following {
+            address,
+            link: None,
+            heard: now,
+            due: now,
+            failures: 0,
+            owed: None,
+            scratch: vec![0; READ_MOST],
+        })
     }
 
     /// Whether this is its connection.
@@ -234,12 +244,21 @@
         if self.link.take().is_some() || self.failures == 0 {
             tracing::info!(kind = "writer-lost", writer = %self.address, error = why, "purges: no connection to the writer");
         }
+        // The writer takes no confirmation of what it has not sent on the same connection.
+        self.owed = None;
         self.failures += 1;
         self.due = now + (RETRY_FIRST << (self.failures - 1).min(8)).min(RETRY_MOST);
     }
 
-    /// Everything up to a number is kept.
-    pub fn kept(&mut self, now: Time, number: Number) {
+    /// Everything up to a number came in one batch: it is confirmed once it is durable.
+    pub fn owe(&mut self, number: Number) {
+        self.owed = Some(number);
+    }
+
+    /// Everything up to a number is durable. The writer is told where it waits for that.
+    pub fn kept(&mut self, now: Time, durable: Number) {
+        let Some(number) = self.owed.filter(|number| *number <= durable) else { return };
+        self.owed = None;
         if let Some((_, stream)) = &mut self.link {
             stream.push(out(number.to_le_bytes().to_vec()));
             if let Err(error) = stream.flush(|()| {}).and_then(|()| stream.rewatch(true)) {
@@ -248,8 +267,8 @@
         }
     }
 
-    /// Connects where that is due.
-    pub fn work(&mut self, turn: &mut Turn<'_>, ledger: &Ledger) {
+    /// Connects where that is due, and says which ledger is durable here, and up to which purge.
+    pub fn work(&mut self, turn: &mut Turn<'_>, ledger: u64, last: Number) {
         let now = turn.now;
         if self.link.is_some() && now > self.heard + QUIET_MOST {
             self.lost(now, "it says nothing");
@@ -260,7 +279,7 @@
         let key = turn.key();
         match dial(self.address).and_then(|socket| Stream::new(turn.reactor, socket, key, true)) {
             Ok(mut stream) => {
-                stream.push(out(hello(Hello { ledger: ledger.identity, last: ledger.last() })));
+                stream.push(out(hello(Hello { ledger, last })));
                 self.heard = now;
                 self.link = Some((key, stream));
             }
--- /dev/null
+++ b/front/src/program/drivers/purges/tests.rs
@@ -0,0 +1,133 @@
+//! The driver with a scripted writer and a file that fails.
+use super::*;
+use crate::protocol::follow::{frame, read_hello, Frame, Hello, HELLO};
+use crate::transport::Reactor;
+use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+const LEDGER: u64 = 0xfeed;
+const SECOND: Time = 1_000_000;
+/// Guards against hanging; nothing is told from it.
+const GUARD: Duration = Duration::from_secs(20);
+
+/// A follower on a loop, and the listener of its writer.
+struct Stage {
+    reactor: Reactor,
+    purges: Purges,
+    last_key: usize,
+    now: Time,
+    writer: TcpListener,
+    folder: tempfile::TempDir,
+}
+
+impl Stage {
+    fn new() -> Self {
+        let folder = tempfile::tempdir().unwrap();
+        let writer = TcpListener::bind("127.0.0.1:0").unwrap();
+        let follow = json!({"address": writer.local_addr().unwrap().to_string(), "lease_ms": 1_000});
+        let settings = json!({"file": folder.path().join("purges"), "follow": follow});
+        let settings: Settings = serde_json::from_value(settings).unwrap();
+        let (reactor, mut last_key, mut effects) = (Reactor::new().unwrap(), 0, Vec::new());
+        let slot = (1, &mut last_key);
+        let mut turn = Turn { now: SECOND, behind_ms: 0, reactor: &reactor, effects: &mut effects, slot };
+        let purges = Purges::new(&mut turn, &settings, &[]).unwrap();
+        Stage { reactor, purges, last_key, now: SECOND, writer, folder }
+    }
+
+    /// Lets the driver go on until something holds.
+    fn until<T>(&mut self, mut holds: impl FnMut(&Purges) -> Option<T>) -> T {
+        let guard = Instant::now() + GUARD;
+        loop {
+            let events = self.reactor.wait(0, Some(1_000)).unwrap();
+            let mut effects = Vec::new();
+            let slot = (1, &mut self.last_key);
+            let mut turn =
+                Turn { now: self.now, behind_ms: 0, reactor: &self.reactor, effects: &mut effects, slot };
+            for (key, readable, writable) in events {
+                self.purges.ready(&mut turn, key, readable, writable);
+            }
+            self.purges.due(&mut turn);
+            if let Some(found) = holds(&self.purges) {
+                return found;
+            }
+            assert!(Instant::now() < guard, "never came");
+        }
+    }
+
+    /// The follower's next connection, and what it says that it holds.
+    fn hello(&mut self) -> (TcpStream, Hello) {
+        let writer = self.writer.try_clone().unwrap();
+        writer.set_nonblocking(true).unwrap();
+        let mut socket = self.until(|_| writer.accept().ok()).0;
+        let hello = self.heard::<HELLO>(&mut socket);
+        (socket, read_hello(&hello).unwrap().unwrap())
+    }
+
+    fn heard<const N: usize>(&mut self, socket: &mut TcpStream) -> [u8; N] {
+        socket.set_nonblocking(true).unwrap();
+        let (mut all, mut at) = ([0; N], 0);
+        self.until(|_| {
+            at += socket.read(&mut all[at..]).unwrap_or(0);
+            (at == N).then_some(all)
+        })
+    }
+
+    /// Whether the follower says nothing for a while.
+    fn is_silent(&mut self, socket: &mut TcpStream) -> bool {
+        let over = Instant::now() + Duration::from_millis(200);
+        self.until(|_| (Instant::now() > over).then_some(()));
+        socket.set_nonblocking(true).unwrap();
+        matches!(socket.read(&mut [0; 1]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    }
+}
+
+fn purge(number: u64) -> Purge {
+    let (what, id) = (What::Object(number), number.to_string().into());
+    Purge { number, at: 1_000, what, id, who: "ops".into(), why: "".into() }
+}
+
+/// Purges from one number to another; a sign of life where that is none.
+fn batch(first: u64, last: u64) -> Vec<u8> {
+    let purges = (first..=last).map(purge).collect();
+    frame(&Frame { anew: false, ledger: LEDGER, base: 0, head: last, purges })
+}
+
+#[test]
+fn a_follower_confirms_and_claims_only_what_is_durable_and_recovers_once_its_disk_is_well() {
+    let mut stage = Stage::new();
+    let path = stage.folder.path().join("purges");
+    let (mut socket, _) = stage.hello();
+    let anew = Frame { anew: true, ledger: LEDGER, base: 0, head: 0, purges: Vec::new() };
+    socket.write_all(&frame(&anew)).unwrap();
+    socket.write_all(&batch(1, 2)).unwrap();
+    assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 2);
+    // From now on nothing can be appended, nor written anew.
+    let aside = path.with_extension("tmp");
+    std::fs::create_dir(&aside).unwrap();
+    let kept = std::fs::read(&path).unwrap();
+    let full = std::fs::OpenOptions::new().append(true).open("/dev/full").unwrap();
+    stage.purges.disk.as_ref().unwrap().lock().unwrap().file_mut().tail = Some(full);
+    socket.write_all(&batch(3, 3)).unwrap();
+    stage.until(|purges| purges.broken.clone());
+    assert_eq!(std::fs::read(&path).unwrap(), kept);
+    // It counts here, and the writer is told of nothing that a restart would not find.
+    assert_eq!(stage.purges.ledger.last(), 3);
+    stage.now += 2 * SECOND;
+    let (mut socket, hello) = stage.hello();
+    assert_eq!(hello, Hello { ledger: LEDGER, last: 2 });
+    socket.write_all(&batch(3, 3)).unwrap();
+    assert!(stage.is_silent(&mut socket));
+    // The disk is well again: the file is written anew, and what is owed is confirmed.
+    std::fs::remove_dir(&aside).unwrap();
+    for _ in 0..=SWEEP / SECOND {
+        stage.now += SECOND;
+        socket.write_all(&batch(4, 3)).unwrap();
+        stage.until(|_| Some(()));
+    }
+    assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 3);
+    let mut file = Disk { path: path.clone(), tail: None };
+    let Opened::Whole { ledger, torn } = journal::open(&mut file).unwrap() else { panic!() };
+    assert_eq!((ledger.last(), torn), (3, 0));
+    socket.write_all(&batch(4, 4)).unwrap();
+    assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 4);
+}
--- a/front/src/program/serve.rs
+++ b/front/src/program/serve.rs
@@ -250,7 +250,8 @@
     ) -> Result<(), String> {
         let mut last = 0;
         let slot = (self.drivers.len() + 1, &mut last);
-        let mut turn = Turn { now, reactor: &self.reactor, effects: &mut self.effects, slot };
+        let behind_ms = self.front.ahead.behind_ms();
+        let mut turn = Turn { now, behind_ms, reactor: &self.reactor, effects: &mut self.effects, slot };
         let driver = make(&mut turn)?;
         self.drivers.push((driver, last));
         Ok(())
@@ -258,9 +259,10 @@
 
     /// Gives a driver its turn.
     fn drive(&mut self, now: Time, slot: usize, act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>)) {
+        let behind_ms = self.front.ahead.behind_ms();
         if let Some((driver, last)) = slot.checked_sub(1).and_then(|i| self.drivers.get_mut(i)) {
             let (reactor, effects) = (&self.reactor, &mut self.effects);
-            act(driver.as_mut(), &mut Turn { now, reactor, effects, slot: (slot, last) });
+            act(driver.as_mut(), &mut Turn { now, behind_ms, reactor, effects, slot: (slot, last) });
         }
     }
 
--- a/front/src/routing/ahead/tests.rs
+++ b/front/src/routing/ahead/tests.rs
@@ -36,3 +36,13 @@
     ahead.told(5_000 * S, 4_960 * S);
     assert!((before..before + 1_300_000).contains(&ahead.span()), "{before} {}", ahead.span());
 }
+
+#[test]
+fn a_clock_that_is_behind_is_known_to_be_by_as_much_as_news_show() {
+    let mut ahead = Ahead::default();
+    assert_eq!(ahead.behind_ms(), 0, "nothing was heard");
+    ahead.told(10_000_000, 9_900_000);
+    assert_eq!(ahead.behind_ms(), 0, "late news, or a clock ahead");
+    ahead.told(10_000_000, 3_610_000_000 - 200_000);
+    assert_eq!(ahead.behind_ms(), 3_599_800);
+}
--- a/front/tests/machines.rs
+++ b/front/tests/machines.rs
@@ -1,8 +1,10 @@
 //! Many processes of the program on machines whose clocks differ and whose disks fail, under load, with faults between them.
 use cranesill_rig::{Mode, Seen, Shape, Stage, State};
 use serde_json::{json, Value};
+use std::io::{BufRead, BufReader, Write};
+use std::os::unix::net::UnixStream;
 use std::path::Path;
-use std::time::Instant;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 fn stage(shape: Shape, settings: Option<&Value>, clocks: &[i64], seed: u64) -> Stage {
     let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
@@ -223,3 +225,125 @@
     clients.end();
     stage.keeps_the_rules(25);
 }
+
+/// By how many milliseconds a wall clock is stepped, one after another.
+const STEPS: [i64; 4] = [5_000, -5_000, 3_600_000, -3_600_000];
+
+#[test]
+fn wall_clocks_that_are_stepped_in_service_and_between_starts_lose_no_purge() {
+    let settings = json!({"startup": {"snapshots": "{disk}"}});
+    let shape = Shape { fronts: 4, caches: 4, parents: 2, sides: 0 };
+    let mut stage = stage(shape, Some(&settings), &[], 26);
+    stage.remembers();
+    stage.asks.objects = 200;
+    let clients = stage.clients(26);
+    stage.served("the first answers", 800);
+    let all = [0, 1, 2, 3];
+    for step in STEPS {
+        let first = (0..100).fold(0, |_, item| stage.purge(item));
+        until("the first are on disk", || all.iter().all(|front| on_disk(&stage, *front) >= Some(first)));
+        all.iter().for_each(|front| stage.fleet.machines[*front].clock(step));
+        let last = (100..200).fold(0, |_, item| stage.purge(item));
+        until("all are on disk", || all.iter().all(|front| on_disk(&stage, *front) >= Some(last)));
+        // What was told on both sides of the step is all that a front knows that starts anew.
+        stage.list.set(Mode::Down);
+        stage.kill(&all);
+        stage.restart(&all);
+        stage.served("answers by lists on disk", 300);
+        stage.list.set(Mode::Serves);
+        stage.served("answers with the service", 100);
+    }
+    clients.end();
+    stage.keeps_the_rules(26);
+}
+
+/// Gives a front a word of its operators. An error is the text that they are told.
+fn operator(stage: &Stage, word: &Value) -> Result<Value, String> {
+    let path = stage.fleet.disk().join("control");
+    until("the operators' socket", || UnixStream::connect(&path).is_ok());
+    let mut socket = UnixStream::connect(&path).unwrap();
+    socket.write_all(format!("{word}\n").as_bytes()).unwrap();
+    let mut line = String::new();
+    BufReader::new(socket).read_line(&mut line).unwrap();
+    let answer: Value = serde_json::from_str(&line).unwrap();
+    match answer.get("ok") {
+        Some(ok) => Ok(ok.clone()),
+        None => Err(answer["error"].to_string()),
+    }
+}
+
+fn purge(stage: &Stage, id: &str) -> Result<Value, String> {
+    operator(stage, &json!({"word": "purge", "args": {"group": 1, "id": id}}))
+}
+
+/// The purges of the ledger, latest first: id and time.
+fn ledger(stage: &Stage) -> Vec<(String, u64)> {
+    let told = operator(stage, &json!({"word": "purges", "args": {}})).unwrap();
+    let row = |row: &Value| (row["id"].as_str().unwrap().to_string(), row["at_ms"].as_u64().unwrap());
+    told["purges"].as_array().unwrap().iter().map(row).collect()
+}
+
+/// One front with a ledger of purges by operators on the disk that is in the test's hand. Its wall clock is ahead by so many
+/// milliseconds when it starts.
+fn with_ledger(ahead_ms: i64, seed: u64) -> Stage {
+    let purges = json!({"file": "{disk}/purges", "horizon_s": 60});
+    let settings = json!({"purges": purges, "control": {"path": "{disk}/control"}});
+    stage(Shape { fronts: 1, caches: 2, parents: 1, sides: 0 }, Some(&settings), &[ahead_ms], seed)
+}
+
+#[test]
+fn a_purge_by_operators_is_dated_and_kept_as_if_the_wall_clock_were_never_stepped() {
+    let stage = with_ledger(0, 27);
+    let began = Instant::now();
+    for (n, step) in STEPS.iter().enumerate() {
+        stage.fleet.machines[0].clock(*step);
+        let asked = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+        purge(&stage, &n.to_string()).unwrap();
+        let (id, at) = ledger(&stage)[0].clone();
+        assert_eq!(id, n.to_string());
+        assert!(at.abs_diff(asked) < 2_000, "{step}: dated {at}, asked at {asked}");
+    }
+    // An hour ahead: the sweep, each ten seconds, forgets what is past the horizon of a minute.
+    stage.fleet.machines[0].clock(3_600_000);
+    std::thread::sleep(Duration::from_secs(12));
+    assert!(began.elapsed() < Duration::from_secs(60));
+    assert!(ledger(&stage).len() >= STEPS.len(), "{:?}", ledger(&stage));
+}
+
+#[test]
+fn a_front_that_started_an_hour_behind_dates_purges_no_earlier_than_they_are() {
+    // Its clock is set right later; what the list service dates shows by how much the start was off.
+    let mut stage = with_ledger(-3_600_000, 29);
+    let last = stage.purge(1);
+    stage.history.until("it is told", 1, |seen| matches!(seen, Seen::Told(_, n) if *n == last));
+    stage.fleet.machines[0].clock(0);
+    let asked = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+    until("it has heard", || {
+        purge(&stage, &asked.to_string()).unwrap();
+        let (_, at) = ledger(&stage)[0].clone();
+        // By the delay of that news, which the skew that settings allow for covers.
+        at + 500 > asked
+    });
+}
+
+#[test]
+fn a_purge_is_confirmed_only_when_it_is_durable_and_the_ledger_recovers_when_the_disk_does() {
+    for (full, unsynced) in [(true, false), (false, true)] {
+        let mut stage = with_ledger(0, 28);
+        purge(&stage, "before").unwrap();
+        stage.fleet.machines[0].disk(full, unsynced);
+        assert!(purge(&stage, "first").is_err_and(|why| why.contains("could not be kept")));
+        assert!(purge(&stage, "second").is_err());
+        stage.fleet.machines[0].disk(false, false);
+        // A sync that succeeds now says nothing of what was written before the one that failed.
+        until("it is kept again", || purge(&stage, "first").is_ok());
+        purge(&stage, "third").unwrap();
+        stage.kill(&[0]);
+        stage.restart(&[0]);
+        let ids: Vec<_> = ledger(&stage).into_iter().map(|row| row.0).collect();
+        for id in ["before", "first", "third"] {
+            assert_eq!(ids.iter().filter(|held| *held == id).count(), 1, "{id}: {ids:?}");
+        }
+        assert!(!stage.fleet.log(0).contains("damaged"), "{}", stage.fleet.log(0));
+    }
+}
--- a/purges/src/journal.rs
+++ b/purges/src/journal.rs
@@ -6,8 +6,11 @@
 //! record  length:4 crc:4 payload                      crc is CRC-32 of length and payload
 //! payload number:8 at:8 kind:1 what id who why        kind 0 object:8, 1 group:4, 2 tag, 3 pattern; texts are size:2 bytes
 //! ```
+mod guarded;
+
 use crate::ledger::Ledger;
 use crate::{Purge, What};
+pub use guarded::Guarded;
 use std::io;
 
 const MAGIC: &[u8; 8] = b"CRPURGE1";
@@ -191,7 +194,8 @@
     }
 }
 
-/// Keeps a purge: durable once this returns without an error. After an error the file has to be opened anew.
+/// Keeps a purge: durable once this returns without an error. After an error the file has to be written anew; [`Guarded`] sees
+/// to that.
 pub fn keep(file: &mut dyn File, purge: &Purge) -> io::Result<()> {
     file.append(&record(purge))?;
     file.sync()
--- a/purges/src/journal/tests.rs
+++ b/purges/src/journal/tests.rs
@@ -6,6 +6,8 @@
     kept: Option<Vec<u8>>,
     live: Vec<u8>,
     full: bool,
+    /// Syncs fail; what was written before is lost, as the system drops pages that it could not write.
+    unsynced: bool,
 }
 
 impl File for Memory {
@@ -22,10 +24,17 @@
         Ok(())
     }
     fn sync(&mut self) -> io::Result<()> {
+        if self.unsynced {
+            self.live = self.kept.clone().unwrap_or_default();
+            return Err(io::Error::from_raw_os_error(5));
+        }
         self.kept = Some(self.live.clone());
         Ok(())
     }
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if self.full || self.unsynced {
+            return Err(io::ErrorKind::StorageFull.into());
+        }
         (self.kept, self.live) = (Some(bytes.to_vec()), bytes.to_vec());
         Ok(())
     }
@@ -122,3 +131,32 @@
         let _ = (decode(&odd), parse(&odd), parse(&odd[8..]));
     }
 }
+
+#[test]
+fn after_a_failed_write_or_sync_nothing_counts_as_kept_until_the_file_is_written_anew() {
+    for unsynced in [false, true] {
+        let (mut memory, mut ledger) = filled(3);
+        (memory.full, memory.unsynced) = (!unsynced, unsynced);
+        let mut file = Guarded::new(memory);
+        let purge = |ledger: &Ledger, id: &str| {
+            let what = What::Object(1);
+            let command = Command { what, id: id.into(), who: "".into(), why: "".into(), all: false };
+            let Ok(Taken::New(purge)) = ledger.take(9_000, &command) else { panic!() };
+            purge
+        };
+        let first = purge(&ledger, "x");
+        assert!(keep_all(&mut file, std::slice::from_ref(&first)).is_err());
+        ledger.append(0xfeed, first).unwrap();
+        // The disk is well again: a batch that follows would be kept behind a gap.
+        (file.file_mut().full, file.file_mut().unsynced) = (false, false);
+        let second = purge(&ledger, "y");
+        assert!(keep_all(&mut file, std::slice::from_ref(&second)).is_err(), "unsynced: {unsynced}");
+        ledger.append(0xfeed, second).unwrap();
+        rewrite(&mut file, &ledger).unwrap();
+        let third = purge(&ledger, "z");
+        keep(&mut file, &third).unwrap();
+        ledger.append(0xfeed, third).unwrap();
+        let Opened::Whole { ledger: found, torn } = open(&mut file).unwrap() else { panic!() };
+        assert_eq!((found, torn), (ledger, 0));
+    }
+}
