--- a/front/src/program/drivers/purges/mod.rs
+++ b/front/src/program/drivers/purges/mod.rs
@@ -150,6 +150,18 @@
     let _ = ledger.append(identity, purge);
 }
 
+/// Writes the file at the start. A disk that is full or fails for a while ends no start: why it can't be written is returned,
+/// and the sweep tries again. A wrong path ends it.
+fn write_first(file: &mut dyn File, ledger: &Ledger) -> io::Result<Option<String>> {
+    let Err(error) = journal::rewrite(file, ledger) else { return Ok(None) };
+    let full = matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded);
+    if !full && error.raw_os_error() != Some(libc::EIO) {
+        return Err(error);
+    }
+    tracing::error!(kind = "not-kept", %error, "purges: the ledger can't be kept");
+    Ok(Some(error.to_string()))
+}
+
 /// Where kinds stand in the platform's list.
 fn positions(wanted: &[String], kinds: &[String]) -> Result<Vec<u8>, String> {
     let at = |name: &String| {
@@ -179,6 +191,7 @@
         let workers = Workers::new(turn.reactor, workers_key).map_err(|e| format!("purges: {e}"))?;
         let identity = unix_ms(turn.now) ^ (u64::from(std::process::id()) << 44);
         let (mut ledger, mut disk, mut unknown) = (Ledger::new(identity), None, true);
+        let mut broken = None;
         if let Some(path) = &settings.file {
             let mut file = Guarded::new(Disk { path: path.clone(), tail: None });
             let failed = |e: io::Error| format!("purges.file: {}: {e}", path.display());
@@ -186,7 +199,7 @@
                 Opened::Missing => {
                     // A lost disk looks the same as a first start.
                     everything(turn.now, &mut ledger, "the file was missing");
-                    journal::rewrite(&mut file, &ledger).map_err(failed)?;
+                    broken = write_first(&mut file, &ledger).map_err(failed)?;
                 }
                 Opened::Whole { ledger: found, torn } => {
                     if torn > 0 {
@@ -195,7 +208,7 @@
                             bytes = torn,
                             "purges: a write was cut off, nobody was told of it"
                         );
-                        journal::rewrite(&mut file, &found).map_err(failed)?;
+                        broken = write_first(&mut file, &found).map_err(failed)?;
                     }
                     ledger = found;
                 }
@@ -214,8 +227,9 @@
                         let _ = fresh.append(identity, Purge { number, ..purge.clone() });
                     }
                     everything(turn.now, &mut fresh, "the file was damaged");
-                    std::fs::copy(path, path.with_extension("damaged")).map_err(failed)?;
-                    journal::rewrite(&mut file, &fresh).map_err(failed)?;
+                    // No copy, which a full disk has no place for. A missing file counts as everything purged as well.
+                    std::fs::rename(path, path.with_extension("damaged")).map_err(failed)?;
+                    broken = write_first(&mut file, &fresh).map_err(failed)?;
                     ledger = fresh;
                 }
                 Opened::Newer => {
@@ -241,7 +255,10 @@
         let follow = settings.follow.as_ref().map(|f| f.address.as_str());
         let following = follow.map(|at| Following::new(turn.now, at)).transpose()?;
         Ok(Purges {
-            durable: Durable::of(&ledger),
+            durable: match &broken {
+                Some(_) => Durable { ledger: ledger.identity, number: ledger.base() },
+                None => Durable::of(&ledger),
+            },
             followers,
             following,
             boxes,
@@ -254,7 +271,7 @@
             settings: settings.clone(),
             waiting: VecDeque::new(),
             keeping: None,
-            broken: None,
+            broken,
             sweep: turn.now + SWEEP,
             now: turn.now,
         })
--- a/front/src/program/drivers/purges/tests.rs
+++ b/front/src/program/drivers/purges/tests.rs
@@ -22,7 +22,10 @@
 
 impl Stage {
     fn new() -> Self {
-        let folder = tempfile::tempdir().unwrap();
+        Stage::within(tempfile::tempdir().unwrap())
+    }
+
+    fn within(folder: tempfile::TempDir) -> Self {
         let writer = TcpListener::bind("127.0.0.1:0").unwrap();
         let follow = json!({"address": writer.local_addr().unwrap().to_string(), "lease_ms": 1_000});
         let settings = json!({"file": folder.path().join("purges"), "follow": follow});
@@ -131,3 +134,53 @@
     socket.write_all(&batch(4, 4)).unwrap();
     assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 4);
 }
+
+#[test]
+fn a_disk_that_is_full_at_the_start_ends_no_start_and_is_written_once_it_is_well() {
+    // A torn file, one that is missing, and one that is damaged; each has to be written anew.
+    let mut whole = Memory::default();
+    journal::rewrite(&mut whole, &Ledger::new(LEDGER)).unwrap();
+    journal::keep(&mut whole, &purge(1)).unwrap();
+    let torn = whole.0[..whole.0.len() - 1].to_vec();
+    let mut damaged = whole.0.clone();
+    damaged[30] ^= 1;
+    for found in [Some(torn), None, Some(damaged)] {
+        let folder = tempfile::tempdir().unwrap();
+        let path = folder.path().join("purges");
+        found.iter().for_each(|bytes| std::fs::write(&path, bytes).unwrap());
+        let aside = path.with_extension("tmp");
+        std::os::unix::fs::symlink("/dev/full", &aside).unwrap();
+        let mut stage = Stage::within(folder);
+        assert!(stage.purges.broken.is_some(), "{found:?}");
+        std::fs::remove_file(&aside).unwrap();
+        stage.now += SWEEP;
+        stage.until(|purges| purges.broken.is_none().then_some(()));
+        let mut file = Disk { path, tail: None };
+        let Opened::Whole { ledger, torn } = journal::open(&mut file).unwrap() else { panic!() };
+        assert_eq!((&ledger, torn), (&stage.purges.ledger, 0));
+    }
+}
+
+/// A file in memory.
+#[derive(Default)]
+struct Memory(Vec<u8>);
+
+impl File for Memory {
+    fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
+        Ok(Some(self.0.clone()))
+    }
+
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.0.extend(bytes);
+        Ok(())
+    }
+
+    fn sync(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+
+    fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.0 = bytes.to_vec();
+        Ok(())
+    }
+}
--- a/front/tests/machines.rs
+++ b/front/tests/machines.rs
@@ -313,7 +313,7 @@
 #[test]
 fn a_front_that_started_an_hour_behind_dates_purges_no_earlier_than_they_are() {
     // Its clock is set right later; what the list service dates shows by how much the start was off.
-    let mut stage = with_ledger(-3_600_000, 29);
+    let stage = with_ledger(-3_600_000, 29);
     let last = stage.purge(1);
     stage.history.until("it is told", 1, |seen| matches!(seen, Seen::Told(_, n) if *n == last));
     stage.fleet.machines[0].clock(0);
