--- a/src/policy.rs
+++ b/src/policy.rs
@@ -247,7 +247,7 @@
             let (limit, least, service) = (LIMIT_START * share, LIMIT_LEAST.min(share), WORK_UNKNOWN);
             let member = Member {
                 role,
-                cold_since: entry.started,
+                cold_since: self.members.cold_since(&entry, self.now),
                 cold: if role == Role::Parent { self.settings.cold_parent } else { self.settings.cold_cache },
                 health: Health { changed: self.now, ..Health::default() },
                 pace: Pace { held, limit, least, service, full: share, ..Pace::default() },
@@ -407,7 +407,7 @@
         let capacity = member.listed.weight * (limits.from + (1.0 - limits.from) * age.min(1.0));
         let rate = capacity * limits.fall_multiple * COLD_SHARE;
         let some = (rate * span / work / COLD_TURN).floor().clamp(1.0, routers);
-        let place = mix(member.listed.member.0, member.cold_since).wrapping_add(self.settings.number.into());
+        let place = mix(member.listed.member.0, member.start()).wrapping_add(self.settings.number.into());
         member.budget.refill(self.now, rate / some, rate / some * span * COLD_BURST);
         // Overdrawn by one request, or none larger than the bucket would pass.
         member.budget.level > 0.0 && place % (routers as u64) < some as u64
--- a/src/state.rs
+++ b/src/state.rs
@@ -116,6 +116,13 @@
     pub budget: Bucket,
 }
 
+impl Member {
+    /// When it started last, the same for all routers that were notified of it, whatever their clocks.
+    pub fn start(&self) -> Time {
+        self.cold_since.max(self.listed.started)
+    }
+}
+
 /// The members, each at a place that it keeps while it is listed or has something out.
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
@@ -141,6 +148,11 @@
         now.saturating_sub(self.ahead)
     }
 
+    /// Since when a member is cold that is listed now. A start in the future shows that this clock is behind: it was lately.
+    pub fn cold_since(&self, entry: &Entry, now: Time) -> Time {
+        entry.started.min(self.dated(now))
+    }
+
     /// Takes a member out by hand, or gives it back. Whether that changes anything.
     pub fn set_by_hand(&mut self, member: MemberId, out: bool) -> bool {
         if out {
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -706,3 +706,21 @@
     stand.advance(30 * S);
     assert!(crowd(&mut stand, 300..500).len() > cold, "it is warm in time");
 }
+
+#[test]
+fn a_clock_that_is_behind_takes_a_cold_member_for_warm_once_it_is() {
+    // By a clock an hour behind a cold cache had an hour of slow start before it, at its least.
+    let admitted = |ahead_of_us: Span, waits: Span| {
+        let mut stand = Stand::new(settings(), Vec::new());
+        let started = stand.now + ahead_of_us;
+        let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| Entry { started, ..e });
+        stand.tell(Event::Members(ListKind::Full, fresh.to_vec()));
+        stand.advance(waits);
+        crowd(&mut stand, 1..200).len()
+    };
+    for behind in [5 * S, 3_600 * S] {
+        assert_eq!(admitted(behind, S), admitted(0, S), "it is as cold");
+        assert_eq!(admitted(behind, 30 * S), admitted(0, 30 * S), "it is as warm");
+    }
+    assert!(admitted(0, 30 * S) > 2 * admitted(0, S));
+}
