--- /dev/null
+++ b/front/tests/production.rs
@@ -0,0 +1,148 @@
+//! Kinds of trouble that production adds to what benches play: late, long, and several at once. `docs/design/races.md` lists
+//! which test shows which.
+mod common;
+use common::*;
+use cranesill_rig::{Mode, Mood, Seen, Shape, State};
+use serde_json::Value;
+use std::io::Write;
+use std::net::TcpListener;
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+fn service(shape: Shape, seed: u64) -> cranesill_rig::Stage {
+    let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
+    cranesill_rig::Stage::start(Path::new(env!("CARGO_BIN_EXE_cranesill")), shape, &base, None, seed)
+}
+
+const SHAPE: Shape = Shape { fronts: 4, caches: 4, parents: 2, sides: 1 };
+
+/// Longer than idle connections of clients and nodes are kept.
+const QUIET: Duration = Duration::from_secs(15);
+
+#[test]
+fn faults_that_begin_after_a_long_quiet_break_no_rule() {
+    let mut stage = service(SHAPE, 31);
+    let clients = stage.clients(31);
+    stage.served("the first answers", 200);
+    clients.end();
+    std::thread::sleep(QUIET);
+    // All at once, with the first request after the quiet: a node hangs, one drains, connections break, a front dies.
+    stage.nodes.set(0, Mood::Silent);
+    let drained = stage.list(1, State::Draining);
+    (0..stage.places()).for_each(|place| stage.reset(0, place));
+    stage.kill(&[3]);
+    stage.restart(&[3]);
+    let clients = stage.clients(32);
+    stage.history.until("all are told", 4, |seen| matches!(seen, Seen::Told(_, n) if *n == drained));
+    stage.served("answers after the quiet", 400);
+    clients.end();
+    stage.keeps_the_rules(31);
+}
+
+#[test]
+fn a_long_outage_of_discovery_with_restarts_in_it_and_drains_at_its_end_breaks_no_rule() {
+    let mut stage = service(SHAPE, 33);
+    let clients = stage.clients(33);
+    stage.served("the first answers", 200);
+    stage.list.set(Mode::Down);
+    let down = Instant::now();
+    stage.kill(&[0, 1]);
+    stage.restart(&[0, 1]);
+    while down.elapsed() < QUIET {
+        stage.served("answers without discovery", 50);
+    }
+    // Its return, drains of half of the caches and restarts come together.
+    stage.list_all(&[(0, State::Draining), (1, State::Draining)]);
+    stage.list.set(Mode::Serves);
+    stage.kill(&[2]);
+    stage.restart(&[2]);
+    stage.served("answers after the outage", 400);
+    clients.end();
+    stage.keeps_the_rules(33);
+}
+
+#[test]
+fn an_attempt_and_its_hedged_request_that_fail_in_one_turn_are_one_answer() {
+    let stage = Stage::new(|config| config["settings"]["policyLimits"]["mayDuplicate"] = true.into());
+    let mut client = stage.client();
+    client.ask(1, "page-bits", "20000", &[], b"");
+    let (_, mut first) = any_link(&stage);
+    first.hear().unwrap();
+    // The first node says nothing: another is asked beside it.
+    let (_, mut second) = any_link(&stage);
+    second.hear().unwrap();
+    stage.while_stopped(|| {
+        for link in [first, second] {
+            socket2::SockRef::from(link.0.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
+        }
+    });
+    let (_, mut third) = any_link(&stage);
+    let fetch = third.hear().unwrap();
+    third.say(&fetch[1], "HIT", "-", "in the end");
+    assert!(client.hear().unwrap().ends_with("in the end"));
+    client.send(20, 2, &[0]);
+    assert!(client.hear().unwrap().starts_with("type 21"), "one answer and no more");
+}
+
+#[test]
+fn configurations_in_quick_succession_lose_no_event_and_disturb_no_request() {
+    let stage = Stage::new(|_| {});
+    let (mut old, _) = feed(&stage.feed);
+    old.write_all(&event(2, 4, &[0; 10])).unwrap();
+    let mut client = stage.client();
+    client.ask(1, "page-bits", "20000", &[], b"");
+    let (_, mut cache) = any_link(&stage);
+    let fetch = cache.hear().unwrap();
+    let places: Vec<_> = (0..8).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    for place in &places {
+        let mut config = stage.config.clone();
+        config["feed"] = place.local_addr().unwrap().to_string().into();
+        // As a whole: one that is half written is another test's.
+        let aside = stage.file.with_extension("new");
+        std::fs::write(&aside, config.to_string()).unwrap();
+        std::fs::rename(&aside, &stage.file).unwrap();
+        stage.signal("-HUP");
+    }
+    // The last one counts, from the last event that is held; those before it may have been asked.
+    let (mut new, last) = feed(&places[7]);
+    assert_eq!(last, 2);
+    let nodes = [0, 1].map(|i| record(CACHES[i], stage.caches[i].local_addr().unwrap(), 1, 0)).concat();
+    new.write_all(&event(3, 2, &nodes)).unwrap();
+    cache.say(&fetch[1], "HIT", "-", "undisturbed");
+    assert!(client.hear().unwrap().ends_with("undisturbed"));
+    std::thread::sleep(Duration::from_millis(500));
+    client.ask(2, "page-bits", "20000", &[], b"");
+    let mut origin = link(&stage.origin);
+    let fetch = origin.hear().unwrap();
+    origin.say(&fetch[1], "HIT", "-", "by the last list");
+    assert!(client.hear().unwrap().ends_with("by the last list"));
+}
+
+#[test]
+fn requests_with_very_little_time_left_are_answered_in_time_though_nodes_drop_them() {
+    let stage = Stage::new(|_| {});
+    // Nodes read what comes and never say a word.
+    for at in [&stage.caches[0], &stage.caches[1], &stage.origin] {
+        let at = at.try_clone().unwrap();
+        std::thread::spawn(move || {
+            let mut all = Vec::new();
+            for stream in at.incoming().map_while(Result::ok) {
+                all.push(stream);
+            }
+        });
+    }
+    let mut client = stage.client();
+    for (stream, limit) in (1u32..).zip([1u64, 3, 10, 30, 100]) {
+        for class in ["page-bits", "book-car"] {
+            let stream = 2 * stream + u32::from(class == "book-car");
+            let asked = Instant::now();
+            client.ask(stream, class, &limit.to_string(), &[("part", &stream.to_string())], b"keys");
+            assert!(
+                client.hear().unwrap().starts_with(&format!("type 11 stream {stream}")),
+                "{limit} {class}"
+            );
+            // Later than half a second after its time it would be lost.
+            assert!(asked.elapsed() < Duration::from_millis(limit + 500), "{limit} {class}");
+        }
+    }
+}
