--- a/front/src/program/drivers/snapshot.rs
+++ b/front/src/program/drivers/snapshot.rs
@@ -6,12 +6,14 @@
 use crate::transport::Workers;
 use cranesill::api::{Span, Time};
 use cranesill_startup::{judge, Dated};
-use std::fs::File;
+use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// Files of the folder that are looked at for what is left of killed processes.
+const FILES_MAX: usize = 10_000;
 /// Pause between two writes.
 const EACH: Span = 1_000_000;
 /// While nothing changes the list is written this often, with the time at which it was still known to be so. It is dated by the
@@ -68,22 +70,45 @@
 }
 
 fn write(path: &Path, text: &str) -> io::Result<()> {
-    let aside = path.with_extension(format!("{}.tmp", std::process::id()));
+    let aside = aside_of(path);
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let written = File::create(&aside).and_then(|mut file| {
         file.write_all(text.as_bytes())?;
         // A name must not come to stand for what the disk does not have yet.
         file.sync_data()?;
-        std::fs::rename(&aside, path)?;
+        fs::rename(&aside, path)?;
         // The name itself is durable with its folder.
         File::open(folder)?.sync_all()
     });
     if written.is_err() {
-        let _ = std::fs::remove_file(&aside);
+        let _ = fs::remove_file(&aside);
     }
     written
 }
 
+/// Where this process writes a snapshot before that takes its place.
+fn aside_of(path: &Path) -> PathBuf {
+    path.with_extension(format!("{}.tmp", std::process::id()))
+}
+
+/// Takes away what processes of this front left that were killed in the midst of a write. One that still lives, and writes at
+/// this moment, fails and writes again.
+fn clean(path: &Path) {
+    let Some((folder, stem)) = path.parent().zip(path.file_stem().and_then(|stem| stem.to_str())) else {
+        return;
+    };
+    let is_left = |name: &str| {
+        let middle = name.strip_prefix(stem).and_then(|rest| rest.strip_prefix('.')?.strip_suffix(".tmp"));
+        middle.is_some_and(|pid| !pid.is_empty() && pid.bytes().all(|b| b.is_ascii_digit()))
+    };
+    // Best effort: a folder that can't be read is told of when something is written.
+    for file in fs::read_dir(folder).into_iter().flatten().flatten().take(FILES_MAX) {
+        if file.file_name().to_str().is_some_and(is_left) {
+            let _ = fs::remove_file(file.path());
+        }
+    }
+}
+
 /// The driver.
 pub struct Snapshots {
     path: PathBuf,
@@ -106,6 +131,7 @@
         let key = turn.key();
         let workers = Workers::new(turn.reactor, key).map_err(|e| format!("startup.snapshots: {e}"))?;
         let purge_ms = purge_ms(purge);
+        clean(&path);
         Ok(Snapshots {
             path,
             known,
@@ -183,3 +209,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/front/src/program/drivers/snapshot/tests.rs
@@ -0,0 +1,29 @@
+use super::*;
+
+#[test]
+fn what_a_killed_process_left_half_written_is_taken_away_and_nothing_else() {
+    let folder = tempfile::tempdir().unwrap();
+    let at = |name: &str| folder.path().join(name);
+    let others = ["n1.list", "n10.77.tmp", "n1.notes.tmp", "n1..tmp", "n1.tmp"];
+    others
+        .iter()
+        .chain(&["n1.77.tmp", "n1.4194304.tmp"])
+        .for_each(|name| fs::write(at(name), "half").unwrap());
+    clean(&at("n1.list"));
+    assert!(others.iter().all(|name| at(name).exists()));
+    assert!(!at("n1.77.tmp").exists() && !at("n1.4194304.tmp").exists());
+}
+
+#[test]
+fn a_write_that_fails_leaves_the_snapshot_before_it_and_nothing_half_written() {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("n1.list");
+    write(&path, "before").unwrap();
+    // A disk that is full.
+    std::os::unix::fs::symlink("/dev/full", aside_of(&path)).unwrap();
+    assert_eq!(write(&path, "after").unwrap_err().kind(), io::ErrorKind::StorageFull);
+    assert_eq!(fs::read_to_string(&path).unwrap(), "before");
+    assert_eq!(fs::read_dir(folder.path()).unwrap().count(), 1);
+    write(&path, "after").unwrap();
+    assert_eq!(fs::read_to_string(&path).unwrap(), "after");
+}
