--- a/front/src/program/serve.rs
+++ b/front/src/program/serve.rs
@@ -251,7 +251,8 @@
     ) -> Result<(), String> {
         let mut last = 0;
         let slot = (self.drivers.len() + 1, &mut last);
-        let mut turn = Turn { now, reactor: &self.reactor, effects: &mut self.effects, slot };
+        let behind_ms = self.front.ahead.behind_ms();
+        let mut turn = Turn { now, behind_ms, reactor: &self.reactor, effects: &mut self.effects, slot };
         let driver = make(&mut turn)?;
         self.drivers.push((driver, last));
         Ok(())
@@ -259,9 +260,10 @@
 
     /// Gives a driver its turn.
     fn drive(&mut self, now: Time, slot: usize, act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>)) {
+        let behind_ms = self.front.ahead.behind_ms();
         if let Some((driver, last)) = slot.checked_sub(1).and_then(|i| self.drivers.get_mut(i)) {
             let (reactor, effects) = (&self.reactor, &mut self.effects);
-            act(driver.as_mut(), &mut Turn { now, reactor, effects, slot: (slot, last) });
+            act(driver.as_mut(), &mut Turn { now, behind_ms, reactor, effects, slot: (slot, last) });
         }
     }
 
@@ -498,7 +500,7 @@
     /// Waits for something to do and does it. Whether the front has left.
     fn turn(&mut self) -> Result<bool, String> {
         let drivers = self.drivers.iter().filter_map(|(driver, _)| driver.next()).min();
-        let next = self.deadlines.next().into_iter().chain(drivers).min();
+        let next = self.deadlines.next().into_iter().chain(drivers).chain(self.clients.next()).min();
         let mut events = self.reactor.wait(self.clock.now(), next).map_err(|e| format!("poller: {e}"))?;
         let now = self.clock.now();
         // What the feed tells is heeded before anything is sent in the same turn; new connections come last, since
@@ -523,6 +525,8 @@
         while let Some(due) = self.deadlines.take(now) {
             self.due(now, due);
         }
+        let heard = self.clients.due(now);
+        self.hear(now, heard);
         for slot in 1..=self.drivers.len() {
             self.drive(now, slot, |driver, turn| {
                 if driver.next().is_some_and(|at| at <= turn.now) {
