--- a/rig/shim/src/lib.rs
+++ b/rig/shim/src/lib.rs
@@ -3,11 +3,13 @@
 //! which the process maps; `CRANESILL_SHIM_FILES` is the folder. Without them all is as it was.
 //!
 //! Words: 0 milliseconds that the wall clock is ahead; 1 faults of the disk (1: nothing can be written, 2: syncs fail);
-//! 2 milliseconds that each sync takes.
+//! 2 milliseconds that each sync takes; from 16 on what `sockets.rs` says.
+mod sockets;
+
 use std::ffi::{c_char, c_int, c_long, c_void};
 use std::sync::atomic::{AtomicI64, AtomicPtr, Ordering};
 
-const WORDS: usize = 3;
+const WORDS: usize = 32;
 const FULL: i64 = 1;
 const UNSYNCED: i64 = 2;
 
@@ -35,12 +37,13 @@
     let path = setting(c"CRANESILL_SHIM");
     let mut found: *const Words = &NONE;
     if !path.is_null() {
-        let fd = raw(libc::SYS_openat, [libc::AT_FDCWD as usize, path as usize, libc::O_RDONLY as usize, 0]);
+        let fd = raw(libc::SYS_openat, [libc::AT_FDCWD as usize, path as usize, libc::O_RDWR as usize, 0]);
         if fd >= 0 {
             let size = std::mem::size_of::<Words>();
             // SAFETY: a new mapping of a file that the test made this long.
             let at = unsafe {
-                libc::mmap(std::ptr::null_mut(), size, libc::PROT_READ, libc::MAP_SHARED, fd as c_int, 0)
+                let access = libc::PROT_READ | libc::PROT_WRITE;
+                libc::mmap(std::ptr::null_mut(), size, access, libc::MAP_SHARED, fd as c_int, 0)
             };
             raw(libc::SYS_close, [fd as usize, 0, 0, 0]);
             if at != libc::MAP_FAILED {
--- /dev/null
+++ b/rig/shim/src/sockets.rs
@@ -0,0 +1,192 @@
+//! System calls on TCP sockets over IPv4 that fail or are cut short, as the test says.
+//!
+//! Words: 16 the calls that fail, added up (1 accept, 2 socket, 4 connect, 8 reads and 16 writes on connections that the process
+//! made, 32 reads and 64 writes on those that it accepted); 17 the error; 18 of so many calls one fails; 19 and 20: they fail
+//! for the first so many of each so many milliseconds (0: all the time); 21 and 22 bytes that a read and a write take at most;
+//! 23 calls that have failed, counted here.
+use crate::{fails, raw, word, words};
+use std::ffi::{c_int, c_void};
+use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
+
+const MASK: usize = 16;
+const ERRNO: usize = 17;
+const EVERY: usize = 18;
+const BURST: usize = 19;
+const PERIOD: usize = 20;
+const READ_MOST: usize = 21;
+const WRITE_MOST: usize = 22;
+const COUNT: usize = 23;
+
+const ACCEPT: i64 = 1;
+const SOCKET: i64 = 2;
+const CONNECT: i64 = 4;
+const READ: i64 = 8;
+const WRITE: i64 = 16;
+/// What a call on an accepted connection has to be shifted by.
+const ACCEPTED: u32 = 2;
+/// Slices of one call that are looked at.
+const SLICES: usize = 64;
+
+/// Which descriptors the process has connected.
+static DIALLED: [AtomicBool; 1 << 14] = [const { AtomicBool::new(false) }; 1 << 14];
+static CALLS: AtomicI64 = AtomicI64::new(0);
+
+fn dialled(fd: c_int) -> Option<&'static AtomicBool> {
+    DIALLED.get(usize::try_from(fd).ok()?)
+}
+
+/// Whether this is the time at which calls fail.
+fn in_burst() -> bool {
+    let (burst, period) = (word(BURST), word(PERIOD));
+    if period <= 0 {
+        return true;
+    }
+    let mut now = libc::timespec { tv_sec: 0, tv_nsec: 0 };
+    raw(libc::SYS_clock_gettime, [libc::CLOCK_MONOTONIC as usize, &raw mut now as usize, 0, 0]);
+    (now.tv_sec * 1_000 + now.tv_nsec / 1_000_000) % period < burst
+}
+
+/// The error that a call fails with now.
+fn fault(call: i64) -> Option<c_int> {
+    let every = word(EVERY);
+    if word(MASK) & call == 0 || every <= 0 || !in_burst() {
+        return None;
+    }
+    if CALLS.fetch_add(1, Ordering::Relaxed) % every != 0 {
+        return None;
+    }
+    // Without words of its own nothing is asked to fail, and nothing is written there.
+    words()[COUNT].fetch_add(1, Ordering::Relaxed);
+    Some(word(ERRNO) as c_int)
+}
+
+fn is_tcp(fd: c_int) -> bool {
+    let option = |name: c_int| {
+        let (mut value, mut size): (c_int, libc::socklen_t) = (0, 4);
+        // SAFETY: the call writes the value and its size, and nothing else.
+        let got =
+            unsafe { libc::getsockopt(fd, libc::SOL_SOCKET, name, (&raw mut value).cast(), &raw mut size) };
+        (got == 0).then_some(value)
+    };
+    option(libc::SO_DOMAIN) == Some(libc::AF_INET) && option(libc::SO_TYPE) == Some(libc::SOCK_STREAM)
+}
+
+/// How many bytes a call on a connection may take; an error: it fails with that.
+fn bytes(fd: c_int, call: i64) -> Result<usize, c_int> {
+    let most = if call == READ { word(READ_MOST) } else { word(WRITE_MOST) };
+    if (word(MASK) == 0 && most <= 0) || !is_tcp(fd) {
+        return Ok(usize::MAX);
+    }
+    let accepted = !dialled(fd).is_some_and(|dialled| dialled.load(Ordering::Relaxed));
+    match fault(if accepted { call << ACCEPTED } else { call }) {
+        Some(errno) => Err(errno),
+        None if most > 0 => Ok(most as usize),
+        None => Ok(usize::MAX),
+    }
+}
+
+fn result(returned: std::ffi::c_long) -> isize {
+    // `libc::syscall` has set the error number already.
+    returned as isize
+}
+
+/// Makes a socket, unless that fails now.
+#[no_mangle]
+pub extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
+    if domain == libc::AF_INET {
+        if let Some(errno) = fault(SOCKET) {
+            return fails(errno);
+        }
+    }
+    raw(libc::SYS_socket, [domain as usize, kind as usize, protocol as usize, 0]) as c_int
+}
+
+/// Connects a socket, unless that fails now.
+///
+/// # Safety
+/// As the system's: `size` bytes can be read at `address`.
+#[no_mangle]
+pub unsafe extern "C" fn connect(fd: c_int, address: *const libc::sockaddr, size: libc::socklen_t) -> c_int {
+    if i32::from((*address).sa_family) == libc::AF_INET {
+        if let Some(errno) = fault(CONNECT) {
+            return fails(errno);
+        }
+        dialled(fd).into_iter().for_each(|dialled| dialled.store(true, Ordering::Relaxed));
+    }
+    raw(libc::SYS_connect, [fd as usize, address as usize, size as usize, 0]) as c_int
+}
+
+/// Accepts a connection, unless that fails now.
+///
+/// # Safety
+/// As the system's: `address` and `size` are null, or a place to write to and its size.
+#[no_mangle]
+pub unsafe extern "C" fn accept4(
+    fd: c_int,
+    address: *mut libc::sockaddr,
+    size: *mut libc::socklen_t,
+    flags: c_int,
+) -> c_int {
+    if is_tcp(fd) {
+        if let Some(errno) = fault(ACCEPT) {
+            return fails(errno);
+        }
+    }
+    let args = [fd as usize, address as usize, size as usize, flags as usize];
+    let accepted = raw(libc::SYS_accept4, args) as c_int;
+    dialled(accepted).into_iter().for_each(|dialled| dialled.store(false, Ordering::Relaxed));
+    accepted
+}
+
+/// Reads what a connection has, unless that fails now.
+///
+/// # Safety
+/// As the system's: `size` bytes can be written at `to`.
+#[no_mangle]
+pub unsafe extern "C" fn recv(fd: c_int, to: *mut c_void, size: usize, flags: c_int) -> isize {
+    let size = match bytes(fd, READ) {
+        Ok(most) => size.min(most),
+        Err(errno) => return fails(errno) as isize,
+    };
+    result(libc::syscall(libc::SYS_recvfrom, fd, to, size, flags, 0usize, 0usize))
+}
+
+/// Writes to a connection, unless that fails now.
+///
+/// # Safety
+/// As the system's: `size` bytes can be read at `from`.
+#[no_mangle]
+pub unsafe extern "C" fn send(fd: c_int, from: *const c_void, size: usize, flags: c_int) -> isize {
+    let size = match bytes(fd, WRITE) {
+        Ok(most) => size.min(most),
+        Err(errno) => return fails(errno) as isize,
+    };
+    result(libc::syscall(libc::SYS_sendto, fd, from, size, flags, 0usize, 0usize))
+}
+
+/// Writes several slices, unless that fails now.
+///
+/// # Safety
+/// As the system's: `count` slices that can be read are at `slices`.
+#[no_mangle]
+pub unsafe extern "C" fn writev(fd: c_int, slices: *const libc::iovec, count: c_int) -> isize {
+    let most = match bytes(fd, WRITE) {
+        Ok(usize::MAX) => {
+            return raw(libc::SYS_writev, [fd as usize, slices as usize, count as usize, 0]) as isize
+        }
+        Ok(most) => most,
+        Err(errno) => return fails(errno) as isize,
+    };
+    let mut short = [libc::iovec { iov_base: std::ptr::null_mut(), iov_len: 0 }; SLICES];
+    let (mut left, mut used) = (most, 0);
+    for to in short.iter_mut().take(count.max(0) as usize) {
+        if left == 0 {
+            break;
+        }
+        *to = *slices.add(used);
+        to.iov_len = to.iov_len.min(left);
+        left -= to.iov_len;
+        used += 1;
+    }
+    raw(libc::SYS_writev, [fd as usize, short.as_ptr() as usize, used, 0]) as isize
+}
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -1,4 +1,5 @@
 //! Processes of the program.
+use crate::socket_faults::SocketFaults;
 use serde_json::Value;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -15,9 +16,9 @@
 
 impl Machine {
     fn new(file: &Path) -> Self {
-        let words = std::fs::File::options().create(true).truncate(true).write(true).open(file);
+        let words = std::fs::File::options().create(true).truncate(true).read(true).write(true).open(file);
         let machine = Machine { words: words.expect("a file") };
-        (0..3).for_each(|place| machine.say(place, 0));
+        (0..crate::socket_faults::END).for_each(|place| machine.say(place, 0));
         machine
     }
 
@@ -35,6 +36,21 @@
         self.say(1, i64::from(full) | i64::from(unsynced) << 1);
     }
 
+    /// System calls on its sockets fail or are cut short like this; `None`: they do what the system does.
+    pub fn sockets(&self, faults: Option<&SocketFaults>) {
+        // The mask comes last and goes first: no call sees half of what is said.
+        self.say(crate::socket_faults::MASK, 0);
+        let words = faults.map(SocketFaults::words).unwrap_or_default();
+        words.into_iter().rev().for_each(|(place, word)| self.say(place, word));
+    }
+
+    /// How many system calls on its sockets have failed by [`Machine::sockets`] since it was made.
+    pub fn socket_faults(&self) -> i64 {
+        let mut word = [0; 8];
+        self.words.read_exact_at(&mut word, crate::socket_faults::COUNT * 8).expect("a file");
+        i64::from_ne_bytes(word)
+    }
+
     /// A sync of such a file takes this long.
     pub fn sync(&self, takes: Duration) {
         self.say(2, takes.as_millis() as i64);
@@ -145,6 +161,11 @@
         command.spawn().expect("the program starts")
     }
 
+    /// The id of a process that lives.
+    pub fn id(&self, n: usize) -> Option<u32> {
+        self.processes[n].as_ref().map(Child::id)
+    }
+
     /// How many there are, dead or alive.
     pub fn len(&self) -> usize {
         self.processes.len()
--- a/rig/src/history.rs
+++ b/rig/src/history.rs
@@ -44,6 +44,8 @@
         /// Whom it names to fill a miss, or 0.
         source: u32,
     },
+    /// The request that came last to a node said that its client has so many milliseconds left.
+    TimeLeft(u64, u64),
     /// A node had no place for a connection, and closed it.
     TurnedAway(u32),
     /// A request that must not run twice was run.
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -15,6 +15,7 @@
 mod nodes;
 mod rules;
 mod script;
+mod socket_faults;
 mod stage;
 
 pub use clients::{Asks, Clients};
@@ -26,6 +27,7 @@
 pub use nodes::{Mood, Nodes};
 pub use rules::{around, breaches, pushed_over, Breach, Cold, Limits};
 pub use script::{Fault, Script};
+pub use socket_faults::{Call, SocketFaults};
 pub use stage::{Shape, Stage};
 
 use std::time::Duration;
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -170,6 +170,8 @@
     source: u32,
     /// The age in milliseconds up to which a copy will do; 0: any.
     oldest: u64,
+    /// Milliseconds that the client is said to have left.
+    limit: u64,
     only_held: bool,
 }
 
@@ -213,6 +215,7 @@
             "item" => found.item = hex(value),
             "from" => found.source = hex(value.trim_start_matches("s-")) as u32,
             "oldest" => found.oldest = value.parse().unwrap_or(0),
+            "limit" => found.limit = value.parse().unwrap_or(0),
             "mode" => found.only_held = value.split('+').any(|word| word == "shallow"),
             _ => {}
         }
@@ -383,6 +386,7 @@
         let asked = fetch(parts.get(2).map_or(&[], |p| &p[..]));
         let write = self.writes.contains(&asked.class);
         self.history.note(Seen::Sent { node: node.id, txn, write, item: asked.item, source: asked.source });
+        self.history.note(Seen::TimeLeft(txn, asked.limit));
         link.open.push(txn);
         let runs = !matches!(node.mood, Mood::Full | Mood::Dead);
         if write && runs {
