--- a/front/src/program/clients.rs
+++ b/front/src/program/clients.rs
@@ -21,6 +21,8 @@
 const FRAME_MOST: Span = 1_500_000;
 /// A connection on which all is said is closed after this long, whether or not its client closes it.
 const FAREWELL: Span = 500_000;
+/// A client that said nothing for this long is not about to: its connection may be closed for lack of descriptors.
+const EVICTABLE: Span = 1_000_000;
 /// Bytes that one read takes at most, and reads of one connection in one turn: no client keeps the loop to itself.
 const READ_MOST: usize = 16 * 1024;
 const READS_MOST: usize = 2;
@@ -78,6 +80,8 @@
     rests: Time,
     /// When it was told to open nothing new here.
     told: Option<Time>,
+    /// What its first requests may have spent in the system's queue before the connection was accepted.
+    waited: Span,
 }
 
 /// All connections of clients.
@@ -128,10 +132,18 @@
         self.all.contains_key(&key)
     }
 
-    /// Takes over a connection that was accepted.
-    pub fn add(&mut self, now: Time, reactor: &Reactor, socket: TcpStream, key: usize) -> io::Result<()> {
+    /// Takes over a connection that was accepted. It may have been in the system's queue for `waited`, and its first
+    /// requests with it.
+    pub fn add(
+        &mut self,
+        now: Time,
+        reactor: &Reactor,
+        socket: TcpStream,
+        key: usize,
+        waited: Span,
+    ) -> io::Result<()> {
         let stream = Stream::new(reactor, socket, key, false)?;
-        self.begin(now, stream, key);
+        self.begin(now, stream, key, waited);
         Ok(())
     }
 
@@ -143,14 +155,16 @@
         connection: ServerConnection,
         key: usize,
     ) {
-        self.begin(now, Stream::secured(socket, connection), key);
+        // Nothing is asked before the handshake is complete.
+        self.begin(now, Stream::secured(socket, connection), key, 0);
         self.flush(now, key);
     }
 
-    fn begin(&mut self, now: Time, stream: Stream<()>, key: usize) {
+    fn begin(&mut self, now: Time, stream: Stream<()>, key: usize, waited: Span) {
         let (open, owes) = (HashSet::new(), Some(now));
         let life = if self.parting { Life::Closing } else { Life::Open };
-        self.all.insert(key, Client { stream, open, life, moved: now, owes, rests: 0, told: None });
+        let client = Client { stream, open, life, moved: now, owes, rests: 0, told: None, waited };
+        self.all.insert(key, client);
         if self.draining {
             self.say_no_more(now, key);
         }
@@ -216,6 +230,8 @@
             }
             client.moved = now;
             client.hear(now, key, self.ready && !self.draining, &mut heard);
+            // What comes later was not there when the connection was accepted.
+            client.waited = 0;
             self.flush(now, key);
         }
         // Who came and left in one turn asks for nothing: it would be sent on for nobody.
@@ -314,6 +330,15 @@
         key.map(|key| self.drop(key)).is_some()
     }
 
+    /// Closes the connection that was idle for longest, if one was for so long that no request is on its way there.
+    pub fn evict_idle(&mut self, now: Time) -> bool {
+        let idle = |c: &Client| c.open.is_empty() && c.stream.flushed() && c.stream.input().is_empty();
+        let evictable = |c: &Client| idle(c) && now > c.moved + EVICTABLE;
+        let oldest = self.all.iter().filter(|(_, c)| evictable(c) && !c.stream.unread());
+        let key = oldest.min_by_key(|(key, c)| (c.moved, **key)).map(|(key, _)| *key);
+        key.map(|key| self.drop(key)).is_some()
+    }
+
     /// Gives a connection up: nobody waits there any more.
     fn drop(&mut self, key: usize) -> Vec<ClientEvent> {
         let Some(mut client) = self.all.remove(&key) else { return Vec::new() };
@@ -380,7 +405,9 @@
                     if !self.open.insert(stream) {
                         return self.end();
                     }
-                    let ask = ask.and_then(|ask| {
+                    let waited = self.waited;
+                    let charged = ask.map(|ask| Ask { limit: ask.limit.saturating_sub(waited), ..ask });
+                    let ask = charged.and_then(|ask| {
                         Some(ask).filter(|_| self.open.len() <= STREAMS_MOST).ok_or("too many streams")
                     });
                     heard.push(match ask {
--- a/front/src/program/clients/tests.rs
+++ b/front/src/program/clients/tests.rs
@@ -14,7 +14,7 @@
 
     fn client(&mut self, now: Time, key: usize) -> TcpStream {
         let socket = TcpStream::connect(self.0.local_addr().unwrap()).unwrap();
-        self.2.add(now, &self.1, self.0.accept().unwrap().0, key).unwrap();
+        self.2.add(now, &self.1, self.0.accept().unwrap().0, key, 0).unwrap();
         socket
     }
 
--- a/front/src/program/drivers/certs.rs
+++ b/front/src/program/drivers/certs.rs
@@ -2,7 +2,7 @@
 //! certificates to the TLS listener.
 use super::served::{Proof, Tables};
 use super::{Driver, Effect, Secured, Turn};
-use crate::transport::{listen, Registered, Workers};
+use crate::transport::{at_start, listen, Registered, Workers};
 use cranesill::api::{Span, Time};
 use cranesill_certs::client::Loud;
 use cranesill_certs::disk::{self, Folder};
@@ -152,7 +152,7 @@
                 let failed = |e: &dyn std::fmt::Display| format!("certs.http_listen: {text}: {e}");
                 let at: SocketAddr = text.parse().map_err(|e: std::net::AddrParseError| failed(&e))?;
                 let key = turn.key();
-                let listener = listen(at).map_err(|e| failed(&e))?;
+                let listener = at_start(|| listen(at)).map_err(|e| failed(&e))?;
                 let at = listener.local_addr().map_err(|e| failed(&e))?;
                 tracing::info!(%at, "answering challenges");
                 Some((turn.reactor.watch(listener, key, false).map_err(|e| failed(&e))?, key))
--- a/front/src/program/drivers/control.rs
+++ b/front/src/program/drivers/control.rs
@@ -1,6 +1,6 @@
 //! The control socket: one JSON object a line from operators, one a line back.
 use super::{Driver, Effect, Turn};
-use crate::transport::Registered;
+use crate::transport::{at_start, Registered};
 use cranesill::api::{Span, Time};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
@@ -45,7 +45,7 @@
 /// Makes the socket: 0600 before anybody can connect, in the place of one that nobody listens on.
 fn bind(path: &Path) -> Result<UnixListener, String> {
     let failed = |e: io::Error| format!("control.path: {}: {e}", path.display());
-    if UnixStream::connect(path).is_ok() {
+    if at_start(|| UnixStream::connect(path)).is_ok() {
         return Err(format!("control.path: {}: another daemon listens there", path.display()));
     }
     match std::fs::symlink_metadata(path) {
@@ -56,7 +56,7 @@
     }
     let aside = path.with_extension(format!("{}.tmp", std::process::id()));
     let _ = std::fs::remove_file(&aside);
-    let listener = UnixListener::bind(&aside).map_err(failed)?;
+    let listener = at_start(|| UnixListener::bind(&aside)).map_err(failed)?;
     let made = std::fs::set_permissions(&aside, std::fs::Permissions::from_mode(0o600))
         .and_then(|()| std::fs::rename(&aside, path))
         .and_then(|()| listener.set_nonblocking(true));
--- a/front/src/program/drivers/ops.rs
+++ b/front/src/program/drivers/ops.rs
@@ -1,9 +1,10 @@
 //! The second address, for operators alone: one line a connection, an answer, and a close. What a call does is a word
 //! of the loop, the same that the control socket takes.
 use super::{Driver, Effect, Turn};
+use crate::program::acceptor::{AcceptBackoff, Next};
 use crate::protocol::ops::{answer, decode, Call, LINE_MOST};
 use crate::protocol::{member::name_of, Unreadable};
-use crate::transport::{listen, Registered};
+use crate::transport::{at_start, listen, used_up, AcceptFault, Registered};
 use cranesill::api::{Span, Time};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -42,6 +43,7 @@
     callers: BTreeMap<usize, Caller>,
     /// No place was to be had: the listener rests until there is one.
     full: bool,
+    acceptor: AcceptBackoff,
     /// It is tried again then, whoever is there.
     again: Option<Time>,
 }
@@ -53,8 +55,9 @@
     pub fn new(turn: &mut Turn<'_>, at: SocketAddr, beside: bool) -> Result<Self, String> {
         let listener_key = turn.key();
         let callers = BTreeMap::new();
-        let mut ops = Ops { at, listener: None, listener_key, callers, full: false, again: None };
-        match ops.listen(turn) {
+        let acceptor = AcceptBackoff::default();
+        let mut ops = Ops { at, listener: None, listener_key, callers, full: false, acceptor, again: None };
+        match at_start(|| ops.listen(turn)) {
             Err(error) if beside && error.kind() == io::ErrorKind::AddrInUse => {
                 tracing::warn!(kind = "ops", %at, "address for operators is taken: tried for until it is free");
                 ops.again = Some(turn.now + AGAIN);
@@ -72,6 +75,7 @@
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
+        self.acceptor.begin_turn();
         loop {
             if self.callers.len() >= CALLERS_MOST && !self.make_room(turn) {
                 return self.rest(true);
@@ -80,11 +84,19 @@
             let socket = match listener.accept() {
                 Ok((socket, _)) => socket,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.rest(false),
-                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => continue,
                 // Out of descriptors: a caller that says nothing gives its own up. Without one the listener rests, or it
                 // would be told of again at once and without end.
-                Err(_) if self.make_room(turn) => continue,
+                Err(e)
+                    if AcceptFault::of(&e) == AcceptFault::Descriptors
+                        && used_up()
+                        && self.make_room(turn) =>
+                {
+                    continue
+                }
                 Err(error) => {
+                    if self.acceptor.failed(turn.now, AcceptFault::of(&error)) == Next::Retry {
+                        continue;
+                    }
                     tracing::warn!(kind = "ops", %error, "no operator can be heard for now");
                     self.again = Some(turn.now + AGAIN);
                     return self.rest(true);
--- a/front/src/program/drivers/peers.rs
+++ b/front/src/program/drivers/peers.rs
@@ -4,7 +4,7 @@
 use super::snapshot::wall_ms;
 use super::{Driver, Effect, Turn};
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
-use crate::transport::{dial, listen, Outgoing, Registered, Stream};
+use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
 use cranesill::api::{Span, Time};
 use cranesill_daemon::Peers as Settings;
 use cranesill_startup::{judge, Dated, Peers as Core};
@@ -75,8 +75,9 @@
         let peers: Vec<_> = all.into_iter().filter(|at| *at != own).collect();
         let failed = |e: io::Error| format!("startup.peers.listen: {own}: {e}");
         let listener_key = turn.key();
-        let listener =
-            listen(own).and_then(|l| turn.reactor.watch(l, listener_key, false)).map_err(failed)?;
+        let listener = at_start(|| listen(own))
+            .and_then(|l| turn.reactor.watch(l, listener_key, false))
+            .map_err(failed)?;
         tracing::info!(at = %own, peers = peers.len(), "the list is served to peers");
         let core = Core::new(turn.now, peers.len(), settings.agree, settings.every_ms * 1_000, seed);
         Ok(Peers {
--- a/front/src/program/drivers/purges/replicas.rs
+++ b/front/src/program/drivers/purges/replicas.rs
@@ -1,7 +1,7 @@
 //! The ledger between fronts: the writer's end, which serves those that follow, and a follower's, which keeps contact.
 use crate::program::drivers::Turn;
 use crate::protocol::follow::{frame, hello, read_frame, read_hello, Frame, Hello, HELLO};
-use crate::transport::{dial, listen, Outgoing, Registered, Stream};
+use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
 use cranesill::api::{Span, Time};
 use cranesill_purges::ledger::Ledger;
 use cranesill_purges::Number;
@@ -53,7 +53,7 @@
         let failed = |e: &dyn std::fmt::Display| format!("purges.serve: {at}: {e}");
         let address: SocketAddr = at.parse().map_err(|e: std::net::AddrParseError| failed(&e))?;
         let listener_key = turn.key();
-        let listener = listen(address).map_err(|e| failed(&e))?;
+        let listener = at_start(|| listen(address)).map_err(|e| failed(&e))?;
         let local = listener.local_addr().map_err(|e| failed(&e))?;
         tracing::info!(at = %local, "purges: serving the ledger");
         let listener = turn.reactor.watch(listener, listener_key, false).map_err(|e| failed(&e))?;
--- a/front/src/program/drivers/tls.rs
+++ b/front/src/program/drivers/tls.rs
@@ -2,7 +2,8 @@
 //! everything that open connections want. A connection whose handshake is complete is a client's like any other.
 use super::served::{Proof, Table, ACME, BINARY};
 use super::{Driver, Effect, Secured, Turn};
-use crate::transport::{listen, Registered};
+use crate::program::acceptor::{AcceptBackoff, Next};
+use crate::transport::{at_start, listen, AcceptFault, Registered};
 use cranesill::api::{Span, Time};
 use cranesill_budget::{CoreTime, Places};
 use cranesill_daemon::{Daemon, Expired, Tls as Settings};
@@ -82,7 +83,8 @@
     /// Failures since the last note.
     untold: BTreeMap<&'static str, u64>,
     note_at: Time,
-    /// Nothing is accepted before this moment: the system had no descriptor.
+    accepts: AcceptBackoff,
+    /// Nothing is accepted before this moment: a call failed.
     rests: Time,
     draining: bool,
 }
@@ -93,7 +95,7 @@
         let failed = |e: &dyn std::fmt::Display| format!("tls.listen: {}: {e}", settings.listen);
         let at: SocketAddr = settings.listen.parse().map_err(|e: std::net::AddrParseError| failed(&e))?;
         let listener_key = turn.key();
-        let listener = listen(at).map_err(|e| failed(&e))?;
+        let listener = at_start(|| listen(at)).map_err(|e| failed(&e))?;
         let at = listener.local_addr().map_err(|e| failed(&e))?;
         let listener = turn.reactor.watch(listener, listener_key, false).map_err(|e| failed(&e))?;
         tracing::info!(%at, "TLS listening");
@@ -113,6 +115,7 @@
             counts: Counts::default(),
             untold: BTreeMap::new(),
             note_at: 0,
+            accepts: AcceptBackoff::default(),
             rests: 0,
             draining: false,
         })
@@ -131,6 +134,7 @@
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
+        self.accepts.begin_turn();
         for _ in 0..ACCEPTS_MOST {
             if self.room(turn.now).is_err() || self.places.any_waiting() && !self.budget.may(turn.now) {
                 // The rest waits in the system's queue.
@@ -138,14 +142,18 @@
             }
             let socket = match self.listener.accept() {
                 Ok((socket, _)) => socket,
-                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => continue,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(e) => {
-                    tracing::warn!(error = %e, "TLS accept");
-                    self.rests = turn.now + KEPT_LEAST;
-                    return self.watch(false);
-                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.accepts.emptied(),
+                Err(e) => match self.accepts.failed(turn.now, AcceptFault::of(&e)) {
+                    Next::Retry => continue,
+                    Next::Rest(until) => {
+                        tracing::warn!(error = %e, "TLS accept");
+                        self.rests = until;
+                        return self.watch(false);
+                    }
+                },
             };
+            // Nothing is asked before the handshake is complete: the wait is no request's.
+            self.accepts.accepted(turn.now);
             let key = turn.key();
             let ready = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
             let Ok(socket) = ready.and_then(|()| turn.reactor.watch(socket, key, false)) else { continue };
@@ -267,6 +275,7 @@
                         match connection.write_tls(&mut socket) {
                             Ok(n) if n > 0 => {}
                             Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
+                            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                             _ => return Step::Over("broken"),
                         }
                     }
--- a/front/src/program/members.rs
+++ b/front/src/program/members.rs
@@ -1,7 +1,9 @@
 //! Connections to members.
+mod redial;
+use self::redial::Redials;
 use crate::protocol::member;
 use crate::routing::{AttemptId, End, Fetch, Txn};
-use crate::transport::{dial, Reactor, Stream};
+use crate::transport::{dial, is_local, Reactor, Stream};
 use cranesill::api::{Entry, Listed, MemberId, Span, Time};
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -42,6 +44,15 @@
     written: bool,
     /// It is not begun to be written later than this.
     by: Time,
+    /// What is asked, until it is written: the time that is left is told as of the moment of writing.
+    fetch: Option<Box<Fetch>>,
+}
+
+impl Sent {
+    /// All of it is written: what was asked need not be kept.
+    fn set_written(&mut self) {
+        (self.written, self.fetch) = (true, None);
+    }
 }
 
 #[derive(Debug)]
@@ -120,6 +131,8 @@
     /// Where each listens, and when it started.
     listed: HashMap<MemberId, (SocketAddr, Time)>,
     at: HashMap<AttemptId, (usize, Txn)>,
+    /// Attempts for which this machine could not begin a connection.
+    redials: Redials,
     links_most: usize,
     streams: usize,
     idle: Span,
@@ -142,6 +155,7 @@
             of: HashMap::new(),
             listed: HashMap::new(),
             at: HashMap::new(),
+            redials: Redials::default(),
             links_most,
             streams,
             written: 0,
@@ -283,11 +297,16 @@
         if let Some(address) = address.filter(|_| self.links.len() < self.links_most) {
             match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
                 Ok(stream) => {
+                    self.redials.dialled(to);
                     self.links.insert(key, Link::new(now, to, stream));
                     keys.push(key);
                     (chosen, begun) = (Some(key), Some(key));
                 }
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => end = End::Unsent { along: false },
+                Err(e) if is_local(&e) && chosen.is_none() && self.redials.may_wait(now, to) => {
+                    self.redials.wait(now, (attempt, to, by), fetch);
+                    return None;
+                }
                 Err(_) => {}
             }
         }
@@ -298,16 +317,41 @@
         };
         link.carried.add(now, fetch.txn);
         let source = fetch.fill.and_then(|fill| fill.source);
-        link.open
-            .insert(fetch.txn, Sent { attempt, since: now, write: fetch.write, source, written: false, by });
+        let sent = Sent { attempt, since: now, write: fetch.write, source, written: false, by, fetch: None };
+        link.open.insert(fetch.txn, sent);
         link.stream.push(member::fetch(fetch, now));
         self.at.insert(attempt, (key, fetch.txn));
         self.flush(now, key, ends);
+        let sent = self.links.get_mut(&key).and_then(|link| link.open.get_mut(&fetch.txn));
+        if let Some(sent) = sent.filter(|sent| !sent.written) {
+            sent.fetch = Some(Box::new(fetch.clone()));
+        }
         begun
     }
 
+    /// When attempts that wait for a connection to be begun are due to try again.
+    pub fn redial_due(&self) -> Option<Time> {
+        self.redials.due()
+    }
+
+    /// Attempts that are to be sent again now, to the node and by the moment that they had before.
+    pub fn take_redials(&mut self, now: Time) -> Vec<((AttemptId, MemberId, Time), Fetch)> {
+        self.redials.take(now)
+    }
+
+    /// What was not begun to be written tells how much time is left now, not when it was put there.
+    fn tell_time_left(&mut self, now: Time, key: usize) {
+        let Some(link) = self.links.get_mut(&key) else { return };
+        let open = &link.open;
+        link.stream.rewrite(|tag| {
+            let fetch = open.get(tag.as_ref()?)?.fetch.as_ref()?;
+            Some(member::fetch(fetch, now).head)
+        });
+    }
+
     /// Gives an attempt up at its member.
     pub fn abort(&mut self, now: Time, attempt: AttemptId, ends: &mut Ends) {
+        self.redials.remove(attempt);
         let Some((key, txn)) = self.at.remove(&attempt) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
         let sent = link.open.remove(&txn);
@@ -332,6 +376,9 @@
     /// An attempt that is not begun to be written yet will not be: what was decided a while ago may be
     /// against what is known since.
     pub fn withdraw(&mut self, attempt: AttemptId, ends: &mut Ends) {
+        if self.redials.remove(attempt) {
+            return ends.push((attempt, End::Unplaced));
+        }
         self.take_back(attempt, End::Unsent { along: false }, ends);
     }
 
@@ -355,6 +402,7 @@
             open.filter(|(link, sent)| meant(link, sent)).map(|(_, sent)| sent.attempt).collect();
         meant.sort_unstable();
         meant.into_iter().for_each(|attempt| self.take_back(attempt, End::Unplaced, ends));
+        ends.extend(self.redials.leave_out(out).into_iter().map(|attempt| (attempt, End::Unplaced)));
     }
 
     fn take_back(&mut self, attempt: AttemptId, end: End, ends: &mut Ends) {
@@ -388,6 +436,7 @@
             link.heard = now;
             self.too_late(now, key, ends);
         }
+        self.tell_time_left(now, key);
         self.flush(now, key, ends);
         if let Some(e) = readable.then(|| self.read(now, key, ends).err()).flatten() {
             self.fail(key, &e.to_string(), ends);
@@ -447,7 +496,7 @@
         let (open, count) = (&mut link.open, &mut self.written);
         let done = |tag: Option<Txn>| {
             *count += u64::from(tag.is_some());
-            tag.and_then(|txn| open.get_mut(&txn)).into_iter().for_each(|sent| sent.written = true);
+            tag.and_then(|txn| open.get_mut(&txn)).into_iter().for_each(Sent::set_written);
         };
         let flushed = link.stream.flush(done).and_then(|()| link.stream.rewatch(!self.paused));
         link.stream.count(&mut self.held);
--- /dev/null
+++ b/front/src/program/members/redial/tests.rs
@@ -0,0 +1,67 @@
+use super::*;
+use crate::routing::{Source, Txn};
+use cranesill::api::RequestId;
+
+const NODE: MemberId = MemberId(1);
+
+fn fetch(source: Option<MemberId>) -> Fetch {
+    let fill = source.map(|source| Source {
+        source: Some(source),
+        rank: 0,
+        oldest: 0,
+        join: false,
+        only_held: false,
+        renew: false,
+    });
+    Fetch {
+        txn: Txn::new("0000000000000001").unwrap(),
+        class: "page-bits".into(),
+        item: None,
+        part: 0,
+        deadline: 60_000_000,
+        latest: Time::MAX,
+        fill,
+        seen: None,
+        key: None,
+        write: false,
+        body: b"".as_slice().into(),
+    }
+}
+
+fn attempt(n: u64) -> AttemptId {
+    AttemptId { request: RequestId(n), number: 0 }
+}
+
+#[test]
+fn all_that_wait_try_again_together_and_keep_their_deadlines() {
+    let mut redials = Redials::default();
+    redials.wait(0, (attempt(1), NODE, 400_000), &fetch(None));
+    redials.wait(1_000, (attempt(2), NODE, 500_000), &fetch(None));
+    assert_eq!(redials.due(), Some(RETRY_INTERVAL));
+    assert!(redials.take(RETRY_INTERVAL - 1).is_empty());
+    let targets: Vec<_> = redials.take(RETRY_INTERVAL).into_iter().map(|(target, _)| target).collect();
+    assert_eq!(targets, [(attempt(1), NODE, 400_000), (attempt(2), NODE, 500_000)]);
+    assert_eq!(redials.due(), None);
+}
+
+#[test]
+fn who_was_called_off_or_whose_node_is_left_out_is_not_tried_again() {
+    let mut redials = Redials::default();
+    redials.wait(0, (attempt(1), NODE, 400_000), &fetch(None));
+    redials.wait(0, (attempt(2), NODE, 400_000), &fetch(Some(MemberId(2))));
+    redials.wait(0, (attempt(3), NODE, 400_000), &fetch(None));
+    assert!(redials.remove(attempt(1)) && !redials.remove(attempt(1)));
+    assert_eq!(redials.leave_out(MemberId(2)), [attempt(2)]);
+    assert_eq!(redials.take(RETRY_INTERVAL).len(), 1);
+}
+
+#[test]
+fn a_node_that_can_not_be_dialled_for_long_is_not_waited_for_until_it_was_left_alone() {
+    let mut redials = Redials::default();
+    let tries = (0..MAX_WAIT / 50_000).map(|n| n * 50_000);
+    assert!(tries.into_iter().all(|now| redials.may_wait(now, NODE)));
+    assert!(!redials.may_wait(MAX_WAIT, NODE));
+    assert!(redials.may_wait(MAX_WAIT + FORGOTTEN + 1, NODE), "a shortage long after is another one");
+    redials.dialled(NODE);
+    assert!(redials.may_wait(MAX_WAIT + FORGOTTEN + 2, NODE));
+}
--- a/front/src/program/members/tests.rs
+++ b/front/src/program/members/tests.rs
@@ -293,3 +293,22 @@
         assert!(seen > 1_000, "{seen}: too little was out to tell anything");
     }
 }
+
+#[test]
+fn what_waits_for_its_connection_tells_the_time_that_is_left_when_it_is_written() {
+    use std::io::Read;
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
+    let mut members = members(1, &listener);
+    let fetch = Fetch { deadline: 1_000_000, ..fetch(1) };
+    members.send(0, &reactor, 9, (attempt(1), MEMBER, Time::MAX), &fetch, &mut ends);
+    reactor.wait(0, Some(1_000_000)).unwrap();
+    members.ready(300_000, 9, false, &mut ends);
+    assert_eq!((members.written, ends.len()), (1, 0));
+    let mut written = [0; 256];
+    let n = listener.accept().unwrap().0.read(&mut written).unwrap();
+    let text = String::from_utf8_lossy(&written[..n]);
+    assert!(text.contains("limit=700"), "{text}");
+    let held = members.held();
+    assert_eq!(held, 0, "the sum over connections is right after the head was written anew");
+}
--- a/front/src/program/mod.rs
+++ b/front/src/program/mod.rs
@@ -1,4 +1,5 @@
 //! Command line, configuration, log, the one loop, and a file for each subsystem that it drives.
+mod acceptor;
 mod cli;
 mod clients;
 mod config;
--- a/front/src/program/serve.rs
+++ b/front/src/program/serve.rs
@@ -1,4 +1,5 @@
 //! The loop.
+use super::acceptor::{AcceptBackoff, Next};
 use super::clients::{ClientEvent, Clients};
 use super::config::Config;
 use super::drain::{Drain, Stage};
@@ -21,8 +22,10 @@
 use crate::protocol::member::name_of;
 use crate::protocol::ops::member_id;
 use crate::protocol::snapshot::Snapshot;
-use crate::routing::{Answer, AttemptId, Command, End, Front, Origin, ReplyTo, Wake};
-use crate::transport::{inherited, listen, Clock, Deadlines, Reactor, Registered};
+use crate::routing::{Answer, AttemptId, Command, End, Fetch, Front, Origin, ReplyTo, Wake};
+use crate::transport::{
+    at_start, inherited, listen, used_up, AcceptFault, Clock, Deadlines, Reactor, Registered,
+};
 use cranesill::api::{Entry, Listed, MemberId, Span, Time};
 use cranesill_daemon::{changes, Daemon, Level};
 use serde_json::{json, Value};
@@ -76,6 +79,10 @@
     OutByHand,
     /// An operator's call is answered.
     Confirm(u64),
+    /// The clients' listener has rested after a failed `accept`.
+    Accept,
+    /// Connections to nodes that this machine could not begin are tried again.
+    Redial,
 }
 
 /// One front on its sockets.
@@ -104,6 +111,7 @@
     shared: Option<Shared>,
     /// Whether this process accepts clients.
     accepts: bool,
+    acceptor: AcceptBackoff,
     /// Members out by hand, as last seen in what is shared.
     out: BTreeSet<MemberId>,
     /// Since when it is emptied.
@@ -147,14 +155,16 @@
         let log = Log::install(&daemon.log);
         let failed = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
         let clock = Clock::new();
-        let reactor = Reactor::new().map_err(failed("poller"))?;
+        let reactor = at_start(Reactor::new).map_err(failed("poller"))?;
         let listener = match held {
             Some(listener) => listener,
-            None => listen(config.listen).map_err(|e| format!("{}: {e}", config.listen))?,
+            None => at_start(|| listen(config.listen)).map_err(|e| format!("{}: {e}", config.listen))?,
         };
         let listener = reactor.watch(listener, LISTENER, false).map_err(failed("poller"))?;
-        let term = raised(&reactor, signal_hook::consts::SIGTERM, TERM).map_err(failed("signals"))?;
-        let hangup = raised(&reactor, signal_hook::consts::SIGHUP, HANGUP).map_err(failed("signals"))?;
+        let term =
+            at_start(|| raised(&reactor, signal_hook::consts::SIGTERM, TERM)).map_err(failed("signals"))?;
+        let hangup =
+            at_start(|| raised(&reactor, signal_hook::consts::SIGHUP, HANGUP)).map_err(failed("signals"))?;
         let shared = config.accept_fd.and_then(|_| share());
         let limits = config.deployment.limits.clone();
         let whole = limits.waits.iter().copied().max().filter(|w| *w > 0).unwrap_or(WAIT_MOST);
@@ -176,6 +186,7 @@
             draining: None,
             shared,
             accepts: true,
+            acceptor: AcceptBackoff::default(),
             out: BTreeSet::new(),
             quiesced: None,
             first: 0,
@@ -620,6 +631,17 @@
             }
             Due::TakeOver => self.take_over(now, false),
             Due::OutByHand => self.look(now),
+            Due::Redial => {
+                for (target, fetch) in self.nodes.take_redials(now) {
+                    let key = self.key();
+                    self.dispatch(now, key, target, &fetch, &mut ends);
+                }
+            }
+            Due::Accept => {
+                self.acceptor.resume();
+                self.listen(true);
+                self.accept(now);
+            }
             Due::Confirm(number) => {
                 self.effects.push(Effect::Answer(number, Ok("out".into())));
                 self.effects(now);
@@ -648,14 +670,15 @@
         !self.accepts || self.config.accept_fd.is_some() && self.draining.is_some()
     }
 
-    /// Watches the listener, or lets it rest; while another process accepts it rests.
+    /// Watches the listener, or lets it rest; while another process accepts it rests, and for a moment after a failed call.
     fn listen(&mut self, on: bool) {
-        let on = on && !self.elsewhere();
+        let on = on && !self.elsewhere() && !self.acceptor.is_resting();
         // The listener is watched for as long as the program runs: this can't fail.
         let _ = self.listener.rewatch(on, false);
     }
 
     fn accept(&mut self, now: Time) {
+        self.acceptor.begin_turn();
         // It may have been told of before it was left to another process.
         for _ in 0..if self.elsewhere() { 0 } else { ACCEPTS_MOST } {
             match self.listener.accept() {
@@ -665,24 +688,38 @@
                         continue;
                     }
                     let key = self.key();
-                    if let Err(error) = self.clients.add(now, &self.reactor, socket, key) {
+                    let waited = self.acceptor.accepted(now);
+                    if let Err(error) = self.clients.add(now, &self.reactor, socket, key, waited) {
                         tracing::warn!(%error, "client lost");
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
-                Err(error) => {
-                    // Out of descriptors: the poller would report it again at once, so it rests till the sweep.
-                    tracing::warn!(%error, "accept");
-                    if !self.clients.evict() {
-                        self.listen(false);
-                    }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.acceptor.emptied();
                     break;
                 }
+                Err(error) => match self.acceptor.failed(now, AcceptFault::of(&error)) {
+                    Next::Retry => {}
+                    Next::Rest(until) => {
+                        tracing::warn!(%error, "accept");
+                        self.make_descriptor_free(now, &error);
+                        self.listen(false);
+                        self.deadlines.add(until, Due::Accept);
+                        break;
+                    }
+                },
             }
         }
     }
 
+    /// Closes a client that is idle beyond doubt if `accept` failed for a lack of descriptors that is real: this process has
+    /// used up its own, or the whole system has had none for long. A shortage that passes costs nobody a connection.
+    fn make_descriptor_free(&mut self, now: Time, error: &io::Error) {
+        let lacking = AcceptFault::of(error) == AcceptFault::Descriptors;
+        if lacking && (used_up() || self.acceptor.is_lasting(now)) {
+            self.clients.evict_idle(now);
+        }
+    }
+
     /// SIGTERM: clients are told, and what is taken is still answered.
     fn begin_drain(&mut self, now: Time) {
         drain(&self.term);
@@ -873,6 +910,25 @@
         self.clients.ready = self.startup.ready(now, used, reached);
     }
 
+    /// Puts an attempt on a connection to its node, or notes when that is tried again.
+    fn dispatch(
+        &mut self,
+        now: Time,
+        key: usize,
+        target: (AttemptId, MemberId, Time),
+        fetch: &Fetch,
+        ends: &mut Ends,
+    ) {
+        let waiting_until = self.nodes.redial_due();
+        if let Some(key) = self.nodes.send(now, &self.reactor, key, target, fetch, ends) {
+            let due = now + self.config.deployment.settings.connect_timeout;
+            self.deadlines.add(due, Due::Dial(key));
+        }
+        if let Some(at) = self.nodes.redial_due().filter(|at| Some(*at) != waiting_until) {
+            self.deadlines.add(at, Due::Redial);
+        }
+    }
+
     /// Books ends and carries out commands until there are none.
     fn settle(&mut self, now: Time, mut ends: Ends) {
         loop {
@@ -893,11 +949,7 @@
                     // its window or not at all.
                     let unwritten = due.min(now + self.config.deployment.limits.purge_grace);
                     let by = unwritten.min(fetch.latest).min(fetch.deadline);
-                    let target = (attempt, to, by);
-                    let begun = self.nodes.send(now, &self.reactor, key, target, &fetch, &mut ends);
-                    if let Some(key) = begun {
-                        self.deadlines.add(due, Due::Dial(key));
-                    }
+                    self.dispatch(now, key, (attempt, to, by), &fetch, &mut ends);
                     self.deadlines.add(by, Due::Unwritten(attempt));
                 }
                 Command::Abort(attempt) => {
@@ -918,7 +970,7 @@
 fn share() -> Option<Shared> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
     let found = folder.ok_or_else(|| io::Error::other("TMPDIR is not set")).map(PathBuf::from);
-    let opened = found.and_then(|folder| Shared::new(&folder));
+    let opened = found.and_then(|folder| at_start(|| Shared::new(&folder)));
     if let Err(error) = &opened {
         tracing::warn!(kind = "upgrade", %error, "nothing is shared with another process: it accepts clients as well");
     }
--- a/front/src/transport/mod.rs
+++ b/front/src/transport/mod.rs
@@ -1,12 +1,18 @@
 //! Sockets, clock and deadlines. Nothing here knows what the bytes mean.
+mod at_start;
 mod clock;
 mod deadlines;
+mod descriptors;
+mod faults;
 mod reactor;
 mod stream;
 mod workers;
 
+pub use at_start::at_start;
 pub use clock::Clock;
 pub use deadlines::Deadlines;
+pub use descriptors::used_up;
+pub use faults::{is_local, AcceptFault};
 pub use reactor::{Reactor, Registered};
 pub use stream::{dial, inherited, listen, Outgoing, Stream};
 pub use workers::Workers;
--- a/front/src/transport/stream.rs
+++ b/front/src/transport/stream.rs
@@ -11,6 +11,8 @@
 const KEPT_MOST: usize = 4 * 1024;
 /// Slices that one gathered write takes at most.
 const SLICES_MOST: usize = 48;
+/// What `connect` says of a connection that is being made, or is made.
+const UNDER_WAY: [i32; 3] = [libc::EINPROGRESS, libc::EALREADY, libc::EISCONN];
 /// Connections that the system accepts ahead of the program.
 const BACKLOG: i32 = 1024;
 
@@ -165,6 +167,16 @@
         self.output.push_back(out);
     }
 
+    /// Gives what is not begun yet the head that `head` makes of its tag; `None` leaves it as it is.
+    pub fn rewrite(&mut self, head: impl Fn(&T) -> Option<Vec<u8>>) {
+        let begun = usize::from(self.written > 0);
+        for out in self.output.iter_mut().skip(begun) {
+            let Some(new) = head(&out.tag) else { continue };
+            self.output_len = self.output_len - out.head.len() + new.len();
+            out.head = new;
+        }
+    }
+
     /// Takes back what is not begun yet. `false`: it was begun, is written, or was never there.
     pub fn take_back(&mut self, is_it: impl Fn(&T) -> bool) -> bool {
         let begun = usize::from(self.written > 0);
@@ -308,8 +320,15 @@
 pub fn dial(to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
-    match socket.connect(&to.into()) {
-        Err(e) if e.raw_os_error() != Some(libc::EINPROGRESS) => Err(e),
+    // What was interrupted may go on or not (connect(2)): a second call begins it or says that it is under way.
+    let connected = loop {
+        match socket.connect(&to.into()) {
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+            connected => break connected,
+        }
+    };
+    match connected {
+        Err(e) if !UNDER_WAY.iter().any(|code| e.raw_os_error() == Some(*code)) => Err(e),
         _ => Ok(socket.into()),
     }
 }
--- a/front/src/transport/workers.rs
+++ b/front/src/transport/workers.rs
@@ -1,6 +1,6 @@
 //! Threads for what blocks. The loop hands work over and goes on; results come through a queue, and the poller is
 //! woken by a byte on a socket.
-use super::{Reactor, Registered};
+use super::{at_start, Reactor, Registered};
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -24,7 +24,7 @@
 impl<R: Send + 'static> Workers<R> {
     /// No thread yet. `key` is ready to be read once there are results.
     pub fn new(reactor: &Reactor, key: usize) -> io::Result<Self> {
-        let (wake, bell) = UnixStream::pair()?;
+        let (wake, bell) = at_start(UnixStream::pair)?;
         wake.set_nonblocking(true)?;
         bell.set_nonblocking(true)?;
         let (sender, results) = channel();
--- /dev/null
+++ b/front/tests/syscalls.rs
@@ -0,0 +1,460 @@
+//! System calls on sockets fail in the ways that Linux documents: no request is lost by that, none runs twice, and the time that
+//! nodes are told is no longer than what the client has left.
+use cranesill_rig::{Call, History, Mood, Seen, Shape, SocketFaults, Stage};
+use serde_json::Value;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
+use std::sync::Arc;
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, Instant};
+
+const MS: Duration = Duration::from_millis(1);
+/// What the time told to a node may be longer than what the client has left.
+const LEFT_SLACK: Duration = Duration::from_millis(150);
+/// What a test machine with busy cores may be late by.
+const BUSY: Duration = Duration::from_millis(400);
+/// What each visitor says that it waits for.
+const LIMIT: Duration = Duration::from_millis(2_400);
+
+fn stage(change: impl Fn(&mut Value), sides: usize, seed: u64) -> Stage {
+    let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
+    change(&mut base);
+    let shape = Shape { fronts: 1, caches: 3, parents: 1, sides };
+    Stage::start(Path::new(env!("CARGO_BIN_EXE_cranesill")), shape, &base, None, seed)
+}
+
+/// Clients that come with a new connection for each few requests, as many as there are threads.
+struct Visitors {
+    over: Arc<AtomicBool>,
+    threads: Vec<JoinHandle<()>>,
+}
+
+/// Numbers of clients' threads that no other in this process has had: they stand in the ids of requests.
+static VISITORS: AtomicU32 = AtomicU32::new(16);
+
+impl Visitors {
+    fn begin(stage: &Stage, count: u32, requests: usize, pause: Duration) -> Self {
+        let over = Arc::new(AtomicBool::new(false));
+        let address = stage.fleet.address(0);
+        let threads = (0..count).map(|_| {
+            let (over, history, class) = (Arc::clone(&over), stage.history.clone(), stage.asks.read.clone());
+            let which = VISITORS.fetch_add(1, Ordering::SeqCst) % 0xff;
+            thread::spawn(move || {
+                let mut visitor = Visitor { history, class, which, stream: 0 };
+                while !over.load(Ordering::SeqCst) {
+                    visitor.visit(address, requests, pause);
+                    thread::sleep(pause);
+                }
+            })
+        });
+        Visitors { threads: threads.collect(), over }
+    }
+
+    fn end(self) {
+        self.over.store(true, Ordering::SeqCst);
+        self.threads.into_iter().for_each(|thread| thread.join().unwrap());
+    }
+}
+
+struct Visitor {
+    history: History,
+    class: String,
+    which: u32,
+    stream: u32,
+}
+
+impl Visitor {
+    fn visit(&mut self, address: SocketAddr, requests: usize, pause: Duration) {
+        let mut socket = TcpStream::connect(address).unwrap();
+        socket.set_nodelay(true).unwrap();
+        for n in 0..requests {
+            if n > 0 {
+                thread::sleep(pause);
+            }
+            if !self.ask(&mut socket) {
+                return;
+            }
+        }
+    }
+
+    /// Asks once and waits for the answer; whether it came.
+    fn ask(&mut self, socket: &mut TcpStream) -> bool {
+        self.stream += 1;
+        let txn = (1 << 40) | (u64::from(self.which) << 32) | u64::from(self.stream);
+        let (id, limit) = (format!("{txn:016x}"), LIMIT.as_millis().to_string());
+        let item = format!("{:016x}", self.stream % 50);
+        let fields = [("verb", self.class.as_str()), ("txn", &id), ("limit", &limit), ("item", &item)];
+        let mut payload = vec![fields.len() as u8];
+        for (name, value) in fields {
+            payload.push(name.len() as u8);
+            payload.extend(name.bytes());
+            payload.extend((value.len() as u16).to_be_bytes());
+            payload.extend(value.bytes());
+        }
+        let length = (5 + payload.len()) as u32;
+        let head = [&length.to_be_bytes()[..], &[10], &self.stream.to_be_bytes()].concat();
+        self.history.note(Seen::Asked { front: 0, txn });
+        let answered = socket.write_all(&[head, payload].concat()).and_then(|()| self.answer(socket));
+        let seen = answered.as_ref().map_or(Seen::Lost(0, txn), |code| Seen::Answered(0, txn, *code));
+        self.history.note(seen);
+        answered.is_ok()
+    }
+
+    fn answer(&self, socket: &mut TcpStream) -> std::io::Result<u8> {
+        socket.set_read_timeout(Some(2 * LIMIT))?;
+        loop {
+            let mut length = [0; 4];
+            socket.read_exact(&mut length)?;
+            let mut frame = vec![0; u32::from_be_bytes(length) as usize];
+            socket.read_exact(&mut frame)?;
+            if frame[0] == 11 {
+                return Ok(frame[5]);
+            }
+        }
+    }
+}
+
+fn is_served(seen: &Seen) -> bool {
+    matches!(seen, Seen::Answered(_, _, 1))
+}
+
+/// Requests that were answered, but not served.
+fn turned_down(stage: &Stage) -> usize {
+    stage.history.count(|seen| matches!(seen, Seen::Answered(_, _, code) if *code != 1))
+}
+
+/// By how much nodes were told more time than clients had left, of each attempt of the visitors' requests.
+fn over_time_left(stage: &Stage) -> Vec<Duration> {
+    let mut asked = std::collections::HashMap::new();
+    let mut over = Vec::new();
+    for (at, seen) in stage.history.all() {
+        match seen {
+            Seen::Asked { txn, .. } if (txn >> 32) & 0xff >= 16 => drop(asked.insert(txn, at)),
+            Seen::TimeLeft(txn, ms) => {
+                let Some(asked) = asked.get(&txn) else { continue };
+                over.push((at + Duration::from_millis(ms)).saturating_sub(*asked + LIMIT));
+            }
+            _ => {}
+        }
+    }
+    over
+}
+
+/// Nodes were told no more time than clients had left. A stand-in reads late on a machine whose cores are all busy, so that one
+/// in a hundred may seem to be over, and none by more than the rig's own slack.
+fn time_left_is_kept(stage: &Stage) {
+    let told = over_time_left(stage);
+    let over: Vec<_> = told.iter().filter(|over| **over > LEFT_SLACK).collect();
+    assert!(over.len() * 100 <= told.len(), "{} of {} were told too much: {over:?}", over.len(), told.len());
+    assert!(over.iter().all(|over| **over <= LEFT_SLACK + BUSY), "{over:?}");
+}
+
+/// Processor time that the front has used.
+fn core_time(stage: &Stage) -> Duration {
+    let stat = std::fs::read_to_string(format!("/proc/{}/stat", stage.fleet.id(0).unwrap())).unwrap();
+    let fields: Vec<_> = stat.rsplit(") ").next().unwrap().split(' ').collect();
+    let ticks: u64 = fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap();
+    Duration::from_millis(ticks * 10)
+}
+
+/// Runs some load for some time, while calls fail, and waits until so many were served.
+fn under(stage: &Stage, faults: &SocketFaults, time: Duration) {
+    let before = stage.fleet.machines[0].socket_faults();
+    stage.fleet.machines[0].sockets(Some(faults));
+    thread::sleep(time);
+    stage.served("answers while calls fail", 20);
+    stage.fleet.machines[0].sockets(None);
+    let cut_short = faults.read_most > 0;
+    assert!(cut_short || stage.fleet.machines[0].socket_faults() > before, "{faults:?}: nothing failed");
+}
+
+/// The rules hold, all was served, and nodes were told no more time than there was.
+fn all_is_well(stage: &mut Stage, seed: u64) {
+    stage.keeps_the_rules(seed);
+    let (served, not) = (stage.history.count(is_served), turned_down(stage));
+    assert!(not * 100 <= served, "{not} were not served, {served} were: {}", stage.fleet.log(0));
+    time_left_is_kept(stage);
+}
+
+const OF_ACCEPT: [i32; 14] = [
+    libc::ECONNABORTED,
+    libc::EPROTO,
+    libc::ENETDOWN,
+    libc::EINTR,
+    libc::EMFILE,
+    libc::ENFILE,
+    libc::ENOBUFS,
+    libc::ENOMEM,
+    libc::ENETUNREACH,
+    libc::EHOSTUNREACH,
+    libc::EOPNOTSUPP,
+    libc::ENOPROTOOPT,
+    libc::EPERM,
+    libc::ETIMEDOUT,
+];
+
+#[test]
+fn errors_of_accept_cost_nobody_a_connection() {
+    let mut stage = stage(|_| {}, 0, 61);
+    stage.asks.pause = 30 * MS;
+    stage.asks.at_once = 4;
+    // Some come anew for each request, some stay.
+    let stay = stage.clients(61);
+    let visitors = Visitors::begin(&stage, 6, 1, 5 * MS);
+    stage.served("the first answers", 100);
+    for errno in OF_ACCEPT {
+        under(&stage, &SocketFaults::all(&[Call::Accept], errno).every(2), 100 * MS);
+        if errno == libc::EINTR {
+            // The standard library repeats an interrupted call for as long as it is interrupted.
+            continue;
+        }
+        let burst = SocketFaults::all(&[Call::Accept], errno).burst(150 * MS, 500 * MS);
+        under(&stage, &burst, 600 * MS);
+    }
+    visitors.end();
+    stay.end();
+    all_is_well(&mut stage, 61);
+}
+
+#[test]
+fn while_nothing_can_be_accepted_the_front_does_not_spin_and_what_waits_keeps_its_deadline() {
+    for (errno, seed) in [(libc::ENOBUFS, 62), (libc::ECONNABORTED, 63), (libc::EMFILE, 64)] {
+        let mut stage = stage(|_| {}, 0, seed);
+        let stay = stage.clients(seed);
+        stage.served("the first answers", 20);
+        stage.fleet.machines[0].sockets(Some(&SocketFaults::all(&[Call::Accept], errno)));
+        let (began, used) = (Instant::now(), core_time(&stage));
+        let visitors = Visitors::begin(&stage, 4, 3, 5 * MS);
+        thread::sleep(1_200 * MS);
+        let (used, passed) = (core_time(&stage) - used, began.elapsed());
+        assert!(used < passed / 4, "{errno}: {used:?} of {passed:?}");
+        stage.fleet.machines[0].sockets(None);
+        let visitor = |seen: &Seen| matches!(seen, Seen::Answered(_, txn, 1) if (txn >> 32) & 0xff >= 16);
+        stage.history.until("those that waited are answered", 12, visitor);
+        visitors.end();
+        stay.end();
+        all_is_well(&mut stage, seed);
+    }
+}
+
+/// Descriptors that the front has open.
+fn descriptors(stage: &Stage) -> Vec<u64> {
+    let open = std::fs::read_dir(format!("/proc/{}/fd", stage.fleet.id(0).unwrap())).unwrap();
+    open.map(|file| file.unwrap().file_name().to_str().unwrap().parse().unwrap()).collect()
+}
+
+/// From now on the front may have only a few descriptors more than it has; the first number that it may not open.
+fn allow_few_more_descriptors(stage: &Stage) -> u64 {
+    let open = descriptors(stage);
+    let most = (0..).find(|number| !open.contains(number)).unwrap() + 4;
+    let limit = libc::rlimit { rlim_cur: most, rlim_max: most };
+    let process = stage.fleet.id(0).unwrap() as i32;
+    // SAFETY: the call reads the limit that it is given; the process was begun by this test.
+    let set = unsafe { libc::prlimit(process, libc::RLIMIT_NOFILE, &raw const limit, std::ptr::null_mut()) };
+    assert_eq!(set, 0);
+    most
+}
+
+#[test]
+fn a_lack_of_descriptors_that_is_real_costs_idle_clients_alone_their_connection() {
+    let mut stage = stage(|_| {}, 0, 65);
+    let address = stage.fleet.address(0);
+    let class = stage.asks.read.clone();
+    let mut visitor = Visitor { history: stage.history.clone(), class, which: 0xf0, stream: 0 };
+    let mut busy = TcpStream::connect(address).unwrap();
+    assert!(visitor.ask(&mut busy));
+    let most = allow_few_more_descriptors(&stage);
+    let mut idle = Vec::new();
+    while (0..most).any(|number| !descriptors(&stage).contains(&number)) {
+        idle.push(TcpStream::connect(address).unwrap());
+        assert!(visitor.ask(idle.last_mut().unwrap()));
+    }
+    // What asks now and then stays; the others are closed as far as it takes.
+    let visitors = Visitors::begin(&stage, 2, 4, 20 * MS);
+    let served = |seen: &Seen| matches!(seen, Seen::Answered(_, txn, 1) if (txn >> 32) & 0xff < 0xf0);
+    while stage.history.count(served) < 16 {
+        assert!(visitor.ask(&mut busy), "a client that asks all the time has lost its connection");
+        thread::sleep(50 * MS);
+    }
+    visitors.end();
+    assert!(stage.fleet.log(0).contains("Too many open files"), "{}", stage.fleet.log(0));
+    stage.keeps_the_rules(65);
+}
+
+#[test]
+fn a_lack_of_descriptors_costs_no_client_its_connection_that_asks_now_and_then() {
+    let mut stage = stage(|_| {}, 0, 72);
+    let visitors = Visitors::begin(&stage, 6, 6, 700 * MS);
+    stage.served("the first answers", 8);
+    let most = allow_few_more_descriptors(&stage);
+    // They say nothing, and there are not enough places for all of them.
+    let address = stage.fleet.address(0);
+    let mut newcomers = Vec::new();
+    let lacks = |stage: &Stage| stage.fleet.log(0).contains("Too many open files");
+    let guard = Instant::now() + cranesill_rig::GUARD;
+    while !lacks(&stage) {
+        assert!(Instant::now() < guard, "{:?} of {most}: {}", descriptors(&stage), stage.fleet.log(0));
+        newcomers.push(TcpStream::connect(address).unwrap());
+        thread::sleep(5 * MS);
+    }
+    newcomers.extend((0..16).map(|_| TcpStream::connect(address).unwrap()));
+    thread::sleep(900 * MS);
+    drop(newcomers);
+    visitors.end();
+    stage.keeps_the_rules(72);
+}
+
+#[test]
+fn errors_of_socket_and_connect_are_held_against_no_node_and_lose_no_request() {
+    // Connections are closed as soon as they are idle, so that each clump of requests dials.
+    let short = |base: &mut Value| base["settings"]["policyLimits"]["connIdle"] = 20_000.into();
+    let mut stage = stage(short, 0, 66);
+    let visitors = Visitors::begin(&stage, 8, 2, 290 * MS);
+    stage.served("the first answers", 30);
+    let of_socket = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+    let of_connect = [
+        libc::EADDRNOTAVAIL,
+        libc::ENETUNREACH,
+        libc::ENETDOWN,
+        libc::EINTR,
+        libc::ENOBUFS,
+        libc::ENOMEM,
+        libc::EAGAIN,
+    ];
+    let calls = of_socket.map(|errno| (Call::Socket, errno)).into_iter();
+    for (call, errno) in calls.chain(of_connect.map(|errno| (Call::Connect, errno))) {
+        under(&stage, &SocketFaults::all(&[call], errno).every(2), 300 * MS);
+        if errno != libc::EINTR {
+            under(&stage, &SocketFaults::all(&[call], errno).burst(150 * MS, 500 * MS), 1_000 * MS);
+        }
+    }
+    visitors.end();
+    let log = stage.fleet.log(0);
+    assert!(!log.contains("DOWN"), "{log}");
+    all_is_well(&mut stage, 66);
+}
+
+#[test]
+fn a_start_outlasts_a_shortage_that_passes() {
+    let mut stage = stage(|_| {}, 0, 67);
+    for errno in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINTR] {
+        stage.kill(&[0]);
+        let before = stage.fleet.machines[0].socket_faults();
+        stage.fleet.machines[0].sockets(Some(&SocketFaults::all(&[Call::Socket], errno)));
+        stage.fleet.restart([0]);
+        let guard = Instant::now() + cranesill_rig::GUARD;
+        while stage.fleet.machines[0].socket_faults() < before + 5 {
+            let dead = stage.fleet.dead();
+            assert!(dead.is_empty() && Instant::now() < guard, "{errno}: {dead:?}");
+            thread::yield_now();
+        }
+        stage.fleet.machines[0].sockets(None);
+        stage.fleet.address(0);
+    }
+    let visitors = Visitors::begin(&stage, 2, 2, 5 * MS);
+    stage.served("answers after all", 20);
+    visitors.end();
+    all_is_well(&mut stage, 67);
+}
+
+#[test]
+fn a_start_gives_up_a_shortage_that_lasts_with_one_line() {
+    let mut stage = stage(|_| {}, 0, 68);
+    stage.kill(&[0]);
+    let lines = stage.fleet.log(0).lines().count();
+    stage.fleet.machines[0].sockets(Some(&SocketFaults::all(&[Call::Socket], libc::ENOBUFS)));
+    let began = Instant::now();
+    stage.fleet.restart([0]);
+    while stage.fleet.dead().is_empty() {
+        assert!(began.elapsed() < cranesill_rig::GUARD, "it does not end");
+        thread::sleep(10 * MS);
+    }
+    assert!(began.elapsed() >= 4_900 * MS, "{:?}", began.elapsed());
+    let log = stage.fleet.log(0);
+    let told: Vec<_> = log.lines().skip(lines).collect();
+    assert!(matches!(told[..], [line] if line.starts_with("cranesill: 127.0.0.1:0: ")), "{told:?}");
+}
+
+#[test]
+fn a_start_on_a_wrong_address_ends_at_once() {
+    let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
+    base["listen"] = "192.0.2.1:1".into();
+    let mut file = tempfile::NamedTempFile::new().unwrap();
+    file.write_all(base.to_string().as_bytes()).unwrap();
+    let began = Instant::now();
+    let mut front = std::process::Command::new(env!("CARGO_BIN_EXE_cranesill"));
+    let ended = front.arg("serve").arg(file.path()).output().unwrap();
+    assert!(!ended.status.success() && began.elapsed() < 4_000 * MS, "{:?}", began.elapsed());
+    let told = String::from_utf8_lossy(&ended.stderr);
+    assert!(told.lines().count() == 1 && told.contains("192.0.2.1:1"), "{told}");
+}
+
+#[test]
+fn reads_and_writes_of_any_length_and_interrupted_ones_change_nothing() {
+    let mut stage = stage(|_| {}, 0, 69);
+    stage.asks.at_once = 2;
+    let stay = stage.clients(69);
+    let visitors = Visitors::begin(&stage, 3, 3, 5 * MS);
+    stage.served("the first answers", 30);
+    for bytes in (1..=40).chain([63, 64, 65, 127, 255, 256, 1_000]) {
+        under(&stage, &SocketFaults::short(bytes), 20 * MS);
+    }
+    let all = [Call::ReadDialled, Call::WriteDialled, Call::ReadAccepted, Call::WriteAccepted];
+    for errno in [libc::EINTR, libc::EAGAIN] {
+        for (every, bytes) in [(2, 0), (3, 7), (5, 1)] {
+            let faults = SocketFaults::all(&all, errno).every(every);
+            under(&stage, &SocketFaults { read_most: bytes, write_most: bytes, ..faults }, 100 * MS);
+        }
+    }
+    // Waits are interrupted by signals.
+    for _ in 0..20 {
+        stage.fleet.signal([0], libc::SIGHUP);
+        stage.served("answers between signals", 2);
+    }
+    visitors.end();
+    stay.end();
+    all_is_well(&mut stage, 69);
+}
+
+const BROKEN: [i32; 5] =
+    [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE, libc::ENETUNREACH];
+
+#[test]
+fn connections_to_nodes_that_break_by_any_error_lose_no_request_and_run_none_twice() {
+    let mut stage = stage(|_| {}, 0, 70);
+    stage.asks.at_once = 6;
+    let stay = stage.clients(70);
+    let visitors = Visitors::begin(&stage, 3, 3, 5 * MS);
+    stage.served("the first answers", 30);
+    for errno in BROKEN {
+        for call in [Call::ReadDialled, Call::WriteDialled] {
+            under(&stage, &SocketFaults::all(&[call], errno).every(40), 200 * MS);
+            stage.served("answers once calls are well", 20);
+        }
+    }
+    visitors.end();
+    stay.end();
+    stage.keeps_the_rules(70);
+}
+
+#[test]
+fn connections_of_clients_that_break_by_any_error_harm_nobody_else() {
+    let mut stage = stage(|_| {}, 0, 71);
+    stage.asks.at_once = 6;
+    (0..3).for_each(|place| stage.nodes.set(place, Mood::Answers(5 * MS)));
+    let stay = stage.clients(71);
+    stage.served("the first answers", 30);
+    for errno in BROKEN {
+        for call in [Call::ReadAccepted, Call::WriteAccepted] {
+            under(&stage, &SocketFaults::all(&[call], errno).every(25), 200 * MS);
+            stage.served("answers once calls are well", 20);
+        }
+    }
+    stay.end();
+    // Whose connection has broken hears no answer; all else holds.
+    let broken: Vec<_> = stage.breaches().into_iter().filter(|breach| breach.rule != "answer").collect();
+    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(stage.fleet.dead().is_empty(), "{}", stage.fleet.log(0));
+}
