--- a/front/src/program/clients.rs
+++ b/front/src/program/clients.rs
@@ -162,8 +162,8 @@
 
     fn begin(&mut self, now: Time, stream: Stream<()>, key: usize, waited: Span) {
         let (open, owes) = (HashSet::new(), Some(now));
-        let life = if self.parting { Life::Closing } else { Life::Open };
-        let client = Client { stream, open, life, moved: now, owes, rests: 0, told: None, waited };
+        let client =
+            Client { stream, open, life: Life::Open, moved: now, owes, rests: 0, told: None, waited };
         self.all.insert(key, client);
         if self.draining {
             self.say_no_more(now, key);
@@ -232,6 +232,10 @@
             client.hear(now, key, self.ready && !self.draining, &mut heard);
             // What comes later was not there when the connection was accepted.
             client.waited = 0;
+            if self.parting && !client.open.is_empty() {
+                // It came while the program ends: what it has asked is answered, and nothing more is taken in.
+                client.close();
+            }
             self.flush(now, key);
         }
         // Who came and left in one turn asks for nothing: it would be sent on for nobody.
--- a/front/src/program/clients/tests.rs
+++ b/front/src/program/clients/tests.rs
@@ -156,3 +156,20 @@
     (&client).write_all(&READY).unwrap();
     assert!(!stage.told(20_000), "it has to take some first");
 }
+
+#[test]
+fn who_comes_while_the_program_ends_is_answered_before_the_connection_is_shut() {
+    let mut stage = Stage::new();
+    stage.2.part(0);
+    let mut client = stage.client(1, 1);
+    let class = b"\x00\x00\x00\x2d\x0a\x00\x00\x00\x01\x03\x04verb\x00\x01x\x03txn\x00\x109b1f03aa5c7e2d41\x05limit\x00\x011";
+    let heard = stage.tell(2, &client, 1, class);
+    let [ClientEvent::Ask(from, _)] = heard[..] else { panic!("{heard:?}") };
+    stage.2.answer(3, from, Answer::Failed);
+    client.set_read_timeout(Some(std::time::Duration::from_secs(5))).unwrap();
+    let mut said = Vec::new();
+    std::io::Read::read_to_end(&mut client, &mut said).unwrap();
+    assert_eq!(said[4], 11, "an answer and then the end: {said:?}");
+    // What comes after that is nobody's any more.
+    assert!(stage.tell(4, &client, 1, class).is_empty());
+}
