--- a/front/src/program/members.rs
+++ b/front/src/program/members.rs
@@ -1,7 +1,9 @@
 //! Connections to members.
+mod redial;
+use self::redial::Redials;
 use crate::protocol::member;
 use crate::routing::{AttemptId, End, Fetch, Txn};
-use crate::transport::{dial, Reactor, Stream};
+use crate::transport::{dial, is_local, Reactor, Stream};
 use cranesill::api::{Entry, Listed, MemberId, Span, Time};
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -12,6 +14,9 @@
 /// Share of the members' idle time after which a connection is closed here: a request must not cross their
 /// close.
 const IDLE_SHARE: f64 = 0.5;
+/// Share of the connections that first ones to cache nodes may take up; the rest is for parents, the origin, and second
+/// ones to nodes that are busy.
+const CACHES_SHARE: f64 = 0.75;
 /// For how long, or up to twice that, a connection remembers an id that it carried: answers to it may still come.
 const CARRIED: Span = 10_000_000;
 /// Bytes that one read takes at most, and reads of one connection in one turn: a node that sends without end keeps neither
@@ -42,6 +47,15 @@
     written: bool,
     /// It is not begun to be written later than this.
     by: Time,
+    /// What is asked, until it is written: the time that is left is told as of the moment of writing.
+    fetch: Option<Box<Fetch>>,
+}
+
+impl Sent {
+    /// All of it is written: what was asked need not be kept.
+    fn set_written(&mut self) {
+        (self.written, self.fetch) = (true, None);
+    }
 }
 
 #[derive(Debug)]
@@ -120,6 +134,8 @@
     /// Where each listens, and when it started.
     listed: HashMap<MemberId, (SocketAddr, Time)>,
     at: HashMap<AttemptId, (usize, Txn)>,
+    /// Attempts for which this machine could not begin a connection.
+    redials: Redials,
     links_most: usize,
     streams: usize,
     idle: Span,
@@ -142,6 +158,7 @@
             of: HashMap::new(),
             listed: HashMap::new(),
             at: HashMap::new(),
+            redials: Redials::default(),
             links_most,
             streams,
             written: 0,
@@ -159,6 +176,11 @@
         self.idle = idle.unwrap_or(self.idle);
     }
 
+    /// How many cache nodes can be reached at once, each by a connection, and how long one stays open that carries nothing.
+    pub fn reach(&self) -> (usize, Span) {
+        ((self.links_most as f64 * CACHES_SHARE) as usize, self.idle)
+    }
+
     /// Whether this is a connection to a member.
     pub fn has(&self, key: usize) -> bool {
         self.links.contains_key(&key)
@@ -188,6 +210,19 @@
         }
     }
 
+    /// Makes room for one more connection, if there is none: the one that has carried nothing for longest is closed. Guards
+    /// against requests that find no connection while others lie idle. Whether there is room.
+    fn make_room(&mut self) -> bool {
+        if self.links.len() < self.links_most {
+            return true;
+        }
+        let idle = self.links.iter().filter(|(_, link)| link.up && link.open.is_empty());
+        let longest =
+            idle.min_by_key(|(key, link)| (!link.retired, link.idle_since, **key)).map(|(key, _)| *key);
+        longest.into_iter().for_each(|key| self.fail(key, "idle", &mut Vec::new()));
+        self.links.len() < self.links_most
+    }
+
     /// Takes over where a member listens. Connections to an earlier process of it get nothing new.
     pub fn list(&mut self, entry: &Entry, address: SocketAddr) {
         let now = Some((address, entry.started));
@@ -204,7 +239,7 @@
     }
 
     /// The whole list is about to come: what it lacks is gone.
-    pub fn keep_only(&mut self, listed: &[MemberId]) {
+    pub fn keep_only(&mut self, listed: &HashSet<MemberId>) {
         self.listed.retain(|member, _| listed.contains(member));
         self.links.values_mut().filter(|l| !listed.contains(&l.member)).for_each(|l| l.retired = true);
     }
@@ -276,18 +311,26 @@
         let calm = chosen.as_ref().is_some_and(|key| carries(key) < STREAMS_CALM);
         let keys = self.of.entry(to).or_default();
         let most = (self.links_most / self.listed.len().max(1)).max(2);
-        let (mut begun, mut end) = (None, End::Unplaced);
         // Those to an earlier process may stay silent for long and must not keep a new one from being reached.
         let live = keys.iter().filter(|key| self.links.get(key).is_some_and(|l| !l.retired)).count();
         let address = self.listed.get(&to).map(|l| l.0).filter(|_| !calm && live < most);
-        if let Some(address) = address.filter(|_| self.links.len() < self.links_most) {
+        // One that would only be the second to a node closes none to another.
+        let room = self.links.len() < self.links_most;
+        let room = room || address.is_some() && chosen.is_none() && self.make_room();
+        let (mut begun, mut end) = (None, End::Unplaced);
+        if let Some(address) = address.filter(|_| room) {
             match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
                 Ok(stream) => {
+                    self.redials.dialled(to);
                     self.links.insert(key, Link::new(now, to, stream));
-                    keys.push(key);
+                    self.of.entry(to).or_default().push(key);
                     (chosen, begun) = (Some(key), Some(key));
                 }
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => end = End::Unsent { along: false },
+                Err(e) if is_local(&e) && chosen.is_none() && self.redials.may_wait(now, to) => {
+                    self.redials.wait(now, (attempt, to, by), fetch);
+                    return None;
+                }
                 Err(_) => {}
             }
         }
@@ -298,16 +341,41 @@
         };
         link.carried.add(now, fetch.txn);
         let source = fetch.fill.and_then(|fill| fill.source);
-        link.open
-            .insert(fetch.txn, Sent { attempt, since: now, write: fetch.write, source, written: false, by });
+        let sent = Sent { attempt, since: now, write: fetch.write, source, written: false, by, fetch: None };
+        link.open.insert(fetch.txn, sent);
         link.stream.push(member::fetch(fetch, now));
         self.at.insert(attempt, (key, fetch.txn));
         self.flush(now, key, ends);
+        let sent = self.links.get_mut(&key).and_then(|link| link.open.get_mut(&fetch.txn));
+        if let Some(sent) = sent.filter(|sent| !sent.written) {
+            sent.fetch = Some(Box::new(fetch.clone()));
+        }
         begun
     }
 
+    /// When attempts that wait for a connection to be begun are due to try again.
+    pub fn redial_due(&self) -> Option<Time> {
+        self.redials.due()
+    }
+
+    /// Attempts that are to be sent again now, to the node and by the moment that they had before.
+    pub fn take_redials(&mut self, now: Time) -> Vec<((AttemptId, MemberId, Time), Fetch)> {
+        self.redials.take(now)
+    }
+
+    /// What was not begun to be written tells how much time is left now, not when it was put there.
+    fn tell_time_left(&mut self, now: Time, key: usize) {
+        let Some(link) = self.links.get_mut(&key) else { return };
+        let open = &link.open;
+        link.stream.rewrite(|tag| {
+            let fetch = open.get(tag.as_ref()?)?.fetch.as_ref()?;
+            Some(member::fetch(fetch, now).head)
+        });
+    }
+
     /// Gives an attempt up at its member.
     pub fn abort(&mut self, now: Time, attempt: AttemptId, ends: &mut Ends) {
+        self.redials.remove(attempt);
         let Some((key, txn)) = self.at.remove(&attempt) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
         let sent = link.open.remove(&txn);
@@ -332,6 +400,9 @@
     /// An attempt that is not begun to be written yet will not be: what was decided a while ago may be
     /// against what is known since.
     pub fn withdraw(&mut self, attempt: AttemptId, ends: &mut Ends) {
+        if self.redials.remove(attempt) {
+            return ends.push((attempt, End::Unplaced));
+        }
         self.take_back(attempt, End::Unsent { along: false }, ends);
     }
 
@@ -355,6 +426,7 @@
             open.filter(|(link, sent)| meant(link, sent)).map(|(_, sent)| sent.attempt).collect();
         meant.sort_unstable();
         meant.into_iter().for_each(|attempt| self.take_back(attempt, End::Unplaced, ends));
+        ends.extend(self.redials.leave_out(out).into_iter().map(|attempt| (attempt, End::Unplaced)));
     }
 
     fn take_back(&mut self, attempt: AttemptId, end: End, ends: &mut Ends) {
@@ -388,6 +460,7 @@
             link.heard = now;
             self.too_late(now, key, ends);
         }
+        self.tell_time_left(now, key);
         self.flush(now, key, ends);
         if let Some(e) = readable.then(|| self.read(now, key, ends).err()).flatten() {
             self.fail(key, &e.to_string(), ends);
@@ -447,7 +520,7 @@
         let (open, count) = (&mut link.open, &mut self.written);
         let done = |tag: Option<Txn>| {
             *count += u64::from(tag.is_some());
-            tag.and_then(|txn| open.get_mut(&txn)).into_iter().for_each(|sent| sent.written = true);
+            tag.and_then(|txn| open.get_mut(&txn)).into_iter().for_each(Sent::set_written);
         };
         let flushed = link.stream.flush(done).and_then(|()| link.stream.rewatch(!self.paused));
         link.stream.count(&mut self.held);
