--- a/benchlink/src/tests.rs
+++ b/benchlink/src/tests.rs
@@ -42,31 +42,31 @@
     assert_eq!((request.group, request.size_kb, request.left, request.part), (11, 640.0, 240_000, 3));
     assert_eq!(request.id, RequestId(0x000f_da3a_5d3a_91c4));
     assert!(matches!(next(), Event::Timer(77)));
-    assert!(matches!(next(), Event::Gone(RequestId(0x000a_58e6_0e6f_2b19))));
+    assert!(matches!(next(), Event::Cancelled(RequestId(0x000a_58e6_0e6f_2b19))));
     assert!(matches!(next(), Event::Purged(Some(_), 11, 85_000)));
     let Event::Outcome(outcome) = next() else { panic!() };
-    assert_eq!((outcome.status, outcome.note, outcome.closed), (Status::Ok, Note::Filled, true));
+    assert_eq!((outcome.status, outcome.note, outcome.closed), (Status::Ok, FillNote::Filled, true));
     assert_eq!((outcome.waited, outcome.latency), (9400, 18500));
-    let Event::Members(ListKind::Full, entries) = next() else { panic!() };
+    let Event::Endpoints(ListKind::Full, entries) = next() else { panic!() };
     assert_eq!((entries[1].weight, entries[1].zone, entries[1].started), (1.5, 1, 6_100_000));
-    assert_eq!(entries[0].state, Listed::Ready);
+    assert_eq!(entries[0].state, EndpointState::Ready);
     reader.finish().unwrap();
 }
 
 #[test]
 fn the_actions_of_the_wire_page_are_encoded() {
-    let (request, target) = (RequestId(0x000f_da3a_5d3a_91c4), MemberId(0x232b_074a_120a));
+    let (request, target) = (RequestId(0x000f_da3a_5d3a_91c4), EndpointId(0x232b_074a_120a));
     let mut out = Vec::new();
     let fill = Fill {
-        source: MemberId(0x2354_f211_900a),
+        source: EndpointId(0x2354_f211_900a),
         oldest: 1_500_000,
         rank: 2,
         join: true,
         only_held: false,
         renew: true,
     };
-    wire::encode(3, &Action::Attempt { request, target, timeout: 80_000, fill: None }, &mut out);
-    wire::encode(3, &Action::Attempt { request, target, timeout: 900_000, fill: Some(fill) }, &mut out);
+    wire::encode(3, &Action::Send { request, target, timeout: 80_000, fill: None }, &mut out);
+    wire::encode(3, &Action::Send { request, target, timeout: 900_000, fill: Some(fill) }, &mut out);
     wire::encode(3, &Action::Timer(500_000, 77), &mut out);
     wire::encode(5, &Action::Log("two servers known".to_string()), &mut out);
     let expected = "0200 03000000 c4913a5d3ada0f00 0a124a07 2b23 80380100
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -84,10 +84,10 @@
     }
 
     /// The address and the port as one number, in the order of the bytes.
-    fn member(&mut self) -> Result<MemberId, String> {
+    fn member(&mut self) -> Result<EndpointId, String> {
         let mut wide = [0u8; 8];
         wide[..6].copy_from_slice(self.bytes(6)?);
-        Ok(MemberId(u64::from_le_bytes(wide)))
+        Ok(EndpointId(u64::from_le_bytes(wide)))
     }
 
     /// The values of a load report.
@@ -108,7 +108,7 @@
         let code = self.u16()?;
         let who = self.u32()?;
         let event = match code {
-            1 => Event::Gone(RequestId(self.u64()?)),
+            1 => Event::Cancelled(RequestId(self.u64()?)),
             2 => {
                 let (request, attempt) = (RequestId(self.u64()?), self.u16()?);
                 self.bytes(6 + 4)?;
@@ -178,23 +178,23 @@
                     3 => ListKind::Failed,
                     other => return Err(format!("unknown list mode {other}")),
                 };
-                Event::Members(kind, entries)
+                Event::Endpoints(kind, entries)
             }
             other => return Err(format!("unknown record code {other}")),
         };
         Ok((who, Record::Event(event)))
     }
 
-    fn entry(&mut self) -> Result<Entry, String> {
+    fn entry(&mut self) -> Result<EndpointEntry, String> {
         let (kind, weight, cell) = (self.u8()?, f64::from(self.f32()?), self.u16()?);
         let (member, started, zone) = (self.member()?, self.u64()?, self.u16()?);
         let state = match self.u8()? {
-            0 => Listed::Draining,
-            1 => Listed::Ready,
-            2 => Listed::Gone,
+            0 => EndpointState::Draining,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Removed,
             other => return Err(format!("unknown list state {other}")),
         };
-        Ok(Entry { member, kind, zone, cell, weight, started, state })
+        Ok(EndpointEntry { member, kind, zone, cell, weight, started, state })
     }
 }
 
@@ -202,33 +202,33 @@
     const ALL: [Status; 9] = [
         Status::Ok,
         Status::Error,
-        Status::Full,
+        Status::Rejected,
         Status::Timeout,
         Status::ConnectFailed,
         Status::Reset,
         Status::Cancelled,
-        Status::Moot,
+        Status::NotSent,
         Status::Miss,
     ];
     ALL.get(usize::from(code)).copied().ok_or_else(|| format!("unknown outcome {code}"))
 }
 
 /// Notes that are not known tell nothing.
-fn note_of(code: u32) -> Note {
-    const ALL: [Note; 11] = [
-        Note::None,
-        Note::Hit,
-        Note::Filled,
-        Note::FilledByOrigin,
-        Note::Joined,
-        Note::Stale,
-        Note::SourceRefused,
-        Note::SourceLost,
-        Note::SourceLacks,
-        Note::NoPlace,
-        Note::OriginFailed,
+fn note_of(code: u32) -> FillNote {
+    const ALL: [FillNote; 11] = [
+        FillNote::None,
+        FillNote::Hit,
+        FillNote::Filled,
+        FillNote::FilledByOrigin,
+        FillNote::Coalesced,
+        FillNote::Stale,
+        FillNote::SourceRejected,
+        FillNote::SourceLost,
+        FillNote::SourceMiss,
+        FillNote::NoFillSlot,
+        FillNote::OriginFailed,
     ];
-    ALL.get(code as usize).copied().unwrap_or(Note::None)
+    ALL.get(code as usize).copied().unwrap_or(FillNote::None)
 }
 
 fn put(code: u16, who: u32, out: &mut Vec<u8>) {
@@ -236,12 +236,12 @@
     out.extend(who.to_le_bytes());
 }
 
-fn member(id: MemberId) -> [u8; 6] {
+fn member(id: EndpointId) -> [u8; 6] {
     let wide = id.0.to_le_bytes();
     [wide[0], wide[1], wide[2], wide[3], wide[4], wide[5]]
 }
 
-fn short(span: Span) -> [u8; 4] {
+fn short(span: Micros) -> [u8; 4] {
     u32::try_from(span).unwrap_or(u32::MAX).to_le_bytes()
 }
 
@@ -254,13 +254,13 @@
 /// Appends the record of one action.
 pub fn encode(who: u32, action: &Action, out: &mut Vec<u8>) {
     match action {
-        Action::Attempt { request, target, timeout, fill: None } => {
+        Action::Send { request, target, timeout, fill: None } => {
             put(2, who, out);
             out.extend(request.0.to_le_bytes());
             out.extend(member(*target));
             out.extend(attempt_timeout(*timeout));
         }
-        Action::Attempt { request, target, timeout, fill: Some(fill) } => {
+        Action::Send { request, target, timeout, fill: Some(fill) } => {
             put(4, who, out);
             out.extend(request.0.to_le_bytes());
             out.extend(attempt_timeout(*timeout));
@@ -276,7 +276,7 @@
             out.extend(request.0.to_le_bytes());
             out.extend(attempt.to_le_bytes());
         }
-        Action::Refuse(request, wait) => {
+        Action::Reject(request, wait) => {
             put(3, who, out);
             out.extend(request.0.to_le_bytes());
             out.extend(short(*wait));
@@ -302,7 +302,7 @@
 }
 
 /// Time-outs are read as signed by the wire: what does not fit means "until the client gives up".
-fn attempt_timeout(span: Span) -> [u8; 4] {
+fn attempt_timeout(span: Micros) -> [u8; 4] {
     i32::try_from(span).unwrap_or(0).to_le_bytes()
 }
 
--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -12,7 +12,7 @@
 use crate::unsaved::{Ended, Unsaved, Waiting};
 use crate::url::Url;
 use crate::wire::{self, Directory, Problem};
-use crate::{tame, Moment, Span, Time, SECOND};
+use crate::{tame, Micros, Moment, Timestamp, SECOND};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,20 +23,20 @@
 /// A request that is refused for its nonce goes out again this often (RFC 8555, section 6.5).
 const NONCE_TRIES: u8 = 5;
 /// A directory is asked for anew after this long.
-const DIRECTORY_AGE: Span = 24 * 3_600 * SECOND;
+const DIRECTORY_AGE: Micros = 24 * 3_600 * SECOND;
 /// Pauses between two looks at renewal information (RFC 9773, section 4.3): without, and with a word of the
 /// authority.
-const INFO_EACH: Span = 6 * 3_600 * SECOND;
-const INFO_LEAST: Span = 60 * SECOND;
-const INFO_MOST: Span = 24 * 3_600 * SECOND;
+const INFO_EACH: Micros = 6 * 3_600 * SECOND;
+const INFO_LEAST: Micros = 60 * SECOND;
+const INFO_MOST: Micros = 24 * 3_600 * SECOND;
 /// What an operator may have under way at once.
 const ASKED_MOST: usize = 8;
 /// The clock of this machine and the authority's may differ by this many seconds before somebody is told.
 const SKEW_MOST: u64 = 300;
 /// The longest pause until the next look at the wall clock, which may jump.
-const LOOK_EACH: Span = 30 * SECOND;
+const LOOK_EACH: Micros = 30 * SECOND;
 /// The shortest.
-const LOOK_LEAST: Span = 50_000;
+const LOOK_LEAST: Micros = 50_000;
 
 /// HTTP methods that ACME needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -284,7 +284,7 @@
     post: Option<Post>,
     /// The request out is for a nonce.
     nonce: bool,
-    wake: Option<Time>,
+    wake: Option<Timestamp>,
     shown: Vec<Challenge>,
 }
 
@@ -294,13 +294,13 @@
     planner: Planner,
     tasks: BTreeMap<u64, Task>,
     last: u64,
-    directory: Option<(Directory, Time)>,
+    directory: Option<(Directory, Timestamp)>,
     account: Option<Account>,
     key: Option<Arc<AccountKey>>,
     nonces: Vec<String>,
     pending: BTreeMap<String, Pending>,
     served: BTreeMap<String, Vec<Identity>>,
-    info: BTreeSet<(Time, String)>,
+    info: BTreeSet<(Timestamp, String)>,
     /// By how many seconds the authority's clock is ahead, as told last.
     skew: Option<i64>,
     started: bool,
@@ -378,7 +378,7 @@
     }
 
     /// The next moment at which [`Event::Tick`] is due.
-    pub fn next(&self, moment: Moment) -> Time {
+    pub fn next(&self, moment: Moment) -> Timestamp {
         let tasks = self.tasks.values().filter_map(|t| t.wake).min();
         let setup = self.tasks.values().any(|t| matches!(t.kind, Kind::Setup(_)));
         let planned = self.planner.wake(moment).filter(|_| self.settings.is_some() && !setup);
@@ -1109,7 +1109,7 @@
     }
 
     /// Writes what could not be kept again where that is due.
-    fn save_again(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn save_again(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let (pending, last) = (&self.pending, &mut self.last);
         // A certificate ends the order of its name on disk: not one that was begun since.
         let holds = |what: &Keep| matches!(what, Keep::Identity(id, _) if pending.contains_key(id));
--- a/certs/src/lib.rs
+++ b/certs/src/lib.rs
@@ -30,20 +30,20 @@
 pub use jose::AccountKey;
 
 /// A moment on a clock that never goes back, in microseconds.
-pub type Time = u64;
+pub type Timestamp = u64;
 /// A span, in microseconds.
-pub type Span = u64;
+pub type Micros = u64;
 /// Seconds since the Unix epoch on the wall clock, which may jump.
 pub type Wall = u64;
 
 /// A second.
-pub const SECOND: Span = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 
 /// Now, on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Moment {
     /// On the monotonic clock, in microseconds.
-    pub now: Time,
+    pub now: Timestamp,
     /// On the wall clock, in seconds.
     pub wall: Wall,
 }
--- a/certs/src/order.rs
+++ b/certs/src/order.rs
@@ -6,16 +6,16 @@
 use crate::identity::Identity;
 use crate::retry::Cause;
 use crate::wire::{self, Problem, Status};
-use crate::{tame, Moment, Span, Time, SECOND};
+use crate::{tame, Micros, Moment, Timestamp, SECOND};
 use serde_json::json;
 
 /// An order that is not done after this long is left and looked at again later.
-pub const ORDER_MOST: Span = 10 * 60 * SECOND;
+pub const ORDER_MOST: Micros = 10 * 60 * SECOND;
 /// The same for one that is taken up again: it was waited for before.
-const AGAIN_MOST: Span = 2 * 60 * SECOND;
+const AGAIN_MOST: Micros = 2 * 60 * SECOND;
 /// Pauses between two looks at something that is under way.
-const LOOK_FIRST: Span = SECOND;
-const LOOK_MOST: Span = 30 * SECOND;
+const LOOK_FIRST: Micros = SECOND;
+const LOOK_MOST: Micros = 30 * SECOND;
 /// An order from before a restart that is older than this is not taken up.
 pub const RESUME_MOST: u64 = 24 * 3_600;
 /// Letters of an error that reach the log.
@@ -69,7 +69,7 @@
     /// Kept before anything else is done.
     Keep(Pending),
     /// Nothing until then.
-    Sleep(Time),
+    Sleep(Timestamp),
     /// The certificate.
     Done(Box<Identity>),
     /// It failed.
@@ -84,7 +84,7 @@
     /// Names that were refused.
     pub refused: Vec<String>,
     /// When the authority wants to be asked again, in microseconds from now.
-    pub told: Option<Span>,
+    pub told: Option<Micros>,
     /// One line.
     pub text: String,
     /// The order is still there and is taken up next time.
@@ -128,7 +128,7 @@
     key: Option<String>,
     csr: Vec<u8>,
     url: String,
-    deadline: Time,
+    deadline: Timestamp,
     step: Step,
     auths: Vec<Auth>,
     at: usize,
--- a/certs/src/planner.rs
+++ b/certs/src/planner.rs
@@ -5,7 +5,7 @@
 use crate::renewal::{due, Held, Rule, Turns};
 use crate::retry::{wait, Cause};
 use crate::wire::Window;
-use crate::{Moment, Span, Time, Wall, SECOND};
+use crate::{Micros, Moment, Timestamp, Wall, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -17,8 +17,8 @@
 /// No wait is longer, in seconds: a moment further ahead was set by a clock that has gone back since.
 const WAIT_MOST: u64 = 8 * 24 * 3_600;
 /// Pause between two warnings of certificates that will expire, and of those that have.
-const WARN_EACH: Span = 3_600 * SECOND;
-const ERROR_EACH: Span = 60 * SECOND;
+const WARN_EACH: Micros = 3_600 * SECOND;
+const ERROR_EACH: Micros = 60 * SECOND;
 /// Names told in one notice.
 const TOLD_MOST: usize = 5;
 /// Names that are remembered as refused.
@@ -34,7 +34,7 @@
     /// Orders begun within `window` at most.
     pub orders_most: usize,
     /// The window, in microseconds.
-    pub window: Span,
+    pub window: Micros,
     /// Orders under way at once.
     pub at_once: usize,
 }
@@ -92,7 +92,7 @@
     /// Not due: in `later`, by the second.
     Later(Wall),
     /// Due, and waits for its turn or after a failure: in `held_back`.
-    HeldBack(Time),
+    HeldBack(Timestamp),
     /// May be ordered: in `ready`, by when the old one ends.
     Ready(Wall),
     /// An order is under way.
@@ -110,7 +110,7 @@
     /// Why it failed last.
     why: Option<(Cause, String)>,
     /// Not before this moment.
-    hold: Time,
+    hold: Timestamp,
     /// Renewed whatever its dates say.
     forced: bool,
     /// How often in a row it was renewed right after it was issued because the authority said so, and the second
@@ -150,19 +150,19 @@
     turns: Box<dyn Turns + Send>,
     entries: BTreeMap<String, Entry>,
     later: BTreeSet<(Wall, String)>,
-    held_back: BTreeSet<(Time, String)>,
+    held_back: BTreeSet<(Timestamp, String)>,
     ready: BTreeSet<(Wall, String)>,
     busy: usize,
     refused: BTreeMap<String, Refusal>,
     /// Orders begun within the window, on both clocks.
-    begun: VecDeque<(Time, Wall)>,
+    begun: VecDeque<(Timestamp, Wall)>,
     /// Nothing is ordered before this moment: the authority is away.
-    away_until: Time,
+    away_until: Timestamp,
     away_failures: u32,
     /// Certificates that were rate limited since the last success.
     limited: BTreeSet<String>,
-    warn_at: Time,
-    error_at: Time,
+    warn_at: Timestamp,
+    error_at: Timestamp,
 }
 
 impl std::fmt::Debug for Planner {
@@ -405,7 +405,7 @@
     }
 
     /// The authority is away as a whole, or won't talk to this account.
-    pub fn away(&mut self, moment: Moment, cause: Cause, told: Option<Span>) {
+    pub fn away(&mut self, moment: Moment, cause: Cause, told: Option<Micros>) {
         self.away_failures += 1;
         self.away_until = moment.now + wait(cause, self.away_failures, told, "authority");
     }
@@ -422,12 +422,12 @@
     }
 
     /// Until when the authority is left alone; 0: it is not.
-    pub fn away_until(&self) -> Time {
+    pub fn away_until(&self) -> Timestamp {
         self.away_until
     }
 
     /// The next moment at which something may have changed, by the clocks as they are.
-    pub fn wake(&self, moment: Moment) -> Option<Time> {
+    pub fn wake(&self, moment: Moment) -> Option<Timestamp> {
         let later = self.later.first().filter(|(at, _)| *at < u64::MAX);
         let later = later.map(|(at, _)| moment.now + at.saturating_sub(moment.wall).min(1 << 32) * SECOND);
         let held = self.held_back.first().map(|(at, _)| *at);
--- a/certs/src/renewal.rs
+++ b/certs/src/renewal.rs
@@ -1,11 +1,11 @@
 //! When a certificate is due, and which front's turn it is.
 use crate::wire::Window;
-use crate::{hash, share, Span, Wall, SECOND};
+use crate::{hash, share, Micros, Wall, SECOND};
 
 /// Share of a lifetime, in percent, that is never waited past, whatever window the authority names.
 const LATEST_PERCENT: u64 = 95;
 /// A front that has nothing to serve waits this long for each that stands before it.
-const FIRST_TURN: Span = 30 * SECOND;
+const FIRST_TURN: Micros = 30 * SECOND;
 
 /// What is known of a certificate that is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 pub trait Turns {
     /// How long this front waits once a certificate is due. `left`: seconds from then until it ends; 0: there is
     /// none, or it has ended.
-    fn delay(&self, id: &str, left: u64) -> Span;
+    fn delay(&self, id: &str, left: u64) -> Micros;
 }
 
 /// Turns by rank, without any talk: each front has a rank for each certificate by hash, and waits a span for each
@@ -63,7 +63,7 @@
     /// All of them.
     pub fronts: Vec<String>,
     /// How long one waits for the one before it.
-    pub takeover: Span,
+    pub takeover: Micros,
 }
 
 impl Ranked {
@@ -76,7 +76,7 @@
 }
 
 impl Turns for Ranked {
-    fn delay(&self, id: &str, left: u64) -> Span {
+    fn delay(&self, id: &str, left: u64) -> Micros {
         let each = match left {
             0 => self.takeover.min(FIRST_TURN),
             // All turns are over at half of what is left.
--- a/certs/src/retry.rs
+++ b/certs/src/retry.rs
@@ -1,8 +1,8 @@
 //! How long to wait after a failure: by its cause, and by how often it came before.
-use crate::{share, Span, SECOND};
+use crate::{share, Micros, SECOND};
 
-const MINUTE: Span = 60 * SECOND;
-const HOUR: Span = 60 * MINUTE;
+const MINUTE: Micros = 60 * SECOND;
+const HOUR: Micros = 60 * MINUTE;
 
 /// Why something did not come about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,7 +44,7 @@
 
     /// The first wait and the longest. A name that is refused stays so until somebody mends it; an authority that
     /// is away is back of itself.
-    fn bounds(self) -> (Span, Span) {
+    fn bounds(self) -> (Micros, Micros) {
         match self {
             Cause::Unreachable => (10 * SECOND, 30 * MINUTE),
             Cause::Broken => (2 * MINUTE, 6 * HOUR),
@@ -58,12 +58,12 @@
 }
 
 /// A time to come back that the authority named is heeded up to this.
-pub const TOLD_MOST: Span = 7 * 24 * HOUR;
+pub const TOLD_MOST: Micros = 7 * 24 * HOUR;
 
 /// How long to wait after the `failures`th failure in a row (1 up), with up to a quarter more that depends on
 /// `salt` alone, so that those that failed together do not come back together. What the authority named
 /// (`told`, microseconds) is the least.
-pub fn wait(cause: Cause, failures: u32, told: Option<Span>, salt: &str) -> Span {
+pub fn wait(cause: Cause, failures: u32, told: Option<Micros>, salt: &str) -> Micros {
     let (first, most) = cause.bounds();
     let grown = first.saturating_mul(1 << failures.saturating_sub(1).min(20)).min(most);
     let grown = grown + share(grown / 4, &[salt, &failures.to_string()]);
--- a/certs/src/unsaved.rs
+++ b/certs/src/unsaved.rs
@@ -1,12 +1,12 @@
 //! What is to be kept on disk and is not durable yet. A write that failed is made again, with a pause that grows, until it
 //! succeeds or something newer takes its place: what is served from memory alone would be gone at the next start.
 use crate::disk::Keep;
-use crate::{Span, Time, SECOND};
+use crate::{Micros, Timestamp, SECOND};
 use std::collections::BTreeMap;
 
 /// Pause before the first retry, and the longest.
-const RETRY_FIRST: Span = SECOND;
-const RETRY_MAX: Span = 60 * SECOND;
+const RETRY_FIRST: Micros = SECOND;
+const RETRY_MAX: Micros = 60 * SECOND;
 
 /// An operator who is answered once something is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     /// By which its end is known, while it is under way.
     task: u64,
     /// When it is made again after a failure.
-    retry_at: Option<Time>,
+    retry_at: Option<Timestamp>,
     failures: u32,
     waiting: Option<Waiting>,
 }
@@ -63,7 +63,7 @@
     }
 
     /// A write has ended. `None`: it is none of these, or something newer has taken its place.
-    pub fn ended(&mut self, now: Time, task: u64, durable: bool) -> Option<Ended> {
+    pub fn ended(&mut self, now: Timestamp, task: u64, durable: bool) -> Option<Ended> {
         let name = self.0.iter().find(|(_, w)| w.task == task).map(|(name, _)| name.clone())?;
         if durable {
             let write = self.0.remove(&name)?;
@@ -79,7 +79,7 @@
     /// What is due to be written again, each under a new number. What `holds` says has to wait stays for the next time.
     pub fn retries(
         &mut self,
-        now: Time,
+        now: Timestamp,
         holds: impl Fn(&Keep) -> bool,
         mut number: impl FnMut() -> u64,
     ) -> Vec<(u64, Keep)> {
@@ -97,7 +97,7 @@
     }
 
     /// When the next retry is due.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.0.values().filter_map(|write| write.retry_at).min()
     }
 }
--- a/certs/src/wire.rs
+++ b/certs/src/wire.rs
@@ -221,10 +221,10 @@
     #[derive(Deserialize)]
     struct Info {
         #[serde(rename = "suggestedWindow")]
-        window: Span,
+        window: Micros,
     }
     #[derive(Deserialize)]
-    struct Span {
+    struct Micros {
         start: String,
         end: String,
     }
--- a/certs/tests/common/mod.rs
+++ b/certs/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use cranesill_certs::planner::Plan;
 use cranesill_certs::renewal::{Ranked, Rule};
 use cranesill_certs::{
-    Action, Challenge, Client, Event, Identity, Method, Moment, Settings, Span, Time, SECOND,
+    Action, Challenge, Client, Event, Identity, Method, Micros, Moment, Settings, Timestamp, SECOND,
 };
 use cranesill_standins::acme::{Authority, Request};
 use std::cell::RefCell;
@@ -138,7 +138,7 @@
 pub type Shared<T> = Rc<RefCell<T>>;
 
 pub struct World {
-    pub now: Time,
+    pub now: Timestamp,
     /// What the machine's clock shows beyond the true one, in seconds.
     pub off: i64,
     pub client: Client,
@@ -149,7 +149,7 @@
     pub notes: Vec<(u64, Note)>,
     pub replies: Vec<Result<String, String>>,
     pub fresh_tickets: u32,
-    events: Vec<(Time, u64, Event)>,
+    events: Vec<(Timestamp, u64, Event)>,
     seen: u64,
     /// Actions carried out; at `kill_at` nothing more is.
     pub actions: usize,
@@ -163,8 +163,8 @@
 }
 
 /// How long an exchange, and anything else, takes.
-const EXCHANGE: Span = 50_000;
-const LOCAL: Span = 1_000;
+const EXCHANGE: Micros = 50_000;
+const LOCAL: Micros = 1_000;
 
 pub fn authority() -> Shared<Authority> {
     Rc::new(RefCell::new(Authority::new("https://ca.example".into(), 42)))
@@ -264,7 +264,7 @@
         self.carry_out(out);
     }
 
-    fn later(&mut self, after: Span, event: Event) {
+    fn later(&mut self, after: Micros, event: Event) {
         self.seen += 1;
         self.events.push((self.now + after, self.seen, event));
     }
--- a/certs/tests/planner.rs
+++ b/certs/tests/planner.rs
@@ -6,7 +6,7 @@
 use cranesill_certs::planner::{Plan, Planner};
 use cranesill_certs::renewal::{Held, Rule};
 use cranesill_certs::retry::Cause;
-use cranesill_certs::{Moment, Time, SECOND};
+use cranesill_certs::{Moment, Timestamp, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
 struct Rng(u64);
@@ -31,15 +31,16 @@
     lifetime: u64,
     span: u64,
     works: impl Fn(u64) -> bool,
-    mut check: impl FnMut(u64, &BTreeMap<String, Held>, &VecDeque<Time>),
+    mut check: impl FnMut(u64, &BTreeMap<String, Held>, &VecDeque<Timestamp>),
 ) {
     let mut rng = Rng(seed);
     let mut planner = Planner::new(plan, Box::new(ranked("n1", &["n1", "n2", "n3"])));
     let mut now = SECOND;
-    let at = |now: Time| Moment { now, wall: START + now / SECOND };
+    let at = |now: Timestamp| Moment { now, wall: START + now / SECOND };
     let all: Vec<_> = (0..names).map(|i| vec![format!("n{i}.example")]).collect();
     planner.want(at(now), &all);
-    let (mut held, mut begun, mut busy) = (BTreeMap::new(), VecDeque::new(), Vec::<(Time, String)>::new());
+    let (mut held, mut begun, mut busy) =
+        (BTreeMap::new(), VecDeque::new(), Vec::<(Timestamp, String)>::new());
     while now < span * SECOND {
         let moment = at(now);
         while let Some(choice) = planner.next(moment) {
@@ -70,7 +71,7 @@
             }
         }
         let next = planner.wake(at(now)).unwrap_or(now + HOUR * SECOND);
-        let busy_next = busy.iter().map(|(at, _)| *at).min().unwrap_or(Time::MAX);
+        let busy_next = busy.iter().map(|(at, _)| *at).min().unwrap_or(Timestamp::MAX);
         now = next.max(now + SECOND / 2).min(busy_next.max(now + 1)).min(now + HOUR * SECOND);
     }
 }
--- a/emulator/src/cold.rs
+++ b/emulator/src/cold.rs
@@ -3,31 +3,31 @@
 //! A cache or parent has so many places, fewer while it is cold, and takes longer the more requests it holds. Sent more than the
 //! settings let it bear, and chance, it falls and stays down. Clients ask once more what they were not served.
 use crate::rng::Rng;
-use crate::{Time, S};
+use crate::{Timestamp, S};
 use cranesill::api::*;
 use cranesill::Router;
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
 
-const MS: Time = 1_000;
+const MS: Timestamp = 1_000;
 const CACHE: u8 = 0;
 const PARENT: u8 = 1;
 const ORIGIN: u8 = 2;
 /// Places of a cache and of a parent, and how long a request takes one.
 const PLACES: f64 = 20.0;
 const PARENT_PLACES: f64 = 120.0;
-const WORK: Time = 200 * MS;
+const WORK: Timestamp = 200 * MS;
 /// What a fill takes from a parent, and from the origin behind it.
-const FILL: Time = 30 * MS;
-const ORIGIN_TAKES: Time = 60 * MS;
-const REFUSED: Time = MS;
+const FILL: Timestamp = 30 * MS;
+const ORIGIN_TAKES: Timestamp = 60 * MS;
+const REFUSED: Timestamp = MS;
 const OBJECTS: f64 = 20_000.0;
 /// Clients wait this long, and ask once more a moment later.
-const WAIT: Time = 2_500 * MS;
-const AGAIN: Time = 500 * MS;
+const WAIT: Timestamp = 2_500 * MS;
+const AGAIN: Timestamp = 500 * MS;
 /// The virtual clock begins here: 0 would mean that nodes started long ago.
-const BEGIN: Time = 1_000 * S;
+const BEGIN: Timestamp = 1_000 * S;
 
 /// How a fleet begins to use nodes that have just started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -78,19 +78,19 @@
     parent: bool,
     holds: HashSet<u64>,
     inside: u32,
-    sent: VecDeque<Time>,
+    sent: VecDeque<Timestamp>,
     fallen: bool,
 }
 
 enum Due {
     Ask(u32, u64, bool),
     Timer(u32, u64),
-    End(u32, RequestId, u16, Status, Note, u64),
+    End(u32, RequestId, u16, Status, FillNote, u64),
     Over(u32, RequestId),
 }
 
 struct Open {
-    at: Time,
+    at: Timestamp,
     object: u64,
     first: bool,
     sent: u16,
@@ -102,25 +102,25 @@
     routers: Vec<Router>,
     open: HashMap<(u32, RequestId), Open>,
     /// Attempts that are out, with their node.
-    out: HashMap<(u32, RequestId, u16), (u64, Time)>,
-    due: BinaryHeap<Reverse<(Time, u64)>>,
+    out: HashMap<(u32, RequestId, u16), (u64, Timestamp)>,
+    due: BinaryHeap<Reverse<(Timestamp, u64)>>,
     what: HashMap<u64, Due>,
     last: u64,
-    now: Time,
-    until: Time,
+    now: Timestamp,
+    until: Timestamp,
     rng: Rng,
     asked: [(u64, u64); 2],
     requests: u64,
     attempts: u64,
     worst_load: f64,
-    origin: Vec<Time>,
+    origin: Vec<Timestamp>,
 }
 
 impl Cold {
     fn settings(&self, number: u32, held: Held) -> Settings {
         let alone = held == Held::Alone;
         let routers = if alone { 1 } else { self.fronts };
-        let cold = ColdLimits { from: 0.15, warm_in: 15 * S, fall_multiple: 4.0 };
+        let cold = SlowStartLimits { from: 0.15, warm_in: 15 * S, fall_multiple: 4.0 };
         let class = Class {
             aim: S,
             aim_stretch: 2.0,
@@ -144,7 +144,7 @@
             joins: true,
             purge_done: 6 * S,
             cold_cache: cold,
-            cold_parent: ColdLimits { fall_multiple: 2.0, ..cold },
+            cold_parent: SlowStartLimits { fall_multiple: 2.0, ..cold },
             overload_span: 1_500 * MS,
             connect_timeout: 400 * MS,
             max_attempts: 8,
@@ -159,14 +159,22 @@
     pub fn play(&self, held: Held) -> Found {
         let started = if held == Held::Not { 0 } else { BEGIN };
         let parents = self.caches.div_ceil(4).max(2);
-        let entry = |id: u64, kind: u8, weight: f64, started: Time| {
+        let entry = |id: u64, kind: u8, weight: f64, started: Timestamp| {
             let zone = u16::from(kind == CACHE);
-            Entry { member: MemberId(id), kind, zone, cell: 0, weight, started, state: Listed::Ready }
+            EndpointEntry {
+                member: EndpointId(id),
+                kind,
+                zone,
+                cell: 0,
+                weight,
+                started,
+                state: EndpointState::Ready,
+            }
         };
         let caches = (0..u64::from(self.caches)).map(|n| entry(0x100 + n, CACHE, PLACES, started));
         let above = (0..u64::from(parents)).map(|n| entry(0x10_000 + n, PARENT, PARENT_PLACES, started));
         let list: Vec<_> = caches.chain(above).chain([entry(0x20_000, ORIGIN, 1.0, 0)]).collect();
-        let node = |e: &Entry| {
+        let node = |e: &EndpointEntry| {
             let (holds, sent) = (HashSet::new(), VecDeque::new());
             (e.member.0, Node { parent: e.kind == PARENT, holds, inside: 0, sent, fallen: false })
         };
@@ -189,7 +197,7 @@
             origin: Vec::new(),
         };
         for front in 0..self.fronts {
-            world.tell(front, Event::Members(ListKind::Full, list.clone()));
+            world.tell(front, Event::Endpoints(ListKind::Full, list.clone()));
         }
         let per_s = self.load * f64::from(self.caches) * PLACES * S as f64 / WORK as f64;
         let mut at = BEGIN as f64;
@@ -197,7 +205,7 @@
             at += -(1.0 - world.rng.roll()).ln() / per_s * S as f64;
             let object = (OBJECTS * world.rng.roll().powi(3)) as u64;
             let front = world.rng.below(self.fronts.into()) as u32;
-            world.add(at as Time, Due::Ask(front, object, true));
+            world.add(at as Timestamp, Due::Ask(front, object, true));
         }
         world.run();
         let share = |(served, all): (u64, u64)| served as f64 / all.max(1) as f64;
@@ -214,7 +222,7 @@
 }
 
 impl World {
-    fn add(&mut self, at: Time, due: Due) {
+    fn add(&mut self, at: Timestamp, due: Due) {
         self.last += 1;
         self.due.push(Reverse((at, self.last)));
         self.what.insert(self.last, due);
@@ -233,7 +241,7 @@
                 Due::Over(front, id) => {
                     if self.open.contains_key(&(front, id)) {
                         self.close(front, id, false);
-                        self.tell(front, Event::Gone(id));
+                        self.tell(front, Event::Cancelled(id));
                     }
                 }
             }
@@ -270,18 +278,20 @@
         self.routers[front as usize].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Attempt { request, target, timeout, fill } => {
+                Action::Send { request, target, timeout, fill } => {
                     self.send(front, request, target.0, timeout, fill)
                 }
-                Action::Cancel(id, number) => self.end(front, id, number, Status::Cancelled, Note::None, 0),
-                Action::Refuse(id, _) | Action::Fail(id) => self.close(front, id, false),
+                Action::Cancel(id, number) => {
+                    self.end(front, id, number, Status::Cancelled, FillNote::None, 0)
+                }
+                Action::Reject(id, _) | Action::Fail(id) => self.close(front, id, false),
                 Action::Timer(span, token) => self.add(self.now + span, Due::Timer(front, token)),
                 Action::Subscribe | Action::Log(_) => {}
             }
         }
     }
 
-    fn send(&mut self, front: u32, id: RequestId, target: u64, timeout: Span, fill: Option<Fill>) {
+    fn send(&mut self, front: u32, id: RequestId, target: u64, timeout: Micros, fill: Option<Fill>) {
         let Some(open) = self.open.get_mut(&(front, id)) else { return };
         let (number, object, over) = (open.sent, open.object, open.at + WAIT);
         open.sent += 1;
@@ -291,23 +301,23 @@
             Some(found) => found,
             None => {
                 self.origin.push(self.now);
-                (WORK + ORIGIN_TAKES, Status::Ok, Note::FilledByOrigin)
+                (WORK + ORIGIN_TAKES, Status::Ok, FillNote::FilledByOrigin)
             }
         };
         self.out.insert((front, id, number), (target, self.now));
         let (at, status, note) = match self.now + takes {
-            late if late > until => (until, Status::Timeout, Note::None),
+            late if late > until => (until, Status::Timeout, FillNote::None),
             at => (at, status, note),
         };
         self.add(at, Due::End(front, id, number, status, note, target));
     }
 
     /// What a node makes of a request; `None`: it is the origin.
-    fn arrives(&mut self, id: u64, object: u64, fill: Option<Fill>) -> Option<(Time, Status, Note)> {
+    fn arrives(&mut self, id: u64, object: u64, fill: Option<Fill>) -> Option<(Timestamp, Status, FillNote)> {
         let takes = self.bears(id)?;
-        let Some(takes) = takes else { return Some((REFUSED, Status::ConnectFailed, Note::None)) };
+        let Some(takes) = takes else { return Some((REFUSED, Status::ConnectFailed, FillNote::None)) };
         if self.nodes[&id].holds.contains(&object) {
-            return Some((takes, Status::Ok, Note::Hit));
+            return Some((takes, Status::Ok, FillNote::Hit));
         }
         let parent = self.nodes[&id].parent;
         let hold = |world: &mut World, at: u64| world.nodes.get_mut(&at).map(|n| n.holds.insert(object));
@@ -315,20 +325,20 @@
         if parent {
             self.origin.push(self.now);
             hold(self, id);
-            return Some((takes + ORIGIN_TAKES, Status::Ok, Note::Filled));
+            return Some((takes + ORIGIN_TAKES, Status::Ok, FillNote::Filled));
         }
-        let Some(fill) = fill else { return Some((REFUSED, Status::Miss, Note::None)) };
+        let Some(fill) = fill else { return Some((REFUSED, Status::Miss, FillNote::None)) };
         let (more, note) = match self.bears(fill.source.0) {
-            Some(None) => return Some((REFUSED, Status::Full, Note::SourceLost)),
-            Some(Some(_)) if self.nodes[&fill.source.0].holds.contains(&object) => (FILL, Note::Filled),
+            Some(None) => return Some((REFUSED, Status::Rejected, FillNote::SourceLost)),
+            Some(Some(_)) if self.nodes[&fill.source.0].holds.contains(&object) => (FILL, FillNote::Filled),
             Some(Some(_)) => {
                 self.origin.push(self.now);
                 hold(self, fill.source.0);
-                (FILL + ORIGIN_TAKES, Note::Filled)
+                (FILL + ORIGIN_TAKES, FillNote::Filled)
             }
             None => {
                 self.origin.push(self.now);
-                (ORIGIN_TAKES, Note::FilledByOrigin)
+                (ORIGIN_TAKES, FillNote::FilledByOrigin)
             }
         };
         // A fill that asks a parent holds none of its places for long: what it is sent counts all the same.
@@ -340,7 +350,7 @@
     }
 
     /// One more request at a node, which falls if it is too much: how long it takes. `None`: no such node; `Some(None)`: it fell.
-    fn bears(&mut self, id: u64) -> Option<Option<Time>> {
+    fn bears(&mut self, id: u64) -> Option<Option<Timestamp>> {
         let (now, limits) = (self.now, &self.limits);
         let node = self.nodes.get_mut(&id)?;
         if node.fallen {
@@ -364,10 +374,10 @@
             return Some(None);
         }
         node.inside += 1;
-        Some(Some((WORK as f64 * (f64::from(node.inside) / places).max(1.0)) as Time))
+        Some(Some((WORK as f64 * (f64::from(node.inside) / places).max(1.0)) as Timestamp))
     }
 
-    fn end(&mut self, front: u32, id: RequestId, number: u16, status: Status, note: Note, _: u64) {
+    fn end(&mut self, front: u32, id: RequestId, number: u16, status: Status, note: FillNote, _: u64) {
         let Some((target, sent)) = self.out.remove(&(front, id, number)) else { return };
         if let Some(node) = self.nodes.get_mut(&target) {
             node.inside = node.inside.saturating_sub(1);
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -17,6 +17,6 @@
 pub use plot::{draw, Line};
 
 /// A moment or span on the virtual clock, in microseconds.
-pub type Time = u64;
+pub type Timestamp = u64;
 /// A second.
-pub const S: Time = 1_000_000;
+pub const S: Timestamp = 1_000_000;
--- a/emulator/src/lists.rs
+++ b/emulator/src/lists.rs
@@ -1,6 +1,6 @@
 //! Calls on a list service that fails for a time and returns with room for so many.
 use crate::rng::Rng;
-use crate::{Time, S};
+use crate::{Timestamp, S};
 use cranesill_startup::{CallBudget, CallEnd, CallSchedule, FleetPosition};
 use serde::Serialize;
 use std::cmp::Reverse;
@@ -17,24 +17,24 @@
         /// Calls a second of the whole fleet.
         per_s: u32,
         /// The longest wait of one front, in microseconds.
-        most: Time,
+        most: Timestamp,
     },
     /// Twice as long after each failure, up to a longest wait, all in step: not taken.
     Doubling {
         /// The longest wait, in microseconds.
-        most: Time,
+        most: Timestamp,
     },
     /// The same, each wait at random between none and all of it: not taken.
     DoublingAtRandom {
         /// The longest wait, in microseconds.
-        most: Time,
+        most: Timestamp,
     },
 }
 
 impl Way {
     /// Its name in results.
     pub fn name(&self) -> String {
-        let s = |span: &Time| *span as f64 / S as f64;
+        let s = |span: &Timestamp| *span as f64 / S as f64;
         match self {
             Way::NoBudget => "no budget".into(),
             Way::Budget { per_s, most } => format!("budget {per_s}/s, {} s at most", s(most)),
@@ -50,7 +50,7 @@
     /// Fronts.
     pub fronts: u32,
     /// When it returns.
-    pub back: Time,
+    pub back: Timestamp,
     /// Calls that it can serve in a second from then on.
     pub room: u32,
     /// The seed.
@@ -81,26 +81,26 @@
 /// Calls of one front.
 enum Caller {
     Core(CallSchedule),
-    Doubling { wait: Time, most: Time, random: bool },
+    Doubling { wait: Timestamp, most: Timestamp, random: bool },
 }
 
-const FIRST: Time = S / 5;
-const DIAL: Time = S / 2;
+const FIRST: Timestamp = S / 5;
+const DIAL: Timestamp = S / 2;
 
 impl Caller {
-    fn begin(&mut self, now: Time) -> Time {
+    fn begin(&mut self, now: Timestamp) -> Timestamp {
         match self {
             Caller::Core(calls) => calls.start_call(now),
             Caller::Doubling { .. } => now + DIAL,
         }
     }
 
-    fn end(&mut self, now: Time, end: CallEnd, rng: &mut Rng) -> Time {
+    fn end(&mut self, now: Timestamp, end: CallEnd, rng: &mut Rng) -> Timestamp {
         match self {
             Caller::Core(calls) => calls.end_call(now, end),
             Caller::Doubling { wait, most, random } => {
                 *wait = (*wait * 2).clamp(FIRST, *most);
-                now + if *random { (*wait as f64 * rng.roll()) as Time } else { *wait }
+                now + if *random { (*wait as f64 * rng.roll()) as Timestamp } else { *wait }
             }
         }
     }
@@ -117,9 +117,9 @@
 }
 
 /// A call that takes that long to be closed again.
-const CLOSES: Time = 2_000;
+const CLOSES: Timestamp = 2_000;
 /// It is not looked further.
-const END: Time = 600 * S;
+const END: Timestamp = 600 * S;
 
 impl Outage {
     /// Plays it with fronts that go this way.
@@ -142,7 +142,7 @@
                 }
             })
             .collect();
-        let mut steps: BinaryHeap<Reverse<(Time, Step)>> = BinaryHeap::new();
+        let mut steps: BinaryHeap<Reverse<(Timestamp, Step)>> = BinaryHeap::new();
         for (front, caller) in fronts.iter_mut().enumerate() {
             let first = match caller {
                 Caller::Core(calls) => calls.first_call(0, false),
@@ -159,7 +159,7 @@
         let (mut number, mut waits, mut served) = (vec![0u32; n], vec![false; n], Vec::new());
         let mut queue: VecDeque<(usize, u32)> = VecDeque::new();
         let (mut calls, mut in_vain, mut queue_most, mut works) = (Vec::new(), 0, 0, false);
-        let takes = S / Time::from(self.room.max(1));
+        let takes = S / Timestamp::from(self.room.max(1));
         while let Some(Reverse((now, step))) = steps.pop() {
             if now > END || served.len() == n {
                 break;
@@ -226,7 +226,7 @@
 }
 
 /// The most of these in any window; they are in order.
-pub(crate) fn worst(at: &[Time], window: Time) -> usize {
+pub(crate) fn worst(at: &[Timestamp], window: Timestamp) -> usize {
     let (mut most, mut from) = (0, 0);
     for (place, now) in at.iter().enumerate() {
         while at[from] + window <= *now {
--- a/emulator/src/nodes.rs
+++ b/emulator/src/nodes.rs
@@ -1,7 +1,7 @@
 //! Connections that come to cache nodes while a fleet starts under load.
 use crate::lists::worst;
 use crate::rng::Rng;
-use crate::{Time, S};
+use crate::{Timestamp, S};
 use cranesill_startup::{Admission, FleetPosition, Group, ListedEndpoint, SlowStart};
 use serde::Serialize;
 
@@ -33,7 +33,7 @@
 
 /// So many fronts with so many nodes start at one moment; each is asked so often a second, for objects that are spread evenly.
 pub fn handshakes(fronts: u32, nodes: u64, asked_per_s: f64, way: Use, seed: u64) -> Dials {
-    let mut at: Vec<Vec<Time>> = vec![Vec::new(); nodes as usize];
+    let mut at: Vec<Vec<Timestamp>> = vec![Vec::new(); nodes as usize];
     for front in 0..fronts {
         let mut rng = Rng(seed.wrapping_mul(1_000_003).wrapping_add(u64::from(front)));
         match way {
@@ -45,14 +45,14 @@
                     now += -(1.0 - rng.roll()).ln() / asked_per_s;
                     let node = rng.below(nodes) as usize;
                     if !std::mem::replace(&mut has[node], true) {
-                        at[node].push((now * S as f64) as Time);
+                        at[node].push((now * S as f64) as Timestamp);
                         left -= 1;
                     }
                 }
             }
             Use::Ramp { per_s } => {
                 let position = FleetPosition { number: front, fronts };
-                let mut ramp = SlowStart::new(position, per_s.into(), Time::MAX);
+                let mut ramp = SlowStart::new(position, per_s.into(), Timestamp::MAX);
                 let admission = Admission::Staggered(Group { kind: 0, near: true });
                 let list =
                     (0..nodes).map(|node| ListedEndpoint { id: node, admission, entry: node }).collect();
--- a/front/src/program/clients.rs
+++ b/front/src/program/clients.rs
@@ -4,7 +4,7 @@
 use crate::protocol::client::{self, Message};
 use crate::routing::{Answer, Ask, ReplyTo};
 use crate::transport::{Reactor, Registered, Stream};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use rustls::ServerConnection;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
@@ -14,18 +14,18 @@
 /// Requests open at once on one connection.
 const STREAMS_MOST: usize = 32;
 /// A connection that carries nothing for this long is closed: clients close theirs far earlier.
-const IDLE_MOST: Span = 10_000_000;
+const IDLE_MOST: Micros = 10_000_000;
 /// A client that takes nothing of what is written for this long is not there.
-const STALL_MOST: Span = 10_000_000;
+const STALL_MOST: Micros = 10_000_000;
 /// The same while clients hold all the memory that they may: others wait for them then.
-const STALL_PRESSED: Span = 1_000_000;
+const STALL_PRESSED: Micros = 1_000_000;
 /// A frame that is begun, or owed as the first on a connection, has to be whole after this long. Guards against
 /// connections held by clients that say nothing or never end what they say.
-const FRAME_MOST: Span = 1_500_000;
+const FRAME_MOST: Micros = 1_500_000;
 /// A connection on which all is said is closed after this long, whether or not its client closes it.
-const FAREWELL: Span = 500_000;
+const FAREWELL: Micros = 500_000;
 /// A client that said nothing for this long is not about to: its connection may be closed for lack of descriptors.
-const EVICTABLE: Span = 1_000_000;
+const EVICTABLE: Micros = 1_000_000;
 /// Bytes that one read takes at most, and reads of one connection in one turn: no client keeps the loop to itself.
 const READ_MOST: usize = 16 * 1024;
 const READS_MOST: usize = 2;
@@ -34,15 +34,15 @@
 const UNTAKEN_MOST: usize = 2 * STREAMS_MOST;
 /// While the front is emptied, a connection that carried nothing for this long is closed: what its client sent before
 /// it was told has come by then.
-const QUIET: Span = 200_000;
+const QUIET: Micros = 200_000;
 /// A client that was told to open nothing new and goes on all the same is closed after this long, as soon as nothing of
 /// it is open.
-const TOLD_MOST: Span = 1_500_000;
+const TOLD_MOST: Micros = 1_500_000;
 /// A client that sends what can't be taken in is read again after this long: those that ask for something come
 /// first, however fast it goes on.
-const REST: Span = 100_000;
+const REST: Micros = 100_000;
 /// The same where requests of it are open: it may cancel them, and nothing may be begun for it 0.1 s after that.
-const REST_WITH_REQUESTS: Span = 25_000;
+const REST_WITH_REQUESTS: Micros = 25_000;
 
 /// What came from a client.
 #[derive(Debug)]
@@ -69,7 +69,7 @@
     Open,
     Ended,
     Closing,
-    Shut(Time),
+    Shut(Timestamp),
 }
 
 #[derive(Debug)]
@@ -78,15 +78,15 @@
     /// Streams that are owed an answer.
     open: HashSet<u32>,
     life: Life,
-    moved: Time,
+    moved: Timestamp,
     /// Since when a frame is owed: the first, or one that is begun.
-    owes: Option<Time>,
+    owes: Option<Timestamp>,
     /// Since when nothing is read, after what can't be taken in.
-    rested_at: Option<Time>,
+    rested_at: Option<Timestamp>,
     /// When it was told to open nothing new here.
-    told: Option<Time>,
+    told: Option<Timestamp>,
     /// What its first requests may have spent in the system's queue before the connection was accepted.
-    waited: Span,
+    waited: Micros,
 }
 
 /// All connections of clients.
@@ -104,7 +104,7 @@
     held: usize,
     lost: Vec<ClientEvent>,
     /// Clients with open requests that rest, and when they are read again.
-    resting: VecDeque<(Time, usize)>,
+    resting: VecDeque<(Timestamp, usize)>,
     unconfirmed: Unconfirmed,
     scratch: Vec<u8>,
 }
@@ -137,13 +137,13 @@
     }
 
     /// When [`Clients::due`] has something to do.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         let read_at = self.resting.front().map(|(at, _)| *at);
         read_at.into_iter().chain(self.unconfirmed.next()).min()
     }
 
     /// Reads those again that have rested, and returns requests that are held back no longer.
-    pub fn due(&mut self, now: Time) -> Vec<ClientEvent> {
+    pub fn due(&mut self, now: Timestamp) -> Vec<ClientEvent> {
         while let Some((_, key)) = self.resting.front().copied().filter(|(at, _)| *at <= now) {
             self.resting.pop_front();
             self.flush(now, key);
@@ -161,11 +161,11 @@
     /// requests with it.
     pub fn add(
         &mut self,
-        now: Time,
+        now: Timestamp,
         reactor: &Reactor,
         socket: TcpStream,
         key: usize,
-        waited: Span,
+        waited: Micros,
     ) -> io::Result<()> {
         let stream = Stream::new(reactor, socket, key, false)?;
         self.begin(now, stream, key, waited);
@@ -175,7 +175,7 @@
     /// Takes over a connection whose TLS handshake is complete.
     pub fn secured(
         &mut self,
-        now: Time,
+        now: Timestamp,
         socket: Registered<TcpStream>,
         connection: ServerConnection,
         key: usize,
@@ -185,7 +185,7 @@
         self.flush(now, key);
     }
 
-    fn begin(&mut self, now: Time, stream: Stream<()>, key: usize, waited: Span) {
+    fn begin(&mut self, now: Timestamp, stream: Stream<()>, key: usize, waited: Micros) {
         let (open, owes) = (HashSet::new(), Some(now));
         let client =
             Client { stream, open, life: Life::Open, moved: now, owes, rested_at: None, told: None, waited };
@@ -196,7 +196,7 @@
     }
 
     /// The program ends: nothing more is taken in, and what is owed nothing is shut.
-    pub fn part(&mut self, now: Time) {
+    pub fn part(&mut self, now: Timestamp) {
         self.parting = true;
         let keys: Vec<_> = self.all.keys().copied().collect();
         for key in keys {
@@ -211,7 +211,7 @@
     }
 
     /// Tells all clients that no new requests are wanted; `empties`: connections are closed as they become free.
-    pub fn drain(&mut self, now: Time, empties: bool) {
+    pub fn drain(&mut self, now: Timestamp, empties: bool) {
         (self.draining, self.empties) = (true, self.empties || empties);
         let keys: Vec<_> = self.all.keys().copied().collect();
         keys.into_iter().for_each(|key| self.say_no_more(now, key));
@@ -222,7 +222,7 @@
         self.draining = false;
     }
 
-    fn say_no_more(&mut self, now: Time, key: usize) {
+    fn say_no_more(&mut self, now: Timestamp, key: usize) {
         if let Some(client) = self.all.get_mut(&key).filter(|client| client.told.is_none()) {
             client.stream.push(client::no_more());
             client.told = Some(now);
@@ -231,7 +231,7 @@
     }
 
     /// Reads what has come on a connection.
-    pub fn read(&mut self, now: Time, key: usize) -> Vec<ClientEvent> {
+    pub fn read(&mut self, now: Timestamp, key: usize) -> Vec<ClientEvent> {
         let mut heard = Vec::new();
         let rested_at = self.all.get(&key).and_then(|client| client.rested_at);
         let mut ended = false;
@@ -283,7 +283,7 @@
     }
 
     /// Holds requests back whose client may have closed its connection. Returns the other events.
-    fn hold_back(&mut self, now: Time, heard: Vec<ClientEvent>) -> Vec<ClientEvent> {
+    fn hold_back(&mut self, now: Timestamp, heard: Vec<ClientEvent>) -> Vec<ClientEvent> {
         let mut others = Vec::new();
         for event in heard {
             match event {
@@ -295,7 +295,7 @@
     }
 
     /// Notes when a client is read again that began to rest after `before`.
-    fn rest(&mut self, now: Time, key: usize, before: Option<Time>) {
+    fn rest(&mut self, now: Timestamp, key: usize, before: Option<Timestamp>) {
         let rested_at = self.all.get(&key).and_then(|client| client.rested_at);
         if rested_at.is_some() && rested_at != before {
             self.resting.push_back((now + REST_WITH_REQUESTS, key));
@@ -303,7 +303,7 @@
     }
 
     /// Gives a stream its final answer.
-    pub fn answer(&mut self, now: Time, to: ReplyTo, answer: Answer) {
+    pub fn answer(&mut self, now: Timestamp, to: ReplyTo, answer: Answer) {
         let Some(client) = self.all.get_mut(&to.client) else { return };
         if client.open.remove(&to.stream) {
             client.stream.push(client::answer(to.stream, answer));
@@ -312,7 +312,7 @@
     }
 
     /// Writes what can be written.
-    pub fn flush(&mut self, now: Time, key: usize) {
+    pub fn flush(&mut self, now: Timestamp, key: usize) {
         let Some(client) = self.all.get_mut(&key) else { return };
         let before = client.stream.held();
         let written = client.stream.flush(|()| {});
@@ -340,7 +340,7 @@
     }
 
     /// Closes what is dead or idle, and while too much is held who holds most. Returns who waits no more.
-    pub fn sweep(&mut self, now: Time, pressed: usize, held_most: usize) -> Vec<ClientEvent> {
+    pub fn sweep(&mut self, now: Timestamp, pressed: usize, held_most: usize) -> Vec<ClientEvent> {
         let stall = if self.held > pressed { STALL_PRESSED } else { STALL_MOST };
         let keys: Vec<_> = self.all.keys().copied().collect();
         for key in keys {
@@ -387,7 +387,7 @@
     }
 
     /// Closes the connection that was idle for longest, if one was for so long that no request is on its way there.
-    pub fn evict_idle(&mut self, now: Time) -> bool {
+    pub fn evict_idle(&mut self, now: Timestamp) -> bool {
         let idle = |c: &Client| c.open.is_empty() && c.stream.flushed() && c.stream.input().is_empty();
         let evictable = |c: &Client| idle(c) && now > c.moved + EVICTABLE;
         let oldest = self.all.iter().filter(|(_, c)| evictable(c) && !c.stream.unread());
@@ -409,19 +409,19 @@
 impl Client {
     /// Whether it can be closed since the front is emptied: nothing is open, begun or, most likely, on its way. A
     /// request that crosses the close in the moment after is sent again by its client.
-    fn is_free(&self, now: Time) -> bool {
-        let over = |told: Time| now > told + TOLD_MOST || now > told.max(self.moved) + QUIET;
+    fn is_free(&self, now: Timestamp) -> bool {
+        let over = |told: Timestamp| now > told + TOLD_MOST || now > told.max(self.moved) + QUIET;
         let idle = self.open.is_empty() && self.stream.flushed() && self.stream.input().is_empty();
         idle && self.told.is_some_and(over)
     }
 
     /// Whether more is read from it.
-    fn reads(&self, now: Time) -> bool {
+    fn reads(&self, now: Timestamp) -> bool {
         self.life != Life::Ended && !self.rests(now) && self.stream.untaken() < UNTAKEN_MOST
     }
 
     /// Whether it rests after what can't be taken in.
-    fn rests(&self, now: Time) -> bool {
+    fn rests(&self, now: Timestamp) -> bool {
         let span = if self.open.is_empty() { REST } else { REST_WITH_REQUESTS };
         self.rested_at.is_some_and(|since| now < since + span)
     }
@@ -448,7 +448,7 @@
     }
 
     /// Takes whole frames off the input.
-    fn hear(&mut self, now: Time, key: usize, ready: bool, heard: &mut Vec<ClientEvent>) {
+    fn hear(&mut self, now: Timestamp, key: usize, ready: bool, heard: &mut Vec<ClientEvent>) {
         loop {
             let (message, used) = match client::decode(self.stream.input()) {
                 Ok(Some(found)) => found,
--- a/front/src/program/clients/tests.rs
+++ b/front/src/program/clients/tests.rs
@@ -12,21 +12,21 @@
         Stage(listener, Reactor::new().unwrap(), Clients::new())
     }
 
-    fn client(&mut self, now: Time, key: usize) -> TcpStream {
+    fn client(&mut self, now: Timestamp, key: usize) -> TcpStream {
         let socket = TcpStream::connect(self.0.local_addr().unwrap()).unwrap();
         self.2.add(now, &self.1, self.0.accept().unwrap().0, key, 0).unwrap();
         socket
     }
 
     /// Writes, and reads that as the loop would.
-    fn tell(&mut self, now: Time, mut socket: &TcpStream, key: usize, bytes: &[u8]) -> Vec<ClientEvent> {
+    fn tell(&mut self, now: Timestamp, mut socket: &TcpStream, key: usize, bytes: &[u8]) -> Vec<ClientEvent> {
         socket.write_all(bytes).unwrap();
         assert!(self.told(20_000_000), "something came");
         self.2.read(now, key)
     }
 
     /// Whether there is something to read before that long has passed.
-    fn told(&mut self, until: Time) -> bool {
+    fn told(&mut self, until: Timestamp) -> bool {
         // It may be told first that something can be written.
         (0..3).any(|_| self.1.wait(0, Some(until)).unwrap().iter().any(|event| event.1))
     }
--- a/front/src/program/clients/unconfirmed.rs
+++ b/front/src/program/clients/unconfirmed.rs
@@ -4,19 +4,19 @@
 //! end arrived before either was read. Whether it still waits shows by the system's answer to the next frame, a reset where
 //! nobody is there. Until that can have come, the request is not forwarded.
 use crate::routing::{Ask, ReplyTo};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use std::collections::VecDeque;
 
 /// How long a reset takes at most to come back from a client that has closed its connection.
-pub const RESET_WAIT: Span = 40_000;
+pub const RESET_WAIT: Micros = 40_000;
 
 /// The requests that are held back, in the order of their time.
 #[derive(Debug, Default)]
-pub struct Unconfirmed(VecDeque<(Time, ReplyTo, Ask)>);
+pub struct Unconfirmed(VecDeque<(Timestamp, ReplyTo, Ask)>);
 
 impl Unconfirmed {
     /// Holds a request back. The wait counts against the time that its client gives it.
-    pub fn hold(&mut self, now: Time, from: ReplyTo, mut ask: Ask) {
+    pub fn hold(&mut self, now: Timestamp, from: ReplyTo, mut ask: Ask) {
         ask.limit = ask.limit.saturating_sub(RESET_WAIT);
         self.0.push_back((now + RESET_WAIT, from, ask));
     }
@@ -27,12 +27,12 @@
     }
 
     /// When the next request is forwarded.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.0.front().map(|(at, ..)| *at)
     }
 
     /// A request whose client was not seen to have gone.
-    pub fn take(&mut self, now: Time) -> Option<(ReplyTo, Ask)> {
+    pub fn take(&mut self, now: Timestamp) -> Option<(ReplyTo, Ask)> {
         self.next().filter(|at| *at <= now)?;
         self.0.pop_front().map(|(_, from, ask)| (from, ask))
     }
--- a/front/src/program/drivers/certs.rs
+++ b/front/src/program/drivers/certs.rs
@@ -3,7 +3,7 @@
 use super::served::{Proof, Tables};
 use super::{Driver, Effect, Secured, Turn};
 use crate::transport::{at_start, listen, Registered, Workers};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_certs::client::Loud;
 use cranesill_certs::disk::{self, Folder};
 use cranesill_certs::exchange::{exchange, make_key, prove, roots, Made};
@@ -26,12 +26,12 @@
 /// exchanges of operators and hints.
 pub const DESCRIPTORS: usize = LOOKERS_MOST + 16;
 /// One that came is not displaced before this long: those that come in a flood wait in the system's queue.
-const KEPT_LEAST: Span = 250_000;
+const KEPT_LEAST: Micros = 250_000;
 /// Connections accepted in one turn.
 const ACCEPTS_MOST: usize = 16;
 /// Bytes of their request, and how long they may take.
 const REQUEST_MOST: usize = 4 * 1024;
-const LOOK_MOST: Span = 5_000_000;
+const LOOK_MOST: Micros = 5_000_000;
 const PATH: &str = "/.well-known/acme-challenge/";
 
 /// What a thread has done.
@@ -45,7 +45,7 @@
     socket: Registered<TcpStream>,
     input: Vec<u8>,
     output: Vec<u8>,
-    due: Time,
+    due: Timestamp,
 }
 
 /// Where the authority is, and how it is spoken to.
@@ -72,7 +72,7 @@
     first: Option<String>,
     me: String,
     wall_now: u64,
-    next: Time,
+    next: Timestamp,
 }
 
 fn plan(settings: &Settings) -> Plan {
@@ -94,7 +94,7 @@
     settings.certificates.iter().map(|c| c.names.clone()).collect()
 }
 
-fn moment(now: Time) -> Moment {
+fn moment(now: Timestamp) -> Moment {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     Moment { now, wall }
 }
@@ -470,7 +470,7 @@
         }
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next(&self) -> Option<Timestamp> {
         let looker = self.lookers.values().map(|l| l.due).min();
         let looker = looker.map(|due| if self.crowded { due + KEPT_LEAST - LOOK_MOST } else { due });
         looker.into_iter().chain([self.next]).min()
--- a/front/src/program/drivers/control.rs
+++ b/front/src/program/drivers/control.rs
@@ -1,7 +1,7 @@
 //! The control socket: one JSON object a line from operators, one a line back.
 use super::{Driver, Effect, Turn};
 use crate::transport::{at_start, Registered};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Read, Write};
@@ -17,7 +17,7 @@
 /// Words of one operator that wait for their answers.
 const OPEN_MOST: usize = 8;
 /// An operator that neither says nor takes anything for this long is closed.
-const IDLE_MOST: Span = 60_000_000;
+const IDLE_MOST: Micros = 60_000_000;
 const READ_MOST: usize = 16 * 1024;
 
 struct Operator {
@@ -26,7 +26,7 @@
     output: Vec<u8>,
     /// Words that are not answered yet.
     open: usize,
-    moved: Time,
+    moved: Timestamp,
 }
 
 /// The control socket.
@@ -39,7 +39,7 @@
     asked: BTreeMap<u64, usize>,
     last: u64,
     help: BTreeMap<&'static str, &'static str>,
-    sweep: Time,
+    sweep: Timestamp,
 }
 
 /// Makes the socket: 0600 before anybody can connect, in the place of one that nobody listens on.
@@ -153,7 +153,7 @@
         self.watch(key);
     }
 
-    fn answer(&mut self, now: Time, number: u64, answer: Result<Value, String>) {
+    fn answer(&mut self, now: Timestamp, number: u64, answer: Result<Value, String>) {
         let Some(key) = self.asked.remove(&number) else { return };
         let Some(operator) = self.operators.get_mut(&key) else { return };
         let answer = match answer {
@@ -167,7 +167,7 @@
         }
     }
 
-    fn write(&mut self, now: Time, key: usize) -> io::Result<()> {
+    fn write(&mut self, now: Timestamp, key: usize) -> io::Result<()> {
         let Some(operator) = self.operators.get_mut(&key) else { return Ok(()) };
         while !operator.output.is_empty() {
             match (&*operator.socket).write(&operator.output) {
@@ -222,7 +222,7 @@
         self.sweep = turn.now + IDLE_MOST / 4;
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next(&self) -> Option<Timestamp> {
         Some(self.sweep)
     }
 
--- a/front/src/program/drivers/control/tests.rs
+++ b/front/src/program/drivers/control/tests.rs
@@ -26,7 +26,7 @@
     }
 
     /// Lets the loop turn until nothing more comes.
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         while let Ok(events) = self.reactor.wait(0, Some(1_000)) {
             if events.is_empty() {
                 return;
--- a/front/src/program/drivers/mod.rs
+++ b/front/src/program/drivers/mod.rs
@@ -14,7 +14,7 @@
 pub use effect::{Effect, Purging, Secured};
 
 use crate::transport::Reactor;
-use cranesill::api::Time;
+use cranesill::api::Timestamp;
 use cranesill_daemon::Daemon;
 
 /// Bits of a key below those that name its driver; 0 there are the front's own.
@@ -23,7 +23,7 @@
 /// What a driver may use in its turn.
 pub struct Turn<'a> {
     /// Now.
-    pub now: Time,
+    pub now: Timestamp,
     /// By how many milliseconds `now` is behind the clock of the list service, as far as that is known.
     pub behind_ms: u64,
     /// Watches sources.
@@ -54,7 +54,7 @@
     /// The moment told by [`Driver::next`] has come.
     fn due(&mut self, turn: &mut Turn<'_>);
     /// The next moment at which something is due.
-    fn next(&self) -> Option<Time>;
+    fn next(&self) -> Option<Timestamp>;
     /// Something came about elsewhere.
     fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect);
     /// Words for operators that it takes, each with a line of help.
--- a/front/src/program/drivers/ops.rs
+++ b/front/src/program/drivers/ops.rs
@@ -5,7 +5,7 @@
 use crate::protocol::ops::{answer, decode, Call, LINE_MOST};
 use crate::protocol::{member::name_of, Unreadable};
 use crate::transport::{at_start, listen, used_up, AcceptFault, Registered};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -15,23 +15,23 @@
 pub const CALLERS_MOST: usize = 24;
 /// While all places are taken, a caller that has been there for this long without a call makes room: a call comes with
 /// its connection, give or take a round trip.
-const PATIENCE: Span = 20_000;
+const PATIENCE: Micros = 20_000;
 /// Pause before the listener is tried again that found no descriptor.
-const AGAIN: Span = 100_000;
+const AGAIN: Micros = 100_000;
 /// A caller is closed after this long, whatever it has said.
-const STAY_MOST: Span = 5_000_000;
+const STAY_MOST: Micros = 5_000_000;
 /// One that has its answer is closed after this long if it does not close by itself.
-const FAREWELL: Span = 500_000;
+const FAREWELL: Micros = 500_000;
 
 struct Caller {
     socket: Registered<TcpStream>,
     input: Vec<u8>,
     output: Vec<u8>,
-    since: Time,
+    since: Timestamp,
     /// Its call was taken; what it says now is passed over.
     called: bool,
     /// All is written: it is closed then.
-    ends: Option<Time>,
+    ends: Option<Timestamp>,
 }
 
 /// The second address and who calls there.
@@ -45,7 +45,7 @@
     full: bool,
     acceptor: AcceptBackoff,
     /// It is tried again then, whoever is there.
-    again: Option<Time>,
+    again: Option<Timestamp>,
 }
 
 impl Ops {
@@ -159,7 +159,7 @@
         }
     }
 
-    fn answer(&mut self, now: Time, key: usize, text: Vec<u8>) {
+    fn answer(&mut self, now: Timestamp, key: usize, text: Vec<u8>) {
         let Some(caller) = self.callers.get_mut(&key) else { return };
         (caller.called, caller.output) = (true, text);
         if caller.write(now).is_err() {
@@ -210,7 +210,7 @@
         }
     }
 
-    fn write(&mut self, now: Time) -> io::Result<()> {
+    fn write(&mut self, now: Timestamp) -> io::Result<()> {
         if self.output.is_empty() {
             return Ok(());
         }
@@ -264,7 +264,7 @@
         }
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next(&self) -> Option<Timestamp> {
         let waits = |c: &Caller| if self.full && !c.called { PATIENCE } else { STAY_MOST };
         self.callers.values().map(|c| c.ends.unwrap_or(c.since + waits(c))).chain(self.again).min()
     }
--- a/front/src/program/drivers/peers.rs
+++ b/front/src/program/drivers/peers.rs
@@ -5,7 +5,7 @@
 use super::{Driver, Effect, Turn};
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
 use cranesill_startup::{check_snapshot, ListOffer, PeerBootstrap, SnapshotHeader};
 use serde_json::json;
@@ -17,22 +17,22 @@
 /// Askers at once; one more is closed.
 pub const ASKERS_MOST: usize = 16;
 /// An exchange takes no longer than this, on either end: one that is slow by the byte is given up.
-const EXCHANGE_MOST: Span = 1_500_000;
+const EXCHANGE_MOST: Micros = 1_500_000;
 /// Without a word of the service for this long others are asked.
-const UNHEARD: Span = 1_000_000;
+const UNHEARD: Micros = 1_000_000;
 const READ_MOST: usize = 64 * 1024;
 const HELLO: usize = 8;
 
 struct Asker {
     stream: Stream<()>,
-    until: Time,
+    until: Timestamp,
     answered: bool,
 }
 
 struct Asked {
     peer: usize,
     stream: Stream<()>,
-    until: Time,
+    until: Timestamp,
     /// The number of the last event that was held when it was asked.
     held: u64,
 }
@@ -50,7 +50,7 @@
     asked: HashMap<usize, Asked>,
     scratch: Vec<u8>,
     /// When the service was last heard.
-    heard: Option<Time>,
+    heard: Option<Timestamp>,
     /// For operators: lists served, rounds, lists offered and taken, peers that failed.
     served: u64,
     offered: u64,
@@ -198,7 +198,7 @@
         }
     }
 
-    fn lost(&mut self, now: Time, peer: usize) {
+    fn lost(&mut self, now: Timestamp, peer: usize) {
         self.failed += 1;
         self.core.record_failure(now, peer);
     }
@@ -248,7 +248,7 @@
         }
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next(&self) -> Option<Timestamp> {
         let ends = self.askers.values().map(|a| a.until).chain(self.asked.values().map(|a| a.until));
         ends.chain([self.core.next_round()]).min()
     }
--- a/front/src/program/drivers/purges/boxes.rs
+++ b/front/src/program/drivers/purges/boxes.rs
@@ -3,7 +3,7 @@
 use crate::program::drivers::Turn;
 use crate::protocol::{member, purge};
 use crate::transport::{dial, Stream};
-use cranesill::api::{MemberId, Span, Time};
+use cranesill::api::{EndpointId, Micros, Timestamp};
 use cranesill_purges::boxes::Boxes;
 use cranesill_purges::ledger::Ledger;
 use cranesill_purges::Number;
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 
 /// A connection that is not up, or whose box has not said how it stands, after this long has failed.
-const HELLO_MOST: Span = 2_000_000;
+const HELLO_MOST: Micros = 2_000_000;
 /// A batch that is not confirmed after this long ends its connection: it may stay open and silent for ever.
-const CONFIRM_MOST: Span = 4_000_000;
+const CONFIRM_MOST: Micros = 4_000_000;
 /// Pauses between two tries to connect: the first, and the longest.
-const RETRY_FIRST: Span = 200_000;
-const RETRY_MOST: Span = 10_000_000;
+const RETRY_FIRST: Micros = 200_000;
+const RETRY_MOST: Micros = 10_000_000;
 const READ_MOST: usize = 4 * 1024;
 
 #[derive(Debug)]
@@ -27,7 +27,7 @@
     stream: Stream<()>,
     /// The command that is out, and what it carries up to; 0: the question how it stands.
     asked: (u64, Number),
-    since: Time,
+    since: Timestamp,
     greeted: bool,
     /// A command is out.
     waits: bool,
@@ -37,7 +37,7 @@
 struct Seat {
     address: SocketAddr,
     link: Option<usize>,
-    due: Time,
+    due: Timestamp,
     failures: u32,
 }
 
@@ -56,7 +56,7 @@
 
 impl BoxLinks {
     /// No boxes yet.
-    pub fn new(now: Time, ledger: &Ledger, per_s: f64, most: usize) -> Self {
+    pub fn new(now: Timestamp, ledger: &Ledger, per_s: f64, most: usize) -> Self {
         BoxLinks {
             boxes: Boxes::new(now, ledger.identity, per_s),
             seats: BTreeMap::new(),
@@ -69,7 +69,7 @@
     }
 
     /// Takes over where members listen; `None`: one has gone.
-    pub fn list(&mut self, now: Time, members: &[(u64, Option<SocketAddr>)], whole: bool) {
+    pub fn list(&mut self, now: Timestamp, members: &[(u64, Option<SocketAddr>)], whole: bool) {
         if whole {
             let gone: Vec<_> =
                 self.seats.keys().filter(|id| !members.iter().any(|m| m.0 == **id)).copied().collect();
@@ -105,11 +105,11 @@
     }
 
     /// A box was caught with a copy that it had confirmed to be gone.
-    pub fn lied(&mut self, now: Time, id: u64) {
+    pub fn lied(&mut self, now: Timestamp, id: u64) {
         if self.boxes.confirmed_by(id) > 0 {
             tracing::warn!(
                 kind = "lied",
-                member = member::name_of(MemberId(id)),
+                member = member::name_of(EndpointId(id)),
                 "purges: a box served what it had purged"
             );
             self.boxes.lied(now, id);
@@ -117,13 +117,13 @@
     }
 
     /// Goes on with a connection.
-    pub fn ready(&mut self, now: Time, key: usize, head: Number) {
+    pub fn ready(&mut self, now: Timestamp, key: usize, head: Number) {
         if let Err(error) = self.go_on(now, key, head) {
             self.fail(now, key, &error.to_string());
         }
     }
 
-    fn go_on(&mut self, now: Time, key: usize, head: Number) -> io::Result<()> {
+    fn go_on(&mut self, now: Timestamp, key: usize, head: Number) -> io::Result<()> {
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
         if !link.stream.connected()? {
             return Ok(());
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    fn fail(&mut self, now: Time, key: usize, why: &str) {
+    fn fail(&mut self, now: Timestamp, key: usize, why: &str) {
         let Some(link) = self.links.remove(&key) else { return };
         self.boxes.lost(now, link.member);
         if let Some(seat) = self.seats.get_mut(&link.member) {
@@ -165,7 +165,7 @@
             seat.failures += 1;
             seat.due = now + (RETRY_FIRST << (seat.failures - 1).min(10)).min(RETRY_MOST);
             if seat.failures == 1 {
-                let member = member::name_of(MemberId(link.member));
+                let member = member::name_of(EndpointId(link.member));
                 tracing::info!(kind = "box-lost", member, error = why, "purges: no connection to a box");
             }
         }
@@ -223,7 +223,7 @@
     }
 
     /// When there may be something to be done without anything else happening.
-    pub fn next(&self, now: Time, head: Number) -> Option<Time> {
+    pub fn next(&self, now: Timestamp, head: Number) -> Option<Timestamp> {
         let full = self.links.len() >= self.most;
         let dial = self.seats.values().filter(|s| s.link.is_none() && !full).map(|s| s.due).min();
         let hello = self.links.values().filter(|l| l.waits).map(|l| l.since + HELLO_MOST + 1).min();
@@ -243,13 +243,13 @@
 
     /// Boxes that have not confirmed a number, by name.
     pub fn missing(&self, number: Number) -> Vec<String> {
-        self.boxes.missing(number).into_iter().map(|id| member::name_of(MemberId(id))).collect()
+        self.boxes.missing(number).into_iter().map(|id| member::name_of(EndpointId(id))).collect()
     }
 
     /// How each box stands.
     pub fn rows(&self) -> Vec<Value> {
         let row = |r: cranesill_purges::boxes::Row| {
-            json!({"box": member::name_of(MemberId(r.id)), "confirmed": r.confirmed, "connected": r.connected,
+            json!({"box": member::name_of(EndpointId(r.id)), "confirmed": r.confirmed, "connected": r.connected,
                    "slow": r.slow, "lies": r.lies})
         };
         self.boxes.rows().map(row).collect()
--- a/front/src/program/drivers/purges/mod.rs
+++ b/front/src/program/drivers/purges/mod.rs
@@ -7,7 +7,7 @@
 use crate::protocol::follow::Frame;
 use crate::transport::Workers;
 use boxes::BoxLinks;
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Purges as Settings;
 use cranesill_purges::journal::{self, File, Guarded, Opened};
 use cranesill_purges::ledger::{Command, Ledger, Refused, Taken};
@@ -26,7 +26,7 @@
 /// Commands that wait to be kept.
 const WAITING_MOST: usize = 1_024;
 /// Pause between two looks for what may be forgotten.
-const SWEEP: Span = 10_000_000;
+const SWEEP: Micros = 10_000_000;
 /// Rows that one word shows.
 const ROWS_MOST: usize = 1_000;
 
@@ -131,17 +131,17 @@
     /// Where this front follows.
     following: Option<Following>,
     /// Operators that wait for all boxes: until when, and for which number.
-    waits: Vec<(u64, Time, u64)>,
+    waits: Vec<(u64, Timestamp, u64)>,
     /// Until when operators want to wait whose commands are not kept yet.
-    waiters: BTreeMap<u64, Time>,
+    waiters: BTreeMap<u64, Timestamp>,
     /// The file failed: nothing is taken in until it can be written anew.
     broken: Option<String>,
-    sweep: Time,
-    now: Time,
+    sweep: Timestamp,
+    now: Timestamp,
 }
 
 /// What was purged before is not known: everything is, as a purge like any other, so that it is kept and reaches boxes.
-fn everything(now: Time, ledger: &mut Ledger, why: &str) {
+fn everything(now: Timestamp, ledger: &mut Ledger, why: &str) {
     let (number, identity) = (ledger.last() + 1, ledger.identity);
     let what = What::Pattern("*".into());
     let id = format!("start-{identity:016x}").into();
@@ -173,7 +173,7 @@
 
 /// Unix milliseconds by the clock of the loop, which goes on from the start of the process whatever becomes of the wall clock: a
 /// horizon by one that is set forward would forget purges.
-fn unix_ms(now: Time) -> Ms {
+fn unix_ms(now: Timestamp) -> Ms {
     now / 1_000
 }
 
@@ -568,7 +568,7 @@
         }
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next(&self) -> Option<Timestamp> {
         let boxes = self.boxes.as_ref().and_then(|(boxes, _)| boxes.next(self.now, self.ledger.last()));
         let waits = self.waits.iter().map(|(_, until, _)| *until).min();
         let followers = self.followers.as_ref().and_then(Followers::next);
--- a/front/src/program/drivers/purges/replicas.rs
+++ b/front/src/program/drivers/purges/replicas.rs
@@ -2,7 +2,7 @@
 use crate::program::drivers::Turn;
 use crate::protocol::follow::{frame, hello, read_frame, read_hello, Frame, Hello, HELLO};
 use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::ledger::Ledger;
 use cranesill_purges::Number;
 use std::collections::HashMap;
@@ -13,14 +13,14 @@
 /// Followers at once; one more is closed.
 pub const FOLLOWERS_MOST: usize = 32;
 /// A follower that has not said who it is after this long, or takes nothing for this long, is closed.
-const SILENCE_MOST: Span = 5_000_000;
+const SILENCE_MOST: Micros = 5_000_000;
 /// An empty batch goes out after this long without another.
-const BEAT: Span = 500_000;
+const BEAT: Micros = 500_000;
 /// Pauses between two tries of a follower: the first, and the longest.
-const RETRY_FIRST: Span = 200_000;
-const RETRY_MOST: Span = 5_000_000;
+const RETRY_FIRST: Micros = 200_000;
+const RETRY_MOST: Micros = 5_000_000;
 /// Without a whole frame for this long a follower connects anew.
-const QUIET_MOST: Span = 2_500_000;
+const QUIET_MOST: Micros = 2_500_000;
 const READ_MOST: usize = 64 * 1024;
 
 fn out(bytes: Vec<u8>) -> Outgoing<()> {
@@ -34,8 +34,8 @@
     last: Option<Number>,
     /// Up to where the batch goes that is out.
     sent: Option<Number>,
-    moved: Time,
-    beat: Time,
+    moved: Timestamp,
+    beat: Timestamp,
 }
 
 /// The writer's end.
@@ -92,7 +92,7 @@
         }
     }
 
-    fn read(&mut self, now: Time, key: usize, ledger: &Ledger) -> io::Result<()> {
+    fn read(&mut self, now: Timestamp, key: usize, ledger: &Ledger) -> io::Result<()> {
         let Some(reader) = self.all.get_mut(&key) else { return Ok(()) };
         let bad = |why: &'static str| io::Error::new(io::ErrorKind::InvalidData, why);
         reader.stream.flush(|()| {})?;
@@ -131,7 +131,7 @@
     }
 
     /// Sends what is due.
-    pub fn work(&mut self, now: Time, ledger: &Ledger) {
+    pub fn work(&mut self, now: Timestamp, ledger: &Ledger) {
         let mut gone = Vec::new();
         for (key, reader) in &mut self.all {
             let waits = reader.last.is_none() || reader.sent.is_some() || !reader.stream.flushed();
@@ -165,7 +165,7 @@
     }
 
     /// The next moment at which something is due.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         let due = |r: &Reader| {
             if r.last.is_some() && r.sent.is_none() {
                 r.beat
@@ -182,8 +182,8 @@
 pub struct Following {
     address: SocketAddr,
     link: Option<(usize, Stream<()>)>,
-    heard: Time,
-    due: Time,
+    heard: Timestamp,
+    due: Timestamp,
     failures: u32,
     /// The last purge that came on this connection and is not confirmed.
     owed: Option<Number>,
@@ -192,7 +192,7 @@
 
 impl Following {
     /// Not connected yet.
-    pub fn new(now: Time, address: &str) -> Result<Self, String> {
+    pub fn new(now: Timestamp, address: &str) -> Result<Self, String> {
         let address = address.parse().map_err(|e| format!("purges.follow.address: {address}: {e}"))?;
         Ok(Following {
             address,
@@ -211,7 +211,7 @@
     }
 
     /// Frames that came.
-    pub fn ready(&mut self, now: Time) -> Vec<Frame> {
+    pub fn ready(&mut self, now: Timestamp) -> Vec<Frame> {
         let mut frames = Vec::new();
         if let Err(error) = self.read(now, &mut frames) {
             self.lost(now, &error.to_string());
@@ -219,7 +219,7 @@
         frames
     }
 
-    fn read(&mut self, now: Time, frames: &mut Vec<Frame>) -> io::Result<()> {
+    fn read(&mut self, now: Timestamp, frames: &mut Vec<Frame>) -> io::Result<()> {
         let Some((_, stream)) = &mut self.link else { return Ok(()) };
         if !stream.connected()? {
             return Ok(());
@@ -240,7 +240,7 @@
     }
 
     /// What came can't be used, or nothing comes any more.
-    pub fn lost(&mut self, now: Time, why: &str) {
+    pub fn lost(&mut self, now: Timestamp, why: &str) {
         if self.link.take().is_some() || self.failures == 0 {
             tracing::info!(kind = "writer-lost", writer = %self.address, error = why, "purges: no connection to the writer");
         }
@@ -256,7 +256,7 @@
     }
 
     /// Everything up to a number is durable. The writer is told where it waits for that.
-    pub fn kept(&mut self, now: Time, durable: Number) {
+    pub fn kept(&mut self, now: Timestamp, durable: Number) {
         let Some(number) = self.owed.filter(|number| *number <= durable) else { return };
         self.owed = None;
         if let Some((_, stream)) = &mut self.link {
@@ -288,7 +288,7 @@
     }
 
     /// The next moment at which something is due.
-    pub fn next(&self) -> Time {
+    pub fn next(&self) -> Timestamp {
         if self.link.is_some() {
             self.heard + QUIET_MOST + 1
         } else {
--- a/front/src/program/drivers/purges/tests.rs
+++ b/front/src/program/drivers/purges/tests.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 const LEDGER: u64 = 0xfeed;
-const SECOND: Time = 1_000_000;
+const SECOND: Timestamp = 1_000_000;
 /// Guards against hanging; nothing is told from it.
 const GUARD: Duration = Duration::from_secs(20);
 
@@ -15,7 +15,7 @@
     reactor: Reactor,
     purges: Purges,
     last_key: usize,
-    now: Time,
+    now: Timestamp,
     writer: TcpListener,
     folder: tempfile::TempDir,
 }
--- a/front/src/program/drivers/snapshot.rs
+++ b/front/src/program/drivers/snapshot.rs
@@ -4,7 +4,7 @@
 use crate::protocol::feed::News;
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::Workers;
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_startup::{check_snapshot, SnapshotHeader};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -15,15 +15,15 @@
 /// Files of the folder that are looked at for what is left of killed processes.
 const FILES_MAX: usize = 10_000;
 /// Pause between two writes.
-const EACH: Span = 1_000_000;
+const EACH: Micros = 1_000_000;
 /// While nothing changes the list is written this often, with the time at which it was still known to be so. It is dated by the
 /// wall clock, which the next process compares; a step of that is made up for by the next of these writes.
-const AGAIN: Span = 20_000_000;
+const AGAIN: Micros = 20_000_000;
 /// Purges are kept this much longer than members may hold older copies.
 const PURGE_SLACK_MS: u64 = 2_000;
 
 /// For how long purges are kept, where members may hold older copies for `takes`.
-pub fn purge_ms(takes: Span) -> u64 {
+pub fn purge_ms(takes: Micros) -> u64 {
     takes / 1_000 + PURGE_SLACK_MS
 }
 
@@ -122,15 +122,15 @@
     /// Something is not written yet; a write is under way.
     dirty: bool,
     busy: bool,
-    due: Time,
+    due: Timestamp,
     failed: bool,
     /// When the list was last dated.
-    dated: Time,
+    dated: Timestamp,
 }
 
 impl Snapshots {
     /// Keeps what is known and becomes known in `path`; `purge` is for how long members may hold purged copies.
-    pub fn new(turn: &mut Turn<'_>, path: PathBuf, known: Snapshot, purge: Span) -> Result<Self, String> {
+    pub fn new(turn: &mut Turn<'_>, path: PathBuf, known: Snapshot, purge: Micros) -> Result<Self, String> {
         let key = turn.key();
         let workers = Workers::new(turn.reactor, key).map_err(|e| format!("startup.snapshots: {e}"))?;
         let purge_ms = purge_ms(purge);
@@ -148,7 +148,7 @@
         })
     }
 
-    fn news(&mut self, now: Time, number: u64, news: &News) {
+    fn news(&mut self, now: Timestamp, number: u64, news: &News) {
         self.known.take(number, wall_ms(), now / 1_000, self.purge_ms, news);
         self.dated = now;
         self.dirty = true;
@@ -193,7 +193,7 @@
         self.due = turn.now + EACH;
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next(&self) -> Option<Timestamp> {
         (self.dirty && !self.busy).then_some(self.due)
     }
 
--- a/front/src/program/drivers/tls.rs
+++ b/front/src/program/drivers/tls.rs
@@ -4,7 +4,7 @@
 use super::{Driver, Effect, Secured, Turn};
 use crate::program::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, AcceptFault, Registered};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::{Daemon, Expired, Tls as Settings};
 use cranesill_limits::{CpuShare, Slots};
 use rustls::server::Acceptor;
@@ -17,15 +17,15 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Core time that handshakes get in one turn before open connections are looked at again.
-const SLICE: Span = 2_000;
+const SLICE: Micros = 2_000;
 /// Connections accepted in one turn.
 const ACCEPTS_MOST: usize = 16;
 /// A place is kept for this long before it may be displaced: those that come in a flood wait in the system's queue.
-const KEPT_LEAST: Span = 250_000;
+const KEPT_LEAST: Micros = 250_000;
 /// Bytes that a client may send before its handshake is complete.
 const HELLO_MOST: usize = 64 * 1024;
 /// Pause between two notes of handshakes that failed.
-const NOTE_EACH: Span = 1_000_000;
+const NOTE_EACH: Micros = 1_000_000;
 
 /// Alerts that are sent before there are keys (RFC 8446, section 6; RFC 6066, section 3; RFC 7301, section 3.2).
 const CERTIFICATE_EXPIRED: u8 = 45;
@@ -77,15 +77,15 @@
     slots: Slots,
     cpu_share: CpuShare,
     /// When each place was taken, oldest first; some have gone.
-    taken: std::collections::VecDeque<(Time, usize)>,
+    taken: std::collections::VecDeque<(Timestamp, usize)>,
     all: HashMap<usize, Handshake>,
     counts: Counts,
     /// Failures since the last note.
     untold: BTreeMap<&'static str, u64>,
-    note_at: Time,
+    note_at: Timestamp,
     accepts: AcceptBackoff,
     /// Nothing is accepted before this moment: a call failed.
-    rests: Time,
+    rests: Timestamp,
     draining: bool,
 }
 
@@ -122,7 +122,7 @@
     }
 
     /// When a connection may be accepted.
-    fn room(&mut self, now: Time) -> Result<(), Time> {
+    fn room(&mut self, now: Timestamp) -> Result<(), Timestamp> {
         while self.taken.front().is_some_and(|(_, key)| !self.all.contains_key(key)) {
             self.taken.pop_front();
         }
@@ -184,7 +184,7 @@
             let Some(key) = self.slots.next_ready() else { break };
             let begun = Instant::now();
             let step = self.step(key);
-            let took = begun.elapsed().as_micros() as Span;
+            let took = begun.elapsed().as_micros() as Micros;
             self.cpu_share.charge(took.max(1));
             self.counts.core_us += took;
             spent += took.max(1);
@@ -293,7 +293,7 @@
         }
     }
 
-    fn note(&mut self, now: Time) {
+    fn note(&mut self, now: Timestamp) {
         if now < self.note_at || self.untold.is_empty() {
             return;
         }
@@ -359,7 +359,7 @@
         self.note(turn.now);
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next(&self) -> Option<Timestamp> {
         let work = self.slots.has_ready().then(|| self.cpu_share.next_start());
         let accept = (!self.accepting && !self.draining).then(|| {
             let full = self.slots.len() >= self.settings.handshakes_most;
--- a/front/src/program/feed.rs
+++ b/front/src/program/feed.rs
@@ -1,17 +1,17 @@
 //! The connection to the control feed.
 use crate::protocol::feed::{decode, hello, News};
 use crate::transport::{dial, Outgoing, Reactor, Stream};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_startup::{CallEnd, CallSchedule};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// An empty frame comes each second: no whole one for longer means that the connection is dead.
-const SILENCE_MOST: Span = 2_500_000;
+const SILENCE_MOST: Micros = 2_500_000;
 /// A service that says for so long that its last event is before the one held here has begun to count anew; one that is only
 /// behind comes up to it by then.
-const BEHIND_MOST: Span = 3_000_000;
+const BEHIND_MOST: Micros = 3_000_000;
 /// Bytes that one read takes at most.
 const READ_MOST: usize = 16 * 1024;
 /// Reads in one turn: a service that tells without end keeps neither timers nor clients waiting.
@@ -29,18 +29,24 @@
     /// When it calls: the service is one for all fronts.
     calls: CallSchedule,
     /// Since when nothing is heard of the service, and whether that was told.
-    lost: Option<(Time, bool)>,
+    lost: Option<(Timestamp, bool)>,
     /// Since when this connection says that its last event is before the one held here.
-    behind: Option<Time>,
+    behind: Option<Timestamp>,
     /// When it is given up if nothing more is heard, or tried again.
-    pub due: Time,
+    pub due: Timestamp,
     /// CallSchedule that were made.
     pub called: u64,
 }
 
 impl Discovery {
     /// Is not connected yet: that is due soon.
-    pub fn new(now: Time, address: SocketAddr, last: u64, mut calls: CallSchedule, others: bool) -> Self {
+    pub fn new(
+        now: Timestamp,
+        address: SocketAddr,
+        last: u64,
+        mut calls: CallSchedule,
+        others: bool,
+    ) -> Self {
         let (scratch, due) = (vec![0; READ_MOST], calls.first_call(now, others));
         Discovery {
             address,
@@ -57,7 +63,7 @@
     }
 
     /// Since when the service was not heard of, if it is not now; and the last event that is held.
-    pub fn stands(&self) -> (Option<Time>, u64) {
+    pub fn stands(&self) -> (Option<Timestamp>, u64) {
         (self.lost.map(|lost| lost.0), self.last)
     }
 
@@ -78,13 +84,13 @@
 
     /// The feed is elsewhere from now on: what comes after the last event held is asked for there at once. Whether it was at
     /// another address before.
-    pub fn move_to(&mut self, now: Time, address: SocketAddr) -> bool {
+    pub fn move_to(&mut self, now: Timestamp, address: SocketAddr) -> bool {
         (self.stream, self.due) = (None, now);
         std::mem::replace(&mut self.address, address) != address
     }
 
     /// What is due: to connect, or to give up what has been silent for too long and call again later.
-    pub fn go(&mut self, now: Time, reactor: &Reactor, key: usize) {
+    pub fn go(&mut self, now: Timestamp, reactor: &Reactor, key: usize) {
         if self.stream.is_some() {
             self.end(now, if self.up { CallEnd::Silent } else { CallEnd::Unanswered });
             if self.due > now {
@@ -105,7 +111,7 @@
     }
 
     /// Goes on with the connection; what is new.
-    pub fn ready(&mut self, now: Time) -> Vec<News> {
+    pub fn ready(&mut self, now: Timestamp) -> Vec<News> {
         let mut news = Vec::new();
         if let Err(e) = self.go_on(now, &mut news) {
             self.end(
@@ -121,7 +127,7 @@
     }
 
     /// A call, or the connection that came of it, has ended.
-    fn end(&mut self, now: Time, end: CallEnd) {
+    fn end(&mut self, now: Timestamp, end: CallEnd) {
         self.stream = None;
         self.due = self.calls.end_call(now, end);
         let (since, told) = self.lost.unwrap_or((now, false));
@@ -134,7 +140,7 @@
         self.lost = Some((since, told || tell));
     }
 
-    fn go_on(&mut self, now: Time, news: &mut Vec<News>) -> io::Result<()> {
+    fn go_on(&mut self, now: Timestamp, news: &mut Vec<News>) -> io::Result<()> {
         let Some((_, stream)) = &mut self.stream else { return Ok(()) };
         if !stream.connected()? {
             return Ok(());
--- a/front/src/program/floors.rs
+++ b/front/src/program/floors.rs
@@ -1,13 +1,13 @@
 //! Carries out for the front what the ledger of purges brought about.
 use super::drivers::{Effect, Purging};
 use crate::routing::{Floors, Front};
-use cranesill::api::Time;
+use cranesill::api::Timestamp;
 use cranesill_daemon::WithoutContact;
 use cranesill_purges::contact::{Contact, Without};
 use cranesill_purges::shield::Shield;
 
 /// Takes news of the ledger over; what is to be done elsewhere for it.
-pub fn take(front: &mut Front, now: Time, news: Purging) -> Option<Effect> {
+pub fn take(front: &mut Front, now: Timestamp, news: Purging) -> Option<Effect> {
     let job = |floors: &mut Floors| floors.job().map(|job| Effect::Purges(Purging::Compile(job)));
     match news {
         Purging::Floors(settings, all) => {
--- a/front/src/program/members.rs
+++ b/front/src/program/members.rs
@@ -4,7 +4,7 @@
 use crate::protocol::member;
 use crate::routing::{AttemptId, End, Fetch, Txn};
 use crate::transport::{dial, is_local, Reactor, Stream};
-use cranesill::api::{Entry, Listed, MemberId, Span, Time};
+use cranesill::api::{EndpointEntry, EndpointId, EndpointState, Micros, Timestamp};
 use std::collections::{HashMap, HashSet};
 use std::io;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 /// ones to nodes that are busy.
 const CACHES_SHARE: f64 = 0.75;
 /// For how long, or up to twice that, a connection remembers an id that it carried: answers to it may still come.
-const CARRIED: Span = 10_000_000;
+const CARRIED: Micros = 10_000_000;
 /// Bytes that one read takes at most, and reads of one connection in one turn: a node that sends without end keeps neither
 /// timers nor the feed waiting.
 const READ_MOST: usize = 64 * 1024;
@@ -27,10 +27,10 @@
 /// twice. More of them end it, or they would come for ever.
 const STRAYS_MOST: usize = 16;
 /// An answer of which nothing more comes for this long is broken off, and whatever is behind it with it.
-const PART_MOST: Span = 500_000;
+const PART_MOST: Micros = 500_000;
 
 /// A connection on which attempts that were given up waited for this long in all, and nothing came, gets no other.
-const SILENT_MOST: Span = 1_000_000;
+const SILENT_MOST: Micros = 1_000_000;
 
 /// Attempts that ended.
 pub type Ends = Vec<(AttemptId, End)>;
@@ -39,14 +39,14 @@
 #[derive(Debug)]
 struct Sent {
     attempt: AttemptId,
-    since: Time,
+    since: Timestamp,
     write: bool,
     /// Whom it names to fill a miss.
-    source: Option<MemberId>,
+    source: Option<EndpointId>,
     /// All of it.
     written: bool,
     /// It is not begun to be written later than this.
-    by: Time,
+    by: Timestamp,
     /// What is asked, until it is written: the time that is left is told as of the moment of writing.
     fetch: Option<Box<Fetch>>,
 }
@@ -61,25 +61,25 @@
 #[derive(Debug)]
 struct Link {
     stream: Stream<Option<Txn>>,
-    member: MemberId,
+    member: EndpointId,
     up: bool,
     /// Nothing new goes here.
     retired: bool,
     open: HashMap<Txn, Sent>,
     carried: Carried,
-    idle_since: Time,
+    idle_since: Timestamp,
     /// When something came here last.
-    heard: Time,
+    heard: Timestamp,
     /// Since when part of an answer is here that is not whole yet.
-    begun: Option<Time>,
+    begun: Option<Timestamp>,
     /// For how long attempts waited here that were given up, since something came.
-    vain: Span,
+    vain: Micros,
     /// Answers that came here to nothing that was open.
     strays: usize,
 }
 
 impl Link {
-    fn new(now: Time, member: MemberId, stream: Stream<Option<Txn>>) -> Self {
+    fn new(now: Timestamp, member: EndpointId, stream: Stream<Option<Txn>>) -> Self {
         let (open, carried) = (HashMap::new(), Carried::default());
         let (idle_since, heard, begun, vain, strays) = (now, now, None, 0, 0);
         let (up, retired) = (false, false);
@@ -105,7 +105,7 @@
 struct Carried {
     new: HashSet<Txn>,
     old: HashSet<Txn>,
-    since: Time,
+    since: Timestamp,
 }
 
 impl Carried {
@@ -117,7 +117,7 @@
         self.new.len() + self.old.len()
     }
 
-    fn add(&mut self, now: Time, txn: Txn) {
+    fn add(&mut self, now: Timestamp, txn: Txn) {
         if now > self.since + CARRIED {
             (self.old, self.since) = (std::mem::take(&mut self.new), now);
         }
@@ -130,17 +130,17 @@
 pub struct CacheNodes {
     links: HashMap<usize, Link>,
     /// Connections of each member.
-    of: HashMap<MemberId, Vec<usize>>,
+    of: HashMap<EndpointId, Vec<usize>>,
     /// Where each listens, and when it started.
-    listed: HashMap<MemberId, (SocketAddr, Time)>,
+    listed: HashMap<EndpointId, (SocketAddr, Timestamp)>,
     at: HashMap<AttemptId, (usize, Txn)>,
     /// Attempts for which this machine could not begin a connection.
     redials: Redials,
     links_most: usize,
     streams: usize,
-    idle: Span,
+    idle: Micros,
     /// An answer that is begun is whole after this long, or nobody waits for it any more.
-    whole: Span,
+    whole: Micros,
     /// Commands that were written whole.
     pub written: u64,
     /// Bytes held on all connections.
@@ -152,7 +152,7 @@
 
 impl CacheNodes {
     /// Holds up to `links_most` connections, each with up to `streams` attempts; nobody waits for an answer longer than `whole`.
-    pub fn new(links_most: usize, streams: usize, idle: Span, whole: Span) -> Self {
+    pub fn new(links_most: usize, streams: usize, idle: Micros, whole: Micros) -> Self {
         CacheNodes {
             links: HashMap::new(),
             of: HashMap::new(),
@@ -163,7 +163,7 @@
             streams,
             written: 0,
             whole,
-            idle: (idle as f64 * IDLE_SHARE) as Span,
+            idle: (idle as f64 * IDLE_SHARE) as Micros,
             held: 0,
             paused: false,
             scratch: vec![0; READ_MOST],
@@ -171,13 +171,13 @@
     }
 
     /// From now on so many connections are held at most; one that carries nothing for `idle` is closed.
-    pub fn limit(&mut self, links_most: usize, idle: Option<Span>) {
+    pub fn limit(&mut self, links_most: usize, idle: Option<Micros>) {
         self.links_most = links_most;
         self.idle = idle.unwrap_or(self.idle);
     }
 
     /// How many cache nodes can be reached at once, each by a connection, and how long one stays open that carries nothing.
-    pub fn reach(&self) -> (usize, Span) {
+    pub fn reach(&self) -> (usize, Micros) {
         ((self.links_most as f64 * CACHES_SHARE) as usize, self.idle)
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// The members that are listed.
-    pub fn listed(&self) -> impl Iterator<Item = MemberId> + '_ {
+    pub fn listed(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.listed.keys().copied()
     }
 
@@ -198,7 +198,7 @@
 
     /// Reads nothing more from members, or goes on. Guards the memory limit: what members send faster than
     /// clients take it stays with the members.
-    pub fn pause(&mut self, now: Time, paused: bool) {
+    pub fn pause(&mut self, now: Timestamp, paused: bool) {
         if self.paused != paused {
             self.paused = paused;
             // It can only fail for a socket that is not watched.
@@ -224,14 +224,14 @@
     }
 
     /// Takes over where a member listens. Connections to an earlier process of it get nothing new.
-    pub fn list(&mut self, entry: &Entry, address: SocketAddr) {
+    pub fn list(&mut self, entry: &EndpointEntry, address: SocketAddr) {
         let now = Some((address, entry.started));
-        let before = if entry.state == Listed::Gone {
+        let before = if entry.state == EndpointState::Removed {
             self.listed.remove(&entry.member)
         } else {
             self.listed.insert(entry.member, (address, entry.started))
         };
-        if entry.state == Listed::Gone || before.is_some() && before != now {
+        if entry.state == EndpointState::Removed || before.is_some() && before != now {
             for key in self.of.get(&entry.member).into_iter().flatten() {
                 self.links.get_mut(key).into_iter().for_each(|link| link.retired = true);
             }
@@ -239,13 +239,13 @@
     }
 
     /// The whole list is about to come: what it lacks is gone.
-    pub fn keep_only(&mut self, listed: &HashSet<MemberId>) {
+    pub fn keep_only(&mut self, listed: &HashSet<EndpointId>) {
         self.listed.retain(|member, _| listed.contains(member));
         self.links.values_mut().filter(|l| !listed.contains(&l.member)).for_each(|l| l.retired = true);
     }
 
     /// Begins a connection to a member that has none, before anything is asked there. Whether it was begun.
-    pub fn open(&mut self, now: Time, reactor: &Reactor, key: usize, to: MemberId) -> bool {
+    pub fn open(&mut self, now: Timestamp, reactor: &Reactor, key: usize, to: EndpointId) -> bool {
         let keys = self.of.entry(to).or_default();
         let has = keys.iter().any(|key| self.links.get(key).is_some_and(|link| !link.retired));
         let address =
@@ -270,7 +270,7 @@
     }
 
     /// The connection to a member that is best for this id.
-    fn choose(&self, to: MemberId, txn: &Txn) -> Option<usize> {
+    fn choose(&self, to: EndpointId, txn: &Txn) -> Option<usize> {
         let keys = self.of.get(&to)?.iter();
         let fit = keys.filter_map(|key| self.links.get(key).map(|link| (key, link)));
         let fit = fit.filter(|(_, link)| link.takes(txn, self.streams));
@@ -279,7 +279,7 @@
 
     /// The same, once what has come on one that carried nothing is taken in. Guards against commands that are written into the
     /// end of a connection: its other side may have closed it, which is not told of yet.
-    fn choose_live(&mut self, now: Time, to: MemberId, txn: &Txn, ends: &mut Ends) -> Option<usize> {
+    fn choose_live(&mut self, now: Timestamp, to: EndpointId, txn: &Txn, ends: &mut Ends) -> Option<usize> {
         loop {
             let key = self.choose(to, txn)?;
             if !self.links.get(&key).is_some_and(|link| link.up && link.open.is_empty()) {
@@ -299,10 +299,10 @@
     /// if a connection was begun.
     pub fn send(
         &mut self,
-        now: Time,
+        now: Timestamp,
         reactor: &Reactor,
         key: usize,
-        (attempt, to, by): (AttemptId, MemberId, Time),
+        (attempt, to, by): (AttemptId, EndpointId, Timestamp),
         fetch: &Fetch,
         ends: &mut Ends,
     ) -> Option<usize> {
@@ -354,17 +354,17 @@
     }
 
     /// When attempts that wait for a connection to be begun are due to try again.
-    pub fn redial_due(&self) -> Option<Time> {
+    pub fn redial_due(&self) -> Option<Timestamp> {
         self.redials.due()
     }
 
     /// Attempts that are to be sent again now, to the node and by the moment that they had before.
-    pub fn take_redials(&mut self, now: Time) -> Vec<((AttemptId, MemberId, Time), Fetch)> {
+    pub fn take_redials(&mut self, now: Timestamp) -> Vec<((AttemptId, EndpointId, Timestamp), Fetch)> {
         self.redials.take(now)
     }
 
     /// What was not begun to be written tells how much time is left now, not when it was put there.
-    fn tell_time_left(&mut self, now: Time, key: usize) {
+    fn tell_time_left(&mut self, now: Timestamp, key: usize) {
         let Some(link) = self.links.get_mut(&key) else { return };
         let open = &link.open;
         link.stream.rewrite(|tag| {
@@ -374,7 +374,7 @@
     }
 
     /// Gives an attempt up at its member.
-    pub fn abort(&mut self, now: Time, attempt: AttemptId, ends: &mut Ends) {
+    pub fn abort(&mut self, now: Timestamp, attempt: AttemptId, ends: &mut Ends) {
         self.redials.remove(attempt);
         let Some((key, txn)) = self.at.remove(&attempt) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
@@ -408,7 +408,7 @@
 
     /// A connection has come up: what had to be written before now is not written any more. Guards against a turn that comes
     /// late, in which the connection is told of before the moments that have passed.
-    fn too_late(&mut self, now: Time, key: usize, ends: &mut Ends) {
+    fn too_late(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
         let Some(link) = self.links.get(&key) else { return };
         let mut late: Vec<_> = link.open.values().filter(|s| s.by < now).map(|s| s.attempt).collect();
         late.sort_unstable();
@@ -418,7 +418,7 @@
     /// A member drains, is gone or was taken out: what was decided before and waits for its connection goes neither to it
     /// nor, by way of another, to it as a source. Guards the rule on drains: a connection may come up later than new work
     /// is allowed there. It says nothing of any member.
-    pub fn leave_out(&mut self, out: MemberId, ends: &mut Ends) {
+    pub fn leave_out(&mut self, out: EndpointId, ends: &mut Ends) {
         let meant =
             |link: &Link, sent: &Sent| !sent.written && (link.member == out || sent.source == Some(out));
         let open = self.links.values().flat_map(|link| link.open.values().map(move |sent| (link, sent)));
@@ -447,7 +447,7 @@
     }
 
     /// Goes on with a connection that can be read or written.
-    pub fn ready(&mut self, now: Time, key: usize, readable: bool, ends: &mut Ends) {
+    pub fn ready(&mut self, now: Timestamp, key: usize, readable: bool, ends: &mut Ends) {
         let Some(link) = self.links.get_mut(&key) else { return };
         if !link.up {
             match link.stream.connected() {
@@ -467,7 +467,7 @@
         }
     }
 
-    fn read(&mut self, now: Time, key: usize, ends: &mut Ends) -> io::Result<()> {
+    fn read(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
         for _ in 0..READS_MOST {
             let Some(link) = self.links.get_mut(&key) else { break };
             match link.stream.fill(&mut self.scratch)? {
@@ -514,7 +514,7 @@
         Ok(())
     }
 
-    fn flush(&mut self, now: Time, key: usize, ends: &mut Ends) {
+    fn flush(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
         let Some(link) = self.links.get_mut(&key).filter(|link| link.up) else { return };
         link.idle_since = now;
         let (open, count) = (&mut link.open, &mut self.written);
@@ -552,7 +552,7 @@
 
     /// Closes connections that stopped in the middle of an answer, and those that carry nothing and are old or
     /// not to be used again.
-    pub fn sweep(&mut self, now: Time, ends: &mut Ends) {
+    pub fn sweep(&mut self, now: Timestamp, ends: &mut Ends) {
         let short = |l: &Link| now > l.heard + PART_MOST || l.begun.is_some_and(|at| now > at + self.whole);
         let part = |l: &Link| !self.paused && !l.stream.input().is_empty() && short(l);
         let part: Vec<_> = self.links.iter().filter(|(_, l)| part(l)).map(|(key, _)| *key).collect();
--- a/front/src/program/members/redial.rs
+++ b/front/src/program/members/redial.rs
@@ -1,48 +1,48 @@
 //! Attempts for which this machine could not begin a connection: they wait a moment and try again. Such a failure says nothing
 //! of the node, and nothing of the request was written. No I/O and no clock.
 use crate::routing::{AttemptId, Fetch};
-use cranesill::api::{MemberId, Span, Time};
+use cranesill::api::{EndpointId, Micros, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
 /// Pause between two tries.
-const RETRY_INTERVAL: Span = 5_000;
+const RETRY_INTERVAL: Micros = 5_000;
 /// A node that could not be dialled for this long is not waited for: its requests go elsewhere at once.
-const MAX_WAIT: Span = 250_000;
+const MAX_WAIT: Micros = 250_000;
 /// After so long without a failure the next one is the first again.
-const FORGOTTEN: Span = 100_000;
+const FORGOTTEN: Micros = 100_000;
 
 #[derive(Debug)]
 struct Waiting {
-    to: MemberId,
+    to: EndpointId,
     /// It is not begun to be written later than this.
-    by: Time,
+    by: Timestamp,
     fetch: Fetch,
 }
 
 /// Since when a node can't be dialled, and when that was tried last.
 #[derive(Clone, Copy, Debug)]
 struct Failing {
-    since: Time,
-    last: Time,
+    since: Timestamp,
+    last: Timestamp,
 }
 
 /// The attempts that wait, each with the node that it is for.
 #[derive(Debug, Default)]
 pub struct Redials {
     waiting: BTreeMap<AttemptId, Waiting>,
-    failing: HashMap<MemberId, Failing>,
+    failing: HashMap<EndpointId, Failing>,
     /// When the next try is due.
-    due: Option<Time>,
+    due: Option<Timestamp>,
 }
 
 impl Redials {
     /// A connection to this node was begun.
-    pub fn dialled(&mut self, to: MemberId) {
+    pub fn dialled(&mut self, to: EndpointId) {
         self.failing.remove(&to);
     }
 
     /// A connection to this node could not be begun. Whether an attempt may wait for the next try.
-    pub fn may_wait(&mut self, now: Time, to: MemberId) -> bool {
+    pub fn may_wait(&mut self, now: Timestamp, to: EndpointId) -> bool {
         self.failing.retain(|_, failing| now <= failing.last + FORGOTTEN);
         let failing = self.failing.entry(to).or_insert(Failing { since: now, last: now });
         failing.last = now;
@@ -50,19 +50,24 @@
     }
 
     /// An attempt waits until the next try.
-    pub fn wait(&mut self, now: Time, (attempt, to, by): (AttemptId, MemberId, Time), fetch: &Fetch) {
+    pub fn wait(
+        &mut self,
+        now: Timestamp,
+        (attempt, to, by): (AttemptId, EndpointId, Timestamp),
+        fetch: &Fetch,
+    ) {
         self.waiting.insert(attempt, Waiting { to, by, fetch: fetch.clone() });
         self.due.get_or_insert(now + RETRY_INTERVAL);
     }
 
     /// When the next try is due; `None`: nothing waits.
-    pub fn due(&self) -> Option<Time> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.due
     }
 
     /// Takes out all that wait if the next try is due: they wait again where it fails. What had to be begun before now is left
     /// to be withdrawn.
-    pub fn take(&mut self, now: Time) -> Vec<((AttemptId, MemberId, Time), Fetch)> {
+    pub fn take(&mut self, now: Timestamp) -> Vec<((AttemptId, EndpointId, Timestamp), Fetch)> {
         if self.due.is_none_or(|due| now < due) {
             return Vec::new();
         }
@@ -79,7 +84,7 @@
     }
 
     /// Attempts that were to go to this node, or to have it fill them, wait no more.
-    pub fn leave_out(&mut self, out: MemberId) -> Vec<AttemptId> {
+    pub fn leave_out(&mut self, out: EndpointId) -> Vec<AttemptId> {
         let source = |fetch: &Fetch| fetch.fill.and_then(|fill| fill.source);
         let meant = self.waiting.iter().filter(|(_, one)| one.to == out || source(&one.fetch) == Some(out));
         let meant: Vec<_> = meant.map(|(attempt, _)| *attempt).collect();
--- a/front/src/program/members/redial/tests.rs
+++ b/front/src/program/members/redial/tests.rs
@@ -2,9 +2,9 @@
 use crate::routing::{Source, Txn};
 use cranesill::api::RequestId;
 
-const NODE: MemberId = MemberId(1);
+const NODE: EndpointId = EndpointId(1);
 
-fn fetch(source: Option<MemberId>) -> Fetch {
+fn fetch(source: Option<EndpointId>) -> Fetch {
     let fill = source.map(|source| Source {
         source: Some(source),
         rank: 0,
@@ -19,7 +19,7 @@
         item: None,
         part: 0,
         deadline: 60_000_000,
-        latest: Time::MAX,
+        latest: Timestamp::MAX,
         fill,
         seen: None,
         key: None,
@@ -48,10 +48,10 @@
 fn who_was_called_off_or_whose_node_is_left_out_is_not_tried_again() {
     let mut redials = Redials::default();
     redials.wait(0, (attempt(1), NODE, 400_000), &fetch(None));
-    redials.wait(0, (attempt(2), NODE, 400_000), &fetch(Some(MemberId(2))));
+    redials.wait(0, (attempt(2), NODE, 400_000), &fetch(Some(EndpointId(2))));
     redials.wait(0, (attempt(3), NODE, 400_000), &fetch(None));
     assert!(redials.remove(attempt(1)) && !redials.remove(attempt(1)));
-    assert_eq!(redials.leave_out(MemberId(2)), [attempt(2)]);
+    assert_eq!(redials.leave_out(EndpointId(2)), [attempt(2)]);
     assert_eq!(redials.take(RETRY_INTERVAL).len(), 1);
 }
 
--- a/front/src/program/members/tests.rs
+++ b/front/src/program/members/tests.rs
@@ -9,7 +9,7 @@
         item: None,
         part: 0,
         deadline: 60_000_000,
-        latest: Time::MAX,
+        latest: Timestamp::MAX,
         fill: None,
         seen: None,
         key: None,
@@ -18,13 +18,13 @@
     }
 }
 
-const MEMBER: MemberId = MemberId(1);
+const MEMBER: EndpointId = EndpointId(1);
 
 /// One member behind a listener, and up to so many connections.
 fn members(links_most: usize, listener: &std::net::TcpListener) -> CacheNodes {
     let mut members = CacheNodes::new(links_most, 100, 15_000_000, 5_000_000);
-    let state = Listed::Ready;
-    let entry = Entry { member: MEMBER, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
+    let state = EndpointState::Ready;
+    let entry = EndpointEntry { member: MEMBER, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
     members.list(&entry, listener.local_addr().unwrap());
     members
 }
@@ -39,10 +39,10 @@
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(1, &listener);
     for n in 1..=3 {
-        members.send(0, &reactor, 9, (attempt(n), MEMBER, Time::MAX), &fetch(n), &mut ends);
+        members.send(0, &reactor, 9, (attempt(n), MEMBER, Timestamp::MAX), &fetch(n), &mut ends);
     }
     // The same id can't go out twice there, and there is no other connection to be had.
-    members.send(0, &reactor, 9, (attempt(4), MEMBER, Time::MAX), &fetch(3), &mut ends);
+    members.send(0, &reactor, 9, (attempt(4), MEMBER, Timestamp::MAX), &fetch(3), &mut ends);
     assert!(matches!(ends[..], [(_, End::Unplaced)]));
     members.undialed(9, &mut ends);
     let along: Vec<_> = ends[1..].iter().map(|e| matches!(e.1, End::Unsent { along: true })).collect();
@@ -56,7 +56,7 @@
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(9, &listener);
     let source = |id: u64| Source {
-        source: Some(MemberId(id)),
+        source: Some(EndpointId(id)),
         rank: 1,
         oldest: 0,
         join: false,
@@ -65,9 +65,9 @@
     };
     for n in 1..=3 {
         let fetch = Fetch { fill: Some(source(n)), ..fetch(n) };
-        members.send(0, &reactor, n as usize, (attempt(n), MEMBER, Time::MAX), &fetch, &mut ends);
+        members.send(0, &reactor, n as usize, (attempt(n), MEMBER, Timestamp::MAX), &fetch, &mut ends);
     }
-    members.leave_out(MemberId(2), &mut ends);
+    members.leave_out(EndpointId(2), &mut ends);
     assert!(matches!(ends[..], [(two, End::Unplaced)] if two == attempt(2)), "{ends:?}");
     members.leave_out(MEMBER, &mut ends);
     assert_eq!(ends.len(), 3);
@@ -84,8 +84,8 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(9, &listener);
-    let mut begins = |now: Time, n: u64, out: Span| {
-        let target = (attempt(n), MEMBER, Time::MAX);
+    let mut begins = |now: Timestamp, n: u64, out: Micros| {
+        let target = (attempt(n), MEMBER, Timestamp::MAX);
         let begun = members.send(now, &reactor, n as usize, target, &fetch(n), &mut ends);
         members.abort(now + out, attempt(n), &mut ends);
         begun.is_some()
@@ -102,7 +102,7 @@
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(9, &listener);
     let mut begins = |n: u64| {
-        let (now, target) = (n * 500_000, (attempt(n), MEMBER, Time::MAX));
+        let (now, target) = (n * 500_000, (attempt(n), MEMBER, Timestamp::MAX));
         let begun = members.send(now, &reactor, n as usize, target, &fetch(n), &mut ends);
         members.abort(now + 400_000, attempt(n), &mut ends);
         begun.is_some()
@@ -116,7 +116,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(9, &listener);
-    members.send(0, &reactor, 1, (attempt(1), MEMBER, Time::MAX), &fetch(1), &mut ends);
+    members.send(0, &reactor, 1, (attempt(1), MEMBER, Timestamp::MAX), &fetch(1), &mut ends);
     let mut node = listener.accept().unwrap().0;
     let head = format!("*4\r\n$16\r\n{:016x}\r\n$3\r\nHIT\r\n$1\r\n-\r\n$200000\r\n", 1);
     node.write_all(head.as_bytes()).unwrap();
@@ -196,8 +196,8 @@
     let mut members = CacheNodes::new(links_most, 100, 15_000_000, 5_000_000);
     for (n, listener) in listeners.iter().enumerate() {
         listener.set_nonblocking(true).unwrap();
-        let (member, state) = (MemberId(n as u64 + 1), Listed::Ready);
-        let entry = Entry { member, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
+        let (member, state) = (EndpointId(n as u64 + 1), EndpointState::Ready);
+        let entry = EndpointEntry { member, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
         members.list(&entry, listener.local_addr().unwrap());
     }
     let mut rng = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
@@ -219,7 +219,14 @@
                 let id = AttemptId { request: cranesill::api::RequestId(request), number };
                 current.insert(request, id);
                 let fetch = fetch(request);
-                members.send(now, &reactor, key, (id, MemberId(1 + roll(2)), Time::MAX), &fetch, &mut ends);
+                members.send(
+                    now,
+                    &reactor,
+                    key,
+                    (id, EndpointId(1 + roll(2)), Timestamp::MAX),
+                    &fetch,
+                    &mut ends,
+                );
             }
             0..=5 => {
                 if let Some(id) = current.remove(&request) {
@@ -252,7 +259,7 @@
                 }
             }
             10 => match roll(3) {
-                0 => members.leave_out(MemberId(1 + roll(2)), &mut ends),
+                0 => members.leave_out(EndpointId(1 + roll(2)), &mut ends),
                 1 => {
                     current.get(&request).copied().into_iter().for_each(|id| members.withdraw(id, &mut ends))
                 }
@@ -300,13 +307,13 @@
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(3, &listeners[0]);
     for (id, listener) in (1..).zip(&listeners) {
-        let (member, state) = (MemberId(id), Listed::Ready);
-        let entry = Entry { member, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
+        let (member, state) = (EndpointId(id), EndpointState::Ready);
+        let entry = EndpointEntry { member, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
         members.list(&entry, listener.local_addr().unwrap());
     }
     // The second and the third carry nothing any more, the third for longer; the first still does.
     for n in 1..=3 {
-        let target = (attempt(n), MemberId(n), Time::MAX);
+        let target = (attempt(n), EndpointId(n), Timestamp::MAX);
         members.send(0, &reactor, n as usize, target, &fetch(n), &mut ends);
         while !members.links[&(n as usize)].up {
             reactor.wait(0, Some(100_000)).unwrap();
@@ -315,12 +322,12 @@
     }
     members.abort(1_000, attempt(3), &mut ends);
     members.abort(2_000, attempt(2), &mut ends);
-    members.send(3_000, &reactor, 4, (attempt(4), MemberId(4), Time::MAX), &fetch(4), &mut ends);
+    members.send(3_000, &reactor, 4, (attempt(4), EndpointId(4), Timestamp::MAX), &fetch(4), &mut ends);
     let mut kept: Vec<_> = members.links.keys().copied().collect();
     kept.sort_unstable();
     assert_eq!((kept, ends.len()), (vec![1, 2, 4], 0));
     // A second one to a node that has one closes none.
-    members.send(4_000, &reactor, 5, (attempt(5), MEMBER, Time::MAX), &fetch(5), &mut ends);
+    members.send(4_000, &reactor, 5, (attempt(5), MEMBER, Timestamp::MAX), &fetch(5), &mut ends);
     assert!(members.has(2) && !members.has(5) && ends.is_empty());
 }
 
@@ -331,7 +338,7 @@
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(1, &listener);
     let fetch = Fetch { deadline: 1_000_000, ..fetch(1) };
-    members.send(0, &reactor, 9, (attempt(1), MEMBER, Time::MAX), &fetch, &mut ends);
+    members.send(0, &reactor, 9, (attempt(1), MEMBER, Timestamp::MAX), &fetch, &mut ends);
     reactor.wait(0, Some(1_000_000)).unwrap();
     members.ready(300_000, 9, false, &mut ends);
     assert_eq!((members.written, ends.len()), (1, 0));
--- a/front/src/program/serve.rs
+++ b/front/src/program/serve.rs
@@ -26,7 +26,7 @@
 use crate::transport::{
     at_start, inherited, listen, used_up, AcceptFault, Clock, Deadlines, Reactor, Registered,
 };
-use cranesill::api::{Entry, Listed, MemberId, Span, Time};
+use cranesill::api::{EndpointEntry, EndpointId, EndpointState, Micros, Timestamp};
 use cranesill_daemon::{changes, Daemon, Level};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -41,18 +41,18 @@
 /// Keys from here on are for connections.
 const KEYS: usize = 3;
 /// Pause between two sweeps over all connections.
-const SWEEP: Span = 250_000;
+const SWEEP: Micros = 250_000;
 /// A front that is emptied serves what is asked on open connections for this long; then it refuses.
-const QUIESCE_SERVES: Span = 1_500_000;
+const QUIESCE_SERVES: Micros = 1_500_000;
 /// A process that waits for another to leave the clients' socket to it looks this often, and for members out by hand
 /// that the other has heard of. A yes to a call out is given once the other has looked.
-const TAKE_OVER: Span = 10_000;
-const LOOK: Span = 100_000;
-const SEEN: Span = 250_000;
+const TAKE_OVER: Micros = 10_000;
+const LOOK: Micros = 100_000;
+const SEEN: Micros = 250_000;
 /// A process that leaves the socket to another closes connections to members that carry nothing for this long.
-const LINK_IDLE: Span = 500_000;
+const LINK_IDLE: Micros = 500_000;
 /// Nobody waits for an answer longer than this where the settings name no time.
-const WAIT_MOST: Span = 3_000_000;
+const WAIT_MOST: Micros = 3_000_000;
 /// Rank from which on events of a turn come after all that is heard of clients: what nodes leave free is not for those who left.
 const NODES: usize = 3;
 /// Connections accepted in one turn.
@@ -113,9 +113,9 @@
     accepts: bool,
     acceptor: AcceptBackoff,
     /// Members out by hand, as last seen in what is shared.
-    out: BTreeSet<MemberId>,
+    out: BTreeSet<EndpointId>,
     /// Since when it is emptied.
-    quiesced: Option<Time>,
+    quiesced: Option<Timestamp>,
     /// The driver that goes before clients: operators' calls are due whatever the load.
     first: usize,
     /// The daemon's own settings, and where they were read from.
@@ -126,7 +126,7 @@
     effects: Vec<Effect>,
     /// Who no longer waits, as heard in this turn.
     gone: Vec<ReplyTo>,
-    began: Time,
+    began: Timestamp,
 }
 
 /// Words for operators that the front itself takes.
@@ -220,7 +220,7 @@
     }
 
     /// Starts the subsystems that the settings name. The control socket is the last: it knows the others' words.
-    fn drivers(&mut self, now: Time, list: Snapshot) -> Result<(), String> {
+    fn drivers(&mut self, now: Timestamp, list: Snapshot) -> Result<(), String> {
         if let Some(at) = self.config.ops {
             let beside = self.config.accept_fd.is_some();
             self.start(now, |turn| Ok(Box::new(Ops::new(turn, at, beside)?)))?;
@@ -257,7 +257,7 @@
 
     fn start(
         &mut self,
-        now: Time,
+        now: Timestamp,
         make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, String>,
     ) -> Result<(), String> {
         let mut last = 0;
@@ -270,7 +270,7 @@
     }
 
     /// Gives a driver its turn.
-    fn drive(&mut self, now: Time, slot: usize, act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>)) {
+    fn drive(&mut self, now: Timestamp, slot: usize, act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>)) {
         let behind_ms = self.front.ahead.behind_ms();
         if let Some((driver, last)) = slot.checked_sub(1).and_then(|i| self.drivers.get_mut(i)) {
             let (reactor, effects) = (&self.reactor, &mut self.effects);
@@ -279,7 +279,7 @@
     }
 
     /// Carries out what drivers brought about for others.
-    fn effects(&mut self, now: Time) {
+    fn effects(&mut self, now: Timestamp) {
         while !self.effects.is_empty() {
             for effect in std::mem::take(&mut self.effects) {
                 match effect {
@@ -312,7 +312,7 @@
     /// A client whose handshake is complete; it may have said something with it already.
     fn secured(
         &mut self,
-        now: Time,
+        now: Timestamp,
         mut socket: Registered<std::net::TcpStream>,
         connection: rustls::ServerConnection,
     ) {
@@ -330,7 +330,7 @@
     }
 
     /// Answers an operator.
-    fn word(&mut self, now: Time, word: &str, args: &Value) -> Result<Value, String> {
+    fn word(&mut self, now: Timestamp, word: &str, args: &Value) -> Result<Value, String> {
         match word {
             "health" if self.draining.is_some() => Err("leaving".into()),
             "health" if self.quiesced.is_some() => Err("quiesced".into()),
@@ -404,7 +404,7 @@
     }
 
     /// Takes a member out by hand, or gives it back. Only one that is or was listed can be meant.
-    fn by_hand(&mut self, now: Time, args: &Value, out: bool) -> Result<Value, String> {
+    fn by_hand(&mut self, now: Timestamp, args: &Value, out: bool) -> Result<Value, String> {
         let text = args["node"].as_str().ok_or("node: missing")?;
         let id = member_id(text).ok_or("node: not s- and 8 hex digits")?;
         let known =
@@ -423,7 +423,7 @@
         Ok(if out { "out" } else { "may serve" }.into())
     }
 
-    fn set_by_hand(&mut self, now: Time, id: MemberId, out: bool) {
+    fn set_by_hand(&mut self, now: Timestamp, id: EndpointId, out: bool) {
         let changed = if out { self.out.insert(id) } else { self.out.remove(&id) };
         if changed {
             tracing::info!(kind = "by-hand", member = name_of(id), out, "cache node by hand");
@@ -437,7 +437,7 @@
     }
 
     /// Looks which members are out by hand: another process of this front may have been told.
-    fn look(&mut self, now: Time) {
+    fn look(&mut self, now: Timestamp) {
         let Some(shared) = &mut self.shared else { return };
         if let Some(out) = shared.out() {
             let changed: Vec<_> = out.symmetric_difference(&self.out).copied().collect();
@@ -447,7 +447,7 @@
     }
 
     /// Accepts clients once no other process of this front does, and uses all of its limits once none is left.
-    fn take_over(&mut self, now: Time, first: bool) {
+    fn take_over(&mut self, now: Timestamp, first: bool) {
         let Some(shared) = &mut self.shared else { return };
         if self.draining.is_some() {
             return;
@@ -470,7 +470,7 @@
     }
 
     /// Shares the limits with another process of this front, or no longer.
-    fn halve(&mut self, now: Time, halved: bool) {
+    fn halve(&mut self, now: Timestamp, halved: bool) {
         if std::mem::replace(&mut self.config.halved, halved) != halved {
             self.nodes.limit(self.config.links_most(), self.draining.map(|_| LINK_IDLE));
             self.front.set_reach(now, self.nodes.reach());
@@ -479,7 +479,7 @@
     }
 
     /// Empties the front: clients are told to go elsewhere, what is taken is answered.
-    fn quiesce(&mut self, now: Time) -> &'static str {
+    fn quiesce(&mut self, now: Timestamp) -> &'static str {
         if self.quiesced.is_none() {
             tracing::info!(kind = "quiesce", clients = self.clients.len(), "quiesced");
             self.quiesced = Some(now);
@@ -551,7 +551,7 @@
     }
 
     /// Goes on with the end of the program, if it was told to end. Whether that is over.
-    fn parted(&mut self, now: Time) -> bool {
+    fn parted(&mut self, now: Timestamp) -> bool {
         // A request whose last byte comes after the end of its connection would be lost.
         let owes = self.front.open() > 0 || !self.clients.flushed() || self.clients.begun();
         let clients = self.clients.len() > 0;
@@ -569,7 +569,7 @@
         self.last_key
     }
 
-    fn event(&mut self, now: Time, key: usize, readable: bool, writable: bool) {
+    fn event(&mut self, now: Timestamp, key: usize, readable: bool, writable: bool) {
         match key {
             LISTENER => self.accept(now),
             TERM => self.begin_drain(now),
@@ -601,7 +601,7 @@
         }
     }
 
-    fn due(&mut self, now: Time, due: Due) {
+    fn due(&mut self, now: Timestamp, due: Due) {
         let mut ends = Vec::new();
         match due {
             Due::Wake(wake) => self.front.wake(now, wake),
@@ -683,7 +683,7 @@
         let _ = self.listener.rewatch(on, false);
     }
 
-    fn accept(&mut self, now: Time) {
+    fn accept(&mut self, now: Timestamp) {
         self.acceptor.begin_turn();
         // It may have been told of before it was left to another process.
         for _ in 0..if self.elsewhere() { 0 } else { ACCEPTS_MOST } {
@@ -719,7 +719,7 @@
 
     /// Closes a client that is idle beyond doubt if `accept` failed for a lack of descriptors that is real: this process has
     /// used up its own, or the whole system has had none for long. A shortage that passes costs nobody a connection.
-    fn make_descriptor_free(&mut self, now: Time, error: &io::Error) {
+    fn make_descriptor_free(&mut self, now: Timestamp, error: &io::Error) {
         let lacking = AcceptFault::of(error) == AcceptFault::Descriptors;
         if lacking && (used_up() || self.acceptor.is_lasting(now)) {
             self.clients.evict_idle(now);
@@ -727,7 +727,7 @@
     }
 
     /// SIGTERM: clients are told, and what is taken is still answered.
-    fn begin_drain(&mut self, now: Time) {
+    fn begin_drain(&mut self, now: Timestamp) {
         drain(&self.term);
         if self.draining.is_none() {
             tracing::info!("SIGTERM: leaving");
@@ -747,7 +747,7 @@
     /// SIGHUP: configuration and settings are read again. A file that can't be used changes nothing; of a good
     /// configuration only the feed's address is taken over, and open requests notice nothing. Of the settings all
     /// that can change in service is.
-    fn reload(&mut self, now: Time) {
+    fn reload(&mut self, now: Timestamp) {
         match Config::load(&self.config.file) {
             Ok(new) => {
                 tracing::info!(feed = %new.feed, "SIGHUP: configuration read");
@@ -801,7 +801,7 @@
         }
     }
 
-    fn hear(&mut self, now: Time, heard: Vec<ClientEvent>) {
+    fn hear(&mut self, now: Timestamp, heard: Vec<ClientEvent>) {
         for one in heard {
             self.front.holds(self.clients.held() + self.nodes.held());
             match one {
@@ -821,7 +821,7 @@
 
     /// Nobody waits any more for what these asked, all of a turn together. Who waits for room goes before who has some: it would
     /// be given to one after another of them, and each be sent on for nobody.
-    fn left(&mut self, now: Time) {
+    fn left(&mut self, now: Timestamp) {
         let mut gone = std::mem::take(&mut self.gone);
         gone.sort_by_cached_key(|from| self.front.is_out(*from));
         for from in gone {
@@ -830,7 +830,7 @@
         }
     }
 
-    fn news(&mut self, now: Time, news: News, origin: Origin) {
+    fn news(&mut self, now: Timestamp, news: News, origin: Origin) {
         if self.hears {
             self.effects.push(Effect::Heard(self.discovery.stands().1, news.clone()));
             self.effects(now);
@@ -838,7 +838,7 @@
         match news {
             News::Members { whole, list } => {
                 if !self.drivers.is_empty() {
-                    let here = |l: &Listing| Some(l.address).filter(|_| l.state != Listed::Gone);
+                    let here = |l: &Listing| Some(l.address).filter(|_| l.state != EndpointState::Removed);
                     let told = |l: &Listing| (u64::from(l.id), l.kind, here(l));
                     self.effects.push(Effect::Members(list.iter().map(told).collect(), whole));
                     self.effects(now);
@@ -859,7 +859,7 @@
     }
 
     /// Takes over a list that peers hold, unless the service is heard or has told as much.
-    fn take_list(&mut self, now: Time, list: Box<Snapshot>) {
+    fn take_list(&mut self, now: Timestamp, list: Box<Snapshot>) {
         if self.discovery.heard() || list.number <= self.discovery.stands().1 {
             return;
         }
@@ -881,7 +881,7 @@
     }
 
     /// Takes over what the list says of members; `whole`: of all that are in use.
-    fn take_members(&mut self, now: Time, whole: bool, list: Vec<Listing>, origin: Origin) {
+    fn take_members(&mut self, now: Timestamp, whole: bool, list: Vec<Listing>, origin: Origin) {
         let mut ends = Vec::new();
         let entries: Vec<_> = list.iter().map(entry).collect();
         let mut before: Vec<_> = if whole { self.nodes.listed().collect() } else { Vec::new() };
@@ -892,9 +892,10 @@
         }
         entries.iter().zip(&list).for_each(|(entry, l)| self.nodes.list(entry, l.address));
         let mut left_out: Vec<_> =
-            entries.iter().filter(|e| e.state != Listed::Ready).map(|e| e.member).collect();
+            entries.iter().filter(|e| e.state != EndpointState::Ready).map(|e| e.member).collect();
         left_out.extend(before);
-        let new: Vec<_> = entries.iter().filter(|e| e.state == Listed::Ready).map(|e| e.member).collect();
+        let new: Vec<_> =
+            entries.iter().filter(|e| e.state == EndpointState::Ready).map(|e| e.member).collect();
         self.front.members(now, whole, entries, origin);
         left_out.into_iter().for_each(|id| self.nodes.leave_out(id, &mut ends));
         self.settle(now, ends);
@@ -910,7 +911,7 @@
         }
     }
 
-    fn get_ready(&mut self, now: Time) {
+    fn get_ready(&mut self, now: Timestamp) {
         let (used, reached) = (self.nodes.listed().count(), self.nodes.reached());
         self.clients.ready = self.startup.ready(now, used, reached);
     }
@@ -918,9 +919,9 @@
     /// Puts an attempt on a connection to its node, or notes when that is tried again.
     fn dispatch(
         &mut self,
-        now: Time,
+        now: Timestamp,
         key: usize,
-        target: (AttemptId, MemberId, Time),
+        target: (AttemptId, EndpointId, Timestamp),
         fetch: &Fetch,
         ends: &mut Ends,
     ) {
@@ -935,7 +936,7 @@
     }
 
     /// Books ends and carries out commands until there are none.
-    fn settle(&mut self, now: Time, mut ends: Ends) {
+    fn settle(&mut self, now: Timestamp, mut ends: Ends) {
         loop {
             for (attempt, end) in std::mem::take(&mut ends) {
                 self.front.ended(now, attempt, end);
@@ -982,9 +983,9 @@
     opened.ok()
 }
 
-fn entry(listing: &Listing) -> Entry {
-    Entry {
-        member: MemberId(listing.id.into()),
+fn entry(listing: &Listing) -> EndpointEntry {
+    EndpointEntry {
+        member: EndpointId(listing.id.into()),
         kind: listing.kind,
         zone: listing.zone,
         cell: listing.cell,
--- a/front/src/program/shared.rs
+++ b/front/src/program/shared.rs
@@ -7,7 +7,7 @@
 //!
 //! All of it is tiny and in memory, so it is done on the loop: no call here waits for a disk or another process.
 use crate::protocol::shared::{learned, out_member, out_name, read_learned, LEARNED_MOST};
-use cranesill::api::{Learned, MemberId, Span, Time};
+use cranesill::api::{EndpointId, LearnedHealth, Micros, Timestamp};
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Read};
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 
 /// What was learned longer ago than this says nothing of now.
-const LEARNED_FRESH: Span = 10_000_000;
+const LEARNED_FRESH: Micros = 10_000_000;
 /// Members out by hand at once.
 pub const OUT_MOST: usize = 1_024;
 /// Files in the folder that are looked at. With more it can't be told who is out, and all stay as they are: what is passed
@@ -91,7 +91,7 @@
     }
 
     /// Leaves accepting to another process, with what was learned.
-    pub fn hand_over(&mut self, now: Time, members: &[Learned]) {
+    pub fn hand_over(&mut self, now: Timestamp, members: &[LearnedHealth]) {
         if !self.accept.held {
             return;
         }
@@ -111,7 +111,7 @@
     }
 
     /// What an earlier process has learned lately. It is read once.
-    pub fn learned(&self, now: Time) -> Vec<Learned> {
+    pub fn learned(&self, now: Timestamp) -> Vec<LearnedHealth> {
         let path = self.folder.join("learned");
         let mut text = Vec::new();
         let opened = File::options().read(true).custom_flags(libc::O_NONBLOCK).open(&path);
@@ -138,7 +138,7 @@
     }
 
     /// Notes that a member is out by hand, or no longer, for all processes of this front.
-    pub fn set_out(&self, member: MemberId, out: bool) -> io::Result<()> {
+    pub fn set_out(&self, member: EndpointId, out: bool) -> io::Result<()> {
         let path = self.folder.join(out_name(member));
         if out {
             File::create(path).map(drop)
@@ -149,7 +149,7 @@
     }
 
     /// The members that are out by hand; `None`: that can't be told, and all stay as they are.
-    pub fn out(&mut self) -> Option<BTreeSet<MemberId>> {
+    pub fn out(&mut self) -> Option<BTreeSet<EndpointId>> {
         let found = self.read_out();
         // It is asked ten times a second: one line tells it.
         if let Some(error) = found.as_ref().err().filter(|_| !self.unreadable) {
@@ -159,7 +159,7 @@
         found.ok()
     }
 
-    fn read_out(&mut self) -> io::Result<BTreeSet<MemberId>> {
+    fn read_out(&mut self) -> io::Result<BTreeSet<EndpointId>> {
         let mut out = BTreeSet::new();
         let mut foreign = 0;
         for (n, entry) in fs::read_dir(&self.folder)?.enumerate() {
--- a/front/src/program/shared/tests.rs
+++ b/front/src/program/shared/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const NODE: MemberId = MemberId(0x00c4_1f7a);
+const NODE: EndpointId = EndpointId(0x00c4_1f7a);
 
 #[test]
 fn one_process_accepts_and_the_next_one_when_it_lets_go_or_dies() {
@@ -23,7 +23,7 @@
     let folder = tempfile::tempdir().unwrap();
     let mut old = Shared::new(folder.path()).unwrap();
     let new = Shared::new(folder.path()).unwrap();
-    let down = vec![Learned { member: NODE, started: 0, cold_since: 0, down: true, lost: false }];
+    let down = vec![LearnedHealth { member: NODE, started: 0, cold_since: 0, down: true, lost: false }];
     let mut hand_over = |now| {
         assert!(old.accepts());
         old.hand_over(now, &down);
--- a/front/src/program/startup.rs
+++ b/front/src/program/startup.rs
@@ -4,7 +4,7 @@
 use crate::protocol::feed::{Listing, News};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::Origin;
-use cranesill::api::{Listed, MemberId, Time};
+use cranesill::api::{EndpointId, EndpointState, Timestamp};
 use cranesill_daemon::Startup as Settings;
 use cranesill_startup::{
     Admission, CallBudget, CallSchedule, FleetPosition, Group, ListedEndpoint, NotReady, Readiness,
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 
 /// When this front calls the list service.
-pub fn calls(now: Time, config: &Config, settings: Option<&Settings>) -> CallSchedule {
+pub fn calls(now: Timestamp, config: &Config, settings: Option<&Settings>) -> CallSchedule {
     let budget = settings.map(|startup| CallBudget {
         calls_per_s: startup.calls_per_s.into(),
         max_wait: startup.wait_most_ms * 1_000,
@@ -85,7 +85,7 @@
 
 impl Startup {
     /// A front that starts now.
-    pub fn new(now: Time, config: &Config, settings: Option<&Settings>) -> Self {
+    pub fn new(now: Timestamp, config: &Config, settings: Option<&Settings>) -> Self {
         // One process that takes the place of another is no cold fleet: its clients are there already.
         let settings = settings.filter(|_| config.accept_fd.is_none());
         let slow_start = settings.and_then(|s| {
@@ -102,13 +102,13 @@
     }
 
     /// The list tells of members: those that are to be taken over now.
-    pub fn listed(&mut self, now: Time, whole: bool, list: Vec<Listing>) -> Vec<Listing> {
+    pub fn listed(&mut self, now: Timestamp, whole: bool, list: Vec<Listing>) -> Vec<Listing> {
         let Some(slow_start) = &mut self.slow_start else { return list };
         let admission = |l: &Listing| match l.state {
-            Listed::Ready if Some(l.kind) != self.origin => {
+            EndpointState::Ready if Some(l.kind) != self.origin => {
                 Admission::Staggered(Group { kind: l.kind, near: l.zone == self.zone })
             }
-            Listed::Gone => Admission::Removed,
+            EndpointState::Removed => Admission::Removed,
             _ => Admission::Immediate,
         };
         let endpoint = |l: Listing| ListedEndpoint { id: l.id.into(), admission: admission(&l), entry: l };
@@ -116,12 +116,12 @@
     }
 
     /// Members whose turn has come.
-    pub fn due(&mut self, now: Time) -> Vec<Listing> {
+    pub fn due(&mut self, now: Timestamp) -> Vec<Listing> {
         self.slow_start.as_mut().map_or_else(Vec::new, |slow_start| slow_start.poll(now))
     }
 
     /// When the next one's turn comes.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.slow_start.as_ref().and_then(SlowStart::next_deadline)
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Whether a member is listed and waits.
-    pub fn has(&self, member: MemberId) -> bool {
+    pub fn has(&self, member: EndpointId) -> bool {
         self.slow_start.as_ref().is_some_and(|slow_start| slow_start.is_waiting(member.0))
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Whether the front is ready, with so many members in use and so many of them reached. Tells the log what changes.
-    pub fn ready(&mut self, now: Time, used: usize, reached: usize) -> bool {
+    pub fn ready(&mut self, now: Timestamp, used: usize, reached: usize) -> bool {
         let waiting = self.waiting();
         let Some(ready) = &mut self.ready else { return true };
         let waits = ready.check(now, used + waiting, reached).err();
--- a/front/src/protocol/feed.rs
+++ b/front/src/protocol/feed.rs
@@ -1,6 +1,6 @@
 //! Events of the control feed.
 use super::{Cursor, Unreadable};
-use cranesill::api::Listed;
+use cranesill::api::EndpointState;
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Bytes of one frame at most: a whole list of some thousand members.
@@ -15,7 +15,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Its state.
-    pub state: Listed,
+    pub state: EndpointState,
     /// Place in the settings' list of zones.
     pub zone: u16,
     /// Place in the settings' list of kinds.
@@ -91,9 +91,9 @@
     let id = record.u32()?;
     let address = SocketAddr::from((Ipv4Addr::from(record.array::<4>()?), record.u16()?));
     let state = match record.u8()? {
-        0 => Listed::Ready,
-        1 => Listed::Draining,
-        2 => Listed::Gone,
+        0 => EndpointState::Ready,
+        1 => EndpointState::Draining,
+        2 => EndpointState::Removed,
         _ => return None,
     };
     let (zone, kind, cell) = (record.u8()?.into(), record.u8()?, record.u16()?);
--- a/front/src/protocol/known.rs
+++ b/front/src/protocol/known.rs
@@ -1,7 +1,7 @@
 //! The events that a front is given at its start, as JSON.
 use super::feed::{Listing, News};
 use super::hex16;
-use cranesill::api::Listed;
+use cranesill::api::EndpointState;
 use cranesill_settings::Names;
 use serde_json::Value;
 
@@ -33,9 +33,9 @@
         id: u32::from_str_radix(member["instanceId"].as_str()?.strip_prefix("s-")?, 16).ok()?,
         address: member["hostPort"].as_str()?.parse().ok()?,
         state: match member["lifecycle"].as_str()? {
-            "in_service" => Listed::Ready,
-            "terminating" => Listed::Draining,
-            "terminated" => Listed::Gone,
+            "in_service" => EndpointState::Ready,
+            "terminating" => EndpointState::Draining,
+            "terminated" => EndpointState::Removed,
             _ => return None,
         },
         zone: u16::try_from(place(&names.zones, &member["zone"])?).ok()?,
--- a/front/src/protocol/member.rs
+++ b/front/src/protocol/member.rs
@@ -2,7 +2,7 @@
 use super::Unreadable;
 use crate::routing::{Fetch, MemberReply, Txn, Word};
 use crate::transport::Outgoing;
-use cranesill::api::{MemberId, Note, Time};
+use cranesill::api::{EndpointId, FillNote, Timestamp};
 use std::rc::Rc;
 
 /// Bytes at most of the strings of an answer: id, word, fields, and an object with some room.
@@ -11,7 +11,7 @@
 const DIGITS_MOST: usize = 7;
 
 /// How a member is named in text.
-pub fn name_of(member: MemberId) -> String {
+pub fn name_of(member: EndpointId) -> String {
     format!("s-{:08x}", member.0)
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// A `fetch` as it is written `now`; its body goes out behind the head without being copied.
-pub fn fetch(fetch: &Fetch, now: Time) -> Outgoing<Option<Txn>> {
+pub fn fetch(fetch: &Fetch, now: Timestamp) -> Outgoing<Option<Txn>> {
     let limit = (fetch.deadline.saturating_sub(now) / 1_000).max(1);
     let mut fields = format!("cls={}", fetch.class);
     if let Some(item) = &fetch.item {
@@ -151,19 +151,19 @@
 }
 
 /// Notes that are not known tell nothing.
-fn note(word: &str) -> Note {
+fn note(word: &str) -> FillNote {
     match word {
-        "local" => Note::Hit,
-        "pulled" => Note::Filled,
-        "pulled_far" => Note::FilledByOrigin,
-        "rode" => Note::Joined,
-        "expired" => Note::Stale,
-        "turned_away" => Note::SourceRefused,
-        "cut_off" => Note::SourceLost,
-        "not_there" => Note::SourceLacks,
-        "no_place" => Note::NoPlace,
-        "far_fault" => Note::OriginFailed,
-        _ => Note::None,
+        "local" => FillNote::Hit,
+        "pulled" => FillNote::Filled,
+        "pulled_far" => FillNote::FilledByOrigin,
+        "rode" => FillNote::Coalesced,
+        "expired" => FillNote::Stale,
+        "turned_away" => FillNote::SourceRejected,
+        "cut_off" => FillNote::SourceLost,
+        "not_there" => FillNote::SourceMiss,
+        "no_place" => FillNote::NoFillSlot,
+        "far_fault" => FillNote::OriginFailed,
+        _ => FillNote::None,
     }
 }
 
--- a/front/src/protocol/member/tests.rs
+++ b/front/src/protocol/member/tests.rs
@@ -6,7 +6,7 @@
     let txn = Txn::new("9b1f03aa5c7e2d41").unwrap();
     let item = Item { text: "7f3a9c21e0b4d655".into(), id: 0 };
     let fill = Source {
-        source: Some(MemberId(0xc41f7a)),
+        source: Some(EndpointId(0xc41f7a)),
         rank: 2,
         oldest: 1_500_999,
         join: true,
@@ -19,7 +19,7 @@
         item: Some(item),
         part: 3,
         deadline: 1_250_000,
-        latest: Time::MAX,
+        latest: Timestamp::MAX,
         fill: Some(fill),
         seen: Some("4be0".into()),
         key: Some("09c7".into()),
--- a/front/src/protocol/ops.rs
+++ b/front/src/protocol/ops.rs
@@ -1,6 +1,6 @@
 //! Operators' calls on the second address: one line a connection, and its answer.
 use super::Unreadable;
-use cranesill::api::MemberId;
+use cranesill::api::EndpointId;
 
 /// Bytes of a call at most, with its line end.
 pub const LINE_MOST: usize = 256;
@@ -13,9 +13,9 @@
     /// The figures.
     Counters,
     /// Take a member out, by hand.
-    Cordon(MemberId),
+    Cordon(EndpointId),
     /// A member may serve again.
-    Uncordon(MemberId),
+    Uncordon(EndpointId),
     /// Empty the front.
     Quiesce,
     /// Take clients again.
@@ -23,10 +23,10 @@
 }
 
 /// The id of a member as it stands in text.
-pub fn member_id(text: &str) -> Option<MemberId> {
+pub fn member_id(text: &str) -> Option<EndpointId> {
     let digits =
         text.strip_prefix("s-").filter(|d| d.len() == 8 && d.bytes().all(|b| b.is_ascii_hexdigit()))?;
-    u64::from_str_radix(digits, 16).ok().map(MemberId)
+    u64::from_str_radix(digits, 16).ok().map(EndpointId)
 }
 
 /// Reads the call that `input` holds. `None`: its line is not whole yet. `ended`: nothing more comes.
@@ -49,7 +49,7 @@
     let line = std::str::from_utf8(line).map_err(|_| Unreadable("the line is no text"))?;
     let mut words = line.strip_suffix('\r').unwrap_or(line).split(' ').filter(|word| !word.is_empty());
     let (word, id, more) = (words.next().unwrap_or_default(), words.next(), words.next());
-    let of = |call: fn(MemberId) -> Call| match id {
+    let of = |call: fn(EndpointId) -> Call| match id {
         None => Err(Unreadable("ID is missing")),
         Some(_) if more.is_some() => Err(Unreadable("a word too many")),
         Some(id) => member_id(id).map(call).ok_or(Unreadable("ID is not s- and 8 hex digits")),
--- a/front/src/protocol/shared.rs
+++ b/front/src/protocol/shared.rs
@@ -2,7 +2,7 @@
 //! one file of what was learned of members' health. No I/O here.
 use super::ops::member_id;
 use crate::protocol::member::name_of;
-use cranesill::api::{Learned, MemberId, Time};
+use cranesill::api::{EndpointId, LearnedHealth, Timestamp};
 
 /// Of the form of these files; one of another version is as if absent.
 const VERSION: &str = "v1";
@@ -10,17 +10,17 @@
 pub const LEARNED_MOST: usize = 256 * 1024;
 
 /// The file whose presence says that a member is out by hand.
-pub fn out_name(member: MemberId) -> String {
+pub fn out_name(member: EndpointId) -> String {
     format!("{VERSION}.out.{}", name_of(member))
 }
 
 /// The member that a file of this name says is out by hand.
-pub fn out_member(name: &str) -> Option<MemberId> {
+pub fn out_member(name: &str) -> Option<EndpointId> {
     member_id(name.strip_prefix(VERSION)?.strip_prefix(".out.")?)
 }
 
 /// Writes what was learned up to a moment: a head with version and checksum, and a line for each member.
-pub fn learned(at: Time, members: &[Learned]) -> String {
+pub fn learned(at: Timestamp, members: &[LearnedHealth]) -> String {
     let mut body = format!("at {at}\n");
     for m in members {
         let (down, lost) = (u8::from(m.down), u8::from(m.lost));
@@ -30,7 +30,7 @@
 }
 
 /// Reads what was learned, and up to when. The error says why it is as if absent.
-pub fn read_learned(text: &[u8]) -> Result<(Time, Vec<Learned>), &'static str> {
+pub fn read_learned(text: &[u8]) -> Result<(Timestamp, Vec<LearnedHealth>), &'static str> {
     let text = std::str::from_utf8(text).map_err(|_| "it is no text")?;
     let (head, body) = text.split_once('\n').ok_or("it has no head")?;
     let mut words = head.split(' ');
@@ -53,7 +53,7 @@
         let member = member_id(words.next()?)?;
         let (started, cold_since) = (number(&mut words)?, number(&mut words)?);
         let (down, lost) = (number(&mut words)? == 1, number(&mut words)? == 1);
-        Some(Learned { member, started, cold_since, down, lost })
+        Some(LearnedHealth { member, started, cold_since, down, lost })
     };
     let members = lines.map(member).collect::<Option<_>>().ok_or("a line can't be read")?;
     Ok((at, members))
--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -1,7 +1,7 @@
 //! The list of members as a front last knew it, on disk: a head with version and checksum, as of what processes leave for each
 //! other, and a line for each member and each purge that still counts. No I/O here.
 use super::feed::{Listing, News};
-use cranesill::api::Listed;
+use cranesill::api::EndpointState;
 use std::collections::BTreeMap;
 
 const VERSION: &str = "v1";
@@ -39,7 +39,7 @@
                     self.members.clear();
                 }
                 for one in list {
-                    if one.state == Listed::Gone {
+                    if one.state == EndpointState::Removed {
                         self.members.remove(&one.id);
                     } else {
                         self.members.insert(one.id, one.clone());
@@ -89,7 +89,7 @@
     fn lines(&self) -> String {
         let mut body = String::new();
         for m in self.members.values() {
-            let state = u8::from(m.state == Listed::Draining);
+            let state = u8::from(m.state == EndpointState::Draining);
             let weight = (m.weight * 1e3).round() as u64;
             body += &format!(
                 "m {:08x} {} {state} {} {} {} {weight} {}\n",
@@ -142,7 +142,9 @@
                 let listing = Listing {
                     id,
                     address: address.parse().ok()?,
-                    state: [Listed::Ready, Listed::Draining].get(state.parse::<usize>().ok()?).copied()?,
+                    state: [EndpointState::Ready, EndpointState::Draining]
+                        .get(state.parse::<usize>().ok()?)
+                        .copied()?,
                     zone: zone.parse().ok()?,
                     kind: kind.parse().ok()?,
                     cell: cell.parse().ok()?,
--- a/front/src/protocol/snapshot/tests.rs
+++ b/front/src/protocol/snapshot/tests.rs
@@ -1,17 +1,27 @@
 use super::*;
 
-fn listing(id: u32, state: Listed) -> Listing {
+fn listing(id: u32, state: EndpointState) -> Listing {
     let address = "127.0.0.1:80".parse().unwrap();
     Listing { id, address, state, zone: 1, kind: 2, cell: 3, weight: 4.25, started_ms: 5 }
 }
 
 fn known() -> Snapshot {
     let mut known = Snapshot { source: 0xfeed, ..Snapshot::default() };
-    let members = vec![listing(1, Listed::Ready), listing(2, Listed::Draining), listing(3, Listed::Ready)];
+    let members = vec![
+        listing(1, EndpointState::Ready),
+        listing(2, EndpointState::Draining),
+        listing(3, EndpointState::Ready),
+    ];
     known.take(4, 900, 900, 45, &News::Members { whole: true, list: members });
     known.take(5, 950, 950, 45, &News::Purge { object: Some(0xabc), group: 0, at_ms: 940 });
     known.take(6, 960, 960, 45, &News::Purge { object: None, group: 9, at_ms: 955 });
-    known.take(7, 999, 999, 45, &News::Members { whole: false, list: vec![listing(3, Listed::Gone)] });
+    known.take(
+        7,
+        999,
+        999,
+        45,
+        &News::Members { whole: false, list: vec![listing(3, EndpointState::Removed)] },
+    );
     known
 }
 
--- a/front/src/routing/admit.rs
+++ b/front/src/routing/admit.rs
@@ -3,11 +3,11 @@
 use cranesill::api::{Event, Request};
 
 /// Time that the decisions have for an answer once the client's time is up; it is part of the margin that take in leaves.
-const GRACE: Span = 2_000;
+const GRACE: Micros = 2_000;
 
 impl Front {
     /// Passes a request on to the decisions, or answers it at once.
-    pub(super) fn admit(&mut self, now: Time, open: Open, request: Request) {
+    pub(super) fn admit(&mut self, now: Timestamp, open: Open, request: Request) {
         let (from, txn) = (open.from, open.ask.txn);
         // Two open requests under one id could not be told apart at a member.
         if self.by_txn.contains_key(&txn) || self.asked.contains_key(&from) {
--- a/front/src/routing/ahead.rs
+++ b/front/src/routing/ahead.rs
@@ -1,9 +1,9 @@
 //! By how much this front's clock is ahead of the list service's. Moments that the service names, of purges and of starts, are
 //! heard of at once or late, never early: what was heard with the least delay bounds the difference.
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 
 /// The least delay of one such span and the one before counts: clocks drift.
-const WINDOW: Span = 60_000_000;
+const WINDOW: Micros = 60_000_000;
 
 /// The least delay between a moment that was named and when it was heard of.
 #[derive(Debug, Default)]
@@ -11,12 +11,12 @@
     /// In this window and the one before. A clock that is behind makes them negative.
     new: Option<i64>,
     old: Option<i64>,
-    since: Time,
+    since: Timestamp,
 }
 
 impl Ahead {
     /// The service tells now of what was `at` by its clock. Only what it tells as news counts, not what was known or kept.
-    pub fn told(&mut self, now: Time, at: Time) {
+    pub fn told(&mut self, now: Timestamp, at: Timestamp) {
         if now > self.since + WINDOW {
             // Without news for long the last window with some stands.
             (self.old, self.new, self.since) = (self.new.or(self.old), None, now);
@@ -26,13 +26,13 @@
     }
 
     /// By this clock, what was `at` by the service's: never before it was, and later by no more than the least delay.
-    pub fn here(&self, at: Time) -> Time {
+    pub fn here(&self, at: Timestamp) -> Timestamp {
         at.saturating_add_signed(self.least())
     }
 
     /// How far this clock is ahead at most; 0 while nothing was heard, or if it is behind.
-    pub fn span(&self) -> Span {
-        self.least().max(0) as Span
+    pub fn span(&self) -> Micros {
+        self.least().max(0) as Micros
     }
 
     /// By how many milliseconds this clock is ahead, less than 0 if it is behind, and the least delay of news in it; `None` while
--- a/front/src/routing/ahead/tests.rs
+++ b/front/src/routing/ahead/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-const S: Span = 1_000_000;
+const S: Micros = 1_000_000;
 
 #[test]
 fn what_is_named_is_never_taken_for_older_than_it_is_whatever_the_clock() {
     // By the service's clock it is 1,000 s later; delays of news go from 40 to 240 ms, after a break to 8 s.
     for clock in [0, 9 * S as i64, -9 * S as i64, 3_600 * S as i64, 450_000] {
         let mut ahead = Ahead::default();
-        let here = |at: Time| at.saturating_add_signed(clock);
+        let here = |at: Timestamp| at.saturating_add_signed(clock);
         for n in 0..4_000u64 {
             let (at, late) = (1_000 * S + n * S, if n % 500 < 8 { 8 * S - n % 500 * S } else { 0 });
             let delay = 40_000 + n * 7_919 % 200_000 + late;
--- a/front/src/routing/book.rs
+++ b/front/src/routing/book.rs
@@ -1,10 +1,10 @@
 //! Book: the end of each attempt is told to the decisions, once.
 use super::*;
-use cranesill::api::{Event, Note, Outcome, Status};
+use cranesill::api::{Event, FillNote, Outcome, Status};
 
 impl Front {
     /// Books the end of an attempt; a second end of the same one is passed over.
-    pub fn ended(&mut self, now: Time, attempt: AttemptId, end: End) {
+    pub fn ended(&mut self, now: Timestamp, attempt: AttemptId, end: End) {
         let Some(out) = self.out.remove(&attempt) else { return };
         if let Some(key) = out.past {
             if let Some(count) = self.past.get_mut(&key) {
@@ -19,11 +19,11 @@
         let (status, note, waited, meter) = match &end {
             End::Reply(reply) => (status(reply), reply.note, reply.waited, &reply.meter[..]),
             // Not written whole: the member can't have run it.
-            End::Unsent { .. } => (Status::ConnectFailed, Note::None, 0, &[][..]),
-            End::Unplaced => (Status::Moot, Note::None, 0, &[][..]),
-            End::Broken { .. } => (Status::Reset, Note::None, 0, &[][..]),
-            End::CalledOff => (Status::Cancelled, Note::None, 0, &[][..]),
-            End::Expired => (Status::Timeout, Note::None, 0, &[][..]),
+            End::Unsent { .. } => (Status::ConnectFailed, FillNote::None, 0, &[][..]),
+            End::Unplaced => (Status::NotSent, FillNote::None, 0, &[][..]),
+            End::Broken { .. } => (Status::Reset, FillNote::None, 0, &[][..]),
+            End::CalledOff => (Status::Cancelled, FillNote::None, 0, &[][..]),
+            End::Expired => (Status::Timeout, FillNote::None, 0, &[][..]),
         };
         if let Some(open) = self.open.get_mut(&id).filter(|_| !status.proves_not_run()) {
             open.ran = Some(open.ran.map_or(out.sent, |ran| ran.min(out.sent)));
@@ -56,7 +56,7 @@
 
     /// An answer from a copy that is older than a purge is none, whatever the member says; nor is one that calls current what
     /// is not the client's copy.
-    fn judged(&mut self, now: Time, id: RequestId, from: MemberId, end: End) -> End {
+    fn judged(&mut self, now: Timestamp, id: RequestId, from: EndpointId, end: End) -> End {
         let spoilt = |open: &Open, reply: &MemberReply| {
             reply.word == Word::Valid && (open.write || open.ask.have.as_deref() != reply.tag.as_deref())
         };
@@ -78,7 +78,7 @@
     }
 
     /// The time of an attempt is up: it is given up at the member, and its end is booked.
-    pub(super) fn expire(&mut self, now: Time, attempt: AttemptId) {
+    pub(super) fn expire(&mut self, now: Timestamp, attempt: AttemptId) {
         if self.out.contains_key(&attempt) {
             self.commands.push_back(Command::Abort(attempt));
             self.ended(now, attempt, End::Expired);
@@ -87,23 +87,23 @@
 
     /// The front ends: whoever still waits is answered now. Only what can't have run is refused, so that trying again does no
     /// harm.
-    pub fn give_up(&mut self, now: Time) {
+    pub fn give_up(&mut self, now: Timestamp) {
         let mut open: Vec<_> = self.open.iter().map(|(id, open)| (*id, open.ran.is_some())).collect();
         open.sort_unstable();
         for (id, ran) in open {
             let out = self.out.keys().any(|attempt| attempt.request == id);
             let answer = if ran || out { Answer::Failed } else { Answer::Refused(self.later()) };
             self.conclude(id, answer);
-            self.tell(now, Event::Gone(id));
+            self.tell(now, Event::Cancelled(id));
         }
     }
 
     /// Guards the rule that every request is answered: whatever the decisions wait for, the client's time is
     /// up.
-    pub(super) fn overdue(&mut self, now: Time, id: RequestId) {
+    pub(super) fn overdue(&mut self, now: Timestamp, id: RequestId) {
         if self.open.contains_key(&id) {
             self.conclude(id, Answer::Failed);
-            self.tell(now, Event::Gone(id));
+            self.tell(now, Event::Cancelled(id));
         }
     }
 }
@@ -113,8 +113,8 @@
     match reply.word {
         Word::Hit | Word::Valid => Status::Ok,
         Word::None => Status::Miss,
-        Word::Shed => Status::Full,
-        Word::Late => Status::Moot,
+        Word::Shed => Status::Rejected,
+        Word::Late => Status::NotSent,
         Word::Fault | Word::Other => Status::Error,
     }
 }
--- a/front/src/routing/floors.rs
+++ b/front/src/routing/floors.rs
@@ -1,7 +1,7 @@
 //! Floors: the oldest moment from which a copy may stem that answers a request, by the purges that this front knows.
 //! They are asked when an attempt is sent and again when its answer comes: purges come while requests wait.
 use super::{Ask, MemberReply, Word};
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::contact::Contact;
 use cranesill_purges::matching::{tag_mark, Index, Matcher, Set};
 use cranesill_purges::{key, Ms, Number, Purge, What};
@@ -9,7 +9,7 @@
 
 /// Tags that one answer may name.
 const TAGS_MOST: usize = 16;
-const MS: Span = 1_000;
+const MS: Micros = 1_000;
 /// Objects and parts under a floor of which it is remembered that they were renewed, in each of two generations.
 const RENEWED_MOST: usize = 32_768;
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Need {
     /// The oldest that will do, as an age.
-    pub oldest: Span,
+    pub oldest: Micros,
     /// One that is new enough was seen already: caches need not go past themselves.
     pub renewed: bool,
 }
@@ -44,8 +44,8 @@
     /// answers are judged by it.
     pub confirmed: Number,
     /// When the copies were given out that were seen lately of objects and parts under a floor, in two generations.
-    renewed: HashMap<(u64, u32), Time>,
-    renewed_before: HashMap<(u64, u32), Time>,
+    renewed: HashMap<(u64, u32), Timestamp>,
+    renewed_before: HashMap<(u64, u32), Timestamp>,
     /// With the writer of the ledger, where this front follows one.
     pub contact: Option<Contact>,
     /// Answers that were refused for their age, and of them those that were asked for better.
@@ -113,7 +113,7 @@
         }
     }
 
-    fn floor(&self, now: Time, after: Number, ask: &Ask, tags: Option<&[u64]>) -> Time {
+    fn floor(&self, now: Timestamp, after: Number, ask: &Ask, tags: Option<&[u64]>) -> Timestamp {
         let Some(item) = &ask.item else { return 0 };
         let contact = self.contact.as_ref().map_or(0, |c| c.floor(now, now / MS));
         let contact = if contact > 0 { contact.saturating_add(self.skew) } else { 0 };
@@ -126,7 +126,7 @@
 
     /// What purges ask of the copy that answers a request; `None`: nothing beyond `oldest`, the age that will do (0:
     /// as the class has it).
-    pub fn need(&self, now: Time, ask: &Ask, oldest: Span) -> Option<Need> {
+    pub fn need(&self, now: Timestamp, ask: &Ask, oldest: Micros) -> Option<Need> {
         let item = ask.item.as_ref()?;
         let floor = self.floor(now, self.confirmed, ask, self.index.tags(item.id));
         // 0 would ask for the class's own, so the least is a millisecond.
@@ -139,7 +139,7 @@
 
     /// Judges an answer that a member says is good, by the tags that it names itself: an older version may carry others
     /// than those that are known. One that names none is unknown.
-    pub fn judge(&mut self, now: Time, ask: &Ask, reply: &MemberReply) -> Judged {
+    pub fn judge(&mut self, now: Timestamp, ask: &Ask, reply: &MemberReply) -> Judged {
         if !matches!(reply.word, Word::Hit | Word::Valid) {
             return Judged::Good;
         }
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -17,7 +17,7 @@
 pub use floors::{Floors, Judged, Need};
 pub use types::*;
 
-use cranesill::api::{Action, MemberId, RequestId, Span, Time};
+use cranesill::api::{Action, EndpointId, Micros, RequestId, Timestamp};
 use cranesill::Router;
 use cranesill_purges::shield::Shield;
 use cranesill_settings::Deployment;
@@ -29,21 +29,21 @@
 struct Open {
     from: ReplyTo,
     ask: Rc<Ask>,
-    deadline: Time,
+    deadline: Timestamp,
     class: usize,
     /// Its class runs at the origin and leaves no copy.
     write: bool,
     /// Attempts sent so far.
     sent: u16,
     /// When the first was sent that may have run.
-    ran: Option<Time>,
+    ran: Option<Timestamp>,
 }
 
 /// An attempt that has not ended.
 #[derive(Debug)]
 struct Out {
-    sent: Time,
-    to: MemberId,
+    sent: Timestamp,
+    to: EndpointId,
     /// What it fetches past the caches, since purges ask for newer than they have.
     past: Option<(u64, u32)>,
 }
@@ -144,12 +144,12 @@
     }
 
     /// Whether the decisions avoid a listed member now.
-    pub fn avoids(&self, member: MemberId) -> bool {
+    pub fn avoids(&self, member: EndpointId) -> bool {
         self.router.avoids(member)
     }
 
     /// How long a client is asked to stay away when the front itself has no room.
-    fn later(&self) -> Span {
+    fn later(&self) -> Micros {
         self.deployment.settings.max_retry_after
     }
 }
--- a/front/src/routing/send.rs
+++ b/front/src/routing/send.rs
@@ -7,10 +7,10 @@
     /// order sent.
     pub(super) fn send(
         &mut self,
-        now: Time,
+        now: Timestamp,
         request: RequestId,
-        target: MemberId,
-        until: Option<Time>,
+        target: EndpointId,
+        until: Option<Timestamp>,
         fill: Option<Fill>,
     ) {
         // The decisions learn of a final answer before they decide again, so the request is open here.
@@ -58,7 +58,7 @@
         // Guards the rule of effects: what was decided within the window may wait for its connection till after it.
         let latest = match (self.deployment.settings.classes.get(open.class).map(|c| c.effect), open.ran) {
             (Some(Effect::Keyed { window, .. }), Some(ran)) => ran.saturating_add(window),
-            _ => Time::MAX,
+            _ => Timestamp::MAX,
         };
         let fetch = Fetch {
             txn: open.ask.txn,
@@ -78,7 +78,7 @@
     }
 
     /// Whether a request has to stay away from the main store for now, and for how long: what is worth most comes first.
-    fn shielded(&mut self, now: Time, class: &str) -> Option<Span> {
+    fn shielded(&mut self, now: Timestamp, class: &str) -> Option<Micros> {
         let classes = &self.deployment.settings.classes;
         let at = self.deployment.names.classes.iter().position(|name| name == class)?;
         let most = classes.iter().map(|c| c.worth).fold(0.0, f64::max).max(f64::MIN_POSITIVE);
--- a/front/src/routing/take_in.rs
+++ b/front/src/routing/take_in.rs
@@ -3,11 +3,11 @@
 use cranesill::api::{ObjectId, Request};
 
 /// Left of the client's time when the last answer goes out, so that it arrives in time.
-const MARGIN: Span = 10_000;
+const MARGIN: Micros = 10_000;
 
 impl Front {
     /// Takes in a client's request that came whole at `now`.
-    pub fn take_in(&mut self, now: Time, from: ReplyTo, ask: Ask) {
+    pub fn take_in(&mut self, now: Timestamp, from: ReplyTo, ask: Ask) {
         let class = self.deployment.names.classes.iter().position(|name| *name == ask.class);
         let write = class.is_some_and(|c| self.deployment.settings.classes[c].write);
         // Only what runs at the origin can do without an object.
@@ -16,7 +16,7 @@
         };
         // A client that claims to wait for weeks would have its deadlines remembered for as long.
         let most = Some(self.deployment.limits.waits[class]).filter(|most| *most > 0);
-        let limit = ask.limit.min(most.unwrap_or(Span::MAX));
+        let limit = ask.limit.min(most.unwrap_or(Micros::MAX));
         let deadline = now + limit - MARGIN.min(limit / 2);
         self.last += 1;
         let request = Request {
@@ -45,12 +45,12 @@
     }
 
     /// Nobody waits for this stream any more.
-    pub fn gone(&mut self, now: Time, from: ReplyTo) {
+    pub fn gone(&mut self, now: Timestamp, from: ReplyTo) {
         if let Some(id) = self.asked.get(&from).copied() {
             if let Some(counts) = self.forget(id).and_then(|open| self.counts.get_mut(open.class)) {
                 counts.left += 1;
             }
-            self.tell(now, cranesill::api::Event::Gone(id));
+            self.tell(now, cranesill::api::Event::Cancelled(id));
         }
     }
 }
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::Value;
 
-const S: Time = 1_000_000;
+const S: Timestamp = 1_000_000;
 
 fn front(room: Room) -> Front {
     let config: Value = serde_json::from_str(include_str!("../../examples/config.json")).unwrap();
@@ -27,9 +27,10 @@
 /// An origin and nothing else: writes go there.
 fn with_origin(room: Room) -> Front {
     let mut front = front(room);
-    let state = cranesill::api::Listed::Ready;
-    let (member, weight) = (MemberId(0x31), 1.0);
-    let origin = cranesill::api::Entry { member, kind: 2, zone: 0, cell: 0, weight, started: 0, state };
+    let state = cranesill::api::EndpointState::Ready;
+    let (member, weight) = (EndpointId(0x31), 1.0);
+    let origin =
+        cranesill::api::EndpointEntry { member, kind: 2, zone: 0, cell: 0, weight, started: 0, state };
     front.members(S, true, vec![origin], Origin::Service);
     front
 }
@@ -75,12 +76,12 @@
     // Guards against sizes that are lost on their way to the decisions: on a calm day of a deployment whose clients tell
     // them, a quarter of the worth went because all was taken to need the same time.
     let mut front = front(Room { open: 1_000, bytes: 96 << 20 });
-    let state = cranesill::api::Listed::Ready;
-    let (member, weight) = (MemberId(1), 0.2);
+    let state = cranesill::api::EndpointState::Ready;
+    let (member, weight) = (EndpointId(1), 0.2);
     front.members(
         S,
         true,
-        vec![cranesill::api::Entry { member, kind: 0, zone: 1, cell: 0, weight, started: 0, state }],
+        vec![cranesill::api::EndpointEntry { member, kind: 0, zone: 1, cell: 0, weight, started: 0, state }],
         Origin::Service,
     );
     let mut video = |n: u64, size_kb: f64| {
@@ -110,8 +111,8 @@
     let mut front = Front::new(deployment, 1, Room { open: 10, bytes: 16 << 20 });
     for news in known {
         let crate::protocol::feed::News::Members { whole, list } = news else { panic!() };
-        let entry = |l: &crate::protocol::feed::Listing| cranesill::api::Entry {
-            member: MemberId(l.id.into()),
+        let entry = |l: &crate::protocol::feed::Listing| cranesill::api::EndpointEntry {
+            member: EndpointId(l.id.into()),
             kind: l.kind,
             zone: l.zone,
             cell: l.cell,
@@ -183,10 +184,10 @@
 fn after_a_purge_of_everything_fetches_past_the_caches_are_bounded_and_joined_ones_cost_nothing() {
     use cranesill_purges::{shield::Shield, Purge, What};
     let mut front = front(Room { open: 10_000, bytes: 1 << 30 });
-    let state = cranesill::api::Listed::Ready;
+    let state = cranesill::api::EndpointState::Ready;
     let entry = |id, kind, zone| {
-        let (member, weight) = (MemberId(id), 8.0);
-        cranesill::api::Entry { member, kind, zone, cell: 0, weight, started: 0, state }
+        let (member, weight) = (EndpointId(id), 8.0);
+        cranesill::api::EndpointEntry { member, kind, zone, cell: 0, weight, started: 0, state }
     };
     front.members(S, true, vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)], Origin::Service);
     let mut floors = Floors::new(1 << 16, 0);
@@ -293,10 +294,10 @@
     // The first one agrees with this clock. The second is 4 s behind: what it says was 4 s ago is now.
     let oldest = |moved: bool| {
         let mut front = front(Room { open: 1_000, bytes: 96 << 20 });
-        let state = cranesill::api::Listed::Ready;
+        let state = cranesill::api::EndpointState::Ready;
         let entry = |id, kind, zone| {
-            let (member, weight) = (MemberId(id), 8.0);
-            cranesill::api::Entry { member, kind, zone, cell: 0, weight, started: 0, state }
+            let (member, weight) = (EndpointId(id), 8.0);
+            cranesill::api::EndpointEntry { member, kind, zone, cell: 0, weight, started: 0, state }
         };
         let now = 1_000 * S;
         front.members(now, true, vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)], Origin::Service);
--- a/front/src/routing/types.rs
+++ b/front/src/routing/types.rs
@@ -1,5 +1,5 @@
 //! What the stages speak of.
-use cranesill::api::{MemberId, Note, RequestId, Span, Time};
+use cranesill::api::{EndpointId, FillNote, Micros, RequestId, Timestamp};
 use std::rc::Rc;
 
 /// The id of a request: 16 hex digits, passed on as they came.
@@ -38,7 +38,7 @@
     pub class: String,
     pub txn: Txn,
     /// How long the client waits.
-    pub limit: Span,
+    pub limit: Micros,
     pub item: Option<Item>,
     pub part: u32,
     pub group: u32,
@@ -66,7 +66,7 @@
     /// The copy that the client holds is the one.
     Same,
     /// Trying again does no harm, after this span.
-    Refused(Span),
+    Refused(Micros),
     /// Nothing is promised.
     Failed,
 }
@@ -95,9 +95,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Source {
     /// Where from; `None`: it is not.
-    pub source: Option<MemberId>,
+    pub source: Option<EndpointId>,
     pub rank: u8,
-    pub oldest: Span,
+    pub oldest: Micros,
     pub join: bool,
     pub only_held: bool,
     pub renew: bool,
@@ -111,9 +111,9 @@
     pub item: Option<Item>,
     pub part: u32,
     /// When the front stops waiting.
-    pub deadline: Time,
+    pub deadline: Timestamp,
     /// A repeat is begun to be written up to then: nodes forget what they would know it by.
-    pub latest: Time,
+    pub latest: Timestamp,
     pub fill: Option<Source>,
     pub seen: Option<Rc<str>>,
     /// Passed on as it came.
@@ -142,8 +142,8 @@
 pub struct MemberReply {
     pub word: Word,
     pub body: Rc<[u8]>,
-    pub note: Note,
-    pub waited: Span,
+    pub note: FillNote,
+    pub waited: Micros,
     /// The copy's tag, as it names it.
     pub tag: Option<Box<str>>,
     /// When the origin gave the copy out.
@@ -187,15 +187,15 @@
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Send an attempt.
-    Send(AttemptId, MemberId, Fetch),
+    Send(AttemptId, EndpointId, Fetch),
     /// Give an attempt up that was sent.
     Abort(AttemptId),
     /// Give a client its final answer.
     Answer(ReplyTo, Answer),
     /// Call `wake` at this moment.
-    Wake(Time, Wake),
+    Wake(Timestamp, Wake),
     /// A member served a copy that is older than it was asked for.
-    Lied(MemberId),
+    Lied(EndpointId),
     /// Write a line to the log.
     Log(String),
 }
--- a/front/src/transport/clock.rs
+++ b/front/src/transport/clock.rs
@@ -1,12 +1,12 @@
 //! The one clock of the program.
-use cranesill::api::{Span, Time};
+use cranesill::api::{Micros, Timestamp};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Microseconds since the Unix epoch, read once at the start and carried on by the monotonic clock: moments
 /// that the control feed names can be compared with it, and it never goes back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    epoch: Span,
+    epoch: Micros,
     start: Instant,
 }
 
@@ -14,11 +14,11 @@
     /// Reads the system's clock.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { epoch: unix.as_micros() as Span, start: Instant::now() }
+        Clock { epoch: unix.as_micros() as Micros, start: Instant::now() }
     }
 
     /// Now.
-    pub fn now(&self) -> Time {
-        self.epoch + self.start.elapsed().as_micros() as Span
+    pub fn now(&self) -> Timestamp {
+        self.epoch + self.start.elapsed().as_micros() as Micros
     }
 }
--- a/front/src/transport/reactor.rs
+++ b/front/src/transport/reactor.rs
@@ -1,5 +1,5 @@
 //! The poller and the sources that it watches.
-use cranesill::api::Time;
+use cranesill::api::Timestamp;
 use polling::{Event, Events, PollMode, Poller};
 use std::io;
 use std::ops::{Deref, DerefMut};
@@ -38,7 +38,7 @@
 
     /// Waits until something can be done or the moment `until` has come; the keys, with whether they can be
     /// read and written.
-    pub fn wait(&mut self, now: Time, until: Option<Time>) -> io::Result<Vec<(usize, bool, bool)>> {
+    pub fn wait(&mut self, now: Timestamp, until: Option<Timestamp>) -> io::Result<Vec<(usize, bool, bool)>> {
         self.events.clear();
         let left = until.map(|at| Duration::from_micros(at.saturating_sub(now)));
         match self.poller.wait(&mut self.events, left) {
--- a/purges/src/boxes.rs
+++ b/purges/src/boxes.rs
@@ -1,16 +1,16 @@
 //! Which box has confirmed what, and what it is sent next: in order, one batch out at a time, slow boxes apart from fast
 //! ones, paced over the fleet.
 use crate::ledger::BATCH_MOST;
-use crate::{Number, Span, Time};
+use crate::{Micros, Number, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A batch that is not confirmed after this long is taken for lost, and what it held is sent again.
-const CONFIRM_MOST: Span = 5_000_000;
+const CONFIRM_MOST: Micros = 5_000_000;
 /// Pauses after a loss: the first, and the longest.
-const PAUSE_FIRST: Span = 100_000;
-const PAUSE_MOST: Span = 10_000_000;
+const PAUSE_FIRST: Micros = 100_000;
+const PAUSE_MOST: Micros = 10_000_000;
 /// A box whose last batch took longer than this is a slow one.
-const SLOW: Span = 1_000_000;
+const SLOW: Micros = 1_000_000;
 /// Batches out at once: to slow boxes at most so many, so that they don't take all the places.
 const OUT_MOST: usize = 64;
 const OUT_SLOW_MOST: usize = 8;
@@ -34,12 +34,12 @@
     /// Everything up to this one is carried out.
     confirmed: Number,
     /// The batch that is out, and since when.
-    out: Option<(Number, Time)>,
+    out: Option<(Number, Timestamp)>,
     connected: bool,
     slow: bool,
     failures: u32,
     /// Nothing is sent before this moment.
-    rests: Time,
+    rests: Timestamp,
     lies: u64,
 }
 
@@ -70,12 +70,12 @@
     /// Purges a second over the fleet, and what may be sent now.
     per_s: f64,
     level: f64,
-    at: Time,
+    at: Timestamp,
 }
 
 impl Boxes {
     /// No boxes yet; `per_s` purges a second go out to all of them together. `identity`: of the ledger.
-    pub fn new(now: Time, identity: u64, per_s: f64) -> Self {
+    pub fn new(now: Timestamp, identity: u64, per_s: f64) -> Self {
         let (per_s, all) = (per_s.max(1.0), BTreeMap::new());
         Boxes { identity, all, turn: 0, out: 0, out_slow: 0, per_s, level: per_s, at: now }
     }
@@ -116,7 +116,7 @@
     }
 
     /// The connection to a box is gone, with what was out on it.
-    pub fn lost(&mut self, now: Time, id: BoxId) {
+    pub fn lost(&mut self, now: Timestamp, id: BoxId) {
         self.end(id);
         if let Some(state) = self.all.get_mut(&id) {
             state.connected = false;
@@ -125,7 +125,7 @@
     }
 
     /// A box has carried out everything up to a number. Less or more than was sent tells nothing: `false`.
-    pub fn confirmed(&mut self, now: Time, id: BoxId, number: Number) -> bool {
+    pub fn confirmed(&mut self, now: Timestamp, id: BoxId, number: Number) -> bool {
         let Some((upto, since)) = self.all.get(&id).and_then(|s| s.out) else { return false };
         if number != upto {
             return false;
@@ -139,7 +139,7 @@
     }
 
     /// An answer of a box was older than a purge that it had confirmed: it is purged anew, from the first that is held.
-    pub fn lied(&mut self, now: Time, id: BoxId) {
+    pub fn lied(&mut self, now: Timestamp, id: BoxId) {
         self.end(id);
         if let Some(state) = self.all.get_mut(&id) {
             state.lies += 1;
@@ -148,7 +148,7 @@
         }
     }
 
-    fn rest(state: &mut State, now: Time) {
+    fn rest(state: &mut State, now: Timestamp) {
         state.failures += 1;
         state.rests = now + (PAUSE_FIRST << (state.failures - 1).min(10)).min(PAUSE_MOST);
     }
@@ -163,7 +163,7 @@
     }
 
     /// What goes out now. `base`: the number before the first that the ledger holds, `head`: its last.
-    pub fn next(&mut self, now: Time, base: Number, head: Number) -> Vec<Batch> {
+    pub fn next(&mut self, now: Timestamp, base: Number, head: Number) -> Vec<Batch> {
         self.level = (self.level + now.saturating_sub(self.at) as f64 / 1e6 * self.per_s).min(self.per_s);
         self.at = self.at.max(now);
         let late = |s: &State| s.out.is_some_and(|(_, since)| now > since + CONFIRM_MOST);
@@ -203,7 +203,7 @@
     }
 
     /// When [`Boxes::next`] may have something without anything else happening.
-    pub fn wake(&self, now: Time, head: Number) -> Option<Time> {
+    pub fn wake(&self, now: Timestamp, head: Number) -> Option<Timestamp> {
         let behind = |s: &&State| s.connected && s.confirmed < head;
         let due = |s: &State| match s.out {
             Some((_, since)) => since + CONFIRM_MOST + 1,
--- a/purges/src/contact.rs
+++ b/purges/src/contact.rs
@@ -1,5 +1,5 @@
 //! The contact lease: a front that has not heard of the ledger for a while can't know what was purged.
-use crate::{Ms, Span, Time};
+use crate::{Micros, Ms, Timestamp};
 
 /// What a front does without contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,10 +14,10 @@
 /// When the ledger was heard of last.
 #[derive(Clone, Debug)]
 pub struct Contact {
-    lease: Span,
+    lease: Micros,
     without: Without,
     /// On the monotonic clock, and by the wall.
-    heard: (Time, Ms),
+    heard: (Timestamp, Ms),
     lost: bool,
     /// Answers that stood under the doubt.
     pub doubtful: u64,
@@ -25,34 +25,34 @@
 
 impl Contact {
     /// Contact was had `now`; it is lost `lease` microseconds later.
-    pub fn new(now: Time, wall: Ms, lease: Span, without: Without) -> Self {
+    pub fn new(now: Timestamp, wall: Ms, lease: Micros, without: Without) -> Self {
         Contact { lease, without, heard: (now, wall), lost: false, doubtful: 0 }
     }
 
     /// Contact was not had yet, as at a start.
-    pub fn lost(now: Time, wall: Ms, lease: Span, without: Without) -> Self {
+    pub fn lost(now: Timestamp, wall: Ms, lease: Micros, without: Without) -> Self {
         Contact::new(now.saturating_sub(lease), wall.saturating_sub(lease / 1_000), lease, without)
     }
 
     /// The ledger was heard of. `true`: contact was lost until now.
-    pub fn heard(&mut self, now: Time, wall: Ms) -> bool {
+    pub fn heard(&mut self, now: Timestamp, wall: Ms) -> bool {
         self.heard = (now.max(self.heard.0), wall);
         std::mem::take(&mut self.lost)
     }
 
     /// When contact counts as lost if nothing is heard.
-    pub fn due(&self) -> Time {
+    pub fn due(&self) -> Timestamp {
         self.heard.0 + self.lease
     }
 
     /// Whether contact was lost just now: to be said once.
-    pub fn lost_now(&mut self, now: Time) -> bool {
+    pub fn lost_now(&mut self, now: Timestamp) -> bool {
         let lost = now >= self.due();
         lost && !std::mem::replace(&mut self.lost, lost)
     }
 
     /// The floor that the loss of contact brings, in milliseconds of `wall`; 0: none.
-    pub fn floor(&self, now: Time, wall: Ms) -> Ms {
+    pub fn floor(&self, now: Timestamp, wall: Ms) -> Ms {
         match self.without {
             Without::Strict if now >= self.due() => wall.saturating_sub(self.lease / 1_000).max(self.heard.1),
             _ => 0,
@@ -60,7 +60,7 @@
     }
 
     /// An answer is passed on: where contact is lost and the front goes on all the same, it stands under the doubt.
-    pub fn answered(&mut self, now: Time) {
+    pub fn answered(&mut self, now: Timestamp) {
         self.doubtful += u64::from(self.without == Without::Available && now >= self.due());
     }
 }
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -22,9 +22,9 @@
 /// Unix milliseconds.
 pub type Ms = u64;
 /// A moment on a clock that never goes back, in microseconds.
-pub type Time = u64;
+pub type Timestamp = u64;
 /// A span in microseconds.
-pub type Span = u64;
+pub type Micros = u64;
 /// The number of a purge: 1 up, without gaps. 0: before the first.
 pub type Number = u64;
 
--- a/purges/src/shield.rs
+++ b/purges/src/shield.rs
@@ -1,6 +1,6 @@
 //! How much may go past the caches to the main store while floors are high: a rate, of which the last part is kept for
 //! what is worth more.
-use crate::Time;
+use crate::Timestamp;
 
 /// Seconds of the rate that may be laid by.
 const LAID_BY_S: f64 = 1.0;
@@ -12,7 +12,7 @@
 pub struct Shield {
     per_s: f64,
     level: f64,
-    at: Time,
+    at: Timestamp,
     /// What went past, and what was turned away.
     pub passed: u64,
     /// Turned away.
@@ -21,14 +21,14 @@
 
 impl Shield {
     /// Lets `per_s` requests a second past.
-    pub fn new(now: Time, per_s: f64) -> Self {
+    pub fn new(now: Timestamp, per_s: f64) -> Self {
         let per_s = per_s.max(0.1);
         Shield { per_s, level: per_s * LAID_BY_S, at: now, passed: 0, refused: 0 }
     }
 
     /// Whether a request may go past the caches now. `worth`: 0 to 1, among the classes that there are. What is worth
     /// most may use all that is there, what is worth least leaves half of it.
-    pub fn may(&mut self, now: Time, worth: f64) -> bool {
+    pub fn may(&mut self, now: Timestamp, worth: f64) -> bool {
         let most = (self.per_s * LAID_BY_S).max(1.0);
         let passed = now.saturating_sub(self.at) as f64 / 1e6;
         self.level = (self.level + passed * self.per_s).min(most);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod check;
 
-use cranesill::api::{Class, ColdLimits, Effect, KeyGroup, Report, Settings, Span};
+use cranesill::api::{Class, Effect, KeyScope, Micros, Report, Settings, SlowStartLimits};
 use serde_json::Value;
 
 fn number(v: &Value, key: &str) -> f64 {
@@ -58,15 +58,15 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Members close connections that were idle for this long.
-    pub idle: Span,
+    pub idle: Micros,
     /// Attempts that one connection carries at once.
     pub streams: usize,
     /// What was decided before a purge may be sent for this long after it was told.
-    pub purge_grace: Span,
+    pub purge_grace: Micros,
     /// Requests that an instance may have open.
     pub open: usize,
     /// How long a client waits at most, over all its tries; by class.
-    pub waits: Vec<Span>,
+    pub waits: Vec<Micros>,
 }
 
 /// The settings, as far as any part of the project uses them.
@@ -113,9 +113,9 @@
             Some("pure") => Effect::Safe,
             Some("token") => Effect::Keyed {
                 group: match c["group"].as_str() {
-                    Some("all") => KeyGroup::All,
-                    Some("zone") => KeyGroup::Zone,
-                    _ => KeyGroup::Cell,
+                    Some("all") => KeyScope::All,
+                    Some("zone") => KeyScope::Zone,
+                    _ => KeyScope::Cell,
                 },
                 window: span(c, "memorySpan"),
             },
@@ -132,7 +132,7 @@
         });
     }
     let seats = family["seatsByZone"].as_array().unwrap_or(&none);
-    let cold_cache = ColdLimits {
+    let cold_cache = SlowStartLimits {
         from: number(rules, "coldFrom"),
         warm_in: span(rules, "cold"),
         fall_multiple: number(rules, "fallMultiple"),
@@ -151,7 +151,7 @@
         joins: flag(family, "joins"),
         purge_done: span(family, "purgeTakes"),
         cold_cache,
-        cold_parent: ColdLimits {
+        cold_parent: SlowStartLimits {
             from: number(family, "parentColdFrom"),
             warm_in: span(family, "parentWarmsIn"),
             fall_multiple: number(family, "parentFallMultiple"),
@@ -172,8 +172,12 @@
     };
     let told = |key, default: f64| Some(number(limits, key)).filter(|n| *n >= 1.0).unwrap_or(default);
     let limits = Limits {
-        idle: told("connIdle", 15e6) as Span,
-        purge_grace: if span(family, "purgeGrace") > 0 { span(family, "purgeGrace") } else { Span::MAX / 2 },
+        idle: told("connIdle", 15e6) as Micros,
+        purge_grace: if span(family, "purgeGrace") > 0 {
+            span(family, "purgeGrace")
+        } else {
+            Micros::MAX / 2
+        },
         streams: told("streamsPerConn", 1.0) as usize,
         open: told("openCap", 20_000.0) as usize,
         waits: v["classes"].as_array().unwrap_or(&none).iter().map(|c| span(c, "deadline")).collect(),
