--- a/src/api.rs
+++ b/src/api.rs
@@ -4,13 +4,13 @@
 //! are compared and hashed, nothing is read out of them.
 
 /// A moment on the embedding program's monotonic clock, in microseconds.
-pub type Time = u64;
+pub type Timestamp = u64;
 /// A span of time in microseconds.
-pub type Span = u64;
+pub type Micros = u64;
 
 /// A cache, a parent or the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct MemberId(pub u64);
+pub struct EndpointId(pub u64);
 
 /// One try of a client; the number is never used again for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -28,9 +28,9 @@
     /// Repeats are dropped by the members within `group` for `window` after the first send.
     Keyed {
         /// Who drops the repeats.
-        group: KeyGroup,
+        group: KeyScope,
         /// For how long they remember.
-        window: Span,
+        window: Micros,
     },
     /// Must never run twice.
     Unsafe,
@@ -38,7 +38,7 @@
 
 /// The members that know each other's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyGroup {
+pub enum KeyScope {
     /// All members.
     All,
     /// Members of one zone.
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this span earns its full worth.
-    pub aim: Span,
+    pub aim: Micros,
     /// The aim grows by this multiple of the request's own sending time.
     pub aim_stretch: f64,
     /// Worth of one request answered in time.
@@ -61,18 +61,18 @@
     /// Never kept by caches; runs at the origin.
     pub write: bool,
     /// How long a copy is fresh; 0: until it is purged.
-    pub fresh: Span,
+    pub fresh: Micros,
     /// How much older than fresh a copy may be when that is asked for.
-    pub grace: Span,
+    pub grace: Micros,
 }
 
 /// How fast members that started lately can be loaded.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdLimits {
+pub struct SlowStartLimits {
     /// Share of its capacity that a member has at its start, at least.
     pub from: f64,
     /// By then it has all of it, rising in a line, at the latest.
-    pub warm_in: Span,
+    pub warm_in: Micros,
     /// Sent more than this multiple of its present capacity, it falls over.
     pub fall_multiple: f64,
 }
@@ -103,15 +103,15 @@
     /// A request may join a fill that is under way.
     pub joins: bool,
     /// By then all caches have dropped purged copies by themselves.
-    pub purge_done: Span,
+    pub purge_done: Micros,
     /// Limits of caches that started lately.
-    pub cold_cache: ColdLimits,
+    pub cold_cache: SlowStartLimits,
     /// Limits of parents that started lately.
-    pub cold_parent: ColdLimits,
+    pub cold_parent: SlowStartLimits,
     /// The span over which cold limits are counted.
-    pub overload_span: Span,
+    pub overload_span: Micros,
     /// Connections not made within this span have failed.
-    pub connect_timeout: Span,
+    pub connect_timeout: Micros,
     /// Attempts for one request at most.
     pub max_attempts: u32,
     /// Two attempts of one request may be out at once.
@@ -119,27 +119,27 @@
     /// Attempts may be called off.
     pub cancel: bool,
     /// Clients are told how long to stay away; the longest that they heed.
-    pub max_retry_after: Span,
+    pub max_retry_after: Micros,
     /// Changes of the member list must be asked for.
     pub must_subscribe: bool,
 }
 
 /// State of a list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// Runs.
     Ready,
     /// Completes its work; nothing new may go to it.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the member list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// Which member.
-    pub member: MemberId,
+    pub member: EndpointId,
     /// Its kind.
     pub kind: u8,
     /// Its zone.
@@ -149,9 +149,9 @@
     /// Transfers to clients that its link carries at full pace, give or take.
     pub weight: f64,
     /// When it started; 0: long ago.
-    pub started: Time,
+    pub started: Timestamp,
     /// What the list says of it.
-    pub state: Listed,
+    pub state: EndpointState,
 }
 
 /// How complete a member list is.
@@ -173,7 +173,7 @@
     /// The member returned an error.
     Error,
     /// Turned away unseen, or the source refused or was not reached.
-    Full,
+    Rejected,
     /// No answer in time.
     Timeout,
     /// No connection was made.
@@ -183,7 +183,7 @@
     /// Called off.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// No copy that will do, and none was filled.
     Miss,
 }
@@ -191,13 +191,13 @@
 impl Status {
     /// Whether this ending proves that the request did not run.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss)
+        matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Miss)
     }
 }
 
 /// What an answer tells of its fill.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Note {
+pub enum FillNote {
     /// Nothing.
     #[default]
     None,
@@ -208,17 +208,17 @@
     /// Filled by way of the origin.
     FilledByOrigin,
     /// Joined a fill, or one is under way here.
-    Joined,
+    Coalesced,
     /// From a copy past its fresh time.
     Stale,
     /// The source refused.
-    SourceRefused,
+    SourceRejected,
     /// The source was not reached, broke off or ran out of time.
     SourceLost,
     /// The source lacks the object.
-    SourceLacks,
+    SourceMiss,
     /// No place for a fill at the cache.
-    NoPlace,
+    NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
 }
@@ -237,11 +237,11 @@
     /// It ended along with another attempt on the same broken connection, which is told of by itself.
     pub along: bool,
     /// What is told of the fill.
-    pub note: Note,
+    pub note: FillNote,
     /// Time to the source's first byte or to its failure; 0 when not told.
-    pub waited: Span,
+    pub waited: Micros,
     /// Time since it was sent.
-    pub latency: Span,
+    pub latency: Micros,
     /// The load report of the member that answered, if it came with one.
     pub report: Option<Report>,
 }
@@ -271,18 +271,18 @@
     /// Size in KB; 0 when not told.
     pub size_kb: f64,
     /// Time until the client gives up.
-    pub left: Span,
+    pub left: Micros,
 }
 
 /// What one process of a router has learned of a member, for the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Learned {
+pub struct LearnedHealth {
     /// Which member.
-    pub member: MemberId,
+    pub member: EndpointId,
     /// When it started, as the list says: another process of it is another matter.
-    pub started: Time,
+    pub started: Timestamp,
     /// Since when it is cold; 0: it started long ago.
-    pub cold_since: Time,
+    pub cold_since: Timestamp,
     /// It is DOWN, or was and has not proven itself since.
     pub down: bool,
     /// It went DOWN because no connection was made.
@@ -293,7 +293,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the member list.
-    Members(ListKind, Vec<Entry>),
+    Endpoints(ListKind, Vec<EndpointEntry>),
     /// A client asks.
     Request(Request),
     /// An attempt ended.
@@ -301,29 +301,29 @@
     /// The answer of an attempt began; it belongs to the client now.
     Started(RequestId, u16),
     /// The client left; nothing is owed any more.
-    Gone(RequestId),
+    Cancelled(RequestId),
     /// A timer that the router set has run out.
     Timer(u64),
     /// An object, or with `None` a whole group, was purged this long ago.
-    Purged(Option<ObjectId>, u32, Span),
+    Purged(Option<ObjectId>, u32, Micros),
     /// The router's clock is ahead of that by which members' starts are dated, by this at most.
-    Ahead(Span),
+    ClockAhead(Micros),
     /// An operator takes a member out (`true`), or gives it back.
-    ByHand(MemberId, bool),
+    Cordon(EndpointId, bool),
     /// What an earlier process of this router has learned.
-    Learned(Vec<Learned>),
+    LearnedHealth(Vec<LearnedHealth>),
     /// Connections to caches that the embedding program can hold at once (0: any number), and how long one stays
     /// open that carries nothing.
-    Connections(usize, Span),
+    Connections(usize, Micros),
 }
 
 /// Where a miss is filled from, and what happens with the copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fill {
     /// A parent, the origin, another cache, or the target itself for no fill.
-    pub source: MemberId,
+    pub source: EndpointId,
     /// Oldest copy that will do; 0: the class's fresh time.
-    pub oldest: Span,
+    pub oldest: Micros,
     /// 0: not kept; 1 to 3: the rank at which it is kept, the lowest is dropped first.
     pub rank: u8,
     /// Join a fill that is under way.
@@ -338,24 +338,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request. Attempts count from 0 in the order sent.
-    Attempt {
+    Send {
         /// The request.
         request: RequestId,
         /// Where to.
-        target: MemberId,
+        target: EndpointId,
         /// Time-out of the attempt; 0: until the client gives up.
-        timeout: Span,
+        timeout: Micros,
         /// How a miss is filled; `None`: it is not.
         fill: Option<Fill>,
     },
     /// Call off an attempt.
     Cancel(RequestId, u16),
     /// Final answer: refused, harmless to try again after the span.
-    Refuse(RequestId, Span),
+    Reject(RequestId, Micros),
     /// Final answer: failed, nothing is promised.
     Fail(RequestId),
     /// Wake the router after a span with a token.
-    Timer(Span, u64),
+    Timer(Micros, u64),
     /// Subscribe to the member list.
     Subscribe,
     /// A line for the log.
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -1,5 +1,5 @@
 //! Mechanical parts without decisions: a token bucket, a counting set, queues, timers and a memory of purges.
-use crate::api::{ObjectId, Span, Time};
+use crate::api::{Micros, ObjectId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A token bucket whose rate may change between refills. The level may go below zero.
@@ -7,17 +7,17 @@
 pub struct Bucket {
     /// What can be taken.
     pub level: f64,
-    at: Time,
+    at: Timestamp,
 }
 
 impl Bucket {
     /// An empty bucket.
-    pub fn new(now: Time) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Bucket { level: 0.0, at: now }
     }
 
     /// Fills it with what has come in since the last call, up to `most`.
-    pub fn refill(&mut self, now: Time, rate: f64, most: f64) {
+    pub fn refill(&mut self, now: Timestamp, rate: f64, most: f64) {
         self.level = (self.level + rate * now.saturating_sub(self.at) as f64).min(most);
         self.at = now;
     }
@@ -59,13 +59,13 @@
 /// Moment of the latest purge of each object and group.
 #[derive(Clone, Debug, Default)]
 pub struct Purges {
-    objects: BTreeMap<ObjectId, Time>,
-    groups: BTreeMap<u32, Time>,
+    objects: BTreeMap<ObjectId, Timestamp>,
+    groups: BTreeMap<u32, Timestamp>,
 }
 
 impl Purges {
     /// Notes a purge made `at` of an object, or of a whole group, and forgets those from before `horizon`.
-    pub fn note(&mut self, object: Option<ObjectId>, group: u32, at: Time, horizon: Time) {
+    pub fn note(&mut self, object: Option<ObjectId>, group: u32, at: Timestamp, horizon: Timestamp) {
         self.objects.retain(|_, t| horizon <= *t);
         self.groups.retain(|_, t| horizon <= *t);
         let last = match object {
@@ -76,7 +76,7 @@
     }
 
     /// The latest purge of an object, by itself or with its group.
-    pub fn last(&self, object: ObjectId, group: u32) -> Option<Time> {
+    pub fn last(&self, object: ObjectId, group: u32) -> Option<Timestamp> {
         self.objects.get(&object).max(self.groups.get(&group)).copied()
     }
 }
@@ -86,9 +86,9 @@
 pub struct Seen<K> {
     new: BTreeSet<K>,
     old: BTreeSet<K>,
-    since: Time,
+    since: Timestamp,
     /// When it was asked first: before it has seen a whole span it can't tell what is new.
-    began: Option<Time>,
+    began: Option<Timestamp>,
 }
 
 impl<K> Default for Seen<K> {
@@ -99,7 +99,7 @@
 
 impl<K: Ord> Seen<K> {
     /// Notes a key; whether it was seen in the last one or two spans, or may have been.
-    pub fn again(&mut self, key: K, now: Time, span: Span) -> bool {
+    pub fn again(&mut self, key: K, now: Timestamp, span: Micros) -> bool {
         let young = now < *self.began.get_or_insert(now) + span;
         if now >= self.since + span {
             self.old = std::mem::take(&mut self.new);
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -3,7 +3,7 @@
 //! Almost every decision ends among the first few places of an order. Those are found in one pass that hashes each
 //! member and compares numbers; nothing is sorted but the few that are found, and what was found for an object is
 //! remembered until the list changes. Further places are worked out when they are asked for.
-use crate::api::MemberId;
+use crate::api::EndpointId;
 use crate::hash::{hashed_bits, rendezvous, HASH_RANGE};
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 /// A member that can be chosen: its id, and its place in the roster.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
-    member: MemberId,
+    member: EndpointId,
     place: usize,
 }
 
@@ -74,7 +74,7 @@
 
 impl Ranking {
     /// Adds a member.
-    pub fn insert(&mut self, member: MemberId, weight: f64, place: usize) {
+    pub fn insert(&mut self, member: EndpointId, weight: f64, place: usize) {
         self.recent = Recent::default();
         let candidate = Candidate { member, place };
         match self.classes.iter_mut().find(|class| class.weight == weight) {
@@ -87,7 +87,7 @@
     }
 
     /// Takes a member out again, under the weight that it was added with.
-    pub fn remove(&mut self, member: MemberId, weight: f64) {
+    pub fn remove(&mut self, member: EndpointId, weight: f64) {
         self.recent = Recent::default();
         let Some(class) = self.classes.iter_mut().find(|class| class.weight == weight) else { return };
         if let Ok(at) = class.members.binary_search_by_key(&member, |candidate| candidate.member) {
@@ -164,7 +164,7 @@
 
 impl Order {
     /// An order of few members, worked out in full: those of `places`, each with its id and weight.
-    pub fn among(key: u64, places: impl Iterator<Item = (MemberId, f64, usize)>) -> Self {
+    pub fn among(key: u64, places: impl Iterator<Item = (EndpointId, f64, usize)>) -> Self {
         let scored = |(member, weight, place)| Scored::new(key, weight, Candidate { member, place });
         let mut all: Vec<Scored> = places.map(scored).collect();
         all.sort_by(|a, b| {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -13,7 +13,7 @@
 
 fn ranking(members: &[(u64, f64)]) -> Ranking {
     let mut ranking = Ranking::default();
-    members.iter().enumerate().for_each(|(at, (id, weight))| ranking.insert(MemberId(*id), *weight, at));
+    members.iter().enumerate().for_each(|(at, (id, weight))| ranking.insert(EndpointId(*id), *weight, at));
     ranking
 }
 
@@ -44,11 +44,11 @@
     let first = walked(&mut ranking, 7);
     assert_eq!(walked(&mut ranking, 7), first);
     let (id, weight) = members[first[0]];
-    ranking.remove(MemberId(id), weight);
+    ranking.remove(EndpointId(id), weight);
     assert_eq!(walked(&mut ranking, 7), first[1..]);
     members.push((99, 5.0));
-    ranking.insert(MemberId(id), weight, first[0]);
-    ranking.insert(MemberId(99), 5.0, 40);
+    ranking.insert(EndpointId(id), weight, first[0]);
+    ranking.insert(EndpointId(99), 5.0, 40);
     assert_eq!(walked(&mut ranking, 7), sorted(7, &members));
     assert_eq!(ranking.weight(), 85.0);
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -13,9 +13,9 @@
 mod choice;
 
 // ------------------------------------------------------------------------------------------ tuned values
-const MS: Span = 1_000;
+const MS: Micros = 1_000;
 /// What was asked for within this time or twice it is kept at a higher rank: one-offs displace nothing of it.
-const KEEP_MEMORY: Span = 10_000 * MS;
+const KEEP_MEMORY: Micros = 10_000 * MS;
 /// The source's `max_retries`, `suspect_server`, `rr_retries`: failed attempts beyond the first that take a
 /// member DOWN, tries beside the first probe of a SUSPECT one, tries of a request before the next parent.
 const MAX_RETRIES: u32 = 3;
@@ -23,7 +23,7 @@
 const RR_RETRIES: usize = 3;
 /// How long a DOWN member gets nothing. The source has 60 s, the design 10 s; a member is a good part of a
 /// location, and a probe costs one request that is tried elsewhere.
-const FAIL_WINDOW: Span = 5_000 * MS;
+const FAIL_WINDOW: Micros = 5_000 * MS;
 /// A failed fill that took this share of the aim moves on at once; a source lost within this multiple of the
 /// time for connections was not reached: it is gone.
 const SLOW_FAILURE: f64 = 0.25;
@@ -48,7 +48,7 @@
 const LIMIT_GROWTH: f64 = 4.0;
 const LIMIT_CATCH_UP: f64 = 0.05;
 const LIMIT_CUT: f64 = 0.85;
-const LIMIT_PAUSE: Span = 300 * MS;
+const LIMIT_PAUSE: Micros = 300 * MS;
 /// Size of the origin, which is not told, over that of all parents; its share of late answers if it is slow.
 const ORIGIN_SIZE: f64 = 0.25;
 const ORIGIN_LATE: f64 = 0.4;
@@ -60,7 +60,7 @@
 /// be.
 const LINK_FULL: f64 = 3.0;
 const LINK_LEAST: f64 = 0.2;
-const REPORT_FRESH: Span = 1_000 * MS;
+const REPORT_FRESH: Micros = 1_000 * MS;
 /// Share of late answers of a member up to which it is calm.
 const CALM_LATE: f64 = 0.1;
 /// Attempts that name a source, over its limit, from which a cache is first asked for what it holds alone:
@@ -73,19 +73,19 @@
 const EXTRA_BURST: f64 = 10.0;
 /// An attempt is never overdue before this multiple of its own sending time plus a round of waiting.
 const OVERDUE_WORK: f64 = 1.5;
-const OVERDUE_WAIT: Span = 100 * MS;
+const OVERDUE_WAIT: Micros = 100 * MS;
 /// Sending time assumed where no size is told; the weight of a new value in moving averages.
 const WORK_UNKNOWN: f64 = 200_000.0;
 const EWMA: f64 = 0.05;
 /// A write that was refused for lack of room waits this share of its aim; nothing new is tried with less time
 /// left; purges are remembered this much longer than members may hold old copies.
 const WRITE_PAUSE: f64 = 0.1;
-const LEFT_LEAST: Span = 5 * MS;
+const LEFT_LEAST: Micros = 5 * MS;
 /// Members that answer a request with an error before it is given up: the request is at fault, not they.
 const ERRORS_MOST: usize = 2;
 /// Share of its time that a request waits at most while nothing of it was sent: its client can ask elsewhere.
 const WAIT_MOST: f64 = 0.5;
-const PURGE_SLACK: Span = 1_000 * MS;
+const PURGE_SLACK: Micros = 1_000 * MS;
 
 // ------------------------------------------------------------------------------------------------ health
 
@@ -93,21 +93,21 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
     failures: u32,
-    down_since: Option<Time>,
+    down_since: Option<Timestamp>,
     /// Attempts sent before this moment prove nothing about the state since.
-    changed: Time,
+    changed: Timestamp,
     /// Probes out while SUSPECT.
     trials: u32,
     /// Went DOWN because no connection was made: it will come back cold.
     lost: bool,
-    last_answer: Time,
-    last_failure: Time,
+    last_answer: Timestamp,
+    last_failure: Timestamp,
     /// When the first attempt was sent that met its silence, if that was after its last answer.
-    silent: Time,
+    silent: Timestamp,
 }
 
 impl Health {
-    fn state(&self, now: Time) -> State {
+    fn state(&self, now: Timestamp) -> State {
         match self.down_since {
             None => State::Up,
             Some(since) if now < since + FAIL_WINDOW => State::Down,
@@ -115,13 +115,13 @@
         }
     }
 
-    fn selectable(&self, now: Time) -> bool {
+    fn selectable(&self, now: Timestamp) -> bool {
         let state = self.state(now);
         state == State::Up || state == State::Suspect && self.trials <= SUSPECT_RETRIES
     }
 
     /// A failed attempt counts at once. Returns whether the member went DOWN by it.
-    fn fail(&mut self, sent: Time, now: Time, lost: bool) -> bool {
+    fn fail(&mut self, sent: Timestamp, now: Timestamp, lost: bool) -> bool {
         let state = self.state(now);
         if state == State::Down || sent < self.changed {
             return false;
@@ -136,7 +136,7 @@
 
     /// A served answer. Returns whether a SUSPECT member came UP by it. An UP one has one failure taken off,
     /// not all: a member that fails every other attempt must go DOWN.
-    fn served(&mut self, sent: Time, now: Time) -> bool {
+    fn served(&mut self, sent: Timestamp, now: Timestamp) -> bool {
         self.last_answer = now;
         // A late success of an attempt from before the window's end is no probe.
         let probe = self.down_since.is_some_and(|since| sent >= since + FAIL_WINDOW);
@@ -153,7 +153,7 @@
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
-    now: Time,
+    now: Timestamp,
     out: Vec<Action>,
     members: Roster,
     reach: Reach,
@@ -173,7 +173,7 @@
     retries: f64,
     /// Fills from outside on the link into the zone, and the last report of how full that is.
     link: Pace,
-    link_told: Option<(f64, Time)>,
+    link_told: Option<(f64, Timestamp)>,
     /// Moving average of the share of requests whose object was purged lately.
     void: f64,
 }
@@ -204,15 +204,15 @@
     }
 
     /// Takes one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.reach.expire(now);
         match event {
-            Event::Members(kind, entries) => self.members_changed(kind, entries),
+            Event::Endpoints(kind, entries) => self.members_changed(kind, entries),
             Event::Request(ask) => self.request(ask),
             Event::Outcome(outcome) => self.outcome(outcome),
             Event::Started(id, number) => self.started(id, number),
-            Event::Gone(id) => self.finish(id),
+            Event::Cancelled(id) => self.finish(id),
             Event::Timer(token) => match self.timers.take(token) {
                 Some(Due::Attempt(id, number)) => self.overdue(id, number),
                 Some(Due::Wait(id)) => self.wait_over(id),
@@ -223,16 +223,16 @@
                 let keep = self.settings.purge_done + PURGE_SLACK;
                 self.purges.note(object, group, now.saturating_sub(age), now.saturating_sub(keep));
             }
-            Event::Ahead(span) => self.members.ahead = span,
-            Event::ByHand(member, out) => self.by_hand(member, out),
-            Event::Learned(all) => all.into_iter().for_each(|one| self.learn(one)),
+            Event::ClockAhead(span) => self.members.ahead = span,
+            Event::Cordon(member, out) => self.by_hand(member, out),
+            Event::LearnedHealth(all) => all.into_iter().for_each(|one| self.learn(one)),
             Event::Connections(at_most, idle) => self.reach.set_limits(at_most, idle),
         }
         actions.append(&mut self.out);
     }
 
     /// Takes over the list. Caches of other zones are of no use here and are not kept.
-    fn members_changed(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    fn members_changed(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
         match kind {
             ListKind::Failed => self.out.push(Action::Subscribe),
             ListKind::Full => self.members.all_gone(),
@@ -299,7 +299,7 @@
 
     /// An operator takes a member out, or gives it back; the list has no say in it. What comes back was
     /// restarted: it is cold, and neither an old failure nor an old answer says anything of it.
-    fn by_hand(&mut self, id: MemberId, out: bool) {
+    fn by_hand(&mut self, id: EndpointId, out: bool) {
         if !self.members.set_by_hand(id, out) {
             return;
         }
@@ -316,8 +316,8 @@
 
     /// What is worth handing to the next process: who is DOWN or SUSPECT, and who is cold though not by the
     /// list.
-    pub fn learned(&self) -> Vec<Learned> {
-        let all = self.members.all().map(|m| Learned {
+    pub fn learned(&self) -> Vec<LearnedHealth> {
+        let all = self.members.all().map(|m| LearnedHealth {
             member: m.listed.member,
             started: m.listed.started,
             cold_since: m.cold_since,
@@ -329,7 +329,7 @@
 
     /// Takes over what an earlier process learned of a member that has not started anew since. What was DOWN
     /// is SUSPECT: it has to prove itself to this one.
-    fn learn(&mut self, one: Learned) {
+    fn learn(&mut self, one: LearnedHealth) {
         let same = |at: &usize| self.members[*at].listed.started == one.started;
         let Some(at) = self.members.find(one.member).filter(same) else { return };
         let member = &mut self.members[at];
@@ -342,7 +342,7 @@
     }
 
     /// Whether a listed member is avoided now: out by hand, draining, DOWN, or SUSPECT with its probes out.
-    pub fn avoids(&self, id: MemberId) -> bool {
+    pub fn avoids(&self, id: EndpointId) -> bool {
         self.members.is_by_hand(id) || self.members.find(id).is_some_and(|at| !self.usable(at))
     }
 
@@ -472,7 +472,7 @@
 
     /// The oldest copy that will do, as an age; 0 where any fresh one does. No copy from before a purge may
     /// answer, at the cache or at the source, for as long as members may hold old ones.
-    fn oldest(&self, req: &Pending) -> Span {
+    fn oldest(&self, req: &Pending) -> Micros {
         let fresh = req.class.fresh + if req.stale { req.class.grace } else { 0 };
         let keep = self.settings.purge_done + PURGE_SLACK;
         self.purges.last(req.ask.object, req.ask.group).filter(|at| self.now < at + keep).map_or(
@@ -480,7 +480,7 @@
             |at| {
                 // 0 would ask for the default, so the least is 1.
                 let age = self.now.saturating_sub(at + MS).max(1);
-                age.min(if fresh > 0 { fresh } else { Span::MAX })
+                age.min(if fresh > 0 { fresh } else { Micros::MAX })
             },
         )
     }
@@ -488,7 +488,7 @@
     // ------------------------------------------------------------------------------------------ attempts
     fn request(&mut self, ask: Request) {
         let Some(class) = self.settings.classes.get(usize::from(ask.class)).cloned() else {
-            return self.out.push(Action::Refuse(ask.id, 0));
+            return self.out.push(Action::Reject(ask.id, 0));
         };
         if self.pending.contains_key(&ask.id) {
             return;
@@ -520,8 +520,8 @@
             self.queues.add(spot, req.place());
             if !waited {
                 // It waits for as long as an answer can still be in time.
-                let wait = req.aim_at.min(req.deadline).saturating_sub(self.now + req.work as Span);
-                let most = (req.deadline.saturating_sub(self.now) as f64 * WAIT_MOST) as Span;
+                let wait = req.aim_at.min(req.deadline).saturating_sub(self.now + req.work as Micros);
+                let most = (req.deadline.saturating_sub(self.now) as f64 * WAIT_MOST) as Micros;
                 let wait = if req.attempts.is_empty() { wait.min(most) } else { wait };
                 self.wake(wait.max(MS), Due::Wait(id));
             }
@@ -534,7 +534,7 @@
         }
     }
 
-    fn wake(&mut self, wait: Span, due: Due) {
+    fn wake(&mut self, wait: Micros, due: Due) {
         self.out.push(Action::Timer(wait, self.timers.set(due)));
     }
 
@@ -573,7 +573,7 @@
         }
         match (req.may_have_run, req.class.effect) {
             (None, _) | (_, Effect::Safe) => true,
-            (Some(first), Effect::Keyed { group: KeyGroup::All, window }) => {
+            (Some(first), Effect::Keyed { group: KeyScope::All, window }) => {
                 self.now + LEFT_LEAST < first + window
             }
             _ => false,
@@ -683,9 +683,9 @@
             renew: req.class.fresh > 0 && !req.class.write,
         });
         let target = self.members[target].listed.member;
-        self.out.push(Action::Attempt { request: id, target, timeout: 0, fill });
-        let least = (req.work * OVERDUE_WORK) as Span + OVERDUE_WAIT;
-        let wait = req.aim_at.saturating_sub(self.now + req.work as Span).max(least);
+        self.out.push(Action::Send { request: id, target, timeout: 0, fill });
+        let least = (req.work * OVERDUE_WORK) as Micros + OVERDUE_WAIT;
+        let wait = req.aim_at.saturating_sub(self.now + req.work as Micros).max(least);
         if self.now + wait < req.deadline {
             self.wake(wait, Due::Attempt(id, req.attempts.len()));
         }
@@ -740,7 +740,7 @@
     }
 
     /// Who has fallen silent since `sent`: the target, or else the source.
-    fn blame(&mut self, target: usize, source: Option<usize>, sent: Time) -> Option<usize> {
+    fn blame(&mut self, target: usize, source: Option<usize>, sent: Timestamp) -> Option<usize> {
         let silent = |at: &usize| self.members[*at].health.last_answer < sent;
         let suspect = Some(target).filter(silent).or(source.filter(silent))?;
         self.failed(suspect, sent, Failure::Soft);
@@ -750,7 +750,7 @@
     /// Whether most other members of the kind that were heard from since `sent` do well. Only then a soft
     /// failure says something of this one: a trouble that hits all alike (a slow origin, a full link, an
     /// overload) must not take them DOWN, and one of many does well. Failures that did not count tell too.
-    fn peers_fine(&self, at: usize, sent: Time) -> bool {
+    fn peers_fine(&self, at: usize, sent: Timestamp) -> bool {
         let well = |h: &Health| h.down_since.is_none() && h.last_failure <= h.last_answer;
         let few = |h: &Health| well(h) && h.failures * 2 <= MAX_RETRIES;
         let others = self.members.ready(self.members[at].role).iter().filter(|i| **i != at);
@@ -760,7 +760,7 @@
     }
 
     /// Counts a failure; when a cache goes DOWN by it, safe requests that wait for it are moved.
-    fn failed(&mut self, at: usize, sent: Time, failure: Failure) {
+    fn failed(&mut self, at: usize, sent: Timestamp, failure: Failure) {
         let health = &mut self.members[at].health;
         health.last_failure = self.now;
         // Where little is asked others are heard during its whole silence alone.
@@ -818,7 +818,7 @@
         }
         if let Some(source) = other {
             self.filling.remove(&part);
-            if matches!(note, Note::Hit | Note::Stale) {
+            if matches!(note, FillNote::Hit | FillNote::Stale) {
                 // A hit did not reach the source: its budget gets the work back.
                 self.members[source].budget.level += charged;
             }
@@ -826,8 +826,8 @@
         if !status.proves_not_run() && req.may_have_run.is_none() {
             req.may_have_run = Some(sent);
         }
-        let in_time = latency <= req.class.aim + (req.class.aim_stretch * req.work) as Span;
-        let by_source = other.filter(|_| matches!(note, Note::SourceRefused | Note::SourceLost));
+        let in_time = latency <= req.class.aim + (req.class.aim_stretch * req.work) as Micros;
+        let by_source = other.filter(|_| matches!(note, FillNote::SourceRejected | FillNote::SourceLost));
         // The member at fault, if there is one; the failure is never charged to who only passed it on.
         let mut fault = None;
         let mut overload = false;
@@ -839,9 +839,9 @@
                 errors.into_iter().for_each(|(at, sent)| self.failed(at, sent, Failure::Error));
                 // What came by way of the origin tells of the parent no more than that it answers. A late
                 // fill is no failure, but no sign of life either: attempts that are overdue count (`blame`).
-                let by_origin = note == Note::FilledByOrigin;
+                let by_origin = note == FillNote::FilledByOrigin;
                 let source = if by_origin { self.origin().or(other) } else { other };
-                let filled = source.filter(|_| by_origin || note == Note::Filled);
+                let filled = source.filter(|_| by_origin || note == FillNote::Filled);
                 for at in filled.filter(|_| in_time).into_iter().chain(other.filter(|_| by_origin)) {
                     self.served(at, sent);
                 }
@@ -852,28 +852,28 @@
                     self.pace(Spot::Member(filled.unwrap_or(target)), well, false);
                 }
             }
-            Status::Moot => req.failed.push(target),
+            Status::NotSent => req.failed.push(target),
             Status::Cancelled => req.failed.push(target),
             Status::Miss if other.is_none() => req.missed = true,
             _ if by_source.is_some() => {
                 let source = by_source.unwrap_or(target);
-                let connect = (self.settings.connect_timeout as f64 * CONNECT_SLACK) as Span;
-                let lost = note == Note::SourceLost && outcome.waited <= connect;
+                let connect = (self.settings.connect_timeout as f64 * CONNECT_SLACK) as Micros;
+                let lost = note == FillNote::SourceLost && outcome.waited <= connect;
                 let slow = latency as f64 > SLOW_FAILURE * req.aim_at.saturating_sub(sent) as f64;
                 overload = !lost;
                 fault = Some((source, if lost { Failure::Lost } else { Failure::Soft }));
                 req.failed_sources.extend(vec![source; if slow { RR_RETRIES } else { 1 }]);
-                self.pace(Spot::Member(source), false, note == Note::SourceRefused);
+                self.pace(Spot::Member(source), false, note == FillNote::SourceRejected);
             }
-            _ if note == Note::SourceLacks => (req.lacks, req.missed) = (true, true),
+            _ if note == FillNote::SourceMiss => (req.lacks, req.missed) = (true, true),
             // The parent only passed it on: no failure of its own, but what is behind it has no room.
-            _ if note == Note::OriginFailed => {
+            _ if note == FillNote::OriginFailed => {
                 overload = true;
                 self.pace(Spot::Member(other.unwrap_or(target)), false, false);
             }
             _ => {
                 req.failed.push(target);
-                overload = status == Status::Full;
+                overload = status == Status::Rejected;
                 match status {
                     // All that one broken connection carried is one failure, not many.
                     Status::ConnectFailed | Status::Reset if outcome.along => {}
@@ -881,7 +881,9 @@
                     // Bad requests get errors from all: nothing is said of this one before another serves it.
                     Status::Error => req.errors.push((target, sent)),
                     Status::Timeout => self.pace(Spot::Member(other.unwrap_or(target)), false, false),
-                    Status::Full if note != Note::NoPlace => self.pace(Spot::Member(target), false, true),
+                    Status::Rejected if note != FillNote::NoFillSlot => {
+                        self.pace(Spot::Member(target), false, true)
+                    }
                     _ => {}
                 }
             }
@@ -891,7 +893,7 @@
         let held = req.class.write && overload;
         if held && !live && !over {
             // Writes are few and worth most: they outwait a refusal, and the retry budget is not for them.
-            let until = self.now + (req.class.aim as f64 * WRITE_PAUSE) as Span;
+            let until = self.now + (req.class.aim as f64 * WRITE_PAUSE) as Micros;
             let until = until.min(req.deadline.saturating_sub(LEFT_LEAST));
             req.hold_until = Some(until);
             self.wake(until.saturating_sub(self.now), Due::Wait(id));
@@ -899,8 +901,10 @@
         self.pending.insert(id, req);
         if status == Status::Timeout {
             self.blame(target, other, sent);
-        } else if !matches!(status, Status::Cancelled | Status::Moot | Status::ConnectFailed | Status::Reset)
-        {
+        } else if !matches!(
+            status,
+            Status::Cancelled | Status::NotSent | Status::ConnectFailed | Status::Reset
+        ) {
             self.members[target].health.last_answer = self.now;
         }
         if let Some((at, failure)) = fault {
@@ -924,7 +928,7 @@
         here.into_iter().chain(members).chain([fill]).flatten().for_each(|spot| self.release(spot));
     }
 
-    fn served(&mut self, at: usize, sent: Time) {
+    fn served(&mut self, at: usize, sent: Timestamp) {
         let started = self.members.dated(self.now);
         let member = &mut self.members[at];
         let lost = member.health.lost;
@@ -964,10 +968,10 @@
     fn give_up(&mut self, id: RequestId) {
         let Some(req) = self.pending.get(&id) else { return };
         let harmless = match req.class.effect {
-            Effect::Safe | Effect::Keyed { group: KeyGroup::All, .. } => true,
+            Effect::Safe | Effect::Keyed { group: KeyScope::All, .. } => true,
             _ => req.may_have_run.is_none(),
         };
-        let refusal = Action::Refuse(id, self.settings.max_retry_after);
+        let refusal = Action::Reject(id, self.settings.max_retry_after);
         self.out.push(if harmless { refusal } else { Action::Fail(id) });
         self.finish(id);
     }
--- a/src/reach.rs
+++ b/src/reach.rs
@@ -3,7 +3,7 @@
 //! The embedding program can hold so many connections at once. In a fleet with more caches than that, each request
 //! would need a new connection to its own cache, and one would have to be closed for it or none be had. So once as many
 //! caches are in use, requests keep to these.
-use crate::api::{Span, Time};
+use crate::api::{Micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Caches in use, each since when nothing was sent to it.
@@ -12,19 +12,19 @@
     /// Caches that can be in use at once; 0: any number.
     at_most: usize,
     /// A connection that carries nothing for this long is closed.
-    idle: Span,
-    last_sent: BTreeMap<usize, Time>,
-    by_time: BTreeSet<(Time, usize)>,
+    idle: Micros,
+    last_sent: BTreeMap<usize, Timestamp>,
+    by_time: BTreeSet<(Timestamp, usize)>,
 }
 
 impl Reach {
     /// From now on this holds of connections.
-    pub fn set_limits(&mut self, at_most: usize, idle: Span) {
+    pub fn set_limits(&mut self, at_most: usize, idle: Micros) {
         (self.at_most, self.idle) = (at_most, idle);
     }
 
     /// Something is sent to a cache.
-    pub fn sent(&mut self, now: Time, place: usize) {
+    pub fn sent(&mut self, now: Timestamp, place: usize) {
         if self.at_most == 0 {
             return;
         }
@@ -41,7 +41,7 @@
     }
 
     /// Caches to which the connections are closed by now are no longer in use.
-    pub fn expire(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Timestamp) {
         while let Some((at, place)) = self.by_time.first().copied().filter(|(at, _)| at + self.idle <= now) {
             self.by_time.remove(&(at, place));
             self.last_sent.remove(&place);
--- a/src/reach/tests.rs
+++ b/src/reach/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const IDLE: Span = 1_000;
+const IDLE: Micros = 1_000;
 
 fn reach(at_most: usize) -> Reach {
     let mut reach = Reach::default();
--- a/src/state.rs
+++ b/src/state.rs
@@ -41,27 +41,27 @@
     pub least: f64,
     /// This router's share of what goes there at full pace; 0 when that is not told.
     pub full: f64,
-    pub cut_at: Time,
+    pub cut_at: Timestamp,
     /// Moving average of the share of late answers.
     pub late: f64,
     /// Moving average of how long each is out.
     pub service: f64,
     /// The last one over the whole part of the limit went then; the next may go after this span.
-    pub turn_began: Time,
-    pub turn_wait: Span,
+    pub turn_began: Timestamp,
+    pub turn_wait: Micros,
 }
 
 impl Pace {
     /// Room for one more. The fraction of a limit is held to by turns: one more may be out for that share of
     /// the time.
-    pub fn room(&self, now: Time) -> bool {
+    pub fn room(&self, now: Timestamp) -> bool {
         self.wider_room(now, 1.0)
     }
 
     /// The same under a limit that is wider by this factor: turns come as much sooner.
-    pub fn wider_room(&self, now: Time, factor: f64) -> bool {
+    pub fn wider_room(&self, now: Timestamp, factor: f64) -> bool {
         let (held, limit) = (f64::from(self.held), self.limit * factor);
-        let turn = self.turn_began.saturating_add((self.turn_wait as f64 / factor) as Span);
+        let turn = self.turn_began.saturating_add((self.turn_wait as f64 / factor) as Micros);
         held + 1.0 <= limit || (held < limit && now >= turn)
     }
 
@@ -71,18 +71,18 @@
     }
 
     /// Takes a place, and returns how long the next turn is away if this one was a turn.
-    pub fn take(&mut self, now: Time) -> Option<Span> {
+    pub fn take(&mut self, now: Timestamp) -> Option<Micros> {
         let over = self.limit - f64::from(self.held);
         self.held += 1;
         (0.0 < over && over < 1.0).then(|| {
-            let wait = (self.service / over) as Span;
+            let wait = (self.service / over) as Micros;
             (self.turn_began, self.turn_wait) = (now, wait);
             wait
         })
     }
 
     /// Gives a place back that was taken for `span`, which has `weight` in the average.
-    pub fn give(&mut self, span: Span, weight: f64) {
+    pub fn give(&mut self, span: Micros, weight: f64) {
         self.held = self.held.saturating_sub(1);
         self.service += (span as f64 - self.service) * weight;
     }
@@ -114,10 +114,10 @@
 
 #[derive(Debug)]
 pub(crate) struct Member {
-    pub listed: Entry,
+    pub listed: EndpointEntry,
     pub role: Role,
-    pub cold_since: Time,
-    pub cold: ColdLimits,
+    pub cold_since: Timestamp,
+    pub cold: SlowStartLimits,
     pub health: Health,
     pub pace: Pace,
     /// Work, in microseconds of sending time, that this router may send while the member is cold.
@@ -126,7 +126,7 @@
 
 impl Member {
     /// When it started last, the same for all routers that were notified of it, whatever their clocks.
-    pub fn start(&self) -> Time {
+    pub fn start(&self) -> Timestamp {
         self.cold_since.max(self.listed.started)
     }
 }
@@ -136,17 +136,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
     all: Vec<Member>,
-    index: BTreeMap<MemberId, usize>,
+    index: BTreeMap<EndpointId, usize>,
     /// Places of members that were forgotten.
     free: Vec<usize>,
     /// Members that are gone from the list, of which some may still have something out.
-    gone: BTreeSet<MemberId>,
+    gone: BTreeSet<EndpointId>,
     /// Members that are listed as ready and not out by hand, by role.
     usable: [Usable; 3],
     /// Members that operators took out: by id, since each outlives its place in the list.
-    by_hand: BTreeSet<MemberId>,
+    by_hand: BTreeSet<EndpointId>,
     /// How far this clock is ahead of that by which starts are dated.
-    pub ahead: Span,
+    pub ahead: Micros,
 }
 
 /// The usable members of a role.
@@ -158,22 +158,22 @@
 }
 
 impl Roster {
-    pub fn find(&self, member: MemberId) -> Option<usize> {
+    pub fn find(&self, member: EndpointId) -> Option<usize> {
         self.index.get(&member).copied()
     }
 
     /// Now, by the clock by which starts are dated.
-    pub fn dated(&self, now: Time) -> Time {
+    pub fn dated(&self, now: Timestamp) -> Timestamp {
         now.saturating_sub(self.ahead)
     }
 
     /// Since when a member is cold that is listed now. A start in the future shows that this clock is behind: it was lately.
-    pub fn cold_since(&self, entry: &Entry, now: Time) -> Time {
+    pub fn cold_since(&self, entry: &EndpointEntry, now: Timestamp) -> Timestamp {
         entry.started.min(self.dated(now))
     }
 
     /// Takes a member out by hand, or gives it back. Whether that changes anything.
-    pub fn set_by_hand(&mut self, member: MemberId, out: bool) -> bool {
+    pub fn set_by_hand(&mut self, member: EndpointId, out: bool) -> bool {
         let known = self.find(member);
         known.into_iter().for_each(|at| self.remove_usable(at));
         let changed = if out { self.by_hand.insert(member) } else { self.by_hand.remove(&member) };
@@ -186,14 +186,14 @@
         self.index.values().map(|at| &self.all[*at])
     }
 
-    pub fn is_by_hand(&self, member: MemberId) -> bool {
+    pub fn is_by_hand(&self, member: EndpointId) -> bool {
         self.by_hand.contains(&member)
     }
 
     /// Whether a member is listed as ready, and no operator took it out.
     pub fn is_ready(&self, at: usize) -> bool {
         let listed = &self.all[at].listed;
-        listed.state == Listed::Ready && !self.is_by_hand(listed.member)
+        listed.state == EndpointState::Ready && !self.is_by_hand(listed.member)
     }
 
     /// The members of a role that are listed as ready and not out by hand.
@@ -213,11 +213,11 @@
     pub fn all_gone(&mut self) {
         self.usable = Default::default();
         self.gone = self.index.keys().copied().collect();
-        self.all.iter_mut().for_each(|m| m.listed.state = Listed::Gone);
+        self.all.iter_mut().for_each(|m| m.listed.state = EndpointState::Removed);
     }
 
     /// Takes over what the list says now of a member that is known.
-    pub fn update(&mut self, at: usize, entry: Entry) {
+    pub fn update(&mut self, at: usize, entry: EndpointEntry) {
         self.remove_usable(at);
         self.all[at].listed = entry;
         self.insert_usable(at);
@@ -241,7 +241,7 @@
     /// Forgets members that are gone from the list and have nothing out, and returns their places.
     pub fn forget_gone(&mut self) -> Vec<usize> {
         let all = &self.all;
-        let place = |id: &MemberId| self.index.get(id).copied().filter(|at| all[*at].pace.held == 0);
+        let place = |id: &EndpointId| self.index.get(id).copied().filter(|at| all[*at].pace.held == 0);
         let over: Vec<_> = self.gone.iter().filter_map(|id| place(id).map(|at| (*id, at))).collect();
         for (id, at) in &over {
             self.gone.remove(id);
@@ -265,7 +265,7 @@
     /// After a change of a member: it is among the usable ones if it can be.
     fn insert_usable(&mut self, at: usize) {
         let Member { listed, role, .. } = &self.all[at];
-        if listed.state == Listed::Gone {
+        if listed.state == EndpointState::Removed {
             self.gone.insert(listed.member);
         }
         if !self.is_ready(at) {
@@ -298,7 +298,7 @@
     pub target: usize,
     /// Where a miss is filled from; the target itself: nowhere.
     pub source: Option<usize>,
-    pub sent: Time,
+    pub sent: Timestamp,
     pub live: bool,
     pub cancelled: bool,
     /// Whether it probes a SUSPECT target, source.
@@ -346,14 +346,14 @@
     pub class: Class,
     /// Own sending time in microseconds.
     pub work: f64,
-    pub aim_at: Time,
-    pub deadline: Time,
+    pub aim_at: Timestamp,
+    pub deadline: Timestamp,
     pub attempts: Vec<Attempt>,
     /// Caches that failed this request, and sources, once for each failure.
     pub failed: Vec<usize>,
     pub failed_sources: Vec<usize>,
     /// Members that answered it with an error, and when they were sent it.
-    pub errors: Vec<(usize, Time)>,
+    pub errors: Vec<(usize, Timestamp)>,
     /// The cache was asked for what it holds and lacks it.
     pub missed: bool,
     /// The parent was asked for what it holds and lacks it: a fill goes by way of the origin.
@@ -361,21 +361,21 @@
     /// What it waits for.
     pub waits: Option<Spot>,
     /// A write that was refused waits until then.
-    pub hold_until: Option<Time>,
+    pub hold_until: Option<Timestamp>,
     /// The last attempt asked for a copy past its fresh time.
     pub stale: bool,
     /// Asked for before, lately.
     pub again: bool,
     /// When the first attempt was sent that may have run.
-    pub may_have_run: Option<Time>,
+    pub may_have_run: Option<Timestamp>,
     pub done: bool,
 }
 
 impl Pending {
     /// A request that came `now`, of which nothing is sent yet.
-    pub fn new(ask: Request, class: Class, work: f64, now: Time, again: bool) -> Self {
+    pub fn new(ask: Request, class: Class, work: f64, now: Timestamp, again: bool) -> Self {
         Pending {
-            aim_at: now + class.aim + (class.aim_stretch * work) as Span,
+            aim_at: now + class.aim + (class.aim_stretch * work) as Micros,
             deadline: now + ask.left,
             ask,
             class,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,7 +16,7 @@
 }
 
 pub fn settings() -> Settings {
-    let cold = ColdLimits { from: 0.2, warm_in: 20 * S, fall_multiple: 4.0 };
+    let cold = SlowStartLimits { from: 0.2, warm_in: 20 * S, fall_multiple: 4.0 };
     Settings {
         zone: 2,
         routers_by_zone: vec![0, 0, 1],
@@ -31,7 +31,7 @@
         joins: false,
         purge_done: 6 * S,
         cold_cache: cold,
-        cold_parent: ColdLimits { fall_multiple: 2.0, ..cold },
+        cold_parent: SlowStartLimits { fall_multiple: 2.0, ..cold },
         overload_span: 2 * S,
         connect_timeout: 400 * MS,
         max_attempts: 8,
@@ -42,13 +42,21 @@
     }
 }
 
-pub fn entry(id: u64, kind: u8) -> Entry {
+pub fn entry(id: u64, kind: u8) -> EndpointEntry {
     let zone = if kind == CACHE { 2 } else { 0 };
-    Entry { member: MemberId(id), kind, zone, cell: 0, weight: 20.0, started: 0, state: Listed::Ready }
+    EndpointEntry {
+        member: EndpointId(id),
+        kind,
+        zone,
+        cell: 0,
+        weight: 20.0,
+        started: 0,
+        state: EndpointState::Ready,
+    }
 }
 
 /// Caches 10, 11, 12, parents 20, 21 and origin 30, all warm.
-pub fn usual() -> Vec<Entry> {
+pub fn usual() -> Vec<EndpointEntry> {
     [(10, CACHE), (11, CACHE), (12, CACHE), (20, PARENT), (21, PARENT), (30, ORIGIN)]
         .map(|(id, kind)| entry(id, kind))
         .to_vec()
@@ -74,16 +82,16 @@
     pub target: u64,
     pub source: Option<u64>,
     pub fill: Option<Fill>,
-    pub at: Time,
+    pub at: Timestamp,
     pub live: bool,
 }
 
 /// One router with all that it was told and did; every action is checked against the rules.
 pub struct Stand {
     pub router: Router,
-    pub now: Time,
+    pub now: Timestamp,
     pub sent: Vec<Sent>,
-    pub timers: BTreeSet<(Time, u64, usize)>,
+    pub timers: BTreeSet<(Timestamp, u64, usize)>,
     pub log: Vec<String>,
     pub answers: BTreeMap<RequestId, Action>,
     pub checker: Checker,
@@ -93,7 +101,7 @@
 }
 
 impl Stand {
-    pub fn new(settings: Settings, members: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, members: Vec<EndpointEntry>) -> Self {
         let mut stand = Stand {
             checker: Checker::new(settings.clone()),
             router: Router::new(settings, 1),
@@ -105,7 +113,7 @@
             trace: Vec::new(),
             along: false,
         };
-        stand.tell(Event::Members(ListKind::Full, members));
+        stand.tell(Event::Endpoints(ListKind::Full, members));
         stand
     }
 
@@ -119,7 +127,7 @@
             self.checker.action(self.now, &action);
             self.trace.push(action.clone());
             match action {
-                Action::Attempt { request, target, fill, .. } => {
+                Action::Send { request, target, fill, .. } => {
                     let number = self.sent.iter().filter(|s| s.request == request).count() as u16;
                     let source = fill.map(|f| f.source.0);
                     let (target, at) = (target.0, self.now);
@@ -130,7 +138,7 @@
                     self.timers.insert((self.now + wait, token, n));
                 }
                 Action::Log(line) => self.log.push(line),
-                Action::Refuse(id, _) | Action::Fail(id) => {
+                Action::Reject(id, _) | Action::Fail(id) => {
                     self.answers.insert(id, action);
                 }
                 _ => {}
@@ -144,7 +152,7 @@
     }
 
     /// Ends an attempt and returns the attempts that this leads to.
-    pub fn end(&mut self, sent: &Sent, status: Status, note: Note, waited: Span) -> Vec<Sent> {
+    pub fn end(&mut self, sent: &Sent, status: Status, note: FillNote, waited: Micros) -> Vec<Sent> {
         self.end_with(sent, status, note, waited, None)
     }
 
@@ -153,8 +161,8 @@
         &mut self,
         sent: &Sent,
         status: Status,
-        note: Note,
-        waited: Span,
+        note: FillNote,
+        waited: Micros,
         report: Option<Report>,
     ) -> Vec<Sent> {
         let mut same = self.sent.iter_mut().filter(|s| s.request == sent.request && s.number == sent.number);
@@ -180,11 +188,11 @@
     }
 
     pub fn served(&mut self, sent: &Sent) {
-        self.end(sent, Status::Ok, Note::Hit, 0);
+        self.end(sent, Status::Ok, FillNote::Hit, 0);
     }
 
     /// Moves the clock, firing the timers that fall due and ending attempts whose client has given up.
-    pub fn advance(&mut self, span: Span) -> Vec<Sent> {
+    pub fn advance(&mut self, span: Micros) -> Vec<Sent> {
         let end = self.now + span;
         let before = self.sent.len();
         loop {
@@ -195,7 +203,7 @@
             match (due, timer) {
                 (Some((at, attempt)), t) if t.is_none_or(|t| at <= t.0) => {
                     self.now = self.now.max(at);
-                    self.end(&attempt, Status::Timeout, Note::None, 0);
+                    self.end(&attempt, Status::Timeout, FillNote::None, 0);
                 }
                 (_, Some(t)) => {
                     self.timers.remove(&t);
@@ -219,8 +227,8 @@
     class: usize,
     object: ObjectId,
     group: u32,
-    deadline: Time,
-    attempts: Vec<(Time, bool, Option<Status>)>,
+    deadline: Timestamp,
+    attempts: Vec<(Timestamp, bool, Option<Status>)>,
     closed: bool,
 }
 
@@ -228,10 +236,10 @@
 pub struct Checker {
     settings: Settings,
     open: BTreeMap<RequestId, Open>,
-    members: BTreeMap<MemberId, Entry>,
-    purged: Vec<(Option<ObjectId>, u32, Time)>,
-    cold: Vec<(MemberId, Time, f64)>,
-    by_hand: BTreeSet<MemberId>,
+    members: BTreeMap<EndpointId, EndpointEntry>,
+    purged: Vec<(Option<ObjectId>, u32, Timestamp)>,
+    cold: Vec<(EndpointId, Timestamp, f64)>,
+    by_hand: BTreeSet<EndpointId>,
     pub broken: Vec<String>,
 }
 
@@ -245,21 +253,21 @@
         self.open.get(&id).is_none_or(|o| o.closed)
     }
 
-    pub fn deadline(&self, id: RequestId) -> Time {
+    pub fn deadline(&self, id: RequestId) -> Timestamp {
         self.open[&id].deadline
     }
 
     /// Every request whose deadline and slack have passed is closed.
-    pub fn overdue(&mut self, now: Time) {
+    pub fn overdue(&mut self, now: Timestamp) {
         let late: Vec<_> = self.open.iter().filter(|(_, o)| !o.closed && o.deadline + 8 * MS < now).collect();
         self.broken.extend(late.iter().map(|(id, _)| format!("lost: {id:?}")));
     }
 
-    pub fn event(&mut self, now: Time, event: &Event) {
+    pub fn event(&mut self, now: Timestamp, event: &Event) {
         match event {
-            Event::Members(kind, entries) => {
+            Event::Endpoints(kind, entries) => {
                 if *kind == ListKind::Full {
-                    self.members.values_mut().for_each(|m| m.state = Listed::Gone);
+                    self.members.values_mut().for_each(|m| m.state = EndpointState::Removed);
                 }
                 for entry in entries {
                     // What was sent before this start was known did not go to this process as far as can be told.
@@ -286,9 +294,9 @@
                 open.attempts[usize::from(o.attempt)].2 = Some(o.status);
                 open.closed |= o.closed;
             }
-            Event::Gone(id) => self.open.get_mut(id).expect("known").closed = true,
-            Event::ByHand(id, true) => drop(self.by_hand.insert(*id)),
-            Event::ByHand(id, false) => {
+            Event::Cancelled(id) => self.open.get_mut(id).expect("known").closed = true,
+            Event::Cordon(id, true) => drop(self.by_hand.insert(*id)),
+            Event::Cordon(id, false) => {
                 // It was restarted meanwhile, whatever the list says of it.
                 let back = self.by_hand.remove(id).then(|| self.members.get_mut(id)).flatten();
                 if let Some(member) = back {
@@ -302,11 +310,11 @@
         }
     }
 
-    pub fn action(&mut self, now: Time, action: &Action) {
+    pub fn action(&mut self, now: Timestamp, action: &Action) {
         match action {
-            Action::Attempt { request, target, fill, .. } => self.attempt(now, *request, *target, *fill),
-            Action::Refuse(id, _) | Action::Fail(id) => {
-                let refusal = matches!(action, Action::Refuse(..));
+            Action::Send { request, target, fill, .. } => self.attempt(now, *request, *target, *fill),
+            Action::Reject(id, _) | Action::Fail(id) => {
+                let refusal = matches!(action, Action::Reject(..));
                 let Some(open) = self.open.get_mut(id) else {
                     return self.broken.push(format!("answer for unknown {id:?}"));
                 };
@@ -315,7 +323,7 @@
                 }
                 let ran = open.attempts.iter().any(|a| a.2.is_none_or(|s| !s.proves_not_run()));
                 let effect = self.settings.classes.get(open.class).map_or(Effect::Unsafe, |c| c.effect);
-                let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: KeyGroup::All, .. });
+                let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: KeyScope::All, .. });
                 if refusal && ran && !harmless {
                     self.broken.push(format!("refused what may have run: {id:?}"));
                 }
@@ -325,7 +333,7 @@
         }
     }
 
-    fn attempt(&mut self, now: Time, id: RequestId, target: MemberId, fill: Option<Fill>) {
+    fn attempt(&mut self, now: Timestamp, id: RequestId, target: EndpointId, fill: Option<Fill>) {
         let Some(open) = self.open.get_mut(&id) else {
             return self.broken.push(format!("attempt for unknown {id:?}"));
         };
@@ -339,7 +347,7 @@
         let ran = open.attempts.iter().find(|a| a.2.is_none_or(|s| !s.proves_not_run()));
         match (self.settings.classes[open.class].effect, ran) {
             (Effect::Safe, _) | (_, None) => {}
-            (Effect::Keyed { group: KeyGroup::All, window }, Some(first)) if now < first.0 + window => {}
+            (Effect::Keyed { group: KeyScope::All, window }, Some(first)) if now < first.0 + window => {}
             _ => self.broken.push(format!("effect twice: {id:?}")),
         }
         open.attempts.push((now, true, None));
@@ -358,14 +366,14 @@
                 self.broken.push(format!("out by hand: {at:?}"));
             }
             match self.members.get(&at) {
-                Some(m) if m.state == Listed::Ready => self.cold(now, at),
+                Some(m) if m.state == EndpointState::Ready => self.cold(now, at),
                 _ => self.broken.push(format!("drained: {at:?}")),
             }
         }
     }
 
     /// All of the tests' cacheable requests take 300 ms to send; fills are counted as if each reached its source.
-    fn cold(&mut self, now: Time, at: MemberId) {
+    fn cold(&mut self, now: Timestamp, at: EndpointId) {
         let member = &self.members[&at];
         let limits = match member.kind {
             PARENT => self.settings.cold_parent,
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -10,7 +10,7 @@
 /// The members of a deployment and what is told to its router.
 struct Deployment {
     settings: Settings,
-    members: Vec<Entry>,
+    members: Vec<EndpointEntry>,
 }
 
 /// One to six hubs, one to eight locations of unequal size, one to six classes, with and without all that is optional.
@@ -22,9 +22,9 @@
         let effect = match rng.roll(6) {
             0 => Effect::Unsafe,
             // Windows shorter than any deadline, and longer.
-            1 => Effect::Keyed { group: KeyGroup::Zone, window: rng.roll(5_000) * MS },
-            2 => Effect::Keyed { group: KeyGroup::All, window: 1 + rng.roll(5_000) * MS },
-            3 => Effect::Keyed { group: KeyGroup::Cell, window: 50 * MS + rng.roll(950) * MS },
+            1 => Effect::Keyed { group: KeyScope::Zone, window: rng.roll(5_000) * MS },
+            2 => Effect::Keyed { group: KeyScope::All, window: 1 + rng.roll(5_000) * MS },
+            3 => Effect::Keyed { group: KeyScope::Cell, window: 50 * MS + rng.roll(950) * MS },
             _ => Effect::Safe,
         };
         let fresh = rng.roll(3) * 6 * S;
@@ -35,7 +35,7 @@
     });
     let classes: Vec<_> = classes.collect();
     let here = 1 + rng.roll(6) as u32;
-    let cold = |rng: &mut Rng, multiple| ColdLimits {
+    let cold = |rng: &mut Rng, multiple| SlowStartLimits {
         from: 0.06 + rng.roll(30) as f64 / 100.0,
         warm_in: (5 + rng.roll(18)) * S,
         fall_multiple: multiple,
@@ -70,15 +70,15 @@
     };
     let mut members = Vec::new();
     let mut put = |kind: u8, zone: u64, weight: u64| {
-        let (member, weight) = (MemberId(10 + members.len() as u64), weight as f64);
-        members.push(Entry {
+        let (member, weight) = (EndpointId(10 + members.len() as u64), weight as f64);
+        members.push(EndpointEntry {
             member,
             kind,
             zone: zone as u16,
             cell: 0,
             weight,
             started: 0,
-            state: Listed::Ready,
+            state: EndpointState::Ready,
         });
     };
     for location in hubs..hubs + locations {
@@ -94,25 +94,25 @@
 }
 
 /// An end that the settings allow, for what was asked.
-fn end_of(rng: &mut Rng, filled: bool) -> (Status, Note) {
+fn end_of(rng: &mut Rng, filled: bool) -> (Status, FillNote) {
     use Status::*;
     match rng.roll(24) {
-        0 => (Error, Note::None),
-        1 => (Full, Note::None),
-        2 => (ConnectFailed, Note::None),
-        3 => (Reset, Note::None),
-        4 => (Moot, Note::None),
-        5 if filled => (Full, Note::SourceRefused),
-        6 if filled => (Error, Note::SourceLost),
-        7 | 8 if filled => (Miss, Note::SourceLacks),
-        9 if filled => (Full, Note::NoPlace),
-        10 if filled => (Error, Note::OriginFailed),
-        11 if filled => (Ok, Note::FilledByOrigin),
-        12..=14 if filled => (Ok, Note::Filled),
-        15 => (Miss, Note::Joined),
-        16..=18 => (Miss, Note::None),
-        19 => (Ok, Note::Stale),
-        _ => (Ok, Note::Hit),
+        0 => (Error, FillNote::None),
+        1 => (Rejected, FillNote::None),
+        2 => (ConnectFailed, FillNote::None),
+        3 => (Reset, FillNote::None),
+        4 => (NotSent, FillNote::None),
+        5 if filled => (Rejected, FillNote::SourceRejected),
+        6 if filled => (Error, FillNote::SourceLost),
+        7 | 8 if filled => (Miss, FillNote::SourceMiss),
+        9 if filled => (Rejected, FillNote::NoFillSlot),
+        10 if filled => (Error, FillNote::OriginFailed),
+        11 if filled => (Ok, FillNote::FilledByOrigin),
+        12..=14 if filled => (Ok, FillNote::Filled),
+        15 => (Miss, FillNote::Coalesced),
+        16..=18 => (Miss, FillNote::None),
+        19 => (Ok, FillNote::Stale),
+        _ => (Ok, FillNote::Hit),
     }
 }
 
@@ -158,16 +158,16 @@
                 let mut change = members[rng.roll(members.len() as u64) as usize].clone();
                 match rng.roll(6) {
                     _ if change.kind == ORIGIN => {}
-                    0 => change.state = Listed::Draining,
-                    1 => change.state = Listed::Gone,
+                    0 => change.state = EndpointState::Draining,
+                    1 => change.state = EndpointState::Removed,
                     2 => change.started = stand.now - rng.roll(3_000) * MS,
-                    3 => drop(stand.tell(Event::ByHand(change.member, rng.roll(3) == 0))),
+                    3 => drop(stand.tell(Event::Cordon(change.member, rng.roll(3) == 0))),
                     _ => {}
                 }
                 let whole = rng.roll(20) == 0;
                 let kind = if whole { ListKind::Full } else { ListKind::Delta };
                 let told = if whole { members.clone() } else { vec![change] };
-                stand.tell(Event::Members(kind, told));
+                stand.tell(Event::Endpoints(kind, told));
             }
             _ => {
                 let object = (rng.roll(2) == 0).then_some(ObjectId(rng.roll(40)));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -21,7 +21,7 @@
         let Some(first) = stand.ask(purged(id)).pop() else { continue };
         assert!(held(&first), "a parent is not made to fetch before it is known to lack the object");
         by_origin +=
-            stand.end(&first, Status::Miss, Note::SourceLacks, 0).iter().filter(|s| !held(s)).count();
+            stand.end(&first, Status::Miss, FillNote::SourceMiss, 0).iter().filter(|s| !held(s)).count();
     }
     // Three times its weight: what the origin is taken to carry at first.
     assert!((1..=60).contains(&by_origin), "{by_origin} fetches of the origin at once");
@@ -46,7 +46,7 @@
             let held = |sent: &Sent| sent.fill.is_some_and(|fill| fill.only_held);
             asked_for_held += u32::from(held(&first) && first.source != Some(first.target));
             if held(&first) {
-                let next = stand.end(&first, Status::Miss, Note::SourceLacks, 0);
+                let next = stand.end(&first, Status::Miss, FillNote::SourceMiss, 0);
                 fetched += next.iter().filter(|sent| !held(sent)).count();
             } else {
                 fetched += 1;
@@ -76,7 +76,7 @@
         let mut next = stand.ask(ask(id, id));
         while let Some(sent) = next.pop() {
             if sent.source == Some(sent.target) {
-                next = stand.end(&sent, Status::Miss, Note::None, 0);
+                next = stand.end(&sent, Status::Miss, FillNote::None, 0);
             } else {
                 *by_source.entry(sent.source.unwrap_or(sent.target)).or_default() += 1;
             }
@@ -99,11 +99,11 @@
         let sent = stand.ask(ask(id, id)).remove(0);
         stand.advance(1500 * MS);
         if stand.live().iter().any(|s| s.request == sent.request) {
-            stand.end(&sent, Status::Ok, Note::Filled, 1400 * MS);
+            stand.end(&sent, Status::Ok, FillNote::Filled, 1400 * MS);
         }
     }
     let first = stand.ask(ask(31, 31)).remove(0);
-    let next = stand.end(&first, Status::Miss, Note::SourceLacks, 0);
+    let next = stand.end(&first, Status::Miss, FillNote::SourceMiss, 0);
     let next: Vec<_> = next.iter().map(|sent| sent.source).collect();
     assert_eq!(next, [Some(20)], "the parent has room for what missed");
     assert_eq!(stand.checker.broken, Vec::<String>::new());
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -9,7 +9,7 @@
 }
 
 /// The usual members with parents that have room for few.
-fn tight() -> Vec<Entry> {
+fn tight() -> Vec<EndpointEntry> {
     let mut members = usual();
     members[3..5].iter_mut().for_each(|parent| parent.weight = 6.0);
     members
@@ -22,7 +22,7 @@
     for id in 1..=200 {
         let mut next = stand.ask(ask(id, id));
         while let Some(attempt) = next.first().cloned() {
-            next = stand.end(&attempt, Status::Full, Note::None, 0);
+            next = stand.end(&attempt, Status::Rejected, FillNote::None, 0);
         }
         stand.advance(10 * MS);
     }
@@ -39,7 +39,7 @@
     for id in 1..=60 {
         if let Some(attempt) = stand.ask(ask(id, id)).first().cloned() {
             stand.advance(50 * MS);
-            stand.end(&attempt, Status::Full, Note::SourceRefused, 2 * S);
+            stand.end(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S);
         }
     }
     assert_eq!(stand.log, Vec::<String>::new());
@@ -58,7 +58,7 @@
             let late = stand.now > attempt.at + 2 * S;
             match attempt.source {
                 Some(20) if !late => {}
-                Some(_) => _ = stand.end(&attempt, Status::Ok, Note::Filled, 0),
+                Some(_) => _ = stand.end(&attempt, Status::Ok, FillNote::Filled, 0),
                 None => {}
             }
         }
@@ -78,7 +78,7 @@
     assert!(!looks.is_empty() && fills > 0 && fills < 150, "{} looks, {fills} fills", looks.len());
     // A miss waits for room at its source, and is refused when an answer can no longer be in time.
     let missed = (*looks[0]).clone();
-    stand.end(&missed, Status::Miss, Note::None, 0);
+    stand.end(&missed, Status::Miss, FillNote::None, 0);
     stand.advance(2 * S);
     assert_eq!(stand.checker.broken, Vec::<String>::new());
 }
@@ -101,13 +101,13 @@
         assert_eq!(second.source, Some(second.target), "the twin looks first too");
         // The sources have room again.
         stand.live().iter().filter(|s| s.source != Some(s.target)).skip(4).for_each(|s| stand.served(s));
-        let fill = stand.end(&first, Status::Miss, Note::None, 0);
+        let fill = stand.end(&first, Status::Miss, FillNote::None, 0);
         assert!(fill[0].source.is_some_and(|from| from >= 20), "the first miss is filled: {fill:?}");
-        let twin = stand.end(&second, Status::Miss, Note::None, 0);
+        let twin = stand.end(&second, Status::Miss, FillNote::None, 0);
         // Where caches can join a fill the twin does, else it waits for the copy and is sent then.
         assert_eq!(twin.iter().filter(|s| s.request.0 == 1000).count(), usize::from(joins), "{twin:?}");
         if !joins {
-            let then = stand.end(&fill[0], Status::Ok, Note::Filled, 0);
+            let then = stand.end(&fill[0], Status::Ok, FillNote::Filled, 0);
             assert!(then.iter().any(|s| s.request.0 == 1000), "{then:?}");
         }
     }
@@ -126,7 +126,7 @@
         assert_eq!(more.target, home.target);
     }
     let last = stand.live().pop().expect("they are out");
-    stand.end(&last, Status::Full, Note::None, 0);
+    stand.end(&last, Status::Rejected, FillNote::None, 0);
     assert!(held(&stand) > 6);
     let over = stand.ask(ask(20, 5)).remove(0);
     assert_ne!(over.target, home.target);
@@ -141,7 +141,10 @@
     let mut tries = 0;
     while let Some(attempt) = next.first().cloned() {
         tries += 1;
-        assert!(stand.end(&attempt, Status::Full, Note::SourceRefused, 0).is_empty(), "no retry at once");
+        assert!(
+            stand.end(&attempt, Status::Rejected, FillNote::SourceRejected, 0).is_empty(),
+            "no retry at once"
+        );
         next = stand.advance(60 * MS);
     }
     stand.advance(2 * S);
@@ -161,7 +164,7 @@
     for id in 1..400 {
         for look in stand.ask(ask(id, id)).into_iter().filter(|s| s.source == Some(s.target)) {
             assert_eq!(look.fill.unwrap().oldest, 20 * S);
-            for second in stand.end(&look, Status::Miss, Note::None, 0) {
+            for second in stand.end(&look, Status::Miss, FillNote::None, 0) {
                 if second.request == look.request && second.source == Some(second.target) {
                     assert_eq!(second.fill.unwrap().oldest, 50 * S);
                     return;
@@ -182,7 +185,7 @@
     let stalled = stand.ask(ask(1, 5)).remove(0);
     stand.advance(900 * MS);
     assert!(stand.trace.contains(&Action::Cancel(RequestId(1), 0)), "{:?}", stand.trace);
-    let next = stand.end(&stalled, Status::Cancelled, Note::None, 0).remove(0);
+    let next = stand.end(&stalled, Status::Cancelled, FillNote::None, 0).remove(0);
     assert_ne!(next.target, stalled.target);
     assert_eq!(stand.checker.broken, Vec::<String>::new());
 }
@@ -227,7 +230,7 @@
             if !silent {
                 stand.served(&attempt);
             } else if stand.trace.contains(&off) {
-                next = stand.end(&attempt, Status::Cancelled, Note::None, 0);
+                next = stand.end(&attempt, Status::Cancelled, FillNote::None, 0);
             } else {
                 silences += 1;
                 stand.advance(2_600 * MS);
@@ -259,9 +262,9 @@
         let mut next = stand.ask(ask(id, id));
         while let Some(attempt) = next.first().cloned() {
             next = match attempt.source {
-                Some(20) => stand.end(&attempt, Status::Full, Note::SourceLost, 0),
-                Some(from) if from == attempt.target => stand.end(&attempt, Status::Miss, Note::None, 0),
-                _ => stand.end(&attempt, Status::Ok, Note::Filled, 0),
+                Some(20) => stand.end(&attempt, Status::Rejected, FillNote::SourceLost, 0),
+                Some(from) if from == attempt.target => stand.end(&attempt, Status::Miss, FillNote::None, 0),
+                _ => stand.end(&attempt, Status::Ok, FillNote::Filled, 0),
             };
         }
         if stand.log.iter().any(|l| l.contains("Parent 14 DOWN")) {
@@ -272,7 +275,7 @@
     for id in 1000..1600 {
         for look in stand.ask(ask(id, id)) {
             if look.source == Some(look.target) {
-                stand.end(&look, Status::Miss, Note::None, 0);
+                stand.end(&look, Status::Miss, FillNote::None, 0);
             }
         }
     }
@@ -319,8 +322,8 @@
         for attempt in stand.ask(ask(id, id)) {
             stand.advance(30 * MS);
             match attempt.source {
-                Some(20) => _ = stand.end(&attempt, Status::Ok, Note::Filled, 0),
-                Some(_) => _ = stand.end(&attempt, Status::Full, Note::SourceRefused, 2 * S),
+                Some(20) => _ = stand.end(&attempt, Status::Ok, FillNote::Filled, 0),
+                Some(_) => _ = stand.end(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S),
                 None => {}
             }
         }
@@ -329,7 +332,7 @@
 }
 
 /// Ends an attempt with a report of how full the link into the zone is.
-fn end_with_link(stand: &mut Stand, sent: &Sent, status: Status, note: Note, link: f64) -> Vec<Sent> {
+fn end_with_link(stand: &mut Stand, sent: &Sent, status: Status, note: FillNote, link: f64) -> Vec<Sent> {
     let report = Some(Report { link: Some(link), ..Report::default() });
     stand.end_with(sent, status, note, 0, report)
 }
@@ -342,12 +345,12 @@
         for id in 1..=1000 {
             let mut next = stand.ask(ask(id, id));
             while let Some(attempt) = next.first().cloned().filter(|a| a.source == Some(a.target)) {
-                next = end_with_link(&mut stand, &attempt, Status::Miss, Note::None, link);
+                next = end_with_link(&mut stand, &attempt, Status::Miss, FillNote::None, link);
             }
             stand.advance(10 * MS);
             let due = stand.now - if many { 300 * MS } else { 1900 * MS };
             for attempt in stand.live().into_iter().filter(|a| a.at < due) {
-                end_with_link(&mut stand, &attempt, Status::Ok, Note::Filled, link);
+                end_with_link(&mut stand, &attempt, Status::Ok, FillNote::Filled, link);
             }
         }
         let fills = stand.sent.iter().filter(|a| a.source != Some(a.target)).count();
@@ -372,13 +375,13 @@
         };
         let one = |number| Stand::new(Settings { number: number as u32, ..with.clone() }, list());
         let mut fleet: Vec<_> = (0..routers).map(one).collect();
-        let mut sent: Vec<Time> = Vec::new();
+        let mut sent: Vec<Timestamp> = Vec::new();
         for step in 0..200 {
             for (n, stand) in fleet.iter_mut().enumerate() {
                 // All want the parent at once, again and again; fills take half a second each.
                 stand.advance(20 * MS);
                 for done in stand.live().into_iter().filter(|a| a.at + 500 * MS < start + step * 20 * MS) {
-                    stand.end(&done, Status::Ok, Note::Filled, 0);
+                    stand.end(&done, Status::Ok, FillNote::Filled, 0);
                 }
                 let id = step * 1000 + n as u64 + 1;
                 let now = stand.now;
@@ -410,15 +413,15 @@
             next = match attempt.source {
                 Some(20 | 21) if only_held => {
                     held_only += 1;
-                    stand.end(&attempt, Status::Miss, Note::SourceLacks, 0)
+                    stand.end(&attempt, Status::Miss, FillNote::SourceMiss, 0)
                 }
-                Some(from) if from == attempt.target => stand.end(&attempt, Status::Miss, Note::None, 0),
+                Some(from) if from == attempt.target => stand.end(&attempt, Status::Miss, FillNote::None, 0),
                 _ => break,
             };
         }
         let due = stand.now - 2 * S;
         for late in stand.live().into_iter().filter(|a| a.at < due) {
-            stand.end(&late, Status::Ok, Note::FilledByOrigin, 0);
+            stand.end(&late, Status::Ok, FillNote::FilledByOrigin, 0);
         }
     }
     let through = |s: &&Sent| s.number > 0 && s.source < Some(30) && s.fill.is_some_and(|f| !f.only_held);
@@ -435,7 +438,7 @@
     let id = u64::MAX - 5;
     let write = Request { class: 1, left: S, ..ask(id, 5) };
     let first = stand.ask(write).remove(0);
-    assert!(stand.end(&first, Status::Full, Note::SourceRefused, 0).is_empty());
+    assert!(stand.end(&first, Status::Rejected, FillNote::SourceRejected, 0).is_empty());
     let again = stand.advance(200 * MS);
     assert_eq!(again[0].request, RequestId(id));
 }
@@ -452,7 +455,7 @@
             stand.ask(Request { part: id as u32, ..ask(id, 5) });
         }
         let done = stand.live().into_iter().find(|a| a.target == freed).expect("both are in use");
-        let then = stand.end(&done, Status::Ok, Note::Hit, 0);
+        let then = stand.end(&done, Status::Ok, FillNote::Hit, 0);
         assert!(then.len() == 1 && then[0].request.0 == id && then[0].target == freed, "{then:?}");
     }
 }
@@ -478,7 +481,7 @@
     // preempt and mass_restart: nothing goes to what drains, and what is new gets its budget and no more.
     let mut stand = Stand::new(settings(), usual());
     let mut id = 0;
-    let mut work = |stand: &mut Stand, span: Span| {
+    let mut work = |stand: &mut Stand, span: Micros| {
         let end = stand.now + span;
         while stand.now < end {
             id += 1;
@@ -488,24 +491,24 @@
             for done in stand.live().into_iter().filter(|a| a.at < due) {
                 let looks = done.source == Some(done.target);
                 let (status, note) =
-                    if looks { (Status::Miss, Note::None) } else { (Status::Ok, Note::Filled) };
+                    if looks { (Status::Miss, FillNote::None) } else { (Status::Ok, FillNote::Filled) };
                 stand.end(&done, status, note, 0);
             }
         }
     };
     for (old, new) in [(10, 13), (11, 14)] {
-        let drains = Entry { state: Listed::Draining, ..entry(old, CACHE) };
-        stand.tell(Event::Members(ListKind::Delta, vec![drains]));
+        let drains = EndpointEntry { state: EndpointState::Draining, ..entry(old, CACHE) };
+        stand.tell(Event::Endpoints(ListKind::Delta, vec![drains]));
         work(&mut stand, S);
-        let gone = Entry { state: Listed::Gone, ..entry(old, CACHE) };
-        let fresh = Entry { started: stand.now, ..entry(new, CACHE) };
-        stand.tell(Event::Members(ListKind::Delta, vec![gone, fresh]));
+        let gone = EndpointEntry { state: EndpointState::Removed, ..entry(old, CACHE) };
+        let fresh = EndpointEntry { started: stand.now, ..entry(new, CACHE) };
+        stand.tell(Event::Endpoints(ListKind::Delta, vec![gone, fresh]));
         work(&mut stand, S);
     }
     assert!(stand.sent.iter().any(|a| a.target == 13), "the first replacement is used");
     let now = stand.now;
-    let all = [12, 13, 14].map(|id| Entry { started: now, ..entry(id, CACHE) });
-    stand.tell(Event::Members(ListKind::Delta, all.to_vec()));
+    let all = [12, 13, 14].map(|id| EndpointEntry { started: now, ..entry(id, CACHE) });
+    stand.tell(Event::Endpoints(ListKind::Delta, all.to_vec()));
     work(&mut stand, 3 * S);
     assert!(stand.sent.iter().any(|a| a.at > now && a.source.is_some()));
     assert_eq!(stand.checker.broken, Vec::<String>::new());
@@ -520,10 +523,10 @@
         let sent = crowd(&mut stand, round * 100..round * 100 + 30);
         stand.advance(50 * MS);
         for attempt in &sent[1..] {
-            stand.end(attempt, Status::Ok, Note::Hit, 0);
+            stand.end(attempt, Status::Ok, FillNote::Hit, 0);
         }
         stand.advance(2 * S);
-        stand.end(&sent[0], Status::Ok, Note::Hit, 0);
+        stand.end(&sent[0], Status::Ok, FillNote::Hit, 0);
     }
     assert_eq!(crowd(&mut stand, 5_000..5_120).len(), 120);
 }
@@ -537,10 +540,10 @@
         let sent = crowd(&mut stand, round * 100..round * 100 + 30);
         stand.advance(50 * MS);
         for attempt in &sent[1..] {
-            stand.end(attempt, Status::Ok, Note::Filled, 10 * MS);
+            stand.end(attempt, Status::Ok, FillNote::Filled, 10 * MS);
         }
-        for again in stand.end(&sent[0], Status::Error, Note::SourceLost, 10 * MS) {
-            stand.end(&again, Status::Ok, Note::Filled, 10 * MS);
+        for again in stand.end(&sent[0], Status::Error, FillNote::SourceLost, 10 * MS) {
+            stand.end(&again, Status::Ok, FillNote::Filled, 10 * MS);
         }
         stand.advance(S);
     }
@@ -558,7 +561,7 @@
         let sent = crowd(&mut stand, round * 100..round * 100 + 10);
         stand.advance(2 * S);
         for attempt in &sent {
-            stand.end(attempt, Status::Ok, Note::Hit, 0);
+            stand.end(attempt, Status::Ok, FillNote::Hit, 0);
         }
     }
     let sent = crowd(&mut stand, 5_000..5_060).len();
@@ -572,7 +575,7 @@
     for id in 1..=40 {
         let mut next = stand.ask(ask(id, id));
         while let Some(attempt) = next.first().cloned() {
-            next = stand.end(&attempt, Status::Error, Note::None, 0);
+            next = stand.end(&attempt, Status::Error, FillNote::None, 0);
         }
     }
     assert_eq!((stand.log.len(), stand.sent.len(), stand.answers.len()), (0, 80, 40), "{:?}", stand.log);
@@ -580,7 +583,7 @@
     for id in 101..=120 {
         let first = stand.ask(ask(id, id)).remove(0);
         let bad = |attempt: &Sent| attempt.target == 10;
-        let next = stand.end(&first, if bad(&first) { Status::Error } else { Status::Ok }, Note::Hit, 0);
+        let next = stand.end(&first, if bad(&first) { Status::Error } else { Status::Ok }, FillNote::Hit, 0);
         next.iter().for_each(|attempt| stand.served(attempt));
     }
     assert!(stand.log.iter().any(|l| l.contains("Cache a DOWN")), "{:?}", stand.log);
@@ -594,9 +597,9 @@
         let home = stand.ask(ask(1, 5)).remove(0);
         let more: Vec<_> = (2..=4).flat_map(|id| stand.ask(ask(id, 5))).collect();
         assert!(more.iter().all(|s| s.target == home.target));
-        stand.end(&home, Status::Reset, Note::None, 0);
+        stand.end(&home, Status::Reset, FillNote::None, 0);
         stand.along = along;
-        more.iter().for_each(|attempt| drop(stand.end(attempt, Status::Reset, Note::None, 0)));
+        more.iter().for_each(|attempt| drop(stand.end(attempt, Status::Reset, FillNote::None, 0)));
         let lost = stand.log.iter().filter(|l| l.contains("DOWN")).count();
         assert_eq!(lost, down, "{:?}", stand.log);
     }
@@ -608,7 +611,7 @@
     let mut stand = Stand::new(settings(), usual());
     for id in 1..=20 {
         let first = stand.ask(ask(id, id)).remove(0);
-        let next = stand.end(&first, Status::Moot, Note::None, 0).remove(0);
+        let next = stand.end(&first, Status::NotSent, FillNote::None, 0).remove(0);
         assert_ne!(next.target, first.target);
         stand.served(&next);
     }
@@ -644,7 +647,7 @@
             let due: Vec<_> = stand.live().into_iter().filter(|s| s.at + 500 * MS < stand.now).collect();
             for late in due {
                 let report = Some(Report { link: Some(told), ..Report::default() });
-                stand.end_with(&late, Status::Ok, Note::Filled, 0, report);
+                stand.end_with(&late, Status::Ok, FillNote::Filled, 0, report);
             }
         }
         assert_eq!(looks == 0 && stand.answers.is_empty(), calm, "{looks} looks at {told}");
@@ -657,11 +660,11 @@
     let mut stand = Stand::new(Settings { link_kb_per_s: 4_000.0, ..settings() }, usual());
     let told = Some(Report { link: Some(0.5), ..Report::default() });
     let first = stand.ask(ask(1, 1)).remove(0);
-    stand.end_with(&first, Status::Ok, Note::Hit, 0, told);
+    stand.end_with(&first, Status::Ok, FillNote::Hit, 0, told);
     // Twelve transfers of the link are this router's; more attempts than that name a source.
     let out = crowd(&mut stand, 2..20);
     assert!(out.iter().all(|s| s.source != Some(s.target)), "none had to look");
-    let next = stand.end(&out[0], Status::Full, Note::SourceLacks, 0);
+    let next = stand.end(&out[0], Status::Rejected, FillNote::SourceMiss, 0);
     assert!(next.iter().any(|s| s.request == out[0].request), "it goes on at once: {next:?}");
 }
 
@@ -682,12 +685,12 @@
 #[test]
 fn a_clock_that_is_ahead_takes_no_cold_member_for_a_warm_one() {
     // Starts are dated by the list service's clock; a front half a minute ahead held no cold cache back.
-    let admitted = |ahead: Span, started: Option<Span>| {
+    let admitted = |ahead: Micros, started: Option<Micros>| {
         let mut stand = Stand::new(settings(), Vec::new());
-        stand.tell(Event::Ahead(ahead));
+        stand.tell(Event::ClockAhead(ahead));
         let started = started.map_or(0, |ago| stand.now - ago);
-        let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| Entry { started, ..e });
-        stand.tell(Event::Members(ListKind::Full, fresh.to_vec()));
+        let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
+        stand.tell(Event::Endpoints(ListKind::Full, fresh.to_vec()));
         stand.advance(S);
         let sent = crowd(&mut stand, 1..200);
         assert_eq!(stand.checker.broken.iter().filter(|_| ahead == 0).count(), 0);
@@ -698,9 +701,9 @@
     assert_eq!(admitted(30 * S, Some(30 * S + MS)), cold);
     // A restart that operators make dates itself by this clock.
     let mut stand = Stand::new(settings(), vec![entry(10, CACHE), entry(30, ORIGIN)]);
-    stand.tell(Event::Ahead(60 * S));
-    stand.tell(Event::ByHand(MemberId(10), true));
-    stand.tell(Event::ByHand(MemberId(10), false));
+    stand.tell(Event::ClockAhead(60 * S));
+    stand.tell(Event::Cordon(EndpointId(10), true));
+    stand.tell(Event::Cordon(EndpointId(10), false));
     stand.advance(S);
     assert_eq!(crowd(&mut stand, 1..200).len(), cold);
     stand.advance(30 * S);
@@ -710,11 +713,11 @@
 #[test]
 fn a_clock_that_is_behind_takes_a_cold_member_for_warm_once_it_is() {
     // By a clock an hour behind a cold cache had an hour of slow start before it, at its least.
-    let admitted = |ahead_of_us: Span, waits: Span| {
+    let admitted = |ahead_of_us: Micros, waits: Micros| {
         let mut stand = Stand::new(settings(), Vec::new());
         let started = stand.now + ahead_of_us;
-        let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| Entry { started, ..e });
-        stand.tell(Event::Members(ListKind::Full, fresh.to_vec()));
+        let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
+        stand.tell(Event::Endpoints(ListKind::Full, fresh.to_vec()));
         stand.advance(waits);
         crowd(&mut stand, 1..200).len()
     };
--- a/tests/largest.rs
+++ b/tests/largest.rs
@@ -26,7 +26,7 @@
     let mut stand = Stand::new(settings, usual());
     let (mut rng, mut counts, mut sizes) = (Rng(seed), [(0, 0); 3], std::collections::BTreeMap::new());
     // When attempts end, and how.
-    let mut ends: Vec<(Time, Sent, Status)> = Vec::new();
+    let mut ends: Vec<(Timestamp, Sent, Status)> = Vec::new();
     let (mut next, mut cancelled) = (0, 0);
     for _ in 0..60 * S / STEP {
         let mut begun = stand.advance(STEP);
@@ -83,7 +83,7 @@
             if status == Status::Ok && !stand.checker.closed(sent.request) {
                 counts[sizes[&sent.request].0].1 += 1;
             }
-            begun = stand.end(&sent, status, Note::Hit, 0);
+            begun = stand.end(&sent, status, FillNote::Hit, 0);
         }
         cancelled = stand.trace.len();
         stand.sent.retain(|s| s.live || stand.now < s.at + 10 * S);
@@ -94,7 +94,7 @@
 
 #[test]
 fn the_largest_requests_of_a_class_get_their_share_on_quiet_and_other_days() {
-    let group = KeyGroup::All;
+    let group = KeyScope::All;
     for (day, least) in [(Day::Quiet, 2.0 / 3.0), (Day::Rough, 0.5), (Day::Lossy, 0.5)] {
         for effect in [Effect::Safe, Effect::Keyed { group, window: 800 * MS }, Effect::Unsafe] {
             for (seed, told) in [(1, false), (2, false), (3, true)] {
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -16,17 +16,17 @@
 struct Fleet {
     stands: Vec<Stand>,
     /// Attempts that are out: when they end, by whom.
-    out: VecDeque<(Time, usize, Sent)>,
+    out: VecDeque<(Timestamp, usize, Sent)>,
     /// Every attempt, with the member that it was for.
-    sent: Vec<(Time, usize, u64)>,
+    sent: Vec<(Timestamp, usize, u64)>,
     /// Requests that each router is asked in a step.
     asked_in_step: f64,
     rng: Rng,
     next: u64,
-    now: Time,
+    now: Timestamp,
 }
 
-fn members() -> Vec<Entry> {
+fn members() -> Vec<EndpointEntry> {
     let caches = (10..10 + CACHES).map(|id| entry(id, CACHE));
     caches.chain([entry(50, PARENT), entry(51, PARENT), entry(60, ORIGIN)]).collect()
 }
@@ -51,9 +51,9 @@
     }
 
     /// All routers are told of members.
-    fn tell(&mut self, kind: ListKind, members: &[Entry]) {
+    fn tell(&mut self, kind: ListKind, members: &[EndpointEntry]) {
         for n in 0..self.stands.len() {
-            let begun = self.stands[n].tell(Event::Members(kind, members.to_vec()));
+            let begun = self.stands[n].tell(Event::Endpoints(kind, members.to_vec()));
             self.note(n, begun, &[]);
         }
     }
@@ -65,7 +65,7 @@
     }
 
     /// Plays on for a time; `dead` answers no connection.
-    fn play(&mut self, span: Span, dead: &[u64]) {
+    fn play(&mut self, span: Micros, dead: &[u64]) {
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
@@ -86,9 +86,9 @@
                     continue;
                 }
                 let (status, note) = if dead.contains(&sent.target) {
-                    (Status::ConnectFailed, Note::None)
+                    (Status::ConnectFailed, FillNote::None)
                 } else {
-                    (Status::Ok, Note::Hit)
+                    (Status::Ok, FillNote::Hit)
                 };
                 let begun = self.stands[n].end(&sent, status, note, 0);
                 self.note(n, begun, dead);
@@ -117,7 +117,7 @@
         }
     }
 
-    fn to(&self, member: u64, from: Time, until: Time) -> usize {
+    fn to(&self, member: u64, from: Timestamp, until: Timestamp) -> usize {
         self.sent.iter().filter(|(at, _, to)| *to == member && (from..until).contains(at)).count()
     }
 }
@@ -152,9 +152,9 @@
         let mut fleet = Fleet::new(seed);
         fleet.play(3 * S, &[]);
         let started = fleet.now;
-        let cold = Entry { started, weight: 2.0, ..entry(11, CACHE) };
+        let cold = EndpointEntry { started, weight: 2.0, ..entry(11, CACHE) };
         for stand in &mut fleet.stands {
-            stand.tell(Event::Members(ListKind::Delta, vec![cold.clone()]));
+            stand.tell(Event::Endpoints(ListKind::Delta, vec![cold.clone()]));
         }
         fleet.play(22 * S, &[]);
         let settings = settings();
@@ -181,13 +181,13 @@
 /// The cache that returns cold in the tests of the budget, of a tenth of the others' size, so that its budget binds.
 const RETURNED: u64 = 11;
 
-fn returned(started: Time) -> Entry {
-    Entry { started, weight: 2.0, ..entry(RETURNED, CACHE) }
+fn returned(started: Timestamp) -> EndpointEntry {
+    EndpointEntry { started, weight: 2.0, ..entry(RETURNED, CACHE) }
 }
 
 /// Requests of mean work that a cache bears which started at that time, in the span that begins now: what the settings allow it
 /// then, and what chance adds to that.
-fn budget(started: Time, now: Time) -> f64 {
+fn budget(started: Timestamp, now: Timestamp) -> f64 {
     let settings = settings();
     let limits = settings.cold_cache;
     let age = (now - started) as f64 / limits.warm_in as f64;
@@ -201,11 +201,11 @@
 }
 
 /// Checks each span of a ramp against the budget. Returns the requests in the fullest one.
-fn keeps_the_budget(fleet: &Fleet, started: Time, until: Time, what: &str) -> usize {
+fn keeps_the_budget(fleet: &Fleet, started: Timestamp, until: Timestamp, what: &str) -> usize {
     let settings = settings();
     let ramp = started..until.min(started + settings.cold_cache.warm_in);
-    let to_it = |(at, _, to): &&(Time, usize, u64)| *to == RETURNED && ramp.contains(at);
-    let all: Vec<Time> = fleet.sent.iter().filter(to_it).map(|sent| sent.0).collect();
+    let to_it = |(at, _, to): &&(Timestamp, usize, u64)| *to == RETURNED && ramp.contains(at);
+    let all: Vec<Timestamp> = fleet.sent.iter().filter(to_it).map(|sent| sent.0).collect();
     let mut fullest = 0;
     for at in &all {
         let sent = all.iter().filter(|other| (*at..at + settings.overload_span).contains(*other)).count();
@@ -247,7 +247,7 @@
             fleet.play(S, &[]);
             // As after a reload: another service tells all of it.
             let mut all = members();
-            all.retain(|one| one.member != MemberId(RETURNED));
+            all.retain(|one| one.member != EndpointId(RETURNED));
             all.push(returned(started));
             fleet.tell(ListKind::Full, &all);
         }
@@ -266,7 +266,7 @@
         fleet.play(6 * S, &[]);
         let what = format!("{routers} routers");
         keeps_the_budget(&fleet, first, fleet.now, &what);
-        let gone = Entry { state: Listed::Gone, ..returned(first) };
+        let gone = EndpointEntry { state: EndpointState::Removed, ..returned(first) };
         fleet.tell(ListKind::Delta, &[gone]);
         fleet.play(S, &[]);
         let second = fleet.now;
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -23,7 +23,7 @@
     let mut next = stand.ask(ask(id, 5));
     while let Some(attempt) = next.first().cloned() {
         tries += 1;
-        next = stand.end(&attempt, Status::ConnectFailed, Note::None, 0);
+        next = stand.end(&attempt, Status::ConnectFailed, FillNote::None, 0);
     }
     tries
 }
@@ -58,16 +58,16 @@
     while let Some(attempt) = next.first().cloned() {
         sources.push(attempt.source.unwrap());
         if sources.len() == 4 {
-            stand.end(&attempt, Status::Ok, Note::Filled, 10 * MS);
+            stand.end(&attempt, Status::Ok, FillNote::Filled, 10 * MS);
             break;
         }
-        next = stand.end(&attempt, Status::Full, Note::SourceLost, 0);
+        next = stand.end(&attempt, Status::Rejected, FillNote::SourceLost, 0);
     }
     assert_eq!(sources, [20, 20, 20, 21]);
     assert!(stand.log.is_empty(), "three failures are not yet DOWN: {:?}", stand.log);
     let attempt = stand.ask(ask(2, object)).remove(0);
     assert_eq!(attempt.source, Some(20));
-    stand.end(&attempt, Status::Full, Note::SourceLost, 0);
+    stand.end(&attempt, Status::Rejected, FillNote::SourceLost, 0);
     assert_eq!(stand.log.len(), 1);
     assert!(stand.log[0].contains("Parent 14 DOWN after 4"), "{:?}", stand.log);
     assert_eq!(stand.ask(ask(3, object))[0].source, Some(21));
@@ -79,11 +79,11 @@
     let old = stand.ask(ask(90, 6)).remove(0);
     let mut first = stand.ask(ask(1, 5));
     for _ in 0..4 {
-        first = stand.end(&first[0].clone(), Status::Reset, Note::None, 0);
+        first = stand.end(&first[0].clone(), Status::Reset, FillNote::None, 0);
     }
     assert!(stand.log.last().unwrap().contains("DOWN"));
     // Sent before the member went DOWN, served after it: proves nothing.
-    stand.end(&old, Status::Ok, Note::Hit, 0);
+    stand.end(&old, Status::Ok, FillNote::Hit, 0);
     assert_eq!(stand.ask(ask(2, 5)).len(), 0);
     stand.advance(6 * S);
     let trials = [3, 4, 5].map(|id| stand.ask(ask(id, 5)).len());
@@ -98,7 +98,7 @@
         if let Some(attempt) = stand.ask(ask(id, object)).first().cloned() {
             let mut next = vec![attempt];
             while let Some(attempt) = next.first().cloned().filter(|a| a.source != Some(30)) {
-                next = stand.end(&attempt, Status::Full, Note::SourceLost, 0);
+                next = stand.end(&attempt, Status::Rejected, FillNote::SourceLost, 0);
             }
         }
     }
@@ -111,8 +111,8 @@
     let mut stand = single();
     fail_all(&mut stand, 1);
     assert_eq!(stand.ask(ask(2, 5)).len(), 0);
-    let again = Entry { started: stand.now, ..entry(10, CACHE) };
-    stand.tell(Event::Members(ListKind::Delta, vec![again]));
+    let again = EndpointEntry { started: stand.now, ..entry(10, CACHE) };
+    stand.tell(Event::Endpoints(ListKind::Delta, vec![again]));
     stand.advance(500 * MS);
     assert_eq!(stand.ask(ask(3, 5)).len(), 1);
 }
@@ -150,13 +150,13 @@
     odd.ask(Request { class: 9, ..ask(1, 5) });
     assert!(odd.answers.contains_key(&RequestId(1)));
     assert!(odd.tell(Event::Timer(77 << 8)).is_empty());
-    assert!(odd.tell(Event::Members(ListKind::Failed, Vec::new())).is_empty());
+    assert!(odd.tell(Event::Endpoints(ListKind::Failed, Vec::new())).is_empty());
     assert_eq!(odd.trace.last(), Some(&Action::Subscribe));
     // Where changes must be asked for, that is done once, with the first news of the list.
     let mut asks = settings();
     asks.must_subscribe = true;
     let mut asking = Stand::new(asks, usual());
-    asking.tell(Event::Members(ListKind::Delta, usual()));
+    asking.tell(Event::Endpoints(ListKind::Delta, usual()));
     assert_eq!(asking.trace, [Action::Subscribe]);
 }
 
@@ -166,12 +166,12 @@
     let mut stand = Stand::new(settings(), usual());
     let empty = format!("{:?}", stand.router).len();
     for round in 0..50u64 {
-        let far = (0..300).map(|n| Entry { zone: 1, ..entry(10_000 + round * 1000 + n, CACHE) });
+        let far = (0..300).map(|n| EndpointEntry { zone: 1, ..entry(10_000 + round * 1000 + n, CACHE) });
         let near = (0..20).map(|n| entry(1_000_000 + round * 100 + n, CACHE));
         let all: Vec<_> = far.chain(near).collect();
-        stand.tell(Event::Members(ListKind::Delta, all.clone()));
-        let gone = all.into_iter().map(|e| Entry { state: Listed::Gone, ..e }).collect();
-        stand.tell(Event::Members(ListKind::Delta, gone));
+        stand.tell(Event::Endpoints(ListKind::Delta, all.clone()));
+        let gone = all.into_iter().map(|e| EndpointEntry { state: EndpointState::Removed, ..e }).collect();
+        stand.tell(Event::Endpoints(ListKind::Delta, gone));
     }
     let kept = format!("{:?}", stand.router).len();
     assert!(kept < empty * 6, "{kept} against {empty}: places are used again");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,21 +3,21 @@
 use common::*;
 use cranesill::api::*;
 
-fn end_of(rng: &mut Rng, has_source: bool) -> (Status, Note) {
+fn end_of(rng: &mut Rng, has_source: bool) -> (Status, FillNote) {
     use Status::*;
     match rng.roll(20) {
-        0 => (Error, Note::None),
-        1 => (Full, Note::None),
-        2 => (ConnectFailed, Note::None),
-        3 => (Reset, Note::None),
-        4 if has_source => (Full, Note::SourceRefused),
-        5 if has_source => (Error, Note::SourceLost),
-        6 if has_source => (Miss, Note::SourceLacks),
-        7 if has_source => (Full, Note::NoPlace),
-        8 if has_source => (Error, Note::OriginFailed),
-        9..=11 => (Miss, Note::None),
-        12..=14 if has_source => (Ok, Note::Filled),
-        _ => (Ok, Note::Hit),
+        0 => (Error, FillNote::None),
+        1 => (Rejected, FillNote::None),
+        2 => (ConnectFailed, FillNote::None),
+        3 => (Reset, FillNote::None),
+        4 if has_source => (Rejected, FillNote::SourceRejected),
+        5 if has_source => (Error, FillNote::SourceLost),
+        6 if has_source => (Miss, FillNote::SourceMiss),
+        7 if has_source => (Rejected, FillNote::NoFillSlot),
+        8 if has_source => (Error, FillNote::OriginFailed),
+        9..=11 => (Miss, FillNote::None),
+        12..=14 if has_source => (Ok, FillNote::Filled),
+        _ => (Ok, FillNote::Hit),
     }
 }
 
@@ -53,12 +53,12 @@
                 let mut change = usual()[rng.roll(6) as usize].clone();
                 if change.kind != ORIGIN {
                     match rng.roll(3) {
-                        0 => change.state = Listed::Draining,
-                        1 => change.state = Listed::Gone,
+                        0 => change.state = EndpointState::Draining,
+                        1 => change.state = EndpointState::Removed,
                         _ => change.started = stand.now - rng.roll(3000) * MS,
                     }
                 }
-                stand.tell(Event::Members(ListKind::Delta, vec![change]));
+                stand.tell(Event::Endpoints(ListKind::Delta, vec![change]));
             }
             11 if rng.roll(4) == 0 => {
                 let object = (rng.roll(2) == 0).then_some(ObjectId(rng.roll(40)));
@@ -67,14 +67,14 @@
             }
             10 if rng.roll(8) == 0 => {
                 let member = usual()[rng.roll(6) as usize].member;
-                stand.tell(Event::ByHand(member, rng.roll(6) == 0));
+                stand.tell(Event::Cordon(member, rng.roll(6) == 0));
             }
             _ => {
                 let live = stand.live();
                 let open: Vec<_> = live.iter().filter(|s| !stand.checker.closed(s.request)).collect();
                 if rng.roll(8) == 0 && !open.is_empty() {
                     let gone = open[rng.roll(open.len() as u64) as usize].request;
-                    stand.tell(Event::Gone(gone));
+                    stand.tell(Event::Cancelled(gone));
                 }
             }
         }
@@ -87,8 +87,8 @@
 
 #[test]
 fn the_rules_hold_under_random_events_with_every_setting_that_matters() {
-    let keyed = Effect::Keyed { group: KeyGroup::All, window: 2 * S };
-    let zoned = Effect::Keyed { group: KeyGroup::Zone, window: 2 * S };
+    let keyed = Effect::Keyed { group: KeyScope::All, window: 2 * S };
+    let zoned = Effect::Keyed { group: KeyScope::Zone, window: 2 * S };
     let mut attempts = 0;
     for bits in 0..32u32 {
         let mut settings = settings();
@@ -116,19 +116,19 @@
 /// A checker that knows the usual members and one open request of the class.
 fn primed(class: u16) -> Checker {
     let mut checker = Checker::new(settings());
-    checker.event(100 * S, &Event::Members(ListKind::Full, usual()));
+    checker.event(100 * S, &Event::Endpoints(ListKind::Full, usual()));
     checker.event(100 * S, &Event::Request(Request { class, ..ask(1, 5) }));
     checker
 }
 
-fn attempt(target: u64, source: u64, oldest: Span) -> Action {
-    let source = MemberId(source);
+fn attempt(target: u64, source: u64, oldest: Micros) -> Action {
+    let source = EndpointId(source);
     let fill = Fill { source, oldest, rank: 1, join: false, only_held: false, renew: false };
-    Action::Attempt { request: RequestId(1), target: MemberId(target), timeout: 0, fill: Some(fill) }
+    Action::Send { request: RequestId(1), target: EndpointId(target), timeout: 0, fill: Some(fill) }
 }
 
 fn outcome(status: Status) -> Event {
-    let (request, note) = (RequestId(1), Note::None);
+    let (request, note) = (RequestId(1), FillNote::None);
     Event::Outcome(Outcome {
         along: false,
         request,
@@ -152,7 +152,7 @@
     c.overdue(t + 5 * S);
     broken(&c, "lost");
     let mut c = primed(0);
-    c.action(t, &Action::Refuse(RequestId(1), 0));
+    c.action(t, &Action::Reject(RequestId(1), 0));
     c.action(t, &Action::Fail(RequestId(1)));
     broken(&c, "second answer");
     c.action(t, &attempt(10, 20, 0));
@@ -162,15 +162,15 @@
     c.event(t, &outcome(Status::Reset));
     c.action(t, &attempt(11, 30, 0));
     broken(&c, "effect twice");
-    c.action(t, &Action::Refuse(RequestId(1), 0));
+    c.action(t, &Action::Reject(RequestId(1), 0));
     broken(&c, "may have run");
     let mut c = primed(0);
-    let drain = Entry { state: Listed::Draining, ..entry(20, PARENT) };
-    c.event(t, &Event::Members(ListKind::Delta, vec![drain]));
+    let drain = EndpointEntry { state: EndpointState::Draining, ..entry(20, PARENT) };
+    c.event(t, &Event::Endpoints(ListKind::Delta, vec![drain]));
     c.action(t, &attempt(10, 20, 0));
     broken(&c, "drained");
     let mut c = primed(0);
-    c.event(t, &Event::ByHand(MemberId(20), true));
+    c.event(t, &Event::Cordon(EndpointId(20), true));
     c.action(t, &attempt(10, 20, 0));
     broken(&c, "out by hand");
     let mut c = primed(0);
@@ -178,7 +178,7 @@
     c.action(t, &attempt(10, 20, 200 * MS));
     broken(&c, "purged copy");
     let mut c = primed(0);
-    c.event(t, &Event::Members(ListKind::Delta, vec![Entry { started: t, ..entry(20, PARENT) }]));
+    c.event(t, &Event::Endpoints(ListKind::Delta, vec![EndpointEntry { started: t, ..entry(20, PARENT) }]));
     for _ in 0..60 {
         c.action(t, &attempt(10, 20, 0));
     }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -6,13 +6,14 @@
 use std::time::Duration;
 
 /// A connection that carries nothing is closed after this long.
-const IDLE: Span = 7_500 * MS;
+const IDLE: Micros = 7_500 * MS;
 
 /// One router of so many, with caches of this weight, two parents and the origin.
 fn stand(caches: u64, routers: u32, weight: f64) -> Stand {
-    let caches = (1_000..1_000 + caches).map(|id| Entry { weight, ..entry(id, CACHE) });
+    let caches = (1_000..1_000 + caches).map(|id| EndpointEntry { weight, ..entry(id, CACHE) });
     let others = [(20, PARENT), (21, PARENT), (30, ORIGIN)];
-    let others = others.map(|(id, kind)| Entry { weight: 1_000.0 * f64::from(routers), ..entry(id, kind) });
+    let others =
+        others.map(|(id, kind)| EndpointEntry { weight: 1_000.0 * f64::from(routers), ..entry(id, kind) });
     let fleet = Settings { routers, routers_by_zone: vec![0, 0, routers], joins: true, ..settings() };
     Stand::new(fleet, caches.chain(others).collect())
 }
@@ -73,9 +74,9 @@
     let before: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
     let gone = *before.first().unwrap();
     let weight = 1.0;
-    stand.tell(Event::Members(
+    stand.tell(Event::Endpoints(
         ListKind::Delta,
-        vec![Entry { weight, state: Listed::Draining, ..entry(gone, CACHE) }],
+        vec![EndpointEntry { weight, state: EndpointState::Draining, ..entry(gone, CACHE) }],
     ));
     let after: BTreeSet<_> = (0..100).map(|n| served(&mut stand, 1_000 + n, n)).collect();
     assert!(!after.contains(&gone));
@@ -94,7 +95,7 @@
     for n in OBJECTS..OBJECTS * ROUNDS {
         let mut actions = Vec::new();
         stand.router.handle(stand.now, Event::Request(ask(n, n % OBJECTS)), &mut actions);
-        stand.router.handle(stand.now, Event::Gone(RequestId(n)), &mut actions);
+        stand.router.handle(stand.now, Event::Cancelled(RequestId(n)), &mut actions);
         let status = Status::Cancelled;
         let outcome = Outcome {
             request: RequestId(n),
@@ -102,7 +103,7 @@
             closed: true,
             status,
             along: false,
-            note: Note::None,
+            note: FillNote::None,
             waited: 0,
             latency: MS,
             report: None,
@@ -112,9 +113,9 @@
     let requests = used() - began;
     let began = used();
     for n in 0..OBJECTS * ROUNDS {
-        let state = if n % 2 == 0 { Listed::Draining } else { Listed::Ready };
-        let change = Entry { weight: 1.0, state, ..entry(1_000 + n / 2 % caches, CACHE) };
-        stand.router.handle(stand.now, Event::Members(ListKind::Delta, vec![change]), &mut Vec::new());
+        let state = if n % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
+        let change = EndpointEntry { weight: 1.0, state, ..entry(1_000 + n / 2 % caches, CACHE) };
+        stand.router.handle(stand.now, Event::Endpoints(ListKind::Delta, vec![change]), &mut Vec::new());
     }
     [requests, used() - began]
 }
@@ -132,11 +133,14 @@
     const ROUTERS: u32 = 60;
     const CACHES: u64 = 100;
     const WEIGHT: f64 = 2.0;
-    const STEP: Span = 10 * MS;
+    const STEP: Micros = 10 * MS;
     let started = stand(1, 1, 1.0).now;
     // Six in ten are new.
-    let listed =
-        |id| Entry { weight: WEIGHT, started: if id % 10 < 6 { started } else { 0 }, ..entry(id, CACHE) };
+    let listed = |id| EndpointEntry {
+        weight: WEIGHT,
+        started: if id % 10 < 6 { started } else { 0 },
+        ..entry(id, CACHE)
+    };
     let members = || (1_000..1_000 + CACHES).map(listed).chain([entry(20, PARENT), entry(30, ORIGIN)]);
     let fleet = Settings { routers: ROUTERS, routers_by_zone: vec![0, 0, ROUTERS], ..settings() };
     let one = |number| Stand::new(Settings { number, ..fleet.clone() }, members().collect());
@@ -160,7 +164,8 @@
     let limits = settings().cold_cache;
     let span = settings().overload_span;
     for id in (1_000..1_000 + CACHES).filter(|id| id % 10 < 6) {
-        let times: Vec<Time> = sent.iter().filter(|(target, _)| *target == id).map(|(_, at)| *at).collect();
+        let times: Vec<Timestamp> =
+            sent.iter().filter(|(target, _)| *target == id).map(|(_, at)| *at).collect();
         for end in &times {
             let age = (end - began) as f64 / limits.warm_in as f64;
             let capacity = WEIGHT * (limits.from + (1.0 - limits.from) * age);
