--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -27,7 +27,9 @@
             let (who, record) = events.record()?;
             let (event, values) = match record {
                 wire::Record::PowerOn { seed, profile } => {
-                    let settings::Deployment { settings, layout, .. } = settings::parse(profile)?;
+                    let settings::Deployment {
+                        settings, layout, ..
+                    } = settings::parse(profile)?;
                     routers.insert(who, (Router::new(settings, seed), layout));
                     continue;
                 }
@@ -39,9 +41,14 @@
                 wire::Record::Event(event) => (event, Vec::new()),
                 wire::Record::Outcome(outcome, values) => (Event::Outcome(outcome), values),
             };
-            let Some((router, layout)) = routers.get_mut(&who) else { continue };
+            let Some((router, layout)) = routers.get_mut(&who) else {
+                continue;
+            };
             let event = match event {
-                Event::Outcome(o) => Event::Outcome(Outcome { report: layout.read(&values), ..o }),
+                Event::Outcome(o) => Event::Outcome(Outcome {
+                    report: layout.read(&values),
+                    ..o
+                }),
                 other => other,
             };
             actions.clear();
@@ -57,15 +64,20 @@
         }
         events.finish()?;
         let length = u32::try_from(reply.len()).map_err(|_| "reply too long".to_string())?;
-        let written = output.write_all(&length.to_le_bytes()).and_then(|()| output.write_all(&reply));
-        written.and_then(|()| output.flush()).map_err(|e| format!("cannot write: {e}"))?;
+        let written = output
+            .write_all(&length.to_le_bytes())
+            .and_then(|()| output.write_all(&reply));
+        written
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("cannot write: {e}"))?;
     }
     Ok(())
 }
 
 fn panic_text(panic: &(dyn std::any::Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(|s| s.to_string());
-    text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".to_string())
+    text.or_else(|| panic.downcast_ref::<String>().cloned())
+        .unwrap_or_else(|| "panic".to_string())
 }
 
 #[cfg(test)]
--- a/benchlink/src/tests.rs
+++ b/benchlink/src/tests.rs
@@ -3,7 +3,10 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
-    digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn answer(input: &[u8]) -> Result<Vec<u8>, String> {
@@ -13,7 +16,10 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(answer(&bytes("5a5c800000000000 04000000 00000000")).unwrap(), bytes("00000000"));
+    assert_eq!(
+        answer(&bytes("5a5c800000000000 04000000 00000000")).unwrap(),
+        bytes("00000000")
+    );
 }
 
 #[test]
@@ -38,24 +44,45 @@
         }
         other => panic!("{other:?}"),
     };
-    let Event::Request(request) = next() else { panic!() };
-    assert_eq!((request.group, request.size_kb, request.left, request.part), (11, 640.0, 240_000, 3));
+    let Event::Request(request) = next() else {
+        panic!()
+    };
+    assert_eq!(
+        (request.group, request.size_kb, request.left, request.part),
+        (11, 640.0, 240_000, 3)
+    );
     assert_eq!(request.id, RequestId(0x000f_da3a_5d3a_91c4));
     assert!(matches!(next(), Event::Timer(77)));
-    assert!(matches!(next(), Event::Cancelled(RequestId(0x000a_58e6_0e6f_2b19))));
+    assert!(matches!(
+        next(),
+        Event::Cancelled(RequestId(0x000a_58e6_0e6f_2b19))
+    ));
     assert!(matches!(next(), Event::Purged(Some(_), 11, 85_000)));
-    let Event::Outcome(outcome) = next() else { panic!() };
-    assert_eq!((outcome.status, outcome.note, outcome.closed), (Status::Ok, FillNote::Filled, true));
+    let Event::Outcome(outcome) = next() else {
+        panic!()
+    };
+    assert_eq!(
+        (outcome.status, outcome.note, outcome.closed),
+        (Status::Ok, FillNote::Filled, true)
+    );
     assert_eq!((outcome.waited, outcome.latency), (9400, 18500));
-    let Event::Endpoints(ListKind::Full, entries) = next() else { panic!() };
-    assert_eq!((entries[1].weight, entries[1].zone, entries[1].started), (1.5, 1, 6_100_000));
+    let Event::Endpoints(ListKind::Full, entries) = next() else {
+        panic!()
+    };
+    assert_eq!(
+        (entries[1].weight, entries[1].zone, entries[1].started),
+        (1.5, 1, 6_100_000)
+    );
     assert_eq!(entries[0].state, EndpointState::Ready);
     reader.finish().unwrap();
 }
 
 #[test]
 fn the_actions_of_the_wire_page_are_encoded() {
-    let (request, target) = (RequestId(0x000f_da3a_5d3a_91c4), EndpointId(0x232b_074a_120a));
+    let (request, target) = (
+        RequestId(0x000f_da3a_5d3a_91c4),
+        EndpointId(0x232b_074a_120a),
+    );
     let mut out = Vec::new();
     let fill = Fill {
         source: EndpointId(0x2354_f211_900a),
@@ -65,8 +92,26 @@
         only_held: false,
         renew: true,
     };
-    wire::encode(3, &Action::Send { request, target, timeout: 80_000, fill: None }, &mut out);
-    wire::encode(3, &Action::Send { request, target, timeout: 900_000, fill: Some(fill) }, &mut out);
+    wire::encode(
+        3,
+        &Action::Send {
+            request,
+            target,
+            timeout: 80_000,
+            fill: None,
+        },
+        &mut out,
+    );
+    wire::encode(
+        3,
+        &Action::Send {
+            request,
+            target,
+            timeout: 900_000,
+            fill: Some(fill),
+        },
+        &mut out,
+    );
     wire::encode(3, &Action::Timer(500_000, 77), &mut out);
     wire::encode(5, &Action::Log("two servers known".to_string()), &mut out);
     let expected = "0200 03000000 c4913a5d3ada0f00 0a124a07 2b23 80380100
@@ -90,7 +135,9 @@
     for _ in 0..20_000 {
         let mut frame = good.clone();
         for _ in 0..3 {
-            state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            state = state
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             let at = 8 + (state >> 33) as usize % (frame.len() - 8);
             frame[at] = (state >> 24) as u8;
         }
@@ -104,7 +151,10 @@
 fn reports_are_read_by_the_names_that_the_settings_give() {
     let read = |fields: &str, values: &[f32]| {
         let text = format!("{{\"report\": {{\"fields\": {fields}}}}}");
-        settings::parse(text.as_bytes()).unwrap().layout.read(values)
+        settings::parse(text.as_bytes())
+            .unwrap()
+            .layout
+            .read(values)
     };
     let full = read("[\"concurrent\", \"x0\", \"x1\"]", &[7.0, 0.5, 1.25]).unwrap();
     assert_eq!((full.inflight, full.link), (Some(7.0), Some(1.25)));
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -32,9 +32,14 @@
     }
     let mut header = Reader::new(&head);
     let (now, length, count) = (header.u64()?, header.u32()? as usize, header.u32()?);
-    let length = length.checked_sub(4).ok_or("frame shorter than its record count")?;
+    let length = length
+        .checked_sub(4)
+        .ok_or("frame shorter than its record count")?;
     let mut body = Vec::new();
-    input.take(length as u64).read_to_end(&mut body).map_err(|e| format!("cannot read: {e}"))?;
+    input
+        .take(length as u64)
+        .read_to_end(&mut body)
+        .map_err(|e| format!("cannot read: {e}"))?;
     if body.len() < length {
         return Err(format!("frame cut off: {} of {length} bytes", body.len()));
     }
@@ -118,7 +123,13 @@
             4 => return Ok((who, Record::Detach)),
             5 => {
                 let (seed, n) = (self.u64()?, self.u32()? as usize);
-                return Ok((who, Record::PowerOn { seed, profile: self.bytes(n)? }));
+                return Ok((
+                    who,
+                    Record::PowerOn {
+                        seed,
+                        profile: self.bytes(n)?,
+                    },
+                ));
             }
             6 => {
                 self.u32()?;
@@ -153,25 +164,41 @@
             }
             9 => {
                 let (file, group, age) = (self.u64()?, self.u16()?, self.u32()?);
-                Event::Purged((file != 0).then_some(ObjectId(file)), u32::from(group), u64::from(age))
+                Event::Purged(
+                    (file != 0).then_some(ObjectId(file)),
+                    u32::from(group),
+                    u64::from(age),
+                )
             }
             10 => {
                 let request = RequestId(self.u64()?);
                 let (closed, attempt) = (self.u8()? != 0, self.u16()?);
-                let (waited, latency, note) = (u64::from(self.u32()?), u64::from(self.u32()?), self.u32()?);
+                let (waited, latency, note) =
+                    (u64::from(self.u32()?), u64::from(self.u32()?), self.u32()?);
                 let status = status(self.u16()?)?;
                 self.member()?;
                 let (values, note, report) = (self.load()?, note_of(note), None);
                 let along = false;
-                let outcome =
-                    Outcome { request, attempt, closed, status, along, note, waited, latency, report };
+                let outcome = Outcome {
+                    request,
+                    attempt,
+                    closed,
+                    status,
+                    along,
+                    note,
+                    waited,
+                    latency,
+                    report,
+                };
                 return Ok((who, Record::Outcome(outcome, values)));
             }
             11 => {
                 let mode = self.u8()?;
                 self.u64()?;
                 let n = self.u32()? as usize;
-                let entries = (0..n).map(|_| self.entry()).collect::<Result<Vec<_>, _>>()?;
+                let entries = (0..n)
+                    .map(|_| self.entry())
+                    .collect::<Result<Vec<_>, _>>()?;
                 let kind = match mode {
                     0 => ListKind::Delta,
                     1 | 2 => ListKind::Full,
@@ -194,7 +221,15 @@
             2 => EndpointState::Removed,
             other => return Err(format!("unknown list state {other}")),
         };
-        Ok(EndpointEntry { member, kind, zone, cell, weight, started, state })
+        Ok(EndpointEntry {
+            member,
+            kind,
+            zone,
+            cell,
+            weight,
+            started,
+            state,
+        })
     }
 }
 
@@ -210,7 +245,9 @@
         Status::NotSent,
         Status::Miss,
     ];
-    ALL.get(usize::from(code)).copied().ok_or_else(|| format!("unknown outcome {code}"))
+    ALL.get(usize::from(code))
+        .copied()
+        .ok_or_else(|| format!("unknown outcome {code}"))
 }
 
 /// Notes that are not known tell nothing.
@@ -254,13 +291,23 @@
 /// Appends the record of one action.
 pub fn encode(who: u32, action: &Action, out: &mut Vec<u8>) {
     match action {
-        Action::Send { request, target, timeout, fill: None } => {
+        Action::Send {
+            request,
+            target,
+            timeout,
+            fill: None,
+        } => {
             put(2, who, out);
             out.extend(request.0.to_le_bytes());
             out.extend(member(*target));
             out.extend(attempt_timeout(*timeout));
         }
-        Action::Send { request, target, timeout, fill: Some(fill) } => {
+        Action::Send {
+            request,
+            target,
+            timeout,
+            fill: Some(fill),
+        } => {
             put(4, who, out);
             out.extend(request.0.to_le_bytes());
             out.extend(attempt_timeout(*timeout));
--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -94,15 +94,22 @@
 #[derive(Clone)]
 enum Payload {
     Text(String),
-    Account { contacts: Vec<String>, external: Option<(String, Vec<u8>)> },
+    Account {
+        contacts: Vec<String>,
+        external: Option<(String, Vec<u8>)>,
+    },
     Existing,
-    KeyChange { account: String, new: Arc<AccountKey> },
+    KeyChange {
+        account: String,
+        new: Arc<AccountKey>,
+    },
 }
 
 impl Sign {
     /// The body: a flattened JWS. It takes some tens of microseconds.
     pub fn body(&self) -> Result<String, String> {
-        let jwk: serde_json::Value = serde_json::from_str(&self.key.jwk()).map_err(|e| e.to_string())?;
+        let jwk: serde_json::Value =
+            serde_json::from_str(&self.key.jwk()).map_err(|e| e.to_string())?;
         let mut header = json!({"alg": "ES256", "nonce": self.nonce, "url": self.url});
         match &self.account {
             Some(kid) => header["kid"] = kid.as_str().into(),
@@ -116,7 +123,8 @@
                     account["contact"] = json!(contacts);
                 }
                 if let Some((id, key)) = external {
-                    account["externalAccountBinding"] = external_binding(id, key, &self.url, &self.key.jwk());
+                    account["externalAccountBinding"] =
+                        external_binding(id, key, &self.url, &self.key.jwk());
                 }
                 account.to_string()
             }
@@ -126,7 +134,10 @@
                 let new_jwk: serde_json::Value =
                     serde_json::from_str(&new.jwk()).map_err(|e| e.to_string())?;
                 let header = json!({"alg": "ES256", "jwk": new_jwk, "url": self.url});
-                new.sign(&header.to_string(), &json!({"account": account, "oldKey": jwk}).to_string())?
+                new.sign(
+                    &header.to_string(),
+                    &json!({"account": account, "oldKey": jwk}).to_string(),
+                )?
             }
         };
         self.key.sign(&header.to_string(), &payload)
@@ -347,10 +358,16 @@
             Event::Reread(task, found) => self.reread(moment, task, found, out),
             Event::Tick => {
                 self.save_again(moment.now, out);
-                let due = self.tasks.iter().filter(|(_, t)| t.wake.is_some_and(|at| at <= moment.now));
+                let due = self
+                    .tasks
+                    .iter()
+                    .filter(|(_, t)| t.wake.is_some_and(|at| at <= moment.now));
                 let due: Vec<_> = due.map(|(id, _)| *id).collect();
                 for task in due {
-                    self.tasks.get_mut(&task).into_iter().for_each(|t| t.wake = None);
+                    self.tasks
+                        .get_mut(&task)
+                        .into_iter()
+                        .for_each(|t| t.wake = None);
                     self.order(moment, task, Input::Time, out);
                 }
             }
@@ -359,17 +376,26 @@
             }
             Event::Renew(operator, id) => {
                 let known = self.settings.is_some() && self.planner.force(moment, &id);
-                let answer = if known { Ok("it is ordered next".into()) } else { Err(self.unknown(&id)) };
+                let answer = if known {
+                    Ok("it is ordered next".into())
+                } else {
+                    Err(self.unknown(&id))
+                };
                 out.push(Action::Reply(operator, answer));
             }
             Event::Revoke(operator, id, reason) => self.revoke(moment, operator, &id, reason, out),
             Event::Import(operator, identity) => self.import(moment, operator, *identity, out),
             Event::RollKey(operator) => {
-                if self.account.as_ref().is_none_or(|a| a.url.is_none()) || self.asked() >= ASKED_MOST {
+                if self.account.as_ref().is_none_or(|a| a.url.is_none())
+                    || self.asked() >= ASKED_MOST
+                {
                     let why = "there is no account yet, or too much is under way";
                     out.push(Action::Reply(operator, Err(why.into())));
                 } else {
-                    let task = self.task(Kind::Roll { operator, new: None });
+                    let task = self.task(Kind::Roll {
+                        operator,
+                        new: None,
+                    });
                     out.push(Action::MakeKey(task, Key::Account));
                 }
             }
@@ -380,14 +406,34 @@
     /// The next moment at which [`Event::Tick`] is due.
     pub fn next(&self, moment: Moment) -> Timestamp {
         let tasks = self.tasks.values().filter_map(|t| t.wake).min();
-        let setup = self.tasks.values().any(|t| matches!(t.kind, Kind::Setup(_)));
-        let planned = self.planner.wake(moment).filter(|_| self.settings.is_some() && !setup);
-        let info = self.info.first().map(|(at, _)| *at).filter(|_| self.settings.is_some());
+        let setup = self
+            .tasks
+            .values()
+            .any(|t| matches!(t.kind, Kind::Setup(_)));
+        let planned = self
+            .planner
+            .wake(moment)
+            .filter(|_| self.settings.is_some() && !setup);
+        let info = self
+            .info
+            .first()
+            .map(|(at, _)| *at)
+            .filter(|_| self.settings.is_some());
         // Guards against a loop without rest: what could be done now was done already.
         let least = moment.now + LOOK_LEAST;
-        let next = [planned, info].into_iter().flatten().map(|at| at.max(least)).min();
+        let next = [planned, info]
+            .into_iter()
+            .flatten()
+            .map(|at| at.max(least))
+            .min();
         let most = moment.now + LOOK_EACH;
-        tasks.into_iter().chain(next).chain(self.unsaved.next()).min().unwrap_or(most).min(most)
+        tasks
+            .into_iter()
+            .chain(next)
+            .chain(self.unsaved.next())
+            .min()
+            .unwrap_or(most)
+            .min(most)
     }
 
     /// How each certificate stands, and what is served for it.
@@ -427,12 +473,24 @@
     }
 
     fn asked(&self) -> usize {
-        self.tasks.values().filter(|t| matches!(t.kind, Kind::Revoke { .. } | Kind::Roll { .. })).count()
+        self.tasks
+            .values()
+            .filter(|t| matches!(t.kind, Kind::Revoke { .. } | Kind::Roll { .. }))
+            .count()
     }
 
     fn task(&mut self, kind: Kind) -> u64 {
         self.last += 1;
-        self.tasks.insert(self.last, Task { kind, post: None, nonce: false, wake: None, shown: Vec::new() });
+        self.tasks.insert(
+            self.last,
+            Task {
+                kind,
+                post: None,
+                nonce: false,
+                wake: None,
+                shown: Vec::new(),
+            },
+        );
         self.last
     }
 
@@ -441,8 +499,13 @@
             out.push(tell(Loud::Warn, "file-unusable", file, why));
         }
         self.saved = loaded.state.clone();
-        self.planner.remember(moment, &loaded.state.orders, loaded.state.refused);
-        let here = |a: &Account| self.settings.as_ref().is_some_and(|s| s.directory_url == a.directory_url);
+        self.planner
+            .remember(moment, &loaded.state.orders, loaded.state.refused);
+        let here = |a: &Account| {
+            self.settings
+                .as_ref()
+                .is_some_and(|s| s.directory_url == a.directory_url)
+        };
         if let Some(account) = loaded.account.filter(here) {
             match AccountKey::from_pem(&account.key) {
                 Ok(key) => (self.key, self.account) = (Some(Arc::new(key)), Some(account)),
@@ -463,7 +526,10 @@
             }
         }
         for (id, pending) in loaded.pending {
-            let wanted = self.planner.names(&id).is_some_and(|n| pending.names.iter().all(|p| n.contains(p)));
+            let wanted = self
+                .planner
+                .names(&id)
+                .is_some_and(|n| pending.names.iter().all(|p| n.contains(p)));
             let fresh = pending.began + RESUME_MOST > moment.wall && self.account.is_some();
             if wanted && fresh {
                 self.planner.resumes(moment, &id);
@@ -494,8 +560,12 @@
             .collect();
         gone.into_iter().for_each(|task| self.end(task, out));
         // What is not wanted any more is not served any more; its files stay.
-        let dropped: Vec<_> =
-            self.served.keys().filter(|id| self.started && !known.contains(*id)).cloned().collect();
+        let dropped: Vec<_> = self
+            .served
+            .keys()
+            .filter(|id| self.started && !known.contains(*id))
+            .cloned()
+            .collect();
         for id in dropped {
             self.served.remove(&id);
             out.push(Action::Serve(id, Vec::new(), false));
@@ -510,15 +580,23 @@
         for notice in self.planner.notices(moment) {
             out.push(told(&notice));
         }
-        let Some(settings) = self.settings.clone() else { return };
-        let setup = self.tasks.values().any(|t| matches!(t.kind, Kind::Setup(_)));
+        let Some(settings) = self.settings.clone() else {
+            return;
+        };
+        let setup = self
+            .tasks
+            .values()
+            .any(|t| matches!(t.kind, Kind::Setup(_)));
         let wants = self.planner.wants(moment);
         let info = self.info.first().is_some_and(|(at, _)| *at <= moment.now);
         let away = moment.now < self.planner.away_until();
         if setup || away || !(wants || info) {
             return;
         }
-        let current = self.directory.as_ref().filter(|(_, at)| moment.now < at + DIRECTORY_AGE);
+        let current = self
+            .directory
+            .as_ref()
+            .filter(|(_, at)| moment.now < at + DIRECTORY_AGE);
         if current.is_none() {
             let task = self.task(Kind::Setup(Setup::Directory));
             return self.get(moment, task, &settings.directory_url, out);
@@ -526,12 +604,30 @@
         if wants && self.account.as_ref().is_none_or(|a| a.url.is_none()) {
             return self.register(moment, out);
         }
-        let rolling = self.tasks.values().any(|t| matches!(t.kind, Kind::Roll { .. }));
-        let next = self.account.as_ref().and_then(|a| a.next_key.as_deref()).filter(|_| wants && !rolling);
+        let rolling = self
+            .tasks
+            .values()
+            .any(|t| matches!(t.kind, Kind::Roll { .. }));
+        let next = self
+            .account
+            .as_ref()
+            .and_then(|a| a.next_key.as_deref())
+            .filter(|_| wants && !rolling);
         if let Some(key) = next.and_then(|pem| AccountKey::from_pem(pem).ok()) {
             let task = self.task(Kind::Setup(Setup::Next));
-            let url = self.directory.as_ref().map(|(d, _)| d.new_account.clone()).unwrap_or_default();
-            return self.post(moment, task, &url, Payload::Existing, By::Key(Arc::new(key)), out);
+            let url = self
+                .directory
+                .as_ref()
+                .map(|(d, _)| d.new_account.clone())
+                .unwrap_or_default();
+            return self.post(
+                moment,
+                task,
+                &url,
+                Payload::Existing,
+                By::Key(Arc::new(key)),
+                out,
+            );
         }
         while let Some(choice) = self.planner.next(moment) {
             self.keep_state(out);
@@ -564,46 +660,88 @@
     }
 
     fn post_account(&mut self, moment: Moment, task: u64, out: &mut Vec<Action>) {
-        let Some((settings, (directory, _))) = self.settings.clone().zip(self.directory.clone()) else {
+        let Some((settings, (directory, _))) = self.settings.clone().zip(self.directory.clone())
+        else {
             return;
         };
         if directory.meta.external_account_required && settings.external.is_none() {
-            let failure =
-                fail(Cause::Account, "the authority wants an external account, and none is configured");
+            let failure = fail(
+                Cause::Account,
+                "the authority wants an external account, and none is configured",
+            );
             return self.setup_failed(moment, task, &failure, out);
         }
-        let payload = Payload::Account { contacts: settings.contacts, external: settings.external };
+        let payload = Payload::Account {
+            contacts: settings.contacts,
+            external: settings.external,
+        };
         let Some(key) = self.key.clone() else { return };
-        self.post(moment, task, &directory.new_account, payload, By::Key(key), out);
+        self.post(
+            moment,
+            task,
+            &directory.new_account,
+            payload,
+            By::Key(key),
+            out,
+        );
     }
 
     fn begin(&mut self, moment: Moment, choice: Choice, out: &mut Vec<Action>) {
-        let Some(settings) = self.settings.clone() else { return };
-        let Some((directory, key)) = self.directory.clone().zip(self.key.clone()) else { return };
+        let Some(settings) = self.settings.clone() else {
+            return;
+        };
+        let Some((directory, key)) = self.directory.clone().zip(self.key.clone()) else {
+            return;
+        };
         let (id, thumbprint) = (choice.id, key.thumbprint());
         let pending = self.pending.get(&id).cloned();
         let (order, pem) = match pending {
-            Some(pending) => {
-                (Order::resumed(moment, &pending, settings.way, thumbprint), Some(pending.key.clone()))
-            }
+            Some(pending) => (
+                Order::resumed(moment, &pending, settings.way, thumbprint),
+                Some(pending.key.clone()),
+            ),
             None => {
                 let old = self.served.get(&id).and_then(|all| all.first());
                 let replaces = old.and_then(|i| i.renewal_id.clone());
                 let replaces = replaces.filter(|_| directory.0.renewal_info.is_some());
                 let new_order = directory.0.new_order.clone();
-                (Order::new(moment, choice.names, settings.way, thumbprint, new_order, replaces), None)
+                (
+                    Order::new(
+                        moment,
+                        choice.names,
+                        settings.way,
+                        thumbprint,
+                        new_order,
+                        replaces,
+                    ),
+                    None,
+                )
             }
         };
         let names = order.names.clone();
         let resumed = if pem.is_some() { "taken up" } else { "begun" };
-        out.push(tell(Loud::Info, "order", &id, &format!("{resumed} for {}", names.join(" "))));
-        let task = self.task(Kind::Order { id, order: Box::new(order) });
+        out.push(tell(
+            Loud::Info,
+            "order",
+            &id,
+            &format!("{resumed} for {}", names.join(" ")),
+        ));
+        let task = self.task(Kind::Order {
+            id,
+            order: Box::new(order),
+        });
         out.push(Action::MakeKey(task, Key::Order(names, pem)));
     }
 
     /// Puts an input into an order and carries out what it wants.
     fn order(&mut self, moment: Moment, task: u64, input: Input, out: &mut Vec<Action>) {
-        let Some(Task { kind: Kind::Order { id, order }, .. }) = self.tasks.get_mut(&task) else { return };
+        let Some(Task {
+            kind: Kind::Order { id, order },
+            ..
+        }) = self.tasks.get_mut(&task)
+        else {
+            return;
+        };
         let id = id.clone();
         match order.step(moment, input) {
             Output::MakeKey(names) => out.push(Action::MakeKey(task, Key::Order(names, None))),
@@ -612,8 +750,16 @@
             }
             Output::Publish(name, token, authorization) => {
                 let way = self.settings.as_ref().map_or(Way::Http, |s| s.way);
-                let challenge = Challenge { way, name, token, authorization };
-                self.tasks.get_mut(&task).into_iter().for_each(|t| t.shown.push(challenge.clone()));
+                let challenge = Challenge {
+                    way,
+                    name,
+                    token,
+                    authorization,
+                };
+                self.tasks
+                    .get_mut(&task)
+                    .into_iter()
+                    .for_each(|t| t.shown.push(challenge.clone()));
                 out.push(Action::Publish(task, challenge));
             }
             Output::Keep(pending) => {
@@ -623,7 +769,10 @@
                 out.push(Action::Save(task, keep));
             }
             Output::Sleep(until) => {
-                self.tasks.get_mut(&task).into_iter().for_each(|t| t.wake = Some(until));
+                self.tasks
+                    .get_mut(&task)
+                    .into_iter()
+                    .for_each(|t| t.wake = Some(until));
             }
             Output::Done(identity) => {
                 self.end(task, out);
@@ -668,8 +817,18 @@
     }
 
     /// A certificate is there: it is served at once.
-    fn take(&mut self, moment: Moment, id: &str, identity: Identity, ordered: bool, out: &mut Vec<Action>) {
-        let held = Held { not_before: identity.not_before, not_after: identity.not_after };
+    fn take(
+        &mut self,
+        moment: Moment,
+        id: &str,
+        identity: Identity,
+        ordered: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let held = Held {
+            not_before: identity.not_before,
+            not_after: identity.not_after,
+        };
         let names = identity.names.clone();
         if ordered {
             self.planner.succeeded(moment, id, held, &names);
@@ -680,7 +839,11 @@
             self.info.retain(|(_, i)| i != id);
             self.info.insert((moment.now, id.into()));
         }
-        let wanted = self.planner.names(id).map(<[String]>::to_vec).unwrap_or_default();
+        let wanted = self
+            .planner
+            .names(id)
+            .map(<[String]>::to_vec)
+            .unwrap_or_default();
         let all = self.served.entry(id.into()).or_default();
         // An older one stays for names that it alone stands for.
         let lacks: Vec<_> = wanted.iter().filter(|n| !identity.covers(n)).collect();
@@ -702,7 +865,12 @@
         if identity.not_after < moment.wall {
             return out.push(Action::Reply(operator, Err("it has expired".into())));
         }
-        out.push(tell(Loud::Info, "imported", &id, &format!("serial {}", identity.serial)));
+        out.push(tell(
+            Loud::Info,
+            "imported",
+            &id,
+            &format!("serial {}", identity.serial),
+        ));
         let text = format!("{id} is served with serial {}", identity.serial);
         let keep = Keep::Identity(id.clone(), identity.clone());
         // The operator may throw the files away that were imported: the answer waits for the disk.
@@ -710,16 +878,29 @@
         self.take(moment, &id, identity, false, out);
     }
 
-    fn revoke(&mut self, moment: Moment, operator: u64, id: &str, reason: u8, out: &mut Vec<Action>) {
+    fn revoke(
+        &mut self,
+        moment: Moment,
+        operator: u64,
+        id: &str,
+        reason: u8,
+        out: &mut Vec<Action>,
+    ) {
         let known = self.served.get(id).is_some_and(|all| !all.is_empty());
-        let where_to = self.directory.as_ref().and_then(|(d, _)| d.revoke_cert.clone());
+        let where_to = self
+            .directory
+            .as_ref()
+            .and_then(|(d, _)| d.revoke_cert.clone());
         let account = self.account.as_ref().is_some_and(|a| a.url.is_some());
         let why = match (known, where_to.is_some() && account) {
             (false, _) => self.unknown(id),
             (_, false) => "the authority was not reached yet, or does not revoke".into(),
             _ if self.asked() >= ASKED_MOST => "too much is under way".into(),
             _ => {
-                let task = self.task(Kind::Revoke { operator, id: id.into() });
+                let task = self.task(Kind::Revoke {
+                    operator,
+                    id: id.into(),
+                });
                 let leaf = self.served[id][0].leaf();
                 let payload = json!({"certificate": base64url(leaf), "reason": reason}).to_string();
                 let url = where_to.unwrap_or_default();
@@ -730,23 +911,45 @@
     }
 
     fn ask_info(&mut self, moment: Moment, out: &mut Vec<Action>) {
-        let Some((_, id)) = self.info.pop_first() else { return };
-        let base = self.directory.as_ref().and_then(|(d, _)| d.renewal_info.clone());
-        let renewal = self.served.get(&id).and_then(|all| all.first()).and_then(|i| i.renewal_id.clone());
+        let Some((_, id)) = self.info.pop_first() else {
+            return;
+        };
+        let base = self
+            .directory
+            .as_ref()
+            .and_then(|(d, _)| d.renewal_info.clone());
+        let renewal = self
+            .served
+            .get(&id)
+            .and_then(|all| all.first())
+            .and_then(|i| i.renewal_id.clone());
         let Some((base, renewal)) = base.zip(renewal) else {
             // This authority tells nothing: a new directory may.
             self.info.insert((moment.now + INFO_MOST, id));
             return;
         };
         let task = self.task(Kind::Info(id));
-        self.get(moment, task, &format!("{}/{renewal}", base.trim_end_matches('/')), out);
+        self.get(
+            moment,
+            task,
+            &format!("{}/{renewal}", base.trim_end_matches('/')),
+            out,
+        );
     }
 
-    fn info_told(&mut self, moment: Moment, id: &str, answer: Result<Answer, String>, out: &mut Vec<Action>) {
+    fn info_told(
+        &mut self,
+        moment: Moment,
+        id: &str,
+        answer: Result<Answer, String>,
+        out: &mut Vec<Action>,
+    ) {
         let mut pause = INFO_EACH;
         match answer {
             Ok(answer) if answer.status == 200 => {
-                pause = answer.retry_after.map_or(pause, |s| (s * SECOND).clamp(INFO_LEAST, INFO_MOST));
+                pause = answer
+                    .retry_after
+                    .map_or(pause, |s| (s * SECOND).clamp(INFO_LEAST, INFO_MOST));
                 match wire::renewal_info(&answer.body) {
                     Ok(window) => self.planner.suggested(moment, id, window),
                     Err(why) => out.push(tell(Loud::Warn, "bad-answer", id, &why)),
@@ -754,8 +957,15 @@
             }
             // It is a hint: without it the rule by lifetime holds.
             Ok(answer) => {
-                pause = answer.retry_after.map_or(pause, |s| (s * SECOND).clamp(INFO_EACH, INFO_MOST));
-                out.push(tell(Loud::Info, "renewal-info", id, &format!("status {}", answer.status)));
+                pause = answer
+                    .retry_after
+                    .map_or(pause, |s| (s * SECOND).clamp(INFO_EACH, INFO_MOST));
+                out.push(tell(
+                    Loud::Info,
+                    "renewal-info",
+                    id,
+                    &format!("status {}", answer.status),
+                ));
             }
             Err(why) => out.push(tell(Loud::Info, "renewal-info", id, &why)),
         }
@@ -775,13 +985,23 @@
             Ok(key) => key,
             Err(why) => return self.lost(moment, task, &why, out),
         };
-        let Some(Task { kind, .. }) = self.tasks.get_mut(&task) else { return };
+        let Some(Task { kind, .. }) = self.tasks.get_mut(&task) else {
+            return;
+        };
         match kind {
             Kind::Setup(step) => {
                 *step = Setup::KeepKey;
-                let directory_url =
-                    self.settings.as_ref().map(|s| s.directory_url.clone()).unwrap_or_default();
-                let account = Account { directory_url, key: key.pem().into(), next_key: None, url: None };
+                let directory_url = self
+                    .settings
+                    .as_ref()
+                    .map(|s| s.directory_url.clone())
+                    .unwrap_or_default();
+                let account = Account {
+                    directory_url,
+                    key: key.pem().into(),
+                    next_key: None,
+                    url: None,
+                };
                 (self.key, self.account) = (Some(key), Some(account.clone()));
                 let keep = Keep::Account(account);
                 self.unsaved.supersede(&keep);
@@ -817,15 +1037,28 @@
                 self.post_account(moment, task, out);
             }
             Some(Kind::Roll { new, .. }) => {
-                let url = self.directory.as_ref().and_then(|(d, _)| d.key_change.clone());
+                let url = self
+                    .directory
+                    .as_ref()
+                    .and_then(|(d, _)| d.key_change.clone());
                 let account = self.account.as_ref().and_then(|a| a.url.clone());
                 match (new.clone(), url, account, done) {
                     (Some(new), Some(url), Some(account), Ok(())) => {
-                        self.post(moment, task, &url, Payload::KeyChange { account, new }, By::Account, out);
-                    }
-                    (.., Err(why)) => {
-                        self.lost(moment, task, &format!("the new key can't be kept: {why}"), out)
+                        self.post(
+                            moment,
+                            task,
+                            &url,
+                            Payload::KeyChange { account, new },
+                            By::Account,
+                            out,
+                        );
                     }
+                    (.., Err(why)) => self.lost(
+                        moment,
+                        task,
+                        &format!("the new key can't be kept: {why}"),
+                        out,
+                    ),
                     _ => self.lost(moment, task, "the authority changes no keys", out),
                 }
             }
@@ -834,8 +1067,20 @@
         }
     }
 
-    fn reread(&mut self, moment: Moment, task: u64, found: Option<Box<Identity>>, out: &mut Vec<Action>) {
-        let Some(Task { kind: Kind::Reread(choice), .. }) = self.tasks.remove(&task) else { return };
+    fn reread(
+        &mut self,
+        moment: Moment,
+        task: u64,
+        found: Option<Box<Identity>>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(Task {
+            kind: Kind::Reread(choice),
+            ..
+        }) = self.tasks.remove(&task)
+        else {
+            return;
+        };
         let held = self.served.get(&choice.id).and_then(|all| all.first());
         let newer = found.filter(|i| {
             let later = held.is_none_or(|h| i.not_after > h.not_after);
@@ -843,15 +1088,28 @@
         });
         match newer {
             Some(identity) => {
-                out.push(tell(Loud::Info, "found", &choice.id, "another front has renewed it"));
+                out.push(tell(
+                    Loud::Info,
+                    "found",
+                    &choice.id,
+                    "another front has renewed it",
+                ));
                 self.take(moment, &choice.id.clone(), *identity, true, out);
             }
             None => self.begin(moment, choice, out),
         }
     }
 
-    fn answered(&mut self, moment: Moment, task: u64, answer: Result<Answer, String>, out: &mut Vec<Action>) {
-        let Some(current) = self.tasks.get_mut(&task) else { return };
+    fn answered(
+        &mut self,
+        moment: Moment,
+        task: u64,
+        answer: Result<Answer, String>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(current) = self.tasks.get_mut(&task) else {
+            return;
+        };
         let nonce_only = std::mem::take(&mut current.nonce);
         if let Ok(answer) = &answer {
             if let Some(date) = answer.date {
@@ -903,7 +1161,9 @@
             let why = answer.err().unwrap_or_default();
             return self.lost(moment, task, &why, out);
         }
-        let Some(Task { kind, post, .. }) = self.tasks.get_mut(&task) else { return };
+        let Some(Task { kind, post, .. }) = self.tasks.get_mut(&task) else {
+            return;
+        };
         *post = None;
         match kind {
             Kind::Order { .. } => {
@@ -930,10 +1190,15 @@
                         let problem = wire::problem(&answer.body);
                         let told = answer.retry_after.map(|s| s.saturating_mul(SECOND));
                         let text = format!("{} {}", answer.status, problem.line());
-                        let failure = Failure { told, ..fail(common(&problem, answer.status), &text) };
+                        let failure = Failure {
+                            told,
+                            ..fail(common(&problem, answer.status), &text)
+                        };
                         self.setup_failed(moment, task, &failure, out);
                     }
-                    Ok(answer) if step == Setup::Directory => self.directory_told(moment, task, &answer, out),
+                    Ok(answer) if step == Setup::Directory => {
+                        self.directory_told(moment, task, &answer, out)
+                    }
                     Ok(answer) => self.account_told(moment, task, answer, out),
                 }
             }
@@ -951,9 +1216,19 @@
         }
     }
 
-    fn directory_told(&mut self, moment: Moment, task: u64, answer: &Answer, out: &mut Vec<Action>) {
+    fn directory_told(
+        &mut self,
+        moment: Moment,
+        task: u64,
+        answer: &Answer,
+        out: &mut Vec<Action>,
+    ) {
         let found = wire::directory(&answer.body).and_then(|directory| {
-            for url in [&directory.new_nonce, &directory.new_account, &directory.new_order] {
+            for url in [
+                &directory.new_nonce,
+                &directory.new_account,
+                &directory.new_order,
+            ] {
                 self.place(url)?;
             }
             Ok(directory)
@@ -969,7 +1244,9 @@
 
     /// Whether the account has the key that was to follow.
     fn next_told(&mut self, taken: bool, out: &mut Vec<Action>) {
-        let Some(account) = &mut self.account else { return };
+        let Some(account) = &mut self.account else {
+            return;
+        };
         if let Some(next) = account.next_key.take().filter(|_| taken) {
             if let Ok(key) = AccountKey::from_pem(&next) {
                 (account.key, self.key) = (next, Some(Arc::new(key)));
@@ -977,7 +1254,11 @@
         }
         let account = account.clone();
         self.save(Keep::Account(account), None, out);
-        let text = if taken { "it has the new key" } else { "it kept its key" };
+        let text = if taken {
+            "it has the new key"
+        } else {
+            "it kept its key"
+        };
         out.push(tell(Loud::Info, "account", "", text));
     }
 
@@ -1033,7 +1314,11 @@
     ) {
         let done = match answer {
             Ok(answer) if answer.status < 300 => Ok("the account has a new key".to_string()),
-            Ok(answer) => Err(format!("{} {}", answer.status, wire::problem(&answer.body).line())),
+            Ok(answer) => Err(format!(
+                "{} {}",
+                answer.status,
+                wire::problem(&answer.body).line()
+            )),
             // It may have been taken: the new key stays beside the old one, and is tried once that is not known.
             Err(why) => Err(format!("{why}; the new key is kept beside the old one")),
         };
@@ -1079,11 +1364,22 @@
         }
     }
 
-    fn setup_failed(&mut self, moment: Moment, task: u64, failure: &Failure, out: &mut Vec<Action>) {
+    fn setup_failed(
+        &mut self,
+        moment: Moment,
+        task: u64,
+        failure: &Failure,
+        out: &mut Vec<Action>,
+    ) {
         self.tasks.remove(&task);
         self.planner.away(moment, failure.cause, failure.told);
         // Hints can wait: they alone are no reason to ask again soon.
-        while let Some((_, id)) = self.info.first().filter(|(at, _)| *at <= moment.now).cloned() {
+        while let Some((_, id)) = self
+            .info
+            .first()
+            .filter(|(at, _)| *at <= moment.now)
+            .cloned()
+        {
             self.info.pop_first();
             self.info.insert((moment.now + INFO_EACH, id));
         }
@@ -1102,8 +1398,12 @@
     /// Keeps something in the background, and again until it is durable.
     fn save(&mut self, what: Keep, waiting: Option<Waiting>, out: &mut Vec<Action>) {
         self.last += 1;
-        if let Some(Waiting { operator, .. }) = self.unsaved.begin(self.last, what.clone(), waiting) {
-            out.push(Action::Reply(operator, Err("something newer has taken its place".into())));
+        if let Some(Waiting { operator, .. }) = self.unsaved.begin(self.last, what.clone(), waiting)
+        {
+            out.push(Action::Reply(
+                operator,
+                Err("something newer has taken its place".into()),
+            ));
         }
         out.push(Action::Save(self.last, what));
     }
@@ -1118,7 +1418,11 @@
             *last
         };
         let again = self.unsaved.retries(now, holds, number);
-        out.extend(again.into_iter().map(|(task, what)| Action::Save(task, what)));
+        out.extend(
+            again
+                .into_iter()
+                .map(|(task, what)| Action::Save(task, what)),
+        );
     }
 
     /// A write in the background has ended.
@@ -1129,7 +1433,9 @@
         if let Some(Waiting { operator, text }) = ended.waiting {
             let answer = match done {
                 Ok(()) => Ok(text),
-                Err(why) => Err(format!("{text}, and could not be kept yet: {why}; it is tried again")),
+                Err(why) => Err(format!(
+                    "{text}, and could not be kept yet: {why}; it is tried again"
+                )),
             };
             out.push(Action::Reply(operator, answer));
         }
@@ -1150,14 +1456,24 @@
         let home = self.settings.as_ref().map_or("", |s| &s.directory_url);
         let found = url_of(url)?;
         if !found.same_place(&url_of(home)?) {
-            return Err(format!("the authority points elsewhere: {}", tame(url, 100)));
+            return Err(format!(
+                "the authority points elsewhere: {}",
+                tame(url, 100)
+            ));
         }
         Ok(found)
     }
 
     fn get(&mut self, moment: Moment, task: u64, url: &str, out: &mut Vec<Action>) {
         match self.place(url) {
-            Ok(url) => out.push(Action::Ask(task, Ask { method: Method::Get, url, sign: None })),
+            Ok(url) => out.push(Action::Ask(
+                task,
+                Ask {
+                    method: Method::Get,
+                    url,
+                    sign: None,
+                },
+            )),
             Err(why) => self.task_failed(moment, task, fail(Cause::Unreachable, &why), out),
         }
     }
@@ -1173,8 +1489,17 @@
     ) {
         match self.place(url) {
             Ok(place) => {
-                let post = Post { url: place, text: url.into(), payload, by, tries: 0 };
-                self.tasks.get_mut(&task).into_iter().for_each(|t| t.post = Some(post.clone()));
+                let post = Post {
+                    url: place,
+                    text: url.into(),
+                    payload,
+                    by,
+                    tries: 0,
+                };
+                self.tasks
+                    .get_mut(&task)
+                    .into_iter()
+                    .for_each(|t| t.post = Some(post.clone()));
                 self.send(moment, task, out);
             }
             Err(why) => self.task_failed(moment, task, fail(Cause::Broken, &why), out),
@@ -1190,20 +1515,45 @@
             let place = self.place(&directory.new_nonce);
             return match place {
                 Ok(url) => {
-                    self.tasks.get_mut(&task).into_iter().for_each(|t| t.nonce = true);
-                    out.push(Action::Ask(task, Ask { method: Method::Head, url, sign: None }));
+                    self.tasks
+                        .get_mut(&task)
+                        .into_iter()
+                        .for_each(|t| t.nonce = true);
+                    out.push(Action::Ask(
+                        task,
+                        Ask {
+                            method: Method::Head,
+                            url,
+                            sign: None,
+                        },
+                    ));
                 }
                 Err(why) => self.task_failed(moment, task, fail(Cause::Broken, &why), out),
             };
         };
         let account = self.account.as_ref().and_then(|a| a.url.clone());
-        let Some(post) = self.tasks.get(&task).and_then(|t| t.post.clone()) else { return };
+        let Some(post) = self.tasks.get(&task).and_then(|t| t.post.clone()) else {
+            return;
+        };
         let (key, account) = match post.by {
             By::Account => (key, account),
             By::Key(key) => (key, None),
         };
-        let sign = Sign { key, account, nonce, url: post.text, payload: post.payload };
-        out.push(Action::Ask(task, Ask { method: Method::Post, url: post.url, sign: Some(sign) }));
+        let sign = Sign {
+            key,
+            account,
+            nonce,
+            url: post.text,
+            payload: post.payload,
+        };
+        out.push(Action::Ask(
+            task,
+            Ask {
+                method: Method::Post,
+                url: post.url,
+                sign: Some(sign),
+            },
+        ));
     }
 }
 
@@ -1217,7 +1567,13 @@
 }
 
 fn fail(cause: Cause, text: &str) -> Failure {
-    Failure { cause, refused: Vec::new(), told: None, text: tame(text, 500), keeps_order: false }
+    Failure {
+        cause,
+        refused: Vec::new(),
+        told: None,
+        text: tame(text, 500),
+        keeps_order: false,
+    }
 }
 
 /// What a problem with directory or account means.
@@ -1232,7 +1588,12 @@
 }
 
 fn tell(loud: Loud, kind: &'static str, name: &str, text: &str) -> Action {
-    Action::Tell(Note { loud, kind, name: name.into(), text: text.into() })
+    Action::Tell(Note {
+        loud,
+        kind,
+        name: name.into(),
+        text: text.into(),
+    })
 }
 
 fn told(notice: &Notice) -> Action {
@@ -1243,7 +1604,11 @@
             &names.join(" "),
             &format!("{count} will end, the first in {left} s"),
         ),
-        Notice::Expired { count, since, names } => tell(
+        Notice::Expired {
+            count,
+            since,
+            names,
+        } => tell(
             Loud::Error,
             "expired",
             &names.join(" "),
--- a/certs/src/disk.rs
+++ b/certs/src/disk.rs
@@ -60,10 +60,16 @@
     pub fn open(path: PathBuf, mine: &str) -> io::Result<Self> {
         use std::os::unix::fs::DirBuilderExt;
         if !path.is_dir() {
-            std::fs::DirBuilder::new().recursive(true).mode(0o700).create(&path)?;
+            std::fs::DirBuilder::new()
+                .recursive(true)
+                .mode(0o700)
+                .create(&path)?;
         }
         let letters = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
-        Ok(Folder { path, mine: mine.chars().map(letters).collect() })
+        Ok(Folder {
+            path,
+            mine: mine.chars().map(letters).collect(),
+        })
     }
 
     fn at(&self, name: &str) -> PathBuf {
@@ -73,8 +79,12 @@
 
 impl Files for Folder {
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let mut file =
-            OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(self.at(name))?;
+        let mut file = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .mode(0o600)
+            .open(self.at(name))?;
         // The mode above counts for a new file alone.
         file.set_permissions(Permissions::from_mode(0o600))?;
         file.write_all(bytes)
@@ -234,11 +244,14 @@
     fn read<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, String> {
         let version = serde_json::from_slice::<Versioned<serde_json::Value>>(bytes);
         // serde's words may cite the text, which holds a key: its place is enough.
-        let place = |e: serde_json::Error| format!("damaged at line {} column {}", e.line(), e.column());
+        let place =
+            |e: serde_json::Error| format!("damaged at line {} column {}", e.line(), e.column());
         if version.map_err(place)?.version > VERSION {
             return Err("from a newer version of this program: left alone".into());
         }
-        serde_json::from_slice::<Versioned<T>>(bytes).map(|v| v.body).map_err(place)
+        serde_json::from_slice::<Versioned<T>>(bytes)
+            .map(|v| v.body)
+            .map_err(place)
     }
     match name.rsplit_once('.') {
         _ if name == ACCOUNT => loaded.account = Some(read(bytes)?),
@@ -246,7 +259,9 @@
         Some((id, "order")) => loaded.pending.push((id.into(), read(bytes)?)),
         Some((id, "pem")) => {
             let text = std::str::from_utf8(bytes).map_err(|_| "damaged: no text")?;
-            loaded.identities.push((id.into(), Identity::from_pem(text)?));
+            loaded
+                .identities
+                .push((id.into(), Identity::from_pem(text)?));
         }
         _ => {}
     }
@@ -271,7 +286,11 @@
 /// Keeps something, durably once this returns without an error. The error names the step that failed.
 pub fn save(files: &mut dyn Files, what: &Keep) -> Result<(), String> {
     fn text<T: Serialize>(body: &T) -> Result<Vec<u8>, String> {
-        serde_json::to_vec_pretty(&Versioned { version: VERSION, body }).map_err(|e| e.to_string())
+        serde_json::to_vec_pretty(&Versioned {
+            version: VERSION,
+            body,
+        })
+        .map_err(|e| e.to_string())
     }
     match what {
         Keep::Account(account) => put(files, ACCOUNT, &text(account)?),
--- a/certs/src/exchange.rs
+++ b/certs/src/exchange.rs
@@ -20,7 +20,9 @@
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let mut store = RootCertStore::empty();
     for root in CertificateDer::pem_file_iter(file).map_err(|e| failed(&e))? {
-        store.add(root.map_err(|e| failed(&e))?).map_err(|e| failed(&e))?;
+        store
+            .add(root.map_err(|e| failed(&e))?)
+            .map_err(|e| failed(&e))?;
     }
     if store.is_empty() {
         return Err(failed(&"no certificate in it"));
@@ -46,7 +48,9 @@
     let (host, port) = (ask.url.host.as_str(), ask.url.port);
     let at = |what: &str, e: &dyn std::fmt::Display| format!("{host}:{port}: {what}: {e}");
     let name = ServerName::try_from(host.to_string()).map_err(|e| at("name", &e))?;
-    let addresses = (host, port).to_socket_addrs().map_err(|e| at("look-up", &e))?;
+    let addresses = (host, port)
+        .to_socket_addrs()
+        .map_err(|e| at("look-up", &e))?;
     let mut socket = Err("no address".to_string());
     for address in addresses.take(ADDRESSES_MOST) {
         socket = left(deadline)
@@ -73,7 +77,9 @@
         socket
             .set_read_timeout(Some(left(deadline).map_err(|e| at("read", &e))?))
             .map_err(|e| at("read", &e))?;
-        let n = tls.read_tls(&mut socket).map_err(|e| at("read", &late(e)))?;
+        let n = tls
+            .read_tls(&mut socket)
+            .map_err(|e| at("read", &late(e)))?;
         let state = tls.process_new_packets().map_err(|e| {
             // The alert that tells why is best effort.
             let _ = tls.write_tls(&mut socket);
@@ -151,9 +157,12 @@
     let key = rcgen::KeyPair::generate().map_err(|e| failed(&e))?;
     let mut params = rcgen::CertificateParams::new(vec![name.into()]).map_err(|e| failed(&e))?;
     let digest = ring::digest::digest(&ring::digest::SHA256, authorization.as_bytes());
-    params.custom_extensions.push(rcgen::CustomExtension::new_acme_identifier(digest.as_ref()));
+    params
+        .custom_extensions
+        .push(rcgen::CustomExtension::new_acme_identifier(digest.as_ref()));
     let cert = params.self_signed(&key).map_err(|e| failed(&e))?;
-    let der = rustls::pki_types::PrivateKeyDer::try_from(key.serialize_der()).map_err(|e| failed(&e))?;
+    let der =
+        rustls::pki_types::PrivateKeyDer::try_from(key.serialize_der()).map_err(|e| failed(&e))?;
     // Not by way of the check that key and certificate fit: it knows nothing of the critical extension.
     let key = rustls::crypto::ring::sign::any_supported_type(&der).map_err(|e| failed(&e))?;
     Ok(Arc::new(CertifiedKey::new(vec![cert.der().clone()], key)))
--- a/certs/src/http.rs
+++ b/certs/src/http.rs
@@ -43,7 +43,10 @@
         env!("CARGO_PKG_VERSION")
     );
     if let Some(body) = body {
-        text += &format!("Content-Type: application/jose+json\r\nContent-Length: {}\r\n", body.len());
+        text += &format!(
+            "Content-Type: application/jose+json\r\nContent-Length: {}\r\n",
+            body.len()
+        );
     }
     text += "\r\n";
     text += body.unwrap_or("");
@@ -79,7 +82,13 @@
     /// For an answer to `method` whose body has `most` bytes at most.
     pub fn new(method: Method, most: usize) -> Self {
         let answer = Answer::default();
-        Reader { most, headless: method == Method::Head, input: Vec::new(), answer, body: None }
+        Reader {
+            most,
+            headless: method == Method::Head,
+            input: Vec::new(),
+            answer,
+            body: None,
+        }
     }
 
     /// Takes bytes in. `Some`: the answer is whole.
@@ -114,8 +123,13 @@
         };
         let status = head.code.unwrap_or(0);
         let field = |name: &str| -> Result<Option<String>, &'static str> {
-            let mut all = head.headers.iter().filter(|f| f.name.eq_ignore_ascii_case(name));
-            let first = all.next().map(|f| std::str::from_utf8(f.value).map(|v| v.trim().to_string()));
+            let mut all = head
+                .headers
+                .iter()
+                .filter(|f| f.name.eq_ignore_ascii_case(name));
+            let first = all
+                .next()
+                .map(|f| std::str::from_utf8(f.value).map(|v| v.trim().to_string()));
             // Two of a kind are two opinions on where the answer ends, or which nonce holds.
             if all.next().is_some() {
                 return Err("a field stands twice in the head");
@@ -125,7 +139,9 @@
         let date = field("date")?.and_then(|text| moment(&text));
         let retry_after = field("retry-after")?.and_then(|text| match text.parse::<u64>() {
             Ok(seconds) => Some(seconds),
-            Err(_) => moment(&text).zip(date).map(|(at, now)| at.saturating_sub(now)),
+            Err(_) => moment(&text)
+                .zip(date)
+                .map(|(at, now)| at.saturating_sub(now)),
         });
         let length = match field("content-length")? {
             Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => {
@@ -170,7 +186,11 @@
             None | Some(Body::Done) => Ok(false),
             Some(Body::Length(left)) => {
                 let left = left - self.take(left)?;
-                self.body = Some(if left == 0 { Body::Done } else { Body::Length(left) });
+                self.body = Some(if left == 0 {
+                    Body::Done
+                } else {
+                    Body::Length(left)
+                });
                 Ok(false)
             }
             Some(Body::Open) => {
@@ -178,13 +198,23 @@
                 Ok(false)
             }
             Some(Body::ChunkSize) => {
-                let Some(line) = self.line()? else { return Ok(false) };
+                let Some(line) = self.line()? else {
+                    return Ok(false);
+                };
                 let size = line.split(|b| *b == b';').next().unwrap_or(&[]);
-                let digits =
-                    std::str::from_utf8(size).ok().map(str::trim).filter(|s| (1..=8).contains(&s.len()));
+                let digits = std::str::from_utf8(size)
+                    .ok()
+                    .map(str::trim)
+                    .filter(|s| (1..=8).contains(&s.len()));
                 let digits = digits.filter(|s| s.bytes().all(|b| b.is_ascii_hexdigit()));
-                let size = digits.and_then(|s| usize::from_str_radix(s, 16).ok()).ok_or("a bad chunk")?;
-                self.body = Some(if size == 0 { Body::Trailer } else { Body::Chunk(size) });
+                let size = digits
+                    .and_then(|s| usize::from_str_radix(s, 16).ok())
+                    .ok_or("a bad chunk")?;
+                self.body = Some(if size == 0 {
+                    Body::Trailer
+                } else {
+                    Body::Chunk(size)
+                });
                 Ok(true)
             }
             Some(Body::Chunk(0)) => match self.line()? {
@@ -201,7 +231,9 @@
                 Ok(taken == left)
             }
             Some(Body::Trailer) => {
-                let Some(line) = self.line()? else { return Ok(false) };
+                let Some(line) = self.line()? else {
+                    return Ok(false);
+                };
                 if line.is_empty() {
                     self.body = Some(Body::Done);
                 }
@@ -222,7 +254,11 @@
 
     fn line(&mut self) -> Result<Option<Vec<u8>>, &'static str> {
         let Some(at) = self.input.iter().position(|b| *b == b'\n') else {
-            return if self.input.len() > CHUNK_LINE_MOST { Err("a bad chunk") } else { Ok(None) };
+            return if self.input.len() > CHUNK_LINE_MOST {
+                Err("a bad chunk")
+            } else {
+                Ok(None)
+            };
         };
         if at > CHUNK_LINE_MOST || at == 0 || self.input[at - 1] != b'\r' {
             return Err("a bad chunk");
@@ -235,7 +271,9 @@
 
 fn moment(text: &str) -> Option<Wall> {
     let at = httpdate::parse_http_date(text).ok()?;
-    at.duration_since(std::time::UNIX_EPOCH).ok().map(|d| d.as_secs())
+    at.duration_since(std::time::UNIX_EPOCH)
+        .ok()
+        .map(|d| d.as_secs())
 }
 
 #[cfg(test)]
--- a/certs/src/http/tests.rs
+++ b/certs/src/http/tests.rs
@@ -17,7 +17,8 @@
     ];
     for text in texts {
         let whole = cut(text, text.len()).unwrap().unwrap();
-        (0..text.len()).for_each(|at| assert_eq!(cut(text, at).unwrap().unwrap(), whole, "cut at {at}"));
+        (0..text.len())
+            .for_each(|at| assert_eq!(cut(text, at).unwrap().unwrap(), whole, "cut at {at}"));
     }
     assert_eq!(cut(texts[1], 9).unwrap().unwrap().body, b"hello");
     let last = cut(texts[2], 9).unwrap().unwrap();
@@ -29,13 +30,20 @@
     let mut reader = Reader::new(Method::Get, 100);
     assert_eq!(reader.feed(b"HTTP/1.1 200 OK\r\n\r\nabc").unwrap(), None);
     assert_eq!(reader.end().unwrap().unwrap().body, b"abc");
-    for short in [&b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"[..], b"HTTP/1.1 2", b""] {
+    for short in [
+        &b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"[..],
+        b"HTTP/1.1 2",
+        b"",
+    ] {
         let mut reader = Reader::new(Method::Get, 100);
         assert_eq!(reader.feed(short).unwrap(), None);
         assert!(reader.end().is_err());
     }
     let mut reader = Reader::new(Method::Head, 100);
-    assert!(reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n").unwrap().is_some());
+    assert!(reader
+        .feed(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
+        .unwrap()
+        .is_some());
 }
 
 #[test]
@@ -50,25 +58,35 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n".into(),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcX\r\n".into(),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n".into(),
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", "1".repeat(300)),
+        format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
+            "1".repeat(300)
+        ),
         format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(101)),
         format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(HEAD_MOST)),
         format!("HTTP/1.1 200 OK\r\n{}\r\n", "X: y\r\n".repeat(65)),
         "SSH-2.0-x\r\n".into(),
     ] {
         let mut reader = Reader::new(Method::Get, 100);
-        assert!(reader.feed(bad.as_bytes()).is_err(), "{}", &bad[..60.min(bad.len())]);
+        assert!(
+            reader.feed(bad.as_bytes()).is_err(),
+            "{}",
+            &bad[..60.min(bad.len())]
+        );
     }
 }
 
 #[test]
 fn odd_bytes_never_panic_nor_grow_past_the_bound() {
-    let text = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
+    let text =
+        b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
     let mut rng = 5u64;
     for _ in 0..50_000 {
         let mut bytes = text.to_vec();
         for _ in 0..3 {
-            rng = rng.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            rng = rng
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             let at = (rng >> 33) as usize % bytes.len();
             bytes[at] = (rng >> 20) as u8;
         }
--- a/certs/src/identity.rs
+++ b/certs/src/identity.rs
@@ -37,7 +37,11 @@
 
 impl fmt::Debug for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Identity({:?}, serial {}, until {})", self.names, self.serial, self.not_after)
+        write!(
+            f,
+            "Identity({:?}, serial {}, until {})",
+            self.names, self.serial, self.not_after
+        )
     }
 }
 
@@ -48,9 +52,11 @@
         if bundle.len() > BUNDLE_MOST {
             return Err(format!("more than {BUNDLE_MOST} bytes"));
         }
-        let key = PrivateKeyDer::from_pem_slice(bundle.as_bytes()).map_err(|e| format!("key: {e}"))?;
-        let chain: Result<Vec<_>, _> =
-            CertificateDer::pem_slice_iter(bundle.as_bytes()).take(CHAIN_MOST + 1).collect();
+        let key =
+            PrivateKeyDer::from_pem_slice(bundle.as_bytes()).map_err(|e| format!("key: {e}"))?;
+        let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bundle.as_bytes())
+            .take(CHAIN_MOST + 1)
+            .collect();
         let chain = chain.map_err(|e| format!("chain: {e}"))?;
         if chain.len() > CHAIN_MOST {
             return Err(format!("chain: more than {CHAIN_MOST} certificates"));
@@ -58,7 +64,9 @@
         let leaf = chain.first().ok_or("chain: no certificate")?.clone();
         let provider = rustls::crypto::ring::default_provider();
         let certified = CertifiedKey::from_der(chain, key, &provider).map_err(|e| match e {
-            rustls::Error::InconsistentKeys(_) => "key and certificate do not belong together".to_string(),
+            rustls::Error::InconsistentKeys(_) => {
+                "key and certificate do not belong together".to_string()
+            }
             e => format!("key: {e}"),
         })?;
         let (_, cert) = X509Certificate::from_der(&leaf).map_err(|e| format!("leaf: {e}"))?;
@@ -84,7 +92,11 @@
             names,
             not_before: seconds(cert.validity().not_before),
             not_after: seconds(cert.validity().not_after),
-            serial: cert.raw_serial().iter().map(|b| format!("{b:02x}")).collect(),
+            serial: cert
+                .raw_serial()
+                .iter()
+                .map(|b| format!("{b:02x}"))
+                .collect(),
             issuer: crate::tame(&cert.issuer().to_string(), 200),
             renewal_id: authority.map(|a| format!("{a}.{}", base64url(cert.raw_serial()))),
             bundle: bundle.into(),
@@ -122,7 +134,9 @@
     pub fn covers(&self, name: &str) -> bool {
         let name = name.to_ascii_lowercase();
         let wild = name.split_once('.').map(|(_, rest)| format!("*.{rest}"));
-        self.names.iter().any(|n| *n == name || wild.as_ref().is_some_and(|w| n == w))
+        self.names
+            .iter()
+            .any(|n| *n == name || wild.as_ref().is_some_and(|w| n == w))
     }
 
     /// Seconds until it ends; negative: since it ended.
--- a/certs/src/jose.rs
+++ b/certs/src/jose.rs
@@ -40,11 +40,16 @@
 
     /// Reads a key from PEM (PKCS #8).
     pub fn from_pem(pem: &str) -> Result<Self, String> {
-        let der = PrivateKeyDer::from_pem_slice(pem.as_bytes()).map_err(|e| format!("account key: {e}"))?;
-        let random = SystemRandom::new();
-        let pair = EcdsaKeyPair::from_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, der.secret_der(), &random)
+        let der = PrivateKeyDer::from_pem_slice(pem.as_bytes())
             .map_err(|e| format!("account key: {e}"))?;
-        Ok(AccountKey { pem: pem.into(), pair })
+        let random = SystemRandom::new();
+        let pair =
+            EcdsaKeyPair::from_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, der.secret_der(), &random)
+                .map_err(|e| format!("account key: {e}"))?;
+        Ok(AccountKey {
+            pem: pem.into(),
+            pair,
+        })
     }
 
     /// The key in PEM: a secret.
@@ -62,7 +67,10 @@
 
     /// The thumbprint of the public key, in base64url.
     pub fn thumbprint(&self) -> String {
-        base64url(ring::digest::digest(&ring::digest::SHA256, self.jwk().as_bytes()))
+        base64url(ring::digest::digest(
+            &ring::digest::SHA256,
+            self.jwk().as_bytes(),
+        ))
     }
 
     /// A flattened JWS over `payload` (empty: POST-as-GET, RFC 8555, section 6.3) with `header`, a JSON object.
--- a/certs/src/lib.rs
+++ b/certs/src/lib.rs
@@ -66,7 +66,11 @@
 
 /// Foreign text as it may stand in a log: one line, printable, not too long.
 pub fn tame(text: &str, most: usize) -> String {
-    let mut tame: String = text.chars().take(most).map(|c| if c.is_control() { ' ' } else { c }).collect();
+    let mut tame: String = text
+        .chars()
+        .take(most)
+        .map(|c| if c.is_control() { ' ' } else { c })
+        .collect();
     if text.chars().nth(most).is_some() {
         tame.push('…');
     }
--- a/certs/src/order.rs
+++ b/certs/src/order.rs
@@ -169,7 +169,14 @@
 
     /// One that was begun before a restart; its key comes back by [`Input::Key`], its signing request made anew.
     pub fn resumed(moment: Moment, pending: &Pending, way: Way, thumbprint: String) -> Self {
-        let mut order = Order::new(moment, pending.names.clone(), way, thumbprint, String::new(), None);
+        let mut order = Order::new(
+            moment,
+            pending.names.clone(),
+            way,
+            thumbprint,
+            String::new(),
+            None,
+        );
         order.url.clone_from(&pending.url);
         order.deadline = moment.now + AGAIN_MOST;
         order
@@ -195,7 +202,11 @@
                     return Ok(self.look());
                 }
                 self.step = Step::New;
-                let names: Vec<_> = self.names.iter().map(|n| json!({"type": "dns", "value": n})).collect();
+                let names: Vec<_> = self
+                    .names
+                    .iter()
+                    .map(|n| json!({"type": "dns", "value": n}))
+                    .collect();
                 let mut payload = json!({"identifiers": names});
                 if let Some(replaces) = &self.replaces {
                     payload["replaces"] = replaces.as_str().into();
@@ -206,7 +217,10 @@
             (Step::Keep, Input::Done(_)) => return self.dispatch(moment, None),
             (Step::Publish, Input::Done(Ok(()))) => {
                 self.step = Step::Respond;
-                return Ok(Output::Post(self.auths[self.at].challenge.clone(), "{}".into()));
+                return Ok(Output::Post(
+                    self.auths[self.at].challenge.clone(),
+                    "{}".into(),
+                ));
             }
             (Step::Publish, Input::Done(Err(why))) => {
                 return Err(self.broken(Cause::Broken, format!("challenge not published: {why}")));
@@ -237,7 +251,12 @@
                 (self.url, self.body, self.step) = (url.clone(), Some(order), Step::Keep);
                 let (names, began) = (self.names.clone(), moment.wall);
                 let key = self.key.clone().unwrap_or_default();
-                Ok(Output::Keep(Pending { url, names, key, began }))
+                Ok(Output::Keep(Pending {
+                    url,
+                    names,
+                    key,
+                    began,
+                }))
             }
             Step::Look | Step::Finalize => {
                 self.body = Some(self.read(wire::order(&answer.body))?);
@@ -276,7 +295,8 @@
                 }
             }
             Step::Download => {
-                let chain = std::str::from_utf8(&answer.body).map_err(|_| "chain: no text".to_string());
+                let chain =
+                    std::str::from_utf8(&answer.body).map_err(|_| "chain: no text".to_string());
                 let key = self.key.as_deref().unwrap_or_default();
                 let identity = chain.and_then(|chain| Identity::join(key, chain));
                 let identity = identity.map_err(|why| self.useless(why))?;
@@ -311,9 +331,17 @@
             }
             Status::Pending => {
                 if body.authorizations.is_empty() {
-                    return Err(self.broken(Cause::Broken, "a pending order without authorizations".into()));
+                    return Err(self.broken(
+                        Cause::Broken,
+                        "a pending order without authorizations".into(),
+                    ));
                 }
-                let auth = |url| Auth { url, name: String::new(), valid: false, challenge: String::new() };
+                let auth = |url| Auth {
+                    url,
+                    name: String::new(),
+                    valid: false,
+                    challenge: String::new(),
+                };
                 self.auths = body.authorizations.into_iter().map(auth).collect();
                 (self.at, self.step) = (0, Step::Authorization);
                 Ok(Output::Post(self.auths[0].url.clone(), String::new()))
@@ -328,7 +356,9 @@
             Status::Processing => self.sleep(moment, told, Step::WaitLook),
             Status::Valid => {
                 let Some(url) = body.certificate else {
-                    return Err(self.broken(Cause::Broken, "a valid order without a certificate".into()));
+                    return Err(
+                        self.broken(Cause::Broken, "a valid order without a certificate".into())
+                    );
                 };
                 self.step = Step::Download;
                 Ok(Output::Post(url, String::new()))
@@ -437,9 +467,10 @@
         let cause = match problem.short() {
             "rateLimited" => Cause::Limited,
             "accountDoesNotExist" => Cause::Unknown,
-            "externalAccountRequired" | "userActionRequired" | "invalidContact" | "unsupportedContact" => {
-                Cause::Account
-            }
+            "externalAccountRequired"
+            | "userActionRequired"
+            | "invalidContact"
+            | "unsupportedContact" => Cause::Account,
             "rejectedIdentifier"
             | "unsupportedIdentifier"
             | "caa"
@@ -449,7 +480,9 @@
             | "incorrectResponse"
             | "unauthorized" => Cause::Refused,
             "serverInternal" => Cause::Unreachable,
-            "compound" if problem.subproblems.iter().any(|s| s.identifier.is_some()) => Cause::Refused,
+            "compound" if problem.subproblems.iter().any(|s| s.identifier.is_some()) => {
+                Cause::Refused
+            }
             _ if status == 429 => Cause::Limited,
             _ if status >= 500 => Cause::Unreachable,
             _ => Cause::Broken,
@@ -457,8 +490,14 @@
         let ours = |name: &String| self.names.contains(name);
         let mut refused: Vec<String> = Vec::new();
         if cause == Cause::Refused {
-            let subs = problem.subproblems.iter().filter_map(|s| s.identifier.as_ref());
-            refused = subs.map(|i| i.value.to_ascii_lowercase()).filter(ours).collect();
+            let subs = problem
+                .subproblems
+                .iter()
+                .filter_map(|s| s.identifier.as_ref());
+            refused = subs
+                .map(|i| i.value.to_ascii_lowercase())
+                .filter(ours)
+                .collect();
             refused.sort();
             refused.dedup();
             if refused.is_empty() && self.names.len() == 1 {
@@ -469,37 +508,71 @@
             0 => problem.line(),
             _ => format!("{status} {}", problem.line()),
         };
-        let told = answer.and_then(|a| a.retry_after).map(|s| s.saturating_mul(SECOND));
-        Failure { cause, refused, told, text: tame(&text, TEXT_MOST), keeps_order: false }
+        let told = answer
+            .and_then(|a| a.retry_after)
+            .map(|s| s.saturating_mul(SECOND));
+        Failure {
+            cause,
+            refused,
+            told,
+            text: tame(&text, TEXT_MOST),
+            keeps_order: false,
+        }
     }
 
     /// An authorization that will not become valid.
     fn refused(&self, found: &wire::Authorization) -> Failure {
         let error = found.challenges.iter().find_map(|c| c.error.as_ref());
-        let why = error.map_or(format!("authorization {:?}", found.status).to_lowercase(), Problem::line);
+        let why = error.map_or(
+            format!("authorization {:?}", found.status).to_lowercase(),
+            Problem::line,
+        );
         let limited = error.is_some_and(|e| e.short() == "rateLimited");
         let failure = self.refusal(self.auths[self.at].name.clone(), why);
         if limited {
-            return Failure { cause: Cause::Limited, refused: Vec::new(), ..failure };
+            return Failure {
+                cause: Cause::Limited,
+                refused: Vec::new(),
+                ..failure
+            };
         }
         failure
     }
 
     fn refusal(&self, name: String, why: String) -> Failure {
         let text = tame(&format!("{name}: {why}"), TEXT_MOST);
-        let refused = if name.is_empty() { Vec::new() } else { vec![name] };
-        Failure { cause: Cause::Refused, refused, told: None, text, keeps_order: false }
+        let refused = if name.is_empty() {
+            Vec::new()
+        } else {
+            vec![name]
+        };
+        Failure {
+            cause: Cause::Refused,
+            refused,
+            told: None,
+            text,
+            keeps_order: false,
+        }
     }
 
     fn broken(&self, cause: Cause, why: String) -> Failure {
         // Whatever became of a request, an order that has a URL is still there.
         let keeps_order = cause == Cause::Unreachable && !self.url.is_empty();
         let text = tame(&why, TEXT_MOST);
-        Failure { cause, refused: Vec::new(), told: None, text, keeps_order }
+        Failure {
+            cause,
+            refused: Vec::new(),
+            told: None,
+            text,
+            keeps_order,
+        }
     }
 
     fn useless(&self, why: String) -> Failure {
-        Failure { keeps_order: false, ..self.broken(Cause::Broken, why) }
+        Failure {
+            keeps_order: false,
+            ..self.broken(Cause::Broken, why)
+        }
     }
 
     fn read<T>(&self, found: Result<T, String>) -> Result<T, Failure> {
--- a/certs/src/planner.rs
+++ b/certs/src/planner.rs
@@ -167,7 +167,12 @@
 
 impl std::fmt::Debug for Planner {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Planner({} certificates, {} under way)", self.entries.len(), self.busy)
+        write!(
+            f,
+            "Planner({} certificates, {} under way)",
+            self.entries.len(),
+            self.busy
+        )
     }
 }
 
@@ -193,20 +198,35 @@
     }
 
     /// Takes over what was remembered over a restart.
-    pub fn remember(&mut self, moment: Moment, orders: &[Wall], refused: BTreeMap<String, Refusal>) {
+    pub fn remember(
+        &mut self,
+        moment: Moment,
+        orders: &[Wall],
+        refused: BTreeMap<String, Refusal>,
+    ) {
         let window = self.plan.window / SECOND;
-        let mut known: Vec<_> = orders.iter().copied().filter(|w| w + window > moment.wall).collect();
+        let mut known: Vec<_> = orders
+            .iter()
+            .copied()
+            .filter(|w| w + window > moment.wall)
+            .collect();
         known.sort_unstable();
         known.truncate(self.plan.orders_most);
         // One that lies ahead was begun before the clock went back: it counts as begun now.
         let age = |w: &Wall| moment.wall.saturating_sub(*w) * SECOND;
-        self.begun = known.iter().map(|w| (moment.now.saturating_sub(age(w)), *w)).collect();
+        self.begun = known
+            .iter()
+            .map(|w| (moment.now.saturating_sub(age(w)), *w))
+            .collect();
         self.refused = refused;
     }
 
     /// What has to be remembered over a restart.
     pub fn memory(&self) -> (Vec<Wall>, BTreeMap<String, Refusal>) {
-        (self.begun.iter().map(|(_, wall)| *wall).collect(), self.refused.clone())
+        (
+            self.begun.iter().map(|(_, wall)| *wall).collect(),
+            self.refused.clone(),
+        )
     }
 
     /// Takes over another plan and other turns.
@@ -226,7 +246,12 @@
                 names.first().cloned().map(|id| (id, names))
             })
             .collect();
-        let gone: Vec<_> = self.entries.keys().filter(|id| !wanted.contains_key(*id)).cloned().collect();
+        let gone: Vec<_> = self
+            .entries
+            .keys()
+            .filter(|id| !wanted.contains_key(*id))
+            .cloned()
+            .collect();
         for id in gone {
             self.unqueue(&id);
             self.entries.remove(&id);
@@ -294,7 +319,9 @@
 
     /// An operator wants it renewed now, whatever its dates and earlier failures. `false`: there is no such one.
     pub fn force(&mut self, moment: Moment, id: &str) -> bool {
-        let Some(entry) = self.entries.get_mut(id) else { return false };
+        let Some(entry) = self.entries.get_mut(id) else {
+            return false;
+        };
         (entry.forced, entry.hold, entry.turned) = (true, 0, true);
         let names = entry.names.clone();
         self.refused.retain(|name, _| !names.contains(name));
@@ -306,11 +333,19 @@
     /// The next order to be made, if one may be begun now. It counts from here on.
     pub fn next(&mut self, moment: Moment) -> Option<Choice> {
         self.advance(moment);
-        let busy_most = if self.away_failures > 0 { 1 } else { self.plan.at_once };
+        let busy_most = if self.away_failures > 0 {
+            1
+        } else {
+            self.plan.at_once
+        };
         if moment.now < self.away_until || self.busy >= busy_most {
             return None;
         }
-        while self.begun.front().is_some_and(|(at, _)| moment.now >= at.saturating_add(self.plan.window)) {
+        while self
+            .begun
+            .front()
+            .is_some_and(|(at, _)| moment.now >= at.saturating_add(self.plan.window))
+        {
             self.begun.pop_front();
         }
         let full = self.begun.len() >= self.plan.orders_most;
@@ -340,14 +375,22 @@
         for name in covered {
             self.refused.remove(name);
         }
-        let Some(entry) = self.entries.get_mut(id) else { return };
+        let Some(entry) = self.entries.get_mut(id) else {
+            return;
+        };
         (entry.failures, entry.why, entry.hold) = (0, None, 0);
         // Guards against an authority whose windows lie in the past always, and against a clock by which what is
         // new is old.
-        let early =
-            entry.held.is_some_and(|old| moment.wall < old.at(EARLY_PERCENT)) && entry.window.is_some();
+        let early = entry
+            .held
+            .is_some_and(|old| moment.wall < old.at(EARLY_PERCENT))
+            && entry.window.is_some();
         let old = due(&held, None, self.plan.rule, id) <= moment.wall;
-        entry.early.0 = if (early || old) && !entry.forced { entry.early.0 + 1 } else { 0 };
+        entry.early.0 = if (early || old) && !entry.forced {
+            entry.early.0 + 1
+        } else {
+            0
+        };
         if entry.early.0 > 0 {
             entry.early.1 = moment.wall + wait(Cause::Refused, entry.early.0, None, id) / SECOND;
         }
@@ -355,7 +398,10 @@
         if held.not_after <= moment.wall {
             // By this clock it has ended already. One of the two clocks is wrong; asking again at once mends neither.
             entry.failures = 1;
-            entry.why = Some((Cause::Broken, "what was issued has ended by this machine's clock".into()));
+            entry.why = Some((
+                Cause::Broken,
+                "what was issued has ended by this machine's clock".into(),
+            ));
             entry.hold = moment.now + wait(Cause::Broken, 4, None, id);
         }
         self.unbusy(id);
@@ -376,10 +422,13 @@
             if self.refused.len() < REFUSED_MOST || self.refused.contains_key(name) {
                 let refusal = self.refused.entry(name.clone()).or_default();
                 refusal.failures += 1;
-                refusal.until = moment.wall + wait(Cause::Refused, refusal.failures, told, name) / SECOND;
+                refusal.until =
+                    moment.wall + wait(Cause::Refused, refusal.failures, told, name) / SECOND;
             }
         }
-        let Some(entry) = self.entries.get_mut(id) else { return };
+        let Some(entry) = self.entries.get_mut(id) else {
+            return;
+        };
         entry.why = Some((cause, failure.text.clone()));
         entry.failures += 1;
         entry.resumes = failure.keeps_order;
@@ -429,13 +478,22 @@
     /// The next moment at which something may have changed, by the clocks as they are.
     pub fn wake(&self, moment: Moment) -> Option<Timestamp> {
         let later = self.later.first().filter(|(at, _)| *at < u64::MAX);
-        let later = later.map(|(at, _)| moment.now + at.saturating_sub(moment.wall).min(1 << 32) * SECOND);
+        let later =
+            later.map(|(at, _)| moment.now + at.saturating_sub(moment.wall).min(1 << 32) * SECOND);
         let held = self.held_back.first().map(|(at, _)| *at);
         let ready = (!self.ready.is_empty()).then(|| {
             let full = self.begun.len() >= self.plan.orders_most;
-            let window = self.begun.front().filter(|_| full).map_or(0, |(at, _)| at + self.plan.window);
+            let window = self
+                .begun
+                .front()
+                .filter(|_| full)
+                .map_or(0, |(at, _)| at + self.plan.window);
             // What waits for another to end is looked at when that ends.
-            let free = if self.busy > 0 { moment.now + 60 * SECOND } else { moment.now };
+            let free = if self.busy > 0 {
+                moment.now + 60 * SECOND
+            } else {
+                moment.now
+            };
             self.away_until.max(window).max(free)
         });
         [later, held, ready].into_iter().flatten().min()
@@ -448,27 +506,43 @@
             return Vec::new();
         }
         let wall = moment.wall;
-        let held = || self.entries.iter().filter_map(|(id, e)| e.held.map(|h| (h, id)));
+        let held = || {
+            self.entries
+                .iter()
+                .filter_map(|(id, e)| e.held.map(|h| (h, id)))
+        };
         let mut notices = Vec::new();
         if error {
             let ended: Vec<_> = held().filter(|(h, _)| wall > h.not_after).collect();
             if let Some(first) = ended.iter().map(|(h, _)| h.not_after).min() {
                 let (count, names) = (ended.len(), some(&ended));
-                notices.push(Notice::Expired { count, since: wall - first, names });
+                notices.push(Notice::Expired {
+                    count,
+                    since: wall - first,
+                    names,
+                });
                 self.error_at = moment.now + ERROR_EACH;
             }
         }
         if warn {
             let percent = u64::from(self.plan.warn_percent);
-            let ending: Vec<_> =
-                held().filter(|(h, _)| wall >= h.at(percent) && wall <= h.not_after).collect();
+            let ending: Vec<_> = held()
+                .filter(|(h, _)| wall >= h.at(percent) && wall <= h.not_after)
+                .collect();
             let early: Vec<_> = held().filter(|(h, _)| wall < h.not_before).collect();
             if let Some(first) = ending.iter().map(|(h, _)| h.not_after).min() {
                 let (count, names) = (ending.len(), some(&ending));
-                notices.push(Notice::Expiring { count, left: first - wall, names });
+                notices.push(Notice::Expiring {
+                    count,
+                    left: first - wall,
+                    names,
+                });
             }
             if !early.is_empty() {
-                notices.push(Notice::NotYet { count: early.len(), names: some(&early) });
+                notices.push(Notice::NotYet {
+                    count: early.len(),
+                    names: some(&early),
+                });
             }
             if !notices.is_empty() {
                 self.warn_at = moment.now + WARN_EACH;
@@ -484,12 +558,29 @@
                 Place::Later(u64::MAX) => ("later", None),
                 Place::Later(at) => ("later", Some(at.saturating_sub(moment.wall))),
                 Place::HeldBack(at) => ("held-back", Some(at.saturating_sub(moment.now) / SECOND)),
-                Place::Ready(_) => ("ready", Some(self.away_until.saturating_sub(moment.now) / SECOND)),
+                Place::Ready(_) => (
+                    "ready",
+                    Some(self.away_until.saturating_sub(moment.now) / SECOND),
+                ),
                 Place::Busy => ("ordering", None),
             };
-            let refused = e.names.iter().filter(|n| self.held_off(n, moment.wall)).cloned().collect();
+            let refused = e
+                .names
+                .iter()
+                .filter(|n| self.held_off(n, moment.wall))
+                .cloned()
+                .collect();
             let (id, names, why) = (id.clone(), e.names.clone(), e.why.clone());
-            Row { id, names, held: e.held, state, next_s, failures: e.failures, why, refused }
+            Row {
+                id,
+                names,
+                held: e.held,
+                state,
+                next_s,
+                failures: e.failures,
+                why,
+                refused,
+            }
         };
         self.entries.iter().map(row).collect()
     }
@@ -500,13 +591,22 @@
     }
 
     fn held_off(&self, name: &str, wall: Wall) -> bool {
-        self.refused.get(name).is_some_and(|r| r.until > wall && r.until < wall + WAIT_MOST)
+        self.refused
+            .get(name)
+            .is_some_and(|r| r.until > wall && r.until < wall + WAIT_MOST)
     }
 
     /// Names that an order made now would ask for.
     fn askable(&self, wall: Wall, id: &str) -> Vec<String> {
-        let Some(entry) = self.entries.get(id) else { return Vec::new() };
-        entry.names.iter().filter(|n| !self.held_off(n, wall)).cloned().collect()
+        let Some(entry) = self.entries.get(id) else {
+            return Vec::new();
+        };
+        entry
+            .names
+            .iter()
+            .filter(|n| !self.held_off(n, wall))
+            .cloned()
+            .collect()
     }
 
     /// The second from which something should be ordered for a certificate.
@@ -516,47 +616,74 @@
         }
         let off = |name: &&String| self.held_off(name, wall);
         let until = |names: &mut dyn Iterator<Item = &String>| {
-            names.filter_map(|n| self.refused.get(n)).map(|r| r.until).min()
+            names
+                .filter_map(|n| self.refused.get(n))
+                .map(|r| r.until)
+                .min()
         };
         let Some(held) = entry.held else {
             let free = entry.names.iter().any(|n| !off(&n));
-            return if free { 0 } else { until(&mut entry.names.iter()).unwrap_or(0) };
+            return if free {
+                0
+            } else {
+                until(&mut entry.names.iter()).unwrap_or(0)
+            };
         };
         let mut renew = due(&held, entry.window, self.plan.rule, id);
         if entry.early.0 > 0 && entry.early.1 < wall + WAIT_MOST {
             renew = renew.max(entry.early.1);
         }
-        let missing: Vec<_> = entry.names.iter().filter(|n| !entry.covered.contains(*n)).collect();
+        let missing: Vec<_> = entry
+            .names
+            .iter()
+            .filter(|n| !entry.covered.contains(*n))
+            .collect();
         if missing.iter().any(|n| !off(n)) {
             return 0;
         }
         let complete = until(&mut missing.iter().copied()).unwrap_or(u64::MAX);
         // What the old one stands for is not given up while it holds on for long.
-        let at_stake = until(&mut entry.names.iter().filter(|n| entry.covered.contains(*n)).filter(off));
+        let at_stake = until(
+            &mut entry
+                .names
+                .iter()
+                .filter(|n| entry.covered.contains(*n))
+                .filter(off),
+        );
         let renew = match at_stake {
             Some(until) => renew.max(until.min(held.at(WITHOUT_PERCENT))),
             None => renew,
         };
         let free = entry.names.iter().any(|n| !off(&n));
-        let renew = if free { renew } else { renew.max(until(&mut entry.names.iter()).unwrap_or(0)) };
+        let renew = if free {
+            renew
+        } else {
+            renew.max(until(&mut entry.names.iter()).unwrap_or(0))
+        };
         renew.min(complete)
     }
 
     /// Puts a certificate into the queue where it belongs now.
     fn schedule(&mut self, moment: Moment, id: &str) {
-        let Some(entry) = self.entries.get(id) else { return };
+        let Some(entry) = self.entries.get(id) else {
+            return;
+        };
         if entry.place == Place::Busy {
             return;
         }
         let due = self.due(moment.wall, id, entry);
         self.unqueue(id);
-        let Some(entry) = self.entries.get_mut(id) else { return };
+        let Some(entry) = self.entries.get_mut(id) else {
+            return;
+        };
         entry.place = if due > moment.wall {
             entry.turned = false;
             Place::Later(due)
         } else {
             if !std::mem::replace(&mut entry.turned, true) {
-                let left = entry.held.map_or(0, |h| h.not_after.saturating_sub(moment.wall));
+                let left = entry
+                    .held
+                    .map_or(0, |h| h.not_after.saturating_sub(moment.wall));
                 entry.hold = entry.hold.max(moment.now + self.turns.delay(id, left));
             }
             let urgency = entry.held.map_or(0, |h| h.not_after);
@@ -595,19 +722,39 @@
 
     /// Moves what has come due.
     fn advance(&mut self, moment: Moment) {
-        while let Some((_, id)) = self.later.first().filter(|(at, _)| *at <= moment.wall).cloned() {
+        while let Some((_, id)) = self
+            .later
+            .first()
+            .filter(|(at, _)| *at <= moment.wall)
+            .cloned()
+        {
             self.later.pop_first();
-            self.entries.get_mut(&id).into_iter().for_each(|e| e.place = Place::Later(0));
+            self.entries
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|e| e.place = Place::Later(0));
             self.schedule(moment, &id);
         }
-        while let Some((_, id)) = self.held_back.first().filter(|(at, _)| *at <= moment.now).cloned() {
+        while let Some((_, id)) = self
+            .held_back
+            .first()
+            .filter(|(at, _)| *at <= moment.now)
+            .cloned()
+        {
             self.held_back.pop_first();
-            self.entries.get_mut(&id).into_iter().for_each(|e| e.place = Place::HeldBack(0));
+            self.entries
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|e| e.place = Place::HeldBack(0));
             self.schedule(moment, &id);
         }
     }
 }
 
 fn some(found: &[(Held, &String)]) -> Vec<String> {
-    found.iter().take(TOLD_MOST).map(|(_, id)| id.to_string()).collect()
+    found
+        .iter()
+        .take(TOLD_MOST)
+        .map(|(_, id)| id.to_string())
+        .collect()
 }
--- a/certs/src/renewal.rs
+++ b/certs/src/renewal.rs
@@ -41,7 +41,8 @@
         None => {
             let life = held.not_after.saturating_sub(held.not_before);
             let jitter = (u128::from(life) * u128::from(rule.jitter_percent) / 100) as u64;
-            held.at(rule.renew_percent.into()).saturating_sub(share(jitter + 1, &[id, "jitter"]))
+            held.at(rule.renew_percent.into())
+                .saturating_sub(share(jitter + 1, &[id, "jitter"]))
         }
     };
     due.min(held.at(LATEST_PERCENT))
@@ -70,7 +71,10 @@
     /// Fronts that come before this one.
     pub fn rank(&self, id: &str) -> u64 {
         let mine = (hash(&[id, &self.me]), &self.me);
-        let before = self.fronts.iter().filter(|f| **f != self.me && (hash(&[id, f]), *f) < mine);
+        let before = self
+            .fronts
+            .iter()
+            .filter(|f| **f != self.me && (hash(&[id, f]), *f) < mine);
         before.count() as u64
     }
 }
@@ -80,7 +84,9 @@
         let each = match left {
             0 => self.takeover.min(FIRST_TURN),
             // All turns are over at half of what is left.
-            _ => self.takeover.min(left.saturating_mul(SECOND / 2) / self.fronts.len().max(1) as u64),
+            _ => self
+                .takeover
+                .min(left.saturating_mul(SECOND / 2) / self.fronts.len().max(1) as u64),
         };
         each * self.rank(id)
     }
--- a/certs/src/renewal/tests.rs
+++ b/certs/src/renewal/tests.rs
@@ -1,12 +1,21 @@
 use super::*;
 
 const DAY: u64 = 86_400;
-const RULE: Rule = Rule { renew_percent: 67, jitter_percent: 5 };
+const RULE: Rule = Rule {
+    renew_percent: 67,
+    jitter_percent: 5,
+};
 
 #[test]
 fn due_is_within_the_window_and_the_same_after_each_start() {
-    let held = Held { not_before: 0, not_after: 90 * DAY };
-    let window = Window { start: 50 * DAY, end: 60 * DAY };
+    let held = Held {
+        not_before: 0,
+        not_after: 90 * DAY,
+    };
+    let window = Window {
+        start: 50 * DAY,
+        end: 60 * DAY,
+    };
     let due_of = |id: &str, window| due(&held, window, RULE, id);
     for i in 0..200 {
         let id = format!("n{i}.example");
@@ -18,13 +27,20 @@
         );
         assert_eq!(due_of(&id, None), due_of(&id, None));
     }
-    let spread: std::collections::HashSet<_> = (0..200).map(|i| due_of(&i.to_string(), None)).collect();
+    let spread: std::collections::HashSet<_> =
+        (0..200).map(|i| due_of(&i.to_string(), None)).collect();
     assert!(spread.len() > 190, "they must not come due at once");
     // A window past the end is not waited for.
-    let late = Window { start: 100 * DAY, end: 101 * DAY };
+    let late = Window {
+        start: 100 * DAY,
+        end: 101 * DAY,
+    };
     assert_eq!(due_of("a", Some(late)), 90 * DAY * 95 / 100);
     // Six days are as good as ninety.
-    let short = Held { not_before: 1_000, not_after: 1_000 + 6 * DAY };
+    let short = Held {
+        not_before: 1_000,
+        not_after: 1_000 + 6 * DAY,
+    };
     let at = due(&short, None, RULE, "a") - 1_000;
     assert!((6 * DAY * 62 / 100..=6 * DAY * 67 / 100).contains(&at));
 }
@@ -35,15 +51,28 @@
     let mut first = [0; 7];
     for name in 0..700 {
         let id = format!("x{name}.example");
-        let of = |me: &String| Ranked { me: me.clone(), fronts: fronts.clone(), takeover: 3_600 * SECOND };
+        let of = |me: &String| Ranked {
+            me: me.clone(),
+            fronts: fronts.clone(),
+            takeover: 3_600 * SECOND,
+        };
         let mut ranks: Vec<_> = fronts.iter().map(|f| of(f).rank(&id)).collect();
         first[ranks.iter().position(|r| *r == 0).unwrap()] += 1;
-        assert!(fronts.iter().all(|f| of(f).delay(&id, 7_000) <= 3_500 * SECOND));
+        assert!(fronts
+            .iter()
+            .all(|f| of(f).delay(&id, 7_000) <= 3_500 * SECOND));
         assert!(fronts.iter().all(|f| of(f).delay(&id, 0) <= 6 * FIRST_TURN));
         ranks.sort_unstable();
         assert_eq!(ranks, (0..7).collect::<Vec<_>>());
     }
-    assert!(first.iter().all(|n| (50..150).contains(n)), "the work is shared: {first:?}");
-    let alone = Ranked { me: "n1".into(), fronts: vec![], takeover: SECOND };
+    assert!(
+        first.iter().all(|n| (50..150).contains(n)),
+        "the work is shared: {first:?}"
+    );
+    let alone = Ranked {
+        me: "n1".into(),
+        fronts: vec![],
+        takeover: SECOND,
+    };
     assert_eq!(alone.delay("a", 5), 0);
 }
--- a/certs/src/retry.rs
+++ b/certs/src/retry.rs
@@ -65,7 +65,9 @@
 /// (`told`, microseconds) is the least.
 pub fn wait(cause: Cause, failures: u32, told: Option<Micros>, salt: &str) -> Micros {
     let (first, most) = cause.bounds();
-    let grown = first.saturating_mul(1 << failures.saturating_sub(1).min(20)).min(most);
+    let grown = first
+        .saturating_mul(1 << failures.saturating_sub(1).min(20))
+        .min(most);
     let grown = grown + share(grown / 4, &[salt, &failures.to_string()]);
     match (told.map(|t| t.min(TOLD_MOST)), cause) {
         // Its word is all there is to a limit.
--- a/certs/src/unsaved.rs
+++ b/certs/src/unsaved.rs
@@ -53,7 +53,13 @@
 impl Unsaved {
     /// A write begins under a number of its own. An older one of the same file is over: returns who waited for it.
     pub fn begin(&mut self, task: u64, what: Keep, waiting: Option<Waiting>) -> Option<Waiting> {
-        let write = Write { task, retry_at: None, failures: 0, waiting, what };
+        let write = Write {
+            task,
+            retry_at: None,
+            failures: 0,
+            waiting,
+            what,
+        };
         self.0.insert(file(&write.what), write)?.waiting
     }
 
@@ -64,16 +70,26 @@
 
     /// A write has ended. `None`: it is none of these, or something newer has taken its place.
     pub fn ended(&mut self, now: Timestamp, task: u64, durable: bool) -> Option<Ended> {
-        let name = self.0.iter().find(|(_, w)| w.task == task).map(|(name, _)| name.clone())?;
+        let name = self
+            .0
+            .iter()
+            .find(|(_, w)| w.task == task)
+            .map(|(name, _)| name.clone())?;
         if durable {
             let write = self.0.remove(&name)?;
-            return Some(Ended { failures: 0, waiting: write.waiting });
+            return Some(Ended {
+                failures: 0,
+                waiting: write.waiting,
+            });
         }
         let write = self.0.get_mut(&name)?;
         write.failures += 1;
         let pause = RETRY_FIRST << (write.failures - 1).min(10);
         write.retry_at = Some(now + pause.min(RETRY_MAX));
-        Some(Ended { failures: write.failures, waiting: write.waiting.take() })
+        Some(Ended {
+            failures: write.failures,
+            waiting: write.waiting.take(),
+        })
     }
 
     /// What is due to be written again, each under a new number. What `holds` says has to wait stays for the next time.
--- a/certs/src/url.rs
+++ b/certs/src/url.rs
@@ -36,10 +36,13 @@
         let (host, port) = match authority.strip_prefix('[') {
             Some(rest) => {
                 let (host, port) = rest.split_once(']').ok_or("URL with a bad address")?;
-                host.parse::<std::net::Ipv6Addr>().map_err(|_| "URL with a bad address")?;
+                host.parse::<std::net::Ipv6Addr>()
+                    .map_err(|_| "URL with a bad address")?;
                 (host, port)
             }
-            None => authority.find(':').map_or((authority, ""), |at| authority.split_at(at)),
+            None => authority
+                .find(':')
+                .map_or((authority, ""), |at| authority.split_at(at)),
         };
         let port = match port.strip_prefix(':') {
             Some(digits) if digits.bytes().all(|b| b.is_ascii_digit()) => {
@@ -51,8 +54,16 @@
         if host.is_empty() || port == 0 {
             return Err("URL without a host");
         }
-        let path = if path.is_empty() { "/".into() } else { path.into() };
-        Ok(Url { host: host.to_ascii_lowercase(), port, path })
+        let path = if path.is_empty() {
+            "/".into()
+        } else {
+            path.into()
+        };
+        Ok(Url {
+            host: host.to_ascii_lowercase(),
+            port,
+            path,
+        })
     }
 
     /// Whether both lead to the same host and port.
@@ -62,7 +73,11 @@
 
     /// What stands in the field `Host` of a request (RFC 9110, section 7.2).
     pub fn host_field(&self) -> String {
-        let host = if self.host.contains(':') { format!("[{}]", self.host) } else { self.host.clone() };
+        let host = if self.host.contains(':') {
+            format!("[{}]", self.host)
+        } else {
+            self.host.clone()
+        };
         if self.port == 443 {
             host
         } else {
--- a/certs/src/url/tests.rs
+++ b/certs/src/url/tests.rs
@@ -8,7 +8,10 @@
         ("ca.example", 14000, "/acme/order/1?x=1")
     );
     assert_eq!(good.host_field(), "ca.example:14000");
-    assert_eq!(Url::parse("https://[::1]:5/d").unwrap().host_field(), "[::1]:5");
+    assert_eq!(
+        Url::parse("https://[::1]:5/d").unwrap().host_field(),
+        "[::1]:5"
+    );
     assert!(Url::parse("https://ca.example")
         .unwrap()
         .same_place(&Url::parse("https://ca.example:443/x").unwrap()));
--- a/certs/src/wire.rs
+++ b/certs/src/wire.rs
@@ -158,17 +158,26 @@
 impl Problem {
     /// The type without the prefix of ACME's (section 6.7), `""` where it is of another kind.
     pub fn short(&self) -> &str {
-        self.kind.strip_prefix("urn:ietf:params:acme:error:").unwrap_or("")
+        self.kind
+            .strip_prefix("urn:ietf:params:acme:error:")
+            .unwrap_or("")
     }
 
     /// One line for log and operator: type, detail and subproblems, tamed.
     pub fn line(&self) -> String {
-        let kind = if self.short().is_empty() { &self.kind } else { self.short() };
+        let kind = if self.short().is_empty() {
+            &self.kind
+        } else {
+            self.short()
+        };
         let mut line = tame(&format!("{kind}: {}", self.detail), TEXT_MOST);
         for sub in self.subproblems.iter().take(3) {
             let name = sub.identifier.as_ref().map_or("", |i| i.value.as_str());
             let kind = sub.kind.rsplit(':').next().unwrap_or("");
-            line.push_str(&tame(&format!("; {name}: {kind}: {}", sub.detail), TEXT_MOST));
+            line.push_str(&tame(
+                &format!("; {name}: {kind}: {}", sub.detail),
+                TEXT_MOST,
+            ));
         }
         if self.subproblems.len() > 3 {
             line.push_str(&format!("; and {} more", self.subproblems.len() - 3));
@@ -199,14 +208,16 @@
 pub fn order(body: &[u8]) -> Result<Order, String> {
     let order: Order = read("order", body)?;
     let fits = order.authorizations.len() <= LIST_MOST;
-    fits.then_some(order).ok_or_else(|| format!("order: more than {LIST_MOST} authorizations"))
+    fits.then_some(order)
+        .ok_or_else(|| format!("order: more than {LIST_MOST} authorizations"))
 }
 
 /// Reads an authorization.
 pub fn authorization(body: &[u8]) -> Result<Authorization, String> {
     let found: Authorization = read("authorization", body)?;
     let fits = found.challenges.len() <= LIST_MOST;
-    fits.then_some(found).ok_or_else(|| format!("authorization: more than {LIST_MOST} challenges"))
+    fits.then_some(found)
+        .ok_or_else(|| format!("authorization: more than {LIST_MOST} challenges"))
 }
 
 /// Reads a problem; what is none becomes one without a type.
@@ -230,10 +241,16 @@
     }
     let info: Info = read("renewal information", body)?;
     let moment = |text: &str| {
-        let at = time::OffsetDateTime::parse(text, &Rfc3339).ok().map(|t| t.unix_timestamp());
-        at.and_then(|s| u64::try_from(s).ok()).ok_or("renewal information: no moment")
+        let at = time::OffsetDateTime::parse(text, &Rfc3339)
+            .ok()
+            .map(|t| t.unix_timestamp());
+        at.and_then(|s| u64::try_from(s).ok())
+            .ok_or("renewal information: no moment")
+    };
+    let window = Window {
+        start: moment(&info.window.start)?,
+        end: moment(&info.window.end)?,
     };
-    let window = Window { start: moment(&info.window.start)?, end: moment(&info.window.end)? };
     (window.start < window.end)
         .then_some(window)
         .ok_or("renewal information: it ends before it starts".into())
--- a/certs/src/wire/tests.rs
+++ b/certs/src/wire/tests.rs
@@ -2,12 +2,19 @@
 
 #[test]
 fn problems_are_told_in_one_tame_line() {
-    let text = br#"{"type":"urn:ietf:params:acme:error:compound","detail":"a\nb\u001b[31m","status":400,
+    let text =
+        br#"{"type":"urn:ietf:params:acme:error:compound","detail":"a\nb\u001b[31m","status":400,
             "subproblems":[{"type":"urn:ietf:params:acme:error:caa","detail":"no","identifier":
             {"type":"dns","value":"x.example"}},{},{},{}]}"#;
     let found = problem(text);
     assert_eq!(found.short(), "compound");
-    assert!(found.line().starts_with("compound: a b [31m; x.example: caa: no"), "{}", found.line());
+    assert!(
+        found
+            .line()
+            .starts_with("compound: a b [31m; x.example: caa: no"),
+        "{}",
+        found.line()
+    );
     assert!(found.line().ends_with("; and 1 more"));
     assert_eq!(problem(b"<html>"), Problem::default());
 }
@@ -15,7 +22,9 @@
 #[test]
 fn windows_are_read_and_those_that_are_none_are_not() {
     let info = |start: &str, end: &str| {
-        renewal_info(format!(r#"{{"suggestedWindow":{{"start":"{start}","end":"{end}"}}}}"#).as_bytes())
+        renewal_info(
+            format!(r#"{{"suggestedWindow":{{"start":"{start}","end":"{end}"}}}}"#).as_bytes(),
+        )
     };
     let window = info("2026-01-02T04:00:00Z", "2026-01-03T04:00:00+01:00").unwrap();
     assert_eq!(window.end - window.start, 23 * 3600);
@@ -35,13 +44,23 @@
     for round in 0..30_000 {
         let mut bytes = texts[round % 3].to_vec();
         for _ in 0..1 + round % 4 {
-            rng = rng.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            rng = rng
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             let at = (rng >> 33) as usize % bytes.len();
             bytes[at] = (rng >> 20) as u8;
         }
         bytes.truncate(bytes.len() - round % 5);
-        let _ = (order(&bytes), authorization(&bytes), directory(&bytes), problem(&bytes).line());
+        let _ = (
+            order(&bytes),
+            authorization(&bytes),
+            directory(&bytes),
+            problem(&bytes).line(),
+        );
     }
-    let many = format!(r#"{{"status":"pending","authorizations":[{}"x"]}}"#, "\"x\",".repeat(LIST_MOST));
+    let many = format!(
+        r#"{{"status":"pending","authorizations":[{}"x"]}}"#,
+        "\"x\",".repeat(LIST_MOST)
+    );
     assert!(order(many.as_bytes()).is_err());
 }
--- a/certs/tests/common/mod.rs
+++ b/certs/tests/common/mod.rs
@@ -45,7 +45,11 @@
 
     /// Power is lost: what was not synced is gone or torn.
     pub fn lose_power(&mut self) {
-        self.live = self.kept.iter().map(|(n, b)| (n.clone(), (b.clone(), true))).collect();
+        self.live = self
+            .kept
+            .iter()
+            .map(|(n, b)| (n.clone(), (b.clone(), true)))
+            .collect();
         self.kill_at = None;
     }
 
@@ -102,7 +106,11 @@
                 bytes[..bytes.len() / 2].to_vec()
             }
         };
-        self.kept = self.live.iter().map(|(n, f)| (n.clone(), torn(f))).collect();
+        self.kept = self
+            .live
+            .iter()
+            .map(|(n, f)| (n.clone(), torn(f)))
+            .collect();
         Ok(())
     }
 
@@ -121,7 +129,10 @@
 
 pub fn plan() -> Plan {
     Plan {
-        rule: Rule { renew_percent: 67, jitter_percent: 5 },
+        rule: Rule {
+            renew_percent: 67,
+            jitter_percent: 5,
+        },
         warn_percent: 85,
         orders_most: 20,
         window: 3 * HOUR * SECOND,
@@ -131,7 +142,11 @@
 
 pub fn ranked(me: &str, fronts: &[&str]) -> Ranked {
     let fronts = fronts.iter().map(|f| f.to_string()).collect();
-    Ranked { me: me.into(), fronts, takeover: HOUR * SECOND }
+    Ranked {
+        me: me.into(),
+        fronts,
+        takeover: HOUR * SECOND,
+    }
 }
 
 /// The authority, seen from all fronts of a test.
@@ -167,7 +182,10 @@
 const LOCAL: Micros = 1_000;
 
 pub fn authority() -> Shared<Authority> {
-    Rc::new(RefCell::new(Authority::new("https://ca.example".into(), 42)))
+    Rc::new(RefCell::new(Authority::new(
+        "https://ca.example".into(),
+        42,
+    )))
 }
 
 pub fn disk() -> Shared<Disk> {
@@ -175,7 +193,11 @@
 }
 
 impl World {
-    pub fn new(authority: &Shared<Authority>, disk: Option<&Shared<Disk>>, names: &[&[&str]]) -> World {
+    pub fn new(
+        authority: &Shared<Authority>,
+        disk: Option<&Shared<Disk>>,
+        names: &[&[&str]],
+    ) -> World {
         Self::front("n1", &["n1"], authority, disk, names)
     }
 
@@ -186,8 +208,10 @@
         disk: Option<&Shared<Disk>>,
         names: &[&[&str]],
     ) -> World {
-        let names: Vec<Vec<String>> =
-            names.iter().map(|n| n.iter().map(|n| n.to_string()).collect()).collect();
+        let names: Vec<Vec<String>> = names
+            .iter()
+            .map(|n| n.iter().map(|n| n.to_string()).collect())
+            .collect();
         let settings = Settings {
             directory_url: authority.borrow().directory(),
             contacts: vec!["mailto:ops@example.org".into()],
@@ -226,7 +250,11 @@
         let turns = || Box::new(ranked(&self.me.0, &fronts));
         let mut client = Client::new(Some(self.settings.clone()), self.plan, turns());
         let mut out = Vec::new();
-        client.handle(self.moment(), Event::Configure(self.plan, turns(), self.names.clone()), &mut out);
+        client.handle(
+            self.moment(),
+            Event::Configure(self.plan, turns(), self.names.clone()),
+            &mut out,
+        );
         let loaded = match &self.disk {
             Some(disk) => disk::load(&mut *disk.borrow_mut()).unwrap(),
             None => disk::Loaded::default(),
@@ -255,7 +283,10 @@
     }
 
     pub fn moment(&self) -> Moment {
-        Moment { now: self.now, wall: self.true_wall().saturating_add_signed(self.off) }
+        Moment {
+            now: self.now,
+            wall: self.true_wall().saturating_add_signed(self.off),
+        }
     }
 
     pub fn tell(&mut self, event: Event) {
@@ -301,7 +332,10 @@
                 }
                 Action::Withdraw(challenge) => self.shown.retain(|c| *c != challenge),
                 Action::Reread(task, id) => {
-                    let found = self.disk.as_ref().and_then(|d| disk::reread(&mut *d.borrow_mut(), &id));
+                    let found = self
+                        .disk
+                        .as_ref()
+                        .and_then(|d| disk::reread(&mut *d.borrow_mut(), &id));
                     self.later(LOCAL, Event::Reread(task, found.map(Box::new)));
                 }
                 Action::Serve(id, all, fresh) => {
@@ -320,7 +354,14 @@
     fn ask(&mut self, ask: &cranesill_certs::Ask) -> Result<Answer, String> {
         assert_eq!(ask.url.host, "ca.example", "nothing may be sent elsewhere");
         let mut authority = self.authority.borrow_mut();
-        let first = ask.url.path.trim_matches('/').split('/').next().unwrap_or("").to_string();
+        let first = ask
+            .url
+            .path
+            .trim_matches('/')
+            .split('/')
+            .next()
+            .unwrap_or("")
+            .to_string();
         *self.asked.entry(first).or_default() += 1;
         if authority.faults.vanished {
             return Err("connection refused".into());
@@ -330,7 +371,12 @@
             Method::Head => "HEAD",
             Method::Post => "POST",
         };
-        let body = ask.sign.as_ref().map(|s| s.body().unwrap()).unwrap_or_default().into_bytes();
+        let body = ask
+            .sign
+            .as_ref()
+            .map(|s| s.body().unwrap())
+            .unwrap_or_default()
+            .into_bytes();
         let request = Request {
             method: method.into(),
             path: ask.url.path.clone(),
@@ -341,12 +387,25 @@
         let answer = authority.handle(wall, &request);
         for check in authority.checks() {
             let shown = self.shown.iter().any(|c| {
-                c.name == check.name && c.token == check.token && c.authorization == check.authorization
+                c.name == check.name
+                    && c.token == check.token
+                    && c.authorization == check.authorization
             });
-            authority.checked(&check, if shown { Ok(()) } else { Err("nothing is shown".into()) });
+            authority.checked(
+                &check,
+                if shown {
+                    Ok(())
+                } else {
+                    Err("nothing is shown".into())
+                },
+            );
         }
         let field = |name: &str| {
-            answer.fields.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.clone())
+            answer
+                .fields
+                .iter()
+                .find(|(n, _)| n.eq_ignore_ascii_case(name))
+                .map(|(_, v)| v.clone())
         };
         Ok(Answer {
             status: answer.status,
@@ -373,7 +432,11 @@
             }
             let tick = self.client.next(self.moment()).max(self.now);
             assert!(tick > self.now || !ticked, "the client would spin");
-            let event = self.events.iter().enumerate().min_by_key(|(_, (at, n, _))| (*at, *n));
+            let event = self
+                .events
+                .iter()
+                .enumerate()
+                .min_by_key(|(_, (at, n, _))| (*at, *n));
             let next = event.map_or(tick, |(_, (at, ..))| tick.min(*at));
             if next > until {
                 self.now = until;
@@ -392,16 +455,37 @@
     /// Whether something that holds by the true clock is served for a name.
     pub fn good(&self, name: &str) -> bool {
         let wall = self.true_wall();
-        self.served.values().flatten().any(|i| i.covers(name) && i.holds(wall))
+        self.served
+            .values()
+            .flatten()
+            .any(|i| i.covers(name) && i.holds(wall))
     }
 
     pub fn loud(&self, kind: &str) -> usize {
-        self.notes.iter().filter(|(_, n)| n.kind == kind && n.loud >= Loud::Warn).count()
+        self.notes
+            .iter()
+            .filter(|(_, n)| n.kind == kind && n.loud >= Loud::Warn)
+            .count()
     }
 
     pub fn story(&self) -> String {
-        let line =
-            |(at, n): &(u64, Note)| format!("{} {:?} {} {}: {}", at - START, n.loud, n.kind, n.name, n.text);
-        self.notes.iter().rev().take(25).rev().map(line).collect::<Vec<_>>().join("\n")
+        let line = |(at, n): &(u64, Note)| {
+            format!(
+                "{} {:?} {} {}: {}",
+                at - START,
+                n.loud,
+                n.kind,
+                n.name,
+                n.text
+            )
+        };
+        self.notes
+            .iter()
+            .rev()
+            .take(25)
+            .rev()
+            .map(line)
+            .collect::<Vec<_>>()
+            .join("\n")
     }
 }
--- a/certs/tests/hard_cases.rs
+++ b/certs/tests/hard_cases.rs
@@ -11,7 +11,11 @@
     for lifetime in [90 * DAY, 6 * DAY] {
         let (ca, disk) = (authority(), disk());
         ca.borrow_mut().lifetime = lifetime;
-        let mut world = World::new(&ca, Some(&disk), &[&["a.example", "b.example"], &["c.example"]]);
+        let mut world = World::new(
+            &ca,
+            Some(&disk),
+            &[&["a.example", "b.example"], &["c.example"]],
+        );
         world.run(120);
         assert!(
             world.good("a.example") && world.good("b.example") && world.good("c.example"),
@@ -20,12 +24,21 @@
         );
         for _ in 0..365 {
             world.run(DAY);
-            assert!(world.good("b.example") && world.good("c.example"), "{}", world.story());
+            assert!(
+                world.good("b.example") && world.good("c.example"),
+                "{}",
+                world.story()
+            );
         }
         let made = ca.borrow().orders();
         let wanted = 2 * (365 * DAY).div_ceil(lifetime * 62 / 100) as usize;
         assert!(made <= wanted + 4, "{made} orders where {wanted} do");
-        assert_eq!(world.loud("expiring") + world.loud("expired"), 0, "{}", world.story());
+        assert_eq!(
+            world.loud("expiring") + world.loud("expired"),
+            0,
+            "{}",
+            world.story()
+        );
     }
 }
 
@@ -37,11 +50,25 @@
     ca.borrow_mut().faults.vanished = true;
     world.asked.clear();
     world.run(89 * DAY);
-    assert!(world.loud("expiring") > 10 && world.loud("expired") == 0, "{}", world.story());
+    assert!(
+        world.loud("expiring") > 10 && world.loud("expired") == 0,
+        "{}",
+        world.story()
+    );
     world.run(2 * DAY);
-    let errors = world.notes.iter().filter(|(_, n)| n.kind == "expired" && n.loud == Loud::Error).count();
-    assert!((1_300..=1_500).contains(&errors), "{errors}: one each minute since it expired");
-    assert!(!world.served["a.example"].is_empty(), "the old one is still there to be served");
+    let errors = world
+        .notes
+        .iter()
+        .filter(|(_, n)| n.kind == "expired" && n.loud == Loud::Error)
+        .count();
+    assert!(
+        (1_300..=1_500).contains(&errors),
+        "{errors}: one each minute since it expired"
+    );
+    assert!(
+        !world.served["a.example"].is_empty(),
+        "the old one is still there to be served"
+    );
     let asked: usize = world.asked.values().sum();
     assert!(asked < 31 * 24 * 3, "{:?}: the pauses grow", world.asked);
     ca.borrow_mut().faults.vanished = false;
@@ -61,13 +88,22 @@
     // Past renewal: it is renewed, and once.
     world.off = 70 * DAY as i64;
     world.run(600);
-    assert_ne!(world.served["a.example"][0].serial, first, "{}", world.story());
+    assert_ne!(
+        world.served["a.example"][0].serial,
+        first,
+        "{}",
+        world.story()
+    );
     assert!(ca.borrow().orders() <= 2);
     // Past expiry: what is issued seems to have ended already; asking again and again would mend nothing.
     world.off = 400 * DAY as i64;
     world.run(DAY);
     assert!(ca.borrow().orders() < 12, "{}", ca.borrow().orders());
-    assert!(world.loud("clock") >= 1 && world.loud("expired") >= 60, "{}", world.story());
+    assert!(
+        world.loud("clock") >= 1 && world.loud("expired") >= 60,
+        "{}",
+        world.story()
+    );
     // Back, and an hour further.
     world.off = -(HOUR as i64);
     let before = ca.borrow().orders();
@@ -112,12 +148,19 @@
         world.run(120);
         world.restart();
         world.run(120);
-        assert!(world.good("a.example") && world.good("b.example"), "killed at {step}: {}", world.story());
+        assert!(
+            world.good("a.example") && world.good("b.example"),
+            "killed at {step}: {}",
+            world.story()
+        );
         // One more only if it was killed between the authority's answer and the write of its URL.
         let made = ca.borrow().orders();
         assert!(made <= 2, "killed at {step}: {made} orders");
         anew += made - 1;
-        assert!(!disk.borrow().names().iter().any(|n| n.ends_with(".order")), "killed at {step}");
+        assert!(
+            !disk.borrow().names().iter().any(|n| n.ends_with(".order")),
+            "killed at {step}"
+        );
         assert!(world.shown.is_empty());
     }
     assert!(anew <= 2, "{anew} made anew");
@@ -149,9 +192,16 @@
         world.restart();
         assert_eq!(world.served.contains_key("a.example"), had);
         world.run(120);
-        assert!(world.good("a.example"), "killed at {step}: {}", world.story());
+        assert!(
+            world.good("a.example"),
+            "killed at {step}: {}",
+            world.story()
+        );
     }
-    assert!(resumed > 5, "some were killed with an order under way: {resumed}");
+    assert!(
+        resumed > 5,
+        "some were killed with an order under way: {resumed}"
+    );
 }
 
 #[test]
@@ -179,27 +229,41 @@
 fn fronts_that_share_a_folder_renew_once_and_the_next_takes_over_when_the_first_is_gone() {
     let (ca, disk) = (authority(), disk());
     let fronts = ["n1", "n2", "n3"];
-    let mut all: Vec<_> =
-        fronts.iter().map(|me| World::front(me, &fronts, &ca, Some(&disk), &[&["a.example"]])).collect();
+    let mut all: Vec<_> = fronts
+        .iter()
+        .map(|me| World::front(me, &fronts, &ca, Some(&disk), &[&["a.example"]]))
+        .collect();
     let hour = |all: &mut Vec<World>, out: usize| {
         for _ in 0..60 {
-            all.iter_mut().enumerate().filter(|(i, _)| *i != out).for_each(|(_, w)| w.run(60));
+            all.iter_mut()
+                .enumerate()
+                .filter(|(i, _)| *i != out)
+                .for_each(|(_, w)| w.run(60));
         }
     };
     hour(&mut all, 9);
     assert_eq!(ca.borrow().orders(), 1, "the others find it in the folder");
     assert!(all.iter().all(|w| w.good("a.example")));
-    let first = all.iter().position(|w| w.notes.iter().any(|(_, n)| n.kind == "issued")).unwrap();
+    let first = all
+        .iter()
+        .position(|w| w.notes.iter().any(|(_, n)| n.kind == "issued"))
+        .unwrap();
     (0..80 * 24).for_each(|_| hour(&mut all, first));
     assert_eq!(ca.borrow().orders(), 2, "another took over, and one alone");
-    assert!(all.iter().enumerate().all(|(i, w)| i == first || w.good("a.example")));
+    assert!(all
+        .iter()
+        .enumerate()
+        .all(|(i, w)| i == first || w.good("a.example")));
 }
 
 #[test]
 fn a_name_refused_for_ever_holds_up_no_other() {
     let ca = authority();
     ca.borrow_mut().faults.refuse.insert("bad.example".into());
-    ca.borrow_mut().faults.unprovable.insert("ugly.example".into());
+    ca.borrow_mut()
+        .faults
+        .unprovable
+        .insert("ugly.example".into());
     let names: [&[&str]; 4] = [
         &["bad.example"],
         &["good.example", "bad.example"],
@@ -207,7 +271,11 @@
         &["c.example"],
     ];
     let names = names.map(|n| n.to_vec());
-    let mut world = World::new(&ca, Some(&disk()), &names.iter().map(Vec::as_slice).collect::<Vec<_>>()[..1]);
+    let mut world = World::new(
+        &ca,
+        Some(&disk()),
+        &names.iter().map(Vec::as_slice).collect::<Vec<_>>()[..1],
+    );
     assert!(world.run_while(600, |w| w.loud("refused") == 0));
     let mut world = World::new(
         &ca,
@@ -227,7 +295,10 @@
     let early = ca.borrow().orders();
     world.run(30 * DAY);
     let later = ca.borrow().orders();
-    assert!(later - early < 30 * 5, "{early} {later}: refused names are asked for once a day at most");
+    assert!(
+        later - early < 30 * 5,
+        "{early} {later}: refused names are asked for once a day at most"
+    );
     // What was refused is there soon after it is allowed.
     ca.borrow_mut().faults.refuse.clear();
     ca.borrow_mut().faults.unprovable.clear();
@@ -245,7 +316,11 @@
     ca.borrow_mut().faults.refuse.insert("b.example".into());
     for _ in 0..89 {
         world.run(DAY);
-        assert!(world.good("a.example") && world.good("b.example"), "{}", world.story());
+        assert!(
+            world.good("a.example") && world.good("b.example"),
+            "{}",
+            world.story()
+        );
     }
     // The old one has ended by now; a.example goes on.
     world.run(5 * DAY);
@@ -259,7 +334,11 @@
     world.run(120);
     ca.borrow_mut().forget_accounts();
     world.run(75 * DAY);
-    assert!(world.good("a.example") && world.loud("account-unknown") == 1, "{}", world.story());
+    assert!(
+        world.good("a.example") && world.loud("account-unknown") == 1,
+        "{}",
+        world.story()
+    );
     assert_eq!(world.served["a.example"].len(), 1);
 }
 
@@ -269,14 +348,22 @@
     ca.borrow_mut().faults.bad_nonces = 4;
     let mut world = World::new(&ca, Some(&disk()), &[&["a.example"]]);
     world.run(120);
-    assert!(world.good("a.example") && world.loud("account") == 0, "{}", world.story());
+    assert!(
+        world.good("a.example") && world.loud("account") == 0,
+        "{}",
+        world.story()
+    );
     // Without end they are a failure like others.
     ca.borrow_mut().faults.bad_nonces = u32::MAX;
     world.asked.clear();
     world.tell(Event::Renew(1, "a.example".into()));
     world.run(HOUR);
     assert!(world.good("a.example"));
-    assert!(world.asked.values().sum::<usize>() < 400, "{:?}", world.asked);
+    assert!(
+        world.asked.values().sum::<usize>() < 400,
+        "{:?}",
+        world.asked
+    );
 }
 
 #[test]
@@ -284,14 +371,22 @@
     type Fault = fn(&mut cranesill_standins::acme::Faults);
     let faults: [(&str, Fault); 9] = [
         ("down", |f| f.down = true),
-        ("down for an hour, it says", |f| (f.down, f.retry_after) = (true, Some(3_600))),
-        ("limited", |f| (f.orders_left, f.retry_after) = (Some(0), Some(7_200))),
+        ("down for an hour, it says", |f| {
+            (f.down, f.retry_after) = (true, Some(3_600))
+        }),
+        ("limited", |f| {
+            (f.orders_left, f.retry_after) = (Some(0), Some(7_200))
+        }),
         ("stuck", |f| f.stuck = true),
         ("loses orders", |f| f.lose_orders = true),
-        ("another key", |f| f.wrong_chain = Some(WrongChain::OtherKey)),
+        ("another key", |f| {
+            f.wrong_chain = Some(WrongChain::OtherKey)
+        }),
         ("expired", |f| f.wrong_chain = Some(WrongChain::Expired)),
         ("malformed", |f| f.malformed = true),
-        ("elsewhere", |f| f.elsewhere = Some("https://evil.example".into())),
+        ("elsewhere", |f| {
+            f.elsewhere = Some("https://evil.example".into())
+        }),
     ];
     for (what, fault) in faults {
         let ca = authority();
@@ -306,7 +401,11 @@
         assert_eq!(world.served["a.example"][0].serial, serial, "{what}");
         let asked: usize = world.asked.values().sum();
         assert!(asked < 1_500, "{what}: {asked} requests in five days");
-        let loud = world.notes.iter().filter(|(_, n)| n.loud >= Loud::Warn).count();
+        let loud = world
+            .notes
+            .iter()
+            .filter(|(_, n)| n.loud >= Loud::Warn)
+            .count();
         assert!(loud > 0, "{what}: it is told");
         ca.borrow_mut().faults = Default::default();
         assert!(
@@ -321,25 +420,46 @@
 fn an_order_stuck_in_processing_is_taken_up_again_and_not_made_anew() {
     let ca = authority();
     ca.borrow_mut().faults.stuck = true;
-    let mut world = World::new(&ca, Some(&disk()), &[&["a.example"], &["b.example"], &["c.example"]]);
+    let mut world = World::new(
+        &ca,
+        Some(&disk()),
+        &[&["a.example"], &["b.example"], &["c.example"]],
+    );
     world.run(4 * HOUR);
-    assert_eq!(ca.borrow().orders(), 3, "each once, and none holds up another");
+    assert_eq!(
+        ca.borrow().orders(),
+        3,
+        "each once, and none holds up another"
+    );
     world.restart();
     ca.borrow_mut().faults.stuck = false;
     world.run(2 * HOUR);
-    assert!(["a.example", "b.example", "c.example"].iter().all(|n| world.good(n)), "{}", world.story());
+    assert!(
+        ["a.example", "b.example", "c.example"]
+            .iter()
+            .all(|n| world.good(n)),
+        "{}",
+        world.story()
+    );
     assert_eq!(ca.borrow().orders(), 3);
 }
 
 #[test]
 fn a_retry_after_is_heeded() {
     let ca = authority();
-    (ca.borrow_mut().faults.down, ca.borrow_mut().faults.retry_after) = (true, Some(5_000));
+    (
+        ca.borrow_mut().faults.down,
+        ca.borrow_mut().faults.retry_after,
+    ) = (true, Some(5_000));
     let mut world = World::new(&ca, Some(&disk()), &[&["a.example"]]);
     world.run(4_990);
     assert_eq!(world.asked["directory"], 1, "{}", world.story());
     ca.borrow_mut().faults = Default::default();
-    assert!(world.run_while(1_600, |w| !w.good("a.example")), "{}", world.story());
+    assert!(
+        world.run_while(1_600, |w| !w.good("a.example")),
+        "{}",
+        world.story()
+    );
 }
 
 #[test]
@@ -373,7 +493,11 @@
     disk.borrow_mut().full = true;
     let mut world = World::new(&ca, Some(&disk), &[&["a.example"]]);
     world.run(120);
-    assert!(world.good("a.example") && world.loud("not-kept") > 0, "{}", world.story());
+    assert!(
+        world.good("a.example") && world.loud("not-kept") > 0,
+        "{}",
+        world.story()
+    );
     disk.borrow_mut().full = false;
     world.tell(Event::Renew(1, "a.example".into()));
     world.run(120);
@@ -383,12 +507,18 @@
     other.run(120);
     let text = String::from_utf8(bundle.clone()).unwrap();
     let key = text.split("-----BEGIN CERT").next().unwrap();
-    let chain = other.served["a.example"][0].bundle().split_once("-----BEGIN CERT").unwrap().1.to_string();
+    let chain = other.served["a.example"][0]
+        .bundle()
+        .split_once("-----BEGIN CERT")
+        .unwrap()
+        .1
+        .to_string();
     let torn = &bundle[..bundle.len() / 2];
     let mixed = format!("{key}-----BEGIN CERT{chain}");
     for bad in [mixed.as_bytes(), torn, b"", b"\xff\xfe"] {
         disk.borrow_mut().put("a.example.pem", bad);
-        disk.borrow_mut().put("state.json", &bad[..bad.len().min(40)]);
+        disk.borrow_mut()
+            .put("state.json", &bad[..bad.len().min(40)]);
         world.restart();
         assert!(world.loud("file-unusable") > 0, "{}", world.story());
         world.run(4 * HOUR);
@@ -396,9 +526,17 @@
         world.notes.clear();
     }
     // What a newer version wrote is left alone.
-    disk.borrow_mut().put("state.json", br#"{"version": 99, "orders": 7}"#);
+    disk.borrow_mut()
+        .put("state.json", br#"{"version": 99, "orders": 7}"#);
     world.restart();
-    assert!(world.notes.iter().any(|(_, n)| n.text.contains("newer version")), "{}", world.story());
+    assert!(
+        world
+            .notes
+            .iter()
+            .any(|(_, n)| n.text.contains("newer version")),
+        "{}",
+        world.story()
+    );
 }
 
 #[test]
@@ -407,17 +545,29 @@
     disk.borrow_mut().full = true;
     let mut world = World::new(&ca, Some(&disk), &[&["a.example"]]);
     world.run(3 * HOUR);
-    assert!(world.good("a.example") && disk.borrow().get("a.example.pem").is_none(), "{}", world.story());
+    assert!(
+        world.good("a.example") && disk.borrow().get("a.example.pem").is_none(),
+        "{}",
+        world.story()
+    );
     let told = world.loud("not-kept");
     disk.borrow_mut().full = false;
     world.run(70);
     for file in ["a.example.pem", "account.json", "state.json"] {
-        assert!(disk.borrow().get(file).is_some(), "{file}: {}", world.story());
+        assert!(
+            disk.borrow().get(file).is_some(),
+            "{file}: {}",
+            world.story()
+        );
     }
     assert_eq!(world.loud("not-kept"), told, "it was told before");
     world.restart();
     world.run(HOUR);
-    assert!(world.good("a.example") && ca.borrow().orders() == 1, "{}", world.story());
+    assert!(
+        world.good("a.example") && ca.borrow().orders() == 1,
+        "{}",
+        world.story()
+    );
 }
 
 #[test]
@@ -431,13 +581,20 @@
     world.tell(Event::Import(1, Box::new(identity.clone())));
     assert!(world.replies.is_empty(), "nothing is durable yet");
     world.run(2);
-    let not_kept =
-        |reply: &Result<String, String>| reply.as_ref().is_err_and(|e| e.contains("could not be kept"));
+    let not_kept = |reply: &Result<String, String>| {
+        reply
+            .as_ref()
+            .is_err_and(|e| e.contains("could not be kept"))
+    };
     assert!(world.replies.iter().any(not_kept), "{:?}", world.replies);
     disk.borrow_mut().full = false;
     world.tell(Event::Import(2, Box::new(identity)));
     world.run(2);
-    assert!(world.replies.iter().any(|reply| reply.is_ok()), "{:?}", world.replies);
+    assert!(
+        world.replies.iter().any(|reply| reply.is_ok()),
+        "{:?}",
+        world.replies
+    );
 }
 
 #[test]
@@ -445,9 +602,16 @@
     let ca = authority();
     let mut world = World::new(&ca, None, &[&["a.example"]]);
     world.run(75 * DAY);
-    assert!(world.good("a.example") && ca.borrow().orders() == 2, "{}", world.story());
+    assert!(
+        world.good("a.example") && ca.borrow().orders() == 2,
+        "{}",
+        world.story()
+    );
     world.restart();
-    assert!(!world.good("a.example"), "what it costs: a restart begins from nothing");
+    assert!(
+        !world.good("a.example"),
+        "what it costs: a restart begins from nothing"
+    );
     world.run(120);
     assert!(world.good("a.example"));
 }
@@ -465,22 +629,42 @@
     world.run(120);
     assert!(world.replies.last().unwrap().is_ok(), "{:?}", world.replies);
     assert_eq!((ca.borrow().orders(), world.fresh_tickets), (3, 1));
-    assert_eq!(ca.borrow().issued().iter().filter(|(_, revoked)| *revoked).count(), 1);
+    assert_eq!(
+        ca.borrow()
+            .issued()
+            .iter()
+            .filter(|(_, revoked)| *revoked)
+            .count(),
+        1
+    );
     // Revoked behind our back: the window says so.
     ca.borrow_mut().window = Some((0, 1));
     world.run(7 * HOUR);
     let orders = ca.borrow().orders();
-    assert!((4..=5).contains(&orders), "at once, and not without end: {orders}");
+    assert!(
+        (4..=5).contains(&orders),
+        "at once, and not without end: {orders}"
+    );
 }
 
 #[test]
 fn an_external_account_is_bound_and_without_one_nothing_is_asked_in_vain() {
     let ca = authority();
-    ca.borrow_mut().external.insert("kid-7".into(), b"sixteen bytes ok".to_vec());
+    ca.borrow_mut()
+        .external
+        .insert("kid-7".into(), b"sixteen bytes ok".to_vec());
     let mut world = World::new(&ca, Some(&disk()), &[&["a.example"]]);
     world.run(DAY);
-    assert!(!world.good("a.example") && world.loud("account") > 0, "{}", world.story());
-    assert!(world.asked.values().sum::<usize>() < 30, "{:?}", world.asked);
+    assert!(
+        !world.good("a.example") && world.loud("account") > 0,
+        "{}",
+        world.story()
+    );
+    assert!(
+        world.asked.values().sum::<usize>() < 30,
+        "{:?}",
+        world.asked
+    );
     world.with(|s| s.external = Some(("kid-7".into(), b"wrong key".to_vec())));
     world.run(600);
     assert!(!world.good("a.example"));
@@ -509,7 +693,11 @@
         world.run(60);
         world.restart();
         world.run(75 * DAY);
-        assert!(world.good("a.example") && ca.borrow().orders() == 2, "killed at {step}: {}", world.story());
+        assert!(
+            world.good("a.example") && ca.borrow().orders() == 2,
+            "killed at {step}: {}",
+            world.story()
+        );
     }
 }
 
@@ -541,9 +729,17 @@
     let mut world = World::new(&ca, Some(&disk()), &[&["a.example"], &["b.example"]]);
     world.run(120);
     let wanted = vec![vec!["a.example".to_string(), "c.example".to_string()]];
-    world.tell(Event::Configure(plan(), Box::new(ranked("n1", &["n1"])), wanted));
+    world.tell(Event::Configure(
+        plan(),
+        Box::new(ranked("n1", &["n1"])),
+        wanted,
+    ));
     assert!(world.served["b.example"].is_empty() && world.good("a.example"));
     world.run(120);
-    assert!(world.good("c.example") && ca.borrow().orders() == 3, "{}", world.story());
+    assert!(
+        world.good("c.example") && ca.borrow().orders() == 3,
+        "{}",
+        world.story()
+    );
     let _ = (Rc::strong_count(&ca), SECOND);
 }
--- a/daemon/src/check.rs
+++ b/daemon/src/check.rs
@@ -31,7 +31,12 @@
 
 /// Reads a settings file. All faults that can be found are, in the order of their paths.
 pub fn read(text: &[u8]) -> Result<Daemon, Vec<Fault>> {
-    let whole = |what: String| vec![Fault { path: "$".into(), what }];
+    let whole = |what: String| {
+        vec![Fault {
+            path: "$".into(),
+            what,
+        }]
+    };
     if text.len() > FILE_MOST {
         return Err(whole(format!("more than {FILE_MOST} bytes")));
     }
@@ -40,7 +45,10 @@
     let mut faults: Vec<_> = schema
         .iter_errors(&value)
         .take(FAULTS_MOST)
-        .map(|e| Fault { path: dotted(&e.instance_path().to_string()), what: e.to_string() })
+        .map(|e| Fault {
+            path: dotted(&e.instance_path().to_string()),
+            what: e.to_string(),
+        })
         .collect();
     let certs: Option<Certs> = section(&value, "certs");
     if let Some(tls) = section::<Tls>(&value, "tls") {
@@ -68,21 +76,29 @@
 
 /// A section that can be read by itself; one that can't has its faults told by the schema.
 fn section<T: DeserializeOwned>(value: &Value, name: &str) -> Option<T> {
-    value.get(name).and_then(|v| serde_json::from_value(v.clone()).ok())
+    value
+        .get(name)
+        .and_then(|v| serde_json::from_value(v.clone()).ok())
 }
 
 /// `/certs/certificates/0` as `$.certs.certificates[0]`.
 fn dotted(pointer: &str) -> String {
-    let steps = pointer.split('/').skip(1).map(|step| match step.parse::<usize>() {
-        Ok(at) => format!("[{at}]"),
-        Err(_) => format!(".{}", step.replace("~1", "/").replace("~0", "~")),
-    });
+    let steps = pointer
+        .split('/')
+        .skip(1)
+        .map(|step| match step.parse::<usize>() {
+            Ok(at) => format!("[{at}]"),
+            Err(_) => format!(".{}", step.replace("~1", "/").replace("~0", "~")),
+        });
     std::iter::once("$".to_string()).chain(steps).collect()
 }
 
 fn address(text: &str, path: &str, faults: &mut Vec<Fault>) {
     if text.parse::<SocketAddr>().is_err() {
-        faults.push(Fault { path: path.into(), what: format!("no address and port: {text}") });
+        faults.push(Fault {
+            path: path.into(),
+            what: format!("no address and port: {text}"),
+        });
     }
 }
 
@@ -106,21 +122,36 @@
     if let Some(authority) = &certs.authority {
         let url = &authority.directory_url;
         if !url.starts_with("https://") || url.len() <= "https://".len() {
-            fault("$.certs.authority.directory_url".into(), format!("not https: {url}"));
+            fault(
+                "$.certs.authority.directory_url".into(),
+                format!("not https: {url}"),
+            );
         }
         for (i, contact) in authority.contacts.iter().enumerate() {
             if !contact.starts_with("mailto:") {
-                fault(format!("$.certs.authority.contacts[{i}]"), "does not begin with mailto:".into());
+                fault(
+                    format!("$.certs.authority.contacts[{i}]"),
+                    "does not begin with mailto:".into(),
+                );
             }
         }
         if !authority.terms_agreed {
-            fault("$.certs.authority.terms_agreed".into(), "no account is made without it".into());
+            fault(
+                "$.certs.authority.terms_agreed".into(),
+                "no account is made without it".into(),
+            );
         }
         if authority.challenge == Challenge::Http && certs.http_listen.is_none() {
-            fault("$.certs.http_listen".into(), "missing, and the challenge is http-01".into());
+            fault(
+                "$.certs.http_listen".into(),
+                "missing, and the challenge is http-01".into(),
+            );
         }
         if authority.challenge == Challenge::TlsAlpn && !tls {
-            fault("$.tls".into(), "missing, and the challenge is tls-alpn-01".into());
+            fault(
+                "$.tls".into(),
+                "missing, and the challenge is tls-alpn-01".into(),
+            );
         }
     }
     if let Some(listen) = &certs.http_listen {
@@ -158,8 +189,12 @@
         return Err("a wildcard can't be shown by http-01 or tls-alpn-01");
     }
     let label = |l: &str| {
-        let fits = !l.is_empty() && l.len() <= LABEL_MOST && !l.starts_with('-') && !l.ends_with('-');
+        let fits =
+            !l.is_empty() && l.len() <= LABEL_MOST && !l.starts_with('-') && !l.ends_with('-');
         fits && l.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     };
-    name.split('.').all(label).then_some(()).ok_or("a label that no host has")
+    name.split('.')
+        .all(label)
+        .then_some(())
+        .ok_or("a label that no host has")
 }
--- a/daemon/src/diff.rs
+++ b/daemon/src/diff.rs
@@ -36,7 +36,10 @@
     let value = |d: &Daemon| serde_json::to_value(d).unwrap_or_default();
     let mut found = BTreeSet::new();
     walk(String::new(), &value(old), &value(new), &mut found);
-    let live = |path: &String| LIVE.iter().any(|l| path == l || path.starts_with(&format!("{l}.")));
+    let live = |path: &String| {
+        LIVE.iter()
+            .any(|l| path == l || path.starts_with(&format!("{l}.")))
+    };
     let (taken, restart) = found.into_iter().partition(live);
     Changes { taken, restart }
 }
@@ -45,8 +48,17 @@
     match (old, new) {
         (Value::Object(a), Value::Object(b)) => {
             for key in a.keys().chain(b.keys()) {
-                let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-                walk(path, a.get(key).unwrap_or(&Value::Null), b.get(key).unwrap_or(&Value::Null), found);
+                let path = if path.is_empty() {
+                    key.clone()
+                } else {
+                    format!("{path}.{key}")
+                };
+                walk(
+                    path,
+                    a.get(key).unwrap_or(&Value::Null),
+                    b.get(key).unwrap_or(&Value::Null),
+                    found,
+                );
             }
         }
         _ if old == new => {}
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -23,10 +23,13 @@
 
 /// Alternatives that are nothing but words become a list of words: a fault then names those that would do.
 fn plain(schema: &mut serde_json::Value) {
-    let words = schema.get("oneOf").and_then(|v| v.as_array()).and_then(|all| {
-        let word = |s: &serde_json::Value| s.get("const").cloned();
-        all.iter().map(word).collect::<Option<Vec<_>>>()
-    });
+    let words = schema
+        .get("oneOf")
+        .and_then(|v| v.as_array())
+        .and_then(|all| {
+            let word = |s: &serde_json::Value| s.get("const").cloned();
+            all.iter().map(word).collect::<Option<Vec<_>>>()
+        });
     match schema {
         serde_json::Value::Object(object) => {
             if let Some(words) = words {
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -1,14 +1,22 @@
 use super::*;
 
 fn paths(text: &str) -> Vec<String> {
-    read(text.as_bytes()).unwrap_err().into_iter().map(|f| f.to_string()).collect()
+    read(text.as_bytes())
+        .unwrap_err()
+        .into_iter()
+        .map(|f| f.to_string())
+        .collect()
 }
 
 #[test]
 fn the_schema_that_is_committed_is_the_one_of_the_types() {
     let committed: serde_json::Value =
         serde_json::from_str(include_str!("../../docs/daemon.schema.json")).unwrap();
-    assert_eq!(committed, schema(), "run: cranesill schema > docs/daemon.schema.json");
+    assert_eq!(
+        committed,
+        schema(),
+        "run: cranesill schema > docs/daemon.schema.json"
+    );
 }
 
 #[test]
@@ -26,7 +34,10 @@
                 "certs": {"certificates": [{"names": ["a.example", "-b.example"]}, {"names": []}],
                           "order_window_s": -1}}"#,
     );
-    assert!(told.iter().any(|line| line.contains(r#""warn""#)), "the words that would do: {told:#?}");
+    assert!(
+        told.iter().any(|line| line.contains(r#""warn""#)),
+        "the words that would do: {told:#?}"
+    );
     for path in [
         "$.log.level:",
         "$.log: ",
@@ -36,7 +47,10 @@
         "$.certs.certificates[1].names:",
         "$.certs.order_window_s:",
     ] {
-        assert!(told.iter().any(|line| line.starts_with(path)), "{path} in {told:#?}");
+        assert!(
+            told.iter().any(|line| line.starts_with(path)),
+            "{path} in {told:#?}"
+        );
     }
     // What a schema can't say is found where the section itself can be read.
     let told = paths(
@@ -52,7 +66,10 @@
         "$.certs.http_listen: missing",
         "$: ",
     ] {
-        assert!(told.iter().any(|line| line.starts_with(path)), "{path} in {told:#?}");
+        assert!(
+            told.iter().any(|line| line.starts_with(path)),
+            "{path} in {told:#?}"
+        );
     }
 }
 
@@ -61,14 +78,17 @@
     assert_eq!(paths("{\"log\": ").len(), 1);
     assert!(paths("{\"log\": ")[0].contains("line 1"));
     assert!(read(&[0xff, 0xfe]).is_err());
-    assert!(read(&vec![b' '; check::FILE_MOST + 1]).unwrap_err()[0].what.contains("more than"));
+    assert!(read(&vec![b' '; check::FILE_MOST + 1]).unwrap_err()[0]
+        .what
+        .contains("more than"));
     // Deep nesting must not take the stack.
     assert!(read("[".repeat(100_000).as_bytes()).is_err());
 }
 
 #[test]
 fn a_reload_tells_what_it_takes_over_and_what_needs_a_restart() {
-    let old = read(br#"{"control": {"path": "/run/a"}, "tls": {"listen": "127.0.0.1:1"}}"#).unwrap();
+    let old =
+        read(br#"{"control": {"path": "/run/a"}, "tls": {"listen": "127.0.0.1:1"}}"#).unwrap();
     let mut new = old.clone();
     assert_eq!(changes(&old, &new), Changes::default());
     new.log.level = Level::Debug;
--- a/emulator/src/cold.rs
+++ b/emulator/src/cold.rs
@@ -120,7 +120,11 @@
     fn settings(&self, number: u32, held: Held) -> Settings {
         let alone = held == Held::Alone;
         let routers = if alone { 1 } else { self.fronts };
-        let cold = SlowStartLimits { from: 0.15, warm_in: 15 * S, fall_multiple: 4.0 };
+        let cold = SlowStartLimits {
+            from: 0.15,
+            warm_in: 15 * S,
+            fall_multiple: 4.0,
+        };
         let class = Class {
             aim: S,
             aim_stretch: 2.0,
@@ -144,7 +148,10 @@
             joins: true,
             purge_done: 6 * S,
             cold_cache: cold,
-            cold_parent: SlowStartLimits { fall_multiple: 2.0, ..cold },
+            cold_parent: SlowStartLimits {
+                fall_multiple: 2.0,
+                ..cold
+            },
             overload_span: 1_500 * MS,
             connect_timeout: 400 * MS,
             max_attempts: 8,
@@ -172,16 +179,31 @@
             }
         };
         let caches = (0..u64::from(self.caches)).map(|n| entry(0x100 + n, CACHE, PLACES, started));
-        let above = (0..u64::from(parents)).map(|n| entry(0x10_000 + n, PARENT, PARENT_PLACES, started));
-        let list: Vec<_> = caches.chain(above).chain([entry(0x20_000, ORIGIN, 1.0, 0)]).collect();
+        let above =
+            (0..u64::from(parents)).map(|n| entry(0x10_000 + n, PARENT, PARENT_PLACES, started));
+        let list: Vec<_> = caches
+            .chain(above)
+            .chain([entry(0x20_000, ORIGIN, 1.0, 0)])
+            .collect();
         let node = |e: &EndpointEntry| {
             let (holds, sent) = (HashSet::new(), VecDeque::new());
-            (e.member.0, Node { parent: e.kind == PARENT, holds, inside: 0, sent, fallen: false })
+            (
+                e.member.0,
+                Node {
+                    parent: e.kind == PARENT,
+                    holds,
+                    inside: 0,
+                    sent,
+                    fallen: false,
+                },
+            )
         };
         let mut world = World {
             limits: self.settings(0, Held::Shares),
             nodes: list.iter().filter(|e| e.kind != ORIGIN).map(node).collect(),
-            routers: (0..self.fronts).map(|n| Router::new(self.settings(n, held), n.into())).collect(),
+            routers: (0..self.fronts)
+                .map(|n| Router::new(self.settings(n, held), n.into()))
+                .collect(),
             open: HashMap::new(),
             out: HashMap::new(),
             due: BinaryHeap::new(),
@@ -231,7 +253,9 @@
     fn run(&mut self) {
         while let Some(Reverse((at, key))) = self.due.pop() {
             self.now = at;
-            let Some(due) = self.what.remove(&key) else { continue };
+            let Some(due) = self.what.remove(&key) else {
+                continue;
+            };
             match due {
                 Due::Ask(front, object, first) => self.ask(front, object, first),
                 Due::Timer(front, token) => self.tell(front, Event::Timer(token)),
@@ -251,19 +275,45 @@
     fn ask(&mut self, front: u32, object: u64, first: bool) {
         self.requests += 1;
         let id = RequestId(self.requests);
-        self.open.insert((front, id), Open { at: self.now, object, first, sent: 0 });
+        self.open.insert(
+            (front, id),
+            Open {
+                at: self.now,
+                object,
+                first,
+                sent: 0,
+            },
+        );
         self.add(self.now + WAIT, Due::Over(front, id));
         let object = ObjectId(object);
         let (class, part, group, size_kb) = (0, 0, 0, WORK as f64 / 1e3);
-        self.tell(front, Event::Request(Request { id, class, object, part, group, size_kb, left: WAIT }));
+        self.tell(
+            front,
+            Event::Request(Request {
+                id,
+                class,
+                object,
+                part,
+                group,
+                size_kb,
+                left: WAIT,
+            }),
+        );
     }
 
     /// A request has its final answer; one that was not served is asked once more, elsewhere.
     fn close(&mut self, front: u32, id: RequestId, served: bool) {
-        let Some(open) = self.open.remove(&(front, id)) else { return };
+        let Some(open) = self.open.remove(&(front, id)) else {
+            return;
+        };
         let second = (open.at - BEGIN) / S;
-        let which = (second < 5).then_some(0).or((open.at + 5 * S >= self.until).then_some(1));
-        if let Some(count) = which.filter(|_| open.first).and_then(|which| self.asked.get_mut(which)) {
+        let which = (second < 5)
+            .then_some(0)
+            .or((open.at + 5 * S >= self.until).then_some(1));
+        if let Some(count) = which
+            .filter(|_| open.first)
+            .and_then(|which| self.asked.get_mut(which))
+        {
             count.0 += u64::from(served);
             count.1 += 1;
         }
@@ -278,9 +328,12 @@
         self.routers[front as usize].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, target, timeout, fill } => {
-                    self.send(front, request, target.0, timeout, fill)
-                }
+                Action::Send {
+                    request,
+                    target,
+                    timeout,
+                    fill,
+                } => self.send(front, request, target.0, timeout, fill),
                 Action::Cancel(id, number) => {
                     self.end(front, id, number, Status::Cancelled, FillNote::None, 0)
                 }
@@ -291,12 +344,25 @@
         }
     }
 
-    fn send(&mut self, front: u32, id: RequestId, target: u64, timeout: Micros, fill: Option<Fill>) {
-        let Some(open) = self.open.get_mut(&(front, id)) else { return };
+    fn send(
+        &mut self,
+        front: u32,
+        id: RequestId,
+        target: u64,
+        timeout: Micros,
+        fill: Option<Fill>,
+    ) {
+        let Some(open) = self.open.get_mut(&(front, id)) else {
+            return;
+        };
         let (number, object, over) = (open.sent, open.object, open.at + WAIT);
         open.sent += 1;
         self.attempts += 1;
-        let until = if timeout > 0 { over.min(self.now + timeout) } else { over };
+        let until = if timeout > 0 {
+            over.min(self.now + timeout)
+        } else {
+            over
+        };
         let (takes, status, note) = match self.arrives(target, object, fill) {
             Some(found) => found,
             None => {
@@ -313,24 +379,36 @@
     }
 
     /// What a node makes of a request; `None`: it is the origin.
-    fn arrives(&mut self, id: u64, object: u64, fill: Option<Fill>) -> Option<(Timestamp, Status, FillNote)> {
+    fn arrives(
+        &mut self,
+        id: u64,
+        object: u64,
+        fill: Option<Fill>,
+    ) -> Option<(Timestamp, Status, FillNote)> {
         let takes = self.bears(id)?;
-        let Some(takes) = takes else { return Some((REFUSED, Status::ConnectFailed, FillNote::None)) };
+        let Some(takes) = takes else {
+            return Some((REFUSED, Status::ConnectFailed, FillNote::None));
+        };
         if self.nodes[&id].holds.contains(&object) {
             return Some((takes, Status::Ok, FillNote::Hit));
         }
         let parent = self.nodes[&id].parent;
-        let hold = |world: &mut World, at: u64| world.nodes.get_mut(&at).map(|n| n.holds.insert(object));
+        let hold =
+            |world: &mut World, at: u64| world.nodes.get_mut(&at).map(|n| n.holds.insert(object));
         let fill = fill.filter(|fill| !fill.only_held);
         if parent {
             self.origin.push(self.now);
             hold(self, id);
             return Some((takes + ORIGIN_TAKES, Status::Ok, FillNote::Filled));
         }
-        let Some(fill) = fill else { return Some((REFUSED, Status::Miss, FillNote::None)) };
+        let Some(fill) = fill else {
+            return Some((REFUSED, Status::Miss, FillNote::None));
+        };
         let (more, note) = match self.bears(fill.source.0) {
             Some(None) => return Some((REFUSED, Status::Rejected, FillNote::SourceLost)),
-            Some(Some(_)) if self.nodes[&fill.source.0].holds.contains(&object) => (FILL, FillNote::Filled),
+            Some(Some(_)) if self.nodes[&fill.source.0].holds.contains(&object) => {
+                (FILL, FillNote::Filled)
+            }
             Some(Some(_)) => {
                 self.origin.push(self.now);
                 hold(self, fill.source.0);
@@ -363,7 +441,11 @@
         let age = ((now - BEGIN) as f64 / cold.warm_in as f64).min(1.0);
         let places = places * (cold.from + (1.0 - cold.from) * age);
         node.sent.push_back(now);
-        while node.sent.front().is_some_and(|at| at + limits.overload_span < now) {
+        while node
+            .sent
+            .front()
+            .is_some_and(|at| at + limits.overload_span < now)
+        {
             node.sent.pop_front();
         }
         let n = cold.fall_multiple * places * limits.overload_span as f64 / WORK as f64;
@@ -374,11 +456,23 @@
             return Some(None);
         }
         node.inside += 1;
-        Some(Some((WORK as f64 * (f64::from(node.inside) / places).max(1.0)) as Timestamp))
+        Some(Some(
+            (WORK as f64 * (f64::from(node.inside) / places).max(1.0)) as Timestamp,
+        ))
     }
 
-    fn end(&mut self, front: u32, id: RequestId, number: u16, status: Status, note: FillNote, _: u64) {
-        let Some((target, sent)) = self.out.remove(&(front, id, number)) else { return };
+    fn end(
+        &mut self,
+        front: u32,
+        id: RequestId,
+        number: u16,
+        status: Status,
+        note: FillNote,
+        _: u64,
+    ) {
+        let Some((target, sent)) = self.out.remove(&(front, id, number)) else {
+            return;
+        };
         if let Some(node) = self.nodes.get_mut(&target) {
             node.inside = node.inside.saturating_sub(1);
         }
@@ -388,7 +482,17 @@
         let closed = !self.open.contains_key(&(front, id));
         let latency = self.now - sent;
         let (request, attempt, along, waited, report) = (id, number, false, 0, None);
-        let outcome = Outcome { request, attempt, closed, status, along, note, waited, latency, report };
+        let outcome = Outcome {
+            request,
+            attempt,
+            closed,
+            status,
+            along,
+            note,
+            waited,
+            latency,
+            report,
+        };
         self.tell(front, Event::Outcome(outcome));
     }
 }
--- a/emulator/src/lists.rs
+++ b/emulator/src/lists.rs
@@ -81,7 +81,11 @@
 /// Calls of one front.
 enum Caller {
     Core(CallSchedule),
-    Doubling { wait: Timestamp, most: Timestamp, random: bool },
+    Doubling {
+        wait: Timestamp,
+        most: Timestamp,
+        random: bool,
+    },
 }
 
 const FIRST: Timestamp = S / 5;
@@ -100,7 +104,11 @@
             Caller::Core(calls) => calls.end_call(now, end),
             Caller::Doubling { wait, most, random } => {
                 *wait = (*wait * 2).clamp(FIRST, *most);
-                now + if *random { (*wait as f64 * rng.roll()) as Timestamp } else { *wait }
+                now + if *random {
+                    (*wait as f64 * rng.roll()) as Timestamp
+                } else {
+                    *wait
+                }
             }
         }
     }
@@ -128,17 +136,31 @@
         let n = self.fronts as usize;
         let mut fronts: Vec<_> = (0..n)
             .map(|front| {
-                let place = FleetPosition { number: front as u32, fronts: self.fronts };
+                let place = FleetPosition {
+                    number: front as u32,
+                    fronts: self.fronts,
+                };
                 let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(front as u64);
                 match way {
                     Way::NoBudget => Caller::Core(CallSchedule::new(0, place, seed, None)),
                     Way::Budget { per_s, most } => {
-                        let budget =
-                            CallBudget { calls_per_s: per_s.into(), max_wait: most, urgent_period: 0 };
+                        let budget = CallBudget {
+                            calls_per_s: per_s.into(),
+                            max_wait: most,
+                            urgent_period: 0,
+                        };
                         Caller::Core(CallSchedule::new(0, place, seed, Some(budget)))
                     }
-                    Way::Doubling { most } => Caller::Doubling { wait: 0, most, random: false },
-                    Way::DoublingAtRandom { most } => Caller::Doubling { wait: 0, most, random: true },
+                    Way::Doubling { most } => Caller::Doubling {
+                        wait: 0,
+                        most,
+                        random: false,
+                    },
+                    Way::DoublingAtRandom { most } => Caller::Doubling {
+                        wait: 0,
+                        most,
+                        random: true,
+                    },
                 }
             })
             .collect();
@@ -206,11 +228,17 @@
                 }
             }
         }
-        let failing: Vec<_> = calls.iter().copied().filter(|at| (4 * S..self.back).contains(at)).collect();
+        let failing: Vec<_> = calls
+            .iter()
+            .copied()
+            .filter(|at| (4 * S..self.back).contains(at))
+            .collect();
         let span = self.back.saturating_sub(4 * S) as f64 / S as f64;
         let after = |share: f64| {
             let place = ((n as f64 * share).ceil() as usize).clamp(1, n) - 1;
-            served.get(place).map(|at| (at - self.back) as f64 / S as f64)
+            served
+                .get(place)
+                .map(|at| (at - self.back) as f64 / S as f64)
         };
         Return {
             calls_a_second: failing.len() as f64 / span,
--- a/emulator/src/nodes.rs
+++ b/emulator/src/nodes.rs
@@ -51,20 +51,44 @@
                 }
             }
             Use::Ramp { per_s } => {
-                let position = FleetPosition { number: front, fronts };
+                let position = FleetPosition {
+                    number: front,
+                    fronts,
+                };
                 let mut ramp = SlowStart::new(position, per_s.into(), Timestamp::MAX);
-                let admission = Admission::Staggered(Group { kind: 0, near: true });
-                let list =
-                    (0..nodes).map(|node| ListedEndpoint { id: node, admission, entry: node }).collect();
-                ramp.update(0, true, list).into_iter().for_each(|node| at[node as usize].push(0));
+                let admission = Admission::Staggered(Group {
+                    kind: 0,
+                    near: true,
+                });
+                let list = (0..nodes)
+                    .map(|node| ListedEndpoint {
+                        id: node,
+                        admission,
+                        entry: node,
+                    })
+                    .collect();
+                ramp.update(0, true, list)
+                    .into_iter()
+                    .for_each(|node| at[node as usize].push(0));
                 while let Some(next) = ramp.next_deadline() {
-                    ramp.poll(next).into_iter().for_each(|node| at[node as usize].push(next));
+                    ramp.poll(next)
+                        .into_iter()
+                        .for_each(|node| at[node as usize].push(next));
                 }
             }
         }
     }
     at.iter_mut().for_each(|node| node.sort_unstable());
     let most = |window| at.iter().map(|node| worst(node, window)).max().unwrap_or(0);
-    let last = at.iter().filter_map(|node| node.last()).max().copied().unwrap_or(0);
-    Dials { worst_second: most(S), worst_100_ms: most(S / 10), all_s: last as f64 / S as f64 }
+    let last = at
+        .iter()
+        .filter_map(|node| node.last())
+        .max()
+        .copied()
+        .unwrap_or(0);
+    Dials {
+        worst_second: most(S),
+        worst_100_ms: most(S / 10),
+        all_s: last as f64 / S as f64,
+    }
 }
--- a/emulator/src/plot.rs
+++ b/emulator/src/plot.rs
@@ -7,9 +7,16 @@
 
 /// Draws lines on scales of powers of ten into an SVG file.
 pub fn draw(file: &Path, title: &str, unit: &str, lines: &[Line]) -> Result<(), String> {
-    let all = || lines.iter().flat_map(|(_, points)| points.iter().copied()).filter(|p| p.1 > 0.0);
+    let all = || {
+        lines
+            .iter()
+            .flat_map(|(_, points)| points.iter().copied())
+            .filter(|p| p.1 > 0.0)
+    };
     let span = |of: fn(&(f64, f64)) -> f64| {
-        let (least, most) = all().map(|p| of(&p)).fold((f64::MAX, 0f64), |(l, m), v| (l.min(v), m.max(v)));
+        let (least, most) = all()
+            .map(|p| of(&p))
+            .fold((f64::MAX, 0f64), |(l, m), v| (l.min(v), m.max(v)));
         (least * 0.8, most * 1.3)
     };
     if all().next().is_none() {
@@ -27,7 +34,10 @@
         .build_cartesian_2d((x0..x1).log_scale(), (y0..y1).log_scale())
         .map_err(|e| failed(&e))?;
     let mut mesh = chart.configure_mesh();
-    mesh.x_desc("fronts").y_desc(unit).draw().map_err(|e| failed(&e))?;
+    mesh.x_desc("fronts")
+        .y_desc(unit)
+        .draw()
+        .map_err(|e| failed(&e))?;
     for (place, (name, points)) in lines.iter().enumerate() {
         let color = Palette99::pick(place).to_rgba();
         let points: Vec<_> = points.iter().copied().filter(|p| p.1 > 0.0).collect();
@@ -38,6 +48,10 @@
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
     }
     let mut legend = chart.configure_series_labels();
-    legend.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(|e| failed(&e))?;
+    legend
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw()
+        .map_err(|e| failed(&e))?;
     root.present().map_err(|e| failed(&e))
 }
--- a/front/examples/measure-boxes.rs
+++ b/front/examples/measure-boxes.rs
@@ -24,7 +24,10 @@
     fn start(boxes: &[TaggedBox], main: &TaggedBox, purges: Value) -> Front {
         let folder = tempfile::tempdir().unwrap();
         let feed = TcpListener::bind("127.0.0.1:0").unwrap();
-        let listen = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let listen = TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         let mut config: Value = serde_json::from_str(include_str!("config.json")).unwrap();
         config["listen"] = listen.to_string().into();
         config["feed"] = feed.local_addr().unwrap().to_string().into();
@@ -50,21 +53,41 @@
             std::fs::write(&path, value.to_string()).unwrap();
             path
         };
-        let (config, settings) = (write("config.json", &config), write("daemon.json", &settings));
+        let (config, settings) = (
+            write("config.json", &config),
+            write("daemon.json", &settings),
+        );
         let exe = std::env::current_exe().unwrap();
-        let exe = exe.parent().and_then(|p| p.parent()).unwrap().join("cranesill");
+        let exe = exe
+            .parent()
+            .and_then(|p| p.parent())
+            .unwrap()
+            .join("cranesill");
         let mut command = Command::new(exe);
-        command.arg("serve").arg(&config).arg("--settings").arg(&settings).stderr(Stdio::null());
+        command
+            .arg("serve")
+            .arg(&config)
+            .arg("--settings")
+            .arg(&settings)
+            .stderr(Stdio::null());
         let child = command.spawn().unwrap();
         while !control.exists() {
             std::thread::yield_now();
         }
-        Front { child, control, listen, _folder: folder, _feed: feed }
+        Front {
+            child,
+            control,
+            listen,
+            _folder: folder,
+            _feed: feed,
+        }
     }
 
     fn ask(&self, word: &str, args: Value) -> Value {
         let mut socket = UnixStream::connect(&self.control).unwrap();
-        socket.write_all(format!("{}\n", json!({"word": word, "args": args})).as_bytes()).unwrap();
+        socket
+            .write_all(format!("{}\n", json!({"word": word, "args": args})).as_bytes())
+            .unwrap();
         let mut answer = String::new();
         BufReader::new(socket).read_line(&mut answer).unwrap();
         serde_json::from_str(&answer).unwrap()
@@ -80,12 +103,18 @@
 
 fn delays(count: usize) {
     let origin = Arc::new(Origin::default());
-    let boxes: Vec<_> = (0..count).map(|_| TaggedBox::start(Arc::clone(&origin), true).unwrap()).collect();
+    let boxes: Vec<_> = (0..count)
+        .map(|_| TaggedBox::start(Arc::clone(&origin), true).unwrap())
+        .collect();
     let main = TaggedBox::main(Arc::clone(&origin)).unwrap();
     let on = json!({"kinds": ["small-box"], "connections_most": count, "per_s": 1_000_000});
     let front = Front::start(&boxes, &main, json!({"boxes": on}));
-    let wait =
-        |n: u64| front.ask("purge", json!({"tag": format!("t{n}"), "id": n.to_string(), "wait_s": 60}));
+    let wait = |n: u64| {
+        front.ask(
+            "purge",
+            json!({"tag": format!("t{n}"), "id": n.to_string(), "wait_s": 60}),
+        )
+    };
     assert!(wait(0)["ok"].is_object());
     let rounds = if count > 500 { 30 } else { 100 };
     let mut spans: Vec<_> = (1..=rounds)
@@ -98,7 +127,12 @@
         .collect();
     spans.sort_unstable();
     let at = |share: f64| spans[((spans.len() - 1) as f64 * share) as usize];
-    println!("{count} boxes: p50 {} us, p99 {} us, max {} us", at(0.5), at(0.99), at(1.0));
+    println!(
+        "{count} boxes: p50 {} us, p99 {} us, max {} us",
+        at(0.5),
+        at(0.99),
+        at(1.0)
+    );
     if count == 10 {
         let begun = Instant::now();
         let threads: Vec<_> = (0..8)
@@ -110,7 +144,9 @@
                     for n in 0..500 {
                         let args = json!({"object": format!("{n:016x}"), "id": format!("{t}-{n}")});
                         socket
-                            .write_all(format!("{}\n", json!({"word": "purge", "args": args})).as_bytes())
+                            .write_all(
+                                format!("{}\n", json!({"word": "purge", "args": args})).as_bytes(),
+                            )
                             .unwrap();
                         answers.read_line(&mut String::new()).unwrap();
                     }
@@ -128,8 +164,17 @@
 /// One request; whether it was served.
 fn request(socket: &mut TcpStream, stream: u32, item: u64) -> Option<bool> {
     static LAST: AtomicU64 = AtomicU64::new(1);
-    let (txn, item) = (format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed)), format!("{item:016x}"));
-    let fields = [("verb", "page-bits"), ("txn", &txn), ("limit", "2400"), ("item", &item), ("group", "3")];
+    let (txn, item) = (
+        format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed)),
+        format!("{item:016x}"),
+    );
+    let fields = [
+        ("verb", "page-bits"),
+        ("txn", &txn),
+        ("limit", "2400"),
+        ("item", &item),
+        ("group", "3"),
+    ];
     let mut payload = vec![fields.len() as u8];
     for (name, value) in fields {
         payload.push(name.len() as u8);
@@ -137,7 +182,12 @@
         payload.extend((value.len() as u16).to_be_bytes());
         payload.extend(value.bytes());
     }
-    let head = [&(5 + payload.len() as u32).to_be_bytes()[..], &[10], &stream.to_be_bytes()].concat();
+    let head = [
+        &(5 + payload.len() as u32).to_be_bytes()[..],
+        &[10],
+        &stream.to_be_bytes(),
+    ]
+    .concat();
     socket.write_all(&[head, payload].concat()).ok()?;
     let mut length = [0; 4];
     socket.read_exact(&mut length).ok()?;
@@ -148,7 +198,9 @@
 
 fn everything(shield: Option<u32>) {
     let origin = Arc::new(Origin::default());
-    let boxes: Vec<_> = (0..6).map(|_| TaggedBox::start(Arc::clone(&origin), true).unwrap()).collect();
+    let boxes: Vec<_> = (0..6)
+        .map(|_| TaggedBox::start(Arc::clone(&origin), true).unwrap())
+        .collect();
     let main = TaggedBox::main(Arc::clone(&origin)).unwrap();
     let mut purges = json!({});
     if let Some(shield) = shield {
@@ -172,7 +224,10 @@
                 })
             })
             .collect();
-        threads.into_iter().map(|t| t.join().unwrap()).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
+        threads
+            .into_iter()
+            .map(|t| t.join().unwrap())
+            .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     };
     run(Duration::from_secs(2));
     let before = origin.fetches.load(Ordering::SeqCst);
--- a/front/examples/measure-cold.rs
+++ b/front/examples/measure-cold.rs
@@ -23,10 +23,18 @@
         let text = std::fs::read_to_string(file).unwrap_or_else(|e| panic!("{file}: {e}"));
         serde_json::from_str(&text).unwrap_or_else(|e| panic!("{file}: {e}"))
     });
-    let beside = std::env::current_exe().ok().and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
+    let beside = std::env::current_exe()
+        .ok()
+        .and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
     let binary: PathBuf = beside.expect("the program lies beside its examples");
-    let base: Value = serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
-    let shape = Shape { fronts, caches, parents: 2.max(caches / 30), sides: 0 };
+    let base: Value =
+        serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
+    let shape = Shape {
+        fronts,
+        caches,
+        parents: 2.max(caches / 30),
+        sides: 0,
+    };
     let mut stage = Stage::start(&binary, shape, &base, settings.as_ref(), 1);
     stage.asks.pause = Duration::from_millis(pause as u64);
     stage.asks.objects = 5_000;
@@ -50,8 +58,9 @@
     clients.end();
     let returned =
         windows(back, after).find(|at| level(&stage, *at, *at + WINDOW, |_| true) >= 0.95 * before);
-    let worst_live =
-        windows(end, after).map(|at| level(&stage, at, at + WINDOW, live)).fold(f64::MAX, f64::min);
+    let worst_live = windows(end, after)
+        .map(|at| level(&stage, at, at + WINDOW, live))
+        .fold(f64::MAX, f64::min);
     let found = json!({
         "fronts": fronts, "caches": caches, "settings": settings.map(|s| s["startup"].clone()),
         "first_served_s": quantiles(first),
@@ -69,12 +78,16 @@
 }
 
 fn windows(from: Duration, to: Duration) -> impl Iterator<Item = Duration> {
-    (0..).map(move |n| from + n * WINDOW).take_while(move |at| *at + WINDOW <= to)
+    (0..)
+        .map(move |n| from + n * WINDOW)
+        .take_while(move |at| *at + WINDOW <= to)
 }
 
 /// Requests served a second by these fronts.
 fn level(stage: &Stage, from: Duration, to: Duration, of: impl Fn(usize) -> bool) -> f64 {
-    let served = stage.history.moments(|seen| matches!(seen, Seen::Answered(front, _, 1) if of(*front)));
+    let served = stage
+        .history
+        .moments(|seen| matches!(seen, Seen::Answered(front, _, 1) if of(*front)));
     served.iter().filter(|at| (from..to).contains(at)).count() as f64 / (to - from).as_secs_f64()
 }
 
@@ -98,9 +111,14 @@
 fn dials(stage: &Stage, caches: usize, from: Duration, to: Duration) -> Value {
     let of = |place: usize, span: Duration| {
         let id = stage.nodes.all[place].0;
-        stage.history.most(from, to, span, |seen| *seen == Seen::Dialled(id)).0
+        stage
+            .history
+            .most(from, to, span, |seen| *seen == Seen::Dialled(id))
+            .0
     };
-    let total = stage.history.moments(|seen| matches!(seen, Seen::Dialled(_)));
+    let total = stage
+        .history
+        .moments(|seen| matches!(seen, Seen::Dialled(_)));
     json!({
         "worst_second": (0..caches).map(|place| of(place, S)).max(),
         "worst_100_ms": (0..caches).map(|place| of(place, S / 10)).max(),
--- a/front/examples/measure-daily.rs
+++ b/front/examples/measure-daily.rs
@@ -17,17 +17,31 @@
     let folder = format!("/proc/{}", process.front.id());
     let status = std::fs::read_to_string(format!("{folder}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    let kb = line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
-    (kb, std::fs::read_dir(format!("{folder}/fd")).map_or(0, Iterator::count))
+    let kb = line
+        .and_then(|l| l.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0);
+    (
+        kb,
+        std::fs::read_dir(format!("{folder}/fd")).map_or(0, Iterator::count),
+    )
 }
 
 fn main() {
     let stage = Stage::new(|_| {});
-    stage.caches.iter().chain([&stage.origin]).for_each(|member| drop(answering(member)));
+    stage
+        .caches
+        .iter()
+        .chain([&stage.origin])
+        .for_each(|member| drop(answering(member)));
     let platform = Held::new(&stage.config);
     let (mut old, mut ops) = platform.start();
     let (over, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
-    let clients = load(platform.listener.local_addr().unwrap(), &over, &failures, 32);
+    let clients = load(
+        platform.listener.local_addr().unwrap(),
+        &over,
+        &failures,
+        32,
+    );
     // Warm: connections are made and the members known.
     while figures(ops)["handled.page-bits.passed"] < 10_000 {}
     let before = figures(ops)["handled.page-bits.passed"];
@@ -42,10 +56,18 @@
             .collect();
         took.sort_unstable();
         let of = |share: usize| took[(CALLS * share / 100).min(CALLS - 1)];
-        println!("{word}: p50 {} us, p99 {} us, max {} us", of(50), of(99), of(100));
+        println!(
+            "{word}: p50 {} us, p99 {} us, max {} us",
+            of(50),
+            of(99),
+            of(100)
+        );
     }
     let served = figures(ops)["handled.page-bits.passed"] - before;
-    println!("beside {:.0} requests a second", served as f64 / began.elapsed().as_secs_f64());
+    println!(
+        "beside {:.0} requests a second",
+        served as f64 / began.elapsed().as_secs_f64()
+    );
     let (mut most, mut ends) = ((0, 0), Vec::new());
     for _ in 0..REPLACEMENTS {
         let (new, new_ops) = platform.start();
@@ -54,14 +76,20 @@
         old.signal("-TERM");
         until(&new.log, "accepts clients");
         let both = [held(&old), held(&new)];
-        most = (most.0.max(both[0].0 + both[1].0), most.1.max(both[0].1 + both[1].1));
+        most = (
+            most.0.max(both[0].0 + both[1].0),
+            most.1.max(both[0].1 + both[1].1),
+        );
         assert!(old.front.wait().unwrap().success());
         ends.push(began.elapsed().as_millis());
         (old, ops) = (new, new_ops);
     }
     assert!(call(ops, "health").starts_with("+OK"));
     over.store(true, Ordering::SeqCst);
-    let answered: u32 = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    let answered: u32 = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum();
     ends.sort_unstable();
     println!(
         "{REPLACEMENTS} replacements beside {answered} answers: {} met a closed door",
@@ -72,5 +100,8 @@
         ends[REPLACEMENTS / 2],
         ends[REPLACEMENTS - 1]
     );
-    println!("both processes together: {} KB and {} descriptors at most", most.0, most.1);
+    println!(
+        "both processes together: {} KB and {} descriptors at most",
+        most.0, most.1
+    );
 }
--- a/front/examples/measure-scale.rs
+++ b/front/examples/measure-scale.rs
@@ -52,12 +52,37 @@
         let most = |what, figure: f64, bound: f64| (what, figure, bound, figure <= bound);
         let least = usual.share_served() * 0.85;
         [
-            most("CPU seconds", self.cpu_s, 1.4 * usual.cpu_s + 0.02 + 0.03 * thousands),
-            most("peak memory, MB", self.peak_memory_mb, 1.5 * usual.peak_memory_mb + 8.0 + 4.0 * thousands),
-            most("descriptors", self.descriptors, 2.0 * usual.descriptors + 40.0),
-            most("connections made", self.connections, 2.5 * usual.connections + 40.0),
-            most("list bytes, KB", self.list_kb, 2.0 * usual.list_kb + 64.0 + 500.0 * thousands),
-            ("share served", self.share_served(), least, self.share_served() >= least),
+            most(
+                "CPU seconds",
+                self.cpu_s,
+                1.4 * usual.cpu_s + 0.02 + 0.03 * thousands,
+            ),
+            most(
+                "peak memory, MB",
+                self.peak_memory_mb,
+                1.5 * usual.peak_memory_mb + 8.0 + 4.0 * thousands,
+            ),
+            most(
+                "descriptors",
+                self.descriptors,
+                2.0 * usual.descriptors + 40.0,
+            ),
+            most(
+                "connections made",
+                self.connections,
+                2.5 * usual.connections + 40.0,
+            ),
+            most(
+                "list bytes, KB",
+                self.list_kb,
+                2.0 * usual.list_kb + 64.0 + 500.0 * thousands,
+            ),
+            (
+                "share served",
+                self.share_served(),
+                least,
+                self.share_served() >= least,
+            ),
         ]
     }
 }
@@ -74,7 +99,9 @@
 impl Run {
     fn start(caches: usize, fronts: u32, capacity: usize) -> Run {
         let history = History::default();
-        let ids: Vec<u32> = (0..caches + PARENTS + 1).map(|place| 0x101 + place as u32).collect();
+        let ids: Vec<u32> = (0..caches + PARENTS + 1)
+            .map(|place| 0x101 + place as u32)
+            .collect();
         let nodes = Nodes::new(&history, &ids, &["book-car"]);
         (0..ids.len()).for_each(|place| nodes.set(place, Mood::Answers(ANSWER_TAKES)));
         let cache_weight = (capacity / caches) as u32;
@@ -88,17 +115,32 @@
                     _ if place < caches + PARENTS => (0, 1, parent_weight),
                     _ => (0, 2, 1),
                 };
-                Listed { place, id: *id, state: State::Ready, zone, kind, weight, started_ms: 0 }
+                Listed {
+                    place,
+                    id: *id,
+                    state: State::Ready,
+                    zone,
+                    kind,
+                    weight,
+                    started_ms: 0,
+                }
             })
             .collect();
         let addresses = nodes.all.iter().map(|(_, at)| *at).collect();
         let list = ListService::with_doors(&history, Mode::Serves, vec![addresses]);
         let config = configuration(&nodes, &listed, &list, fronts);
-        let beside =
-            std::env::current_exe().ok().and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
+        let beside = std::env::current_exe()
+            .ok()
+            .and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
         let binary: PathBuf = beside.expect("the program lies beside its examples");
         let fleet = Fleet::start(&binary, 1, None, |_| config.clone());
-        Run { history, nodes, list, fleet, listed }
+        Run {
+            history,
+            nodes,
+            list,
+            fleet,
+            listed,
+        }
     }
 
     /// Loads the front while the list changes: one cache node after another drains and comes back.
@@ -118,17 +160,26 @@
         let (began, mut descriptors, mut changes) = (Instant::now(), 0, 0);
         while began.elapsed() < LOAD_LASTS {
             std::thread::sleep(SAMPLE_INTERVAL);
-            descriptors =
-                descriptors.max(std::fs::read_dir(format!("{process}/fd")).map_or(0, Iterator::count));
+            descriptors = descriptors
+                .max(std::fs::read_dir(format!("{process}/fd")).map_or(0, Iterator::count));
             let node = &mut self.listed[changes / 2];
-            node.state = if changes % 2 == 0 { State::Draining } else { State::Ready };
+            node.state = if changes % 2 == 0 {
+                State::Draining
+            } else {
+                State::Ready
+            };
             self.list.tell(Event::Nodes(false, vec![*node]));
             changes += 1;
         }
         clients.end();
         assert!(self.fleet.dead().is_empty(), "{:#?}", self.fleet.dead());
         let addresses: Vec<_> = self.nodes.all.iter().map(|(_, at)| *at).collect();
-        let list_bytes: usize = self.list.events().iter().map(|event| event.frame(0, &addresses).len()).sum();
+        let list_bytes: usize = self
+            .list
+            .events()
+            .iter()
+            .map(|event| event.frame(0, &addresses).len())
+            .sum();
         let count = |of: fn(&Seen) -> bool| self.history.count(of);
         Usage {
             cpu_s: cpu_seconds(&process),
@@ -143,7 +194,8 @@
 }
 
 fn configuration(nodes: &Nodes, listed: &[Listed], list: &ListService, fronts: u32) -> Value {
-    let mut config: Value = serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
+    let mut config: Value =
+        serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
     let settings = &mut config["settings"];
     settings["nInstances"] = fronts.into();
     settings["familyInfo"]["seatsByZone"] = json!([0, fronts]);
@@ -163,7 +215,9 @@
 
 /// Processor time of a process, of all of its threads.
 fn cpu_seconds(process: &str) -> f64 {
-    let tasks = std::fs::read_dir(format!("{process}/task")).expect("it runs").flatten();
+    let tasks = std::fs::read_dir(format!("{process}/task"))
+        .expect("it runs")
+        .flatten();
     let nanoseconds = |task: std::fs::DirEntry| -> Option<f64> {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
         text.split_whitespace().next()?.parse().ok()
@@ -179,15 +233,22 @@
 }
 
 fn main() {
-    let objects = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(OBJECTS);
+    let objects = std::env::args()
+        .nth(1)
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(OBJECTS);
     let mut exceeded = 0;
     for (fronts, capacity) in FLEETS {
         println!("shares of one front of {fronts}, {objects} objects");
         let mut usual: Option<Usage> = None;
         for caches in SIZES {
             let usage = Run::start(caches, fronts, capacity).measure(objects);
-            println!("  {caches} cache nodes: served {} of {}", usage.served, usage.asked);
-            for (what, figure, bound, holds) in usage.rows(usual.as_ref().unwrap_or(&usage), caches) {
+            println!(
+                "  {caches} cache nodes: served {} of {}",
+                usage.served, usage.asked
+            );
+            for (what, figure, bound, holds) in usage.rows(usual.as_ref().unwrap_or(&usage), caches)
+            {
                 let verdict = if holds { "holds" } else { "EXCEEDED" };
                 println!("    {what:<18} {figure:>9.3}  bound {bound:>9.3}  {verdict}");
                 exceeded += usize::from(!holds);
--- a/front/examples/measure-startup.rs
+++ b/front/examples/measure-startup.rs
@@ -11,23 +11,36 @@
 
 fn main() {
     let mut words = std::env::args().skip(1);
-    let count: usize = words.next().map_or(60, |n| n.parse().expect("a number of processes"));
+    let count: usize = words
+        .next()
+        .map_or(60, |n| n.parse().expect("a number of processes"));
     let beside = || {
-        std::env::current_exe().expect("a path").parent().and_then(|p| Some(p.parent()?.join("cranesill")))
+        std::env::current_exe()
+            .expect("a path")
+            .parent()
+            .and_then(|p| Some(p.parent()?.join("cranesill")))
     };
-    let program =
-        words.next().filter(|word| word != "-").map(PathBuf::from).or_else(beside).expect("a program");
+    let program = words
+        .next()
+        .filter(|word| word != "-")
+        .map(PathBuf::from)
+        .or_else(beside)
+        .expect("a program");
     let history = History::default();
     let list = ListService::with_doors(&history, Mode::Closes, vec![Vec::new(); count]);
     let base: Value = serde_json::from_str(include_str!("config.json")).expect("an example");
     let mode = words.next();
     let peers = mode.as_deref() == Some("peers");
-    let ask: Vec<_> = (0..count).map(|n| format!("127.99.{}.1:2{n:04}", count % 250)).collect();
+    let ask: Vec<_> = (0..count)
+        .map(|n| format!("127.99.{}.1:2{n:04}", count % 250))
+        .collect();
     let listen = format!("127.99.{}.1:2{{nnnn}}", count % 250);
     let budget = match mode.as_deref() {
         Some("no-budget") => None,
-        Some("peers") => Some(json!({"startup": {"calls_per_s": 10, "wait_most_ms": 60_000, "list": "main",
-            "peers": {"listen": listen, "ask": ask}}})),
+        Some("peers") => Some(
+            json!({"startup": {"calls_per_s": 10, "wait_most_ms": 60_000, "list": "main",
+            "peers": {"listen": listen, "ask": ask}}}),
+        ),
         _ => Some(json!({"startup": {"calls_per_s": 10}})),
     };
     let mut fleet = Fleet::start(&program, count, budget.as_ref(), |n| {
@@ -40,14 +53,23 @@
         config
     });
     let call = |seen: &Seen| *seen == Seen::Call;
-    let first = if peers { history.now() } else { history.until("first calls", count, call) };
+    let first = if peers {
+        history.now()
+    } else {
+        history.until("first calls", count, call)
+    };
     std::thread::sleep(30 * S);
     let (from, back) = (first + 4 * S, history.now());
     list.tell(Event::Purge(1, 1));
     list.set(Mode::Serves);
-    let told = |n: usize| history.count(|seen| matches!(seen, Seen::Told(front, _) if *front == n)) > 0;
+    let told =
+        |n: usize| history.count(|seen| matches!(seen, Seen::Told(front, _) if *front == n)) > 0;
     let taken = |n: usize| fleet.log(n).contains("the list is taken from peers");
-    let mut missing: Vec<usize> = if peers { (0..count).collect() } else { Vec::new() };
+    let mut missing: Vec<usize> = if peers {
+        (0..count).collect()
+    } else {
+        Vec::new()
+    };
     let mut half = None;
     while !missing.is_empty() {
         missing.retain(|n| !told(*n) && !taken(*n));
@@ -55,22 +77,38 @@
         std::thread::sleep(S / 20);
     }
     if peers {
-        let calls = history.moments(call).iter().filter(|at| **at >= back).count();
+        let calls = history
+            .moments(call)
+            .iter()
+            .filter(|at| **at >= back)
+            .count();
         let all = history.now() - back;
         println!(
             "{count} processes hold the list after its return: half {half:?}, all {all:?}, for {calls} calls"
         );
     }
-    let made = history.moments(call).iter().filter(|at| (from..back).contains(at)).count();
+    let made = history
+        .moments(call)
+        .iter()
+        .filter(|at| (from..back).contains(at))
+        .count();
     let (second, _) = history.most(from, back, S, call);
     let (tenth, _) = history.most(from, back, S / 10, call);
     let mean = made as f64 / (back - from).as_secs_f64();
-    let early = history.moments(call).iter().filter(|at| **at < first + 4 * S).count();
+    let early = history
+        .moments(call)
+        .iter()
+        .filter(|at| **at < first + 4 * S)
+        .count();
     println!("in the first 4 s {early} calls; from then on:");
     println!("{count} processes: {mean:.1} calls a second, {second} in the worst second, {tenth} in the worst 100 ms");
     let served = |seen: &Seen| matches!(seen, Seen::Served(_));
     let all = history.until("fronts that are served", count, served);
-    let mut took: Vec<_> = history.moments(served).into_iter().map(|at| at.saturating_sub(back)).collect();
+    let mut took: Vec<_> = history
+        .moments(served)
+        .into_iter()
+        .map(|at| at.saturating_sub(back))
+        .collect();
     took.sort_unstable();
     let part = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
     println!(
