--- a/front/src/program/acceptor.rs
+++ b/front/src/program/acceptor.rs
@@ -54,7 +54,9 @@
     /// failures before.
     pub fn accepted(&mut self, now: Timestamp) -> Micros {
         self.rest = 0;
-        let waited = self.failing_since.map_or(0, |since| now.saturating_sub(since));
+        let waited = self
+            .failing_since
+            .map_or(0, |since| now.saturating_sub(since));
         waited.saturating_sub(UNCHARGED)
     }
 
@@ -77,7 +79,8 @@
 
     /// Whether a shortage has gone on for so long that it does not seem to pass by itself.
     pub fn is_lasting(&self, now: Timestamp) -> bool {
-        self.failing_since.is_some_and(|since| now >= since + LASTING)
+        self.failing_since
+            .is_some_and(|since| now >= since + LASTING)
     }
 }
 
--- a/front/src/program/cli.rs
+++ b/front/src/program/cli.rs
@@ -28,11 +28,19 @@
 
 fn options() -> OptionParser<Command> {
     let file = || {
-        let option = long("config").help("The configuration").env("RELAY_CONFIG").argument::<PathBuf>("FILE");
+        let option = long("config")
+            .help("The configuration")
+            .env("RELAY_CONFIG")
+            .argument::<PathBuf>("FILE");
         let given = positional::<PathBuf>("FILE").help("The configuration");
         construct!([given, option])
     };
-    let own = || long("settings").help("The daemon's own settings").argument::<PathBuf>("FILE").optional();
+    let own = || {
+        long("settings")
+            .help("The daemon's own settings")
+            .argument::<PathBuf>("FILE")
+            .optional()
+    };
     let (settings, config) = (own(), file());
     let ops = long("ops")
         .help("Where operators call, if not as the configuration says")
@@ -44,13 +52,26 @@
         .env("RELAY_ACCEPT_FD")
         .argument::<String>("N")
         .optional();
-    let serve = construct!(Serve { settings, ops, accept_fd, config }).map(Command::Serve);
+    let serve = construct!(Serve {
+        settings,
+        ops,
+        accept_fd,
+        config
+    })
+    .map(Command::Serve);
     let serve = serve.to_options().descr("Serve clients until SIGTERM");
     let (settings, config) = (own(), file().optional());
-    let check = construct!(settings, config).map(|(settings, config)| Command::Check(config, settings));
-    let check = check.to_options().descr("Read configuration and settings and say what is wrong with them");
-    let schema = bpaf::pure(Command::Schema).to_options().descr("Print the JSON Schema of the settings");
-    let version = bpaf::pure(Command::Version).to_options().descr("Print the version");
+    let check =
+        construct!(settings, config).map(|(settings, config)| Command::Check(config, settings));
+    let check = check
+        .to_options()
+        .descr("Read configuration and settings and say what is wrong with them");
+    let schema = bpaf::pure(Command::Schema)
+        .to_options()
+        .descr("Print the JSON Schema of the settings");
+    let version = bpaf::pure(Command::Version)
+        .to_options()
+        .descr("Print the version");
     let serve = serve.command("serve");
     let check = check.command("check");
     let schema = schema.command("schema");
@@ -64,18 +85,30 @@
         .descr("A front for caches that fill from parents and an origin")
 }
 
-fn serve(Serve { config, settings: own, ops, accept_fd }: Serve) -> Result<(), Vec<String>> {
+fn serve(
+    Serve {
+        config,
+        settings: own,
+        ops,
+        accept_fd,
+    }: Serve,
+) -> Result<(), Vec<String>> {
     // Before anything is read: a signal that comes while the program starts would end it by the system's own way.
     let early = Early::new().map_err(|e| vec![format!("signals: {e}")])?;
     let mut config = Config::load(&config)?;
     let daemon = own.as_deref().map_or(Ok(Daemon::default()), settings)?;
     let mut faults = Vec::new();
     if let Some(ops) = ops {
-        config.ops = ops.parse().map_err(|_| faults.push(format!("RELAY_OPS: no address: {ops}"))).ok();
+        config.ops = ops
+            .parse()
+            .map_err(|_| faults.push(format!("RELAY_OPS: no address: {ops}")))
+            .ok();
     }
     if let Some(fd) = accept_fd {
-        config.accept_fd =
-            fd.parse().map_err(|_| faults.push(format!("RELAY_ACCEPT_FD: {fd}: no number"))).ok();
+        config.accept_fd = fd
+            .parse()
+            .map_err(|_| faults.push(format!("RELAY_ACCEPT_FD: {fd}: no number")))
+            .ok();
     }
     if !faults.is_empty() {
         return Err(faults);
@@ -111,8 +144,19 @@
                 ("purges", daemon.purges.is_some()),
                 ("startup", daemon.startup.is_some()),
             ];
-            let on: Vec<_> = on.into_iter().filter(|(_, on)| *on).map(|(name, _)| name).collect();
-            println!("settings: {}", if on.is_empty() { "everything is off".into() } else { on.join(", ") });
+            let on: Vec<_> = on
+                .into_iter()
+                .filter(|(_, on)| *on)
+                .map(|(name, _)| name)
+                .collect();
+            println!(
+                "settings: {}",
+                if on.is_empty() {
+                    "everything is off".into()
+                } else {
+                    on.join(", ")
+                }
+            );
         }
         Some(Err(found)) => faults.extend(found),
         None => {}
@@ -131,7 +175,10 @@
         Command::Check(config, own) => check(config, own),
         Command::Schema => {
             // A value of JSON can always be written as text.
-            println!("{}", serde_json::to_string_pretty(&cranesill_daemon::schema()).unwrap_or_default());
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&cranesill_daemon::schema()).unwrap_or_default()
+            );
             Ok(())
         }
         Command::Ctl(ctl) => return ctl::run(ctl),
@@ -143,7 +190,9 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(faults) => {
-            faults.iter().for_each(|fault| eprintln!("cranesill: {fault}"));
+            faults
+                .iter()
+                .for_each(|fault| eprintln!("cranesill: {fault}"));
             ExitCode::FAILURE
         }
     }
--- a/front/src/program/clients.rs
+++ b/front/src/program/clients.rs
@@ -112,7 +112,10 @@
 impl Clients {
     /// No connections yet.
     pub fn new() -> Self {
-        Clients { scratch: vec![0; READ_MOST], ..Clients::default() }
+        Clients {
+            scratch: vec![0; READ_MOST],
+            ..Clients::default()
+        }
     }
 
     /// Connections held.
@@ -149,7 +152,9 @@
             self.flush(now, key);
         }
         let confirmed = std::iter::from_fn(|| self.unconfirmed.take(now));
-        confirmed.map(|(from, ask)| ClientEvent::Ask(from, ask)).collect()
+        confirmed
+            .map(|(from, ask)| ClientEvent::Ask(from, ask))
+            .collect()
     }
 
     /// Whether this is a client's connection.
@@ -187,8 +192,16 @@
 
     fn begin(&mut self, now: Timestamp, stream: Stream<()>, key: usize, waited: Micros) {
         let (open, owes) = (HashSet::new(), Some(now));
-        let client =
-            Client { stream, open, life: Life::Open, moved: now, owes, rested_at: None, told: None, waited };
+        let client = Client {
+            stream,
+            open,
+            life: Life::Open,
+            moved: now,
+            owes,
+            rested_at: None,
+            told: None,
+            waited,
+        };
         self.all.insert(key, client);
         if self.draining {
             self.say_no_more(now, key);
@@ -223,7 +236,11 @@
     }
 
     fn say_no_more(&mut self, now: Timestamp, key: usize) {
-        if let Some(client) = self.all.get_mut(&key).filter(|client| client.told.is_none()) {
+        if let Some(client) = self
+            .all
+            .get_mut(&key)
+            .filter(|client| client.told.is_none())
+        {
             client.stream.push(client::no_more());
             client.told = Some(now);
         }
@@ -238,7 +255,13 @@
         for round in 0..READS_MOST {
             // The first read is made even from one that rests: its end is told whether it is watched or not, and
             // would be told again and again.
-            let Some(client) = self.all.get_mut(&key).filter(|c| round == 0 || c.reads(now)) else { break };
+            let Some(client) = self
+                .all
+                .get_mut(&key)
+                .filter(|c| round == 0 || c.reads(now))
+            else {
+                break;
+            };
             match client.stream.fill(&mut self.scratch) {
                 Ok(Some(n)) if n > 0 => {}
                 Ok(None) => break,
@@ -267,7 +290,13 @@
             self.flush(now, key);
         }
         // Who came and left in one turn asks for nothing: it would be sent on for nobody.
-        let gone = |one: &ClientEvent| if let ClientEvent::Gone(from) = one { Some(*from) } else { None };
+        let gone = |one: &ClientEvent| {
+            if let ClientEvent::Gone(from) = one {
+                Some(*from)
+            } else {
+                None
+            }
+        };
         let left: HashSet<_> = heard.iter().filter_map(gone).collect();
         let mut never = HashSet::new();
         heard.retain(|one| match one {
@@ -304,7 +333,9 @@
 
     /// Gives a stream its final answer.
     pub fn answer(&mut self, now: Timestamp, to: ReplyTo, answer: Answer) {
-        let Some(client) = self.all.get_mut(&to.client) else { return };
+        let Some(client) = self.all.get_mut(&to.client) else {
+            return;
+        };
         if client.open.remove(&to.stream) {
             client.stream.push(client::answer(to.stream, answer));
             self.flush(now, to.client);
@@ -313,7 +344,9 @@
 
     /// Writes what can be written.
     pub fn flush(&mut self, now: Timestamp, key: usize) {
-        let Some(client) = self.all.get_mut(&key) else { return };
+        let Some(client) = self.all.get_mut(&key) else {
+            return;
+        };
         let before = client.stream.held();
         let written = client.stream.flush(|()| {});
         if client.stream.held() < before {
@@ -341,15 +374,22 @@
 
     /// Closes what is dead or idle, and while too much is held who holds most. Returns who waits no more.
     pub fn sweep(&mut self, now: Timestamp, pressed: usize, held_most: usize) -> Vec<ClientEvent> {
-        let stall = if self.held > pressed { STALL_PRESSED } else { STALL_MOST };
+        let stall = if self.held > pressed {
+            STALL_PRESSED
+        } else {
+            STALL_MOST
+        };
         let keys: Vec<_> = self.all.keys().copied().collect();
         for key in keys {
-            let Some(client) = self.all.get_mut(&key) else { continue };
+            let Some(client) = self.all.get_mut(&key) else {
+                continue;
+            };
             let open = client.life == Life::Open;
             if open && client.owes.is_some_and(|since| now > since + FRAME_MOST) {
                 client.end();
             }
-            let idle = now > client.moved + IDLE_MOST && client.open.is_empty() && client.stream.flushed();
+            let idle =
+                now > client.moved + IDLE_MOST && client.open.is_empty() && client.stream.flushed();
             if open && (idle || self.empties && client.is_free(now)) {
                 client.close();
             }
@@ -360,14 +400,26 @@
             let stalled = !c.stream.flushed() && now > c.moved + stall;
             stalled || matches!(c.life, Life::Shut(at) if now > at)
         };
-        let stale: Vec<_> = self.all.iter().filter(|(_, c)| stale(c)).map(|(key, _)| *key).collect();
-        let stalled = stale.iter().filter(|key| !self.all[key].stream.flushed()).count();
+        let stale: Vec<_> = self
+            .all
+            .iter()
+            .filter(|(_, c)| stale(c))
+            .map(|(key, _)| *key)
+            .collect();
+        let stalled = stale
+            .iter()
+            .filter(|key| !self.all[key].stream.flushed())
+            .count();
         if stalled > 0 {
             tracing::info!(clients = stalled, "clients given up that take nothing");
         }
         let mut gone: Vec<_> = stale.into_iter().flat_map(|key| self.drop(key)).collect();
         while self.held > held_most {
-            let most = self.all.iter().max_by_key(|(key, c)| (c.stream.held(), **key)).map(|(key, _)| *key);
+            let most = self
+                .all
+                .iter()
+                .max_by_key(|(key, c)| (c.stream.held(), **key))
+                .map(|(key, _)| *key);
             let Some(key) = most else { break };
             gone.extend(self.drop(key));
         }
@@ -378,31 +430,54 @@
     /// whole frame. `false`: all have some. One of which something has come that is not read yet, most likely a request,
     /// is no idle one.
     pub fn evict(&mut self) -> bool {
-        let free = self.all.iter().filter(|(_, c)| c.open.is_empty() && c.stream.flushed());
-        let mut idle: Vec<_> = free.map(|(key, c)| (c.owes.is_none(), c.moved, *key)).collect();
+        let free = self
+            .all
+            .iter()
+            .filter(|(_, c)| c.open.is_empty() && c.stream.flushed());
+        let mut idle: Vec<_> = free
+            .map(|(key, c)| (c.owes.is_none(), c.moved, *key))
+            .collect();
         idle.sort_unstable();
         let unread = |key: &usize| self.all.get(key).is_some_and(|c| c.stream.unread());
-        let key = idle.into_iter().map(|(.., key)| key).find(|key| !unread(key));
+        let key = idle
+            .into_iter()
+            .map(|(.., key)| key)
+            .find(|key| !unread(key));
         key.map(|key| self.drop(key)).is_some()
     }
 
     /// Closes the connection that was idle for longest, if one was for so long that no request is on its way there.
     pub fn evict_idle(&mut self, now: Timestamp) -> bool {
-        let idle = |c: &Client| c.open.is_empty() && c.stream.flushed() && c.stream.input().is_empty();
+        let idle =
+            |c: &Client| c.open.is_empty() && c.stream.flushed() && c.stream.input().is_empty();
         let evictable = |c: &Client| idle(c) && now > c.moved + EVICTABLE;
-        let oldest = self.all.iter().filter(|(_, c)| evictable(c) && !c.stream.unread());
-        let key = oldest.min_by_key(|(key, c)| (c.moved, **key)).map(|(key, _)| *key);
+        let oldest = self
+            .all
+            .iter()
+            .filter(|(_, c)| evictable(c) && !c.stream.unread());
+        let key = oldest
+            .min_by_key(|(key, c)| (c.moved, **key))
+            .map(|(key, _)| *key);
         key.map(|key| self.drop(key)).is_some()
     }
 
     /// Gives a connection up: nobody waits there any more.
     fn drop(&mut self, key: usize) -> Vec<ClientEvent> {
-        let Some(mut client) = self.all.remove(&key) else { return Vec::new() };
+        let Some(mut client) = self.all.remove(&key) else {
+            return Vec::new();
+        };
         client.stream.discount(&mut self.held);
         self.unconfirmed.drop_client(key);
         let mut open: Vec<_> = client.open.into_iter().collect();
         open.sort_unstable();
-        open.into_iter().map(|stream| ClientEvent::Gone(ReplyTo { client: key, stream })).collect()
+        open.into_iter()
+            .map(|stream| {
+                ClientEvent::Gone(ReplyTo {
+                    client: key,
+                    stream,
+                })
+            })
+            .collect()
     }
 }
 
@@ -422,7 +497,11 @@
 
     /// Whether it rests after what can't be taken in.
     fn rests(&self, now: Timestamp) -> bool {
-        let span = if self.open.is_empty() { REST } else { REST_WITH_REQUESTS };
+        let span = if self.open.is_empty() {
+            REST
+        } else {
+            REST_WITH_REQUESTS
+        };
         self.rested_at.is_some_and(|since| now < since + span)
     }
 
@@ -462,16 +541,24 @@
             };
             match message {
                 Message::Request(stream, payload) => {
-                    let from = ReplyTo { client: key, stream };
+                    let from = ReplyTo {
+                        client: key,
+                        stream,
+                    };
                     let ask = client::ask(payload);
                     // Streams are new on their connection; an answer could else be taken for another's.
                     if !self.open.insert(stream) {
                         return self.end();
                     }
                     let waited = self.waited;
-                    let charged = ask.map(|ask| Ask { limit: ask.limit.saturating_sub(waited), ..ask });
+                    let charged = ask.map(|ask| Ask {
+                        limit: ask.limit.saturating_sub(waited),
+                        ..ask
+                    });
                     let ask = charged.and_then(|ask| {
-                        Some(ask).filter(|_| self.open.len() <= STREAMS_MOST).ok_or("too many streams")
+                        Some(ask)
+                            .filter(|_| self.open.len() <= STREAMS_MOST)
+                            .ok_or("too many streams")
                     });
                     heard.push(match ask {
                         Ok(ask) => ClientEvent::Ask(from, ask),
@@ -483,7 +570,10 @@
                 }
                 Message::Gone(stream) => {
                     if self.open.remove(&stream) {
-                        heard.push(ClientEvent::Gone(ReplyTo { client: key, stream }));
+                        heard.push(ClientEvent::Gone(ReplyTo {
+                            client: key,
+                            stream,
+                        }));
                     }
                 }
                 Message::Ready(stream) => self.stream.push(client::ready(stream, ready)),
--- a/front/src/program/config.rs
+++ b/front/src/program/config.rs
@@ -42,18 +42,30 @@
         let at = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
         let text = std::fs::read(file).map_err(|e| vec![at(&e)])?;
         let value = serde_json::from_slice(&text).map_err(|e| vec![at(&e)])?;
-        Self::read(file, &value).map_err(|faults| faults.iter().map(|e| at(&format!("$.{e}"))).collect())
+        Self::read(file, &value)
+            .map_err(|faults| faults.iter().map(|e| at(&format!("$.{e}"))).collect())
     }
 
     fn read(file: &Path, v: &Value) -> Result<Self, Vec<String>> {
         let address = |key: &str| {
             let text = v[key].as_str().ok_or_else(|| format!("{key}: missing"))?;
-            text.parse::<SocketAddr>().map_err(|_| format!("{key}: no address: {text}"))
+            text.parse::<SocketAddr>()
+                .map_err(|_| format!("{key}: no address: {text}"))
+        };
+        let ops = || {
+            if v["ops"].is_null() {
+                Ok(None)
+            } else {
+                address("ops").map(Some)
+            }
         };
-        let ops = || if v["ops"].is_null() { Ok(None) } else { address("ops").map(Some) };
         let limit = |key: &str, least: u64| {
-            let told = v["limits"][key].as_f64().ok_or_else(|| format!("limits.{key}: missing"))? as u64;
-            Some(told).filter(|n| *n >= least).ok_or_else(|| format!("limits.{key}: under {least}"))
+            let told = v["limits"][key]
+                .as_f64()
+                .ok_or_else(|| format!("limits.{key}: missing"))? as u64;
+            Some(told)
+                .filter(|n| *n >= least)
+                .ok_or_else(|| format!("limits.{key}: under {least}"))
         };
         let seed = || {
             let text = v["seed"].as_str().ok_or("seed: missing")?;
@@ -67,9 +79,19 @@
         let sockets = kept(limit("sockets", SOCKETS_LEAST), &mut faults);
         let memory = kept(limit("memory_mb", MEMORY_LEAST), &mut faults);
         let deployment = kept(cranesill_settings::read(&v["settings"]), &mut faults);
-        let known = deployment.as_ref().and_then(|d| kept(known::read(&v["known"], &d.names), &mut faults));
-        let all = listen.zip(ops).zip(seed).zip(feed).zip(sockets).zip(memory).zip(deployment).zip(known);
-        let Some((((((((listen, ops), seed), feed), sockets), memory), deployment), known)) = all else {
+        let known = deployment
+            .as_ref()
+            .and_then(|d| kept(known::read(&v["known"], &d.names), &mut faults));
+        let all = listen
+            .zip(ops)
+            .zip(seed)
+            .zip(feed)
+            .zip(sockets)
+            .zip(memory)
+            .zip(deployment)
+            .zip(known);
+        let Some((((((((listen, ops), seed), feed), sockets), memory), deployment), known)) = all
+        else {
             return Err(faults);
         };
         let name = v["name"].as_str().unwrap_or("front").to_string();
@@ -105,14 +127,24 @@
     /// Takes descriptors for what the daemon's own settings switch on from those of clients.
     pub fn reserve(&mut self, daemon: &Daemon) -> Result<(), String> {
         let tls = daemon.tls.as_ref().map_or(0, |tls| tls.handshakes_most + 1);
-        let control = daemon.control.as_ref().map_or(0, |_| super::drivers::control::OPERATORS_MOST + 1);
-        let certs =
-            daemon.certs.as_ref().map_or(0, |c| c.orders_at_once + super::drivers::certs::DESCRIPTORS);
+        let control = daemon
+            .control
+            .as_ref()
+            .map_or(0, |_| super::drivers::control::OPERATORS_MOST + 1);
+        let certs = daemon
+            .certs
+            .as_ref()
+            .map_or(0, |c| c.orders_at_once + super::drivers::certs::DESCRIPTORS);
         let boxes = daemon.purges.as_ref().and_then(|p| p.boxes.as_ref());
         let purges = daemon.purges.as_ref().map_or(0, |p| {
-            6 + p.serve.as_ref().map_or(0, |_| super::drivers::purges::replicas::FOLLOWERS_MOST)
+            6 + p
+                .serve
+                .as_ref()
+                .map_or(0, |_| super::drivers::purges::replicas::FOLLOWERS_MOST)
         }) + boxes.map_or(0, |b| b.connections_most);
-        let ops = self.ops.map_or(0, |_| super::drivers::ops::CALLERS_MOST + 1);
+        let ops = self
+            .ops
+            .map_or(0, |_| super::drivers::ops::CALLERS_MOST + 1);
         let peers = daemon.startup.as_ref().and_then(|s| s.peers.as_ref());
         let peers = peers.map_or(0, |_| super::drivers::peers::ASKERS_MOST + 4);
         let own = tls + control + certs + purges + peers;
@@ -135,7 +167,10 @@
 
     /// Room for requests: half of the memory, the rest is for input, the program and the allocator.
     pub fn room(&self) -> Room {
-        Room { open: self.deployment.limits.open, bytes: self.memory / 2 / self.processes() }
+        Room {
+            open: self.deployment.limits.open,
+            bytes: self.memory / 2 / self.processes(),
+        }
     }
 
     /// Bytes held for clients from which on those are given up that hold most: members were held back before.
@@ -167,8 +202,8 @@
 pub fn settings(file: &Path) -> Result<Daemon, Vec<String>> {
     let at = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let text = std::fs::read(file).map_err(|e| vec![at(&e)])?;
-    let daemon =
-        cranesill_daemon::read(&text).map_err(|faults| faults.iter().map(|f| at(f)).collect::<Vec<_>>())?;
+    let daemon = cranesill_daemon::read(&text)
+        .map_err(|faults| faults.iter().map(|f| at(f)).collect::<Vec<_>>())?;
     match daemon.certs.as_ref().map(super::drivers::certs::check) {
         Some(Err(why)) => Err(vec![at(&format!("$.{why}"))]),
         _ => Ok(daemon),
--- a/front/src/program/drain.rs
+++ b/front/src/program/drain.rs
@@ -43,8 +43,13 @@
     /// SIGTERM has come. `waits`: the longest time of each class, 0 where there is none; `beside`: another process has taken
     /// the clients' socket over.
     pub fn new(now: Timestamp, waits: &[Micros], beside: bool) -> Self {
-        let longest =
-            waits.iter().copied().max().filter(|w| *w > 0).unwrap_or(COUNTED_MOST).min(COUNTED_MOST);
+        let longest = waits
+            .iter()
+            .copied()
+            .max()
+            .filter(|w| *w > 0)
+            .unwrap_or(COUNTED_MOST)
+            .min(COUNTED_MOST);
         let over = now + longest + KILL_AFTER - MARGIN;
         let parts = over - PARTS_MOST;
         let refuses = (now + SERVES_MOST).min(parts);
@@ -53,7 +58,11 @@
             refuses,
             parts,
             over,
-            lets: if beside { lets.clamp(refuses, parts) } else { refuses },
+            lets: if beside {
+                lets.clamp(refuses, parts)
+            } else {
+                refuses
+            },
             parting: None,
         }
     }
@@ -80,7 +89,8 @@
     pub fn part(&mut self, now: Timestamp, owes: bool, clients: bool) -> Option<Timestamp> {
         let lets = now < self.lets && clients;
         let begins = self.parting.is_none()
-            && (self.stage(now) >= Stage::Parts || self.stage(now) == Stage::Refuses && !owes && !lets);
+            && (self.stage(now) >= Stage::Parts
+                || self.stage(now) == Stage::Refuses && !owes && !lets);
         begins.then(|| {
             self.parting = Some(now);
             self.over.min(now + PARTS_MOST)
--- a/front/src/program/drivers/certs.rs
+++ b/front/src/program/drivers/certs.rs
@@ -77,7 +77,10 @@
 
 fn plan(settings: &Settings) -> Plan {
     Plan {
-        rule: Rule { renew_percent: settings.renew_percent, jitter_percent: settings.jitter_percent },
+        rule: Rule {
+            renew_percent: settings.renew_percent,
+            jitter_percent: settings.jitter_percent,
+        },
         warn_percent: settings.warn_percent,
         orders_most: settings.orders_most,
         window: settings.order_window_s * SECOND,
@@ -87,33 +90,56 @@
 
 fn turns(settings: &Settings, me: &str) -> Box<Ranked> {
     let takeover = settings.takeover_s * SECOND;
-    Box::new(Ranked { me: me.into(), fronts: settings.fronts.clone(), takeover })
+    Box::new(Ranked {
+        me: me.into(),
+        fronts: settings.fronts.clone(),
+        takeover,
+    })
 }
 
 fn names(settings: &Settings) -> Vec<Vec<String>> {
-    settings.certificates.iter().map(|c| c.names.clone()).collect()
+    settings
+        .certificates
+        .iter()
+        .map(|c| c.names.clone())
+        .collect()
 }
 
 fn moment(now: Timestamp) -> Moment {
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+    let wall = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs();
     Moment { now, wall }
 }
 
 /// Reads what stands in files beside the settings: roots and the key of an external account.
-fn authority(settings: &Settings) -> Result<Option<(cranesill_certs::Settings, Exchanges)>, String> {
-    let Some(authority) = &settings.authority else { return Ok(None) };
+fn authority(
+    settings: &Settings,
+) -> Result<Option<(cranesill_certs::Settings, Exchanges)>, String> {
+    let Some(authority) = &settings.authority else {
+        return Ok(None);
+    };
     let path = |what: &str, e: String| format!("certs.authority.{what}: {e}");
     let config = roots(&authority.roots_file).map_err(|e| path("roots_file", e))?;
     let external = match &authority.external_account {
         None => None,
         Some(external) => {
             let file = &external.key_file;
-            let text = std::fs::read_to_string(file)
-                .map_err(|e| path("external_account.key_file", format!("{}: {e}", file.display())))?;
-            let key =
-                cranesill_certs::jose::from_base64url(text.trim()).filter(|k| !k.is_empty()).ok_or_else(
-                    || path("external_account.key_file", format!("{}: no base64url", file.display())),
-                )?;
+            let text = std::fs::read_to_string(file).map_err(|e| {
+                path(
+                    "external_account.key_file",
+                    format!("{}: {e}", file.display()),
+                )
+            })?;
+            let key = cranesill_certs::jose::from_base64url(text.trim())
+                .filter(|k| !k.is_empty())
+                .ok_or_else(|| {
+                    path(
+                        "external_account.key_file",
+                        format!("{}: no base64url", file.display()),
+                    )
+                })?;
             Some((external.key_id.clone(), key))
         }
     };
@@ -130,7 +156,11 @@
             way,
             shared: settings.directory.is_some() && settings.fronts.len() > 1,
         },
-        Exchanges { config, span, most: authority.answer_bytes },
+        Exchanges {
+            config,
+            span,
+            most: authority.answer_bytes,
+        },
     )))
 }
 
@@ -150,12 +180,19 @@
             None => None,
             Some(text) => {
                 let failed = |e: &dyn std::fmt::Display| format!("certs.http_listen: {text}: {e}");
-                let at: SocketAddr = text.parse().map_err(|e: std::net::AddrParseError| failed(&e))?;
+                let at: SocketAddr = text
+                    .parse()
+                    .map_err(|e: std::net::AddrParseError| failed(&e))?;
                 let key = turn.key();
                 let listener = at_start(|| listen(at)).map_err(|e| failed(&e))?;
                 let at = listener.local_addr().map_err(|e| failed(&e))?;
                 tracing::info!(%at, "answering challenges");
-                Some((turn.reactor.watch(listener, key, false).map_err(|e| failed(&e))?, key))
+                Some((
+                    turn.reactor
+                        .watch(listener, key, false)
+                        .map_err(|e| failed(&e))?,
+                    key,
+                ))
             }
         };
         let mut folder = None;
@@ -191,7 +228,10 @@
             wall_now: 0,
             next: turn.now,
         };
-        certs.handle(turn, Event::Configure(plan(settings), turns(settings, me), names(settings)));
+        certs.handle(
+            turn,
+            Event::Configure(plan(settings), turns(settings, me), names(settings)),
+        );
         certs.handle(turn, Event::Start(Box::new(loaded)));
         Ok(certs)
     }
@@ -207,8 +247,9 @@
             self.carry_out(turn, action);
         }
         if served {
-            turn.effects
-                .push(Effect::Secured(Secured::Certificates(self.tables.table(self.first.as_deref()))));
+            turn.effects.push(Effect::Secured(Secured::Certificates(
+                self.tables.table(self.first.as_deref()),
+            )));
         }
         self.next = self.client.next(moment);
     }
@@ -216,7 +257,9 @@
     fn carry_out(&mut self, turn: &mut Turn<'_>, action: Action) {
         let begun = match action {
             Action::Ask(task, ask) => {
-                let Some(Exchanges { config, span, most }) = &self.exchanges else { return };
+                let Some(Exchanges { config, span, most }) = &self.exchanges else {
+                    return;
+                };
                 let (config, deadline, most) = (Arc::clone(config), Instant::now() + *span, *most);
                 let work = move || Event::Answered(task, exchange(&config, &ask, deadline, most));
                 let run = self.workers.run(move || Done::Event(work()));
@@ -243,23 +286,31 @@
                     Some(Ok(mut folder)) => disk::save(&mut *folder, &what),
                     Some(Err(_)) => Err("the folder's writer has failed".into()),
                 };
-                let run = self.workers.in_order(move || Done::Event(Event::Done(task, work())));
+                let run = self
+                    .workers
+                    .in_order(move || Done::Event(Event::Done(task, work())));
                 run.map_err(|e| Event::Done(task, Err(no_thread(&e))))
             }
             Action::Reread(task, id) => {
                 let folder = self.folder.clone();
                 let work = move || {
                     let mut folder = folder.as_ref().and_then(|f| f.lock().ok());
-                    folder.as_mut().and_then(|f| disk::reread(&mut **f, &id)).map(Box::new)
+                    folder
+                        .as_mut()
+                        .and_then(|f| disk::reread(&mut **f, &id))
+                        .map(Box::new)
                 };
-                let run = self.workers.in_order(move || Done::Event(Event::Reread(task, work())));
+                let run = self
+                    .workers
+                    .in_order(move || Done::Event(Event::Reread(task, work())));
                 run.map_err(|_| Event::Reread(task, None))
             }
             Action::Publish(task, challenge) => return self.publish(turn, task, challenge),
             Action::Withdraw(challenge) => {
                 self.shown.remove(&challenge.token);
                 if challenge.way == Way::TlsAlpn {
-                    turn.effects.push(Effect::Secured(Secured::Prove(challenge.name, None)));
+                    turn.effects
+                        .push(Effect::Secured(Secured::Prove(challenge.name, None)));
                 }
                 Ok(())
             }
@@ -270,7 +321,8 @@
                 Ok(())
             }
             Action::Reply(number, answer) => {
-                turn.effects.push(Effect::Answer(number, answer.map(Value::from)));
+                turn.effects
+                    .push(Effect::Answer(number, answer.map(Value::from)));
                 Ok(())
             }
             Action::Tell(note) => {
@@ -308,11 +360,15 @@
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
-        let Some((listener, _)) = &self.listener else { return };
+        let Some((listener, _)) = &self.listener else {
+            return;
+        };
         for _ in 0..ACCEPTS_MOST {
             if self.lookers.len() >= LOOKERS_MOST {
                 let oldest = self.lookers.iter().min_by_key(|(key, l)| (l.due, **key));
-                let Some((key, due)) = oldest.map(|(key, l)| (*key, l.due)) else { return };
+                let Some((key, due)) = oldest.map(|(key, l)| (*key, l.due)) else {
+                    return;
+                };
                 if due + KEPT_LEAST > turn.now + LOOK_MOST {
                     // It can only fail for a listener that is not watched.
                     let _ = listener.rewatch(false, false);
@@ -321,19 +377,33 @@
                 }
                 self.lookers.remove(&key);
             }
-            let Ok((socket, _)) = listener.accept() else { return };
+            let Ok((socket, _)) = listener.accept() else {
+                return;
+            };
             let key = turn.key();
-            let ready = socket.set_nonblocking(true).and_then(|()| turn.reactor.watch(socket, key, false));
+            let ready = socket
+                .set_nonblocking(true)
+                .and_then(|()| turn.reactor.watch(socket, key, false));
             if let Ok(socket) = ready {
                 let (input, output, due) = (Vec::new(), Vec::new(), turn.now + LOOK_MOST);
-                self.lookers.insert(key, Looker { socket, input, output, due });
+                self.lookers.insert(
+                    key,
+                    Looker {
+                        socket,
+                        input,
+                        output,
+                        due,
+                    },
+                );
             }
         }
     }
 
     /// Goes on with one who looks at a challenge. An error ends the connection.
     fn look(&mut self, key: usize) -> io::Result<()> {
-        let Some(looker) = self.lookers.get_mut(&key) else { return Ok(()) };
+        let Some(looker) = self.lookers.get_mut(&key) else {
+            return Ok(());
+        };
         let mut chunk = [0; 1024];
         while looker.output.is_empty() {
             match (&*looker.socket).read(&mut chunk) {
@@ -350,7 +420,9 @@
         while !looker.output.is_empty() {
             match (&*looker.socket).write(&looker.output) {
                 Ok(n) if n > 0 => drop(looker.output.drain(..n)),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return looker.socket.rewatch(false, true),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    return looker.socket.rewatch(false, true)
+                }
                 _ => break,
             }
         }
@@ -386,14 +458,20 @@
                 self.wall_now = moment.wall;
                 let rows = self.client.rows(moment);
                 let wanted = |row: &Row| name.is_empty() || row.names.contains(&name);
-                let rows: Vec<_> =
-                    rows.iter().filter(|(r, _)| wanted(r)).map(|(r, s)| self.row(r, *s)).collect();
+                let rows: Vec<_> = rows
+                    .iter()
+                    .filter(|(r, _)| wanted(r))
+                    .map(|(r, s)| self.row(r, *s))
+                    .collect();
                 let answer = json!({"certificates": rows, "authority": self.client.state(moment)});
                 turn.effects.push(Effect::Answer(number, Ok(answer)));
             }
             "certs-renew" => self.handle(turn, Event::Renew(number, name)),
             "certs-revoke" => {
-                let reason = args["reason"].as_u64().and_then(|r| u8::try_from(r).ok()).unwrap_or(0);
+                let reason = args["reason"]
+                    .as_u64()
+                    .and_then(|r| u8::try_from(r).ok())
+                    .unwrap_or(0);
                 self.handle(turn, Event::Revoke(number, name, reason));
             }
             "certs-import" => {
@@ -446,7 +524,8 @@
                     Done::Proof(task, name, made) => {
                         let proof = made.and_then(|key| Proof::new(&key));
                         let done = proof.map(|proof| {
-                            turn.effects.push(Effect::Secured(Secured::Prove(name, Some(Arc::new(proof)))));
+                            turn.effects
+                                .push(Effect::Secured(Secured::Prove(name, Some(Arc::new(proof)))));
                         });
                         self.handle(turn, Event::Done(task, done));
                     }
@@ -463,7 +542,10 @@
         self.lookers.retain(|_, looker| looker.due > turn.now);
         if std::mem::take(&mut self.crowded) {
             // Goes on to accept; `accept` makes room where it may.
-            let _ = self.listener.as_ref().map(|(listener, _)| listener.rewatch(true, false));
+            let _ = self
+                .listener
+                .as_ref()
+                .map(|(listener, _)| listener.rewatch(true, false));
         }
         if turn.now >= self.next {
             self.handle(turn, Event::Tick);
@@ -472,7 +554,13 @@
 
     fn next(&self) -> Option<Timestamp> {
         let looker = self.lookers.values().map(|l| l.due).min();
-        let looker = looker.map(|due| if self.crowded { due + KEPT_LEAST - LOOK_MOST } else { due });
+        let looker = looker.map(|due| {
+            if self.crowded {
+                due + KEPT_LEAST - LOOK_MOST
+            } else {
+                due
+            }
+        });
         looker.into_iter().chain([self.next]).min()
     }
 
@@ -486,9 +574,15 @@
 
     fn words(&self) -> Vec<(&'static str, &'static str)> {
         vec![
-            ("certs", "certificates: how each stands, and the authority; {name}: one"),
+            (
+                "certs",
+                "certificates: how each stands, and the authority; {name}: one",
+            ),
             ("certs-renew", "{name}: order it now"),
-            ("certs-revoke", "{name, reason}: revoke it and order another"),
+            (
+                "certs-revoke",
+                "{name, reason}: revoke it and order another",
+            ),
             ("certs-import", "{key, chain}: serve these, both in PEM"),
             ("certs-roll-key", "give the account another key"),
         ]
@@ -496,10 +590,16 @@
 
     fn reload(&mut self, turn: &mut Turn<'_>, settings: &Daemon) {
         if let Some(new) = &settings.certs {
-            self.first =
-                new.certificates.first().and_then(|c| c.names.first()).map(|n| n.to_ascii_lowercase());
+            self.first = new
+                .certificates
+                .first()
+                .and_then(|c| c.names.first())
+                .map(|n| n.to_ascii_lowercase());
             let me = self.me.clone();
-            self.handle(turn, Event::Configure(plan(new), turns(new, &me), names(new)));
+            self.handle(
+                turn,
+                Event::Configure(plan(new), turns(new, &me), names(new)),
+            );
         }
     }
 }
--- a/front/src/program/drivers/control.rs
+++ b/front/src/program/drivers/control.rs
@@ -46,7 +46,10 @@
 fn bind(path: &Path) -> Result<UnixListener, String> {
     let failed = |e: io::Error| format!("control.path: {}: {e}", path.display());
     if at_start(|| UnixStream::connect(path)).is_ok() {
-        return Err(format!("control.path: {}: another daemon listens there", path.display()));
+        return Err(format!(
+            "control.path: {}: another daemon listens there",
+            path.display()
+        ));
     }
     match std::fs::symlink_metadata(path) {
         Ok(meta) if !std::os::unix::fs::FileTypeExt::is_socket(&meta.file_type()) => {
@@ -97,18 +100,34 @@
             let key = turn.key();
             if let Ok(socket) = turn.reactor.watch(socket, key, false) {
                 let (input, output) = (Vec::new(), Vec::new());
-                self.operators.insert(key, Operator { socket, input, output, open: 0, moved: turn.now });
+                self.operators.insert(
+                    key,
+                    Operator {
+                        socket,
+                        input,
+                        output,
+                        open: 0,
+                        moved: turn.now,
+                    },
+                );
             }
         }
     }
 
     fn read(&mut self, turn: &mut Turn<'_>, key: usize) -> io::Result<()> {
-        let Some(operator) = self.operators.get_mut(&key) else { return Ok(()) };
+        let Some(operator) = self.operators.get_mut(&key) else {
+            return Ok(());
+        };
         let mut chunk = [0; READ_MOST];
         match (&*operator.socket).read(&mut chunk) {
             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(n) => operator.input.extend_from_slice(&chunk[..n]),
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                ) =>
+            {
                 return Ok(())
             }
             Err(e) => return Err(e),
@@ -124,18 +143,23 @@
     /// Takes whole lines off the input, as far as more words may be open.
     fn words(&mut self, turn: &mut Turn<'_>, key: usize) {
         while let Some(operator) = self.operators.get_mut(&key).filter(|o| o.open < OPEN_MOST) {
-            let Some(end) = operator.input.iter().position(|b| *b == b'\n') else { break };
+            let Some(end) = operator.input.iter().position(|b| *b == b'\n') else {
+                break;
+            };
             let line: Vec<u8> = operator.input.drain(..=end).collect();
             operator.open += 1;
             self.last += 1;
             self.asked.insert(self.last, key);
-            let word = serde_json::from_slice::<Value>(&line).map_err(|e| format!("no JSON object: {e}"));
+            let word =
+                serde_json::from_slice::<Value>(&line).map_err(|e| format!("no JSON object: {e}"));
             let word = word.and_then(|v| {
                 let word = v["word"].as_str().ok_or("no field `word`")?.to_string();
                 Ok((word, v.get("args").cloned().unwrap_or(Value::Null)))
             });
             match word {
-                Ok((word, _)) if word == "help" => self.answer(turn.now, self.last, Ok(json!(self.help))),
+                Ok((word, _)) if word == "help" => {
+                    self.answer(turn.now, self.last, Ok(json!(self.help)))
+                }
                 Ok((word, args)) if self.help.contains_key(word.as_str()) => {
                     turn.effects.push(Effect::Word(self.last, word, args));
                 }
@@ -154,21 +178,29 @@
     }
 
     fn answer(&mut self, now: Timestamp, number: u64, answer: Result<Value, String>) {
-        let Some(key) = self.asked.remove(&number) else { return };
-        let Some(operator) = self.operators.get_mut(&key) else { return };
+        let Some(key) = self.asked.remove(&number) else {
+            return;
+        };
+        let Some(operator) = self.operators.get_mut(&key) else {
+            return;
+        };
         let answer = match answer {
             Ok(value) => json!({"ok": value}),
             Err(why) => json!({"error": why}),
         };
         operator.open -= 1;
-        operator.output.extend(answer.to_string().bytes().chain([b'\n']));
+        operator
+            .output
+            .extend(answer.to_string().bytes().chain([b'\n']));
         if operator.output.len() > OUTPUT_MOST || self.write(now, key).is_err() {
             self.drop(key);
         }
     }
 
     fn write(&mut self, now: Timestamp, key: usize) -> io::Result<()> {
-        let Some(operator) = self.operators.get_mut(&key) else { return Ok(()) };
+        let Some(operator) = self.operators.get_mut(&key) else {
+            return Ok(());
+        };
         while !operator.output.is_empty() {
             match (&*operator.socket).write(&operator.output) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -205,8 +237,18 @@
         if key == self.listener_key {
             return self.accept(turn);
         }
-        let written = if writable { self.write(turn.now, key) } else { Ok(()) };
-        let read = written.and_then(|()| if readable { self.read(turn, key) } else { Ok(()) });
+        let written = if writable {
+            self.write(turn.now, key)
+        } else {
+            Ok(())
+        };
+        let read = written.and_then(|()| {
+            if readable {
+                self.read(turn, key)
+            } else {
+                Ok(())
+            }
+        });
         if read.is_err() {
             self.drop(key);
         } else if writable {
@@ -217,8 +259,14 @@
     fn due(&mut self, turn: &mut Turn<'_>) {
         let idle = |o: &Operator| o.open == 0 && turn.now > o.moved + IDLE_MOST;
         let stuck = |o: &Operator| !o.output.is_empty() && turn.now > o.moved + IDLE_MOST;
-        let over = self.operators.iter().filter(|(_, o)| idle(o) || stuck(o)).map(|(key, _)| *key);
-        over.collect::<Vec<_>>().into_iter().for_each(|key| self.drop(key));
+        let over = self
+            .operators
+            .iter()
+            .filter(|(_, o)| idle(o) || stuck(o))
+            .map(|(key, _)| *key);
+        over.collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|key| self.drop(key));
         self.sweep = turn.now + IDLE_MOST / 4;
     }
 
--- a/front/src/program/drivers/ops.rs
+++ b/front/src/program/drivers/ops.rs
@@ -56,7 +56,15 @@
         let listener_key = turn.key();
         let callers = BTreeMap::new();
         let acceptor = AcceptBackoff::default();
-        let mut ops = Ops { at, listener: None, listener_key, callers, full: false, acceptor, again: None };
+        let mut ops = Ops {
+            at,
+            listener: None,
+            listener_key,
+            callers,
+            full: false,
+            acceptor,
+            again: None,
+        };
         match at_start(|| ops.listen(turn)) {
             Err(error) if beside && error.kind() == io::ErrorKind::AddrInUse => {
                 tracing::warn!(kind = "ops", %at, "address for operators is taken: tried for until it is free");
@@ -68,7 +76,9 @@
     }
 
     fn listen(&mut self, turn: &mut Turn<'_>) -> io::Result<()> {
-        let listener = turn.reactor.watch(listen(self.at)?, self.listener_key, false)?;
+        let listener = turn
+            .reactor
+            .watch(listen(self.at)?, self.listener_key, false)?;
         tracing::info!(at = %listener.local_addr()?, "operators call here");
         self.listener = Some(listener);
         Ok(())
@@ -80,7 +90,9 @@
             if self.callers.len() >= CALLERS_MOST && !self.make_room(turn) {
                 return self.rest(true);
             }
-            let Some(listener) = &self.listener else { return };
+            let Some(listener) = &self.listener else {
+                return;
+            };
             let socket = match listener.accept() {
                 Ok((socket, _)) => socket,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.rest(false),
@@ -108,7 +120,14 @@
             }
             if let Ok(socket) = turn.reactor.watch(socket, key, false) {
                 let (input, output) = (Vec::new(), Vec::new());
-                let caller = Caller { socket, input, output, since: turn.now, called: false, ends: None };
+                let caller = Caller {
+                    socket,
+                    input,
+                    output,
+                    since: turn.now,
+                    called: false,
+                    ends: None,
+                };
                 self.callers.insert(key, caller);
                 self.go_on(turn, key);
             }
@@ -118,29 +137,47 @@
     /// It can only fail for a socket that is not watched.
     fn rest(&mut self, full: bool) {
         if std::mem::replace(&mut self.full, full) != full {
-            let _ = self.listener.as_ref().map(|listener| listener.rewatch(!full, false));
+            let _ = self
+                .listener
+                .as_ref()
+                .map(|listener| listener.rewatch(!full, false));
         }
     }
 
     /// Closes the caller that least needs its place: first one that has its answer, then the one that has said nothing
     /// whole for longest. Keys are given out in the order of arrival.
     fn make_room(&mut self, turn: &mut Turn<'_>) -> bool {
-        let done = self.callers.iter().find(|(_, c)| c.ends.is_some()).map(|(key, _)| *key);
+        let done = self
+            .callers
+            .iter()
+            .find(|(_, c)| c.ends.is_some())
+            .map(|(key, _)| *key);
         let silent = || {
             let old = |c: &Caller| !c.called && turn.now >= c.since + PATIENCE;
-            self.callers.iter().find(|(_, c)| old(c)).map(|(key, _)| *key)
+            self.callers
+                .iter()
+                .find(|(_, c)| old(c))
+                .map(|(key, _)| *key)
+        };
+        let Some(key) = done.or_else(silent) else {
+            return false;
         };
-        let Some(key) = done.or_else(silent) else { return false };
         // It may have said it by now.
         self.go_on(turn, key);
-        if self.callers.get(&key).is_some_and(|c| !c.called || c.ends.is_some()) {
+        if self
+            .callers
+            .get(&key)
+            .is_some_and(|c| !c.called || c.ends.is_some())
+        {
             self.callers.remove(&key);
         }
         self.callers.len() < CALLERS_MOST
     }
 
     fn go_on(&mut self, turn: &mut Turn<'_>, key: usize) {
-        let Some(caller) = self.callers.get_mut(&key) else { return };
+        let Some(caller) = self.callers.get_mut(&key) else {
+            return;
+        };
         let call = caller.read();
         let over = caller.write(turn.now);
         match (call, over) {
@@ -149,7 +186,8 @@
                 caller.called = true;
                 let (word, args) = word(call);
                 // The key is the number: no other driver gives it out.
-                turn.effects.push(Effect::Word(key as u64, word.into(), args));
+                turn.effects
+                    .push(Effect::Word(key as u64, word.into(), args));
             }
             (Ok(Some(Err(Unreadable(why)))), _) => {
                 tracing::info!(kind = "ops", error = why, "bad call");
@@ -160,7 +198,9 @@
     }
 
     fn answer(&mut self, now: Timestamp, key: usize, text: Vec<u8>) {
-        let Some(caller) = self.callers.get_mut(&key) else { return };
+        let Some(caller) = self.callers.get_mut(&key) else {
+            return;
+        };
         (caller.called, caller.output) = (true, text);
         if caller.write(now).is_err() {
             self.callers.remove(&key);
@@ -182,7 +222,14 @@
                 }
                 Ok(n) if !self.called => self.input.extend_from_slice(&chunk[..n]),
                 Ok(_) => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => break,
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                    ) =>
+                {
+                    break
+                }
                 Err(e) => return Err(e),
             }
         }
@@ -218,7 +265,9 @@
             match (&*self.socket).write(&self.output) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => drop(self.output.drain(..n)),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.socket.rewatch(true, true),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    return self.socket.rewatch(true, true)
+                }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
@@ -253,8 +302,14 @@
 
     fn due(&mut self, turn: &mut Turn<'_>) {
         let over = |c: &Caller| turn.now >= c.ends.unwrap_or(c.since + STAY_MOST);
-        let over: Vec<_> = self.callers.iter().filter(|(_, c)| over(c)).map(|(key, _)| *key).collect();
-        over.into_iter().for_each(|key| drop(self.callers.remove(&key)));
+        let over: Vec<_> = self
+            .callers
+            .iter()
+            .filter(|(_, c)| over(c))
+            .map(|(key, _)| *key)
+            .collect();
+        over.into_iter()
+            .for_each(|key| drop(self.callers.remove(&key)));
         if self.listener.is_none() && self.again.is_some_and(|at| turn.now >= at) {
             self.again = self.listen(turn).is_err().then_some(turn.now + AGAIN);
         }
@@ -265,16 +320,31 @@
     }
 
     fn next(&self) -> Option<Timestamp> {
-        let waits = |c: &Caller| if self.full && !c.called { PATIENCE } else { STAY_MOST };
-        self.callers.values().map(|c| c.ends.unwrap_or(c.since + waits(c))).chain(self.again).min()
+        let waits = |c: &Caller| {
+            if self.full && !c.called {
+                PATIENCE
+            } else {
+                STAY_MOST
+            }
+        };
+        self.callers
+            .values()
+            .map(|c| c.ends.unwrap_or(c.since + waits(c)))
+            .chain(self.again)
+            .min()
     }
 
     fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
-        let Effect::Answer(number, found) = effect else { return };
+        let Effect::Answer(number, found) = effect else {
+            return;
+        };
         let key = *number as usize;
         let text = match found {
             Ok(Value::Object(figures)) => {
-                let lines: Vec<_> = figures.iter().map(|(name, n)| format!("{name}={n}")).collect();
+                let lines: Vec<_> = figures
+                    .iter()
+                    .map(|(name, n)| format!("{name}={n}"))
+                    .collect();
                 answer(Ok(""), Some(&lines))
             }
             Ok(value) => answer(Ok(value.as_str().unwrap_or_default()), None),
--- a/front/src/program/drivers/peers.rs
+++ b/front/src/program/drivers/peers.rs
@@ -68,10 +68,15 @@
         (purge_ms, serve_ms): (u64, u64),
     ) -> Result<Self, String> {
         let address = |text: &str, path: &str| {
-            text.parse::<SocketAddr>().map_err(|e| format!("startup.peers.{path}: {text}: {e}"))
+            text.parse::<SocketAddr>()
+                .map_err(|e| format!("startup.peers.{path}: {text}: {e}"))
         };
         let own = address(&settings.listen, "listen")?;
-        let all = settings.ask.iter().map(|text| address(text, "ask")).collect::<Result<Vec<_>, _>>()?;
+        let all = settings
+            .ask
+            .iter()
+            .map(|text| address(text, "ask"))
+            .collect::<Result<Vec<_>, _>>()?;
         let peers: Vec<_> = all.into_iter().filter(|at| *at != own).collect();
         let failed = |e: io::Error| format!("startup.peers.listen: {own}: {e}");
         let listener_key = turn.key();
@@ -79,7 +84,13 @@
             .and_then(|l| turn.reactor.watch(l, listener_key, false))
             .map_err(failed)?;
         tracing::info!(at = %own, peers = peers.len(), "the list is served to peers");
-        let core = PeerBootstrap::new(turn.now, peers.len(), settings.agree, settings.every_ms * 1_000, seed);
+        let core = PeerBootstrap::new(
+            turn.now,
+            peers.len(),
+            settings.agree,
+            settings.every_ms * 1_000,
+            seed,
+        );
         Ok(Peers {
             listener,
             listener_key,
@@ -107,14 +118,23 @@
             let key = turn.key();
             if let Ok(stream) = Stream::new(turn.reactor, socket, key, false) {
                 let until = turn.now + EXCHANGE_MOST;
-                self.askers.insert(key, Asker { stream, until, answered: false });
+                self.askers.insert(
+                    key,
+                    Asker {
+                        stream,
+                        until,
+                        answered: false,
+                    },
+                );
             }
         }
     }
 
     /// Goes on with an asker. An error: it is done with, or of no use.
     fn serve(&mut self, key: usize) -> io::Result<()> {
-        let Some(asker) = self.askers.get_mut(&key) else { return Ok(()) };
+        let Some(asker) = self.askers.get_mut(&key) else {
+            return Ok(());
+        };
         while let Some(n) = asker.stream.fill(&mut self.scratch)? {
             if n == 0 || asker.stream.input().len() > HELLO {
                 return Err(io::ErrorKind::InvalidData.into());
@@ -123,9 +143,17 @@
         let hello: Option<[u8; HELLO]> = asker.stream.input().try_into().ok();
         if let Some(held) = hello.filter(|_| !asker.answered).map(u64::from_be_bytes) {
             asker.answered = true;
-            if let Some(text) = Some(&self.known).filter(|k| k.number > held).and_then(Snapshot::text) {
+            if let Some(text) = Some(&self.known)
+                .filter(|k| k.number > held)
+                .and_then(Snapshot::text)
+            {
                 self.served += 1;
-                asker.stream.push(Outgoing { tag: (), head: text.into(), body: Rc::default(), tail: b"" });
+                asker.stream.push(Outgoing {
+                    tag: (),
+                    head: text.into(),
+                    body: Rc::default(),
+                    tail: b"",
+                });
             }
         }
         asker.stream.flush(|()| {})?;
@@ -138,12 +166,26 @@
 
     fn ask(&mut self, turn: &mut Turn<'_>, peer: usize) {
         let key = turn.key();
-        match dial(self.peers[peer]).and_then(|socket| Stream::new(turn.reactor, socket, key, true)) {
+        match dial(self.peers[peer]).and_then(|socket| Stream::new(turn.reactor, socket, key, true))
+        {
             Ok(mut stream) => {
                 let held = self.known.number;
                 let head = held.to_be_bytes().to_vec();
-                stream.push(Outgoing { tag: (), head, body: Rc::default(), tail: b"" });
-                self.asked.insert(key, Asked { peer, stream, until: turn.now + EXCHANGE_MOST, held });
+                stream.push(Outgoing {
+                    tag: (),
+                    head,
+                    body: Rc::default(),
+                    tail: b"",
+                });
+                self.asked.insert(
+                    key,
+                    Asked {
+                        peer,
+                        stream,
+                        until: turn.now + EXCHANGE_MOST,
+                        held,
+                    },
+                );
             }
             Err(_) => self.core.record_failure(turn.now, peer),
         }
@@ -151,7 +193,9 @@
 
     /// Goes on with a peer that was asked. `true`: all has come that it has to say.
     fn hear(&mut self, key: usize) -> io::Result<bool> {
-        let Some(asked) = self.asked.get_mut(&key) else { return Ok(false) };
+        let Some(asked) = self.asked.get_mut(&key) else {
+            return Ok(false);
+        };
         if !asked.stream.connected()? {
             return Ok(false);
         }
@@ -175,18 +219,30 @@
         if text.is_empty() {
             return self.core.record_no_update(peer);
         }
-        let judged = Snapshot::read(text).map_err(str::to_string).and_then(|list| {
-            let header =
-                SnapshotHeader { source: list.source, revision: list.number, current_at_ms: list.at_ms };
-            let held = asked.held.max(self.known.number);
-            let good = check_snapshot(wall_ms(), header, self.known.source, held, self.serve_ms);
-            good.map_err(|why| why.to_string()).map(|()| list)
-        });
+        let judged = Snapshot::read(text)
+            .map_err(str::to_string)
+            .and_then(|list| {
+                let header = SnapshotHeader {
+                    source: list.source,
+                    revision: list.number,
+                    current_at_ms: list.at_ms,
+                };
+                let held = asked.held.max(self.known.number);
+                let good =
+                    check_snapshot(wall_ms(), header, self.known.source, held, self.serve_ms);
+                good.map_err(|why| why.to_string()).map(|()| list)
+            });
         match judged {
             Ok(list) => {
                 self.offered += 1;
-                let offer = ListOffer { revision: list.number, digest: list.digest() };
-                if self.core.record_offer(turn.now, peer, self.known.number, offer) {
+                let offer = ListOffer {
+                    revision: list.number,
+                    digest: list.digest(),
+                };
+                if self
+                    .core
+                    .record_offer(turn.now, peer, self.known.number, offer)
+                {
                     turn.effects.push(Effect::Offered(Box::new(list)));
                 }
             }
@@ -233,7 +289,12 @@
     fn due(&mut self, turn: &mut Turn<'_>) {
         let now = turn.now;
         self.askers.retain(|_, asker| asker.until > now);
-        let late: Vec<_> = self.asked.iter().filter(|(_, a)| a.until <= now).map(|(key, _)| *key).collect();
+        let late: Vec<_> = self
+            .asked
+            .iter()
+            .filter(|(_, a)| a.until <= now)
+            .map(|(key, _)| *key)
+            .collect();
         for key in late {
             if let Some(asked) = self.asked.remove(&key) {
                 self.lost(now, asked.peer);
@@ -249,7 +310,11 @@
     }
 
     fn next(&self) -> Option<Timestamp> {
-        let ends = self.askers.values().map(|a| a.until).chain(self.asked.values().map(|a| a.until));
+        let ends = self
+            .askers
+            .values()
+            .map(|a| a.until)
+            .chain(self.asked.values().map(|a| a.until));
         ends.chain([self.core.next_round()]).min()
     }
 
@@ -257,7 +322,8 @@
         match effect {
             Effect::Heard(number, news) => {
                 self.heard = Some(turn.now);
-                self.known.take(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
+                self.known
+                    .take(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
             }
             Effect::Current => {
                 self.heard = Some(turn.now);
@@ -279,6 +345,9 @@
     }
 
     fn words(&self) -> Vec<(&'static str, &'static str)> {
-        vec![("peers", "the list from one another: served, offered, taken, and how old it is")]
+        vec![(
+            "peers",
+            "the list from one another: served, offered, taken, and how old it is",
+        )]
     }
 }
--- a/front/src/program/drivers/purges/mod.rs
+++ b/front/src/program/drivers/purges/mod.rs
@@ -39,7 +39,10 @@
 
 impl Disk {
     fn folder(&self) -> &Path {
-        self.path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."))
+        self.path
+            .parent()
+            .filter(|p| !p.as_os_str().is_empty())
+            .unwrap_or(Path::new("."))
     }
 }
 
@@ -61,7 +64,9 @@
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let tail = match &mut self.tail {
             Some(tail) => tail,
-            None => self.tail.insert(std::fs::OpenOptions::new().append(true).open(&self.path)?),
+            None => self
+                .tail
+                .insert(std::fs::OpenOptions::new().append(true).open(&self.path)?),
         };
         tail.write_all(bytes)
     }
@@ -74,7 +79,12 @@
         self.tail = None;
         let aside = self.path.with_extension("tmp");
         let mut options = std::fs::OpenOptions::new();
-        let mut file = options.write(true).create(true).truncate(true).mode(0o600).open(&aside)?;
+        let mut file = options
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .mode(0o600)
+            .open(&aside)?;
         file.write_all(bytes)?;
         file.sync_all()?;
         std::fs::rename(&aside, &self.path)?;
@@ -101,7 +111,10 @@
 
 impl Durable {
     fn of(ledger: &Ledger) -> Self {
-        Durable { ledger: ledger.identity, number: ledger.last() }
+        Durable {
+            ledger: ledger.identity,
+            number: ledger.last(),
+        }
     }
 
     /// Takes in what was written later.
@@ -145,7 +158,14 @@
     let (number, identity) = (ledger.last() + 1, ledger.identity);
     let what = What::Pattern("*".into());
     let id = format!("start-{identity:016x}").into();
-    let purge = Purge { number, at: unix_ms(now), what, id, who: "cranesill".into(), why: why.into() };
+    let purge = Purge {
+        number,
+        at: unix_ms(now),
+        what,
+        id,
+        who: "cranesill".into(),
+        why: why.into(),
+    };
     // It is the next one of this very ledger.
     let _ = ledger.append(identity, purge);
 }
@@ -153,8 +173,13 @@
 /// Writes the file at the start. A disk that is full or fails for a while ends no start: why it can't be written is returned,
 /// and the sweep tries again. A wrong path ends it.
 fn write_first(file: &mut dyn File, ledger: &Ledger) -> io::Result<Option<String>> {
-    let Err(error) = journal::rewrite(file, ledger) else { return Ok(None) };
-    let full = matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded);
+    let Err(error) = journal::rewrite(file, ledger) else {
+        return Ok(None);
+    };
+    let full = matches!(
+        error.kind(),
+        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded
+    );
     if !full && error.raw_os_error() != Some(libc::EIO) {
         return Err(error);
     }
@@ -165,7 +190,10 @@
 /// Where kinds stand in the platform's list.
 fn positions(wanted: &[String], kinds: &[String]) -> Result<Vec<u8>, String> {
     let at = |name: &String| {
-        let found = kinds.iter().position(|k| k == name).and_then(|at| u8::try_from(at).ok());
+        let found = kinds
+            .iter()
+            .position(|k| k == name)
+            .and_then(|at| u8::try_from(at).ok());
         found.ok_or_else(|| format!("purges.boxes.kinds: the platform has no kind {name}"))
     };
     wanted.iter().map(at).collect()
@@ -186,14 +214,22 @@
 impl Purges {
     /// Reads the ledger before the first request is taken. What can't be read is taken for purged.
     pub fn new(turn: &mut Turn<'_>, settings: &Settings, kinds: &[String]) -> Result<Self, String> {
-        let boxes = settings.boxes.as_ref().map(|b| positions(&b.kinds, kinds)).transpose()?;
+        let boxes = settings
+            .boxes
+            .as_ref()
+            .map(|b| positions(&b.kinds, kinds))
+            .transpose()?;
         let workers_key = turn.key();
-        let workers = Workers::new(turn.reactor, workers_key).map_err(|e| format!("purges: {e}"))?;
+        let workers =
+            Workers::new(turn.reactor, workers_key).map_err(|e| format!("purges: {e}"))?;
         let identity = unix_ms(turn.now) ^ (u64::from(std::process::id()) << 44);
         let (mut ledger, mut disk, mut unknown) = (Ledger::new(identity), None, true);
         let mut broken = None;
         if let Some(path) = &settings.file {
-            let mut file = Guarded::new(Disk { path: path.clone(), tail: None });
+            let mut file = Guarded::new(Disk {
+                path: path.clone(),
+                tail: None,
+            });
             let failed = |e: io::Error| format!("purges.file: {}: {e}", path.display());
             match journal::open(&mut file).map_err(failed)? {
                 Opened::Missing => {
@@ -201,7 +237,10 @@
                     everything(turn.now, &mut ledger, "the file was missing");
                     broken = write_first(&mut file, &ledger).map_err(failed)?;
                 }
-                Opened::Whole { ledger: found, torn } => {
+                Opened::Whole {
+                    ledger: found,
+                    torn,
+                } => {
                     if torn > 0 {
                         tracing::warn!(
                             kind = "torn",
@@ -224,7 +263,13 @@
                     for purge in found.iter().flat_map(Ledger::iter) {
                         let number = fresh.last() + 1;
                         // The same purges under their own order; none can be refused.
-                        let _ = fresh.append(identity, Purge { number, ..purge.clone() });
+                        let _ = fresh.append(
+                            identity,
+                            Purge {
+                                number,
+                                ..purge.clone()
+                            },
+                        );
                     }
                     everything(turn.now, &mut fresh, "the file was damaged");
                     // No copy, which a full disk has no place for. A missing file counts as everything purged as well.
@@ -245,18 +290,30 @@
         let horizon = unix_ms(turn.now).saturating_sub(settings.horizon_s * 1_000);
         let live: Vec<Purge> = ledger.iter().filter(|p| p.at >= horizon).cloned().collect();
         tracing::info!(last = ledger.last(), live = live.len(), unknown, "purges");
-        turn.effects
-            .push(Effect::Purges(Purging::Floors(settings.clone(), unknown.then(|| unix_ms(turn.now)))));
+        turn.effects.push(Effect::Purges(Purging::Floors(
+            settings.clone(),
+            unknown.then(|| unix_ms(turn.now)),
+        )));
         turn.effects.push(Effect::Purges(Purging::Purged(live)));
-        let boxes = boxes
-            .zip(settings.boxes.as_ref())
-            .map(|(kinds, b)| (BoxLinks::new(turn.now, &ledger, b.per_s.into(), b.connections_most), kinds));
-        let followers = settings.serve.as_ref().map(|at| Followers::new(turn, at)).transpose()?;
+        let boxes = boxes.zip(settings.boxes.as_ref()).map(|(kinds, b)| {
+            (
+                BoxLinks::new(turn.now, &ledger, b.per_s.into(), b.connections_most),
+                kinds,
+            )
+        });
+        let followers = settings
+            .serve
+            .as_ref()
+            .map(|at| Followers::new(turn, at))
+            .transpose()?;
         let follow = settings.follow.as_ref().map(|f| f.address.as_str());
         let following = follow.map(|at| Following::new(turn.now, at)).transpose()?;
         Ok(Purges {
             durable: match &broken {
-                Some(_) => Durable { ledger: ledger.identity, number: ledger.base() },
+                Some(_) => Durable {
+                    ledger: ledger.identity,
+                    number: ledger.base(),
+                },
                 None => Durable::of(&ledger),
             },
             followers,
@@ -280,10 +337,15 @@
     /// Keeps the next command, if none is being kept.
     fn go_on(&mut self, turn: &mut Turn<'_>) {
         while self.keeping.is_none() {
-            let Some((number, command)) = self.waiting.pop_front() else { return };
+            let Some((number, command)) = self.waiting.pop_front() else {
+                return;
+            };
             if let Some(why) = &self.broken {
                 self.waiters.remove(&number);
-                turn.effects.push(Effect::Answer(number, Err(format!("the ledger can't be kept: {why}"))));
+                turn.effects.push(Effect::Answer(
+                    number,
+                    Err(format!("the ledger can't be kept: {why}")),
+                ));
                 continue;
             }
             match self.ledger.take(purged_ms(turn), &command) {
@@ -295,7 +357,9 @@
                     Some(disk) => {
                         self.keeping = Some((number, purge.clone()));
                         let work = move || match disk.lock() {
-                            Ok(mut disk) => journal::keep(&mut *disk, &purge).map_err(|e| e.to_string()),
+                            Ok(mut disk) => {
+                                journal::keep(&mut *disk, &purge).map_err(|e| e.to_string())
+                            }
                             Err(_) => Err("its writer has failed".into()),
                         };
                         if let Err(e) = self.workers.in_order(move || Done::Kept(work())) {
@@ -320,7 +384,8 @@
         tracing::info!(number, what = ?purge.what, who = %purge.who, why = %purge.why, "purge");
         // It was taken in as the next one, and nothing else came between.
         let _ = self.ledger.append(self.ledger.identity, purge.clone());
-        turn.effects.push(Effect::Purges(Purging::Purged(vec![purge])));
+        turn.effects
+            .push(Effect::Purges(Purging::Purged(vec![purge])));
         self.answer(turn, operator, number, false);
     }
 
@@ -349,10 +414,13 @@
             };
             following.work(turn, self.ledger.identity, held);
         }
-        let Some((boxes, _)) = &mut self.boxes else { return };
+        let Some((boxes, _)) = &mut self.boxes else {
+            return;
+        };
         boxes.work(turn, &self.ledger);
         if let Some(number) = boxes.changed() {
-            turn.effects.push(Effect::Purges(Purging::Confirmed(number)));
+            turn.effects
+                .push(Effect::Purges(Purging::Confirmed(number)));
         }
         let now = turn.now;
         self.waits.retain(|(operator, until, number)| {
@@ -361,7 +429,10 @@
             if done || now >= *until {
                 let answer = match done {
                     true => Ok(json!({"number": number, "confirmed": "by all boxes"})),
-                    false => Err(format!("purge {number} is not confirmed by {}", missing.join(" "))),
+                    false => Err(format!(
+                        "purge {number} is not confirmed by {}",
+                        missing.join(" ")
+                    )),
                 };
                 turn.effects.push(Effect::Answer(*operator, answer));
             }
@@ -375,11 +446,17 @@
             if frame.anew {
                 // What the writer has forgotten is past the horizon; what stood in another ledger is not known there.
                 let lost = self.ledger.last() > 0;
-                tracing::warn!(kind = "anew", base = frame.base, lost, "purges: the ledger begins anew");
+                tracing::warn!(
+                    kind = "anew",
+                    base = frame.base,
+                    lost,
+                    "purges: the ledger begins anew"
+                );
                 self.ledger = Ledger::after(frame.ledger, frame.base);
                 self.durable = Durable::of(&self.ledger);
                 if lost {
-                    turn.effects.push(Effect::Purges(Purging::Everything(purged_ms(turn))));
+                    turn.effects
+                        .push(Effect::Purges(Purging::Everything(purged_ms(turn))));
                 }
                 self.rewrite(turn);
                 continue;
@@ -406,7 +483,8 @@
             }
             let last = self.ledger.last();
             if !new.is_empty() {
-                turn.effects.push(Effect::Purges(Purging::Purged(new.clone())));
+                turn.effects
+                    .push(Effect::Purges(Purging::Purged(new.clone())));
                 self.keep_batch(turn, new);
             }
             if let (Some(number), Some(following)) = (sent, &mut self.following) {
@@ -438,11 +516,19 @@
     /// A write failed: what the file holds is not known until it is written anew. The purge takes effect here all the
     /// same, since it may be in the file; whoever asked is told that it may not last.
     fn failed(&mut self, turn: &mut Turn<'_>, why: &str) {
-        tracing::error!(kind = "not-kept", error = why, "purges: the ledger can't be kept");
+        tracing::error!(
+            kind = "not-kept",
+            error = why,
+            "purges: the ledger can't be kept"
+        );
         self.broken = Some(why.into());
         if let Some((operator, purge)) = self.keeping.take() {
             self.waiters.remove(&operator);
-            turn.effects.push(Effect::Purges(Purging::Purged(vec![Purge { number: 0, ..purge }])));
+            turn.effects
+                .push(Effect::Purges(Purging::Purged(vec![Purge {
+                    number: 0,
+                    ..purge
+                }])));
             let text = format!(
                 "it counts here until a restart, and could not be kept: {why}; repeat it with the same id"
             );
@@ -453,14 +539,19 @@
 
     /// Writes the file anew, without what was compacted or what a failed write left.
     fn rewrite(&mut self, turn: &mut Turn<'_>) {
-        let Some(disk) = self.disk.clone() else { return };
+        let Some(disk) = self.disk.clone() else {
+            return;
+        };
         let ledger = self.ledger.clone();
         let written = Durable::of(&ledger);
         let work = move || match disk.lock() {
             Ok(mut disk) => journal::rewrite(&mut *disk, &ledger).map_err(|e| e.to_string()),
             Err(_) => Err("its writer has failed".into()),
         };
-        if let Err(e) = self.workers.in_order(move || Done::Rewritten(written, work())) {
+        if let Err(e) = self
+            .workers
+            .in_order(move || Done::Rewritten(written, work()))
+        {
             self.failed(turn, &e.to_string());
         }
     }
@@ -479,20 +570,30 @@
 
 /// What a word names; the error says what is wrong with it.
 pub fn what(args: &Value) -> Result<What, String> {
-    let given: Vec<_> =
-        ["object", "group", "tag", "pattern"].iter().filter(|n| !args[**n].is_null()).collect();
-    let [name] = given[..] else { return Err("exactly one of object, group, tag, pattern".into()) };
+    let given: Vec<_> = ["object", "group", "tag", "pattern"]
+        .iter()
+        .filter(|n| !args[**n].is_null())
+        .collect();
+    let [name] = given[..] else {
+        return Err("exactly one of object, group, tag, pattern".into());
+    };
     let value = &args[*name];
-    let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
+    let text = value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string);
     match *name {
         "object" => {
             let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
             let number = u64::from_str_radix(&text, 16).ok().filter(|_| hex);
-            number.map(What::Object).ok_or("object: not 16 hex digits".into())
+            number
+                .map(What::Object)
+                .ok_or("object: not 16 hex digits".into())
         }
         "group" => {
             let number = text.parse().ok().filter(|n| *n < 256);
-            number.map(What::Group).ok_or("group: no number below 256".into())
+            number
+                .map(What::Group)
+                .ok_or("group: no number below 256".into())
         }
         "tag" => Ok(What::Tag(text.into())),
         _ => Ok(What::Pattern(text.into())),
@@ -527,25 +628,37 @@
                 Done::Kept(Err(why)) => self.failed(turn, &why),
                 Done::KeptBatch(kept, Ok(())) => {
                     self.durable.advance(kept);
-                    self.following.iter_mut().for_each(|f| f.kept(turn.now, self.durable.number));
+                    self.following
+                        .iter_mut()
+                        .for_each(|f| f.kept(turn.now, self.durable.number));
                 }
                 Done::KeptBatch(_, Err(why)) => {
-                    self.following.iter_mut().for_each(|f| f.lost(turn.now, "what it sent can't be kept"));
+                    self.following
+                        .iter_mut()
+                        .for_each(|f| f.lost(turn.now, "what it sent can't be kept"));
                     self.failed(turn, &why);
                 }
                 Done::Rewritten(written, Ok(())) => {
                     self.durable.advance(written);
-                    self.following.iter_mut().for_each(|f| f.kept(turn.now, self.durable.number));
+                    self.following
+                        .iter_mut()
+                        .for_each(|f| f.kept(turn.now, self.durable.number));
                     if self.broken.take().is_some() {
                         tracing::info!("purges: the ledger can be kept again");
                     }
                 }
                 Done::Rewritten(_, Err(why)) => {
                     if self.broken.replace(why.clone()).is_none() {
-                        tracing::error!(kind = "not-kept", error = why, "purges: the ledger can't be kept");
+                        tracing::error!(
+                            kind = "not-kept",
+                            error = why,
+                            "purges: the ledger can't be kept"
+                        );
                     }
                 }
-                Done::Compiled(set) => turn.effects.push(Effect::Purges(Purging::Compiled(Box::new(set)))),
+                Done::Compiled(set) => turn
+                    .effects
+                    .push(Effect::Purges(Purging::Compiled(Box::new(set)))),
             }
         }
     }
@@ -561,7 +674,10 @@
         turn.effects.push(Effect::Purges(Purging::Horizon(horizon)));
         // Nothing is being written: what is compacted or cut off can't be what waits.
         if self.keeping.is_none() {
-            let confirmed = self.boxes.as_ref().map_or(self.ledger.last(), |(boxes, _)| boxes.confirmed());
+            let confirmed = self
+                .boxes
+                .as_ref()
+                .map_or(self.ledger.last(), |(boxes, _)| boxes.confirmed());
             if self.ledger.compact(confirmed, horizon) > 0 || self.broken.is_some() {
                 self.rewrite(turn);
             }
@@ -569,11 +685,17 @@
     }
 
     fn next(&self) -> Option<Timestamp> {
-        let boxes = self.boxes.as_ref().and_then(|(boxes, _)| boxes.next(self.now, self.ledger.last()));
+        let boxes = self
+            .boxes
+            .as_ref()
+            .and_then(|(boxes, _)| boxes.next(self.now, self.ledger.last()));
         let waits = self.waits.iter().map(|(_, until, _)| *until).min();
         let followers = self.followers.as_ref().and_then(Followers::next);
         let following = self.following.as_ref().map(Following::next);
-        [Some(self.sweep), boxes, waits, followers, following].into_iter().flatten().min()
+        [Some(self.sweep), boxes, waits, followers, following]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
@@ -581,12 +703,18 @@
             Effect::Purges(Purging::Compile(patterns)) => {
                 let patterns = patterns.clone();
                 if let Err(e) = self.workers.run(move || Done::Compiled(compile(patterns))) {
-                    turn.effects.push(Effect::Purges(Purging::Compiled(Box::new(Err(e.to_string())))));
+                    turn.effects
+                        .push(Effect::Purges(Purging::Compiled(Box::new(Err(
+                            e.to_string()
+                        )))));
                 }
             }
             Effect::Members(members, whole) => {
                 if let Some((boxes, kinds)) = &mut self.boxes {
-                    let ours = members.iter().filter(|m| kinds.contains(&m.1)).map(|m| (m.0, m.2));
+                    let ours = members
+                        .iter()
+                        .filter(|m| kinds.contains(&m.1))
+                        .map(|m| (m.0, m.2));
                     boxes.list(turn.now, &ours.collect::<Vec<_>>(), *whole);
                     self.boxes_work(turn);
                 }
@@ -599,7 +727,10 @@
             Effect::Word(number, word, _) if word == "purge-boxes" => {
                 let rows = self.boxes.as_ref().map(|(boxes, _)| boxes.rows());
                 let answer = rows.map(|rows| json!({"last": self.ledger.last(), "boxes": rows}));
-                turn.effects.push(Effect::Answer(*number, answer.ok_or("no box is sent purges".into())));
+                turn.effects.push(Effect::Answer(
+                    *number,
+                    answer.ok_or("no box is sent purges".into()),
+                ));
             }
             Effect::Word(number, word, _) if word == "purge" && self.following.is_some() => {
                 let at = self.settings.follow.as_ref().map_or("", |f| &f.address);
@@ -617,11 +748,15 @@
                 });
                 match command {
                     Ok(_) if self.waiting.len() >= WAITING_MOST => {
-                        turn.effects.push(Effect::Answer(*number, Err("too many wait to be kept".into())));
+                        turn.effects.push(Effect::Answer(
+                            *number,
+                            Err("too many wait to be kept".into()),
+                        ));
                     }
                     Ok(command) => {
                         if let Some(seconds) = args["wait_s"].as_u64() {
-                            self.waiters.insert(*number, turn.now + seconds.min(120) * 1_000_000);
+                            self.waiters
+                                .insert(*number, turn.now + seconds.min(120) * 1_000_000);
                         }
                         self.waiting.push_back((*number, command));
                         self.go_on(turn);
@@ -633,7 +768,13 @@
                 let one = args["number"].as_u64();
                 let rows: Vec<_> = match one {
                     Some(one) => self.ledger.get(one).into_iter().map(Self::row).collect(),
-                    None => self.ledger.iter().rev().take(ROWS_MOST).map(Self::row).collect(),
+                    None => self
+                        .ledger
+                        .iter()
+                        .rev()
+                        .take(ROWS_MOST)
+                        .map(Self::row)
+                        .collect(),
                 };
                 let answer = json!({"last": self.ledger.last(), "held_after": self.ledger.base(),
                                     "ledger": format!("{:016x}", self.ledger.identity),
@@ -647,7 +788,10 @@
 
     fn words(&self) -> Vec<(&'static str, &'static str)> {
         vec![
-            ("purge", "{object | group | tag | pattern, id, who, why, all}: purge these"),
+            (
+                "purge",
+                "{object | group | tag | pattern, id, who, why, all}: purge these",
+            ),
             ("purge-boxes", "how each box stands"),
             ("purges", "the ledger, latest first; {number}: one"),
         ]
--- a/front/src/program/drivers/purges/replicas.rs
+++ b/front/src/program/drivers/purges/replicas.rs
@@ -24,7 +24,12 @@
 const READ_MOST: usize = 64 * 1024;
 
 fn out(bytes: Vec<u8>) -> Outgoing<()> {
-    Outgoing { tag: (), head: bytes, body: Rc::default(), tail: b"" }
+    Outgoing {
+        tag: (),
+        head: bytes,
+        body: Rc::default(),
+        tail: b"",
+    }
 }
 
 #[derive(Debug)]
@@ -51,13 +56,23 @@
     /// Listens.
     pub fn new(turn: &mut Turn<'_>, at: &str) -> Result<Self, String> {
         let failed = |e: &dyn std::fmt::Display| format!("purges.serve: {at}: {e}");
-        let address: SocketAddr = at.parse().map_err(|e: std::net::AddrParseError| failed(&e))?;
+        let address: SocketAddr = at
+            .parse()
+            .map_err(|e: std::net::AddrParseError| failed(&e))?;
         let listener_key = turn.key();
         let listener = at_start(|| listen(address)).map_err(|e| failed(&e))?;
         let local = listener.local_addr().map_err(|e| failed(&e))?;
         tracing::info!(at = %local, "purges: serving the ledger");
-        let listener = turn.reactor.watch(listener, listener_key, false).map_err(|e| failed(&e))?;
-        Ok(Followers { listener, listener_key, all: HashMap::new(), scratch: vec![0; READ_MOST] })
+        let listener = turn
+            .reactor
+            .watch(listener, listener_key, false)
+            .map_err(|e| failed(&e))?;
+        Ok(Followers {
+            listener,
+            listener_key,
+            all: HashMap::new(),
+            scratch: vec![0; READ_MOST],
+        })
     }
 
     /// Whether this is one of its sources.
@@ -80,7 +95,13 @@
                 }
                 let key = turn.key();
                 if let Ok(stream) = Stream::new(turn.reactor, socket, key, false) {
-                    let reader = Reader { stream, last: None, sent: None, moved: turn.now, beat: turn.now };
+                    let reader = Reader {
+                        stream,
+                        last: None,
+                        sent: None,
+                        moved: turn.now,
+                        beat: turn.now,
+                    };
                     self.all.insert(key, reader);
                 }
             }
@@ -93,7 +114,9 @@
     }
 
     fn read(&mut self, now: Timestamp, key: usize, ledger: &Ledger) -> io::Result<()> {
-        let Some(reader) = self.all.get_mut(&key) else { return Ok(()) };
+        let Some(reader) = self.all.get_mut(&key) else {
+            return Ok(());
+        };
         let bad = |why: &'static str| io::Error::new(io::ErrorKind::InvalidData, why);
         reader.stream.flush(|()| {})?;
         while let Some(n) = reader.stream.fill(&mut self.scratch)? {
@@ -102,19 +125,31 @@
             }
             reader.moved = now;
             if reader.last.is_none() {
-                let Some(told) = read_hello(reader.stream.input()).map_err(|e| bad(e.0))? else { continue };
+                let Some(told) = read_hello(reader.stream.input()).map_err(|e| bad(e.0))? else {
+                    continue;
+                };
                 reader.stream.consume(HELLO);
-                let known =
-                    told.ledger == ledger.identity && (ledger.base()..=ledger.last()).contains(&told.last);
+                let known = told.ledger == ledger.identity
+                    && (ledger.base()..=ledger.last()).contains(&told.last);
                 let last = if known { told.last } else { ledger.base() };
                 if !known {
                     let (identity, base, head) = (ledger.identity, ledger.base(), ledger.last());
-                    let anew = Frame { anew: true, ledger: identity, base, head, purges: Vec::new() };
+                    let anew = Frame {
+                        anew: true,
+                        ledger: identity,
+                        base,
+                        head,
+                        purges: Vec::new(),
+                    };
                     reader.stream.push(out(frame(&anew)));
                 }
                 reader.last = Some(last);
             }
-            while let Some(number) = reader.stream.input().first_chunk::<8>().map(|b| u64::from_le_bytes(*b))
+            while let Some(number) = reader
+                .stream
+                .input()
+                .first_chunk::<8>()
+                .map(|b| u64::from_le_bytes(*b))
             {
                 reader.stream.consume(8);
                 // Its word for what is out, and for nothing else.
@@ -138,7 +173,10 @@
             if waits && now > reader.moved + SILENCE_MOST {
                 gone.push(*key);
             }
-            let Some(last) = reader.last.filter(|_| reader.sent.is_none() && reader.stream.flushed()) else {
+            let Some(last) = reader
+                .last
+                .filter(|_| reader.sent.is_none() && reader.stream.flushed())
+            else {
                 continue;
             };
             if last >= ledger.last() && now < reader.beat {
@@ -151,13 +189,24 @@
             };
             reader.sent = purges.last().map(|p| p.number);
             let (identity, base, head) = (ledger.identity, ledger.base(), ledger.last());
-            let batch = Frame { anew: false, ledger: identity, base, head, purges };
+            let batch = Frame {
+                anew: false,
+                ledger: identity,
+                base,
+                head,
+                purges,
+            };
             reader.stream.push(out(frame(&batch)));
             reader.beat = now + BEAT;
             if reader.sent.is_some() {
                 reader.moved = now;
             }
-            if reader.stream.flush(|()| {}).and_then(|()| reader.stream.rewatch(true)).is_err() {
+            if reader
+                .stream
+                .flush(|()| {})
+                .and_then(|()| reader.stream.rewatch(true))
+                .is_err()
+            {
                 gone.push(*key);
             }
         }
@@ -193,7 +242,9 @@
 impl Following {
     /// Not connected yet.
     pub fn new(now: Timestamp, address: &str) -> Result<Self, String> {
-        let address = address.parse().map_err(|e| format!("purges.follow.address: {address}: {e}"))?;
+        let address = address
+            .parse()
+            .map_err(|e| format!("purges.follow.address: {address}: {e}"))?;
         Ok(Following {
             address,
             link: None,
@@ -220,7 +271,9 @@
     }
 
     fn read(&mut self, now: Timestamp, frames: &mut Vec<Frame>) -> io::Result<()> {
-        let Some((_, stream)) = &mut self.link else { return Ok(()) };
+        let Some((_, stream)) = &mut self.link else {
+            return Ok(());
+        };
         if !stream.connected()? {
             return Ok(());
         }
@@ -230,7 +283,9 @@
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            while let Some((frame, used)) = read_frame(stream.input()).map_err(|e| io::Error::other(e.0))? {
+            while let Some((frame, used)) =
+                read_frame(stream.input()).map_err(|e| io::Error::other(e.0))?
+            {
                 stream.consume(used);
                 (self.heard, self.failures) = (now, 0);
                 frames.push(frame);
@@ -257,7 +312,9 @@
 
     /// Everything up to a number is durable. The writer is told where it waits for that.
     pub fn kept(&mut self, now: Timestamp, durable: Number) {
-        let Some(number) = self.owed.filter(|number| *number <= durable) else { return };
+        let Some(number) = self.owed.filter(|number| *number <= durable) else {
+            return;
+        };
         self.owed = None;
         if let Some((_, stream)) = &mut self.link {
             stream.push(out(number.to_le_bytes().to_vec()));
--- a/front/src/program/drivers/served.rs
+++ b/front/src/program/drivers/served.rs
@@ -93,14 +93,24 @@
             self.groups.remove(id);
             return Ok(());
         }
-        let old = self.groups.get(id).filter(|_| !fresh_tickets).map(|g| Arc::clone(&g.tickets));
+        let old = self
+            .groups
+            .get(id)
+            .filter(|_| !fresh_tickets)
+            .map(|g| Arc::clone(&g.tickets));
         let tickets = match old {
             Some(tickets) => tickets,
             None => rustls::crypto::ring::Ticketer::new().map_err(|e| e.to_string())?,
         };
         let served = all.iter().map(|identity| {
             let config = config(&identity.certified, BINARY, Some(Arc::clone(&tickets)))?;
-            Ok((identity.clone(), Served { config, not_after: identity.not_after }))
+            Ok((
+                identity.clone(),
+                Served {
+                    config,
+                    not_after: identity.not_after,
+                },
+            ))
         });
         let served = served.collect::<Result<_, String>>()?;
         self.groups.insert(id.into(), Group { served, tickets });
@@ -118,8 +128,12 @@
                 }
             }
         }
-        let group = first.and_then(|id| self.groups.get(id)).or_else(|| self.groups.values().next());
-        table.default = group.and_then(|g| g.served.first()).map(|(_, served)| served.clone());
+        let group = first
+            .and_then(|id| self.groups.get(id))
+            .or_else(|| self.groups.values().next());
+        table.default = group
+            .and_then(|g| g.served.first())
+            .map(|(_, served)| served.clone());
         Arc::new(table)
     }
 }
@@ -137,9 +151,14 @@
 
     /// What stands for a name.
     pub fn find(&self, name: Option<&str>) -> Option<&Served> {
-        let Some(name) = name else { return self.default.as_ref() };
+        let Some(name) = name else {
+            return self.default.as_ref();
+        };
         let name = name.to_ascii_lowercase();
-        let wild = || name.split_once('.').and_then(|(_, rest)| self.names.get(&format!("*.{rest}")));
+        let wild = || {
+            name.split_once('.')
+                .and_then(|(_, rest)| self.names.get(&format!("*.{rest}")))
+        };
         self.names.get(&name).or_else(wild)
     }
 }
--- a/front/src/program/drivers/snapshot.rs
+++ b/front/src/program/drivers/snapshot.rs
@@ -29,13 +29,19 @@
 
 /// Unix milliseconds.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// Where the snapshot of a front of this name lies.
 pub fn path(folder: &Path, name: &str) -> PathBuf {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    let name: String = name.bytes().map(|b| if plain(b) { char::from(b) } else { '_' }).collect();
+    let name: String = name
+        .bytes()
+        .map(|b| if plain(b) { char::from(b) } else { '_' })
+        .collect();
     folder.join(format!("{name}.list"))
 }
 
@@ -43,7 +49,10 @@
 pub fn load(path: &Path, source: u64, known: u64, serve_ms: u64) -> Option<Snapshot> {
     let mut text = Vec::new();
     // Not blocking: what somebody else put there may be a pipe that nobody writes to.
-    let opened = File::options().read(true).custom_flags(libc::O_NONBLOCK).open(path);
+    let opened = File::options()
+        .read(true)
+        .custom_flags(libc::O_NONBLOCK)
+        .open(path);
     let read = opened.and_then(|file| file.take(BYTES_MOST as u64 + 1).read_to_end(&mut text));
     let found = match read {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
@@ -51,8 +60,11 @@
         Ok(_) => Snapshot::read(&text).map_err(str::to_string),
     };
     let found = found.and_then(|found| {
-        let header =
-            SnapshotHeader { source: found.source, revision: found.number, current_at_ms: found.at_ms };
+        let header = SnapshotHeader {
+            source: found.source,
+            revision: found.number,
+            current_at_ms: found.at_ms,
+        };
         check_snapshot(wall_ms(), header, source, known, serve_ms)
             .map_err(|why| why.to_string())
             .map(|()| found)
@@ -74,7 +86,10 @@
 
 fn write(path: &Path, text: &str) -> io::Result<()> {
     let aside = aside_of(path);
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let written = File::create(&aside).and_then(|mut file| {
         file.write_all(text.as_bytes())?;
         // A name must not come to stand for what the disk does not have yet.
@@ -97,15 +112,25 @@
 /// Takes away what processes of this front left that were killed in the midst of a write. One that still lives, and writes at
 /// this moment, fails and writes again.
 fn clean(path: &Path) {
-    let Some((folder, stem)) = path.parent().zip(path.file_stem().and_then(|stem| stem.to_str())) else {
+    let Some((folder, stem)) = path
+        .parent()
+        .zip(path.file_stem().and_then(|stem| stem.to_str()))
+    else {
         return;
     };
     let is_left = |name: &str| {
-        let middle = name.strip_prefix(stem).and_then(|rest| rest.strip_prefix('.')?.strip_suffix(".tmp"));
+        let middle = name
+            .strip_prefix(stem)
+            .and_then(|rest| rest.strip_prefix('.')?.strip_suffix(".tmp"));
         middle.is_some_and(|pid| !pid.is_empty() && pid.bytes().all(|b| b.is_ascii_digit()))
     };
     // Best effort: a folder that can't be read is told of when something is written.
-    for file in fs::read_dir(folder).into_iter().flatten().flatten().take(FILES_MAX) {
+    for file in fs::read_dir(folder)
+        .into_iter()
+        .flatten()
+        .flatten()
+        .take(FILES_MAX)
+    {
         if file.file_name().to_str().is_some_and(is_left) {
             let _ = fs::remove_file(file.path());
         }
@@ -130,9 +155,15 @@
 
 impl Snapshots {
     /// Keeps what is known and becomes known in `path`; `purge` is for how long members may hold purged copies.
-    pub fn new(turn: &mut Turn<'_>, path: PathBuf, known: Snapshot, purge: Micros) -> Result<Self, String> {
+    pub fn new(
+        turn: &mut Turn<'_>,
+        path: PathBuf,
+        known: Snapshot,
+        purge: Micros,
+    ) -> Result<Self, String> {
         let key = turn.key();
-        let workers = Workers::new(turn.reactor, key).map_err(|e| format!("startup.snapshots: {e}"))?;
+        let workers =
+            Workers::new(turn.reactor, key).map_err(|e| format!("startup.snapshots: {e}"))?;
         let purge_ms = purge_ms(purge);
         clean(&path);
         Ok(Snapshots {
@@ -149,7 +180,8 @@
     }
 
     fn news(&mut self, now: Timestamp, number: u64, news: &News) {
-        self.known.take(number, wall_ms(), now / 1_000, self.purge_ms, news);
+        self.known
+            .take(number, wall_ms(), now / 1_000, self.purge_ms, news);
         self.dated = now;
         self.dirty = true;
     }
--- a/front/src/program/drivers/tls.rs
+++ b/front/src/program/drivers/tls.rs
@@ -93,11 +93,17 @@
     /// Listens.
     pub fn new(turn: &mut Turn<'_>, settings: Settings) -> Result<Self, String> {
         let failed = |e: &dyn std::fmt::Display| format!("tls.listen: {}: {e}", settings.listen);
-        let at: SocketAddr = settings.listen.parse().map_err(|e: std::net::AddrParseError| failed(&e))?;
+        let at: SocketAddr = settings
+            .listen
+            .parse()
+            .map_err(|e: std::net::AddrParseError| failed(&e))?;
         let listener_key = turn.key();
         let listener = at_start(|| listen(at)).map_err(|e| failed(&e))?;
         let at = listener.local_addr().map_err(|e| failed(&e))?;
-        let listener = turn.reactor.watch(listener, listener_key, false).map_err(|e| failed(&e))?;
+        let listener = turn
+            .reactor
+            .watch(listener, listener_key, false)
+            .map_err(|e| failed(&e))?;
         tracing::info!(%at, "TLS listening");
         let span = settings.handshake_ms * 1_000;
         Ok(Tls {
@@ -123,7 +129,11 @@
 
     /// When a connection may be accepted.
     fn room(&mut self, now: Timestamp) -> Result<(), Timestamp> {
-        while self.taken.front().is_some_and(|(_, key)| !self.all.contains_key(key)) {
+        while self
+            .taken
+            .front()
+            .is_some_and(|(_, key)| !self.all.contains_key(key))
+        {
             self.taken.pop_front();
         }
         let free = self.slots.len() < self.settings.handshakes_most;
@@ -136,7 +146,9 @@
     fn accept(&mut self, turn: &mut Turn<'_>) {
         self.accepts.begin_turn();
         for _ in 0..ACCEPTS_MOST {
-            if self.room(turn.now).is_err() || self.slots.has_ready() && !self.cpu_share.may_start(turn.now) {
+            if self.room(turn.now).is_err()
+                || self.slots.has_ready() && !self.cpu_share.may_start(turn.now)
+            {
                 // The rest waits in the system's queue.
                 return self.watch(false);
             }
@@ -155,8 +167,12 @@
             // Nothing is asked before the handshake is complete: the wait is no request's.
             self.accepts.accepted(turn.now);
             let key = turn.key();
-            let ready = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
-            let Ok(socket) = ready.and_then(|()| turn.reactor.watch(socket, key, false)) else { continue };
+            let ready = socket
+                .set_nonblocking(true)
+                .and_then(|()| socket.set_nodelay(true));
+            let Ok(socket) = ready.and_then(|()| turn.reactor.watch(socket, key, false)) else {
+                continue;
+            };
             self.counts.accepted += 1;
             let displaced = self.slots.acquire(turn.now, key).displaced;
             for old in displaced {
@@ -165,7 +181,14 @@
             }
             self.taken.push_back((turn.now, key));
             let phase = Phase::Hello(Box::default());
-            self.all.insert(key, Handshake { socket, phase, read: 0 });
+            self.all.insert(
+                key,
+                Handshake {
+                    socket,
+                    phase,
+                    read: 0,
+                },
+            );
         }
     }
 
@@ -181,7 +204,9 @@
     fn work(&mut self, turn: &mut Turn<'_>) {
         let mut spent = 0;
         while spent < SLICE && self.cpu_share.may_start(turn.now) {
-            let Some(key) = self.slots.next_ready() else { break };
+            let Some(key) = self.slots.next_ready() else {
+                break;
+            };
             let begun = Instant::now();
             let step = self.step(key);
             let took = begun.elapsed().as_micros() as Micros;
@@ -212,19 +237,27 @@
 
     fn done(&mut self, turn: &mut Turn<'_>, key: usize) {
         self.slots.release(key);
-        if let Some(Handshake { socket, phase: Phase::Shake(connection), .. }) = self.all.remove(&key) {
+        if let Some(Handshake {
+            socket,
+            phase: Phase::Shake(connection),
+            ..
+        }) = self.all.remove(&key)
+        {
             self.counts.complete += 1;
             self.counts.resumed +=
                 u64::from(connection.handshake_kind() == Some(rustls::HandshakeKind::Resumed));
             // What answered a challenge has nothing more to say.
             if connection.alpn_protocol() == Some(BINARY) {
-                turn.effects.push(Effect::Secured(Secured::Client(socket, connection)));
+                turn.effects
+                    .push(Effect::Secured(Secured::Client(socket, connection)));
             }
         }
     }
 
     fn step(&mut self, key: usize) -> Step {
-        let Some(handshake) = self.all.get_mut(&key) else { return Step::Wait };
+        let Some(handshake) = self.all.get_mut(&key) else {
+            return Step::Wait;
+        };
         let mut socket: &TcpStream = &handshake.socket;
         loop {
             let read = match &mut handshake.phase {
@@ -251,7 +284,9 @@
                     Ok(Some(accepted)) => {
                         match choose(&accepted, &self.table, &self.proofs, self.settings.expired) {
                             Ok(config) => match accepted.into_connection(config) {
-                                Ok(connection) => handshake.phase = Phase::Shake(Box::new(connection)),
+                                Ok(connection) => {
+                                    handshake.phase = Phase::Shake(Box::new(connection))
+                                }
                                 Err((_, mut alert)) => {
                                     let _ = alert.write(&mut socket);
                                     return Step::Over("no-agreement");
@@ -297,7 +332,11 @@
         if now < self.note_at || self.untold.is_empty() {
             return;
         }
-        let kinds: Vec<_> = self.untold.iter().map(|(why, n)| format!("{why}:{n}")).collect();
+        let kinds: Vec<_> = self
+            .untold
+            .iter()
+            .map(|(why, n)| format!("{why}:{n}"))
+            .collect();
         tracing::info!(kinds = kinds.join(","), "handshakes failed");
         self.untold.clear();
         self.note_at = now + NOTE_EACH;
@@ -316,7 +355,9 @@
     let offers = |wanted: &[u8]| hello.alpn().is_some_and(|mut all| all.any(|p| p == wanted));
     if offers(ACME) {
         let proof = name.and_then(|n| proofs.get(&n.to_ascii_lowercase()));
-        return proof.map(|p| p.config()).ok_or((UNRECOGNIZED_NAME, "no-challenge"));
+        return proof
+            .map(|p| p.config())
+            .ok_or((UNRECOGNIZED_NAME, "no-challenge"));
     }
     if !offers(BINARY) {
         return Err((NO_APPLICATION_PROTOCOL, "no-protocol"));
@@ -326,7 +367,10 @@
         None if !table.any() => return Err((INTERNAL_ERROR, "no-certificate")),
         None => return Err((UNRECOGNIZED_NAME, "unknown-name")),
     };
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+    let wall = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs();
     if wall > served.not_after && expired == Expired::Refuse {
         return Err((CERTIFICATE_EXPIRED, "expired"));
     }
@@ -353,7 +397,11 @@
         }
         self.work(turn);
         let rested = turn.now >= self.rests && !self.draining;
-        if !self.accepting && rested && self.room(turn.now).is_ok() && self.cpu_share.may_start(turn.now) {
+        if !self.accepting
+            && rested
+            && self.room(turn.now).is_ok()
+            && self.cpu_share.may_start(turn.now)
+        {
             self.watch(true);
         }
         self.note(turn.now);
@@ -363,12 +411,18 @@
         let work = self.slots.has_ready().then(|| self.cpu_share.next_start());
         let accept = (!self.accepting && !self.draining).then(|| {
             let full = self.slots.len() >= self.settings.handshakes_most;
-            let oldest = self.taken.front().filter(|(_, key)| full && self.all.contains_key(key));
+            let oldest = self
+                .taken
+                .front()
+                .filter(|(_, key)| full && self.all.contains_key(key));
             let room = oldest.map_or(0, |(since, _)| since + KEPT_LEAST);
             room.max(self.cpu_share.next_start()).max(self.rests)
         });
         let note = (!self.untold.is_empty()).then_some(self.note_at);
-        [self.slots.next_deadline(), work, accept, note].into_iter().flatten().min()
+        [self.slots.next_deadline(), work, accept, note]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
@@ -393,14 +447,21 @@
     }
 
     fn words(&self) -> Vec<(&'static str, &'static str)> {
-        vec![("tls", "the TLS listener: handshakes under way, complete, failed by cause")]
+        vec![(
+            "tls",
+            "the TLS listener: handshakes under way, complete, failed by cause",
+        )]
     }
 
     fn reload(&mut self, turn: &mut Turn<'_>, settings: &Daemon) {
         if let Some(new) = &settings.tls {
             let listen = std::mem::take(&mut self.settings.listen);
-            self.settings = Settings { listen, ..new.clone() };
-            self.slots.set_limits(new.handshakes_most, new.handshake_ms * 1_000);
+            self.settings = Settings {
+                listen,
+                ..new.clone()
+            };
+            self.slots
+                .set_limits(new.handshakes_most, new.handshake_ms * 1_000);
             self.cpu_share.set_percent(turn.now, new.core_percent);
         }
     }
--- a/front/src/program/feed.rs
+++ b/front/src/program/feed.rs
@@ -92,7 +92,14 @@
     /// What is due: to connect, or to give up what has been silent for too long and call again later.
     pub fn go(&mut self, now: Timestamp, reactor: &Reactor, key: usize) {
         if self.stream.is_some() {
-            self.end(now, if self.up { CallEnd::Silent } else { CallEnd::Unanswered });
+            self.end(
+                now,
+                if self.up {
+                    CallEnd::Silent
+                } else {
+                    CallEnd::Unanswered
+                },
+            );
             if self.due > now {
                 return;
             }
@@ -106,7 +113,12 @@
         }
         let head = hello(self.last).to_vec();
         if let Some((_, stream)) = &mut self.stream {
-            stream.push(Outgoing { tag: (), head, body: Rc::default(), tail: b"" });
+            stream.push(Outgoing {
+                tag: (),
+                head,
+                body: Rc::default(),
+                tail: b"",
+            });
         }
     }
 
@@ -141,7 +153,9 @@
     }
 
     fn go_on(&mut self, now: Timestamp, news: &mut Vec<News>) -> io::Result<()> {
-        let Some((_, stream)) = &mut self.stream else { return Ok(()) };
+        let Some((_, stream)) = &mut self.stream else {
+            return Ok(());
+        };
         if !stream.connected()? {
             return Ok(());
         }
@@ -152,7 +166,9 @@
             self.due = now + SILENCE_MOST;
         }
         for _ in 0..READS_MOST {
-            let Some(n) = stream.fill(&mut self.scratch)? else { break };
+            let Some(n) = stream.fill(&mut self.scratch)? else {
+                break;
+            };
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
--- a/front/src/program/floors.rs
+++ b/front/src/program/floors.rs
@@ -8,7 +8,11 @@
 
 /// Takes news of the ledger over; what is to be done elsewhere for it.
 pub fn take(front: &mut Front, now: Timestamp, news: Purging) -> Option<Effect> {
-    let job = |floors: &mut Floors| floors.job().map(|job| Effect::Purges(Purging::Compile(job)));
+    let job = |floors: &mut Floors| {
+        floors
+            .job()
+            .map(|job| Effect::Purges(Purging::Compile(job)))
+    };
     match news {
         Purging::Floors(settings, all) => {
             let mut floors = Floors::new(settings.index_bytes, settings.skew_ms);
@@ -30,7 +34,10 @@
             }
         }
         Purging::Everything(at) => {
-            front.floors.iter_mut().for_each(|floors| floors.add_all(at));
+            front
+                .floors
+                .iter_mut()
+                .for_each(|floors| floors.add_all(at));
         }
         Purging::Contact => {
             let contact = front.floors.as_mut().and_then(|f| f.contact.as_mut());
@@ -39,10 +46,16 @@
             }
         }
         Purging::Confirmed(number) => {
-            front.floors.iter_mut().for_each(|floors| floors.confirmed = number);
+            front
+                .floors
+                .iter_mut()
+                .for_each(|floors| floors.confirmed = number);
         }
         Purging::Horizon(horizon) => {
-            front.floors.iter_mut().for_each(|floors| floors.expire(horizon));
+            front
+                .floors
+                .iter_mut()
+                .for_each(|floors| floors.expire(horizon));
         }
         Purging::Compiled(set) => {
             if let Some(floors) = &mut front.floors {
--- a/front/src/program/log.rs
+++ b/front/src/program/log.rs
@@ -43,7 +43,10 @@
             (true, false) => self.notes += 1,
             (false, _) => {
                 let known = self.left_out.contains_key(kind) || self.left_out.len() < KINDS_MOST;
-                *self.left_out.entry(if known { kind.into() } else { "others".into() }).or_default() += 1;
+                *self
+                    .left_out
+                    .entry(if known { kind.into() } else { "others".into() })
+                    .or_default() += 1;
             }
         }
         room
@@ -96,7 +99,9 @@
 }
 
 fn now() -> (u64, u32) {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     (now.as_secs(), now.subsec_micros())
 }
 
@@ -111,19 +116,36 @@
     let mut line = String::new();
     if json {
         let mut object = serde_json::Map::new();
-        object.insert("ts".into(), (second as f64 + f64::from(micros) / 1e6).into());
+        object.insert(
+            "ts".into(),
+            (second as f64 + f64::from(micros) / 1e6).into(),
+        );
         object.insert("level".into(), level.into());
         object.insert("message".into(), message.into());
         for (name, value) in fields {
-            object.insert((*name).into(), value.chars().take(LINE_MOST).collect::<String>().into());
+            object.insert(
+                (*name).into(),
+                value.chars().take(LINE_MOST).collect::<String>().into(),
+            );
         }
         line = serde_json::Value::Object(object).to_string();
     } else {
         // Writing into a string can't fail.
-        let _ = write!(line, "{second}.{micros:06} {level} {}", message.escape_debug());
+        let _ = write!(
+            line,
+            "{second}.{micros:06} {level} {}",
+            message.escape_debug()
+        );
         for (name, value) in fields {
-            let bare = !value.is_empty() && value.chars().all(|c| !c.is_control() && !" \"=".contains(c));
-            let _ = if bare { write!(line, " {name}={value}") } else { write!(line, " {name}={value:?}") };
+            let bare = !value.is_empty()
+                && value
+                    .chars()
+                    .all(|c| !c.is_control() && !" \"=".contains(c));
+            let _ = if bare {
+                write!(line, " {name}={value}")
+            } else {
+                write!(line, " {name}={value:?}")
+            };
         }
         if let Some((at, _)) = line.char_indices().nth(LINE_MOST) {
             line.truncate(at);
@@ -135,13 +157,23 @@
 
 impl Shared {
     fn write(&self, level: &str, message: &str, fields: &[(&str, String)]) {
-        let text = line(self.json.load(Ordering::Relaxed), now(), level, message, fields);
+        let text = line(
+            self.json.load(Ordering::Relaxed),
+            now(),
+            level,
+            message,
+            fields,
+        );
         // Nobody is left to be told of a log that can't be written.
         let _ = std::io::stderr().lock().write_all(text.as_bytes());
     }
 
     fn tell_left_out(&self) {
-        let told = self.limiter.lock().ok().and_then(|mut limiter| limiter.told(now().0));
+        let told = self
+            .limiter
+            .lock()
+            .ok()
+            .and_then(|mut limiter| limiter.told(now().0));
         if let Some(told) = told {
             let lines = told.values().sum::<u64>().to_string();
             let mut fields = vec![("lines", lines)];
@@ -160,9 +192,17 @@
         let alarm = level <= tracing::Level::WARN;
         let kind = fields.kind.as_deref().unwrap_or(&fields.message);
         self.0.tell_left_out();
-        let room = self.0.limiter.lock().is_ok_and(|mut limiter| limiter.admit(now().0, alarm, kind));
+        let room = self
+            .0
+            .limiter
+            .lock()
+            .is_ok_and(|mut limiter| limiter.admit(now().0, alarm, kind));
         if room {
-            self.0.write(&level.to_string().to_lowercase(), &fields.message, &fields.rest);
+            self.0.write(
+                &level.to_string().to_lowercase(),
+                &fields.message,
+                &fields.rest,
+            );
         }
     }
 }
@@ -187,9 +227,13 @@
     /// Begins to write; a process does that once.
     pub fn install(settings: &Settings) -> Self {
         let shared = Arc::new(Shared::default());
-        shared.json.store(settings.format == Format::Json, Ordering::Relaxed);
+        shared
+            .json
+            .store(settings.format == Format::Json, Ordering::Relaxed);
         let (filter, level) = reload::Layer::new(filter(settings.level));
-        let subscriber = Registry::default().with(filter).with(Lines(Arc::clone(&shared)));
+        let subscriber = Registry::default()
+            .with(filter)
+            .with(Lines(Arc::clone(&shared)));
         // A second one in the same process, as in tests, leaves the first in place.
         let _ = tracing::subscriber::set_global_default(subscriber);
         Log { shared, level }
@@ -197,7 +241,9 @@
 
     /// Changes form and level in service.
     pub fn set(&self, settings: &Settings) {
-        self.shared.json.store(settings.format == Format::Json, Ordering::Relaxed);
+        self.shared
+            .json
+            .store(settings.format == Format::Json, Ordering::Relaxed);
         // It can only fail once the subscriber is gone.
         let _ = self.level.modify(|level| *level = filter(settings.level));
     }
