--- a/front/src/program/members/redial.rs
+++ b/front/src/program/members/redial.rs
@@ -43,8 +43,12 @@
 
     /// A connection to this node could not be begun. Whether an attempt may wait for the next try.
     pub fn may_wait(&mut self, now: Timestamp, to: EndpointId) -> bool {
-        self.failing.retain(|_, failing| now <= failing.last + FORGOTTEN);
-        let failing = self.failing.entry(to).or_insert(Failing { since: now, last: now });
+        self.failing
+            .retain(|_, failing| now <= failing.last + FORGOTTEN);
+        let failing = self.failing.entry(to).or_insert(Failing {
+            since: now,
+            last: now,
+        });
         failing.last = now;
         now < failing.since + MAX_WAIT
     }
@@ -56,7 +60,14 @@
         (attempt, to, by): (AttemptId, EndpointId, Timestamp),
         fetch: &Fetch,
     ) {
-        self.waiting.insert(attempt, Waiting { to, by, fetch: fetch.clone() });
+        self.waiting.insert(
+            attempt,
+            Waiting {
+                to,
+                by,
+                fetch: fetch.clone(),
+            },
+        );
         self.due.get_or_insert(now + RETRY_INTERVAL);
     }
 
@@ -72,10 +83,14 @@
             return Vec::new();
         }
         self.due = None;
-        let (late, waiting): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|(_, one)| one.by < now);
+        let (late, waiting): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.waiting)
+            .into_iter()
+            .partition(|(_, one)| one.by < now);
         self.waiting = late;
-        waiting.into_iter().map(|(attempt, one)| ((attempt, one.to, one.by), one.fetch)).collect()
+        waiting
+            .into_iter()
+            .map(|(attempt, one)| ((attempt, one.to, one.by), one.fetch))
+            .collect()
     }
 
     /// An attempt waits no more. Whether it did.
@@ -86,9 +101,14 @@
     /// Attempts that were to go to this node, or to have it fill them, wait no more.
     pub fn leave_out(&mut self, out: EndpointId) -> Vec<AttemptId> {
         let source = |fetch: &Fetch| fetch.fill.and_then(|fill| fill.source);
-        let meant = self.waiting.iter().filter(|(_, one)| one.to == out || source(&one.fetch) == Some(out));
+        let meant = self
+            .waiting
+            .iter()
+            .filter(|(_, one)| one.to == out || source(&one.fetch) == Some(out));
         let meant: Vec<_> = meant.map(|(attempt, _)| *attempt).collect();
-        meant.iter().for_each(|attempt| drop(self.waiting.remove(attempt)));
+        meant
+            .iter()
+            .for_each(|attempt| drop(self.waiting.remove(attempt)));
         meant
     }
 }
--- a/front/src/program/members/redial/tests.rs
+++ b/front/src/program/members/redial/tests.rs
@@ -29,7 +29,10 @@
 }
 
 fn attempt(n: u64) -> AttemptId {
-    AttemptId { request: RequestId(n), number: 0 }
+    AttemptId {
+        request: RequestId(n),
+        number: 0,
+    }
 }
 
 #[test]
@@ -39,8 +42,15 @@
     redials.wait(1_000, (attempt(2), NODE, 500_000), &fetch(None));
     assert_eq!(redials.due(), Some(RETRY_INTERVAL));
     assert!(redials.take(RETRY_INTERVAL - 1).is_empty());
-    let targets: Vec<_> = redials.take(RETRY_INTERVAL).into_iter().map(|(target, _)| target).collect();
-    assert_eq!(targets, [(attempt(1), NODE, 400_000), (attempt(2), NODE, 500_000)]);
+    let targets: Vec<_> = redials
+        .take(RETRY_INTERVAL)
+        .into_iter()
+        .map(|(target, _)| target)
+        .collect();
+    assert_eq!(
+        targets,
+        [(attempt(1), NODE, 400_000), (attempt(2), NODE, 500_000)]
+    );
     assert_eq!(redials.due(), None);
 }
 
@@ -61,7 +71,10 @@
     let tries = (0..MAX_WAIT / 50_000).map(|n| n * 50_000);
     assert!(tries.into_iter().all(|now| redials.may_wait(now, NODE)));
     assert!(!redials.may_wait(MAX_WAIT, NODE));
-    assert!(redials.may_wait(MAX_WAIT + FORGOTTEN + 1, NODE), "a shortage long after is another one");
+    assert!(
+        redials.may_wait(MAX_WAIT + FORGOTTEN + 1, NODE),
+        "a shortage long after is another one"
+    );
     redials.dialled(NODE);
     assert!(redials.may_wait(MAX_WAIT + FORGOTTEN + 2, NODE));
 }
--- a/front/src/program/members/tests.rs
+++ b/front/src/program/members/tests.rs
@@ -24,13 +24,24 @@
 fn members(links_most: usize, listener: &std::net::TcpListener) -> CacheNodes {
     let mut members = CacheNodes::new(links_most, 100, 15_000_000, 5_000_000);
     let state = EndpointState::Ready;
-    let entry = EndpointEntry { member: MEMBER, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
+    let entry = EndpointEntry {
+        member: MEMBER,
+        kind: 0,
+        zone: 0,
+        cell: 0,
+        weight: 1.0,
+        started: 0,
+        state,
+    };
     members.list(&entry, listener.local_addr().unwrap());
     members
 }
 
 fn attempt(n: u64) -> AttemptId {
-    AttemptId { request: cranesill::api::RequestId(n), number: 0 }
+    AttemptId {
+        request: cranesill::api::RequestId(n),
+        number: 0,
+    }
 }
 
 #[test]
@@ -39,13 +50,30 @@
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(1, &listener);
     for n in 1..=3 {
-        members.send(0, &reactor, 9, (attempt(n), MEMBER, Timestamp::MAX), &fetch(n), &mut ends);
+        members.send(
+            0,
+            &reactor,
+            9,
+            (attempt(n), MEMBER, Timestamp::MAX),
+            &fetch(n),
+            &mut ends,
+        );
     }
     // The same id can't go out twice there, and there is no other connection to be had.
-    members.send(0, &reactor, 9, (attempt(4), MEMBER, Timestamp::MAX), &fetch(3), &mut ends);
+    members.send(
+        0,
+        &reactor,
+        9,
+        (attempt(4), MEMBER, Timestamp::MAX),
+        &fetch(3),
+        &mut ends,
+    );
     assert!(matches!(ends[..], [(_, End::Unplaced)]));
     members.undialed(9, &mut ends);
-    let along: Vec<_> = ends[1..].iter().map(|e| matches!(e.1, End::Unsent { along: true })).collect();
+    let along: Vec<_> = ends[1..]
+        .iter()
+        .map(|e| matches!(e.1, End::Unsent { along: true }))
+        .collect();
     assert_eq!(along, [false, true, true]);
 }
 
@@ -64,11 +92,24 @@
         renew: false,
     };
     for n in 1..=3 {
-        let fetch = Fetch { fill: Some(source(n)), ..fetch(n) };
-        members.send(0, &reactor, n as usize, (attempt(n), MEMBER, Timestamp::MAX), &fetch, &mut ends);
+        let fetch = Fetch {
+            fill: Some(source(n)),
+            ..fetch(n)
+        };
+        members.send(
+            0,
+            &reactor,
+            n as usize,
+            (attempt(n), MEMBER, Timestamp::MAX),
+            &fetch,
+            &mut ends,
+        );
     }
     members.leave_out(EndpointId(2), &mut ends);
-    assert!(matches!(ends[..], [(two, End::Unplaced)] if two == attempt(2)), "{ends:?}");
+    assert!(
+        matches!(ends[..], [(two, End::Unplaced)] if two == attempt(2)),
+        "{ends:?}"
+    );
     members.leave_out(MEMBER, &mut ends);
     assert_eq!(ends.len(), 3);
     // The connections come up now: nothing is written on them.
@@ -116,16 +157,31 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(9, &listener);
-    members.send(0, &reactor, 1, (attempt(1), MEMBER, Timestamp::MAX), &fetch(1), &mut ends);
+    members.send(
+        0,
+        &reactor,
+        1,
+        (attempt(1), MEMBER, Timestamp::MAX),
+        &fetch(1),
+        &mut ends,
+    );
     let mut node = listener.accept().unwrap().0;
-    let head = format!("*4\r\n$16\r\n{:016x}\r\n$3\r\nHIT\r\n$1\r\n-\r\n$200000\r\n", 1);
+    let head = format!(
+        "*4\r\n$16\r\n{:016x}\r\n$3\r\nHIT\r\n$1\r\n-\r\n$200000\r\n",
+        1
+    );
     node.write_all(head.as_bytes()).unwrap();
     let mut now = 0;
     // A few bytes come four times a second; those who ask wait for 5 s.
     while members.has(1) && now < 60_000_000 {
         now += 250_000;
         node.write_all(b"more").unwrap();
-        while !reactor.wait(0, Some(20_000_000)).unwrap().iter().any(|(_, readable, _)| *readable) {}
+        while !reactor
+            .wait(0, Some(20_000_000))
+            .unwrap()
+            .iter()
+            .any(|(_, readable, _)| *readable)
+        {}
         members.ready(now, 1, true, &mut ends);
         members.sweep(now, &mut ends);
     }
@@ -158,8 +214,16 @@
         }
         // A command of strings, each behind a line with its length.
         let line = |at: usize| {
-            let end = at + self.bytes.get(at..)?.windows(2).position(|two| two == b"\r\n")?;
-            let n: usize = std::str::from_utf8(&self.bytes[at + 1..end]).ok()?.parse().ok()?;
+            let end = at
+                + self
+                    .bytes
+                    .get(at..)?
+                    .windows(2)
+                    .position(|two| two == b"\r\n")?;
+            let n: usize = std::str::from_utf8(&self.bytes[at + 1..end])
+                .ok()?
+                .parse()
+                .ok()?;
             Some((n, end + 2))
         };
         let mut done = 0;
@@ -191,13 +255,23 @@
 
 /// By random numbers: what is sent, given up, answered, reset, withdrawn and left out in any order, on so many connections.
 fn any_order(seed: u64, links_most: usize) -> usize {
-    let listeners: Vec<_> = (0..2).map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    let listeners: Vec<_> = (0..2)
+        .map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap())
+        .collect();
     let mut reactor = Reactor::new().unwrap();
     let mut members = CacheNodes::new(links_most, 100, 15_000_000, 5_000_000);
     for (n, listener) in listeners.iter().enumerate() {
         listener.set_nonblocking(true).unwrap();
         let (member, state) = (EndpointId(n as u64 + 1), EndpointState::Ready);
-        let entry = EndpointEntry { member, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
+        let entry = EndpointEntry {
+            member,
+            kind: 0,
+            zone: 0,
+            cell: 0,
+            weight: 1.0,
+            started: 0,
+            state,
+        };
         members.list(&entry, listener.local_addr().unwrap());
     }
     let mut rng = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
@@ -216,7 +290,10 @@
         match roll(12) {
             0..=4 if !current.contains_key(&request) => {
                 (number, key) = (number + 1, key + 1);
-                let id = AttemptId { request: cranesill::api::RequestId(request), number };
+                let id = AttemptId {
+                    request: cranesill::api::RequestId(request),
+                    number,
+                };
                 current.insert(request, id);
                 let fetch = fetch(request);
                 members.send(
@@ -239,11 +316,17 @@
                 }
             }
             8 => {
-                let some = far.iter_mut().filter(|f| !f.open.is_empty() && !f.frozen).nth(roll(3) as usize);
-                if let Some((far, txn)) = some.and_then(|f| f.open.iter().copied().min().map(|t| (f, t))) {
+                let some = far
+                    .iter_mut()
+                    .filter(|f| !f.open.is_empty() && !f.frozen)
+                    .nth(roll(3) as usize);
+                if let Some((far, txn)) =
+                    some.and_then(|f| f.open.iter().copied().min().map(|t| (f, t)))
+                {
                     use std::io::Write;
                     far.open.remove(&txn);
-                    let text = format!("*4\r\n$16\r\n{txn:016x}\r\n$4\r\nNONE\r\n$1\r\n-\r\n$0\r\n\r\n");
+                    let text =
+                        format!("*4\r\n$16\r\n{txn:016x}\r\n$4\r\nNONE\r\n$1\r\n-\r\n$0\r\n\r\n");
                     let _ = (&far.socket).write_all(text.as_bytes());
                 }
             }
@@ -260,9 +343,11 @@
             }
             10 => match roll(3) {
                 0 => members.leave_out(EndpointId(1 + roll(2)), &mut ends),
-                1 => {
-                    current.get(&request).copied().into_iter().for_each(|id| members.withdraw(id, &mut ends))
-                }
+                1 => current
+                    .get(&request)
+                    .copied()
+                    .into_iter()
+                    .for_each(|id| members.withdraw(id, &mut ends)),
                 _ => members.undialed(1 + roll(key.max(1) as u64) as usize, &mut ends),
             },
             _ => members.sweep(now, &mut ends),
@@ -276,12 +361,21 @@
         for listener in &listeners {
             while let Ok((socket, _)) = listener.accept() {
                 socket.set_nonblocking(true).unwrap();
-                far.push(Far { socket, bytes: Vec::new(), open: HashSet::new(), frozen: false, over: false });
+                far.push(Far {
+                    socket,
+                    bytes: Vec::new(),
+                    open: HashSet::new(),
+                    frozen: false,
+                    over: false,
+                });
             }
         }
         far.iter_mut().for_each(Far::read);
         for request in 1..=6 {
-            let out = far.iter().filter(|far| !far.frozen && far.open.contains(&request)).count();
+            let out = far
+                .iter()
+                .filter(|far| !far.frozen && far.open.contains(&request))
+                .count();
             let most = usize::from(current.contains_key(&request));
             assert!(
                 out <= most,
@@ -296,19 +390,32 @@
 #[test]
 fn by_what_is_written_no_two_attempts_of_a_request_are_out_on_however_many_connections() {
     for links_most in [2, 4, 12, 40] {
-        let seen: usize = (0..20).map(|seed| any_order(seed * 41 + links_most as u64, links_most)).sum();
+        let seen: usize = (0..20)
+            .map(|seed| any_order(seed * 41 + links_most as u64, links_most))
+            .sum();
         assert!(seen > 1_000, "{seen}: too little was out to tell anything");
     }
 }
 
 #[test]
-fn where_all_connections_are_made_one_to_another_node_takes_the_place_of_the_one_idle_for_longest() {
-    let listeners: Vec<_> = (0..4).map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+fn where_all_connections_are_made_one_to_another_node_takes_the_place_of_the_one_idle_for_longest()
+{
+    let listeners: Vec<_> = (0..4)
+        .map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap())
+        .collect();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(3, &listeners[0]);
     for (id, listener) in (1..).zip(&listeners) {
         let (member, state) = (EndpointId(id), EndpointState::Ready);
-        let entry = EndpointEntry { member, kind: 0, zone: 0, cell: 0, weight: 1.0, started: 0, state };
+        let entry = EndpointEntry {
+            member,
+            kind: 0,
+            zone: 0,
+            cell: 0,
+            weight: 1.0,
+            started: 0,
+            state,
+        };
         members.list(&entry, listener.local_addr().unwrap());
     }
     // The second and the third carry nothing any more, the third for longer; the first still does.
@@ -322,12 +429,26 @@
     }
     members.abort(1_000, attempt(3), &mut ends);
     members.abort(2_000, attempt(2), &mut ends);
-    members.send(3_000, &reactor, 4, (attempt(4), EndpointId(4), Timestamp::MAX), &fetch(4), &mut ends);
+    members.send(
+        3_000,
+        &reactor,
+        4,
+        (attempt(4), EndpointId(4), Timestamp::MAX),
+        &fetch(4),
+        &mut ends,
+    );
     let mut kept: Vec<_> = members.links.keys().copied().collect();
     kept.sort_unstable();
     assert_eq!((kept, ends.len()), (vec![1, 2, 4], 0));
     // A second one to a node that has one closes none.
-    members.send(4_000, &reactor, 5, (attempt(5), MEMBER, Timestamp::MAX), &fetch(5), &mut ends);
+    members.send(
+        4_000,
+        &reactor,
+        5,
+        (attempt(5), MEMBER, Timestamp::MAX),
+        &fetch(5),
+        &mut ends,
+    );
     assert!(members.has(2) && !members.has(5) && ends.is_empty());
 }
 
@@ -337,8 +458,18 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(1, &listener);
-    let fetch = Fetch { deadline: 1_000_000, ..fetch(1) };
-    members.send(0, &reactor, 9, (attempt(1), MEMBER, Timestamp::MAX), &fetch, &mut ends);
+    let fetch = Fetch {
+        deadline: 1_000_000,
+        ..fetch(1)
+    };
+    members.send(
+        0,
+        &reactor,
+        9,
+        (attempt(1), MEMBER, Timestamp::MAX),
+        &fetch,
+        &mut ends,
+    );
     reactor.wait(0, Some(1_000_000)).unwrap();
     members.ready(300_000, 9, false, &mut ends);
     assert_eq!((members.written, ends.len()), (1, 0));
@@ -347,5 +478,8 @@
     let text = String::from_utf8_lossy(&written[..n]);
     assert!(text.contains("limit=700"), "{text}");
     let held = members.held();
-    assert_eq!(held, 0, "the sum over connections is right after the head was written anew");
+    assert_eq!(
+        held, 0,
+        "the sum over connections is right after the head was written anew"
+    );
 }
--- a/front/src/program/serve.rs
+++ b/front/src/program/serve.rs
@@ -133,24 +133,44 @@
 const WORDS: [(&str, &str); 11] = [
     ("health", "whether it can serve"),
     ("counters", "the figures"),
-    ("cordon", "{node}: take a cache, a parent or the origin out, by hand"),
+    (
+        "cordon",
+        "{node}: take a cache, a parent or the origin out, by hand",
+    ),
     ("uncordon", "{node}: it may serve again"),
     ("quiesce", "empty the front of clients"),
     ("resume", "take clients again"),
-    ("purge-dry", "{object | group | tag | pattern}: how many known objects match"),
+    (
+        "purge-dry",
+        "{object | group | tag | pattern}: how many known objects match",
+    ),
     ("status", "how the front stands"),
-    ("startup", "whether it is ready, what it waits for, and the calls on the list service"),
-    ("log", "{level}: change the log's level until the next reload"),
-    ("reload", "read configuration and settings again, as SIGHUP does"),
+    (
+        "startup",
+        "whether it is ready, what it waits for, and the calls on the list service",
+    ),
+    (
+        "log",
+        "{level}: change the log's level until the next reload",
+    ),
+    (
+        "reload",
+        "read configuration and settings again, as SIGHUP does",
+    ),
 ];
 
 impl Server {
     /// Listens, and takes over what the configuration says of the members.
     /// Subsystems are those of `daemon`, which came from `daemon_file`.
-    pub fn new(mut config: Config, daemon: Daemon, daemon_file: Option<PathBuf>) -> Result<Self, String> {
+    pub fn new(
+        mut config: Config,
+        daemon: Daemon,
+        daemon_file: Option<PathBuf>,
+    ) -> Result<Self, String> {
         // First of all: what is opened before could get the number of a socket that nobody handed over.
-        let held =
-            config.accept_fd.map(|fd| inherited(fd).map_err(|e| format!("RELAY_ACCEPT_FD: {fd}: {e}")));
+        let held = config
+            .accept_fd
+            .map(|fd| inherited(fd).map_err(|e| format!("RELAY_ACCEPT_FD: {fd}: {e}")));
         let held = held.transpose()?;
         let log = Log::install(&daemon.log);
         let failed = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
@@ -158,17 +178,32 @@
         let reactor = at_start(Reactor::new).map_err(failed("poller"))?;
         let listener = match held {
             Some(listener) => listener,
-            None => at_start(|| listen(config.listen)).map_err(|e| format!("{}: {e}", config.listen))?,
+            None => {
+                at_start(|| listen(config.listen)).map_err(|e| format!("{}: {e}", config.listen))?
+            }
         };
-        let listener = reactor.watch(listener, LISTENER, false).map_err(failed("poller"))?;
-        let term =
-            at_start(|| raised(&reactor, signal_hook::consts::SIGTERM, TERM)).map_err(failed("signals"))?;
-        let hangup =
-            at_start(|| raised(&reactor, signal_hook::consts::SIGHUP, HANGUP)).map_err(failed("signals"))?;
+        let listener = reactor
+            .watch(listener, LISTENER, false)
+            .map_err(failed("poller"))?;
+        let term = at_start(|| raised(&reactor, signal_hook::consts::SIGTERM, TERM))
+            .map_err(failed("signals"))?;
+        let hangup = at_start(|| raised(&reactor, signal_hook::consts::SIGHUP, HANGUP))
+            .map_err(failed("signals"))?;
         let shared = config.accept_fd.and_then(|_| share());
         let limits = config.deployment.limits.clone();
-        let whole = limits.waits.iter().copied().max().filter(|w| *w > 0).unwrap_or(WAIT_MOST);
-        let Known { last, news, list, from } = known(&mut config, daemon.startup.as_ref());
+        let whole = limits
+            .waits
+            .iter()
+            .copied()
+            .max()
+            .filter(|w| *w > 0)
+            .unwrap_or(WAIT_MOST);
+        let Known {
+            last,
+            news,
+            list,
+            from,
+        } = known(&mut config, daemon.startup.as_ref());
         let calls = calls(clock.now(), &config, daemon.startup.as_ref());
         let others = daemon.startup.as_ref().is_some_and(|s| s.peers.is_some());
         let startup = Startup::new(clock.now(), &config, daemon.startup.as_ref());
@@ -208,9 +243,13 @@
         tracing::info!(name = server.config.name, %at, "listening");
         server.front.set_reach(now, server.nodes.reach());
         server.drivers(now, list)?;
-        news.into_iter().for_each(|news| server.news(now, news, from));
-        server.hears =
-            server.daemon.startup.as_ref().is_some_and(|s| s.snapshots.is_some() || s.peers.is_some());
+        news.into_iter()
+            .for_each(|news| server.news(now, news, from));
+        server.hears = server
+            .daemon
+            .startup
+            .as_ref()
+            .is_some_and(|s| s.snapshots.is_some() || s.peers.is_some());
         server.take_over(now, true);
         server.look(now);
         server.get_ready(now);
@@ -235,21 +274,33 @@
         }
         let kinds = self.config.deployment.names.kinds.clone();
         if let Some(purges) = daemon.purges {
-            self.start(now, |turn| Ok(Box::new(Purges::new(turn, &purges, &kinds)?)))?;
+            self.start(now, |turn| {
+                Ok(Box::new(Purges::new(turn, &purges, &kinds)?))
+            })?;
         }
         let purge = self.config.deployment.settings.purge_done;
-        if let Some((startup, peers)) = daemon.startup.as_ref().and_then(|s| Some((s, s.peers.as_ref()?))) {
+        if let Some((startup, peers)) = daemon
+            .startup
+            .as_ref()
+            .and_then(|s| Some((s, s.peers.as_ref()?)))
+        {
             let (known, seed) = (list.clone(), self.config.seed);
             let times = (purge_ms(purge), startup.serve_snapshot_s * 1_000);
-            self.start(now, |turn| Ok(Box::new(Peers::new(turn, peers, known, seed, times)?)))?;
+            self.start(now, |turn| {
+                Ok(Box::new(Peers::new(turn, peers, known, seed, times)?))
+            })?;
         }
         if let Some(path) = snapshots(&self.config, daemon.startup.as_ref()) {
-            self.start(now, |turn| Ok(Box::new(Snapshots::new(turn, path, list, purge)?)))?;
+            self.start(now, |turn| {
+                Ok(Box::new(Snapshots::new(turn, path, list, purge)?))
+            })?;
         }
         if let Some(control) = daemon.control {
             let words = self.drivers.iter().flat_map(|(driver, _)| driver.words());
             let help: BTreeMap<_, _> = words.chain(WORDS).collect();
-            self.start(now, |turn| Ok(Box::new(Control::new(turn, &control.path, help)?)))?;
+            self.start(now, |turn| {
+                Ok(Box::new(Control::new(turn, &control.path, help)?))
+            })?;
         }
         self.effects(now);
         Ok(())
@@ -263,18 +314,38 @@
         let mut last = 0;
         let slot = (self.drivers.len() + 1, &mut last);
         let behind_ms = self.front.ahead.behind_ms();
-        let mut turn = Turn { now, behind_ms, reactor: &self.reactor, effects: &mut self.effects, slot };
+        let mut turn = Turn {
+            now,
+            behind_ms,
+            reactor: &self.reactor,
+            effects: &mut self.effects,
+            slot,
+        };
         let driver = make(&mut turn)?;
         self.drivers.push((driver, last));
         Ok(())
     }
 
     /// Gives a driver its turn.
-    fn drive(&mut self, now: Timestamp, slot: usize, act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>)) {
+    fn drive(
+        &mut self,
+        now: Timestamp,
+        slot: usize,
+        act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>),
+    ) {
         let behind_ms = self.front.ahead.behind_ms();
         if let Some((driver, last)) = slot.checked_sub(1).and_then(|i| self.drivers.get_mut(i)) {
             let (reactor, effects) = (&self.reactor, &mut self.effects);
-            act(driver.as_mut(), &mut Turn { now, behind_ms, reactor, effects, slot: (slot, last) });
+            act(
+                driver.as_mut(),
+                &mut Turn {
+                    now,
+                    behind_ms,
+                    reactor,
+                    effects,
+                    slot: (slot, last),
+                },
+            );
         }
     }
 
@@ -288,7 +359,8 @@
                     }
                     Effect::Offered(list) => self.take_list(now, list),
                     Effect::Purges(news) if !matches!(news, Purging::Compile(_)) => {
-                        self.effects.extend(floors::take(&mut self.front, now, news));
+                        self.effects
+                            .extend(floors::take(&mut self.front, now, news));
                     }
                     Effect::Word(number, word, args) if WORDS.iter().any(|(w, _)| *w == word) => {
                         match self.word(now, &word, &args) {
@@ -340,9 +412,12 @@
             "quiesce" => Ok(self.quiesce(now).into()),
             "resume" => self.resume().map(Value::from),
             "log" => {
-                let level: Level =
-                    serde_json::from_value(args["level"].clone()).map_err(|e| format!("level: {e}"))?;
-                self.log.set(&cranesill_daemon::Log { level, ..self.daemon.log.clone() });
+                let level: Level = serde_json::from_value(args["level"].clone())
+                    .map_err(|e| format!("level: {e}"))?;
+                self.log.set(&cranesill_daemon::Log {
+                    level,
+                    ..self.daemon.log.clone()
+                });
                 Ok(json!(format!("level is {level:?}").to_lowercase()))
             }
             "purge-dry" => {
@@ -352,7 +427,9 @@
                 Ok(json!({"known_objects": known, "matched": matched}))
             }
             "startup" => {
-                let mut shown = self.startup.shown(self.nodes.listed().count(), self.nodes.reached());
+                let mut shown = self
+                    .startup
+                    .shown(self.nodes.listed().count(), self.nodes.reached());
                 let (unheard, last) = self.discovery.stands();
                 shown["list"] = json!({
                     "last_event": last, "unheard_for_ms": unheard.map(|since| now.saturating_sub(since) / 1_000),
@@ -387,7 +464,8 @@
     /// The figures, by their names.
     fn counters(&self) -> Value {
         let mut all = serde_json::Map::new();
-        let mut put = |name: String, n: u64| drop(all.insert(format!("edge_relay.{name}"), n.into()));
+        let mut put =
+            |name: String, n: u64| drop(all.insert(format!("edge_relay.{name}"), n.into()));
         for (class, counts) in self.front.counts() {
             put(format!("handled.{class}.passed"), counts.passed);
             put(format!("handled.{class}.dropped"), counts.dropped);
@@ -395,10 +473,16 @@
         }
         put("upstream_tries".into(), self.nodes.written);
         put("in_progress".into(), self.front.open() as u64);
-        put("known_cache_nodes".into(), (self.nodes.listed().count() + self.startup.waiting()) as u64);
+        put(
+            "known_cache_nodes".into(),
+            (self.nodes.listed().count() + self.startup.waiting()) as u64,
+        );
         put(
             "skipped_cache_nodes".into(),
-            self.nodes.listed().filter(|m| self.front.avoids(*m)).count() as u64,
+            self.nodes
+                .listed()
+                .filter(|m| self.front.avoids(*m))
+                .count() as u64,
         );
         all.into()
     }
@@ -407,8 +491,9 @@
     fn by_hand(&mut self, now: Timestamp, args: &Value, out: bool) -> Result<Value, String> {
         let text = args["node"].as_str().ok_or("node: missing")?;
         let id = member_id(text).ok_or("node: not s- and 8 hex digits")?;
-        let known =
-            self.nodes.listed().any(|listed| listed == id) || self.startup.has(id) || self.front.avoids(id);
+        let known = self.nodes.listed().any(|listed| listed == id)
+            || self.startup.has(id)
+            || self.front.avoids(id);
         if !known {
             return Err(format!("{text}: unknown"));
         }
@@ -416,7 +501,9 @@
             return Err(format!("{text}: {OUT_MOST} are out by hand already"));
         }
         if let Some(shared) = &self.shared {
-            shared.set_out(id, out).map_err(|e| format!("{text}: it can't be kept: {e}"))?;
+            shared
+                .set_out(id, out)
+                .map_err(|e| format!("{text}: it can't be kept: {e}"))?;
         }
         self.set_by_hand(now, id, out);
         self.settle(now, Vec::new());
@@ -424,9 +511,18 @@
     }
 
     fn set_by_hand(&mut self, now: Timestamp, id: EndpointId, out: bool) {
-        let changed = if out { self.out.insert(id) } else { self.out.remove(&id) };
+        let changed = if out {
+            self.out.insert(id)
+        } else {
+            self.out.remove(&id)
+        };
         if changed {
-            tracing::info!(kind = "by-hand", member = name_of(id), out, "cache node by hand");
+            tracing::info!(
+                kind = "by-hand",
+                member = name_of(id),
+                out,
+                "cache node by hand"
+            );
             self.front.by_hand(now, id, out);
             let mut ends = Vec::new();
             if out {
@@ -438,17 +534,23 @@
 
     /// Looks which members are out by hand: another process of this front may have been told.
     fn look(&mut self, now: Timestamp) {
-        let Some(shared) = &mut self.shared else { return };
+        let Some(shared) = &mut self.shared else {
+            return;
+        };
         if let Some(out) = shared.out() {
             let changed: Vec<_> = out.symmetric_difference(&self.out).copied().collect();
-            changed.into_iter().for_each(|id| self.set_by_hand(now, id, out.contains(&id)));
+            changed
+                .into_iter()
+                .for_each(|id| self.set_by_hand(now, id, out.contains(&id)));
         }
         self.deadlines.add(now + LOOK, Due::OutByHand);
     }
 
     /// Accepts clients once no other process of this front does, and uses all of its limits once none is left.
     fn take_over(&mut self, now: Timestamp, first: bool) {
-        let Some(shared) = &mut self.shared else { return };
+        let Some(shared) = &mut self.shared else {
+            return;
+        };
         if self.draining.is_some() {
             return;
         }
@@ -459,7 +561,10 @@
             self.front.learn(now, learned);
         }
         if first && !accepts {
-            tracing::info!(kind = "upgrade", "waits for another process to leave the clients' socket");
+            tracing::info!(
+                kind = "upgrade",
+                "waits for another process to leave the clients' socket"
+            );
         }
         self.accepts = accepts;
         self.halve(now, !alone);
@@ -472,7 +577,8 @@
     /// Shares the limits with another process of this front, or no longer.
     fn halve(&mut self, now: Timestamp, halved: bool) {
         if std::mem::replace(&mut self.config.halved, halved) != halved {
-            self.nodes.limit(self.config.links_most(), self.draining.map(|_| LINK_IDLE));
+            self.nodes
+                .limit(self.config.links_most(), self.draining.map(|_| LINK_IDLE));
             self.front.set_reach(now, self.nodes.reach());
             self.front.set_room(self.config.room());
         }
@@ -510,9 +616,22 @@
 
     /// Waits for something to do and does it. Whether the front has left.
     fn turn(&mut self) -> Result<bool, String> {
-        let drivers = self.drivers.iter().filter_map(|(driver, _)| driver.next()).min();
-        let next = self.deadlines.next().into_iter().chain(drivers).chain(self.clients.next()).min();
-        let mut events = self.reactor.wait(self.clock.now(), next).map_err(|e| format!("poller: {e}"))?;
+        let drivers = self
+            .drivers
+            .iter()
+            .filter_map(|(driver, _)| driver.next())
+            .min();
+        let next = self
+            .deadlines
+            .next()
+            .into_iter()
+            .chain(drivers)
+            .chain(self.clients.next())
+            .min();
+        let mut events = self
+            .reactor
+            .wait(self.clock.now(), next)
+            .map_err(|e| format!("poller: {e}"))?;
         let now = self.clock.now();
         // What the feed tells is heeded before anything is sent in the same turn; new connections come last, since
         // room for them is made by closing those of which nothing was read yet.
@@ -525,7 +644,9 @@
             _ => 2,
         };
         events.sort_by_cached_key(|(key, ..)| (*key == LISTENER, rank(*key)));
-        let nodes = events.iter().position(|(key, ..)| *key == LISTENER || rank(*key) >= NODES);
+        let nodes = events
+            .iter()
+            .position(|(key, ..)| *key == LISTENER || rank(*key) >= NODES);
         for (n, (key, readable, writable)) in events.into_iter().enumerate() {
             if nodes == Some(n) {
                 self.left(now);
@@ -546,7 +667,8 @@
             });
         }
         self.effects(now);
-        self.nodes.pause(now, self.clients.held() > self.config.room().bytes);
+        self.nodes
+            .pause(now, self.clients.held() > self.config.room().bytes);
         Ok(self.parted(now))
     }
 
@@ -555,7 +677,9 @@
         // A request whose last byte comes after the end of its connection would be lost.
         let owes = self.front.open() > 0 || !self.clients.flushed() || self.clients.begun();
         let clients = self.clients.len() > 0;
-        let Some(drain) = &mut self.draining else { return false };
+        let Some(drain) = &mut self.draining else {
+            return false;
+        };
         if let Some(over) = drain.part(now, owes, clients) {
             self.clients.part(now);
             self.deadlines.add(over, Due::Drain);
@@ -578,11 +702,16 @@
                 self.reload(now);
             }
             _ if slot_of(key) > 0 => {
-                self.drive(now, slot_of(key), |driver, turn| driver.ready(turn, key, readable, writable));
+                self.drive(now, slot_of(key), |driver, turn| {
+                    driver.ready(turn, key, readable, writable)
+                });
                 self.effects(now);
             }
             _ if self.discovery.is(key) => {
-                self.discovery.ready(now).into_iter().for_each(|news| self.news(now, news, Origin::Service));
+                self.discovery
+                    .ready(now)
+                    .into_iter()
+                    .for_each(|news| self.news(now, news, Origin::Service));
                 self.deadlines.add(self.discovery.due, Due::Discovery);
             }
             _ if self.nodes.has(key) => {
@@ -594,7 +723,11 @@
                 if writable {
                     self.clients.flush(now, key);
                 }
-                let heard = if readable { self.clients.read(now, key) } else { Vec::new() };
+                let heard = if readable {
+                    self.clients.read(now, key)
+                } else {
+                    Vec::new()
+                };
                 self.hear(now, heard);
             }
             _ => {}
@@ -614,7 +747,9 @@
             }
             Due::Discovery => {}
             Due::Sweep => {
-                let gone = self.clients.sweep(now, self.config.room().bytes, self.config.held_most());
+                let gone =
+                    self.clients
+                        .sweep(now, self.config.room().bytes, self.config.held_most());
                 self.log.sweep();
                 let contact = self.front.floors.as_mut().and_then(|f| f.contact.as_mut());
                 if contact.is_some_and(|contact| contact.lost_now(now)) {
@@ -653,15 +788,22 @@
                 self.effects(now);
             }
             Due::Quiesced => {
-                if self.quiesced.is_some_and(|since| now >= since + QUIESCE_SERVES) {
+                if self
+                    .quiesced
+                    .is_some_and(|since| now >= since + QUIESCE_SERVES)
+                {
                     self.front.close(true);
                 }
             }
             Due::Drain => {
-                let stage = self.draining.map_or(Stage::Serves, |drain| drain.stage(now));
+                let stage = self
+                    .draining
+                    .map_or(Stage::Serves, |drain| drain.stage(now));
                 if stage >= Stage::Refuses {
                     self.front.close(true);
-                    self.drivers.iter_mut().for_each(|(driver, _)| driver.drain());
+                    self.drivers
+                        .iter_mut()
+                        .for_each(|(driver, _)| driver.drain());
                 }
                 if stage >= Stage::Parts {
                     self.front.give_up(now);
@@ -731,7 +873,11 @@
         drain(&self.term);
         if self.draining.is_none() {
             tracing::info!("SIGTERM: leaving");
-            let drain = Drain::new(now, &self.config.deployment.limits.waits, self.shared.is_some());
+            let drain = Drain::new(
+                now,
+                &self.config.deployment.limits.waits,
+                self.shared.is_some(),
+            );
             self.draining = Some(drain);
             self.clients.drain(now, self.config.accept_fd.is_some());
             self.listen(true);
@@ -740,7 +886,10 @@
                 shared.hand_over(now, &learned);
                 self.halve(now, true);
             }
-            drain.moments().into_iter().for_each(|at| self.deadlines.add(at, Due::Drain));
+            drain
+                .moments()
+                .into_iter()
+                .for_each(|at| self.deadlines.add(at, Due::Drain));
         }
     }
 
@@ -756,9 +905,14 @@
                 }
                 self.deadlines.add(now, Due::Discovery);
             }
-            Err(faults) => tracing::warn!(error = faults.join("; "), "the configuration stays as it was"),
+            Err(faults) => tracing::warn!(
+                error = faults.join("; "),
+                "the configuration stays as it was"
+            ),
         }
-        let Some(file) = &self.daemon_file else { return };
+        let Some(file) = &self.daemon_file else {
+            return;
+        };
         let new = match super::config::settings(file) {
             Ok(new) => new,
             Err(faults) => {
@@ -772,7 +926,10 @@
         }
         self.effects(now);
         if !changes.restart.is_empty() {
-            tracing::warn!(paths = changes.restart.join(" "), "settings that need a restart");
+            tracing::warn!(
+                paths = changes.restart.join(" "),
+                "settings that need a restart"
+            );
         }
         tracing::info!(paths = changes.taken.join(" "), "settings taken over");
         // What needs a restart is compared with what runs.
@@ -784,7 +941,10 @@
                 .tls
                 .take()
                 .zip(old.tls.clone())
-                .map(|(new, old)| cranesill_daemon::Tls { listen: old.listen, ..new })
+                .map(|(new, old)| cranesill_daemon::Tls {
+                    listen: old.listen,
+                    ..new
+                })
                 .or(old.tls);
             self.daemon.certs = self
                 .daemon
@@ -832,27 +992,38 @@
 
     fn news(&mut self, now: Timestamp, news: News, origin: Origin) {
         if self.hears {
-            self.effects.push(Effect::Heard(self.discovery.stands().1, news.clone()));
+            self.effects
+                .push(Effect::Heard(self.discovery.stands().1, news.clone()));
             self.effects(now);
         }
         match news {
             News::Members { whole, list } => {
                 if !self.drivers.is_empty() {
-                    let here = |l: &Listing| Some(l.address).filter(|_| l.state != EndpointState::Removed);
+                    let here =
+                        |l: &Listing| Some(l.address).filter(|_| l.state != EndpointState::Removed);
                     let told = |l: &Listing| (u64::from(l.id), l.kind, here(l));
-                    self.effects.push(Effect::Members(list.iter().map(told).collect(), whole));
+                    self.effects
+                        .push(Effect::Members(list.iter().map(told).collect(), whole));
                     self.effects(now);
                 }
                 let list = self.startup.listed(now, whole, list);
                 self.take_members(now, whole, list, origin);
             }
-            News::Purge { object, group, at_ms } => {
-                self.front.purged(now, object, group, at_ms.saturating_mul(1_000), origin)
-            }
+            News::Purge {
+                object,
+                group,
+                at_ms,
+            } => self
+                .front
+                .purged(now, object, group, at_ms.saturating_mul(1_000), origin),
         }
         let ahead_ms = self.front.ahead.ms().filter(|ms| ms.abs() > CLOCK_APART_MS);
         if let Some(ahead_ms) = ahead_ms.filter(|_| !self.clock_told) {
-            tracing::warn!(kind = "clock", ahead_ms, "this clock is far from that of the list service");
+            tracing::warn!(
+                kind = "clock",
+                ahead_ms,
+                "this clock is far from that of the list service"
+            );
         }
         self.clock_told = ahead_ms.is_some();
         self.settle(now, Vec::new());
@@ -874,7 +1045,9 @@
         self.discovery.skip_to(list.number);
         // It does not grow younger by being taken.
         self.hears = false;
-        list.news().into_iter().for_each(|news| self.news(now, news, Origin::Kept));
+        list.news()
+            .into_iter()
+            .for_each(|news| self.news(now, news, Origin::Kept));
         self.hears = true;
         self.effects.push(Effect::Taken(list));
         self.effects(now);
@@ -884,26 +1057,48 @@
     fn take_members(&mut self, now: Timestamp, whole: bool, list: Vec<Listing>, origin: Origin) {
         let mut ends = Vec::new();
         let entries: Vec<_> = list.iter().map(entry).collect();
-        let mut before: Vec<_> = if whole { self.nodes.listed().collect() } else { Vec::new() };
+        let mut before: Vec<_> = if whole {
+            self.nodes.listed().collect()
+        } else {
+            Vec::new()
+        };
         if whole {
             let listed: HashSet<_> = entries.iter().map(|e| e.member).collect();
             self.nodes.keep_only(&listed);
             before.retain(|id| !listed.contains(id));
         }
-        entries.iter().zip(&list).for_each(|(entry, l)| self.nodes.list(entry, l.address));
-        let mut left_out: Vec<_> =
-            entries.iter().filter(|e| e.state != EndpointState::Ready).map(|e| e.member).collect();
+        entries
+            .iter()
+            .zip(&list)
+            .for_each(|(entry, l)| self.nodes.list(entry, l.address));
+        let mut left_out: Vec<_> = entries
+            .iter()
+            .filter(|e| e.state != EndpointState::Ready)
+            .map(|e| e.member)
+            .collect();
         left_out.extend(before);
-        let new: Vec<_> =
-            entries.iter().filter(|e| e.state == EndpointState::Ready).map(|e| e.member).collect();
+        let new: Vec<_> = entries
+            .iter()
+            .filter(|e| e.state == EndpointState::Ready)
+            .map(|e| e.member)
+            .collect();
         self.front.members(now, whole, entries, origin);
-        left_out.into_iter().for_each(|id| self.nodes.leave_out(id, &mut ends));
+        left_out
+            .into_iter()
+            .for_each(|id| self.nodes.leave_out(id, &mut ends));
         self.settle(now, ends);
-        let dialled = if self.startup.dials() { new } else { Vec::new() };
+        let dialled = if self.startup.dials() {
+            new
+        } else {
+            Vec::new()
+        };
         for member in dialled {
             let key = self.key();
             if self.nodes.open(now, &self.reactor, key, member) {
-                self.deadlines.add(now + self.config.deployment.settings.connect_timeout, Due::Dial(key));
+                self.deadlines.add(
+                    now + self.config.deployment.settings.connect_timeout,
+                    Due::Dial(key),
+                );
             }
         }
         if let Some(at) = self.startup.next() {
@@ -926,11 +1121,18 @@
         ends: &mut Ends,
     ) {
         let waiting_until = self.nodes.redial_due();
-        if let Some(key) = self.nodes.send(now, &self.reactor, key, target, fetch, ends) {
+        if let Some(key) = self
+            .nodes
+            .send(now, &self.reactor, key, target, fetch, ends)
+        {
             let due = now + self.config.deployment.settings.connect_timeout;
             self.deadlines.add(due, Due::Dial(key));
         }
-        if let Some(at) = self.nodes.redial_due().filter(|at| Some(*at) != waiting_until) {
+        if let Some(at) = self
+            .nodes
+            .redial_due()
+            .filter(|at| Some(*at) != waiting_until)
+        {
             self.deadlines.add(at, Due::Redial);
         }
     }
@@ -946,7 +1148,9 @@
                     self.front.gone(now, from);
                 }
             }
-            let Some(command) = self.front.command() else { break };
+            let Some(command) = self.front.command() else {
+                break;
+            };
             match command {
                 Command::Send(attempt, to, fetch) => {
                     let key = self.key();
@@ -975,7 +1179,9 @@
 /// same.
 fn share() -> Option<Shared> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
-    let found = folder.ok_or_else(|| io::Error::other("TMPDIR is not set")).map(PathBuf::from);
+    let found = folder
+        .ok_or_else(|| io::Error::other("TMPDIR is not set"))
+        .map(PathBuf::from);
     let opened = found.and_then(|folder| at_start(|| Shared::new(&folder)));
     if let Err(error) = &opened {
         tracing::warn!(kind = "upgrade", %error, "nothing is shared with another process: it accepts clients as well");
--- a/front/src/program/shared.rs
+++ b/front/src/program/shared.rs
@@ -35,7 +35,11 @@
     fn new(path: &Path) -> io::Result<Self> {
         // Not blocking: what somebody else put there may be a pipe that nobody reads.
         let mut options = File::options();
-        options.create(true).truncate(false).write(true).custom_flags(libc::O_NONBLOCK);
+        options
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .custom_flags(libc::O_NONBLOCK);
         let file = options.open(path)?;
         Ok(Lock { file, held: false })
     }
@@ -76,8 +80,17 @@
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(e),
             _ => {}
         }
-        let (accept, alive) = (Lock::new(&folder.join("accept"))?, Lock::new(&folder.join("alive"))?);
-        Ok(Shared { folder, accept, alive, foreign: 0, unreadable: false })
+        let (accept, alive) = (
+            Lock::new(&folder.join("accept"))?,
+            Lock::new(&folder.join("alive"))?,
+        );
+        Ok(Shared {
+            folder,
+            accept,
+            alive,
+            foreign: 0,
+            unreadable: false,
+        })
     }
 
     /// Whether this process accepts clients, from now on if not before.
@@ -95,10 +108,17 @@
         if !self.accept.held {
             return;
         }
-        let aside = self.folder.join(format!("learned.{}.tmp", std::process::id()));
+        let aside = self
+            .folder
+            .join(format!("learned.{}.tmp", std::process::id()));
         let text = learned(now, members);
-        let text = if text.len() <= LEARNED_MOST { text } else { learned(now, &[]) };
-        let written = fs::write(&aside, text).and_then(|()| fs::rename(&aside, self.folder.join("learned")));
+        let text = if text.len() <= LEARNED_MOST {
+            text
+        } else {
+            learned(now, &[])
+        };
+        let written =
+            fs::write(&aside, text).and_then(|()| fs::rename(&aside, self.folder.join("learned")));
         if let Err(error) = written {
             // Best effort: what is half written is of no use to anybody.
             let _ = fs::remove_file(&aside);
@@ -114,7 +134,10 @@
     pub fn learned(&self, now: Timestamp) -> Vec<LearnedHealth> {
         let path = self.folder.join("learned");
         let mut text = Vec::new();
-        let opened = File::options().read(true).custom_flags(libc::O_NONBLOCK).open(&path);
+        let opened = File::options()
+            .read(true)
+            .custom_flags(libc::O_NONBLOCK)
+            .open(&path);
         let found = opened.and_then(|f| f.take(LEARNED_MOST as u64 + 1).read_to_end(&mut text));
         match found {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Vec::new(),
@@ -143,8 +166,13 @@
         if out {
             File::create(path).map(drop)
         } else {
-            fs::remove_file(path)
-                .or_else(|e| if e.kind() == io::ErrorKind::NotFound { Ok(()) } else { Err(e) })
+            fs::remove_file(path).or_else(|e| {
+                if e.kind() == io::ErrorKind::NotFound {
+                    Ok(())
+                } else {
+                    Err(e)
+                }
+            })
         }
     }
 
@@ -170,7 +198,8 @@
             let name = name.to_string_lossy();
             match out_member(&name) {
                 Some(member) => drop(out.insert(member)),
-                None if ["accept", "alive", "learned"].contains(&&*name) || name.ends_with(".tmp") => {}
+                None if ["accept", "alive", "learned"].contains(&&*name)
+                    || name.ends_with(".tmp") => {}
                 None => {
                     foreign += 1;
                     if foreign > self.foreign && foreign <= FOREIGN_TOLD {
--- a/front/src/program/signals.rs
+++ b/front/src/program/signals.rs
@@ -21,8 +21,12 @@
 
     /// Whoever listens now hears of what came before. One that comes meanwhile may be heard twice, which is as once.
     pub fn again(self) -> io::Result<()> {
-        let came = self.0.iter().filter(|(_, came)| came.load(Ordering::Relaxed));
-        came.into_iter().try_for_each(|(signal, _)| signal_hook::low_level::raise(*signal))
+        let came = self
+            .0
+            .iter()
+            .filter(|(_, came)| came.load(Ordering::Relaxed));
+        came.into_iter()
+            .try_for_each(|(signal, _)| signal_hook::low_level::raise(*signal))
     }
 }
 
--- a/front/src/program/startup.rs
+++ b/front/src/program/startup.rs
@@ -25,12 +25,18 @@
 
 fn position(config: &Config) -> FleetPosition {
     let settings = &config.deployment.settings;
-    FleetPosition { number: settings.number, fronts: settings.routers }
+    FleetPosition {
+        number: settings.number,
+        fronts: settings.routers,
+    }
 }
 
 /// Where the list is kept on disk; `None`: it is not.
 pub fn snapshots(config: &Config, settings: Option<&Settings>) -> Option<PathBuf> {
-    let folder = settings.filter(|_| config.accept_fd.is_none())?.snapshots.as_ref()?;
+    let folder = settings
+        .filter(|_| config.accept_fd.is_none())?
+        .snapshots
+        .as_ref()?;
     Some(path(folder, &config.name))
 }
 
@@ -38,7 +44,9 @@
 fn source(config: &Config, settings: Option<&Settings>) -> u64 {
     // Records refer to places in these lists.
     let names = &config.deployment.names;
-    let named = settings.and_then(|s| s.list.clone()).unwrap_or_else(|| config.feed.to_string());
+    let named = settings
+        .and_then(|s| s.list.clone())
+        .unwrap_or_else(|| config.feed.to_string());
     let of = format!("{named} {:?} {:?}", names.zones, names.kinds);
     crc32fast::hash(of.as_bytes()).into()
 }
@@ -63,13 +71,27 @@
     let found = snapshots(config, settings).and_then(|path| load(&path, source, last, serve_ms));
     if let Some(list) = found {
         news.extend(list.news());
-        return Known { last: list.number, news, from: Origin::Kept, list };
+        return Known {
+            last: list.number,
+            news,
+            from: Origin::Kept,
+            list,
+        };
     }
-    let mut list = Snapshot { source, ..Snapshot::default() };
-    news.iter().for_each(|one| list.take(last, wall_ms(), 0, u64::MAX, one));
+    let mut list = Snapshot {
+        source,
+        ..Snapshot::default()
+    };
+    news.iter()
+        .for_each(|one| list.take(last, wall_ms(), 0, u64::MAX, one));
     // Purges that were known at the start are kept from the first news on.
     list.got_ms.clear();
-    Known { last, news, from: Origin::Known, list }
+    Known {
+        last,
+        news,
+        from: Origin::Known,
+        list,
+    }
 }
 
 /// What the settings switch on of it.
@@ -90,34 +112,57 @@
         let settings = settings.filter(|_| config.accept_fd.is_none());
         let slow_start = settings.and_then(|s| {
             let most = s.ramp_most_ms * 1_000;
-            s.handshakes_per_s.map(|per_s| SlowStart::new(position(config), per_s.into(), most))
+            s.handshakes_per_s
+                .map(|per_s| SlowStart::new(position(config), per_s.into(), most))
         });
         let ready = settings.map(|s| {
             let (most, spread) = (s.ready_most_ms * 1_000, s.ready_spread_ms * 1_000);
-            let policy = ReadinessPolicy { min_percent: s.ready_percent, max_wait: most, spread };
+            let policy = ReadinessPolicy {
+                min_percent: s.ready_percent,
+                max_wait: most,
+                spread,
+            };
             Readiness::new(now, position(config), policy)
         });
-        let (zone, origin) = (config.deployment.settings.zone, config.deployment.settings.origin_kind);
-        Startup { slow_start, ready, waits: None, zone, origin }
+        let (zone, origin) = (
+            config.deployment.settings.zone,
+            config.deployment.settings.origin_kind,
+        );
+        Startup {
+            slow_start,
+            ready,
+            waits: None,
+            zone,
+            origin,
+        }
     }
 
     /// The list tells of members: those that are to be taken over now.
     pub fn listed(&mut self, now: Timestamp, whole: bool, list: Vec<Listing>) -> Vec<Listing> {
-        let Some(slow_start) = &mut self.slow_start else { return list };
+        let Some(slow_start) = &mut self.slow_start else {
+            return list;
+        };
         let admission = |l: &Listing| match l.state {
-            EndpointState::Ready if Some(l.kind) != self.origin => {
-                Admission::Staggered(Group { kind: l.kind, near: l.zone == self.zone })
-            }
+            EndpointState::Ready if Some(l.kind) != self.origin => Admission::Staggered(Group {
+                kind: l.kind,
+                near: l.zone == self.zone,
+            }),
             EndpointState::Removed => Admission::Removed,
             _ => Admission::Immediate,
         };
-        let endpoint = |l: Listing| ListedEndpoint { id: l.id.into(), admission: admission(&l), entry: l };
+        let endpoint = |l: Listing| ListedEndpoint {
+            id: l.id.into(),
+            admission: admission(&l),
+            entry: l,
+        };
         slow_start.update(now, whole, list.into_iter().map(endpoint).collect())
     }
 
     /// Members whose turn has come.
     pub fn due(&mut self, now: Timestamp) -> Vec<Listing> {
-        self.slow_start.as_mut().map_or_else(Vec::new, |slow_start| slow_start.poll(now))
+        self.slow_start
+            .as_mut()
+            .map_or_else(Vec::new, |slow_start| slow_start.poll(now))
     }
 
     /// When the next one's turn comes.
@@ -132,7 +177,9 @@
 
     /// Whether a member is listed and waits.
     pub fn has(&self, member: EndpointId) -> bool {
-        self.slow_start.as_ref().is_some_and(|slow_start| slow_start.is_waiting(member.0))
+        self.slow_start
+            .as_ref()
+            .is_some_and(|slow_start| slow_start.is_waiting(member.0))
     }
 
     /// How many members are listed and wait.
@@ -143,7 +190,9 @@
     /// Whether the front is ready, with so many members in use and so many of them reached. Tells the log what changes.
     pub fn ready(&mut self, now: Timestamp, used: usize, reached: usize) -> bool {
         let waiting = self.waiting();
-        let Some(ready) = &mut self.ready else { return true };
+        let Some(ready) = &mut self.ready else {
+            return true;
+        };
         let waits = ready.check(now, used + waiting, reached).err();
         let kind = |waits: &Option<NotReady>| waits.as_ref().map(std::mem::discriminant);
         if kind(&waits) != kind(&self.waits) {
--- a/front/src/protocol/client.rs
+++ b/front/src/protocol/client.rs
@@ -28,13 +28,20 @@
 /// Takes the first frame off `input`, with its length in bytes. `None`: it is not whole yet.
 pub fn decode(input: &[u8]) -> Result<Option<(Message<'_>, usize)>, Unreadable> {
     let mut cursor = Cursor(input);
-    let Some(length) = cursor.u32().map(|n| n as usize) else { return Ok(None) };
+    let Some(length) = cursor.u32().map(|n| n as usize) else {
+        return Ok(None);
+    };
     if !LENGTH.contains(&length) {
         return Err(Unreadable("frame length out of bounds"));
     }
-    let Some(frame) = cursor.bytes(length) else { return Ok(None) };
+    let Some(frame) = cursor.bytes(length) else {
+        return Ok(None);
+    };
     let mut cursor = Cursor(frame);
-    let (kind, stream) = cursor.u8().zip(cursor.u32()).ok_or(Unreadable("frame cut off"))?;
+    let (kind, stream) = cursor
+        .u8()
+        .zip(cursor.u32())
+        .ok_or(Unreadable("frame cut off"))?;
     let message = match kind {
         10 if stream == 0 => return Err(Unreadable("request on stream 0")),
         10 => Message::Request(stream, cursor.0),
@@ -53,8 +60,14 @@
     let (mut class, mut txn, mut limit, mut item, mut have) = (None, None, None, None, None);
     let (mut part, mut group, mut size_kb, mut key) = (0, 0, 0.0, None);
     for _ in 0..count {
-        let name = cursor.u8().and_then(|n| cursor.bytes(n.into())).ok_or("field name cut off")?;
-        let value = cursor.u16().and_then(|n| cursor.bytes(n.into())).ok_or("field value cut off")?;
+        let name = cursor
+            .u8()
+            .and_then(|n| cursor.bytes(n.into()))
+            .ok_or("field name cut off")?;
+        let value = cursor
+            .u16()
+            .and_then(|n| cursor.bytes(n.into()))
+            .ok_or("field value cut off")?;
         let value = std::str::from_utf8(value).map_err(|_| "a field is no text")?;
         match name {
             b"verb" => class = Some(value.to_string()),
@@ -65,11 +78,16 @@
             b"limit" => limit = Some(number(value).ok_or("limit is no number")?),
             b"item" => {
                 let id = hex16(value).ok_or("item is not 16 hex digits")?;
-                item = Some(Item { text: value.into(), id });
+                item = Some(Item {
+                    text: value.into(),
+                    id,
+                });
             }
             b"part" => part = number(value).ok_or("part is no number")?,
             b"group" => {
-                group = number(value).filter(|g| *g < 256).ok_or("group is no number below 256")?;
+                group = number(value)
+                    .filter(|g| *g < 256)
+                    .ok_or("group is no number below 256")?;
             }
             b"ram" => size_kb = size(value).ok_or("ram is no size in KB")?,
             b"have" => have = Some(bare(value).ok_or("have is no bare tag")?),
@@ -96,19 +114,26 @@
 
 /// Letters and digits alone: it goes into a list of fields between commas.
 fn bare(value: &str) -> Option<Rc<str>> {
-    let fits = (1..=TAG_MOST).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_alphanumeric());
+    let fits =
+        (1..=TAG_MOST).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_alphanumeric());
     fits.then(|| value.into())
 }
 
 /// Digits and nothing else: no sign, as the standard library would allow.
 fn number(text: &str) -> Option<u32> {
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+    text.bytes()
+        .all(|b| b.is_ascii_digit())
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
 /// A plain decimal number of KB: no sign, no exponent, neither infinite nor absurdly large.
 fn size(text: &str) -> Option<f64> {
     let plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    plain.then(|| text.parse().ok()).flatten().filter(|kb| *kb <= SIZE_MOST)
+    plain
+        .then(|| text.parse().ok())
+        .flatten()
+        .filter(|kb| *kb <= SIZE_MOST)
 }
 
 fn frame(kind: u8, stream: u32, payload: &[u8], body: Rc<[u8]>) -> Outgoing<()> {
@@ -118,7 +143,12 @@
     head.push(kind);
     head.extend(stream.to_be_bytes());
     head.extend(payload);
-    Outgoing { tag: (), head, body, tail: b"" }
+    Outgoing {
+        tag: (),
+        head,
+        body,
+        tail: b"",
+    }
 }
 
 fn field(name: &str, value: &str) -> Vec<u8> {
@@ -135,7 +165,11 @@
         Answer::Served(body) => (1, vec![0], body),
         Answer::Same => (1, field("same", "1"), Rc::default()),
         Answer::Refused(0) => (2, vec![0], Rc::default()),
-        Answer::Refused(later) => (2, field("later", &later.div_ceil(1_000).to_string()), Rc::default()),
+        Answer::Refused(later) => (
+            2,
+            field("later", &later.div_ceil(1_000).to_string()),
+            Rc::default(),
+        ),
         Answer::Failed => (3, vec![0], Rc::default()),
     };
     frame(11, stream, &[&[code], &fields[..]].concat(), body)
--- a/front/src/protocol/client/tests.rs
+++ b/front/src/protocol/client/tests.rs
@@ -2,8 +2,14 @@
 
 fn request(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
-    fields.iter().for_each(|(name, value)| payload.extend(&field(name, value)[1..]));
-    frame(10, 7, &payload, body.into()).head.into_iter().chain(body.iter().copied()).collect()
+    fields
+        .iter()
+        .for_each(|(name, value)| payload.extend(&field(name, value)[1..]));
+    frame(10, 7, &payload, body.into())
+        .head
+        .into_iter()
+        .chain(body.iter().copied())
+        .collect()
 }
 
 #[test]
@@ -24,7 +30,9 @@
     for cut in 0..whole.len() {
         assert!(decode(&whole[..cut]).unwrap().is_none(), "cut at {cut}");
     }
-    let Some((Message::Request(7, payload), used)) = decode(&whole).unwrap() else { panic!() };
+    let Some((Message::Request(7, payload), used)) = decode(&whole).unwrap() else {
+        panic!()
+    };
     assert_eq!(used, whole.len());
     insta::assert_debug_snapshot!(ask(payload));
     for cut in 0..payload.len() - 4 {
@@ -40,19 +48,39 @@
     assert!(decode(&[0, 0, 0, 5, 99, 0, 0, 0, 1]).is_err());
     assert!(decode(&[0, 0, 0, 5, 10, 0, 0, 0, 0]).is_err());
     let bad = |name: &str, value: &str| {
-        let good = [("verb", "v"), ("txn", "9b1f03aa5c7e2d41"), ("limit", "5"), (name, value)];
+        let good = [
+            ("verb", "v"),
+            ("txn", "9b1f03aa5c7e2d41"),
+            ("limit", "5"),
+            (name, value),
+        ];
         ask(&request(&good, b"")[9..]).unwrap_err()
     };
-    let told = [bad("txn", "+b1f03aa5c7e2d41"), bad("limit", "-1"), bad("group", "256"), bad("have", "a,b")];
+    let told = [
+        bad("txn", "+b1f03aa5c7e2d41"),
+        bad("limit", "-1"),
+        bad("group", "256"),
+        bad("have", "a,b"),
+    ];
     // It would become fields of its own towards a node.
     assert_eq!(bad("unique", "a,from=s-00000001"), "unique is no bare key");
     // The standard library would take a sign; members would not read a tag or a body of any length.
-    for (name, value) in [("part", "+1"), ("limit", ""), ("part", "4294967296"), ("have", &"a".repeat(65))] {
+    for (name, value) in [
+        ("part", "+1"),
+        ("limit", ""),
+        ("part", "4294967296"),
+        ("have", &"a".repeat(65)),
+    ] {
         bad(name, value);
     }
-    for (name, value) in
-        [("ram", ""), ("ram", "."), ("ram", "1e9"), ("ram", "inf"), ("ram", "-1"), ("ram", "1000000000.5")]
-    {
+    for (name, value) in [
+        ("ram", ""),
+        ("ram", "."),
+        ("ram", "1e9"),
+        ("ram", "inf"),
+        ("ram", "-1"),
+        ("ram", "1000000000.5"),
+    ] {
         bad(name, value);
     }
     let good = [("verb", "v"), ("txn", "9b1f03aa5c7e2d41"), ("limit", "5")];
--- a/front/src/protocol/feed.rs
+++ b/front/src/protocol/feed.rs
@@ -60,27 +60,55 @@
 /// Takes the first frame off `input`. `None`: it is not whole yet.
 pub fn decode(input: &[u8]) -> Result<Option<Decoded>, Unreadable> {
     let mut cursor = Cursor(input);
-    let Some(length) = cursor.u32().map(|n| n as usize) else { return Ok(None) };
+    let Some(length) = cursor.u32().map(|n| n as usize) else {
+        return Ok(None);
+    };
     if !(9..=LENGTH_MOST).contains(&length) {
         return Err(Unreadable("frame length out of bounds"));
     }
-    let Some(frame) = cursor.bytes(length) else { return Ok(None) };
+    let Some(frame) = cursor.bytes(length) else {
+        return Ok(None);
+    };
     let mut cursor = Cursor(frame);
-    let (number, kind) = cursor.u64().zip(cursor.u8()).ok_or(Unreadable("frame cut off"))?;
+    let (number, kind) = cursor
+        .u64()
+        .zip(cursor.u8())
+        .ok_or(Unreadable("frame cut off"))?;
     let news = match kind {
         0 => None,
         1 | 2 if cursor.0.len() % RECORD != 0 => return Err(Unreadable("record cut off")),
         1 | 2 => {
-            let list = cursor.0.chunks(RECORD).map(|r| listing(Cursor(r))).collect::<Option<Vec<_>>>();
-            Some(News::Members { whole: kind == 1, list: list.ok_or(Unreadable("unknown state"))? })
+            let list = cursor
+                .0
+                .chunks(RECORD)
+                .map(|r| listing(Cursor(r)))
+                .collect::<Option<Vec<_>>>();
+            Some(News::Members {
+                whole: kind == 1,
+                list: list.ok_or(Unreadable("unknown state"))?,
+            })
         }
         3 => {
-            let (object, at_ms) = cursor.u64().zip(cursor.u64()).ok_or(Unreadable("purge cut off"))?;
-            Some(News::Purge { object: Some(object), group: 0, at_ms })
+            let (object, at_ms) = cursor
+                .u64()
+                .zip(cursor.u64())
+                .ok_or(Unreadable("purge cut off"))?;
+            Some(News::Purge {
+                object: Some(object),
+                group: 0,
+                at_ms,
+            })
         }
         4 => {
-            let (group, at_ms) = cursor.u16().zip(cursor.u64()).ok_or(Unreadable("purge cut off"))?;
-            Some(News::Purge { object: None, group: group.into(), at_ms })
+            let (group, at_ms) = cursor
+                .u16()
+                .zip(cursor.u64())
+                .ok_or(Unreadable("purge cut off"))?;
+            Some(News::Purge {
+                object: None,
+                group: group.into(),
+                at_ms,
+            })
         }
         _ => return Err(Unreadable("unknown kind")),
     };
@@ -98,7 +126,16 @@
     };
     let (zone, kind, cell) = (record.u8()?.into(), record.u8()?, record.u16()?);
     let weight = f64::from(record.u32()?) / 1e3;
-    Some(Listing { id, address, state, zone, kind, cell, weight, started_ms: record.u64()? })
+    Some(Listing {
+        id,
+        address,
+        state,
+        zone,
+        kind,
+        cell,
+        weight,
+        started_ms: record.u64()?,
+    })
 }
 
 #[cfg(test)]
--- a/front/src/protocol/feed/tests.rs
+++ b/front/src/protocol/feed/tests.rs
@@ -2,16 +2,33 @@
 
 fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (9 + payload.len()) as u32;
-    [&length.to_be_bytes(), &number.to_be_bytes()[..], &[kind], payload].concat()
+    [
+        &length.to_be_bytes(),
+        &number.to_be_bytes()[..],
+        &[kind],
+        payload,
+    ]
+    .concat()
 }
 
 #[test]
 fn events_are_read_once_their_last_byte_is_there() {
-    let record = [0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x1f, 0x90, 1, 2, 1, 0, 5, 0, 0, 0x10, 0x68];
+    let record = [
+        0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x1f, 0x90, 1, 2, 1, 0, 5, 0, 0, 0x10, 0x68,
+    ];
     let record = [&record[..], &1_764_576_000_123u64.to_be_bytes()].concat();
-    let purge = [0x7f3a_9c21_e0b4_d655u64.to_be_bytes(), 1_764_576_000_123u64.to_be_bytes()].concat();
+    let purge = [
+        0x7f3a_9c21_e0b4_d655u64.to_be_bytes(),
+        1_764_576_000_123u64.to_be_bytes(),
+    ]
+    .concat();
     let group = [&[0, 17][..], &1_764_576_000_480u64.to_be_bytes()].concat();
-    let frames = [(41, 1, record), (42, 3, purge), (43, 4, group), (43, 0, vec![])];
+    let frames = [
+        (41, 1, record),
+        (42, 3, purge),
+        (43, 4, group),
+        (43, 0, vec![]),
+    ];
     let read: Vec<_> = frames
         .iter()
         .map(|(number, kind, payload)| {
@@ -25,9 +42,15 @@
 
 #[test]
 fn odd_frames_are_unreadable() {
-    let odd =
-        [frame(1, 1, &[0; 26]), frame(1, 3, &[0; 15]), frame(1, 9, &[]), vec![0, 0, 0, 8], vec![255; 4]];
-    odd.iter().for_each(|bytes| assert!(decode(bytes).is_err(), "{bytes:?}"));
+    let odd = [
+        frame(1, 1, &[0; 26]),
+        frame(1, 3, &[0; 15]),
+        frame(1, 9, &[]),
+        vec![0, 0, 0, 8],
+        vec![255; 4],
+    ];
+    odd.iter()
+        .for_each(|bytes| assert!(decode(bytes).is_err(), "{bytes:?}"));
     let mut record = [0; 27];
     record[10] = 3;
     assert!(decode(&frame(1, 2, &record)).is_err());
--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -50,7 +50,13 @@
 
 /// The bytes of a follower's first word.
 pub fn hello(hello: Hello) -> Vec<u8> {
-    [&MAGIC[..], &VERSION.to_le_bytes(), &hello.ledger.to_le_bytes(), &hello.last.to_le_bytes()].concat()
+    [
+        &MAGIC[..],
+        &VERSION.to_le_bytes(),
+        &hello.ledger.to_le_bytes(),
+        &hello.last.to_le_bytes(),
+    ]
+    .concat()
 }
 
 /// Reads a follower's first word. `None`: it is not whole yet.
@@ -59,13 +65,17 @@
     if input[..known] != MAGIC[..known] {
         return Err(Unreadable("no follower"));
     }
-    let Some(bytes) = input.get(..HELLO) else { return Ok(None) };
+    let Some(bytes) = input.get(..HELLO) else {
+        return Ok(None);
+    };
     let mut cursor = Cursor(&bytes[MAGIC.len()..]);
     let version = cursor.array().map(u16::from_le_bytes);
     if version != Some(VERSION) {
         return Err(Unreadable("a follower of another version"));
     }
-    Ok(little(&mut cursor).zip(little(&mut cursor)).map(|(ledger, last)| Hello { ledger, last }))
+    Ok(little(&mut cursor)
+        .zip(little(&mut cursor))
+        .map(|(ledger, last)| Hello { ledger, last }))
 }
 
 /// The bytes of a frame.
@@ -83,19 +93,26 @@
 /// Takes the first frame off `input`, with its length in bytes. `None`: it is not whole yet.
 pub fn read_frame(input: &[u8]) -> Result<Option<(Frame, usize)>, Unreadable> {
     let mut cursor = Cursor(input);
-    let Some(kind) = cursor.u8() else { return Ok(None) };
+    let Some(kind) = cursor.u8() else {
+        return Ok(None);
+    };
     if kind > 1 {
         return Err(Unreadable("an unknown kind of frame"));
     }
-    let numbers = little(&mut cursor).zip(little(&mut cursor)).zip(little(&mut cursor));
-    let Some((((ledger, base), head), size)) = numbers.zip(cursor.array().map(u32::from_le_bytes)) else {
+    let numbers = little(&mut cursor)
+        .zip(little(&mut cursor))
+        .zip(little(&mut cursor));
+    let Some((((ledger, base), head), size)) = numbers.zip(cursor.array().map(u32::from_le_bytes))
+    else {
         return Ok(None);
     };
     let size = size as usize;
     if size > BODY_MOST {
         return Err(Unreadable("a batch that is too long"));
     }
-    let Some(mut body) = cursor.bytes(size) else { return Ok(None) };
+    let Some(mut body) = cursor.bytes(size) else {
+        return Ok(None);
+    };
     let mut purges = Vec::new();
     while !body.is_empty() {
         let Found::Record(purge, used) = journal::decode(body) else {
@@ -104,7 +121,16 @@
         purges.push(purge);
         body = &body[used..];
     }
-    Ok(Some((Frame { anew: kind == 1, ledger, base, head, purges }, HEAD + size)))
+    Ok(Some((
+        Frame {
+            anew: kind == 1,
+            ledger,
+            base,
+            head,
+            purges,
+        },
+        HEAD + size,
+    )))
 }
 
 #[cfg(test)]
--- a/front/src/protocol/follow/tests.rs
+++ b/front/src/protocol/follow/tests.rs
@@ -9,20 +9,39 @@
     assert_eq!(read_hello(&bytes).unwrap(), Some(told));
     assert!(read_hello(b"GET /").is_err());
     let what = What::Pattern("a/*".into());
-    let purge = Purge { number: 10, at: 5, what, id: "a".into(), who: "b".into(), why: "c".into() };
-    let sent = Frame { anew: false, ledger: 7, base: 2, head: 10, purges: vec![purge.clone(), purge] };
+    let purge = Purge {
+        number: 10,
+        at: 5,
+        what,
+        id: "a".into(),
+        who: "b".into(),
+        why: "c".into(),
+    };
+    let sent = Frame {
+        anew: false,
+        ledger: 7,
+        base: 2,
+        head: 10,
+        purges: vec![purge.clone(), purge],
+    };
     let bytes = frame(&sent);
-    (0..bytes.len()).for_each(|cut| assert_eq!(read_frame(&bytes[..cut]).unwrap(), None, "cut at {cut}"));
+    (0..bytes.len())
+        .for_each(|cut| assert_eq!(read_frame(&bytes[..cut]).unwrap(), None, "cut at {cut}"));
     assert_eq!(read_frame(&bytes).unwrap(), Some((sent, bytes.len())));
     let mut rng = 3u64;
     for _ in 0..30_000 {
         let mut odd = bytes.clone();
         for _ in 0..3 {
-            rng = rng.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            rng = rng
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             let at = (rng >> 33) as usize % odd.len();
             odd[at] = (rng >> 20) as u8;
         }
-        assert!(read_frame(&odd).ok().flatten().is_none_or(|f| f.1 <= odd.len()));
+        assert!(read_frame(&odd)
+            .ok()
+            .flatten()
+            .is_none_or(|f| f.1 <= odd.len()));
         let _ = read_hello(&odd);
     }
     let mut long = bytes;
--- a/front/src/protocol/known.rs
+++ b/front/src/protocol/known.rs
@@ -15,20 +15,35 @@
 
 fn news(event: &Value, names: &Names) -> Option<News> {
     if let Some(purge) = event.get("purge") {
-        let object = purge["key"].as_str().map(|key| hex16(key).ok_or(())).transpose().ok()?;
-        let group = purge["group"].as_u64().map_or(Some(0), |g| u32::try_from(g).ok())?;
+        let object = purge["key"]
+            .as_str()
+            .map(|key| hex16(key).ok_or(()))
+            .transpose()
+            .ok()?;
+        let group = purge["group"]
+            .as_u64()
+            .map_or(Some(0), |g| u32::try_from(g).ok())?;
         (object.is_some() || purge.get("group").is_some()).then_some(())?;
-        return Some(News::Purge { object, group, at_ms: purge["at"].as_u64()? });
+        return Some(News::Purge {
+            object,
+            group,
+            at_ms: purge["at"].as_u64()?,
+        });
     }
     let members = event.get("members")?;
-    let list = members["instances"].as_array()?.iter().map(|m| listing(m, names)).collect::<Option<_>>()?;
+    let list = members["instances"]
+        .as_array()?
+        .iter()
+        .map(|m| listing(m, names))
+        .collect::<Option<_>>()?;
     // The whole list stands in the first event, whatever its mark says.
     let whole = members["reset"].as_bool().unwrap_or(false) || event["n"].as_u64() == Some(1);
     Some(News::Members { whole, list })
 }
 
 fn listing(member: &Value, names: &Names) -> Option<Listing> {
-    let place = |list: &[String], name: &Value| list.iter().position(|n| Some(n.as_str()) == name.as_str());
+    let place =
+        |list: &[String], name: &Value| list.iter().position(|n| Some(n.as_str()) == name.as_str());
     Some(Listing {
         id: u32::from_str_radix(member["instanceId"].as_str()?.strip_prefix("s-")?, 16).ok()?,
         address: member["hostPort"].as_str()?.parse().ok()?,
--- a/front/src/protocol/known/tests.rs
+++ b/front/src/protocol/known/tests.rs
@@ -3,7 +3,11 @@
 #[test]
 fn events_are_read_by_the_names_of_the_settings() {
     let text = |list: &[&str]| list.iter().map(|s| s.to_string()).collect();
-    let names = Names { zones: text(&["hub", "east"]), kinds: text(&["std"]), ..Names::default() };
+    let names = Names {
+        zones: text(&["hub", "east"]),
+        kinds: text(&["std"]),
+        ..Names::default()
+    };
     let known = serde_json::json!({"n": 43, "events": [
         {"n": 1, "members": {"generation": 7, "reset": false, "instances": [
             {"instanceId": "s-00c41f7a", "hostPort": "10.1.0.9:8080", "zone": "east", "machineType": "std",
--- a/front/src/protocol/member.rs
+++ b/front/src/protocol/member.rs
@@ -44,7 +44,11 @@
         if fill.oldest > 0 {
             fields += &format!(",oldest={}", (fill.oldest / 1_000).max(1));
         }
-        let words = [(fill.join, "coalesce"), (fill.only_held, "shallow"), (fill.renew, "freshen")];
+        let words = [
+            (fill.join, "coalesce"),
+            (fill.only_held, "shallow"),
+            (fill.renew, "freshen"),
+        ];
         let words: Vec<_> = words.iter().filter(|w| w.0).map(|w| w.1).collect();
         if !words.is_empty() {
             fields += &format!(",mode={}", words.join("+"));
@@ -58,28 +62,53 @@
         fields += &format!(",seen={seen}");
     }
     let mut head = b"*4\r\n".to_vec();
-    head.extend(strings(&[b"fetch", fetch.txn.as_bytes(), fields.as_bytes()]));
+    head.extend(strings(&[
+        b"fetch",
+        fetch.txn.as_bytes(),
+        fields.as_bytes(),
+    ]));
     head.extend(format!("${}\r\n", fetch.body.len()).bytes());
-    Outgoing { tag: Some(fetch.txn), head, body: Rc::clone(&fetch.body), tail: b"\r\n" }
+    Outgoing {
+        tag: Some(fetch.txn),
+        head,
+        body: Rc::clone(&fetch.body),
+        tail: b"\r\n",
+    }
 }
 
 /// Gives a request up.
 pub fn abort(txn: Txn) -> Outgoing<Option<Txn>> {
     let mut head = b"*2\r\n".to_vec();
     head.extend(strings(&[b"abort", txn.as_bytes()]));
-    Outgoing { tag: None, head, body: Rc::default(), tail: b"" }
+    Outgoing {
+        tag: None,
+        head,
+        body: Rc::default(),
+        tail: b"",
+    }
 }
 
 /// A line that begins with `mark` and holds a length, and where the next one begins.
-fn length(input: &[u8], at: usize, mark: u8, most: usize) -> Result<Option<(usize, usize)>, Unreadable> {
+fn length(
+    input: &[u8],
+    at: usize,
+    mark: u8,
+    most: usize,
+) -> Result<Option<(usize, usize)>, Unreadable> {
     let rest = &input[at.min(input.len())..];
     if rest.first().is_some_and(|b| *b != mark) {
         return Err(Unreadable("no array of bulk strings"));
     }
     let Some(end) = rest.iter().take(DIGITS_MOST + 3).position(|b| *b == b'\n') else {
-        return if rest.len() > DIGITS_MOST + 3 { Err(Unreadable("length too long")) } else { Ok(None) };
+        return if rest.len() > DIGITS_MOST + 3 {
+            Err(Unreadable("length too long"))
+        } else {
+            Ok(None)
+        };
     };
-    let digits = rest[1..end].strip_suffix(b"\r").filter(|d| d.iter().all(u8::is_ascii_digit));
+    let digits = rest[1..end]
+        .strip_suffix(b"\r")
+        .filter(|d| d.iter().all(u8::is_ascii_digit));
     let number = digits.and_then(|d| std::str::from_utf8(d).ok()?.parse::<usize>().ok());
     match number.filter(|n| *n <= most) {
         Some(n) => Ok(Some((n, at + end + 1))),
@@ -95,15 +124,23 @@
 
 /// The four strings of the first answer, and its length in bytes. `None`: it is not whole yet.
 pub fn parts(input: &[u8]) -> Result<Option<Parts<'_>>, Unreadable> {
-    let Some((count, mut at)) = length(input, 0, b'*', STRINGS_MOST.len())? else { return Ok(None) };
+    let Some((count, mut at)) = length(input, 0, b'*', STRINGS_MOST.len())? else {
+        return Ok(None);
+    };
     if count != STRINGS_MOST.len() {
         return Err(Unreadable("no answer of four strings"));
     }
     let mut parts: [&[u8]; 4] = [b""; 4];
     for (part, most) in parts.iter_mut().zip(STRINGS_MOST) {
-        let Some((n, begin)) = length(input, at, b'$', most)? else { return Ok(None) };
-        let Some(string) = input.get(begin..begin + n + 2) else { return Ok(None) };
-        let string = string.strip_suffix(b"\r\n").ok_or(Unreadable("string without its end"))?;
+        let Some((n, begin)) = length(input, at, b'$', most)? else {
+            return Ok(None);
+        };
+        let Some(string) = input.get(begin..begin + n + 2) else {
+            return Ok(None);
+        };
+        let string = string
+            .strip_suffix(b"\r\n")
+            .ok_or(Unreadable("string without its end"))?;
         *part = string;
         at = begin + n + 2;
     }
@@ -119,7 +156,9 @@
 
 /// Takes the first answer off `input`. `None`: it is not whole yet.
 pub fn decode(input: &[u8]) -> Result<Option<Decoded<'_>>, Unreadable> {
-    let Some((parts, at)) = parts(input)? else { return Ok(None) };
+    let Some((parts, at)) = parts(input)? else {
+        return Ok(None);
+    };
     let [id, word, fields, body] = parts;
     let word = match word {
         b"HIT" => Word::Hit,
@@ -130,7 +169,11 @@
         b"LATE" => Word::Late,
         _ => Word::Other,
     };
-    let mut reply = MemberReply { word, body: body.into(), ..MemberReply::default() };
+    let mut reply = MemberReply {
+        word,
+        body: body.into(),
+        ..MemberReply::default()
+    };
     let fields = std::str::from_utf8(fields).map_err(|_| Unreadable("fields are no text"))?;
     for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
         match name {
@@ -141,7 +184,8 @@
             "waited" => reply.waited = (value.parse::<f64>().unwrap_or(0.0).max(0.0) * 1e3) as u64,
             "meter" => {
                 let figures = value.split(';').filter_map(|f| f.split_once(':'));
-                let figures = figures.filter_map(|(n, v)| Some((n.to_string(), v.parse::<f32>().ok()?)));
+                let figures =
+                    figures.filter_map(|(n, v)| Some((n.to_string(), v.parse::<f32>().ok()?)));
                 reply.meter = figures.collect();
             }
             _ => {}
--- a/front/src/protocol/member/tests.rs
+++ b/front/src/protocol/member/tests.rs
@@ -4,7 +4,10 @@
 #[test]
 fn a_fetch_says_what_was_asked_and_how_a_miss_is_filled() {
     let txn = Txn::new("9b1f03aa5c7e2d41").unwrap();
-    let item = Item { text: "7f3a9c21e0b4d655".into(), id: 0 };
+    let item = Item {
+        text: "7f3a9c21e0b4d655".into(),
+        id: 0,
+    };
     let fill = Source {
         source: Some(EndpointId(0xc41f7a)),
         rank: 2,
@@ -58,15 +61,29 @@
 fn lengths_out_of_bounds_are_unreadable() {
     for bad in
         // An id of a thousand bytes or a fifth string would be waited for in vain.
-        [&b"+OK\r\n"[..], b"*5\r\n", b"*4\r\n$-1\r\n", b"*4\r\n$999999999999", b"*4\r\n$1000\r\n"]
+        [
+            &b"+OK\r\n"[..],
+            b"*5\r\n",
+            b"*4\r\n$-1\r\n",
+            b"*4\r\n$999999999999",
+            b"*4\r\n$1000\r\n",
+        ]
     {
         assert!(decode(bad).is_err(), "{}", String::from_utf8_lossy(bad));
     }
     assert!(decode(b"*4\r\n$1\r\nabc").is_err());
-    for (fields, named) in [("ver=a,born=5", true), ("ver=,born=5", false), ("ver=ab,born=x", false)] {
+    for (fields, named) in [
+        ("ver=a,born=5", true),
+        ("ver=,born=5", false),
+        ("ver=ab,born=x", false),
+    ] {
         let n = fields.len();
         let answer = format!("*4\r\n$1\r\na\r\n$3\r\nHIT\r\n${n}\r\n{fields}\r\n$0\r\n\r\n");
         let (_, reply, _) = decode(answer.as_bytes()).unwrap().unwrap();
-        assert_eq!(reply.tag.is_some() && reply.born.is_some(), named, "{fields}");
+        assert_eq!(
+            reply.tag.is_some() && reply.born.is_some(),
+            named,
+            "{fields}"
+        );
     }
 }
--- a/front/src/protocol/ops.rs
+++ b/front/src/protocol/ops.rs
@@ -24,8 +24,9 @@
 
 /// The id of a member as it stands in text.
 pub fn member_id(text: &str) -> Option<EndpointId> {
-    let digits =
-        text.strip_prefix("s-").filter(|d| d.len() == 8 && d.bytes().all(|b| b.is_ascii_hexdigit()))?;
+    let digits = text
+        .strip_prefix("s-")
+        .filter(|d| d.len() == 8 && d.bytes().all(|b| b.is_ascii_hexdigit()))?;
     u64::from_str_radix(digits, 16).ok().map(EndpointId)
 }
 
@@ -47,14 +48,26 @@
         return Err(Unreadable("one line a connection"));
     }
     let line = std::str::from_utf8(line).map_err(|_| Unreadable("the line is no text"))?;
-    let mut words = line.strip_suffix('\r').unwrap_or(line).split(' ').filter(|word| !word.is_empty());
+    let mut words = line
+        .strip_suffix('\r')
+        .unwrap_or(line)
+        .split(' ')
+        .filter(|word| !word.is_empty());
     let (word, id, more) = (words.next().unwrap_or_default(), words.next(), words.next());
     let of = |call: fn(EndpointId) -> Call| match id {
         None => Err(Unreadable("ID is missing")),
         Some(_) if more.is_some() => Err(Unreadable("a word too many")),
-        Some(id) => member_id(id).map(call).ok_or(Unreadable("ID is not s- and 8 hex digits")),
+        Some(id) => member_id(id)
+            .map(call)
+            .ok_or(Unreadable("ID is not s- and 8 hex digits")),
+    };
+    let plain = |call| {
+        if id.is_some() {
+            Err(Unreadable("a word too many"))
+        } else {
+            Ok(call)
+        }
     };
-    let plain = |call| if id.is_some() { Err(Unreadable("a word too many")) } else { Ok(call) };
     match word {
         "health" => plain(Call::Health),
         "counters" => plain(Call::Counters),
--- a/front/src/protocol/ops/tests.rs
+++ b/front/src/protocol/ops/tests.rs
@@ -29,7 +29,10 @@
         (b"\xff\xfe\n", false),
         (&long, false),
     ];
-    let told: Vec<_> = all.iter().map(|(bytes, ended)| read(bytes, *ended)).collect();
+    let told: Vec<_> = all
+        .iter()
+        .map(|(bytes, ended)| read(bytes, *ended))
+        .collect();
     insta::assert_debug_snapshot!(told);
 }
 
@@ -37,5 +40,8 @@
 fn an_answer_is_one_line_or_ends_with_a_point() {
     assert_eq!(answer(Ok(""), None), b"+OK\n");
     assert_eq!(answer(Err("two\nlines"), None), b"-ERR two lines\n");
-    assert_eq!(answer(Ok(""), Some(&["a=1".into(), "b=2".into()])), b"+OK\na=1\nb=2\n.\n");
+    assert_eq!(
+        answer(Ok(""), Some(&["a=1".into(), "b=2".into()])),
+        b"+OK\na=1\nb=2\n.\n"
+    );
 }
--- a/front/src/protocol/purge.rs
+++ b/front/src/protocol/purge.rs
@@ -10,8 +10,18 @@
     let fields = format!("ledger={ledger:016x},after={after},upto={upto}");
     let body: Vec<u8> = purges.iter().flat_map(journal::record).collect();
     let mut head = b"*4\r\n".to_vec();
-    head.extend(strings(&[b"purge", format!("{id:016x}").as_bytes(), fields.as_bytes(), &body]));
-    Outgoing { tag: (), head, body: Rc::default(), tail: b"" }
+    head.extend(strings(&[
+        b"purge",
+        format!("{id:016x}").as_bytes(),
+        fields.as_bytes(),
+        &body,
+    ]));
+    Outgoing {
+        tag: (),
+        head,
+        body: Rc::default(),
+        tail: b"",
+    }
 }
 
 /// What a box says.
@@ -29,13 +39,20 @@
 
 /// Takes the first word off `input`, with its length in bytes. `None`: it is not whole yet.
 pub fn decode(input: &[u8]) -> Result<Option<(Word, usize)>, Unreadable> {
-    let Some(([id, word, fields, _], used)) = parts(input)? else { return Ok(None) };
+    let Some(([id, word, fields, _], used)) = parts(input)? else {
+        return Ok(None);
+    };
     let text = |bytes| std::str::from_utf8(bytes).map_err(|_| Unreadable("no text"));
     if word != b"DONE" {
         return Err(Unreadable("a box that does not speak of purges"));
     }
     let id = super::hex16(text(id)?).ok_or(Unreadable("no id"))?;
-    let mut found = Word { id, ledger: 0, upto: 0, empty: false };
+    let mut found = Word {
+        id,
+        ledger: 0,
+        upto: 0,
+        empty: false,
+    };
     for (name, value) in text(fields)?.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "ledger" => found.ledger = super::hex16(value).ok_or(Unreadable("no ledger"))?,
--- a/front/src/protocol/purge/tests.rs
+++ b/front/src/protocol/purge/tests.rs
@@ -4,18 +4,45 @@
 #[test]
 fn a_batch_is_written_as_members_read_and_a_word_is_read_once_it_is_whole() {
     let what = What::Tag("vitara".into());
-    let purge = Purge { number: 8, at: 5, what, id: "a".into(), who: "b".into(), why: "c".into() };
+    let purge = Purge {
+        number: 8,
+        at: 5,
+        what,
+        id: "a".into(),
+        who: "b".into(),
+        why: "c".into(),
+    };
     let out = batch(7, 0xfeed, 7, 8, std::slice::from_ref(&purge));
     let text = out.head.escape_ascii().to_string();
-    assert!(text.starts_with("*4\\r\\n$5\\r\\npurge\\r\\n$16\\r\\n0000000000000007"), "{text}");
-    assert!(text.contains("ledger=000000000000feed,after=7,upto=8"), "{text}");
+    assert!(
+        text.starts_with("*4\\r\\n$5\\r\\npurge\\r\\n$16\\r\\n0000000000000007"),
+        "{text}"
+    );
+    assert!(
+        text.contains("ledger=000000000000feed,after=7,upto=8"),
+        "{text}"
+    );
     let word =
         b"*4\r\n$16\r\n0000000000000007\r\n$4\r\nDONE\r\n$30\r\nledger=000000000000feed,upto=8\r\n$0\r\n\r\n";
     for cut in 0..word.len() {
-        assert!(decode(&word[..cut]).unwrap_or(None).is_none(), "cut at {cut}");
+        assert!(
+            decode(&word[..cut]).unwrap_or(None).is_none(),
+            "cut at {cut}"
+        );
     }
     let (found, used) = decode(word).unwrap().unwrap();
-    assert_eq!((found, used), (Word { id: 7, ledger: 0xfeed, upto: 8, empty: false }, word.len()));
+    assert_eq!(
+        (found, used),
+        (
+            Word {
+                id: 7,
+                ledger: 0xfeed,
+                upto: 8,
+                empty: false
+            },
+            word.len()
+        )
+    );
     let fault = b"*4\r\n$16\r\n0000000000000007\r\n$5\r\nFAULT\r\n$1\r\n-\r\n$0\r\n\r\n";
     assert!(decode(fault).is_err());
 }
--- a/front/src/protocol/shared.rs
+++ b/front/src/protocol/shared.rs
@@ -24,9 +24,17 @@
     let mut body = format!("at {at}\n");
     for m in members {
         let (down, lost) = (u8::from(m.down), u8::from(m.lost));
-        body += &format!("{} {} {} {down} {lost}\n", name_of(m.member), m.started, m.cold_since);
+        body += &format!(
+            "{} {} {} {down} {lost}\n",
+            name_of(m.member),
+            m.started,
+            m.cold_since
+        );
     }
-    format!("cranesill learned {VERSION} {:08x}\n{body}", crc32fast::hash(body.as_bytes()))
+    format!(
+        "cranesill learned {VERSION} {:08x}\n{body}",
+        crc32fast::hash(body.as_bytes())
+    )
 }
 
 /// Reads what was learned, and up to when. The error says why it is as if absent.
@@ -41,21 +49,35 @@
     if head[2] != Some(VERSION) {
         return Err("it is of another version");
     }
-    let sum = words.next().and_then(|sum| u32::from_str_radix(sum, 16).ok());
+    let sum = words
+        .next()
+        .and_then(|sum| u32::from_str_radix(sum, 16).ok());
     if sum != Some(crc32fast::hash(body.as_bytes())) {
         return Err("its checksum is wrong");
     }
     let mut lines = body.lines();
-    let at = lines.next().and_then(|line| line.strip_prefix("at ")?.parse().ok()).ok_or("it has no time")?;
+    let at = lines
+        .next()
+        .and_then(|line| line.strip_prefix("at ")?.parse().ok())
+        .ok_or("it has no time")?;
     let member = |line: &str| {
         let mut words = line.split(' ');
         let number = |id: &mut std::str::Split<'_, char>| id.next()?.parse::<u64>().ok();
         let member = member_id(words.next()?)?;
         let (started, cold_since) = (number(&mut words)?, number(&mut words)?);
         let (down, lost) = (number(&mut words)? == 1, number(&mut words)? == 1);
-        Some(LearnedHealth { member, started, cold_since, down, lost })
+        Some(LearnedHealth {
+            member,
+            started,
+            cold_since,
+            down,
+            lost,
+        })
     };
-    let members = lines.map(member).collect::<Option<_>>().ok_or("a line can't be read")?;
+    let members = lines
+        .map(member)
+        .collect::<Option<_>>()
+        .ok_or("a line can't be read")?;
     Ok((at, members))
 }
 
--- a/front/src/protocol/shared/tests.rs
+++ b/front/src/protocol/shared/tests.rs
@@ -2,13 +2,21 @@
 
 #[test]
 fn what_is_torn_foreign_or_of_the_future_is_told_apart_and_never_taken() {
-    let of =
-        |id: u64, down| LearnedHealth { member: EndpointId(id), started: 7, cold_since: 9, down, lost: down };
+    let of = |id: u64, down| LearnedHealth {
+        member: EndpointId(id),
+        started: 7,
+        cold_since: 9,
+        down,
+        lost: down,
+    };
     let all = vec![of(0x11, true), of(0x12, false)];
     let text = learned(5, &all);
     assert_eq!(read_learned(text.as_bytes()), Ok((5, all)));
     for cut in 0..text.len() {
-        assert!(read_learned(&text.as_bytes()[..cut]).is_err(), "cut after {cut}");
+        assert!(
+            read_learned(&text.as_bytes()[..cut]).is_err(),
+            "cut after {cut}"
+        );
     }
     for at in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
@@ -17,9 +25,21 @@
         assert!(read_learned(&bytes).is_err(), "byte {at}");
     }
     let future = text.replace("v1", "v2");
-    assert_eq!(read_learned(future.as_bytes()), Err("it is of another version"));
-    assert_eq!(out_member(&out_name(EndpointId(0x00c41f7a))), Some(EndpointId(0x00c41f7a)));
-    for name in ["v2.out.s-00c41f7a", "v1.out.s-00c41f7", "v1.out.s-00c41f7a~", "v1.in.s-00c41f7a", ""] {
+    assert_eq!(
+        read_learned(future.as_bytes()),
+        Err("it is of another version")
+    );
+    assert_eq!(
+        out_member(&out_name(EndpointId(0x00c41f7a))),
+        Some(EndpointId(0x00c41f7a))
+    );
+    for name in [
+        "v2.out.s-00c41f7a",
+        "v1.out.s-00c41f7",
+        "v1.out.s-00c41f7a~",
+        "v1.in.s-00c41f7a",
+        "",
+    ] {
         assert_eq!(out_member(name), None, "{name}");
     }
 }
--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -46,11 +46,19 @@
                     }
                 }
             }
-            News::Purge { object, group, at_ms } => self.purges.push((*object, *group, *at_ms)),
+            News::Purge {
+                object,
+                group,
+                at_ms,
+            } => self.purges.push((*object, *group, *at_ms)),
         }
         self.got_ms.resize(self.purges.len(), heard_ms);
         // They stand in the order in which they came; one more than may be written says that there were too many.
-        let over = self.got_ms.iter().take_while(|got| **got < heard_ms.saturating_sub(keep_ms)).count();
+        let over = self
+            .got_ms
+            .iter()
+            .take_while(|got| **got < heard_ms.saturating_sub(keep_ms))
+            .count();
         let over = over.max(self.purges.len().saturating_sub(PURGES_MOST + 1));
         self.purges.drain(..over);
         self.got_ms.drain(..over);
@@ -58,9 +66,18 @@
 
     /// What a front that starts is to be told of it.
     pub fn news(&self) -> Vec<News> {
-        let whole = News::Members { whole: true, list: self.members.values().cloned().collect() };
-        let purge = |p: &(Option<u64>, u32, u64)| News::Purge { object: p.0, group: p.1, at_ms: p.2 };
-        std::iter::once(whole).chain(self.purges.iter().map(purge)).collect()
+        let whole = News::Members {
+            whole: true,
+            list: self.members.values().cloned().collect(),
+        };
+        let purge = |p: &(Option<u64>, u32, u64)| News::Purge {
+            object: p.0,
+            group: p.1,
+            at_ms: p.2,
+        };
+        std::iter::once(whole)
+            .chain(self.purges.iter().map(purge))
+            .collect()
     }
 
     /// As it is written. `None`: it has grown too large to be.
@@ -68,14 +85,18 @@
         if self.purges.len() > PURGES_MOST {
             return None;
         }
-        let mut body = format!("from {:016x} {} {}\n", self.source, self.number, self.at_ms) + &self.lines();
+        let mut body =
+            format!("from {:016x} {} {}\n", self.source, self.number, self.at_ms) + &self.lines();
         for (object, group, at_ms) in &self.purges {
             body += &match object {
                 Some(object) => format!("o {object:016x} {at_ms}\n"),
                 None => format!("g {group} {at_ms}\n"),
             };
         }
-        let text = format!("cranesill list {VERSION} {:08x}\n{body}", crc32fast::hash(body.as_bytes()));
+        let text = format!(
+            "cranesill list {VERSION} {:08x}\n{body}",
+            crc32fast::hash(body.as_bytes())
+        );
         Some(text).filter(|text| text.len() <= BYTES_MOST)
     }
 
@@ -119,7 +140,11 @@
         let mut found = Snapshot::default();
         for (n, line) in body.lines().enumerate() {
             let words: Vec<_> = line.split(' ').collect();
-            let read = if n == 0 { found.first(&words) } else { found.line(&words) };
+            let read = if n == 0 {
+                found.first(&words)
+            } else {
+                found.line(&words)
+            };
             read.ok_or("a line can't be read")?;
         }
         if body.is_empty() {
@@ -129,7 +154,9 @@
     }
 
     fn first(&mut self, words: &[&str]) -> Option<()> {
-        let ["from", source, number, at] = words else { return None };
+        let ["from", source, number, at] = words else {
+            return None;
+        };
         self.source = u64::from_str_radix(source, 16).ok()?;
         (self.number, self.at_ms) = (number.parse().ok()?, at.parse().ok()?);
         Some(())
@@ -159,7 +186,8 @@
                 Some(())
             }
             ["g", group, at] => {
-                self.purges.push((None, group.parse().ok()?, at.parse().ok()?));
+                self.purges
+                    .push((None, group.parse().ok()?, at.parse().ok()?));
                 Some(())
             }
             _ => None,
--- a/front/src/protocol/snapshot/tests.rs
+++ b/front/src/protocol/snapshot/tests.rs
@@ -2,25 +2,69 @@
 
 fn listing(id: u32, state: EndpointState) -> Listing {
     let address = "127.0.0.1:80".parse().unwrap();
-    Listing { id, address, state, zone: 1, kind: 2, cell: 3, weight: 4.25, started_ms: 5 }
+    Listing {
+        id,
+        address,
+        state,
+        zone: 1,
+        kind: 2,
+        cell: 3,
+        weight: 4.25,
+        started_ms: 5,
+    }
 }
 
 fn known() -> Snapshot {
-    let mut known = Snapshot { source: 0xfeed, ..Snapshot::default() };
+    let mut known = Snapshot {
+        source: 0xfeed,
+        ..Snapshot::default()
+    };
     let members = vec![
         listing(1, EndpointState::Ready),
         listing(2, EndpointState::Draining),
         listing(3, EndpointState::Ready),
     ];
-    known.take(4, 900, 900, 45, &News::Members { whole: true, list: members });
-    known.take(5, 950, 950, 45, &News::Purge { object: Some(0xabc), group: 0, at_ms: 940 });
-    known.take(6, 960, 960, 45, &News::Purge { object: None, group: 9, at_ms: 955 });
+    known.take(
+        4,
+        900,
+        900,
+        45,
+        &News::Members {
+            whole: true,
+            list: members,
+        },
+    );
+    known.take(
+        5,
+        950,
+        950,
+        45,
+        &News::Purge {
+            object: Some(0xabc),
+            group: 0,
+            at_ms: 940,
+        },
+    );
+    known.take(
+        6,
+        960,
+        960,
+        45,
+        &News::Purge {
+            object: None,
+            group: 9,
+            at_ms: 955,
+        },
+    );
     known.take(
         7,
         999,
         999,
         45,
-        &News::Members { whole: false, list: vec![listing(3, EndpointState::Removed)] },
+        &News::Members {
+            whole: false,
+            list: vec![listing(3, EndpointState::Removed)],
+        },
     );
     known
 }
@@ -28,10 +72,17 @@
 #[test]
 fn what_is_written_is_read_and_what_is_over_is_dropped() {
     let known = known();
-    assert_eq!((known.members.len(), known.purges.len()), (2, 1), "gone, and over");
+    assert_eq!(
+        (known.members.len(), known.purges.len()),
+        (2, 1),
+        "gone, and over"
+    );
     let text = known.text().unwrap();
     let read = Snapshot::read(text.as_bytes()).unwrap();
-    assert_eq!((read.text(), read.digest()), (Some(text.clone()), known.digest()));
+    assert_eq!(
+        (read.text(), read.digest()),
+        (Some(text.clone()), known.digest())
+    );
     assert_eq!(known.news().len(), 2);
     insta::assert_snapshot!(text);
 }
@@ -41,25 +92,71 @@
     // This clock is an hour ahead of the one that dates purges, or behind it.
     for now in [10_000_000, 2_800_000] {
         let mut known = Snapshot::default();
-        known.take(1, now, now, 8_000, &News::Purge { object: Some(1), group: 0, at_ms: 6_400_000 });
+        known.take(
+            1,
+            now,
+            now,
+            8_000,
+            &News::Purge {
+                object: Some(1),
+                group: 0,
+                at_ms: 6_400_000,
+            },
+        );
         known.take(
             2,
             now + 7_000,
             now + 7_000,
             8_000,
-            &News::Purge { object: Some(2), group: 0, at_ms: 6_407_000 },
+            &News::Purge {
+                object: Some(2),
+                group: 0,
+                at_ms: 6_407_000,
+            },
+        );
+        assert_eq!(
+            known.purges.len(),
+            2,
+            "copies from before both may still be held"
+        );
+        known.take(
+            3,
+            now + 9_000,
+            now + 9_000,
+            8_000,
+            &News::Members {
+                whole: false,
+                list: vec![],
+            },
         );
-        assert_eq!(known.purges.len(), 2, "copies from before both may still be held");
-        known.take(3, now + 9_000, now + 9_000, 8_000, &News::Members { whole: false, list: vec![] });
         assert_eq!(known.purges.len(), 1);
         // One that was read is kept from then on.
         let mut read = Snapshot::read(known.text().unwrap().as_bytes()).unwrap();
-        read.take(4, now + 20_000, now + 20_000, 8_000, &News::Members { whole: false, list: vec![] });
+        read.take(
+            4,
+            now + 20_000,
+            now + 20_000,
+            8_000,
+            &News::Members {
+                whole: false,
+                list: vec![],
+            },
+        );
         assert_eq!(read.purges.len(), 1);
     }
     let mut known = Snapshot::default();
     for n in 0..2 * PURGES_MOST as u64 {
-        known.take(n, 5, 5, 8_000, &News::Purge { object: Some(n), group: 0, at_ms: 5 });
+        known.take(
+            n,
+            5,
+            5,
+            8_000,
+            &News::Purge {
+                object: Some(n),
+                group: 0,
+                at_ms: 5,
+            },
+        );
     }
     assert_eq!((known.purges.len(), known.text()), (PURGES_MOST + 1, None));
 }
@@ -73,13 +170,32 @@
         bad[cut] ^= 1;
         assert!(Snapshot::read(&bad).is_err(), "byte {cut}");
     }
-    let whole = |body: &str| format!("cranesill list v1 {:08x}\n{body}", crc32fast::hash(body.as_bytes()));
-    for body in ["", "m\n", "from 1 2\n", "from 1 2 3\nx\n", "from 1 2 3\no zz 3\n", "from 1 2 3\ng -1 3\n"] {
+    let whole = |body: &str| {
+        format!(
+            "cranesill list v1 {:08x}\n{body}",
+            crc32fast::hash(body.as_bytes())
+        )
+    };
+    for body in [
+        "",
+        "m\n",
+        "from 1 2\n",
+        "from 1 2 3\nx\n",
+        "from 1 2 3\no zz 3\n",
+        "from 1 2 3\ng -1 3\n",
+    ] {
         assert!(Snapshot::read(whole(body).as_bytes()).is_err(), "{body}");
     }
     assert!(Snapshot::read(&vec![b'x'; BYTES_MOST + 1]).is_err());
     let many = (0..=PURGES_MOST as u64).map(|n| (Some(n), 0, n)).collect();
-    assert_eq!(Snapshot { purges: many, ..known() }.text(), None);
+    assert_eq!(
+        Snapshot {
+            purges: many,
+            ..known()
+        }
+        .text(),
+        None
+    );
 }
 
 #[test]
@@ -87,10 +203,27 @@
     for step in [-3_600_000i64, -5_000, 5_000, 3_600_000] {
         let mut known = Snapshot::default();
         let wall = |ms: u64| (10_000_000 + ms).saturating_add_signed(step);
-        let none = || News::Members { whole: false, list: vec![] };
-        known.take(1, 10_000_000, 100, 8_000, &News::Purge { object: Some(1), group: 0, at_ms: 6_400_000 });
+        let none = || News::Members {
+            whole: false,
+            list: vec![],
+        };
+        known.take(
+            1,
+            10_000_000,
+            100,
+            8_000,
+            &News::Purge {
+                object: Some(1),
+                group: 0,
+                at_ms: 6_400_000,
+            },
+        );
         known.take(2, wall(7_000), 7_100, 8_000, &none());
-        assert_eq!(known.purges.len(), 1, "{step}: copies from before it may still be held");
+        assert_eq!(
+            known.purges.len(),
+            1,
+            "{step}: copies from before it may still be held"
+        );
         known.take(3, wall(9_000), 9_100, 8_000, &none());
         assert_eq!(known.purges.len(), 0, "{step}");
     }
--- a/front/src/protocol/tests.rs
+++ b/front/src/protocol/tests.rs
@@ -2,15 +2,25 @@
 
 #[test]
 fn whatever_the_bytes_are_no_codec_panics_or_reads_past_them() {
-    let request =
-        [&[0, 0, 0, 30, 10, 0, 0, 0, 7, 2, 4][..], b"verb", &[0, 1], b"v", &[3], b"txn", &[0, 2], b"ab"];
+    let request = [
+        &[0, 0, 0, 30, 10, 0, 0, 0, 7, 2, 4][..],
+        b"verb",
+        &[0, 1],
+        b"v",
+        &[3],
+        b"txn",
+        &[0, 2],
+        b"ab",
+    ];
     let answer = b"*4\r\n$2\r\nab\r\n$3\r\nHIT\r\n$11\r\nmeter=a:1;b\r\n$1\r\nx\r\n".to_vec();
     let event = [&[0, 0, 0, 36, 0, 0, 0, 0, 0, 0, 0, 3, 2][..], &[1; 27]].concat();
     let mut rng = 7u64;
     for round in 0..60_000 {
         let mut bytes = [&request.concat(), &answer, &event][round % 3].clone();
         for _ in 0..round % 5 {
-            rng = rng.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            rng = rng
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             let at = (rng >> 33) as usize % bytes.len();
             bytes[at] = (rng >> 20) as u8;
         }
@@ -21,7 +31,13 @@
                 let _ = client::ask(payload);
             }
         }
-        assert!(member::decode(&bytes).ok().flatten().is_none_or(|found| found.2 <= bytes.len()));
-        assert!(feed::decode(&bytes).ok().flatten().is_none_or(|found| found.2 <= bytes.len()));
+        assert!(member::decode(&bytes)
+            .ok()
+            .flatten()
+            .is_none_or(|found| found.2 <= bytes.len()));
+        assert!(feed::decode(&bytes)
+            .ok()
+            .flatten()
+            .is_none_or(|found| found.2 <= bytes.len()));
     }
 }
--- a/front/src/routing/admit.rs
+++ b/front/src/routing/admit.rs
@@ -16,9 +16,16 @@
         // Guards the memory limit: each open request will come to hold an answer. Full size for each would turn
         // away requests that there is room for; what comes larger is guarded against by holding back members.
         let expected = (self.open.len() as f64 * self.answer_bytes) as usize;
-        if self.closed || self.open.len() >= self.room.open || self.held + expected > self.room.bytes {
+        if self.closed
+            || self.open.len() >= self.room.open
+            || self.held + expected > self.room.bytes
+        {
             let why = if self.closed { "closed" } else { "no room" };
-            let line = format!("{why}: {} requests open, {} bytes held", self.open.len(), self.held);
+            let line = format!(
+                "{why}: {} requests open, {} bytes held",
+                self.open.len(),
+                self.held
+            );
             self.commands.push_back(Command::Log(line));
             return self.answer(from, Some(open.class), Answer::Refused(self.later()));
         }
@@ -26,7 +33,8 @@
         self.asked.insert(from, id);
         self.by_txn.insert(txn, id);
         // The decisions get to answer first, when the time of an attempt is up at the same moment.
-        self.commands.push_back(Command::Wake(open.deadline + GRACE, Wake::Request(id)));
+        self.commands
+            .push_back(Command::Wake(open.deadline + GRACE, Wake::Request(id)));
         self.open.insert(id, open);
         self.tell(now, Event::Request(request));
     }
--- a/front/src/routing/ahead.rs
+++ b/front/src/routing/ahead.rs
@@ -38,12 +38,17 @@
     /// By how many milliseconds this clock is ahead, less than 0 if it is behind, and the least delay of news in it; `None` while
     /// nothing was heard.
     pub fn ms(&self) -> Option<i64> {
-        self.new.into_iter().chain(self.old).min().map(|least| least / 1_000)
+        self.new
+            .into_iter()
+            .chain(self.old)
+            .min()
+            .map(|least| least / 1_000)
     }
 
     /// By how many milliseconds this clock is behind at least; 0 while nothing was heard, or if it is not.
     pub fn behind_ms(&self) -> u64 {
-        self.ms().map_or(0, |ahead_ms| ahead_ms.min(0).unsigned_abs())
+        self.ms()
+            .map_or(0, |ahead_ms| ahead_ms.min(0).unsigned_abs())
     }
 
     fn least(&self) -> i64 {
--- a/front/src/routing/ahead/tests.rs
+++ b/front/src/routing/ahead/tests.rs
@@ -9,14 +9,27 @@
         let mut ahead = Ahead::default();
         let here = |at: Timestamp| at.saturating_add_signed(clock);
         for n in 0..4_000u64 {
-            let (at, late) = (1_000 * S + n * S, if n % 500 < 8 { 8 * S - n % 500 * S } else { 0 });
+            let (at, late) = (
+                1_000 * S + n * S,
+                if n % 500 < 8 { 8 * S - n % 500 * S } else { 0 },
+            );
             let delay = 40_000 + n * 7_919 % 200_000 + late;
             ahead.told(here(at + delay), at);
             let taken = ahead.here(at);
-            assert!(taken >= here(at), "clock {clock}, purge {n}: taken for older than it is");
-            assert!(taken <= here(at + delay), "nothing is taken for later than it was heard of");
+            assert!(
+                taken >= here(at),
+                "clock {clock}, purge {n}: taken for older than it is"
+            );
+            assert!(
+                taken <= here(at + delay),
+                "nothing is taken for later than it was heard of"
+            );
             if n > 200 {
-                assert!(taken <= here(at + 100_000), "clock {clock}, purge {n}: {}", taken - here(at));
+                assert!(
+                    taken <= here(at + 100_000),
+                    "clock {clock}, purge {n}: {}",
+                    taken - here(at)
+                );
             }
         }
     }
@@ -34,7 +47,11 @@
     }
     let before = ahead.span();
     ahead.told(5_000 * S, 4_960 * S);
-    assert!((before..before + 1_300_000).contains(&ahead.span()), "{before} {}", ahead.span());
+    assert!(
+        (before..before + 1_300_000).contains(&ahead.span()),
+        "{before} {}",
+        ahead.span()
+    );
 }
 
 #[test]
--- a/front/src/routing/book.rs
+++ b/front/src/routing/book.rs
@@ -5,7 +5,9 @@
 impl Front {
     /// Books the end of an attempt; a second end of the same one is passed over.
     pub fn ended(&mut self, now: Timestamp, attempt: AttemptId, end: End) {
-        let Some(out) = self.out.remove(&attempt) else { return };
+        let Some(out) = self.out.remove(&attempt) else {
+            return;
+        };
         if let Some(key) = out.past {
             if let Some(count) = self.past.get_mut(&key) {
                 *count -= 1;
@@ -28,14 +30,26 @@
         if let Some(open) = self.open.get_mut(&id).filter(|_| !status.proves_not_run()) {
             open.ran = Some(open.ran.map_or(out.sent, |ran| ran.min(out.sent)));
         }
-        let along = matches!(end, End::Unsent { along: true } | End::Broken { along: true });
+        let along = matches!(
+            end,
+            End::Unsent { along: true } | End::Broken { along: true }
+        );
         let closed = match &end {
             End::Reply(reply) => self.relay(id, reply),
             _ => !self.open.contains_key(&id),
         };
-        let figure = |name: &String| meter.iter().find(|m| m.0 == *name).map_or(f32::NAN, |m| m.1);
+        let figure = |name: &String| {
+            meter
+                .iter()
+                .find(|m| m.0 == *name)
+                .map_or(f32::NAN, |m| m.1)
+        };
         let values: Vec<f32> = self.deployment.names.report.iter().map(figure).collect();
-        let report = self.deployment.layout.read(&values).filter(|_| !meter.is_empty());
+        let report = self
+            .deployment
+            .layout
+            .read(&values)
+            .filter(|_| !meter.is_empty());
         let latency = now.saturating_sub(out.sent);
         let number = attempt.number;
         self.tell(
@@ -58,15 +72,20 @@
     /// is not the client's copy.
     fn judged(&mut self, now: Timestamp, id: RequestId, from: EndpointId, end: End) -> End {
         let spoilt = |open: &Open, reply: &MemberReply| {
-            reply.word == Word::Valid && (open.write || open.ask.have.as_deref() != reply.tag.as_deref())
+            reply.word == Word::Valid
+                && (open.write || open.ask.have.as_deref() != reply.tag.as_deref())
         };
         if let (End::Reply(reply), Some(open)) = (&end, self.open.get(&id)) {
             if spoilt(open, reply) {
-                return End::Reply(MemberReply { word: Word::Fault, ..reply.clone() });
+                return End::Reply(MemberReply {
+                    word: Word::Fault,
+                    ..reply.clone()
+                });
             }
         }
         let open = self.open.get(&id).filter(|open| !open.write);
-        let (End::Reply(reply), Some((floors, open))) = (&end, self.floors.as_mut().zip(open)) else {
+        let (End::Reply(reply), Some((floors, open))) = (&end, self.floors.as_mut().zip(open))
+        else {
             return end;
         };
         match floors.judge(now, &open.ask, reply) {
@@ -74,7 +93,10 @@
             Judged::Lie => self.commands.push_back(Command::Lied(from)),
             Judged::Old => {}
         }
-        End::Reply(MemberReply { word: Word::Fault, ..reply.clone() })
+        End::Reply(MemberReply {
+            word: Word::Fault,
+            ..reply.clone()
+        })
     }
 
     /// The time of an attempt is up: it is given up at the member, and its end is booked.
@@ -88,11 +110,19 @@
     /// The front ends: whoever still waits is answered now. Only what can't have run is refused, so that trying again does no
     /// harm.
     pub fn give_up(&mut self, now: Timestamp) {
-        let mut open: Vec<_> = self.open.iter().map(|(id, open)| (*id, open.ran.is_some())).collect();
+        let mut open: Vec<_> = self
+            .open
+            .iter()
+            .map(|(id, open)| (*id, open.ran.is_some()))
+            .collect();
         open.sort_unstable();
         for (id, ran) in open {
             let out = self.out.keys().any(|attempt| attempt.request == id);
-            let answer = if ran || out { Answer::Failed } else { Answer::Refused(self.later()) };
+            let answer = if ran || out {
+                Answer::Failed
+            } else {
+                Answer::Refused(self.later())
+            };
             self.conclude(id, answer);
             self.tell(now, Event::Cancelled(id));
         }
--- a/front/src/routing/floors.rs
+++ b/front/src/routing/floors.rs
@@ -106,9 +106,10 @@
                 let (known, with) = self.index.count(tag);
                 (known, Some(with))
             }
-            What::Object(object) => {
-                (self.index.count("").0, Some(usize::from(self.index.tags(*object).is_some())))
-            }
+            What::Object(object) => (
+                self.index.count("").0,
+                Some(usize::from(self.index.tags(*object).is_some())),
+            ),
             _ => (self.index.count("").0, None),
         }
     }
@@ -116,12 +117,19 @@
     fn floor(&self, now: Timestamp, after: Number, ask: &Ask, tags: Option<&[u64]>) -> Timestamp {
         let Some(item) = &ask.item else { return 0 };
         let contact = self.contact.as_ref().map_or(0, |c| c.floor(now, now / MS));
-        let contact = if contact > 0 { contact.saturating_add(self.skew) } else { 0 };
+        let contact = if contact > 0 {
+            contact.saturating_add(self.skew)
+        } else {
+            0
+        };
         if self.matcher.is_empty() {
             return contact.saturating_mul(MS);
         }
         let key = key(&ask.class, item.id, ask.part);
-        self.matcher.floor(after, item.id, ask.group, tags, &key).max(contact).saturating_mul(MS)
+        self.matcher
+            .floor(after, item.id, ask.group, tags, &key)
+            .max(contact)
+            .saturating_mul(MS)
     }
 
     /// What purges ask of the copy that answers a request; `None`: nothing beyond `oldest`, the age that will do (0:
@@ -133,8 +141,14 @@
         let age = Some(now.saturating_sub(floor).max(MS))
             .filter(|age| floor > 0 && (oldest == 0 || *age < oldest))?;
         let key = (item.id, ask.part);
-        let born = self.renewed.get(&key).or_else(|| self.renewed_before.get(&key));
-        Some(Need { oldest: age, renewed: born.is_some_and(|born| *born >= floor) })
+        let born = self
+            .renewed
+            .get(&key)
+            .or_else(|| self.renewed_before.get(&key));
+        Some(Need {
+            oldest: age,
+            renewed: born.is_some_and(|born| *born >= floor),
+        })
     }
 
     /// Judges an answer that a member says is good, by the tags that it names itself: an older version may carry others
@@ -143,12 +157,20 @@
         if !matches!(reply.word, Word::Hit | Word::Valid) {
             return Judged::Good;
         }
-        let Some(item) = &ask.item else { return Judged::Good };
-        let names: Option<Vec<&str>> =
-            reply.tags.as_ref().map(|t| t.split(';').filter(|t| !t.is_empty()).take(TAGS_MOST + 1).collect());
+        let Some(item) = &ask.item else {
+            return Judged::Good;
+        };
+        let names: Option<Vec<&str>> = reply.tags.as_ref().map(|t| {
+            t.split(';')
+                .filter(|t| !t.is_empty())
+                .take(TAGS_MOST + 1)
+                .collect()
+        });
         // One with too many is unknown.
         let names = names.filter(|names| names.len() <= TAGS_MOST);
-        let marks: Option<Vec<u64>> = names.as_ref().map(|names| names.iter().map(|t| tag_mark(t)).collect());
+        let marks: Option<Vec<u64>> = names
+            .as_ref()
+            .map(|names| names.iter().map(|t| tag_mark(t)).collect());
         let floor = self.floor(now, 0, ask, marks.as_deref());
         let born = reply.born.unwrap_or(0).saturating_mul(MS);
         if floor > 0 && born < floor {
@@ -170,7 +192,9 @@
             }
             self.renewed.insert((item.id, ask.part), born);
         }
-        self.contact.iter_mut().for_each(|contact| contact.answered(now));
+        self.contact
+            .iter_mut()
+            .for_each(|contact| contact.answered(now));
         Judged::Good
     }
 }
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -140,7 +140,12 @@
 
     /// Final answers so far: each class with its counts.
     pub fn counts(&self) -> impl Iterator<Item = (&str, &Counts)> {
-        self.deployment.names.classes.iter().map(String::as_str).zip(&self.counts)
+        self.deployment
+            .names
+            .classes
+            .iter()
+            .map(String::as_str)
+            .zip(&self.counts)
     }
 
     /// Whether the decisions avoid a listed member now.
--- a/front/src/routing/route.rs
+++ b/front/src/routing/route.rs
@@ -9,16 +9,21 @@
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, target, timeout, fill } => {
+                Action::Send {
+                    request,
+                    target,
+                    timeout,
+                    fill,
+                } => {
                     let until = (timeout > 0).then_some(now + timeout);
                     self.send(now, request, target, until, fill)
                 }
                 Action::Cancel(request, number) => self.call_off(AttemptId { request, number }),
                 Action::Reject(id, later) => self.conclude(id, Answer::Refused(later)),
                 Action::Fail(id) => self.conclude(id, Answer::Failed),
-                Action::Timer(span, token) => {
-                    self.commands.push_back(Command::Wake(now + span, Wake::Timer(token)))
-                }
+                Action::Timer(span, token) => self
+                    .commands
+                    .push_back(Command::Wake(now + span, Wake::Timer(token))),
                 // The control feed pushes changes by itself.
                 Action::Subscribe => {}
                 Action::Log(line) => self.commands.push_back(Command::Log(line)),
@@ -36,20 +41,43 @@
         origin: Origin,
     ) {
         if origin == Origin::Service {
-            list.iter().filter(|e| e.started > 0).for_each(|e| self.ahead.told(now, e.started));
+            list.iter()
+                .filter(|e| e.started > 0)
+                .for_each(|e| self.ahead.told(now, e.started));
             self.tell(now, Event::ClockAhead(self.ahead.span()));
         }
-        self.tell(now, Event::Endpoints(if whole { ListKind::Full } else { ListKind::Delta }, list));
+        self.tell(
+            now,
+            Event::Endpoints(
+                if whole {
+                    ListKind::Full
+                } else {
+                    ListKind::Delta
+                },
+                list,
+            ),
+        );
     }
 
     /// Takes over a purge made `at` by the clock of the list service. No copy from before it may be taken for a newer one, so
     /// one of which nobody can tell here when it was counts as of now.
-    pub fn purged(&mut self, now: Timestamp, object: Option<u64>, group: u32, at: Timestamp, origin: Origin) {
+    pub fn purged(
+        &mut self,
+        now: Timestamp,
+        object: Option<u64>,
+        group: u32,
+        at: Timestamp,
+        origin: Origin,
+    ) {
         let object = object.map(cranesill::api::ObjectId);
         if origin == Origin::Service {
             self.ahead.told(now, at);
         }
-        let at = if origin == Origin::Kept { now } else { self.ahead.here(at) };
+        let at = if origin == Origin::Kept {
+            now
+        } else {
+            self.ahead.here(at)
+        };
         self.tell(now, Event::Purged(object, group, now.saturating_sub(at)));
     }
 
--- a/front/src/routing/send.rs
+++ b/front/src/routing/send.rs
@@ -14,7 +14,9 @@
         fill: Option<Fill>,
     ) {
         // The decisions learn of a final answer before they decide again, so the request is open here.
-        let Some(open) = self.open.get(&request) else { return };
+        let Some(open) = self.open.get(&request) else {
+            return;
+        };
         let mut fill = fill.map(|fill| Source {
             source: Some(fill.source).filter(|s| *s != target),
             rank: fill.rank,
@@ -26,14 +28,30 @@
         // As of now, not as of when it was taken in: purges come while requests wait.
         let mut past = None;
         if let Some(floors) = self.floors.as_ref().filter(|_| !open.write) {
-            if let Some(Need { oldest, renewed }) = floors.need(now, &open.ask, fill.map_or(0, |f| f.oldest))
+            if let Some(Need { oldest, renewed }) =
+                floors.need(now, &open.ask, fill.map_or(0, |f| f.oldest))
             {
-                let bare =
-                    Source { source: None, rank: 0, oldest, join: false, only_held: false, renew: false };
+                let bare = Source {
+                    source: None,
+                    rank: 0,
+                    oldest,
+                    join: false,
+                    only_held: false,
+                    renew: false,
+                };
                 let joins = self.deployment.settings.joins;
-                fill = Some(fill.map_or(bare, |fill| Source { oldest, join: joins, ..fill }));
+                fill = Some(fill.map_or(bare, |fill| Source {
+                    oldest,
+                    join: joins,
+                    ..fill
+                }));
                 let fetches = !renewed && fill.is_some_and(|fill| fill.source.is_some());
-                past = open.ask.item.as_ref().filter(|_| fetches).map(|item| (item.id, open.ask.part));
+                past = open
+                    .ask
+                    .item
+                    .as_ref()
+                    .filter(|_| fetches)
+                    .map(|item| (item.id, open.ask.part));
             }
         }
         if let Some(key) = past {
@@ -43,20 +61,46 @@
                 if let Some(wait) = self.shielded(now, &class) {
                     // The decisions hold a place for this attempt until they hear of its end.
                     let attempt = AttemptId { request, number };
-                    self.out.insert(attempt, Out { sent: now, to: target, past: None });
+                    self.out.insert(
+                        attempt,
+                        Out {
+                            sent: now,
+                            to: target,
+                            past: None,
+                        },
+                    );
                     self.conclude(request, Answer::Refused(wait));
                     return self.ended(now, attempt, End::Unplaced);
                 }
             }
             *self.past.entry(key).or_default() += 1;
         }
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let attempt = AttemptId { request, number: open.sent };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let attempt = AttemptId {
+            request,
+            number: open.sent,
+        };
         open.sent += 1;
-        self.out.insert(attempt, Out { sent: now, to: target, past });
+        self.out.insert(
+            attempt,
+            Out {
+                sent: now,
+                to: target,
+                past,
+            },
+        );
         let deadline = until.map_or(open.deadline, |until| until.min(open.deadline));
         // Guards the rule of effects: what was decided within the window may wait for its connection till after it.
-        let latest = match (self.deployment.settings.classes.get(open.class).map(|c| c.effect), open.ran) {
+        let latest = match (
+            self.deployment
+                .settings
+                .classes
+                .get(open.class)
+                .map(|c| c.effect),
+            open.ran,
+        ) {
             (Some(Effect::Keyed { window, .. }), Some(ran)) => ran.saturating_add(window),
             _ => Timestamp::MAX,
         };
@@ -73,15 +117,26 @@
             write: open.write,
             body: Rc::clone(&open.ask.body),
         };
-        self.commands.push_back(Command::Wake(deadline, Wake::Attempt(attempt)));
-        self.commands.push_back(Command::Send(attempt, target, fetch));
+        self.commands
+            .push_back(Command::Wake(deadline, Wake::Attempt(attempt)));
+        self.commands
+            .push_back(Command::Send(attempt, target, fetch));
     }
 
     /// Whether a request has to stay away from the main store for now, and for how long: what is worth most comes first.
     fn shielded(&mut self, now: Timestamp, class: &str) -> Option<Micros> {
         let classes = &self.deployment.settings.classes;
-        let at = self.deployment.names.classes.iter().position(|name| name == class)?;
-        let most = classes.iter().map(|c| c.worth).fold(0.0, f64::max).max(f64::MIN_POSITIVE);
+        let at = self
+            .deployment
+            .names
+            .classes
+            .iter()
+            .position(|name| name == class)?;
+        let most = classes
+            .iter()
+            .map(|c| c.worth)
+            .fold(0.0, f64::max)
+            .max(f64::MIN_POSITIVE);
         let worth = classes.get(at)?.worth / most;
         let later = self.later();
         let shield = self.shield.as_mut()?;
--- a/front/src/routing/take_in.rs
+++ b/front/src/routing/take_in.rs
@@ -8,7 +8,12 @@
 impl Front {
     /// Takes in a client's request that came whole at `now`.
     pub fn take_in(&mut self, now: Timestamp, from: ReplyTo, ask: Ask) {
-        let class = self.deployment.names.classes.iter().position(|name| *name == ask.class);
+        let class = self
+            .deployment
+            .names
+            .classes
+            .iter()
+            .position(|name| *name == ask.class);
         let write = class.is_some_and(|c| self.deployment.settings.classes[c].write);
         // Only what runs at the origin can do without an object.
         let Some(class) = class.filter(|_| write || ask.item.is_some()) else {
@@ -30,7 +35,15 @@
         };
         self.admit(
             now,
-            Open { from, ask: Rc::new(ask), deadline, class, write, sent: 0, ran: None },
+            Open {
+                from,
+                ask: Rc::new(ask),
+                deadline,
+                class,
+                write,
+                sent: 0,
+                ran: None,
+            },
             request,
         );
     }
@@ -47,7 +60,10 @@
     /// Nobody waits for this stream any more.
     pub fn gone(&mut self, now: Timestamp, from: ReplyTo) {
         if let Some(id) = self.asked.get(&from).copied() {
-            if let Some(counts) = self.forget(id).and_then(|open| self.counts.get_mut(open.class)) {
+            if let Some(counts) = self
+                .forget(id)
+                .and_then(|open| self.counts.get_mut(open.class))
+            {
                 counts.left += 1;
             }
             self.tell(now, cranesill::api::Event::Cancelled(id));
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -5,7 +5,11 @@
 
 fn front(room: Room) -> Front {
     let config: Value = serde_json::from_str(include_str!("../../examples/config.json")).unwrap();
-    Front::new(cranesill_settings::read(&config["settings"]).unwrap(), 1, room)
+    Front::new(
+        cranesill_settings::read(&config["settings"]).unwrap(),
+        1,
+        room,
+    )
 }
 
 fn ask(n: u64) -> (ReplyTo, Ask) {
@@ -21,7 +25,13 @@
         key: None,
         body: b"keys".as_slice().into(),
     };
-    (ReplyTo { client: 2, stream: n as u32 }, ask)
+    (
+        ReplyTo {
+            client: 2,
+            stream: n as u32,
+        },
+        ask,
+    )
 }
 
 /// An origin and nothing else: writes go there.
@@ -29,30 +39,51 @@
     let mut front = front(room);
     let state = cranesill::api::EndpointState::Ready;
     let (member, weight) = (EndpointId(0x31), 1.0);
-    let origin =
-        cranesill::api::EndpointEntry { member, kind: 2, zone: 0, cell: 0, weight, started: 0, state };
+    let origin = cranesill::api::EndpointEntry {
+        member,
+        kind: 2,
+        zone: 0,
+        cell: 0,
+        weight,
+        started: 0,
+        state,
+    };
     front.members(S, true, vec![origin], Origin::Service);
     front
 }
 
 fn commands(front: &mut Front) -> Vec<Command> {
-    std::iter::from_fn(|| front.command()).filter(|c| !matches!(c, Command::Wake(..))).collect()
+    std::iter::from_fn(|| front.command())
+        .filter(|c| !matches!(c, Command::Wake(..)))
+        .collect()
 }
 
 fn answers(front: &mut Front) -> Vec<Answer> {
-    let answer = |c| if let Command::Answer(_, answer) = c { Some(answer) } else { None };
+    let answer = |c| {
+        if let Command::Answer(_, answer) = c {
+            Some(answer)
+        } else {
+            None
+        }
+    };
     commands(front).into_iter().filter_map(answer).collect()
 }
 
 #[test]
 fn without_room_a_request_is_refused_at_once_with_a_time_to_come_back() {
     // A calm day turned away thousands of requests a second: each was taken to need the largest answer.
-    let mut front = with_origin(Room { open: 5_000, bytes: 96 << 20 });
+    let mut front = with_origin(Room {
+        open: 5_000,
+        bytes: 96 << 20,
+    });
     for n in 1..=1_000 {
         let (from, ask) = ask(n);
         front.take_in(S, from, ask);
     }
-    assert!(answers(&mut front).is_empty(), "there is room for a thousand usual answers");
+    assert!(
+        answers(&mut front).is_empty(),
+        "there is room for a thousand usual answers"
+    );
     front.holds(96 << 20);
     let (from, ask) = ask(2_000);
     front.take_in(S, from, ask);
@@ -61,9 +92,19 @@
 
 #[test]
 fn a_client_that_claims_to_wait_for_weeks_is_remembered_for_no_longer_than_its_class() {
-    let mut front = with_origin(Room { open: 10, bytes: 96 << 20 });
+    let mut front = with_origin(Room {
+        open: 10,
+        bytes: 96 << 20,
+    });
     let (from, first) = ask(1);
-    front.take_in(S, from, Ask { limit: u64::from(u32::MAX) * 1_000, ..first });
+    front.take_in(
+        S,
+        from,
+        Ask {
+            limit: u64::from(u32::MAX) * 1_000,
+            ..first
+        },
+    );
     let last = std::iter::from_fn(|| front.command()).filter_map(|c| match c {
         Command::Wake(at, Wake::Request(_) | Wake::Attempt(_)) => Some(at),
         _ => None,
@@ -75,42 +116,89 @@
 fn what_waits_for_room_goes_by_the_size_that_the_client_told() {
     // Guards against sizes that are lost on their way to the decisions: on a calm day of a deployment whose clients tell
     // them, a quarter of the worth went because all was taken to need the same time.
-    let mut front = front(Room { open: 1_000, bytes: 96 << 20 });
+    let mut front = front(Room {
+        open: 1_000,
+        bytes: 96 << 20,
+    });
     let state = cranesill::api::EndpointState::Ready;
     let (member, weight) = (EndpointId(1), 0.2);
     front.members(
         S,
         true,
-        vec![cranesill::api::EndpointEntry { member, kind: 0, zone: 1, cell: 0, weight, started: 0, state }],
+        vec![cranesill::api::EndpointEntry {
+            member,
+            kind: 0,
+            zone: 1,
+            cell: 0,
+            weight,
+            started: 0,
+            state,
+        }],
         Origin::Service,
     );
     let mut video = |n: u64, size_kb: f64| {
         let (from, base) = ask(n);
-        let item = Some(Item { text: format!("{n:016x}").into(), id: n });
-        front.take_in(S, from, Ask { class: "car-video".into(), item, size_kb, ..base });
+        let item = Some(Item {
+            text: format!("{n:016x}").into(),
+            id: n,
+        });
+        front.take_in(
+            S,
+            from,
+            Ask {
+                class: "car-video".into(),
+                item,
+                size_kb,
+                ..base
+            },
+        );
         let sent = commands(&mut front);
-        sent.into_iter().find_map(|c| if let Command::Send(attempt, ..) = c { Some(attempt) } else { None })
+        sent.into_iter().find_map(|c| {
+            if let Command::Send(attempt, ..) = c {
+                Some(attempt)
+            } else {
+                None
+            }
+        })
     };
     // One place: the first takes it, the large one and then the small one wait for it.
     let first = video(1, 3_000.0).expect("the cache is free");
     assert_eq!((video(2, 60_000.0), video(3, 30.0)), (None, None));
-    let reply = MemberReply { word: Word::Hit, ..MemberReply::default() };
+    let reply = MemberReply {
+        word: Word::Hit,
+        ..MemberReply::default()
+    };
     front.ended(S + 400_000, first, End::Reply(reply));
     let next = commands(&mut front).into_iter().find_map(|c| match c {
         Command::Send(_, _, fetch) => fetch.item.map(|item| item.id),
         _ => None,
     });
-    assert_eq!(next, Some(3), "what earns most for its sending time goes first");
+    assert_eq!(
+        next,
+        Some(3),
+        "what earns most for its sending time goes first"
+    );
 }
 
 #[test]
-fn another_deployment_with_its_classes_in_another_order_and_other_kinds_is_served_by_the_same_code() {
-    let config: Value = serde_json::from_str(include_str!("../../examples/three-hubs.json")).unwrap();
+fn another_deployment_with_its_classes_in_another_order_and_other_kinds_is_served_by_the_same_code()
+{
+    let config: Value =
+        serde_json::from_str(include_str!("../../examples/three-hubs.json")).unwrap();
     let deployment = cranesill_settings::read(&config["settings"]).unwrap();
     let (_, known) = crate::protocol::known::read(&config["known"], &deployment.names).unwrap();
-    let mut front = Front::new(deployment, 1, Room { open: 10, bytes: 16 << 20 });
+    let mut front = Front::new(
+        deployment,
+        1,
+        Room {
+            open: 10,
+            bytes: 16 << 20,
+        },
+    );
     for news in known {
-        let crate::protocol::feed::News::Members { whole, list } = news else { panic!() };
+        let crate::protocol::feed::News::Members { whole, list } = news else {
+            panic!()
+        };
         let entry = |l: &crate::protocol::feed::Listing| cranesill::api::EndpointEntry {
             member: EndpointId(l.id.into()),
             kind: l.kind,
@@ -124,8 +212,20 @@
     }
     let mut fetch = |n: u64, class: &str| {
         let (from, base) = ask(n);
-        let item = Some(Item { text: format!("{n:016x}").into(), id: n });
-        front.take_in(S, from, Ask { class: class.into(), item, size_kb: 80.0, ..base });
+        let item = Some(Item {
+            text: format!("{n:016x}").into(),
+            id: n,
+        });
+        front.take_in(
+            S,
+            from,
+            Ask {
+                class: class.into(),
+                item,
+                size_kb: 80.0,
+                ..base
+            },
+        );
         commands(&mut front).into_iter().find_map(|c| match c {
             Command::Send(_, to, fetch) => Some((to.0, fetch)),
             _ => None,
@@ -142,12 +242,18 @@
         );
         assert!(!fill.join, "fills are not joined here");
     }
-    assert!(fetch(9, "page-bits").is_none(), "a class of another deployment is none here");
+    assert!(
+        fetch(9, "page-bits").is_none(),
+        "a class of another deployment is none here"
+    );
 }
 
 #[test]
 fn an_end_counts_once_and_so_does_an_answer() {
-    let mut front = with_origin(Room { open: 10, bytes: 96 << 20 });
+    let mut front = with_origin(Room {
+        open: 10,
+        bytes: 96 << 20,
+    });
     let (from, first) = ask(1);
     front.take_in(S, from, first.clone());
     // The same id while it is open could not be told apart at the member.
@@ -158,22 +264,34 @@
     };
     let reply = |word| {
         let body = b"booked".as_slice().into();
-        End::Reply(MemberReply { word, body, ..MemberReply::default() })
+        End::Reply(MemberReply {
+            word,
+            body,
+            ..MemberReply::default()
+        })
     };
     front.ended(2 * S, attempt, reply(Word::Hit));
     front.ended(2 * S, attempt, reply(Word::Fault));
     front.ended(2 * S, attempt, End::Broken { along: false });
     front.wake(5 * S, Wake::Request(attempt.request));
-    assert_eq!(answers(&mut front), [Answer::Served(b"booked".as_slice().into())]);
+    assert_eq!(
+        answers(&mut front),
+        [Answer::Served(b"booked".as_slice().into())]
+    );
     assert_eq!(front.open(), 0);
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing_and_its_attempt_is_given_up() {
-    let mut front = with_origin(Room { open: 10, bytes: 96 << 20 });
+    let mut front = with_origin(Room {
+        open: 10,
+        bytes: 96 << 20,
+    });
     let (from, ask) = ask(1);
     front.take_in(S, from, ask);
-    let Some(Command::Send(attempt, ..)) = commands(&mut front).into_iter().next() else { panic!() };
+    let Some(Command::Send(attempt, ..)) = commands(&mut front).into_iter().next() else {
+        panic!()
+    };
     front.gone(2 * S, from);
     assert!(matches!(commands(&mut front)[..], [Command::Abort(aborted)] if aborted == attempt));
     front.ended(2 * S, attempt, End::CalledOff);
@@ -183,13 +301,29 @@
 #[test]
 fn after_a_purge_of_everything_fetches_past_the_caches_are_bounded_and_joined_ones_cost_nothing() {
     use cranesill_purges::{shield::Shield, Purge, What};
-    let mut front = front(Room { open: 10_000, bytes: 1 << 30 });
+    let mut front = front(Room {
+        open: 10_000,
+        bytes: 1 << 30,
+    });
     let state = cranesill::api::EndpointState::Ready;
     let entry = |id, kind, zone| {
         let (member, weight) = (EndpointId(id), 8.0);
-        cranesill::api::EndpointEntry { member, kind, zone, cell: 0, weight, started: 0, state }
+        cranesill::api::EndpointEntry {
+            member,
+            kind,
+            zone,
+            cell: 0,
+            weight,
+            started: 0,
+            state,
+        }
     };
-    front.members(S, true, vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)], Origin::Service);
+    front.members(
+        S,
+        true,
+        vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)],
+        Origin::Service,
+    );
     let mut floors = Floors::new(1 << 16, 0);
     floors.add(&Purge {
         number: 1,
@@ -207,13 +341,19 @@
         let id = n % 100;
         ask.class = "page-bits".into();
         ask.group = 3;
-        ask.item = Some(Item { text: format!("{id:016x}").into(), id });
+        ask.item = Some(Item {
+            text: format!("{id:016x}").into(),
+            id,
+        });
         front.take_in(2 * S, from, ask);
         for command in std::iter::from_fn(|| front.command()) {
             match command {
                 Command::Send(_, _, fetch) => {
                     let fill = fetch.fill.unwrap();
-                    assert!((1_000..=S).contains(&fill.oldest), "nothing from before the purge: {fill:?}");
+                    assert!(
+                        (1_000..=S).contains(&fill.oldest),
+                        "nothing from before the purge: {fill:?}"
+                    );
                     sent += usize::from(fill.source.is_some());
                 }
                 Command::Answer(_, Answer::Refused(later)) => {
@@ -227,15 +367,23 @@
     }
     // Twenty objects at most, and a second ask for one of these joins the first. What is turned away leaves its place:
     // all the others would wait for room else.
-    assert!(refused >= 100 && (1..=40).contains(&sent), "{sent} sent, {refused} refused");
+    assert!(
+        refused >= 100 && (1..=40).contains(&sent),
+        "{sent} sent, {refused} refused"
+    );
 }
 
 #[test]
 fn every_request_is_in_one_count_or_in_progress_whatever_becomes_of_it() {
-    let mut front = with_origin(Room { open: 40, bytes: 96 << 20 });
+    let mut front = with_origin(Room {
+        open: 40,
+        bytes: 96 << 20,
+    });
     let (mut taken, mut now, mut rng) = (0u64, S, 7u64);
     let mut roll = |n: u64| {
-        rng = rng.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        rng = rng
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (rng >> 33) % n
     };
     let (mut out, mut open, mut told) = (Vec::new(), Vec::new(), [0u64; 3]);
@@ -252,11 +400,18 @@
             }
             3..=5 if !out.is_empty() => {
                 let attempt = out.swap_remove(roll(out.len() as u64) as usize);
-                let reply = |word| End::Reply(MemberReply { word, ..MemberReply::default() });
+                let reply = |word| {
+                    End::Reply(MemberReply {
+                        word,
+                        ..MemberReply::default()
+                    })
+                };
                 let end = match roll(6) {
                     0 => reply(Word::Fault),
                     1 => End::Unsent { along: false },
-                    2 => End::Broken { along: roll(2) == 0 },
+                    2 => End::Broken {
+                        along: roll(2) == 0,
+                    },
                     3 => reply(Word::Shed),
                     _ => reply(Word::Hit),
                 };
@@ -286,21 +441,40 @@
         assert_eq!((sum(|c| c.passed), sum(|c| c.dropped)), (told[0], told[1]));
         assert!(sum(|c| c.bad_gateway) <= told[2]);
     }
-    assert!(told.iter().all(|n| *n > 50), "all of it must come about: {told:?}");
+    assert!(
+        told.iter().all(|n| *n > 50),
+        "all of it must come about: {told:?}"
+    );
 }
 
 #[test]
 fn a_list_service_on_another_machine_dates_by_a_clock_of_its_own() {
     // The first one agrees with this clock. The second is 4 s behind: what it says was 4 s ago is now.
     let oldest = |moved: bool| {
-        let mut front = front(Room { open: 1_000, bytes: 96 << 20 });
+        let mut front = front(Room {
+            open: 1_000,
+            bytes: 96 << 20,
+        });
         let state = cranesill::api::EndpointState::Ready;
         let entry = |id, kind, zone| {
             let (member, weight) = (EndpointId(id), 8.0);
-            cranesill::api::EndpointEntry { member, kind, zone, cell: 0, weight, started: 0, state }
+            cranesill::api::EndpointEntry {
+                member,
+                kind,
+                zone,
+                cell: 0,
+                weight,
+                started: 0,
+                state,
+            }
         };
         let now = 1_000 * S;
-        front.members(now, true, vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)], Origin::Service);
+        front.members(
+            now,
+            true,
+            vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)],
+            Origin::Service,
+        );
         front.purged(now, None, 9, now - S / 10, Origin::Service);
         if moved {
             front.list_moved();
@@ -308,14 +482,28 @@
         front.purged(now, None, 3, now - 4 * S, Origin::Service);
         let (from, mut ask) = ask(1);
         (ask.class, ask.group) = ("car-video".into(), 3);
-        ask.item = Some(Item { text: format!("{:016x}", 7).into(), id: 7 });
+        ask.item = Some(Item {
+            text: format!("{:016x}", 7).into(),
+            id: 7,
+        });
         front.take_in(now + S, from, ask);
         let sent = std::iter::from_fn(|| front.command());
-        let fetch =
-            sent.filter_map(|c| if let Command::Send(_, _, fetch) = c { Some(fetch) } else { None }).next();
+        let fetch = sent
+            .filter_map(|c| {
+                if let Command::Send(_, _, fetch) = c {
+                    Some(fetch)
+                } else {
+                    None
+                }
+            })
+            .next();
         fetch.unwrap().fill.unwrap().oldest
     };
     // Rounded down: a copy from before a purge never passes.
     assert_eq!(oldest(true), S - 1_000);
-    assert_eq!(oldest(false), S + 4 * S - S / 10 - 1_000, "the same service: it was told late");
+    assert_eq!(
+        oldest(false),
+        S + 4 * S - S / 10 - 1_000,
+        "the same service: it was told late"
+    );
 }
--- a/front/src/transport/clock.rs
+++ b/front/src/transport/clock.rs
@@ -13,8 +13,13 @@
 impl Clock {
     /// Reads the system's clock.
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { epoch: unix.as_micros() as Micros, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            epoch: unix.as_micros() as Micros,
+            start: Instant::now(),
+        }
     }
 
     /// Now.
--- a/front/src/transport/deadlines.rs
+++ b/front/src/transport/deadlines.rs
@@ -13,7 +13,10 @@
 impl<T: Ord> Deadlines<T> {
     /// An empty queue.
     pub fn new() -> Self {
-        Deadlines { heap: BinaryHeap::new(), last: 0 }
+        Deadlines {
+            heap: BinaryHeap::new(),
+            last: 0,
+        }
     }
 
     /// Notes that `what` is due `at`.
--- a/front/src/transport/descriptors.rs
+++ b/front/src/transport/descriptors.rs
@@ -6,7 +6,10 @@
 /// The number of descriptors that this process may have open.
 #[allow(unsafe_code)]
 fn limit() -> Option<i32> {
-    let mut limit = libc::rlimit { rlim_cur: 0, rlim_max: 0 };
+    let mut limit = libc::rlimit {
+        rlim_cur: 0,
+        rlim_max: 0,
+    };
     // SAFETY: the call writes to the structure that it is given, and to nothing else.
     let found = unsafe { libc::getrlimit(libc::RLIMIT_NOFILE, &raw mut limit) };
     let checked = found == 0 && limit.rlim_cur <= MAX_CHECKED;
--- a/front/src/transport/faults.rs
+++ b/front/src/transport/faults.rs
@@ -30,10 +30,21 @@
 ];
 
 /// Errors by which `socket`, `bind` or a poller call fails while the machine is short of something.
-const SHORTAGES: [i32; 5] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINTR];
+const SHORTAGES: [i32; 5] = [
+    libc::EMFILE,
+    libc::ENFILE,
+    libc::ENOBUFS,
+    libc::ENOMEM,
+    libc::EINTR,
+];
 
 /// Errors by which `connect` fails at once for reasons of this machine alone.
-const UNCONNECTABLE: [i32; 4] = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENETDOWN, libc::EAGAIN];
+const UNCONNECTABLE: [i32; 4] = [
+    libc::EADDRNOTAVAIL,
+    libc::ENETUNREACH,
+    libc::ENETDOWN,
+    libc::EAGAIN,
+];
 
 impl AcceptFault {
     /// What this error of `accept` means.
@@ -48,12 +59,17 @@
 
 /// Whether the machine was short of descriptors, buffers or memory: the same call may succeed a moment later.
 pub fn is_shortage(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|code| SHORTAGES.contains(&code))
+    error
+        .raw_os_error()
+        .is_some_and(|code| SHORTAGES.contains(&code))
 }
 
 /// Whether a connection could not even be begun for a reason of this machine: it says nothing of the other side.
 pub fn is_local(error: &io::Error) -> bool {
-    is_shortage(error) || error.raw_os_error().is_some_and(|code| UNCONNECTABLE.contains(&code))
+    is_shortage(error)
+        || error
+            .raw_os_error()
+            .is_some_and(|code| UNCONNECTABLE.contains(&code))
 }
 
 #[cfg(test)]
--- a/front/src/transport/reactor.rs
+++ b/front/src/transport/reactor.rs
@@ -24,35 +24,62 @@
 impl Reactor {
     /// A reactor that watches nothing yet.
     pub fn new() -> io::Result<Self> {
-        Ok(Reactor { poller: Rc::new(Poller::new()?), events: Events::new() })
+        Ok(Reactor {
+            poller: Rc::new(Poller::new()?),
+            events: Events::new(),
+        })
     }
 
     #[allow(unsafe_code)]
     /// Watches `source` under `key`.
-    pub fn watch<S: AsFd + AsRawFd>(&self, source: S, key: usize, write: bool) -> io::Result<Registered<S>> {
+    pub fn watch<S: AsFd + AsRawFd>(
+        &self,
+        source: S,
+        key: usize,
+        write: bool,
+    ) -> io::Result<Registered<S>> {
         // SAFETY: a source has to leave the poller before it is closed. `Registered` owns it from here on and
         // takes it out when it is dropped, which is before its field `source` is.
-        unsafe { self.poller.add_with_mode(&source, Event::new(key, true, write), PollMode::Level)? };
-        Ok(Registered { source, poller: Rc::clone(&self.poller), key })
+        unsafe {
+            self.poller
+                .add_with_mode(&source, Event::new(key, true, write), PollMode::Level)?
+        };
+        Ok(Registered {
+            source,
+            poller: Rc::clone(&self.poller),
+            key,
+        })
     }
 
     /// Waits until something can be done or the moment `until` has come; the keys, with whether they can be
     /// read and written.
-    pub fn wait(&mut self, now: Timestamp, until: Option<Timestamp>) -> io::Result<Vec<(usize, bool, bool)>> {
+    pub fn wait(
+        &mut self,
+        now: Timestamp,
+        until: Option<Timestamp>,
+    ) -> io::Result<Vec<(usize, bool, bool)>> {
         self.events.clear();
         let left = until.map(|at| Duration::from_micros(at.saturating_sub(now)));
         match self.poller.wait(&mut self.events, left) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
-        Ok(self.events.iter().map(|e| (e.key, e.readable, e.writable)).collect())
+        Ok(self
+            .events
+            .iter()
+            .map(|e| (e.key, e.readable, e.writable))
+            .collect())
     }
 }
 
 impl<S: AsFd> Registered<S> {
     /// Changes what it is watched for.
     pub fn rewatch(&self, read: bool, write: bool) -> io::Result<()> {
-        self.poller.modify_with_mode(&self.source, Event::new(self.key, read, write), PollMode::Level)
+        self.poller.modify_with_mode(
+            &self.source,
+            Event::new(self.key, read, write),
+            PollMode::Level,
+        )
     }
 }
 
--- a/front/src/transport/stream.rs
+++ b/front/src/transport/stream.rs
@@ -65,7 +65,12 @@
 
 impl<T> Stream<T> {
     /// A connection that was accepted or is being made.
-    pub fn new(reactor: &Reactor, socket: TcpStream, key: usize, connecting: bool) -> io::Result<Self> {
+    pub fn new(
+        reactor: &Reactor,
+        socket: TcpStream,
+        key: usize,
+        connecting: bool,
+    ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
         let socket = reactor.watch(socket, key, connecting)?;
@@ -76,12 +81,28 @@
 
     /// A connection whose TLS handshake is complete; it is watched for reading.
     pub fn secured(socket: Registered<TcpStream>, connection: ServerConnection) -> Self {
-        Self::on(socket, Some(Box::new(Tls { connection, sealed: 0 })))
+        Self::on(
+            socket,
+            Some(Box::new(Tls {
+                connection,
+                sealed: 0,
+            })),
+        )
     }
 
     fn on(socket: Registered<TcpStream>, tls: Option<Box<Tls>>) -> Self {
         let (input, output, watched) = (Vec::new(), VecDeque::new(), (true, false));
-        Stream { socket, input, consumed: 0, output, written: 0, output_len: 0, counted: 0, watched, tls }
+        Stream {
+            socket,
+            input,
+            consumed: 0,
+            output,
+            written: 0,
+            output_len: 0,
+            counted: 0,
+            watched,
+            tls,
+        }
     }
 
     /// Whether a connection that was being made is up; an error if it can't be.
@@ -109,7 +130,14 @@
                 self.input.extend_from_slice(&scratch[..n]);
                 Ok(Some(n))
             }
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => Ok(None),
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                ) =>
+            {
+                Ok(None)
+            }
             Err(e) => Err(e),
         }
     }
@@ -137,7 +165,9 @@
 
     /// Bytes that this connection holds: input not dealt with and output not written.
     pub fn held(&self) -> usize {
-        self.input.len() - self.consumed + self.output_len + self.tls.as_ref().map_or(0, |tls| tls.sealed)
+        self.input.len() - self.consumed
+            + self.output_len
+            + self.tls.as_ref().map_or(0, |tls| tls.sealed)
     }
 
     /// Brings a sum over connections up to date with what this one holds.
@@ -158,7 +188,11 @@
 
     /// Whether nothing is left to be written.
     pub fn flushed(&self) -> bool {
-        self.output.is_empty() && self.tls.as_ref().is_none_or(|tls| !tls.connection.wants_write())
+        self.output.is_empty()
+            && self
+                .tls
+                .as_ref()
+                .is_none_or(|tls| !tls.connection.wants_write())
     }
 
     /// Adds something to be written.
@@ -191,7 +225,12 @@
         while !self.flushed() {
             let mut skip = self.written;
             let mut slices = Vec::with_capacity(SLICES_MOST);
-            for part in self.output.iter().flat_map(Outgoing::parts).take(SLICES_MOST) {
+            for part in self
+                .output
+                .iter()
+                .flat_map(Outgoing::parts)
+                .take(SLICES_MOST)
+            {
                 let begun = skip.min(part.len());
                 skip -= begun;
                 if begun < part.len() {
@@ -212,10 +251,18 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) => return Err(e),
             }
-            while let Some(len) = self.output.front().map(Outgoing::len).filter(|len| *len <= self.written) {
+            while let Some(len) = self
+                .output
+                .front()
+                .map(Outgoing::len)
+                .filter(|len| *len <= self.written)
+            {
                 self.written -= len;
                 self.output_len -= len;
-                self.output.pop_front().into_iter().for_each(|out| done(out.tag));
+                self.output
+                    .pop_front()
+                    .into_iter()
+                    .for_each(|out| done(out.tag));
             }
         }
         Ok(())
@@ -258,7 +305,12 @@
             match self.connection.read_tls(&mut socket) {
                 Ok(0) => return Ok(Some(0)),
                 Ok(_) => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                    ) =>
+                {
                     return Ok(None)
                 }
                 Err(e) => return Err(e),
@@ -289,7 +341,11 @@
     /// Seals as much as the library takes and writes what the socket takes. An error of kind `WouldBlock`: neither
     /// took anything.
     fn write(&mut self, mut socket: &TcpStream, slices: &[IoSlice<'_>]) -> io::Result<usize> {
-        let taken = if slices.is_empty() { 0 } else { self.connection.writer().write_vectored(slices)? };
+        let taken = if slices.is_empty() {
+            0
+        } else {
+            self.connection.writer().write_vectored(slices)?
+        };
         self.sealed += taken;
         let mut wrote = 0;
         while self.connection.wants_write() {
@@ -360,7 +416,10 @@
     if !stream || !internet || !socket.is_listener().map_err(failed)? {
         return Err("no listening TCP socket".into());
     }
-    socket.set_cloexec(true).and_then(|()| socket.set_nonblocking(true)).map_err(failed)?;
+    socket
+        .set_cloexec(true)
+        .and_then(|()| socket.set_nonblocking(true))
+        .map_err(failed)?;
     Ok(socket.into())
 }
 
--- a/front/src/transport/workers.rs
+++ b/front/src/transport/workers.rs
@@ -40,7 +40,9 @@
     /// Runs work on a thread of its own. The caller bounds how many there are.
     pub fn run(&self, work: impl FnOnce() -> R + Send + 'static) -> io::Result<()> {
         let (sender, bell) = (self.sender.clone(), Arc::clone(&self.bell));
-        let thread = std::thread::Builder::new().name("worker".into()).stack_size(STACK);
+        let thread = std::thread::Builder::new()
+            .name("worker".into())
+            .stack_size(STACK);
         thread.spawn(move || ring(&sender, &bell, work())).map(drop)
     }
 
@@ -51,12 +53,19 @@
             None => {
                 let (lane, queue) = channel::<Work<R>>();
                 let (sender, bell) = (self.sender.clone(), Arc::clone(&self.bell));
-                let thread = std::thread::Builder::new().name("in-order".into()).stack_size(STACK);
-                thread.spawn(move || queue.into_iter().for_each(|work| ring(&sender, &bell, work())))?;
+                let thread = std::thread::Builder::new()
+                    .name("in-order".into())
+                    .stack_size(STACK);
+                thread.spawn(move || {
+                    queue
+                        .into_iter()
+                        .for_each(|work| ring(&sender, &bell, work()))
+                })?;
                 self.lane.insert(lane)
             }
         };
-        lane.send(Box::new(work)).map_err(|_| io::Error::other("the thread is gone"))
+        lane.send(Box::new(work))
+            .map_err(|_| io::Error::other("the thread is gone"))
     }
 
     /// What has been done since this was asked last.
--- a/front/tests/common/desk.rs
+++ b/front/tests/common/desk.rs
@@ -16,13 +16,17 @@
 }
 
 pub fn ops_of(log: &Receiver<String>) -> SocketAddr {
-    field(&until(log, "operators call here"), "at").parse().unwrap()
+    field(&until(log, "operators call here"), "at")
+        .parse()
+        .unwrap()
 }
 
 /// Says something on the second address, ends or not, and hears the whole answer.
 pub fn say(at: SocketAddr, bytes: &[u8], ends: bool) -> String {
     let mut socket = TcpStream::connect(at).unwrap();
-    socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    socket
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     socket.write_all(bytes).unwrap();
     if ends {
         socket.shutdown(Shutdown::Write).unwrap();
@@ -45,7 +49,10 @@
     assert_eq!((lines.first(), lines.last()), (Some(&"+OK"), Some(&".")));
     let figure = |line: &&str| {
         let (name, value) = line.split_once('=').unwrap();
-        (name.strip_prefix("edge_relay.").unwrap().to_string(), value.parse().unwrap())
+        (
+            name.strip_prefix("edge_relay.").unwrap().to_string(),
+            value.parse().unwrap(),
+        )
     };
     lines[1..lines.len() - 1].iter().map(figure).collect()
 }
@@ -62,7 +69,12 @@
                 while let Some(words) = link.hear_raw() {
                     if words[0] == b"fetch" {
                         count.fetch_add(1, Ordering::SeqCst);
-                        link.say(std::str::from_utf8(&words[1]).unwrap(), "HIT", "tell=local", "bytes");
+                        link.say(
+                            std::str::from_utf8(&words[1]).unwrap(),
+                            "HIT",
+                            "tell=local",
+                            "bytes",
+                        );
                     }
                 }
             });
@@ -81,10 +93,16 @@
 impl Held {
     pub fn new(config: &Value) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        socket2::SockRef::from(&listener).set_cloexec(false).unwrap();
+        socket2::SockRef::from(&listener)
+            .set_cloexec(false)
+            .unwrap();
         let mut config = config.clone();
         with_ops(&mut config);
-        Held { listener, folder: tempfile::tempdir().unwrap(), config }
+        Held {
+            listener,
+            folder: tempfile::tempdir().unwrap(),
+            config,
+        }
     }
 
     pub fn start(&self) -> (Process, SocketAddr) {
@@ -97,7 +115,10 @@
     pub fn begin(&self, config: &Value) -> Process {
         let fd = std::os::fd::AsRawFd::as_raw_fd(&self.listener).to_string();
         let folder = self.folder.path().display().to_string();
-        let variables = [("RELAY_ACCEPT_FD", fd.as_str()), ("TMPDIR", folder.as_str())];
+        let variables = [
+            ("RELAY_ACCEPT_FD", fd.as_str()),
+            ("TMPDIR", folder.as_str()),
+        ];
         let (mut front, file) = start_in(config, None, &variables);
         let log = follow(&mut front, file);
         // From here on it is ended whatever happens.
@@ -113,7 +134,11 @@
 impl Process {
     pub fn signal(&self, name: &str) {
         let pid = self.front.id().to_string();
-        assert!(std::process::Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(std::process::Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
@@ -140,7 +165,9 @@
                 stream += 1;
                 let mut connected = client.take().unwrap_or_else(|| {
                     let socket = TcpStream::connect(at).unwrap();
-                    socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+                    socket
+                        .set_read_timeout(Some(Duration::from_secs(20)))
+                        .unwrap();
                     Client(socket)
                 });
                 connected.ask(stream, "page-bits", "20000", &[], b"");
@@ -153,9 +180,10 @@
                 };
                 match answer {
                     Some(told) if told.contains("\\x01") => answered += 1,
-                    other => {
-                        failures.lock().unwrap().push(format!("{stream}: {other:?}, told off: {told_off}"))
-                    }
+                    other => failures
+                        .lock()
+                        .unwrap()
+                        .push(format!("{stream}: {other:?}, told off: {told_off}")),
                 }
                 client = Some(connected).filter(|_| !told_off);
             }
--- a/front/tests/common/mod.rs
+++ b/front/tests/common/mod.rs
@@ -49,10 +49,12 @@
     /// The same, with settings of the daemon's own.
     pub fn with(change: impl Fn(&mut Value), settings: Option<&std::path::Path>) -> Self {
         let (caches, origin, feed) = ([bound(), bound()], bound(), bound());
-        let mut config: Value = serde_json::from_str(include_str!("../../examples/config.json")).unwrap();
+        let mut config: Value =
+            serde_json::from_str(include_str!("../../examples/config.json")).unwrap();
         config["listen"] = "127.0.0.1:0".into();
         // The stories' clients have time.
-        (0..3).for_each(|class| config["settings"]["classes"][class]["deadline"] = 60_000_000.into());
+        (0..3)
+            .for_each(|class| config["settings"]["classes"][class]["deadline"] = 60_000_000.into());
         config["feed"] = feed.local_addr().unwrap().to_string().into();
         config["known"]["events"][0]["members"]["instances"] = json!([
             member(CACHES[0], &caches[0], "edge-1", "small-box"),
@@ -64,7 +66,16 @@
         let file = lines.to_path_buf();
         let log = follow(&mut front, lines);
         let address = field(&until(&log, "listening"), "at").parse().unwrap();
-        Stage { caches, origin, feed, config, front, address, file, log }
+        Stage {
+            caches,
+            origin,
+            feed,
+            config,
+            front,
+            address,
+            file,
+            log,
+        }
     }
 
     pub fn client(&self) -> Client {
@@ -93,8 +104,16 @@
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.front.id());
         // The state is what follows the name in parentheses.
-        let state =
-            || std::fs::read_to_string(&stat).unwrap().rsplit(") ").next().unwrap().chars().next().unwrap();
+        let state = || {
+            std::fs::read_to_string(&stat)
+                .unwrap()
+                .rsplit(") ")
+                .next()
+                .unwrap()
+                .chars()
+                .next()
+                .unwrap()
+        };
         while !['T', 'Z'].contains(&state()) {
             std::thread::yield_now();
         }
@@ -107,12 +126,17 @@
     /// Sends the front a signal.
     pub fn signal(&self, name: &str) {
         let pid = self.front.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// A client with the smallest buffer for what it hears.
     pub fn narrow_client(&self) -> Client {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4_096).unwrap();
         socket.connect(&self.address.into()).unwrap();
         Client(guarded(socket.into()))
@@ -157,7 +181,15 @@
 
 /// The program: as cargo names it to tests, or beside the example that asks.
 pub fn binary() -> PathBuf {
-    let beside = || std::env::current_exe().unwrap().parent().unwrap().parent().unwrap().join("cranesill");
+    let beside = || {
+        std::env::current_exe()
+            .unwrap()
+            .parent()
+            .unwrap()
+            .parent()
+            .unwrap()
+            .join("cranesill")
+    };
     option_env!("CARGO_BIN_EXE_cranesill").map_or_else(beside, PathBuf::from)
 }
 
@@ -167,7 +199,10 @@
     let errors = BufReader::new(front.stderr.take().unwrap());
     std::thread::spawn(move || {
         let _file = file;
-        errors.lines().map_while(Result::ok).for_each(|line| drop(lines.send(line)));
+        errors
+            .lines()
+            .map_while(Result::ok)
+            .for_each(|line| drop(lines.send(line)));
     });
     log
 }
@@ -175,7 +210,9 @@
 /// Waits for a line of the log.
 pub fn until(log: &Receiver<String>, text: &str) -> String {
     loop {
-        let line = log.recv_timeout(GUARD).unwrap_or_else(|_| panic!("no line with {text}"));
+        let line = log
+            .recv_timeout(GUARD)
+            .unwrap_or_else(|_| panic!("no line with {text}"));
         if line.contains(text) {
             return line;
         }
@@ -184,7 +221,9 @@
 
 /// A field of a line of the log.
 pub fn field(line: &str, name: &str) -> String {
-    let (_, rest) = line.split_once(&format!(" {name}=")).unwrap_or_else(|| panic!("no {name} in {line}"));
+    let (_, rest) = line
+        .split_once(&format!(" {name}="))
+        .unwrap_or_else(|| panic!("no {name} in {line}"));
     rest.split(' ').next().unwrap_or(rest).to_string()
 }
 
@@ -199,9 +238,21 @@
     }
 
     /// Asks on a stream; the id of the request is the stream's number.
-    pub fn ask(&mut self, stream: u32, class: &str, limit: &str, more: &[(&str, &str)], body: &[u8]) {
+    pub fn ask(
+        &mut self,
+        stream: u32,
+        class: &str,
+        limit: &str,
+        more: &[(&str, &str)],
+        body: &[u8],
+    ) {
         let txn = format!("{stream:016x}");
-        let mut fields = vec![("verb", class), ("txn", &txn), ("limit", limit), ("item", "7f3a9c21e0b4d655")];
+        let mut fields = vec![
+            ("verb", class),
+            ("txn", &txn),
+            ("limit", limit),
+            ("item", "7f3a9c21e0b4d655"),
+        ];
         fields.extend(more);
         let mut payload = vec![fields.len() as u8];
         for (name, value) in fields {
@@ -214,7 +265,12 @@
     }
 
     /// Asks with fields of one's own; an error: the connection is gone.
-    pub fn try_ask(&mut self, stream: u32, class: &str, more: &[(&str, &str)]) -> std::io::Result<()> {
+    pub fn try_ask(
+        &mut self,
+        stream: u32,
+        class: &str,
+        more: &[(&str, &str)],
+    ) -> std::io::Result<()> {
         let mut fields = vec![("verb", class), ("limit", "3000")];
         fields.extend(more);
         let mut payload = vec![fields.len() as u8];
@@ -236,7 +292,11 @@
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
         self.0.read_exact(&mut frame).ok()?;
         let stream = u32::from_be_bytes(frame[1..5].try_into().unwrap());
-        Some(format!("type {} stream {stream}: {}", frame[0], frame[5..].escape_ascii()))
+        Some(format!(
+            "type {} stream {stream}: {}",
+            frame[0],
+            frame[5..].escape_ascii()
+        ))
     }
 }
 
@@ -314,7 +374,10 @@
     pub fn hear(&mut self) -> Option<Vec<String>> {
         let timeless = |word: Vec<u8>| {
             let word = String::from_utf8(word).unwrap();
-            word.split(',').filter(|f| !f.starts_with("limit=")).collect::<Vec<_>>().join(",")
+            word.split(',')
+                .filter(|f| !f.starts_with("limit="))
+                .collect::<Vec<_>>()
+                .join(",")
         };
         Some(self.hear_raw()?.into_iter().map(timeless).collect())
     }
@@ -322,9 +385,16 @@
     /// Answers a command; what is served names the copy, as a member's answers do.
     pub fn say(&mut self, id: &str, word: &str, fields: &str, body: &str) {
         let copy = format!("ver=4be0c1927d55a6f3,born=1764576000123,{fields}");
-        let fields = if ["HIT", "VALID"].contains(&word) { &copy } else { fields };
+        let fields = if ["HIT", "VALID"].contains(&word) {
+            &copy
+        } else {
+            fields
+        };
         let parts = [id, word, fields, body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
-        self.0.get_mut().write_all(format!("*4\r\n{}", parts.concat()).as_bytes()).unwrap();
+        self.0
+            .get_mut()
+            .write_all(format!("*4\r\n{}", parts.concat()).as_bytes())
+            .unwrap();
     }
 }
 
@@ -339,13 +409,32 @@
 /// One event of the feed.
 pub fn event(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (9 + payload.len()) as u32;
-    [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat()
+    [
+        &length.to_be_bytes()[..],
+        &number.to_be_bytes(),
+        &[kind],
+        payload,
+    ]
+    .concat()
 }
 
 /// A record of the feed's list.
 pub fn record(id: u32, at: SocketAddr, state: u8, started_ms: u64) -> Vec<u8> {
-    let SocketAddr::V4(at) = at else { unreachable!() };
+    let SocketAddr::V4(at) = at else {
+        unreachable!()
+    };
     let place = [state, 1, 0, 0, 0];
-    let rest = [&place[..], &8000u32.to_be_bytes(), &started_ms.to_be_bytes()].concat();
-    [&id.to_be_bytes()[..], &at.ip().octets(), &at.port().to_be_bytes(), &rest].concat()
+    let rest = [
+        &place[..],
+        &8000u32.to_be_bytes(),
+        &started_ms.to_be_bytes(),
+    ]
+    .concat();
+    [
+        &id.to_be_bytes()[..],
+        &at.ip().octets(),
+        &at.port().to_be_bytes(),
+        &rest,
+    ]
+    .concat()
 }
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet.rs
@@ -33,9 +33,21 @@
             let mut all: Vec<Value> = boxes
                 .iter()
                 .enumerate()
-                .map(|(i, b)| member(0x41 + i as u32, b.address.to_string(), "edge-1", "small-box"))
+                .map(|(i, b)| {
+                    member(
+                        0x41 + i as u32,
+                        b.address.to_string(),
+                        "edge-1",
+                        "small-box",
+                    )
+                })
                 .collect();
-            all.push(member(0x31, origin.address.to_string(), "east-hub", "origin"));
+            all.push(member(
+                0x31,
+                origin.address.to_string(),
+                "east-hub",
+                "origin",
+            ));
             config["known"]["events"][0]["members"]["instances"] = all.into();
         },
         Some(&file),
@@ -46,9 +58,16 @@
 
 fn run(folder: &Path, arguments: &[&str]) -> (i32, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cranesill"));
-    let done = command.args(arguments).env("CRANESILL_SOCKET", folder.join("control")).output().unwrap();
+    let done = command
+        .args(arguments)
+        .env("CRANESILL_SOCKET", folder.join("control"))
+        .output()
+        .unwrap();
     let text = [done.stdout, done.stderr].concat();
-    (done.status.code().unwrap(), String::from_utf8(text).unwrap())
+    (
+        done.status.code().unwrap(),
+        String::from_utf8(text).unwrap(),
+    )
 }
 
 fn item(n: u64) -> String {
@@ -78,21 +97,42 @@
     let folders: Vec<PathBuf> = (0..3).map(|i| root.path().join(format!("n{i}"))).collect();
     let origin = Arc::new(Origin::default());
     (0..OBJECTS).for_each(|n| origin.tag(&item(n), &[TAGS[n as usize % 3]]));
-    let boxes: Vec<_> = (0..6).map(|i| TaggedBox::start(Arc::clone(&origin), i % 2 == 0).unwrap()).collect();
+    let boxes: Vec<_> = (0..6)
+        .map(|i| TaggedBox::start(Arc::clone(&origin), i % 2 == 0).unwrap())
+        .collect();
     let main = TaggedBox::main(Arc::clone(&origin)).unwrap();
-    let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
+    let port = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .port();
     let at = format!("127.0.0.1:{port}");
     let writes = json!({"serve": at, "boxes": {"kinds": ["small-box"], "connections_most": 8}});
     let follows = json!({"follow": {"address": at, "lease_ms": LEASE}});
-    let mut fronts: Vec<_> =
-        (0..3).map(|i| front(&folders[i], &boxes, &main, if i == 0 { &writes } else { &follows })).collect();
-    let addresses: Vec<_> = fronts.iter().map(|f| Mutex::new(f.address)).collect::<Vec<_>>();
+    let mut fronts: Vec<_> = (0..3)
+        .map(|i| {
+            front(
+                &folders[i],
+                &boxes,
+                &main,
+                if i == 0 { &writes } else { &follows },
+            )
+        })
+        .collect();
+    let addresses: Vec<_> = fronts
+        .iter()
+        .map(|f| Mutex::new(f.address))
+        .collect::<Vec<_>>();
     let addresses = Arc::new(addresses);
     let purged: Arc<Mutex<Vec<Purged>>> = Arc::default();
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..3)
         .map(|i| {
-            let (addresses, purged, over) = (Arc::clone(&addresses), Arc::clone(&purged), Arc::clone(&over));
+            let (addresses, purged, over) = (
+                Arc::clone(&addresses),
+                Arc::clone(&purged),
+                Arc::clone(&over),
+            );
             std::thread::spawn(move || {
                 let (mut answered, mut refused, mut client) = (0u32, 0u32, None::<Client>);
                 let mut rng = 7 + i as u64;
@@ -100,12 +140,16 @@
                 // The front that is killed again and again answers what it can.
                 while stream < REQUESTS / 2 {
                     stream += 1;
-                    rng = rng.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+                    rng = rng
+                        .wrapping_mul(6364136223846793005)
+                        .wrapping_add(1442695040888963407);
                     let item = item((rng >> 33) % OBJECTS);
                     let sent = wall();
                     let connected = client.take().or_else(|| {
                         let socket = TcpStream::connect(*addresses[i].lock().unwrap()).ok()?;
-                        socket.set_read_timeout(Some(std::time::Duration::from_secs(20))).unwrap();
+                        socket
+                            .set_read_timeout(Some(std::time::Duration::from_secs(20)))
+                            .unwrap();
                         Some(Client(socket))
                     });
                     let Some(mut connected) = connected else {
@@ -114,10 +158,15 @@
                     };
                     // Ids are new over all fronts.
                     let txn = format!("{:016x}", (u64::from(stream) << 8) | i as u64);
-                    if connected.try_ask(stream, "page-bits", &[("item", &item), ("txn", &txn)]).is_err() {
+                    if connected
+                        .try_ask(stream, "page-bits", &[("item", &item), ("txn", &txn)])
+                        .is_err()
+                    {
                         continue;
                     }
-                    let Some(told) = connected.hear() else { continue };
+                    let Some(told) = connected.hear() else {
+                        continue;
+                    };
                     client = Some(connected);
                     let Some((_, rest)) = told.split_once("born=") else {
                         refused += 1;
@@ -128,7 +177,12 @@
                     let born: u64 = born.parse().unwrap();
                     // The writer knows at once; those that follow by their lease.
                     let slack = if i == 0 { GRACE } else { LEASE + GRACE };
-                    for p in purged.lock().unwrap().iter().filter(|p| p.told + slack < sent) {
+                    for p in purged
+                        .lock()
+                        .unwrap()
+                        .iter()
+                        .filter(|p| p.told + slack < sent)
+                    {
                         let stale = born < p.at && p.concerns(&item, tags);
                         assert!(
                             !stale,
@@ -160,10 +214,19 @@
         };
         let told = wall();
         assert_eq!(code, 0, "{text}");
-        let number = serde_json::from_str::<Value>(&text).unwrap()["number"].as_u64().unwrap();
+        let number = serde_json::from_str::<Value>(&text).unwrap()["number"]
+            .as_u64()
+            .unwrap();
         let (_, shown) = run(&folders[0], &["purges", "show", &number.to_string()]);
-        let at = serde_json::from_str::<Value>(&shown).unwrap()["purges"][0]["at_ms"].as_u64().unwrap();
-        purged.lock().unwrap().push(Purged { at, told, tag, prefix });
+        let at = serde_json::from_str::<Value>(&shown).unwrap()["purges"][0]["at_ms"]
+            .as_u64()
+            .unwrap();
+        purged.lock().unwrap().push(Purged {
+            at,
+            told,
+            tag,
+            prefix,
+        });
         let which = (round as usize * 5) % 6;
         match round % 4 {
             0 => boxes[which].kill(),
@@ -180,7 +243,10 @@
     }
     let counts: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     let answered: u32 = counts.iter().map(|c| c.0).sum();
-    assert!(answered >= REQUESTS * 9 / 10, "{counts:?} in {round} rounds");
+    assert!(
+        answered >= REQUESTS * 9 / 10,
+        "{counts:?} in {round} rounds"
+    );
     // Once the faults end every box confirms everything.
     boxes.iter().for_each(|b| {
         b.revive();
--- a/front/tests/production.rs
+++ b/front/tests/production.rs
@@ -11,10 +11,21 @@
 
 fn service(shape: Shape, seed: u64) -> cranesill_rig::Stage {
     let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
-    cranesill_rig::Stage::start(Path::new(env!("CARGO_BIN_EXE_cranesill")), shape, &base, None, seed)
+    cranesill_rig::Stage::start(
+        Path::new(env!("CARGO_BIN_EXE_cranesill")),
+        shape,
+        &base,
+        None,
+        seed,
+    )
 }
 
-const SHAPE: Shape = Shape { fronts: 4, caches: 4, parents: 2, sides: 1 };
+const SHAPE: Shape = Shape {
+    fronts: 4,
+    caches: 4,
+    parents: 2,
+    sides: 1,
+};
 
 /// Longer than idle connections of clients and nodes are kept.
 const QUIET: Duration = Duration::from_secs(15);
@@ -33,7 +44,11 @@
     stage.kill(&[3]);
     stage.restart(&[3]);
     let clients = stage.clients(32);
-    stage.history.until("all are told", 4, |seen| matches!(seen, Seen::Told(_, n) if *n == drained));
+    stage.history.until(
+        "all are told",
+        4,
+        |seen| matches!(seen, Seen::Told(_, n) if *n == drained),
+    );
     stage.served("answers after the quiet", 400);
     clients.end();
     stage.keeps_the_rules(31);
@@ -63,7 +78,8 @@
 
 #[test]
 fn an_attempt_and_its_hedged_request_that_fail_in_one_turn_are_one_answer() {
-    let stage = Stage::new(|config| config["settings"]["policyLimits"]["mayDuplicate"] = true.into());
+    let stage =
+        Stage::new(|config| config["settings"]["policyLimits"]["mayDuplicate"] = true.into());
     let mut client = stage.client();
     client.ask(1, "page-bits", "20000", &[], b"");
     let (_, mut first) = any_link(&stage);
@@ -73,7 +89,9 @@
     second.hear().unwrap();
     stage.while_stopped(|| {
         for link in [first, second] {
-            socket2::SockRef::from(link.0.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
+            socket2::SockRef::from(link.0.get_ref())
+                .set_linger(Some(Duration::ZERO))
+                .unwrap();
         }
     });
     let (_, mut third) = any_link(&stage);
@@ -81,7 +99,10 @@
     third.say(&fetch[1], "HIT", "-", "in the end");
     assert!(client.hear().unwrap().ends_with("in the end"));
     client.send(20, 2, &[0]);
-    assert!(client.hear().unwrap().starts_with("type 21"), "one answer and no more");
+    assert!(
+        client.hear().unwrap().starts_with("type 21"),
+        "one answer and no more"
+    );
 }
 
 #[test]
@@ -93,7 +114,9 @@
     client.ask(1, "page-bits", "20000", &[], b"");
     let (_, mut cache) = any_link(&stage);
     let fetch = cache.hear().unwrap();
-    let places: Vec<_> = (0..8).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    let places: Vec<_> = (0..8)
+        .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
+        .collect();
     for place in &places {
         let mut config = stage.config.clone();
         config["feed"] = place.local_addr().unwrap().to_string().into();
@@ -106,7 +129,9 @@
     // The last one counts, from the last event that is held; those before it may have been asked.
     let (mut new, last) = feed(&places[7]);
     assert_eq!(last, 2);
-    let nodes = [0, 1].map(|i| record(CACHES[i], stage.caches[i].local_addr().unwrap(), 1, 0)).concat();
+    let nodes = [0, 1]
+        .map(|i| record(CACHES[i], stage.caches[i].local_addr().unwrap(), 1, 0))
+        .concat();
     new.write_all(&event(3, 2, &nodes)).unwrap();
     cache.say(&fetch[1], "HIT", "-", "undisturbed");
     assert!(client.hear().unwrap().ends_with("undisturbed"));
@@ -136,13 +161,25 @@
         for class in ["page-bits", "book-car"] {
             let stream = 2 * stream + u32::from(class == "book-car");
             let asked = Instant::now();
-            client.ask(stream, class, &limit.to_string(), &[("part", &stream.to_string())], b"keys");
+            client.ask(
+                stream,
+                class,
+                &limit.to_string(),
+                &[("part", &stream.to_string())],
+                b"keys",
+            );
             assert!(
-                client.hear().unwrap().starts_with(&format!("type 11 stream {stream}")),
+                client
+                    .hear()
+                    .unwrap()
+                    .starts_with(&format!("type 11 stream {stream}")),
                 "{limit} {class}"
             );
             // Later than half a second after its time it would be lost.
-            assert!(asked.elapsed() < Duration::from_millis(limit + 500), "{limit} {class}");
+            assert!(
+                asked.elapsed() < Duration::from_millis(limit + 500),
+                "{limit} {class}"
+            );
         }
     }
 }
