--- a/leases/src/fencing.rs
+++ b/leases/src/fencing.rs
@@ -22,14 +22,20 @@
 impl FencingCheck {
     /// Restores the check from the newest token that was stored durably.
     pub fn restore(newest: FencingToken) -> Self {
-        FencingCheck { newest, rejected: 0 }
+        FencingCheck {
+            newest,
+            rejected: 0,
+        }
     }
 
     /// Admits an operation under this token, unless a newer token has been seen.
     pub fn admit(&mut self, token: FencingToken) -> Result<(), StaleToken> {
         if token < self.newest {
             self.rejected += 1;
-            return Err(StaleToken { presented: token, newest: self.newest });
+            return Err(StaleToken {
+                presented: token,
+                newest: self.newest,
+            });
         }
         self.newest = token;
         Ok(())
--- a/leases/src/holder.rs
+++ b/leases/src/holder.rs
@@ -1,6 +1,7 @@
 //! A front that acquires, renews and releases leases.
 use crate::{
-    Command, Denial, FencingToken, FrontId, LeaseId, Micros, Outcome, Timestamp, MAX_DRIFT_PER_MILLE,
+    Command, Denial, FencingToken, FrontId, LeaseId, Micros, Outcome, Timestamp,
+    MAX_DRIFT_PER_MILLE,
 };
 use std::collections::BTreeMap;
 
@@ -82,7 +83,10 @@
 
 impl LocalLease {
     fn starting_at(next_request: Timestamp) -> Self {
-        LocalLease { next_request, ..LocalLease::default() }
+        LocalLease {
+            next_request,
+            ..LocalLease::default()
+        }
     }
 
     fn is_held(&self) -> bool {
@@ -101,7 +105,10 @@
     /// The token to release now, if a release is due.
     fn poll_release(&mut self, now: Timestamp, retry_interval: Micros) -> Option<FencingToken> {
         let release = self.release.filter(|release| now >= release.due)?;
-        let next = Release { due: release.due.max(now) + retry_interval, ..release };
+        let next = Release {
+            due: release.due.max(now) + retry_interval,
+            ..release
+        };
         self.release = Some(next).filter(|_| now < release.stop_at);
         Some(release.token)
     }
@@ -130,7 +137,11 @@
         let requests = may_request && self.release.is_none();
         let request_due = requests.then_some(self.next_request.max(self.backoff_until));
         let release_due = self.release.map(|release| release.due);
-        request_due.into_iter().chain(self.expires_at).chain(release_due).min()
+        request_due
+            .into_iter()
+            .chain(self.expires_at)
+            .chain(release_due)
+            .min()
     }
 }
 
@@ -156,8 +167,16 @@
         wanted: impl IntoIterator<Item = (LeaseId, Timestamp)>,
     ) -> Self {
         let wanted = wanted.into_iter();
-        let leases = wanted.map(|(lease, start)| (lease, LocalLease::starting_at(start))).collect();
-        LeaseHolder { front, lease_duration, sequence, leases, shutting_down: false }
+        let leases = wanted
+            .map(|(lease, start)| (lease, LocalLease::starting_at(start)))
+            .collect();
+        LeaseHolder {
+            front,
+            lease_duration,
+            sequence,
+            leases,
+            shutting_down: false,
+        }
     }
 
     /// The part of a lease duration that a holder may use: clocks may drift.
@@ -195,15 +214,27 @@
                 actions.push(Action::Lost(lease, local.token));
             }
             if let Some(token) = local.poll_release(now, retry_interval) {
-                actions.push(Action::Propose(Command::Release { front, lease, token }));
+                actions.push(Action::Propose(Command::Release {
+                    front,
+                    lease,
+                    token,
+                }));
             }
             if !self.shutting_down && local.wants_request(now) {
                 self.sequence += 1;
                 let sequence = self.sequence;
-                local.request = Some(Request { sent_at: now, sequence });
+                local.request = Some(Request {
+                    sent_at: now,
+                    sequence,
+                });
                 local.next_request = now + retry_interval;
                 let renews = local.is_held().then_some(local.token);
-                actions.push(Action::Propose(Command::Acquire { front, sequence, lease, renews }));
+                actions.push(Action::Propose(Command::Acquire {
+                    front,
+                    sequence,
+                    lease,
+                    renews,
+                }));
             }
         }
         actions
@@ -212,10 +243,22 @@
     /// Takes in the outcome of a command that the log has applied.
     pub fn apply(&mut self, now: Timestamp, outcome: Outcome) -> Vec<Action> {
         match outcome {
-            Outcome::Granted { front, sequence, lease, token, .. } if front == self.front => {
-                self.granted(now, sequence, lease, token).into_iter().collect()
-            }
-            Outcome::Denied { front, sequence, lease, reason } if front == self.front => {
+            Outcome::Granted {
+                front,
+                sequence,
+                lease,
+                token,
+                ..
+            } if front == self.front => self
+                .granted(now, sequence, lease, token)
+                .into_iter()
+                .collect(),
+            Outcome::Denied {
+                front,
+                sequence,
+                lease,
+                reason,
+            } if front == self.front => {
                 self.denied(now, sequence, lease, reason);
                 Vec::new()
             }
@@ -237,7 +280,9 @@
         let usable_duration = self.usable_duration();
         let local = self.leases.get_mut(&lease)?;
         // Only for the last request is it known when it was sent; an earlier one is answered too late to be sure.
-        let request = local.request.take_if(|request| request.sequence == sequence)?;
+        let request = local
+            .request
+            .take_if(|request| request.sequence == sequence)?;
         let expires_at = request.sent_at + usable_duration;
         local.token = token;
         local.next_request = request.sent_at + usable_duration / RENEWAL_FRACTION;
@@ -251,8 +296,14 @@
 
     fn denied(&mut self, now: Timestamp, sequence: u64, lease: LeaseId, reason: Denial) {
         let check_interval = self.usable_duration() / RENEWAL_FRACTION;
-        let Some(local) = self.leases.get_mut(&lease) else { return };
-        if local.request.take_if(|request| request.sequence == sequence).is_none() {
+        let Some(local) = self.leases.get_mut(&lease) else {
+            return;
+        };
+        if local
+            .request
+            .take_if(|request| request.sequence == sequence)
+            .is_none()
+        {
             return;
         }
         local.next_request = match reason {
@@ -275,7 +326,9 @@
     /// were authorized have ended, and backs off for longer with each failure in a row.
     pub fn record_failure(&mut self, now: Timestamp, lease: LeaseId) -> Vec<Action> {
         let lease_duration = self.lease_duration;
-        let Some(local) = self.leases.get_mut(&lease) else { return Vec::new() };
+        let Some(local) = self.leases.get_mut(&lease) else {
+            return Vec::new();
+        };
         local.consecutive_failures = (local.consecutive_failures + 1).min(MAX_BACKOFF_DURATIONS);
         local.backoff_until = now + lease_duration * u64::from(local.consecutive_failures);
         let mut actions: Vec<_> = self.begin_release(lease).into_iter().collect();
@@ -295,26 +348,37 @@
     pub fn release_all(&mut self, now: Timestamp) -> Vec<Action> {
         self.shutting_down = true;
         let leases: Vec<_> = self.leases.keys().copied().collect();
-        let mut actions: Vec<_> = leases.into_iter().filter_map(|lease| self.begin_release(lease)).collect();
+        let mut actions: Vec<_> = leases
+            .into_iter()
+            .filter_map(|lease| self.begin_release(lease))
+            .collect();
         actions.extend(self.poll(now));
         actions
     }
 
     /// Whether no lease is held, and every release was confirmed or is no longer needed.
     pub fn is_released(&self) -> bool {
-        self.leases.values().all(|local| !local.is_held() && local.release.is_none())
+        self.leases
+            .values()
+            .all(|local| !local.is_held() && local.release.is_none())
     }
 
     fn begin_release(&mut self, lease: LeaseId) -> Option<Action> {
         let usable_duration = self.usable_duration();
-        let token = self.leases.get_mut(&lease)?.begin_release(usable_duration)?;
+        let token = self
+            .leases
+            .get_mut(&lease)?
+            .begin_release(usable_duration)?;
         Some(Action::Lost(lease, token))
     }
 
     /// When [`LeaseHolder::poll`] has something to do next.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let may_request = !self.shutting_down;
-        self.leases.values().filter_map(|local| local.next_deadline(may_request)).min()
+        self.leases
+            .values()
+            .filter_map(|local| local.next_deadline(may_request))
+            .min()
     }
 }
 
--- a/leases/src/manager.rs
+++ b/leases/src/manager.rs
@@ -25,7 +25,11 @@
 impl LeaseManager {
     /// A manager on a replica that is not the leader. `lease_duration` is the whole duration that holders were told.
     pub fn new(lease_duration: Micros) -> Self {
-        LeaseManager { lease_duration, grants: BTreeMap::new(), is_leader: false }
+        LeaseManager {
+            lease_duration,
+            grants: BTreeMap::new(),
+            is_leader: false,
+        }
     }
 
     /// This replica became the leader, or is no longer. Every lease duration starts anew: what an earlier leader had
@@ -43,15 +47,26 @@
             return Vec::new();
         }
         let leases = 0..table.len() as LeaseId;
-        leases.filter_map(|lease| self.poll_lease(now, lease, table)).collect()
+        leases
+            .filter_map(|lease| self.poll_lease(now, lease, table))
+            .collect()
     }
 
-    fn poll_lease(&mut self, now: Timestamp, lease: LeaseId, table: &LeaseTable) -> Option<Command> {
+    fn poll_lease(
+        &mut self,
+        now: Timestamp,
+        lease: LeaseId,
+        table: &LeaseTable,
+    ) -> Option<Command> {
         let Some(grant) = table.grant_of(lease) else {
             self.grants.remove(&lease);
             return None;
         };
-        let current = SeenGrant { token: grant.token, renewals: grant.renewals, seen_at: now };
+        let current = SeenGrant {
+            token: grant.token,
+            renewals: grant.renewals,
+            seen_at: now,
+        };
         let seen = self.grants.entry(lease).or_insert(current);
         if seen.token != grant.token || seen.renewals != grant.renewals {
             *seen = current;
@@ -61,7 +76,11 @@
         }
         // The command may be lost on its way, so it is due again after a while.
         seen.seen_at = now - self.lease_duration + self.lease_duration / RETRY_FRACTION;
-        Some(Command::Expire { lease, token: grant.token, renewals: grant.renewals })
+        Some(Command::Expire {
+            lease,
+            token: grant.token,
+            renewals: grant.renewals,
+        })
     }
 
     /// When the next lease expires; `None` if none can.
@@ -69,7 +88,10 @@
         if !self.is_leader {
             return None;
         }
-        let expiries = self.grants.values().map(|seen| seen.seen_at + self.lease_duration);
+        let expiries = self
+            .grants
+            .values()
+            .map(|seen| seen.seen_at + self.lease_duration);
         expiries.min()
     }
 }
--- a/leases/src/state_machine.rs
+++ b/leases/src/state_machine.rs
@@ -190,7 +190,11 @@
     pub fn grant_of(&self, lease: LeaseId) -> Option<Grant> {
         let state = self.leases.get(usize::from(lease))?;
         let holder = state.holder?;
-        Some(Grant { holder, token: state.last_token, renewals: state.renewals })
+        Some(Grant {
+            holder,
+            token: state.last_token,
+            renewals: state.renewals,
+        })
     }
 
     /// The number of leases.
@@ -211,16 +215,27 @@
     /// Applies the next command of the log. Returns its outcome, if it has one that others need to know.
     pub fn apply(&mut self, command: Command) -> Option<Outcome> {
         match command {
-            Command::Acquire { front, sequence, lease, renews } => {
-                Some(self.acquire(front, sequence, lease, renews))
-            }
-            Command::Release { front, lease, token } => {
-                self.free_if(lease, |state| state.holder == Some(front) && state.last_token == token)
-            }
+            Command::Acquire {
+                front,
+                sequence,
+                lease,
+                renews,
+            } => Some(self.acquire(front, sequence, lease, renews)),
+            Command::Release {
+                front,
+                lease,
+                token,
+            } => self.free_if(lease, |state| {
+                state.holder == Some(front) && state.last_token == token
+            }),
             // Protects a holder whose renewal came between the leader's check and this command.
-            Command::Expire { lease, token, renewals } => {
-                self.free_if(lease, |state| state.last_token == token && state.renewals == renewals)
-            }
+            Command::Expire {
+                lease,
+                token,
+                renewals,
+            } => self.free_if(lease, |state| {
+                state.last_token == token && state.renewals == renewals
+            }),
             Command::Transfer { lease, to } => {
                 self.leases.get_mut(usize::from(lease))?.reserved_for = Some(to);
                 None
@@ -232,7 +247,11 @@
         }
     }
 
-    fn free_if(&mut self, lease: LeaseId, condition: impl Fn(&LeaseState) -> bool) -> Option<Outcome> {
+    fn free_if(
+        &mut self,
+        lease: LeaseId,
+        condition: impl Fn(&LeaseState) -> bool,
+    ) -> Option<Outcome> {
         let state = self.leases.get_mut(usize::from(lease))?;
         if state.holder.is_none() || !condition(state) {
             return None;
@@ -249,8 +268,21 @@
         renews: Option<FencingToken>,
     ) -> Outcome {
         match self.try_acquire(front, sequence, lease, renews) {
-            Ok(Grant { token, renewals, .. }) => Outcome::Granted { front, sequence, lease, token, renewals },
-            Err(reason) => Outcome::Denied { front, sequence, lease, reason },
+            Ok(Grant {
+                token, renewals, ..
+            }) => Outcome::Granted {
+                front,
+                sequence,
+                lease,
+                token,
+                renewals,
+            },
+            Err(reason) => Outcome::Denied {
+                front,
+                sequence,
+                lease,
+                reason,
+            },
         }
     }
 
@@ -261,18 +293,26 @@
         lease: LeaseId,
         renews: Option<FencingToken>,
     ) -> Result<Grant, Denial> {
-        let can_remember = self.last_sequences.contains_key(&front) || self.last_sequences.len() < MAX_FRONTS;
+        let can_remember =
+            self.last_sequences.contains_key(&front) || self.last_sequences.len() < MAX_FRONTS;
         if !can_remember {
             return Err(Denial::Unknown);
         }
-        let state = self.leases.get_mut(usize::from(lease)).ok_or(Denial::Unknown)?;
+        let state = self
+            .leases
+            .get_mut(usize::from(lease))
+            .ok_or(Denial::Unknown)?;
         let last_sequence = self.last_sequences.entry(front).or_insert(0);
         if sequence <= *last_sequence {
             return Err(Denial::StaleRequest);
         }
         *last_sequence = sequence;
         state.acquire(front, renews)?;
-        Ok(Grant { holder: front, token: state.last_token, renewals: state.renewals })
+        Ok(Grant {
+            holder: front,
+            token: state.last_token,
+            renewals: state.renewals,
+        })
     }
 }
 
--- a/limits/src/concurrency.rs
+++ b/limits/src/concurrency.rs
@@ -72,13 +72,18 @@
         let deadline = now + self.lease;
         self.slots.insert(key, Slot { deadline, ticket });
         self.by_age.insert(ticket, key);
-        Admission { deadline, displaced }
+        Admission {
+            deadline,
+            displaced,
+        }
     }
 
     fn displace_oldest(&mut self) -> Vec<ConnectionKey> {
         let mut displaced = Vec::new();
         while self.slots.len() >= self.capacity {
-            let Some((_, oldest)) = self.by_age.pop_first() else { break };
+            let Some((_, oldest)) = self.by_age.pop_first() else {
+                break;
+            };
             self.slots.remove(&oldest);
             displaced.push(oldest);
         }
@@ -87,13 +92,17 @@
 
     /// Gives a slot back. Returns whether it was still held.
     pub fn release(&mut self, key: ConnectionKey) -> bool {
-        let Some(slot) = self.slots.remove(&key) else { return false };
+        let Some(slot) = self.slots.remove(&key) else {
+            return false;
+        };
         self.by_age.remove(&slot.ticket).is_some()
     }
 
     /// Notes that a connection has work to do. It is queued once, however often this is called.
     pub fn mark_ready(&mut self, key: ConnectionKey) {
-        let Some(slot) = self.slots.get(&key) else { return };
+        let Some(slot) = self.slots.get(&key) else {
+            return;
+        };
         if !self.ready.iter().any(|(queued, _)| *queued == key) {
             self.ready.push_back((key, slot.ticket));
         }
@@ -103,7 +112,10 @@
     pub fn next_ready(&mut self) -> Option<ConnectionKey> {
         loop {
             let (key, ticket) = self.ready.pop_front()?;
-            let holds_same_slot = self.slots.get(&key).is_some_and(|slot| slot.ticket == ticket);
+            let holds_same_slot = self
+                .slots
+                .get(&key)
+                .is_some_and(|slot| slot.ticket == ticket);
             if holds_same_slot {
                 return Some(key);
             }
@@ -119,7 +131,9 @@
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<ConnectionKey> {
         // In order of arrival. A changed lease may give a later slot an earlier deadline, so all are checked.
         let in_order = self.by_age.values().copied();
-        let expired: Vec<_> = in_order.filter(|key| self.slots[key].deadline <= now).collect();
+        let expired: Vec<_> = in_order
+            .filter(|key| self.slots[key].deadline <= now)
+            .collect();
         for key in &expired {
             self.release(*key);
         }
--- a/limits/src/cpu.rs
+++ b/limits/src/cpu.rs
@@ -24,7 +24,11 @@
     /// A share of 1 to 100 percent of a core, with a full balance.
     pub fn new(now: Timestamp, percent: u32) -> Self {
         let percent = percent.clamp(1, 100);
-        CpuShare { percent, balance: Self::max_balance(percent), refilled_at: now }
+        CpuShare {
+            percent,
+            balance: Self::max_balance(percent),
+            refilled_at: now,
+        }
     }
 
     fn max_balance(percent: u32) -> i64 {
--- a/purges/src/boxes.rs
+++ b/purges/src/boxes.rs
@@ -77,7 +77,16 @@
     /// No boxes yet; `per_s` purges a second go out to all of them together. `identity`: of the ledger.
     pub fn new(now: Timestamp, identity: u64, per_s: f64) -> Self {
         let (per_s, all) = (per_s.max(1.0), BTreeMap::new());
-        Boxes { identity, all, turn: 0, out: 0, out_slow: 0, per_s, level: per_s, at: now }
+        Boxes {
+            identity,
+            all,
+            turn: 0,
+            out: 0,
+            out_slow: 0,
+            per_s,
+            level: per_s,
+            at: now,
+        }
     }
 
     /// A box is listed: a new one has nothing. One that was known before keeps what it confirmed, unless it says
@@ -102,7 +111,14 @@
 
     /// A connection to a box is up, and it reports what it has carried out, of which ledger. `empty`: it holds no copy,
     /// so it starts at the head. A number of another ledger, or beyond `head`, is none.
-    pub fn connected(&mut self, id: BoxId, ledger: u64, reported: Number, empty: bool, head: Number) {
+    pub fn connected(
+        &mut self,
+        id: BoxId,
+        ledger: u64,
+        reported: Number,
+        empty: bool,
+        head: Number,
+    ) {
         self.end(id);
         let identity = self.identity;
         if let Some(state) = self.all.get_mut(&id) {
@@ -126,7 +142,9 @@
 
     /// A box has carried out everything up to a number. Less or more than was sent tells nothing: `false`.
     pub fn confirmed(&mut self, now: Timestamp, id: BoxId, number: Number) -> bool {
-        let Some((upto, since)) = self.all.get(&id).and_then(|s| s.out) else { return false };
+        let Some((upto, since)) = self.all.get(&id).and_then(|s| s.out) else {
+            return false;
+        };
         if number != upto {
             return false;
         }
@@ -164,10 +182,16 @@
 
     /// What goes out now. `base`: the number before the first that the ledger holds, `head`: its last.
     pub fn next(&mut self, now: Timestamp, base: Number, head: Number) -> Vec<Batch> {
-        self.level = (self.level + now.saturating_sub(self.at) as f64 / 1e6 * self.per_s).min(self.per_s);
+        self.level =
+            (self.level + now.saturating_sub(self.at) as f64 / 1e6 * self.per_s).min(self.per_s);
         self.at = self.at.max(now);
         let late = |s: &State| s.out.is_some_and(|(_, since)| now > since + CONFIRM_MOST);
-        let overdue: Vec<_> = self.all.iter().filter(|(_, s)| late(s)).map(|(id, _)| *id).collect();
+        let overdue: Vec<_> = self
+            .all
+            .iter()
+            .filter(|(_, s)| late(s))
+            .map(|(id, _)| *id)
+            .collect();
         for id in overdue {
             self.end(id);
             if let Some(state) = self.all.get_mut(&id) {
@@ -178,12 +202,16 @@
         let mut batches = Vec::new();
         // In turn: who came last comes last.
         let after = self.all.range(self.turn + 1..).map(|(id, _)| *id);
-        let order: Vec<_> = after.chain(self.all.range(..=self.turn).map(|(id, _)| *id)).collect();
+        let order: Vec<_> = after
+            .chain(self.all.range(..=self.turn).map(|(id, _)| *id))
+            .collect();
         for id in order {
             if self.out >= OUT_MOST || self.level < 1.0 {
                 break;
             }
-            let Some(state) = self.all.get_mut(&id) else { continue };
+            let Some(state) = self.all.get_mut(&id) else {
+                continue;
+            };
             let waits = !state.connected || state.out.is_some() || now < state.rests;
             if waits || state.confirmed >= head || state.slow && self.out_slow >= OUT_SLOW_MOST {
                 continue;
@@ -197,7 +225,11 @@
             self.out += 1;
             self.out_slow += usize::from(state.slow);
             self.turn = id;
-            batches.push(Batch { to: id, after: from, upto });
+            batches.push(Batch {
+                to: id,
+                after: from,
+                upto,
+            });
         }
         batches
     }
@@ -210,7 +242,11 @@
             None => s.rests,
         };
         let first = self.all.values().filter(behind).map(due).min()?;
-        let level = if self.level < 1.0 { ((1.0 - self.level) / self.per_s * 1e6) as u64 + 1 } else { 0 };
+        let level = if self.level < 1.0 {
+            ((1.0 - self.level) / self.per_s * 1e6) as u64 + 1
+        } else {
+            0
+        };
         Some(first.max(now + level).max(now + 1_000))
     }
 
@@ -226,7 +262,11 @@
 
     /// Those that have not confirmed a number.
     pub fn missing(&self, number: Number) -> BTreeSet<BoxId> {
-        self.all.iter().filter(|(_, s)| s.confirmed < number).map(|(id, _)| *id).collect()
+        self.all
+            .iter()
+            .filter(|(_, s)| s.confirmed < number)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// How each stands.
--- a/purges/src/contact.rs
+++ b/purges/src/contact.rs
@@ -26,12 +26,23 @@
 impl Contact {
     /// Contact was had `now`; it is lost `lease` microseconds later.
     pub fn new(now: Timestamp, wall: Ms, lease: Micros, without: Without) -> Self {
-        Contact { lease, without, heard: (now, wall), lost: false, doubtful: 0 }
+        Contact {
+            lease,
+            without,
+            heard: (now, wall),
+            lost: false,
+            doubtful: 0,
+        }
     }
 
     /// Contact was not had yet, as at a start.
     pub fn lost(now: Timestamp, wall: Ms, lease: Micros, without: Without) -> Self {
-        Contact::new(now.saturating_sub(lease), wall.saturating_sub(lease / 1_000), lease, without)
+        Contact::new(
+            now.saturating_sub(lease),
+            wall.saturating_sub(lease / 1_000),
+            lease,
+            without,
+        )
     }
 
     /// The ledger was heard of. `true`: contact was lost until now.
@@ -54,7 +65,9 @@
     /// The floor that the loss of contact brings, in milliseconds of `wall`; 0: none.
     pub fn floor(&self, now: Timestamp, wall: Ms) -> Ms {
         match self.without {
-            Without::Strict if now >= self.due() => wall.saturating_sub(self.lease / 1_000).max(self.heard.1),
+            Without::Strict if now >= self.due() => {
+                wall.saturating_sub(self.lease / 1_000).max(self.heard.1)
+            }
             _ => 0,
         }
     }
--- a/purges/src/journal.rs
+++ b/purges/src/journal.rs
@@ -91,7 +91,9 @@
             text(&mut payload, pattern);
         }
     }
-    [&purge.id, &purge.who, &purge.why].into_iter().for_each(|t| text(&mut payload, t));
+    [&purge.id, &purge.who, &purge.why]
+        .into_iter()
+        .for_each(|t| text(&mut payload, t));
     let length = (payload.len() as u32).to_le_bytes();
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&length);
@@ -112,13 +114,19 @@
 
 /// Takes the first record off some bytes. Nothing is allocated by a length that was not checked.
 pub fn decode(bytes: &[u8]) -> Found {
-    let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Found::Partial };
+    let Some((length, rest)) = bytes.split_first_chunk::<4>() else {
+        return Found::Partial;
+    };
     let size = u32::from_le_bytes(*length) as usize;
     if size > RECORD_MOST {
         return Found::Bad;
     }
-    let Some((crc, rest)) = rest.split_first_chunk::<4>() else { return Found::Partial };
-    let Some(payload) = rest.get(..size) else { return Found::Partial };
+    let Some((crc, rest)) = rest.split_first_chunk::<4>() else {
+        return Found::Partial;
+    };
+    let Some(payload) = rest.get(..size) else {
+        return Found::Partial;
+    };
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(length);
     hasher.update(payload);
@@ -158,24 +166,46 @@
         *text = std::str::from_utf8(take(size.into())?).ok()?.into();
     }
     let [id, who, why] = texts;
-    rest.is_empty().then_some(Purge { number, at, what, id, who, why })
+    rest.is_empty().then_some(Purge {
+        number,
+        at,
+        what,
+        id,
+        who,
+        why,
+    })
 }
 
 /// Reads a ledger.
 pub fn open(file: &mut dyn File) -> io::Result<Opened> {
-    let Some(bytes) = file.read()? else { return Ok(Opened::Missing) };
+    let Some(bytes) = file.read()? else {
+        return Ok(Opened::Missing);
+    };
     if bytes.len() < HEAD {
-        return Ok(Opened::Damaged { ledger: None, at: 0 });
+        return Ok(Opened::Damaged {
+            ledger: None,
+            at: 0,
+        });
     }
     let (head, mut rest) = bytes.split_at(HEAD);
     if !head.starts_with(MAGIC) {
         let newer = head.starts_with(MAGIC_STEM) && head[7].is_ascii_digit();
-        return Ok(if newer { Opened::Newer } else { Opened::Damaged { ledger: None, at: 0 } });
+        return Ok(if newer {
+            Opened::Newer
+        } else {
+            Opened::Damaged {
+                ledger: None,
+                at: 0,
+            }
+        });
     }
     let number = |at: usize| head[at..at + 8].try_into().map_or(0, u64::from_le_bytes);
     let crc = head[24..28].try_into().map_or(0, u32::from_le_bytes);
     if crc32fast::hash(&head[..24]) != crc {
-        return Ok(Opened::Damaged { ledger: None, at: 0 });
+        return Ok(Opened::Damaged {
+            ledger: None,
+            at: 0,
+        });
     }
     let mut ledger = Ledger::after(number(8), number(16));
     loop {
@@ -184,12 +214,25 @@
             Found::Record(purge, used) => {
                 let identity = ledger.identity;
                 if ledger.append(identity, purge) != Ok(true) {
-                    return Ok(Opened::Damaged { ledger: Some(ledger), at });
+                    return Ok(Opened::Damaged {
+                        ledger: Some(ledger),
+                        at,
+                    });
                 }
                 rest = &rest[used..];
             }
-            Found::Partial => return Ok(Opened::Whole { ledger, torn: rest.len() }),
-            Found::Bad => return Ok(Opened::Damaged { ledger: Some(ledger), at }),
+            Found::Partial => {
+                return Ok(Opened::Whole {
+                    ledger,
+                    torn: rest.len(),
+                })
+            }
+            Found::Bad => {
+                return Ok(Opened::Damaged {
+                    ledger: Some(ledger),
+                    at,
+                })
+            }
         }
     }
 }
--- a/purges/src/journal/guarded.rs
+++ b/purges/src/journal/guarded.rs
@@ -16,7 +16,10 @@
 impl<F: File> Guarded<F> {
     /// A file that was read, or is to be made, by this process.
     pub fn new(file: F) -> Self {
-        Guarded { file, failure: None }
+        Guarded {
+            file,
+            failure: None,
+        }
     }
 
     /// The file itself.
--- a/purges/src/ledger.rs
+++ b/purges/src/ledger.rs
@@ -62,12 +62,20 @@
 impl Ledger {
     /// An empty ledger.
     pub fn new(identity: u64) -> Self {
-        Ledger { identity, base: 0, held: VecDeque::new(), ids: HashMap::new() }
+        Ledger {
+            identity,
+            base: 0,
+            held: VecDeque::new(),
+            ids: HashMap::new(),
+        }
     }
 
     /// One that continues after `base`: what came before was compacted.
     pub fn after(identity: u64, base: Number) -> Self {
-        Ledger { base, ..Ledger::new(identity) }
+        Ledger {
+            base,
+            ..Ledger::new(identity)
+        }
     }
 
     /// The last number; 0: none yet.
@@ -94,19 +102,24 @@
     /// Takes a command in at `now`, as the writer. What is new is not in the ledger yet: it is appended once it is
     /// kept. Moments never go back, whatever the clock does: order by number is order by moment.
     pub fn take(&self, now: Ms, command: &Command) -> Result<Taken, Refused> {
-        let sound = |text: &str, most: usize| text.len() <= most && !text.chars().any(char::is_control);
+        let sound =
+            |text: &str, most: usize| text.len() <= most && !text.chars().any(char::is_control);
         if !(sound(&command.id, WORDS_MOST)
             && sound(&command.who, WORDS_MOST)
             && sound(&command.why, WORDS_MOST))
         {
-            return Err(Refused::Bad("id, who or why: too long, or with control characters"));
+            return Err(Refused::Bad(
+                "id, who or why: too long, or with control characters",
+            ));
         }
         if command.id.is_empty() {
             return Err(Refused::Bad("id: empty"));
         }
         match &command.what {
             What::Tag(tag) if tag.is_empty() || !sound(tag, TAG_MOST) => {
-                return Err(Refused::Bad("tag: empty, too long, or with control characters"));
+                return Err(Refused::Bad(
+                    "tag: empty, too long, or with control characters",
+                ));
             }
             What::Tag(tag) if tag.contains([',', ';']) => {
                 return Err(Refused::Bad("tag: with a comma or semicolon"))
@@ -114,7 +127,9 @@
             What::Pattern(pattern) => {
                 let all = glob(pattern).map_err(Refused::Bad)?.1;
                 if all && !command.all {
-                    return Err(Refused::Bad("pattern: it matches everything; say so if it is meant"));
+                    return Err(Refused::Bad(
+                        "pattern: it matches everything; say so if it is meant",
+                    ));
                 }
             }
             _ => {}
@@ -131,8 +146,17 @@
             return Err(Refused::Full);
         }
         let at = self.held.back().map_or(now, |p| p.at.max(now));
-        let Command { what, id, who, why, .. } = command.clone();
-        Ok(Taken::New(Purge { number: self.last() + 1, at, what, id, who, why }))
+        let Command {
+            what, id, who, why, ..
+        } = command.clone();
+        Ok(Taken::New(Purge {
+            number: self.last() + 1,
+            at,
+            what,
+            id,
+            who,
+            why,
+        }))
     }
 
     /// Puts a purge behind the last, as it was kept by the writer or came from it. `Ok(false)`: it is there already.
@@ -142,7 +166,11 @@
         }
         if purge.number <= self.last() {
             let same = self.get(purge.number).is_none_or(|held| *held == purge);
-            return if same { Ok(false) } else { Err(Refused::Conflict) };
+            return if same {
+                Ok(false)
+            } else {
+                Err(Refused::Conflict)
+            };
         }
         if purge.number > self.last() + 1 {
             return Err(Refused::Gap);
@@ -159,7 +187,14 @@
     /// begin at [`Ledger::base`] and take what is older for purged.
     pub fn batch(&self, after: Number) -> Option<Vec<Purge>> {
         let skip = usize::try_from(after.checked_sub(self.base)?).ok()?;
-        Some(self.held.iter().skip(skip).take(BATCH_MOST).cloned().collect())
+        Some(
+            self.held
+                .iter()
+                .skip(skip)
+                .take(BATCH_MOST)
+                .cloned()
+                .collect(),
+        )
     }
 
     /// Forgets what every box has confirmed and no member may hold an old copy of any more. Returns how many.
--- a/purges/src/matching.rs
+++ b/purges/src/matching.rs
@@ -28,7 +28,11 @@
     let glob = glob.map_err(|_| "pattern: it can't be read")?;
     let matcher = glob.compile_matcher();
     // Keys that have nothing in common: what matches all of these leaves nothing out.
-    let odd = ["a/0123456789abcdef/0", "zz-z/fedcba9876543210/4294967295", "k/5a5a5a5a5a5a5a5a/7"];
+    let odd = [
+        "a/0123456789abcdef/0",
+        "zz-z/fedcba9876543210/4294967295",
+        "k/5a5a5a5a5a5a5a5a/7",
+    ];
     Ok((glob, odd.iter().all(|key| matcher.is_match(key))))
 }
 
@@ -70,7 +74,10 @@
     /// An index of about that many bytes.
     pub fn new(bytes: usize) -> Self {
         let rows = (bytes / (WAYS * std::mem::size_of::<Slot>())).max(1);
-        Index { slots: vec![Slot::default(); rows * WAYS], clock: 0 }
+        Index {
+            slots: vec![Slot::default(); rows * WAYS],
+            clock: 0,
+        }
     }
 
     fn row(&self, object: u64) -> std::ops::Range<usize> {
@@ -89,24 +96,40 @@
         let row = &mut self.slots[row];
         let at = row.iter().position(|s| s.count > 0 && s.object == object);
         let at = at.or_else(|| row.iter().position(|s| s.count == 0));
-        let oldest = |row: &[Slot]| (0..WAYS).max_by_key(|i| clock.wrapping_sub(row[*i].used)).unwrap_or(0);
+        let oldest = |row: &[Slot]| {
+            (0..WAYS)
+                .max_by_key(|i| clock.wrapping_sub(row[*i].used))
+                .unwrap_or(0)
+        };
         let at = at.unwrap_or_else(|| oldest(row));
-        let mut slot = Slot { object, used: clock, ..Slot::default() };
+        let mut slot = Slot {
+            object,
+            used: clock,
+            ..Slot::default()
+        };
         // One more than fits stands for unknown; an object without tags is known to have none.
         slot.count = 1 + tags.len().min(TAGS_MOST + 1) as u8;
-        tags.iter().take(TAGS_MOST).zip(&mut slot.tags).for_each(|(tag, mark)| *mark = tag_mark(tag));
+        tags.iter()
+            .take(TAGS_MOST)
+            .zip(&mut slot.tags)
+            .for_each(|(tag, mark)| *mark = tag_mark(tag));
         row[at] = slot;
     }
 
     /// An answer was refused for tags that were not known of its object: it is unknown from now on.
     pub fn forget(&mut self, object: u64) {
         let row = self.row(object);
-        self.slots[row].iter_mut().filter(|s| s.object == object).for_each(|s| s.count = 0);
+        self.slots[row]
+            .iter_mut()
+            .filter(|s| s.object == object)
+            .for_each(|s| s.count = 0);
     }
 
     /// The marks of an object's tags; `None`: unknown.
     pub fn tags(&self, object: u64) -> Option<&[u64]> {
-        let found = self.slots[self.row(object)].iter().find(|s| s.count > 0 && s.object == object)?;
+        let found = self.slots[self.row(object)]
+            .iter()
+            .find(|s| s.count > 0 && s.object == object)?;
         let count = usize::from(found.count) - 1;
         (count <= TAGS_MOST).then(|| &found.tags[..count])
     }
@@ -115,7 +138,12 @@
     pub fn count(&self, tag: &str) -> (usize, usize) {
         let mark = tag_mark(tag);
         let known = self.slots.iter().filter(|s| s.count > 0);
-        let with = |s: &&Slot| s.tags.iter().take(usize::from(s.count) - 1).any(|t| *t == mark);
+        let with = |s: &&Slot| {
+            s.tags
+                .iter()
+                .take(usize::from(s.count) - 1)
+                .any(|t| *t == mark)
+        };
         (known.clone().count(), known.filter(with).count())
     }
 }
@@ -136,7 +164,11 @@
     }
     let globs = builder.build().map_err(|e| e.to_string())?;
     let (texts, marks) = patterns.into_iter().unzip();
-    Ok(Set { globs, marks, texts })
+    Ok(Set {
+        globs,
+        marks,
+        texts,
+    })
 }
 
 /// Purges that are live, ready to be asked.
@@ -164,8 +196,15 @@
     /// Takes a purge in; `skew`: milliseconds by which the clocks of those who date copies may be ahead.
     pub fn add(&mut self, purge: &Purge, skew: Ms) {
         // One without a number is in no ledger: no box ever confirms it.
-        let number = if purge.number == 0 { Number::MAX } else { purge.number };
-        let mark = Mark { at: purge.at.saturating_add(skew), number };
+        let number = if purge.number == 0 {
+            Number::MAX
+        } else {
+            purge.number
+        };
+        let mark = Mark {
+            at: purge.at.saturating_add(skew),
+            number,
+        };
         match &purge.what {
             What::Object(object) => raise(&mut self.objects, *object, mark),
             What::Group(group) => raise(&mut self.groups, *group, mark),
@@ -182,7 +221,8 @@
                         if let Some(same) = self.recent.iter_mut().find(|(t, ..)| t == text) {
                             same.2 = mark.max(same.2);
                         } else {
-                            self.recent.push((text.clone(), glob.compile_matcher(), mark));
+                            self.recent
+                                .push((text.clone(), glob.compile_matcher(), mark));
                         }
                     }
                 }
@@ -193,7 +233,11 @@
     /// Everything was purged at `at`, as far as is known: what a front says that has lost its memory. No box ever
     /// confirms that.
     pub fn add_all(&mut self, at: Ms) {
-        self.all = Mark { at, number: Number::MAX }.max(self.all);
+        self.all = Mark {
+            at,
+            number: Number::MAX,
+        }
+        .max(self.all);
     }
 
     /// Patterns to be put together elsewhere by [`compile`] and given back by [`Matcher::install`], once there are
@@ -205,9 +249,14 @@
         self.compiling = self.recent.iter().map(|(.., mark)| mark.number).max();
         let mut all: HashMap<Box<str>, Mark> = HashMap::new();
         if let Some(set) = &self.set {
-            set.texts.iter().zip(&set.marks).for_each(|(text, mark)| raise(&mut all, text.clone(), *mark));
+            set.texts
+                .iter()
+                .zip(&set.marks)
+                .for_each(|(text, mark)| raise(&mut all, text.clone(), *mark));
         }
-        self.recent.iter().for_each(|(text, _, mark)| raise(&mut all, text.clone(), *mark));
+        self.recent
+            .iter()
+            .for_each(|(text, _, mark)| raise(&mut all, text.clone(), *mark));
         let mut all: Vec<_> = all.into_iter().collect();
         all.sort();
         Some(all)
@@ -231,11 +280,19 @@
 
     /// The oldest moment from which a copy may stem, by purges after `after`; 0: any. `tags`: of the object, `None`:
     /// unknown.
-    pub fn floor(&self, after: Number, object: u64, group: u32, tags: Option<&[u64]>, key: &str) -> Ms {
+    pub fn floor(
+        &self,
+        after: Number,
+        object: u64,
+        group: u32,
+        tags: Option<&[u64]>,
+        key: &str,
+    ) -> Ms {
         let live = |mark: &Mark| mark.number > after;
         let mut floor = 0;
-        let mut note =
-            |mark: Option<&Mark>| floor = mark.filter(|m| live(m)).map_or(floor, |m| floor.max(m.at));
+        let mut note = |mark: Option<&Mark>| {
+            floor = mark.filter(|m| live(m)).map_or(floor, |m| floor.max(m.at))
+        };
         note(Some(&self.all));
         note(self.objects.get(&object));
         note(self.groups.get(&group));
@@ -244,7 +301,10 @@
             Some(tags) => tags.iter().for_each(|tag| note(self.tags.get(tag))),
         }
         if let Some(set) = &self.set {
-            set.globs.matches(key).into_iter().for_each(|i| note(set.marks.get(i)));
+            set.globs
+                .matches(key)
+                .into_iter()
+                .for_each(|i| note(set.marks.get(i)));
         }
         for (_, glob, mark) in &self.recent {
             if mark.at > floor && live(mark) && glob.is_match(key) {
@@ -263,7 +323,12 @@
     /// Purges that are live: objects, groups, tags, patterns.
     pub fn counts(&self) -> [usize; 4] {
         let patterns = self.recent.len() + self.set.as_ref().map_or(0, |s| s.marks.len());
-        [self.objects.len(), self.groups.len(), self.tags.len(), patterns]
+        [
+            self.objects.len(),
+            self.groups.len(),
+            self.tags.len(),
+            patterns,
+        ]
     }
 
     /// Forgets what was purged before `horizon`: no member holds a copy from before that any more.
@@ -272,7 +337,11 @@
         self.groups.retain(|_, mark| mark.at >= horizon);
         self.tags.retain(|_, mark| mark.at >= horizon);
         self.recent.retain(|(.., mark)| mark.at >= horizon);
-        if self.set.as_ref().is_some_and(|s| s.marks.iter().all(|m| m.at < horizon)) {
+        if self
+            .set
+            .as_ref()
+            .is_some_and(|s| s.marks.iter().all(|m| m.at < horizon))
+        {
             self.set = None;
         }
         for mark in [&mut self.any_tag, &mut self.all] {
--- a/purges/src/shield.rs
+++ b/purges/src/shield.rs
@@ -23,7 +23,13 @@
     /// Lets `per_s` requests a second past.
     pub fn new(now: Timestamp, per_s: f64) -> Self {
         let per_s = per_s.max(0.1);
-        Shield { per_s, level: per_s * LAID_BY_S, at: now, passed: 0, refused: 0 }
+        Shield {
+            per_s,
+            level: per_s * LAID_BY_S,
+            at: now,
+            passed: 0,
+            refused: 0,
+        }
     }
 
     /// Whether a request may go past the caches now. `worth`: 0 to 1, among the classes that there are. What is worth
--- a/quorum/src/node.rs
+++ b/quorum/src/node.rs
@@ -30,7 +30,10 @@
     fn encode_all(messages: impl IntoIterator<Item = Message>) -> Vec<OutgoingMessage> {
         let encode = |message: Message| {
             let bytes = message.write_to_bytes().ok()?;
-            Some(OutgoingMessage { to: message.to, bytes })
+            Some(OutgoingMessage {
+                to: message.to,
+                bytes,
+            })
         };
         messages.into_iter().filter_map(encode).collect()
     }
@@ -65,7 +68,11 @@
 fn commands(entries: Vec<Entry>) -> Vec<Vec<u8>> {
     let is_command =
         |entry: &Entry| entry.get_entry_type() == EntryType::EntryNormal && !entry.data.is_empty();
-    entries.into_iter().filter(is_command).map(|entry| entry.data.to_vec()).collect()
+    entries
+        .into_iter()
+        .filter(is_command)
+        .map(|entry| entry.data.to_vec())
+        .collect()
 }
 
 fn config(id: u64, election_timeout: usize) -> Config {
@@ -99,10 +106,22 @@
     /// Starts a voter from its stored log. `election_timeout` is in ticks, from [`ELECTION_TICKS`] up to twice that, and
     /// must differ between voters, which would otherwise all ask for votes at the same time. All committed commands are
     /// delivered again.
-    pub fn new(id: u64, voters: &[u64], log: StoredLog, election_timeout: usize) -> Result<Self, NodeError> {
+    pub fn new(
+        id: u64,
+        voters: &[u64],
+        log: StoredLog,
+        election_timeout: usize,
+    ) -> Result<Self, NodeError> {
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config(id, election_timeout), storage(voters, log)?, &logger)?;
-        Ok(Node { raw, pending_write: None })
+        let raw = RawNode::new(
+            &config(id, election_timeout),
+            storage(voters, log)?,
+            &logger,
+        )?;
+        Ok(Node {
+            raw,
+            pending_write: None,
+        })
     }
 
     /// A tick has passed.
@@ -113,7 +132,9 @@
     /// Takes in a message of another voter.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), ReceiveError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
-            return Err(ReceiveError::TooLong { length: bytes.len() });
+            return Err(ReceiveError::TooLong {
+                length: bytes.len(),
+            });
         }
         let message = Message::parse_from_bytes(bytes)?;
         self.raw.step(message)?;
@@ -134,7 +155,10 @@
     pub fn propose(&mut self, command: &[u8]) -> Result<(), ProposeError> {
         let length = command.len();
         if !(1..=MAX_COMMAND_BYTES).contains(&length) {
-            return Err(ProposeError::Length { length, max_length: MAX_COMMAND_BYTES });
+            return Err(ProposeError::Length {
+                length,
+                max_length: MAX_COMMAND_BYTES,
+            });
         }
         if !self.is_leader() {
             return Err(ProposeError::NotLeader);
@@ -152,13 +176,19 @@
         let send = OutgoingMessage::encode_all(ready.take_messages());
         let committed = commands(ready.take_committed_entries());
         let write = self.store(&mut ready)?;
-        let pending_write =
-            PendingWrite { ready_number: ready.number(), messages: ready.take_persisted_messages() };
+        let pending_write = PendingWrite {
+            ready_number: ready.number(),
+            messages: ready.take_persisted_messages(),
+        };
         // Messages that arrive while the disk is busy extend the log behind the records that are being written.
         self.raw.advance_append_async(ready);
         self.raw.advance_apply();
         self.pending_write = Some(pending_write);
-        Some(Step { send, write, committed })
+        Some(Step {
+            send,
+            write,
+            committed,
+        })
     }
 
     /// Appends new entries to the log in memory, and returns the records for the file.
@@ -179,7 +209,9 @@
     /// The records of the last step are durable. Returns the messages that depend on them; commands that are committed by
     /// them come with the next step.
     pub fn persisted(&mut self) -> Vec<OutgoingMessage> {
-        let Some(pending) = self.pending_write.take() else { return Vec::new() };
+        let Some(pending) = self.pending_write.take() else {
+            return Vec::new();
+        };
         self.raw.on_persist_ready(pending.ready_number);
         OutgoingMessage::encode_all(pending.messages)
     }
--- a/quorum/src/storage.rs
+++ b/quorum/src/storage.rs
@@ -126,7 +126,9 @@
 
 /// Splits the first record off; `None` if it is torn.
 fn split_record(bytes: &[u8]) -> Result<Option<Record<'_>>, Corruption> {
-    let Some(head) = bytes.first_chunk::<RECORD_HEAD_BYTES>() else { return Ok(None) };
+    let Some(head) = bytes.first_chunk::<RECORD_HEAD_BYTES>() else {
+        return Ok(None);
+    };
     let [l0, l1, l2, l3, c0, c1, c2, c3] = *head;
     let body_length = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
     let checksum = u32::from_le_bytes([c0, c1, c2, c3]);
@@ -134,13 +136,23 @@
         return Err(Corruption::Length);
     }
     let length = RECORD_HEAD_BYTES + body_length;
-    let Some(body) = bytes.get(RECORD_HEAD_BYTES..length) else { return Ok(None) };
+    let Some(body) = bytes.get(RECORD_HEAD_BYTES..length) else {
+        return Ok(None);
+    };
     if crc32fast::hash(body) != checksum {
         // The last record may be torn in its middle: a file can have its length before its bytes.
         let is_last = bytes.len() == length;
-        return if is_last { Ok(None) } else { Err(Corruption::Checksum) };
+        return if is_last {
+            Ok(None)
+        } else {
+            Err(Corruption::Checksum)
+        };
     }
-    Ok(Some(Record { kind: body[0], payload: &body[1..], length }))
+    Ok(Some(Record {
+        kind: body[0],
+        payload: &body[1..],
+        length,
+    }))
 }
 
 /// Decodes the file of this voter. An incomplete last record was torn by a crash and is left out; any other record that
@@ -150,7 +162,9 @@
     loop {
         let offset = log.complete_bytes;
         let error = |reason| StorageError { offset, reason };
-        let Some(record) = split_record(&bytes[offset..]).map_err(error)? else { break };
+        let Some(record) = split_record(&bytes[offset..]).map_err(error)? else {
+            break;
+        };
         match offset {
             0 => check_owner(&record, expected_owner).map_err(error)?,
             _ => log.apply(&record).map_err(error)?,
@@ -158,7 +172,10 @@
         log.complete_bytes += record.length;
     }
     if log.complete_bytes == 0 {
-        return Err(StorageError { offset: 0, reason: Corruption::NoFile });
+        return Err(StorageError {
+            offset: 0,
+            reason: Corruption::NoFile,
+        });
     }
     Ok(log)
 }
@@ -182,7 +199,8 @@
         match record.kind {
             KIND_ENTRY => self.apply_entry(record.payload),
             KIND_STATE => {
-                self.state = HardState::parse_from_bytes(record.payload).map_err(|_| Corruption::State)?;
+                self.state =
+                    HardState::parse_from_bytes(record.payload).map_err(|_| Corruption::State)?;
                 Ok(())
             }
             _ => Err(Corruption::Kind),
@@ -191,8 +209,14 @@
 
     fn apply_entry(&mut self, payload: &[u8]) -> Result<(), Corruption> {
         let entry = Entry::parse_from_bytes(payload).map_err(|_| Corruption::Entry)?;
-        let first_index = self.entries.first().map_or(entry.index, |first| first.index);
-        let place = entry.index.checked_sub(first_index).ok_or(Corruption::EntryBeforeFirst)? as usize;
+        let first_index = self
+            .entries
+            .first()
+            .map_or(entry.index, |first| first.index);
+        let place = entry
+            .index
+            .checked_sub(first_index)
+            .ok_or(Corruption::EntryBeforeFirst)? as usize;
         if place > self.entries.len() {
             return Err(Corruption::Gap);
         }
--- a/rig/shim/src/lib.rs
+++ b/rig/shim/src/lib.rs
@@ -37,13 +37,28 @@
     let path = setting(c"CRANESILL_SHIM");
     let mut found: *const Words = &NONE;
     if !path.is_null() {
-        let fd = raw(libc::SYS_openat, [libc::AT_FDCWD as usize, path as usize, libc::O_RDWR as usize, 0]);
+        let fd = raw(
+            libc::SYS_openat,
+            [
+                libc::AT_FDCWD as usize,
+                path as usize,
+                libc::O_RDWR as usize,
+                0,
+            ],
+        );
         if fd >= 0 {
             let size = std::mem::size_of::<Words>();
             // SAFETY: a new mapping of a file that the test made this long.
             let at = unsafe {
                 let access = libc::PROT_READ | libc::PROT_WRITE;
-                libc::mmap(std::ptr::null_mut(), size, access, libc::MAP_SHARED, fd as c_int, 0)
+                libc::mmap(
+                    std::ptr::null_mut(),
+                    size,
+                    access,
+                    libc::MAP_SHARED,
+                    fd as c_int,
+                    0,
+                )
             };
             raw(libc::SYS_close, [fd as usize, 0, 0, 0]);
             if at != libc::MAP_FAILED {
@@ -87,7 +102,12 @@
         *to = *from;
     }
     let mut path = [0u8; 512];
-    let args = [libc::AT_FDCWD as usize, link.as_ptr() as usize, path.as_mut_ptr() as usize, path.len()];
+    let args = [
+        libc::AT_FDCWD as usize,
+        link.as_ptr() as usize,
+        path.as_mut_ptr() as usize,
+        path.len(),
+    ];
     let len = raw(libc::SYS_readlinkat, args);
     usize::try_from(len).is_ok_and(|len| path[..len].starts_with(folder))
 }
@@ -134,7 +154,10 @@
     if under(fd) {
         let takes = word(2).max(0);
         if takes > 0 {
-            let span = libc::timespec { tv_sec: takes / 1_000, tv_nsec: takes % 1_000 * 1_000_000 };
+            let span = libc::timespec {
+                tv_sec: takes / 1_000,
+                tv_nsec: takes % 1_000 * 1_000_000,
+            };
             raw(libc::SYS_nanosleep, [&raw const span as usize, 0, 0, 0]);
         }
         if word(1) & UNSYNCED != 0 {
