--- a/rig/src/socket_faults.rs
+++ b/rig/src/socket_faults.rs
@@ -46,7 +46,12 @@
 impl SocketFaults {
     /// All calls of these kinds fail with an error.
     pub fn all(calls: &[Call], errno: i32) -> Self {
-        SocketFaults { calls: calls.to_vec(), errno, every: 1, ..SocketFaults::default() }
+        SocketFaults {
+            calls: calls.to_vec(),
+            errno,
+            every: 1,
+            ..SocketFaults::default()
+        }
     }
 
     /// Only one of so many does.
@@ -56,12 +61,19 @@
 
     /// They do so for the first part of each period.
     pub fn burst(self, fails: Duration, period: Duration) -> Self {
-        SocketFaults { burst: Some((fails, period)), ..self }
+        SocketFaults {
+            burst: Some((fails, period)),
+            ..self
+        }
     }
 
     /// Reads and writes of no more than so many bytes.
     pub fn short(bytes: usize) -> Self {
-        SocketFaults { read_most: bytes, write_most: bytes, ..SocketFaults::default() }
+        SocketFaults {
+            read_most: bytes,
+            write_most: bytes,
+            ..SocketFaults::default()
+        }
     }
 
     pub(crate) fn words(&self) -> Vec<(u64, i64)> {
--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -26,8 +26,13 @@
     ("/policyLimits/streamsPerConn", 1e9),
     ("/step", SPAN),
 ];
-const CLASS_FIGURES: [(&str, f64); 5] =
-    [("/aim", SPAN), ("/aimStretch", 1e6), ("/gain", 1e12), ("/deadline", SPAN), ("/memorySpan", SPAN)];
+const CLASS_FIGURES: [(&str, f64); 5] = [
+    ("/aim", SPAN),
+    ("/aimStretch", 1e6),
+    ("/gain", 1e12),
+    ("/deadline", SPAN),
+    ("/memorySpan", SPAN),
+];
 const FLAGS: [&str; 5] = [
     "/familyInfo/joins",
     "/familyInfo/passThroughOk",
@@ -69,7 +74,9 @@
             Holds::Flags => (!v.is_boolean()).then(|| "not true or false".into()),
             Holds::Figures(most) => match v.as_f64() {
                 None => Some("not a number".into()),
-                Some(n) => (!(0.0..=most).contains(&n)).then(|| format!("{n:?}: not from 0 to {most}")),
+                Some(n) => {
+                    (!(0.0..=most).contains(&n)).then(|| format!("{n:?}: not from 0 to {most}"))
+                }
             },
         }
     }
@@ -84,11 +91,17 @@
             faults.push(format!("{before}{}: {why}", path.replace('/', ".")));
         }
     };
-    FIGURES.iter().for_each(|(path, most)| look(v, "settings", path, Holds::Figures(*most)));
-    FLAGS.iter().for_each(|path| look(v, "settings", path, Holds::Flags));
+    FIGURES
+        .iter()
+        .for_each(|(path, most)| look(v, "settings", path, Holds::Figures(*most)));
+    FLAGS
+        .iter()
+        .for_each(|path| look(v, "settings", path, Holds::Flags));
     for (i, class) in v["classes"].as_array().into_iter().flatten().enumerate() {
         let before = format!("settings.classes[{i}]");
-        CLASS_FIGURES.iter().for_each(|(path, most)| look(class, &before, path, Holds::Figures(*most)));
+        CLASS_FIGURES
+            .iter()
+            .for_each(|(path, most)| look(class, &before, path, Holds::Figures(*most)));
         look(class, &before, "/name", Holds::Names);
     }
     for (path, holds) in LISTS {
@@ -99,7 +112,10 @@
                 faults.push(format!("{name}: over {LIST_MOST} entries"));
             }
             Some(Value::Array(all)) => {
-                let told = all.iter().enumerate().filter_map(|(i, v)| Some((i, holds.fault(v)?)));
+                let told = all
+                    .iter()
+                    .enumerate()
+                    .filter_map(|(i, v)| Some((i, holds.fault(v)?)));
                 faults.extend(told.map(|(i, why)| format!("{name}[{i}]: {why}")));
             }
             Some(_) => faults.push(format!("{name}: not a list")),
@@ -108,8 +124,10 @@
     for path in KINDS {
         let found = v.pointer(path).filter(|v| !v.is_null());
         if found.is_some_and(|v| !v.as_i64().is_some_and(|n| (-1..=255).contains(&n))) {
-            faults
-                .push(format!("settings{}: not the place of a kind, or -1 for none", path.replace('/', ".")));
+            faults.push(format!(
+                "settings{}: not the place of a kind, or -1 for none",
+                path.replace('/', ".")
+            ));
         }
     }
     meanings(v, &mut faults);
@@ -126,18 +144,36 @@
     };
     for (i, class) in v["classes"].as_array().into_iter().flatten().enumerate() {
         let name = |key: &str| format!("settings.classes[{i}].{key}");
-        word(&class["semantics"], &name("semantics"), &["pure", "token", "side_effect"]);
+        word(
+            &class["semantics"],
+            &name("semantics"),
+            &["pure", "token", "side_effect"],
+        );
         word(&class["group"], &name("group"), &["all", "zone", "cell"]);
     }
-    word(&v["discovery"], "settings.discovery", &["automatic", "subscribe"]);
+    word(
+        &v["discovery"],
+        "settings.discovery",
+        &["automatic", "subscribe"],
+    );
     let count = |path: &str| v.pointer(path).and_then(Value::as_array).map(Vec::len);
-    if count("/zones").zip(v["zone"].as_u64()).is_some_and(|(zones, zone)| zone as usize >= zones) {
-        faults.push(format!("settings.zone: {}: not a place in settings.zones", v["zone"]));
+    if count("/zones")
+        .zip(v["zone"].as_u64())
+        .is_some_and(|(zones, zone)| zone as usize >= zones)
+    {
+        faults.push(format!(
+            "settings.zone: {}: not a place in settings.zones",
+            v["zone"]
+        ));
     }
-    let Some(classes) = count("/classes") else { return };
+    let Some(classes) = count("/classes") else {
+        return;
+    };
     for key in ["classWrite", "classFresh", "usableAfter"] {
         if count(&format!("/familyInfo/{key}")).is_some_and(|n| n > classes) {
-            faults.push(format!("settings.familyInfo.{key}: more entries than settings.classes"));
+            faults.push(format!(
+                "settings.familyInfo.{key}: more entries than settings.classes"
+            ));
         }
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -37,7 +37,10 @@
     pub fn read(&self, values: &[f32]) -> Option<Report> {
         let told = |at: Option<usize>| at.and_then(|i| values.get(i)).map(|v| f64::from(*v));
         let figure = |at| told(at).filter(|v| v.is_finite() && *v >= 0.0);
-        (!values.is_empty()).then(|| Report { inflight: figure(self.inflight), link: figure(self.link) })
+        (!values.is_empty()).then(|| Report {
+            inflight: figure(self.inflight),
+            link: figure(self.link),
+        })
     }
 }
 
@@ -83,8 +86,15 @@
 }
 
 fn names(list: &Value, key: Option<&str>) -> Vec<String> {
-    let name = |v: &Value| key.map_or(v, |k| &v[k]).as_str().unwrap_or_default().to_string();
-    list.as_array().map(|all| all.iter().map(name).collect()).unwrap_or_default()
+    let name = |v: &Value| {
+        key.map_or(v, |k| &v[k])
+            .as_str()
+            .unwrap_or_default()
+            .to_string()
+    };
+    list.as_array()
+        .map(|all| all.iter().map(name).collect())
+        .unwrap_or_default()
 }
 
 /// Parses the JSON text of the settings.
@@ -101,9 +111,15 @@
     if !faults.is_empty() {
         return Err(faults.join("; "));
     }
-    let fields = v["report"]["fields"].as_array().cloned().unwrap_or_default();
+    let fields = v["report"]["fields"]
+        .as_array()
+        .cloned()
+        .unwrap_or_default();
     let place = |name: &str| fields.iter().position(|f| f.as_str() == Some(name));
-    let layout = ReportLayout { inflight: place("concurrent"), link: place("x1") };
+    let layout = ReportLayout {
+        inflight: place("concurrent"),
+        link: place("x1"),
+    };
     let (family, limits, rules) = (&v["familyInfo"], &v["policyLimits"], &v["rules"]);
     let none = Vec::new();
     let zone = number(v, "zone") as u16;
@@ -139,14 +155,19 @@
     };
     let settings = Settings {
         zone,
-        routers_by_zone: seats.iter().map(|s| s.as_u64().unwrap_or(0) as u32).collect(),
+        routers_by_zone: seats
+            .iter()
+            .map(|s| s.as_u64().unwrap_or(0) as u32)
+            .collect(),
         routers: number(v, "nInstances") as u32,
         number: number(v, "index") as u32,
         classes,
         parent_kind: kind(family, "upperKind"),
         origin_kind: kind(family, "rootKind"),
         client_kb_per_s: number(family, "clientKbPerS"),
-        link_kb_per_s: family["feedKbPerS"][usize::from(zone)].as_f64().unwrap_or(0.0),
+        link_kb_per_s: family["feedKbPerS"][usize::from(zone)]
+            .as_f64()
+            .unwrap_or(0.0),
         direct: flag(family, "passThroughOk"),
         joins: flag(family, "joins"),
         purge_done: span(family, "purgeTakes"),
@@ -161,7 +182,11 @@
         max_attempts: number(limits, "sendCap") as u32,
         second_copies: flag(limits, "mayDuplicate"),
         cancel: flag(limits, "cancelling"),
-        max_retry_after: if flag(limits, "retryAfter") { span(limits, "maxRetryAfter") } else { 0 },
+        max_retry_after: if flag(limits, "retryAfter") {
+            span(limits, "maxRetryAfter")
+        } else {
+            0
+        },
         must_subscribe: v["discovery"].as_str() == Some("subscribe"),
     };
     let names = Names {
@@ -170,7 +195,11 @@
         kinds: names(&v["kinds"], None),
         report: names(&v["report"]["fields"], None),
     };
-    let told = |key, default: f64| Some(number(limits, key)).filter(|n| *n >= 1.0).unwrap_or(default);
+    let told = |key, default: f64| {
+        Some(number(limits, key))
+            .filter(|n| *n >= 1.0)
+            .unwrap_or(default)
+    };
     let limits = Limits {
         idle: told("connIdle", 15e6) as Micros,
         purge_grace: if span(family, "purgeGrace") > 0 {
@@ -180,7 +209,17 @@
         },
         streams: told("streamsPerConn", 1.0) as usize,
         open: told("openCap", 20_000.0) as usize,
-        waits: v["classes"].as_array().unwrap_or(&none).iter().map(|c| span(c, "deadline")).collect(),
+        waits: v["classes"]
+            .as_array()
+            .unwrap_or(&none)
+            .iter()
+            .map(|c| span(c, "deadline"))
+            .collect(),
     };
-    Ok(Deployment { settings, layout, names, limits })
+    Ok(Deployment {
+        settings,
+        layout,
+        names,
+        limits,
+    })
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -191,7 +191,10 @@
 impl Status {
     /// Whether this ending proves that the request did not run.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Miss)
+        matches!(
+            self,
+            Status::Rejected | Status::ConnectFailed | Status::NotSent | Status::Miss
+        )
     }
 }
 
--- a/src/parts.rs
+++ b/src/parts.rs
@@ -13,7 +13,10 @@
 impl Bucket {
     /// An empty bucket.
     pub fn new(now: Timestamp) -> Self {
-        Bucket { level: 0.0, at: now }
+        Bucket {
+            level: 0.0,
+            at: now,
+        }
     }
 
     /// Fills it with what has come in since the last call, up to `most`.
@@ -65,7 +68,13 @@
 
 impl Purges {
     /// Notes a purge made `at` of an object, or of a whole group, and forgets those from before `horizon`.
-    pub fn note(&mut self, object: Option<ObjectId>, group: u32, at: Timestamp, horizon: Timestamp) {
+    pub fn note(
+        &mut self,
+        object: Option<ObjectId>,
+        group: u32,
+        at: Timestamp,
+        horizon: Timestamp,
+    ) {
         self.objects.retain(|_, t| horizon <= *t);
         self.groups.retain(|_, t| horizon <= *t);
         let last = match object {
@@ -77,7 +86,10 @@
 
     /// The latest purge of an object, by itself or with its group.
     pub fn last(&self, object: ObjectId, group: u32) -> Option<Timestamp> {
-        self.objects.get(&object).max(self.groups.get(&group)).copied()
+        self.objects
+            .get(&object)
+            .max(self.groups.get(&group))
+            .copied()
     }
 }
 
@@ -93,7 +105,12 @@
 
 impl<K> Default for Seen<K> {
     fn default() -> Self {
-        Seen { new: BTreeSet::new(), old: BTreeSet::new(), since: 0, began: None }
+        Seen {
+            new: BTreeSet::new(),
+            old: BTreeSet::new(),
+            since: 0,
+            began: None,
+        }
     }
 }
 
@@ -169,7 +186,10 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { due: BTreeMap::new(), last: 0 }
+        Timers {
+            due: BTreeMap::new(),
+            last: 0,
+        }
     }
 }
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -39,13 +39,18 @@
 
 impl Scored {
     fn new(key: u64, weight: f64, candidate: Candidate) -> Self {
-        Scored { score: rendezvous(key, candidate.member.0, weight), candidate }
+        Scored {
+            score: rendezvous(key, candidate.member.0, weight),
+            candidate,
+        }
     }
 
     /// Whether this one comes before another in the order: by score, then by id.
     fn is_before(&self, other: &Scored) -> bool {
         let by_score = other.score.total_cmp(&self.score);
-        by_score.then_with(|| self.candidate.member.cmp(&other.candidate.member)).is_lt()
+        by_score
+            .then_with(|| self.candidate.member.cmp(&other.candidate.member))
+            .is_lt()
     }
 }
 
@@ -82,15 +87,23 @@
                 let at = class.members.partition_point(|other| other.member < member);
                 class.members.insert(at, candidate);
             }
-            None => self.classes.push(WeightClass { weight, members: vec![candidate] }),
+            None => self.classes.push(WeightClass {
+                weight,
+                members: vec![candidate],
+            }),
         }
     }
 
     /// Takes a member out again, under the weight that it was added with.
     pub fn remove(&mut self, member: EndpointId, weight: f64) {
         self.recent = Recent::default();
-        let Some(class) = self.classes.iter_mut().find(|class| class.weight == weight) else { return };
-        if let Ok(at) = class.members.binary_search_by_key(&member, |candidate| candidate.member) {
+        let Some(class) = self.classes.iter_mut().find(|class| class.weight == weight) else {
+            return;
+        };
+        if let Ok(at) = class
+            .members
+            .binary_search_by_key(&member, |candidate| candidate.member)
+        {
             class.members.remove(at);
         }
         self.classes.retain(|class| !class.members.is_empty());
@@ -98,7 +111,10 @@
 
     /// The weight of all members together.
     pub fn weight(&self) -> f64 {
-        self.classes.iter().map(|class| class.weight * class.members.len() as f64).sum()
+        self.classes
+            .iter()
+            .map(|class| class.weight * class.members.len() as f64)
+            .sum()
     }
 
     /// The order for an object.
@@ -111,7 +127,11 @@
                 places
             }
         };
-        Order { key, complete: places.len() < FIRST_PLACES, places }
+        Order {
+            key,
+            complete: places.len() < FIRST_PLACES,
+            places,
+        }
     }
 
     /// So many first places of the order for an object, or all if there are no more.
@@ -132,13 +152,17 @@
                 }
             }
         }
-        best.into_iter().map(|scored| scored.candidate.place).collect()
+        best.into_iter()
+            .map(|scored| scored.candidate.place)
+            .collect()
     }
 }
 
 /// The least hash that a member of this weight can have if it belongs to the best ones.
 fn least_bits(weight: f64, best: &[Scored], count: usize) -> u64 {
-    let Some(last) = best.get(count - 1) else { return 0 };
+    let Some(last) = best.get(count - 1) else {
+        return 0;
+    };
     // The score is `-weight / ln(unit)`, solved for the unit.
     let unit = (-weight / last.score).exp() * (1.0 - ROUNDING);
     ((unit * HASH_RANGE) as u64).saturating_sub(1)
@@ -165,12 +189,22 @@
 impl Order {
     /// An order of few members, worked out in full: those of `places`, each with its id and weight.
     pub fn among(key: u64, places: impl Iterator<Item = (EndpointId, f64, usize)>) -> Self {
-        let scored = |(member, weight, place)| Scored::new(key, weight, Candidate { member, place });
+        let scored =
+            |(member, weight, place)| Scored::new(key, weight, Candidate { member, place });
         let mut all: Vec<Scored> = places.map(scored).collect();
         all.sort_by(|a, b| {
-            b.score.total_cmp(&a.score).then_with(|| a.candidate.member.cmp(&b.candidate.member))
+            b.score
+                .total_cmp(&a.score)
+                .then_with(|| a.candidate.member.cmp(&b.candidate.member))
         });
-        Order { key, places: all.into_iter().map(|scored| scored.candidate.place).collect(), complete: true }
+        Order {
+            key,
+            places: all
+                .into_iter()
+                .map(|scored| scored.candidate.place)
+                .collect(),
+            complete: true,
+        }
     }
 
     /// The member at a position, from 0.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -139,9 +139,15 @@
     fn served(&mut self, sent: Timestamp, now: Timestamp) -> bool {
         self.last_answer = now;
         // A late success of an attempt from before the window's end is no probe.
-        let probe = self.down_since.is_some_and(|since| sent >= since + FAIL_WINDOW);
+        let probe = self
+            .down_since
+            .is_some_and(|since| sent >= since + FAIL_WINDOW);
         if probe {
-            *self = Health { changed: now, last_answer: now, ..Health::default() };
+            *self = Health {
+                changed: now,
+                last_answer: now,
+                ..Health::default()
+            };
         } else if self.down_since.is_none() {
             self.failures = self.failures.saturating_sub(1);
         }
@@ -183,7 +189,11 @@
     pub fn new(settings: Settings, _seed: u64) -> Self {
         Router {
             mean_work: vec![0.0; settings.classes.len()],
-            out: settings.must_subscribe.then_some(Action::Subscribe).into_iter().collect(),
+            out: settings
+                .must_subscribe
+                .then_some(Action::Subscribe)
+                .into_iter()
+                .collect(),
             settings,
             now: 0,
             members: Roster::default(),
@@ -221,7 +231,12 @@
             },
             Event::Purged(object, group, age) => {
                 let keep = self.settings.purge_done + PURGE_SLACK;
-                self.purges.note(object, group, now.saturating_sub(age), now.saturating_sub(keep));
+                self.purges.note(
+                    object,
+                    group,
+                    now.saturating_sub(age),
+                    now.saturating_sub(keep),
+                );
             }
             Event::ClockAhead(span) => self.members.ahead = span,
             Event::Cordon(member, out) => self.by_hand(member, out),
@@ -239,7 +254,11 @@
             ListKind::Delta => {}
         }
         for mut entry in entries {
-            entry.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
+            entry.weight = if entry.weight > 0.0 {
+                entry.weight
+            } else {
+                1.0
+            };
             let role = match Some(entry.kind) {
                 kind if kind == self.settings.parent_kind => Role::Parent,
                 kind if kind == self.settings.origin_kind => Role::Origin,
@@ -254,13 +273,28 @@
             // New, or cold and empty again: its old health says nothing.
             let share = entry.weight / f64::from(self.routers(role));
             let held = known.map_or(0, |at| self.members[at].pace.held);
-            let (limit, least, service) = (LIMIT_START * share, LIMIT_LEAST.min(share), WORK_UNKNOWN);
+            let (limit, least, service) =
+                (LIMIT_START * share, LIMIT_LEAST.min(share), WORK_UNKNOWN);
             let member = Member {
                 role,
                 cold_since: self.members.cold_since(&entry, self.now),
-                cold: if role == Role::Parent { self.settings.cold_parent } else { self.settings.cold_cache },
-                health: Health { changed: self.now, ..Health::default() },
-                pace: Pace { held, limit, least, service, full: share, ..Pace::default() },
+                cold: if role == Role::Parent {
+                    self.settings.cold_parent
+                } else {
+                    self.settings.cold_cache
+                },
+                health: Health {
+                    changed: self.now,
+                    ..Health::default()
+                },
+                pace: Pace {
+                    held,
+                    limit,
+                    least,
+                    service,
+                    full: share,
+                    ..Pace::default()
+                },
                 budget: Bucket::new(self.now),
                 listed: entry,
             };
@@ -277,12 +311,24 @@
         if let Some(at) = self.origin() {
             let pace = &mut self.members[at].pace;
             pace.least = LIMIT_LEAST.min(origin);
-            pace.limit = pace.limit.max(if pace.cut_at == 0 { LIMIT_START * origin } else { pace.least });
+            pace.limit = pace.limit.max(if pace.cut_at == 0 {
+                LIMIT_START * origin
+            } else {
+                pace.least
+            });
         }
         let told = self.settings.link_kb_per_s / self.settings.client_kb_per_s;
         let share = if told > 0.0 { told } else { behind } / f64::from(self.routers(Role::Cache));
-        self.link.limit = if self.link_told.is_none() { LIMIT_START * share } else { self.link.limit };
-        self.link.least = if told > 0.0 { share } else { LIMIT_LEAST.min(share) };
+        self.link.limit = if self.link_told.is_none() {
+            LIMIT_START * share
+        } else {
+            self.link.limit
+        };
+        self.link.least = if told > 0.0 {
+            share
+        } else {
+            LIMIT_LEAST.min(share)
+        };
         self.release_members();
     }
 
@@ -294,7 +340,9 @@
         };
         let mut waited_for: Vec<_> = self.queues.keys().filter_map(member).collect();
         waited_for.sort_unstable();
-        waited_for.into_iter().for_each(|(_, at)| self.release(Spot::Member(at)));
+        waited_for
+            .into_iter()
+            .for_each(|(_, at)| self.release(Spot::Member(at)));
     }
 
     /// An operator takes a member out, or gives it back; the list has no say in it. What comes back was
@@ -307,7 +355,13 @@
             let (now, started) = (self.now, self.members.dated(self.now));
             let member = &mut self.members[at];
             member.cold_since = started;
-            (member.budget, member.health) = (Bucket::new(now), Health { changed: now, ..Health::default() });
+            (member.budget, member.health) = (
+                Bucket::new(now),
+                Health {
+                    changed: now,
+                    ..Health::default()
+                },
+            );
             self.warming.insert(at);
         }
         self.members_changed(ListKind::Delta, Vec::new());
@@ -324,14 +378,17 @@
             down: m.health.down_since.is_some(),
             lost: m.health.lost,
         });
-        all.filter(|one| one.down || one.cold_since != one.started).collect()
+        all.filter(|one| one.down || one.cold_since != one.started)
+            .collect()
     }
 
     /// Takes over what an earlier process learned of a member that has not started anew since. What was DOWN
     /// is SUSPECT: it has to prove itself to this one.
     fn learn(&mut self, one: LearnedHealth) {
         let same = |at: &usize| self.members[*at].listed.started == one.started;
-        let Some(at) = self.members.find(one.member).filter(same) else { return };
+        let Some(at) = self.members.find(one.member).filter(same) else {
+            return;
+        };
         let member = &mut self.members[at];
         member.cold_since = member.cold_since.max(one.cold_since);
         self.warming.insert(at);
@@ -349,7 +406,10 @@
     // ----------------------------------------------------------------------------------------- placement
     /// Routers that send to members of a role: those of the zone to its caches, all to the others.
     fn routers(&self, role: Role) -> u32 {
-        let zone = self.settings.routers_by_zone.get(usize::from(self.settings.zone));
+        let zone = self
+            .settings
+            .routers_by_zone
+            .get(usize::from(self.settings.zone));
         match role {
             Role::Cache => zone.map_or(1, |n| (*n).max(1)),
             _ => self.settings.routers.max(1),
@@ -374,17 +434,25 @@
         if !self.is_cold(at) {
             return true;
         }
-        let (limits, routers) = (self.members[at].cold, f64::from(self.routers(self.members[at].role)));
-        let (span, work) =
-            (self.settings.overload_span as f64, self.mean_work.iter().fold(1.0, |a, b| b.max(a)));
+        let (limits, routers) = (
+            self.members[at].cold,
+            f64::from(self.routers(self.members[at].role)),
+        );
+        let (span, work) = (
+            self.settings.overload_span as f64,
+            self.mean_work.iter().fold(1.0, |a, b| b.max(a)),
+        );
         let now = self.members.dated(self.now);
         let member = &mut self.members[at];
         let age = now.saturating_sub(member.cold_since) as f64 / limits.warm_in as f64;
         let capacity = member.listed.weight * (limits.from + (1.0 - limits.from) * age.min(1.0));
         let rate = capacity * limits.fall_multiple * COLD_SHARE;
         let some = (rate * span / work / COLD_TURN).floor().clamp(1.0, routers);
-        let place = mix(member.listed.member.0, member.start()).wrapping_add(self.settings.number.into());
-        member.budget.refill(self.now, rate / some, rate / some * span * COLD_BURST);
+        let place =
+            mix(member.listed.member.0, member.start()).wrapping_add(self.settings.number.into());
+        member
+            .budget
+            .refill(self.now, rate / some, rate / some * span * COLD_BURST);
         // Overdrawn by one request, or none larger than the bucket would pass.
         member.budget.level > 0.0 && place % (routers as u64) < some as u64
     }
@@ -406,9 +474,13 @@
     /// What a fill from `source` waits for, if anything: for the link only where reports tell of it.
     fn fill_waits(&self, source: usize, lacks: bool, ask: &Request) -> Option<Spot> {
         let lack = |room: bool, spot: Spot| (!room).then_some(spot);
-        let behind = self.slow_origin(source, ask).filter(|at| lacks && !self.room(*at));
-        let here = lack(self.room(source), Spot::Member(source))
-            .or(lack(self.link_told.is_none() || !self.link.over(NAMED_MOST), Spot::Link));
+        let behind = self
+            .slow_origin(source, ask)
+            .filter(|at| lacks && !self.room(*at));
+        let here = lack(self.room(source), Spot::Member(source)).or(lack(
+            self.link_told.is_none() || !self.link.over(NAMED_MOST),
+            Spot::Link,
+        ));
         here.or(behind.map(Spot::Member))
     }
 
@@ -420,21 +492,30 @@
         let void = self.void >= VOID_MUCH && self.purged(ask);
         let work = ask.size_kb / self.settings.client_kb_per_s * 1e6;
         let apart = !self.settings.joins && work > self.mean_work[usize::from(ask.class)];
-        self.origin().filter(|at| parent && (void || apart || self.members[*at].pace.late >= ORIGIN_LATE))
+        self.origin()
+            .filter(|at| parent && (void || apart || self.members[*at].pace.late >= ORIGIN_LATE))
     }
 
     /// How full the link into the zone is, where a report tells.
     fn link_told(&self) -> Option<f64> {
-        self.link_told.filter(|told| self.now < told.1 + REPORT_FRESH).map(|told| told.0)
+        self.link_told
+            .filter(|told| self.now < told.1 + REPORT_FRESH)
+            .map(|told| told.0)
     }
 
     /// Concurrency limit of a member or the link: guards against a jam in which all answers come too late. A
     /// refusal is a `sure` sign of one. Late answers alone leave the full pace: sizes vary and are not told.
     fn pace(&mut self, spot: Spot, well: bool, sure: bool) {
-        let role = if let Spot::Member(at) = spot { self.members[at].role } else { Role::Cache };
+        let role = if let Spot::Member(at) = spot {
+            self.members[at].role
+        } else {
+            Role::Cache
+        };
         // Where a report says how empty the link is, its limit grows the faster.
-        let empty =
-            self.link_told().filter(|_| spot == Spot::Link).map_or(1.0, |x| LINK_FULL / x.max(LINK_LEAST));
+        let empty = self
+            .link_told()
+            .filter(|_| spot == Spot::Link)
+            .map_or(1.0, |x| LINK_FULL / x.max(LINK_LEAST));
         let growth = (LIMIT_GROWTH / f64::from(self.routers(role))).min(1.0) * empty.max(1.0);
         let (now, pace) = (self.now, self.pace_of(spot));
         pace.late += (f64::from(u8::from(!well)) - pace.late) * EWMA;
@@ -443,7 +524,11 @@
                 pace.limit += growth.max(LIMIT_CATCH_UP * pace.full) / pace.limit;
             }
         } else if (sure || pace.late >= CALM_LATE) && now >= pace.cut_at + LIMIT_PAUSE {
-            let least = if sure { pace.least } else { pace.least.max(pace.full) };
+            let least = if sure {
+                pace.least
+            } else {
+                pace.least.max(pace.full)
+            };
             pace.limit = (pace.limit.min(f64::from(pace.held + 1)) * LIMIT_CUT).max(least);
             pace.cut_at = now;
         }
@@ -467,7 +552,9 @@
     /// Whether the object was purged so lately that old copies may be left.
     fn purged(&self, ask: &Request) -> bool {
         let keep = self.settings.purge_done + PURGE_SLACK;
-        self.purges.last(ask.object, ask.group).is_some_and(|at| self.now < at + keep)
+        self.purges
+            .last(ask.object, ask.group)
+            .is_some_and(|at| self.now < at + keep)
     }
 
     /// The oldest copy that will do, as an age; 0 where any fresh one does. No copy from before a purge may
@@ -475,14 +562,14 @@
     fn oldest(&self, req: &Pending) -> Micros {
         let fresh = req.class.fresh + if req.stale { req.class.grace } else { 0 };
         let keep = self.settings.purge_done + PURGE_SLACK;
-        self.purges.last(req.ask.object, req.ask.group).filter(|at| self.now < at + keep).map_or(
-            fresh,
-            |at| {
+        self.purges
+            .last(req.ask.object, req.ask.group)
+            .filter(|at| self.now < at + keep)
+            .map_or(fresh, |at| {
                 // 0 would ask for the default, so the least is 1.
                 let age = self.now.saturating_sub(at + MS).max(1);
                 age.min(if fresh > 0 { fresh } else { Micros::MAX })
-            },
-        )
+            })
     }
 
     // ------------------------------------------------------------------------------------------ attempts
@@ -494,14 +581,24 @@
             return;
         }
         let work = ask.size_kb / self.settings.client_kb_per_s * 1e6;
-        let work = if work > 0.0 && work.is_finite() && !class.write { work } else { WORK_UNKNOWN };
+        let work = if work > 0.0 && work.is_finite() && !class.write {
+            work
+        } else {
+            WORK_UNKNOWN
+        };
         let mean = &mut self.mean_work[usize::from(ask.class)];
-        *mean = if *mean == 0.0 { work } else { *mean + (work - *mean) * EWMA };
+        *mean = if *mean == 0.0 {
+            work
+        } else {
+            *mean + (work - *mean) * EWMA
+        };
         self.hedges = (self.hedges + HEDGE_RATIO).min(EXTRA_BURST);
         self.retries = (self.retries + RETRY_RATIO).min(EXTRA_BURST);
         let void = f64::from(u8::from(self.purged(&ask)));
         self.void += (void - self.void) * EWMA;
-        let again = self.seen.again((ask.object, ask.part), self.now, KEEP_MEMORY);
+        let again = self
+            .seen
+            .again((ask.object, ask.part), self.now, KEEP_MEMORY);
         let id = ask.id;
         let req = Pending::new(ask, class, work, self.now, again);
         self.pending.insert(id, req);
@@ -510,9 +607,15 @@
 
     /// Sends the next attempt of a request, lets it wait, or gives up.
     fn next_attempt(&mut self, id: RequestId) {
-        let Some(mut req) = self.pending.remove(&id) else { return };
+        let Some(mut req) = self.pending.remove(&id) else {
+            return;
+        };
         let in_time = self.now + LEFT_LEAST < req.deadline;
-        let plan = if in_time && self.may_repeat(&req) { self.plan(&req) } else { Plan::No };
+        let plan = if in_time && self.may_repeat(&req) {
+            self.plan(&req)
+        } else {
+            Plan::No
+        };
         req.hold_until = None;
         let waited = req.waits.take().is_some();
         if let Plan::Wait(spot) = plan {
@@ -520,9 +623,16 @@
             self.queues.add(spot, req.place());
             if !waited {
                 // It waits for as long as an answer can still be in time.
-                let wait = req.aim_at.min(req.deadline).saturating_sub(self.now + req.work as Micros);
+                let wait = req
+                    .aim_at
+                    .min(req.deadline)
+                    .saturating_sub(self.now + req.work as Micros);
                 let most = (req.deadline.saturating_sub(self.now) as f64 * WAIT_MOST) as Micros;
-                let wait = if req.attempts.is_empty() { wait.min(most) } else { wait };
+                let wait = if req.attempts.is_empty() {
+                    wait.min(most)
+                } else {
+                    wait
+                };
                 self.wake(wait.max(MS), Due::Wait(id));
             }
         }
@@ -556,7 +666,9 @@
             return;
         }
         while open(self) {
-            let Some((_, id)) = queue.pop_first() else { break };
+            let Some((_, id)) = queue.pop_first() else {
+                break;
+            };
             self.next_attempt(id);
         }
         self.queues.put_back(spot, queue);
@@ -568,14 +680,20 @@
 
     /// Rule of effects: what may have run is repeated only as its class allows.
     fn may_repeat(&self, req: &Pending) -> bool {
-        if req.attempts.len() >= self.settings.max_attempts as usize || req.errors.len() >= ERRORS_MOST {
+        if req.attempts.len() >= self.settings.max_attempts as usize
+            || req.errors.len() >= ERRORS_MOST
+        {
             return false;
         }
         match (req.may_have_run, req.class.effect) {
             (None, _) | (_, Effect::Safe) => true,
-            (Some(first), Effect::Keyed { group: KeyScope::All, window }) => {
-                self.now + LEFT_LEAST < first + window
-            }
+            (
+                Some(first),
+                Effect::Keyed {
+                    group: KeyScope::All,
+                    window,
+                },
+            ) => self.now + LEFT_LEAST < first + window,
             _ => false,
         }
     }
@@ -583,11 +701,15 @@
     /// Target and source of the next attempt.
     fn plan(&mut self, req: &Pending) -> Plan {
         if req.class.write {
-            let Some(origin) = self.origin() else { return Plan::No };
+            let Some(origin) = self.origin() else {
+                return Plan::No;
+            };
             if self.settings.direct {
                 return Plan::Go(origin, None);
             }
-            return self.cache_for(req).map_or(Plan::No, |target| Plan::Go(target, Some(origin)));
+            return self
+                .cache_for(req)
+                .map_or(Plan::No, |target| Plan::Go(target, Some(origin)));
         }
         let source = self.source_for(req);
         let Some(target) = self.cache_for(req) else {
@@ -600,12 +722,15 @@
         };
         if !self.cache_room(target) {
             // The parents may carry what the caches left have no room for.
-            let spare =
-                source.filter(|at| self.settings.direct && self.fill_waits(*at, false, &req.ask).is_none());
+            let spare = source.filter(|at| {
+                self.settings.direct && self.fill_waits(*at, false, &req.ask).is_none()
+            });
             let straight = |at| Plan::Go(at, self.origin().filter(|o| *o != at));
             return spare.map_or(Plan::Wait(Spot::Cache), straight);
         }
-        let Some(source) = source else { return Plan::Go(target, Some(target)) };
+        let Some(source) = source else {
+            return Plan::Go(target, Some(target));
+        };
         if req.missed {
             // A second fill of the same part would crowd the link: the copy will be there soon.
             let twin = !self.settings.joins && self.filling.contains(&req.key());
@@ -614,12 +739,18 @@
             // late fill holds all of such a limit, and many routers would wait beside an idle origin.
             let mut order = self.order(Role::Parent, &req.ask);
             let home = self.ranked(Role::Parent, &mut order, 0);
-            let bereft =
-                home.is_some_and(|at| !self.members[at].health.selectable(self.now)) || self.thin(source);
-            let spare = self.origin().filter(|o| bereft && !self.room(source) && self.room(*o));
+            let bereft = home.is_some_and(|at| !self.members[at].health.selectable(self.now))
+                || self.thin(source);
+            let spare = self
+                .origin()
+                .filter(|o| bereft && !self.room(source) && self.room(*o));
             let fill = Spot::Fill(req.ask.object, req.ask.part);
             let source = spare.unwrap_or(source);
-            return match if twin { Some(fill) } else { self.fill_waits(source, req.lacks, &req.ask) } {
+            return match if twin {
+                Some(fill)
+            } else {
+                self.fill_waits(source, req.lacks, &req.ask)
+            } {
                 None => Plan::Go(target, Some(source)),
                 // Rather than wait, ask once more for a copy past its fresh time.
                 Some(_) if req.class.grace > 0 && !req.stale => Plan::Go(target, Some(target)),
@@ -627,15 +758,17 @@
             };
         }
         // Where a fill finds no room, a hit is not to wait behind it: look first, fill when there is some.
-        let link =
-            self.link_told.is_some() && self.link.over(NAMED_MOST) || self.link_told() > Some(LINK_FULL);
+        let link = self.link_told.is_some() && self.link.over(NAMED_MOST)
+            || self.link_told() > Some(LINK_FULL);
         let look = (link || self.members[source].pace.over(NAMED_MOST))
             && self.slow_origin(source, &req.ask).is_none();
         Plan::Go(target, Some(if look { target } else { source }))
     }
 
     fn send(&mut self, id: RequestId, target: usize, source: Option<usize>) {
-        let Some(mut req) = self.pending.remove(&id) else { return };
+        let Some(mut req) = self.pending.remove(&id) else {
+            return;
+        };
         let work = self.mean_work[usize::from(req.ask.class)];
         let suspect = |at: usize| self.members[at].health.state(self.now) == State::Suspect;
         let mut attempt = Attempt {
@@ -644,10 +777,15 @@
             sent: self.now,
             live: true,
             cancelled: false,
-            trial: [suspect(target), source.is_some_and(|s| s != target && suspect(s))],
+            trial: [
+                suspect(target),
+                source.is_some_and(|s| s != target && suspect(s)),
+            ],
             charged: 0.0,
             by_link: false,
-            behind: source.filter(|_| req.lacks).and_then(|at| self.slow_origin(at, &req.ask)),
+            behind: source
+                .filter(|_| req.lacks)
+                .and_then(|at| self.slow_origin(at, &req.ask)),
         };
         if let Some(at) = attempt.behind {
             self.take(Spot::Member(at));
@@ -676,16 +814,28 @@
         let fill = source.map(|at| Fill {
             source: self.members[at].listed.member,
             oldest: self.oldest(&req),
-            rank: if req.class.write { 0 } else { 1 + u8::from(req.again) },
+            rank: if req.class.write {
+                0
+            } else {
+                1 + u8::from(req.again)
+            },
             join: self.settings.joins,
             only_held: self.members[at].role == Role::Cache
                 || (!req.lacks && self.slow_origin(at, &req.ask).is_some()),
             renew: req.class.fresh > 0 && !req.class.write,
         });
         let target = self.members[target].listed.member;
-        self.out.push(Action::Send { request: id, target, timeout: 0, fill });
+        self.out.push(Action::Send {
+            request: id,
+            target,
+            timeout: 0,
+            fill,
+        });
         let least = (req.work * OVERDUE_WORK) as Micros + OVERDUE_WAIT;
-        let wait = req.aim_at.saturating_sub(self.now + req.work as Micros).max(least);
+        let wait = req
+            .aim_at
+            .saturating_sub(self.now + req.work as Micros)
+            .max(least);
         if self.now + wait < req.deadline {
             self.wake(wait, Due::Attempt(id, req.attempts.len()));
         }
@@ -695,7 +845,9 @@
 
     /// The wait of a write after a refusal has ended, or one for room, which came to nothing.
     fn wait_over(&mut self, id: RequestId) {
-        let Some(req) = self.pending.get(&id).filter(|r| !r.done) else { return };
+        let Some(req) = self.pending.get(&id).filter(|r| !r.done) else {
+            return;
+        };
         if req.hold_until.is_some_and(|t| t <= self.now) {
             self.next_attempt(id);
         } else if req.waits.is_some() {
@@ -707,17 +859,32 @@
     /// late this is no jam but a stall (a member loses some requests): a second copy goes out or it moves,
     /// within budget. In a jam that would only add to it.
     fn overdue(&mut self, id: RequestId, number: usize) {
-        let Some(req) = self.pending.get(&id).filter(|r| !r.done) else { return };
-        let Some(attempt) = req.attempts.get(number).filter(|a| a.live && !a.cancelled) else { return };
-        let (sent, target, source, trial) = (attempt.sent, attempt.target, attempt.other(), attempt.trial[0]);
+        let Some(req) = self.pending.get(&id).filter(|r| !r.done) else {
+            return;
+        };
+        let Some(attempt) = req.attempts.get(number).filter(|a| a.live && !a.cancelled) else {
+            return;
+        };
+        let (sent, target, source, trial) = (
+            attempt.sent,
+            attempt.target,
+            attempt.other(),
+            attempt.trial[0],
+        );
         let suspect = self.blame(target, source, sent);
-        let Some(mut req) = self.pending.remove(&id) else { return };
-        let alone = req.attempts.iter().all(|a| a.live == (a.sent == sent) && !a.cancelled);
+        let Some(mut req) = self.pending.remove(&id) else {
+            return;
+        };
+        let alone = req
+            .attempts
+            .iter()
+            .all(|a| a.live == (a.sent == sent) && !a.cancelled);
         let mut plan = Plan::No;
         let rescue = req.safe() && alone && self.hedges >= 1.0 && self.may_repeat(&req);
         let calm = |at: usize| self.members[at].pace.late < CALM_LATE;
         let stalled = calm(target) && source.is_none_or(calm);
-        let whole = !self.settings.second_copies && self.settings.cancel && (source.is_none() || trial);
+        let whole =
+            !self.settings.second_copies && self.settings.cancel && (source.is_none() || trial);
         if rescue && stalled && whole {
             // Never two at once here: it is called off, which leads to the next one. Not a fill, whose work
             // would be lost, but one on trial at a suspect.
@@ -753,9 +920,16 @@
     fn peers_fine(&self, at: usize, sent: Timestamp) -> bool {
         let well = |h: &Health| h.down_since.is_none() && h.last_failure <= h.last_answer;
         let few = |h: &Health| well(h) && h.failures * 2 <= MAX_RETRIES;
-        let others = self.members.ready(self.members[at].role).iter().filter(|i| **i != at);
-        let heard = others.map(|i| &self.members[*i].health).filter(|h| !few(h) || h.last_answer >= sent);
-        let (fine, heard) = heard.fold((0, 0), |(fine, all), h| (fine + u32::from(few(h)), all + 1));
+        let others = self
+            .members
+            .ready(self.members[at].role)
+            .iter()
+            .filter(|i| **i != at);
+        let heard = others
+            .map(|i| &self.members[*i].health)
+            .filter(|h| !few(h) || h.last_answer >= sent);
+        let (fine, heard) =
+            heard.fold((0, 0), |(fine, all), h| (fine + u32::from(few(h)), all + 1));
         fine * 2 > heard
     }
 
@@ -764,7 +938,11 @@
         let health = &mut self.members[at].health;
         health.last_failure = self.now;
         // Where little is asked others are heard during its whole silence alone.
-        health.silent = if health.silent <= health.last_answer { sent } else { health.silent.min(sent) };
+        health.silent = if health.silent <= health.last_answer {
+            sent
+        } else {
+            health.silent.min(sent)
+        };
         let since = health.silent;
         if failure == Failure::Soft && !self.peers_fine(at, since) {
             return;
@@ -774,7 +952,9 @@
             return;
         }
         let (role, id, count) = (member.role, member.listed.member.0, member.health.failures);
-        self.out.push(Action::Log(format!("{role:?} {id:x} DOWN after {count} failures, {failure:?}")));
+        self.out.push(Action::Log(format!(
+            "{role:?} {id:x} DOWN after {count} failures, {failure:?}"
+        )));
         if !self.settings.cancel || role != Role::Cache {
             return;
         }
@@ -789,10 +969,22 @@
 
     // ------------------------------------------------------------------------------------------- answers
     fn outcome(&mut self, outcome: Outcome) {
-        let Outcome { request: id, status, note, latency, .. } = outcome;
-        let Some(mut req) = self.pending.remove(&id) else { return };
+        let Outcome {
+            request: id,
+            status,
+            note,
+            latency,
+            ..
+        } = outcome;
+        let Some(mut req) = self.pending.remove(&id) else {
+            return;
+        };
         let part = req.key();
-        let Some(attempt) = req.attempts.get_mut(usize::from(outcome.attempt)).filter(|a| a.live) else {
+        let Some(attempt) = req
+            .attempts
+            .get_mut(usize::from(outcome.attempt))
+            .filter(|a| a.live)
+        else {
             self.pending.insert(id, req);
             return;
         };
@@ -810,7 +1002,9 @@
         if let Some(origin) = behind {
             self.members[origin].pace.give(latency, EWMA);
         }
-        let report = outcome.report.filter(|_| self.members[target].role == Role::Cache);
+        let report = outcome
+            .report
+            .filter(|_| self.members[target].role == Role::Cache);
         let full = report.and_then(|r| r.link).filter(|full| full.is_finite());
         self.link_told = full.map(|full| (full, self.now)).or(self.link_told);
         if let Some(full) = self.link_told().filter(|_| by_link) {
@@ -827,7 +1021,8 @@
             req.may_have_run = Some(sent);
         }
         let in_time = latency <= req.class.aim + (req.class.aim_stretch * req.work) as Micros;
-        let by_source = other.filter(|_| matches!(note, FillNote::SourceRejected | FillNote::SourceLost));
+        let by_source =
+            other.filter(|_| matches!(note, FillNote::SourceRejected | FillNote::SourceLost));
         // The member at fault, if there is one; the failure is never charged to who only passed it on.
         let mut fault = None;
         let mut overload = false;
@@ -836,13 +1031,23 @@
                 self.served(target, sent);
                 // What is served here is a good request: who answered it with an error is at fault.
                 let errors = std::mem::take(&mut req.errors);
-                errors.into_iter().for_each(|(at, sent)| self.failed(at, sent, Failure::Error));
+                errors
+                    .into_iter()
+                    .for_each(|(at, sent)| self.failed(at, sent, Failure::Error));
                 // What came by way of the origin tells of the parent no more than that it answers. A late
                 // fill is no failure, but no sign of life either: attempts that are overdue count (`blame`).
                 let by_origin = note == FillNote::FilledByOrigin;
-                let source = if by_origin { self.origin().or(other) } else { other };
+                let source = if by_origin {
+                    self.origin().or(other)
+                } else {
+                    other
+                };
                 let filled = source.filter(|_| by_origin || note == FillNote::Filled);
-                for at in filled.filter(|_| in_time).into_iter().chain(other.filter(|_| by_origin)) {
+                for at in filled
+                    .filter(|_| in_time)
+                    .into_iter()
+                    .chain(other.filter(|_| by_origin))
+                {
                     self.served(at, sent);
                 }
                 // Of a source of which one place is more than its share a router hears too seldom to tell a
@@ -862,8 +1067,13 @@
                 let slow = latency as f64 > SLOW_FAILURE * req.aim_at.saturating_sub(sent) as f64;
                 overload = !lost;
                 fault = Some((source, if lost { Failure::Lost } else { Failure::Soft }));
-                req.failed_sources.extend(vec![source; if slow { RR_RETRIES } else { 1 }]);
-                self.pace(Spot::Member(source), false, note == FillNote::SourceRejected);
+                req.failed_sources
+                    .extend(vec![source; if slow { RR_RETRIES } else { 1 }]);
+                self.pace(
+                    Spot::Member(source),
+                    false,
+                    note == FillNote::SourceRejected,
+                );
             }
             _ if note == FillNote::SourceMiss => (req.lacks, req.missed) = (true, true),
             // The parent only passed it on: no failure of its own, but what is behind it has no room.
@@ -880,7 +1090,9 @@
                     Status::ConnectFailed | Status::Reset => fault = Some((target, Failure::Lost)),
                     // Bad requests get errors from all: nothing is said of this one before another serves it.
                     Status::Error => req.errors.push((target, sent)),
-                    Status::Timeout => self.pace(Spot::Member(other.unwrap_or(target)), false, false),
+                    Status::Timeout => {
+                        self.pace(Spot::Member(other.unwrap_or(target)), false, false)
+                    }
                     Status::Rejected if note != FillNote::NoFillSlot => {
                         self.pace(Spot::Member(target), false, true)
                     }
@@ -925,7 +1137,11 @@
         let members = [behind, other].map(|at| at.map(Spot::Member));
         let here = [Spot::Cache, Spot::Member(target), Spot::Link].map(Some);
         let fill = other.map(|_| Spot::Fill(part.0, part.1));
-        here.into_iter().chain(members).chain([fill]).flatten().for_each(|spot| self.release(spot));
+        here.into_iter()
+            .chain(members)
+            .chain([fill])
+            .flatten()
+            .for_each(|spot| self.release(spot));
     }
 
     fn served(&mut self, at: usize, sent: Timestamp) {
@@ -939,21 +1155,32 @@
                 member.budget = Bucket::new(self.now);
                 self.warming.insert(at);
             }
-            self.out.push(Action::Log(format!("{:?} {:x} UP again", member.role, member.listed.member.0)));
+            self.out.push(Action::Log(format!(
+                "{:?} {:x} UP again",
+                member.role, member.listed.member.0
+            )));
         }
     }
 
     /// A stream has begun: this attempt belongs to the client, the others are called off.
     fn started(&mut self, id: RequestId, number: u16) {
-        let Some(req) = self.pending.get_mut(&id) else { return };
-        req.call_off_others(Some(usize::from(number)), self.settings.cancel, &mut self.out);
+        let Some(req) = self.pending.get_mut(&id) else {
+            return;
+        };
+        req.call_off_others(
+            Some(usize::from(number)),
+            self.settings.cancel,
+            &mut self.out,
+        );
         // What is marked here is called off by nothing else.
         req.attempts.iter_mut().for_each(|a| a.cancelled = true);
     }
 
     /// The request is over: calls off what is still out and forgets it once nothing is.
     fn finish(&mut self, id: RequestId) {
-        let Some(req) = self.pending.get_mut(&id) else { return };
+        let Some(req) = self.pending.get_mut(&id) else {
+            return;
+        };
         req.done = true;
         if let Some(spot) = req.waits.take() {
             self.queues.remove(spot, &req.place());
@@ -966,13 +1193,20 @@
 
     /// The final answer of what is not served: a refusal where that is known to be harmless.
     fn give_up(&mut self, id: RequestId) {
-        let Some(req) = self.pending.get(&id) else { return };
+        let Some(req) = self.pending.get(&id) else {
+            return;
+        };
         let harmless = match req.class.effect {
-            Effect::Safe | Effect::Keyed { group: KeyScope::All, .. } => true,
+            Effect::Safe
+            | Effect::Keyed {
+                group: KeyScope::All,
+                ..
+            } => true,
             _ => req.may_have_run.is_none(),
         };
         let refusal = Action::Reject(id, self.settings.max_retry_after);
-        self.out.push(if harmless { refusal } else { Action::Fail(id) });
+        self.out
+            .push(if harmless { refusal } else { Action::Fail(id) });
         self.finish(id);
     }
 }
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -12,20 +12,29 @@
 }
 
 impl Fitness {
-    const BEST: Fitness = Fitness { untried: true, has_room: true };
+    const BEST: Fitness = Fitness {
+        untried: true,
+        has_room: true,
+    };
 }
 
 impl Router {
     /// What the rendezvous order of an object goes by. Caches keep each part of an object by itself, so there
     /// the part is hashed too: a much watched object would else rest on one cache alone.
     fn placement_key(role: Role, ask: &Request) -> u64 {
-        let part = if role == Role::Cache { u64::from(ask.part) } else { 0 };
+        let part = if role == Role::Cache {
+            u64::from(ask.part)
+        } else {
+            0
+        };
         mix(ask.object.0, part)
     }
 
     /// The usable members of a role in rendezvous order of the object.
     pub(super) fn order(&mut self, role: Role, ask: &Request) -> Order {
-        self.members.ranking_mut(role).order(Self::placement_key(role, ask))
+        self.members
+            .ranking_mut(role)
+            .order(Self::placement_key(role, ask))
     }
 
     /// The usable caches that connections are held to, in rendezvous order of the object.
@@ -83,7 +92,10 @@
         for at in warming {
             if !self.is_cold(at) {
                 self.warming.remove(&at);
-            } else if self.members[at].role == role && self.members.is_ready(at) && self.trusts(at, probes) {
+            } else if self.members[at].role == role
+                && self.members.is_ready(at)
+                && self.trusts(at, probes)
+            {
                 self.cold_room(at);
             }
         }
@@ -99,12 +111,17 @@
     /// How well a cache would do for a request; `None`: not at all. Only safe requests probe a SUSPECT one.
     fn fitness(&mut self, req: &Pending, at: usize) -> Option<Fitness> {
         let fits = self.trusts(at, req.safe()) && self.cold_room(at);
-        fits.then(|| Fitness { untried: !req.failed.contains(&at), has_room: self.cache_room(at) })
+        fits.then(|| Fitness {
+            untried: !req.failed.contains(&at),
+            has_room: self.cache_room(at),
+        })
     }
 
     /// Whether a cache has room for one more request of this router.
     pub(super) fn cache_room(&self, at: usize) -> bool {
-        let widening = self.reach.widening(at, self.members.ready(Role::Cache).len());
+        let widening = self
+            .reach
+            .widening(at, self.members.ready(Role::Cache).len());
         self.members[at].pace.wider_room(self.now, widening)
     }
 
@@ -139,7 +156,8 @@
     pub(super) fn source_for(&mut self, req: &Pending) -> Option<usize> {
         self.refill(Role::Parent, true);
         let mut order = self.order(Role::Parent, &req.ask);
-        let given_up = |at: usize| req.failed_sources.iter().filter(|s| **s == at).count() >= RR_RETRIES;
+        let given_up =
+            |at: usize| req.failed_sources.iter().filter(|s| **s == at).count() >= RR_RETRIES;
         let (mut first, mut position) = (None, 0);
         while let Some(at) = self.ranked(Role::Parent, &mut order, position) {
             position += 1;
--- a/src/reach.rs
+++ b/src/reach.rs
@@ -42,7 +42,12 @@
 
     /// Caches to which the connections are closed by now are no longer in use.
     pub fn expire(&mut self, now: Timestamp) {
-        while let Some((at, place)) = self.by_time.first().copied().filter(|(at, _)| at + self.idle <= now) {
+        while let Some((at, place)) = self
+            .by_time
+            .first()
+            .copied()
+            .filter(|(at, _)| at + self.idle <= now)
+        {
             self.by_time.remove(&(at, place));
             self.last_sent.remove(&place);
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -61,7 +61,9 @@
     /// The same under a limit that is wider by this factor: turns come as much sooner.
     pub fn wider_room(&self, now: Timestamp, factor: f64) -> bool {
         let (held, limit) = (f64::from(self.held), self.limit * factor);
-        let turn = self.turn_began.saturating_add((self.turn_wait as f64 / factor) as Micros);
+        let turn = self
+            .turn_began
+            .saturating_add((self.turn_wait as f64 / factor) as Micros);
         held + 1.0 <= limit || (held < limit && now >= turn)
     }
 
@@ -176,7 +178,11 @@
     pub fn set_by_hand(&mut self, member: EndpointId, out: bool) -> bool {
         let known = self.find(member);
         known.into_iter().for_each(|at| self.remove_usable(at));
-        let changed = if out { self.by_hand.insert(member) } else { self.by_hand.remove(&member) };
+        let changed = if out {
+            self.by_hand.insert(member)
+        } else {
+            self.by_hand.remove(&member)
+        };
         known.into_iter().for_each(|at| self.insert_usable(at));
         changed
     }
@@ -213,7 +219,9 @@
     pub fn all_gone(&mut self) {
         self.usable = Default::default();
         self.gone = self.index.keys().copied().collect();
-        self.all.iter_mut().for_each(|m| m.listed.state = EndpointState::Removed);
+        self.all
+            .iter_mut()
+            .for_each(|m| m.listed.state = EndpointState::Removed);
     }
 
     /// Takes over what the list says now of a member that is known.
@@ -241,8 +249,17 @@
     /// Forgets members that are gone from the list and have nothing out, and returns their places.
     pub fn forget_gone(&mut self) -> Vec<usize> {
         let all = &self.all;
-        let place = |id: &EndpointId| self.index.get(id).copied().filter(|at| all[*at].pace.held == 0);
-        let over: Vec<_> = self.gone.iter().filter_map(|id| place(id).map(|at| (*id, at))).collect();
+        let place = |id: &EndpointId| {
+            self.index
+                .get(id)
+                .copied()
+                .filter(|at| all[*at].pace.held == 0)
+        };
+        let over: Vec<_> = self
+            .gone
+            .iter()
+            .filter_map(|id| place(id).map(|at| (*id, at)))
+            .collect();
         for (id, at) in &over {
             self.gone.remove(id);
             self.index.remove(id);
@@ -255,8 +272,15 @@
     fn remove_usable(&mut self, at: usize) {
         let Member { listed, role, .. } = &self.all[at];
         self.gone.remove(&listed.member);
-        let (member, weight, usable) = (listed.member, listed.weight, &mut self.usable[*role as usize]);
-        if let Ok(position) = usable.places.binary_search_by_key(&member, |i| self.all[*i].listed.member) {
+        let (member, weight, usable) = (
+            listed.member,
+            listed.weight,
+            &mut self.usable[*role as usize],
+        );
+        if let Ok(position) = usable
+            .places
+            .binary_search_by_key(&member, |i| self.all[*i].listed.member)
+        {
             usable.places.remove(position);
             usable.ranking.remove(member, weight);
         }
@@ -272,7 +296,9 @@
             return;
         }
         let usable = &mut self.usable[*role as usize];
-        let position = usable.places.binary_search_by_key(&listed.member, |i| self.all[*i].listed.member);
+        let position = usable
+            .places
+            .binary_search_by_key(&listed.member, |i| self.all[*i].listed.member);
         if let Err(position) = position {
             usable.places.insert(position, at);
             usable.ranking.insert(listed.member, listed.weight, at);
@@ -319,7 +345,9 @@
 
     /// Target and source, each with whether the attempt probes it.
     pub fn members(&self) -> impl Iterator<Item = (usize, bool)> {
-        let pair = [Some(self.target), self.other()].into_iter().zip(self.trial);
+        let pair = [Some(self.target), self.other()]
+            .into_iter()
+            .zip(self.trial);
         pair.filter_map(|(at, trial)| at.map(|at| (at, trial)))
     }
 
@@ -414,6 +442,9 @@
 
     /// Place in a queue: sending time by worth. Both are positive, so their bits sort like the numbers.
     pub fn place(&self) -> (u64, RequestId) {
-        ((self.work / self.class.worth).max(0.0).to_bits(), self.ask.id)
+        (
+            (self.work / self.class.worth).max(0.0).to_bits(),
+            self.ask.id,
+        )
     }
 }
--- a/startup/src/call_budget.rs
+++ b/startup/src/call_budget.rs
@@ -62,7 +62,10 @@
     fn new(fronts: u32, budget: CallBudget) -> Self {
         let seconds = f64::from(fronts) / budget.calls_per_s.max(f64::MIN_POSITIVE);
         let share = (seconds * 1e6) as Micros;
-        FrontBudget { share: share.max(MIN_SHARE).min(budget.max_wait), urgent_period: budget.urgent_period }
+        FrontBudget {
+            share: share.max(MIN_SHARE).min(budget.max_wait),
+            urgent_period: budget.urgent_period,
+        }
     }
 }
 
@@ -89,7 +92,12 @@
 impl CallSchedule {
     /// The schedule of a front that knows everything up to `now`. Without a budget it calls again after a fifth of a
     /// second, however often that fails.
-    pub fn new(now: Timestamp, position: FleetPosition, seed: u64, budget: Option<CallBudget>) -> Self {
+    pub fn new(
+        now: Timestamp,
+        position: FleetPosition,
+        seed: u64,
+        budget: Option<CallBudget>,
+    ) -> Self {
         let position = position.normalized();
         CallSchedule {
             budget: budget.map(|budget| FrontBudget::new(position.fronts, budget)),
@@ -118,15 +126,19 @@
         self.failures = 1;
         self.spread = true;
         let place = f64::from(self.position.number) + self.random();
-        now + RETRY_INTERVAL + (budget.share as f64 * place / f64::from(self.position.fronts)) as Micros
+        now + RETRY_INTERVAL
+            + (budget.share as f64 * place / f64::from(self.position.fronts)) as Micros
     }
 
     /// A call is made. Returns the deadline by which it must have connected.
     pub fn start_call(&mut self, now: Timestamp) -> Timestamp {
         self.call_started_at = now;
         self.first_message_at = None;
-        let share_limit =
-            |budget: FrontBudget| MAX_CONNECT_TIMEOUT.min(budget.share / 2).max(CONNECT_TIMEOUT);
+        let share_limit = |budget: FrontBudget| {
+            MAX_CONNECT_TIMEOUT
+                .min(budget.share / 2)
+                .max(CONNECT_TIMEOUT)
+        };
         let longest = self.budget.map_or(CONNECT_TIMEOUT, share_limit);
         let growth = CONNECT_TIMEOUT_GROWTH.saturating_pow(self.unanswered);
         let timeout = CONNECT_TIMEOUT.saturating_mul(growth).min(longest);
@@ -164,12 +176,16 @@
     pub fn end_call(&mut self, now: Timestamp, end: CallEnd) -> Timestamp {
         // Judged by the messages, not by how long it was open: a silent connection is not healthy.
         let first_message_at = self.first_message_at.take();
-        let delivered_for = first_message_at.map(|first| self.last_message_at.saturating_sub(first));
+        let delivered_for =
+            first_message_at.map(|first| self.last_message_at.saturating_sub(first));
         if delivered_for.is_some_and(|duration| duration >= MIN_HEALTHY) {
             self.failures = 0;
             self.spread = false;
         }
-        let budget = self.budget.unwrap_or(FrontBudget { share: RETRY_INTERVAL, urgent_period: Micros::MAX });
+        let budget = self.budget.unwrap_or(FrontBudget {
+            share: RETRY_INTERVAL,
+            urgent_period: Micros::MAX,
+        });
         let urgent_until = self.last_message_at.saturating_add(budget.urgent_period);
         let urgent = delivered_for.is_none() && now < urgent_until;
         let rare = !urgent;
@@ -217,7 +233,8 @@
         // A fleet that started in step is spread over the whole share, each front by its number. A silence may have
         // taken longer than the share.
         self.spread = true;
-        let place = (f64::from(self.position.number) + self.random()) / f64::from(self.position.fronts);
+        let place =
+            (f64::from(self.position.number) + self.random()) / f64::from(self.position.fronts);
         ((wait - waited).max(wait / 2.0) * place) as Micros
     }
 }
--- a/startup/src/lib.rs
+++ b/startup/src/lib.rs
@@ -37,6 +37,9 @@
     /// The position with a fleet of at least one front and a number within it.
     fn normalized(self) -> Self {
         let fronts = self.fronts.max(1);
-        FleetPosition { number: self.number % fronts, fronts }
+        FleetPosition {
+            number: self.number % fronts,
+            fronts,
+        }
     }
 }
