--- a/startup/src/peer_bootstrap.rs
+++ b/startup/src/peer_bootstrap.rs
@@ -71,7 +71,11 @@
         let jitter_range = (self.interval as f64 * 2.0 * JITTER) as u64;
         let shortest = (self.interval as f64 * (1.0 - JITTER)) as u64;
         self.next_round = now + shortest + next_u64(&mut self.rng_state) % jitter_range.max(1);
-        let is_available = |peer: &usize| self.backoffs.get(peer).is_none_or(|backoff| backoff.until <= now);
+        let is_available = |peer: &usize| {
+            self.backoffs
+                .get(peer)
+                .is_none_or(|backoff| backoff.until <= now)
+        };
         let mut available: Vec<_> = (0..self.peers).filter(is_available).collect();
         let mut chosen = Vec::new();
         while chosen.len() < PEERS_PER_ROUND && !available.is_empty() {
@@ -89,9 +93,22 @@
 
     /// A peer could not be reached, was too slow, or sent something that cannot be decoded or used.
     pub fn record_failure(&mut self, now: Timestamp, peer: usize) {
-        let failures = self.backoffs.get(&peer).map_or(0, |backoff| backoff.failures) + 1;
-        let rounds = 1u64.checked_shl(failures).unwrap_or(MAX_BACKOFF_ROUNDS).min(MAX_BACKOFF_ROUNDS);
-        self.backoffs.insert(peer, Backoff { until: now + rounds * self.interval, failures });
+        let failures = self
+            .backoffs
+            .get(&peer)
+            .map_or(0, |backoff| backoff.failures)
+            + 1;
+        let rounds = 1u64
+            .checked_shl(failures)
+            .unwrap_or(MAX_BACKOFF_ROUNDS)
+            .min(MAX_BACKOFF_ROUNDS);
+        self.backoffs.insert(
+            peer,
+            Backoff {
+                until: now + rounds * self.interval,
+                failures,
+            },
+        );
         self.offers.remove(&peer);
     }
 
@@ -104,11 +121,23 @@
         offer: ListOffer,
     ) -> bool {
         self.backoffs.remove(&peer);
-        self.offers.insert(peer, TimedOffer { offered_at: now, offer });
+        self.offers.insert(
+            peer,
+            TimedOffer {
+                offered_at: now,
+                offer,
+            },
+        );
         let oldest = now.saturating_sub(OFFER_ROUNDS * self.interval);
-        let counts = |timed: &TimedOffer| timed.offered_at >= oldest && timed.offer.revision > known_revision;
+        let counts = |timed: &TimedOffer| {
+            timed.offered_at >= oldest && timed.offer.revision > known_revision
+        };
         self.offers.retain(|_, timed| counts(timed));
-        let agreeing = self.offers.values().filter(|timed| timed.offer == offer).count();
+        let agreeing = self
+            .offers
+            .values()
+            .filter(|timed| timed.offer == offer)
+            .count();
         offer.revision > known_revision && agreeing >= self.quorum
     }
 }
--- a/startup/src/readiness.rs
+++ b/startup/src/readiness.rs
@@ -34,7 +34,10 @@
         match self {
             NotReady::NoEndpoints => write!(f, "a list of members"),
             NotReady::Connections { connected, needed } => {
-                write!(f, "connections: {connected} of {needed} members are reached")
+                write!(
+                    f,
+                    "connections: {connected} of {needed} members are reached"
+                )
             }
             NotReady::Turn => write!(f, "its turn among the fronts"),
         }
@@ -57,11 +60,21 @@
     pub fn new(now: Timestamp, position: FleetPosition, policy: ReadinessPolicy) -> Self {
         let FleetPosition { number, fronts } = position.normalized();
         let turn = now + policy.spread / u64::from(fronts) * u64::from(number);
-        Readiness { policy, started_at: now, turn, was_ready: false }
+        Readiness {
+            policy,
+            started_at: now,
+            turn,
+            was_ready: false,
+        }
     }
 
     /// Whether the front is ready with `connected` of `listed` endpoints, or what it waits for.
-    pub fn check(&mut self, now: Timestamp, listed: usize, connected: usize) -> Result<(), NotReady> {
+    pub fn check(
+        &mut self,
+        now: Timestamp,
+        listed: usize,
+        connected: usize,
+    ) -> Result<(), NotReady> {
         // Without a list nothing can be served, whatever was reported before.
         if listed == 0 {
             return Err(NotReady::NoEndpoints);
--- a/startup/src/slow_start.rs
+++ b/startup/src/slow_start.rs
@@ -93,7 +93,12 @@
     }
 
     /// Takes in a list, which is `complete` or holds changes only. Returns the entries to admit now.
-    pub fn update(&mut self, now: Timestamp, complete: bool, list: Vec<ListedEndpoint<T>>) -> Vec<T> {
+    pub fn update(
+        &mut self,
+        now: Timestamp,
+        complete: bool,
+        list: Vec<ListedEndpoint<T>>,
+    ) -> Vec<T> {
         if complete {
             let listed: BTreeSet<u64> = list.iter().map(|endpoint| endpoint.id).collect();
             self.in_use.retain(|id, _| listed.contains(id));
@@ -101,10 +106,18 @@
         }
         let mut admitted = Vec::new();
         let mut groups = BTreeSet::new();
-        for ListedEndpoint { id, admission, entry } in list {
+        for ListedEndpoint {
+            id,
+            admission,
+            entry,
+        } in list
+        {
             match admission {
                 Admission::Staggered(group) if !self.in_use.contains_key(&id) => {
-                    let due = self.waiting.get(&id).map_or(now + self.wait(id), |waiting| waiting.due);
+                    let due = self
+                        .waiting
+                        .get(&id)
+                        .map_or(now + self.wait(id), |waiting| waiting.due);
                     self.waiting.insert(id, Waiting { due, group, entry });
                     groups.insert(group);
                 }
@@ -129,12 +142,22 @@
 
     /// Admits the first endpoints of a group of which too few are in use.
     fn admit_immediately(&mut self, group: Group) -> Vec<T> {
-        let in_use = self.in_use.values().filter(|other| **other == group).count();
-        let of_group = self.waiting.iter().filter(|(_, waiting)| waiting.group == group);
+        let in_use = self
+            .in_use
+            .values()
+            .filter(|other| **other == group)
+            .count();
+        let of_group = self
+            .waiting
+            .iter()
+            .filter(|(_, waiting)| waiting.group == group);
         let mut by_due: Vec<_> = of_group.map(|(id, waiting)| (waiting.due, *id)).collect();
         by_due.sort_unstable();
         by_due.truncate(IMMEDIATE_PER_GROUP.saturating_sub(in_use));
-        by_due.into_iter().filter_map(|(_, id)| self.admit(id)).collect()
+        by_due
+            .into_iter()
+            .filter_map(|(_, id)| self.admit(id))
+            .collect()
     }
 
     fn admit(&mut self, id: u64) -> Option<T> {
@@ -145,7 +168,10 @@
 
     /// Admits the endpoints whose turn has come.
     pub fn poll(&mut self, now: Timestamp) -> Vec<T> {
-        let due = self.waiting.iter().filter(|(_, waiting)| waiting.due <= now);
+        let due = self
+            .waiting
+            .iter()
+            .filter(|(_, waiting)| waiting.due <= now);
         let ids: Vec<_> = due.map(|(id, _)| *id).collect();
         ids.into_iter().filter_map(|id| self.admit(id)).collect()
     }
--- a/startup/src/snapshot.rs
+++ b/startup/src/snapshot.rs
@@ -56,7 +56,9 @@
     let age_ms = now_ms.saturating_sub(header.current_at_ms);
     match age_ms.saturating_sub(max_age_ms) {
         0 => Ok(()),
-        excess_ms => Err(SnapshotRejected::TooOld { excess_s: excess_ms.div_ceil(1_000) }),
+        excess_ms => Err(SnapshotRejected::TooOld {
+            excess_s: excess_ms.div_ceil(1_000),
+        }),
     }
 }
 
