--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -10,7 +10,7 @@
 //! `head` tells whether the follower has all.
 use super::{Cursor, Unreadable};
 use cranesill_purges::journal::{self, Found};
-use cranesill_purges::ledger::BATCH_MOST;
+use cranesill_purges::log::BATCH_MOST;
 use cranesill_purges::{Number, Purge};
 
 const MAGIC: &[u8; 8] = b"CRFOLLOW";
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -1,20 +1,20 @@
 //! The chain of stages that every request passes: take in, admit, route, send, relay, book. Requests and
 //! answers go in, commands come out; no bytes of a wire and no socket is seen here, so a second client
 //! protocol would pass through the same decisions and rules.
-mod admit;
-mod ahead;
-mod book;
-mod floors;
+mod accounting;
+mod admission;
+mod clock_offset;
+mod dispatch;
+mod ingress;
+mod purge_floors;
 mod relay;
 mod route;
-mod send;
-mod take_in;
 #[cfg(test)]
 mod tests;
 mod types;
 
-pub use ahead::Ahead;
-pub use floors::{Floors, Judged, Need};
+pub use clock_offset::Ahead;
+pub use purge_floors::{Floors, Judged, Need};
 pub use types::*;
 
 use cranesill::api::{Action, EndpointId, Micros, RequestId, Timestamp};
--- a/front/src/routing/floors.rs
+++ b/front/src/routing/purge_floors.rs
@@ -2,7 +2,7 @@
 //! They are asked when an attempt is sent and again when its answer comes: purges come while requests wait.
 use super::{Ask, MemberReply, Word};
 use cranesill::api::{Micros, Timestamp};
-use cranesill_purges::contact::Contact;
+use cranesill_purges::lease::Contact;
 use cranesill_purges::matching::{tag_mark, Index, Matcher, Set};
 use cranesill_purges::{key, Ms, Number, Purge, What};
 use std::collections::HashMap;
--- a/front/src/program/cli.rs
+++ b/front/src/server/cli.rs
@@ -1,7 +1,7 @@
 //! The command line.
 use super::config::{settings, Config};
 use super::ctl::{self, Ctl};
-use super::serve::Server;
+use super::event_loop::Server;
 use super::signals::Early;
 use bpaf::{construct, long, positional, OptionParser, Parser};
 use cranesill_daemon::Daemon;
--- a/front/src/program/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -1,9 +1,9 @@
 //! The second address, for operators alone: one line a connection, an answer, and a close. What a call does is a word
 //! of the loop, the same that the control socket takes.
 use super::{Driver, Effect, Turn};
-use crate::program::acceptor::{AcceptBackoff, Next};
 use crate::protocol::ops::{answer, decode, Call, LINE_MOST};
 use crate::protocol::{member::name_of, Unreadable};
+use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, used_up, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
--- a/front/src/program/drivers/purges/boxes.rs
+++ b/front/src/server/drivers/purges/boxes.rs
@@ -1,11 +1,11 @@
 //! Connections over which boxes are purged: one to each, beside those of requests. What goes out when is chosen in
-//! `cranesill_purges::boxes`.
-use crate::program::drivers::Turn;
+//! `cranesill_purges::replication`.
 use crate::protocol::{member, purge};
+use crate::server::drivers::Turn;
 use crate::transport::{dial, Stream};
 use cranesill::api::{EndpointId, Micros, Timestamp};
-use cranesill_purges::boxes::Boxes;
-use cranesill_purges::ledger::Ledger;
+use cranesill_purges::log::Ledger;
+use cranesill_purges::replication::Boxes;
 use cranesill_purges::Number;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
@@ -316,7 +316,7 @@
 
     /// How each box stands.
     pub fn rows(&self) -> Vec<Value> {
-        let row = |r: cranesill_purges::boxes::Row| {
+        let row = |r: cranesill_purges::replication::Row| {
             json!({"box": member::name_of(EndpointId(r.id)), "confirmed": r.confirmed, "connected": r.connected,
                    "slow": r.slow, "lies": r.lies})
         };
--- a/front/src/program/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -10,7 +10,7 @@
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Purges as Settings;
 use cranesill_purges::journal::{self, File, Guarded, Opened};
-use cranesill_purges::ledger::{Command, Ledger, Refused, Taken};
+use cranesill_purges::log::{Command, Ledger, Refused, Taken};
 use cranesill_purges::matching::{compile, Set};
 use cranesill_purges::{Ms, Purge, What};
 use replicas::{Followers, Following};
--- a/front/src/program/drivers/purges/replicas.rs
+++ b/front/src/server/drivers/purges/replicas.rs
@@ -1,9 +1,9 @@
 //! The ledger between fronts: the writer's end, which serves those that follow, and a follower's, which keeps contact.
-use crate::program::drivers::Turn;
 use crate::protocol::follow::{frame, hello, read_frame, read_hello, Frame, Hello, HELLO};
+use crate::server::drivers::Turn;
 use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
 use cranesill::api::{Micros, Timestamp};
-use cranesill_purges::ledger::Ledger;
+use cranesill_purges::log::Ledger;
 use cranesill_purges::Number;
 use std::collections::HashMap;
 use std::io;
--- a/front/src/program/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -2,7 +2,7 @@
 //! everything that open connections want. A connection whose handshake is complete is a client's like any other.
 use super::served::{Proof, Table, ACME, BINARY};
 use super::{Driver, Effect, Secured, Turn};
-use crate::program::acceptor::{AcceptBackoff, Next};
+use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::{Daemon, Expired, Tls as Settings};
--- a/front/src/program/serve.rs
+++ b/front/src/server/event_loop.rs
@@ -1,7 +1,8 @@
 //! The loop.
 use super::acceptor::{AcceptBackoff, Next};
-use super::clients::{ClientEvent, Clients};
 use super::config::Config;
+use super::discovery::Discovery;
+use super::downstream::{ClientEvent, Clients};
 use super::drain::{Drain, Stage};
 use super::drivers::certs::Certs;
 use super::drivers::control::Control;
@@ -11,13 +12,12 @@
 use super::drivers::snapshot::{purge_ms, wall_ms, Snapshots};
 use super::drivers::tls::Tls;
 use super::drivers::{slot_of, Driver, Effect, Purging, Secured, Turn};
-use super::feed::Discovery;
 use super::floors;
+use super::handover::{Shared, OUT_MOST};
 use super::log::Log;
-use super::members::{CacheNodes, Ends};
-use super::shared::{Shared, OUT_MOST};
 use super::signals::{drain, raised};
 use super::startup::{calls, known, snapshots, Known, Startup};
+use super::upstream::{CacheNodes, Ends};
 use crate::protocol::feed::{Listing, News};
 use crate::protocol::member::name_of;
 use crate::protocol::ops::member_id;
--- a/front/src/program/floors.rs
+++ b/front/src/server/floors.rs
@@ -3,7 +3,7 @@
 use crate::routing::{Floors, Front};
 use cranesill::api::Timestamp;
 use cranesill_daemon::WithoutContact;
-use cranesill_purges::contact::{Contact, Without};
+use cranesill_purges::lease::{Contact, Without};
 use cranesill_purges::shield::Shield;
 
 /// Takes news of the ledger over; what is to be done elsewhere for it.
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -2,7 +2,7 @@
 mod common;
 use common::*;
 use cranesill_purges::journal::{self, Found};
-use cranesill_purges::ledger::Ledger;
+use cranesill_purges::log::Ledger;
 use cranesill_purges::What;
 use serde_json::{json, Value};
 use std::collections::HashMap;
--- a/purges/examples/measure-purges.rs
+++ b/purges/examples/measure-purges.rs
@@ -1,6 +1,6 @@
 //! Measures matching, the ledger and its journal: `make measure-purges`. The figures stand in `docs/design/purges.md`.
 use cranesill_purges::journal::{self, File, Opened};
-use cranesill_purges::ledger::{Command, Ledger, Taken};
+use cranesill_purges::log::{Command, Ledger, Taken};
 use cranesill_purges::matching::{compile, Index, Matcher};
 use cranesill_purges::{key, Purge, What};
 use std::io;
--- a/purges/src/journal.rs
+++ b/purges/src/journal.rs
@@ -8,7 +8,7 @@
 //! ```
 mod guarded;
 
-use crate::ledger::Ledger;
+use crate::log::Ledger;
 use crate::{Purge, What};
 pub use guarded::Guarded;
 use std::io;
--- a/purges/src/journal/tests.rs
+++ b/purges/src/journal/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::ledger::{Command, Taken};
+use crate::log::{Command, Taken};
 
 #[derive(Default)]
 struct Memory {
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -3,20 +3,20 @@
 //! All of it is without input, output and clock. Moments of purges and copies are Unix milliseconds ([`Ms`]), as the
 //! members' `born` is; what waits goes by a monotonic clock in microseconds ([`Time`]).
 //!
-//! - [`ledger`]: numbers, repeats, followers, compaction.
+//! - [`log`]: numbers, repeats, followers, compaction.
 //! - [`journal`]: the ledger in one file, with checksums.
 //! - [`matching`]: which purge concerns a request. What is unknown counts as matched.
-//! - [`boxes`]: which box has confirmed what, and what it is sent next.
-//! - [`contact`]: what a front may still say that has not heard of the ledger for a while.
+//! - [`replication`]: which box has confirmed what, and what it is sent next.
+//! - [`lease`]: what a front may still say that has not heard of the ledger for a while.
 //! - [`shield`]: how much may go past the caches while floors are high.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-pub mod boxes;
-pub mod contact;
 pub mod journal;
-pub mod ledger;
+pub mod lease;
+pub mod log;
 pub mod matching;
+pub mod replication;
 pub mod shield;
 
 /// Unix milliseconds.
--- a/purges/src/boxes.rs
+++ b/purges/src/replication.rs
@@ -1,6 +1,6 @@
 //! Which box has confirmed what, and what it is sent next: in order, one batch out at a time, slow boxes apart from fast
 //! ones, paced over the fleet.
-use crate::ledger::BATCH_MOST;
+use crate::log::BATCH_MOST;
 use crate::{Micros, Number, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/purges/tests/simulation.rs
+++ b/purges/tests/simulation.rs
@@ -2,10 +2,10 @@
 //! older than a purge that its front had known for half a second; with the strict lease, none older than one that the
 //! ledger had taken longer ago than the lease and half a second; purges reach each box in order; all are confirmed
 //! once the faults end. Taking a guard out has to be found.
-use cranesill_purges::boxes::Boxes;
-use cranesill_purges::contact::{Contact, Without};
-use cranesill_purges::ledger::{Command, Ledger, Taken};
+use cranesill_purges::lease::{Contact, Without};
+use cranesill_purges::log::{Command, Ledger, Taken};
 use cranesill_purges::matching::{compile, tag_mark, Index, Matcher};
+use cranesill_purges::replication::Boxes;
 use cranesill_purges::{key, Ms, Number, Purge, What};
 use std::collections::BTreeMap;
 
