--- a/emulator/src/lists.rs
+++ b/emulator/src/lists.rs
@@ -1,7 +1,7 @@
 //! Calls on a list service that fails for a time and returns with room for so many.
 use crate::rng::Rng;
-use crate::{Time, S};
-use cranesill_startup::{Budget, Calls, End};
+use crate::{Timestamp, S};
+use cranesill_startup::{CallBudget, CallEnd, CallSchedule, FleetPosition};
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -17,24 +17,24 @@
         /// Calls a second of the whole fleet.
         per_s: u32,
         /// The longest wait of one front, in microseconds.
-        most: Time,
+        most: Timestamp,
     },
     /// Twice as long after each failure, up to a longest wait, all in step: not taken.
     Doubling {
         /// The longest wait, in microseconds.
-        most: Time,
+        most: Timestamp,
     },
     /// The same, each wait at random between none and all of it: not taken.
     DoublingAtRandom {
         /// The longest wait, in microseconds.
-        most: Time,
+        most: Timestamp,
     },
 }
 
 impl Way {
     /// Its name in results.
     pub fn name(&self) -> String {
-        let s = |span: &Time| *span as f64 / S as f64;
+        let s = |span: &Timestamp| *span as f64 / S as f64;
         match self {
             Way::NoBudget => "no budget".into(),
             Way::Budget { per_s, most } => format!("budget {per_s}/s, {} s at most", s(most)),
@@ -50,7 +50,7 @@
     /// Fronts.
     pub fronts: u32,
     /// When it returns.
-    pub back: Time,
+    pub back: Timestamp,
     /// Calls that it can serve in a second from then on.
     pub room: u32,
     /// The seed.
@@ -80,27 +80,35 @@
 
 /// Calls of one front.
 enum Caller {
-    Core(Calls),
-    Doubling { wait: Time, most: Time, random: bool },
+    Core(CallSchedule),
+    Doubling {
+        wait: Timestamp,
+        most: Timestamp,
+        random: bool,
+    },
 }
 
-const FIRST: Time = S / 5;
-const DIAL: Time = S / 2;
+const FIRST: Timestamp = S / 5;
+const DIAL: Timestamp = S / 2;
 
 impl Caller {
-    fn begin(&mut self, now: Time) -> Time {
+    fn begin(&mut self, now: Timestamp) -> Timestamp {
         match self {
-            Caller::Core(calls) => calls.begin(now),
+            Caller::Core(calls) => calls.start_call(now),
             Caller::Doubling { .. } => now + DIAL,
         }
     }
 
-    fn end(&mut self, now: Time, end: End, rng: &mut Rng) -> Time {
+    fn end(&mut self, now: Timestamp, end: CallEnd, rng: &mut Rng) -> Timestamp {
         match self {
-            Caller::Core(calls) => calls.end(now, end),
+            Caller::Core(calls) => calls.end_call(now, end),
             Caller::Doubling { wait, most, random } => {
                 *wait = (*wait * 2).clamp(FIRST, *most);
-                now + if *random { (*wait as f64 * rng.roll()) as Time } else { *wait }
+                now + if *random {
+                    (*wait as f64 * rng.roll()) as Timestamp
+                } else {
+                    *wait
+                }
             }
         }
     }
@@ -117,9 +125,9 @@
 }
 
 /// A call that takes that long to be closed again.
-const CLOSES: Time = 2_000;
+const CLOSES: Timestamp = 2_000;
 /// It is not looked further.
-const END: Time = 600 * S;
+const END: Timestamp = 600 * S;
 
 impl Outage {
     /// Plays it with fronts that go this way.
@@ -128,23 +136,38 @@
         let n = self.fronts as usize;
         let mut fronts: Vec<_> = (0..n)
             .map(|front| {
-                let place = (front as u32, self.fronts);
+                let place = FleetPosition {
+                    number: front as u32,
+                    fronts: self.fronts,
+                };
                 let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(front as u64);
                 match way {
-                    Way::NoBudget => Caller::Core(Calls::new(0, place, seed, None)),
+                    Way::NoBudget => Caller::Core(CallSchedule::new(0, place, seed, None)),
                     Way::Budget { per_s, most } => {
-                        let budget = Budget { calls_per_s: per_s.into(), wait_most: most, haste: 0 };
-                        Caller::Core(Calls::new(0, place, seed, Some(budget)))
+                        let budget = CallBudget {
+                            calls_per_s: per_s.into(),
+                            max_wait: most,
+                            urgent_period: 0,
+                        };
+                        Caller::Core(CallSchedule::new(0, place, seed, Some(budget)))
                     }
-                    Way::Doubling { most } => Caller::Doubling { wait: 0, most, random: false },
-                    Way::DoublingAtRandom { most } => Caller::Doubling { wait: 0, most, random: true },
+                    Way::Doubling { most } => Caller::Doubling {
+                        wait: 0,
+                        most,
+                        random: false,
+                    },
+                    Way::DoublingAtRandom { most } => Caller::Doubling {
+                        wait: 0,
+                        most,
+                        random: true,
+                    },
                 }
             })
             .collect();
-        let mut steps: BinaryHeap<Reverse<(Time, Step)>> = BinaryHeap::new();
+        let mut steps: BinaryHeap<Reverse<(Timestamp, Step)>> = BinaryHeap::new();
         for (front, caller) in fronts.iter_mut().enumerate() {
             let first = match caller {
-                Caller::Core(calls) => calls.first(0, false),
+                Caller::Core(calls) => calls.first_call(0, false),
                 Caller::Doubling { random, .. } => {
                     if *random {
                         rng.below(FIRST)
@@ -158,7 +181,7 @@
         let (mut number, mut waits, mut served) = (vec![0u32; n], vec![false; n], Vec::new());
         let mut queue: VecDeque<(usize, u32)> = VecDeque::new();
         let (mut calls, mut in_vain, mut queue_most, mut works) = (Vec::new(), 0, 0, false);
-        let takes = S / Time::from(self.room.max(1));
+        let takes = S / Timestamp::from(self.room.max(1));
         while let Some(Reverse((now, step))) = steps.pop() {
             if now > END || served.len() == n {
                 break;
@@ -169,7 +192,7 @@
                     number[front] += 1;
                     let until = fronts[front].begin(now);
                     if now < self.back {
-                        let again = fronts[front].end(now + CLOSES, End::Closed, &mut rng);
+                        let again = fronts[front].end(now + CLOSES, CallEnd::Closed, &mut rng);
                         steps.push(Reverse((again.max(now + CLOSES), Step::Call(front))));
                         continue;
                     }
@@ -185,7 +208,7 @@
                 Step::GiveUp(front, of) => {
                     if waits[front] && number[front] == of {
                         waits[front] = false;
-                        let again = fronts[front].end(now, End::Unanswered, &mut rng);
+                        let again = fronts[front].end(now, CallEnd::Unanswered, &mut rng);
                         steps.push(Reverse((again.max(now), Step::Call(front))));
                     }
                 }
@@ -205,11 +228,17 @@
                 }
             }
         }
-        let failing: Vec<_> = calls.iter().copied().filter(|at| (4 * S..self.back).contains(at)).collect();
+        let failing: Vec<_> = calls
+            .iter()
+            .copied()
+            .filter(|at| (4 * S..self.back).contains(at))
+            .collect();
         let span = self.back.saturating_sub(4 * S) as f64 / S as f64;
         let after = |share: f64| {
             let place = ((n as f64 * share).ceil() as usize).clamp(1, n) - 1;
-            served.get(place).map(|at| (at - self.back) as f64 / S as f64)
+            served
+                .get(place)
+                .map(|at| (at - self.back) as f64 / S as f64)
         };
         Return {
             calls_a_second: failing.len() as f64 / span,
@@ -225,7 +254,7 @@
 }
 
 /// The most of these in any window; they are in order.
-pub(crate) fn worst(at: &[Time], window: Time) -> usize {
+pub(crate) fn worst(at: &[Timestamp], window: Timestamp) -> usize {
     let (mut most, mut from) = (0, 0);
     for (place, now) in at.iter().enumerate() {
         while at[from] + window <= *now {
--- a/front/src/protocol/feed.rs
+++ b/front/src/protocol/feed.rs
@@ -1,6 +1,6 @@
 //! Events of the control feed.
 use super::{Cursor, Unreadable};
-use cranesill::api::Listed;
+use cranesill::api::EndpointState;
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Bytes of one frame at most: a whole list of some thousand members.
@@ -15,7 +15,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Its state.
-    pub state: Listed,
+    pub state: EndpointState,
     /// Place in the settings' list of zones.
     pub zone: u16,
     /// Place in the settings' list of kinds.
@@ -60,45 +60,82 @@
 /// Takes the first frame off `input`. `None`: it is not whole yet.
 pub fn decode(input: &[u8]) -> Result<Option<Decoded>, Unreadable> {
     let mut cursor = Cursor(input);
-    let Some(length) = cursor.u32().map(|n| n as usize) else { return Ok(None) };
+    let Some(length) = cursor.u32().map(|n| n as usize) else {
+        return Ok(None);
+    };
     if !(9..=LENGTH_MOST).contains(&length) {
         return Err(Unreadable("frame length out of bounds"));
     }
-    let Some(frame) = cursor.bytes(length) else { return Ok(None) };
+    let Some(frame) = cursor.bytes(length) else {
+        return Ok(None);
+    };
     let mut cursor = Cursor(frame);
-    let (number, kind) = cursor.u64().zip(cursor.u8()).ok_or(Unreadable("frame cut off"))?;
+    let (number, kind) = cursor
+        .u64()
+        .zip(cursor.u8())
+        .ok_or(Unreadable("frame cut off"))?;
     let news = match kind {
         0 => None,
         1 | 2 if cursor.0.len() % RECORD != 0 => return Err(Unreadable("record cut off")),
         1 | 2 => {
-            let list = cursor.0.chunks(RECORD).map(|r| listing(Cursor(r))).collect::<Option<Vec<_>>>();
-            Some(News::Members { whole: kind == 1, list: list.ok_or(Unreadable("unknown state"))? })
+            let list = cursor
+                .0
+                .chunks(RECORD)
+                .map(|r| listing(Cursor(r)))
+                .collect::<Option<Vec<_>>>();
+            Some(News::Members {
+                whole: kind == 1,
+                list: list.ok_or(Unreadable("unknown state"))?,
+            })
         }
         3 => {
-            let (object, at_ms) = cursor.u64().zip(cursor.u64()).ok_or(Unreadable("purge cut off"))?;
-            Some(News::Purge { object: Some(object), group: 0, at_ms })
+            let (object, at_ms) = cursor
+                .u64()
+                .zip(cursor.u64())
+                .ok_or(Unreadable("purge cut off"))?;
+            Some(News::Purge {
+                object: Some(object),
+                group: 0,
+                at_ms,
+            })
         }
         4 => {
-            let (group, at_ms) = cursor.u16().zip(cursor.u64()).ok_or(Unreadable("purge cut off"))?;
-            Some(News::Purge { object: None, group: group.into(), at_ms })
+            let (group, at_ms) = cursor
+                .u16()
+                .zip(cursor.u64())
+                .ok_or(Unreadable("purge cut off"))?;
+            Some(News::Purge {
+                object: None,
+                group: group.into(),
+                at_ms,
+            })
         }
         _ => return Err(Unreadable("unknown kind")),
     };
     Ok(Some((number, news, 4 + length)))
 }
 
-fn listing(mut record: Cursor) -> Option<Listing> {
+fn listing(mut record: Cursor<'_>) -> Option<Listing> {
     let id = record.u32()?;
     let address = SocketAddr::from((Ipv4Addr::from(record.array::<4>()?), record.u16()?));
     let state = match record.u8()? {
-        0 => Listed::Ready,
-        1 => Listed::Draining,
-        2 => Listed::Gone,
+        0 => EndpointState::Ready,
+        1 => EndpointState::Draining,
+        2 => EndpointState::Removed,
         _ => return None,
     };
     let (zone, kind, cell) = (record.u8()?.into(), record.u8()?, record.u16()?);
     let weight = f64::from(record.u32()?) / 1e3;
-    Some(Listing { id, address, state, zone, kind, cell, weight, started_ms: record.u64()? })
+    Some(Listing {
+        id,
+        address,
+        state,
+        zone,
+        kind,
+        cell,
+        weight,
+        started_ms: record.u64()?,
+    })
 }
 
 #[cfg(test)]
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -1,23 +1,23 @@
 //! The chain of stages that every request passes: take in, admit, route, send, relay, book. Requests and
 //! answers go in, commands come out; no bytes of a wire and no socket is seen here, so a second client
 //! protocol would pass through the same decisions and rules.
-mod admit;
-mod ahead;
-mod book;
-mod floors;
+mod accounting;
+mod admission;
+mod clock_offset;
+mod dispatch;
+mod ingress;
+mod purge_floors;
 mod relay;
 mod route;
-mod send;
-mod take_in;
 #[cfg(test)]
 mod tests;
 mod types;
 
-pub use ahead::Ahead;
-pub use floors::{Floors, Judged, Need};
+pub use clock_offset::Ahead;
+pub use purge_floors::{Floors, Judged, Need};
 pub use types::*;
 
-use cranesill::api::{Action, MemberId, RequestId, Span, Time};
+use cranesill::api::{Action, EndpointId, Micros, RequestId, Timestamp};
 use cranesill::Router;
 use cranesill_purges::shield::Shield;
 use cranesill_settings::Deployment;
@@ -29,21 +29,21 @@
 struct Open {
     from: ReplyTo,
     ask: Rc<Ask>,
-    deadline: Time,
+    deadline: Timestamp,
     class: usize,
     /// Its class runs at the origin and leaves no copy.
     write: bool,
     /// Attempts sent so far.
     sent: u16,
     /// When the first was sent that may have run.
-    ran: Option<Time>,
+    ran: Option<Timestamp>,
 }
 
 /// An attempt that has not ended.
 #[derive(Debug)]
 struct Out {
-    sent: Time,
-    to: MemberId,
+    sent: Timestamp,
+    to: EndpointId,
     /// What it fetches past the caches, since purges ask for newer than they have.
     past: Option<(u64, u32)>,
 }
@@ -140,16 +140,21 @@
 
     /// Final answers so far: each class with its counts.
     pub fn counts(&self) -> impl Iterator<Item = (&str, &Counts)> {
-        self.deployment.names.classes.iter().map(String::as_str).zip(&self.counts)
+        self.deployment
+            .names
+            .classes
+            .iter()
+            .map(String::as_str)
+            .zip(&self.counts)
     }
 
     /// Whether the decisions avoid a listed member now.
-    pub fn avoids(&self, member: MemberId) -> bool {
+    pub fn avoids(&self, member: EndpointId) -> bool {
         self.router.avoids(member)
     }
 
     /// How long a client is asked to stay away when the front itself has no room.
-    fn later(&self) -> Span {
+    fn later(&self) -> Micros {
         self.deployment.settings.max_retry_after
     }
 }
--- a/front/src/routing/floors.rs
+++ b/front/src/routing/purge_floors.rs
@@ -1,15 +1,15 @@
 //! Floors: the oldest moment from which a copy may stem that answers a request, by the purges that this front knows.
 //! They are asked when an attempt is sent and again when its answer comes: purges come while requests wait.
 use super::{Ask, MemberReply, Word};
-use cranesill::api::{Span, Time};
-use cranesill_purges::contact::Contact;
+use cranesill::api::{Micros, Timestamp};
+use cranesill_purges::lease::Contact;
 use cranesill_purges::matching::{tag_mark, Index, Matcher, Set};
 use cranesill_purges::{key, Ms, Number, Purge, What};
 use std::collections::HashMap;
 
 /// Tags that one answer may name.
 const TAGS_MOST: usize = 16;
-const MS: Span = 1_000;
+const MS: Micros = 1_000;
 /// Objects and parts under a floor of which it is remembered that they were renewed, in each of two generations.
 const RENEWED_MOST: usize = 32_768;
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Need {
     /// The oldest that will do, as an age.
-    pub oldest: Span,
+    pub oldest: Micros,
     /// One that is new enough was seen already: caches need not go past themselves.
     pub renewed: bool,
 }
@@ -44,8 +44,8 @@
     /// answers are judged by it.
     pub confirmed: Number,
     /// When the copies were given out that were seen lately of objects and parts under a floor, in two generations.
-    renewed: HashMap<(u64, u32), Time>,
-    renewed_before: HashMap<(u64, u32), Time>,
+    renewed: HashMap<(u64, u32), Timestamp>,
+    renewed_before: HashMap<(u64, u32), Timestamp>,
     /// With the writer of the ledger, where this front follows one.
     pub contact: Option<Contact>,
     /// Answers that were refused for their age, and of them those that were asked for better.
@@ -106,49 +106,71 @@
                 let (known, with) = self.index.count(tag);
                 (known, Some(with))
             }
-            What::Object(object) => {
-                (self.index.count("").0, Some(usize::from(self.index.tags(*object).is_some())))
-            }
+            What::Object(object) => (
+                self.index.count("").0,
+                Some(usize::from(self.index.tags(*object).is_some())),
+            ),
             _ => (self.index.count("").0, None),
         }
     }
 
-    fn floor(&self, now: Time, after: Number, ask: &Ask, tags: Option<&[u64]>) -> Time {
+    fn floor(&self, now: Timestamp, after: Number, ask: &Ask, tags: Option<&[u64]>) -> Timestamp {
         let Some(item) = &ask.item else { return 0 };
         let contact = self.contact.as_ref().map_or(0, |c| c.floor(now, now / MS));
-        let contact = if contact > 0 { contact.saturating_add(self.skew) } else { 0 };
+        let contact = if contact > 0 {
+            contact.saturating_add(self.skew)
+        } else {
+            0
+        };
         if self.matcher.is_empty() {
             return contact.saturating_mul(MS);
         }
         let key = key(&ask.class, item.id, ask.part);
-        self.matcher.floor(after, item.id, ask.group, tags, &key).max(contact).saturating_mul(MS)
+        self.matcher
+            .floor(after, item.id, ask.group, tags, &key)
+            .max(contact)
+            .saturating_mul(MS)
     }
 
     /// What purges ask of the copy that answers a request; `None`: nothing beyond `oldest`, the age that will do (0:
     /// as the class has it).
-    pub fn need(&self, now: Time, ask: &Ask, oldest: Span) -> Option<Need> {
+    pub fn need(&self, now: Timestamp, ask: &Ask, oldest: Micros) -> Option<Need> {
         let item = ask.item.as_ref()?;
         let floor = self.floor(now, self.confirmed, ask, self.index.tags(item.id));
         // 0 would ask for the class's own, so the least is a millisecond.
         let age = Some(now.saturating_sub(floor).max(MS))
             .filter(|age| floor > 0 && (oldest == 0 || *age < oldest))?;
         let key = (item.id, ask.part);
-        let born = self.renewed.get(&key).or_else(|| self.renewed_before.get(&key));
-        Some(Need { oldest: age, renewed: born.is_some_and(|born| *born >= floor) })
+        let born = self
+            .renewed
+            .get(&key)
+            .or_else(|| self.renewed_before.get(&key));
+        Some(Need {
+            oldest: age,
+            renewed: born.is_some_and(|born| *born >= floor),
+        })
     }
 
     /// Judges an answer that a member says is good, by the tags that it names itself: an older version may carry others
     /// than those that are known. One that names none is unknown.
-    pub fn judge(&mut self, now: Time, ask: &Ask, reply: &MemberReply) -> Judged {
+    pub fn judge(&mut self, now: Timestamp, ask: &Ask, reply: &MemberReply) -> Judged {
         if !matches!(reply.word, Word::Hit | Word::Valid) {
             return Judged::Good;
         }
-        let Some(item) = &ask.item else { return Judged::Good };
-        let names: Option<Vec<&str>> =
-            reply.tags.as_ref().map(|t| t.split(';').filter(|t| !t.is_empty()).take(TAGS_MOST + 1).collect());
+        let Some(item) = &ask.item else {
+            return Judged::Good;
+        };
+        let names: Option<Vec<&str>> = reply.tags.as_ref().map(|t| {
+            t.split(';')
+                .filter(|t| !t.is_empty())
+                .take(TAGS_MOST + 1)
+                .collect()
+        });
         // One with too many is unknown.
         let names = names.filter(|names| names.len() <= TAGS_MOST);
-        let marks: Option<Vec<u64>> = names.as_ref().map(|names| names.iter().map(|t| tag_mark(t)).collect());
+        let marks: Option<Vec<u64>> = names
+            .as_ref()
+            .map(|names| names.iter().map(|t| tag_mark(t)).collect());
         let floor = self.floor(now, 0, ask, marks.as_deref());
         let born = reply.born.unwrap_or(0).saturating_mul(MS);
         if floor > 0 && born < floor {
@@ -170,7 +192,9 @@
             }
             self.renewed.insert((item.id, ask.part), born);
         }
-        self.contact.iter_mut().for_each(|contact| contact.answered(now));
+        self.contact
+            .iter_mut()
+            .for_each(|contact| contact.answered(now));
         Judged::Good
     }
 }
--- a/front/src/program/drivers/purges/replicas.rs
+++ b/front/src/server/drivers/purges/replicas.rs
@@ -1,9 +1,9 @@
 //! The ledger between fronts: the writer's end, which serves those that follow, and a follower's, which keeps contact.
-use crate::program::drivers::Turn;
 use crate::protocol::follow::{frame, hello, read_frame, read_hello, Frame, Hello, HELLO};
+use crate::server::drivers::Turn;
 use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
-use cranesill::api::{Span, Time};
-use cranesill_purges::ledger::Ledger;
+use cranesill::api::{Micros, Timestamp};
+use cranesill_purges::log::Ledger;
 use cranesill_purges::Number;
 use std::collections::HashMap;
 use std::io;
@@ -13,18 +13,23 @@
 /// Followers at once; one more is closed.
 pub const FOLLOWERS_MOST: usize = 32;
 /// A follower that has not said who it is after this long, or takes nothing for this long, is closed.
-const SILENCE_MOST: Span = 5_000_000;
+const SILENCE_MOST: Micros = 5_000_000;
 /// An empty batch goes out after this long without another.
-const BEAT: Span = 500_000;
+const BEAT: Micros = 500_000;
 /// Pauses between two tries of a follower: the first, and the longest.
-const RETRY_FIRST: Span = 200_000;
-const RETRY_MOST: Span = 5_000_000;
+const RETRY_FIRST: Micros = 200_000;
+const RETRY_MOST: Micros = 5_000_000;
 /// Without a whole frame for this long a follower connects anew.
-const QUIET_MOST: Span = 2_500_000;
+const QUIET_MOST: Micros = 2_500_000;
 const READ_MOST: usize = 64 * 1024;
 
 fn out(bytes: Vec<u8>) -> Outgoing<()> {
-    Outgoing { tag: (), head: bytes, body: Rc::default(), tail: b"" }
+    Outgoing {
+        tag: (),
+        head: bytes,
+        body: Rc::default(),
+        tail: b"",
+    }
 }
 
 #[derive(Debug)]
@@ -34,8 +39,8 @@
     last: Option<Number>,
     /// Up to where the batch goes that is out.
     sent: Option<Number>,
-    moved: Time,
-    beat: Time,
+    moved: Timestamp,
+    beat: Timestamp,
 }
 
 /// The writer's end.
@@ -51,13 +56,23 @@
     /// Listens.
     pub fn new(turn: &mut Turn<'_>, at: &str) -> Result<Self, String> {
         let failed = |e: &dyn std::fmt::Display| format!("purges.serve: {at}: {e}");
-        let address: SocketAddr = at.parse().map_err(|e: std::net::AddrParseError| failed(&e))?;
+        let address: SocketAddr = at
+            .parse()
+            .map_err(|e: std::net::AddrParseError| failed(&e))?;
         let listener_key = turn.key();
         let listener = at_start(|| listen(address)).map_err(|e| failed(&e))?;
         let local = listener.local_addr().map_err(|e| failed(&e))?;
         tracing::info!(at = %local, "purges: serving the ledger");
-        let listener = turn.reactor.watch(listener, listener_key, false).map_err(|e| failed(&e))?;
-        Ok(Followers { listener, listener_key, all: HashMap::new(), scratch: vec![0; READ_MOST] })
+        let listener = turn
+            .reactor
+            .watch(listener, listener_key, false)
+            .map_err(|e| failed(&e))?;
+        Ok(Followers {
+            listener,
+            listener_key,
+            all: HashMap::new(),
+            scratch: vec![0; READ_MOST],
+        })
     }
 
     /// Whether this is one of its sources.
@@ -80,7 +95,13 @@
                 }
                 let key = turn.key();
                 if let Ok(stream) = Stream::new(turn.reactor, socket, key, false) {
-                    let reader = Reader { stream, last: None, sent: None, moved: turn.now, beat: turn.now };
+                    let reader = Reader {
+                        stream,
+                        last: None,
+                        sent: None,
+                        moved: turn.now,
+                        beat: turn.now,
+                    };
                     self.all.insert(key, reader);
                 }
             }
@@ -92,8 +113,10 @@
         }
     }
 
-    fn read(&mut self, now: Time, key: usize, ledger: &Ledger) -> io::Result<()> {
-        let Some(reader) = self.all.get_mut(&key) else { return Ok(()) };
+    fn read(&mut self, now: Timestamp, key: usize, ledger: &Ledger) -> io::Result<()> {
+        let Some(reader) = self.all.get_mut(&key) else {
+            return Ok(());
+        };
         let bad = |why: &'static str| io::Error::new(io::ErrorKind::InvalidData, why);
         reader.stream.flush(|()| {})?;
         while let Some(n) = reader.stream.fill(&mut self.scratch)? {
@@ -102,19 +125,31 @@
             }
             reader.moved = now;
             if reader.last.is_none() {
-                let Some(told) = read_hello(reader.stream.input()).map_err(|e| bad(e.0))? else { continue };
+                let Some(told) = read_hello(reader.stream.input()).map_err(|e| bad(e.0))? else {
+                    continue;
+                };
                 reader.stream.consume(HELLO);
-                let known =
-                    told.ledger == ledger.identity && (ledger.base()..=ledger.last()).contains(&told.last);
+                let known = told.ledger == ledger.identity
+                    && (ledger.base()..=ledger.last()).contains(&told.last);
                 let last = if known { told.last } else { ledger.base() };
                 if !known {
                     let (identity, base, head) = (ledger.identity, ledger.base(), ledger.last());
-                    let anew = Frame { anew: true, ledger: identity, base, head, purges: Vec::new() };
+                    let anew = Frame {
+                        anew: true,
+                        ledger: identity,
+                        base,
+                        head,
+                        purges: Vec::new(),
+                    };
                     reader.stream.push(out(frame(&anew)));
                 }
                 reader.last = Some(last);
             }
-            while let Some(number) = reader.stream.input().first_chunk::<8>().map(|b| u64::from_le_bytes(*b))
+            while let Some(number) = reader
+                .stream
+                .input()
+                .first_chunk::<8>()
+                .map(|b| u64::from_le_bytes(*b))
             {
                 reader.stream.consume(8);
                 // Its word for what is out, and for nothing else.
@@ -131,14 +166,17 @@
     }
 
     /// Sends what is due.
-    pub fn work(&mut self, now: Time, ledger: &Ledger) {
+    pub fn work(&mut self, now: Timestamp, ledger: &Ledger) {
         let mut gone = Vec::new();
         for (key, reader) in &mut self.all {
             let waits = reader.last.is_none() || reader.sent.is_some() || !reader.stream.flushed();
             if waits && now > reader.moved + SILENCE_MOST {
                 gone.push(*key);
             }
-            let Some(last) = reader.last.filter(|_| reader.sent.is_none() && reader.stream.flushed()) else {
+            let Some(last) = reader
+                .last
+                .filter(|_| reader.sent.is_none() && reader.stream.flushed())
+            else {
                 continue;
             };
             if last >= ledger.last() && now < reader.beat {
@@ -151,13 +189,24 @@
             };
             reader.sent = purges.last().map(|p| p.number);
             let (identity, base, head) = (ledger.identity, ledger.base(), ledger.last());
-            let batch = Frame { anew: false, ledger: identity, base, head, purges };
+            let batch = Frame {
+                anew: false,
+                ledger: identity,
+                base,
+                head,
+                purges,
+            };
             reader.stream.push(out(frame(&batch)));
             reader.beat = now + BEAT;
             if reader.sent.is_some() {
                 reader.moved = now;
             }
-            if reader.stream.flush(|()| {}).and_then(|()| reader.stream.rewatch(true)).is_err() {
+            if reader
+                .stream
+                .flush(|()| {})
+                .and_then(|()| reader.stream.rewatch(true))
+                .is_err()
+            {
                 gone.push(*key);
             }
         }
@@ -165,7 +214,7 @@
     }
 
     /// The next moment at which something is due.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         let due = |r: &Reader| {
             if r.last.is_some() && r.sent.is_none() {
                 r.beat
@@ -182,8 +231,8 @@
 pub struct Following {
     address: SocketAddr,
     link: Option<(usize, Stream<()>)>,
-    heard: Time,
-    due: Time,
+    heard: Timestamp,
+    due: Timestamp,
     failures: u32,
     /// The last purge that came on this connection and is not confirmed.
     owed: Option<Number>,
@@ -192,8 +241,10 @@
 
 impl Following {
     /// Not connected yet.
-    pub fn new(now: Time, address: &str) -> Result<Self, String> {
-        let address = address.parse().map_err(|e| format!("purges.follow.address: {address}: {e}"))?;
+    pub fn new(now: Timestamp, address: &str) -> Result<Self, String> {
+        let address = address
+            .parse()
+            .map_err(|e| format!("purges.follow.address: {address}: {e}"))?;
         Ok(Following {
             address,
             link: None,
@@ -211,7 +262,7 @@
     }
 
     /// Frames that came.
-    pub fn ready(&mut self, now: Time) -> Vec<Frame> {
+    pub fn ready(&mut self, now: Timestamp) -> Vec<Frame> {
         let mut frames = Vec::new();
         if let Err(error) = self.read(now, &mut frames) {
             self.lost(now, &error.to_string());
@@ -219,8 +270,10 @@
         frames
     }
 
-    fn read(&mut self, now: Time, frames: &mut Vec<Frame>) -> io::Result<()> {
-        let Some((_, stream)) = &mut self.link else { return Ok(()) };
+    fn read(&mut self, now: Timestamp, frames: &mut Vec<Frame>) -> io::Result<()> {
+        let Some((_, stream)) = &mut self.link else {
+            return Ok(());
+        };
         if !stream.connected()? {
             return Ok(());
         }
@@ -230,7 +283,9 @@
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            while let Some((frame, used)) = read_frame(stream.input()).map_err(|e| io::Error::other(e.0))? {
+            while let Some((frame, used)) =
+                read_frame(stream.input()).map_err(|e| io::Error::other(e.0))?
+            {
                 stream.consume(used);
                 (self.heard, self.failures) = (now, 0);
                 frames.push(frame);
@@ -240,7 +295,7 @@
     }
 
     /// What came can't be used, or nothing comes any more.
-    pub fn lost(&mut self, now: Time, why: &str) {
+    pub fn lost(&mut self, now: Timestamp, why: &str) {
         if self.link.take().is_some() || self.failures == 0 {
             tracing::info!(kind = "writer-lost", writer = %self.address, error = why, "purges: no connection to the writer");
         }
@@ -256,8 +311,10 @@
     }
 
     /// Everything up to a number is durable. The writer is told where it waits for that.
-    pub fn kept(&mut self, now: Time, durable: Number) {
-        let Some(number) = self.owed.filter(|number| *number <= durable) else { return };
+    pub fn kept(&mut self, now: Timestamp, durable: Number) {
+        let Some(number) = self.owed.filter(|number| *number <= durable) else {
+            return;
+        };
         self.owed = None;
         if let Some((_, stream)) = &mut self.link {
             stream.push(out(number.to_le_bytes().to_vec()));
@@ -288,7 +345,7 @@
     }
 
     /// The next moment at which something is due.
-    pub fn next(&self) -> Time {
+    pub fn next(&self) -> Timestamp {
         if self.link.is_some() {
             self.heard + QUIET_MOST + 1
         } else {
--- a/front/src/program/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -4,8 +4,8 @@
 use crate::protocol::feed::News;
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::Workers;
-use cranesill::api::{Span, Time};
-use cranesill_startup::{judge, Dated};
+use cranesill::api::{Micros, Timestamp};
+use cranesill_startup::{check_snapshot, SnapshotHeader};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -15,27 +15,33 @@
 /// Files of the folder that are looked at for what is left of killed processes.
 const FILES_MAX: usize = 10_000;
 /// Pause between two writes.
-const EACH: Span = 1_000_000;
+const EACH: Micros = 1_000_000;
 /// While nothing changes the list is written this often, with the time at which it was still known to be so. It is dated by the
 /// wall clock, which the next process compares; a step of that is made up for by the next of these writes.
-const AGAIN: Span = 20_000_000;
+const AGAIN: Micros = 20_000_000;
 /// Purges are kept this much longer than members may hold older copies.
 const PURGE_SLACK_MS: u64 = 2_000;
 
 /// For how long purges are kept, where members may hold older copies for `takes`.
-pub fn purge_ms(takes: Span) -> u64 {
+pub fn purge_ms(takes: Micros) -> u64 {
     takes / 1_000 + PURGE_SLACK_MS
 }
 
 /// Unix milliseconds.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// Where the snapshot of a front of this name lies.
 pub fn path(folder: &Path, name: &str) -> PathBuf {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    let name: String = name.bytes().map(|b| if plain(b) { char::from(b) } else { '_' }).collect();
+    let name: String = name
+        .bytes()
+        .map(|b| if plain(b) { char::from(b) } else { '_' })
+        .collect();
     folder.join(format!("{name}.list"))
 }
 
@@ -43,7 +49,10 @@
 pub fn load(path: &Path, source: u64, known: u64, serve_ms: u64) -> Option<Snapshot> {
     let mut text = Vec::new();
     // Not blocking: what somebody else put there may be a pipe that nobody writes to.
-    let opened = File::options().read(true).custom_flags(libc::O_NONBLOCK).open(path);
+    let opened = File::options()
+        .read(true)
+        .custom_flags(libc::O_NONBLOCK)
+        .open(path);
     let read = opened.and_then(|file| file.take(BYTES_MOST as u64 + 1).read_to_end(&mut text));
     let found = match read {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
@@ -51,8 +60,14 @@
         Ok(_) => Snapshot::read(&text).map_err(str::to_string),
     };
     let found = found.and_then(|found| {
-        let dated = Dated { source: found.source, number: found.number, at_ms: found.at_ms };
-        judge(wall_ms(), dated, source, known, serve_ms).map_err(|why| why.to_string()).map(|()| found)
+        let header = SnapshotHeader {
+            source: found.source,
+            revision: found.number,
+            current_at_ms: found.at_ms,
+        };
+        check_snapshot(wall_ms(), header, source, known, serve_ms)
+            .map_err(|why| why.to_string())
+            .map(|()| found)
     });
     let at = path.display();
     match found {
@@ -71,7 +86,10 @@
 
 fn write(path: &Path, text: &str) -> io::Result<()> {
     let aside = aside_of(path);
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let written = File::create(&aside).and_then(|mut file| {
         file.write_all(text.as_bytes())?;
         // A name must not come to stand for what the disk does not have yet.
@@ -94,15 +112,25 @@
 /// Takes away what processes of this front left that were killed in the midst of a write. One that still lives, and writes at
 /// this moment, fails and writes again.
 fn clean(path: &Path) {
-    let Some((folder, stem)) = path.parent().zip(path.file_stem().and_then(|stem| stem.to_str())) else {
+    let Some((folder, stem)) = path
+        .parent()
+        .zip(path.file_stem().and_then(|stem| stem.to_str()))
+    else {
         return;
     };
     let is_left = |name: &str| {
-        let middle = name.strip_prefix(stem).and_then(|rest| rest.strip_prefix('.')?.strip_suffix(".tmp"));
+        let middle = name
+            .strip_prefix(stem)
+            .and_then(|rest| rest.strip_prefix('.')?.strip_suffix(".tmp"));
         middle.is_some_and(|pid| !pid.is_empty() && pid.bytes().all(|b| b.is_ascii_digit()))
     };
     // Best effort: a folder that can't be read is told of when something is written.
-    for file in fs::read_dir(folder).into_iter().flatten().flatten().take(FILES_MAX) {
+    for file in fs::read_dir(folder)
+        .into_iter()
+        .flatten()
+        .flatten()
+        .take(FILES_MAX)
+    {
         if file.file_name().to_str().is_some_and(is_left) {
             let _ = fs::remove_file(file.path());
         }
@@ -119,17 +147,23 @@
     /// Something is not written yet; a write is under way.
     dirty: bool,
     busy: bool,
-    due: Time,
+    due: Timestamp,
     failed: bool,
     /// When the list was last dated.
-    dated: Time,
+    dated: Timestamp,
 }
 
 impl Snapshots {
     /// Keeps what is known and becomes known in `path`; `purge` is for how long members may hold purged copies.
-    pub fn new(turn: &mut Turn<'_>, path: PathBuf, known: Snapshot, purge: Span) -> Result<Self, String> {
+    pub fn new(
+        turn: &mut Turn<'_>,
+        path: PathBuf,
+        known: Snapshot,
+        purge: Micros,
+    ) -> Result<Self, String> {
         let key = turn.key();
-        let workers = Workers::new(turn.reactor, key).map_err(|e| format!("startup.snapshots: {e}"))?;
+        let workers =
+            Workers::new(turn.reactor, key).map_err(|e| format!("startup.snapshots: {e}"))?;
         let purge_ms = purge_ms(purge);
         clean(&path);
         Ok(Snapshots {
@@ -145,8 +179,9 @@
         })
     }
 
-    fn news(&mut self, now: Time, number: u64, news: &News) {
-        self.known.take(number, wall_ms(), now / 1_000, self.purge_ms, news);
+    fn news(&mut self, now: Timestamp, number: u64, news: &News) {
+        self.known
+            .take(number, wall_ms(), now / 1_000, self.purge_ms, news);
         self.dated = now;
         self.dirty = true;
     }
@@ -190,7 +225,7 @@
         self.due = turn.now + EACH;
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next(&self) -> Option<Timestamp> {
         (self.dirty && !self.busy).then_some(self.due)
     }
 
--- a/front/src/program/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -2,11 +2,11 @@
 //! everything that open connections want. A connection whose handshake is complete is a client's like any other.
 use super::served::{Proof, Table, ACME, BINARY};
 use super::{Driver, Effect, Secured, Turn};
-use crate::program::acceptor::{AcceptBackoff, Next};
+use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, AcceptFault, Registered};
-use cranesill::api::{Span, Time};
-use cranesill_budget::{CoreTime, Places};
+use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::{Daemon, Expired, Tls as Settings};
+use cranesill_limits::{CpuShare, Slots};
 use rustls::server::Acceptor;
 use rustls::{ServerConfig, ServerConnection};
 use serde_json::json;
@@ -17,15 +17,15 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Core time that handshakes get in one turn before open connections are looked at again.
-const SLICE: Span = 2_000;
+const SLICE: Micros = 2_000;
 /// Connections accepted in one turn.
 const ACCEPTS_MOST: usize = 16;
 /// A place is kept for this long before it may be displaced: those that come in a flood wait in the system's queue.
-const KEPT_LEAST: Span = 250_000;
+const KEPT_LEAST: Micros = 250_000;
 /// Bytes that a client may send before its handshake is complete.
 const HELLO_MOST: usize = 64 * 1024;
 /// Pause between two notes of handshakes that failed.
-const NOTE_EACH: Span = 1_000_000;
+const NOTE_EACH: Micros = 1_000_000;
 
 /// Alerts that are sent before there are keys (RFC 8446, section 6; RFC 6066, section 3; RFC 7301, section 3.2).
 const CERTIFICATE_EXPIRED: u8 = 45;
@@ -74,18 +74,18 @@
     settings: Settings,
     table: Arc<Table>,
     proofs: HashMap<String, Arc<Proof>>,
-    places: Places,
-    budget: CoreTime,
+    slots: Slots,
+    cpu_share: CpuShare,
     /// When each place was taken, oldest first; some have gone.
-    taken: std::collections::VecDeque<(Time, usize)>,
+    taken: std::collections::VecDeque<(Timestamp, usize)>,
     all: HashMap<usize, Handshake>,
     counts: Counts,
     /// Failures since the last note.
     untold: BTreeMap<&'static str, u64>,
-    note_at: Time,
+    note_at: Timestamp,
     accepts: AcceptBackoff,
     /// Nothing is accepted before this moment: a call failed.
-    rests: Time,
+    rests: Timestamp,
     draining: bool,
 }
 
@@ -93,11 +93,17 @@
     /// Listens.
     pub fn new(turn: &mut Turn<'_>, settings: Settings) -> Result<Self, String> {
         let failed = |e: &dyn std::fmt::Display| format!("tls.listen: {}: {e}", settings.listen);
-        let at: SocketAddr = settings.listen.parse().map_err(|e: std::net::AddrParseError| failed(&e))?;
+        let at: SocketAddr = settings
+            .listen
+            .parse()
+            .map_err(|e: std::net::AddrParseError| failed(&e))?;
         let listener_key = turn.key();
         let listener = at_start(|| listen(at)).map_err(|e| failed(&e))?;
         let at = listener.local_addr().map_err(|e| failed(&e))?;
-        let listener = turn.reactor.watch(listener, listener_key, false).map_err(|e| failed(&e))?;
+        let listener = turn
+            .reactor
+            .watch(listener, listener_key, false)
+            .map_err(|e| failed(&e))?;
         tracing::info!(%at, "TLS listening");
         let span = settings.handshake_ms * 1_000;
         Ok(Tls {
@@ -105,8 +111,8 @@
             listener_key,
             at,
             accepting: true,
-            places: Places::new(settings.handshakes_most, span),
-            budget: CoreTime::new(turn.now, settings.core_percent),
+            slots: Slots::new(settings.handshakes_most, span),
+            cpu_share: CpuShare::new(turn.now, settings.core_percent),
             settings,
             table: Arc::default(),
             proofs: HashMap::new(),
@@ -122,11 +128,15 @@
     }
 
     /// When a connection may be accepted.
-    fn room(&mut self, now: Time) -> Result<(), Time> {
-        while self.taken.front().is_some_and(|(_, key)| !self.all.contains_key(key)) {
+    fn room(&mut self, now: Timestamp) -> Result<(), Timestamp> {
+        while self
+            .taken
+            .front()
+            .is_some_and(|(_, key)| !self.all.contains_key(key))
+        {
             self.taken.pop_front();
         }
-        let free = self.places.len() < self.settings.handshakes_most;
+        let free = self.slots.len() < self.settings.handshakes_most;
         match self.taken.front() {
             Some((since, _)) if !free && now < since + KEPT_LEAST => Err(since + KEPT_LEAST),
             _ => Ok(()),
@@ -136,7 +146,9 @@
     fn accept(&mut self, turn: &mut Turn<'_>) {
         self.accepts.begin_turn();
         for _ in 0..ACCEPTS_MOST {
-            if self.room(turn.now).is_err() || self.places.any_waiting() && !self.budget.may(turn.now) {
+            if self.room(turn.now).is_err()
+                || self.slots.has_ready() && !self.cpu_share.may_start(turn.now)
+            {
                 // The rest waits in the system's queue.
                 return self.watch(false);
             }
@@ -155,17 +167,28 @@
             // Nothing is asked before the handshake is complete: the wait is no request's.
             self.accepts.accepted(turn.now);
             let key = turn.key();
-            let ready = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
-            let Ok(socket) = ready.and_then(|()| turn.reactor.watch(socket, key, false)) else { continue };
+            let ready = socket
+                .set_nonblocking(true)
+                .and_then(|()| socket.set_nodelay(true));
+            let Ok(socket) = ready.and_then(|()| turn.reactor.watch(socket, key, false)) else {
+                continue;
+            };
             self.counts.accepted += 1;
-            let (_, displaced) = self.places.take(turn.now, key);
+            let displaced = self.slots.acquire(turn.now, key).displaced;
             for old in displaced {
                 self.counts.displaced += 1;
                 self.all.remove(&old);
             }
             self.taken.push_back((turn.now, key));
             let phase = Phase::Hello(Box::default());
-            self.all.insert(key, Handshake { socket, phase, read: 0 });
+            self.all.insert(
+                key,
+                Handshake {
+                    socket,
+                    phase,
+                    read: 0,
+                },
+            );
         }
     }
 
@@ -180,12 +203,14 @@
     /// Lets handshakes go on that something came for, as far as their share of the core goes.
     fn work(&mut self, turn: &mut Turn<'_>) {
         let mut spent = 0;
-        while spent < SLICE && self.budget.may(turn.now) {
-            let Some(key) = self.places.turn() else { break };
+        while spent < SLICE && self.cpu_share.may_start(turn.now) {
+            let Some(key) = self.slots.next_ready() else {
+                break;
+            };
             let begun = Instant::now();
             let step = self.step(key);
-            let took = begun.elapsed().as_micros() as Span;
-            self.budget.took(took.max(1));
+            let took = begun.elapsed().as_micros() as Micros;
+            self.cpu_share.charge(took.max(1));
             self.counts.core_us += took;
             spent += took.max(1);
             match step {
@@ -201,7 +226,7 @@
                 }
                 Step::Done => self.done(turn, key),
                 Step::Over(why) => {
-                    self.places.leave(key);
+                    self.slots.release(key);
                     self.all.remove(&key);
                     *self.counts.failed.entry(why).or_default() += 1;
                     *self.untold.entry(why).or_default() += 1;
@@ -211,20 +236,28 @@
     }
 
     fn done(&mut self, turn: &mut Turn<'_>, key: usize) {
-        self.places.leave(key);
-        if let Some(Handshake { socket, phase: Phase::Shake(connection), .. }) = self.all.remove(&key) {
+        self.slots.release(key);
+        if let Some(Handshake {
+            socket,
+            phase: Phase::Shake(connection),
+            ..
+        }) = self.all.remove(&key)
+        {
             self.counts.complete += 1;
             self.counts.resumed +=
                 u64::from(connection.handshake_kind() == Some(rustls::HandshakeKind::Resumed));
             // What answered a challenge has nothing more to say.
             if connection.alpn_protocol() == Some(BINARY) {
-                turn.effects.push(Effect::Secured(Secured::Client(socket, connection)));
+                turn.effects
+                    .push(Effect::Secured(Secured::Client(socket, connection)));
             }
         }
     }
 
     fn step(&mut self, key: usize) -> Step {
-        let Some(handshake) = self.all.get_mut(&key) else { return Step::Wait };
+        let Some(handshake) = self.all.get_mut(&key) else {
+            return Step::Wait;
+        };
         let mut socket: &TcpStream = &handshake.socket;
         loop {
             let read = match &mut handshake.phase {
@@ -251,7 +284,9 @@
                     Ok(Some(accepted)) => {
                         match choose(&accepted, &self.table, &self.proofs, self.settings.expired) {
                             Ok(config) => match accepted.into_connection(config) {
-                                Ok(connection) => handshake.phase = Phase::Shake(Box::new(connection)),
+                                Ok(connection) => {
+                                    handshake.phase = Phase::Shake(Box::new(connection))
+                                }
                                 Err((_, mut alert)) => {
                                     let _ = alert.write(&mut socket);
                                     return Step::Over("no-agreement");
@@ -293,11 +328,15 @@
         }
     }
 
-    fn note(&mut self, now: Time) {
+    fn note(&mut self, now: Timestamp) {
         if now < self.note_at || self.untold.is_empty() {
             return;
         }
-        let kinds: Vec<_> = self.untold.iter().map(|(why, n)| format!("{why}:{n}")).collect();
+        let kinds: Vec<_> = self
+            .untold
+            .iter()
+            .map(|(why, n)| format!("{why}:{n}"))
+            .collect();
         tracing::info!(kinds = kinds.join(","), "handshakes failed");
         self.untold.clear();
         self.note_at = now + NOTE_EACH;
@@ -316,7 +355,9 @@
     let offers = |wanted: &[u8]| hello.alpn().is_some_and(|mut all| all.any(|p| p == wanted));
     if offers(ACME) {
         let proof = name.and_then(|n| proofs.get(&n.to_ascii_lowercase()));
-        return proof.map(|p| p.config()).ok_or((UNRECOGNIZED_NAME, "no-challenge"));
+        return proof
+            .map(|p| p.config())
+            .ok_or((UNRECOGNIZED_NAME, "no-challenge"));
     }
     if !offers(BINARY) {
         return Err((NO_APPLICATION_PROTOCOL, "no-protocol"));
@@ -326,7 +367,10 @@
         None if !table.any() => return Err((INTERNAL_ERROR, "no-certificate")),
         None => return Err((UNRECOGNIZED_NAME, "unknown-name")),
     };
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+    let wall = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs();
     if wall > served.not_after && expired == Expired::Refuse {
         return Err((CERTIFICATE_EXPIRED, "expired"));
     }
@@ -338,7 +382,7 @@
         if key == self.listener_key {
             return self.accept(turn);
         }
-        self.places.wants(key);
+        self.slots.mark_ready(key);
         if let Some(handshake) = self.all.get(&key) {
             // It waits for its turn: the poller would tell of it without end. It can't fail for a watched socket.
             let _ = handshake.socket.rewatch(false, false);
@@ -346,29 +390,39 @@
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        for key in self.places.overdue(turn.now) {
+        for key in self.slots.take_expired(turn.now) {
             self.counts.late += 1;
             *self.untold.entry("late").or_default() += 1;
             self.all.remove(&key);
         }
         self.work(turn);
         let rested = turn.now >= self.rests && !self.draining;
-        if !self.accepting && rested && self.room(turn.now).is_ok() && self.budget.may(turn.now) {
+        if !self.accepting
+            && rested
+            && self.room(turn.now).is_ok()
+            && self.cpu_share.may_start(turn.now)
+        {
             self.watch(true);
         }
         self.note(turn.now);
     }
 
-    fn next(&self) -> Option<Time> {
-        let work = self.places.any_waiting().then(|| self.budget.next());
+    fn next(&self) -> Option<Timestamp> {
+        let work = self.slots.has_ready().then(|| self.cpu_share.next_start());
         let accept = (!self.accepting && !self.draining).then(|| {
-            let full = self.places.len() >= self.settings.handshakes_most;
-            let oldest = self.taken.front().filter(|(_, key)| full && self.all.contains_key(key));
+            let full = self.slots.len() >= self.settings.handshakes_most;
+            let oldest = self
+                .taken
+                .front()
+                .filter(|(_, key)| full && self.all.contains_key(key));
             let room = oldest.map_or(0, |(since, _)| since + KEPT_LEAST);
-            room.max(self.budget.next()).max(self.rests)
+            room.max(self.cpu_share.next_start()).max(self.rests)
         });
         let note = (!self.untold.is_empty()).then_some(self.note_at);
-        [self.places.next(), work, accept, note].into_iter().flatten().min()
+        [self.slots.next_deadline(), work, accept, note]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
@@ -393,15 +447,22 @@
     }
 
     fn words(&self) -> Vec<(&'static str, &'static str)> {
-        vec![("tls", "the TLS listener: handshakes under way, complete, failed by cause")]
+        vec![(
+            "tls",
+            "the TLS listener: handshakes under way, complete, failed by cause",
+        )]
     }
 
     fn reload(&mut self, turn: &mut Turn<'_>, settings: &Daemon) {
         if let Some(new) = &settings.tls {
             let listen = std::mem::take(&mut self.settings.listen);
-            self.settings = Settings { listen, ..new.clone() };
-            self.places.set(new.handshakes_most, new.handshake_ms * 1_000);
-            self.budget.set(turn.now, new.core_percent);
+            self.settings = Settings {
+                listen,
+                ..new.clone()
+            };
+            self.slots
+                .set_limits(new.handshakes_most, new.handshake_ms * 1_000);
+            self.cpu_share.set_percent(turn.now, new.core_percent);
         }
     }
 
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -3,28 +3,28 @@
 //! All of it is without input, output and clock. Moments of purges and copies are Unix milliseconds ([`Ms`]), as the
 //! members' `born` is; what waits goes by a monotonic clock in microseconds ([`Time`]).
 //!
-//! - [`ledger`]: numbers, repeats, followers, compaction.
+//! - [`log`]: numbers, repeats, followers, compaction.
 //! - [`journal`]: the ledger in one file, with checksums.
 //! - [`matching`]: which purge concerns a request. What is unknown counts as matched.
-//! - [`boxes`]: which box has confirmed what, and what it is sent next.
-//! - [`contact`]: what a front may still say that has not heard of the ledger for a while.
+//! - [`replication`]: which box has confirmed what, and what it is sent next.
+//! - [`lease`]: what a front may still say that has not heard of the ledger for a while.
 //! - [`shield`]: how much may go past the caches while floors are high.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-pub mod boxes;
-pub mod contact;
 pub mod journal;
-pub mod ledger;
+pub mod lease;
+pub mod log;
 pub mod matching;
+pub mod replication;
 pub mod shield;
 
 /// Unix milliseconds.
 pub type Ms = u64;
 /// A moment on a clock that never goes back, in microseconds.
-pub type Time = u64;
+pub type Timestamp = u64;
 /// A span in microseconds.
-pub type Span = u64;
+pub type Micros = u64;
 /// The number of a purge: 1 up, without gaps. 0: before the first.
 pub type Number = u64;
 
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -13,13 +13,18 @@
 
 fn ranking(members: &[(u64, f64)]) -> Ranking {
     let mut ranking = Ranking::default();
-    members.iter().enumerate().for_each(|(at, (id, weight))| ranking.insert(MemberId(*id), *weight, at));
+    members
+        .iter()
+        .enumerate()
+        .for_each(|(at, (id, weight))| ranking.insert(EndpointId(*id), *weight, at));
     ranking
 }
 
 fn walked(ranking: &mut Ranking, key: u64) -> Vec<usize> {
     let mut order = ranking.order(key);
-    (0..).map_while(|position| order.get(ranking, position)).collect()
+    (0..)
+        .map_while(|position| order.get(ranking, position))
+        .collect()
 }
 
 #[test]
@@ -31,7 +36,11 @@
             let mut ranking = ranking(&members);
             for object in 0..20 {
                 let key = crate::hash::mix(object, count);
-                assert_eq!(walked(&mut ranking, key), sorted(key, &members), "{count} members, {object}");
+                assert_eq!(
+                    walked(&mut ranking, key),
+                    sorted(key, &members),
+                    "{count} members, {object}"
+                );
             }
         }
     }
@@ -44,11 +53,11 @@
     let first = walked(&mut ranking, 7);
     assert_eq!(walked(&mut ranking, 7), first);
     let (id, weight) = members[first[0]];
-    ranking.remove(MemberId(id), weight);
+    ranking.remove(EndpointId(id), weight);
     assert_eq!(walked(&mut ranking, 7), first[1..]);
     members.push((99, 5.0));
-    ranking.insert(MemberId(id), weight, first[0]);
-    ranking.insert(MemberId(99), 5.0, 40);
+    ranking.insert(EndpointId(id), weight, first[0]);
+    ranking.insert(EndpointId(99), 5.0, 40);
     assert_eq!(walked(&mut ranking, 7), sorted(7, &members));
     assert_eq!(ranking.weight(), 85.0);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,11 +12,23 @@
 
 /// A class whose requests of 300 KB take 300 ms to send.
 pub fn class(effect: Effect, write: bool) -> Class {
-    Class { aim: 500 * MS, aim_stretch: 2.0, worth: 1.0, effect, write, fresh: 0, grace: 0 }
+    Class {
+        aim: 500 * MS,
+        aim_stretch: 2.0,
+        worth: 1.0,
+        effect,
+        write,
+        fresh: 0,
+        grace: 0,
+    }
 }
 
 pub fn settings() -> Settings {
-    let cold = ColdLimits { from: 0.2, warm_in: 20 * S, fall_multiple: 4.0 };
+    let cold = SlowStartLimits {
+        from: 0.2,
+        warm_in: 20 * S,
+        fall_multiple: 4.0,
+    };
     Settings {
         zone: 2,
         routers_by_zone: vec![0, 0, 1],
@@ -31,7 +43,10 @@
         joins: false,
         purge_done: 6 * S,
         cold_cache: cold,
-        cold_parent: ColdLimits { fall_multiple: 2.0, ..cold },
+        cold_parent: SlowStartLimits {
+            fall_multiple: 2.0,
+            ..cold
+        },
         overload_span: 2 * S,
         connect_timeout: 400 * MS,
         max_attempts: 8,
@@ -42,16 +57,31 @@
     }
 }
 
-pub fn entry(id: u64, kind: u8) -> Entry {
+pub fn entry(id: u64, kind: u8) -> EndpointEntry {
     let zone = if kind == CACHE { 2 } else { 0 };
-    Entry { member: MemberId(id), kind, zone, cell: 0, weight: 20.0, started: 0, state: Listed::Ready }
+    EndpointEntry {
+        member: EndpointId(id),
+        kind,
+        zone,
+        cell: 0,
+        weight: 20.0,
+        started: 0,
+        state: EndpointState::Ready,
+    }
 }
 
 /// Caches 10, 11, 12, parents 20, 21 and origin 30, all warm.
-pub fn usual() -> Vec<Entry> {
-    [(10, CACHE), (11, CACHE), (12, CACHE), (20, PARENT), (21, PARENT), (30, ORIGIN)]
-        .map(|(id, kind)| entry(id, kind))
-        .to_vec()
+pub fn usual() -> Vec<EndpointEntry> {
+    [
+        (10, CACHE),
+        (11, CACHE),
+        (12, CACHE),
+        (20, PARENT),
+        (21, PARENT),
+        (30, ORIGIN),
+    ]
+    .map(|(id, kind)| entry(id, kind))
+    .to_vec()
 }
 
 pub fn ask(id: u64, object: u64) -> Request {
@@ -74,16 +104,16 @@
     pub target: u64,
     pub source: Option<u64>,
     pub fill: Option<Fill>,
-    pub at: Time,
+    pub at: Timestamp,
     pub live: bool,
 }
 
 /// One router with all that it was told and did; every action is checked against the rules.
 pub struct Stand {
     pub router: Router,
-    pub now: Time,
+    pub now: Timestamp,
     pub sent: Vec<Sent>,
-    pub timers: BTreeSet<(Time, u64, usize)>,
+    pub timers: BTreeSet<(Timestamp, u64, usize)>,
     pub log: Vec<String>,
     pub answers: BTreeMap<RequestId, Action>,
     pub checker: Checker,
@@ -93,7 +123,7 @@
 }
 
 impl Stand {
-    pub fn new(settings: Settings, members: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, members: Vec<EndpointEntry>) -> Self {
         let mut stand = Stand {
             checker: Checker::new(settings.clone()),
             router: Router::new(settings, 1),
@@ -105,7 +135,7 @@
             trace: Vec::new(),
             along: false,
         };
-        stand.tell(Event::Members(ListKind::Full, members));
+        stand.tell(Event::Endpoints(ListKind::Full, members));
         stand
     }
 
@@ -119,18 +149,31 @@
             self.checker.action(self.now, &action);
             self.trace.push(action.clone());
             match action {
-                Action::Attempt { request, target, fill, .. } => {
+                Action::Send {
+                    request,
+                    target,
+                    fill,
+                    ..
+                } => {
                     let number = self.sent.iter().filter(|s| s.request == request).count() as u16;
                     let source = fill.map(|f| f.source.0);
                     let (target, at) = (target.0, self.now);
-                    self.sent.push(Sent { request, number, target, source, fill, at, live: true });
+                    self.sent.push(Sent {
+                        request,
+                        number,
+                        target,
+                        source,
+                        fill,
+                        at,
+                        live: true,
+                    });
                 }
                 Action::Timer(wait, token) => {
                     let n = self.timers.len();
                     self.timers.insert((self.now + wait, token, n));
                 }
                 Action::Log(line) => self.log.push(line),
-                Action::Refuse(id, _) | Action::Fail(id) => {
+                Action::Reject(id, _) | Action::Fail(id) => {
                     self.answers.insert(id, action);
                 }
                 _ => {}
@@ -144,7 +187,13 @@
     }
 
     /// Ends an attempt and returns the attempts that this leads to.
-    pub fn end(&mut self, sent: &Sent, status: Status, note: Note, waited: Span) -> Vec<Sent> {
+    pub fn end(
+        &mut self,
+        sent: &Sent,
+        status: Status,
+        note: FillNote,
+        waited: Micros,
+    ) -> Vec<Sent> {
         self.end_with(sent, status, note, waited, None)
     }
 
@@ -153,11 +202,14 @@
         &mut self,
         sent: &Sent,
         status: Status,
-        note: Note,
-        waited: Span,
+        note: FillNote,
+        waited: Micros,
         report: Option<Report>,
     ) -> Vec<Sent> {
-        let mut same = self.sent.iter_mut().filter(|s| s.request == sent.request && s.number == sent.number);
+        let mut same = self
+            .sent
+            .iter_mut()
+            .filter(|s| s.request == sent.request && s.number == sent.number);
         let attempt = same.next().expect("was sent");
         assert!(attempt.live, "ended twice");
         attempt.live = false;
@@ -180,22 +232,24 @@
     }
 
     pub fn served(&mut self, sent: &Sent) {
-        self.end(sent, Status::Ok, Note::Hit, 0);
+        self.end(sent, Status::Ok, FillNote::Hit, 0);
     }
 
     /// Moves the clock, firing the timers that fall due and ending attempts whose client has given up.
-    pub fn advance(&mut self, span: Span) -> Vec<Sent> {
+    pub fn advance(&mut self, span: Micros) -> Vec<Sent> {
         let end = self.now + span;
         let before = self.sent.len();
         loop {
             let live = self.sent.iter().filter(|s| s.live);
             let due = live.map(|s| (self.checker.deadline(s.request).max(s.at), s.clone()));
-            let due = due.min_by_key(|(at, s)| (*at, s.request, s.number)).filter(|(at, _)| *at <= end);
+            let due = due
+                .min_by_key(|(at, s)| (*at, s.request, s.number))
+                .filter(|(at, _)| *at <= end);
             let timer = self.timers.first().copied().filter(|t| t.0 <= end);
             match (due, timer) {
                 (Some((at, attempt)), t) if t.is_none_or(|t| at <= t.0) => {
                     self.now = self.now.max(at);
-                    self.end(&attempt, Status::Timeout, Note::None, 0);
+                    self.end(&attempt, Status::Timeout, FillNote::None, 0);
                 }
                 (_, Some(t)) => {
                     self.timers.remove(&t);
@@ -219,8 +273,8 @@
     class: usize,
     object: ObjectId,
     group: u32,
-    deadline: Time,
-    attempts: Vec<(Time, bool, Option<Status>)>,
+    deadline: Timestamp,
+    attempts: Vec<(Timestamp, bool, Option<Status>)>,
     closed: bool,
 }
 
@@ -228,42 +282,61 @@
 pub struct Checker {
     settings: Settings,
     open: BTreeMap<RequestId, Open>,
-    members: BTreeMap<MemberId, Entry>,
-    purged: Vec<(Option<ObjectId>, u32, Time)>,
-    cold: Vec<(MemberId, Time, f64)>,
-    by_hand: BTreeSet<MemberId>,
+    members: BTreeMap<EndpointId, EndpointEntry>,
+    purged: Vec<(Option<ObjectId>, u32, Timestamp)>,
+    cold: Vec<(EndpointId, Timestamp, f64)>,
+    by_hand: BTreeSet<EndpointId>,
     pub broken: Vec<String>,
 }
 
 impl Checker {
     pub fn new(settings: Settings) -> Self {
         let (open, members, by_hand) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
-        Checker { settings, open, members, by_hand, purged: Vec::new(), cold: Vec::new(), broken: Vec::new() }
+        Checker {
+            settings,
+            open,
+            members,
+            by_hand,
+            purged: Vec::new(),
+            cold: Vec::new(),
+            broken: Vec::new(),
+        }
     }
 
     pub fn closed(&self, id: RequestId) -> bool {
         self.open.get(&id).is_none_or(|o| o.closed)
     }
 
-    pub fn deadline(&self, id: RequestId) -> Time {
+    pub fn deadline(&self, id: RequestId) -> Timestamp {
         self.open[&id].deadline
     }
 
     /// Every request whose deadline and slack have passed is closed.
-    pub fn overdue(&mut self, now: Time) {
-        let late: Vec<_> = self.open.iter().filter(|(_, o)| !o.closed && o.deadline + 8 * MS < now).collect();
-        self.broken.extend(late.iter().map(|(id, _)| format!("lost: {id:?}")));
+    pub fn overdue(&mut self, now: Timestamp) {
+        let late: Vec<_> = self
+            .open
+            .iter()
+            .filter(|(_, o)| !o.closed && o.deadline + 8 * MS < now)
+            .collect();
+        self.broken
+            .extend(late.iter().map(|(id, _)| format!("lost: {id:?}")));
     }
 
-    pub fn event(&mut self, now: Time, event: &Event) {
+    pub fn event(&mut self, now: Timestamp, event: &Event) {
         match event {
-            Event::Members(kind, entries) => {
+            Event::Endpoints(kind, entries) => {
                 if *kind == ListKind::Full {
-                    self.members.values_mut().for_each(|m| m.state = Listed::Gone);
+                    self.members
+                        .values_mut()
+                        .for_each(|m| m.state = EndpointState::Removed);
                 }
                 for entry in entries {
                     // What was sent before this start was known did not go to this process as far as can be told.
-                    if self.members.get(&entry.member).is_some_and(|old| old.started != entry.started) {
+                    if self
+                        .members
+                        .get(&entry.member)
+                        .is_some_and(|old| old.started != entry.started)
+                    {
                         self.cold.retain(|sent| sent.0 != entry.member);
                     }
                     self.members.insert(entry.member, entry.clone());
@@ -286,11 +359,15 @@
                 open.attempts[usize::from(o.attempt)].2 = Some(o.status);
                 open.closed |= o.closed;
             }
-            Event::Gone(id) => self.open.get_mut(id).expect("known").closed = true,
-            Event::ByHand(id, true) => drop(self.by_hand.insert(*id)),
-            Event::ByHand(id, false) => {
+            Event::Cancelled(id) => self.open.get_mut(id).expect("known").closed = true,
+            Event::Cordon(id, true) => drop(self.by_hand.insert(*id)),
+            Event::Cordon(id, false) => {
                 // It was restarted meanwhile, whatever the list says of it.
-                let back = self.by_hand.remove(id).then(|| self.members.get_mut(id)).flatten();
+                let back = self
+                    .by_hand
+                    .remove(id)
+                    .then(|| self.members.get_mut(id))
+                    .flatten();
                 if let Some(member) = back {
                     member.started = now;
                     // What went to the process before it was taken out did not go to this one.
@@ -302,22 +379,42 @@
         }
     }
 
-    pub fn action(&mut self, now: Time, action: &Action) {
+    pub fn action(&mut self, now: Timestamp, action: &Action) {
         match action {
-            Action::Attempt { request, target, fill, .. } => self.attempt(now, *request, *target, *fill),
-            Action::Refuse(id, _) | Action::Fail(id) => {
-                let refusal = matches!(action, Action::Refuse(..));
+            Action::Send {
+                request,
+                target,
+                fill,
+                ..
+            } => self.attempt(now, *request, *target, *fill),
+            Action::Reject(id, _) | Action::Fail(id) => {
+                let refusal = matches!(action, Action::Reject(..));
                 let Some(open) = self.open.get_mut(id) else {
                     return self.broken.push(format!("answer for unknown {id:?}"));
                 };
                 if open.closed {
                     self.broken.push(format!("second answer: {id:?}"));
                 }
-                let ran = open.attempts.iter().any(|a| a.2.is_none_or(|s| !s.proves_not_run()));
-                let effect = self.settings.classes.get(open.class).map_or(Effect::Unsafe, |c| c.effect);
-                let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: KeyGroup::All, .. });
+                let ran = open
+                    .attempts
+                    .iter()
+                    .any(|a| a.2.is_none_or(|s| !s.proves_not_run()));
+                let effect = self
+                    .settings
+                    .classes
+                    .get(open.class)
+                    .map_or(Effect::Unsafe, |c| c.effect);
+                let harmless = matches!(
+                    effect,
+                    Effect::Safe
+                        | Effect::Keyed {
+                            group: KeyScope::All,
+                            ..
+                        }
+                );
                 if refusal && ran && !harmless {
-                    self.broken.push(format!("refused what may have run: {id:?}"));
+                    self.broken
+                        .push(format!("refused what may have run: {id:?}"));
                 }
                 open.closed = true;
             }
@@ -325,21 +422,31 @@
         }
     }
 
-    fn attempt(&mut self, now: Time, id: RequestId, target: MemberId, fill: Option<Fill>) {
+    fn attempt(&mut self, now: Timestamp, id: RequestId, target: EndpointId, fill: Option<Fill>) {
         let Some(open) = self.open.get_mut(&id) else {
             return self.broken.push(format!("attempt for unknown {id:?}"));
         };
         if open.closed {
-            self.broken.push(format!("attempt after the answer: {id:?}"));
+            self.broken
+                .push(format!("attempt after the answer: {id:?}"));
         }
         let out = open.attempts.iter().any(|a| a.1);
         if out && !self.settings.second_copies {
             self.broken.push(format!("two at once: {id:?}"));
         }
-        let ran = open.attempts.iter().find(|a| a.2.is_none_or(|s| !s.proves_not_run()));
+        let ran = open
+            .attempts
+            .iter()
+            .find(|a| a.2.is_none_or(|s| !s.proves_not_run()));
         match (self.settings.classes[open.class].effect, ran) {
             (Effect::Safe, _) | (_, None) => {}
-            (Effect::Keyed { group: KeyGroup::All, window }, Some(first)) if now < first.0 + window => {}
+            (
+                Effect::Keyed {
+                    group: KeyScope::All,
+                    window,
+                },
+                Some(first),
+            ) if now < first.0 + window => {}
             _ => self.broken.push(format!("effect twice: {id:?}")),
         }
         open.attempts.push((now, true, None));
@@ -350,22 +457,31 @@
         });
         if let (Some(at), Some(fill), false) = (purge.map(|p| p.2).max(), fill, write) {
             if fill.oldest == 0 || now - fill.oldest.min(now) < at && now > at {
-                self.broken.push(format!("purged copy: {id:?} takes copies of age {}", fill.oldest));
+                self.broken.push(format!(
+                    "purged copy: {id:?} takes copies of age {}",
+                    fill.oldest
+                ));
             }
         }
-        for at in [Some(target), fill.map(|f| f.source).filter(|s| *s != target)].into_iter().flatten() {
+        for at in [
+            Some(target),
+            fill.map(|f| f.source).filter(|s| *s != target),
+        ]
+        .into_iter()
+        .flatten()
+        {
             if self.by_hand.contains(&at) {
                 self.broken.push(format!("out by hand: {at:?}"));
             }
             match self.members.get(&at) {
-                Some(m) if m.state == Listed::Ready => self.cold(now, at),
+                Some(m) if m.state == EndpointState::Ready => self.cold(now, at),
                 _ => self.broken.push(format!("drained: {at:?}")),
             }
         }
     }
 
     /// All of the tests' cacheable requests take 300 ms to send; fills are counted as if each reached its source.
-    fn cold(&mut self, now: Time, at: MemberId) {
+    fn cold(&mut self, now: Timestamp, at: EndpointId) {
         let member = &self.members[&at];
         let limits = match member.kind {
             PARENT => self.settings.cold_parent,
@@ -379,7 +495,12 @@
         let age = now.saturating_sub(member.started) as f64 / limits.warm_in as f64;
         let capacity = member.weight * (limits.from + (1.0 - limits.from) * age);
         self.cold.push((at, now, 300_000.0));
-        let sum: f64 = self.cold.iter().filter(|c| c.0 == at && c.1 + span > now).map(|c| c.2).sum();
+        let sum: f64 = self
+            .cold
+            .iter()
+            .filter(|c| c.0 == at && c.1 + span > now)
+            .map(|c| c.2)
+            .sum();
         if sum > limits.fall_multiple * capacity * span as f64 {
             self.broken.push(format!("pushed over: {at:?}"));
         }
@@ -391,7 +512,10 @@
 
 impl Rng {
     pub fn roll(&mut self, n: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = self
+            .0
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (self.0 >> 33) % n
     }
 }
