--- a/startup/src/call_budget.rs
+++ b/startup/src/call_budget.rs
@@ -14,6 +14,8 @@
 const JITTER: f64 = 0.25;
 /// The same once the calls of the fleet are spread evenly, which more jitter would undo.
 const SPREAD_JITTER: f64 = 0.03;
+/// The calls of a fleet that started in step are spread over this time at least, or over the share if that is shorter.
+const MIN_SPREAD: Micros = 3_000_000;
 /// A connection that delivered messages over this long had worked. One that broke sooner is no reason for haste.
 const MIN_HEALTHY: Micros = 2_000_000;
 /// First connect timeout.
@@ -230,12 +232,13 @@
         if self.spread {
             return (wait * self.jitter(SPREAD_JITTER) - waited).max(0.0) as Micros;
         }
-        // A fleet that started in step is spread over the whole share, each front by its number. A silence may have
-        // taken longer than the share.
+        // A fleet that started in step is spread over the whole share, each front by its number. Where the fronts have
+        // waited in vain for about as long as that, what is left of the share would bring them close together again.
         self.spread = true;
         let place =
             (f64::from(self.position.number) + self.random()) / f64::from(self.position.fronts);
-        ((wait - waited).max(wait / 2.0) * place) as Micros
+        let least = (wait / 2.0).max(wait.min(MIN_SPREAD as f64));
+        ((wait - waited).max(least) * place) as Micros
     }
 }
 
--- a/startup/tests/fleet.rs
+++ b/startup/tests/fleet.rs
@@ -213,3 +213,41 @@
         assert!(mean <= 75.0, "seed {seed}: {mean:.1} a second");
     }
 }
+
+#[test]
+fn a_service_that_accepts_and_says_nothing_is_called_evenly_by_fleets_of_any_size() {
+    const SILENCE: Timestamp = 2_500_000;
+    let budget = CallBudget {
+        urgent_period: 0,
+        ..BUDGET
+    };
+    for fronts in [3, 12, 24, 40, 60, 100, 300] {
+        for seed in 0..50 {
+            let mut due = BTreeSet::new();
+            let mut calls = Vec::new();
+            for number in 0..fronts {
+                let position = FleetPosition { number, fronts };
+                let seed = seed * 100_000 + u64::from(number);
+                let mut schedule = CallSchedule::new(0, position, seed, Some(budget));
+                due.insert((schedule.first_call(0, false), number));
+                calls.push(schedule);
+            }
+            let mut made = Vec::new();
+            while let Some((now, number)) = due.pop_first().filter(|(now, _)| *now < 20 * SECOND) {
+                made.push(now);
+                let schedule = &mut calls[number as usize];
+                schedule.start_call(now);
+                due.insert((schedule.end_call(now + SILENCE, CallEnd::Silent), number));
+            }
+            // Twice the budget, as with processes. A fleet whose share is longer than a silence calls in what is left
+            // of the share, spread over 3 s: the service is found again in time once it returns.
+            let spread = f64::from(fronts) / 3.0 * 1.4;
+            let bound = (2.0 * budget.calls_per_s).max(spread).ceil() as usize;
+            let second = most(&made, 4 * SECOND, SECOND);
+            assert!(
+                second <= bound,
+                "{fronts} fronts, seed {seed}: {second} calls in a second, bound {bound}"
+            );
+        }
+    }
+}
