--- /dev/null
+++ b/certs/src/error.rs
@@ -0,0 +1,18 @@
+//! Why something did not come about.
+use crate::retry::Cause;
+use crate::Micros;
+
+/// Why an order failed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Failure {
+    /// By kind.
+    pub cause: Cause,
+    /// Names that were refused.
+    pub refused: Vec<String>,
+    /// When the authority wants to be asked again, in microseconds from now.
+    pub told: Option<Micros>,
+    /// One line.
+    pub text: String,
+    /// The order is still there and is taken up next time.
+    pub keeps_order: bool,
+}
--- a/certs/src/exchange.rs
+++ b/certs/src/exchange.rs
@@ -1,7 +1,7 @@
 //! Carries requests out: one HTTPS exchange, blocking, until an absolute deadline. For worker threads.
-use crate::client::{Ask, Key};
 use crate::http::{request, Answer, Reader};
 use crate::jose::AccountKey;
+use crate::messages::{Ask, Key};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, ServerName};
 use rustls::sign::CertifiedKey;
--- a/certs/src/http.rs
+++ b/certs/src/http.rs
@@ -1,9 +1,19 @@
 //! HTTP/1.1 as a client speaks it: one request, one answer, then the connection ends (RFC 9112). No input or
 //! output; the answer is bounded in its head and its body before anything is kept of it.
-use crate::client::Method;
 use crate::url::Url;
 use crate::Wall;
 
+/// HTTP methods that ACME needs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Method {
+    /// For the directory and renewal information.
+    Get,
+    /// For nonces.
+    Head,
+    /// For all else, with a signed body.
+    Post,
+}
+
 /// Bytes of an answer's head, and fields in it.
 const HEAD_MOST: usize = 16 * 1024;
 const FIELDS_MOST: usize = 64;
--- a/certs/src/lib.rs
+++ b/certs/src/lib.rs
@@ -13,10 +13,12 @@
 
 pub mod client;
 pub mod disk;
+pub mod error;
 pub mod exchange;
 pub mod http;
 pub mod identity;
 pub mod jose;
+pub mod messages;
 pub mod order;
 pub mod planner;
 pub mod renewal;
@@ -25,9 +27,11 @@
 pub mod url;
 pub mod wire;
 
-pub use client::{Action, Ask, Challenge, Client, Event, Key, Method, Save, Settings, Sign};
+pub use client::{Client, Settings};
+pub use http::Method;
 pub use identity::Identity;
 pub use jose::AccountKey;
+pub use messages::{Action, Ask, Challenge, Event, Key, Loud, Note, Save, Sign};
 
 /// A moment on a clock that never goes back, in microseconds.
 pub type Timestamp = u64;
--- a/certs/src/order.rs
+++ b/certs/src/order.rs
@@ -2,6 +2,7 @@
 //! Where an order stands is read off the authority's answer whenever that is asked, so one that was begun
 //! before a restart goes on like any other.
 use crate::disk::Pending;
+use crate::error::Failure;
 use crate::http::Answer;
 use crate::identity::Identity;
 use crate::retry::Cause;
@@ -76,21 +77,6 @@
     Failed(Failure),
 }
 
-/// Why an order failed.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failure {
-    /// By kind.
-    pub cause: Cause,
-    /// Names that were refused.
-    pub refused: Vec<String>,
-    /// When the authority wants to be asked again, in microseconds from now.
-    pub told: Option<Micros>,
-    /// One line.
-    pub text: String,
-    /// The order is still there and is taken up next time.
-    pub keeps_order: bool,
-}
-
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     Key,
--- a/certs/src/planner.rs
+++ b/certs/src/planner.rs
@@ -1,7 +1,7 @@
 //! Which certificates are ordered, and when: over many names, one order for names that belong together, never more
 //! than so many orders in a window, and none that fails holds up others. No input or output; everything it knows
 //! is in its entries, each of which stands in exactly one queue.
-use crate::order::Failure;
+use crate::error::Failure;
 use crate::renewal::{due, Held, Rule, Turns};
 use crate::retry::{wait, Cause};
 use crate::wire::Window;
--- a/certs/tests/common/mod.rs
+++ b/certs/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! A client, an authority and a folder on virtual clocks: what the client asks for is carried out here, and each
 //! thing that takes time comes back as an event later on.
 #![allow(dead_code)]
-use cranesill_certs::client::{Loud, Note};
 use cranesill_certs::disk::{self, Files};
 use cranesill_certs::exchange::{make_key, Made};
 use cranesill_certs::http::Answer;
+use cranesill_certs::messages::{Loud, Note};
 use cranesill_certs::order::Way;
 use cranesill_certs::planner::Plan;
 use cranesill_certs::renewal::{Ranked, Rule};
--- a/certs/tests/exchange.rs
+++ b/certs/tests/exchange.rs
@@ -1,7 +1,7 @@
 //! Exchanges over sockets: an authority that is slow, endless, cut off or gone costs its deadline and no more.
-use cranesill_certs::client::{Ask, Method};
 use cranesill_certs::exchange::{exchange, roots};
 use cranesill_certs::url::Url;
+use cranesill_certs::{Ask, Method};
 use cranesill_standins::acme::{Faults, Server};
 use std::time::{Duration, Instant};
 
--- a/certs/tests/hard_cases.rs
+++ b/certs/tests/hard_cases.rs
@@ -1,7 +1,7 @@
 //! What must not go wrong, on virtual clocks, against the stand-in authority's core.
 mod common;
 use common::*;
-use cranesill_certs::client::Loud;
+use cranesill_certs::messages::Loud;
 use cranesill_certs::{disk as folder, Event, SECOND};
 use cranesill_standins::acme::WrongChain;
 use std::rc::Rc;
--- a/certs/tests/planner.rs
+++ b/certs/tests/planner.rs
@@ -2,7 +2,7 @@
 //! the authority works for some hours in each lifetime.
 mod common;
 use common::{plan, ranked, DAY, HOUR, START};
-use cranesill_certs::order::Failure;
+use cranesill_certs::error::Failure;
 use cranesill_certs::planner::{Plan, Planner};
 use cranesill_certs::renewal::{Held, Rule};
 use cranesill_certs::retry::Cause;
