--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 
 /// Words for operators that the front itself takes.
-pub(super) const WORDS: [(&str, &str); 11] = [
+pub(super) const ADMIN_COMMANDS: [(&str, &str); 11] = [
     ("health", "whether it can serve"),
     ("counters", "the figures"),
     (
@@ -38,18 +38,18 @@
 
 impl Server {
     /// Answers an operator.
-    pub(super) fn word(
+    pub(super) fn run_admin_command(
         &mut self,
         now: Timestamp,
         word: &str,
         args: &Value,
     ) -> Result<Value, String> {
         match word {
-            "health" if self.draining.is_some() => Err("leaving".into()),
-            "health" if self.quiesced.is_some() => Err("quiesced".into()),
+            "health" if self.shutdown.is_some() => Err("leaving".into()),
+            "health" if self.quiesced_at.is_some() => Err("quiesced".into()),
             "health" => Ok("serving".into()),
             "counters" => Ok(self.counters()),
-            "cordon" | "uncordon" => self.by_hand(now, args, word == "cordon"),
+            "cordon" | "uncordon" => self.change_cordon(now, args, word == "cordon"),
             "quiesce" => Ok(self.quiesce(now).into()),
             "resume" => self.resume().map(Value::from),
             "log" => {
@@ -57,7 +57,7 @@
                     .map_err(|e| format!("level: {e}"))?;
                 self.log.set(&cranesill_daemon::Log {
                     level,
-                    ..self.daemon.log.clone()
+                    ..self.settings.log.clone()
                 });
                 Ok(json!(format!("level is {level:?}").to_lowercase()))
             }
@@ -70,7 +70,7 @@
             "startup" => {
                 let mut shown = self
                     .startup
-                    .shown(self.nodes.listed().count(), self.nodes.reached());
+                    .shown(self.upstream.listed().count(), self.upstream.reached());
                 let (unheard, last) = self.discovery.stands();
                 shown["list"] = json!({
                     "last_event": last, "unheard_for_ms": unheard.map(|since| now.saturating_sub(since) / 1_000),
@@ -84,15 +84,15 @@
             }
             _ => Ok(json!({
                 "name": self.config.name, "version": env!("CARGO_PKG_VERSION"),
-                "up_s": (now - self.began) / 1_000_000, "leaving": self.draining.is_some(),
-                "quiesced": self.quiesced.is_some(), "accepts_clients": !self.elsewhere(),
+                "up_s": (now - self.started_at) / 1_000_000, "leaving": self.shutdown.is_some(),
+                "quiesced": self.quiesced_at.is_some(), "accepts_clients": !self.another_process_accepts(),
                 "limits_shared": self.config.halved,
-                "out_by_hand": self.out.iter().map(|id| name_of(*id)).collect::<Vec<_>>(),
+                "out_by_hand": self.cordoned.iter().map(|id| name_of(*id)).collect::<Vec<_>>(),
                 "list": json!({"last_event": self.discovery.stands().1, "clock_ahead_ms": self.front.ahead.ms(),
                     "unheard_for_ms": self.discovery.stands().0.map(|since| now.saturating_sub(since) / 1_000)}),
                 "open_requests": self.front.open(), "clients": self.clients.len(),
-                "clients_most": self.config.clients_most(), "held_bytes": self.clients.held() + self.nodes.held(),
-                "held_bytes_most": self.config.held_most(), "settings": self.daemon_file,
+                "clients_most": self.config.clients_most(), "held_bytes": self.clients.held() + self.upstream.held(),
+                "held_bytes_most": self.config.held_most(), "settings": self.settings_file,
                 "purges": self.front.floors.as_ref().map(|f| json!({
                     "live_objects_groups_tags_patterns": f.counts(), "answers_refused": f.refused, "lies": f.lies,
                     "shield_passed": self.front.shield.as_ref().map(|s| s.passed),
@@ -112,15 +112,15 @@
             put(format!("handled.{class}.dropped"), counts.dropped);
             put(format!("handled.{class}.bad_gateway"), counts.bad_gateway);
         }
-        put("upstream_tries".into(), self.nodes.written);
+        put("upstream_tries".into(), self.upstream.written);
         put("in_progress".into(), self.front.open() as u64);
         put(
             "known_cache_nodes".into(),
-            (self.nodes.listed().count() + self.startup.waiting()) as u64,
+            (self.upstream.listed().count() + self.startup.waiting()) as u64,
         );
         put(
             "skipped_cache_nodes".into(),
-            self.nodes
+            self.upstream
                 .listed()
                 .filter(|m| self.front.avoids(*m))
                 .count() as u64,
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -1,13 +1,13 @@
 //! Builds a server from its configuration and starts the subsystems that the settings switch on.
-use super::admin::WORDS;
-use super::takeover::share;
-use super::timers::Due;
-use super::timers::SWEEP;
+use super::admin::ADMIN_COMMANDS;
+use super::takeover::open_handover;
+use super::timers::Timer;
+use super::timers::SWEEP_INTERVAL;
 use super::Server;
-use super::HANGUP;
-use super::KEYS;
-use super::LISTENER;
-use super::TERM;
+use super::FIRST_CONNECTION_KEY;
+use super::LISTENER_KEY;
+use super::SIGHUP_KEY;
+use super::SIGTERM_KEY;
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::Front;
 use crate::server::acceptor::AcceptBackoff;
@@ -34,22 +34,22 @@
 use std::path::PathBuf;
 
 /// Nobody waits for an answer longer than this where the settings name no time.
-const WAIT_MOST: Micros = 3_000_000;
+const DEFAULT_MAX_WAIT: Micros = 3_000_000;
 
 impl Server {
     /// Listens, and takes over what the configuration says of the members.
-    /// Subsystems are those of `daemon`, which came from `daemon_file`.
+    /// Subsystems are those of `settings`, which came from `settings_file`.
     pub fn new(
         mut config: Config,
-        daemon: Daemon,
-        daemon_file: Option<PathBuf>,
+        settings: Daemon,
+        settings_file: Option<PathBuf>,
     ) -> Result<Self, String> {
         // First of all: what is opened before could get the number of a socket that nobody handed over.
         let held = config
             .accept_fd
             .map(|fd| inherited(fd).map_err(|e| format!("RELAY_ACCEPT_FD: {fd}: {e}")));
         let held = held.transpose()?;
-        let log = Log::install(&daemon.log);
+        let log = Log::install(&settings.log);
         let failed = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
         let clock = Clock::new();
         let reactor = at_start(Reactor::new).map_err(failed("poller"))?;
@@ -60,13 +60,13 @@
             }
         };
         let listener = reactor
-            .watch(listener, LISTENER, false)
+            .watch(listener, LISTENER_KEY, false)
             .map_err(failed("poller"))?;
-        let term = at_start(|| raised(&reactor, signal_hook::consts::SIGTERM, TERM))
+        let sigterm = at_start(|| raised(&reactor, signal_hook::consts::SIGTERM, SIGTERM_KEY))
             .map_err(failed("signals"))?;
-        let hangup = at_start(|| raised(&reactor, signal_hook::consts::SIGHUP, HANGUP))
+        let sighup = at_start(|| raised(&reactor, signal_hook::consts::SIGHUP, SIGHUP_KEY))
             .map_err(failed("signals"))?;
-        let shared = config.accept_fd.and_then(|_| share());
+        let handover = config.accept_fd.and_then(|_| open_handover());
         let limits = config.deployment.limits.clone();
         let whole = limits
             .waits
@@ -74,84 +74,84 @@
             .copied()
             .max()
             .filter(|w| *w > 0)
-            .unwrap_or(WAIT_MOST);
+            .unwrap_or(DEFAULT_MAX_WAIT);
         let Known {
             last,
             news,
             list,
             from,
-        } = known(&mut config, daemon.startup.as_ref());
-        let calls = calls(clock.now(), &config, daemon.startup.as_ref());
-        let others = daemon.startup.as_ref().is_some_and(|s| s.peers.is_some());
-        let startup = Startup::new(clock.now(), &config, daemon.startup.as_ref());
+        } = known(&mut config, settings.startup.as_ref());
+        let calls = calls(clock.now(), &config, settings.startup.as_ref());
+        let others = settings.startup.as_ref().is_some_and(|s| s.peers.is_some());
+        let startup = Startup::new(clock.now(), &config, settings.startup.as_ref());
         let mut server = Server {
             front: Front::new(config.deployment.clone(), config.seed, config.room()),
-            nodes: CacheNodes::new(config.links_most(), limits.streams, limits.idle, whole),
+            upstream: CacheNodes::new(config.links_most(), limits.streams, limits.idle, whole),
             discovery: Discovery::new(clock.now(), config.feed, last, calls, others),
             startup,
-            hears: false,
-            clock_told: false,
+            forwards_watch_events: false,
+            clock_skew_logged: false,
             clients: Clients::new(),
-            deadlines: Deadlines::new(),
+            timers: Deadlines::new(),
             log,
-            last_key: KEYS,
-            draining: None,
-            shared,
-            accepts: true,
-            acceptor: AcceptBackoff::default(),
-            out: BTreeSet::new(),
-            quiesced: None,
-            first: 0,
-            daemon,
-            daemon_file,
+            last_key: FIRST_CONNECTION_KEY,
+            shutdown: None,
+            handover,
+            accepts_clients: true,
+            accept_backoff: AcceptBackoff::default(),
+            cordoned: BTreeSet::new(),
+            quiesced_at: None,
+            admin_slot: 0,
+            settings,
+            settings_file,
             drivers: Vec::new(),
             effects: Vec::new(),
-            gone: Vec::new(),
-            began: clock.now(),
+            disconnected: Vec::new(),
+            started_at: clock.now(),
             config,
             clock,
             reactor,
             listener,
-            term,
-            hangup,
+            sigterm,
+            sighup,
         };
         let now = server.clock.now();
         let at = server.listener.local_addr().map_err(failed("listener"))?;
         tracing::info!(name = server.config.name, %at, "listening");
-        server.front.set_reach(now, server.nodes.reach());
-        server.drivers(now, list)?;
+        server.front.set_reach(now, server.upstream.reach());
+        server.start_drivers(now, list)?;
         news.into_iter()
-            .for_each(|news| server.news(now, news, from));
-        server.hears = server
-            .daemon
+            .for_each(|news| server.apply_watch_event(now, news, from));
+        server.forwards_watch_events = server
+            .settings
             .startup
             .as_ref()
             .is_some_and(|s| s.snapshots.is_some() || s.peers.is_some());
-        server.take_over(now, true);
-        server.look(now);
-        server.get_ready(now);
-        server.deadlines.add(server.discovery.due, Due::Discovery);
-        server.deadlines.add(now + SWEEP, Due::Sweep);
+        server.poll_takeover(now, true);
+        server.poll_cordons(now);
+        server.update_readiness(now);
+        server.timers.add(server.discovery.due, Timer::Discovery);
+        server.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
         Ok(server)
     }
 
     /// Starts the subsystems that the settings name. The control socket is the last: it knows the others' words.
-    fn drivers(&mut self, now: Timestamp, list: Snapshot) -> Result<(), String> {
+    fn start_drivers(&mut self, now: Timestamp, list: Snapshot) -> Result<(), String> {
         if let Some(at) = self.config.ops {
             let beside = self.config.accept_fd.is_some();
-            self.start(now, |turn| Ok(Box::new(Ops::new(turn, at, beside)?)))?;
-            self.first = self.drivers.len();
+            self.start_driver(now, |turn| Ok(Box::new(Ops::new(turn, at, beside)?)))?;
+            self.admin_slot = self.drivers.len();
         }
-        let (daemon, name) = (self.daemon.clone(), self.config.name.clone());
+        let (daemon, name) = (self.settings.clone(), self.config.name.clone());
         if let Some(tls) = daemon.tls {
-            self.start(now, |turn| Ok(Box::new(Tls::new(turn, tls)?)))?;
+            self.start_driver(now, |turn| Ok(Box::new(Tls::new(turn, tls)?)))?;
         }
         if let Some(certs) = daemon.certs {
-            self.start(now, |turn| Ok(Box::new(Certs::new(turn, &certs, &name)?)))?;
+            self.start_driver(now, |turn| Ok(Box::new(Certs::new(turn, &certs, &name)?)))?;
         }
         let kinds = self.config.deployment.names.kinds.clone();
         if let Some(purges) = daemon.purges {
-            self.start(now, |turn| {
+            self.start_driver(now, |turn| {
                 Ok(Box::new(Purges::new(turn, &purges, &kinds)?))
             })?;
         }
@@ -163,27 +163,27 @@
         {
             let (known, seed) = (list.clone(), self.config.seed);
             let times = (purge_ms(purge), startup.serve_snapshot_s * 1_000);
-            self.start(now, |turn| {
+            self.start_driver(now, |turn| {
                 Ok(Box::new(Peers::new(turn, peers, known, seed, times)?))
             })?;
         }
         if let Some(path) = snapshots(&self.config, daemon.startup.as_ref()) {
-            self.start(now, |turn| {
+            self.start_driver(now, |turn| {
                 Ok(Box::new(Snapshots::new(turn, path, list, purge)?))
             })?;
         }
         if let Some(control) = daemon.control {
             let words = self.drivers.iter().flat_map(|(driver, _)| driver.words());
-            let help: BTreeMap<_, _> = words.chain(WORDS).collect();
-            self.start(now, |turn| {
+            let help: BTreeMap<_, _> = words.chain(ADMIN_COMMANDS).collect();
+            self.start_driver(now, |turn| {
                 Ok(Box::new(Control::new(turn, &control.path, help)?))
             })?;
         }
-        self.effects(now);
+        self.carry_out_effects(now);
         Ok(())
     }
 
-    fn start(
+    fn start_driver(
         &mut self,
         now: Timestamp,
         make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, String>,
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -1,5 +1,5 @@
 //! Takes endpoints out of service and back at an operator's request, also one made to another process of this front.
-use super::timers::Due;
+use super::timers::Timer;
 use super::Server;
 use crate::protocol::member::name_of;
 use crate::protocol::ops::member_id;
@@ -8,11 +8,11 @@
 use serde_json::Value;
 
 /// It looks this often for members out by hand of which another process of this front has heard.
-const LOOK: Micros = 100_000;
+const CORDON_POLL_INTERVAL: Micros = 100_000;
 
 impl Server {
     /// Takes a member out by hand, or gives it back. Only one that is or was listed can be meant.
-    pub(super) fn by_hand(
+    pub(super) fn change_cordon(
         &mut self,
         now: Timestamp,
         args: &Value,
@@ -20,30 +20,30 @@
     ) -> Result<Value, String> {
         let text = args["node"].as_str().ok_or("node: missing")?;
         let id = member_id(text).ok_or("node: not s- and 8 hex digits")?;
-        let known = self.nodes.listed().any(|listed| listed == id)
+        let known = self.upstream.listed().any(|listed| listed == id)
             || self.startup.has(id)
             || self.front.avoids(id);
         if !known {
             return Err(format!("{text}: unknown"));
         }
-        if out && self.out.len() >= OUT_MOST && !self.out.contains(&id) {
+        if out && self.cordoned.len() >= OUT_MOST && !self.cordoned.contains(&id) {
             return Err(format!("{text}: {OUT_MOST} are out by hand already"));
         }
-        if let Some(shared) = &self.shared {
+        if let Some(shared) = &self.handover {
             shared
                 .set_out(id, out)
                 .map_err(|e| format!("{text}: it can't be kept: {e}"))?;
         }
-        self.set_by_hand(now, id, out);
-        self.settle(now, Vec::new());
+        self.apply_cordon(now, id, out);
+        self.run_commands(now, Vec::new());
         Ok(if out { "out" } else { "may serve" }.into())
     }
 
-    fn set_by_hand(&mut self, now: Timestamp, id: EndpointId, out: bool) {
+    fn apply_cordon(&mut self, now: Timestamp, id: EndpointId, out: bool) {
         let changed = if out {
-            self.out.insert(id)
+            self.cordoned.insert(id)
         } else {
-            self.out.remove(&id)
+            self.cordoned.remove(&id)
         };
         if changed {
             tracing::info!(
@@ -55,23 +55,24 @@
             self.front.by_hand(now, id, out);
             let mut ends = Vec::new();
             if out {
-                self.nodes.leave_out(id, &mut ends);
+                self.upstream.leave_out(id, &mut ends);
             }
-            self.settle(now, ends);
+            self.run_commands(now, ends);
         }
     }
 
     /// Looks which members are out by hand: another process of this front may have been told.
-    pub(super) fn look(&mut self, now: Timestamp) {
-        let Some(shared) = &mut self.shared else {
+    pub(super) fn poll_cordons(&mut self, now: Timestamp) {
+        let Some(shared) = &mut self.handover else {
             return;
         };
         if let Some(out) = shared.out() {
-            let changed: Vec<_> = out.symmetric_difference(&self.out).copied().collect();
+            let changed: Vec<_> = out.symmetric_difference(&self.cordoned).copied().collect();
             changed
                 .into_iter()
-                .for_each(|id| self.set_by_hand(now, id, out.contains(&id)));
+                .for_each(|id| self.apply_cordon(now, id, out.contains(&id)));
         }
-        self.deadlines.add(now + LOOK, Due::OutByHand);
+        self.timers
+            .add(now + CORDON_POLL_INTERVAL, Timer::CordonPoll);
     }
 }
--- a/front/src/server/event_loop/dispatch.rs
+++ b/front/src/server/event_loop/dispatch.rs
@@ -1,5 +1,5 @@
 //! Carries out the routing's commands until there are none.
-use super::timers::Due;
+use super::timers::Timer;
 use super::Server;
 use crate::routing::{AttemptId, Command, End, Fetch};
 use crate::server::downstream::ClientEvent;
@@ -9,7 +9,7 @@
 
 impl Server {
     /// Puts an attempt on a connection to its node, or notes when that is tried again.
-    pub(super) fn dispatch(
+    pub(super) fn send_attempt(
         &mut self,
         now: Timestamp,
         key: usize,
@@ -17,25 +17,25 @@
         fetch: &Fetch,
         ends: &mut Ends,
     ) {
-        let waiting_until = self.nodes.redial_due();
+        let waiting_until = self.upstream.redial_due();
         if let Some(key) = self
-            .nodes
+            .upstream
             .send(now, &self.reactor, key, target, fetch, ends)
         {
             let due = now + self.config.deployment.settings.connect_timeout;
-            self.deadlines.add(due, Due::Dial(key));
+            self.timers.add(due, Timer::ConnectTimeout(key));
         }
         if let Some(at) = self
-            .nodes
+            .upstream
             .redial_due()
             .filter(|at| Some(*at) != waiting_until)
         {
-            self.deadlines.add(at, Due::Redial);
+            self.timers.add(at, Timer::Redial);
         }
     }
 
     /// Books ends and carries out commands until there are none.
-    pub(super) fn settle(&mut self, now: Timestamp, mut ends: Ends) {
+    pub(super) fn run_commands(&mut self, now: Timestamp, mut ends: Ends) {
         loop {
             for (attempt, end) in std::mem::take(&mut ends) {
                 self.front.ended(now, attempt, end);
@@ -50,21 +50,21 @@
             };
             match command {
                 Command::Send(attempt, to, fetch) => {
-                    let key = self.key();
+                    let key = self.next_key();
                     let due = now + self.config.deployment.settings.connect_timeout;
                     // A purge told meanwhile leaves no more time than that to what was decided before it; a repeat goes out in
                     // its window or not at all.
                     let unwritten = due.min(now + self.config.deployment.limits.purge_grace);
                     let by = unwritten.min(fetch.latest).min(fetch.deadline);
-                    self.dispatch(now, key, (attempt, to, by), &fetch, &mut ends);
-                    self.deadlines.add(by, Due::Unwritten(attempt));
+                    self.send_attempt(now, key, (attempt, to, by), &fetch, &mut ends);
+                    self.timers.add(by, Timer::WriteDeadline(attempt));
                 }
                 Command::Abort(attempt) => {
-                    self.nodes.abort(now, attempt, &mut ends);
+                    self.upstream.abort(now, attempt, &mut ends);
                     ends.insert(0, (attempt, End::CalledOff));
                 }
                 Command::Answer(to, answer) => self.clients.answer(now, to, answer),
-                Command::Wake(at, wake) => self.deadlines.add(at, Due::Wake(wake)),
+                Command::Wake(at, wake) => self.timers.add(at, Timer::Routing(wake)),
                 Command::Lied(member) => self.effects.push(Effect::Lied(member.0)),
                 Command::Log(text) => tracing::info!(kind = "decision", text, "decision"),
             }
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -1,5 +1,5 @@
 //! Applies watch events of the endpoint list and lists that peers hold.
-use super::timers::Due;
+use super::timers::Timer;
 use super::Server;
 use crate::protocol::feed::{Listing, News};
 use crate::protocol::snapshot::Snapshot;
@@ -10,14 +10,14 @@
 use std::collections::HashSet;
 
 /// A clock that is apart from the list service's by more than this is told.
-const CLOCK_APART_MS: i64 = 5_000;
+const MAX_CLOCK_SKEW_MS: i64 = 5_000;
 
 impl Server {
-    pub(super) fn news(&mut self, now: Timestamp, news: News, origin: Origin) {
-        if self.hears {
+    pub(super) fn apply_watch_event(&mut self, now: Timestamp, news: News, origin: Origin) {
+        if self.forwards_watch_events {
             self.effects
                 .push(Effect::Heard(self.discovery.stands().1, news.clone()));
-            self.effects(now);
+            self.carry_out_effects(now);
         }
         match news {
             News::Members { whole, list } => {
@@ -27,10 +27,10 @@
                     let told = |l: &Listing| (u64::from(l.id), l.kind, here(l));
                     self.effects
                         .push(Effect::Members(list.iter().map(told).collect(), whole));
-                    self.effects(now);
+                    self.carry_out_effects(now);
                 }
                 let list = self.startup.listed(now, whole, list);
-                self.take_members(now, whole, list, origin);
+                self.update_endpoints(now, whole, list, origin);
             }
             News::Purge {
                 object,
@@ -40,20 +40,24 @@
                 .front
                 .purged(now, object, group, at_ms.saturating_mul(1_000), origin),
         }
-        let ahead_ms = self.front.ahead.ms().filter(|ms| ms.abs() > CLOCK_APART_MS);
-        if let Some(ahead_ms) = ahead_ms.filter(|_| !self.clock_told) {
+        let ahead_ms = self
+            .front
+            .ahead
+            .ms()
+            .filter(|ms| ms.abs() > MAX_CLOCK_SKEW_MS);
+        if let Some(ahead_ms) = ahead_ms.filter(|_| !self.clock_skew_logged) {
             tracing::warn!(
                 kind = "clock",
                 ahead_ms,
                 "this clock is far from that of the list service"
             );
         }
-        self.clock_told = ahead_ms.is_some();
-        self.settle(now, Vec::new());
+        self.clock_skew_logged = ahead_ms.is_some();
+        self.run_commands(now, Vec::new());
     }
 
     /// Takes over a list that peers hold, unless the service is heard or has told as much.
-    pub(super) fn take_list(&mut self, now: Timestamp, list: Box<Snapshot>) {
+    pub(super) fn adopt_peer_list(&mut self, now: Timestamp, list: Box<Snapshot>) {
         if self.discovery.heard() || list.number <= self.discovery.stands().1 {
             return;
         }
@@ -67,17 +71,17 @@
         );
         self.discovery.skip_to(list.number);
         // It does not grow younger by being taken.
-        self.hears = false;
+        self.forwards_watch_events = false;
         list.news()
             .into_iter()
-            .for_each(|news| self.news(now, news, Origin::Kept));
-        self.hears = true;
+            .for_each(|news| self.apply_watch_event(now, news, Origin::Kept));
+        self.forwards_watch_events = true;
         self.effects.push(Effect::Taken(list));
-        self.effects(now);
+        self.carry_out_effects(now);
     }
 
     /// Takes over what the list says of members; `whole`: of all that are in use.
-    pub(super) fn take_members(
+    pub(super) fn update_endpoints(
         &mut self,
         now: Timestamp,
         whole: bool,
@@ -85,21 +89,21 @@
         origin: Origin,
     ) {
         let mut ends = Vec::new();
-        let entries: Vec<_> = list.iter().map(entry).collect();
+        let entries: Vec<_> = list.iter().map(endpoint_entry).collect();
         let mut before: Vec<_> = if whole {
-            self.nodes.listed().collect()
+            self.upstream.listed().collect()
         } else {
             Vec::new()
         };
         if whole {
             let listed: HashSet<_> = entries.iter().map(|e| e.member).collect();
-            self.nodes.keep_only(&listed);
+            self.upstream.keep_only(&listed);
             before.retain(|id| !listed.contains(id));
         }
         entries
             .iter()
             .zip(&list)
-            .for_each(|(entry, l)| self.nodes.list(entry, l.address));
+            .for_each(|(entry, l)| self.upstream.list(entry, l.address));
         let mut left_out: Vec<_> = entries
             .iter()
             .filter(|e| e.state != EndpointState::Ready)
@@ -114,34 +118,34 @@
         self.front.members(now, whole, entries, origin);
         left_out
             .into_iter()
-            .for_each(|id| self.nodes.leave_out(id, &mut ends));
-        self.settle(now, ends);
+            .for_each(|id| self.upstream.leave_out(id, &mut ends));
+        self.run_commands(now, ends);
         let dialled = if self.startup.dials() {
             new
         } else {
             Vec::new()
         };
         for member in dialled {
-            let key = self.key();
-            if self.nodes.open(now, &self.reactor, key, member) {
-                self.deadlines.add(
+            let key = self.next_key();
+            if self.upstream.open(now, &self.reactor, key, member) {
+                self.timers.add(
                     now + self.config.deployment.settings.connect_timeout,
-                    Due::Dial(key),
+                    Timer::ConnectTimeout(key),
                 );
             }
         }
         if let Some(at) = self.startup.next() {
-            self.deadlines.add(at, Due::Members);
+            self.timers.add(at, Timer::SlowStart);
         }
     }
 
-    pub(super) fn get_ready(&mut self, now: Timestamp) {
-        let (used, reached) = (self.nodes.listed().count(), self.nodes.reached());
+    pub(super) fn update_readiness(&mut self, now: Timestamp) {
+        let (used, reached) = (self.upstream.listed().count(), self.upstream.reached());
         self.clients.ready = self.startup.ready(now, used, reached);
     }
 }
 
-fn entry(listing: &Listing) -> EndpointEntry {
+fn endpoint_entry(listing: &Listing) -> EndpointEntry {
     EndpointEntry {
         member: EndpointId(listing.id.into()),
         kind: listing.kind,
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -30,15 +30,15 @@
 use std::net::TcpListener;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
-use timers::Due;
+use timers::Timer;
 
-const LISTENER: usize = 0;
-const TERM: usize = 1;
-const HANGUP: usize = 2;
+const LISTENER_KEY: usize = 0;
+const SIGTERM_KEY: usize = 1;
+const SIGHUP_KEY: usize = 2;
 /// Keys from here on are for connections.
-const KEYS: usize = 3;
+const FIRST_CONNECTION_KEY: usize = 3;
 /// Rank from which on events of a turn come after all that is heard of clients: what nodes leave free is not for those who left.
-const NODES: usize = 3;
+const UPSTREAM_RANK: usize = 3;
 
 /// One front on its sockets.
 pub struct Server {
@@ -46,60 +46,60 @@
     clock: Clock,
     reactor: Reactor,
     listener: Registered<TcpListener>,
-    term: Registered<UnixStream>,
-    hangup: Registered<UnixStream>,
-    deadlines: Deadlines<Due>,
+    sigterm: Registered<UnixStream>,
+    sighup: Registered<UnixStream>,
+    timers: Deadlines<Timer>,
     front: Front,
     clients: Clients,
-    nodes: CacheNodes,
+    upstream: CacheNodes,
     discovery: Discovery,
     startup: Startup,
     /// What the list service tells is told to drivers.
-    hears: bool,
+    forwards_watch_events: bool,
     /// That this clock is far from the list service's was told.
-    clock_told: bool,
+    clock_skew_logged: bool,
     log: Log,
     last_key: usize,
     /// Since SIGTERM.
-    draining: Option<Drain>,
+    shutdown: Option<Drain>,
     /// Where the platform starts a new process beside the old.
-    shared: Option<Shared>,
+    handover: Option<Shared>,
     /// Whether this process accepts clients.
-    accepts: bool,
-    acceptor: AcceptBackoff,
+    accepts_clients: bool,
+    accept_backoff: AcceptBackoff,
     /// Members out by hand, as last seen in what is shared.
-    out: BTreeSet<EndpointId>,
+    cordoned: BTreeSet<EndpointId>,
     /// Since when it is emptied.
-    quiesced: Option<Timestamp>,
+    quiesced_at: Option<Timestamp>,
     /// The driver that goes before clients: operators' calls are due whatever the load.
-    first: usize,
+    admin_slot: usize,
     /// The daemon's own settings, and where they were read from.
-    daemon: Daemon,
-    daemon_file: Option<PathBuf>,
+    settings: Daemon,
+    settings_file: Option<PathBuf>,
     /// Subsystems that the settings switch on, each with the last key that it gave out.
     drivers: Vec<(Box<dyn Driver>, usize)>,
     effects: Vec<Effect>,
     /// Who no longer waits, as heard in this turn.
-    gone: Vec<ReplyTo>,
-    began: Timestamp,
+    disconnected: Vec<ReplyTo>,
+    started_at: Timestamp,
 }
 
 impl Server {
     /// Serves until it has left.
     pub fn run(mut self) -> Result<(), String> {
-        while !self.turn()? {}
+        while !self.run_turn()? {}
         Ok(())
     }
 
     /// Waits for something to do and does it. Whether the front has left.
-    fn turn(&mut self) -> Result<bool, String> {
+    fn run_turn(&mut self) -> Result<bool, String> {
         let drivers = self
             .drivers
             .iter()
             .filter_map(|(driver, _)| driver.next())
             .min();
         let next = self
-            .deadlines
+            .timers
             .next()
             .into_iter()
             .chain(drivers)
@@ -114,71 +114,71 @@
         // room for them is made by closing those of which nothing was read yet.
         // Operators come before clients, clients before nodes, and those before other subsystems.
         let rank = |key: usize| match slot_of(key) {
-            slot if slot > 0 && slot == self.first => 1,
-            slot if slot > 0 => NODES + slot,
+            slot if slot > 0 && slot == self.admin_slot => 1,
+            slot if slot > 0 => UPSTREAM_RANK + slot,
             _ if self.discovery.is(key) => 0,
-            _ if self.nodes.has(key) => NODES,
+            _ if self.upstream.has(key) => UPSTREAM_RANK,
             _ => 2,
         };
-        events.sort_by_cached_key(|(key, ..)| (*key == LISTENER, rank(*key)));
+        events.sort_by_cached_key(|(key, ..)| (*key == LISTENER_KEY, rank(*key)));
         let nodes = events
             .iter()
-            .position(|(key, ..)| *key == LISTENER || rank(*key) >= NODES);
+            .position(|(key, ..)| *key == LISTENER_KEY || rank(*key) >= UPSTREAM_RANK);
         for (n, (key, readable, writable)) in events.into_iter().enumerate() {
             if nodes == Some(n) {
-                self.left(now);
+                self.cancel_disconnected(now);
             }
-            self.event(now, key, readable, writable);
+            self.handle_event(now, key, readable, writable);
         }
-        self.left(now);
-        while let Some(due) = self.deadlines.take(now) {
-            self.due(now, due);
+        self.cancel_disconnected(now);
+        while let Some(due) = self.timers.take(now) {
+            self.handle_timer(now, due);
         }
         let heard = self.clients.due(now);
-        self.hear(now, heard);
+        self.handle_client_events(now, heard);
         for slot in 1..=self.drivers.len() {
-            self.drive(now, slot, |driver, turn| {
+            self.with_driver(now, slot, |driver, turn| {
                 if driver.next().is_some_and(|at| at <= turn.now) {
                     driver.due(turn);
                 }
             });
         }
-        self.effects(now);
-        self.nodes
+        self.carry_out_effects(now);
+        self.upstream
             .pause(now, self.clients.held() > self.config.room().bytes);
-        Ok(self.parted(now))
+        Ok(self.advance_shutdown(now))
     }
 
-    fn key(&mut self) -> usize {
+    fn next_key(&mut self) -> usize {
         self.last_key += 1;
         self.last_key
     }
 
-    fn event(&mut self, now: Timestamp, key: usize, readable: bool, writable: bool) {
+    fn handle_event(&mut self, now: Timestamp, key: usize, readable: bool, writable: bool) {
         match key {
-            LISTENER => self.accept(now),
-            TERM => self.begin_drain(now),
-            HANGUP => {
-                drain(&self.hangup);
+            LISTENER_KEY => self.accept_clients(now),
+            SIGTERM_KEY => self.begin_shutdown(now),
+            SIGHUP_KEY => {
+                drain(&self.sighup);
                 self.reload(now);
             }
             _ if slot_of(key) > 0 => {
-                self.drive(now, slot_of(key), |driver, turn| {
+                self.with_driver(now, slot_of(key), |driver, turn| {
                     driver.ready(turn, key, readable, writable)
                 });
-                self.effects(now);
+                self.carry_out_effects(now);
             }
             _ if self.discovery.is(key) => {
                 self.discovery
                     .ready(now)
                     .into_iter()
-                    .for_each(|news| self.news(now, news, Origin::Service));
-                self.deadlines.add(self.discovery.due, Due::Discovery);
+                    .for_each(|news| self.apply_watch_event(now, news, Origin::Service));
+                self.timers.add(self.discovery.due, Timer::Discovery);
             }
-            _ if self.nodes.has(key) => {
+            _ if self.upstream.has(key) => {
                 let mut ends = Vec::new();
-                self.nodes.ready(now, key, readable, &mut ends);
-                self.settle(now, ends);
+                self.upstream.ready(now, key, readable, &mut ends);
+                self.run_commands(now, ends);
             }
             _ if self.clients.has(key) => {
                 if writable {
@@ -189,7 +189,7 @@
                 } else {
                     Vec::new()
                 };
-                self.hear(now, heard);
+                self.handle_client_events(now, heard);
             }
             _ => {}
         }
--- a/front/src/server/event_loop/reload.rs
+++ b/front/src/server/event_loop/reload.rs
@@ -1,5 +1,5 @@
 //! Reads configuration and settings again after SIGHUP or an operator's command.
-use super::timers::Due;
+use super::timers::Timer;
 use super::Server;
 use crate::server::config::Config;
 use cranesill::api::Timestamp;
@@ -16,14 +16,14 @@
                 if self.discovery.move_to(now, new.feed) {
                     self.front.list_moved();
                 }
-                self.deadlines.add(now, Due::Discovery);
+                self.timers.add(now, Timer::Discovery);
             }
             Err(faults) => tracing::warn!(
                 error = faults.join("; "),
                 "the configuration stays as it was"
             ),
         }
-        let Some(file) = &self.daemon_file else {
+        let Some(file) = &self.settings_file else {
             return;
         };
         let new = match crate::server::config::settings(file) {
@@ -32,12 +32,12 @@
                 return tracing::warn!(error = faults.join("; "), "the settings stay as they were");
             }
         };
-        let changes = changes(&self.daemon, &new);
+        let changes = changes(&self.settings, &new);
         self.log.set(&new.log);
         for slot in 1..=self.drivers.len() {
-            self.drive(now, slot, |driver, turn| driver.reload(turn, &new));
+            self.with_driver(now, slot, |driver, turn| driver.reload(turn, &new));
         }
-        self.effects(now);
+        self.carry_out_effects(now);
         if !changes.restart.is_empty() {
             tracing::warn!(
                 paths = changes.restart.join(" "),
@@ -46,11 +46,11 @@
         }
         tracing::info!(paths = changes.taken.join(" "), "settings taken over");
         // What needs a restart is compared with what runs.
-        let (old, restart) = (std::mem::replace(&mut self.daemon, new), changes.restart);
+        let (old, restart) = (std::mem::replace(&mut self.settings, new), changes.restart);
         if !restart.is_empty() {
-            self.daemon.control = old.control;
-            self.daemon.tls = self
-                .daemon
+            self.settings.control = old.control;
+            self.settings.tls = self
+                .settings
                 .tls
                 .take()
                 .zip(old.tls.clone())
@@ -59,8 +59,8 @@
                     ..new
                 })
                 .or(old.tls);
-            self.daemon.certs = self
-                .daemon
+            self.settings.certs = self
+                .settings
                 .certs
                 .take()
                 .zip(old.certs.clone())
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -1,5 +1,5 @@
 //! Takes the clients' socket over from an earlier process of this front and leaves it to a later one.
-use super::timers::Due;
+use super::timers::Timer;
 use super::Server;
 use crate::server::handover::Shared;
 use crate::transport::at_start;
@@ -8,22 +8,22 @@
 use std::path::PathBuf;
 
 /// A process that waits for another to leave the clients' socket to it looks this often.
-const TAKE_OVER: Micros = 10_000;
+const TAKEOVER_POLL_INTERVAL: Micros = 10_000;
 
 /// A process that leaves the socket to another closes connections to members that carry nothing for this long.
-const LINK_IDLE: Micros = 500_000;
+const HANDOVER_UPSTREAM_IDLE: Micros = 500_000;
 
 impl Server {
     /// Accepts clients once no other process of this front does, and uses all of its limits once none is left.
-    pub(super) fn take_over(&mut self, now: Timestamp, first: bool) {
-        let Some(shared) = &mut self.shared else {
+    pub(super) fn poll_takeover(&mut self, now: Timestamp, first: bool) {
+        let Some(shared) = &mut self.handover else {
             return;
         };
-        if self.draining.is_some() {
+        if self.shutdown.is_some() {
             return;
         }
         let (accepts, alone) = (shared.accepts(), shared.alone());
-        if accepts && (first || !self.accepts) {
+        if accepts && (first || !self.accepts_clients) {
             let learned = shared.learned(now);
             tracing::info!(kind = "upgrade", learned = learned.len(), "accepts clients");
             self.front.learn(now, learned);
@@ -34,33 +34,36 @@
                 "waits for another process to leave the clients' socket"
             );
         }
-        self.accepts = accepts;
-        self.halve(now, !alone);
-        self.listen(true);
+        self.accepts_clients = accepts;
+        self.share_limits(now, !alone);
+        self.watch_listener(true);
         if !accepts || !alone {
-            self.deadlines.add(now + TAKE_OVER, Due::TakeOver);
+            self.timers
+                .add(now + TAKEOVER_POLL_INTERVAL, Timer::TakeoverPoll);
         }
     }
 
     /// Shares the limits with another process of this front, or no longer.
-    pub(super) fn halve(&mut self, now: Timestamp, halved: bool) {
+    pub(super) fn share_limits(&mut self, now: Timestamp, halved: bool) {
         if std::mem::replace(&mut self.config.halved, halved) != halved {
-            self.nodes
-                .limit(self.config.links_most(), self.draining.map(|_| LINK_IDLE));
-            self.front.set_reach(now, self.nodes.reach());
+            self.upstream.limit(
+                self.config.links_most(),
+                self.shutdown.map(|_| HANDOVER_UPSTREAM_IDLE),
+            );
+            self.front.set_reach(now, self.upstream.reach());
             self.front.set_room(self.config.room());
         }
     }
 
     /// Whether another process accepts on the clients' socket now.
-    pub(super) fn elsewhere(&self) -> bool {
-        !self.accepts || self.config.accept_fd.is_some() && self.draining.is_some()
+    pub(super) fn another_process_accepts(&self) -> bool {
+        !self.accepts_clients || self.config.accept_fd.is_some() && self.shutdown.is_some()
     }
 }
 
 /// The folder that the platform shares between the processes of this front. Without it a new process serves all the
 /// same.
-pub(super) fn share() -> Option<Shared> {
+pub(super) fn open_handover() -> Option<Shared> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
     let found = folder
         .ok_or_else(|| io::Error::other("TMPDIR is not set"))
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -1,5 +1,5 @@
 //! The kinds of timer that the loop sets, and what is done when one expires.
-use super::shutdown::QUIESCE_SERVES;
+use super::shutdown::QUIESCE_GRACE;
 use super::Server;
 use crate::routing::{AttemptId, Origin, Wake};
 use crate::server::drain::Stage;
@@ -8,46 +8,46 @@
 
 /// What is due at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
-    Wake(Wake),
-    Dial(usize),
-    Unwritten(AttemptId),
+pub(super) enum Timer {
+    Routing(Wake),
+    ConnectTimeout(usize),
+    WriteDeadline(AttemptId),
     Discovery,
     Sweep,
     /// The end of the program goes on.
-    Drain,
-    Quiesced,
+    ShutdownStage,
+    QuiesceGrace,
     /// Members that are listed come into use.
-    Members,
+    SlowStart,
     /// Another process may have left the clients' socket to this one.
-    TakeOver,
+    TakeoverPoll,
     /// Another process may have heard of members out by hand.
-    OutByHand,
+    CordonPoll,
     /// An operator's call is answered.
-    Confirm(u64),
+    CordonConfirmation(u64),
     /// The clients' listener has rested after a failed `accept`.
-    Accept,
+    AcceptRetry,
     /// Connections to nodes that this machine could not begin are tried again.
     Redial,
 }
 
 /// Pause between two sweeps over all connections.
-pub(super) const SWEEP: Micros = 250_000;
+pub(super) const SWEEP_INTERVAL: Micros = 250_000;
 
 impl Server {
-    pub(super) fn due(&mut self, now: Timestamp, due: Due) {
+    pub(super) fn handle_timer(&mut self, now: Timestamp, due: Timer) {
         let mut ends = Vec::new();
         match due {
-            Due::Wake(wake) => self.front.wake(now, wake),
-            Due::Dial(key) => self.nodes.undialed(key, &mut ends),
-            Due::Unwritten(attempt) => self.nodes.withdraw(attempt, &mut ends),
-            Due::Discovery if now >= self.discovery.due => {
-                let key = self.key();
+            Timer::Routing(wake) => self.front.wake(now, wake),
+            Timer::ConnectTimeout(key) => self.upstream.undialed(key, &mut ends),
+            Timer::WriteDeadline(attempt) => self.upstream.withdraw(attempt, &mut ends),
+            Timer::Discovery if now >= self.discovery.due => {
+                let key = self.next_key();
                 self.discovery.go(now, &self.reactor, key);
-                self.deadlines.add(self.discovery.due, Due::Discovery);
+                self.timers.add(self.discovery.due, Timer::Discovery);
             }
-            Due::Discovery => {}
-            Due::Sweep => {
+            Timer::Discovery => {}
+            Timer::Sweep => {
                 let gone =
                     self.clients
                         .sweep(now, self.config.room().bytes, self.config.held_most());
@@ -56,49 +56,49 @@
                 if contact.is_some_and(|contact| contact.lost_now(now)) {
                     tracing::warn!(kind = "contact-lost", "purges: no contact with the ledger");
                 }
-                self.hear(now, gone);
-                self.left(now);
-                self.nodes.sweep(now, &mut ends);
-                self.get_ready(now);
-                if self.discovery.heard() && self.hears {
+                self.handle_client_events(now, gone);
+                self.cancel_disconnected(now);
+                self.upstream.sweep(now, &mut ends);
+                self.update_readiness(now);
+                if self.discovery.heard() && self.forwards_watch_events {
                     self.effects.push(Effect::Current);
-                    self.effects(now);
+                    self.carry_out_effects(now);
                 }
-                self.listen(true);
-                self.deadlines.add(now + SWEEP, Due::Sweep);
+                self.watch_listener(true);
+                self.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
             }
-            Due::Members => {
+            Timer::SlowStart => {
                 let list = self.startup.due(now);
-                self.take_members(now, false, list, Origin::Kept);
+                self.update_endpoints(now, false, list, Origin::Kept);
             }
-            Due::TakeOver => self.take_over(now, false),
-            Due::OutByHand => self.look(now),
-            Due::Redial => {
-                for (target, fetch) in self.nodes.take_redials(now) {
-                    let key = self.key();
-                    self.dispatch(now, key, target, &fetch, &mut ends);
+            Timer::TakeoverPoll => self.poll_takeover(now, false),
+            Timer::CordonPoll => self.poll_cordons(now),
+            Timer::Redial => {
+                for (target, fetch) in self.upstream.take_redials(now) {
+                    let key = self.next_key();
+                    self.send_attempt(now, key, target, &fetch, &mut ends);
                 }
             }
-            Due::Accept => {
-                self.acceptor.resume();
-                self.listen(true);
-                self.accept(now);
+            Timer::AcceptRetry => {
+                self.accept_backoff.resume();
+                self.watch_listener(true);
+                self.accept_clients(now);
             }
-            Due::Confirm(number) => {
+            Timer::CordonConfirmation(number) => {
                 self.effects.push(Effect::Answer(number, Ok("out".into())));
-                self.effects(now);
+                self.carry_out_effects(now);
             }
-            Due::Quiesced => {
+            Timer::QuiesceGrace => {
                 if self
-                    .quiesced
-                    .is_some_and(|since| now >= since + QUIESCE_SERVES)
+                    .quiesced_at
+                    .is_some_and(|since| now >= since + QUIESCE_GRACE)
                 {
                     self.front.close(true);
                 }
             }
-            Due::Drain => {
+            Timer::ShutdownStage => {
                 let stage = self
-                    .draining
+                    .shutdown
                     .map_or(Stage::Serves, |drain| drain.stage(now));
                 if stage >= Stage::Refuses {
                     self.front.close(true);
@@ -111,6 +111,6 @@
                 }
             }
         }
-        self.settle(now, ends);
+        self.run_commands(now, ends);
     }
 }
