--- a/front/src/server/cli.rs
+++ b/front/src/server/cli.rs
@@ -114,9 +114,9 @@
         return Err(faults);
     }
     config.reserve(&daemon).map_err(|e| vec![e])?;
-    let server = Server::new(config, daemon, own).map_err(|e| vec![e])?;
+    let server = Server::new(config, daemon, own).map_err(|e| vec![e.to_string()])?;
     early.again().map_err(|e| vec![format!("signals: {e}")])?;
-    server.run().map_err(|e| vec![e])
+    server.run().map_err(|e| vec![e.to_string()])
 }
 
 /// Reads both files as far as they are named; all faults of both are told.
--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -1,7 +1,7 @@
 //! Drives the ACME client: exchanges, keys and files on worker threads, http-01 challenges on a listener of its own,
 //! certificates to the TLS listener.
 use super::served::{Proof, Tables};
-use super::{Driver, Effect, Secured, Turn};
+use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
 use crate::transport::{at_start, listen, Registered, Workers};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_certs::client::Loud;
@@ -247,7 +247,7 @@
             self.carry_out(turn, action);
         }
         if served {
-            turn.effects.push(Effect::Secured(Secured::Certificates(
+            turn.effects.push(Effect::Tls(TlsEffect::Certificates(
                 self.tables.table(self.first.as_deref()),
             )));
         }
@@ -310,7 +310,7 @@
                 self.shown.remove(&challenge.token);
                 if challenge.way == Way::TlsAlpn {
                     turn.effects
-                        .push(Effect::Secured(Secured::Prove(challenge.name, None)));
+                        .push(Effect::Tls(TlsEffect::Challenge(challenge.name, None)));
                 }
                 Ok(())
             }
@@ -322,7 +322,7 @@
             }
             Action::Reply(number, answer) => {
                 turn.effects
-                    .push(Effect::Answer(number, answer.map(Value::from)));
+                    .push(Effect::response(number, answer.map(Value::from)));
                 Ok(())
             }
             Action::Tell(note) => {
@@ -464,7 +464,7 @@
                     .map(|(r, s)| self.row(r, *s))
                     .collect();
                 let answer = json!({"certificates": rows, "authority": self.client.state(moment)});
-                turn.effects.push(Effect::Answer(number, Ok(answer)));
+                turn.effects.push(Effect::response(number, Ok(answer)));
             }
             "certs-renew" => self.handle(turn, Event::Renew(number, name)),
             "certs-revoke" => {
@@ -478,7 +478,7 @@
                 let text = |field: &str| args[field].as_str().unwrap_or("");
                 match Identity::join(text("key"), text("chain")) {
                     Ok(identity) => self.handle(turn, Event::Import(number, Box::new(identity))),
-                    Err(why) => turn.effects.push(Effect::Answer(number, Err(why))),
+                    Err(why) => turn.effects.push(Effect::response(number, Err(why))),
                 }
             }
             "certs-roll-key" => self.handle(turn, Event::RollKey(number)),
@@ -524,8 +524,10 @@
                     Done::Proof(task, name, made) => {
                         let proof = made.and_then(|key| Proof::new(&key));
                         let done = proof.map(|proof| {
-                            turn.effects
-                                .push(Effect::Secured(Secured::Prove(name, Some(Arc::new(proof)))));
+                            turn.effects.push(Effect::Tls(TlsEffect::Challenge(
+                                name,
+                                Some(Arc::new(proof)),
+                            )));
                         });
                         self.handle(turn, Event::Done(task, done));
                     }
@@ -564,15 +566,20 @@
         looker.into_iter().chain([self.next]).min()
     }
 
-    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
-        if let Effect::Word(number, word, args) = effect {
+    fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
+        if let Effect::Admin(AdminEffect::Command {
+            id: number,
+            name: word,
+            arguments: args,
+        }) = effect
+        {
             if word.starts_with("certs") {
                 self.word(turn, *number, word, args);
             }
         }
     }
 
-    fn words(&self) -> Vec<(&'static str, &'static str)> {
+    fn commands(&self) -> Vec<(&'static str, &'static str)> {
         vec![
             (
                 "certs",
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -1,5 +1,5 @@
 //! The control socket: one JSON object a line from operators, one a line back.
-use super::{Driver, Effect, Turn};
+use super::{AdminEffect, Driver, Effect, Turn};
 use crate::transport::{at_start, Registered};
 use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
@@ -161,7 +161,11 @@
                     self.answer(turn.now, self.last, Ok(json!(self.help)))
                 }
                 Ok((word, args)) if self.help.contains_key(word.as_str()) => {
-                    turn.effects.push(Effect::Word(self.last, word, args));
+                    turn.effects.push(Effect::Admin(AdminEffect::Command {
+                        id: self.last,
+                        name: word,
+                        arguments: args,
+                    }));
                 }
                 Ok((word, _)) => {
                     let word: String = word.chars().take(60).collect();
@@ -274,8 +278,12 @@
         Some(self.sweep)
     }
 
-    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
-        if let Effect::Answer(number, answer) = effect {
+    fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
+        if let Effect::Admin(AdminEffect::Response {
+            id: number,
+            result: answer,
+        }) = effect
+        {
             let key = self.asked.get(number).copied();
             self.answer(turn.now, *number, answer.clone());
             // A word that waited for room.
--- a/front/src/server/drivers/control/tests.rs
+++ b/front/src/server/drivers/control/tests.rs
@@ -98,7 +98,9 @@
     }
     odd.write_all(b"tus\"}\n").unwrap();
     stage.turn(2);
-    assert!(matches!(&stage.effects[..], [Effect::Word(4, word, Value::Null)] if word == "status"));
+    assert!(
+        matches!(&stage.effects[..], [Effect::Admin(AdminEffect::Command { id: 4, name: word, arguments: Value::Null })] if word == "status")
+    );
     // One that never ends its line is closed, and room for operators is bounded.
     let mut endless = stage.operator();
     endless.set_nonblocking(true).unwrap();
@@ -125,7 +127,7 @@
     };
     stage
         .control
-        .told(&mut turn, &Effect::Answer(4, Ok(json!({"a": 1}))));
+        .handle_effect(&mut turn, &Effect::response(4, Ok(json!({"a": 1}))));
     assert_eq!(lines.next().unwrap().unwrap(), r#"{"ok":{"a":1}}"#);
     let mut turn = Turn {
         now: IDLE_MOST + 6,
@@ -160,6 +162,6 @@
     };
     stage
         .control
-        .told(&mut turn, &Effect::Answer(1, Ok(Value::Null)));
+        .handle_effect(&mut turn, &Effect::response(1, Ok(Value::Null)));
     assert_eq!(effects.len(), 1, "the next one takes its place");
 }
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -1,4 +1,4 @@
-//! What drivers bring about for others, by the subsystem that it concerns.
+//! Messages from one subsystem to the others, grouped by the subsystem that they concern.
 use super::served::{Proof, Table};
 use crate::protocol::feed::News;
 use crate::protocol::snapshot::Snapshot;
@@ -10,38 +10,93 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// Something that concerns others than the driver that brought it about.
+/// A message of one subsystem to others. The event loop carries it out itself or passes it to every driver.
 pub enum Effect {
-    /// A word of an operator, with a number for its answer.
-    Word(u64, String, Value),
-    /// The answer to an operator.
-    Answer(u64, Result<Value, String>),
-    /// Members that are listed, with their kind and where they listen (`None`: gone); `true`: all that there are.
-    Members(Vec<(u64, u8, Option<SocketAddr>)>, bool),
-    /// The list service has told this, with the number of the event.
-    Heard(u64, News),
-    /// Nothing new, and the list service says so.
+    /// Concerns operators' commands.
+    Admin(AdminEffect),
+    /// Concerns the endpoint list and its endpoints.
+    Endpoints(EndpointEffect),
+    /// Concerns TLS connections and certificates.
+    Tls(TlsEffect),
+    /// Concerns the log of purges.
+    Purges(Purging),
+}
+
+impl Effect {
+    /// The result of the operator's command `id`; an error is the text that the operator sees.
+    pub fn response(id: u64, result: Result<Value, String>) -> Self {
+        Effect::Admin(AdminEffect::Response { id, result })
+    }
+}
+
+/// Messages about operators' commands.
+pub enum AdminEffect {
+    /// An operator has sent a command.
+    Command {
+        /// Identifies the command in its response; no two open commands share it.
+        id: u64,
+        /// The command, as [`Driver::commands`](super::Driver::commands) lists it.
+        name: String,
+        /// Its arguments, as an object; null where there are none.
+        arguments: Value,
+    },
+    /// A command has been carried out or rejected.
+    Response {
+        /// Of the command.
+        id: u64,
+        /// What the operator is shown.
+        result: Result<Value, String>,
+    },
+}
+
+/// An endpoint as the list names it.
+#[derive(Clone, Copy, Debug)]
+pub struct EndpointAddress {
+    /// The endpoint's id.
+    pub id: u64,
+    /// The place of its kind in the configuration's list of kinds.
+    pub kind: u8,
+    /// Where it listens; `None` once it was removed.
+    pub address: Option<SocketAddr>,
+}
+
+/// Messages about the endpoint list.
+pub enum EndpointEffect {
+    /// Endpoints were listed or removed.
+    Listed {
+        /// The endpoints concerned.
+        endpoints: Vec<EndpointAddress>,
+        /// Whether these are all that there are: any other is removed.
+        complete: bool,
+    },
+    /// The list service has sent a watch event.
+    WatchEvent {
+        /// The revision of the list that the event leads to.
+        revision: u64,
+        /// The event.
+        event: News,
+    },
+    /// The list service has confirmed that there is nothing new.
     Current,
-    /// So many peers offer this list that it may be taken.
+    /// Enough peers offer this list for it to be adopted.
     Offered(Box<Snapshot>),
-    /// It was taken: it is what is known from now on, and as old as it is.
-    Taken(Box<Snapshot>),
-    /// A member served what it had been asked not to.
-    Lied(u64),
-    /// Of TLS and certificates.
-    Secured(Secured),
-    /// Of purges.
-    Purges(Purging),
+    /// A peer's list was adopted. It counts as old as it was when the peer sent it.
+    Adopted(Box<Snapshot>),
+    /// An endpoint served an object older than a purge that it had been sent.
+    ServedPurged {
+        /// The endpoint's id.
+        endpoint: u64,
+    },
 }
 
-/// What concerns TLS.
-pub enum Secured {
+/// Messages about TLS connections and certificates.
+pub enum TlsEffect {
     /// A handshake is complete: the connection is a client's.
     Client(Registered<TcpStream>, Box<ServerConnection>),
-    /// These certificates are served from now on.
+    /// The certificates to be served from now on.
     Certificates(Arc<Table>),
-    /// Control of a name is shown in handshakes, or no longer.
-    Prove(String, Option<Arc<Proof>>),
+    /// Handshakes for a name show control of it by this proof (RFC 8737); `None`: no longer.
+    Challenge(String, Option<Arc<Proof>>),
 }
 
 /// What concerns the ledger of purges.
--- a/front/src/server/drivers/mod.rs
+++ b/front/src/server/drivers/mod.rs
@@ -1,6 +1,6 @@
-//! What a subsystem is to the loop: sources under a range of keys of its own, one next moment, and effects by which
-//! it reaches the others. A subsystem is added by a file here and a line in `serve.rs`; effects of its own are a group of
-//! their own.
+//! The interface between the event loop and its subsystems. A driver has a range of poller keys of its own, one next
+//! deadline, and effects by which it sends messages to the others. A subsystem is added by a file here and a line in
+//! `event_loop/assembly.rs`; its messages are a group of their own in `effect.rs`.
 pub mod certs;
 pub mod control;
 mod effect;
@@ -11,58 +11,59 @@
 pub mod snapshot;
 pub mod tls;
 
-pub use effect::{Effect, Purging, Secured};
+pub use effect::{AdminEffect, Effect, EndpointAddress, EndpointEffect, Purging, TlsEffect};
 
 use crate::transport::Reactor;
 use cranesill::api::Timestamp;
 use cranesill_daemon::Daemon;
 
-/// Bits of a key below those that name its driver; 0 there are the front's own.
+/// Lower bits of a poller key; those above them are the slot of its driver.
 const SLOT_BITS: u32 = 40;
 
-/// What a driver may use in its turn.
+/// What a driver may use while the loop calls it. A turn of the loop gives each driver that has something to do one of
+/// these; it ends with the call, so nothing of it can be kept.
 pub struct Turn<'a> {
-    /// Now.
+    /// When the turn began; it does not advance within the turn.
     pub now: Timestamp,
-    /// By how many milliseconds `now` is behind the clock of the list service, as far as that is known.
+    /// By how many milliseconds this machine's clock is behind that of the list service, as far as that is known.
     pub behind_ms: u64,
-    /// Watches sources.
+    /// Watches sockets for the driver.
     pub reactor: &'a Reactor,
-    /// For others.
+    /// Messages to other subsystems, carried out after the call.
     pub effects: &'a mut Vec<Effect>,
-    /// Of this driver: which it is, and the last key that it gave out.
+    /// The driver's slot, which is the upper part of its poller keys, and the last key that it was given.
     pub slot: (usize, &'a mut usize),
 }
 
 impl Turn<'_> {
-    /// A new key of this driver's.
+    /// Returns a poller key that no other source has had.
     pub fn key(&mut self) -> usize {
         *self.slot.1 += 1;
         (self.slot.0 << SLOT_BITS) | *self.slot.1
     }
 }
 
-/// The driver to whose range a key belongs; 0: the front itself.
+/// Returns the slot of the driver to which a poller key belongs; 0 stands for the front itself.
 pub fn slot_of(key: usize) -> usize {
     key >> SLOT_BITS
 }
 
-/// A subsystem on the loop. Nothing here may wait.
+/// A subsystem on the event loop. No call may block.
 pub trait Driver {
     /// A source can be read or written.
     fn ready(&mut self, turn: &mut Turn<'_>, key: usize, readable: bool, writable: bool);
-    /// The moment told by [`Driver::next`] has come.
+    /// The deadline that [`Driver::next`] returned has passed.
     fn due(&mut self, turn: &mut Turn<'_>);
-    /// The next moment at which something is due.
+    /// Returns the driver's next deadline, if it has one.
     fn next(&self) -> Option<Timestamp>;
-    /// Something came about elsewhere.
-    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect);
-    /// Words for operators that it takes, each with a line of help.
-    fn words(&self) -> Vec<(&'static str, &'static str)> {
+    /// Another subsystem has sent a message; most concern other drivers and are ignored.
+    fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect);
+    /// Returns the operators' commands that this driver carries out, each with a line of help.
+    fn commands(&self) -> Vec<(&'static str, &'static str)> {
         Vec::new()
     }
     /// The settings were read again.
     fn reload(&mut self, _turn: &mut Turn<'_>, _settings: &Daemon) {}
-    /// SIGTERM: nothing new is begun.
+    /// The process shuts down after SIGTERM: nothing new is begun.
     fn drain(&mut self) {}
 }
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -1,6 +1,6 @@
 //! The second address, for operators alone: one line a connection, an answer, and a close. What a call does is a word
 //! of the loop, the same that the control socket takes.
-use super::{Driver, Effect, Turn};
+use super::{AdminEffect, Driver, Effect, Turn};
 use crate::protocol::ops::{answer, decode, Call, LINE_MOST};
 use crate::protocol::{member::name_of, Unreadable};
 use crate::server::acceptor::{AcceptBackoff, Next};
@@ -186,8 +186,11 @@
                 caller.called = true;
                 let (word, args) = word(call);
                 // The key is the number: no other driver gives it out.
-                turn.effects
-                    .push(Effect::Word(key as u64, word.into(), args));
+                turn.effects.push(Effect::Admin(AdminEffect::Command {
+                    id: key as u64,
+                    name: word.into(),
+                    arguments: args,
+                }));
             }
             (Ok(Some(Err(Unreadable(why)))), _) => {
                 tracing::info!(kind = "ops", error = why, "bad call");
@@ -334,8 +337,12 @@
             .min()
     }
 
-    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
-        let Effect::Answer(number, found) = effect else {
+    fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
+        let Effect::Admin(AdminEffect::Response {
+            id: number,
+            result: found,
+        }) = effect
+        else {
             return;
         };
         let key = *number as usize;
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -2,7 +2,7 @@
 //! service. An asker writes the number of its last event, 8 bytes; what comes back is the text of the list as it is kept on
 //! disk, or nothing if there is none newer, and the end.
 use super::snapshot::wall_ms;
-use super::{Driver, Effect, Turn};
+use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
 use cranesill::api::{Micros, Timestamp};
@@ -243,7 +243,8 @@
                     .core
                     .record_offer(turn.now, peer, self.known.number, offer)
                 {
-                    turn.effects.push(Effect::Offered(Box::new(list)));
+                    turn.effects
+                        .push(Effect::Endpoints(EndpointEffect::Offered(Box::new(list))));
                 }
             }
             Err(why) => {
@@ -318,33 +319,40 @@
         ends.chain([self.core.next_round()]).min()
     }
 
-    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
+    fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
         match effect {
-            Effect::Heard(number, news) => {
+            Effect::Endpoints(EndpointEffect::WatchEvent {
+                revision: number,
+                event: news,
+            }) => {
                 self.heard = Some(turn.now);
                 self.known
                     .take(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
             }
-            Effect::Current => {
+            Effect::Endpoints(EndpointEffect::Current) => {
                 self.heard = Some(turn.now);
                 self.known.at_ms = wall_ms();
             }
-            Effect::Taken(list) => {
+            Effect::Endpoints(EndpointEffect::Adopted(list)) => {
                 self.taken += 1;
                 self.known = Snapshot::clone(list);
             }
-            Effect::Word(number, word, _) if word == "peers" => {
+            Effect::Admin(AdminEffect::Command {
+                id: number,
+                name: word,
+                ..
+            }) if word == "peers" => {
                 let shown = json!({
                     "last_event": self.known.number, "known_ms_ago": wall_ms().saturating_sub(self.known.at_ms),
                     "served": self.served, "offered": self.offered, "taken": self.taken, "failed": self.failed,
                 });
-                turn.effects.push(Effect::Answer(*number, Ok(shown)));
+                turn.effects.push(Effect::response(*number, Ok(shown)));
             }
             _ => {}
         }
     }
 
-    fn words(&self) -> Vec<(&'static str, &'static str)> {
+    fn commands(&self) -> Vec<(&'static str, &'static str)> {
         vec![(
             "peers",
             "the list from one another: served, offered, taken, and how old it is",
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -3,7 +3,7 @@
 mod boxes;
 pub mod replicas;
 
-use super::{Driver, Effect, Purging, Turn};
+use super::{AdminEffect, Driver, Effect, EndpointEffect, Purging, Turn};
 use crate::protocol::follow::Frame;
 use crate::transport::Workers;
 use boxes::BoxLinks;
@@ -342,7 +342,7 @@
             };
             if let Some(why) = &self.broken {
                 self.waiters.remove(&number);
-                turn.effects.push(Effect::Answer(
+                turn.effects.push(Effect::response(
                     number,
                     Err(format!("the ledger can't be kept: {why}")),
                 ));
@@ -373,7 +373,7 @@
                         Refused::Bad(why) => why.to_string(),
                         other => format!("{other:?}").to_lowercase(),
                     };
-                    turn.effects.push(Effect::Answer(number, Err(why)));
+                    turn.effects.push(Effect::response(number, Err(why)));
                 }
             }
         }
@@ -396,7 +396,7 @@
             Some(until) => self.waits.push((operator, until, number)),
             None => {
                 let answer = json!({"number": number, "repeated": repeated});
-                turn.effects.push(Effect::Answer(operator, Ok(answer)));
+                turn.effects.push(Effect::response(operator, Ok(answer)));
             }
         }
         self.boxes_work(turn);
@@ -434,7 +434,7 @@
                         missing.join(" ")
                     )),
                 };
-                turn.effects.push(Effect::Answer(*operator, answer));
+                turn.effects.push(Effect::response(*operator, answer));
             }
             !done && now < *until
         });
@@ -532,7 +532,7 @@
             let text = format!(
                 "it counts here until a restart, and could not be kept: {why}; repeat it with the same id"
             );
-            turn.effects.push(Effect::Answer(operator, Err(text)));
+            turn.effects.push(Effect::response(operator, Err(text)));
         }
         self.go_on(turn);
     }
@@ -698,7 +698,7 @@
             .min()
     }
 
-    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
+    fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
         match effect {
             Effect::Purges(Purging::Compile(patterns)) => {
                 let patterns = patterns.clone();
@@ -709,35 +709,50 @@
                         )))));
                 }
             }
-            Effect::Members(members, whole) => {
+            Effect::Endpoints(EndpointEffect::Listed {
+                endpoints: members,
+                complete: whole,
+            }) => {
                 if let Some((boxes, kinds)) = &mut self.boxes {
                     let ours = members
                         .iter()
-                        .filter(|m| kinds.contains(&m.1))
-                        .map(|m| (m.0, m.2));
+                        .filter(|m| kinds.contains(&m.kind))
+                        .map(|m| (m.id, m.address));
                     boxes.list(turn.now, &ours.collect::<Vec<_>>(), *whole);
                     self.boxes_work(turn);
                 }
             }
-            Effect::Lied(id) => {
+            Effect::Endpoints(EndpointEffect::ServedPurged { endpoint: id }) => {
                 if let Some((boxes, _)) = &mut self.boxes {
                     boxes.lied(turn.now, *id);
                 }
             }
-            Effect::Word(number, word, _) if word == "purge-boxes" => {
+            Effect::Admin(AdminEffect::Command {
+                id: number,
+                name: word,
+                ..
+            }) if word == "purge-boxes" => {
                 let rows = self.boxes.as_ref().map(|(boxes, _)| boxes.rows());
                 let answer = rows.map(|rows| json!({"last": self.ledger.last(), "boxes": rows}));
-                turn.effects.push(Effect::Answer(
+                turn.effects.push(Effect::response(
                     *number,
                     answer.ok_or("no box is sent purges".into()),
                 ));
             }
-            Effect::Word(number, word, _) if word == "purge" && self.following.is_some() => {
+            Effect::Admin(AdminEffect::Command {
+                id: number,
+                name: word,
+                ..
+            }) if word == "purge" && self.following.is_some() => {
                 let at = self.settings.follow.as_ref().map_or("", |f| &f.address);
                 let why = format!("this front follows the ledger at {at}: purge at its writer");
-                turn.effects.push(Effect::Answer(*number, Err(why)));
+                turn.effects.push(Effect::response(*number, Err(why)));
             }
-            Effect::Word(number, word, args) if word == "purge" => {
+            Effect::Admin(AdminEffect::Command {
+                id: number,
+                name: word,
+                arguments: args,
+            }) if word == "purge" => {
                 let text = |name: &str| args[name].as_str().unwrap_or("").into();
                 let command = what(args).map(|what| Command {
                     what,
@@ -748,7 +763,7 @@
                 });
                 match command {
                     Ok(_) if self.waiting.len() >= WAITING_MOST => {
-                        turn.effects.push(Effect::Answer(
+                        turn.effects.push(Effect::response(
                             *number,
                             Err("too many wait to be kept".into()),
                         ));
@@ -761,10 +776,14 @@
                         self.waiting.push_back((*number, command));
                         self.go_on(turn);
                     }
-                    Err(why) => turn.effects.push(Effect::Answer(*number, Err(why))),
+                    Err(why) => turn.effects.push(Effect::response(*number, Err(why))),
                 }
             }
-            Effect::Word(number, word, args) if word == "purges" => {
+            Effect::Admin(AdminEffect::Command {
+                id: number,
+                name: word,
+                arguments: args,
+            }) if word == "purges" => {
                 let one = args["number"].as_u64();
                 let rows: Vec<_> = match one {
                     Some(one) => self.ledger.get(one).into_iter().map(Self::row).collect(),
@@ -780,13 +799,13 @@
                                     "ledger": format!("{:016x}", self.ledger.identity),
                                     "not_kept": self.broken, "followers": self.followers.as_ref().map(|f| f.state().0),
                                     "purges": rows});
-                turn.effects.push(Effect::Answer(*number, Ok(answer)));
+                turn.effects.push(Effect::response(*number, Ok(answer)));
             }
             _ => {}
         }
     }
 
-    fn words(&self) -> Vec<(&'static str, &'static str)> {
+    fn commands(&self) -> Vec<(&'static str, &'static str)> {
         vec![
             (
                 "purge",
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -1,6 +1,6 @@
 //! Keeps the list of members on disk, so that a front that starts anew asks for changes only, and has a list to serve from while
 //! the list service can't be reached. Written aside and renamed, on a thread of its own.
-use super::{Driver, Effect, Turn};
+use super::{Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::feed::News;
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::Workers;
@@ -229,14 +229,17 @@
         (self.dirty && !self.busy).then_some(self.due)
     }
 
-    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
+    fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
         match effect {
-            Effect::Heard(number, news) => self.news(turn.now, *number, news),
-            Effect::Current if turn.now >= self.dated + AGAIN => {
+            Effect::Endpoints(EndpointEffect::WatchEvent {
+                revision: number,
+                event: news,
+            }) => self.news(turn.now, *number, news),
+            Effect::Endpoints(EndpointEffect::Current) if turn.now >= self.dated + AGAIN => {
                 (self.known.at_ms, self.dated) = (wall_ms(), turn.now);
                 self.dirty = self.known.number > 0;
             }
-            Effect::Taken(list) => {
+            Effect::Endpoints(EndpointEffect::Adopted(list)) => {
                 self.known = Snapshot::clone(list);
                 self.dirty = true;
             }
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -1,7 +1,7 @@
 //! The TLS listener: handshakes on the loop, bounded in number, in time and in their share of the core, behind
 //! everything that open connections want. A connection whose handshake is complete is a client's like any other.
 use super::served::{Proof, Table, ACME, BINARY};
-use super::{Driver, Effect, Secured, Turn};
+use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
 use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
@@ -249,7 +249,7 @@
             // What answered a challenge has nothing more to say.
             if connection.alpn_protocol() == Some(BINARY) {
                 turn.effects
-                    .push(Effect::Secured(Secured::Client(socket, connection)));
+                    .push(Effect::Tls(TlsEffect::Client(socket, connection)));
             }
         }
     }
@@ -425,14 +425,18 @@
             .min()
     }
 
-    fn told(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
+    fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
         match effect {
-            Effect::Secured(Secured::Certificates(table)) => self.table = Arc::clone(table),
-            Effect::Secured(Secured::Prove(name, Some(proof))) => {
+            Effect::Tls(TlsEffect::Certificates(table)) => self.table = Arc::clone(table),
+            Effect::Tls(TlsEffect::Challenge(name, Some(proof))) => {
                 drop(self.proofs.insert(name.clone(), Arc::clone(proof)))
             }
-            Effect::Secured(Secured::Prove(name, None)) => drop(self.proofs.remove(name)),
-            Effect::Word(number, word, _) if word == "tls" => {
+            Effect::Tls(TlsEffect::Challenge(name, None)) => drop(self.proofs.remove(name)),
+            Effect::Admin(AdminEffect::Command {
+                id: number,
+                name: word,
+                ..
+            }) if word == "tls" => {
                 let counts = &self.counts;
                 let state = json!({
                     "at": self.at.to_string(), "accepting": self.accepting, "under_way": self.all.len(),
@@ -440,13 +444,13 @@
                     "complete": counts.complete, "resumed": counts.resumed, "displaced": counts.displaced,
                     "late": counts.late, "failed": counts.failed, "core_us": counts.core_us,
                 });
-                turn.effects.push(Effect::Answer(*number, Ok(state)));
+                turn.effects.push(Effect::response(*number, Ok(state)));
             }
             _ => {}
         }
     }
 
-    fn words(&self) -> Vec<(&'static str, &'static str)> {
+    fn commands(&self) -> Vec<(&'static str, &'static str)> {
         vec![(
             "tls",
             "the TLS listener: handshakes under way, complete, failed by cause",
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -2,11 +2,12 @@
 use super::Server;
 use crate::protocol::member::name_of;
 use crate::server::drivers::purges::what;
+use crate::server::error::AdminError;
 use cranesill::api::Timestamp;
 use cranesill_daemon::Level;
 use serde_json::{json, Value};
 
-/// Words for operators that the front itself takes.
+/// The commands of operators that the front itself carries out, each with its line of help.
 pub(super) const ADMIN_COMMANDS: [(&str, &str); 11] = [
     ("health", "whether it can serve"),
     ("counters", "the figures"),
@@ -36,95 +37,144 @@
     ),
 ];
 
+/// Whether the front itself carries out the command.
+pub(super) fn is_admin_command(name: &str) -> bool {
+    ADMIN_COMMANDS.iter().any(|(command, _)| *command == name)
+}
+
 impl Server {
-    /// Answers an operator.
+    /// Carries out an operator's command; `name` is one of [`ADMIN_COMMANDS`].
     pub(super) fn run_admin_command(
         &mut self,
         now: Timestamp,
-        word: &str,
-        args: &Value,
-    ) -> Result<Value, String> {
-        match word {
-            "health" if self.shutdown.is_some() => Err("leaving".into()),
-            "health" if self.quiesced_at.is_some() => Err("quiesced".into()),
-            "health" => Ok("serving".into()),
+        name: &str,
+        arguments: &Value,
+    ) -> Result<Value, AdminError> {
+        match name {
+            "health" => self.health(),
             "counters" => Ok(self.counters()),
-            "cordon" | "uncordon" => self.change_cordon(now, args, word == "cordon"),
+            "cordon" => self.change_cordon(now, arguments, true),
+            "uncordon" => self.change_cordon(now, arguments, false),
             "quiesce" => Ok(self.quiesce(now).into()),
             "resume" => self.resume().map(Value::from),
-            "log" => {
-                let level: Level = serde_json::from_value(args["level"].clone())
-                    .map_err(|e| format!("level: {e}"))?;
-                self.log.set(&cranesill_daemon::Log {
-                    level,
-                    ..self.settings.log.clone()
-                });
-                Ok(json!(format!("level is {level:?}").to_lowercase()))
-            }
-            "purge-dry" => {
-                let what = what(args)?;
-                let floors = self.front.floors.as_ref().ok_or("purges are off")?;
-                let (known, matched) = floors.matched(&what);
-                Ok(json!({"known_objects": known, "matched": matched}))
-            }
-            "startup" => {
-                let mut shown = self
-                    .startup
-                    .shown(self.upstream.listed().count(), self.upstream.reached());
-                let (unheard, last) = self.discovery.stands();
-                shown["list"] = json!({
-                    "last_event": last, "unheard_for_ms": unheard.map(|since| now.saturating_sub(since) / 1_000),
-                    "calls": self.discovery.called, "next_call_in_ms": unheard.map(|_| self.discovery.due.saturating_sub(now) / 1_000),
-                });
-                Ok(shown)
-            }
+            "log" => self.set_log_level(arguments),
+            "purge-dry" => self.count_purge_matches(arguments),
+            "startup" => Ok(self.startup_state(now)),
             "reload" => {
                 self.reload(now);
                 Ok("read again; the log tells what was taken over".into())
             }
-            _ => Ok(json!({
-                "name": self.config.name, "version": env!("CARGO_PKG_VERSION"),
-                "up_s": (now - self.started_at) / 1_000_000, "leaving": self.shutdown.is_some(),
-                "quiesced": self.quiesced_at.is_some(), "accepts_clients": !self.another_process_accepts(),
-                "limits_shared": self.config.halved,
-                "out_by_hand": self.cordoned.iter().map(|id| name_of(*id)).collect::<Vec<_>>(),
-                "list": json!({"last_event": self.discovery.stands().1, "clock_ahead_ms": self.front.ahead.ms(),
-                    "unheard_for_ms": self.discovery.stands().0.map(|since| now.saturating_sub(since) / 1_000)}),
-                "open_requests": self.front.open(), "clients": self.clients.len(),
-                "clients_most": self.config.clients_most(), "held_bytes": self.clients.held() + self.upstream.held(),
-                "held_bytes_most": self.config.held_most(), "settings": self.settings_file,
-                "purges": self.front.floors.as_ref().map(|f| json!({
-                    "live_objects_groups_tags_patterns": f.counts(), "answers_refused": f.refused, "lies": f.lies,
-                    "shield_passed": self.front.shield.as_ref().map(|s| s.passed),
-                    "shield_refused": self.front.shield.as_ref().map(|s| s.refused),
-                    "answers_in_doubt": f.contact.as_ref().map(|c| c.doubtful)})),
-            })),
+            _ => Ok(self.status(now)),
         }
     }
 
-    /// The figures, by their names.
+    fn health(&self) -> Result<Value, AdminError> {
+        if self.shutdown.is_some() {
+            return Err(AdminError::ShuttingDown);
+        }
+        if self.quiesced_at.is_some() {
+            return Err(AdminError::Quiesced);
+        }
+        Ok("serving".into())
+    }
+
+    /// Changes the level of the log until the next reload.
+    fn set_log_level(&mut self, arguments: &Value) -> Result<Value, AdminError> {
+        let level: Level =
+            serde_json::from_value(arguments["level"].clone()).map_err(AdminError::LogLevel)?;
+        self.log.set(&cranesill_daemon::Log {
+            level,
+            ..self.settings.log.clone()
+        });
+        Ok(json!(format!("level is {level:?}").to_lowercase()))
+    }
+
+    /// Counts the known objects that a purge would match, without purging them.
+    fn count_purge_matches(&self, arguments: &Value) -> Result<Value, AdminError> {
+        let target = what(arguments).map_err(AdminError::PurgeTarget)?;
+        let floors = self.front.floors.as_ref();
+        let floors = floors.ok_or(AdminError::PurgesDisabled)?;
+        let (known, matched) = floors.matched(&target);
+        Ok(json!({"known_objects": known, "matched": matched}))
+    }
+
+    /// The state of the start: readiness, and calls to the list service.
+    fn startup_state(&self, now: Timestamp) -> Value {
+        let in_use = self.upstream.listed().count();
+        let mut state = self.startup.shown(in_use, self.upstream.reached());
+        let (lost_at, revision) = self.discovery.stands();
+        let next_call_at = lost_at.map(|_| self.discovery.due);
+        state["list"] = json!({
+            "last_event": revision,
+            "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
+            "calls": self.discovery.called,
+            "next_call_in_ms": next_call_at.map(|at| at.saturating_sub(now) / 1_000),
+        });
+        state
+    }
+
+    /// The state of the whole front.
+    fn status(&self, now: Timestamp) -> Value {
+        let cordoned: Vec<_> = self.cordoned.iter().map(|id| name_of(*id)).collect();
+        let (lost_at, revision) = self.discovery.stands();
+        json!({
+            "name": self.config.name,
+            "version": env!("CARGO_PKG_VERSION"),
+            "up_s": (now - self.started_at) / 1_000_000,
+            "leaving": self.shutdown.is_some(),
+            "quiesced": self.quiesced_at.is_some(),
+            "accepts_clients": !self.another_process_accepts(),
+            "limits_shared": self.config.halved,
+            "out_by_hand": cordoned,
+            "list": {
+                "last_event": revision,
+                "clock_ahead_ms": self.front.ahead.ms(),
+                "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
+            },
+            "open_requests": self.front.open(),
+            "clients": self.clients.len(),
+            "clients_most": self.config.clients_most(),
+            "held_bytes": self.clients.held() + self.upstream.held(),
+            "held_bytes_most": self.config.held_most(),
+            "settings": self.settings_file,
+            "purges": self.purge_status(),
+        })
+    }
+
+    /// The state of purges; null where the settings do not switch them on.
+    fn purge_status(&self) -> Value {
+        let Some(floors) = &self.front.floors else {
+            return Value::Null;
+        };
+        let shield = self.front.shield.as_ref();
+        json!({
+            "live_objects_groups_tags_patterns": floors.counts(),
+            "answers_refused": floors.refused,
+            "lies": floors.lies,
+            "shield_passed": shield.map(|shield| shield.passed),
+            "shield_refused": shield.map(|shield| shield.refused),
+            "answers_in_doubt": floors.contact.as_ref().map(|contact| contact.doubtful),
+        })
+    }
+
+    /// The counters that the platform reads, by the names that it gives them.
     fn counters(&self) -> Value {
         let mut all = serde_json::Map::new();
-        let mut put =
-            |name: String, n: u64| drop(all.insert(format!("edge_relay.{name}"), n.into()));
+        let mut put = |name: String, count: u64| {
+            all.insert(format!("edge_relay.{name}"), count.into());
+        };
         for (class, counts) in self.front.counts() {
             put(format!("handled.{class}.passed"), counts.passed);
             put(format!("handled.{class}.dropped"), counts.dropped);
             put(format!("handled.{class}.bad_gateway"), counts.bad_gateway);
         }
+        let known = self.upstream.listed().count() + self.startup.waiting();
+        let skipped = self.upstream.listed();
+        let skipped = skipped.filter(|id| self.front.avoids(*id)).count();
         put("upstream_tries".into(), self.upstream.written);
         put("in_progress".into(), self.front.open() as u64);
-        put(
-            "known_cache_nodes".into(),
-            (self.upstream.listed().count() + self.startup.waiting()) as u64,
-        );
-        put(
-            "skipped_cache_nodes".into(),
-            self.upstream
-                .listed()
-                .filter(|m| self.front.avoids(*m))
-                .count() as u64,
-        );
+        put("known_cache_nodes".into(), known as u64);
+        put("skipped_cache_nodes".into(), skipped as u64);
         all.into()
     }
 }
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -1,13 +1,8 @@
 //! Builds a server from its configuration and starts the subsystems that the settings switch on.
 use super::admin::ADMIN_COMMANDS;
 use super::takeover::open_handover;
-use super::timers::Timer;
-use super::timers::SWEEP_INTERVAL;
-use super::Server;
-use super::FIRST_CONNECTION_KEY;
-use super::LISTENER_KEY;
-use super::SIGHUP_KEY;
-use super::SIGTERM_KEY;
+use super::timers::{Timer, SWEEP_INTERVAL};
+use super::{Server, FIRST_CONNECTION_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::Front;
 use crate::server::acceptor::AcceptBackoff;
@@ -22,172 +17,235 @@
 use crate::server::drivers::snapshot::{purge_ms, Snapshots};
 use crate::server::drivers::tls::Tls;
 use crate::server::drivers::{Driver, Turn};
+use crate::server::error::ServerError;
 use crate::server::log::Log;
 use crate::server::signals::raised;
-use crate::server::startup::{calls, known, snapshots, Known, Startup};
+use crate::server::startup::{calls, known, snapshots, Startup};
 use crate::server::upstream::CacheNodes;
-use crate::transport::{at_start, inherited, listen, Clock, Deadlines, Reactor};
+use crate::transport::{at_start, inherited, listen, Clock, Deadlines, Reactor, Registered};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Daemon;
+use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::collections::{BTreeMap, BTreeSet};
-use std::io;
+use std::net::TcpListener;
+use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
 
 /// Nobody waits for an answer longer than this where the settings name no time.
 const DEFAULT_MAX_WAIT: Micros = 3_000_000;
 
+/// What the operating system gives a server before it serves.
+struct Sources {
+    clock: Clock,
+    reactor: Reactor,
+    listener: Registered<TcpListener>,
+    sigterm: Registered<UnixStream>,
+    sighup: Registered<UnixStream>,
+}
+
+impl Sources {
+    /// Watches signals and the clients' listener, which is `inherited` where the platform hands it over.
+    fn open(config: &Config, inherited: Option<TcpListener>) -> Result<Self, ServerError> {
+        let reactor = at_start(Reactor::new).map_err(ServerError::Poller)?;
+        let listener = match inherited {
+            Some(listener) => listener,
+            None => at_start(|| listen(config.listen)).map_err(|source| ServerError::Listen {
+                address: config.listen,
+                source,
+            })?,
+        };
+        let listener = reactor
+            .watch(listener, LISTENER_KEY, false)
+            .map_err(ServerError::Poller)?;
+        let sigterm = at_start(|| raised(&reactor, SIGTERM, SIGTERM_KEY));
+        let sigterm = sigterm.map_err(ServerError::Signals)?;
+        let sighup = at_start(|| raised(&reactor, SIGHUP, SIGHUP_KEY));
+        let sighup = sighup.map_err(ServerError::Signals)?;
+        Ok(Sources {
+            clock: Clock::new(),
+            reactor,
+            listener,
+            sigterm,
+            sighup,
+        })
+    }
+}
+
+/// The clients' listening socket that the platform handed over, if it did.
+fn inherited_listener(config: &Config) -> Result<Option<TcpListener>, ServerError> {
+    let Some(descriptor) = config.accept_fd else {
+        return Ok(None);
+    };
+    let listener = inherited(descriptor);
+    listener
+        .map(Some)
+        .map_err(|reason| ServerError::InheritedSocket { descriptor, reason })
+}
+
+/// The longest time that a client waits for an answer, by the settings of the classes.
+fn max_wait(config: &Config) -> Micros {
+    let waits = config.deployment.limits.waits.iter().copied();
+    let longest = waits.max().filter(|wait| *wait > 0);
+    longest.unwrap_or(DEFAULT_MAX_WAIT)
+}
+
 impl Server {
-    /// Listens, and takes over what the configuration says of the members.
-    /// Subsystems are those of `settings`, which came from `settings_file`.
+    /// Starts a front: it listens, starts the subsystems that `settings` switch on, and applies the endpoint list that the
+    /// configuration or a snapshot on disk knows. `settings_file` is where the settings came from, for reloads.
     pub fn new(
         mut config: Config,
         settings: Daemon,
         settings_file: Option<PathBuf>,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, ServerError> {
         // First of all: what is opened before could get the number of a socket that nobody handed over.
-        let held = config
-            .accept_fd
-            .map(|fd| inherited(fd).map_err(|e| format!("RELAY_ACCEPT_FD: {fd}: {e}")));
-        let held = held.transpose()?;
+        let inherited = inherited_listener(&config)?;
         let log = Log::install(&settings.log);
-        let failed = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
-        let clock = Clock::new();
-        let reactor = at_start(Reactor::new).map_err(failed("poller"))?;
-        let listener = match held {
-            Some(listener) => listener,
-            None => {
-                at_start(|| listen(config.listen)).map_err(|e| format!("{}: {e}", config.listen))?
-            }
-        };
-        let listener = reactor
-            .watch(listener, LISTENER_KEY, false)
-            .map_err(failed("poller"))?;
-        let sigterm = at_start(|| raised(&reactor, signal_hook::consts::SIGTERM, SIGTERM_KEY))
-            .map_err(failed("signals"))?;
-        let sighup = at_start(|| raised(&reactor, signal_hook::consts::SIGHUP, SIGHUP_KEY))
-            .map_err(failed("signals"))?;
-        let handover = config.accept_fd.and_then(|_| open_handover());
-        let limits = config.deployment.limits.clone();
-        let whole = limits
-            .waits
-            .iter()
-            .copied()
-            .max()
-            .filter(|w| *w > 0)
-            .unwrap_or(DEFAULT_MAX_WAIT);
-        let Known {
-            last,
-            news,
-            list,
-            from,
-        } = known(&mut config, settings.startup.as_ref());
-        let calls = calls(clock.now(), &config, settings.startup.as_ref());
-        let others = settings.startup.as_ref().is_some_and(|s| s.peers.is_some());
-        let startup = Startup::new(clock.now(), &config, settings.startup.as_ref());
-        let mut server = Server {
+        let sources = Sources::open(&config, inherited)?;
+        let known = known(&mut config, settings.startup.as_ref());
+        let mut server =
+            Self::assemble(config, settings, settings_file, (log, sources, known.last));
+        let now = server.clock.now();
+        let at = server
+            .listener
+            .local_addr()
+            .map_err(ServerError::Listener)?;
+        tracing::info!(name = server.config.name, %at, "listening");
+        server.front.set_reach(now, server.upstream.reach());
+        server.start_drivers(now, known.list)?;
+        for event in known.news {
+            server.apply_watch_event(now, event, known.from);
+        }
+        server.forwards_watch_events = server.has_list_followers();
+        server.poll_takeover(now, true);
+        server.poll_cordons(now);
+        server.update_readiness(now);
+        server.timers.add(server.discovery.due, Timer::Discovery);
+        server.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
+        Ok(server)
+    }
+
+    /// Whether a subsystem follows the watch events of the list service.
+    fn has_list_followers(&self) -> bool {
+        let startup = self.settings.startup.as_ref();
+        startup.is_some_and(|s| s.snapshots.is_some() || s.peers.is_some())
+    }
+
+    /// Puts the parts of a server together; `revision` is that of the endpoint list that is known.
+    fn assemble(
+        config: Config,
+        settings: Daemon,
+        settings_file: Option<PathBuf>,
+        (log, sources, revision): (Log, Sources, u64),
+    ) -> Self {
+        let now = sources.clock.now();
+        let limits = &config.deployment.limits;
+        let startup = settings.startup.as_ref();
+        let has_peers = startup.is_some_and(|s| s.peers.is_some());
+        let schedule = calls(now, &config, startup);
+        Server {
             front: Front::new(config.deployment.clone(), config.seed, config.room()),
-            upstream: CacheNodes::new(config.links_most(), limits.streams, limits.idle, whole),
-            discovery: Discovery::new(clock.now(), config.feed, last, calls, others),
-            startup,
-            forwards_watch_events: false,
-            clock_skew_logged: false,
             clients: Clients::new(),
+            upstream: CacheNodes::new(
+                config.links_most(),
+                limits.streams,
+                limits.idle,
+                max_wait(&config),
+            ),
+            discovery: Discovery::new(now, config.feed, revision, schedule, has_peers),
+            startup: Startup::new(now, &config, startup),
             timers: Deadlines::new(),
-            log,
-            last_key: FIRST_CONNECTION_KEY,
-            shutdown: None,
-            handover,
+            handover: config.accept_fd.and_then(|_| open_handover()),
             accepts_clients: true,
             accept_backoff: AcceptBackoff::default(),
             cordoned: BTreeSet::new(),
+            shutdown: None,
             quiesced_at: None,
-            admin_slot: 0,
-            settings,
-            settings_file,
+            forwards_watch_events: false,
+            clock_skew_logged: false,
             drivers: Vec::new(),
             effects: Vec::new(),
+            admin_slot: 0,
             disconnected: Vec::new(),
-            started_at: clock.now(),
+            last_key: FIRST_CONNECTION_KEY,
+            started_at: now,
+            log,
             config,
-            clock,
-            reactor,
-            listener,
-            sigterm,
-            sighup,
-        };
-        let now = server.clock.now();
-        let at = server.listener.local_addr().map_err(failed("listener"))?;
-        tracing::info!(name = server.config.name, %at, "listening");
-        server.front.set_reach(now, server.upstream.reach());
-        server.start_drivers(now, list)?;
-        news.into_iter()
-            .for_each(|news| server.apply_watch_event(now, news, from));
-        server.forwards_watch_events = server
-            .settings
-            .startup
-            .as_ref()
-            .is_some_and(|s| s.snapshots.is_some() || s.peers.is_some());
-        server.poll_takeover(now, true);
-        server.poll_cordons(now);
-        server.update_readiness(now);
-        server.timers.add(server.discovery.due, Timer::Discovery);
-        server.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
-        Ok(server)
+            settings,
+            settings_file,
+            clock: sources.clock,
+            reactor: sources.reactor,
+            listener: sources.listener,
+            sigterm: sources.sigterm,
+            sighup: sources.sighup,
+        }
     }
 
-    /// Starts the subsystems that the settings name. The control socket is the last: it knows the others' words.
-    fn start_drivers(&mut self, now: Timestamp, list: Snapshot) -> Result<(), String> {
+    /// Starts the subsystems that the settings switch on. The control socket comes last: it lists the others' commands.
+    fn start_drivers(&mut self, now: Timestamp, list: Snapshot) -> Result<(), ServerError> {
         if let Some(at) = self.config.ops {
             let beside = self.config.accept_fd.is_some();
             self.start_driver(now, |turn| Ok(Box::new(Ops::new(turn, at, beside)?)))?;
             self.admin_slot = self.drivers.len();
         }
-        let (daemon, name) = (self.settings.clone(), self.config.name.clone());
-        if let Some(tls) = daemon.tls {
+        let settings = self.settings.clone();
+        if let Some(tls) = settings.tls {
             self.start_driver(now, |turn| Ok(Box::new(Tls::new(turn, tls)?)))?;
         }
-        if let Some(certs) = daemon.certs {
+        if let Some(certs) = settings.certs {
+            let name = self.config.name.clone();
             self.start_driver(now, |turn| Ok(Box::new(Certs::new(turn, &certs, &name)?)))?;
         }
-        let kinds = self.config.deployment.names.kinds.clone();
-        if let Some(purges) = daemon.purges {
+        if let Some(purges) = settings.purges {
+            let kinds = self.config.deployment.names.kinds.clone();
             self.start_driver(now, |turn| {
                 Ok(Box::new(Purges::new(turn, &purges, &kinds)?))
             })?;
         }
-        let purge = self.config.deployment.settings.purge_done;
-        if let Some((startup, peers)) = daemon
-            .startup
-            .as_ref()
-            .and_then(|s| Some((s, s.peers.as_ref()?)))
-        {
-            let (known, seed) = (list.clone(), self.config.seed);
-            let times = (purge_ms(purge), startup.serve_snapshot_s * 1_000);
+        self.start_list_drivers(now, settings.startup.as_ref(), list)?;
+        if let Some(control) = settings.control {
+            let commands = self
+                .drivers
+                .iter()
+                .flat_map(|(driver, _)| driver.commands());
+            let help: BTreeMap<_, _> = commands.chain(ADMIN_COMMANDS).collect();
             self.start_driver(now, |turn| {
-                Ok(Box::new(Peers::new(turn, peers, known, seed, times)?))
+                Ok(Box::new(Control::new(turn, &control.path, help)?))
             })?;
         }
-        if let Some(path) = snapshots(&self.config, daemon.startup.as_ref()) {
+        self.carry_out_effects(now);
+        Ok(())
+    }
+
+    /// Starts what keeps the endpoint list for a later start: for peers, and on disk.
+    fn start_list_drivers(
+        &mut self,
+        now: Timestamp,
+        startup: Option<&cranesill_daemon::Startup>,
+        list: Snapshot,
+    ) -> Result<(), ServerError> {
+        let purge_done = self.config.deployment.settings.purge_done;
+        if let Some((startup, peers)) = startup.and_then(|s| Some((s, s.peers.as_ref()?))) {
+            let list = list.clone();
+            let seed = self.config.seed;
+            let times = (purge_ms(purge_done), startup.serve_snapshot_s * 1_000);
             self.start_driver(now, |turn| {
-                Ok(Box::new(Snapshots::new(turn, path, list, purge)?))
+                Ok(Box::new(Peers::new(turn, peers, list, seed, times)?))
             })?;
         }
-        if let Some(control) = daemon.control {
-            let words = self.drivers.iter().flat_map(|(driver, _)| driver.words());
-            let help: BTreeMap<_, _> = words.chain(ADMIN_COMMANDS).collect();
+        if let Some(path) = snapshots(&self.config, startup) {
             self.start_driver(now, |turn| {
-                Ok(Box::new(Control::new(turn, &control.path, help)?))
+                Ok(Box::new(Snapshots::new(turn, path, list, purge_done)?))
             })?;
         }
-        self.carry_out_effects(now);
         Ok(())
     }
 
+    /// Starts one driver and gives it the next slot.
     fn start_driver(
         &mut self,
         now: Timestamp,
         make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, String>,
-    ) -> Result<(), String> {
+    ) -> Result<(), ServerError> {
         let mut last = 0;
         let slot = (self.drivers.len() + 1, &mut last);
         let behind_ms = self.front.ahead.behind_ms();
@@ -198,7 +256,7 @@
             effects: &mut self.effects,
             slot,
         };
-        let driver = make(&mut turn)?;
+        let driver = make(&mut turn).map_err(ServerError::Subsystem)?;
         self.drivers.push((driver, last));
         Ok(())
     }
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -7,58 +7,68 @@
 use crate::transport::{used_up, AcceptFault, Registered};
 use cranesill::api::Timestamp;
 use std::io;
+use std::net::TcpStream;
 
-/// Connections accepted in one turn.
+/// Connections accepted in one turn at most: those that are there already are served between.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 impl Server {
-    /// Watches the listener, or lets it rest; while another process accepts it rests, and for a moment after a failed call.
+    /// Watches the clients' listener or stops watching it. It is not watched while another process accepts, nor for a moment
+    /// after a failed call.
     pub(super) fn watch_listener(&mut self, on: bool) {
         let on = on && !self.another_process_accepts() && !self.accept_backoff.is_resting();
         // The listener is watched for as long as the program runs: this can't fail.
         let _ = self.listener.rewatch(on, false);
     }
 
+    /// Accepts the clients that wait to connect.
     pub(super) fn accept_clients(&mut self, now: Timestamp) {
         self.accept_backoff.begin_turn();
-        // It may have been told of before it was left to another process.
-        for _ in 0..if self.another_process_accepts() {
-            0
-        } else {
-            MAX_ACCEPTS_PER_TURN
-        } {
+        // The event may be older than the handover of the socket to another process.
+        if self.another_process_accepts() {
+            return;
+        }
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.listener.accept() {
-                Ok((socket, _)) => {
-                    // Guards the descriptor limit. A connection without a request may be closed.
-                    if self.clients.len() >= self.config.clients_most() && !self.clients.evict() {
-                        continue;
-                    }
-                    let key = self.next_key();
-                    let waited = self.accept_backoff.accepted(now);
-                    if let Err(error) = self.clients.add(now, &self.reactor, socket, key, waited) {
-                        tracing::warn!(%error, "client lost");
-                    }
-                }
+                Ok((socket, _)) => self.add_client(now, socket),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.accept_backoff.emptied();
-                    break;
+                    return self.accept_backoff.emptied();
                 }
                 Err(error) => match self.accept_backoff.failed(now, AcceptFault::of(&error)) {
                     Next::Retry => {}
-                    Next::Rest(until) => {
-                        tracing::warn!(%error, "accept");
-                        self.free_descriptor(now, &error);
-                        self.watch_listener(false);
-                        self.timers.add(until, Timer::AcceptRetry);
-                        break;
-                    }
+                    Next::Rest(until) => return self.rest_listener(now, until, &error),
                 },
             }
         }
     }
 
-    /// Closes a client that is idle beyond doubt if `accept` failed for a lack of descriptors that is real: this process has
-    /// used up its own, or the whole system has had none for long. A shortage that passes costs nobody a connection.
+    fn add_client(&mut self, now: Timestamp, socket: TcpStream) {
+        if !self.has_client_slot() {
+            return;
+        }
+        let key = self.next_key();
+        let waited = self.accept_backoff.accepted(now);
+        let added = self.clients.add(now, &self.reactor, socket, key, waited);
+        if let Err(error) = added {
+            tracing::warn!(%error, "client lost");
+        }
+    }
+
+    /// Whether one more client may connect, if need be in place of one without a request. Guards the limit on descriptors.
+    fn has_client_slot(&mut self) -> bool {
+        self.clients.len() < self.config.clients_most() || self.clients.evict()
+    }
+
+    /// Stops accepting after a failed call; it is tried again at `until`.
+    fn rest_listener(&mut self, now: Timestamp, until: Timestamp, error: &io::Error) {
+        tracing::warn!(%error, "accept");
+        self.free_descriptor(now, error);
+        self.watch_listener(false);
+        self.timers.add(until, Timer::AcceptRetry);
+    }
+
+    /// Closes an idle client if `accept` failed for a lasting lack of descriptors: this process has used up its own, or the
+    /// whole system has had none for long. A shortage that passes costs nobody a connection.
     fn free_descriptor(&mut self, now: Timestamp, error: &io::Error) {
         let lacking = AcceptFault::of(error) == AcceptFault::Descriptors;
         if lacking && (used_up() || self.accept_backoff.is_lasting(now)) {
@@ -66,33 +76,52 @@
         }
     }
 
-    /// A client whose handshake is complete; it may have said something with it already.
+    /// Adds a client whose TLS handshake is complete. Its first requests may have come with the end of the handshake.
     pub(super) fn add_tls_client(
         &mut self,
         now: Timestamp,
-        mut socket: Registered<std::net::TcpStream>,
+        mut socket: Registered<TcpStream>,
         connection: rustls::ServerConnection,
     ) {
-        if self.clients.len() >= self.config.clients_most() && !self.clients.evict() {
+        if !self.has_client_slot() {
             return;
         }
         let key = self.next_key();
-        match socket.rekey(key) {
-            Ok(()) => self.clients.secured(now, socket, connection, key),
-            Err(error) => return tracing::warn!(%error, "client lost"),
+        if let Err(error) = socket.rekey(key) {
+            return tracing::warn!(%error, "client lost");
         }
-        let heard = self.clients.read(now, key);
-        self.handle_client_events(now, heard);
+        self.clients.secured(now, socket, connection, key);
+        let events = self.clients.read(now, key);
+        self.handle_client_events(now, events);
         self.cancel_disconnected(now);
     }
 
-    pub(super) fn handle_client_events(&mut self, now: Timestamp, heard: Vec<ClientEvent>) {
-        for one in heard {
-            self.front.holds(self.clients.held() + self.upstream.held());
-            match one {
-                ClientEvent::Ask(from, ask) => self.front.take_in(now, from, ask),
-                ClientEvent::Bad(from, why) => {
-                    tracing::info!(error = why, "bad request");
+    /// Writes to and reads from a client's connection, as far as the poller reported it.
+    pub(super) fn serve_client(
+        &mut self,
+        now: Timestamp,
+        key: usize,
+        readable: bool,
+        writable: bool,
+    ) {
+        if writable {
+            self.clients.flush(now, key);
+        }
+        if readable {
+            let events = self.clients.read(now, key);
+            self.handle_client_events(now, events);
+        }
+    }
+
+    /// Routes clients' requests. Disconnections are only noted, for [`Server::cancel_disconnected`].
+    pub(super) fn handle_client_events(&mut self, now: Timestamp, events: Vec<ClientEvent>) {
+        for event in events {
+            let buffered = self.clients.held() + self.upstream.held();
+            self.front.holds(buffered);
+            match event {
+                ClientEvent::Ask(from, request) => self.front.take_in(now, from, request),
+                ClientEvent::Bad(from, error) => {
+                    tracing::info!(error, "bad request");
                     self.clients.answer(now, from, Answer::Failed);
                 }
                 ClientEvent::Gone(from) => {
@@ -104,12 +133,12 @@
         }
     }
 
-    /// Nobody waits any more for what these asked, all of a turn together. Who waits for room goes before who has some: it would
-    /// be given to one after another of them, and each be sent on for nobody.
+    /// Cancels the requests of clients that have disconnected, all of a turn together. Those that wait for capacity are
+    /// cancelled first: they would be given what the others free, and be forwarded for nobody.
     pub(super) fn cancel_disconnected(&mut self, now: Timestamp) {
-        let mut gone = std::mem::take(&mut self.disconnected);
-        gone.sort_by_cached_key(|from| self.front.is_out(*from));
-        for from in gone {
+        let mut disconnected = std::mem::take(&mut self.disconnected);
+        disconnected.sort_by_cached_key(|from| self.front.is_out(*from));
+        for from in disconnected {
             self.front.gone(now, from);
             self.run_commands(now, Vec::new());
         }
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -3,74 +3,82 @@
 use super::Server;
 use crate::protocol::member::name_of;
 use crate::protocol::ops::member_id;
+use crate::server::error::AdminError;
 use crate::server::handover::OUT_MOST;
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use serde_json::Value;
 
-/// It looks this often for members out by hand of which another process of this front has heard.
+/// Interval at which cordons that another process of this front was asked for are looked up.
 const CORDON_POLL_INTERVAL: Micros = 100_000;
 
 impl Server {
-    /// Takes a member out by hand, or gives it back. Only one that is or was listed can be meant.
+    /// Cordons an endpoint or lifts its cordon, as an operator asks. The endpoint has to be or have been listed.
     pub(super) fn change_cordon(
         &mut self,
         now: Timestamp,
         args: &Value,
         out: bool,
-    ) -> Result<Value, String> {
-        let text = args["node"].as_str().ok_or("node: missing")?;
-        let id = member_id(text).ok_or("node: not s- and 8 hex digits")?;
+    ) -> Result<Value, AdminError> {
+        let text = args["node"].as_str().ok_or(AdminError::EndpointMissing)?;
+        let id = member_id(text).ok_or(AdminError::EndpointMalformed)?;
         let known = self.upstream.listed().any(|listed| listed == id)
             || self.startup.has(id)
             || self.front.avoids(id);
         if !known {
-            return Err(format!("{text}: unknown"));
+            return Err(AdminError::EndpointUnknown(text.into()));
         }
         if out && self.cordoned.len() >= OUT_MOST && !self.cordoned.contains(&id) {
-            return Err(format!("{text}: {OUT_MOST} are out by hand already"));
+            return Err(AdminError::TooManyCordons {
+                endpoint: text.into(),
+                limit: OUT_MOST,
+            });
         }
-        if let Some(shared) = &self.handover {
-            shared
-                .set_out(id, out)
-                .map_err(|e| format!("{text}: it can't be kept: {e}"))?;
+        if let Some(handover) = &self.handover {
+            let stored = handover.set_out(id, out);
+            stored.map_err(|source| AdminError::CordonNotStored {
+                endpoint: text.into(),
+                source,
+            })?;
         }
         self.apply_cordon(now, id, out);
         self.run_commands(now, Vec::new());
         Ok(if out { "out" } else { "may serve" }.into())
     }
 
+    /// Takes an endpoint out of service or back, if that changes anything.
     fn apply_cordon(&mut self, now: Timestamp, id: EndpointId, out: bool) {
         let changed = if out {
             self.cordoned.insert(id)
         } else {
             self.cordoned.remove(&id)
         };
-        if changed {
-            tracing::info!(
-                kind = "by-hand",
-                member = name_of(id),
-                out,
-                "cache node by hand"
-            );
-            self.front.by_hand(now, id, out);
-            let mut ends = Vec::new();
-            if out {
-                self.upstream.leave_out(id, &mut ends);
-            }
-            self.run_commands(now, ends);
+        if !changed {
+            return;
         }
+        tracing::info!(
+            kind = "by-hand",
+            member = name_of(id),
+            out,
+            "cache node by hand"
+        );
+        self.front.by_hand(now, id, out);
+        let mut ends = Vec::new();
+        if out {
+            self.upstream.leave_out(id, &mut ends);
+        }
+        self.run_commands(now, ends);
     }
 
-    /// Looks which members are out by hand: another process of this front may have been told.
+    /// Applies cordons that another process of this front was asked for.
     pub(super) fn poll_cordons(&mut self, now: Timestamp) {
-        let Some(shared) = &mut self.handover else {
+        let Some(handover) = &mut self.handover else {
             return;
         };
-        if let Some(out) = shared.out() {
+        if let Some(out) = handover.out() {
             let changed: Vec<_> = out.symmetric_difference(&self.cordoned).copied().collect();
-            changed
-                .into_iter()
-                .for_each(|id| self.apply_cordon(now, id, out.contains(&id)));
+            for id in changed {
+                self.apply_cordon(now, id, out.contains(&id));
+            }
         }
         self.timers
             .add(now + CORDON_POLL_INTERVAL, Timer::CordonPoll);
--- a/front/src/server/event_loop/dispatch.rs
+++ b/front/src/server/event_loop/dispatch.rs
@@ -3,12 +3,13 @@
 use super::Server;
 use crate::routing::{AttemptId, Command, End, Fetch};
 use crate::server::downstream::ClientEvent;
-use crate::server::drivers::Effect;
+use crate::server::drivers::{Effect, EndpointEffect};
 use crate::server::upstream::Ends;
 use cranesill::api::{EndpointId, Timestamp};
 
 impl Server {
-    /// Puts an attempt on a connection to its node, or notes when that is tried again.
+    /// Sends an attempt on a connection to its endpoint, or sets a timer for when that is tried again. `key` is for a new
+    /// connection.
     pub(super) fn send_attempt(
         &mut self,
         now: Timestamp,
@@ -17,57 +18,77 @@
         fetch: &Fetch,
         ends: &mut Ends,
     ) {
-        let waiting_until = self.upstream.redial_due();
-        if let Some(key) = self
+        let redial_before = self.upstream.redial_due();
+        let begun = self
             .upstream
-            .send(now, &self.reactor, key, target, fetch, ends)
-        {
-            let due = now + self.config.deployment.settings.connect_timeout;
-            self.timers.add(due, Timer::ConnectTimeout(key));
+            .send(now, &self.reactor, key, target, fetch, ends);
+        if let Some(key) = begun {
+            let timeout_at = now + self.config.deployment.settings.connect_timeout;
+            self.timers.add(timeout_at, Timer::ConnectTimeout(key));
         }
-        if let Some(at) = self
-            .upstream
-            .redial_due()
-            .filter(|at| Some(*at) != waiting_until)
-        {
+        let redial_at = self.upstream.redial_due();
+        if let Some(at) = redial_at.filter(|_| redial_at != redial_before) {
             self.timers.add(at, Timer::Redial);
         }
     }
 
-    /// Books ends and carries out commands until there are none.
+    /// Reports ends of attempts to the routing and carries out its commands until there are none.
     pub(super) fn run_commands(&mut self, now: Timestamp, mut ends: Ends) {
         loop {
             for (attempt, end) in std::mem::take(&mut ends) {
                 self.front.ended(now, attempt, end);
             }
-            for gone in self.clients.lost() {
-                if let ClientEvent::Gone(from) = gone {
+            for event in self.clients.lost() {
+                if let ClientEvent::Gone(from) = event {
                     self.front.gone(now, from);
                 }
             }
             let Some(command) = self.front.command() else {
-                break;
+                return;
             };
-            match command {
-                Command::Send(attempt, to, fetch) => {
-                    let key = self.next_key();
-                    let due = now + self.config.deployment.settings.connect_timeout;
-                    // A purge told meanwhile leaves no more time than that to what was decided before it; a repeat goes out in
-                    // its window or not at all.
-                    let unwritten = due.min(now + self.config.deployment.limits.purge_grace);
-                    let by = unwritten.min(fetch.latest).min(fetch.deadline);
-                    self.send_attempt(now, key, (attempt, to, by), &fetch, &mut ends);
-                    self.timers.add(by, Timer::WriteDeadline(attempt));
-                }
-                Command::Abort(attempt) => {
-                    self.upstream.abort(now, attempt, &mut ends);
-                    ends.insert(0, (attempt, End::CalledOff));
-                }
-                Command::Answer(to, answer) => self.clients.answer(now, to, answer),
-                Command::Wake(at, wake) => self.timers.add(at, Timer::Routing(wake)),
-                Command::Lied(member) => self.effects.push(Effect::Lied(member.0)),
-                Command::Log(text) => tracing::info!(kind = "decision", text, "decision"),
+            self.run_command(now, command, &mut ends);
+        }
+    }
+
+    fn run_command(&mut self, now: Timestamp, command: Command, ends: &mut Ends) {
+        match command {
+            Command::Send(attempt, endpoint, fetch) => {
+                self.begin_attempt(now, attempt, endpoint, &fetch, ends);
+            }
+            Command::Abort(attempt) => {
+                self.upstream.abort(now, attempt, ends);
+                ends.insert(0, (attempt, End::CalledOff));
+            }
+            Command::Answer(to, answer) => self.clients.answer(now, to, answer),
+            Command::Wake(at, wake) => self.timers.add(at, Timer::Routing(wake)),
+            Command::Lied(endpoint) => {
+                let endpoint = endpoint.0;
+                let message = EndpointEffect::ServedPurged { endpoint };
+                self.effects.push(Effect::Endpoints(message));
             }
+            Command::Log(text) => tracing::info!(kind = "decision", text, "decision"),
         }
     }
+
+    /// Sends an attempt that is withdrawn unless it is begun to be written in time.
+    fn begin_attempt(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        endpoint: EndpointId,
+        fetch: &Fetch,
+        ends: &mut Ends,
+    ) {
+        let key = self.next_key();
+        let connect_timeout = self.config.deployment.settings.connect_timeout;
+        // A purge that comes meanwhile leaves no more than the grace to what was decided before it; a retry goes out in its
+        // window or not at all.
+        let write_deadline = (now + connect_timeout)
+            .min(now + self.config.deployment.limits.purge_grace)
+            .min(fetch.latest)
+            .min(fetch.deadline);
+        self.send_attempt(now, key, (attempt, endpoint, write_deadline), fetch, ends);
+        self.timers
+            .add(write_deadline, Timer::WriteDeadline(attempt));
+    }
 }
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -1,16 +1,19 @@
 //! Carries out effects: what a subsystem brings about for others.
-use super::admin::ADMIN_COMMANDS;
+use super::admin::is_admin_command;
 use super::timers::Timer;
 use super::Server;
-use crate::server::drivers::{Driver, Effect, Purging, Secured, Turn};
+use crate::server::drivers::{
+    AdminEffect, Driver, Effect, EndpointEffect, Purging, TlsEffect, Turn,
+};
 use crate::server::floors;
 use cranesill::api::{Micros, Timestamp};
+use serde_json::Value;
 
-/// A yes to a call out is given once another process of this front has looked.
+/// A cordon is confirmed after this long, when any other process of this front has polled and applied it.
 const CORDON_CONFIRMATION_DELAY: Micros = 250_000;
 
 impl Server {
-    /// Gives a driver its turn.
+    /// Calls a driver with what it may use in this turn of the loop.
     pub(super) fn with_driver(
         &mut self,
         now: Timestamp,
@@ -33,40 +36,49 @@
         }
     }
 
-    /// Carries out what drivers brought about for others.
+    /// Carries out messages of subsystems, and those that they bring about in turn, until there are none.
     pub(super) fn carry_out_effects(&mut self, now: Timestamp) {
         while !self.effects.is_empty() {
             for effect in std::mem::take(&mut self.effects) {
-                match effect {
-                    Effect::Secured(Secured::Client(socket, connection)) => {
-                        self.add_tls_client(now, socket, *connection)
-                    }
-                    Effect::Offered(list) => self.adopt_peer_list(now, list),
-                    Effect::Purges(news) if !matches!(news, Purging::Compile(_)) => {
-                        self.effects
-                            .extend(floors::take(&mut self.front, now, news));
-                    }
-                    Effect::Word(number, word, args)
-                        if ADMIN_COMMANDS.iter().any(|(w, _)| *w == word) =>
-                    {
-                        match self.run_admin_command(now, &word, &args) {
-                            // Another process of this front is to act on it before the operator is told that it counts.
-                            Ok(_) if word == "cordon" && self.handover.is_some() => {
-                                self.timers.add(
-                                    now + CORDON_CONFIRMATION_DELAY,
-                                    Timer::CordonConfirmation(number),
-                                )
-                            }
-                            answer => self.effects.push(Effect::Answer(number, answer)),
-                        }
-                    }
-                    effect => {
-                        for slot in 1..=self.drivers.len() {
-                            self.with_driver(now, slot, |driver, turn| driver.told(turn, &effect));
-                        }
-                    }
-                }
+                self.carry_out(now, effect);
             }
         }
     }
+
+    /// Carries out a message that concerns the front itself, or passes it to all drivers.
+    fn carry_out(&mut self, now: Timestamp, effect: Effect) {
+        match effect {
+            Effect::Tls(TlsEffect::Client(socket, connection)) => {
+                self.add_tls_client(now, socket, *connection);
+            }
+            Effect::Endpoints(EndpointEffect::Offered(list)) => self.adopt_peer_list(now, list),
+            Effect::Purges(message) if !matches!(message, Purging::Compile(_)) => {
+                let follow_up = floors::take(&mut self.front, now, message);
+                self.effects.extend(follow_up);
+            }
+            Effect::Admin(AdminEffect::Command {
+                id,
+                name,
+                arguments,
+            }) if is_admin_command(&name) => self.answer_admin_command(now, id, &name, &arguments),
+            effect => self.pass_to_drivers(now, &effect),
+        }
+    }
+
+    fn pass_to_drivers(&mut self, now: Timestamp, effect: &Effect) {
+        for slot in 1..=self.drivers.len() {
+            self.with_driver(now, slot, |driver, turn| driver.handle_effect(turn, effect));
+        }
+    }
+
+    fn answer_admin_command(&mut self, now: Timestamp, id: u64, name: &str, arguments: &Value) {
+        let result = self.run_admin_command(now, name, arguments);
+        if name == "cordon" && result.is_ok() && self.handover.is_some() {
+            // Another process of this front has to apply it before the operator is told that it holds.
+            let confirmed_at = now + CORDON_CONFIRMATION_DELAY;
+            return self.timers.add(confirmed_at, Timer::CordonConfirmation(id));
+        }
+        let result = result.map_err(|error| error.to_string());
+        self.effects.push(Effect::response(id, result));
+    }
 }
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -5,30 +5,35 @@
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::Origin;
 use crate::server::drivers::snapshot::wall_ms;
-use crate::server::drivers::Effect;
+use crate::server::drivers::{Effect, EndpointAddress, EndpointEffect};
 use cranesill::api::{EndpointEntry, EndpointId, EndpointState, Timestamp};
 use std::collections::HashSet;
 
-/// A clock that is apart from the list service's by more than this is told.
+/// A clock skew against the list service beyond which a warning is logged.
 const MAX_CLOCK_SKEW_MS: i64 = 5_000;
 
 impl Server {
-    pub(super) fn apply_watch_event(&mut self, now: Timestamp, news: News, origin: Origin) {
+    /// Reads watch events from the connection to the list service and applies them.
+    pub(super) fn read_discovery(&mut self, now: Timestamp) {
+        for event in self.discovery.ready(now) {
+            self.apply_watch_event(now, event, Origin::Service);
+        }
+        self.timers.add(self.discovery.due, Timer::Discovery);
+    }
+
+    /// Applies a watch event: endpoints that change, or a purge.
+    pub(super) fn apply_watch_event(&mut self, now: Timestamp, event: News, origin: Origin) {
         if self.forwards_watch_events {
-            self.effects
-                .push(Effect::Heard(self.discovery.stands().1, news.clone()));
+            let message = EndpointEffect::WatchEvent {
+                revision: self.discovery.stands().1,
+                event: event.clone(),
+            };
+            self.effects.push(Effect::Endpoints(message));
             self.carry_out_effects(now);
         }
-        match news {
+        match event {
             News::Members { whole, list } => {
-                if !self.drivers.is_empty() {
-                    let here =
-                        |l: &Listing| Some(l.address).filter(|_| l.state != EndpointState::Removed);
-                    let told = |l: &Listing| (u64::from(l.id), l.kind, here(l));
-                    self.effects
-                        .push(Effect::Members(list.iter().map(told).collect(), whole));
-                    self.carry_out_effects(now);
-                }
+                self.announce_endpoints(now, &list, whole);
                 let list = self.startup.listed(now, whole, list);
                 self.update_endpoints(now, whole, list, origin);
             }
@@ -36,112 +41,139 @@
                 object,
                 group,
                 at_ms,
-            } => self
-                .front
-                .purged(now, object, group, at_ms.saturating_mul(1_000), origin),
+            } => {
+                let purged_at = at_ms.saturating_mul(1_000);
+                self.front.purged(now, object, group, purged_at, origin);
+            }
+        }
+        self.check_clock_skew();
+        self.run_commands(now, Vec::new());
+    }
+
+    /// Tells the drivers which endpoints are listed.
+    fn announce_endpoints(&mut self, now: Timestamp, list: &[Listing], complete: bool) {
+        if self.drivers.is_empty() {
+            return;
         }
-        let ahead_ms = self
-            .front
-            .ahead
-            .ms()
-            .filter(|ms| ms.abs() > MAX_CLOCK_SKEW_MS);
-        if let Some(ahead_ms) = ahead_ms.filter(|_| !self.clock_skew_logged) {
+        let message = EndpointEffect::Listed {
+            endpoints: list.iter().map(endpoint_address).collect(),
+            complete,
+        };
+        self.effects.push(Effect::Endpoints(message));
+        self.carry_out_effects(now);
+    }
+
+    /// Logs once that this clock is far from the list service's, until it is near again.
+    fn check_clock_skew(&mut self) {
+        let skew_ms = self.front.ahead.ms();
+        let skew_ms = skew_ms.filter(|ms| ms.abs() > MAX_CLOCK_SKEW_MS);
+        if let Some(ahead_ms) = skew_ms.filter(|_| !self.clock_skew_logged) {
             tracing::warn!(
                 kind = "clock",
                 ahead_ms,
                 "this clock is far from that of the list service"
             );
         }
-        self.clock_skew_logged = ahead_ms.is_some();
-        self.run_commands(now, Vec::new());
+        self.clock_skew_logged = skew_ms.is_some();
     }
 
-    /// Takes over a list that peers hold, unless the service is heard or has told as much.
+    /// Adopts a list that peers hold, unless the list service is connected or has already sent a list as new.
     pub(super) fn adopt_peer_list(&mut self, now: Timestamp, list: Box<Snapshot>) {
         if self.discovery.heard() || list.number <= self.discovery.stands().1 {
             return;
         }
-        let (event, age_ms) = (list.number, wall_ms().saturating_sub(list.at_ms));
+        let event = list.number;
+        let age_ms = wall_ms().saturating_sub(list.at_ms);
+        let members = list.members.len();
         tracing::info!(
             kind = "list",
             event,
             age_ms,
-            members = list.members.len(),
+            members,
             "the list is taken from peers"
         );
         self.discovery.skip_to(list.number);
-        // It does not grow younger by being taken.
+        // Forwarded as watch events it would count as new in the snapshot on disk; adopted, it keeps its age.
         self.forwards_watch_events = false;
-        list.news()
-            .into_iter()
-            .for_each(|news| self.apply_watch_event(now, news, Origin::Kept));
+        for event in list.news() {
+            self.apply_watch_event(now, event, Origin::Kept);
+        }
         self.forwards_watch_events = true;
-        self.effects.push(Effect::Taken(list));
+        self.effects
+            .push(Effect::Endpoints(EndpointEffect::Adopted(list)));
         self.carry_out_effects(now);
     }
 
-    /// Takes over what the list says of members; `whole`: of all that are in use.
+    /// Applies what the list says of endpoints. Where it is `complete`, endpoints that it does not name are removed.
     pub(super) fn update_endpoints(
         &mut self,
         now: Timestamp,
-        whole: bool,
+        complete: bool,
         list: Vec<Listing>,
         origin: Origin,
     ) {
-        let mut ends = Vec::new();
         let entries: Vec<_> = list.iter().map(endpoint_entry).collect();
-        let mut before: Vec<_> = if whole {
-            self.upstream.listed().collect()
+        let removed = if complete {
+            self.remove_unlisted(&entries)
         } else {
             Vec::new()
         };
-        if whole {
-            let listed: HashSet<_> = entries.iter().map(|e| e.member).collect();
-            self.upstream.keep_only(&listed);
-            before.retain(|id| !listed.contains(id));
+        for (entry, listing) in entries.iter().zip(&list) {
+            self.upstream.list(entry, listing.address);
         }
-        entries
-            .iter()
-            .zip(&list)
-            .for_each(|(entry, l)| self.upstream.list(entry, l.address));
-        let mut left_out: Vec<_> = entries
-            .iter()
-            .filter(|e| e.state != EndpointState::Ready)
-            .map(|e| e.member)
-            .collect();
-        left_out.extend(before);
-        let new: Vec<_> = entries
+        let (ready, not_ready): (Vec<_>, Vec<_>) = entries
             .iter()
-            .filter(|e| e.state == EndpointState::Ready)
-            .map(|e| e.member)
-            .collect();
-        self.front.members(now, whole, entries, origin);
-        left_out
-            .into_iter()
-            .for_each(|id| self.upstream.leave_out(id, &mut ends));
+            .map(|entry| (entry.state, entry.member))
+            .partition(|(state, _)| *state == EndpointState::Ready);
+        self.front.members(now, complete, entries, origin);
+        let mut ends = Vec::new();
+        let not_ready = not_ready.into_iter().map(|(_, endpoint)| endpoint);
+        for endpoint in not_ready.chain(removed) {
+            self.upstream.leave_out(endpoint, &mut ends);
+        }
         self.run_commands(now, ends);
-        let dialled = if self.startup.dials() {
-            new
-        } else {
-            Vec::new()
-        };
-        for member in dialled {
-            let key = self.next_key();
-            if self.upstream.open(now, &self.reactor, key, member) {
-                self.timers.add(
-                    now + self.config.deployment.settings.connect_timeout,
-                    Timer::ConnectTimeout(key),
-                );
-            }
+        if self.startup.dials() {
+            self.connect_ahead(now, ready.into_iter().map(|(_, endpoint)| endpoint));
         }
         if let Some(at) = self.startup.next() {
             self.timers.add(at, Timer::SlowStart);
         }
     }
 
+    /// Forgets the addresses of endpoints that a complete list does not name, and returns these endpoints.
+    fn remove_unlisted(&mut self, entries: &[EndpointEntry]) -> Vec<EndpointId> {
+        let listed: HashSet<_> = entries.iter().map(|entry| entry.member).collect();
+        let mut removed: Vec<_> = self.upstream.listed().collect();
+        removed.retain(|id| !listed.contains(id));
+        self.upstream.keep_only(&listed);
+        removed
+    }
+
+    /// Connects to endpoints before the first request needs them.
+    fn connect_ahead(&mut self, now: Timestamp, endpoints: impl Iterator<Item = EndpointId>) {
+        let timeout_at = now + self.config.deployment.settings.connect_timeout;
+        for endpoint in endpoints {
+            let key = self.next_key();
+            if self.upstream.open(now, &self.reactor, key, endpoint) {
+                self.timers.add(timeout_at, Timer::ConnectTimeout(key));
+            }
+        }
+    }
+
+    /// Checks whether enough endpoints are reached for this front to report itself ready.
     pub(super) fn update_readiness(&mut self, now: Timestamp) {
-        let (used, reached) = (self.upstream.listed().count(), self.upstream.reached());
-        self.clients.ready = self.startup.ready(now, used, reached);
+        let in_use = self.upstream.listed().count();
+        let reached = self.upstream.reached();
+        self.clients.ready = self.startup.ready(now, in_use, reached);
+    }
+}
+
+fn endpoint_address(listing: &Listing) -> EndpointAddress {
+    let listed = listing.state != EndpointState::Removed;
+    EndpointAddress {
+        id: listing.id.into(),
+        kind: listing.kind,
+        address: listed.then_some(listing.address),
     }
 }
 
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The loop.
+//! The event loop of a front: it waits for sockets, signals and timers, and hands each on to the module that knows it.
 mod admin;
 mod assembly;
 mod clients;
@@ -11,13 +11,14 @@
 mod takeover;
 mod timers;
 
-use crate::routing::{Front, Origin, ReplyTo};
+use crate::routing::{Front, ReplyTo};
 use crate::server::acceptor::AcceptBackoff;
 use crate::server::config::Config;
 use crate::server::discovery::Discovery;
 use crate::server::downstream::Clients;
 use crate::server::drain::Drain;
 use crate::server::drivers::{slot_of, Driver, Effect};
+use crate::server::error::ServerError;
 use crate::server::handover::Shared;
 use crate::server::log::Log;
 use crate::server::signals::drain;
@@ -32,21 +33,43 @@
 use std::path::PathBuf;
 use timers::Timer;
 
+/// Poller keys of the sources that are there from the start.
 const LISTENER_KEY: usize = 0;
 const SIGTERM_KEY: usize = 1;
 const SIGHUP_KEY: usize = 2;
-/// Keys from here on are for connections.
+/// The last key before those of connections.
 const FIRST_CONNECTION_KEY: usize = 3;
-/// Rank from which on events of a turn come after all that is heard of clients: what nodes leave free is not for those who left.
-const UPSTREAM_RANK: usize = 3;
 
-/// One front on its sockets.
+/// The order in which the sources of one turn are handled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Rank {
+    /// First: what the list service says applies to all that is sent in the same turn.
+    Discovery,
+    /// Operators' commands are answered whatever the load.
+    Admin,
+    Clients,
+    /// After all that is read from clients: capacity that an answer frees must not go to a client that has left.
+    Upstream,
+    /// Other subsystems, by slot.
+    Driver(usize),
+    /// Last: connections of which nothing was read yet may be closed to make room for new ones.
+    Listener,
+}
+
+/// A front: the event loop and everything that runs on it.
 pub struct Server {
     config: Config,
+    /// The daemon's own settings.
+    settings: Daemon,
+    /// Where the settings were read from, if from anywhere.
+    settings_file: Option<PathBuf>,
+    log: Log,
     clock: Clock,
     reactor: Reactor,
     listener: Registered<TcpListener>,
+    /// Readable once SIGTERM has come.
     sigterm: Registered<UnixStream>,
+    /// Readable once SIGHUP has come.
     sighup: Registered<UnixStream>,
     timers: Deadlines<Timer>,
     front: Front,
@@ -54,88 +77,91 @@
     upstream: CacheNodes,
     discovery: Discovery,
     startup: Startup,
-    /// What the list service tells is told to drivers.
+    /// Whether watch events are passed to drivers.
     forwards_watch_events: bool,
-    /// That this clock is far from the list service's was told.
+    /// Whether it was logged that this clock is far from the list service's.
     clock_skew_logged: bool,
-    log: Log,
+    /// The poller key that was given out last.
     last_key: usize,
-    /// Since SIGTERM.
+    /// The graceful shutdown, once SIGTERM has come.
     shutdown: Option<Drain>,
-    /// Where the platform starts a new process beside the old.
+    /// What is shared with other processes of this front, where the platform starts a new one beside the old.
     handover: Option<Shared>,
-    /// Whether this process accepts clients.
+    /// Whether it is this process that accepts clients.
     accepts_clients: bool,
     accept_backoff: AcceptBackoff,
-    /// Members out by hand, as last seen in what is shared.
+    /// Endpoints that operators have taken out of service.
     cordoned: BTreeSet<EndpointId>,
-    /// Since when it is emptied.
+    /// When an operator drained this front; `None` while it accepts traffic.
     quiesced_at: Option<Timestamp>,
-    /// The driver that goes before clients: operators' calls are due whatever the load.
+    /// The slot of the driver that answers operators of the platform; 0 where there is none.
     admin_slot: usize,
-    /// The daemon's own settings, and where they were read from.
-    settings: Daemon,
-    settings_file: Option<PathBuf>,
     /// Subsystems that the settings switch on, each with the last key that it gave out.
     drivers: Vec<(Box<dyn Driver>, usize)>,
+    /// Messages of subsystems that are not carried out yet.
     effects: Vec<Effect>,
-    /// Who no longer waits, as heard in this turn.
+    /// Requests whose clients have disconnected in this turn.
     disconnected: Vec<ReplyTo>,
     started_at: Timestamp,
 }
 
 impl Server {
-    /// Serves until it has left.
-    pub fn run(mut self) -> Result<(), String> {
+    /// Serves until a graceful shutdown is complete.
+    pub fn run(mut self) -> Result<(), ServerError> {
         while !self.run_turn()? {}
         Ok(())
     }
 
-    /// Waits for something to do and does it. Whether the front has left.
-    fn run_turn(&mut self) -> Result<bool, String> {
-        let drivers = self
-            .drivers
-            .iter()
-            .filter_map(|(driver, _)| driver.next())
-            .min();
-        let next = self
-            .timers
-            .next()
-            .into_iter()
-            .chain(drivers)
-            .chain(self.clients.next())
-            .min();
-        let mut events = self
-            .reactor
-            .wait(self.clock.now(), next)
-            .map_err(|e| format!("poller: {e}"))?;
+    /// Waits for something to do and does it. Returns whether the process can end.
+    fn run_turn(&mut self) -> Result<bool, ServerError> {
+        let deadline = self.next_deadline();
+        let events = self.reactor.wait(self.clock.now(), deadline);
+        let events = events.map_err(ServerError::Poller)?;
         let now = self.clock.now();
-        // What the feed tells is heeded before anything is sent in the same turn; new connections come last, since
-        // room for them is made by closing those of which nothing was read yet.
-        // Operators come before clients, clients before nodes, and those before other subsystems.
-        let rank = |key: usize| match slot_of(key) {
-            slot if slot > 0 && slot == self.admin_slot => 1,
-            slot if slot > 0 => UPSTREAM_RANK + slot,
-            _ if self.discovery.is(key) => 0,
-            _ if self.upstream.has(key) => UPSTREAM_RANK,
-            _ => 2,
-        };
-        events.sort_by_cached_key(|(key, ..)| (*key == LISTENER_KEY, rank(*key)));
-        let nodes = events
-            .iter()
-            .position(|(key, ..)| *key == LISTENER_KEY || rank(*key) >= UPSTREAM_RANK);
+        self.handle_events(now, events);
+        while let Some(timer) = self.timers.take(now) {
+            self.handle_timer(now, timer);
+        }
+        let client_events = self.clients.due(now);
+        self.handle_client_events(now, client_events);
+        self.run_due_drivers(now);
+        let pauses = self.clients.held() > self.config.room().bytes;
+        self.upstream.pause(now, pauses);
+        Ok(self.advance_shutdown(now))
+    }
+
+    fn next_deadline(&self) -> Option<Timestamp> {
+        let drivers = self.drivers.iter().filter_map(|(driver, _)| driver.next());
+        let own = [self.timers.next(), self.clients.next()];
+        drivers.chain(own.into_iter().flatten()).min()
+    }
+
+    /// Handles what the poller reported, in the order of [`Rank`]. Requests of clients that disconnected are cancelled before
+    /// anything is read from upstream.
+    fn handle_events(&mut self, now: Timestamp, mut events: Vec<(usize, bool, bool)>) {
+        events.sort_by_cached_key(|(key, ..)| self.rank(*key));
+        let clients_end = events.partition_point(|(key, ..)| self.rank(*key) < Rank::Upstream);
         for (n, (key, readable, writable)) in events.into_iter().enumerate() {
-            if nodes == Some(n) {
+            if n == clients_end {
                 self.cancel_disconnected(now);
             }
             self.handle_event(now, key, readable, writable);
         }
         self.cancel_disconnected(now);
-        while let Some(due) = self.timers.take(now) {
-            self.handle_timer(now, due);
+    }
+
+    fn rank(&self, key: usize) -> Rank {
+        match slot_of(key) {
+            slot if slot > 0 && slot == self.admin_slot => Rank::Admin,
+            slot if slot > 0 => Rank::Driver(slot),
+            _ if key == LISTENER_KEY => Rank::Listener,
+            _ if self.discovery.is(key) => Rank::Discovery,
+            _ if self.upstream.has(key) => Rank::Upstream,
+            _ => Rank::Clients,
         }
-        let heard = self.clients.due(now);
-        self.handle_client_events(now, heard);
+    }
+
+    fn run_due_drivers(&mut self, now: Timestamp) {
         for slot in 1..=self.drivers.len() {
             self.with_driver(now, slot, |driver, turn| {
                 if driver.next().is_some_and(|at| at <= turn.now) {
@@ -144,9 +170,6 @@
             });
         }
         self.carry_out_effects(now);
-        self.upstream
-            .pause(now, self.clients.held() > self.config.room().bytes);
-        Ok(self.advance_shutdown(now))
     }
 
     fn next_key(&mut self) -> usize {
@@ -168,29 +191,13 @@
                 });
                 self.carry_out_effects(now);
             }
-            _ if self.discovery.is(key) => {
-                self.discovery
-                    .ready(now)
-                    .into_iter()
-                    .for_each(|news| self.apply_watch_event(now, news, Origin::Service));
-                self.timers.add(self.discovery.due, Timer::Discovery);
-            }
+            _ if self.discovery.is(key) => self.read_discovery(now),
             _ if self.upstream.has(key) => {
                 let mut ends = Vec::new();
                 self.upstream.ready(now, key, readable, &mut ends);
                 self.run_commands(now, ends);
             }
-            _ if self.clients.has(key) => {
-                if writable {
-                    self.clients.flush(now, key);
-                }
-                let heard = if readable {
-                    self.clients.read(now, key)
-                } else {
-                    Vec::new()
-                };
-                self.handle_client_events(now, heard);
-            }
+            _ if self.clients.has(key) => self.serve_client(now, key, readable, writable),
             _ => {}
         }
     }
--- a/front/src/server/event_loop/reload.rs
+++ b/front/src/server/event_loop/reload.rs
@@ -3,33 +3,40 @@
 use super::Server;
 use crate::server::config::Config;
 use cranesill::api::Timestamp;
-use cranesill_daemon::changes;
+use cranesill_daemon::{changes, Certs, Daemon, Tls};
 
 impl Server {
-    /// SIGHUP: configuration and settings are read again. A file that can't be used changes nothing; of a good
-    /// configuration only the feed's address is taken over, and open requests notice nothing. Of the settings all
-    /// that can change in service is.
+    /// Reads configuration and settings again. A file that cannot be used changes nothing. Of the configuration only the
+    /// address of the list service is applied, of the settings all that can change in service.
     pub(super) fn reload(&mut self, now: Timestamp) {
-        match Config::load(&self.config.file) {
-            Ok(new) => {
-                tracing::info!(feed = %new.feed, "SIGHUP: configuration read");
-                if self.discovery.move_to(now, new.feed) {
-                    self.front.list_moved();
-                }
-                self.timers.add(now, Timer::Discovery);
+        self.reload_config(now);
+        self.reload_settings(now);
+    }
+
+    fn reload_config(&mut self, now: Timestamp) {
+        let new = match Config::load(&self.config.file) {
+            Ok(new) => new,
+            Err(faults) => {
+                let error = faults.join("; ");
+                return tracing::warn!(error, "the configuration stays as it was");
             }
-            Err(faults) => tracing::warn!(
-                error = faults.join("; "),
-                "the configuration stays as it was"
-            ),
+        };
+        tracing::info!(feed = %new.feed, "SIGHUP: configuration read");
+        if self.discovery.move_to(now, new.feed) {
+            self.front.list_moved();
         }
+        self.timers.add(now, Timer::Discovery);
+    }
+
+    fn reload_settings(&mut self, now: Timestamp) {
         let Some(file) = &self.settings_file else {
             return;
         };
         let new = match crate::server::config::settings(file) {
             Ok(new) => new,
             Err(faults) => {
-                return tracing::warn!(error = faults.join("; "), "the settings stay as they were");
+                let error = faults.join("; ");
+                return tracing::warn!(error, "the settings stay as they were");
             }
         };
         let changes = changes(&self.settings, &new);
@@ -39,38 +46,34 @@
         }
         self.carry_out_effects(now);
         if !changes.restart.is_empty() {
-            tracing::warn!(
-                paths = changes.restart.join(" "),
-                "settings that need a restart"
-            );
+            let paths = changes.restart.join(" ");
+            tracing::warn!(paths, "settings that need a restart");
         }
         tracing::info!(paths = changes.taken.join(" "), "settings taken over");
-        // What needs a restart is compared with what runs.
-        let (old, restart) = (std::mem::replace(&mut self.settings, new), changes.restart);
-        if !restart.is_empty() {
-            self.settings.control = old.control;
-            self.settings.tls = self
-                .settings
-                .tls
-                .take()
-                .zip(old.tls.clone())
-                .map(|(new, old)| cranesill_daemon::Tls {
-                    listen: old.listen,
-                    ..new
-                })
-                .or(old.tls);
-            self.settings.certs = self
-                .settings
-                .certs
-                .take()
-                .zip(old.certs.clone())
-                .map(|(new, old)| cranesill_daemon::Certs {
-                    directory: old.directory,
-                    authority: old.authority,
-                    http_listen: old.http_listen,
-                    ..new
-                })
-                .or(old.certs);
+        let running = std::mem::replace(&mut self.settings, new);
+        if !changes.restart.is_empty() {
+            keep_until_restart(&mut self.settings, running);
         }
     }
 }
+
+/// Puts back the settings that take a restart to change, so that the next reload is compared with what runs.
+fn keep_until_restart(settings: &mut Daemon, running: Daemon) {
+    settings.control = running.control;
+    settings.tls = match (settings.tls.take(), running.tls) {
+        (Some(new), Some(running)) => Some(Tls {
+            listen: running.listen,
+            ..new
+        }),
+        (_, running) => running,
+    };
+    settings.certs = match (settings.certs.take(), running.certs) {
+        (Some(new), Some(running)) => Some(Certs {
+            directory: running.directory,
+            authority: running.authority,
+            http_listen: running.http_listen,
+            ..new
+        }),
+        (_, running) => running,
+    };
+}
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -2,39 +2,54 @@
 use super::timers::Timer;
 use super::Server;
 use crate::server::drain::{Drain, Stage};
+use crate::server::error::AdminError;
 use crate::server::signals::drain;
 use cranesill::api::{Micros, Timestamp};
 
-/// A front that is emptied serves what is asked on open connections for this long; then it refuses.
-pub(super) const QUIESCE_GRACE: Micros = 1_500_000;
+/// How long a quiesced front still takes requests on open connections before it refuses them.
+const QUIESCE_GRACE: Micros = 1_500_000;
 
 impl Server {
-    /// SIGTERM: clients are told, and what is taken is still answered.
+    /// Begins the graceful shutdown after SIGTERM: clients are notified, and requests that were taken are still answered.
     pub(super) fn begin_shutdown(&mut self, now: Timestamp) {
         drain(&self.sigterm);
-        if self.shutdown.is_none() {
-            tracing::info!("SIGTERM: leaving");
-            let drain = Drain::new(
-                now,
-                &self.config.deployment.limits.waits,
-                self.handover.is_some(),
-            );
-            self.shutdown = Some(drain);
-            self.clients.drain(now, self.config.accept_fd.is_some());
-            self.watch_listener(true);
-            let learned = self.front.learned();
-            if let Some(shared) = &mut self.handover {
-                shared.hand_over(now, &learned);
-                self.share_limits(now, true);
+        if self.shutdown.is_some() {
+            return;
+        }
+        tracing::info!("SIGTERM: leaving");
+        let waits = &self.config.deployment.limits.waits;
+        let drain = Drain::new(now, waits, self.handover.is_some());
+        self.shutdown = Some(drain);
+        self.clients.drain(now, self.config.accept_fd.is_some());
+        self.watch_listener(true);
+        let learned = self.front.learned();
+        if let Some(handover) = &mut self.handover {
+            handover.hand_over(now, &learned);
+            self.share_limits(now, true);
+        }
+        for at in drain.moments() {
+            self.timers.add(at, Timer::ShutdownStage);
+        }
+    }
+
+    /// Does what the stage of the shutdown asks for that has been reached.
+    pub(super) fn enter_shutdown_stage(&mut self, now: Timestamp) {
+        let Some(drain) = &self.shutdown else {
+            return;
+        };
+        let stage = drain.stage(now);
+        if stage >= Stage::Refuses {
+            self.front.close(true);
+            for (driver, _) in &mut self.drivers {
+                driver.drain();
             }
-            drain
-                .moments()
-                .into_iter()
-                .for_each(|at| self.timers.add(at, Timer::ShutdownStage));
+        }
+        if stage >= Stage::Parts {
+            self.front.give_up(now);
         }
     }
 
-    /// Goes on with the end of the program, if it was told to end. Whether that is over.
+    /// Shuts connections once nothing is owed on them, if a shutdown has begun. Returns whether the process can end.
     pub(super) fn advance_shutdown(&mut self, now: Timestamp) -> bool {
         // A request whose last byte comes after the end of its connection would be lost.
         let owes = self.front.open() > 0 || !self.clients.flushed() || self.clients.begun();
@@ -50,7 +65,8 @@
         drain.stage(now) == Stage::Over || all_gone
     }
 
-    /// Empties the front: clients are told to go elsewhere, what is taken is answered.
+    /// Drains this front until an operator resumes it: clients are told to go elsewhere, and requests that were taken are
+    /// answered.
     pub(super) fn quiesce(&mut self, now: Timestamp) -> &'static str {
         if self.quiesced_at.is_none() {
             tracing::info!(kind = "quiesce", clients = self.clients.len(), "quiesced");
@@ -62,9 +78,19 @@
         "quiesced"
     }
 
-    pub(super) fn resume(&mut self) -> Result<&'static str, String> {
+    /// Refuses new requests once a quiesced front has served for its grace period.
+    pub(super) fn end_quiesce_grace(&mut self, now: Timestamp) {
+        // An operator may have resumed and quiesced it again since the timer was set.
+        let quiesced_at = self.quiesced_at;
+        if quiesced_at.is_some_and(|since| now >= since + QUIESCE_GRACE) {
+            self.front.close(true);
+        }
+    }
+
+    /// Accepts clients again after [`Server::quiesce`].
+    pub(super) fn resume(&mut self) -> Result<&'static str, AdminError> {
         if self.shutdown.is_some() {
-            return Err("leaving: another process takes over".into());
+            return Err(AdminError::ReplacedByAnotherProcess);
         }
         if self.quiesced_at.take().is_some() {
             tracing::info!(kind = "quiesce", "takes clients again");
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -1,116 +1,122 @@
-//! The kinds of timer that the loop sets, and what is done when one expires.
-use super::shutdown::QUIESCE_GRACE;
+//! The kinds of timer that the loop sets, and what is done when one expires. Timers are not cancelled: whoever handles one
+//! checks whether it still matters.
 use super::Server;
 use crate::routing::{AttemptId, Origin, Wake};
-use crate::server::drain::Stage;
-use crate::server::drivers::Effect;
+use crate::server::drivers::{Effect, EndpointEffect};
+use crate::server::upstream::Ends;
 use cranesill::api::{Micros, Timestamp};
 
-/// What is due at some moment.
+/// Interval between two sweeps over all connections.
+pub(super) const SWEEP_INTERVAL: Micros = 250_000;
+
+/// A timer of the loop, by what is to be done when it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
+    /// The routing asked to be woken.
     Routing(Wake),
+    /// The upstream connection under this poller key fails if it is not established.
     ConnectTimeout(usize),
+    /// The attempt is withdrawn if no byte of it has been written.
     WriteDeadline(AttemptId),
+    /// The connection to the list service is given up, or tried again.
     Discovery,
+    /// Connections, logs and readiness are checked.
     Sweep,
-    /// The end of the program goes on.
+    /// A stage of the graceful shutdown may have been reached.
     ShutdownStage,
+    /// A quiesced front no longer takes requests.
     QuiesceGrace,
-    /// Members that are listed come into use.
+    /// Endpoints that wait in slow start come into use.
     SlowStart,
-    /// Another process may have left the clients' socket to this one.
+    /// An earlier process of this front may have left the clients' socket.
     TakeoverPoll,
-    /// Another process may have heard of members out by hand.
+    /// Another process of this front may have been asked for cordons.
     CordonPoll,
-    /// An operator's call is answered.
+    /// The cordon that was asked for by the command with this id is confirmed.
     CordonConfirmation(u64),
-    /// The clients' listener has rested after a failed `accept`.
+    /// The clients' listener is tried again after a failed `accept`.
     AcceptRetry,
-    /// Connections to nodes that this machine could not begin are tried again.
+    /// Upstream connections that this machine failed to begin are tried again.
     Redial,
 }
 
-/// Pause between two sweeps over all connections.
-pub(super) const SWEEP_INTERVAL: Micros = 250_000;
-
 impl Server {
-    pub(super) fn handle_timer(&mut self, now: Timestamp, due: Timer) {
+    /// Does what is due when a timer expires.
+    pub(super) fn handle_timer(&mut self, now: Timestamp, timer: Timer) {
         let mut ends = Vec::new();
-        match due {
+        match timer {
             Timer::Routing(wake) => self.front.wake(now, wake),
             Timer::ConnectTimeout(key) => self.upstream.undialed(key, &mut ends),
             Timer::WriteDeadline(attempt) => self.upstream.withdraw(attempt, &mut ends),
-            Timer::Discovery if now >= self.discovery.due => {
-                let key = self.next_key();
-                self.discovery.go(now, &self.reactor, key);
-                self.timers.add(self.discovery.due, Timer::Discovery);
-            }
-            Timer::Discovery => {}
-            Timer::Sweep => {
-                let gone =
-                    self.clients
-                        .sweep(now, self.config.room().bytes, self.config.held_most());
-                self.log.sweep();
-                let contact = self.front.floors.as_mut().and_then(|f| f.contact.as_mut());
-                if contact.is_some_and(|contact| contact.lost_now(now)) {
-                    tracing::warn!(kind = "contact-lost", "purges: no contact with the ledger");
-                }
-                self.handle_client_events(now, gone);
-                self.cancel_disconnected(now);
-                self.upstream.sweep(now, &mut ends);
-                self.update_readiness(now);
-                if self.discovery.heard() && self.forwards_watch_events {
-                    self.effects.push(Effect::Current);
-                    self.carry_out_effects(now);
-                }
-                self.watch_listener(true);
-                self.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
-            }
+            Timer::Discovery => self.poll_discovery(now),
+            Timer::Sweep => self.sweep(now, &mut ends),
+            Timer::ShutdownStage => self.enter_shutdown_stage(now),
+            Timer::QuiesceGrace => self.end_quiesce_grace(now),
             Timer::SlowStart => {
                 let list = self.startup.due(now);
                 self.update_endpoints(now, false, list, Origin::Kept);
             }
             Timer::TakeoverPoll => self.poll_takeover(now, false),
             Timer::CordonPoll => self.poll_cordons(now),
-            Timer::Redial => {
-                for (target, fetch) in self.upstream.take_redials(now) {
-                    let key = self.next_key();
-                    self.send_attempt(now, key, target, &fetch, &mut ends);
-                }
+            Timer::CordonConfirmation(id) => {
+                self.effects.push(Effect::response(id, Ok("out".into())));
+                self.carry_out_effects(now);
             }
             Timer::AcceptRetry => {
                 self.accept_backoff.resume();
                 self.watch_listener(true);
                 self.accept_clients(now);
             }
-            Timer::CordonConfirmation(number) => {
-                self.effects.push(Effect::Answer(number, Ok("out".into())));
-                self.carry_out_effects(now);
-            }
-            Timer::QuiesceGrace => {
-                if self
-                    .quiesced_at
-                    .is_some_and(|since| now >= since + QUIESCE_GRACE)
-                {
-                    self.front.close(true);
-                }
-            }
-            Timer::ShutdownStage => {
-                let stage = self
-                    .shutdown
-                    .map_or(Stage::Serves, |drain| drain.stage(now));
-                if stage >= Stage::Refuses {
-                    self.front.close(true);
-                    self.drivers
-                        .iter_mut()
-                        .for_each(|(driver, _)| driver.drain());
-                }
-                if stage >= Stage::Parts {
-                    self.front.give_up(now);
-                }
-            }
+            Timer::Redial => self.redial(now, &mut ends),
         }
         self.run_commands(now, ends);
     }
+
+    /// Gives up a silent connection to the list service, or connects, unless the deadline has moved since the timer was set.
+    fn poll_discovery(&mut self, now: Timestamp) {
+        if now < self.discovery.due {
+            return;
+        }
+        let key = self.next_key();
+        self.discovery.go(now, &self.reactor, key);
+        self.timers.add(self.discovery.due, Timer::Discovery);
+    }
+
+    /// Closes dead and idle connections and checks what has no timer of its own.
+    fn sweep(&mut self, now: Timestamp, ends: &mut Ends) {
+        let max_buffered = self.config.room().bytes;
+        let events = self
+            .clients
+            .sweep(now, max_buffered, self.config.held_most());
+        self.log.sweep();
+        self.check_purge_contact(now);
+        self.handle_client_events(now, events);
+        self.cancel_disconnected(now);
+        self.upstream.sweep(now, ends);
+        self.update_readiness(now);
+        if self.discovery.heard() && self.forwards_watch_events {
+            self.effects
+                .push(Effect::Endpoints(EndpointEffect::Current));
+            self.carry_out_effects(now);
+        }
+        self.watch_listener(true);
+        self.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
+    }
+
+    /// Logs when the contact with the writer of the purge log is lost.
+    fn check_purge_contact(&mut self, now: Timestamp) {
+        let floors = self.front.floors.as_mut();
+        let contact = floors.and_then(|floors| floors.contact.as_mut());
+        if contact.is_some_and(|contact| contact.lost_now(now)) {
+            tracing::warn!(kind = "contact-lost", "purges: no contact with the ledger");
+        }
+    }
+
+    /// Sends attempts again for which this machine failed to begin a connection.
+    fn redial(&mut self, now: Timestamp, ends: &mut Ends) {
+        for (target, fetch) in self.upstream.take_redials(now) {
+            let key = self.next_key();
+            self.send_attempt(now, key, target, &fetch, ends);
+        }
+    }
 }
--- a/front/src/server/mod.rs
+++ b/front/src/server/mod.rs
@@ -7,6 +7,7 @@
 mod downstream;
 mod drain;
 mod drivers;
+mod error;
 mod event_loop;
 mod floors;
 mod handover;
