--- a/front/src/server/downstream/tests.rs
+++ b/front/src/server/downstream/tests.rs
@@ -62,12 +62,12 @@
     let mut stage = Stage::new();
     let idle = stage.client(0, 1);
     stage.tell(1, &idle, 1, &READY);
-    stage.2.sweep(IDLE_MOST / 2, usize::MAX, usize::MAX);
+    stage.2.sweep(MAX_IDLE / 2, usize::MAX, usize::MAX);
     assert!(stage.2.has(1));
-    stage.2.sweep(IDLE_MOST + 2, usize::MAX, usize::MAX);
+    stage.2.sweep(MAX_IDLE + 2, usize::MAX, usize::MAX);
     stage
         .2
-        .sweep(IDLE_MOST + 3 + FAREWELL, usize::MAX, usize::MAX);
+        .sweep(MAX_IDLE + 3 + CLOSE_TIMEOUT, usize::MAX, usize::MAX);
     assert!(!stage.2.has(1));
 }
 
@@ -78,11 +78,11 @@
     let bad = [0, 0, 0, 6, 10, 0, 0, 0, 1, 0];
     assert!(matches!(
         stage.tell(1, &client, 1, &bad)[..],
-        [ClientEvent::Bad(..)]
+        [ClientEvent::BadRequest(..)]
     ));
     (&client).write_all(&READY).unwrap();
     assert!(!stage.told(20_000), "nothing is read from it for now");
-    stage.2.sweep(REST + 1, usize::MAX, usize::MAX);
+    stage.2.sweep(READ_PAUSE + 1, usize::MAX, usize::MAX);
     assert!(stage.told(20_000_000));
     // An end that is told while nothing is watched for would be told for ever.
     let client = stage.client(0, 2);
@@ -105,10 +105,10 @@
     let client = stage.client(0, 1);
     assert!(matches!(
         stage.tell(1, &client, 1, REQUEST)[..],
-        [ClientEvent::Ask(..)]
+        [ClientEvent::Request(..)]
     ));
     let heard = stage.tell(2, &client, 1, &[0, 0, 0, 6, 10, 0, 0, 0, 2, 0]);
-    let [ClientEvent::Bad(from, _)] = heard[..] else {
+    let [ClientEvent::BadRequest(from, _)] = heard[..] else {
         panic!("{heard:?}")
     };
     stage.2.answer(2, from, Answer::Failed);
@@ -120,7 +120,7 @@
     assert!(stage.told(20_000_000));
     assert!(matches!(
         stage.2.read(read_at, 1)[..],
-        [ClientEvent::Gone(_)]
+        [ClientEvent::Disconnected(_)]
     ));
     assert_eq!(stage.2.next(), None);
 }
@@ -134,7 +134,7 @@
         client.shutdown(std::net::Shutdown::Write).unwrap();
         let kept = (!closes).then_some(client);
         assert!(stage.told(20_000_000));
-        assert!(stage.2.read(1, 1).is_empty() && stage.2.begun());
+        assert!(stage.2.read(1, 1).is_empty() && stage.2.has_partial_requests());
         let at = stage.2.next().expect("it is held back");
         assert!(stage.2.due(at - 1).is_empty());
         if closes {
@@ -142,7 +142,7 @@
             stage.2.read(2, 1);
         }
         assert_eq!(stage.2.due(at).len(), usize::from(!closes), "{kept:?}");
-        assert!(!stage.2.begun() && stage.2.next().is_none());
+        assert!(!stage.2.has_partial_requests() && stage.2.next().is_none());
     }
 }
 
@@ -155,35 +155,35 @@
     // A request that can't be used is one all the same: it is owed an answer.
     let request = [0, 0, 0, 6, 10, 0, 0, 0, 1, 0];
     let heard = stage.tell(1, &busy, 2, &request);
-    let [ClientEvent::Bad(from, _)] = heard[..] else {
+    let [ClientEvent::BadRequest(from, _)] = heard[..] else {
         panic!("{heard:?}")
     };
     stage.2.drain(2, true);
     let sweep = |stage: &mut Stage, now| drop(stage.2.sweep(now, usize::MAX, usize::MAX));
-    sweep(&mut stage, QUIET);
+    sweep(&mut stage, MIN_DRAINING_IDLE);
     assert!(
         [1, 2, 3]
             .iter()
-            .all(|key| stage.2.all[key].life == Life::Open),
+            .all(|key| stage.2.connections[key].state == ConnectionState::Open),
         "what was on its way comes first"
     );
-    stage.tell(QUIET, &chatty, 3, &READY);
-    sweep(&mut stage, QUIET + 10);
-    let closes = |stage: &Stage, key| stage.2.all[&key].life != Life::Open;
+    stage.tell(MIN_DRAINING_IDLE, &chatty, 3, &READY);
+    sweep(&mut stage, MIN_DRAINING_IDLE + 10);
+    let closes = |stage: &Stage, key| stage.2.connections[&key].state != ConnectionState::Open;
     assert!(closes(&stage, 1) && !closes(&stage, 2) && !closes(&stage, 3));
     // It takes clients again: who was told to go goes, and who comes now stays.
     stage.2.resume();
-    let _new = stage.client(QUIET + 20, 4);
-    stage.tell(QUIET + 20, &_new, 4, &READY);
-    stage.2.answer(QUIET + 30, from, Answer::Failed);
-    stage.tell(TOLD_MOST, &chatty, 3, &READY);
-    sweep(&mut stage, TOLD_MOST + 10);
+    let _new = stage.client(MIN_DRAINING_IDLE + 20, 4);
+    stage.tell(MIN_DRAINING_IDLE + 20, &_new, 4, &READY);
+    stage.2.answer(MIN_DRAINING_IDLE + 30, from, Answer::Failed);
+    stage.tell(MAX_DRAINING_TIME, &chatty, 3, &READY);
+    sweep(&mut stage, MAX_DRAINING_TIME + 10);
     assert!(closes(&stage, 2), "answered, it is free");
     assert!(
         closes(&stage, 3),
         "one that goes on asking is closed in the end"
     );
-    sweep(&mut stage, TOLD_MOST + 2 * FAREWELL);
+    sweep(&mut stage, MAX_DRAINING_TIME + 2 * CLOSE_TIMEOUT);
     assert!(![1, 2, 3].iter().any(|key| stage.2.has(*key)) && stage.2.has(4));
 }
 
@@ -215,11 +215,11 @@
     other[8] = 2;
     assert!(matches!(
         stage.tell(1, &client, 1, &other)[..],
-        [ClientEvent::Ask(..)]
+        [ClientEvent::Request(..)]
     ));
     assert!(matches!(
         stage.tell(2, &client, 1, &gone(2))[..],
-        [ClientEvent::Gone(_)]
+        [ClientEvent::Disconnected(_)]
     ));
 }
 
@@ -236,8 +236,8 @@
             .2
             .answer(1, ReplyTo { client: 1, stream }, Answer::Served(body));
     }
-    stage.2.sweep(REST + 1, usize::MAX, usize::MAX);
-    stage.tell(REST + 1, &client, 1, &READY.repeat(64));
+    stage.2.sweep(READ_PAUSE + 1, usize::MAX, usize::MAX);
+    stage.tell(READ_PAUSE + 1, &client, 1, &READY.repeat(64));
     (&client).write_all(&READY).unwrap();
     assert!(!stage.told(20_000), "it has to take some first");
 }
@@ -245,11 +245,11 @@
 #[test]
 fn who_comes_while_the_program_ends_is_answered_before_the_connection_is_shut() {
     let mut stage = Stage::new();
-    stage.2.part(0);
+    stage.2.close_all(0);
     let mut client = stage.client(1, 1);
     let class = b"\x00\x00\x00\x2d\x0a\x00\x00\x00\x01\x03\x04verb\x00\x01x\x03txn\x00\x109b1f03aa5c7e2d41\x05limit\x00\x011";
     let heard = stage.tell(2, &client, 1, class);
-    let [ClientEvent::Ask(from, _)] = heard[..] else {
+    let [ClientEvent::Request(from, _)] = heard[..] else {
         panic!("{heard:?}")
     };
     stage.2.answer(3, from, Answer::Failed);
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -134,7 +134,7 @@
             "open_requests": self.front.open(),
             "clients": self.clients.len(),
             "clients_most": self.config.clients_most(),
-            "held_bytes": self.clients.held() + self.upstream.held(),
+            "held_bytes": self.clients.buffered_bytes() + self.upstream.held(),
             "held_bytes_most": self.config.held_most(),
             "settings": self.settings_file,
             "purges": self.purge_status(),
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -90,7 +90,7 @@
         if let Err(error) = socket.rekey(key) {
             return tracing::warn!(%error, "client lost");
         }
-        self.clients.secured(now, socket, connection, key);
+        self.clients.add_tls(now, socket, connection, key);
         let events = self.clients.read(now, key);
         self.handle_client_events(now, events);
         self.cancel_disconnected(now);
@@ -116,15 +116,15 @@
     /// Routes clients' requests. Disconnections are only noted, for [`Server::cancel_disconnected`].
     pub(super) fn handle_client_events(&mut self, now: Timestamp, events: Vec<ClientEvent>) {
         for event in events {
-            let buffered = self.clients.held() + self.upstream.held();
+            let buffered = self.clients.buffered_bytes() + self.upstream.held();
             self.front.holds(buffered);
             match event {
-                ClientEvent::Ask(from, request) => self.front.take_in(now, from, request),
-                ClientEvent::Bad(from, error) => {
+                ClientEvent::Request(from, request) => self.front.take_in(now, from, request),
+                ClientEvent::BadRequest(from, error) => {
                     tracing::info!(error, "bad request");
                     self.clients.answer(now, from, Answer::Failed);
                 }
-                ClientEvent::Gone(from) => {
+                ClientEvent::Disconnected(from) => {
                     self.disconnected.push(from);
                     continue;
                 }
--- a/front/src/server/event_loop/dispatch.rs
+++ b/front/src/server/event_loop/dispatch.rs
@@ -38,8 +38,8 @@
             for (attempt, end) in std::mem::take(&mut ends) {
                 self.front.ended(now, attempt, end);
             }
-            for event in self.clients.lost() {
-                if let ClientEvent::Gone(from) = event {
+            for event in self.clients.take_disconnected() {
+                if let ClientEvent::Disconnected(from) = event {
                     self.front.gone(now, from);
                 }
             }
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -125,7 +125,7 @@
         let client_events = self.clients.due(now);
         self.handle_client_events(now, client_events);
         self.run_due_drivers(now);
-        let pauses = self.clients.held() > self.config.room().bytes;
+        let pauses = self.clients.buffered_bytes() > self.config.room().bytes;
         self.upstream.pause(now, pauses);
         Ok(self.advance_shutdown(now))
     }
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -52,16 +52,18 @@
     /// Shuts connections once nothing is owed on them, if a shutdown has begun. Returns whether the process can end.
     pub(super) fn advance_shutdown(&mut self, now: Timestamp) -> bool {
         // A request whose last byte comes after the end of its connection would be lost.
-        let owes = self.front.open() > 0 || !self.clients.flushed() || self.clients.begun();
+        let owes = self.front.open() > 0
+            || !self.clients.is_flushed()
+            || self.clients.has_partial_requests();
         let clients = self.clients.len() > 0;
         let Some(drain) = &mut self.shutdown else {
             return false;
         };
         if let Some(over) = drain.part(now, owes, clients) {
-            self.clients.part(now);
+            self.clients.close_all(now);
             self.timers.add(over, Timer::ShutdownStage);
         }
-        let all_gone = self.clients.parting() && self.clients.len() == 0;
+        let all_gone = self.clients.closes_all() && self.clients.len() == 0;
         drain.stage(now) == Stage::Over || all_gone
     }
 
