--- a/front/src/server/downstream/tests.rs
+++ b/front/src/server/downstream/tests.rs
@@ -1,3 +1,5 @@
+use super::connection::{MAX_DRAINING_TIME, MIN_DRAINING_IDLE, READ_PAUSE};
+use super::eviction::MAX_IDLE;
 use super::*;
 use std::io::Write;
 use std::net::TcpListener;
