--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -1,4 +1,4 @@
-//! Connections of clients.
+//! Downstream: the connections of clients.
 mod connection;
 mod eviction;
 mod lifecycle;
@@ -24,9 +24,11 @@
 /// What came from a client.
 #[derive(Debug)]
 pub enum ClientEvent {
+    /// A request to be routed.
     Request(ReplyTo, Ask),
-    /// A request that can't be taken in; it has been answered or is yet to be.
+    /// A malformed request, with what is wrong with it.
     BadRequest(ReplyTo, &'static str),
+    /// The client of a request has cancelled it or is disconnected: it needs no answer.
     Disconnected(ReplyTo),
 }
 
@@ -34,19 +36,23 @@
 #[derive(Debug, Default)]
 pub struct Clients {
     connections: HashMap<usize, Connection>,
-    /// No new requests are wanted.
+    /// Clients are asked to open no new requests.
     draining: bool,
-    /// Who asks whether the front is ready is told yes, unless it leaves.
+    /// Whether clients that check readiness get a yes; while draining they get a no all the same.
     pub ready: bool,
-    /// Connections are closed as soon as they carry nothing.
+    /// Connections are closed as soon as they are idle.
     closes_idle: bool,
-    /// The program ends: all connections are closed once they are owed nothing.
+    /// The process ends: all connections are closed once nothing is owed on them.
     closes_all: bool,
+    /// Bytes read and not taken, and written and not sent, on all connections.
     buffered_bytes: usize,
+    /// Requests on connections that broke while they were written to.
     disconnected: Vec<ClientEvent>,
-    /// Clients with open requests that rest, and when they are read again.
+    /// Connections with open requests whose reading is paused, by when it is resumed.
     paused: VecDeque<(Timestamp, usize)>,
+    /// Requests whose clients may have closed their connections already.
     unconfirmed: Unconfirmed,
+    /// Where reads go first.
     scratch: Vec<u8>,
 }
 
@@ -59,35 +65,35 @@
         }
     }
 
-    /// Connections held.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Bytes held for them.
+    /// Returns the bytes buffered on all connections.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Whether everything that was answered is written.
+    /// Whether all answers are written.
     pub fn is_flushed(&self) -> bool {
         self.connections.values().all(|c| c.stream.flushed())
     }
 
-    /// Whether some have begun what is not whole yet, or sent what is held back.
+    /// Whether a request has come in part, or is held back until its client is known to be there.
     pub fn has_partial_requests(&self) -> bool {
         let begun =
             |c: &Connection| c.state == ConnectionState::Open && !c.stream.input().is_empty();
         !self.unconfirmed.is_empty() || self.connections.values().any(begun)
     }
 
-    /// When [`Clients::due`] has something to do.
+    /// Returns the next deadline, at which [`Clients::due`] is to be called.
     pub fn next(&self) -> Option<Timestamp> {
         let read_at = self.paused.front().map(|(at, _)| *at);
         read_at.into_iter().chain(self.unconfirmed.next()).min()
     }
 
-    /// Reads those again that have rested, and returns requests that are held back no longer.
+    /// Resumes paused reading, and returns requests that are held back no longer.
     pub fn due(&mut self, now: Timestamp) -> Vec<ClientEvent> {
         while let Some((_, key)) = self.paused.front().copied().filter(|(at, _)| *at <= now) {
             self.paused.pop_front();
@@ -104,7 +110,7 @@
         self.connections.contains_key(&key)
     }
 
-    /// Takes over a connection that was accepted. It may have been in the system's queue for `accept_delay`, and its first
+    /// Adds a connection that was accepted. It may have been in the system's queue for `accept_delay`, and its first
     /// requests with it.
     pub fn add(
         &mut self,
@@ -119,7 +125,7 @@
         Ok(())
     }
 
-    /// Takes over a connection whose TLS handshake is complete.
+    /// Adds a connection whose TLS handshake is complete.
     pub fn add_tls(
         &mut self,
         now: Timestamp,
@@ -151,72 +157,75 @@
 
     /// Reads what has come on a connection.
     pub fn read(&mut self, now: Timestamp, key: usize) -> Vec<ClientEvent> {
+        let paused_before = self.paused_at(key);
         let mut events = Vec::new();
-        let rested_at = self
-            .connections
-            .get(&key)
-            .and_then(|client| client.paused_at);
-        let mut ended = false;
+        let half_closed = self.read_frames(now, key, &mut events);
+        cancel_unforwarded(&mut events);
+        if half_closed {
+            events = self.hold_back(now, events);
+        }
+        self.note_pause(now, key, paused_before);
+        events
+    }
+
+    fn paused_at(&self, key: usize) -> Option<Timestamp> {
+        let connection = self.connections.get(&key);
+        connection.and_then(|connection| connection.paused_at)
+    }
+
+    /// Reads until there is nothing more or it is the others' turn. Returns whether the client has ended its side and is
+    /// still owed answers.
+    fn read_frames(&mut self, now: Timestamp, key: usize, events: &mut Vec<ClientEvent>) -> bool {
         for round in 0..MAX_READS_PER_TURN {
-            // The first read is made even from one that rests: its end is told whether it is watched or not, and
-            // would be told again and again.
-            let Some(client) = self
-                .connections
-                .get_mut(&key)
-                .filter(|c| round == 0 || c.wants_input(now))
-            else {
-                break;
+            let Some(connection) = self.connections.get_mut(&key) else {
+                return false;
             };
-            match client.stream.fill(&mut self.scratch) {
+            // The first read is made even while reading is paused: the end of a connection is reported whether it is watched
+            // or not, and would be reported again and again.
+            if round > 0 && !connection.wants_input(now) {
+                return false;
+            }
+            match connection.stream.fill(&mut self.scratch) {
                 Ok(Some(n)) if n > 0 => {}
-                Ok(None) => break,
-                Ok(Some(_)) if client.half_close() => {
-                    ended = true;
+                Ok(None) => return false,
+                Ok(Some(_)) if connection.half_close() => {
                     self.flush(now, key);
-                    break;
+                    return true;
                 }
                 _ => {
                     events.extend(self.disconnect(key));
-                    break;
+                    return false;
                 }
             }
-            if client.state != ConnectionState::Open {
-                client.stream.consume(client.stream.input().len());
-                continue;
-            }
-            client.active_at = now;
-            client.receive(now, key, self.ready && !self.draining, &mut events);
-            // What comes later was not there when the connection was accepted.
-            client.accept_delay = 0;
-            if self.closes_all && !client.open_streams.is_empty() {
-                // It came while the program ends: what it has asked is answered, and nothing more is taken in.
-                client.begin_draining();
-            }
-            self.flush(now, key);
+            self.take_input(now, key, events);
         }
-        // Who came and left in one turn asks for nothing: it would be sent on for nobody.
-        let gone = |one: &ClientEvent| {
-            if let ClientEvent::Disconnected(from) = one {
-                Some(*from)
-            } else {
-                None
-            }
+        false
+    }
+
+    /// Takes the frames off what was read, or drops it where the connection takes nothing more.
+    fn take_input(&mut self, now: Timestamp, key: usize, events: &mut Vec<ClientEvent>) {
+        let ready = self.ready && !self.draining;
+        let closes_all = self.closes_all;
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return;
         };
-        let left: HashSet<_> = events.iter().filter_map(gone).collect();
-        let mut never = HashSet::new();
-        events.retain(|one| match one {
-            ClientEvent::Request(from, _) if left.contains(from) => !never.insert(*from),
-            ClientEvent::Disconnected(from) => !never.contains(from),
-            _ => true,
-        });
-        if ended {
-            events = self.hold_back(now, events);
+        if connection.state != ConnectionState::Open {
+            let length = connection.stream.input().len();
+            connection.stream.consume(length);
+            return;
         }
-        self.note_pause(now, key, rested_at);
-        events
+        connection.active_at = now;
+        connection.receive(now, key, ready, events);
+        // What comes later was not there when the connection was accepted.
+        connection.accept_delay = 0;
+        if closes_all && !connection.open_streams.is_empty() {
+            // It came while the process ends: the requests are answered, and nothing more is taken in.
+            connection.begin_draining();
+        }
+        self.flush(now, key);
     }
 
-    /// Holds requests back whose client may have closed its connection. Returns the other events.
+    /// Holds back requests whose client may have closed its connection. Returns the other events.
     fn hold_back(&mut self, now: Timestamp, events: Vec<ClientEvent>) -> Vec<ClientEvent> {
         let mut others = Vec::new();
         for event in events {
@@ -228,7 +237,7 @@
         others
     }
 
-    /// Notes when a client is read again that began to rest after `before`.
+    /// Notes when a client is read again whose reading was paused since `before`.
     fn note_pause(&mut self, now: Timestamp, key: usize, before: Option<Timestamp>) {
         let rested_at = self
             .connections
@@ -263,24 +272,24 @@
         client.stream.count(&mut self.buffered_bytes);
         let done = client.open_streams.is_empty() && client.stream.flushed();
         if client.state == ConnectionState::Draining && done {
-            // All is said: the client closes it now, or a sweep does.
+            // Everything is written: the client closes the connection now, or a sweep does.
             client.stream.finish();
             client.state = ConnectionState::Shut(now + CLOSE_TIMEOUT);
         }
         let over = client.state == ConnectionState::HalfClosed && done;
         let reads = client.wants_input(now);
         if over || written.and_then(|()| client.stream.rewatch(reads)).is_err() {
-            let gone = self.disconnect(key);
-            self.disconnected.extend(gone);
+            let disconnected = self.disconnect(key);
+            self.disconnected.extend(disconnected);
         }
     }
 
-    /// Who waited on connections that broke while they were written to.
+    /// Takes out the requests on connections that broke while they were written to.
     pub fn take_disconnected(&mut self) -> Vec<ClientEvent> {
         std::mem::take(&mut self.disconnected)
     }
 
-    /// Gives a connection up: nobody waits there any more.
+    /// Closes a connection and returns its open requests as disconnected.
     fn disconnect(&mut self, key: usize) -> Vec<ClientEvent> {
         let Some(mut client) = self.connections.remove(&key) else {
             return Vec::new();
@@ -300,5 +309,23 @@
     }
 }
 
+/// Takes out requests whose clients have disconnected since, both the request and the disconnection: they would be
+/// forwarded for nobody.
+fn cancel_unforwarded(events: &mut Vec<ClientEvent>) {
+    let disconnected: HashSet<_> = events
+        .iter()
+        .filter_map(|event| match event {
+            ClientEvent::Disconnected(from) => Some(*from),
+            _ => None,
+        })
+        .collect();
+    let mut cancelled = HashSet::new();
+    events.retain(|event| match event {
+        ClientEvent::Request(from, _) if disconnected.contains(from) => !cancelled.insert(*from),
+        ClientEvent::Disconnected(from) => !cancelled.contains(from),
+        _ => true,
+    });
+}
+
 #[cfg(test)]
 mod tests;
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -8,22 +8,21 @@
 
 /// Requests open at once on one connection.
 const MAX_STREAMS: usize = 32;
-/// Messages that a client has not taken yet from which on no more is read from it: small frames at full speed
-/// would else pile up answers without end.
+/// Answers that a client has not read at which reading from it stops: small frames at full speed would else pile up
+/// answers without end.
 const MAX_UNREAD_ANSWERS: usize = 2 * MAX_STREAMS;
-/// While the front is emptied, a connection that carried nothing for this long is closed: what its client sent before
-/// it was told has come by then.
+/// While draining, a connection that carried nothing for this long is closed: what its client sent before it was notified
+/// has come by then.
 pub(super) const MIN_DRAINING_IDLE: Micros = 200_000;
-/// A client that was told to open nothing new and goes on all the same is closed after this long, as soon as nothing of
-/// it is open.
+/// The connection of a client that goes on sending requests after it was notified is closed after this long, as soon as
+/// none is open.
 pub(super) const MAX_DRAINING_TIME: Micros = 1_500_000;
-/// A client that sends what can't be taken in is read again after this long: those that ask for something come
-/// first, however fast it goes on.
+/// How long reading is paused after a bad request: clients with good ones come first, however fast the other goes on.
 pub(super) const READ_PAUSE: Micros = 100_000;
 /// The same where requests of it are open: it may cancel them, and nothing may be begun for it 0.1 s after that.
 pub(super) const READ_PAUSE_WITH_REQUESTS: Micros = 25_000;
 
-/// Where a connection stands. Each event has one answer in each state:
+/// The state of a connection. Each event has one answer in each state:
 ///
 /// | state | bytes come | its client ends its side | all is answered and written |
 /// | --- | --- | --- | --- |
@@ -42,54 +41,58 @@
     Shut(Timestamp),
 }
 
+/// A connection of a client.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) stream: Stream<()>,
-    /// Streams that are owed an answer.
+    /// Streams whose requests are not answered yet.
     pub(super) open_streams: HashSet<u32>,
     pub(super) state: ConnectionState,
+    /// When something was last read, or written out of the buffer.
     pub(super) active_at: Timestamp,
-    /// Since when a frame is owed: the first, or one that is begun.
+    /// Since when a frame is expected: the first, or the rest of one that is begun.
     pub(super) incomplete_since: Option<Timestamp>,
-    /// Since when nothing is read, after what can't be taken in.
+    /// When reading was paused after a bad request.
     pub(super) paused_at: Option<Timestamp>,
-    /// When it was told to open nothing new here.
+    /// When the client was asked to open no new requests here.
     pub(super) notified_at: Option<Timestamp>,
-    /// What its first requests may have spent in the system's queue before the connection was accepted.
+    /// How long its first requests may have been in the system's queue before the connection was accepted.
     pub(super) accept_delay: Micros,
 }
 
 impl Connection {
-    /// Whether it can be closed since the front is emptied: nothing is open, begun or, most likely, on its way. A
-    /// request that crosses the close in the moment after is sent again by its client.
+    /// Whether a draining connection can be closed: nothing is open, begun or, most likely, on its way. A request that
+    /// crosses the close in the moment after is sent again by its client.
     pub(super) fn is_free(&self, now: Timestamp) -> bool {
-        let over = |told: Timestamp| {
-            now > told + MAX_DRAINING_TIME || now > told.max(self.active_at) + MIN_DRAINING_IDLE
+        let over = |notified_at: Timestamp| {
+            let idle_since = notified_at.max(self.active_at);
+            now > notified_at + MAX_DRAINING_TIME || now > idle_since + MIN_DRAINING_IDLE
         };
         let idle =
             self.open_streams.is_empty() && self.stream.flushed() && self.stream.input().is_empty();
         idle && self.notified_at.is_some_and(over)
     }
 
-    /// Whether more is read from it.
+    /// Whether the connection is to be read from.
     pub(super) fn wants_input(&self, now: Timestamp) -> bool {
         self.state != ConnectionState::HalfClosed
             && !self.is_paused(now)
             && self.stream.untaken() < MAX_UNREAD_ANSWERS
     }
 
-    /// Whether it rests after what can't be taken in.
+    /// Whether reading is paused after a bad request.
     pub(super) fn is_paused(&self, now: Timestamp) -> bool {
-        let span = if self.open_streams.is_empty() {
+        let pause = if self.open_streams.is_empty() {
             READ_PAUSE
         } else {
             READ_PAUSE_WITH_REQUESTS
         };
-        self.paused_at.is_some_and(|since| now < since + span)
+        self.paused_at.is_some_and(|since| now < since + pause)
     }
 
-    /// Its client ends its side. Whether it is owed something all the same: who no longer waits says so (type 12) or is not
-    /// there. The frame that is sent shows which: where nobody is, the system answers it by a reset.
+    /// The client has ended its side. Returns whether it is owed something all the same: a client that no longer waits
+    /// cancels (type 12) or is not there. The frame that is sent shows which: where nobody is, the system answers with a
+    /// reset.
     pub(super) fn half_close(&mut self) -> bool {
         let owed = !self.open_streams.is_empty() || !self.stream.flushed();
         if !owed
@@ -102,11 +105,12 @@
         }
         self.stream.consume(self.stream.input().len());
         self.stream.push(client::no_more());
-        (self.state, self.incomplete_since) = (ConnectionState::HalfClosed, None);
+        self.state = ConnectionState::HalfClosed;
+        self.incomplete_since = None;
         true
     }
 
-    /// Nothing more is taken in; what is open is answered.
+    /// Takes nothing more in; open requests are answered.
     pub(super) fn begin_draining(&mut self) {
         if self.state == ConnectionState::Open {
             self.stream.consume(self.stream.input().len());
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Takes whole frames off the input.
+    /// Takes complete frames off the input.
     pub(super) fn receive(
         &mut self,
         now: Timestamp,
@@ -126,48 +130,27 @@
             let (message, used) = match client::decode(self.stream.input()) {
                 Ok(Some(found)) => found,
                 Ok(None) => {
-                    let begun = !self.stream.input().is_empty();
-                    self.incomplete_since = begun.then(|| self.incomplete_since.unwrap_or(now));
+                    let incomplete = !self.stream.input().is_empty();
+                    self.incomplete_since =
+                        incomplete.then(|| self.incomplete_since.unwrap_or(now));
                     return;
                 }
-                // Where one frame ends is lost: what was taken is answered, nothing more is read.
+                // Where the next frame begins is unknown: requests that were taken are answered, nothing more is read.
                 Err(_) => return self.reject_input(),
             };
             match message {
                 Message::Request(stream, payload) => {
-                    let from = ReplyTo {
-                        client: key,
-                        stream,
-                    };
-                    let ask = client::ask(payload);
+                    let from = reply_to(key, stream);
+                    let request = client::ask(payload);
                     // Streams are new on their connection; an answer could else be taken for another's.
                     if !self.open_streams.insert(stream) {
                         return self.reject_input();
                     }
-                    let accept_delay = self.accept_delay;
-                    let charged = ask.map(|ask| Ask {
-                        limit: ask.limit.saturating_sub(accept_delay),
-                        ..ask
-                    });
-                    let ask = charged.and_then(|ask| {
-                        Some(ask)
-                            .filter(|_| self.open_streams.len() <= MAX_STREAMS)
-                            .ok_or("too many streams")
-                    });
-                    events.push(match ask {
-                        Ok(ask) => ClientEvent::Request(from, ask),
-                        Err(why) => {
-                            self.paused_at = Some(now);
-                            ClientEvent::BadRequest(from, why)
-                        }
-                    });
+                    events.push(self.accept_request(now, from, request));
                 }
                 Message::Gone(stream) => {
                     if self.open_streams.remove(&stream) {
-                        events.push(ClientEvent::Disconnected(ReplyTo {
-                            client: key,
-                            stream,
-                        }));
+                        events.push(ClientEvent::Disconnected(reply_to(key, stream)));
                     }
                 }
                 Message::Ready(stream) => self.stream.push(client::ready(stream, ready)),
@@ -177,9 +160,39 @@
         }
     }
 
-    /// What can't be read has come: that is told, and nothing more is taken in.
+    /// Checks a request against the limit on streams, and charges it the time that it waited before the connection was
+    /// accepted. After a bad one reading is paused.
+    fn accept_request(
+        &mut self,
+        now: Timestamp,
+        from: ReplyTo,
+        request: Result<Ask, &'static str>,
+    ) -> ClientEvent {
+        let request = request.and_then(|request| {
+            if self.open_streams.len() > MAX_STREAMS {
+                return Err("too many streams");
+            }
+            Ok(request)
+        });
+        match request {
+            Ok(request) => {
+                let limit = request.limit.saturating_sub(self.accept_delay);
+                ClientEvent::Request(from, Ask { limit, ..request })
+            }
+            Err(error) => {
+                self.paused_at = Some(now);
+                ClientEvent::BadRequest(from, error)
+            }
+        }
+    }
+
+    /// Reports malformed input to the client; nothing more is taken in.
     pub(super) fn reject_input(&mut self) {
         self.stream.push(client::error());
         self.begin_draining();
     }
 }
+
+fn reply_to(client: usize, stream: u32) -> ReplyTo {
+    ReplyTo { client, stream }
+}
--- a/front/src/server/downstream/eviction.rs
+++ b/front/src/server/downstream/eviction.rs
@@ -3,84 +3,91 @@
 use super::{ClientEvent, Clients};
 use cranesill::api::{Micros, Timestamp};
 
-/// A connection that carries nothing for this long is closed: clients close theirs far earlier.
+/// An idle connection is closed after this long: clients close theirs far earlier.
 pub(super) const MAX_IDLE: Micros = 10_000_000;
-/// A client that takes nothing of what is written for this long is not there.
+/// A client that reads nothing of what is written for this long is taken for dead.
 const MAX_STALL: Micros = 10_000_000;
-/// The same while clients hold all the memory that they may: others wait for them then.
+/// The same while clients use up the memory for buffers: others wait for them then.
 const MAX_STALL_UNDER_PRESSURE: Micros = 1_000_000;
-/// A frame that is begun, or owed as the first on a connection, has to be whole after this long. Guards against
-/// connections held by clients that say nothing or never end what they say.
+/// The first frame on a connection, and each that is begun, has to be complete after this long. Guards against clients that
+/// take up connections and send nothing, or never end a frame.
 const MAX_FRAME_TIME: Micros = 1_500_000;
-/// A client that said nothing for this long is not about to: its connection may be closed for lack of descriptors.
+/// After this long without input no request is taken to be on its way: the connection may be closed for lack of
+/// descriptors.
 const MIN_EVICTABLE_IDLE: Micros = 1_000_000;
 
 impl Clients {
-    /// Closes what is dead or idle, and while too much is held who holds most. Returns who waits no more.
-    pub fn sweep(&mut self, now: Timestamp, pressed: usize, held_most: usize) -> Vec<ClientEvent> {
-        let stall = if self.buffered_bytes > pressed {
+    /// Closes connections that are dead or idle. While more than `max_buffered` bytes are buffered, those that buffer most
+    /// are closed too; above `pressure`, clients that read nothing are given less time. Returns requests that need no answer.
+    pub fn sweep(
+        &mut self,
+        now: Timestamp,
+        pressure: usize,
+        max_buffered: usize,
+    ) -> Vec<ClientEvent> {
+        // By what was buffered before anything is closed.
+        let max_stall = if self.buffered_bytes > pressure {
             MAX_STALL_UNDER_PRESSURE
         } else {
             MAX_STALL
         };
+        self.drain_idle(now);
+        let mut disconnected = self.close_stale(now, max_stall);
+        while self.buffered_bytes > max_buffered {
+            let most = self
+                .connections
+                .iter()
+                .max_by_key(|(key, connection)| (connection.stream.held(), **key))
+                .map(|(key, _)| *key);
+            let Some(key) = most else { break };
+            disconnected.extend(self.disconnect(key));
+        }
+        disconnected
+    }
+
+    /// Ends input where a frame is overdue, and drains connections that are idle. Paused reading is resumed on the way.
+    fn drain_idle(&mut self, now: Timestamp) {
         let keys: Vec<_> = self.connections.keys().copied().collect();
         for key in keys {
-            let Some(client) = self.connections.get_mut(&key) else {
+            let closes_idle = self.closes_idle;
+            let Some(connection) = self.connections.get_mut(&key) else {
                 continue;
             };
-            let open = client.state == ConnectionState::Open;
-            if open
-                && client
-                    .incomplete_since
-                    .is_some_and(|since| now > since + MAX_FRAME_TIME)
-            {
-                client.reject_input();
+            let was_open = connection.state == ConnectionState::Open;
+            let expected_since = connection.incomplete_since;
+            if was_open && expected_since.is_some_and(|since| now > since + MAX_FRAME_TIME) {
+                connection.reject_input();
             }
-            let idle = now > client.active_at + MAX_IDLE
-                && client.open_streams.is_empty()
-                && client.stream.flushed();
-            if open && (idle || self.closes_idle && client.is_free(now)) {
-                client.begin_draining();
+            let idle = now > connection.active_at + MAX_IDLE
+                && connection.open_streams.is_empty()
+                && connection.stream.flushed();
+            if was_open && (idle || closes_idle && connection.is_free(now)) {
+                connection.begin_draining();
             }
-            // Those that rested are read again.
             self.flush(now, key);
         }
-        let stale = |c: &Connection| {
-            let stalled = !c.stream.flushed() && now > c.active_at + stall;
-            stalled || matches!(c.state, ConnectionState::Shut(at) if now > at)
-        };
+    }
+
+    /// Closes connections whose clients read nothing or do not close their side.
+    fn close_stale(&mut self, now: Timestamp, max_stall: Micros) -> Vec<ClientEvent> {
+        let is_stalled = |c: &Connection| !c.stream.flushed() && now > c.active_at + max_stall;
+        let is_overdue = |c: &Connection| matches!(c.state, ConnectionState::Shut(at) if now > at);
         let stale: Vec<_> = self
             .connections
             .iter()
-            .filter(|(_, c)| stale(c))
-            .map(|(key, _)| *key)
-            .collect();
-        let stalled = stale
-            .iter()
-            .filter(|key| !self.connections[key].stream.flushed())
-            .count();
-        if stalled > 0 {
-            tracing::info!(clients = stalled, "clients given up that take nothing");
-        }
-        let mut gone: Vec<_> = stale
-            .into_iter()
-            .flat_map(|key| self.disconnect(key))
+            .filter(|(_, c)| is_stalled(c) || is_overdue(c))
+            .map(|(key, c)| (*key, !c.stream.flushed()))
             .collect();
-        while self.buffered_bytes > held_most {
-            let most = self
-                .connections
-                .iter()
-                .max_by_key(|(key, c)| (c.stream.held(), **key))
-                .map(|(key, _)| *key);
-            let Some(key) = most else { break };
-            gone.extend(self.disconnect(key));
+        let clients = stale.iter().filter(|(_, stalled)| *stalled).count();
+        if clients > 0 {
+            tracing::info!(clients, "clients given up that take nothing");
         }
-        gone
+        let keys = stale.into_iter().map(|(key, _)| key);
+        keys.flat_map(|key| self.disconnect(key)).collect()
     }
 
-    /// Closes a connection without a request: before the one that was idle for longest, one that never sent a
-    /// whole frame. `false`: all have some. One of which something has come that is not read yet, most likely a request,
-    /// is no idle one.
+    /// Closes a connection without a request: one that never sent a complete frame before the one that was idle for longest.
+    /// A connection with unread input, most likely a request, is not idle. Returns whether one was closed.
     pub fn evict(&mut self) -> bool {
         let free = self
             .connections
@@ -98,7 +105,8 @@
         key.map(|key| self.disconnect(key)).is_some()
     }
 
-    /// Closes the connection that was idle for longest, if one was for so long that no request is on its way there.
+    /// Closes the connection that was idle for longest, if it was for so long that no request is on its way there. Returns
+    /// whether one was closed.
     pub fn evict_idle(&mut self, now: Timestamp) -> bool {
         let idle = |c: &Connection| {
             c.open_streams.is_empty() && c.stream.flushed() && c.stream.input().is_empty()
