--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -101,7 +101,9 @@
     /// The state of the start: readiness, and calls to the list service.
     fn startup_state(&self, now: Timestamp) -> Value {
         let in_use = self.upstream.listed().count();
-        let mut state = self.startup.shown(in_use, self.upstream.reached());
+        let mut state = self
+            .startup
+            .shown(in_use, self.upstream.reached_endpoints());
         let (lost_at, revision) = self.discovery.stands();
         let next_call_at = lost_at.map(|_| self.discovery.due);
         state["list"] = json!({
@@ -134,7 +136,7 @@
             "open_requests": self.front.open(),
             "clients": self.clients.len(),
             "clients_most": self.config.clients_most(),
-            "held_bytes": self.clients.buffered_bytes() + self.upstream.held(),
+            "held_bytes": self.clients.buffered_bytes() + self.upstream.buffered_bytes(),
             "held_bytes_most": self.config.held_most(),
             "settings": self.settings_file,
             "purges": self.purge_status(),
@@ -171,7 +173,7 @@
         let known = self.upstream.listed().count() + self.startup.waiting();
         let skipped = self.upstream.listed();
         let skipped = skipped.filter(|id| self.front.avoids(*id)).count();
-        put("upstream_tries".into(), self.upstream.written);
+        put("upstream_tries".into(), self.upstream.attempts_written);
         put("in_progress".into(), self.front.open() as u64);
         put("known_cache_nodes".into(), known as u64);
         put("skipped_cache_nodes".into(), skipped as u64);
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -116,7 +116,7 @@
     /// Routes clients' requests. Disconnections are only noted, for [`Server::cancel_disconnected`].
     pub(super) fn handle_client_events(&mut self, now: Timestamp, events: Vec<ClientEvent>) {
         for event in events {
-            let buffered = self.clients.buffered_bytes() + self.upstream.held();
+            let buffered = self.clients.buffered_bytes() + self.upstream.buffered_bytes();
             self.front.holds(buffered);
             match event {
                 ClientEvent::Request(from, request) => self.front.take_in(now, from, request),
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -64,7 +64,7 @@
         self.front.by_hand(now, id, out);
         let mut ends = Vec::new();
         if out {
-            self.upstream.leave_out(id, &mut ends);
+            self.upstream.exclude(id, &mut ends);
         }
         self.run_commands(now, ends);
     }
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -119,7 +119,7 @@
             Vec::new()
         };
         for (entry, listing) in entries.iter().zip(&list) {
-            self.upstream.list(entry, listing.address);
+            self.upstream.update_endpoint(entry, listing.address);
         }
         let (ready, not_ready): (Vec<_>, Vec<_>) = entries
             .iter()
@@ -129,7 +129,7 @@
         let mut ends = Vec::new();
         let not_ready = not_ready.into_iter().map(|(_, endpoint)| endpoint);
         for endpoint in not_ready.chain(removed) {
-            self.upstream.leave_out(endpoint, &mut ends);
+            self.upstream.exclude(endpoint, &mut ends);
         }
         self.run_commands(now, ends);
         if self.startup.dials() {
@@ -154,7 +154,10 @@
         let timeout_at = now + self.config.deployment.settings.connect_timeout;
         for endpoint in endpoints {
             let key = self.next_key();
-            if self.upstream.open(now, &self.reactor, key, endpoint) {
+            if self
+                .upstream
+                .connect_ahead(now, &self.reactor, key, endpoint)
+            {
                 self.timers.add(timeout_at, Timer::ConnectTimeout(key));
             }
         }
@@ -163,7 +166,7 @@
     /// Checks whether enough endpoints are reached for this front to report itself ready.
     pub(super) fn update_readiness(&mut self, now: Timestamp) {
         let in_use = self.upstream.listed().count();
-        let reached = self.upstream.reached();
+        let reached = self.upstream.reached_endpoints();
         self.clients.ready = self.startup.ready(now, in_use, reached);
     }
 }
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -46,7 +46,7 @@
         let mut ends = Vec::new();
         match timer {
             Timer::Routing(wake) => self.front.wake(now, wake),
-            Timer::ConnectTimeout(key) => self.upstream.undialed(key, &mut ends),
+            Timer::ConnectTimeout(key) => self.upstream.fail_unestablished(key, &mut ends),
             Timer::WriteDeadline(attempt) => self.upstream.withdraw(attempt, &mut ends),
             Timer::Discovery => self.poll_discovery(now),
             Timer::Sweep => self.sweep(now, &mut ends),
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -21,8 +21,8 @@
 const MEMBER: EndpointId = EndpointId(1);
 
 /// One member behind a listener, and up to so many connections.
-fn members(links_most: usize, listener: &std::net::TcpListener) -> CacheNodes {
-    let mut members = CacheNodes::new(links_most, 100, 15_000_000, 5_000_000);
+fn members(max_connections: usize, listener: &std::net::TcpListener) -> CacheNodes {
+    let mut members = CacheNodes::new(max_connections, 100, 15_000_000, 5_000_000);
     let state = EndpointState::Ready;
     let entry = EndpointEntry {
         member: MEMBER,
@@ -33,7 +33,7 @@
         started: 0,
         state,
     };
-    members.list(&entry, listener.local_addr().unwrap());
+    members.update_endpoint(&entry, listener.local_addr().unwrap());
     members
 }
 
@@ -69,7 +69,7 @@
         &mut ends,
     );
     assert!(matches!(ends[..], [(_, End::Unplaced)]));
-    members.undialed(9, &mut ends);
+    members.fail_unestablished(9, &mut ends);
     let along: Vec<_> = ends[1..]
         .iter()
         .map(|e| matches!(e.1, End::Unsent { along: true }))
@@ -105,19 +105,19 @@
             &mut ends,
         );
     }
-    members.leave_out(EndpointId(2), &mut ends);
+    members.exclude(EndpointId(2), &mut ends);
     assert!(
         matches!(ends[..], [(two, End::Unplaced)] if two == attempt(2)),
         "{ends:?}"
     );
-    members.leave_out(MEMBER, &mut ends);
+    members.exclude(MEMBER, &mut ends);
     assert_eq!(ends.len(), 3);
     // The connections come up now: nothing is written on them.
     for key in 1..=3 {
         reactor.wait(0, Some(100_000)).unwrap();
         members.ready(0, key, false, &mut ends);
     }
-    assert_eq!((members.written, ends.len()), (0, 3));
+    assert_eq!((members.attempts_written, ends.len()), (0, 3));
 }
 
 #[test]
@@ -254,12 +254,12 @@
 }
 
 /// By random numbers: what is sent, given up, answered, reset, withdrawn and left out in any order, on so many connections.
-fn any_order(seed: u64, links_most: usize) -> usize {
+fn any_order(seed: u64, max_connections: usize) -> usize {
     let listeners: Vec<_> = (0..2)
         .map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap())
         .collect();
     let mut reactor = Reactor::new().unwrap();
-    let mut members = CacheNodes::new(links_most, 100, 15_000_000, 5_000_000);
+    let mut members = CacheNodes::new(max_connections, 100, 15_000_000, 5_000_000);
     for (n, listener) in listeners.iter().enumerate() {
         listener.set_nonblocking(true).unwrap();
         let (member, state) = (EndpointId(n as u64 + 1), EndpointState::Ready);
@@ -272,7 +272,7 @@
             started: 0,
             state,
         };
-        members.list(&entry, listener.local_addr().unwrap());
+        members.update_endpoint(&entry, listener.local_addr().unwrap());
     }
     let mut rng = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut roll = |n: u64| {
@@ -342,13 +342,13 @@
                 }
             }
             10 => match roll(3) {
-                0 => members.leave_out(EndpointId(1 + roll(2)), &mut ends),
+                0 => members.exclude(EndpointId(1 + roll(2)), &mut ends),
                 1 => current
                     .get(&request)
                     .copied()
                     .into_iter()
                     .for_each(|id| members.withdraw(id, &mut ends)),
-                _ => members.undialed(1 + roll(key.max(1) as u64) as usize, &mut ends),
+                _ => members.fail_unestablished(1 + roll(key.max(1) as u64) as usize, &mut ends),
             },
             _ => members.sweep(now, &mut ends),
         }
@@ -379,7 +379,7 @@
             let most = usize::from(current.contains_key(&request));
             assert!(
                 out <= most,
-                "seed {seed}, {links_most} connections: {request} is out {out} times, {most} wanted"
+                "seed {seed}, {max_connections} connections: {request} is out {out} times, {most} wanted"
             );
             seen += out;
         }
@@ -389,9 +389,9 @@
 
 #[test]
 fn by_what_is_written_no_two_attempts_of_a_request_are_out_on_however_many_connections() {
-    for links_most in [2, 4, 12, 40] {
+    for max_connections in [2, 4, 12, 40] {
         let seen: usize = (0..20)
-            .map(|seed| any_order(seed * 41 + links_most as u64, links_most))
+            .map(|seed| any_order(seed * 41 + max_connections as u64, max_connections))
             .sum();
         assert!(seen > 1_000, "{seen}: too little was out to tell anything");
     }
@@ -416,13 +416,13 @@
             started: 0,
             state,
         };
-        members.list(&entry, listener.local_addr().unwrap());
+        members.update_endpoint(&entry, listener.local_addr().unwrap());
     }
     // The second and the third carry nothing any more, the third for longer; the first still does.
     for n in 1..=3 {
         let target = (attempt(n), EndpointId(n), Timestamp::MAX);
         members.send(0, &reactor, n as usize, target, &fetch(n), &mut ends);
-        while !members.links[&(n as usize)].up {
+        while !members.connections[&(n as usize)].established {
             reactor.wait(0, Some(100_000)).unwrap();
             members.ready(0, n as usize, false, &mut ends);
         }
@@ -437,7 +437,7 @@
         &fetch(4),
         &mut ends,
     );
-    let mut kept: Vec<_> = members.links.keys().copied().collect();
+    let mut kept: Vec<_> = members.connections.keys().copied().collect();
     kept.sort_unstable();
     assert_eq!((kept, ends.len()), (vec![1, 2, 4], 0));
     // A second one to a node that has one closes none.
@@ -472,12 +472,12 @@
     );
     reactor.wait(0, Some(1_000_000)).unwrap();
     members.ready(300_000, 9, false, &mut ends);
-    assert_eq!((members.written, ends.len()), (1, 0));
+    assert_eq!((members.attempts_written, ends.len()), (1, 0));
     let mut written = [0; 256];
     let n = listener.accept().unwrap().0.read(&mut written).unwrap();
     let text = String::from_utf8_lossy(&written[..n]);
     assert!(text.contains("limit=700"), "{text}");
-    let held = members.held();
+    let held = members.buffered_bytes();
     assert_eq!(
         held, 0,
         "the sum over connections is right after the head was written anew"
