--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::routing::Source;
 use crate::transport::Reactor;
+use std::io;
 
 fn fetch(n: u64) -> Fetch {
     Fetch {
