--- a/front/src/server/event_loop/dispatch.rs
+++ b/front/src/server/event_loop/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::routing::{AttemptId, Command, End, Fetch};
 use crate::server::downstream::ClientEvent;
 use crate::server::drivers::{Effect, EndpointEffect};
-use crate::server::upstream::Ends;
+use crate::server::upstream::{Ends, Target};
 use cranesill::api::{EndpointId, Timestamp};
 
 impl Server {
@@ -14,7 +14,7 @@
         &mut self,
         now: Timestamp,
         key: usize,
-        target: (AttemptId, EndpointId, Timestamp),
+        target: Target,
         fetch: &Fetch,
         ends: &mut Ends,
     ) {
@@ -87,7 +87,12 @@
             .min(now + self.config.deployment.limits.purge_grace)
             .min(fetch.latest)
             .min(fetch.deadline);
-        self.send_attempt(now, key, (attempt, endpoint, write_deadline), fetch, ends);
+        let target = Target {
+            attempt,
+            endpoint,
+            write_deadline,
+        };
+        self.send_attempt(now, key, target, fetch, ends);
         self.timers
             .add(write_deadline, Timer::WriteDeadline(attempt));
     }
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -22,7 +22,18 @@
 /// An answer of which nothing more comes for this long is broken off, and whatever is behind it with it.
 const MAX_PARTIAL_ANSWER_TIME: Micros = 500_000;
 
-/// Attempts that ended.
+/// Where an attempt is to be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Target {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// The endpoint that it is for.
+    pub endpoint: EndpointId,
+    /// The attempt is withdrawn if it is not begun to be written by then.
+    pub write_deadline: Timestamp,
+}
+
+/// Attempts that ended, each with how it ended.
 pub type Ends = Vec<(AttemptId, End)>;
 
 /// All connections to members; they belong to a member's id, since an address may come to be another's.
@@ -164,10 +175,7 @@
     }
 
     /// Attempts that are to be sent again now, to the node and by the moment that they had before.
-    pub fn take_redials(
-        &mut self,
-        now: Timestamp,
-    ) -> Vec<((AttemptId, EndpointId, Timestamp), Fetch)> {
+    pub fn take_redials(&mut self, now: Timestamp) -> Vec<(Target, Fetch)> {
         self.redials.take(now)
     }
 
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -4,9 +4,13 @@
 use crate::transport::Stream;
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use std::collections::{HashMap, HashSet};
+use std::io;
 
 /// For how long, or up to twice that, a connection remembers an id that it carried: answers to it may still come.
 const RECENT_ID_TIME: Micros = 10_000_000;
+/// Unexpected answers that a connection may bring beyond two for each id that it carried: one late and one repeated. More
+/// of them end it, or they would come for ever.
+const MAX_UNEXPECTED_ANSWERS: usize = 16;
 
 /// An attempt on a connection.
 #[derive(Debug)]
@@ -14,41 +18,42 @@
     pub(super) attempt: AttemptId,
     pub(super) sent_at: Timestamp,
     pub(super) is_write: bool,
-    /// Whom it names to fill a miss.
+    /// The endpoint that it names as the source for a fill.
     pub(super) source: Option<EndpointId>,
-    /// All of it.
+    /// Whether all of it is written.
     pub(super) written: bool,
-    /// It is not begun to be written later than this.
+    /// Withdrawn if it is not begun to be written by then.
     pub(super) write_deadline: Timestamp,
-    /// What is asked, until it is written: the time that is left is told as of the moment of writing.
+    /// The request, until it is written: the time left that it names is as of when it is written.
     pub(super) fetch: Option<Box<Fetch>>,
 }
 
 impl Sent {
-    /// All of it is written: what was asked need not be kept.
+    /// Notes that it is written; the request need not be kept.
     pub(super) fn set_written(&mut self) {
         self.written = true;
         self.fetch = None;
     }
 }
 
+/// A connection to an endpoint.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) stream: Stream<Option<Txn>>,
     pub(super) endpoint: EndpointId,
     pub(super) established: bool,
-    /// Nothing new goes here.
+    /// Whether it gets no further attempts.
     pub(super) retired: bool,
     pub(super) open_attempts: HashMap<Txn, Sent>,
     pub(super) recent_ids: RecentIds,
     pub(super) idle_since: Timestamp,
-    /// When something came here last.
+    /// When something was last received.
     pub(super) received_at: Timestamp,
-    /// Since when part of an answer is here that is not whole yet.
+    /// Since when an answer is incomplete.
     pub(super) partial_since: Option<Timestamp>,
-    /// For how long attempts waited here that were given up, since something came.
+    /// For how long attempts waited here that were cancelled, since something was received.
     pub(super) silent_wait: Micros,
-    /// Answers that came here to nothing that was open.
+    /// Answers to no open attempt.
     pub(super) unexpected_answers: usize,
 }
 
@@ -69,6 +74,22 @@
         }
     }
 
+    /// Whether it is established and carries no attempt.
+    pub(super) fn is_idle(&self) -> bool {
+        self.established && self.open_attempts.is_empty()
+    }
+
+    /// Counts an answer to no open attempt. Too many are an error.
+    pub(super) fn count_unexpected_answer(&mut self) -> io::Result<()> {
+        self.unexpected_answers += 1;
+        let limit = MAX_UNEXPECTED_ANSWERS + 2 * self.recent_ids.len();
+        if self.unexpected_answers > limit {
+            return Err(io::ErrorKind::InvalidData.into());
+        }
+        Ok(())
+    }
+
+    /// Whether an attempt under this id may be sent here, where each connection carries up to `streams`.
     pub(super) fn accepts(&self, txn: &Txn, streams: usize) -> bool {
         !self.retired
             && !self.recent_ids.has(txn)
@@ -76,7 +97,7 @@
             && !self.is_blocked()
     }
 
-    /// Whether the rest of an answer that nobody waits for has still to come, and everything else behind it.
+    /// Whether the rest of an answer to a cancelled attempt has still to come, with everything else behind it.
     pub(super) fn is_blocked(&self) -> bool {
         let input = self.stream.input();
         let whose =
@@ -87,7 +108,7 @@
     }
 }
 
-/// Ids that a connection carried lately, in two generations. Guards against an answer that comes twice, or late
+/// Ids that a connection carried recently, in two generations. Guards against an answer that comes twice, or late
 /// for an attempt that was given up: it would be taken for that of the next attempt under the same id.
 #[derive(Debug, Default)]
 pub(super) struct RecentIds {
@@ -107,7 +128,8 @@
 
     pub(super) fn add(&mut self, now: Timestamp, txn: Txn) {
         if now > self.since + RECENT_ID_TIME {
-            (self.old, self.since) = (std::mem::take(&mut self.new), now);
+            self.old = std::mem::take(&mut self.new);
+            self.since = now;
         }
         self.new.insert(txn);
     }
--- a/front/src/server/upstream/placement.rs
+++ b/front/src/server/upstream/placement.rs
@@ -1,203 +1,222 @@
 //! Chooses or begins a connection for an attempt.
 use super::connection::{Connection, Sent};
-use super::{CacheNodes, Ends};
+use super::{CacheNodes, Ends, Target};
 use crate::protocol::member;
-use crate::routing::{AttemptId, End, Fetch, Txn};
+use crate::routing::{End, Fetch, Txn};
 use crate::transport::{dial, is_local, Reactor, Stream};
 use cranesill::api::{EndpointId, Timestamp};
 use std::io;
 
-/// Attempts on one connection from which on another is opened: a large answer blocks what is behind it.
+/// With this many attempts open a connection counts as busy and another is begun: a large answer blocks what is behind it.
 const MAX_CALM_STREAMS: usize = 1;
 
+/// What came of a new connection that an attempt might need.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum NewConnection {
+    /// None was needed, or there is no capacity for one.
+    NotBegun,
+    /// It was begun.
+    Begun,
+    /// The endpoint refused it.
+    Refused,
+    /// This machine could not begin it, which says nothing of the endpoint.
+    LocalFailure,
+    /// It failed in some other way.
+    Failed,
+}
+
 impl CacheNodes {
-    /// Puts an attempt on a connection; `key` is for a new one. It is not begun to be written later than `write_deadline`. Returns the key
-    /// if a connection was begun.
+    /// Sends an attempt on a connection; `key` is for a new one. Returns the key if a connection was begun.
     pub fn send(
         &mut self,
         now: Timestamp,
         reactor: &Reactor,
         key: usize,
-        (attempt, to, write_deadline): (AttemptId, EndpointId, Timestamp),
+        target: Target,
         fetch: &Fetch,
         ends: &mut Ends,
     ) -> Option<usize> {
-        let mut chosen = self.choose_live(now, to, &fetch.txn, ends);
-        let carries = |key: &usize| {
-            self.connections
-                .get(key)
-                .map_or(0, |connection| connection.open_attempts.len())
+        let endpoint = target.endpoint;
+        let chosen = self.choose_live(now, endpoint, &fetch.txn, ends);
+        let new = self.begin_if_needed(now, reactor, key, endpoint, chosen);
+        let may_wait = new == NewConnection::LocalFailure && chosen.is_none();
+        if may_wait && self.redials.may_wait(now, endpoint) {
+            self.redials.wait(now, target, fetch);
+            return None;
+        }
+        let begun = (new == NewConnection::Begun).then_some(key);
+        match begun.or(chosen) {
+            Some(key) => self.put(now, key, target, fetch, ends),
+            None if new == NewConnection::Refused => {
+                ends.push((target.attempt, End::Unsent { along: false }));
+            }
+            None => ends.push((target.attempt, End::Unplaced)),
+        }
+        begun
+    }
+
+    /// Begins a connection if none was chosen, or if the chosen one is busy and the endpoint may have another.
+    fn begin_if_needed(
+        &mut self,
+        now: Timestamp,
+        reactor: &Reactor,
+        key: usize,
+        endpoint: EndpointId,
+        chosen: Option<usize>,
+    ) -> NewConnection {
+        let open_attempts = |key| {
+            let connection: Option<&Connection> = self.connections.get(&key);
+            connection.map_or(0, |connection| connection.open_attempts.len())
         };
-        let calm = chosen
-            .as_ref()
-            .is_some_and(|key| carries(key) < MAX_CALM_STREAMS);
-        let keys = self.by_endpoint.entry(to).or_default();
-        let most = (self.max_connections / self.listed.len().max(1)).max(2);
-        // Those to an earlier process may stay silent for long and must not keep a new one from being reached.
-        let live = keys
-            .iter()
-            .filter(|key| self.connections.get(key).is_some_and(|l| !l.retired))
-            .count();
-        let address = self
-            .listed
-            .get(&to)
-            .map(|l| l.0)
-            .filter(|_| !calm && live < most);
-        // One that would only be the second to a node closes none to another.
-        let room = self.connections.len() < self.max_connections;
-        let room = room || address.is_some() && chosen.is_none() && self.free_connection();
-        let (mut begun, mut end) = (None, End::Unplaced);
-        if let Some(address) = address.filter(|_| room) {
-            match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
-                Ok(stream) => {
-                    self.redials.dialled(to);
-                    self.connections
-                        .insert(key, Connection::new(now, to, stream));
-                    self.by_endpoint.entry(to).or_default().push(key);
-                    (chosen, begun) = (Some(key), Some(key));
-                }
-                Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                    end = End::Unsent { along: false }
-                }
-                Err(e) if is_local(&e) && chosen.is_none() && self.redials.may_wait(now, to) => {
-                    self.redials.wait(now, (attempt, to, write_deadline), fetch);
-                    return None;
-                }
-                Err(_) => {}
+        let is_calm = chosen.is_some_and(|key| open_attempts(key) < MAX_CALM_STREAMS);
+        let max_per_endpoint = (self.max_connections / self.listed.len().max(1)).max(2);
+        if is_calm || self.usable_connections(endpoint) >= max_per_endpoint {
+            return NewConnection::NotBegun;
+        }
+        let Some((address, _)) = self.listed.get(&endpoint).copied() else {
+            return NewConnection::NotBegun;
+        };
+        // One that would only be the second to an endpoint closes none to another.
+        let has_capacity = self.connections.len() < self.max_connections
+            || chosen.is_none() && self.free_connection();
+        if !has_capacity {
+            return NewConnection::NotBegun;
+        }
+        match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
+            Ok(stream) => {
+                self.redials.dialled(endpoint);
+                self.insert(now, key, endpoint, stream);
+                NewConnection::Begun
             }
+            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => NewConnection::Refused,
+            Err(e) if is_local(&e) => NewConnection::LocalFailure,
+            Err(_) => NewConnection::Failed,
         }
-        let connection = chosen.and_then(|key| {
-            self.connections
-                .get_mut(&key)
-                .map(|connection| (key, connection))
-        });
-        let Some((key, connection)) = connection else {
-            ends.push((attempt, end));
-            return None;
+    }
+
+    /// Counts an endpoint's connections that still get attempts. Those to an earlier process of it may stay silent for long
+    /// and must not keep the new one from being reached.
+    fn usable_connections(&self, endpoint: EndpointId) -> usize {
+        let keys = self.by_endpoint.get(&endpoint).into_iter().flatten();
+        let connections = keys.filter_map(|key| self.connections.get(key));
+        connections.filter(|connection| !connection.retired).count()
+    }
+
+    fn insert(
+        &mut self,
+        now: Timestamp,
+        key: usize,
+        endpoint: EndpointId,
+        stream: Stream<Option<Txn>>,
+    ) {
+        let connection = Connection::new(now, endpoint, stream);
+        self.connections.insert(key, connection);
+        self.by_endpoint.entry(endpoint).or_default().push(key);
+    }
+
+    /// Puts an attempt on a connection, and writes what can be written of it.
+    fn put(&mut self, now: Timestamp, key: usize, target: Target, fetch: &Fetch, ends: &mut Ends) {
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return ends.push((target.attempt, End::Unplaced));
         };
         connection.recent_ids.add(now, fetch.txn);
-        let source = fetch.fill.and_then(|fill| fill.source);
         let sent = Sent {
-            attempt,
+            attempt: target.attempt,
             sent_at: now,
             is_write: fetch.write,
-            source,
+            source: fetch.fill.and_then(|fill| fill.source),
             written: false,
-            write_deadline,
+            write_deadline: target.write_deadline,
             fetch: None,
         };
         connection.open_attempts.insert(fetch.txn, sent);
         connection.stream.push(member::fetch(fetch, now));
-        self.by_attempt.insert(attempt, (key, fetch.txn));
+        self.by_attempt.insert(target.attempt, (key, fetch.txn));
         self.flush(now, key, ends);
-        let sent = self
-            .connections
-            .get_mut(&key)
-            .and_then(|connection| connection.open_attempts.get_mut(&fetch.txn));
+        // Most are written at once and need no copy of the request.
+        let connection = self.connections.get_mut(&key);
+        let sent = connection.and_then(|connection| connection.open_attempts.get_mut(&fetch.txn));
         if let Some(sent) = sent.filter(|sent| !sent.written) {
             sent.fetch = Some(Box::new(fetch.clone()));
         }
-        begun
     }
 
-    /// The same, once what has come on one that carried nothing is taken in. Guards against commands that are written into the
-    /// end of a connection: its other side may have closed it, which is not told of yet.
-    pub(super) fn choose_live(
+    /// Chooses a connection, and reads from it first if it is idle. Guards against commands that are written into the end of
+    /// a connection: the endpoint may have closed it, which was not reported yet.
+    fn choose_live(
         &mut self,
         now: Timestamp,
-        to: EndpointId,
+        endpoint: EndpointId,
         txn: &Txn,
         ends: &mut Ends,
     ) -> Option<usize> {
         loop {
-            let key = self.choose(to, txn)?;
-            if !self.connections.get(&key).is_some_and(|connection| {
-                connection.established && connection.open_attempts.is_empty()
-            }) {
+            let key = self.choose(endpoint, txn)?;
+            let connection = self.connections.get(&key);
+            if !connection.is_some_and(Connection::is_idle) {
                 return Some(key);
             }
-            match self.read(now, key, ends) {
-                Ok(())
-                    if self
-                        .connections
-                        .get(&key)
-                        .is_some_and(|connection| connection.accepts(txn, self.max_streams)) =>
-                {
-                    return Some(key)
-                }
-                Ok(()) => {}
-                Err(e) => self.fail(key, &e.to_string(), ends),
+            if let Err(error) = self.read(now, key, ends) {
+                self.fail(key, &error.to_string(), ends);
+                continue;
+            }
+            let connection = self.connections.get(&key);
+            if connection.is_some_and(|connection| connection.accepts(txn, self.max_streams)) {
+                return Some(key);
             }
         }
     }
 
-    /// The connection to a member that is best for this id.
-    pub(super) fn choose(&self, to: EndpointId, txn: &Txn) -> Option<usize> {
-        let keys = self.by_endpoint.get(&to)?.iter();
-        let fit = keys.filter_map(|key| {
-            self.connections
-                .get(key)
-                .map(|connection| (key, connection))
-        });
-        let fit = fit.filter(|(_, connection)| connection.accepts(txn, self.max_streams));
-        fit.min_by_key(|(key, connection)| {
-            (
-                connection.open_attempts.len(),
-                !connection.established,
-                **key,
-            )
-        })
-        .map(|(key, _)| *key)
+    /// Chooses the connection to an endpoint that carries least, among those that may carry this id.
+    fn choose(&self, endpoint: EndpointId, txn: &Txn) -> Option<usize> {
+        let keys = self.by_endpoint.get(&endpoint)?.iter();
+        let connections = keys.filter_map(|key| Some((*key, self.connections.get(key)?)));
+        connections
+            .filter(|(_, connection)| connection.accepts(txn, self.max_streams))
+            .min_by_key(|(key, connection)| {
+                let open_attempts = connection.open_attempts.len();
+                (open_attempts, !connection.established, *key)
+            })
+            .map(|(key, _)| key)
     }
 
-    /// Makes room for one more connection, if there is none: the one that has carried nothing for longest is closed. Guards
-    /// against requests that find no connection while others lie idle. Whether there is room.
-    pub(super) fn free_connection(&mut self) -> bool {
+    /// Closes the connection that was idle for longest if there is no capacity for one more. Guards against requests that
+    /// find no connection while others are idle. Returns whether there is capacity.
+    fn free_connection(&mut self) -> bool {
         if self.connections.len() < self.max_connections {
             return true;
         }
-        let idle = self.connections.iter().filter(|(_, connection)| {
-            connection.established && connection.open_attempts.is_empty()
-        });
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_idle());
         let longest = idle
             .min_by_key(|(key, connection)| (!connection.retired, connection.idle_since, **key))
             .map(|(key, _)| *key);
-        longest
-            .into_iter()
-            .for_each(|key| self.fail(key, "idle", &mut Vec::new()));
+        if let Some(key) = longest {
+            self.fail(key, "idle", &mut Vec::new());
+        }
         self.connections.len() < self.max_connections
     }
 
-    /// Begins a connection to a member that has none, before anything is asked there. Whether it was begun.
+    /// Begins a connection to an endpoint that has none, before a request needs it. Returns whether one was begun; one that
+    /// cannot be begun now is begun for the first request.
     pub fn connect_ahead(
         &mut self,
         now: Timestamp,
         reactor: &Reactor,
         key: usize,
-        to: EndpointId,
+        endpoint: EndpointId,
     ) -> bool {
-        let keys = self.by_endpoint.entry(to).or_default();
-        let has = keys.iter().any(|key| {
-            self.connections
-                .get(key)
-                .is_some_and(|connection| !connection.retired)
-        });
-        let address = self
-            .listed
-            .get(&to)
-            .map(|l| l.0)
-            .filter(|_| !has && self.connections.len() < self.max_connections);
-        // What can't be begun now is begun once something is asked there.
-        let stream = address.and_then(|at| {
-            dial(at)
-                .and_then(|socket| Stream::new(reactor, socket, key, true))
-                .ok()
-        });
-        let begun = stream.map(|stream| {
-            self.connections
-                .insert(key, Connection::new(now, to, stream));
-            keys.push(key);
-        });
-        begun.is_some()
+        let has_capacity = self.connections.len() < self.max_connections;
+        if !has_capacity || self.usable_connections(endpoint) > 0 {
+            return false;
+        }
+        let Some((address, _)) = self.listed.get(&endpoint).copied() else {
+            return false;
+        };
+        let stream = dial(address).and_then(|socket| Stream::new(reactor, socket, key, true));
+        let begun = stream.map(|stream| self.insert(now, key, endpoint, stream));
+        begun.is_ok()
     }
 }
--- a/front/src/server/upstream/redial.rs
+++ b/front/src/server/upstream/redial.rs
@@ -1,5 +1,6 @@
 //! Attempts for which this machine could not begin a connection: they wait a moment and try again. Such a failure says nothing
 //! of the node, and nothing of the request was written. No I/O and no clock.
+use super::Target;
 use crate::routing::{AttemptId, Fetch};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use std::collections::{BTreeMap, HashMap};
@@ -13,9 +14,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    to: EndpointId,
-    /// It is not begun to be written later than this.
-    by: Timestamp,
+    target: Target,
     fetch: Fetch,
 }
 
@@ -54,20 +53,12 @@
     }
 
     /// An attempt waits until the next try.
-    pub fn wait(
-        &mut self,
-        now: Timestamp,
-        (attempt, to, by): (AttemptId, EndpointId, Timestamp),
-        fetch: &Fetch,
-    ) {
-        self.waiting.insert(
-            attempt,
-            Waiting {
-                to,
-                by,
-                fetch: fetch.clone(),
-            },
-        );
+    pub fn wait(&mut self, now: Timestamp, target: Target, fetch: &Fetch) {
+        let waiting = Waiting {
+            target,
+            fetch: fetch.clone(),
+        };
+        self.waiting.insert(target.attempt, waiting);
         self.due.get_or_insert(now + RETRY_INTERVAL);
     }
 
@@ -78,18 +69,18 @@
 
     /// Takes out all that wait if the next try is due: they wait again where it fails. What had to be begun before now is left
     /// to be withdrawn.
-    pub fn take(&mut self, now: Timestamp) -> Vec<((AttemptId, EndpointId, Timestamp), Fetch)> {
+    pub fn take(&mut self, now: Timestamp) -> Vec<(Target, Fetch)> {
         if self.due.is_none_or(|due| now < due) {
             return Vec::new();
         }
         self.due = None;
         let (late, waiting): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.waiting)
             .into_iter()
-            .partition(|(_, one)| one.by < now);
+            .partition(|(_, one)| one.target.write_deadline < now);
         self.waiting = late;
         waiting
-            .into_iter()
-            .map(|(attempt, one)| ((attempt, one.to, one.by), one.fetch))
+            .into_values()
+            .map(|one| (one.target, one.fetch))
             .collect()
     }
 
@@ -99,12 +90,12 @@
     }
 
     /// Attempts that were to go to this node, or to have it fill them, wait no more.
-    pub fn leave_out(&mut self, out: EndpointId) -> Vec<AttemptId> {
+    pub fn exclude(&mut self, out: EndpointId) -> Vec<AttemptId> {
         let source = |fetch: &Fetch| fetch.fill.and_then(|fill| fill.source);
         let meant = self
             .waiting
             .iter()
-            .filter(|(_, one)| one.to == out || source(&one.fetch) == Some(out));
+            .filter(|(_, one)| one.target.endpoint == out || source(&one.fetch) == Some(out));
         let meant: Vec<_> = meant.map(|(attempt, _)| *attempt).collect();
         meant
             .iter()
--- a/front/src/server/upstream/redial/tests.rs
+++ b/front/src/server/upstream/redial/tests.rs
@@ -38,8 +38,24 @@
 #[test]
 fn all_that_wait_try_again_together_and_keep_their_deadlines() {
     let mut redials = Redials::default();
-    redials.wait(0, (attempt(1), NODE, 400_000), &fetch(None));
-    redials.wait(1_000, (attempt(2), NODE, 500_000), &fetch(None));
+    redials.wait(
+        0,
+        Target {
+            attempt: attempt(1),
+            endpoint: NODE,
+            write_deadline: 400_000,
+        },
+        &fetch(None),
+    );
+    redials.wait(
+        1_000,
+        Target {
+            attempt: attempt(2),
+            endpoint: NODE,
+            write_deadline: 500_000,
+        },
+        &fetch(None),
+    );
     assert_eq!(redials.due(), Some(RETRY_INTERVAL));
     assert!(redials.take(RETRY_INTERVAL - 1).is_empty());
     let targets: Vec<_> = redials
@@ -49,7 +65,18 @@
         .collect();
     assert_eq!(
         targets,
-        [(attempt(1), NODE, 400_000), (attempt(2), NODE, 500_000)]
+        [
+            Target {
+                attempt: attempt(1),
+                endpoint: NODE,
+                write_deadline: 400_000
+            },
+            Target {
+                attempt: attempt(2),
+                endpoint: NODE,
+                write_deadline: 500_000
+            }
+        ]
     );
     assert_eq!(redials.due(), None);
 }
@@ -57,11 +84,35 @@
 #[test]
 fn who_was_called_off_or_whose_node_is_left_out_is_not_tried_again() {
     let mut redials = Redials::default();
-    redials.wait(0, (attempt(1), NODE, 400_000), &fetch(None));
-    redials.wait(0, (attempt(2), NODE, 400_000), &fetch(Some(EndpointId(2))));
-    redials.wait(0, (attempt(3), NODE, 400_000), &fetch(None));
+    redials.wait(
+        0,
+        Target {
+            attempt: attempt(1),
+            endpoint: NODE,
+            write_deadline: 400_000,
+        },
+        &fetch(None),
+    );
+    redials.wait(
+        0,
+        Target {
+            attempt: attempt(2),
+            endpoint: NODE,
+            write_deadline: 400_000,
+        },
+        &fetch(Some(EndpointId(2))),
+    );
+    redials.wait(
+        0,
+        Target {
+            attempt: attempt(3),
+            endpoint: NODE,
+            write_deadline: 400_000,
+        },
+        &fetch(None),
+    );
     assert!(redials.remove(attempt(1)) && !redials.remove(attempt(1)));
-    assert_eq!(redials.leave_out(EndpointId(2)), [attempt(2)]);
+    assert_eq!(redials.exclude(EndpointId(2)), [attempt(2)]);
     assert_eq!(redials.take(RETRY_INTERVAL).len(), 1);
 }
 
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -55,7 +55,11 @@
             0,
             &reactor,
             9,
-            (attempt(n), MEMBER, Timestamp::MAX),
+            Target {
+                attempt: attempt(n),
+                endpoint: MEMBER,
+                write_deadline: Timestamp::MAX,
+            },
             &fetch(n),
             &mut ends,
         );
@@ -65,7 +69,11 @@
         0,
         &reactor,
         9,
-        (attempt(4), MEMBER, Timestamp::MAX),
+        Target {
+            attempt: attempt(4),
+            endpoint: MEMBER,
+            write_deadline: Timestamp::MAX,
+        },
         &fetch(3),
         &mut ends,
     );
@@ -101,7 +109,11 @@
             0,
             &reactor,
             n as usize,
-            (attempt(n), MEMBER, Timestamp::MAX),
+            Target {
+                attempt: attempt(n),
+                endpoint: MEMBER,
+                write_deadline: Timestamp::MAX,
+            },
             &fetch,
             &mut ends,
         );
@@ -127,7 +139,11 @@
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(9, &listener);
     let mut begins = |now: Timestamp, n: u64, out: Micros| {
-        let target = (attempt(n), MEMBER, Timestamp::MAX);
+        let target = Target {
+            attempt: attempt(n),
+            endpoint: MEMBER,
+            write_deadline: Timestamp::MAX,
+        };
         let begun = members.send(now, &reactor, n as usize, target, &fetch(n), &mut ends);
         members.abort(now + out, attempt(n), &mut ends);
         begun.is_some()
@@ -144,7 +160,14 @@
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(9, &listener);
     let mut begins = |n: u64| {
-        let (now, target) = (n * 500_000, (attempt(n), MEMBER, Timestamp::MAX));
+        let (now, target) = (
+            n * 500_000,
+            Target {
+                attempt: attempt(n),
+                endpoint: MEMBER,
+                write_deadline: Timestamp::MAX,
+            },
+        );
         let begun = members.send(now, &reactor, n as usize, target, &fetch(n), &mut ends);
         members.abort(now + 400_000, attempt(n), &mut ends);
         begun.is_some()
@@ -162,7 +185,11 @@
         0,
         &reactor,
         1,
-        (attempt(1), MEMBER, Timestamp::MAX),
+        Target {
+            attempt: attempt(1),
+            endpoint: MEMBER,
+            write_deadline: Timestamp::MAX,
+        },
         &fetch(1),
         &mut ends,
     );
@@ -301,7 +328,11 @@
                     now,
                     &reactor,
                     key,
-                    (id, EndpointId(1 + roll(2)), Timestamp::MAX),
+                    Target {
+                        attempt: id,
+                        endpoint: EndpointId(1 + roll(2)),
+                        write_deadline: Timestamp::MAX,
+                    },
                     &fetch,
                     &mut ends,
                 );
@@ -421,7 +452,11 @@
     }
     // The second and the third carry nothing any more, the third for longer; the first still does.
     for n in 1..=3 {
-        let target = (attempt(n), EndpointId(n), Timestamp::MAX);
+        let target = Target {
+            attempt: attempt(n),
+            endpoint: EndpointId(n),
+            write_deadline: Timestamp::MAX,
+        };
         members.send(0, &reactor, n as usize, target, &fetch(n), &mut ends);
         while !members.connections[&(n as usize)].established {
             reactor.wait(0, Some(100_000)).unwrap();
@@ -434,7 +469,11 @@
         3_000,
         &reactor,
         4,
-        (attempt(4), EndpointId(4), Timestamp::MAX),
+        Target {
+            attempt: attempt(4),
+            endpoint: EndpointId(4),
+            write_deadline: Timestamp::MAX,
+        },
         &fetch(4),
         &mut ends,
     );
@@ -446,7 +485,11 @@
         4_000,
         &reactor,
         5,
-        (attempt(5), MEMBER, Timestamp::MAX),
+        Target {
+            attempt: attempt(5),
+            endpoint: MEMBER,
+            write_deadline: Timestamp::MAX,
+        },
         &fetch(5),
         &mut ends,
     );
@@ -467,7 +510,11 @@
         0,
         &reactor,
         9,
-        (attempt(1), MEMBER, Timestamp::MAX),
+        Target {
+            attempt: attempt(1),
+            endpoint: MEMBER,
+            write_deadline: Timestamp::MAX,
+        },
         &fetch,
         &mut ends,
     );
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -1,5 +1,4 @@
 //! Reading from and writing to upstream connections, and their end.
-use super::connection::Sent;
 use super::{CacheNodes, Ends};
 use crate::protocol::member;
 use crate::routing::{End, Txn};
@@ -8,12 +7,9 @@
 
 /// Reads of one connection in one turn: a node that sends without end keeps neither timers nor the feed waiting.
 const MAX_READS_PER_TURN: usize = 4;
-/// Answers to nothing that is open that a connection may bring beyond two for each id that it carried: one late and one
-/// twice. More of them end it, or they would come for ever.
-const MAX_UNEXPECTED_ANSWERS: usize = 16;
 
 impl CacheNodes {
-    /// Goes on with a connection that can be read or written.
+    /// Handles a connection that can be read or written.
     pub fn ready(&mut self, now: Timestamp, key: usize, readable: bool, ends: &mut Ends) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
@@ -36,6 +32,7 @@
         }
     }
 
+    /// Reads until there is nothing more, it is the others' turn, or reading is paused.
     pub(super) fn read(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
         for _ in 0..MAX_READS_PER_TURN {
             let Some(connection) = self.connections.get_mut(&key) else {
@@ -44,44 +41,14 @@
             match connection.stream.fill(&mut self.scratch)? {
                 None => break,
                 Some(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Some(_) => (connection.received_at, connection.silent_wait) = (now, 0),
-            }
-            loop {
-                let found = member::decode(connection.stream.input());
-                let Some((id, reply, used)) =
-                    found.map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?
-                else {
-                    break;
-                };
-                // Guards against passing on what no member made: all that is served but a write names its copy.
-                let known = std::str::from_utf8(id).ok().and_then(Txn::new);
-                let read = known
-                    .and_then(|txn| connection.open_attempts.get(&txn))
-                    .is_some_and(|sent| !sent.is_write);
-                if read && reply.nameless() {
-                    return Err(io::ErrorKind::InvalidData.into());
-                }
-                // An answer to what was given up, or to nothing that was asked, is dropped.
-                if let Some(sent) = known.and_then(|txn| connection.open_attempts.remove(&txn)) {
-                    self.by_attempt.remove(&sent.attempt);
-                    ends.push((sent.attempt, End::Reply(reply)));
-                    connection.idle_since = now;
-                } else {
-                    connection.unexpected_answers += 1;
-                    if connection.unexpected_answers
-                        > MAX_UNEXPECTED_ANSWERS + 2 * connection.recent_ids.len()
-                    {
-                        return Err(io::ErrorKind::InvalidData.into());
-                    }
+                Some(_) => {
+                    connection.received_at = now;
+                    connection.silent_wait = 0;
                 }
-                connection.stream.consume(used);
-                connection.partial_since = None;
             }
-            let begun = !connection.stream.input().is_empty();
-            connection.partial_since = begun.then(|| connection.partial_since.unwrap_or(now));
-            connection.stream.count(&mut self.buffered_bytes);
-            // One read is made all the same: the end of a connection is told though it is not watched, and would
-            // be told again and again.
+            self.take_answers(now, key, ends)?;
+            // One read is made even while paused: the end of a connection is reported though it is not watched, and would be
+            // reported again and again.
             if self.paused {
                 break;
             }
@@ -89,6 +56,39 @@
         Ok(())
     }
 
+    /// Takes complete answers off what was read.
+    fn take_answers(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return Ok(());
+        };
+        while let Some((id, reply, used)) =
+            member::decode(connection.stream.input()).map_err(|_| malformed())?
+        {
+            let txn = std::str::from_utf8(id).ok().and_then(Txn::new);
+            let open = txn.and_then(|txn| connection.open_attempts.get(&txn));
+            // Guards against passing on what no endpoint made: all that is served but a write names its copy.
+            if open.is_some_and(|sent| !sent.is_write) && reply.nameless() {
+                return Err(malformed());
+            }
+            let answered = txn.and_then(|txn| connection.open_attempts.remove(&txn));
+            if let Some(sent) = answered {
+                self.by_attempt.remove(&sent.attempt);
+                ends.push((sent.attempt, End::Reply(reply)));
+                connection.idle_since = now;
+            } else {
+                // The attempt was cancelled, or nothing was asked under this id: the answer is dropped.
+                connection.count_unexpected_answer()?;
+            }
+            connection.stream.consume(used);
+            connection.partial_since = None;
+        }
+        let is_partial = !connection.stream.input().is_empty();
+        connection.partial_since = is_partial.then(|| connection.partial_since.unwrap_or(now));
+        connection.stream.count(&mut self.buffered_bytes);
+        Ok(())
+    }
+
+    /// Writes what can be written.
     pub(super) fn flush(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
         let Some(connection) = self
             .connections
@@ -98,12 +98,13 @@
             return;
         };
         connection.idle_since = now;
-        let (open, count) = (&mut connection.open_attempts, &mut self.attempts_written);
+        let open_attempts = &mut connection.open_attempts;
+        let attempts_written = &mut self.attempts_written;
         let done = |tag: Option<Txn>| {
-            *count += u64::from(tag.is_some());
-            tag.and_then(|txn| open.get_mut(&txn))
-                .into_iter()
-                .for_each(Sent::set_written);
+            *attempts_written += u64::from(tag.is_some());
+            if let Some(sent) = tag.and_then(|txn| open_attempts.get_mut(&txn)) {
+                sent.set_written();
+            }
         };
         let flushed = connection
             .stream
@@ -115,7 +116,7 @@
         }
     }
 
-    /// What was not begun to be written tells how much time is left now, not when it was put there.
+    /// Rewrites the time left in requests of which nothing is written: it counts from when they are written.
     pub(super) fn update_time_left(&mut self, now: Timestamp, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
@@ -127,7 +128,7 @@
         });
     }
 
-    /// A connection that is still not up has failed.
+    /// Fails a connection that is not established in time.
     pub fn fail_unestablished(&mut self, key: usize, ends: &mut Ends) {
         if self
             .connections
@@ -138,42 +139,36 @@
         }
     }
 
-    /// Gives a connection up with all that is open on it.
-    pub(super) fn fail(&mut self, key: usize, why: &str, ends: &mut Ends) {
+    /// Closes a connection and ends all attempts that are open on it.
+    pub(super) fn fail(&mut self, key: usize, error: &str, ends: &mut Ends) {
         let Some(mut connection) = self.connections.remove(&key) else {
             return;
         };
         connection.stream.discount(&mut self.buffered_bytes);
-        if !connection.open_attempts.is_empty() {
-            let (member, attempts) = (
-                member::name_of(connection.endpoint),
-                connection.open_attempts.len(),
-            );
-            tracing::info!(
-                member,
-                up = connection.established,
-                error = why,
-                attempts,
-                "connection lost"
-            );
+        let attempts = connection.open_attempts.len();
+        if attempts > 0 {
+            let member = member::name_of(connection.endpoint);
+            let up = connection.established;
+            tracing::info!(member, up, error, attempts, "connection lost");
+        }
+        if let Some(keys) = self.by_endpoint.get_mut(&connection.endpoint) {
+            keys.retain(|other| *other != key);
         }
-        self.by_endpoint
-            .get_mut(&connection.endpoint)
-            .into_iter()
-            .for_each(|keys| keys.retain(|k| *k != key));
         let mut open: Vec<_> = connection.open_attempts.into_values().collect();
         open.sort_unstable_by_key(|sent| sent.attempt);
-        for (i, sent) in open.into_iter().enumerate() {
+        for (n, sent) in open.into_iter().enumerate() {
             self.by_attempt.remove(&sent.attempt);
-            let along = i > 0;
-            ends.push((
-                sent.attempt,
-                if sent.written {
-                    End::Broken { along }
-                } else {
-                    End::Unsent { along }
-                },
-            ));
+            let along = n > 0;
+            let end = if sent.written {
+                End::Broken { along }
+            } else {
+                End::Unsent { along }
+            };
+            ends.push((sent.attempt, end));
         }
     }
 }
+
+fn malformed() -> io::Error {
+    io::ErrorKind::InvalidData.into()
+}
--- a/front/src/server/upstream/withdrawal.rs
+++ b/front/src/server/upstream/withdrawal.rs
@@ -5,11 +5,11 @@
 use crate::routing::{AttemptId, End};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 
-/// A connection on which attempts that were given up waited for this long in all, and nothing came, gets no other.
+/// A connection on which cancelled attempts waited for this long in all, and nothing was received, gets no further ones.
 const MAX_SILENT_WAIT: Micros = 1_000_000;
 
 impl CacheNodes {
-    /// Gives an attempt up at its member.
+    /// Cancels an attempt at its endpoint.
     pub fn abort(&mut self, now: Timestamp, attempt: AttemptId, ends: &mut Ends) {
         self.redials.remove(attempt);
         let Some((key, txn)) = self.by_attempt.remove(&attempt) else {
@@ -20,31 +20,27 @@
         };
         let sent = connection.open_attempts.remove(&txn);
         connection.idle_since = now;
-        // An answer that never comes leaves a connection that is of no further use, open as it may be. Where clients wait for
-        // less than that, it takes more than one of them to tell.
-        let vain = sent
+        // A connection on which an answer never comes is of no further use, open as it may be. Where clients wait for less than
+        // that takes to see, it takes more than one of them.
+        let silent_wait = sent
             .filter(|sent| connection.received_at <= sent.sent_at)
             .map(|sent| now.saturating_sub(sent.sent_at));
-        connection.silent_wait += vain.unwrap_or(0);
+        connection.silent_wait += silent_wait.unwrap_or(0);
         connection.retired |= connection.silent_wait > MAX_SILENT_WAIT;
         if connection.stream.take_back(|tag| *tag == Some(txn)) {
             return;
         }
         connection.stream.push(member::abort(txn));
         self.flush(now, key, ends);
-        // Guards the rule that no two attempts of a request are out: a command that can't be written yet
-        // gives nothing up, the end of the connection does.
-        if self
-            .connections
-            .get(&key)
-            .is_some_and(|connection| !connection.stream.flushed())
-        {
+        // Guards the rule that no two attempts of a request are out: a cancellation that can't be written yet has no effect, the
+        // end of the connection has.
+        let connection = self.connections.get(&key);
+        if connection.is_some_and(|connection| !connection.stream.flushed()) {
             self.fail(key, "blocked", ends);
         }
     }
 
-    /// An attempt that is not begun to be written yet will not be: what was decided a while ago may be
-    /// against what is known since.
+    /// Withdraws an attempt of which nothing is written: what was decided a while ago may contradict what is known since.
     pub fn withdraw(&mut self, attempt: AttemptId, ends: &mut Ends) {
         if self.redials.remove(attempt) {
             return ends.push((attempt, End::Unplaced));
@@ -52,8 +48,8 @@
         self.withdraw_unwritten(attempt, End::Unsent { along: false }, ends);
     }
 
-    /// A connection has come up: what had to be written before now is not written any more. Guards against a turn that comes
-    /// late, in which the connection is told of before the moments that have passed.
+    /// Withdraws attempts on a connection that is established only now, if their deadline for writing has passed. Guards
+    /// against a late turn of the loop, in which the connection comes before the timers.
     pub(super) fn withdraw_late(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
         let Some(connection) = self.connections.get(&key) else {
             return;
@@ -65,13 +61,14 @@
             .map(|s| s.attempt)
             .collect();
         late.sort_unstable();
-        late.into_iter()
-            .for_each(|attempt| self.withdraw_unwritten(attempt, End::Unplaced, ends));
+        for attempt in late {
+            self.withdraw_unwritten(attempt, End::Unplaced, ends);
+        }
     }
 
-    /// A member drains, is gone or was taken out: what was decided before and waits for its connection goes neither to it
-    /// nor, by way of another, to it as a source. Guards the rule on drains: a connection may come up later than new work
-    /// is allowed there. It says nothing of any member.
+    /// Withdraws what waits to be written to an endpoint that drains, was removed or cordoned, and what names it as the source
+    /// for a fill. Guards the rule on drains: a connection may be established later than new work is allowed there. The ends
+    /// count against no endpoint.
     pub fn exclude(&mut self, out: EndpointId, ends: &mut Ends) {
         let meant = |connection: &Connection, sent: &Sent| {
             !sent.written && (connection.endpoint == out || sent.source == Some(out))
@@ -87,17 +84,18 @@
             .map(|(_, sent)| sent.attempt)
             .collect();
         meant.sort_unstable();
-        meant
-            .into_iter()
-            .for_each(|attempt| self.withdraw_unwritten(attempt, End::Unplaced, ends));
+        for attempt in meant {
+            self.withdraw_unwritten(attempt, End::Unplaced, ends);
+        }
         ends.extend(
             self.redials
-                .leave_out(out)
+                .exclude(out)
                 .into_iter()
                 .map(|attempt| (attempt, End::Unplaced)),
         );
     }
 
+    /// Takes an attempt back with this end, if nothing of it is written.
     pub(super) fn withdraw_unwritten(&mut self, attempt: AttemptId, end: End, ends: &mut Ends) {
         let Some((key, txn)) = self.by_attempt.get(&attempt).copied() else {
             return;
