--- /dev/null
+++ b/front/src/server/event_loop/admin.rs
@@ -0,0 +1,182 @@
+//! Carries out the commands of operators that concern the front itself.
+use super::Server;
+use crate::protocol::member::name_of;
+use crate::server::drivers::purges::what;
+use crate::server::error::AdminError;
+use cranesill::api::Timestamp;
+use cranesill_daemon::Level;
+use serde_json::{json, Value};
+
+/// The commands of operators that the front itself carries out, each with its line of help.
+pub(super) const ADMIN_COMMANDS: [(&str, &str); 11] = [
+    ("health", "whether it can serve"),
+    ("counters", "the figures"),
+    (
+        "cordon",
+        "{node}: take a cache, a parent or the origin out, by hand",
+    ),
+    ("uncordon", "{node}: it may serve again"),
+    ("quiesce", "empty the front of clients"),
+    ("resume", "take clients again"),
+    (
+        "purge-dry",
+        "{object | group | tag | pattern}: how many known objects match",
+    ),
+    ("status", "how the front stands"),
+    (
+        "startup",
+        "whether it is ready, what it waits for, and the calls on the list service",
+    ),
+    (
+        "log",
+        "{level}: change the log's level until the next reload",
+    ),
+    (
+        "reload",
+        "read configuration and settings again, as SIGHUP does",
+    ),
+];
+
+/// Whether the front itself carries out the command.
+pub(super) fn is_admin_command(name: &str) -> bool {
+    ADMIN_COMMANDS.iter().any(|(command, _)| *command == name)
+}
+
+impl Server {
+    /// Carries out an operator's command; `name` is one of [`ADMIN_COMMANDS`].
+    pub(super) fn run_admin_command(
+        &mut self,
+        now: Timestamp,
+        name: &str,
+        arguments: &Value,
+    ) -> Result<Value, AdminError> {
+        match name {
+            "health" => self.health(),
+            "counters" => Ok(self.counters()),
+            "cordon" => self.change_cordon(now, arguments, true),
+            "uncordon" => self.change_cordon(now, arguments, false),
+            "quiesce" => Ok(self.quiesce(now).into()),
+            "resume" => self.resume().map(Value::from),
+            "log" => self.set_log_level(arguments),
+            "purge-dry" => self.count_purge_matches(arguments),
+            "startup" => Ok(self.startup_state(now)),
+            "reload" => {
+                self.reload(now);
+                Ok("read again; the log tells what was taken over".into())
+            }
+            _ => Ok(self.status(now)),
+        }
+    }
+
+    fn health(&self) -> Result<Value, AdminError> {
+        if self.shutdown.is_some() {
+            return Err(AdminError::ShuttingDown);
+        }
+        if self.quiesced_at.is_some() {
+            return Err(AdminError::Quiesced);
+        }
+        Ok("serving".into())
+    }
+
+    /// Changes the level of the log until the next reload.
+    fn set_log_level(&mut self, arguments: &Value) -> Result<Value, AdminError> {
+        let level: Level =
+            serde_json::from_value(arguments["level"].clone()).map_err(AdminError::LogLevel)?;
+        self.log.set(&cranesill_daemon::Log {
+            level,
+            ..self.settings.log.clone()
+        });
+        Ok(json!(format!("level is {level:?}").to_lowercase()))
+    }
+
+    /// Counts the known objects that a purge would match, without purging them.
+    fn count_purge_matches(&self, arguments: &Value) -> Result<Value, AdminError> {
+        let target = what(arguments).map_err(AdminError::PurgeTarget)?;
+        let floors = self.front.floors.as_ref();
+        let floors = floors.ok_or(AdminError::PurgesDisabled)?;
+        let (known, matched) = floors.matched(&target);
+        Ok(json!({"known_objects": known, "matched": matched}))
+    }
+
+    /// The state of the start: readiness, and calls to the list service.
+    fn startup_state(&self, now: Timestamp) -> Value {
+        let in_use = self.upstream.listed().count();
+        let mut state = self
+            .startup
+            .shown(in_use, self.upstream.reached_endpoints());
+        let (lost_at, revision) = self.discovery.stands();
+        let next_call_at = lost_at.map(|_| self.discovery.due);
+        state["list"] = json!({
+            "last_event": revision,
+            "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
+            "calls": self.discovery.called,
+            "next_call_in_ms": next_call_at.map(|at| at.saturating_sub(now) / 1_000),
+        });
+        state
+    }
+
+    /// The state of the whole front.
+    fn status(&self, now: Timestamp) -> Value {
+        let cordoned: Vec<_> = self.cordoned.iter().map(|id| name_of(*id)).collect();
+        let (lost_at, revision) = self.discovery.stands();
+        json!({
+            "name": self.config.name,
+            "version": env!("CARGO_PKG_VERSION"),
+            "up_s": (now - self.started_at) / 1_000_000,
+            "leaving": self.shutdown.is_some(),
+            "quiesced": self.quiesced_at.is_some(),
+            "accepts_clients": !self.another_process_accepts(),
+            "limits_shared": self.config.halved,
+            "out_by_hand": cordoned,
+            "list": {
+                "last_event": revision,
+                "clock_ahead_ms": self.front.ahead.ms(),
+                "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
+            },
+            "open_requests": self.front.open(),
+            "clients": self.clients.len(),
+            "clients_most": self.config.clients_most(),
+            "held_bytes": self.clients.buffered_bytes() + self.upstream.buffered_bytes(),
+            "held_bytes_most": self.config.held_most(),
+            "settings": self.settings_file,
+            "purges": self.purge_status(),
+        })
+    }
+
+    /// The state of purges; null where the settings do not switch them on.
+    fn purge_status(&self) -> Value {
+        let Some(floors) = &self.front.floors else {
+            return Value::Null;
+        };
+        let shield = self.front.shield.as_ref();
+        json!({
+            "live_objects_groups_tags_patterns": floors.counts(),
+            "answers_refused": floors.refused,
+            "lies": floors.lies,
+            "shield_passed": shield.map(|shield| shield.passed),
+            "shield_refused": shield.map(|shield| shield.refused),
+            "answers_in_doubt": floors.contact.as_ref().map(|contact| contact.doubtful),
+        })
+    }
+
+    /// The counters that the platform reads, by the names that it gives them.
+    fn counters(&self) -> Value {
+        let mut all = serde_json::Map::new();
+        let mut put = |name: String, count: u64| {
+            all.insert(format!("edge_relay.{name}"), count.into());
+        };
+        for (class, counts) in self.front.counts() {
+            put(format!("handled.{class}.passed"), counts.passed);
+            put(format!("handled.{class}.dropped"), counts.dropped);
+            put(format!("handled.{class}.bad_gateway"), counts.bad_gateway);
+        }
+        let known = self.upstream.listed().count() + self.startup.waiting();
+        let skipped = self.upstream.listed();
+        let skipped = skipped.filter(|id| self.front.avoids(*id)).count();
+        put("upstream_tries".into(), self.upstream.attempts_written);
+        put("in_progress".into(), self.front.open() as u64);
+        put("known_cache_nodes".into(), known as u64);
+        put("skipped_cache_nodes".into(), skipped as u64);
+        all.into()
+    }
+}
--- /dev/null
+++ b/front/src/server/event_loop/dispatch.rs
@@ -0,0 +1,99 @@
+//! Carries out the routing's commands until there are none.
+use super::timers::Timer;
+use super::Server;
+use crate::routing::{AttemptId, Command, End, Fetch};
+use crate::server::downstream::ClientEvent;
+use crate::server::drivers::{Effect, EndpointEffect};
+use crate::server::upstream::{Ends, Target};
+use cranesill::api::{EndpointId, Timestamp};
+
+impl Server {
+    /// Sends an attempt on a connection to its endpoint, or sets a timer for when that is tried again. `key` is for a new
+    /// connection.
+    pub(super) fn send_attempt(
+        &mut self,
+        now: Timestamp,
+        key: usize,
+        target: Target,
+        fetch: &Fetch,
+        ends: &mut Ends,
+    ) {
+        let redial_before = self.upstream.redial_due();
+        let begun = self
+            .upstream
+            .send(now, &self.reactor, key, target, fetch, ends);
+        if let Some(key) = begun {
+            let timeout_at = now + self.config.deployment.settings.connect_timeout;
+            self.timers.add(timeout_at, Timer::ConnectTimeout(key));
+        }
+        let redial_at = self.upstream.redial_due();
+        if let Some(at) = redial_at.filter(|_| redial_at != redial_before) {
+            self.timers.add(at, Timer::Redial);
+        }
+    }
+
+    /// Reports ends of attempts to the routing and carries out its commands until there are none.
+    pub(super) fn run_commands(&mut self, now: Timestamp, mut ends: Ends) {
+        loop {
+            for (attempt, end) in std::mem::take(&mut ends) {
+                self.front.ended(now, attempt, end);
+            }
+            for event in self.clients.take_disconnected() {
+                if let ClientEvent::Disconnected(from) = event {
+                    self.front.gone(now, from);
+                }
+            }
+            let Some(command) = self.front.command() else {
+                return;
+            };
+            self.run_command(now, command, &mut ends);
+        }
+    }
+
+    fn run_command(&mut self, now: Timestamp, command: Command, ends: &mut Ends) {
+        match command {
+            Command::Send(attempt, endpoint, fetch) => {
+                self.begin_attempt(now, attempt, endpoint, &fetch, ends);
+            }
+            Command::Abort(attempt) => {
+                self.upstream.abort(now, attempt, ends);
+                ends.insert(0, (attempt, End::CalledOff));
+            }
+            Command::Answer(to, answer) => self.clients.answer(now, to, answer),
+            Command::Wake(at, wake) => self.timers.add(at, Timer::Routing(wake)),
+            Command::Lied(endpoint) => {
+                let endpoint = endpoint.0;
+                let message = EndpointEffect::ServedPurged { endpoint };
+                self.effects.push(Effect::Endpoints(message));
+            }
+            Command::Log(text) => tracing::info!(kind = "decision", text, "decision"),
+        }
+    }
+
+    /// Sends an attempt that is withdrawn unless it is begun to be written in time.
+    fn begin_attempt(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        endpoint: EndpointId,
+        fetch: &Fetch,
+        ends: &mut Ends,
+    ) {
+        let key = self.next_key();
+        let connect_timeout = self.config.deployment.settings.connect_timeout;
+        // A purge that comes meanwhile leaves no more than the grace to what was decided before it; a retry goes out in its
+        // window or not at all.
+        let write_deadline = (now + connect_timeout)
+            .min(now + self.config.deployment.limits.purge_grace)
+            .min(fetch.latest)
+            .min(fetch.deadline);
+        let target = Target {
+            attempt,
+            endpoint,
+            write_deadline,
+        };
+        self.send_attempt(now, key, target, fetch, ends);
+        self.timers
+            .add(write_deadline, Timer::WriteDeadline(attempt));
+    }
+}
--- /dev/null
+++ b/front/src/server/event_loop/takeover.rs
@@ -0,0 +1,76 @@
+//! Takes the clients' socket over from an earlier process of this front and leaves it to a later one.
+use super::timers::Timer;
+use super::Server;
+use crate::server::handover::Shared;
+use crate::transport::at_start;
+use cranesill::api::{Micros, Timestamp};
+use std::io;
+use std::path::PathBuf;
+
+/// A process that waits for another to leave the clients' socket to it looks this often.
+const TAKEOVER_POLL_INTERVAL: Micros = 10_000;
+
+/// A process that leaves the socket to another closes connections to members that carry nothing for this long.
+const HANDOVER_UPSTREAM_IDLE: Micros = 500_000;
+
+impl Server {
+    /// Accepts clients once no other process of this front does, and uses all of its limits once none is left.
+    pub(super) fn poll_takeover(&mut self, now: Timestamp, first: bool) {
+        let Some(shared) = &mut self.handover else {
+            return;
+        };
+        if self.shutdown.is_some() {
+            return;
+        }
+        let (accepts, alone) = (shared.accepts(), shared.alone());
+        if accepts && (first || !self.accepts_clients) {
+            let learned = shared.learned(now);
+            tracing::info!(kind = "upgrade", learned = learned.len(), "accepts clients");
+            self.front.learn(now, learned);
+        }
+        if first && !accepts {
+            tracing::info!(
+                kind = "upgrade",
+                "waits for another process to leave the clients' socket"
+            );
+        }
+        self.accepts_clients = accepts;
+        self.share_limits(now, !alone);
+        self.watch_listener(true);
+        if !accepts || !alone {
+            self.timers
+                .add(now + TAKEOVER_POLL_INTERVAL, Timer::TakeoverPoll);
+        }
+    }
+
+    /// Shares the limits with another process of this front, or no longer.
+    pub(super) fn share_limits(&mut self, now: Timestamp, halved: bool) {
+        if std::mem::replace(&mut self.config.halved, halved) != halved {
+            self.upstream.limit(
+                self.config.links_most(),
+                self.shutdown.map(|_| HANDOVER_UPSTREAM_IDLE),
+            );
+            self.front.set_reach(now, self.upstream.reach());
+            self.front.set_room(self.config.room());
+        }
+    }
+
+    /// Whether another process accepts on the clients' socket now.
+    pub(super) fn another_process_accepts(&self) -> bool {
+        !self.accepts_clients || self.config.accept_fd.is_some() && self.shutdown.is_some()
+    }
+}
+
+/// The folder that the platform shares between the processes of this front. Without it a new process serves all the
+/// same.
+pub(super) fn open_handover() -> Option<Shared> {
+    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
+    let found = folder
+        .ok_or_else(|| io::Error::other("TMPDIR is not set"))
+        .map(PathBuf::from);
+    let opened = found.and_then(|folder| at_start(|| Shared::new(&folder)));
+    if let Err(error) = &opened {
+        tracing::warn!(kind = "upgrade", %error, "nothing is shared with another process: it accepts clients as well");
+    }
+    opened.ok()
+}
--- /dev/null
+++ b/front/src/server/upstream/transfer.rs
@@ -0,0 +1,174 @@
+//! Reading from and writing to upstream connections, and their end.
+use super::{CacheNodes, Ends};
+use crate::protocol::member;
+use crate::routing::{End, Txn};
+use cranesill::api::Timestamp;
+use std::io;
+
+/// Reads of one connection in one turn: a node that sends without end keeps neither timers nor the feed waiting.
+const MAX_READS_PER_TURN: usize = 4;
+
+impl CacheNodes {
+    /// Handles a connection that can be read or written.
+    pub fn ready(&mut self, now: Timestamp, key: usize, readable: bool, ends: &mut Ends) {
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return;
+        };
+        if !connection.established {
+            match connection.stream.connected() {
+                Ok(up) => connection.established = up,
+                Err(e) => return self.fail(key, &e.to_string(), ends),
+            }
+            if !connection.established {
+                return;
+            }
+            connection.received_at = now;
+            self.withdraw_late(now, key, ends);
+        }
+        self.update_time_left(now, key);
+        self.flush(now, key, ends);
+        if let Some(e) = readable.then(|| self.read(now, key, ends).err()).flatten() {
+            self.fail(key, &e.to_string(), ends);
+        }
+    }
+
+    /// Reads until there is nothing more, it is the others' turn, or reading is paused.
+    pub(super) fn read(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
+        for _ in 0..MAX_READS_PER_TURN {
+            let Some(connection) = self.connections.get_mut(&key) else {
+                break;
+            };
+            match connection.stream.fill(&mut self.scratch)? {
+                None => break,
+                Some(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
+                Some(_) => {
+                    connection.received_at = now;
+                    connection.silent_wait = 0;
+                }
+            }
+            self.take_answers(now, key, ends)?;
+            // One read is made even while paused: the end of a connection is reported though it is not watched, and would be
+            // reported again and again.
+            if self.paused {
+                break;
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes complete answers off what was read.
+    fn take_answers(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return Ok(());
+        };
+        while let Some((id, reply, used)) =
+            member::decode(connection.stream.input()).map_err(|_| malformed())?
+        {
+            let txn = std::str::from_utf8(id).ok().and_then(Txn::new);
+            let open = txn.and_then(|txn| connection.open_attempts.get(&txn));
+            // Guards against passing on what no endpoint made: all that is served but a write names its copy.
+            if open.is_some_and(|sent| !sent.is_write) && reply.nameless() {
+                return Err(malformed());
+            }
+            let answered = txn.and_then(|txn| connection.open_attempts.remove(&txn));
+            if let Some(sent) = answered {
+                self.by_attempt.remove(&sent.attempt);
+                ends.push((sent.attempt, End::Reply(reply)));
+                connection.idle_since = now;
+            } else {
+                // The attempt was cancelled, or nothing was asked under this id: the answer is dropped.
+                connection.count_unexpected_answer()?;
+            }
+            connection.stream.consume(used);
+            connection.partial_since = None;
+        }
+        let is_partial = !connection.stream.input().is_empty();
+        connection.partial_since = is_partial.then(|| connection.partial_since.unwrap_or(now));
+        connection.stream.count(&mut self.buffered_bytes);
+        Ok(())
+    }
+
+    /// Writes what can be written.
+    pub(super) fn flush(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
+        let Some(connection) = self
+            .connections
+            .get_mut(&key)
+            .filter(|connection| connection.established)
+        else {
+            return;
+        };
+        connection.idle_since = now;
+        let open_attempts = &mut connection.open_attempts;
+        let attempts_written = &mut self.attempts_written;
+        let done = |tag: Option<Txn>| {
+            *attempts_written += u64::from(tag.is_some());
+            if let Some(sent) = tag.and_then(|txn| open_attempts.get_mut(&txn)) {
+                sent.set_written();
+            }
+        };
+        let flushed = connection
+            .stream
+            .flush(done)
+            .and_then(|()| connection.stream.rewatch(!self.paused));
+        connection.stream.count(&mut self.buffered_bytes);
+        if let Err(e) = flushed {
+            self.fail(key, &e.to_string(), ends);
+        }
+    }
+
+    /// Rewrites the time left in requests of which nothing is written: it counts from when they are written.
+    pub(super) fn update_time_left(&mut self, now: Timestamp, key: usize) {
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return;
+        };
+        let open = &connection.open_attempts;
+        connection.stream.rewrite(|tag| {
+            let fetch = open.get(tag.as_ref()?)?.fetch.as_ref()?;
+            Some(member::fetch(fetch, now).head)
+        });
+    }
+
+    /// Fails a connection that is not established in time.
+    pub fn fail_unestablished(&mut self, key: usize, ends: &mut Ends) {
+        if self
+            .connections
+            .get(&key)
+            .is_some_and(|connection| !connection.established)
+        {
+            self.fail(key, "not up in time", ends);
+        }
+    }
+
+    /// Closes a connection and ends all attempts that are open on it.
+    pub(super) fn fail(&mut self, key: usize, error: &str, ends: &mut Ends) {
+        let Some(mut connection) = self.connections.remove(&key) else {
+            return;
+        };
+        connection.stream.discount(&mut self.buffered_bytes);
+        let attempts = connection.open_attempts.len();
+        if attempts > 0 {
+            let member = member::name_of(connection.endpoint);
+            let up = connection.established;
+            tracing::info!(member, up, error, attempts, "connection lost");
+        }
+        if let Some(keys) = self.by_endpoint.get_mut(&connection.endpoint) {
+            keys.retain(|other| *other != key);
+        }
+        let mut open: Vec<_> = connection.open_attempts.into_values().collect();
+        open.sort_unstable_by_key(|sent| sent.attempt);
+        for (n, sent) in open.into_iter().enumerate() {
+            self.by_attempt.remove(&sent.attempt);
+            let along = n > 0;
+            let end = if sent.written {
+                End::Broken { along }
+            } else {
+                End::Unsent { along }
+            };
+            ends.push((sent.attempt, end));
+        }
+    }
+}
+
+fn malformed() -> io::Error {
+    io::ErrorKind::InvalidData.into()
+}
