--- a/front/src/protocol/client.rs
+++ b/front/src/protocol/client.rs
@@ -1,6 +1,6 @@
 //! Frames between clients and the front.
 use super::{hex16, Cursor, Unreadable};
-use crate::routing::{Answer, Ask, Item, Txn};
+use crate::routing::{ClientRequest, ObjectKey, Response, TransactionId};
 use crate::transport::Outgoing;
 use std::rc::Rc;
 
@@ -54,7 +54,7 @@
 
 /// Reads the payload of a request; the error says which field is bad. Fields that are not known are passed
 /// over.
-pub fn ask(payload: &[u8]) -> Result<Ask, &'static str> {
+pub fn ask(payload: &[u8]) -> Result<ClientRequest, &'static str> {
     let mut cursor = Cursor(payload);
     let count = cursor.u8().ok_or("fields cut off")?;
     let (mut class, mut txn, mut limit, mut item, mut have) = (None, None, None, None, None);
@@ -73,12 +73,12 @@
             b"verb" => class = Some(value.to_string()),
             b"txn" => {
                 hex16(value).ok_or("txn is not 16 hex digits")?;
-                txn = Txn::new(value);
+                txn = TransactionId::new(value);
             }
             b"limit" => limit = Some(number(value).ok_or("limit is no number")?),
             b"item" => {
                 let id = hex16(value).ok_or("item is not 16 hex digits")?;
-                item = Some(Item {
+                item = Some(ObjectKey {
                     text: value.into(),
                     id,
                 });
@@ -98,16 +98,16 @@
     if cursor.0.len() > BODY_MOST {
         return Err("body too long");
     }
-    Ok(Ask {
+    Ok(ClientRequest {
         class: class.ok_or("no verb")?,
-        txn: txn.ok_or("no txn")?,
-        limit: u64::from(limit.ok_or("no limit")?) * 1_000,
-        item,
+        transaction: txn.ok_or("no txn")?,
+        time_limit: u64::from(limit.ok_or("no limit")?) * 1_000,
+        object: item,
         part,
         group,
         size_kb,
-        have,
-        key,
+        cached_tag: have,
+        idempotency_key: key,
         body: cursor.0.into(),
     })
 }
@@ -160,24 +160,24 @@
 }
 
 /// The final answer of a stream.
-pub fn answer(stream: u32, answer: Answer) -> Outgoing<()> {
-    let (code, fields, body) = match answer {
-        Answer::Served(body) => (1, vec![0], body),
-        Answer::Same => (1, field("same", "1"), Rc::default()),
-        Answer::Refused(0) => (2, vec![0], Rc::default()),
-        Answer::Refused(later) => (
+pub fn answer(stream: u32, response: Response) -> Outgoing<()> {
+    let (code, fields, body) = match response {
+        Response::Served(body) => (1, vec![0], body),
+        Response::NotModified => (1, field("same", "1"), Rc::default()),
+        Response::Rejected(0) => (2, vec![0], Rc::default()),
+        Response::Rejected(retry_after) => (
             2,
-            field("later", &later.div_ceil(1_000).to_string()),
+            field("later", &retry_after.div_ceil(1_000).to_string()),
             Rc::default(),
         ),
-        Answer::Failed => (3, vec![0], Rc::default()),
+        Response::Failed => (3, vec![0], Rc::default()),
     };
     frame(11, stream, &[&[code], &fields[..]].concat(), body)
 }
 
 /// An error that belongs to no request.
 pub fn error() -> Outgoing<()> {
-    answer(0, Answer::Failed)
+    answer(0, Response::Failed)
 }
 
 /// Whether the front is ready.
--- a/front/src/protocol/member.rs
+++ b/front/src/protocol/member.rs
@@ -1,6 +1,6 @@
 //! Commands to members and their answers: arrays of bulk strings as RESP writes them.
 use super::Unreadable;
-use crate::routing::{Fetch, MemberReply, Txn, Word};
+use crate::routing::{Fetch, ReplyKind, TransactionId, UpstreamReply};
 use crate::transport::Outgoing;
 use cranesill::api::{EndpointId, FillNote, Timestamp};
 use std::rc::Rc;
@@ -26,10 +26,10 @@
 }
 
 /// A `fetch` as it is written `now`; its body goes out behind the head without being copied.
-pub fn fetch(fetch: &Fetch, now: Timestamp) -> Outgoing<Option<Txn>> {
+pub fn fetch(fetch: &Fetch, now: Timestamp) -> Outgoing<Option<TransactionId>> {
     let limit = (fetch.deadline.saturating_sub(now) / 1_000).max(1);
     let mut fields = format!("cls={}", fetch.class);
-    if let Some(item) = &fetch.item {
+    if let Some(item) = &fetch.object {
         fields += &format!(",item={},chunk={}", item.text, fetch.part);
     }
     fields += &format!(",limit={limit}");
@@ -41,13 +41,13 @@
             fields += &format!(",rank={}", fill.rank);
         }
         // 0 would ask for the default; rounded down, a copy from before a purge never passes.
-        if fill.oldest > 0 {
-            fields += &format!(",oldest={}", (fill.oldest / 1_000).max(1));
+        if fill.max_age > 0 {
+            fields += &format!(",oldest={}", (fill.max_age / 1_000).max(1));
         }
         let words = [
             (fill.join, "coalesce"),
-            (fill.only_held, "shallow"),
-            (fill.renew, "freshen"),
+            (fill.cached_only, "shallow"),
+            (fill.revalidate, "freshen"),
         ];
         let words: Vec<_> = words.iter().filter(|w| w.0).map(|w| w.1).collect();
         if !words.is_empty() {
@@ -55,21 +55,21 @@
         }
     }
     // Guards the rule of effects: without it a node can't tell a repeat from another request.
-    if let Some(key) = &fetch.key {
+    if let Some(key) = &fetch.idempotency_key {
         fields += &format!(",nonce={key}");
     }
-    if let Some(seen) = &fetch.seen {
+    if let Some(seen) = &fetch.cached_tag {
         fields += &format!(",seen={seen}");
     }
     let mut head = b"*4\r\n".to_vec();
     head.extend(strings(&[
         b"fetch",
-        fetch.txn.as_bytes(),
+        fetch.transaction.as_bytes(),
         fields.as_bytes(),
     ]));
     head.extend(format!("${}\r\n", fetch.body.len()).bytes());
     Outgoing {
-        tag: Some(fetch.txn),
+        tag: Some(fetch.transaction),
         head,
         body: Rc::clone(&fetch.body),
         tail: b"\r\n",
@@ -77,7 +77,7 @@
 }
 
 /// Gives a request up.
-pub fn abort(txn: Txn) -> Outgoing<Option<Txn>> {
+pub fn abort(txn: TransactionId) -> Outgoing<Option<TransactionId>> {
     let mut head = b"*2\r\n".to_vec();
     head.extend(strings(&[b"abort", txn.as_bytes()]));
     Outgoing {
@@ -117,7 +117,7 @@
 }
 
 /// An answer, the id that it is for, and its length in bytes.
-type Decoded<'a> = (&'a [u8], MemberReply, usize);
+type Decoded<'a> = (&'a [u8], UpstreamReply, usize);
 
 /// The four strings of an answer, and its length in bytes.
 type Parts<'a> = ([&'a [u8]; 4], usize);
@@ -161,32 +161,34 @@
     };
     let [id, word, fields, body] = parts;
     let word = match word {
-        b"HIT" => Word::Hit,
-        b"VALID" => Word::Valid,
-        b"NONE" => Word::None,
-        b"SHED" => Word::Shed,
-        b"FAULT" => Word::Fault,
-        b"LATE" => Word::Late,
-        _ => Word::Other,
+        b"HIT" => ReplyKind::Hit,
+        b"VALID" => ReplyKind::NotModified,
+        b"NONE" => ReplyKind::Miss,
+        b"SHED" => ReplyKind::Rejected,
+        b"FAULT" => ReplyKind::Fault,
+        b"LATE" => ReplyKind::DeadlineExceeded,
+        _ => ReplyKind::Other,
     };
-    let mut reply = MemberReply {
-        word,
+    let mut reply = UpstreamReply {
+        kind: word,
         body: body.into(),
-        ..MemberReply::default()
+        ..UpstreamReply::default()
     };
     let fields = std::str::from_utf8(fields).map_err(|_| Unreadable("fields are no text"))?;
     for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "ver" => reply.tag = Some(value).filter(|tag| !tag.is_empty()).map(Into::into),
-            "born" => reply.born = value.parse().ok(),
+            "born" => reply.created_at_ms = value.parse().ok(),
             "tags" => reply.tags = Some(value.into()),
-            "tell" => reply.note = note(value),
-            "waited" => reply.waited = (value.parse::<f64>().unwrap_or(0.0).max(0.0) * 1e3) as u64,
+            "tell" => reply.fill_note = note(value),
+            "waited" => {
+                reply.queueing_time = (value.parse::<f64>().unwrap_or(0.0).max(0.0) * 1e3) as u64
+            }
             "meter" => {
                 let figures = value.split(';').filter_map(|f| f.split_once(':'));
                 let figures =
                     figures.filter_map(|(n, v)| Some((n.to_string(), v.parse::<f32>().ok()?)));
-                reply.meter = figures.collect();
+                reply.load_report = figures.collect();
             }
             _ => {}
         }
--- a/front/src/protocol/member/tests.rs
+++ b/front/src/protocol/member/tests.rs
@@ -1,31 +1,31 @@
 use super::*;
-use crate::routing::{Item, Source};
+use crate::routing::{FillSource, ObjectKey};
 
 #[test]
 fn a_fetch_says_what_was_asked_and_how_a_miss_is_filled() {
-    let txn = Txn::new("9b1f03aa5c7e2d41").unwrap();
-    let item = Item {
+    let txn = TransactionId::new("9b1f03aa5c7e2d41").unwrap();
+    let item = ObjectKey {
         text: "7f3a9c21e0b4d655".into(),
         id: 0,
     };
-    let fill = Source {
+    let fill = FillSource {
         source: Some(EndpointId(0xc41f7a)),
         rank: 2,
-        oldest: 1_500_999,
+        max_age: 1_500_999,
         join: true,
-        only_held: false,
-        renew: true,
+        cached_only: false,
+        revalidate: true,
     };
     let mut ask = Fetch {
-        txn,
+        transaction: txn,
         class: "page-bits".into(),
-        item: Some(item),
+        object: Some(item),
         part: 3,
         deadline: 1_250_000,
-        latest: Timestamp::MAX,
+        write_by: Timestamp::MAX,
         fill: Some(fill),
-        seen: Some("4be0".into()),
-        key: Some("09c7".into()),
+        cached_tag: Some("4be0".into()),
+        idempotency_key: Some("09c7".into()),
         write: false,
         body: b"".as_slice().into(),
     };
@@ -34,8 +34,8 @@
         String::from_utf8([&out.head, &out.body[..], out.tail].concat()).unwrap()
     };
     let read = text(&ask);
-    (ask.fill, ask.seen, ask.body) = (None, None, b"car".as_slice().into());
-    ask.key = None;
+    (ask.fill, ask.cached_tag, ask.body) = (None, None, b"car".as_slice().into());
+    ask.idempotency_key = None;
     let aborted = String::from_utf8(abort(txn).head).unwrap();
     insta::assert_debug_snapshot!([read, text(&ask), aborted]);
 }
@@ -81,7 +81,7 @@
         let answer = format!("*4\r\n$1\r\na\r\n$3\r\nHIT\r\n${n}\r\n{fields}\r\n$0\r\n\r\n");
         let (_, reply, _) = decode(answer.as_bytes()).unwrap().unwrap();
         assert_eq!(
-            reply.tag.is_some() && reply.born.is_some(),
+            reply.tag.is_some() && reply.created_at_ms.is_some(),
             named,
             "{fields}"
         );
--- a/front/src/routing/accounting.rs
+++ b/front/src/routing/accounting.rs
@@ -2,41 +2,58 @@
 use super::*;
 use cranesill::api::{Event, FillNote, Outcome, Status};
 
-impl Front {
+impl RequestPipeline {
     /// Books the end of an attempt; a second end of the same one is passed over.
-    pub fn ended(&mut self, now: Timestamp, attempt: AttemptId, end: End) {
-        let Some(out) = self.out.remove(&attempt) else {
+    pub fn attempt_ended(&mut self, now: Timestamp, attempt: AttemptId, end: AttemptEnd) {
+        let Some(attempt_sent) = self.outstanding.remove(&attempt) else {
             return;
         };
-        if let Some(key) = out.past {
-            if let Some(count) = self.past.get_mut(&key) {
+        if let Some(key) = attempt_sent.past {
+            if let Some(count) = self.shielded_fetches.get_mut(&key) {
                 *count -= 1;
                 if *count == 0 {
-                    self.past.remove(&key);
+                    self.shielded_fetches.remove(&key);
                 }
             }
         }
         let id = attempt.request;
-        let end = self.judged(now, id, out.to, end);
+        let end = self.check_freshness(now, id, attempt_sent.to, end);
         let (status, note, waited, meter) = match &end {
-            End::Reply(reply) => (status(reply), reply.note, reply.waited, &reply.meter[..]),
+            AttemptEnd::Reply(reply) => (
+                status(reply),
+                reply.fill_note,
+                reply.queueing_time,
+                &reply.load_report[..],
+            ),
             // Not written whole: the member can't have run it.
-            End::Unsent { .. } => (Status::ConnectFailed, FillNote::None, 0, &[][..]),
-            End::Unplaced => (Status::NotSent, FillNote::None, 0, &[][..]),
-            End::Broken { .. } => (Status::Reset, FillNote::None, 0, &[][..]),
-            End::CalledOff => (Status::Cancelled, FillNote::None, 0, &[][..]),
-            End::Expired => (Status::Timeout, FillNote::None, 0, &[][..]),
+            AttemptEnd::Unsent { .. } => (Status::ConnectFailed, FillNote::None, 0, &[][..]),
+            AttemptEnd::NoConnection => (Status::NotSent, FillNote::None, 0, &[][..]),
+            AttemptEnd::Broken { .. } => (Status::Reset, FillNote::None, 0, &[][..]),
+            AttemptEnd::Cancelled => (Status::Cancelled, FillNote::None, 0, &[][..]),
+            AttemptEnd::TimedOut => (Status::Timeout, FillNote::None, 0, &[][..]),
         };
-        if let Some(open) = self.open.get_mut(&id).filter(|_| !status.proves_not_run()) {
-            open.ran = Some(open.ran.map_or(out.sent, |ran| ran.min(out.sent)));
+        if let Some(pending) = self
+            .pending
+            .get_mut(&id)
+            .filter(|_| !status.proves_not_run())
+        {
+            pending.ran = Some(
+                pending
+                    .ran
+                    .map_or(attempt_sent.sent, |ran| ran.min(attempt_sent.sent)),
+            );
         }
         let along = matches!(
             end,
-            End::Unsent { along: true } | End::Broken { along: true }
+            AttemptEnd::Unsent {
+                duplicate_failure: true
+            } | AttemptEnd::Broken {
+                duplicate_failure: true
+            }
         );
         let closed = match &end {
-            End::Reply(reply) => self.relay(id, reply),
-            _ => !self.open.contains_key(&id),
+            AttemptEnd::Reply(reply) => self.relay(id, reply),
+            _ => !self.pending.contains_key(&id),
         };
         let figure = |name: &String| {
             meter
@@ -50,9 +67,9 @@
             .layout
             .read(&values)
             .filter(|_| !meter.is_empty());
-        let latency = now.saturating_sub(out.sent);
+        let latency = now.saturating_sub(attempt_sent.sent);
         let number = attempt.number;
-        self.tell(
+        self.handle_event(
             now,
             Event::Outcome(Outcome {
                 request: id,
@@ -70,81 +87,90 @@
 
     /// An answer from a copy that is older than a purge is none, whatever the member says; nor is one that calls current what
     /// is not the client's copy.
-    fn judged(&mut self, now: Timestamp, id: RequestId, from: EndpointId, end: End) -> End {
-        let spoilt = |open: &Open, reply: &MemberReply| {
-            reply.word == Word::Valid
-                && (open.write || open.ask.have.as_deref() != reply.tag.as_deref())
+    fn check_freshness(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        from: EndpointId,
+        end: AttemptEnd,
+    ) -> AttemptEnd {
+        let spoilt = |pending: &PendingRequest, reply: &UpstreamReply| {
+            reply.kind == ReplyKind::NotModified
+                && (pending.write || pending.request.cached_tag.as_deref() != reply.tag.as_deref())
         };
-        if let (End::Reply(reply), Some(open)) = (&end, self.open.get(&id)) {
-            if spoilt(open, reply) {
-                return End::Reply(MemberReply {
-                    word: Word::Fault,
+        if let (AttemptEnd::Reply(reply), Some(pending)) = (&end, self.pending.get(&id)) {
+            if spoilt(pending, reply) {
+                return AttemptEnd::Reply(UpstreamReply {
+                    kind: ReplyKind::Fault,
                     ..reply.clone()
                 });
             }
         }
-        let open = self.open.get(&id).filter(|open| !open.write);
-        let (End::Reply(reply), Some((floors, open))) = (&end, self.floors.as_mut().zip(open))
+        let pending = self.pending.get(&id).filter(|pending| !pending.write);
+        let (AttemptEnd::Reply(reply), Some((floors, pending))) =
+            (&end, self.floors.as_mut().zip(pending))
         else {
             return end;
         };
-        match floors.judge(now, &open.ask, reply) {
-            Judged::Good => return end,
-            Judged::Lie => self.commands.push_back(Command::Lied(from)),
-            Judged::Old => {}
+        match floors.check_reply(now, &pending.request, reply) {
+            Freshness::Fresh => return end,
+            Freshness::StaleDespiteRequest => {
+                self.commands.push_back(Command::StaleCopyServed(from))
+            }
+            Freshness::StaleUnrequested => {}
         }
-        End::Reply(MemberReply {
-            word: Word::Fault,
+        AttemptEnd::Reply(UpstreamReply {
+            kind: ReplyKind::Fault,
             ..reply.clone()
         })
     }
 
     /// The time of an attempt is up: it is given up at the member, and its end is booked.
-    pub(super) fn expire(&mut self, now: Timestamp, attempt: AttemptId) {
-        if self.out.contains_key(&attempt) {
+    pub(super) fn time_out(&mut self, now: Timestamp, attempt: AttemptId) {
+        if self.outstanding.contains_key(&attempt) {
             self.commands.push_back(Command::Abort(attempt));
-            self.ended(now, attempt, End::Expired);
+            self.attempt_ended(now, attempt, AttemptEnd::TimedOut);
         }
     }
 
     /// The front ends: whoever still waits is answered now. Only what can't have run is refused, so that trying again does no
     /// harm.
-    pub fn give_up(&mut self, now: Timestamp) {
+    pub fn conclude_all(&mut self, now: Timestamp) {
         let mut open: Vec<_> = self
-            .open
+            .pending
             .iter()
-            .map(|(id, open)| (*id, open.ran.is_some()))
+            .map(|(id, pending)| (*id, pending.ran.is_some()))
             .collect();
         open.sort_unstable();
         for (id, ran) in open {
-            let out = self.out.keys().any(|attempt| attempt.request == id);
+            let out = self.outstanding.keys().any(|attempt| attempt.request == id);
             let answer = if ran || out {
-                Answer::Failed
+                Response::Failed
             } else {
-                Answer::Refused(self.later())
+                Response::Rejected(self.overload_retry_after())
             };
             self.conclude(id, answer);
-            self.tell(now, Event::Cancelled(id));
+            self.handle_event(now, Event::Cancelled(id));
         }
     }
 
     /// Guards the rule that every request is answered: whatever the decisions wait for, the client's time is
     /// up.
-    pub(super) fn overdue(&mut self, now: Timestamp, id: RequestId) {
-        if self.open.contains_key(&id) {
-            self.conclude(id, Answer::Failed);
-            self.tell(now, Event::Cancelled(id));
+    pub(super) fn deadline_passed(&mut self, now: Timestamp, id: RequestId) {
+        if self.pending.contains_key(&id) {
+            self.conclude(id, Response::Failed);
+            self.handle_event(now, Event::Cancelled(id));
         }
     }
 }
 
 /// A word that is no answer to a fetch counts as an error: it may have run.
-fn status(reply: &MemberReply) -> Status {
-    match reply.word {
-        Word::Hit | Word::Valid => Status::Ok,
-        Word::None => Status::Miss,
-        Word::Shed => Status::Rejected,
-        Word::Late => Status::NotSent,
-        Word::Fault | Word::Other => Status::Error,
+fn status(reply: &UpstreamReply) -> Status {
+    match reply.kind {
+        ReplyKind::Hit | ReplyKind::NotModified => Status::Ok,
+        ReplyKind::Miss => Status::Miss,
+        ReplyKind::Rejected => Status::Rejected,
+        ReplyKind::DeadlineExceeded => Status::NotSent,
+        ReplyKind::Fault | ReplyKind::Other => Status::Error,
     }
 }
--- a/front/src/routing/clock_offset.rs
+++ b/front/src/routing/clock_offset.rs
@@ -7,16 +7,16 @@
 
 /// The least delay between a moment that was named and when it was heard of.
 #[derive(Debug, Default)]
-pub struct Ahead {
+pub struct ClockOffset {
     /// In this window and the one before. A clock that is behind makes them negative.
     new: Option<i64>,
     old: Option<i64>,
     since: Timestamp,
 }
 
-impl Ahead {
+impl ClockOffset {
     /// The service tells now of what was `at` by its clock. Only what it tells as news counts, not what was known or kept.
-    pub fn told(&mut self, now: Timestamp, at: Timestamp) {
+    pub fn observe(&mut self, now: Timestamp, at: Timestamp) {
         if now > self.since + WINDOW {
             // Without news for long the last window with some stands.
             (self.old, self.new, self.since) = (self.new.or(self.old), None, now);
@@ -26,18 +26,18 @@
     }
 
     /// By this clock, what was `at` by the service's: never before it was, and later by no more than the least delay.
-    pub fn here(&self, at: Timestamp) -> Timestamp {
+    pub fn to_local(&self, at: Timestamp) -> Timestamp {
         at.saturating_add_signed(self.least())
     }
 
     /// How far this clock is ahead at most; 0 while nothing was heard, or if it is behind.
-    pub fn span(&self) -> Micros {
+    pub fn max_ahead(&self) -> Micros {
         self.least().max(0) as Micros
     }
 
     /// By how many milliseconds this clock is ahead, less than 0 if it is behind, and the least delay of news in it; `None` while
     /// nothing was heard.
-    pub fn ms(&self) -> Option<i64> {
+    pub fn offset_ms(&self) -> Option<i64> {
         self.new
             .into_iter()
             .chain(self.old)
@@ -47,7 +47,7 @@
 
     /// By how many milliseconds this clock is behind at least; 0 while nothing was heard, or if it is not.
     pub fn behind_ms(&self) -> u64 {
-        self.ms()
+        self.offset_ms()
             .map_or(0, |ahead_ms| ahead_ms.min(0).unsigned_abs())
     }
 
--- a/front/src/routing/dispatch.rs
+++ b/front/src/routing/dispatch.rs
@@ -2,7 +2,7 @@
 use super::*;
 use cranesill::api::{Effect, Fill};
 
-impl Front {
+impl RequestPipeline {
     /// Sends an attempt, which is given up at `until` or when the client's time is up; they are numbered in the
     /// order sent.
     pub(super) fn send(
@@ -14,117 +14,117 @@
         fill: Option<Fill>,
     ) {
         // The decisions learn of a final answer before they decide again, so the request is open here.
-        let Some(open) = self.open.get(&request) else {
+        let Some(pending) = self.pending.get(&request) else {
             return;
         };
-        let mut fill = fill.map(|fill| Source {
+        let mut fill = fill.map(|fill| FillSource {
             source: Some(fill.source).filter(|s| *s != target),
             rank: fill.rank,
-            oldest: fill.oldest,
+            max_age: fill.oldest,
             join: fill.join,
-            only_held: fill.only_held,
-            renew: fill.renew,
+            cached_only: fill.only_held,
+            revalidate: fill.renew,
         });
         // As of now, not as of when it was taken in: purges come while requests wait.
         let mut past = None;
-        if let Some(floors) = self.floors.as_ref().filter(|_| !open.write) {
-            if let Some(Need { oldest, renewed }) =
-                floors.need(now, &open.ask, fill.map_or(0, |f| f.oldest))
+        if let Some(floors) = self.floors.as_ref().filter(|_| !pending.write) {
+            if let Some(FreshnessRequirement { oldest, renewed }) =
+                floors.requirement(now, &pending.request, fill.map_or(0, |f| f.max_age))
             {
-                let bare = Source {
+                let bare = FillSource {
                     source: None,
                     rank: 0,
-                    oldest,
+                    max_age: oldest,
                     join: false,
-                    only_held: false,
-                    renew: false,
+                    cached_only: false,
+                    revalidate: false,
                 };
                 let joins = self.deployment.settings.joins;
-                fill = Some(fill.map_or(bare, |fill| Source {
-                    oldest,
+                fill = Some(fill.map_or(bare, |fill| FillSource {
+                    max_age: oldest,
                     join: joins,
                     ..fill
                 }));
                 let fetches = !renewed && fill.is_some_and(|fill| fill.source.is_some());
-                past = open
-                    .ask
-                    .item
+                past = pending
+                    .request
+                    .object
                     .as_ref()
                     .filter(|_| fetches)
-                    .map(|item| (item.id, open.ask.part));
+                    .map(|item| (item.id, pending.request.part));
             }
         }
         if let Some(key) = past {
             // One that is fetched already is joined, and costs nothing more.
-            if !self.past.contains_key(&key) {
-                let (class, number) = (open.ask.class.clone(), open.sent);
-                if let Some(wait) = self.shielded(now, &class) {
+            if !self.shielded_fetches.contains_key(&key) {
+                let (class, number) = (pending.request.class.clone(), pending.sent);
+                if let Some(wait) = self.shield_wait(now, &class) {
                     // The decisions hold a place for this attempt until they hear of its end.
                     let attempt = AttemptId { request, number };
-                    self.out.insert(
+                    self.outstanding.insert(
                         attempt,
-                        Out {
+                        OutstandingAttempt {
                             sent: now,
                             to: target,
                             past: None,
                         },
                     );
-                    self.conclude(request, Answer::Refused(wait));
-                    return self.ended(now, attempt, End::Unplaced);
+                    self.conclude(request, Response::Rejected(wait));
+                    return self.attempt_ended(now, attempt, AttemptEnd::NoConnection);
                 }
             }
-            *self.past.entry(key).or_default() += 1;
+            *self.shielded_fetches.entry(key).or_default() += 1;
         }
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
         let attempt = AttemptId {
             request,
-            number: open.sent,
+            number: pending.sent,
         };
-        open.sent += 1;
-        self.out.insert(
+        pending.sent += 1;
+        self.outstanding.insert(
             attempt,
-            Out {
+            OutstandingAttempt {
                 sent: now,
                 to: target,
                 past,
             },
         );
-        let deadline = until.map_or(open.deadline, |until| until.min(open.deadline));
+        let deadline = until.map_or(pending.deadline, |until| until.min(pending.deadline));
         // Guards the rule of effects: what was decided within the window may wait for its connection till after it.
-        let latest = match (
+        let write_by = match (
             self.deployment
                 .settings
                 .classes
-                .get(open.class)
+                .get(pending.class)
                 .map(|c| c.effect),
-            open.ran,
+            pending.ran,
         ) {
             (Some(Effect::Keyed { window, .. }), Some(ran)) => ran.saturating_add(window),
             _ => Timestamp::MAX,
         };
         let fetch = Fetch {
-            txn: open.ask.txn,
-            class: open.ask.class.as_str().into(),
-            item: open.ask.item.clone(),
-            part: open.ask.part,
+            transaction: pending.request.transaction,
+            class: pending.request.class.as_str().into(),
+            object: pending.request.object.clone(),
+            part: pending.request.part,
             deadline,
-            latest,
+            write_by,
             fill,
-            seen: open.ask.have.clone(),
-            key: open.ask.key.clone(),
-            write: open.write,
-            body: Rc::clone(&open.ask.body),
+            cached_tag: pending.request.cached_tag.clone(),
+            idempotency_key: pending.request.idempotency_key.clone(),
+            write: pending.write,
+            body: Rc::clone(&pending.request.body),
         };
         self.commands
-            .push_back(Command::Wake(deadline, Wake::Attempt(attempt)));
+            .push_back(Command::SetTimer(deadline, Timer::AttemptTimeout(attempt)));
         self.commands
             .push_back(Command::Send(attempt, target, fetch));
     }
 
     /// Whether a request has to stay away from the main store for now, and for how long: what is worth most comes first.
-    fn shielded(&mut self, now: Timestamp, class: &str) -> Option<Micros> {
+    fn shield_wait(&mut self, now: Timestamp, class: &str) -> Option<Micros> {
         let classes = &self.deployment.settings.classes;
         let at = self
             .deployment
@@ -138,14 +138,14 @@
             .fold(0.0, f64::max)
             .max(f64::MIN_POSITIVE);
         let worth = classes.get(at)?.worth / most;
-        let later = self.later();
+        let later = self.overload_retry_after();
         let shield = self.shield.as_mut()?;
         (!shield.may(now, worth)).then(|| shield.wait(worth).min(later))
     }
 
     /// Calls an attempt off, if it is still out; its end is booked as soon as that is done.
-    pub(super) fn call_off(&mut self, attempt: AttemptId) {
-        if self.out.contains_key(&attempt) {
+    pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
+        if self.outstanding.contains_key(&attempt) {
             self.commands.push_back(Command::Abort(attempt));
         }
     }
--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -3,41 +3,46 @@
 use cranesill::api::{ObjectId, Request};
 
 /// Left of the client's time when the last answer goes out, so that it arrives in time.
-const MARGIN: Micros = 10_000;
+const RESPONSE_MARGIN: Micros = 10_000;
 
-impl Front {
+impl RequestPipeline {
     /// Takes in a client's request that came whole at `now`.
-    pub fn take_in(&mut self, now: Timestamp, from: ReplyTo, ask: Ask) {
+    pub fn receive_request(
+        &mut self,
+        now: Timestamp,
+        from: ReplyTo,
+        client_request: ClientRequest,
+    ) {
         let class = self
             .deployment
             .names
             .classes
             .iter()
-            .position(|name| *name == ask.class);
+            .position(|name| *name == client_request.class);
         let write = class.is_some_and(|c| self.deployment.settings.classes[c].write);
         // Only what runs at the origin can do without an object.
-        let Some(class) = class.filter(|_| write || ask.item.is_some()) else {
-            return self.answer(from, None, Answer::Failed);
+        let Some(class) = class.filter(|_| write || client_request.object.is_some()) else {
+            return self.respond(from, None, Response::Failed);
         };
         // A client that claims to wait for weeks would have its deadlines remembered for as long.
         let most = Some(self.deployment.limits.waits[class]).filter(|most| *most > 0);
-        let limit = ask.limit.min(most.unwrap_or(Micros::MAX));
-        let deadline = now + limit - MARGIN.min(limit / 2);
-        self.last += 1;
+        let limit = client_request.time_limit.min(most.unwrap_or(Micros::MAX));
+        let deadline = now + limit - RESPONSE_MARGIN.min(limit / 2);
+        self.last_request_id += 1;
         let request = Request {
-            id: RequestId(self.last),
+            id: RequestId(self.last_request_id),
             class: class as u16,
-            object: ObjectId(ask.item.as_ref().map_or(0, |item| item.id)),
-            part: ask.part,
-            group: ask.group,
-            size_kb: ask.size_kb,
+            object: ObjectId(client_request.object.as_ref().map_or(0, |item| item.id)),
+            part: client_request.part,
+            group: client_request.group,
+            size_kb: client_request.size_kb,
             left: deadline - now,
         };
         self.admit(
             now,
-            Open {
+            PendingRequest {
                 from,
-                ask: Rc::new(ask),
+                request: Rc::new(client_request),
                 deadline,
                 class,
                 write,
@@ -49,24 +54,27 @@
     }
 
     /// Whether an attempt of what was asked on this stream is out.
-    pub fn is_out(&self, from: ReplyTo) -> bool {
-        let id = self.asked.get(&from);
-        let last = id.and_then(|id| Some((*id, self.open.get(id)?.sent)));
+    pub fn has_outstanding_attempt(&self, from: ReplyTo) -> bool {
+        let id = self.by_client.get(&from);
+        let last = id.and_then(|id| Some((*id, self.pending.get(id)?.sent)));
         last.is_some_and(|(request, sent)| {
-            (0..sent).any(|number| self.out.contains_key(&AttemptId { request, number }))
+            (0..sent).any(|number| {
+                self.outstanding
+                    .contains_key(&AttemptId { request, number })
+            })
         })
     }
 
     /// Nobody waits for this stream any more.
-    pub fn gone(&mut self, now: Timestamp, from: ReplyTo) {
-        if let Some(id) = self.asked.get(&from).copied() {
+    pub fn cancel_request(&mut self, now: Timestamp, from: ReplyTo) {
+        if let Some(id) = self.by_client.get(&from).copied() {
             if let Some(counts) = self
-                .forget(id)
-                .and_then(|open| self.counts.get_mut(open.class))
+                .remove_pending(id)
+                .and_then(|pending| self.counts.get_mut(pending.class))
             {
-                counts.left += 1;
+                counts.cancelled += 1;
             }
-            self.tell(now, cranesill::api::Event::Cancelled(id));
+            self.handle_event(now, cranesill::api::Event::Cancelled(id));
         }
     }
 }
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -13,8 +13,8 @@
 mod tests;
 mod types;
 
-pub use clock_offset::Ahead;
-pub use purge_floors::{Floors, Judged, Need};
+pub use clock_offset::ClockOffset;
+pub use purge_floors::{Freshness, FreshnessRequirement, PurgeFloors};
 pub use types::*;
 
 use cranesill::api::{Action, EndpointId, Micros, RequestId, Timestamp};
@@ -26,9 +26,9 @@
 
 /// A request that still is owed its final answer.
 #[derive(Debug)]
-struct Open {
+struct PendingRequest {
     from: ReplyTo,
-    ask: Rc<Ask>,
+    request: Rc<ClientRequest>,
     deadline: Timestamp,
     class: usize,
     /// Its class runs at the origin and leaves no copy.
@@ -41,7 +41,7 @@
 
 /// An attempt that has not ended.
 #[derive(Debug)]
-struct Out {
+struct OutstandingAttempt {
     sent: Timestamp,
     to: EndpointId,
     /// What it fetches past the caches, since purges ask for newer than they have.
@@ -50,96 +50,96 @@
 
 /// Limits of one front beyond those of the settings.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct CapacityLimits {
     /// Requests open at once.
-    pub open: usize,
+    pub max_pending: usize,
     /// Bytes that answers may take up in memory, at most.
-    pub bytes: usize,
+    pub max_buffered_bytes: usize,
 }
 
 /// Bytes of an answer that are assumed before the first; the weight of each in the moving average.
-const ANSWER_BYTES: f64 = 32_768.0;
-const ANSWER_WEIGHT: f64 = 0.01;
+const INITIAL_RESPONSE_BYTES: f64 = 32_768.0;
+const RESPONSE_BYTES_WEIGHT: f64 = 0.01;
 
 /// The stages and what they share.
 #[derive(Debug)]
-pub struct Front {
+pub struct RequestPipeline {
     router: Router,
     deployment: Deployment,
-    room: Room,
-    open: HashMap<RequestId, Open>,
+    capacity: CapacityLimits,
+    pending: HashMap<RequestId, PendingRequest>,
     /// The requests that are open, by who asked.
-    asked: HashMap<ReplyTo, RequestId>,
-    by_txn: HashMap<Txn, RequestId>,
-    out: HashMap<AttemptId, Out>,
+    by_client: HashMap<ReplyTo, RequestId>,
+    by_transaction: HashMap<TransactionId, RequestId>,
+    outstanding: HashMap<AttemptId, OutstandingAttempt>,
     /// Bytes of answers that are not with their clients yet.
-    held: usize,
+    buffered_bytes: usize,
     /// Moving average of what an answer takes up.
-    answer_bytes: f64,
-    last: u64,
+    average_response_bytes: f64,
+    last_request_id: u64,
     /// Final answers, by class.
-    counts: Vec<Counts>,
+    counts: Vec<ResponseCounts>,
     /// Everything new is refused.
-    closed: bool,
+    rejecting: bool,
     /// How far this clock is ahead of that of the list service.
-    pub ahead: Ahead,
+    pub clock_offset: ClockOffset,
     actions: Vec<Action>,
     commands: VecDeque<Command>,
     /// Where the daemon's own purges are on.
-    pub floors: Option<Floors>,
+    pub floors: Option<PurgeFloors>,
     /// Bounds what purges send past the caches.
     pub shield: Option<Shield>,
     /// Objects and parts that are fetched past the caches now, and by how many attempts.
-    past: HashMap<(u64, u32), u32>,
+    shielded_fetches: HashMap<(u64, u32), u32>,
 }
 
-impl Front {
+impl RequestPipeline {
     /// A front that knows of no member yet.
-    pub fn new(deployment: Deployment, seed: u64, room: Room) -> Self {
-        Front {
+    pub fn new(deployment: Deployment, seed: u64, capacity: CapacityLimits) -> Self {
+        RequestPipeline {
             router: Router::new(deployment.settings.clone(), seed),
-            counts: vec![Counts::default(); deployment.settings.classes.len()],
-            closed: false,
-            ahead: Ahead::default(),
+            counts: vec![ResponseCounts::default(); deployment.settings.classes.len()],
+            rejecting: false,
+            clock_offset: ClockOffset::default(),
             deployment,
-            room,
-            open: HashMap::new(),
-            asked: HashMap::new(),
-            by_txn: HashMap::new(),
-            out: HashMap::new(),
-            held: 0,
-            answer_bytes: ANSWER_BYTES,
-            last: 0,
+            capacity,
+            pending: HashMap::new(),
+            by_client: HashMap::new(),
+            by_transaction: HashMap::new(),
+            outstanding: HashMap::new(),
+            buffered_bytes: 0,
+            average_response_bytes: INITIAL_RESPONSE_BYTES,
+            last_request_id: 0,
             actions: Vec::new(),
             commands: VecDeque::new(),
             floors: None,
             shield: None,
-            past: HashMap::new(),
+            shielded_fetches: HashMap::new(),
         }
     }
 
     /// The next thing to be done, in the order decided.
-    pub fn command(&mut self) -> Option<Command> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
     /// Requests that are owed an answer.
-    pub fn open(&self) -> usize {
-        self.open.len()
+    pub fn pending_requests(&self) -> usize {
+        self.pending.len()
     }
 
     /// Tells how many bytes are held on connections, beside what the open requests may come to.
-    pub fn holds(&mut self, bytes: usize) {
-        self.held = bytes;
+    pub fn set_buffered_bytes(&mut self, bytes: usize) {
+        self.buffered_bytes = bytes;
     }
 
     /// From now on everything new is refused, or no longer.
-    pub fn close(&mut self, closed: bool) {
-        self.closed = closed;
+    pub fn reject_new_requests(&mut self, rejecting: bool) {
+        self.rejecting = rejecting;
     }
 
     /// Final answers so far: each class with its counts.
-    pub fn counts(&self) -> impl Iterator<Item = (&str, &Counts)> {
+    pub fn response_counts(&self) -> impl Iterator<Item = (&str, &ResponseCounts)> {
         self.deployment
             .names
             .classes
@@ -149,12 +149,12 @@
     }
 
     /// Whether the decisions avoid a listed member now.
-    pub fn avoids(&self, member: EndpointId) -> bool {
+    pub fn is_avoided(&self, member: EndpointId) -> bool {
         self.router.avoids(member)
     }
 
     /// How long a client is asked to stay away when the front itself has no room.
-    fn later(&self) -> Micros {
+    fn overload_retry_after(&self) -> Micros {
         self.deployment.settings.max_retry_after
     }
 }
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -3,26 +3,26 @@
 
 const S: Timestamp = 1_000_000;
 
-fn front(room: Room) -> Front {
+fn front(capacity: CapacityLimits) -> RequestPipeline {
     let config: Value = serde_json::from_str(include_str!("../../examples/config.json")).unwrap();
-    Front::new(
+    RequestPipeline::new(
         cranesill_settings::read(&config["settings"]).unwrap(),
         1,
-        room,
+        capacity,
     )
 }
 
-fn ask(n: u64) -> (ReplyTo, Ask) {
-    let ask = Ask {
+fn ask(n: u64) -> (ReplyTo, ClientRequest) {
+    let ask = ClientRequest {
         class: "book-car".into(),
-        txn: Txn::new(&format!("{n:016x}")).unwrap(),
-        limit: 3 * S,
-        item: None,
+        transaction: TransactionId::new(&format!("{n:016x}")).unwrap(),
+        time_limit: 3 * S,
+        object: None,
         part: 0,
         group: 0,
         size_kb: 0.0,
-        have: None,
-        key: None,
+        cached_tag: None,
+        idempotency_key: None,
         body: b"keys".as_slice().into(),
     };
     (
@@ -35,8 +35,8 @@
 }
 
 /// An origin and nothing else: writes go there.
-fn with_origin(room: Room) -> Front {
-    let mut front = front(room);
+fn with_origin(capacity: CapacityLimits) -> RequestPipeline {
+    let mut front = front(capacity);
     let state = cranesill::api::EndpointState::Ready;
     let (member, weight) = (EndpointId(0x31), 1.0);
     let origin = cranesill::api::EndpointEntry {
@@ -48,19 +48,19 @@
         started: 0,
         state,
     };
-    front.members(S, true, vec![origin], Origin::Service);
+    front.apply_endpoints(S, true, vec![origin], EventSource::Live);
     front
 }
 
-fn commands(front: &mut Front) -> Vec<Command> {
-    std::iter::from_fn(|| front.command())
-        .filter(|c| !matches!(c, Command::Wake(..)))
+fn commands(front: &mut RequestPipeline) -> Vec<Command> {
+    std::iter::from_fn(|| front.next_command())
+        .filter(|c| !matches!(c, Command::SetTimer(..)))
         .collect()
 }
 
-fn answers(front: &mut Front) -> Vec<Answer> {
+fn answers(front: &mut RequestPipeline) -> Vec<Response> {
     let answer = |c| {
-        if let Command::Answer(_, answer) = c {
+        if let Command::Respond(_, answer) = c {
             Some(answer)
         } else {
             None
@@ -72,41 +72,41 @@
 #[test]
 fn without_room_a_request_is_refused_at_once_with_a_time_to_come_back() {
     // A calm day turned away thousands of requests a second: each was taken to need the largest answer.
-    let mut front = with_origin(Room {
-        open: 5_000,
-        bytes: 96 << 20,
+    let mut front = with_origin(CapacityLimits {
+        max_pending: 5_000,
+        max_buffered_bytes: 96 << 20,
     });
     for n in 1..=1_000 {
         let (from, ask) = ask(n);
-        front.take_in(S, from, ask);
+        front.receive_request(S, from, ask);
     }
     assert!(
         answers(&mut front).is_empty(),
         "there is room for a thousand usual answers"
     );
-    front.holds(96 << 20);
+    front.set_buffered_bytes(96 << 20);
     let (from, ask) = ask(2_000);
-    front.take_in(S, from, ask);
-    assert_eq!(answers(&mut front), [Answer::Refused(500_000)]);
+    front.receive_request(S, from, ask);
+    assert_eq!(answers(&mut front), [Response::Rejected(500_000)]);
 }
 
 #[test]
 fn a_client_that_claims_to_wait_for_weeks_is_remembered_for_no_longer_than_its_class() {
-    let mut front = with_origin(Room {
-        open: 10,
-        bytes: 96 << 20,
+    let mut front = with_origin(CapacityLimits {
+        max_pending: 10,
+        max_buffered_bytes: 96 << 20,
     });
     let (from, first) = ask(1);
-    front.take_in(
+    front.receive_request(
         S,
         from,
-        Ask {
-            limit: u64::from(u32::MAX) * 1_000,
+        ClientRequest {
+            time_limit: u64::from(u32::MAX) * 1_000,
             ..first
         },
     );
-    let last = std::iter::from_fn(|| front.command()).filter_map(|c| match c {
-        Command::Wake(at, Wake::Request(_) | Wake::Attempt(_)) => Some(at),
+    let last = std::iter::from_fn(|| front.next_command()).filter_map(|c| match c {
+        Command::SetTimer(at, Timer::RequestDeadline(_) | Timer::AttemptTimeout(_)) => Some(at),
         _ => None,
     });
     assert!(last.max().is_some_and(|at| at <= S + 3 * S));
@@ -116,13 +116,13 @@
 fn what_waits_for_room_goes_by_the_size_that_the_client_told() {
     // Guards against sizes that are lost on their way to the decisions: on a calm day of a deployment whose clients tell
     // them, a quarter of the worth went because all was taken to need the same time.
-    let mut front = front(Room {
-        open: 1_000,
-        bytes: 96 << 20,
+    let mut front = front(CapacityLimits {
+        max_pending: 1_000,
+        max_buffered_bytes: 96 << 20,
     });
     let state = cranesill::api::EndpointState::Ready;
     let (member, weight) = (EndpointId(1), 0.2);
-    front.members(
+    front.apply_endpoints(
         S,
         true,
         vec![cranesill::api::EndpointEntry {
@@ -134,20 +134,20 @@
             started: 0,
             state,
         }],
-        Origin::Service,
+        EventSource::Live,
     );
     let mut video = |n: u64, size_kb: f64| {
         let (from, base) = ask(n);
-        let item = Some(Item {
+        let item = Some(ObjectKey {
             text: format!("{n:016x}").into(),
             id: n,
         });
-        front.take_in(
+        front.receive_request(
             S,
             from,
-            Ask {
+            ClientRequest {
                 class: "car-video".into(),
-                item,
+                object: item,
                 size_kb,
                 ..base
             },
@@ -164,13 +164,13 @@
     // One place: the first takes it, the large one and then the small one wait for it.
     let first = video(1, 3_000.0).expect("the cache is free");
     assert_eq!((video(2, 60_000.0), video(3, 30.0)), (None, None));
-    let reply = MemberReply {
-        word: Word::Hit,
-        ..MemberReply::default()
+    let reply = UpstreamReply {
+        kind: ReplyKind::Hit,
+        ..UpstreamReply::default()
     };
-    front.ended(S + 400_000, first, End::Reply(reply));
+    front.attempt_ended(S + 400_000, first, AttemptEnd::Reply(reply));
     let next = commands(&mut front).into_iter().find_map(|c| match c {
-        Command::Send(_, _, fetch) => fetch.item.map(|item| item.id),
+        Command::Send(_, _, fetch) => fetch.object.map(|item| item.id),
         _ => None,
     });
     assert_eq!(
@@ -187,12 +187,12 @@
         serde_json::from_str(include_str!("../../examples/three-hubs.json")).unwrap();
     let deployment = cranesill_settings::read(&config["settings"]).unwrap();
     let (_, known) = crate::protocol::known::read(&config["known"], &deployment.names).unwrap();
-    let mut front = Front::new(
+    let mut front = RequestPipeline::new(
         deployment,
         1,
-        Room {
-            open: 10,
-            bytes: 16 << 20,
+        CapacityLimits {
+            max_pending: 10,
+            max_buffered_bytes: 16 << 20,
         },
     );
     for news in known {
@@ -208,20 +208,25 @@
             started: 0,
             state: l.state,
         };
-        front.members(S, whole, list.iter().map(entry).collect(), Origin::Service);
+        front.apply_endpoints(
+            S,
+            whole,
+            list.iter().map(entry).collect(),
+            EventSource::Live,
+        );
     }
     let mut fetch = |n: u64, class: &str| {
         let (from, base) = ask(n);
-        let item = Some(Item {
+        let item = Some(ObjectKey {
             text: format!("{n:016x}").into(),
             id: n,
         });
-        front.take_in(
+        front.receive_request(
             S,
             from,
-            Ask {
+            ClientRequest {
                 class: class.into(),
-                item,
+                object: item,
                 size_kb: 80.0,
                 ..base
             },
@@ -250,60 +255,66 @@
 
 #[test]
 fn an_end_counts_once_and_so_does_an_answer() {
-    let mut front = with_origin(Room {
-        open: 10,
-        bytes: 96 << 20,
+    let mut front = with_origin(CapacityLimits {
+        max_pending: 10,
+        max_buffered_bytes: 96 << 20,
     });
     let (from, first) = ask(1);
-    front.take_in(S, from, first.clone());
+    front.receive_request(S, from, first.clone());
     // The same id while it is open could not be told apart at the member.
-    front.take_in(S, ReplyTo { stream: 9, ..from }, first);
+    front.receive_request(S, ReplyTo { stream: 9, ..from }, first);
     let done = commands(&mut front);
-    let [Command::Send(attempt, ..), Command::Answer(_, Answer::Failed)] = done[..] else {
+    let [Command::Send(attempt, ..), Command::Respond(_, Response::Failed)] = done[..] else {
         panic!("{done:?}")
     };
     let reply = |word| {
         let body = b"booked".as_slice().into();
-        End::Reply(MemberReply {
-            word,
+        AttemptEnd::Reply(UpstreamReply {
+            kind: word,
             body,
-            ..MemberReply::default()
+            ..UpstreamReply::default()
         })
     };
-    front.ended(2 * S, attempt, reply(Word::Hit));
-    front.ended(2 * S, attempt, reply(Word::Fault));
-    front.ended(2 * S, attempt, End::Broken { along: false });
-    front.wake(5 * S, Wake::Request(attempt.request));
+    front.attempt_ended(2 * S, attempt, reply(ReplyKind::Hit));
+    front.attempt_ended(2 * S, attempt, reply(ReplyKind::Fault));
+    front.attempt_ended(
+        2 * S,
+        attempt,
+        AttemptEnd::Broken {
+            duplicate_failure: false,
+        },
+    );
+    front.handle_timer(5 * S, Timer::RequestDeadline(attempt.request));
     assert_eq!(
         answers(&mut front),
-        [Answer::Served(b"booked".as_slice().into())]
+        [Response::Served(b"booked".as_slice().into())]
     );
-    assert_eq!(front.open(), 0);
+    assert_eq!(front.pending_requests(), 0);
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing_and_its_attempt_is_given_up() {
-    let mut front = with_origin(Room {
-        open: 10,
-        bytes: 96 << 20,
+    let mut front = with_origin(CapacityLimits {
+        max_pending: 10,
+        max_buffered_bytes: 96 << 20,
     });
     let (from, ask) = ask(1);
-    front.take_in(S, from, ask);
+    front.receive_request(S, from, ask);
     let Some(Command::Send(attempt, ..)) = commands(&mut front).into_iter().next() else {
         panic!()
     };
-    front.gone(2 * S, from);
+    front.cancel_request(2 * S, from);
     assert!(matches!(commands(&mut front)[..], [Command::Abort(aborted)] if aborted == attempt));
-    front.ended(2 * S, attempt, End::CalledOff);
+    front.attempt_ended(2 * S, attempt, AttemptEnd::Cancelled);
     assert!(commands(&mut front).is_empty());
 }
 
 #[test]
 fn after_a_purge_of_everything_fetches_past_the_caches_are_bounded_and_joined_ones_cost_nothing() {
     use cranesill_purges::{shield::Shield, Purge, What};
-    let mut front = front(Room {
-        open: 10_000,
-        bytes: 1 << 30,
+    let mut front = front(CapacityLimits {
+        max_pending: 10_000,
+        max_buffered_bytes: 1 << 30,
     });
     let state = cranesill::api::EndpointState::Ready;
     let entry = |id, kind, zone| {
@@ -318,13 +329,13 @@
             state,
         }
     };
-    front.members(
+    front.apply_endpoints(
         S,
         true,
         vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)],
-        Origin::Service,
+        EventSource::Live,
     );
-    let mut floors = Floors::new(1 << 16, 0);
+    let mut floors = PurgeFloors::new(1 << 16, 0);
     floors.add(&Purge {
         number: 1,
         at: S / 1_000,
@@ -341,26 +352,26 @@
         let id = n % 100;
         ask.class = "page-bits".into();
         ask.group = 3;
-        ask.item = Some(Item {
+        ask.object = Some(ObjectKey {
             text: format!("{id:016x}").into(),
             id,
         });
-        front.take_in(2 * S, from, ask);
-        for command in std::iter::from_fn(|| front.command()) {
+        front.receive_request(2 * S, from, ask);
+        for command in std::iter::from_fn(|| front.next_command()) {
             match command {
                 Command::Send(_, _, fetch) => {
                     let fill = fetch.fill.unwrap();
                     assert!(
-                        (1_000..=S).contains(&fill.oldest),
+                        (1_000..=S).contains(&fill.max_age),
                         "nothing from before the purge: {fill:?}"
                     );
                     sent += usize::from(fill.source.is_some());
                 }
-                Command::Answer(_, Answer::Refused(later)) => {
+                Command::Respond(_, Response::Rejected(later)) => {
                     assert!(later > 0, "it is told when to come back");
                     refused += 1;
                 }
-                Command::Answer(_, answer) => panic!("{answer:?}"),
+                Command::Respond(_, answer) => panic!("{answer:?}"),
                 _ => {}
             }
         }
@@ -375,9 +386,9 @@
 
 #[test]
 fn every_request_is_in_one_count_or_in_progress_whatever_becomes_of_it() {
-    let mut front = with_origin(Room {
-        open: 40,
-        bytes: 96 << 20,
+    let mut front = with_origin(CapacityLimits {
+        max_pending: 40,
+        max_buffered_bytes: 96 << 20,
     });
     let (mut taken, mut now, mut rng) = (0u64, S, 7u64);
     let mut roll = |n: u64| {
@@ -396,50 +407,54 @@
                 // One that there is not is in no count, and a page without an object is none either.
                 taken += u64::from(ask.class == "book-car");
                 open.push(from);
-                front.take_in(now, from, ask);
+                front.receive_request(now, from, ask);
             }
             3..=5 if !out.is_empty() => {
                 let attempt = out.swap_remove(roll(out.len() as u64) as usize);
                 let reply = |word| {
-                    End::Reply(MemberReply {
-                        word,
-                        ..MemberReply::default()
+                    AttemptEnd::Reply(UpstreamReply {
+                        kind: word,
+                        ..UpstreamReply::default()
                     })
                 };
                 let end = match roll(6) {
-                    0 => reply(Word::Fault),
-                    1 => End::Unsent { along: false },
-                    2 => End::Broken {
-                        along: roll(2) == 0,
+                    0 => reply(ReplyKind::Fault),
+                    1 => AttemptEnd::Unsent {
+                        duplicate_failure: false,
+                    },
+                    2 => AttemptEnd::Broken {
+                        duplicate_failure: roll(2) == 0,
                     },
-                    3 => reply(Word::Shed),
-                    _ => reply(Word::Hit),
+                    3 => reply(ReplyKind::Rejected),
+                    _ => reply(ReplyKind::Hit),
                 };
-                front.ended(now, attempt, end);
+                front.attempt_ended(now, attempt, end);
             }
             6 if !open.is_empty() => {
                 let from = open.swap_remove(roll(open.len() as u64) as usize);
-                front.gone(now, from);
+                front.cancel_request(now, from);
             }
-            _ => front.close(roll(9) == 0),
+            _ => front.reject_new_requests(roll(9) == 0),
         }
-        while let Some(command) = front.command() {
+        while let Some(command) = front.next_command() {
             match command {
                 Command::Send(attempt, ..) => out.push(attempt),
-                Command::Abort(attempt) => front.ended(now, attempt, End::CalledOff),
-                Command::Answer(_, Answer::Served(_) | Answer::Same) => told[0] += 1,
-                Command::Answer(_, Answer::Refused(_)) => told[1] += 1,
-                Command::Answer(_, Answer::Failed) => told[2] += 1,
+                Command::Abort(attempt) => front.attempt_ended(now, attempt, AttemptEnd::Cancelled),
+                Command::Respond(_, Response::Served(_) | Response::NotModified) => told[0] += 1,
+                Command::Respond(_, Response::Rejected(_)) => told[1] += 1,
+                Command::Respond(_, Response::Failed) => told[2] += 1,
                 _ => {}
             }
         }
-        let counts: Vec<Counts> = front.counts().map(|(_, counts)| *counts).collect();
-        let sum = |of: fn(&Counts) -> u64| counts.iter().map(of).sum::<u64>();
-        let all = sum(|c| c.passed) + sum(|c| c.dropped) + sum(|c| c.bad_gateway) + sum(|c| c.left);
-        assert_eq!(all + front.open() as u64, taken, "after {n}");
+        let counts: Vec<ResponseCounts> =
+            front.response_counts().map(|(_, counts)| *counts).collect();
+        let sum = |of: fn(&ResponseCounts) -> u64| counts.iter().map(of).sum::<u64>();
+        let all =
+            sum(|c| c.served) + sum(|c| c.rejected) + sum(|c| c.failed) + sum(|c| c.cancelled);
+        assert_eq!(all + front.pending_requests() as u64, taken, "after {n}");
         // What clients were told is what is counted, but for requests of no class.
-        assert_eq!((sum(|c| c.passed), sum(|c| c.dropped)), (told[0], told[1]));
-        assert!(sum(|c| c.bad_gateway) <= told[2]);
+        assert_eq!((sum(|c| c.served), sum(|c| c.rejected)), (told[0], told[1]));
+        assert!(sum(|c| c.failed) <= told[2]);
     }
     assert!(
         told.iter().all(|n| *n > 50),
@@ -451,9 +466,9 @@
 fn a_list_service_on_another_machine_dates_by_a_clock_of_its_own() {
     // The first one agrees with this clock. The second is 4 s behind: what it says was 4 s ago is now.
     let oldest = |moved: bool| {
-        let mut front = front(Room {
-            open: 1_000,
-            bytes: 96 << 20,
+        let mut front = front(CapacityLimits {
+            max_pending: 1_000,
+            max_buffered_bytes: 96 << 20,
         });
         let state = cranesill::api::EndpointState::Ready;
         let entry = |id, kind, zone| {
@@ -469,25 +484,25 @@
             }
         };
         let now = 1_000 * S;
-        front.members(
+        front.apply_endpoints(
             now,
             true,
             vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)],
-            Origin::Service,
+            EventSource::Live,
         );
-        front.purged(now, None, 9, now - S / 10, Origin::Service);
+        front.apply_purge(now, None, 9, now - S / 10, EventSource::Live);
         if moved {
-            front.list_moved();
+            front.discovery_moved();
         }
-        front.purged(now, None, 3, now - 4 * S, Origin::Service);
+        front.apply_purge(now, None, 3, now - 4 * S, EventSource::Live);
         let (from, mut ask) = ask(1);
         (ask.class, ask.group) = ("car-video".into(), 3);
-        ask.item = Some(Item {
+        ask.object = Some(ObjectKey {
             text: format!("{:016x}", 7).into(),
             id: 7,
         });
-        front.take_in(now + S, from, ask);
-        let sent = std::iter::from_fn(|| front.command());
+        front.receive_request(now + S, from, ask);
+        let sent = std::iter::from_fn(|| front.next_command());
         let fetch = sent
             .filter_map(|c| {
                 if let Command::Send(_, _, fetch) = c {
@@ -497,7 +512,7 @@
                 }
             })
             .next();
-        fetch.unwrap().fill.unwrap().oldest
+        fetch.unwrap().fill.unwrap().max_age
     };
     // Rounded down: a copy from before a purge never passes.
     assert_eq!(oldest(true), S - 1_000);
--- a/front/src/routing/types.rs
+++ b/front/src/routing/types.rs
@@ -4,19 +4,20 @@
 
 /// The id of a request: 16 hex digits, passed on as they came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Txn([u8; 16]);
+pub struct TransactionId([u8; 16]);
 
-impl MemberReply {
+impl UpstreamReply {
     /// Whether it serves from a copy that it does not name, as no member's good answer does.
-    pub fn nameless(&self) -> bool {
-        matches!(self.word, Word::Hit | Word::Valid) && !(self.tag.is_some() && self.born.is_some())
+    pub fn lacks_identity(&self) -> bool {
+        matches!(self.kind, ReplyKind::Hit | ReplyKind::NotModified)
+            && !(self.tag.is_some() && self.created_at_ms.is_some())
     }
 }
 
-impl Txn {
+impl TransactionId {
     /// From the digits.
     pub fn new(text: &str) -> Option<Self> {
-        text.as_bytes().try_into().ok().map(Txn)
+        text.as_bytes().try_into().ok().map(TransactionId)
     }
 
     /// The digits.
@@ -27,27 +28,27 @@
 
 /// An object: its digits as they came, and the number that they are.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Item {
+pub struct ObjectKey {
     pub text: Rc<str>,
     pub id: u64,
 }
 
 /// A client's request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     pub class: String,
-    pub txn: Txn,
+    pub transaction: TransactionId,
     /// How long the client waits.
-    pub limit: Micros,
-    pub item: Option<Item>,
+    pub time_limit: Micros,
+    pub object: Option<ObjectKey>,
     pub part: u32,
     pub group: u32,
     /// Size of the part in KB, as the decisions count it; 0 where the client does not tell.
     pub size_kb: f64,
     /// The tag of the copy that the client holds.
-    pub have: Option<Rc<str>>,
+    pub cached_tag: Option<Rc<str>>,
     /// The key by which nodes know repeats of a request, where its class has one.
-    pub key: Option<Rc<str>>,
+    pub idempotency_key: Option<Rc<str>>,
     pub body: Rc<[u8]>,
 }
 
@@ -60,28 +61,28 @@
 
 /// The final answer of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// The bytes.
     Served(Rc<[u8]>),
     /// The copy that the client holds is the one.
-    Same,
+    NotModified,
     /// Trying again does no harm, after this span.
-    Refused(Micros),
+    Rejected(Micros),
     /// Nothing is promised.
     Failed,
 }
 
 /// Final answers of a class, as operators are told of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ResponseCounts {
     /// Requests served.
-    pub passed: u64,
+    pub served: u64,
     /// Requests refused.
-    pub dropped: u64,
+    pub rejected: u64,
     /// Requests failed.
-    pub bad_gateway: u64,
+    pub failed: u64,
     /// Requests of which nobody waited for the answer any more.
-    pub left: u64,
+    pub cancelled: u64,
 }
 
 /// One attempt of a request.
@@ -93,31 +94,31 @@
 
 /// How a miss is filled.
 #[derive(Clone, Copy, Debug)]
-pub struct Source {
+pub struct FillSource {
     /// Where from; `None`: it is not.
     pub source: Option<EndpointId>,
     pub rank: u8,
-    pub oldest: Micros,
+    pub max_age: Micros,
     pub join: bool,
-    pub only_held: bool,
-    pub renew: bool,
+    pub cached_only: bool,
+    pub revalidate: bool,
 }
 
 /// What a member is asked.
 #[derive(Clone, Debug)]
 pub struct Fetch {
-    pub txn: Txn,
+    pub transaction: TransactionId,
     pub class: Rc<str>,
-    pub item: Option<Item>,
+    pub object: Option<ObjectKey>,
     pub part: u32,
     /// When the front stops waiting.
     pub deadline: Timestamp,
     /// A repeat is begun to be written up to then: nodes forget what they would know it by.
-    pub latest: Timestamp,
-    pub fill: Option<Source>,
-    pub seen: Option<Rc<str>>,
+    pub write_by: Timestamp,
+    pub fill: Option<FillSource>,
+    pub cached_tag: Option<Rc<str>>,
     /// Passed on as it came.
-    pub key: Option<Rc<str>>,
+    pub idempotency_key: Option<Rc<str>>,
     /// It runs at the origin and leaves no copy.
     pub write: bool,
     pub body: Rc<[u8]>,
@@ -125,13 +126,13 @@
 
 /// What a member's answer says first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Word {
+pub enum ReplyKind {
     Hit,
-    Valid,
-    None,
-    Shed,
+    NotModified,
+    Miss,
+    Rejected,
     Fault,
-    Late,
+    DeadlineExceeded,
     /// Nothing that a fetch is answered with.
     #[default]
     Other,
@@ -139,48 +140,48 @@
 
 /// The answer of a member.
 #[derive(Clone, Debug, Default)]
-pub struct MemberReply {
-    pub word: Word,
+pub struct UpstreamReply {
+    pub kind: ReplyKind,
     pub body: Rc<[u8]>,
-    pub note: FillNote,
-    pub waited: Micros,
+    pub fill_note: FillNote,
+    pub queueing_time: Micros,
     /// The copy's tag, as it names it.
     pub tag: Option<Box<str>>,
     /// When the origin gave the copy out.
     /// Unix milliseconds.
-    pub born: Option<u64>,
+    pub created_at_ms: Option<u64>,
     /// Tags of the object, between semicolons, where the member names them (`docs/protocol.md`).
     pub tags: Option<Box<str>>,
     /// Its load report: names and figures.
-    pub meter: Vec<(String, f32)>,
+    pub load_report: Vec<(String, f32)>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub enum End {
+pub enum AttemptEnd {
     /// With an answer.
-    Reply(MemberReply),
+    Reply(UpstreamReply),
     /// It was never written whole: no connection, or it broke before; along with another there or not.
-    Unsent { along: bool },
+    Unsent { duplicate_failure: bool },
     /// There was no connection to put it on: that says nothing of the member.
-    Unplaced,
+    NoConnection,
     /// The connection broke after it was written whole.
-    Broken { along: bool },
+    Broken { duplicate_failure: bool },
     /// It was called off.
-    CalledOff,
+    Cancelled,
     /// Its time was up.
-    Expired,
+    TimedOut,
 }
 
 /// What the stages want to be woken for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wake {
+pub enum Timer {
     /// A timer of the decisions.
-    Timer(u64),
+    Policy(u64),
     /// The time of an attempt is up.
-    Attempt(AttemptId),
+    AttemptTimeout(AttemptId),
     /// The client stops waiting.
-    Request(RequestId),
+    RequestDeadline(RequestId),
 }
 
 /// What the stages want to be done.
@@ -191,22 +192,22 @@
     /// Give an attempt up that was sent.
     Abort(AttemptId),
     /// Give a client its final answer.
-    Answer(ReplyTo, Answer),
+    Respond(ReplyTo, Response),
     /// Call `wake` at this moment.
-    Wake(Timestamp, Wake),
+    SetTimer(Timestamp, Timer),
     /// A member served a copy that is older than it was asked for.
-    Lied(EndpointId),
+    StaleCopyServed(EndpointId),
     /// Write a line to the log.
     Log(String),
 }
 
 /// Where news of members and purges come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum EventSource {
     /// The list service tells it now.
-    Service,
+    Live,
     /// The configuration knew it.
-    Known,
+    Configuration,
     /// It was kept on disk, or another front held it: by a clock that nobody compared with this one.
-    Kept,
+    Stored,
 }
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -1,7 +1,7 @@
 //! The configuration.
 use crate::protocol::feed::News;
 use crate::protocol::known;
-use crate::routing::Room;
+use crate::routing::CapacityLimits;
 use cranesill_daemon::Daemon;
 use cranesill_settings::Deployment;
 use serde_json::Value;
@@ -166,10 +166,10 @@
     }
 
     /// Room for requests: half of the memory, the rest is for input, the program and the allocator.
-    pub fn room(&self) -> Room {
-        Room {
-            open: self.deployment.limits.open,
-            bytes: self.memory / 2 / self.processes(),
+    pub fn room(&self) -> CapacityLimits {
+        CapacityLimits {
+            max_pending: self.deployment.limits.open,
+            max_buffered_bytes: self.memory / 2 / self.processes(),
         }
     }
 
--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -2,7 +2,7 @@
 mod unconfirmed;
 
 use crate::protocol::client::{self, Message};
-use crate::routing::{Answer, Ask, ReplyTo};
+use crate::routing::{ClientRequest, ReplyTo, Response};
 use crate::transport::{Reactor, Registered, Stream};
 use cranesill::api::{Micros, Timestamp};
 use rustls::ServerConnection;
@@ -47,7 +47,7 @@
 /// What came from a client.
 #[derive(Debug)]
 pub enum ClientEvent {
-    Ask(ReplyTo, Ask),
+    Ask(ReplyTo, ClientRequest),
     /// A request that can't be taken in; it has been answered or is yet to be.
     Bad(ReplyTo, &'static str),
     Gone(ReplyTo),
@@ -332,12 +332,12 @@
     }
 
     /// Gives a stream its final answer.
-    pub fn answer(&mut self, now: Timestamp, to: ReplyTo, answer: Answer) {
+    pub fn answer(&mut self, now: Timestamp, to: ReplyTo, response: Response) {
         let Some(client) = self.all.get_mut(&to.client) else {
             return;
         };
         if client.open.remove(&to.stream) {
-            client.stream.push(client::answer(to.stream, answer));
+            client.stream.push(client::answer(to.stream, response));
             self.flush(now, to.client);
         }
     }
@@ -551,8 +551,8 @@
                         return self.end();
                     }
                     let waited = self.waited;
-                    let charged = ask.map(|ask| Ask {
-                        limit: ask.limit.saturating_sub(waited),
+                    let charged = ask.map(|ask| ClientRequest {
+                        time_limit: ask.time_limit.saturating_sub(waited),
                         ..ask
                     });
                     let ask = charged.and_then(|ask| {
--- a/front/src/server/downstream/tests.rs
+++ b/front/src/server/downstream/tests.rs
@@ -111,7 +111,7 @@
     let [ClientEvent::Bad(from, _)] = heard[..] else {
         panic!("{heard:?}")
     };
-    stage.2.answer(2, from, Answer::Failed);
+    stage.2.answer(2, from, Response::Failed);
     (&client).write_all(&[0, 0, 0, 5, 12, 0, 0, 0, 1]).unwrap();
     assert!(!stage.told(20_000), "nothing is read from it for now");
     let read_at = stage.2.next().expect("it is read again");
@@ -175,7 +175,7 @@
     stage.2.resume();
     let _new = stage.client(QUIET + 20, 4);
     stage.tell(QUIET + 20, &_new, 4, &READY);
-    stage.2.answer(QUIET + 30, from, Answer::Failed);
+    stage.2.answer(QUIET + 30, from, Response::Failed);
     stage.tell(TOLD_MOST, &chatty, 3, &READY);
     sweep(&mut stage, TOLD_MOST + 10);
     assert!(closes(&stage, 2), "answered, it is free");
@@ -234,7 +234,7 @@
         let body = vec![7; 1 << 20].into();
         stage
             .2
-            .answer(1, ReplyTo { client: 1, stream }, Answer::Served(body));
+            .answer(1, ReplyTo { client: 1, stream }, Response::Served(body));
     }
     stage.2.sweep(REST + 1, usize::MAX, usize::MAX);
     stage.tell(REST + 1, &client, 1, &READY.repeat(64));
@@ -252,7 +252,7 @@
     let [ClientEvent::Ask(from, _)] = heard[..] else {
         panic!("{heard:?}")
     };
-    stage.2.answer(3, from, Answer::Failed);
+    stage.2.answer(3, from, Response::Failed);
     client
         .set_read_timeout(Some(std::time::Duration::from_secs(5)))
         .unwrap();
--- a/front/src/server/downstream/unconfirmed.rs
+++ b/front/src/server/downstream/unconfirmed.rs
@@ -3,7 +3,7 @@
 //! Such a client may have closed its connection long ago: while the front was busy or its listener rested, the request and the
 //! end arrived before either was read. Whether it still waits shows by the system's answer to the next frame, a reset where
 //! nobody is there. Until that can have come, the request is not forwarded.
-use crate::routing::{Ask, ReplyTo};
+use crate::routing::{ClientRequest, ReplyTo};
 use cranesill::api::{Micros, Timestamp};
 use std::collections::VecDeque;
 
@@ -12,12 +12,12 @@
 
 /// The requests that are held back, in the order of their time.
 #[derive(Debug, Default)]
-pub struct Unconfirmed(VecDeque<(Timestamp, ReplyTo, Ask)>);
+pub struct Unconfirmed(VecDeque<(Timestamp, ReplyTo, ClientRequest)>);
 
 impl Unconfirmed {
     /// Holds a request back. The wait counts against the time that its client gives it.
-    pub fn hold(&mut self, now: Timestamp, from: ReplyTo, mut ask: Ask) {
-        ask.limit = ask.limit.saturating_sub(RESET_WAIT);
+    pub fn hold(&mut self, now: Timestamp, from: ReplyTo, mut ask: ClientRequest) {
+        ask.time_limit = ask.time_limit.saturating_sub(RESET_WAIT);
         self.0.push_back((now + RESET_WAIT, from, ask));
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// A request whose client was not seen to have gone.
-    pub fn take(&mut self, now: Timestamp) -> Option<(ReplyTo, Ask)> {
+    pub fn take(&mut self, now: Timestamp) -> Option<(ReplyTo, ClientRequest)> {
         self.next().filter(|at| *at <= now)?;
         self.0.pop_front().map(|(_, from, ask)| (from, ask))
     }
--- a/front/src/server/event_loop.rs
+++ b/front/src/server/event_loop.rs
@@ -22,7 +22,9 @@
 use crate::protocol::member::name_of;
 use crate::protocol::ops::member_id;
 use crate::protocol::snapshot::Snapshot;
-use crate::routing::{Answer, AttemptId, Command, End, Fetch, Front, Origin, ReplyTo, Wake};
+use crate::routing::{
+    AttemptEnd, AttemptId, Command, EventSource, Fetch, ReplyTo, RequestPipeline, Response, Timer,
+};
 use crate::transport::{
     at_start, inherited, listen, used_up, AcceptFault, Clock, Deadlines, Reactor, Registered,
 };
@@ -63,7 +65,7 @@
 /// What is due at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Wake(Wake),
+    Timer(Timer),
     Dial(usize),
     Unwritten(AttemptId),
     Discovery,
@@ -94,7 +96,7 @@
     term: Registered<UnixStream>,
     hangup: Registered<UnixStream>,
     deadlines: Deadlines<Due>,
-    front: Front,
+    front: RequestPipeline,
     clients: Clients,
     nodes: CacheNodes,
     discovery: Discovery,
@@ -208,7 +210,7 @@
         let others = daemon.startup.as_ref().is_some_and(|s| s.peers.is_some());
         let startup = Startup::new(clock.now(), &config, daemon.startup.as_ref());
         let mut server = Server {
-            front: Front::new(config.deployment.clone(), config.seed, config.room()),
+            front: RequestPipeline::new(config.deployment.clone(), config.seed, config.room()),
             nodes: CacheNodes::new(config.links_most(), limits.streams, limits.idle, whole),
             discovery: Discovery::new(clock.now(), config.feed, last, calls, others),
             startup,
@@ -241,7 +243,9 @@
         let now = server.clock.now();
         let at = server.listener.local_addr().map_err(failed("listener"))?;
         tracing::info!(name = server.config.name, %at, "listening");
-        server.front.set_reach(now, server.nodes.reach());
+        server
+            .front
+            .set_connection_limits(now, server.nodes.reach());
         server.drivers(now, list)?;
         news.into_iter()
             .for_each(|news| server.news(now, news, from));
@@ -313,7 +317,7 @@
     ) -> Result<(), String> {
         let mut last = 0;
         let slot = (self.drivers.len() + 1, &mut last);
-        let behind_ms = self.front.ahead.behind_ms();
+        let behind_ms = self.front.clock_offset.behind_ms();
         let mut turn = Turn {
             now,
             behind_ms,
@@ -333,7 +337,7 @@
         slot: usize,
         act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>),
     ) {
-        let behind_ms = self.front.ahead.behind_ms();
+        let behind_ms = self.front.clock_offset.behind_ms();
         if let Some((driver, last)) = slot.checked_sub(1).and_then(|i| self.drivers.get_mut(i)) {
             let (reactor, effects) = (&self.reactor, &mut self.effects);
             act(
@@ -423,7 +427,7 @@
             "purge-dry" => {
                 let what = what(args)?;
                 let floors = self.front.floors.as_ref().ok_or("purges are off")?;
-                let (known, matched) = floors.matched(&what);
+                let (known, matched) = floors.count_matches(&what);
                 Ok(json!({"known_objects": known, "matched": matched}))
             }
             "startup" => {
@@ -447,9 +451,9 @@
                 "quiesced": self.quiesced.is_some(), "accepts_clients": !self.elsewhere(),
                 "limits_shared": self.config.halved,
                 "out_by_hand": self.out.iter().map(|id| name_of(*id)).collect::<Vec<_>>(),
-                "list": json!({"last_event": self.discovery.stands().1, "clock_ahead_ms": self.front.ahead.ms(),
+                "list": json!({"last_event": self.discovery.stands().1, "clock_ahead_ms": self.front.clock_offset.offset_ms(),
                     "unheard_for_ms": self.discovery.stands().0.map(|since| now.saturating_sub(since) / 1_000)}),
-                "open_requests": self.front.open(), "clients": self.clients.len(),
+                "open_requests": self.front.pending_requests(), "clients": self.clients.len(),
                 "clients_most": self.config.clients_most(), "held_bytes": self.clients.held() + self.nodes.held(),
                 "held_bytes_most": self.config.held_most(), "settings": self.daemon_file,
                 "purges": self.front.floors.as_ref().map(|f| json!({
@@ -466,13 +470,13 @@
         let mut all = serde_json::Map::new();
         let mut put =
             |name: String, n: u64| drop(all.insert(format!("edge_relay.{name}"), n.into()));
-        for (class, counts) in self.front.counts() {
-            put(format!("handled.{class}.passed"), counts.passed);
-            put(format!("handled.{class}.dropped"), counts.dropped);
-            put(format!("handled.{class}.bad_gateway"), counts.bad_gateway);
+        for (class, counts) in self.front.response_counts() {
+            put(format!("handled.{class}.passed"), counts.served);
+            put(format!("handled.{class}.dropped"), counts.rejected);
+            put(format!("handled.{class}.bad_gateway"), counts.failed);
         }
         put("upstream_tries".into(), self.nodes.written);
-        put("in_progress".into(), self.front.open() as u64);
+        put("in_progress".into(), self.front.pending_requests() as u64);
         put(
             "known_cache_nodes".into(),
             (self.nodes.listed().count() + self.startup.waiting()) as u64,
@@ -481,7 +485,7 @@
             "skipped_cache_nodes".into(),
             self.nodes
                 .listed()
-                .filter(|m| self.front.avoids(*m))
+                .filter(|m| self.front.is_avoided(*m))
                 .count() as u64,
         );
         all.into()
@@ -493,7 +497,7 @@
         let id = member_id(text).ok_or("node: not s- and 8 hex digits")?;
         let known = self.nodes.listed().any(|listed| listed == id)
             || self.startup.has(id)
-            || self.front.avoids(id);
+            || self.front.is_avoided(id);
         if !known {
             return Err(format!("{text}: unknown"));
         }
@@ -523,7 +527,7 @@
                 out,
                 "cache node by hand"
             );
-            self.front.by_hand(now, id, out);
+            self.front.set_cordoned(now, id, out);
             let mut ends = Vec::new();
             if out {
                 self.nodes.leave_out(id, &mut ends);
@@ -558,7 +562,7 @@
         if accepts && (first || !self.accepts) {
             let learned = shared.learned(now);
             tracing::info!(kind = "upgrade", learned = learned.len(), "accepts clients");
-            self.front.learn(now, learned);
+            self.front.restore_learned_health(now, learned);
         }
         if first && !accepts {
             tracing::info!(
@@ -579,8 +583,8 @@
         if std::mem::replace(&mut self.config.halved, halved) != halved {
             self.nodes
                 .limit(self.config.links_most(), self.draining.map(|_| LINK_IDLE));
-            self.front.set_reach(now, self.nodes.reach());
-            self.front.set_room(self.config.room());
+            self.front.set_connection_limits(now, self.nodes.reach());
+            self.front.set_capacity(self.config.room());
         }
     }
 
@@ -603,7 +607,7 @@
         if self.quiesced.take().is_some() {
             tracing::info!(kind = "quiesce", "takes clients again");
             self.clients.resume();
-            self.front.close(false);
+            self.front.reject_new_requests(false);
         }
         Ok("takes clients")
     }
@@ -667,15 +671,18 @@
             });
         }
         self.effects(now);
-        self.nodes
-            .pause(now, self.clients.held() > self.config.room().bytes);
+        self.nodes.pause(
+            now,
+            self.clients.held() > self.config.room().max_buffered_bytes,
+        );
         Ok(self.parted(now))
     }
 
     /// Goes on with the end of the program, if it was told to end. Whether that is over.
     fn parted(&mut self, now: Timestamp) -> bool {
         // A request whose last byte comes after the end of its connection would be lost.
-        let owes = self.front.open() > 0 || !self.clients.flushed() || self.clients.begun();
+        let owes =
+            self.front.pending_requests() > 0 || !self.clients.flushed() || self.clients.begun();
         let clients = self.clients.len() > 0;
         let Some(drain) = &mut self.draining else {
             return false;
@@ -711,7 +718,7 @@
                 self.discovery
                     .ready(now)
                     .into_iter()
-                    .for_each(|news| self.news(now, news, Origin::Service));
+                    .for_each(|news| self.news(now, news, EventSource::Live));
                 self.deadlines.add(self.discovery.due, Due::Discovery);
             }
             _ if self.nodes.has(key) => {
@@ -737,7 +744,7 @@
     fn due(&mut self, now: Timestamp, due: Due) {
         let mut ends = Vec::new();
         match due {
-            Due::Wake(wake) => self.front.wake(now, wake),
+            Due::Timer(timer) => self.front.handle_timer(now, timer),
             Due::Dial(key) => self.nodes.undialed(key, &mut ends),
             Due::Unwritten(attempt) => self.nodes.withdraw(attempt, &mut ends),
             Due::Discovery if now >= self.discovery.due => {
@@ -747,9 +754,11 @@
             }
             Due::Discovery => {}
             Due::Sweep => {
-                let gone =
-                    self.clients
-                        .sweep(now, self.config.room().bytes, self.config.held_most());
+                let gone = self.clients.sweep(
+                    now,
+                    self.config.room().max_buffered_bytes,
+                    self.config.held_most(),
+                );
                 self.log.sweep();
                 let contact = self.front.floors.as_mut().and_then(|f| f.contact.as_mut());
                 if contact.is_some_and(|contact| contact.lost_now(now)) {
@@ -768,7 +777,7 @@
             }
             Due::Members => {
                 let list = self.startup.due(now);
-                self.take_members(now, false, list, Origin::Kept);
+                self.take_members(now, false, list, EventSource::Stored);
             }
             Due::TakeOver => self.take_over(now, false),
             Due::OutByHand => self.look(now),
@@ -792,7 +801,7 @@
                     .quiesced
                     .is_some_and(|since| now >= since + QUIESCE_SERVES)
                 {
-                    self.front.close(true);
+                    self.front.reject_new_requests(true);
                 }
             }
             Due::Drain => {
@@ -800,13 +809,13 @@
                     .draining
                     .map_or(Stage::Serves, |drain| drain.stage(now));
                 if stage >= Stage::Refuses {
-                    self.front.close(true);
+                    self.front.reject_new_requests(true);
                     self.drivers
                         .iter_mut()
                         .for_each(|(driver, _)| driver.drain());
                 }
                 if stage >= Stage::Parts {
-                    self.front.give_up(now);
+                    self.front.conclude_all(now);
                 }
             }
         }
@@ -881,7 +890,7 @@
             self.draining = Some(drain);
             self.clients.drain(now, self.config.accept_fd.is_some());
             self.listen(true);
-            let learned = self.front.learned();
+            let learned = self.front.learned_health();
             if let Some(shared) = &mut self.shared {
                 shared.hand_over(now, &learned);
                 self.halve(now, true);
@@ -901,7 +910,7 @@
             Ok(new) => {
                 tracing::info!(feed = %new.feed, "SIGHUP: configuration read");
                 if self.discovery.move_to(now, new.feed) {
-                    self.front.list_moved();
+                    self.front.discovery_moved();
                 }
                 self.deadlines.add(now, Due::Discovery);
             }
@@ -963,12 +972,13 @@
 
     fn hear(&mut self, now: Timestamp, heard: Vec<ClientEvent>) {
         for one in heard {
-            self.front.holds(self.clients.held() + self.nodes.held());
+            self.front
+                .set_buffered_bytes(self.clients.held() + self.nodes.held());
             match one {
-                ClientEvent::Ask(from, ask) => self.front.take_in(now, from, ask),
+                ClientEvent::Ask(from, ask) => self.front.receive_request(now, from, ask),
                 ClientEvent::Bad(from, why) => {
                     tracing::info!(error = why, "bad request");
-                    self.clients.answer(now, from, Answer::Failed);
+                    self.clients.answer(now, from, Response::Failed);
                 }
                 ClientEvent::Gone(from) => {
                     self.gone.push(from);
@@ -983,14 +993,14 @@
     /// be given to one after another of them, and each be sent on for nobody.
     fn left(&mut self, now: Timestamp) {
         let mut gone = std::mem::take(&mut self.gone);
-        gone.sort_by_cached_key(|from| self.front.is_out(*from));
+        gone.sort_by_cached_key(|from| self.front.has_outstanding_attempt(*from));
         for from in gone {
-            self.front.gone(now, from);
+            self.front.cancel_request(now, from);
             self.settle(now, Vec::new());
         }
     }
 
-    fn news(&mut self, now: Timestamp, news: News, origin: Origin) {
+    fn news(&mut self, now: Timestamp, news: News, origin: EventSource) {
         if self.hears {
             self.effects
                 .push(Effect::Heard(self.discovery.stands().1, news.clone()));
@@ -1015,9 +1025,13 @@
                 at_ms,
             } => self
                 .front
-                .purged(now, object, group, at_ms.saturating_mul(1_000), origin),
+                .apply_purge(now, object, group, at_ms.saturating_mul(1_000), origin),
         }
-        let ahead_ms = self.front.ahead.ms().filter(|ms| ms.abs() > CLOCK_APART_MS);
+        let ahead_ms = self
+            .front
+            .clock_offset
+            .offset_ms()
+            .filter(|ms| ms.abs() > CLOCK_APART_MS);
         if let Some(ahead_ms) = ahead_ms.filter(|_| !self.clock_told) {
             tracing::warn!(
                 kind = "clock",
@@ -1047,14 +1061,20 @@
         self.hears = false;
         list.news()
             .into_iter()
-            .for_each(|news| self.news(now, news, Origin::Kept));
+            .for_each(|news| self.news(now, news, EventSource::Stored));
         self.hears = true;
         self.effects.push(Effect::Taken(list));
         self.effects(now);
     }
 
     /// Takes over what the list says of members; `whole`: of all that are in use.
-    fn take_members(&mut self, now: Timestamp, whole: bool, list: Vec<Listing>, origin: Origin) {
+    fn take_members(
+        &mut self,
+        now: Timestamp,
+        whole: bool,
+        list: Vec<Listing>,
+        origin: EventSource,
+    ) {
         let mut ends = Vec::new();
         let entries: Vec<_> = list.iter().map(entry).collect();
         let mut before: Vec<_> = if whole {
@@ -1082,7 +1102,7 @@
             .filter(|e| e.state == EndpointState::Ready)
             .map(|e| e.member)
             .collect();
-        self.front.members(now, whole, entries, origin);
+        self.front.apply_endpoints(now, whole, entries, origin);
         left_out
             .into_iter()
             .for_each(|id| self.nodes.leave_out(id, &mut ends));
@@ -1141,14 +1161,14 @@
     fn settle(&mut self, now: Timestamp, mut ends: Ends) {
         loop {
             for (attempt, end) in std::mem::take(&mut ends) {
-                self.front.ended(now, attempt, end);
+                self.front.attempt_ended(now, attempt, end);
             }
             for gone in self.clients.lost() {
                 if let ClientEvent::Gone(from) = gone {
-                    self.front.gone(now, from);
+                    self.front.cancel_request(now, from);
                 }
             }
-            let Some(command) = self.front.command() else {
+            let Some(command) = self.front.next_command() else {
                 break;
             };
             match command {
@@ -1158,17 +1178,17 @@
                     // A purge told meanwhile leaves no more time than that to what was decided before it; a repeat goes out in
                     // its window or not at all.
                     let unwritten = due.min(now + self.config.deployment.limits.purge_grace);
-                    let by = unwritten.min(fetch.latest).min(fetch.deadline);
+                    let by = unwritten.min(fetch.write_by).min(fetch.deadline);
                     self.dispatch(now, key, (attempt, to, by), &fetch, &mut ends);
                     self.deadlines.add(by, Due::Unwritten(attempt));
                 }
                 Command::Abort(attempt) => {
                     self.nodes.abort(now, attempt, &mut ends);
-                    ends.insert(0, (attempt, End::CalledOff));
+                    ends.insert(0, (attempt, AttemptEnd::Cancelled));
                 }
-                Command::Answer(to, answer) => self.clients.answer(now, to, answer),
-                Command::Wake(at, wake) => self.deadlines.add(at, Due::Wake(wake)),
-                Command::Lied(member) => self.effects.push(Effect::Lied(member.0)),
+                Command::Respond(to, response) => self.clients.answer(now, to, response),
+                Command::SetTimer(at, timer) => self.deadlines.add(at, Due::Timer(timer)),
+                Command::StaleCopyServed(member) => self.effects.push(Effect::Lied(member.0)),
                 Command::Log(text) => tracing::info!(kind = "decision", text, "decision"),
             }
         }
--- a/front/src/server/floors.rs
+++ b/front/src/server/floors.rs
@@ -1,21 +1,21 @@
 //! Carries out for the front what the ledger of purges brought about.
 use super::drivers::{Effect, Purging};
-use crate::routing::{Floors, Front};
+use crate::routing::{PurgeFloors, RequestPipeline};
 use cranesill::api::Timestamp;
 use cranesill_daemon::WithoutContact;
 use cranesill_purges::lease::{Contact, Without};
 use cranesill_purges::shield::Shield;
 
 /// Takes news of the ledger over; what is to be done elsewhere for it.
-pub fn take(front: &mut Front, now: Timestamp, news: Purging) -> Option<Effect> {
-    let job = |floors: &mut Floors| {
+pub fn take(front: &mut RequestPipeline, now: Timestamp, news: Purging) -> Option<Effect> {
+    let job = |floors: &mut PurgeFloors| {
         floors
             .job()
             .map(|job| Effect::Purges(Purging::Compile(job)))
     };
     match news {
         Purging::Floors(settings, all) => {
-            let mut floors = Floors::new(settings.index_bytes, settings.skew_ms);
+            let mut floors = PurgeFloors::new(settings.index_bytes, settings.skew_ms);
             all.into_iter().for_each(|at| floors.add_all(at));
             floors.contact = settings.follow.map(|follow| {
                 let without = match follow.without_contact {
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -3,7 +3,7 @@
 use super::drivers::snapshot::{load, path, wall_ms};
 use crate::protocol::feed::{Listing, News};
 use crate::protocol::snapshot::Snapshot;
-use crate::routing::Origin;
+use crate::routing::EventSource;
 use cranesill::api::{EndpointId, EndpointState, Timestamp};
 use cranesill_daemon::Startup as Settings;
 use cranesill_startup::{
@@ -58,7 +58,7 @@
     /// All that there is to be told.
     pub news: Vec<News>,
     /// Where that comes from.
-    pub from: Origin,
+    pub from: EventSource,
     /// The list as it is to be kept on disk from then on. One that was read there stays as old as it is.
     pub list: Snapshot,
 }
@@ -74,7 +74,7 @@
         return Known {
             last: list.number,
             news,
-            from: Origin::Kept,
+            from: EventSource::Stored,
             list,
         };
     }
@@ -89,7 +89,7 @@
     Known {
         last,
         news,
-        from: Origin::Known,
+        from: EventSource::Configuration,
         list,
     }
 }
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -2,7 +2,7 @@
 mod redial;
 use self::redial::Redials;
 use crate::protocol::member;
-use crate::routing::{AttemptId, End, Fetch, Txn};
+use crate::routing::{AttemptEnd, AttemptId, Fetch, TransactionId};
 use crate::transport::{dial, is_local, Reactor, Stream};
 use cranesill::api::{EndpointEntry, EndpointId, EndpointState, Micros, Timestamp};
 use std::collections::{HashMap, HashSet};
@@ -33,7 +33,7 @@
 const SILENT_MOST: Micros = 1_000_000;
 
 /// Attempts that ended.
-pub type Ends = Vec<(AttemptId, End)>;
+pub type Ends = Vec<(AttemptId, AttemptEnd)>;
 
 /// An attempt on a connection.
 #[derive(Debug)]
@@ -60,12 +60,12 @@
 
 #[derive(Debug)]
 struct Link {
-    stream: Stream<Option<Txn>>,
+    stream: Stream<Option<TransactionId>>,
     member: EndpointId,
     up: bool,
     /// Nothing new goes here.
     retired: bool,
-    open: HashMap<Txn, Sent>,
+    open: HashMap<TransactionId, Sent>,
     carried: Carried,
     idle_since: Timestamp,
     /// When something came here last.
@@ -79,7 +79,7 @@
 }
 
 impl Link {
-    fn new(now: Timestamp, member: EndpointId, stream: Stream<Option<Txn>>) -> Self {
+    fn new(now: Timestamp, member: EndpointId, stream: Stream<Option<TransactionId>>) -> Self {
         let (open, carried) = (HashMap::new(), Carried::default());
         let (idle_since, heard, begun, vain, strays) = (now, now, None, 0, 0);
         let (up, retired) = (false, false);
@@ -98,15 +98,16 @@
         }
     }
 
-    fn takes(&self, txn: &Txn, streams: usize) -> bool {
+    fn takes(&self, txn: &TransactionId, streams: usize) -> bool {
         !self.retired && !self.carried.has(txn) && self.open.len() < streams && !self.blocked()
     }
 
     /// Whether the rest of an answer that nobody waits for has still to come, and everything else behind it.
     fn blocked(&self) -> bool {
         let input = self.stream.input();
-        let whose =
-            || member::begun_id(input).and_then(|id| Txn::new(std::str::from_utf8(id).ok()?));
+        let whose = || {
+            member::begun_id(input).and_then(|id| TransactionId::new(std::str::from_utf8(id).ok()?))
+        };
         !input.is_empty()
             && (self.open.is_empty() || whose().is_some_and(|txn| !self.open.contains_key(&txn)))
     }
@@ -116,13 +117,13 @@
 /// for an attempt that was given up: it would be taken for that of the next attempt under the same id.
 #[derive(Debug, Default)]
 struct Carried {
-    new: HashSet<Txn>,
-    old: HashSet<Txn>,
+    new: HashSet<TransactionId>,
+    old: HashSet<TransactionId>,
     since: Timestamp,
 }
 
 impl Carried {
-    fn has(&self, txn: &Txn) -> bool {
+    fn has(&self, txn: &TransactionId) -> bool {
         self.new.contains(txn) || self.old.contains(txn)
     }
 
@@ -130,7 +131,7 @@
         self.new.len() + self.old.len()
     }
 
-    fn add(&mut self, now: Timestamp, txn: Txn) {
+    fn add(&mut self, now: Timestamp, txn: TransactionId) {
         if now > self.since + CARRIED {
             (self.old, self.since) = (std::mem::take(&mut self.new), now);
         }
@@ -146,7 +147,7 @@
     of: HashMap<EndpointId, Vec<usize>>,
     /// Where each listens, and when it started.
     listed: HashMap<EndpointId, (SocketAddr, Timestamp)>,
-    at: HashMap<AttemptId, (usize, Txn)>,
+    at: HashMap<AttemptId, (usize, TransactionId)>,
     /// Attempts for which this machine could not begin a connection.
     redials: Redials,
     links_most: usize,
@@ -307,7 +308,7 @@
     }
 
     /// The connection to a member that is best for this id.
-    fn choose(&self, to: EndpointId, txn: &Txn) -> Option<usize> {
+    fn choose(&self, to: EndpointId, txn: &TransactionId) -> Option<usize> {
         let keys = self.of.get(&to)?.iter();
         let fit = keys.filter_map(|key| self.links.get(key).map(|link| (key, link)));
         let fit = fit.filter(|(_, link)| link.takes(txn, self.streams));
@@ -321,7 +322,7 @@
         &mut self,
         now: Timestamp,
         to: EndpointId,
-        txn: &Txn,
+        txn: &TransactionId,
         ends: &mut Ends,
     ) -> Option<usize> {
         loop {
@@ -359,7 +360,7 @@
         fetch: &Fetch,
         ends: &mut Ends,
     ) -> Option<usize> {
-        let mut chosen = self.choose_live(now, to, &fetch.txn, ends);
+        let mut chosen = self.choose_live(now, to, &fetch.transaction, ends);
         let carries = |key: &usize| self.links.get(key).map_or(0, |link| link.open.len());
         let calm = chosen
             .as_ref()
@@ -379,7 +380,7 @@
         // One that would only be the second to a node closes none to another.
         let room = self.links.len() < self.links_most;
         let room = room || address.is_some() && chosen.is_none() && self.make_room();
-        let (mut begun, mut end) = (None, End::Unplaced);
+        let (mut begun, mut end) = (None, AttemptEnd::NoConnection);
         if let Some(address) = address.filter(|_| room) {
             match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
                 Ok(stream) => {
@@ -389,7 +390,9 @@
                     (chosen, begun) = (Some(key), Some(key));
                 }
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                    end = End::Unsent { along: false }
+                    end = AttemptEnd::Unsent {
+                        duplicate_failure: false,
+                    }
                 }
                 Err(e) if is_local(&e) && chosen.is_none() && self.redials.may_wait(now, to) => {
                     self.redials.wait(now, (attempt, to, by), fetch);
@@ -403,7 +406,7 @@
             ends.push((attempt, end));
             return None;
         };
-        link.carried.add(now, fetch.txn);
+        link.carried.add(now, fetch.transaction);
         let source = fetch.fill.and_then(|fill| fill.source);
         let sent = Sent {
             attempt,
@@ -414,14 +417,14 @@
             by,
             fetch: None,
         };
-        link.open.insert(fetch.txn, sent);
+        link.open.insert(fetch.transaction, sent);
         link.stream.push(member::fetch(fetch, now));
-        self.at.insert(attempt, (key, fetch.txn));
+        self.at.insert(attempt, (key, fetch.transaction));
         self.flush(now, key, ends);
         let sent = self
             .links
             .get_mut(&key)
-            .and_then(|link| link.open.get_mut(&fetch.txn));
+            .and_then(|link| link.open.get_mut(&fetch.transaction));
         if let Some(sent) = sent.filter(|sent| !sent.written) {
             sent.fetch = Some(Box::new(fetch.clone()));
         }
@@ -491,9 +494,15 @@
     /// against what is known since.
     pub fn withdraw(&mut self, attempt: AttemptId, ends: &mut Ends) {
         if self.redials.remove(attempt) {
-            return ends.push((attempt, End::Unplaced));
+            return ends.push((attempt, AttemptEnd::NoConnection));
         }
-        self.take_back(attempt, End::Unsent { along: false }, ends);
+        self.take_back(
+            attempt,
+            AttemptEnd::Unsent {
+                duplicate_failure: false,
+            },
+            ends,
+        );
     }
 
     /// A connection has come up: what had to be written before now is not written any more. Guards against a turn that comes
@@ -510,7 +519,7 @@
             .collect();
         late.sort_unstable();
         late.into_iter()
-            .for_each(|attempt| self.take_back(attempt, End::Unplaced, ends));
+            .for_each(|attempt| self.take_back(attempt, AttemptEnd::NoConnection, ends));
     }
 
     /// A member drains, is gone or was taken out: what was decided before and waits for its connection goes neither to it
@@ -531,16 +540,16 @@
         meant.sort_unstable();
         meant
             .into_iter()
-            .for_each(|attempt| self.take_back(attempt, End::Unplaced, ends));
+            .for_each(|attempt| self.take_back(attempt, AttemptEnd::NoConnection, ends));
         ends.extend(
             self.redials
                 .leave_out(out)
                 .into_iter()
-                .map(|attempt| (attempt, End::Unplaced)),
+                .map(|attempt| (attempt, AttemptEnd::NoConnection)),
         );
     }
 
-    fn take_back(&mut self, attempt: AttemptId, end: End, ends: &mut Ends) {
+    fn take_back(&mut self, attempt: AttemptId, end: AttemptEnd, ends: &mut Ends) {
         let Some((key, txn)) = self.at.get(&attempt).copied() else {
             return;
         };
@@ -602,17 +611,17 @@
                     break;
                 };
                 // Guards against passing on what no member made: all that is served but a write names its copy.
-                let known = std::str::from_utf8(id).ok().and_then(Txn::new);
+                let known = std::str::from_utf8(id).ok().and_then(TransactionId::new);
                 let read = known
                     .and_then(|txn| link.open.get(&txn))
                     .is_some_and(|sent| !sent.write);
-                if read && reply.nameless() {
+                if read && reply.lacks_identity() {
                     return Err(io::ErrorKind::InvalidData.into());
                 }
                 // An answer to what was given up, or to nothing that was asked, is dropped.
                 if let Some(sent) = known.and_then(|txn| link.open.remove(&txn)) {
                     self.at.remove(&sent.attempt);
-                    ends.push((sent.attempt, End::Reply(reply)));
+                    ends.push((sent.attempt, AttemptEnd::Reply(reply)));
                     link.idle_since = now;
                 } else {
                     link.strays += 1;
@@ -641,7 +650,7 @@
         };
         link.idle_since = now;
         let (open, count) = (&mut link.open, &mut self.written);
-        let done = |tag: Option<Txn>| {
+        let done = |tag: Option<TransactionId>| {
             *count += u64::from(tag.is_some());
             tag.and_then(|txn| open.get_mut(&txn))
                 .into_iter()
@@ -681,13 +690,13 @@
         open.sort_unstable_by_key(|sent| sent.attempt);
         for (i, sent) in open.into_iter().enumerate() {
             self.at.remove(&sent.attempt);
-            let along = i > 0;
+            let duplicate_failure = i > 0;
             ends.push((
                 sent.attempt,
                 if sent.written {
-                    End::Broken { along }
+                    AttemptEnd::Broken { duplicate_failure }
                 } else {
-                    End::Unsent { along }
+                    AttemptEnd::Unsent { duplicate_failure }
                 },
             ));
         }
--- a/front/src/server/upstream/redial/tests.rs
+++ b/front/src/server/upstream/redial/tests.rs
@@ -1,28 +1,28 @@
 use super::*;
-use crate::routing::{Source, Txn};
+use crate::routing::{FillSource, TransactionId};
 use cranesill::api::RequestId;
 
 const NODE: EndpointId = EndpointId(1);
 
 fn fetch(source: Option<EndpointId>) -> Fetch {
-    let fill = source.map(|source| Source {
+    let fill = source.map(|source| FillSource {
         source: Some(source),
         rank: 0,
-        oldest: 0,
+        max_age: 0,
         join: false,
-        only_held: false,
-        renew: false,
+        cached_only: false,
+        revalidate: false,
     });
     Fetch {
-        txn: Txn::new("0000000000000001").unwrap(),
+        transaction: TransactionId::new("0000000000000001").unwrap(),
         class: "page-bits".into(),
-        item: None,
+        object: None,
         part: 0,
         deadline: 60_000_000,
-        latest: Timestamp::MAX,
+        write_by: Timestamp::MAX,
         fill,
-        seen: None,
-        key: None,
+        cached_tag: None,
+        idempotency_key: None,
         write: false,
         body: b"".as_slice().into(),
     }
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
-use crate::routing::Source;
+use crate::routing::FillSource;
 use crate::transport::Reactor;
 
 fn fetch(n: u64) -> Fetch {
     Fetch {
-        txn: Txn::new(&format!("{n:016x}")).unwrap(),
+        transaction: TransactionId::new(&format!("{n:016x}")).unwrap(),
         class: "page-bits".into(),
-        item: None,
+        object: None,
         part: 0,
         deadline: 60_000_000,
-        latest: Timestamp::MAX,
+        write_by: Timestamp::MAX,
         fill: None,
-        seen: None,
-        key: None,
+        cached_tag: None,
+        idempotency_key: None,
         write: false,
         body: b"".as_slice().into(),
     }
@@ -68,11 +68,18 @@
         &fetch(3),
         &mut ends,
     );
-    assert!(matches!(ends[..], [(_, End::Unplaced)]));
+    assert!(matches!(ends[..], [(_, AttemptEnd::NoConnection)]));
     members.undialed(9, &mut ends);
     let along: Vec<_> = ends[1..]
         .iter()
-        .map(|e| matches!(e.1, End::Unsent { along: true }))
+        .map(|e| {
+            matches!(
+                e.1,
+                AttemptEnd::Unsent {
+                    duplicate_failure: true
+                }
+            )
+        })
         .collect();
     assert_eq!(along, [false, true, true]);
 }
@@ -83,13 +90,13 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut members = members(9, &listener);
-    let source = |id: u64| Source {
+    let source = |id: u64| FillSource {
         source: Some(EndpointId(id)),
         rank: 1,
-        oldest: 0,
+        max_age: 0,
         join: false,
-        only_held: false,
-        renew: false,
+        cached_only: false,
+        revalidate: false,
     };
     for n in 1..=3 {
         let fetch = Fetch {
@@ -107,7 +114,7 @@
     }
     members.leave_out(EndpointId(2), &mut ends);
     assert!(
-        matches!(ends[..], [(two, End::Unplaced)] if two == attempt(2)),
+        matches!(ends[..], [(two, AttemptEnd::NoConnection)] if two == attempt(2)),
         "{ends:?}"
     );
     members.leave_out(MEMBER, &mut ends);
@@ -186,7 +193,10 @@
         members.sweep(now, &mut ends);
     }
     assert!((5_000_000..6_000_000).contains(&now), "{now}");
-    assert!(matches!(ends[..], [(_, End::Broken { .. })]), "{ends:?}");
+    assert!(
+        matches!(ends[..], [(_, AttemptEnd::Broken { .. })]),
+        "{ends:?}"
+    );
 }
 
 /// A node's end of one connection: what came on it, and what is open there by that.
