--- a/front/src/routing/accounting.rs
+++ b/front/src/routing/accounting.rs
@@ -1,131 +1,105 @@
-//! Book: the end of each attempt is told to the decisions, once.
+//! Accounting: the end of each attempt is reported to the decisions, exactly once.
 use super::*;
-use cranesill::api::{Event, FillNote, Outcome, Status};
+use cranesill::api::{Event, FillNote, Outcome, Report, Status};
 
 impl RequestPipeline {
-    /// Books the end of an attempt; a second end of the same one is passed over.
+    /// Handles the end of an attempt; a second end of the same one is ignored.
     pub fn attempt_ended(&mut self, now: Timestamp, attempt: AttemptId, end: AttemptEnd) {
-        let Some(attempt_sent) = self.outstanding.remove(&attempt) else {
+        let Some(outstanding) = self.outstanding.remove(&attempt) else {
             return;
         };
-        if let Some(key) = attempt_sent.past {
-            if let Some(count) = self.shielded_fetches.get_mut(&key) {
-                *count -= 1;
-                if *count == 0 {
-                    self.shielded_fetches.remove(&key);
-                }
-            }
-        }
+        self.release_bypass(outstanding.bypass);
         let id = attempt.request;
-        let end = self.check_freshness(now, id, attempt_sent.to, end);
-        let (status, note, waited, meter) = match &end {
-            AttemptEnd::Reply(reply) => (
-                status(reply),
-                reply.fill_note,
-                reply.queueing_time,
-                &reply.load_report[..],
-            ),
-            // Not written whole: the member can't have run it.
-            AttemptEnd::Unsent { .. } => (Status::ConnectFailed, FillNote::None, 0, &[][..]),
-            AttemptEnd::NoConnection => (Status::NotSent, FillNote::None, 0, &[][..]),
-            AttemptEnd::Broken { .. } => (Status::Reset, FillNote::None, 0, &[][..]),
-            AttemptEnd::Cancelled => (Status::Cancelled, FillNote::None, 0, &[][..]),
-            AttemptEnd::TimedOut => (Status::Timeout, FillNote::None, 0, &[][..]),
+        let end = self.check_reply(now, id, outstanding.target, end);
+        let status = end.status();
+        self.note_possible_run(id, outstanding.sent_at, status);
+        let closed = match end.reply() {
+            Some(reply) => self.relay(id, reply),
+            None => !self.pending.contains_key(&id),
         };
-        if let Some(pending) = self
-            .pending
-            .get_mut(&id)
-            .filter(|_| !status.proves_not_run())
-        {
-            pending.ran = Some(
-                pending
-                    .ran
-                    .map_or(attempt_sent.sent, |ran| ran.min(attempt_sent.sent)),
-            );
-        }
-        let along = matches!(
-            end,
-            AttemptEnd::Unsent {
-                duplicate_failure: true
-            } | AttemptEnd::Broken {
-                duplicate_failure: true
-            }
-        );
-        let closed = match &end {
-            AttemptEnd::Reply(reply) => self.relay(id, reply),
-            _ => !self.pending.contains_key(&id),
+        let reply = end.reply();
+        let outcome = Outcome {
+            request: id,
+            attempt: attempt.number,
+            closed,
+            status,
+            along: end.is_duplicate_failure(),
+            note: reply.map_or(FillNote::None, |reply| reply.fill_note),
+            waited: reply.map_or(0, |reply| reply.queueing_time),
+            latency: now.saturating_sub(outstanding.sent_at),
+            report: reply.and_then(|reply| self.read_load_report(reply)),
         };
-        let figure = |name: &String| {
-            meter
-                .iter()
-                .find(|m| m.0 == *name)
-                .map_or(f32::NAN, |m| m.1)
+        self.handle_event(now, Event::Outcome(outcome));
+    }
+
+    fn release_bypass(&mut self, bypass: Option<ObjectPart>) {
+        let Some(part) = bypass else { return };
+        let Some(attempts) = self.bypasses.get_mut(&part) else {
+            return;
         };
-        let values: Vec<f32> = self.deployment.names.report.iter().map(figure).collect();
-        let report = self
-            .deployment
-            .layout
-            .read(&values)
-            .filter(|_| !meter.is_empty());
-        let latency = now.saturating_sub(attempt_sent.sent);
-        let number = attempt.number;
-        self.handle_event(
-            now,
-            Event::Outcome(Outcome {
-                request: id,
-                attempt: number,
-                closed,
-                status,
-                along,
-                note,
-                waited,
-                latency,
-                report,
-            }),
-        );
+        *attempts -= 1;
+        if *attempts == 0 {
+            self.bypasses.remove(&part);
+        }
+    }
+
+    /// Remembers the earliest attempt that may have run: retries are recognized for a limited time after it.
+    fn note_possible_run(&mut self, id: RequestId, sent_at: Timestamp, status: Status) {
+        if status.proves_not_run() {
+            return;
+        }
+        if let Some(pending) = self.pending.get_mut(&id) {
+            let first = pending.first_possible_run.unwrap_or(sent_at);
+            pending.first_possible_run = Some(first.min(sent_at));
+        }
     }
 
-    /// An answer from a copy that is older than a purge is none, whatever the member says; nor is one that calls current what
-    /// is not the client's copy.
-    fn check_freshness(
+    /// The endpoint's load, if it sent a report that the settings can read.
+    fn read_load_report(&self, reply: &UpstreamReply) -> Option<Report> {
+        if reply.load_report.is_empty() {
+            return None;
+        }
+        let value = |name: &String| {
+            let mut entries = reply.load_report.iter();
+            let entry = entries.find(|(reported, _)| reported == name);
+            entry.map_or(f32::NAN, |(_, value)| *value)
+        };
+        let values: Vec<f32> = self.deployment.names.report.iter().map(value).collect();
+        self.deployment.layout.read(&values)
+    }
+
+    /// Turns a reply that must not be relayed into a fault, whatever the endpoint claims: one from a copy older than a
+    /// purge, or one that calls a copy current that the client does not have.
+    fn check_reply(
         &mut self,
         now: Timestamp,
         id: RequestId,
         from: EndpointId,
         end: AttemptEnd,
     ) -> AttemptEnd {
-        let spoilt = |pending: &PendingRequest, reply: &UpstreamReply| {
-            reply.kind == ReplyKind::NotModified
-                && (pending.write || pending.request.cached_tag.as_deref() != reply.tag.as_deref())
+        let AttemptEnd::Reply(reply) = end else {
+            return end;
         };
-        if let (AttemptEnd::Reply(reply), Some(pending)) = (&end, self.pending.get(&id)) {
-            if spoilt(pending, reply) {
-                return AttemptEnd::Reply(UpstreamReply {
-                    kind: ReplyKind::Fault,
-                    ..reply.clone()
-                });
-            }
+        let Some(pending) = self.pending.get(&id) else {
+            return AttemptEnd::Reply(reply);
+        };
+        if pending.contradicts(&reply) {
+            return AttemptEnd::Reply(reply.into_fault());
         }
-        let pending = self.pending.get(&id).filter(|pending| !pending.write);
-        let (AttemptEnd::Reply(reply), Some((floors, pending))) =
-            (&end, self.floors.as_mut().zip(pending))
-        else {
-            return end;
+        let Some(floors) = self.floors.as_mut().filter(|_| !pending.write) else {
+            return AttemptEnd::Reply(reply);
         };
-        match floors.check_reply(now, &pending.request, reply) {
-            Freshness::Fresh => return end,
+        match floors.check_reply(now, &pending.request, &reply) {
+            Freshness::Fresh => return AttemptEnd::Reply(reply),
+            Freshness::StaleUnrequested => {}
             Freshness::StaleDespiteRequest => {
-                self.commands.push_back(Command::StaleCopyServed(from))
+                self.commands.push_back(Command::StaleCopyServed(from));
             }
-            Freshness::StaleUnrequested => {}
         }
-        AttemptEnd::Reply(UpstreamReply {
-            kind: ReplyKind::Fault,
-            ..reply.clone()
-        })
+        AttemptEnd::Reply(reply.into_fault())
     }
 
-    /// The time of an attempt is up: it is given up at the member, and its end is booked.
+    /// An attempt has timed out: it is cancelled at the endpoint, and its end is reported.
     pub(super) fn time_out(&mut self, now: Timestamp, attempt: AttemptId) {
         if self.outstanding.contains_key(&attempt) {
             self.commands.push_back(Command::Abort(attempt));
@@ -133,29 +107,29 @@
         }
     }
 
-    /// The front ends: whoever still waits is answered now. Only what can't have run is refused, so that trying again does no
-    /// harm.
+    /// Responds to all pending requests, since the front stops. Only those that cannot have run are rejected, so that
+    /// retrying them is safe.
     pub fn conclude_all(&mut self, now: Timestamp) {
-        let mut open: Vec<_> = self
-            .pending
-            .iter()
-            .map(|(id, pending)| (*id, pending.ran.is_some()))
-            .collect();
-        open.sort_unstable();
-        for (id, ran) in open {
-            let out = self.outstanding.keys().any(|attempt| attempt.request == id);
-            let answer = if ran || out {
+        let mut ids: Vec<_> = self.pending.keys().copied().collect();
+        ids.sort_unstable();
+        for id in ids {
+            let response = if self.may_have_run(id) {
                 Response::Failed
             } else {
                 Response::Rejected(self.overload_retry_after())
             };
-            self.conclude(id, answer);
+            self.conclude(id, response);
             self.handle_event(now, Event::Cancelled(id));
         }
     }
 
-    /// Guards the rule that every request is answered: whatever the decisions wait for, the client's time is
-    /// up.
+    fn may_have_run(&self, id: RequestId) -> bool {
+        let pending = self.pending.get(&id);
+        let ran = pending.is_some_and(|pending| pending.first_possible_run.is_some());
+        ran || self.outstanding.keys().any(|out| out.request == id)
+    }
+
+    /// The client's deadline has passed: the request gets a response whatever the decisions wait for.
     pub(super) fn deadline_passed(&mut self, now: Timestamp, id: RequestId) {
         if self.pending.contains_key(&id) {
             self.conclude(id, Response::Failed);
@@ -164,13 +138,10 @@
     }
 }
 
-/// A word that is no answer to a fetch counts as an error: it may have run.
-fn status(reply: &UpstreamReply) -> Status {
-    match reply.kind {
-        ReplyKind::Hit | ReplyKind::NotModified => Status::Ok,
-        ReplyKind::Miss => Status::Miss,
-        ReplyKind::Rejected => Status::Rejected,
-        ReplyKind::DeadlineExceeded => Status::NotSent,
-        ReplyKind::Fault | ReplyKind::Other => Status::Error,
+impl PendingRequest {
+    /// Whether a reply calls a copy current that is not the client's.
+    fn contradicts(&self, reply: &UpstreamReply) -> bool {
+        let same_copy = self.request.cached_tag.as_deref() == reply.tag.as_deref();
+        reply.kind == ReplyKind::NotModified && (self.write || !same_copy)
     }
 }
--- a/front/src/routing/clock_offset.rs
+++ b/front/src/routing/clock_offset.rs
@@ -1,58 +1,59 @@
-//! By how much this front's clock is ahead of the list service's. Moments that the service names, of purges and of starts, are
-//! heard of at once or late, never early: what was heard with the least delay bounds the difference.
+//! The offset between this front's clock and that of discovery. Timestamps that discovery sends, of purges and of starts,
+//! arrive at once or late, never early: the message with the least delay bounds the offset.
 use cranesill::api::{Micros, Timestamp};
 
-/// The least delay of one such span and the one before counts: clocks drift.
+/// The least delay within the current and the previous window counts, since clocks drift.
 const WINDOW: Micros = 60_000_000;
 
-/// The least delay between a moment that was named and when it was heard of.
+/// The least delay observed between a timestamp and its arrival.
 #[derive(Debug, Default)]
 pub struct ClockOffset {
-    /// In this window and the one before. A clock that is behind makes them negative.
-    new: Option<i64>,
-    old: Option<i64>,
-    since: Timestamp,
+    /// In the current window, in microseconds; negative if this clock is behind.
+    current: Option<i64>,
+    /// In the previous window with observations.
+    previous: Option<i64>,
+    window_start: Timestamp,
 }
 
 impl ClockOffset {
-    /// The service tells now of what was `at` by its clock. Only what it tells as news counts, not what was known or kept.
+    /// Discovery reports at `now` something that happened at `at` by its clock. Only what it reports as it happens may be
+    /// observed, not what was configured or stored.
     pub fn observe(&mut self, now: Timestamp, at: Timestamp) {
-        if now > self.since + WINDOW {
-            // Without news for long the last window with some stands.
-            (self.old, self.new, self.since) = (self.new.or(self.old), None, now);
+        if now > self.window_start + WINDOW {
+            // After a long silence the last window with observations stands.
+            self.previous = self.current.or(self.previous);
+            self.current = None;
+            self.window_start = now;
         }
         let delay = now as i64 - at as i64;
-        self.new = Some(self.new.map_or(delay, |least| least.min(delay)));
+        self.current = Some(self.current.map_or(delay, |least| least.min(delay)));
     }
 
-    /// By this clock, what was `at` by the service's: never before it was, and later by no more than the least delay.
+    /// Converts a timestamp of discovery's clock into this clock's: never too early, and too late by no more than the
+    /// least delay.
     pub fn to_local(&self, at: Timestamp) -> Timestamp {
-        at.saturating_add_signed(self.least())
+        at.saturating_add_signed(self.least_delay().unwrap_or(0))
     }
 
-    /// How far this clock is ahead at most; 0 while nothing was heard, or if it is behind.
+    /// The most by which this clock is ahead; 0 if it is behind or nothing was observed.
     pub fn max_ahead(&self) -> Micros {
-        self.least().max(0) as Micros
+        self.least_delay().unwrap_or(0).max(0) as Micros
     }
 
-    /// By how many milliseconds this clock is ahead, less than 0 if it is behind, and the least delay of news in it; `None` while
-    /// nothing was heard.
+    /// Milliseconds by which this clock is ahead (negative: behind), including the least delay of a message; `None`
+    /// before the first observation.
     pub fn offset_ms(&self) -> Option<i64> {
-        self.new
-            .into_iter()
-            .chain(self.old)
-            .min()
-            .map(|least| least / 1_000)
+        self.least_delay().map(|least| least / 1_000)
     }
 
-    /// By how many milliseconds this clock is behind at least; 0 while nothing was heard, or if it is not.
+    /// Milliseconds by which this clock is behind at least; 0 if it is not or nothing was observed.
     pub fn behind_ms(&self) -> u64 {
-        self.offset_ms()
-            .map_or(0, |ahead_ms| ahead_ms.min(0).unsigned_abs())
+        let ahead_ms = self.offset_ms().unwrap_or(0);
+        ahead_ms.min(0).unsigned_abs()
     }
 
-    fn least(&self) -> i64 {
-        self.new.into_iter().chain(self.old).min().unwrap_or(0)
+    fn least_delay(&self) -> Option<i64> {
+        self.current.into_iter().chain(self.previous).min()
     }
 }
 
--- a/front/src/routing/dispatch.rs
+++ b/front/src/routing/dispatch.rs
@@ -1,152 +1,218 @@
-//! Send: an attempt that was decided becomes a fetch for a member.
+//! Dispatch: an attempt that was decided becomes a fetch from an endpoint.
 use super::*;
 use cranesill::api::{Effect, Fill};
 
+/// How an attempt is filled, once the purges known now are taken into account.
+struct FillPlan {
+    fill: Option<FillSource>,
+    /// The part that is fetched past the caches because purges require a newer copy than they have.
+    bypass: Option<ObjectPart>,
+}
+
 impl RequestPipeline {
-    /// Sends an attempt, which is given up at `until` or when the client's time is up; they are numbered in the
-    /// order sent.
-    pub(super) fn send(
+    /// Sends an attempt, which is given up at `timeout_at` or at the client's deadline, whichever is first. Attempts are
+    /// numbered in the order sent.
+    pub(super) fn dispatch(
         &mut self,
         now: Timestamp,
         request: RequestId,
         target: EndpointId,
-        until: Option<Timestamp>,
+        timeout_at: Option<Timestamp>,
         fill: Option<Fill>,
     ) {
-        // The decisions learn of a final answer before they decide again, so the request is open here.
+        // The decisions learn of a final response before they decide again, so the request is pending here.
         let Some(pending) = self.pending.get(&request) else {
             return;
         };
-        let mut fill = fill.map(|fill| FillSource {
-            source: Some(fill.source).filter(|s| *s != target),
-            rank: fill.rank,
-            max_age: fill.oldest,
-            join: fill.join,
-            cached_only: fill.only_held,
-            revalidate: fill.renew,
-        });
-        // As of now, not as of when it was taken in: purges come while requests wait.
-        let mut past = None;
-        if let Some(floors) = self.floors.as_ref().filter(|_| !pending.write) {
-            if let Some(FreshnessRequirement { oldest, renewed }) =
-                floors.requirement(now, &pending.request, fill.map_or(0, |f| f.max_age))
-            {
-                let bare = FillSource {
-                    source: None,
-                    rank: 0,
-                    max_age: oldest,
-                    join: false,
-                    cached_only: false,
-                    revalidate: false,
-                };
-                let joins = self.deployment.settings.joins;
-                fill = Some(fill.map_or(bare, |fill| FillSource {
-                    max_age: oldest,
-                    join: joins,
-                    ..fill
-                }));
-                let fetches = !renewed && fill.is_some_and(|fill| fill.source.is_some());
-                past = pending
-                    .request
-                    .object
-                    .as_ref()
-                    .filter(|_| fetches)
-                    .map(|item| (item.id, pending.request.part));
+        let fill = fill.map(|fill| FillSource::new(fill, target));
+        let plan = self.plan_fill(now, pending, fill);
+        if let Some(part) = plan.bypass {
+            let class = pending.class;
+            if let Err(retry_after) = self.admit_bypass(now, class, part) {
+                return self.reject_bypass(now, request, target, retry_after);
             }
-        }
-        if let Some(key) = past {
-            // One that is fetched already is joined, and costs nothing more.
-            if !self.shielded_fetches.contains_key(&key) {
-                let (class, number) = (pending.request.class.clone(), pending.sent);
-                if let Some(wait) = self.shield_wait(now, &class) {
-                    // The decisions hold a place for this attempt until they hear of its end.
-                    let attempt = AttemptId { request, number };
-                    self.outstanding.insert(
-                        attempt,
-                        OutstandingAttempt {
-                            sent: now,
-                            to: target,
-                            past: None,
-                        },
-                    );
-                    self.conclude(request, Response::Rejected(wait));
-                    return self.attempt_ended(now, attempt, AttemptEnd::NoConnection);
-                }
-            }
-            *self.shielded_fetches.entry(key).or_default() += 1;
+            *self.bypasses.entry(part).or_default() += 1;
         }
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
         let attempt = AttemptId {
             request,
-            number: pending.sent,
+            number: pending.attempts_sent,
         };
-        pending.sent += 1;
-        self.outstanding.insert(
-            attempt,
-            OutstandingAttempt {
-                sent: now,
-                to: target,
-                past,
+        pending.attempts_sent += 1;
+        let outstanding = OutstandingAttempt {
+            sent_at: now,
+            target,
+            bypass: plan.bypass,
+        };
+        self.outstanding.insert(attempt, outstanding);
+        self.send_fetch(attempt, target, timeout_at, plan.fill);
+    }
+
+    /// Applies the purges known now, not those known when the request was received: purges arrive while requests wait.
+    fn plan_fill(
+        &self,
+        now: Timestamp,
+        pending: &PendingRequest,
+        fill: Option<FillSource>,
+    ) -> FillPlan {
+        let class_max_age = fill.map_or(0, |fill| fill.max_age);
+        let floors = self.floors.as_ref().filter(|_| !pending.write);
+        let required =
+            floors.and_then(|floors| floors.requirement(now, &pending.request, class_max_age));
+        let Some(required) = required else {
+            return FillPlan { fill, bypass: None };
+        };
+        let fill = match fill {
+            Some(fill) => FillSource {
+                max_age: required.max_age,
+                join: self.deployment.settings.joins,
+                ..fill
             },
-        );
-        let deadline = until.map_or(pending.deadline, |until| until.min(pending.deadline));
-        // Guards the rule of effects: what was decided within the window may wait for its connection till after it.
-        let write_by = match (
-            self.deployment
-                .settings
-                .classes
-                .get(pending.class)
-                .map(|c| c.effect),
-            pending.ran,
-        ) {
-            (Some(Effect::Keyed { window, .. }), Some(ran)) => ran.saturating_add(window),
-            _ => Timestamp::MAX,
+            None => FillSource::without_fill(required.max_age),
+        };
+        let fetches = !required.renewed && fill.source.is_some();
+        FillPlan {
+            fill: Some(fill),
+            bypass: pending.request.object_part().filter(|_| fetches),
+        }
+    }
+
+    /// Whether a part may be fetched past the caches now; the error tells when to retry. A part that is being fetched
+    /// already is joined, and costs nothing more.
+    fn admit_bypass(
+        &mut self,
+        now: Timestamp,
+        class: usize,
+        part: ObjectPart,
+    ) -> Result<(), Micros> {
+        if self.bypasses.contains_key(&part) {
+            return Ok(());
+        }
+        let max_retry_after = self.overload_retry_after();
+        let Some(priority) = self.relative_priority(class) else {
+            return Ok(());
+        };
+        let Some(shield) = &mut self.shield else {
+            return Ok(());
+        };
+        if shield.may(now, priority) {
+            return Ok(());
+        }
+        Err(shield.wait(priority).min(max_retry_after))
+    }
+
+    /// Priority weight of a class relative to the highest one, from 0 to 1.
+    fn relative_priority(&self, class: usize) -> Option<f64> {
+        let classes = &self.deployment.settings.classes;
+        let highest = classes.iter().map(|class| class.worth).fold(0.0, f64::max);
+        Some(classes.get(class)?.worth / highest.max(f64::MIN_POSITIVE))
+    }
+
+    /// Rejects a request whose fetch would overload the main store. The decisions reserve a slot for the attempt until
+    /// they learn of its end, so it is sent and ended.
+    fn reject_bypass(
+        &mut self,
+        now: Timestamp,
+        request: RequestId,
+        target: EndpointId,
+        retry_after: Micros,
+    ) {
+        let Some(pending) = self.pending.get(&request) else {
+            return;
+        };
+        let attempt = AttemptId {
+            request,
+            number: pending.attempts_sent,
+        };
+        let outstanding = OutstandingAttempt {
+            sent_at: now,
+            target,
+            bypass: None,
         };
+        self.outstanding.insert(attempt, outstanding);
+        self.conclude(request, Response::Rejected(retry_after));
+        self.attempt_ended(now, attempt, AttemptEnd::NoConnection);
+    }
+
+    fn send_fetch(
+        &mut self,
+        attempt: AttemptId,
+        target: EndpointId,
+        timeout_at: Option<Timestamp>,
+        fill: Option<FillSource>,
+    ) {
+        let Some(pending) = self.pending.get(&attempt.request) else {
+            return;
+        };
+        let deadline = timeout_at.map_or(pending.deadline, |at| at.min(pending.deadline));
+        let request = &pending.request;
         let fetch = Fetch {
-            transaction: pending.request.transaction,
-            class: pending.request.class.as_str().into(),
-            object: pending.request.object.clone(),
-            part: pending.request.part,
+            transaction: request.transaction,
+            class: request.class.as_str().into(),
+            object: request.object.clone(),
+            part: request.part,
             deadline,
-            write_by,
+            write_by: self.write_by(pending),
             fill,
-            cached_tag: pending.request.cached_tag.clone(),
-            idempotency_key: pending.request.idempotency_key.clone(),
+            cached_tag: request.cached_tag.clone(),
+            idempotency_key: request.idempotency_key.clone(),
             write: pending.write,
-            body: Rc::clone(&pending.request.body),
+            body: Rc::clone(&request.body),
         };
-        self.commands
-            .push_back(Command::SetTimer(deadline, Timer::AttemptTimeout(attempt)));
-        self.commands
-            .push_back(Command::Send(attempt, target, fetch));
+        self.commands.push_back(Command::SetTimer {
+            at: deadline,
+            timer: Timer::AttemptTimeout(attempt),
+        });
+        self.commands.push_back(Command::Send {
+            attempt,
+            target,
+            fetch,
+        });
     }
 
-    /// Whether a request has to stay away from the main store for now, and for how long: what is worth most comes first.
-    fn shield_wait(&mut self, now: Timestamp, class: &str) -> Option<Micros> {
-        let classes = &self.deployment.settings.classes;
-        let at = self
-            .deployment
-            .names
-            .classes
-            .iter()
-            .position(|name| name == class)?;
-        let most = classes
-            .iter()
-            .map(|c| c.worth)
-            .fold(0.0, f64::max)
-            .max(f64::MIN_POSITIVE);
-        let worth = classes.get(at)?.worth / most;
-        let later = self.overload_retry_after();
-        let shield = self.shield.as_mut()?;
-        (!shield.may(now, worth)).then(|| shield.wait(worth).min(later))
+    /// The latest time to write a retry: one that was decided within the window in which nodes recognize retries may
+    /// wait for its connection until after it.
+    fn write_by(&self, pending: &PendingRequest) -> Timestamp {
+        let class = self.deployment.settings.classes.get(pending.class);
+        let effect = class.map(|class| class.effect);
+        match (effect, pending.first_possible_run) {
+            (Some(Effect::Keyed { window, .. }), Some(ran_at)) => ran_at.saturating_add(window),
+            _ => Timestamp::MAX,
+        }
     }
 
-    /// Calls an attempt off, if it is still out; its end is booked as soon as that is done.
+    /// Cancels an attempt if it is outstanding; its end is reported as soon as that is done.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
         if self.outstanding.contains_key(&attempt) {
             self.commands.push_back(Command::Abort(attempt));
         }
     }
 }
+
+impl FillSource {
+    /// The fill that was decided for `target`, which as its own source does not fill.
+    fn new(fill: Fill, target: EndpointId) -> Self {
+        FillSource {
+            source: Some(fill.source).filter(|source| *source != target),
+            rank: fill.rank,
+            max_age: fill.oldest,
+            join: fill.join,
+            cached_only: fill.only_held,
+            revalidate: fill.renew,
+        }
+    }
+
+    /// No fill, only a limit on the copy's age.
+    fn without_fill(max_age: Micros) -> Self {
+        FillSource {
+            source: None,
+            rank: 0,
+            max_age,
+            join: false,
+            cached_only: false,
+            revalidate: false,
+        }
+    }
+}
--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -1,80 +1,84 @@
-//! Take in: what a client sends becomes a request of the decisions.
+//! Ingress: a client's request becomes a request of the decisions.
 use super::*;
-use cranesill::api::{ObjectId, Request};
+use cranesill::api::{Event, ObjectId, Request};
 
-/// Left of the client's time when the last answer goes out, so that it arrives in time.
+/// The response leaves this long before the client stops waiting, so that it arrives in time.
 const RESPONSE_MARGIN: Micros = 10_000;
 
 impl RequestPipeline {
-    /// Takes in a client's request that came whole at `now`.
-    pub fn receive_request(
-        &mut self,
-        now: Timestamp,
-        from: ReplyTo,
-        client_request: ClientRequest,
-    ) {
-        let class = self
-            .deployment
-            .names
-            .classes
-            .iter()
-            .position(|name| *name == client_request.class);
-        let write = class.is_some_and(|c| self.deployment.settings.classes[c].write);
+    /// Handles a client's request that was received completely at `now`.
+    pub fn receive_request(&mut self, now: Timestamp, from: ReplyTo, received: ClientRequest) {
+        let class = self.class_index(&received.class);
+        let write = class.is_some_and(|class| self.deployment.settings.classes[class].write);
         // Only what runs at the origin can do without an object.
-        let Some(class) = class.filter(|_| write || client_request.object.is_some()) else {
+        let Some(class) = class.filter(|_| write || received.object.is_some()) else {
             return self.respond(from, None, Response::Failed);
         };
-        // A client that claims to wait for weeks would have its deadlines remembered for as long.
-        let most = Some(self.deployment.limits.waits[class]).filter(|most| *most > 0);
-        let limit = client_request.time_limit.min(most.unwrap_or(Micros::MAX));
-        let deadline = now + limit - RESPONSE_MARGIN.min(limit / 2);
+        let deadline = self.deadline(now, class, received.time_limit);
         self.last_request_id += 1;
         let request = Request {
             id: RequestId(self.last_request_id),
             class: class as u16,
-            object: ObjectId(client_request.object.as_ref().map_or(0, |item| item.id)),
-            part: client_request.part,
-            group: client_request.group,
-            size_kb: client_request.size_kb,
+            object: ObjectId(received.object.as_ref().map_or(0, |object| object.id)),
+            part: received.part,
+            group: received.group,
+            size_kb: received.size_kb,
             left: deadline - now,
         };
-        self.admit(
-            now,
-            PendingRequest {
-                from,
-                request: Rc::new(client_request),
-                deadline,
-                class,
-                write,
-                sent: 0,
-                ran: None,
-            },
-            request,
-        );
+        let pending = PendingRequest {
+            from,
+            request: Rc::new(received),
+            deadline,
+            class,
+            write,
+            attempts_sent: 0,
+            first_possible_run: None,
+        };
+        self.admit(now, pending, request);
     }
 
-    /// Whether an attempt of what was asked on this stream is out.
+    /// Whether an attempt of the request on this stream is outstanding.
     pub fn has_outstanding_attempt(&self, from: ReplyTo) -> bool {
-        let id = self.by_client.get(&from);
-        let last = id.and_then(|id| Some((*id, self.pending.get(id)?.sent)));
-        last.is_some_and(|(request, sent)| {
-            (0..sent).any(|number| {
-                self.outstanding
-                    .contains_key(&AttemptId { request, number })
-            })
+        let Some(id) = self.by_client.get(&from) else {
+            return false;
+        };
+        let Some(pending) = self.pending.get(id) else {
+            return false;
+        };
+        (0..pending.attempts_sent).any(|number| {
+            let attempt = AttemptId {
+                request: *id,
+                number,
+            };
+            self.outstanding.contains_key(&attempt)
         })
     }
 
-    /// Nobody waits for this stream any more.
+    /// Cancels the request on a stream: its client has disconnected.
     pub fn cancel_request(&mut self, now: Timestamp, from: ReplyTo) {
-        if let Some(id) = self.by_client.get(&from).copied() {
-            if let Some(counts) = self
-                .remove_pending(id)
-                .and_then(|pending| self.counts.get_mut(pending.class))
-            {
-                counts.cancelled += 1;
-            }
-            self.handle_event(now, cranesill::api::Event::Cancelled(id));
+        let Some(id) = self.by_client.get(&from).copied() else {
+            return;
+        };
+        let class = self.remove_pending(id).map(|pending| pending.class);
+        if let Some(counts) = class.and_then(|class| self.counts.get_mut(class)) {
+            counts.cancelled += 1;
         }
+        self.handle_event(now, Event::Cancelled(id));
+    }
+
+    fn class_index(&self, name: &str) -> Option<usize> {
+        let mut names = self.deployment.names.classes.iter();
+        names.position(|class| class == name)
+    }
+
+    /// When the response has to leave. A client that claims to wait for weeks is held to the limit of its class, since
+    /// its deadlines would be remembered for as long.
+    fn deadline(&self, now: Timestamp, class: usize, time_limit: Micros) -> Timestamp {
+        let class_limit = match self.deployment.limits.waits[class] {
+            0 => Micros::MAX,
+            limit => limit,
+        };
+        let limit = time_limit.min(class_limit);
+        now + limit - RESPONSE_MARGIN.min(limit / 2)
     }
 }
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -1,6 +1,6 @@
-//! The chain of stages that every request passes: take in, admit, route, send, relay, book. Requests and
-//! answers go in, commands come out; no bytes of a wire and no socket is seen here, so a second client
-//! protocol would pass through the same decisions and rules.
+//! The stages that every request passes: ingress, admission, route, dispatch, relay, accounting. Requests and replies go
+//! in, commands come out; wire formats and sockets stay outside, so that a second client protocol would pass through
+//! the same decisions and rules.
 mod accounting;
 mod admission;
 mod clock_offset;
@@ -14,7 +14,7 @@
 mod types;
 
 pub use clock_offset::ClockOffset;
-pub use purge_floors::{Freshness, FreshnessRequirement, PurgeFloors};
+pub use purge_floors::{Freshness, PurgeFloors};
 pub use types::*;
 
 use cranesill::api::{Action, EndpointId, Micros, RequestId, Timestamp};
@@ -24,77 +24,77 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A request that still is owed its final answer.
+/// A request that has not had its final response.
 #[derive(Debug)]
 struct PendingRequest {
     from: ReplyTo,
     request: Rc<ClientRequest>,
+    /// When the response has to leave.
     deadline: Timestamp,
+    /// The index of its class in the settings.
     class: usize,
-    /// Its class runs at the origin and leaves no copy.
+    /// Whether its class runs at the origin and leaves no copy.
     write: bool,
-    /// Attempts sent so far.
-    sent: u16,
-    /// When the first was sent that may have run.
-    ran: Option<Timestamp>,
+    attempts_sent: u16,
+    /// When the first attempt was sent that may have run.
+    first_possible_run: Option<Timestamp>,
 }
 
 /// An attempt that has not ended.
 #[derive(Debug)]
 struct OutstandingAttempt {
-    sent: Timestamp,
-    to: EndpointId,
-    /// What it fetches past the caches, since purges ask for newer than they have.
-    past: Option<(u64, u32)>,
+    sent_at: Timestamp,
+    target: EndpointId,
+    /// The part that it fetches past the caches, since purges require a newer copy than they have.
+    bypass: Option<ObjectPart>,
 }
 
-/// Limits of one front beyond those of the settings.
+/// Capacity of one front beyond the limits in the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLimits {
-    /// Requests open at once.
+    /// Requests that may be pending at once.
     pub max_pending: usize,
-    /// Bytes that answers may take up in memory, at most.
+    /// Bytes of responses that may be in memory at once.
     pub max_buffered_bytes: usize,
 }
 
-/// Bytes of an answer that are assumed before the first; the weight of each in the moving average.
+/// The assumed size of a response before the first one.
 const INITIAL_RESPONSE_BYTES: f64 = 32_768.0;
-const RESPONSE_BYTES_WEIGHT: f64 = 0.01;
 
-/// The stages and what they share.
+/// The stages and the state that they share.
 #[derive(Debug)]
 pub struct RequestPipeline {
     router: Router,
     deployment: Deployment,
     capacity: CapacityLimits,
     pending: HashMap<RequestId, PendingRequest>,
-    /// The requests that are open, by who asked.
     by_client: HashMap<ReplyTo, RequestId>,
     by_transaction: HashMap<TransactionId, RequestId>,
     outstanding: HashMap<AttemptId, OutstandingAttempt>,
-    /// Bytes of answers that are not with their clients yet.
+    /// Bytes of responses that are not delivered yet.
     buffered_bytes: usize,
-    /// Moving average of what an answer takes up.
+    /// Moving average of the responses' sizes.
     average_response_bytes: f64,
     last_request_id: u64,
-    /// Final answers, by class.
+    /// Final responses, by class.
     counts: Vec<ResponseCounts>,
-    /// Everything new is refused.
+    /// Whether every new request is rejected.
     rejecting: bool,
-    /// How far this clock is ahead of that of the list service.
+    /// The offset between this clock and discovery's.
     pub clock_offset: ClockOffset,
+    /// Reused between events.
     actions: Vec<Action>,
     commands: VecDeque<Command>,
-    /// Where the daemon's own purges are on.
+    /// The age limits that purges set, if the daemon's own purges are on.
     pub floors: Option<PurgeFloors>,
-    /// Bounds what purges send past the caches.
+    /// Limits what purges send past the caches.
     pub shield: Option<Shield>,
-    /// Objects and parts that are fetched past the caches now, and by how many attempts.
-    shielded_fetches: HashMap<(u64, u32), u32>,
+    /// Parts that are being fetched past the caches, with the number of attempts that fetch them.
+    bypasses: HashMap<ObjectPart, u32>,
 }
 
 impl RequestPipeline {
-    /// A front that knows of no member yet.
+    /// A pipeline that knows no endpoint yet. `seed` is that of the decisions' random numbers.
     pub fn new(deployment: Deployment, seed: u64, capacity: CapacityLimits) -> Self {
         RequestPipeline {
             router: Router::new(deployment.settings.clone(), seed),
@@ -114,46 +114,42 @@
             commands: VecDeque::new(),
             floors: None,
             shield: None,
-            shielded_fetches: HashMap::new(),
+            bypasses: HashMap::new(),
         }
     }
 
-    /// The next thing to be done, in the order decided.
+    /// The next command, in the order decided.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// Requests that are owed an answer.
+    /// The number of requests that have not had a final response.
     pub fn pending_requests(&self) -> usize {
         self.pending.len()
     }
 
-    /// Tells how many bytes are held on connections, beside what the open requests may come to.
+    /// Sets the number of bytes that connections buffer, beside what the pending requests may come to.
     pub fn set_buffered_bytes(&mut self, bytes: usize) {
         self.buffered_bytes = bytes;
     }
 
-    /// From now on everything new is refused, or no longer.
+    /// Rejects every new request from now on, or admits them again.
     pub fn reject_new_requests(&mut self, rejecting: bool) {
         self.rejecting = rejecting;
     }
 
-    /// Final answers so far: each class with its counts.
+    /// The final responses so far, by the name of the class.
     pub fn response_counts(&self) -> impl Iterator<Item = (&str, &ResponseCounts)> {
-        self.deployment
-            .names
-            .classes
-            .iter()
-            .map(String::as_str)
-            .zip(&self.counts)
+        let names = self.deployment.names.classes.iter();
+        names.map(String::as_str).zip(&self.counts)
     }
 
-    /// Whether the decisions avoid a listed member now.
-    pub fn is_avoided(&self, member: EndpointId) -> bool {
-        self.router.avoids(member)
+    /// Whether the decisions avoid an endpoint now.
+    pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
+        self.router.avoids(endpoint)
     }
 
-    /// How long a client is asked to stay away when the front itself has no room.
+    /// When a client may retry that was rejected because the front itself is overloaded.
     fn overload_retry_after(&self) -> Micros {
         self.deployment.settings.max_retry_after
     }
--- a/front/src/routing/purge_floors.rs
+++ b/front/src/routing/purge_floors.rs
@@ -1,67 +1,88 @@
-//! PurgeFloors: the oldest moment from which a copy may stem that answers a request, by the purges that this front knows.
-//! They are asked when an attempt is sent and again when its answer comes: purges come while requests wait.
-use super::{ClientRequest, ReplyKind, UpstreamReply};
+//! Purge floors: the oldest creation time that a copy may have to answer a request, by the purges that this front knows.
+//! They are applied when an attempt is sent and again to its reply, since purges arrive while requests wait.
+use super::{ClientRequest, ObjectPart, ReplyKind, UpstreamReply};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::lease::Contact;
-use cranesill_purges::matching::{tag_mark, Index, Matcher, Set};
+use cranesill_purges::matching::{tag_mark, Index, Mark, Matcher, Set};
 use cranesill_purges::{key, Ms, Number, Purge, What};
 use std::collections::HashMap;
 
-/// Tags that one answer may name.
+/// Most surrogate tags that a reply may name; one with more counts as naming none.
 const MAX_REPLY_TAGS: usize = 16;
-const MS: Micros = 1_000;
-/// Objects and parts under a floor of which it is remembered that they were renewed, in each of two generations.
-const MAX_RENEWED: usize = 32_768;
+/// Microseconds in a millisecond.
+const MILLISECOND: Micros = 1_000;
+/// Most parts in each of the two generations of [`RenewedParts`].
+const MAX_RENEWED_PARTS: usize = 32_768;
 
-/// What an answer is.
+/// How a reply compares with the purges known now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It may be passed on.
+    /// The copy is new enough.
     Fresh,
-    /// It is from before a purge that was not known to concern it.
+    /// The copy is older than a purge that was not known to concern it when the attempt was sent.
     StaleUnrequested,
-    /// It is from before a purge that was known to concern it.
+    /// The copy is older than a purge that was known to concern it: the endpoint ignored the age limit.
     StaleDespiteRequest,
 }
 
-/// What purges ask of a copy.
+/// What purges require of the copy that answers a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessRequirement {
-    /// The oldest that will do, as an age.
-    pub oldest: Micros,
-    /// One that is new enough was seen already: caches need not go past themselves.
+    /// The greatest age that is allowed.
+    pub max_age: Micros,
+    /// Whether a copy that is new enough was seen already, so that caches need not be bypassed.
     pub renewed: bool,
 }
 
-/// What this front knows of purges.
+/// The creation times of the copies seen last of parts under a floor. A full generation replaces the one before.
+#[derive(Debug, Default)]
+struct RenewedParts {
+    current: HashMap<ObjectPart, Timestamp>,
+    previous: HashMap<ObjectPart, Timestamp>,
+}
+
+impl RenewedParts {
+    fn insert(&mut self, part: ObjectPart, created_at: Timestamp) {
+        if self.current.len() >= MAX_RENEWED_PARTS {
+            self.previous = std::mem::take(&mut self.current);
+        }
+        self.current.insert(part, created_at);
+    }
+
+    fn created_at(&self, part: &ObjectPart) -> Option<Timestamp> {
+        let found = self.current.get(part).or_else(|| self.previous.get(part));
+        found.copied()
+    }
+}
+
+/// The purges that this front knows.
 #[derive(Debug)]
 pub struct PurgeFloors {
     matcher: Matcher,
     index: Index,
-    /// By so many milliseconds the clocks of those who date copies may be ahead.
-    skew: Ms,
-    /// Everything up to this number is carried out by all boxes: members are not asked for it any more, but their
-    /// answers are judged by it.
+    /// Milliseconds by which the clocks of those who date copies may be ahead.
+    skew_ms: Ms,
+    /// All cache nodes have applied every purge up to this number: requests need not ask for it any more, but replies
+    /// are still checked against it.
     pub confirmed: Number,
-    /// When the copies were given out that were seen lately of objects and parts under a floor, in two generations.
-    renewed: HashMap<(u64, u32), Timestamp>,
-    renewed_before: HashMap<(u64, u32), Timestamp>,
-    /// With the writer of the ledger, where this front follows one.
+    renewed: RenewedParts,
+    /// The lease on the purge log, where this front follows a writer.
     pub contact: Option<Contact>,
-    /// Answers that were refused for their age, and of them those that were asked for better.
+    /// Replies that were rejected as stale.
     pub refused: u64,
+    /// Those of them whose endpoint had been asked for a newer copy.
     pub lies: u64,
 }
 
 impl PurgeFloors {
-    /// No purge is known; `index_bytes` are for tags of objects.
-    pub fn new(index_bytes: usize, skew: Ms) -> Self {
+    /// Floors without a purge. The index of the objects' tags takes `index_bytes`; clocks of those who date copies may
+    /// be ahead by `skew_ms` milliseconds.
+    pub fn new(index_bytes: usize, skew_ms: Ms) -> Self {
         PurgeFloors {
-            renewed: HashMap::new(),
-            renewed_before: HashMap::new(),
+            renewed: RenewedParts::default(),
             matcher: Matcher::default(),
             index: Index::new(index_bytes),
-            skew,
+            skew_ms,
             confirmed: 0,
             contact: None,
             refused: 0,
@@ -69,51 +90,66 @@
         }
     }
 
-    /// Takes a purge in.
+    /// Adds a purge.
     pub fn add(&mut self, purge: &Purge) {
-        self.matcher.add(purge, self.skew);
+        self.matcher.add(purge, self.skew_ms);
     }
 
-    /// Everything may have been purged up to a moment.
+    /// Counts everything as purged up to a time.
     pub fn add_all(&mut self, at: Ms) {
-        self.matcher.add_all(at.saturating_add(self.skew));
+        self.matcher.add_all(at.saturating_add(self.skew_ms));
     }
 
-    /// Forgets purges of which no member holds an old copy any more.
+    /// Forgets purges from before `horizon`: no endpoint has a copy from before it any more.
     pub fn expire(&mut self, horizon: Ms) {
         self.matcher.expire(horizon);
     }
 
-    /// Patterns to be put together elsewhere.
-    pub fn job(&mut self) -> Option<Vec<(Box<str>, cranesill_purges::matching::Mark)>> {
+    /// Patterns to compile on a worker thread, once there are enough new ones.
+    pub fn job(&mut self) -> Option<Vec<(Box<str>, Mark)>> {
         self.matcher.job()
     }
 
-    /// Patterns that were put together.
+    /// Installs patterns that were compiled.
     pub fn install(&mut self, set: Result<Set, String>) {
         self.matcher.install(set);
     }
 
-    /// Purges that are live: objects, groups, tags, patterns.
+    /// Live purges: of objects, groups, tags and patterns.
     pub fn counts(&self) -> [usize; 4] {
         self.matcher.counts()
     }
 
-    /// Objects that are known, and how many of them a purge of that kind would match, as far as that can be told.
-    pub fn count_matches(&self, what: &What) -> (usize, Option<usize>) {
-        match what {
+    /// The number of indexed objects, and how many of them a purge of this target would concern, where that is known.
+    pub fn count_matches(&self, target: &What) -> (usize, Option<usize>) {
+        match target {
             What::Tag(tag) => {
-                let (known, with) = self.index.count(tag);
-                (known, Some(with))
+                let (known, tagged) = self.index.count(tag);
+                (known, Some(tagged))
+            }
+            What::Object(object) => {
+                let known = self.index.count("").0;
+                let matched = usize::from(self.index.tags(*object).is_some());
+                (known, Some(matched))
             }
-            What::Object(object) => (
-                self.index.count("").0,
-                Some(usize::from(self.index.tags(*object).is_some())),
-            ),
-            _ => (self.index.count("").0, None),
+            What::Group(_) | What::Pattern(_) => (self.index.count("").0, None),
         }
     }
 
+    /// The floor that an expired lease sets, in Unix milliseconds; 0: none.
+    fn lease_floor_ms(&self, now: Timestamp) -> Ms {
+        let floor = match &self.contact {
+            Some(lease) => lease.floor(now, now / MILLISECOND),
+            None => 0,
+        };
+        match floor {
+            0 => 0,
+            floor => floor.saturating_add(self.skew_ms),
+        }
+    }
+
+    /// The earliest creation time of a copy that may answer a request, by purges after the number `after`; 0: any.
+    /// `tags` are the marks of the object's tags; `None`: they are not known.
     fn floor(
         &self,
         now: Timestamp,
@@ -121,51 +157,48 @@
         request: &ClientRequest,
         tags: Option<&[u64]>,
     ) -> Timestamp {
-        let Some(item) = &request.object else {
+        let Some(object) = &request.object else {
             return 0;
         };
-        let contact = self.contact.as_ref().map_or(0, |c| c.floor(now, now / MS));
-        let contact = if contact > 0 {
-            contact.saturating_add(self.skew)
-        } else {
-            0
-        };
+        let lease_floor = self.lease_floor_ms(now);
         if self.matcher.is_empty() {
-            return contact.saturating_mul(MS);
+            return lease_floor.saturating_mul(MILLISECOND);
         }
-        let key = key(&request.class, item.id, request.part);
-        self.matcher
-            .floor(after, item.id, request.group, tags, &key)
-            .max(contact)
-            .saturating_mul(MS)
+        let key = key(&request.class, object.id, request.part);
+        let purge_floor = self
+            .matcher
+            .floor(after, object.id, request.group, tags, &key);
+        purge_floor.max(lease_floor).saturating_mul(MILLISECOND)
     }
 
-    /// What purges ask of the copy that answers a request; `None`: nothing beyond `oldest`, the age that will do (0:
-    /// as the class has it).
+    /// What purges require of the copy that answers a request; `None`: nothing beyond `max_age`, the limit that applies
+    /// anyway (0: that of the request class).
     pub fn requirement(
         &self,
         now: Timestamp,
         request: &ClientRequest,
-        oldest: Micros,
+        max_age: Micros,
     ) -> Option<FreshnessRequirement> {
-        let item = request.object.as_ref()?;
-        let floor = self.floor(now, self.confirmed, request, self.index.tags(item.id));
-        // 0 would ask for the class's own, so the least is a millisecond.
-        let age = Some(now.saturating_sub(floor).max(MS))
-            .filter(|age| floor > 0 && (oldest == 0 || *age < oldest))?;
-        let key = (item.id, request.part);
-        let born = self
-            .renewed
-            .get(&key)
-            .or_else(|| self.renewed_before.get(&key));
+        let part = request.object_part()?;
+        let tags = self.index.tags(part.object);
+        let floor = self.floor(now, self.confirmed, request, tags);
+        if floor == 0 {
+            return None;
+        }
+        // An age of 0 would stand for the limit of the request class.
+        let age = now.saturating_sub(floor).max(MILLISECOND);
+        if max_age != 0 && age >= max_age {
+            return None;
+        }
+        let renewed_at = self.renewed.created_at(&part);
         Some(FreshnessRequirement {
-            oldest: age,
-            renewed: born.is_some_and(|born| *born >= floor),
+            max_age: age,
+            renewed: renewed_at.is_some_and(|created_at| created_at >= floor),
         })
     }
 
-    /// Judges an answer that a member says is good, by the tags that it names itself: an older version may carry others
-    /// than those that are known. One that names none is unknown.
+    /// Checks a reply that its endpoint calls good, by the tags that the reply itself names: an older version of the
+    /// object may carry others than the indexed ones. A reply that names none has unknown tags.
     pub fn check_reply(
         &mut self,
         now: Timestamp,
@@ -175,44 +208,53 @@
         if !matches!(reply.kind, ReplyKind::Hit | ReplyKind::NotModified) {
             return Freshness::Fresh;
         }
-        let Some(item) = &request.object else {
+        let Some(part) = request.object_part() else {
             return Freshness::Fresh;
         };
-        let names: Option<Vec<&str>> = reply.tags.as_ref().map(|t| {
-            t.split(';')
-                .filter(|t| !t.is_empty())
-                .take(MAX_REPLY_TAGS + 1)
-                .collect()
-        });
-        // One with too many is unknown.
-        let names = names.filter(|names| names.len() <= MAX_REPLY_TAGS);
+        let names = named_tags(reply);
         let marks: Option<Vec<u64>> = names
             .as_ref()
-            .map(|names| names.iter().map(|t| tag_mark(t)).collect());
+            .map(|names| names.iter().map(|tag| tag_mark(tag)).collect());
         let floor = self.floor(now, 0, request, marks.as_deref());
-        let born = reply.created_at_ms.unwrap_or(0).saturating_mul(MS);
-        if floor > 0 && born < floor {
-            self.refused += 1;
-            let known = self.floor(now, 0, request, self.index.tags(item.id));
-            if born < known {
-                self.lies += 1;
-                return Freshness::StaleDespiteRequest;
-            } else {
-                // It kept to what it was asked: the question was too mild.
-                self.index.forget(item.id);
-            }
-            return Freshness::StaleUnrequested;
+        let created_at = reply.created_at_ms.unwrap_or(0).saturating_mul(MILLISECOND);
+        if floor > 0 && created_at < floor {
+            return self.reject_stale(now, request, part.object, created_at);
         }
-        self.index.learn(item.id, names.as_deref());
+        self.index.learn(part.object, names.as_deref());
         if floor > 0 {
-            if self.renewed.len() >= MAX_RENEWED {
-                self.renewed_before = std::mem::take(&mut self.renewed);
-            }
-            self.renewed.insert((item.id, request.part), born);
+            self.renewed.insert(part, created_at);
+        }
+        if let Some(lease) = &mut self.contact {
+            lease.answered(now);
         }
-        self.contact
-            .iter_mut()
-            .for_each(|contact| contact.answered(now));
         Freshness::Fresh
     }
+
+    fn reject_stale(
+        &mut self,
+        now: Timestamp,
+        request: &ClientRequest,
+        object: u64,
+        created_at: Timestamp,
+    ) -> Freshness {
+        self.refused += 1;
+        let requested_floor = self.floor(now, 0, request, self.index.tags(object));
+        if created_at < requested_floor {
+            self.lies += 1;
+            return Freshness::StaleDespiteRequest;
+        }
+        // The endpoint kept the age limit, which was too mild: the indexed tags are wrong.
+        self.index.forget(object);
+        Freshness::StaleUnrequested
+    }
+}
+
+/// The surrogate tags that a reply names; `None` if it names none or too many.
+fn named_tags(reply: &UpstreamReply) -> Option<Vec<&str>> {
+    let tags = reply.tags.as_ref()?.split(';');
+    let tags: Vec<&str> = tags
+        .filter(|tag| !tag.is_empty())
+        .take(MAX_REPLY_TAGS + 1)
+        .collect();
+    (tags.len() <= MAX_REPLY_TAGS).then_some(tags)
 }
--- a/front/src/routing/relay.rs
+++ b/front/src/routing/relay.rs
@@ -1,13 +1,17 @@
-//! Relay: the final answer goes to the client, once.
+//! Relay: the final response goes to the client, exactly once.
 use super::*;
 
+/// Weight of each response in the moving average of their sizes.
+const RESPONSE_BYTES_WEIGHT: f64 = 0.01;
+
 impl RequestPipeline {
-    /// Relays what a member served. Whether the request is concluded, by this or before.
+    /// Relays an endpoint's reply if it is a final response. Returns whether the request is concluded, by this reply or
+    /// before.
     pub(super) fn relay(&mut self, id: RequestId, reply: &UpstreamReply) -> bool {
         match reply.kind {
             ReplyKind::Hit => {
-                self.average_response_bytes +=
-                    (reply.body.len() as f64 - self.average_response_bytes) * RESPONSE_BYTES_WEIGHT;
+                let difference = reply.body.len() as f64 - self.average_response_bytes;
+                self.average_response_bytes += difference * RESPONSE_BYTES_WEIGHT;
                 self.conclude(id, Response::Served(Rc::clone(&reply.body)));
             }
             ReplyKind::NotModified => self.conclude(id, Response::NotModified),
@@ -16,14 +20,14 @@
         !self.pending.contains_key(&id)
     }
 
-    /// Gives the final answer, if it is still owed.
+    /// Sends the final response, unless the request has had one.
     pub(super) fn conclude(&mut self, id: RequestId, response: Response) {
         if let Some(PendingRequest { from, class, .. }) = self.remove_pending(id) {
             self.respond(from, Some(class), response);
         }
     }
 
-    /// Every final answer passes here and is counted; one to a request of no known class is in no count.
+    /// Sends and counts a final response; all of them pass here. A request of no known class is not counted.
     pub(super) fn respond(&mut self, to: ReplyTo, class: Option<usize>, response: Response) {
         if let Some(counts) = class.and_then(|class| self.counts.get_mut(class)) {
             match response {
@@ -32,10 +36,10 @@
                 Response::Failed => counts.failed += 1,
             }
         }
-        self.commands.push_back(Command::Respond(to, response));
+        self.commands.push_back(Command::Respond { to, response });
     }
 
-    /// Nothing more is owed for a request; what it was, if it was pending.
+    /// Removes a request that needs no response any more, and returns it if it was pending.
     pub(super) fn remove_pending(&mut self, id: RequestId) -> Option<PendingRequest> {
         let pending = self.pending.remove(&id)?;
         self.by_client.remove(&pending.from);
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use cranesill::api::ListKind;
 use serde_json::Value;
 
 const S: Timestamp = 1_000_000;
@@ -48,20 +49,20 @@
         started: 0,
         state,
     };
-    front.apply_endpoints(S, true, vec![origin], EventSource::Live);
+    front.apply_endpoints(S, ListKind::Full, vec![origin], EventSource::Live);
     front
 }
 
 fn commands(front: &mut RequestPipeline) -> Vec<Command> {
     std::iter::from_fn(|| front.next_command())
-        .filter(|c| !matches!(c, Command::SetTimer(..)))
+        .filter(|c| !matches!(c, Command::SetTimer { .. }))
         .collect()
 }
 
 fn answers(front: &mut RequestPipeline) -> Vec<Response> {
     let answer = |c| {
-        if let Command::Respond(_, answer) = c {
-            Some(answer)
+        if let Command::Respond { response, .. } = c {
+            Some(response)
         } else {
             None
         }
@@ -106,7 +107,10 @@
         },
     );
     let last = std::iter::from_fn(|| front.next_command()).filter_map(|c| match c {
-        Command::SetTimer(at, Timer::RequestDeadline(_) | Timer::AttemptTimeout(_)) => Some(at),
+        Command::SetTimer {
+            at,
+            timer: Timer::RequestDeadline(_) | Timer::AttemptTimeout(_),
+        } => Some(at),
         _ => None,
     });
     assert!(last.max().is_some_and(|at| at <= S + 3 * S));
@@ -124,7 +128,7 @@
     let (member, weight) = (EndpointId(1), 0.2);
     front.apply_endpoints(
         S,
-        true,
+        ListKind::Full,
         vec![cranesill::api::EndpointEntry {
             member,
             kind: 0,
@@ -154,7 +158,7 @@
         );
         let sent = commands(&mut front);
         sent.into_iter().find_map(|c| {
-            if let Command::Send(attempt, ..) = c {
+            if let Command::Send { attempt, .. } = c {
                 Some(attempt)
             } else {
                 None
@@ -170,7 +174,7 @@
     };
     front.attempt_ended(S + 400_000, first, AttemptEnd::Reply(reply));
     let next = commands(&mut front).into_iter().find_map(|c| match c {
-        Command::Send(_, _, fetch) => fetch.object.map(|item| item.id),
+        Command::Send { fetch, .. } => fetch.object.map(|item| item.id),
         _ => None,
     });
     assert_eq!(
@@ -210,7 +214,11 @@
         };
         front.apply_endpoints(
             S,
-            whole,
+            if whole {
+                ListKind::Full
+            } else {
+                ListKind::Delta
+            },
             list.iter().map(entry).collect(),
             EventSource::Live,
         );
@@ -232,7 +240,9 @@
             },
         );
         commands(&mut front).into_iter().find_map(|c| match c {
-            Command::Send(_, to, fetch) => Some((to.0, fetch)),
+            Command::Send {
+                target: to, fetch, ..
+            } => Some((to.0, fetch)),
             _ => None,
         })
     };
@@ -264,7 +274,11 @@
     // The same id while it is open could not be told apart at the member.
     front.receive_request(S, ReplyTo { stream: 9, ..from }, first);
     let done = commands(&mut front);
-    let [Command::Send(attempt, ..), Command::Respond(_, Response::Failed)] = done[..] else {
+    let [Command::Send { attempt, .. }, Command::Respond {
+        response: Response::Failed,
+        ..
+    }] = done[..]
+    else {
         panic!("{done:?}")
     };
     let reply = |word| {
@@ -300,7 +314,7 @@
     });
     let (from, ask) = ask(1);
     front.receive_request(S, from, ask);
-    let Some(Command::Send(attempt, ..)) = commands(&mut front).into_iter().next() else {
+    let Some(Command::Send { attempt, .. }) = commands(&mut front).into_iter().next() else {
         panic!()
     };
     front.cancel_request(2 * S, from);
@@ -331,7 +345,7 @@
     };
     front.apply_endpoints(
         S,
-        true,
+        ListKind::Full,
         vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)],
         EventSource::Live,
     );
@@ -359,7 +373,7 @@
         front.receive_request(2 * S, from, ask);
         for command in std::iter::from_fn(|| front.next_command()) {
             match command {
-                Command::Send(_, _, fetch) => {
+                Command::Send { fetch, .. } => {
                     let fill = fetch.fill.unwrap();
                     assert!(
                         (1_000..=S).contains(&fill.max_age),
@@ -367,11 +381,14 @@
                     );
                     sent += usize::from(fill.source.is_some());
                 }
-                Command::Respond(_, Response::Rejected(later)) => {
+                Command::Respond {
+                    response: Response::Rejected(later),
+                    ..
+                } => {
                     assert!(later > 0, "it is told when to come back");
                     refused += 1;
                 }
-                Command::Respond(_, answer) => panic!("{answer:?}"),
+                Command::Respond { response, .. } => panic!("{response:?}"),
                 _ => {}
             }
         }
@@ -438,11 +455,20 @@
         }
         while let Some(command) = front.next_command() {
             match command {
-                Command::Send(attempt, ..) => out.push(attempt),
+                Command::Send { attempt, .. } => out.push(attempt),
                 Command::Abort(attempt) => front.attempt_ended(now, attempt, AttemptEnd::Cancelled),
-                Command::Respond(_, Response::Served(_) | Response::NotModified) => told[0] += 1,
-                Command::Respond(_, Response::Rejected(_)) => told[1] += 1,
-                Command::Respond(_, Response::Failed) => told[2] += 1,
+                Command::Respond {
+                    response: Response::Served(_) | Response::NotModified,
+                    ..
+                } => told[0] += 1,
+                Command::Respond {
+                    response: Response::Rejected(_),
+                    ..
+                } => told[1] += 1,
+                Command::Respond {
+                    response: Response::Failed,
+                    ..
+                } => told[2] += 1,
                 _ => {}
             }
         }
@@ -486,7 +512,7 @@
         let now = 1_000 * S;
         front.apply_endpoints(
             now,
-            true,
+            ListKind::Full,
             vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)],
             EventSource::Live,
         );
@@ -505,7 +531,7 @@
         let sent = std::iter::from_fn(|| front.next_command());
         let fetch = sent
             .filter_map(|c| {
-                if let Command::Send(_, _, fetch) = c {
+                if let Command::Send { fetch, .. } = c {
                     Some(fetch)
                 } else {
                     None
--- a/front/src/routing/types.rs
+++ b/front/src/routing/types.rs
@@ -1,21 +1,13 @@
-//! What the stages speak of.
-use cranesill::api::{EndpointId, FillNote, Micros, RequestId, Timestamp};
+//! Types that the stages share with the protocols and the server.
+use cranesill::api::{EndpointId, FillNote, Micros, RequestId, Status, Timestamp};
 use std::rc::Rc;
 
-/// The id of a request: 16 hex digits, passed on as they came.
+/// The identifier that a client gives a request: 16 hex digits, forwarded as received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TransactionId([u8; 16]);
 
-impl UpstreamReply {
-    /// Whether it serves from a copy that it does not name, as no member's good answer does.
-    pub fn lacks_identity(&self) -> bool {
-        matches!(self.kind, ReplyKind::Hit | ReplyKind::NotModified)
-            && !(self.tag.is_some() && self.created_at_ms.is_some())
-    }
-}
-
 impl TransactionId {
-    /// From the digits.
+    /// Makes an identifier from its 16 digits; `None` if the length differs.
     pub fn new(text: &str) -> Option<Self> {
         text.as_bytes().try_into().ok().map(TransactionId)
     }
@@ -26,188 +18,324 @@
     }
 }
 
-/// An object: its digits as they came, and the number that they are.
+/// The key of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectKey {
+    /// The hex digits as received: nodes get them in the same spelling.
     pub text: Rc<str>,
+    /// The number that the digits stand for.
     pub id: u64,
 }
 
-/// A client's request.
+/// One part of an object: the unit that caches store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct ObjectPart {
+    /// The object's number.
+    pub object: u64,
+    /// The part's number within the object.
+    pub part: u32,
+}
+
+/// A request as a client sent it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
+    /// The name of its request class.
     pub class: String,
+    /// The client's identifier of the request.
     pub transaction: TransactionId,
-    /// How long the client waits.
+    /// How long the client waits for the response.
     pub time_limit: Micros,
+    /// The requested object; classes that run at the origin do without.
     pub object: Option<ObjectKey>,
+    /// The requested part of the object.
     pub part: u32,
+    /// The group that the object belongs to.
     pub group: u32,
-    /// Size of the part in KB, as the decisions count it; 0 where the client does not tell.
+    /// Size of the part in KB, as the decisions count it; 0 if the client does not state it.
     pub size_kb: f64,
-    /// The tag of the copy that the client holds.
+    /// The tag of the copy that the client has cached.
     pub cached_tag: Option<Rc<str>>,
-    /// The key by which nodes know repeats of a request, where its class has one.
+    /// The key by which nodes recognize retries of the request, where its class has one.
     pub idempotency_key: Option<Rc<str>>,
+    /// The payload, forwarded as received.
     pub body: Rc<[u8]>,
 }
 
-/// Who waits for an answer: a connection and a stream on it.
+impl ClientRequest {
+    /// The requested part, if the request names an object.
+    pub fn object_part(&self) -> Option<ObjectPart> {
+        self.object.as_ref().map(|object| ObjectPart {
+            object: object.id,
+            part: self.part,
+        })
+    }
+}
+
+/// Where a response goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReplyTo {
+    /// The poller key of the client's connection.
     pub client: usize,
+    /// The stream on that connection.
     pub stream: u32,
 }
 
-/// The final answer of a request.
+/// The final response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// The bytes.
+    /// The content.
     Served(Rc<[u8]>),
-    /// The copy that the client holds is the one.
+    /// The client's cached copy is current.
     NotModified,
-    /// Trying again does no harm, after this span.
+    /// The request did not run and may be retried after this duration.
     Rejected(Micros),
-    /// Nothing is promised.
+    /// The request failed and may have run.
     Failed,
 }
 
-/// Final answers of a class, as operators are told of them.
+/// Final responses of one request class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseCounts {
-    /// Requests served.
+    /// Requests that were served.
     pub served: u64,
-    /// Requests refused.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Requests of which nobody waited for the answer any more.
+    /// Requests whose client disconnected before the response.
     pub cancelled: u64,
 }
 
 /// One attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
+    /// The request.
     pub request: RequestId,
+    /// The number of the attempt, from 0 in the order sent.
     pub number: u16,
 }
 
-/// How a miss is filled.
+/// How a cache node fills a miss.
 #[derive(Clone, Copy, Debug)]
 pub struct FillSource {
-    /// Where from; `None`: it is not.
+    /// The endpoint that it fetches from; `None` if it does not fill.
     pub source: Option<EndpointId>,
+    /// How long the copy is kept: 0 not at all, 1 to 3 with growing preference.
     pub rank: u8,
+    /// The greatest age of a copy that may be served; 0: as the request class has it.
     pub max_age: Micros,
+    /// Whether it joins a fill of the same part that is under way.
     pub join: bool,
+    /// Whether the source gives only what it has cached.
     pub cached_only: bool,
+    /// Whether an ageing copy is served and fetched again behind.
     pub revalidate: bool,
 }
 
-/// What a member is asked.
+/// A request to an upstream endpoint.
 #[derive(Clone, Debug)]
 pub struct Fetch {
+    /// The client's identifier of the request.
     pub transaction: TransactionId,
+    /// The name of the request class.
     pub class: Rc<str>,
+    /// The requested object.
     pub object: Option<ObjectKey>,
+    /// The requested part of the object.
     pub part: u32,
-    /// When the front stops waiting.
+    /// When the front gives the attempt up.
     pub deadline: Timestamp,
-    /// A repeat is begun to be written up to then: nodes forget what they would know it by.
+    /// The latest time at which its first byte is written: after that, nodes no longer recognize a retry.
     pub write_by: Timestamp,
+    /// How a miss is filled; `None`: the endpoint decides.
     pub fill: Option<FillSource>,
+    /// The tag of the copy that the client has cached.
     pub cached_tag: Option<Rc<str>>,
-    /// Passed on as it came.
+    /// Forwarded as received.
     pub idempotency_key: Option<Rc<str>>,
-    /// It runs at the origin and leaves no copy.
+    /// Whether it runs at the origin and leaves no copy.
     pub write: bool,
+    /// The payload, forwarded as received.
     pub body: Rc<[u8]>,
 }
 
-/// What a member's answer says first.
+/// The result that an upstream endpoint reports first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplyKind {
+    /// Content follows.
     Hit,
+    /// The client's cached copy is current.
     NotModified,
+    /// The endpoint has no copy and did not fill.
     Miss,
+    /// The endpoint shed the request.
     Rejected,
+    /// The endpoint failed.
     Fault,
+    /// The deadline had passed when the endpoint came to it.
     DeadlineExceeded,
-    /// Nothing that a fetch is answered with.
+    /// Nothing that a fetch may be answered with.
     #[default]
     Other,
 }
 
-/// The answer of a member.
+/// The reply of an upstream endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamReply {
+    /// The result.
     pub kind: ReplyKind,
+    /// The content.
     pub body: Rc<[u8]>,
+    /// Where the content came from.
     pub fill_note: FillNote,
+    /// Time until the fill source's first byte or its failure; 0 if it was not reported.
     pub queueing_time: Micros,
-    /// The copy's tag, as it names it.
+    /// The tag of the copy.
     pub tag: Option<Box<str>>,
-    /// When the origin gave the copy out.
-    /// Unix milliseconds.
+    /// When the origin created the copy, in Unix milliseconds.
     pub created_at_ms: Option<u64>,
-    /// Tags of the object, between semicolons, where the member names them (`docs/protocol.md`).
+    /// Surrogate tags of the object, separated by semicolons, if the endpoint names them (`docs/protocol.md`).
     pub tags: Option<Box<str>>,
-    /// Its load report: names and figures.
+    /// The endpoint's load report: names and values.
     pub load_report: Vec<(String, f32)>,
 }
 
+impl UpstreamReply {
+    /// Whether it claims to serve a copy without identifying it, which no correct endpoint does.
+    pub fn lacks_identity(&self) -> bool {
+        matches!(self.kind, ReplyKind::Hit | ReplyKind::NotModified)
+            && !(self.tag.is_some() && self.created_at_ms.is_some())
+    }
+
+    /// The same reply counted as an error of the endpoint.
+    pub(super) fn into_fault(self) -> Self {
+        UpstreamReply {
+            kind: ReplyKind::Fault,
+            ..self
+        }
+    }
+
+    /// The result in the terms of the decisions.
+    fn status(&self) -> Status {
+        match self.kind {
+            ReplyKind::Hit | ReplyKind::NotModified => Status::Ok,
+            ReplyKind::Miss => Status::Miss,
+            ReplyKind::Rejected => Status::Rejected,
+            ReplyKind::DeadlineExceeded => Status::NotSent,
+            // A reply that does not belong to a fetch counts as an error, since the fetch may have run.
+            ReplyKind::Fault | ReplyKind::Other => Status::Error,
+        }
+    }
+}
+
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub enum AttemptEnd {
-    /// With an answer.
+    /// With a reply.
     Reply(UpstreamReply),
-    /// It was never written whole: no connection, or it broke before; along with another there or not.
-    Unsent { duplicate_failure: bool },
-    /// There was no connection to put it on: that says nothing of the member.
+    /// It was never written completely: connecting failed, or the connection broke before.
+    Unsent {
+        /// Whether another attempt on the same connection has reported this failure already.
+        duplicate_failure: bool,
+    },
+    /// There was no connection to send it on, which says nothing about the endpoint.
     NoConnection,
-    /// The connection broke after it was written whole.
-    Broken { duplicate_failure: bool },
-    /// It was called off.
+    /// The connection broke after the attempt was written completely.
+    Broken {
+        /// Whether another attempt on the same connection has reported this failure already.
+        duplicate_failure: bool,
+    },
+    /// The front cancelled it.
     Cancelled,
-    /// Its time was up.
+    /// It timed out.
     TimedOut,
 }
 
-/// What the stages want to be woken for.
+impl AttemptEnd {
+    /// The result in the terms of the decisions.
+    pub(super) fn status(&self) -> Status {
+        match self {
+            AttemptEnd::Reply(reply) => reply.status(),
+            // The endpoint cannot have run what was not written completely.
+            AttemptEnd::Unsent { .. } => Status::ConnectFailed,
+            AttemptEnd::NoConnection => Status::NotSent,
+            AttemptEnd::Broken { .. } => Status::Reset,
+            AttemptEnd::Cancelled => Status::Cancelled,
+            AttemptEnd::TimedOut => Status::Timeout,
+        }
+    }
+
+    /// Whether another attempt on the same connection has reported this failure already.
+    pub(super) fn is_duplicate_failure(&self) -> bool {
+        match self {
+            AttemptEnd::Unsent { duplicate_failure } | AttemptEnd::Broken { duplicate_failure } => {
+                *duplicate_failure
+            }
+            _ => false,
+        }
+    }
+
+    /// The endpoint's reply, if there was one.
+    pub(super) fn reply(&self) -> Option<&UpstreamReply> {
+        match self {
+            AttemptEnd::Reply(reply) => Some(reply),
+            _ => None,
+        }
+    }
+}
+
+/// A timer of the stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A timer of the decisions.
+    /// A timer of the decisions, with their token.
     Policy(u64),
-    /// The time of an attempt is up.
+    /// The time-out of an attempt.
     AttemptTimeout(AttemptId),
-    /// The client stops waiting.
+    /// The client stops waiting for its response.
     RequestDeadline(RequestId),
 }
 
-/// What the stages want to be done.
+/// What the server has to do for the stages.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Send an attempt.
-    Send(AttemptId, EndpointId, Fetch),
-    /// Give an attempt up that was sent.
+    Send {
+        /// The attempt.
+        attempt: AttemptId,
+        /// The endpoint.
+        target: EndpointId,
+        /// What is sent.
+        fetch: Fetch,
+    },
+    /// Cancel an attempt that was sent.
     Abort(AttemptId),
-    /// Give a client its final answer.
-    Respond(ReplyTo, Response),
-    /// Call `wake` at this moment.
-    SetTimer(Timestamp, Timer),
-    /// A member served a copy that is older than it was asked for.
+    /// Send a client its final response.
+    Respond {
+        /// The client.
+        to: ReplyTo,
+        /// The response.
+        response: Response,
+    },
+    /// Call [`handle_timer`](super::RequestPipeline::handle_timer) at a given time.
+    SetTimer {
+        /// When.
+        at: Timestamp,
+        /// With which timer.
+        timer: Timer,
+    },
+    /// An endpoint served a copy that is older than the request allowed.
     StaleCopyServed(EndpointId),
     /// Write a line to the log.
     Log(String),
 }
 
-/// Where news of members and purges come from.
+/// Where events about endpoints and purges come from, which tells how far their timestamps can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
-    /// The list service tells it now.
+    /// Discovery sends it now.
     Live,
-    /// The configuration knew it.
+    /// The configuration contained it.
     Configuration,
-    /// It was kept on disk, or another front held it: by a clock that nobody compared with this one.
+    /// It was read from disk or from another front: dated by a clock that was never compared with this one.
     Stored,
 }
--- a/front/src/server/event_loop.rs
+++ b/front/src/server/event_loop.rs
@@ -28,7 +28,7 @@
 use crate::transport::{
     at_start, inherited, listen, used_up, AcceptFault, Clock, Deadlines, Reactor, Registered,
 };
-use cranesill::api::{EndpointEntry, EndpointId, EndpointState, Micros, Timestamp};
+use cranesill::api::{EndpointEntry, EndpointId, EndpointState, ListKind, Micros, Timestamp};
 use cranesill_daemon::{changes, Daemon, Level};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -1102,7 +1102,12 @@
             .filter(|e| e.state == EndpointState::Ready)
             .map(|e| e.member)
             .collect();
-        self.front.apply_endpoints(now, whole, entries, origin);
+        let kind = if whole {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
+        self.front.apply_endpoints(now, kind, entries, origin);
         left_out
             .into_iter()
             .for_each(|id| self.nodes.leave_out(id, &mut ends));
@@ -1172,7 +1177,11 @@
                 break;
             };
             match command {
-                Command::Send(attempt, to, fetch) => {
+                Command::Send {
+                    attempt,
+                    target: to,
+                    fetch,
+                } => {
                     let key = self.key();
                     let due = now + self.config.deployment.settings.connect_timeout;
                     // A purge told meanwhile leaves no more time than that to what was decided before it; a repeat goes out in
@@ -1186,8 +1195,8 @@
                     self.nodes.abort(now, attempt, &mut ends);
                     ends.insert(0, (attempt, AttemptEnd::Cancelled));
                 }
-                Command::Respond(to, response) => self.clients.answer(now, to, response),
-                Command::SetTimer(at, timer) => self.deadlines.add(at, Due::Timer(timer)),
+                Command::Respond { to, response } => self.clients.answer(now, to, response),
+                Command::SetTimer { at, timer } => self.deadlines.add(at, Due::Timer(timer)),
                 Command::StaleCopyServed(member) => self.effects.push(Effect::Lied(member.0)),
                 Command::Log(text) => tracing::info!(kind = "decision", text, "decision"),
             }
