--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -9,15 +9,15 @@
 //! One batch is out at a time: a follower that is slow is waited for. An empty batch each second is a sign of life, and
 //! `head` tells whether the follower has all.
 use super::{Cursor, Unreadable};
-use cranesill_purges::journal::{self, Found};
-use cranesill_purges::log::BATCH_MOST;
-use cranesill_purges::{Number, Purge};
+use cranesill_purges::journal::{self, DecodedRecord};
+use cranesill_purges::log::MAX_BATCH_PURGES;
+use cranesill_purges::{Purge, PurgeNumber};
 
 const MAGIC: &[u8; 8] = b"CRFOLLOW";
 const VERSION: u16 = 1;
 pub const HELLO: usize = 26;
 /// Bytes of a batch's body.
-const BODY_MOST: usize = BATCH_MOST * 2_100;
+const BODY_MOST: usize = MAX_BATCH_PURGES * 2_100;
 const HEAD: usize = 29;
 
 /// What a follower says first.
@@ -26,7 +26,7 @@
     /// The ledger that it follows; 0: none yet.
     pub ledger: u64,
     /// The last number that it has kept.
-    pub last: Number,
+    pub last: PurgeNumber,
 }
 
 /// What a writer sends.
@@ -37,9 +37,9 @@
     /// Which ledger this is.
     pub ledger: u64,
     /// The number before the first that is held.
-    pub base: Number,
+    pub base: PurgeNumber,
     /// The last number that there is.
-    pub head: Number,
+    pub head: PurgeNumber,
     /// What follows the last number that the follower told.
     pub purges: Vec<Purge>,
 }
@@ -80,7 +80,11 @@
 
 /// The bytes of a frame.
 pub fn frame(frame: &Frame) -> Vec<u8> {
-    let body: Vec<u8> = frame.purges.iter().flat_map(journal::record).collect();
+    let body: Vec<u8> = frame
+        .purges
+        .iter()
+        .flat_map(journal::encode_record)
+        .collect();
     let mut bytes = vec![u8::from(frame.anew)];
     for number in [frame.ledger, frame.base, frame.head] {
         bytes.extend(number.to_le_bytes());
@@ -115,7 +119,7 @@
     };
     let mut purges = Vec::new();
     while !body.is_empty() {
-        let Found::Record(purge, used) = journal::decode(body) else {
+        let DecodedRecord::Record(purge, used) = journal::decode_record(body) else {
             return Err(Unreadable("a batch that is not as it was written"));
         };
         purges.push(purge);
--- a/front/src/protocol/follow/tests.rs
+++ b/front/src/protocol/follow/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use cranesill_purges::What;
+use cranesill_purges::PurgeTarget;
 
 #[test]
 fn words_are_the_same_however_they_are_cut_and_odd_ones_are_refused() {
@@ -8,11 +8,11 @@
     (0..HELLO).for_each(|cut| assert_eq!(read_hello(&bytes[..cut]).unwrap(), None));
     assert_eq!(read_hello(&bytes).unwrap(), Some(told));
     assert!(read_hello(b"GET /").is_err());
-    let what = What::Pattern("a/*".into());
+    let target = PurgeTarget::Pattern("a/*".into());
     let purge = Purge {
         number: 10,
-        at: 5,
-        what,
+        at_ms: 5,
+        target,
         id: "a".into(),
         who: "b".into(),
         why: "c".into(),
--- a/front/src/protocol/purge.rs
+++ b/front/src/protocol/purge.rs
@@ -2,13 +2,19 @@
 use super::member::{parts, strings};
 use super::Unreadable;
 use crate::transport::Outgoing;
-use cranesill_purges::{journal, Number, Purge};
+use cranesill_purges::{journal, Purge, PurgeNumber};
 use std::rc::Rc;
 
 /// A batch for a box: purges after one number up to another, of one ledger. An empty one asks how the box stands.
-pub fn batch(id: u64, ledger: u64, after: Number, upto: Number, purges: &[Purge]) -> Outgoing<()> {
+pub fn batch(
+    id: u64,
+    ledger: u64,
+    after: PurgeNumber,
+    upto: PurgeNumber,
+    purges: &[Purge],
+) -> Outgoing<()> {
     let fields = format!("ledger={ledger:016x},after={after},upto={upto}");
-    let body: Vec<u8> = purges.iter().flat_map(journal::record).collect();
+    let body: Vec<u8> = purges.iter().flat_map(journal::encode_record).collect();
     let mut head = b"*4\r\n".to_vec();
     head.extend(strings(&[
         b"purge",
@@ -32,7 +38,7 @@
     /// Of the ledger.
     pub ledger: u64,
     /// Everything up to this number is carried out.
-    pub upto: Number,
+    pub upto: PurgeNumber,
     /// It holds no copy.
     pub empty: bool,
 }
--- a/front/src/protocol/purge/tests.rs
+++ b/front/src/protocol/purge/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use cranesill_purges::What;
+use cranesill_purges::PurgeTarget;
 
 #[test]
 fn a_batch_is_written_as_members_read_and_a_word_is_read_once_it_is_whole() {
-    let what = What::Tag("vitara".into());
+    let target = PurgeTarget::Tag("vitara".into());
     let purge = Purge {
         number: 8,
-        at: 5,
-        what,
+        at_ms: 5,
+        target,
         id: "a".into(),
         who: "b".into(),
         why: "c".into(),
--- a/front/src/routing/dispatch.rs
+++ b/front/src/routing/dispatch.rs
@@ -97,10 +97,10 @@
         let Some(shield) = &mut self.shield else {
             return Ok(());
         };
-        if shield.may(now, priority) {
+        if shield.try_pass(now, priority) {
             return Ok(());
         }
-        Err(shield.wait(priority).min(max_retry_after))
+        Err(shield.retry_after(priority).min(max_retry_after))
     }
 
     /// Priority weight of a class relative to the highest one, from 0 to 1.
--- a/front/src/routing/purge_floors.rs
+++ b/front/src/routing/purge_floors.rs
@@ -2,9 +2,9 @@
 //! They are applied when an attempt is sent and again to its reply, since purges arrive while requests wait.
 use super::{ClientRequest, ObjectPart, ReplyKind, UpstreamReply};
 use cranesill::api::{Micros, Timestamp};
-use cranesill_purges::lease::Contact;
-use cranesill_purges::matching::{tag_mark, Index, Mark, Matcher, Set};
-use cranesill_purges::{key, Ms, Number, Purge, What};
+use cranesill_purges::lease::Lease;
+use cranesill_purges::matching::{tag_hash, PatternSet, PurgeMark, PurgeMatcher, TagIndex};
+use cranesill_purges::{request_key, Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use std::collections::HashMap;
 
 /// Most surrogate tags that a reply may name; one with more counts as naming none.
@@ -58,35 +58,35 @@
 /// The purges that this front knows.
 #[derive(Debug)]
 pub struct PurgeFloors {
-    matcher: Matcher,
-    index: Index,
+    matcher: PurgeMatcher,
+    index: TagIndex,
     /// Milliseconds by which the clocks of those who date copies may be ahead.
-    skew_ms: Ms,
+    skew_ms: UnixMillis,
     /// All cache nodes have applied every purge up to this number: requests need not ask for it any more, but replies
     /// are still checked against it.
-    pub confirmed: Number,
+    pub confirmed: PurgeNumber,
     renewed: RenewedParts,
     /// The lease on the purge log, where this front follows a writer.
-    pub contact: Option<Contact>,
+    pub lease: Option<Lease>,
     /// Replies that were rejected as stale.
-    pub refused: u64,
+    pub stale_replies: u64,
     /// Those of them whose endpoint had been asked for a newer copy.
-    pub lies: u64,
+    pub stale_despite_request: u64,
 }
 
 impl PurgeFloors {
     /// Floors without a purge. The index of the objects' tags takes `index_bytes`; clocks of those who date copies may
     /// be ahead by `skew_ms` milliseconds.
-    pub fn new(index_bytes: usize, skew_ms: Ms) -> Self {
+    pub fn new(index_bytes: usize, skew_ms: UnixMillis) -> Self {
         PurgeFloors {
             renewed: RenewedParts::default(),
-            matcher: Matcher::default(),
-            index: Index::new(index_bytes),
+            matcher: PurgeMatcher::default(),
+            index: TagIndex::new(index_bytes),
             skew_ms,
             confirmed: 0,
-            contact: None,
-            refused: 0,
-            lies: 0,
+            lease: None,
+            stale_replies: 0,
+            stale_despite_request: 0,
         }
     }
 
@@ -96,22 +96,22 @@
     }
 
     /// Counts everything as purged up to a time.
-    pub fn add_all(&mut self, at: Ms) {
+    pub fn add_all(&mut self, at: UnixMillis) {
         self.matcher.add_all(at.saturating_add(self.skew_ms));
     }
 
     /// Forgets purges from before `horizon`: no endpoint has a copy from before it any more.
-    pub fn expire(&mut self, horizon: Ms) {
+    pub fn expire(&mut self, horizon: UnixMillis) {
         self.matcher.expire(horizon);
     }
 
     /// Patterns to compile on a worker thread, once there are enough new ones.
-    pub fn job(&mut self) -> Option<Vec<(Box<str>, Mark)>> {
-        self.matcher.job()
+    pub fn take_compile_job(&mut self) -> Option<Vec<(Box<str>, PurgeMark)>> {
+        self.matcher.take_compile_job()
     }
 
     /// Installs patterns that were compiled.
-    pub fn install(&mut self, set: Result<Set, String>) {
+    pub fn install(&mut self, set: Result<PatternSet, String>) {
         self.matcher.install(set);
     }
 
@@ -121,24 +121,24 @@
     }
 
     /// The number of indexed objects, and how many of them a purge of this target would concern, where that is known.
-    pub fn count_matches(&self, target: &What) -> (usize, Option<usize>) {
+    pub fn count_matches(&self, target: &PurgeTarget) -> (usize, Option<usize>) {
         match target {
-            What::Tag(tag) => {
+            PurgeTarget::Tag(tag) => {
                 let (known, tagged) = self.index.count(tag);
                 (known, Some(tagged))
             }
-            What::Object(object) => {
+            PurgeTarget::Object(object) => {
                 let known = self.index.count("").0;
                 let matched = usize::from(self.index.tags(*object).is_some());
                 (known, Some(matched))
             }
-            What::Group(_) | What::Pattern(_) => (self.index.count("").0, None),
+            PurgeTarget::Group(_) | PurgeTarget::Pattern(_) => (self.index.count("").0, None),
         }
     }
 
     /// The floor that an expired lease sets, in Unix milliseconds; 0: none.
-    fn lease_floor_ms(&self, now: Timestamp) -> Ms {
-        let floor = match &self.contact {
+    fn lease_floor_ms(&self, now: Timestamp) -> UnixMillis {
+        let floor = match &self.lease {
             Some(lease) => lease.floor(now, now / MILLISECOND),
             None => 0,
         };
@@ -153,7 +153,7 @@
     fn floor(
         &self,
         now: Timestamp,
-        after: Number,
+        after: PurgeNumber,
         request: &ClientRequest,
         tags: Option<&[u64]>,
     ) -> Timestamp {
@@ -164,7 +164,7 @@
         if self.matcher.is_empty() {
             return lease_floor.saturating_mul(MILLISECOND);
         }
-        let key = key(&request.class, object.id, request.part);
+        let key = request_key(&request.class, object.id, request.part);
         let purge_floor = self
             .matcher
             .floor(after, object.id, request.group, tags, &key);
@@ -214,18 +214,18 @@
         let names = named_tags(reply);
         let marks: Option<Vec<u64>> = names
             .as_ref()
-            .map(|names| names.iter().map(|tag| tag_mark(tag)).collect());
+            .map(|names| names.iter().map(|tag| tag_hash(tag)).collect());
         let floor = self.floor(now, 0, request, marks.as_deref());
         let created_at = reply.created_at_ms.unwrap_or(0).saturating_mul(MILLISECOND);
         if floor > 0 && created_at < floor {
             return self.reject_stale(now, request, part.object, created_at);
         }
-        self.index.learn(part.object, names.as_deref());
+        self.index.record(part.object, names.as_deref());
         if floor > 0 {
             self.renewed.insert(part, created_at);
         }
-        if let Some(lease) = &mut self.contact {
-            lease.answered(now);
+        if let Some(lease) = &mut self.lease {
+            lease.record_reply(now);
         }
         Freshness::Fresh
     }
@@ -237,10 +237,10 @@
         object: u64,
         created_at: Timestamp,
     ) -> Freshness {
-        self.refused += 1;
+        self.stale_replies += 1;
         let requested_floor = self.floor(now, 0, request, self.index.tags(object));
         if created_at < requested_floor {
-            self.lies += 1;
+            self.stale_despite_request += 1;
             return Freshness::StaleDespiteRequest;
         }
         // The endpoint kept the age limit, which was too mild: the indexed tags are wrong.
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -325,7 +325,7 @@
 
 #[test]
 fn after_a_purge_of_everything_fetches_past_the_caches_are_bounded_and_joined_ones_cost_nothing() {
-    use cranesill_purges::{shield::Shield, Purge, What};
+    use cranesill_purges::{shield::Shield, Purge, PurgeTarget};
     let mut front = front(CapacityLimits {
         max_pending: 10_000,
         max_buffered_bytes: 1 << 30,
@@ -352,8 +352,8 @@
     let mut floors = PurgeFloors::new(1 << 16, 0);
     floors.add(&Purge {
         number: 1,
-        at: S / 1_000,
-        what: What::Group(3),
+        at_ms: S / 1_000,
+        target: PurgeTarget::Group(3),
         id: "a".into(),
         who: "".into(),
         why: "".into(),
--- a/front/src/server/drivers/purges/boxes.rs
+++ b/front/src/server/drivers/purges/boxes.rs
@@ -4,9 +4,9 @@
 use crate::server::drivers::Turn;
 use crate::transport::{dial, Stream};
 use cranesill::api::{EndpointId, Micros, Timestamp};
-use cranesill_purges::log::Ledger;
-use cranesill_purges::replication::Boxes;
-use cranesill_purges::Number;
+use cranesill_purges::log::PurgeLog;
+use cranesill_purges::replication::Replication;
+use cranesill_purges::PurgeNumber;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -26,7 +26,7 @@
     member: u64,
     stream: Stream<()>,
     /// The command that is out, and what it carries up to; 0: the question how it stands.
-    asked: (u64, Number),
+    asked: (u64, PurgeNumber),
     since: Timestamp,
     greeted: bool,
     /// A command is out.
@@ -44,21 +44,21 @@
 /// Boxes that speak of purges, and the connections to them.
 #[derive(Debug)]
 pub struct BoxLinks {
-    boxes: Boxes,
+    boxes: Replication,
     seats: BTreeMap<u64, Seat>,
     links: HashMap<usize, Link>,
     /// Connections at once.
     most: usize,
     last: u64,
     scratch: Vec<u8>,
-    confirmed: Number,
+    confirmed: PurgeNumber,
 }
 
 impl BoxLinks {
     /// No boxes yet.
-    pub fn new(now: Timestamp, ledger: &Ledger, per_s: f64, most: usize) -> Self {
+    pub fn new(now: Timestamp, ledger: &PurgeLog, per_s: f64, most: usize) -> Self {
         BoxLinks {
-            boxes: Boxes::new(now, ledger.identity, per_s),
+            boxes: Replication::new(now, ledger.identity, per_s),
             seats: BTreeMap::new(),
             links: HashMap::new(),
             most,
@@ -87,8 +87,8 @@
                     // Another address is another process: what it holds has to be asked anew.
                     let old = self.seats.get_mut(id).and_then(|s| s.link.take());
                     old.and_then(|key| self.links.remove(&key));
-                    self.boxes.list(*id);
-                    self.boxes.lost(now, *id);
+                    self.boxes.add_node(*id);
+                    self.boxes.disconnected(now, *id);
                     let seat = Seat {
                         address: *address,
                         link: None,
@@ -105,7 +105,7 @@
         if let Some(key) = self.seats.remove(&id).and_then(|seat| seat.link) {
             self.links.remove(&key);
         }
-        self.boxes.gone(id);
+        self.boxes.remove_node(id);
     }
 
     /// Whether this is a connection to a box.
@@ -121,18 +121,18 @@
                 member = member::name_of(EndpointId(id)),
                 "purges: a box served what it had purged"
             );
-            self.boxes.lied(now, id);
+            self.boxes.stale_copy_served(now, id);
         }
     }
 
     /// Goes on with a connection.
-    pub fn ready(&mut self, now: Timestamp, key: usize, head: Number) {
+    pub fn ready(&mut self, now: Timestamp, key: usize, head: PurgeNumber) {
         if let Err(error) = self.go_on(now, key, head) {
             self.fail(now, key, &error.to_string());
         }
     }
 
-    fn go_on(&mut self, now: Timestamp, key: usize, head: Number) -> io::Result<()> {
+    fn go_on(&mut self, now: Timestamp, key: usize, head: PurgeNumber) -> io::Result<()> {
         let Some(link) = self.links.get_mut(&key) else {
             return Ok(());
         };
@@ -174,7 +174,7 @@
         let Some(link) = self.links.remove(&key) else {
             return;
         };
-        self.boxes.lost(now, link.member);
+        self.boxes.disconnected(now, link.member);
         if let Some(seat) = self.seats.get_mut(&link.member) {
             seat.link = None;
             seat.failures += 1;
@@ -192,7 +192,7 @@
     }
 
     /// Connects and sends what is due.
-    pub fn work(&mut self, turn: &mut Turn<'_>, ledger: &Ledger) {
+    pub fn work(&mut self, turn: &mut Turn<'_>, ledger: &PurgeLog) {
         let now = turn.now;
         let quiet = |l: &Link| {
             let most = if l.greeted { CONFIRM_MOST } else { HELLO_MOST };
@@ -244,23 +244,26 @@
                 }
             }
         }
-        for batch in self.boxes.next(now, ledger.base(), ledger.last()) {
-            let key = self.seats.get(&batch.to).and_then(|s| s.link);
+        for batch in self
+            .boxes
+            .next_batches(now, ledger.base(), ledger.last_number())
+        {
+            let key = self.seats.get(&batch.node).and_then(|s| s.link);
             let Some((key, link)) =
                 key.and_then(|key| self.links.get_mut(&key).map(|link| (key, link)))
             else {
                 continue;
             };
-            let mut purges = ledger.batch(batch.after).unwrap_or_default();
-            purges.truncate((batch.upto - batch.after) as usize);
+            let mut purges = ledger.batch_after(batch.after).unwrap_or_default();
+            purges.truncate((batch.through - batch.after) as usize);
             self.last += 1;
-            link.asked = (self.last, batch.upto);
+            link.asked = (self.last, batch.through);
             (link.since, link.waits) = (now, true);
             link.stream.push(purge::batch(
                 self.last,
                 ledger.identity,
                 batch.after,
-                batch.upto,
+                batch.through,
                 &purges,
             ));
             if let Err(error) = link
@@ -274,7 +277,7 @@
     }
 
     /// When there may be something to be done without anything else happening.
-    pub fn next(&self, now: Timestamp, head: Number) -> Option<Timestamp> {
+    pub fn next(&self, now: Timestamp, head: PurgeNumber) -> Option<Timestamp> {
         let full = self.links.len() >= self.most;
         let dial = self
             .seats
@@ -288,27 +291,27 @@
             .filter(|l| l.waits)
             .map(|l| l.since + HELLO_MOST + 1)
             .min();
-        [dial, hello, self.boxes.wake(now, head)]
+        [dial, hello, self.boxes.next_wakeup(now, head)]
             .into_iter()
             .flatten()
             .min()
     }
 
     /// What all boxes have confirmed, if that has changed.
-    pub fn changed(&mut self) -> Option<Number> {
+    pub fn changed(&mut self) -> Option<PurgeNumber> {
         let now = self.boxes.confirmed_by_all().unwrap_or(0);
         (std::mem::replace(&mut self.confirmed, now) != now).then_some(now)
     }
 
     /// What all boxes have confirmed.
-    pub fn confirmed(&self) -> Number {
+    pub fn confirmed(&self) -> PurgeNumber {
         self.boxes.confirmed_by_all().unwrap_or(0)
     }
 
     /// Boxes that have not confirmed a number, by name.
-    pub fn missing(&self, number: Number) -> Vec<String> {
+    pub fn missing(&self, number: PurgeNumber) -> Vec<String> {
         self.boxes
-            .missing(number)
+            .unconfirmed(number)
             .into_iter()
             .map(|id| member::name_of(EndpointId(id)))
             .collect()
@@ -316,10 +319,10 @@
 
     /// How each box stands.
     pub fn rows(&self) -> Vec<Value> {
-        let row = |r: cranesill_purges::replication::Row| {
+        let row = |r: cranesill_purges::replication::NodeStatus| {
             json!({"box": member::name_of(EndpointId(r.id)), "confirmed": r.confirmed, "connected": r.connected,
-                   "slow": r.slow, "lies": r.lies})
+                   "slow": r.slow, "lies": r.stale_copies})
         };
-        self.boxes.rows().map(row).collect()
+        self.boxes.statuses().map(row).collect()
     }
 }
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -9,10 +9,10 @@
 use boxes::BoxLinks;
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Purges as Settings;
-use cranesill_purges::journal::{self, File, Guarded, Opened};
-use cranesill_purges::log::{Command, Ledger, Refused, Taken};
-use cranesill_purges::matching::{compile, Set};
-use cranesill_purges::{Ms, Purge, What};
+use cranesill_purges::journal::{self, GuardedFile, JournalFile, OpenedJournal};
+use cranesill_purges::log::{Command, Prepared, PurgeLog, Refused};
+use cranesill_purges::matching::{compile_patterns, PatternSet};
+use cranesill_purges::{Purge, PurgeTarget, UnixMillis};
 use replicas::{Followers, Following};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
@@ -46,7 +46,7 @@
     }
 }
 
-impl File for Disk {
+impl JournalFile for Disk {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         let file = match std::fs::File::open(&self.path) {
             Ok(file) => file,
@@ -99,7 +99,7 @@
     KeptBatch(Durable, Result<(), String>),
     /// The file was written anew, or why not.
     Rewritten(Durable, Result<(), String>),
-    Compiled(Result<Set, String>),
+    Compiled(Result<PatternSet, String>),
 }
 
 /// Up to which purge of which ledger the file is durable.
@@ -110,10 +110,10 @@
 }
 
 impl Durable {
-    fn of(ledger: &Ledger) -> Self {
+    fn of(ledger: &PurgeLog) -> Self {
         Durable {
             ledger: ledger.identity,
-            number: ledger.last(),
+            number: ledger.last_number(),
         }
     }
 
@@ -127,8 +127,8 @@
 
 /// The driver.
 pub struct Purges {
-    ledger: Ledger,
-    disk: Option<Arc<Mutex<Guarded<Disk>>>>,
+    ledger: PurgeLog,
+    disk: Option<Arc<Mutex<GuardedFile<Disk>>>>,
     /// What a restart would find. A follower claims no more than this, to its writer, than it would know then.
     durable: Durable,
     workers: Workers<Done>,
@@ -154,14 +154,14 @@
 }
 
 /// What was purged before is not known: everything is, as a purge like any other, so that it is kept and reaches boxes.
-fn everything(now: Timestamp, ledger: &mut Ledger, why: &str) {
-    let (number, identity) = (ledger.last() + 1, ledger.identity);
-    let what = What::Pattern("*".into());
+fn everything(now: Timestamp, ledger: &mut PurgeLog, why: &str) {
+    let (number, identity) = (ledger.last_number() + 1, ledger.identity);
+    let target = PurgeTarget::Pattern("*".into());
     let id = format!("start-{identity:016x}").into();
     let purge = Purge {
         number,
-        at: unix_ms(now),
-        what,
+        at_ms: unix_ms(now),
+        target,
         id,
         who: "cranesill".into(),
         why: why.into(),
@@ -172,7 +172,7 @@
 
 /// Writes the file at the start. A disk that is full or fails for a while ends no start: why it can't be written is returned,
 /// and the sweep tries again. A wrong path ends it.
-fn write_first(file: &mut dyn File, ledger: &Ledger) -> io::Result<Option<String>> {
+fn write_first(file: &mut dyn JournalFile, ledger: &PurgeLog) -> io::Result<Option<String>> {
     let Err(error) = journal::rewrite(file, ledger) else {
         return Ok(None);
     };
@@ -201,13 +201,13 @@
 
 /// Unix milliseconds by the clock of the loop, which goes on from the start of the process whatever becomes of the wall clock: a
 /// horizon by one that is set forward would forget purges.
-fn unix_ms(now: Timestamp) -> Ms {
+fn unix_ms(now: Timestamp) -> UnixMillis {
     now / 1_000
 }
 
 /// When a purge that is taken in now counts from. One that is dated by a clock that is behind would let older copies pass, so what
 /// the list service has shown of that is added.
-fn purged_ms(turn: &Turn<'_>) -> Ms {
+fn purged_ms(turn: &Turn<'_>) -> UnixMillis {
     unix_ms(turn.now) + turn.behind_ms
 }
 
@@ -223,23 +223,23 @@
         let workers =
             Workers::new(turn.reactor, workers_key).map_err(|e| format!("purges: {e}"))?;
         let identity = unix_ms(turn.now) ^ (u64::from(std::process::id()) << 44);
-        let (mut ledger, mut disk, mut unknown) = (Ledger::new(identity), None, true);
+        let (mut ledger, mut disk, mut unknown) = (PurgeLog::new(identity), None, true);
         let mut broken = None;
         if let Some(path) = &settings.file {
-            let mut file = Guarded::new(Disk {
+            let mut file = GuardedFile::new(Disk {
                 path: path.clone(),
                 tail: None,
             });
             let failed = |e: io::Error| format!("purges.file: {}: {e}", path.display());
             match journal::open(&mut file).map_err(failed)? {
-                Opened::Missing => {
+                OpenedJournal::Missing => {
                     // A lost disk looks the same as a first start.
                     everything(turn.now, &mut ledger, "the file was missing");
                     broken = write_first(&mut file, &ledger).map_err(failed)?;
                 }
-                Opened::Whole {
-                    ledger: found,
-                    torn,
+                OpenedJournal::Complete {
+                    log: found,
+                    torn_bytes: torn,
                 } => {
                     if torn > 0 {
                         tracing::warn!(
@@ -251,7 +251,10 @@
                     }
                     ledger = found;
                 }
-                Opened::Damaged { ledger: found, at } => {
+                OpenedJournal::Damaged {
+                    log: found,
+                    offset: at,
+                } => {
                     tracing::error!(
                         kind = "damaged",
                         at,
@@ -259,9 +262,9 @@
                         "purges: the file is damaged, everything counts as purged"
                     );
                     // Numbers must not mean two things: what follows is another ledger.
-                    let mut fresh = Ledger::new(identity);
-                    for purge in found.iter().flat_map(Ledger::iter) {
-                        let number = fresh.last() + 1;
+                    let mut fresh = PurgeLog::new(identity);
+                    for purge in found.iter().flat_map(PurgeLog::iter) {
+                        let number = fresh.last_number() + 1;
                         // The same purges under their own order; none can be refused.
                         let _ = fresh.append(
                             identity,
@@ -277,7 +280,7 @@
                     broken = write_first(&mut file, &fresh).map_err(failed)?;
                     ledger = fresh;
                 }
-                Opened::Newer => {
+                OpenedJournal::NewerVersion => {
                     return Err(format!(
                         "purges.file: {}: from a newer version of this program",
                         path.display()
@@ -288,8 +291,17 @@
             disk = Some(Arc::new(Mutex::new(file)));
         }
         let horizon = unix_ms(turn.now).saturating_sub(settings.horizon_s * 1_000);
-        let live: Vec<Purge> = ledger.iter().filter(|p| p.at >= horizon).cloned().collect();
-        tracing::info!(last = ledger.last(), live = live.len(), unknown, "purges");
+        let live: Vec<Purge> = ledger
+            .iter()
+            .filter(|p| p.at_ms >= horizon)
+            .cloned()
+            .collect();
+        tracing::info!(
+            last = ledger.last_number(),
+            live = live.len(),
+            unknown,
+            "purges"
+        );
         turn.effects.push(Effect::Purges(Purging::Floors(
             settings.clone(),
             unknown.then(|| unix_ms(turn.now)),
@@ -348,17 +360,17 @@
                 ));
                 continue;
             }
-            match self.ledger.take(purged_ms(turn), &command) {
-                Ok(Taken::Known(known)) => {
+            match self.ledger.prepare(purged_ms(turn), &command) {
+                Ok(Prepared::Duplicate(known)) => {
                     self.answer(turn, number, known, true);
                 }
-                Ok(Taken::New(purge)) => match self.disk.clone() {
+                Ok(Prepared::New(purge)) => match self.disk.clone() {
                     None => self.kept(turn, number, purge),
                     Some(disk) => {
                         self.keeping = Some((number, purge.clone()));
                         let work = move || match disk.lock() {
                             Ok(mut disk) => {
-                                journal::keep(&mut *disk, &purge).map_err(|e| e.to_string())
+                                journal::append_purge(&mut *disk, &purge).map_err(|e| e.to_string())
                             }
                             Err(_) => Err("its writer has failed".into()),
                         };
@@ -381,7 +393,7 @@
 
     fn kept(&mut self, turn: &mut Turn<'_>, operator: u64, purge: Purge) {
         let number = purge.number;
-        tracing::info!(number, what = ?purge.what, who = %purge.who, why = %purge.why, "purge");
+        tracing::info!(number, what = ?purge.target, who = %purge.who, why = %purge.why, "purge");
         // It was taken in as the next one, and nothing else came between.
         let _ = self.ledger.append(self.ledger.identity, purge.clone());
         turn.effects
@@ -410,7 +422,7 @@
         if let Some(following) = &mut self.following {
             let held = match self.disk {
                 Some(_) => self.durable.number,
-                None => self.ledger.last(),
+                None => self.ledger.last_number(),
             };
             following.work(turn, self.ledger.identity, held);
         }
@@ -445,14 +457,14 @@
         for frame in frames {
             if frame.anew {
                 // What the writer has forgotten is past the horizon; what stood in another ledger is not known there.
-                let lost = self.ledger.last() > 0;
+                let lost = self.ledger.last_number() > 0;
                 tracing::warn!(
                     kind = "anew",
                     base = frame.base,
                     lost,
                     "purges: the ledger begins anew"
                 );
-                self.ledger = Ledger::after(frame.ledger, frame.base);
+                self.ledger = PurgeLog::after(frame.ledger, frame.base);
                 self.durable = Durable::of(&self.ledger);
                 if lost {
                     turn.effects
@@ -481,7 +493,7 @@
                     }
                 }
             }
-            let last = self.ledger.last();
+            let last = self.ledger.last_number();
             if !new.is_empty() {
                 turn.effects
                     .push(Effect::Purges(Purging::Purged(new.clone())));
@@ -505,7 +517,7 @@
             return;
         };
         let work = move || match disk.lock() {
-            Ok(mut disk) => journal::keep_all(&mut *disk, &new).map_err(|e| e.to_string()),
+            Ok(mut disk) => journal::append_purges(&mut *disk, &new).map_err(|e| e.to_string()),
             Err(_) => Err("its writer has failed".into()),
         };
         if let Err(e) = self.workers.in_order(move || Done::KeptBatch(kept, work())) {
@@ -557,19 +569,19 @@
     }
 
     fn row(purge: &Purge) -> Value {
-        let what = match &purge.what {
-            What::Object(object) => json!({"object": format!("{object:016x}")}),
-            What::Group(group) => json!({"group": group}),
-            What::Tag(tag) => json!({"tag": tag}),
-            What::Pattern(pattern) => json!({"pattern": pattern}),
+        let what = match &purge.target {
+            PurgeTarget::Object(object) => json!({"object": format!("{object:016x}")}),
+            PurgeTarget::Group(group) => json!({"group": group}),
+            PurgeTarget::Tag(tag) => json!({"tag": tag}),
+            PurgeTarget::Pattern(pattern) => json!({"pattern": pattern}),
         };
-        json!({"number": purge.number, "at_ms": purge.at, "what": what, "id": purge.id, "who": purge.who,
+        json!({"number": purge.number, "at_ms": purge.at_ms, "what": what, "id": purge.id, "who": purge.who,
                "why": purge.why})
     }
 }
 
 /// What a word names; the error says what is wrong with it.
-pub fn what(args: &Value) -> Result<What, String> {
+pub fn parse_target(args: &Value) -> Result<PurgeTarget, String> {
     let given: Vec<_> = ["object", "group", "tag", "pattern"]
         .iter()
         .filter(|n| !args[**n].is_null())
@@ -586,24 +598,24 @@
             let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
             let number = u64::from_str_radix(&text, 16).ok().filter(|_| hex);
             number
-                .map(What::Object)
+                .map(PurgeTarget::Object)
                 .ok_or("object: not 16 hex digits".into())
         }
         "group" => {
             let number = text.parse().ok().filter(|n| *n < 256);
             number
-                .map(What::Group)
+                .map(PurgeTarget::Group)
                 .ok_or("group: no number below 256".into())
         }
-        "tag" => Ok(What::Tag(text.into())),
-        _ => Ok(What::Pattern(text.into())),
+        "tag" => Ok(PurgeTarget::Tag(text.into())),
+        _ => Ok(PurgeTarget::Pattern(text.into())),
     }
 }
 
 impl Driver for Purges {
     fn ready(&mut self, turn: &mut Turn<'_>, key: usize, _: bool, _: bool) {
         if let Some((boxes, _)) = self.boxes.as_mut().filter(|(boxes, _)| boxes.has(key)) {
-            boxes.ready(turn.now, key, self.ledger.last());
+            boxes.ready(turn.now, key, self.ledger.last_number());
             return self.boxes_work(turn);
         }
         if let Some(followers) = self.followers.as_mut().filter(|f| f.has(key)) {
@@ -677,7 +689,7 @@
             let confirmed = self
                 .boxes
                 .as_ref()
-                .map_or(self.ledger.last(), |(boxes, _)| boxes.confirmed());
+                .map_or(self.ledger.last_number(), |(boxes, _)| boxes.confirmed());
             if self.ledger.compact(confirmed, horizon) > 0 || self.broken.is_some() {
                 self.rewrite(turn);
             }
@@ -688,7 +700,7 @@
         let boxes = self
             .boxes
             .as_ref()
-            .and_then(|(boxes, _)| boxes.next(self.now, self.ledger.last()));
+            .and_then(|(boxes, _)| boxes.next(self.now, self.ledger.last_number()));
         let waits = self.waits.iter().map(|(_, until, _)| *until).min();
         let followers = self.followers.as_ref().and_then(Followers::next);
         let following = self.following.as_ref().map(Following::next);
@@ -702,7 +714,10 @@
         match effect {
             Effect::Purges(Purging::Compile(patterns)) => {
                 let patterns = patterns.clone();
-                if let Err(e) = self.workers.run(move || Done::Compiled(compile(patterns))) {
+                if let Err(e) = self
+                    .workers
+                    .run(move || Done::Compiled(compile_patterns(patterns)))
+                {
                     turn.effects
                         .push(Effect::Purges(Purging::Compiled(Box::new(Err(
                             e.to_string()
@@ -726,7 +741,8 @@
             }
             Effect::Word(number, word, _) if word == "purge-boxes" => {
                 let rows = self.boxes.as_ref().map(|(boxes, _)| boxes.rows());
-                let answer = rows.map(|rows| json!({"last": self.ledger.last(), "boxes": rows}));
+                let answer =
+                    rows.map(|rows| json!({"last": self.ledger.last_number(), "boxes": rows}));
                 turn.effects.push(Effect::Answer(
                     *number,
                     answer.ok_or("no box is sent purges".into()),
@@ -739,8 +755,8 @@
             }
             Effect::Word(number, word, args) if word == "purge" => {
                 let text = |name: &str| args[name].as_str().unwrap_or("").into();
-                let command = what(args).map(|what| Command {
-                    what,
+                let command = parse_target(args).map(|target| Command {
+                    target,
                     id: text("id"),
                     who: text("who"),
                     why: text("why"),
@@ -776,7 +792,7 @@
                         .map(Self::row)
                         .collect(),
                 };
-                let answer = json!({"last": self.ledger.last(), "held_after": self.ledger.base(),
+                let answer = json!({"last": self.ledger.last_number(), "held_after": self.ledger.base(),
                                     "ledger": format!("{:016x}", self.ledger.identity),
                                     "not_kept": self.broken, "followers": self.followers.as_ref().map(|f| f.state().0),
                                     "purges": rows});
--- a/front/src/server/drivers/purges/replicas.rs
+++ b/front/src/server/drivers/purges/replicas.rs
@@ -3,8 +3,8 @@
 use crate::server::drivers::Turn;
 use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
 use cranesill::api::{Micros, Timestamp};
-use cranesill_purges::log::Ledger;
-use cranesill_purges::Number;
+use cranesill_purges::log::PurgeLog;
+use cranesill_purges::PurgeNumber;
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -36,9 +36,9 @@
 struct Reader {
     stream: Stream<()>,
     /// The last number that it has kept; `None`: it has not said who it is.
-    last: Option<Number>,
+    last: Option<PurgeNumber>,
     /// Up to where the batch goes that is out.
-    sent: Option<Number>,
+    sent: Option<PurgeNumber>,
     moved: Timestamp,
     beat: Timestamp,
 }
@@ -81,13 +81,13 @@
     }
 
     /// Followers that said who they are, and the least number that they have kept.
-    pub fn state(&self) -> (usize, Option<Number>) {
+    pub fn state(&self) -> (usize, Option<PurgeNumber>) {
         let known = self.all.values().filter_map(|r| r.last);
         (known.clone().count(), known.min())
     }
 
     /// Goes on with one of its sources.
-    pub fn ready(&mut self, turn: &mut Turn<'_>, key: usize, ledger: &Ledger) {
+    pub fn ready(&mut self, turn: &mut Turn<'_>, key: usize, ledger: &PurgeLog) {
         if key == self.listener_key {
             while let Ok((socket, _)) = self.listener.accept() {
                 if self.all.len() >= FOLLOWERS_MOST {
@@ -113,7 +113,7 @@
         }
     }
 
-    fn read(&mut self, now: Timestamp, key: usize, ledger: &Ledger) -> io::Result<()> {
+    fn read(&mut self, now: Timestamp, key: usize, ledger: &PurgeLog) -> io::Result<()> {
         let Some(reader) = self.all.get_mut(&key) else {
             return Ok(());
         };
@@ -130,10 +130,11 @@
                 };
                 reader.stream.consume(HELLO);
                 let known = told.ledger == ledger.identity
-                    && (ledger.base()..=ledger.last()).contains(&told.last);
+                    && (ledger.base()..=ledger.last_number()).contains(&told.last);
                 let last = if known { told.last } else { ledger.base() };
                 if !known {
-                    let (identity, base, head) = (ledger.identity, ledger.base(), ledger.last());
+                    let (identity, base, head) =
+                        (ledger.identity, ledger.base(), ledger.last_number());
                     let anew = Frame {
                         anew: true,
                         ledger: identity,
@@ -166,7 +167,7 @@
     }
 
     /// Sends what is due.
-    pub fn work(&mut self, now: Timestamp, ledger: &Ledger) {
+    pub fn work(&mut self, now: Timestamp, ledger: &PurgeLog) {
         let mut gone = Vec::new();
         for (key, reader) in &mut self.all {
             let waits = reader.last.is_none() || reader.sent.is_some() || !reader.stream.flushed();
@@ -179,16 +180,16 @@
             else {
                 continue;
             };
-            if last >= ledger.last() && now < reader.beat {
+            if last >= ledger.last_number() && now < reader.beat {
                 continue;
             }
-            let Some(purges) = ledger.batch(last) else {
+            let Some(purges) = ledger.batch_after(last) else {
                 // It was compacted away under it: it says anew how it stands.
                 gone.push(*key);
                 continue;
             };
             reader.sent = purges.last().map(|p| p.number);
-            let (identity, base, head) = (ledger.identity, ledger.base(), ledger.last());
+            let (identity, base, head) = (ledger.identity, ledger.base(), ledger.last_number());
             let batch = Frame {
                 anew: false,
                 ledger: identity,
@@ -235,7 +236,7 @@
     due: Timestamp,
     failures: u32,
     /// The last purge that came on this connection and is not confirmed.
-    owed: Option<Number>,
+    owed: Option<PurgeNumber>,
     scratch: Vec<u8>,
 }
 
@@ -306,12 +307,12 @@
     }
 
     /// Everything up to a number came in one batch: it is confirmed once it is durable.
-    pub fn owe(&mut self, number: Number) {
+    pub fn owe(&mut self, number: PurgeNumber) {
         self.owed = Some(number);
     }
 
     /// Everything up to a number is durable. The writer is told where it waits for that.
-    pub fn kept(&mut self, now: Timestamp, durable: Number) {
+    pub fn kept(&mut self, now: Timestamp, durable: PurgeNumber) {
         let Some(number) = self.owed.filter(|number| *number <= durable) else {
             return;
         };
@@ -325,7 +326,7 @@
     }
 
     /// Connects where that is due, and says which ledger is durable here, and up to which purge.
-    pub fn work(&mut self, turn: &mut Turn<'_>, ledger: u64, last: Number) {
+    pub fn work(&mut self, turn: &mut Turn<'_>, ledger: u64, last: PurgeNumber) {
         let now = turn.now;
         if self.link.is_some() && now > self.heard + QUIET_MOST {
             self.lost(now, "it says nothing");
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -104,11 +104,11 @@
 }
 
 fn purge(number: u64) -> Purge {
-    let (what, id) = (What::Object(number), number.to_string().into());
+    let (target, id) = (PurgeTarget::Object(number), number.to_string().into());
     Purge {
         number,
-        at: 1_000,
-        what,
+        at_ms: 1_000,
+        target,
         id,
         who: "ops".into(),
         why: "".into(),
@@ -163,7 +163,7 @@
     stage.until(|purges| purges.broken.clone());
     assert_eq!(std::fs::read(&path).unwrap(), kept);
     // It counts here, and the writer is told of nothing that a restart would not find.
-    assert_eq!(stage.purges.ledger.last(), 3);
+    assert_eq!(stage.purges.ledger.last_number(), 3);
     stage.now += 2 * SECOND;
     let (mut socket, hello) = stage.hello();
     assert_eq!(
@@ -187,10 +187,14 @@
         path: path.clone(),
         tail: None,
     };
-    let Opened::Whole { ledger, torn } = journal::open(&mut file).unwrap() else {
+    let OpenedJournal::Complete {
+        log: ledger,
+        torn_bytes: torn,
+    } = journal::open(&mut file).unwrap()
+    else {
         panic!()
     };
-    assert_eq!((ledger.last(), torn), (3, 0));
+    assert_eq!((ledger.last_number(), torn), (3, 0));
     socket.write_all(&batch(4, 4)).unwrap();
     assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 4);
 }
@@ -199,8 +203,8 @@
 fn a_disk_that_is_full_at_the_start_ends_no_start_and_is_written_once_it_is_well() {
     // A torn file, one that is missing, and one that is damaged; each has to be written anew.
     let mut whole = Memory::default();
-    journal::rewrite(&mut whole, &Ledger::new(LEDGER)).unwrap();
-    journal::keep(&mut whole, &purge(1)).unwrap();
+    journal::rewrite(&mut whole, &PurgeLog::new(LEDGER)).unwrap();
+    journal::append_purge(&mut whole, &purge(1)).unwrap();
     let torn = whole.0[..whole.0.len() - 1].to_vec();
     let mut damaged = whole.0.clone();
     damaged[30] ^= 1;
@@ -218,7 +222,11 @@
         stage.now += SWEEP;
         stage.until(|purges| purges.broken.is_none().then_some(()));
         let mut file = Disk { path, tail: None };
-        let Opened::Whole { ledger, torn } = journal::open(&mut file).unwrap() else {
+        let OpenedJournal::Complete {
+            log: ledger,
+            torn_bytes: torn,
+        } = journal::open(&mut file).unwrap()
+        else {
             panic!()
         };
         assert_eq!((&ledger, torn), (&stage.purges.ledger, 0));
@@ -229,7 +237,7 @@
 #[derive(Default)]
 struct Memory(Vec<u8>);
 
-impl File for Memory {
+impl JournalFile for Memory {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         Ok(Some(self.0.clone()))
     }
--- a/front/src/server/event_loop.rs
+++ b/front/src/server/event_loop.rs
@@ -8,7 +8,7 @@
 use super::drivers::control::Control;
 use super::drivers::ops::Ops;
 use super::drivers::peers::Peers;
-use super::drivers::purges::{what, Purges};
+use super::drivers::purges::{parse_target, Purges};
 use super::drivers::snapshot::{purge_ms, wall_ms, Snapshots};
 use super::drivers::tls::Tls;
 use super::drivers::{slot_of, Driver, Effect, Purging, Secured, Turn};
@@ -425,9 +425,9 @@
                 Ok(json!(format!("level is {level:?}").to_lowercase()))
             }
             "purge-dry" => {
-                let what = what(args)?;
+                let target = parse_target(args)?;
                 let floors = self.front.floors.as_ref().ok_or("purges are off")?;
-                let (known, matched) = floors.count_matches(&what);
+                let (known, matched) = floors.count_matches(&target);
                 Ok(json!({"known_objects": known, "matched": matched}))
             }
             "startup" => {
@@ -457,10 +457,10 @@
                 "clients_most": self.config.clients_most(), "held_bytes": self.clients.held() + self.nodes.held(),
                 "held_bytes_most": self.config.held_most(), "settings": self.daemon_file,
                 "purges": self.front.floors.as_ref().map(|f| json!({
-                    "live_objects_groups_tags_patterns": f.counts(), "answers_refused": f.refused, "lies": f.lies,
+                    "live_objects_groups_tags_patterns": f.counts(), "answers_refused": f.stale_replies, "lies": f.stale_despite_request,
                     "shield_passed": self.front.shield.as_ref().map(|s| s.passed),
-                    "shield_refused": self.front.shield.as_ref().map(|s| s.refused),
-                    "answers_in_doubt": f.contact.as_ref().map(|c| c.doubtful)})),
+                    "shield_refused": self.front.shield.as_ref().map(|s| s.rejected),
+                    "answers_in_doubt": f.lease.as_ref().map(|c| c.unverified_replies)})),
             })),
         }
     }
@@ -760,8 +760,8 @@
                     self.config.held_most(),
                 );
                 self.log.sweep();
-                let contact = self.front.floors.as_mut().and_then(|f| f.contact.as_mut());
-                if contact.is_some_and(|contact| contact.lost_now(now)) {
+                let lease = self.front.floors.as_mut().and_then(|f| f.lease.as_mut());
+                if lease.is_some_and(|lease| lease.report_expiry(now)) {
                     tracing::warn!(kind = "contact-lost", "purges: no contact with the ledger");
                 }
                 self.hear(now, gone);
--- a/front/src/server/floors.rs
+++ b/front/src/server/floors.rs
@@ -3,26 +3,26 @@
 use crate::routing::{PurgeFloors, RequestPipeline};
 use cranesill::api::Timestamp;
 use cranesill_daemon::WithoutContact;
-use cranesill_purges::lease::{Contact, Without};
+use cranesill_purges::lease::{Lease, WhenExpired};
 use cranesill_purges::shield::Shield;
 
 /// Takes news of the ledger over; what is to be done elsewhere for it.
 pub fn take(front: &mut RequestPipeline, now: Timestamp, news: Purging) -> Option<Effect> {
     let job = |floors: &mut PurgeFloors| {
         floors
-            .job()
+            .take_compile_job()
             .map(|job| Effect::Purges(Purging::Compile(job)))
     };
     match news {
         Purging::Floors(settings, all) => {
             let mut floors = PurgeFloors::new(settings.index_bytes, settings.skew_ms);
             all.into_iter().for_each(|at| floors.add_all(at));
-            floors.contact = settings.follow.map(|follow| {
+            floors.lease = settings.follow.map(|follow| {
                 let without = match follow.without_contact {
-                    WithoutContact::Strict => Without::Strict,
-                    WithoutContact::Available => Without::Available,
+                    WithoutContact::Strict => WhenExpired::Strict,
+                    WithoutContact::Available => WhenExpired::Available,
                 };
-                Contact::lost(now, now / 1_000, follow.lease_ms * 1_000, without)
+                Lease::expired(now, now / 1_000, follow.lease_ms * 1_000, without)
             });
             front.floors = Some(floors);
             front.shield = settings.shield_per_s.map(|n| Shield::new(now, n.into()));
@@ -40,8 +40,8 @@
                 .for_each(|floors| floors.add_all(at));
         }
         Purging::Contact => {
-            let contact = front.floors.as_mut().and_then(|f| f.contact.as_mut());
-            if contact.is_some_and(|contact| contact.heard(now, now / 1_000)) {
+            let lease = front.floors.as_mut().and_then(|f| f.lease.as_mut());
+            if lease.is_some_and(|lease| lease.renew(now, now / 1_000)) {
                 tracing::info!("purges: contact with the ledger again");
             }
         }
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -1,9 +1,9 @@
 //! Stories of purges by operators: a front as a process, caches that hold old copies on purpose.
 mod common;
 use common::*;
-use cranesill_purges::journal::{self, Found};
-use cranesill_purges::log::Ledger;
-use cranesill_purges::What;
+use cranesill_purges::journal::{self, DecodedRecord};
+use cranesill_purges::log::PurgeLog;
+use cranesill_purges::PurgeTarget;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -60,18 +60,18 @@
             let held = if applied.0 == ledger { applied.1 } else { 0 };
             assert!(after <= held, "sent {after} to one that has {held}");
             let (mut rest, mut number) = (body, after);
-            while let Found::Record(purge, used) = journal::decode(rest) {
+            while let DecodedRecord::Record(purge, used) = journal::decode_record(rest) {
                 number += 1;
                 assert_eq!(purge.number, number);
                 rest = &rest[used..];
                 self.copies.lock().unwrap().retain(|item, copy| {
                     let tagged = |tag: &str| copy.tags.unwrap_or("").split(';').any(|t| t == tag);
-                    let hit = match &purge.what {
-                        What::Tag(tag) => tagged(tag),
-                        What::Object(object) => *item == format!("{object:016x}"),
+                    let hit = match &purge.target {
+                        PurgeTarget::Tag(tag) => tagged(tag),
+                        PurgeTarget::Object(object) => *item == format!("{object:016x}"),
                         _ => false,
                     };
-                    !hit || copy.born >= purge.at
+                    !hit || copy.born >= purge.at_ms
                 });
             }
             assert!(rest.is_empty() && number == upto);
@@ -143,7 +143,7 @@
 /// An empty ledger's file.
 struct Fresh(PathBuf);
 
-impl journal::File for Fresh {
+impl journal::JournalFile for Fresh {
     fn read(&mut self) -> std::io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
@@ -194,7 +194,7 @@
         if !self.path("purges").exists() {
             // Without a file everything would count as purged.
             let identity = u64::from(std::process::id());
-            journal::rewrite(&mut Fresh(self.path("purges")), &Ledger::new(identity)).unwrap();
+            journal::rewrite(&mut Fresh(self.path("purges")), &PurgeLog::new(identity)).unwrap();
         }
         let stage = begin();
         stage
--- a/purges/examples/measure-purges.rs
+++ b/purges/examples/measure-purges.rs
@@ -1,14 +1,14 @@
 //! Measures matching, the ledger and its journal: `make measure-purges`. The figures stand in `docs/design/purges.md`.
-use cranesill_purges::journal::{self, File, Opened};
-use cranesill_purges::log::{Command, Ledger, Taken};
-use cranesill_purges::matching::{compile, Index, Matcher};
-use cranesill_purges::{key, Purge, What};
+use cranesill_purges::journal::{self, JournalFile, OpenedJournal};
+use cranesill_purges::log::{Command, Prepared, PurgeLog};
+use cranesill_purges::matching::{compile_patterns, PurgeMatcher, TagIndex};
+use cranesill_purges::{request_key, Purge, PurgeTarget};
 use std::io;
 use std::time::Instant;
 
 struct Memory(Vec<u8>);
 
-impl File for Memory {
+impl JournalFile for Memory {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         Ok(Some(self.0.clone()))
     }
@@ -34,37 +34,37 @@
         * 4_096
 }
 
-fn purge(number: u64, what: What) -> Purge {
+fn purge(number: u64, target: PurgeTarget) -> Purge {
     let id = number.to_string().into();
     Purge {
         number,
-        at: number,
-        what,
+        at_ms: number,
+        target,
         id,
         who: "ops".into(),
         why: "new photos".into(),
     }
 }
 
-fn cost(matcher: &Matcher, index: &Index, what: &str) {
+fn cost(matcher: &PurgeMatcher, index: &TagIndex, case: &str) {
     let rounds = 400_000u64;
     let (mut sum, begun) = (0u64, Instant::now());
     for i in 0..rounds {
         let object = i.wrapping_mul(0x9e37_79b9_7f4a_7c15) % 200_000;
-        let key = key("page-bits", object, (i % 4) as u32);
+        let key = request_key("page-bits", object, (i % 4) as u32);
         sum =
             sum.wrapping_add(matcher.floor(0, object, (i % 256) as u32, index.tags(object), &key));
     }
     let each = begun.elapsed().as_nanos() as f64 / rounds as f64;
-    println!("{what}: {each:.0} ns a request, its key's text included (sum {sum})");
+    println!("{case}: {each:.0} ns a request, its key's text included (sum {sum})");
 }
 
 fn main() {
-    let mut index = Index::new(4 << 20);
+    let mut index = TagIndex::new(4 << 20);
     let before = resident();
     let begun = Instant::now();
     for object in 0..200_000u64 {
-        index.learn(
+        index.record(
             object,
             Some(&[
                 ["vitara", "swift", "alto", "dzire"][object as usize % 4],
@@ -78,15 +78,15 @@
         begun.elapsed().as_nanos() as f64 / 2e5,
         resident().saturating_sub(before)
     );
-    let mut matcher = Matcher::default();
+    let mut matcher = PurgeMatcher::default();
     cost(&matcher, &index, "no purge");
     for number in 1..=10_000u64 {
-        let what = match number % 3 {
-            0 => What::Object(number * 17),
-            1 => What::Group((number % 256) as u32),
-            _ => What::Tag(format!("tag-{number}").into()),
+        let target = match number % 3 {
+            0 => PurgeTarget::Object(number * 17),
+            1 => PurgeTarget::Group((number % 256) as u32),
+            _ => PurgeTarget::Tag(format!("tag-{number}").into()),
         };
-        matcher.add(&purge(number, what), 0);
+        matcher.add(&purge(number, target), 0);
     }
     cost(&matcher, &index, "10,000 purges");
     let mut longest = 0;
@@ -96,10 +96,10 @@
             1 => format!("page-*/*{number:x}/?"),
             _ => format!("*/{:016x}/*", number * 31),
         };
-        matcher.add(&purge(number, What::Pattern(text.into())), 0);
-        if let Some(job) = matcher.job() {
+        matcher.add(&purge(number, PurgeTarget::Pattern(text.into())), 0);
+        if let Some(job) = matcher.take_compile_job() {
             let begun = Instant::now();
-            let set = compile(job);
+            let set = compile_patterns(job);
             longest = longest.max(begun.elapsed().as_micros());
             matcher.install(set);
         }
@@ -110,23 +110,23 @@
         resident()
     );
     let (before, begun) = (resident(), Instant::now());
-    let (mut ledger, mut file) = (Ledger::new(7), Memory(Vec::new()));
-    journal::rewrite(&mut file, &ledger).unwrap();
+    let (mut log, mut file) = (PurgeLog::new(7), Memory(Vec::new()));
+    journal::rewrite(&mut file, &log).unwrap();
     for n in 0..1_000_000u64 {
-        let what = What::Object(n);
+        let target = PurgeTarget::Object(n);
         let id = n.to_string().into();
         let command = Command {
-            what,
+            target,
             id,
             who: "ops".into(),
             why: "new photos".into(),
             all: false,
         };
-        let Ok(Taken::New(purge)) = ledger.take(n, &command) else {
+        let Ok(Prepared::New(purge)) = log.prepare(n, &command) else {
             panic!()
         };
-        journal::keep(&mut file, &purge).unwrap();
-        ledger.append(7, purge).unwrap();
+        journal::append_purge(&mut file, &purge).unwrap();
+        log.append(7, purge).unwrap();
     }
     println!(
         "a ledger of a million: {} bytes of file, {} bytes of memory, {:.0} ns to take one in without the disk",
@@ -134,20 +134,20 @@
         resident().saturating_sub(before),
         begun.elapsed().as_nanos() as f64 / 1e6
     );
-    drop(ledger);
+    drop(log);
     let begun = Instant::now();
-    let Ok(Opened::Whole { ledger, .. }) = journal::open(&mut file) else {
+    let Ok(OpenedJournal::Complete { log, .. }) = journal::open(&mut file) else {
         panic!()
     };
     println!(
         "reading it again: {} ms for {}",
         begun.elapsed().as_millis(),
-        ledger.last()
+        log.last_number()
     );
     let folder = std::env::temp_dir().join(format!("measure-purges-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut disk = std::fs::File::create(folder.join("ledger")).unwrap();
-    let (mut spans, bytes) = (Vec::new(), journal::record(ledger.get(1).unwrap()));
+    let (mut spans, bytes) = (Vec::new(), journal::encode_record(log.get(1).unwrap()));
     for _ in 0..500 {
         let begun = Instant::now();
         io::Write::write_all(&mut disk, &bytes).unwrap();
--- a/purges/src/journal.rs
+++ b/purges/src/journal.rs
@@ -8,19 +8,19 @@
 //! ```
 mod guarded;
 
-use crate::log::Ledger;
-use crate::{Purge, What};
-pub use guarded::Guarded;
+use crate::log::PurgeLog;
+use crate::{Purge, PurgeTarget};
+pub use guarded::GuardedFile;
 use std::io;
 
 const MAGIC: &[u8; 8] = b"CRPURGE1";
 const MAGIC_STEM: &[u8; 7] = b"CRPURGE";
-const HEAD: usize = 28;
+const HEADER_BYTES: usize = 28;
 /// Bytes of a record's payload.
-const RECORD_MOST: usize = 2_048;
+const MAX_PAYLOAD_BYTES: usize = 2_048;
 
 /// The steps of which writing consists, on one file.
-pub trait File {
+pub trait JournalFile {
     /// All bytes; `None`: there is no file.
     fn read(&mut self) -> io::Result<Option<Vec<u8>>>;
     /// Puts bytes behind the last.
@@ -33,60 +33,60 @@
 
 /// What a file held.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Opened {
+pub enum OpenedJournal {
     /// There is none.
     Missing,
     /// All of it. `torn`: bytes at the end that were never told to anybody, as a kill leaves them.
-    Whole {
+    Complete {
         /// The ledger.
-        ledger: Ledger,
+        log: PurgeLog,
         /// Bytes left behind by a write that was cut off.
-        torn: usize,
+        torn_bytes: usize,
     },
     /// Something in it is not as it was written: from there on nothing is known.
     Damaged {
         /// What stands before.
-        ledger: Option<Ledger>,
+        log: Option<PurgeLog>,
         /// Offset of the damage.
-        at: usize,
+        offset: usize,
     },
     /// A newer version wrote it.
-    Newer,
+    NewerVersion,
 }
 
-fn head(ledger: &Ledger) -> Vec<u8> {
+fn encode_header(log: &PurgeLog) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
-    bytes.extend(ledger.identity.to_le_bytes());
-    bytes.extend(ledger.base().to_le_bytes());
+    bytes.extend(log.identity.to_le_bytes());
+    bytes.extend(log.base().to_le_bytes());
     let crc = crc32fast::hash(&bytes);
     bytes.extend(crc.to_le_bytes());
     bytes
 }
 
 /// A purge as it is kept, and as it goes to followers.
-pub fn record(purge: &Purge) -> Vec<u8> {
+pub fn encode_record(purge: &Purge) -> Vec<u8> {
     let mut payload = Vec::with_capacity(64);
     payload.extend(purge.number.to_le_bytes());
-    payload.extend(purge.at.to_le_bytes());
+    payload.extend(purge.at_ms.to_le_bytes());
     let text = |payload: &mut Vec<u8>, text: &str| {
         // All texts were bounded far below this when they were taken in.
         payload.extend((text.len() as u16).to_le_bytes());
         payload.extend(text.as_bytes());
     };
-    match &purge.what {
-        What::Object(object) => {
+    match &purge.target {
+        PurgeTarget::Object(object) => {
             payload.push(0);
             payload.extend(object.to_le_bytes());
         }
-        What::Group(group) => {
+        PurgeTarget::Group(group) => {
             payload.push(1);
             payload.extend(group.to_le_bytes());
         }
-        What::Tag(tag) => {
+        PurgeTarget::Tag(tag) => {
             payload.push(2);
             text(&mut payload, tag);
         }
-        What::Pattern(pattern) => {
+        PurgeTarget::Pattern(pattern) => {
             payload.push(3);
             text(&mut payload, pattern);
         }
@@ -103,37 +103,39 @@
 
 /// What stands at the front of some bytes.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum DecodedRecord {
     /// A purge, and its length in bytes.
     Record(Purge, usize),
     /// It is not whole.
-    Partial,
+    Incomplete,
     /// It is not as it was written.
-    Bad,
+    Corrupt,
 }
 
 /// Takes the first record off some bytes. Nothing is allocated by a length that was not checked.
-pub fn decode(bytes: &[u8]) -> Found {
+pub fn decode_record(bytes: &[u8]) -> DecodedRecord {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else {
-        return Found::Partial;
+        return DecodedRecord::Incomplete;
     };
     let size = u32::from_le_bytes(*length) as usize;
-    if size > RECORD_MOST {
-        return Found::Bad;
+    if size > MAX_PAYLOAD_BYTES {
+        return DecodedRecord::Corrupt;
     }
     let Some((crc, rest)) = rest.split_first_chunk::<4>() else {
-        return Found::Partial;
+        return DecodedRecord::Incomplete;
     };
     let Some(payload) = rest.get(..size) else {
-        return Found::Partial;
+        return DecodedRecord::Incomplete;
     };
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(length);
     hasher.update(payload);
     if hasher.finalize() != u32::from_le_bytes(*crc) {
-        return Found::Bad;
+        return DecodedRecord::Corrupt;
     }
-    parse(payload).map_or(Found::Bad, |purge| Found::Record(purge, 8 + size))
+    parse(payload).map_or(DecodedRecord::Corrupt, |purge| {
+        DecodedRecord::Record(purge, 8 + size)
+    })
 }
 
 fn parse(payload: &[u8]) -> Option<Purge> {
@@ -144,18 +146,18 @@
         Some(field)
     };
     let number = u64::from_le_bytes(take(8)?.try_into().ok()?);
-    let at = u64::from_le_bytes(take(8)?.try_into().ok()?);
+    let at_ms = u64::from_le_bytes(take(8)?.try_into().ok()?);
     let kind = take(1)?[0];
-    let what = match kind {
-        0 => What::Object(u64::from_le_bytes(take(8)?.try_into().ok()?)),
-        1 => What::Group(u32::from_le_bytes(take(4)?.try_into().ok()?)),
+    let target = match kind {
+        0 => PurgeTarget::Object(u64::from_le_bytes(take(8)?.try_into().ok()?)),
+        1 => PurgeTarget::Group(u32::from_le_bytes(take(4)?.try_into().ok()?)),
         2 | 3 => {
             let size = u16::from_le_bytes(take(2)?.try_into().ok()?);
             let text = std::str::from_utf8(take(size.into())?).ok()?;
             if kind == 2 {
-                What::Tag(text.into())
+                PurgeTarget::Tag(text.into())
             } else {
-                What::Pattern(text.into())
+                PurgeTarget::Pattern(text.into())
             }
         }
         _ => return None,
@@ -168,8 +170,8 @@
     let [id, who, why] = texts;
     rest.is_empty().then_some(Purge {
         number,
-        at,
-        what,
+        at_ms,
+        target,
         id,
         who,
         why,
@@ -177,60 +179,60 @@
 }
 
 /// Reads a ledger.
-pub fn open(file: &mut dyn File) -> io::Result<Opened> {
+pub fn open(file: &mut dyn JournalFile) -> io::Result<OpenedJournal> {
     let Some(bytes) = file.read()? else {
-        return Ok(Opened::Missing);
+        return Ok(OpenedJournal::Missing);
     };
-    if bytes.len() < HEAD {
-        return Ok(Opened::Damaged {
-            ledger: None,
-            at: 0,
+    if bytes.len() < HEADER_BYTES {
+        return Ok(OpenedJournal::Damaged {
+            log: None,
+            offset: 0,
         });
     }
-    let (head, mut rest) = bytes.split_at(HEAD);
+    let (head, mut rest) = bytes.split_at(HEADER_BYTES);
     if !head.starts_with(MAGIC) {
         let newer = head.starts_with(MAGIC_STEM) && head[7].is_ascii_digit();
         return Ok(if newer {
-            Opened::Newer
+            OpenedJournal::NewerVersion
         } else {
-            Opened::Damaged {
-                ledger: None,
-                at: 0,
+            OpenedJournal::Damaged {
+                log: None,
+                offset: 0,
             }
         });
     }
     let number = |at: usize| head[at..at + 8].try_into().map_or(0, u64::from_le_bytes);
     let crc = head[24..28].try_into().map_or(0, u32::from_le_bytes);
     if crc32fast::hash(&head[..24]) != crc {
-        return Ok(Opened::Damaged {
-            ledger: None,
-            at: 0,
+        return Ok(OpenedJournal::Damaged {
+            log: None,
+            offset: 0,
         });
     }
-    let mut ledger = Ledger::after(number(8), number(16));
+    let mut log = PurgeLog::after(number(8), number(16));
     loop {
-        let at = bytes.len() - rest.len();
-        match decode(rest) {
-            Found::Record(purge, used) => {
-                let identity = ledger.identity;
-                if ledger.append(identity, purge) != Ok(true) {
-                    return Ok(Opened::Damaged {
-                        ledger: Some(ledger),
-                        at,
+        let offset = bytes.len() - rest.len();
+        match decode_record(rest) {
+            DecodedRecord::Record(purge, used) => {
+                let identity = log.identity;
+                if log.append(identity, purge) != Ok(true) {
+                    return Ok(OpenedJournal::Damaged {
+                        log: Some(log),
+                        offset,
                     });
                 }
                 rest = &rest[used..];
             }
-            Found::Partial => {
-                return Ok(Opened::Whole {
-                    ledger,
-                    torn: rest.len(),
+            DecodedRecord::Incomplete => {
+                return Ok(OpenedJournal::Complete {
+                    log,
+                    torn_bytes: rest.len(),
                 })
             }
-            Found::Bad => {
-                return Ok(Opened::Damaged {
-                    ledger: Some(ledger),
-                    at,
+            DecodedRecord::Corrupt => {
+                return Ok(OpenedJournal::Damaged {
+                    log: Some(log),
+                    offset,
                 })
             }
         }
@@ -239,22 +241,23 @@
 
 /// Keeps a purge: durable once this returns without an error. After an error the file has to be written anew; [`Guarded`] sees
 /// to that.
-pub fn keep(file: &mut dyn File, purge: &Purge) -> io::Result<()> {
-    file.append(&record(purge))?;
+pub fn append_purge(file: &mut dyn JournalFile, purge: &Purge) -> io::Result<()> {
+    file.append(&encode_record(purge))?;
     file.sync()
 }
 
 /// Keeps several, with one sync.
-pub fn keep_all(file: &mut dyn File, purges: &[Purge]) -> io::Result<()> {
-    let bytes: Vec<u8> = purges.iter().flat_map(record).collect();
+pub fn append_purges(file: &mut dyn JournalFile, purges: &[Purge]) -> io::Result<()> {
+    let bytes: Vec<u8> = purges.iter().flat_map(encode_record).collect();
     file.append(&bytes)?;
     file.sync()
 }
 
 /// Writes a ledger anew: for a first start, after compaction, or to cut off what a kill left behind.
-pub fn rewrite(file: &mut dyn File, ledger: &Ledger) -> io::Result<()> {
-    let mut bytes = head(ledger);
-    ledger.iter().for_each(|purge| bytes.extend(record(purge)));
+pub fn rewrite(file: &mut dyn JournalFile, log: &PurgeLog) -> io::Result<()> {
+    let mut bytes = encode_header(log);
+    log.iter()
+        .for_each(|purge| bytes.extend(encode_record(purge)));
     file.replace(&bytes)
 }
 
--- a/purges/src/journal/guarded.rs
+++ b/purges/src/journal/guarded.rs
@@ -2,21 +2,21 @@
 //!
 //! What a failed write left is not known, and the system reports a failed sync once: a later sync that succeeds does not mean
 //! that what was written before it is durable.
-use super::File;
+use super::JournalFile;
 use std::io;
 
 /// A file with that rule.
 #[derive(Debug)]
-pub struct Guarded<F> {
+pub struct GuardedFile<F> {
     file: F,
     /// Why nothing may be appended until [`File::replace`] has succeeded.
     failure: Option<String>,
 }
 
-impl<F: File> Guarded<F> {
+impl<F: JournalFile> GuardedFile<F> {
     /// A file that was read, or is to be made, by this process.
     pub fn new(file: F) -> Self {
-        Guarded {
+        GuardedFile {
             file,
             failure: None,
         }
@@ -42,7 +42,7 @@
     }
 }
 
-impl<F: File> File for Guarded<F> {
+impl<F: JournalFile> JournalFile for GuardedFile<F> {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         self.file.read()
     }
--- a/purges/src/journal/tests.rs
+++ b/purges/src/journal/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::log::{Command, Taken};
+use crate::log::{Command, Prepared};
 
 #[derive(Default)]
 struct Memory {
@@ -10,7 +10,7 @@
     unsynced: bool,
 }
 
-impl File for Memory {
+impl JournalFile for Memory {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         Ok(self.kept.clone())
     }
@@ -40,71 +40,72 @@
     }
 }
 
-fn filled(n: u64) -> (Memory, Ledger) {
-    let (mut file, mut ledger) = (Memory::default(), Ledger::new(0xfeed));
-    rewrite(&mut file, &ledger).unwrap();
+fn filled(n: u64) -> (Memory, PurgeLog) {
+    let (mut file, mut log) = (Memory::default(), PurgeLog::new(0xfeed));
+    rewrite(&mut file, &log).unwrap();
     for i in 0..n {
-        let what = match i % 4 {
-            0 => What::Object(i),
-            1 => What::Group(i as u32),
-            2 => What::Tag(format!("tag-{i}").into()),
-            _ => What::Pattern(format!("car-*/{i:x}*").into()),
+        let target = match i % 4 {
+            0 => PurgeTarget::Object(i),
+            1 => PurgeTarget::Group(i as u32),
+            2 => PurgeTarget::Tag(format!("tag-{i}").into()),
+            _ => PurgeTarget::Pattern(format!("car-*/{i:x}*").into()),
         };
         let id = i.to_string().into();
         let command = Command {
-            what,
+            target,
             id,
             who: "ops".into(),
             why: "new photos".into(),
             all: false,
         };
-        let Ok(Taken::New(purge)) = ledger.take(1_000 + i, &command) else {
+        let Ok(Prepared::New(purge)) = log.prepare(1_000 + i, &command) else {
             panic!()
         };
-        keep(&mut file, &purge).unwrap();
-        ledger.append(0xfeed, purge).unwrap();
+        append_purge(&mut file, &purge).unwrap();
+        log.append(0xfeed, purge).unwrap();
     }
-    (file, ledger)
+    (file, log)
 }
 
 #[test]
 fn what_was_kept_is_there_after_a_cut_at_any_byte_and_no_more() {
-    let (file, ledger) = filled(20);
+    let (file, log) = filled(20);
     let whole = file.kept.unwrap();
     let ends: Vec<usize> = (0..=20)
         .map(|n| {
-            HEAD + ledger
-                .iter()
-                .take(n)
-                .map(|p| record(p).len())
-                .sum::<usize>()
+            HEADER_BYTES
+                + log
+                    .iter()
+                    .take(n)
+                    .map(|p| encode_record(p).len())
+                    .sum::<usize>()
         })
         .collect();
-    for cut in HEAD..=whole.len() {
+    for cut in HEADER_BYTES..=whole.len() {
         let mut file = Memory {
             kept: Some(whole[..cut].to_vec()),
             ..Memory::default()
         };
-        let Opened::Whole {
-            ledger: found,
-            torn,
+        let OpenedJournal::Complete {
+            log: found,
+            torn_bytes,
         } = open(&mut file).unwrap()
         else {
             panic!("cut at {cut}")
         };
         let kept = ends.iter().rposition(|end| *end <= cut).unwrap();
         assert_eq!(
-            (found.last(), torn),
+            (found.last_number(), torn_bytes),
             (kept as u64, cut - ends[kept]),
             "cut at {cut}"
         );
-        assert!(found.iter().eq(ledger.iter().take(kept)));
+        assert!(found.iter().eq(log.iter().take(kept)));
     }
 }
 
 #[test]
 fn a_flipped_bit_is_found_wherever_it_is() {
-    let (file, ledger) = filled(8);
+    let (file, log) = filled(8);
     let whole = file.kept.unwrap();
     for at in 0..whole.len() {
         for bit in [0, 5] {
@@ -115,20 +116,23 @@
                 ..Memory::default()
             };
             match open(&mut file).unwrap() {
-                Opened::Damaged {
-                    ledger: found,
-                    at: told,
+                OpenedJournal::Damaged {
+                    log: found,
+                    offset: found_at,
                 } => {
-                    let found = found.map_or(0, |l| l.last());
-                    assert!(found < ledger.last() && told <= at, "bit {bit} at {at}");
+                    let found = found.map_or(0, |l| l.last_number());
+                    assert!(
+                        found < log.last_number() && found_at <= at,
+                        "bit {bit} at {at}"
+                    );
                 }
-                Opened::Newer => assert_eq!(at, 7),
+                OpenedJournal::NewerVersion => assert_eq!(at, 7),
                 // A length that grew past the end looks like a record that is cut off: nothing of it was told.
-                Opened::Whole {
-                    ledger: found,
-                    torn,
-                } => assert!(torn > 0 && found.last() < 8, "{at}"),
-                Opened::Missing => panic!(),
+                OpenedJournal::Complete {
+                    log: found,
+                    torn_bytes,
+                } => assert!(torn_bytes > 0 && found.last_number() < 8, "{at}"),
+                OpenedJournal::Missing => panic!(),
             }
         }
     }
@@ -136,45 +140,45 @@
 
 #[test]
 fn a_full_disk_leaves_what_was_kept_before() {
-    let (mut file, ledger) = filled(3);
+    let (mut file, log) = filled(3);
     file.full = true;
     let command = Command {
-        what: What::Object(1),
+        target: PurgeTarget::Object(1),
         id: "x".into(),
         who: "".into(),
         why: "".into(),
         all: false,
     };
-    let Ok(Taken::New(purge)) = ledger.take(9_000, &command) else {
+    let Ok(Prepared::New(purge)) = log.prepare(9_000, &command) else {
         panic!()
     };
-    assert!(keep(&mut file, &purge).is_err());
+    assert!(append_purge(&mut file, &purge).is_err());
     file.kept = Some(file.live.clone());
-    let Opened::Whole {
-        ledger: found,
-        torn,
+    let OpenedJournal::Complete {
+        log: found,
+        torn_bytes,
     } = open(&mut file).unwrap()
     else {
         panic!()
     };
-    assert_eq!((found, torn > 0), (ledger, true));
+    assert_eq!((found, torn_bytes > 0), (log, true));
 }
 
 #[test]
 fn compaction_keeps_numbers_and_odd_bytes_never_panic() {
-    let (mut file, mut ledger) = filled(20);
-    ledger.compact(15, 5_000);
-    rewrite(&mut file, &ledger).unwrap();
-    let Opened::Whole { ledger: found, .. } = open(&mut file).unwrap() else {
+    let (mut file, mut log) = filled(20);
+    log.compact(15, 5_000);
+    rewrite(&mut file, &log).unwrap();
+    let OpenedJournal::Complete { log: found, .. } = open(&mut file).unwrap() else {
         panic!()
     };
-    assert_eq!((found.base(), found.last()), (15, 20));
+    assert_eq!((found.base(), found.last_number()), (15, 20));
     let mut newer = Memory {
         kept: Some([b"CRPURGE2".to_vec(), vec![0; 40]].concat()),
         ..Memory::default()
     };
-    assert_eq!(open(&mut newer).unwrap(), Opened::Newer);
-    let bytes = record(ledger.get(20).unwrap());
+    assert_eq!(open(&mut newer).unwrap(), OpenedJournal::NewerVersion);
+    let bytes = encode_record(log.get(20).unwrap());
     let mut rng = 1u64;
     for _ in 0..50_000 {
         let mut odd = bytes.clone();
@@ -185,52 +189,52 @@
             let at = (rng >> 33) as usize % odd.len();
             odd[at] = (rng >> 20) as u8;
         }
-        let _ = (decode(&odd), parse(&odd), parse(&odd[8..]));
+        let _ = (decode_record(&odd), parse(&odd), parse(&odd[8..]));
     }
 }
 
 #[test]
 fn after_a_failed_write_or_sync_nothing_counts_as_kept_until_the_file_is_written_anew() {
     for unsynced in [false, true] {
-        let (mut memory, mut ledger) = filled(3);
+        let (mut memory, mut log) = filled(3);
         (memory.full, memory.unsynced) = (!unsynced, unsynced);
-        let mut file = Guarded::new(memory);
-        let purge = |ledger: &Ledger, id: &str| {
-            let what = What::Object(1);
+        let mut file = GuardedFile::new(memory);
+        let purge = |log: &PurgeLog, id: &str| {
+            let target = PurgeTarget::Object(1);
             let command = Command {
-                what,
+                target,
                 id: id.into(),
                 who: "".into(),
                 why: "".into(),
                 all: false,
             };
-            let Ok(Taken::New(purge)) = ledger.take(9_000, &command) else {
+            let Ok(Prepared::New(purge)) = log.prepare(9_000, &command) else {
                 panic!()
             };
             purge
         };
-        let first = purge(&ledger, "x");
-        assert!(keep_all(&mut file, std::slice::from_ref(&first)).is_err());
-        ledger.append(0xfeed, first).unwrap();
+        let first = purge(&log, "x");
+        assert!(append_purges(&mut file, std::slice::from_ref(&first)).is_err());
+        log.append(0xfeed, first).unwrap();
         // The disk is well again: a batch that follows would be kept behind a gap.
         (file.file_mut().full, file.file_mut().unsynced) = (false, false);
-        let second = purge(&ledger, "y");
+        let second = purge(&log, "y");
         assert!(
-            keep_all(&mut file, std::slice::from_ref(&second)).is_err(),
+            append_purges(&mut file, std::slice::from_ref(&second)).is_err(),
             "unsynced: {unsynced}"
         );
-        ledger.append(0xfeed, second).unwrap();
-        rewrite(&mut file, &ledger).unwrap();
-        let third = purge(&ledger, "z");
-        keep(&mut file, &third).unwrap();
-        ledger.append(0xfeed, third).unwrap();
-        let Opened::Whole {
-            ledger: found,
-            torn,
+        log.append(0xfeed, second).unwrap();
+        rewrite(&mut file, &log).unwrap();
+        let third = purge(&log, "z");
+        append_purge(&mut file, &third).unwrap();
+        log.append(0xfeed, third).unwrap();
+        let OpenedJournal::Complete {
+            log: found,
+            torn_bytes,
         } = open(&mut file).unwrap()
         else {
             panic!()
         };
-        assert_eq!((found, torn), (ledger, 0));
+        assert_eq!((found, torn_bytes), (log, 0));
     }
 }
--- a/purges/src/lease.rs
+++ b/purges/src/lease.rs
@@ -1,9 +1,9 @@
 //! The contact lease: a front that has not heard of the ledger for a while can't know what was purged.
-use crate::{Micros, Ms, Timestamp};
+use crate::{Micros, Timestamp, UnixMillis};
 
 /// What a front does without contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Without {
+pub enum WhenExpired {
     /// The floor follows the clock, a lease behind it: what the ledger took longer ago than that holds, known or
     /// not. A floor that stayed at the last contact would let a copy pass that came after it and was purged later.
     Strict,
@@ -13,31 +13,31 @@
 
 /// When the ledger was heard of last.
 #[derive(Clone, Debug)]
-pub struct Contact {
+pub struct Lease {
     lease: Micros,
-    without: Without,
+    without: WhenExpired,
     /// On the monotonic clock, and by the wall.
-    heard: (Timestamp, Ms),
+    renewed: (Timestamp, UnixMillis),
     lost: bool,
     /// Answers that stood under the doubt.
-    pub doubtful: u64,
+    pub unverified_replies: u64,
 }
 
-impl Contact {
+impl Lease {
     /// Contact was had `now`; it is lost `lease` microseconds later.
-    pub fn new(now: Timestamp, wall: Ms, lease: Micros, without: Without) -> Self {
-        Contact {
+    pub fn new(now: Timestamp, wall: UnixMillis, lease: Micros, without: WhenExpired) -> Self {
+        Lease {
             lease,
             without,
-            heard: (now, wall),
+            renewed: (now, wall),
             lost: false,
-            doubtful: 0,
+            unverified_replies: 0,
         }
     }
 
     /// Contact was not had yet, as at a start.
-    pub fn lost(now: Timestamp, wall: Ms, lease: Micros, without: Without) -> Self {
-        Contact::new(
+    pub fn expired(now: Timestamp, wall: UnixMillis, lease: Micros, without: WhenExpired) -> Self {
+        Lease::new(
             now.saturating_sub(lease),
             wall.saturating_sub(lease / 1_000),
             lease,
@@ -46,35 +46,36 @@
     }
 
     /// The ledger was heard of. `true`: contact was lost until now.
-    pub fn heard(&mut self, now: Timestamp, wall: Ms) -> bool {
-        self.heard = (now.max(self.heard.0), wall);
+    pub fn renew(&mut self, now: Timestamp, wall: UnixMillis) -> bool {
+        self.renewed = (now.max(self.renewed.0), wall);
         std::mem::take(&mut self.lost)
     }
 
     /// When contact counts as lost if nothing is heard.
-    pub fn due(&self) -> Timestamp {
-        self.heard.0 + self.lease
+    pub fn expires_at(&self) -> Timestamp {
+        self.renewed.0 + self.lease
     }
 
     /// Whether contact was lost just now: to be said once.
-    pub fn lost_now(&mut self, now: Timestamp) -> bool {
-        let lost = now >= self.due();
+    pub fn report_expiry(&mut self, now: Timestamp) -> bool {
+        let lost = now >= self.expires_at();
         lost && !std::mem::replace(&mut self.lost, lost)
     }
 
     /// The floor that the loss of contact brings, in milliseconds of `wall`; 0: none.
-    pub fn floor(&self, now: Timestamp, wall: Ms) -> Ms {
+    pub fn floor(&self, now: Timestamp, wall: UnixMillis) -> UnixMillis {
         match self.without {
-            Without::Strict if now >= self.due() => {
-                wall.saturating_sub(self.lease / 1_000).max(self.heard.1)
+            WhenExpired::Strict if now >= self.expires_at() => {
+                wall.saturating_sub(self.lease / 1_000).max(self.renewed.1)
             }
             _ => 0,
         }
     }
 
     /// An answer is passed on: where contact is lost and the front goes on all the same, it stands under the doubt.
-    pub fn answered(&mut self, now: Timestamp) {
-        self.doubtful += u64::from(self.without == Without::Available && now >= self.due());
+    pub fn record_reply(&mut self, now: Timestamp) {
+        self.unverified_replies +=
+            u64::from(self.without == WhenExpired::Available && now >= self.expires_at());
     }
 }
 
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -20,24 +20,24 @@
 pub mod shield;
 
 /// Unix milliseconds.
-pub type Ms = u64;
+pub type UnixMillis = u64;
 /// A moment on a clock that never goes back, in microseconds.
 pub type Timestamp = u64;
 /// A span in microseconds.
 pub type Micros = u64;
 /// The number of a purge: 1 up, without gaps. 0: before the first.
-pub type Number = u64;
+pub type PurgeNumber = u64;
 
 /// Letters of a tag, a pattern, a command's id, and of who and why, at most.
-pub const TAG_MOST: usize = 64;
+pub const MAX_TAG_BYTES: usize = 64;
 /// Letters of a pattern.
-pub const PATTERN_MOST: usize = 200;
+pub const MAX_PATTERN_BYTES: usize = 200;
 /// Letters of a command's id, and of who and why.
-pub const WORDS_MOST: usize = 200;
+pub const MAX_TEXT_BYTES: usize = 200;
 
 /// What a purge names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum What {
+pub enum PurgeTarget {
     /// One object, whatever the part.
     Object(u64),
     /// All objects of a group.
@@ -52,11 +52,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
     /// Its place in the order.
-    pub number: Number,
+    pub number: PurgeNumber,
     /// No copy from before this moment may answer.
-    pub at: Ms,
+    pub at_ms: UnixMillis,
     /// What it names.
-    pub what: What,
+    pub target: PurgeTarget,
     /// The command's id: the same one again is the same purge.
     pub id: Box<str>,
     /// Who asked.
@@ -66,6 +66,6 @@
 }
 
 /// The key of a request as patterns see it.
-pub fn key(class: &str, object: u64, part: u32) -> String {
+pub fn request_key(class: &str, object: u64, part: u32) -> String {
     format!("{class}/{object:016x}/{part}")
 }
--- a/purges/src/log.rs
+++ b/purges/src/log.rs
@@ -1,19 +1,19 @@
 //! The ledger: purges in order. One writes, others follow; only numbers and positions are assumed of the writer, so
 //! that a replicated log can take its place.
-use crate::matching::glob;
-use crate::{Ms, Number, Purge, What, TAG_MOST, WORDS_MOST};
+use crate::matching::parse_pattern;
+use crate::{Purge, PurgeNumber, PurgeTarget, UnixMillis, MAX_TAG_BYTES, MAX_TEXT_BYTES};
 use std::collections::{HashMap, VecDeque};
 
 /// Purges in one batch for a follower or a box, and bytes of it by estimate.
-pub const BATCH_MOST: usize = 256;
+pub const MAX_BATCH_PURGES: usize = 256;
 /// Purges that are held at most: one more is refused until some are compacted.
-pub const HELD_MOST: usize = 4_000_000;
+pub const MAX_PURGES: usize = 4_000_000;
 
 /// A command to purge, as an operator gives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
     /// What it names.
-    pub what: What,
+    pub target: PurgeTarget,
     /// Its id: repeating it is one purge.
     pub id: Box<str>,
     /// Who asks.
@@ -26,11 +26,11 @@
 
 /// What became of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Prepared {
     /// It is this purge; to be kept before anybody is told.
     New(Purge),
     /// It was this purge before.
-    Known(Number),
+    Duplicate(PurgeNumber),
 }
 
 /// Why something does not go into the ledger.
@@ -50,63 +50,63 @@
 
 /// The ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ledger {
+pub struct PurgeLog {
     /// Which ledger this is: numbers of another mean nothing here.
     pub identity: u64,
     /// The number before the first that is held.
-    base: Number,
-    held: VecDeque<Purge>,
-    ids: HashMap<Box<str>, Number>,
+    base: PurgeNumber,
+    purges: VecDeque<Purge>,
+    by_command_id: HashMap<Box<str>, PurgeNumber>,
 }
 
-impl Ledger {
+impl PurgeLog {
     /// An empty ledger.
     pub fn new(identity: u64) -> Self {
-        Ledger {
+        PurgeLog {
             identity,
             base: 0,
-            held: VecDeque::new(),
-            ids: HashMap::new(),
+            purges: VecDeque::new(),
+            by_command_id: HashMap::new(),
         }
     }
 
     /// One that continues after `base`: what came before was compacted.
-    pub fn after(identity: u64, base: Number) -> Self {
-        Ledger {
+    pub fn after(identity: u64, base: PurgeNumber) -> Self {
+        PurgeLog {
             base,
-            ..Ledger::new(identity)
+            ..PurgeLog::new(identity)
         }
     }
 
     /// The last number; 0: none yet.
-    pub fn last(&self) -> Number {
-        self.base + self.held.len() as u64
+    pub fn last_number(&self) -> PurgeNumber {
+        self.base + self.purges.len() as u64
     }
 
     /// The number before the first that is held.
-    pub fn base(&self) -> Number {
+    pub fn base(&self) -> PurgeNumber {
         self.base
     }
 
     /// One purge.
-    pub fn get(&self, number: Number) -> Option<&Purge> {
+    pub fn get(&self, number: PurgeNumber) -> Option<&Purge> {
         let at = number.checked_sub(self.base + 1)?;
-        self.held.get(usize::try_from(at).ok()?)
+        self.purges.get(usize::try_from(at).ok()?)
     }
 
     /// All that are held, in order.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Purge> {
-        self.held.iter()
+        self.purges.iter()
     }
 
     /// Takes a command in at `now`, as the writer. What is new is not in the ledger yet: it is appended once it is
     /// kept. Moments never go back, whatever the clock does: order by number is order by moment.
-    pub fn take(&self, now: Ms, command: &Command) -> Result<Taken, Refused> {
+    pub fn prepare(&self, now: UnixMillis, command: &Command) -> Result<Prepared, Refused> {
         let sound =
             |text: &str, most: usize| text.len() <= most && !text.chars().any(char::is_control);
-        if !(sound(&command.id, WORDS_MOST)
-            && sound(&command.who, WORDS_MOST)
-            && sound(&command.why, WORDS_MOST))
+        if !(sound(&command.id, MAX_TEXT_BYTES)
+            && sound(&command.who, MAX_TEXT_BYTES)
+            && sound(&command.why, MAX_TEXT_BYTES))
         {
             return Err(Refused::Bad(
                 "id, who or why: too long, or with control characters",
@@ -115,17 +115,17 @@
         if command.id.is_empty() {
             return Err(Refused::Bad("id: empty"));
         }
-        match &command.what {
-            What::Tag(tag) if tag.is_empty() || !sound(tag, TAG_MOST) => {
+        match &command.target {
+            PurgeTarget::Tag(tag) if tag.is_empty() || !sound(tag, MAX_TAG_BYTES) => {
                 return Err(Refused::Bad(
                     "tag: empty, too long, or with control characters",
                 ));
             }
-            What::Tag(tag) if tag.contains([',', ';']) => {
+            PurgeTarget::Tag(tag) if tag.contains([',', ';']) => {
                 return Err(Refused::Bad("tag: with a comma or semicolon"))
             }
-            What::Pattern(pattern) => {
-                let all = glob(pattern).map_err(Refused::Bad)?.1;
+            PurgeTarget::Pattern(pattern) => {
+                let all = parse_pattern(pattern).map_err(Refused::Bad)?.1;
                 if all && !command.all {
                     return Err(Refused::Bad(
                         "pattern: it matches everything; say so if it is meant",
@@ -134,25 +134,29 @@
             }
             _ => {}
         }
-        if let Some(number) = self.ids.get(&command.id) {
-            let same = self.get(*number).is_none_or(|p| p.what == command.what);
+        if let Some(number) = self.by_command_id.get(&command.id) {
+            let same = self.get(*number).is_none_or(|p| p.target == command.target);
             return if same {
-                Ok(Taken::Known(*number))
+                Ok(Prepared::Duplicate(*number))
             } else {
                 Err(Refused::Bad("id: names another purge"))
             };
         }
-        if self.held.len() >= HELD_MOST {
+        if self.purges.len() >= MAX_PURGES {
             return Err(Refused::Full);
         }
-        let at = self.held.back().map_or(now, |p| p.at.max(now));
+        let at_ms = self.purges.back().map_or(now, |p| p.at_ms.max(now));
         let Command {
-            what, id, who, why, ..
+            target,
+            id,
+            who,
+            why,
+            ..
         } = command.clone();
-        Ok(Taken::New(Purge {
-            number: self.last() + 1,
-            at,
-            what,
+        Ok(Prepared::New(Purge {
+            number: self.last_number() + 1,
+            at_ms,
+            target,
             id,
             who,
             why,
@@ -164,45 +168,45 @@
         if identity != self.identity {
             return Err(Refused::Foreign);
         }
-        if purge.number <= self.last() {
-            let same = self.get(purge.number).is_none_or(|held| *held == purge);
+        if purge.number <= self.last_number() {
+            let same = self.get(purge.number).is_none_or(|purges| *purges == purge);
             return if same {
                 Ok(false)
             } else {
                 Err(Refused::Conflict)
             };
         }
-        if purge.number > self.last() + 1 {
+        if purge.number > self.last_number() + 1 {
             return Err(Refused::Gap);
         }
-        if self.held.len() >= HELD_MOST {
+        if self.purges.len() >= MAX_PURGES {
             return Err(Refused::Full);
         }
-        self.ids.insert(purge.id.clone(), purge.number);
-        self.held.push_back(purge);
+        self.by_command_id.insert(purge.id.clone(), purge.number);
+        self.purges.push_back(purge);
         Ok(true)
     }
 
     /// What comes after a number, as one batch. `None`: some of it is not held any more, and the follower has to
     /// begin at [`Ledger::base`] and take what is older for purged.
-    pub fn batch(&self, after: Number) -> Option<Vec<Purge>> {
+    pub fn batch_after(&self, after: PurgeNumber) -> Option<Vec<Purge>> {
         let skip = usize::try_from(after.checked_sub(self.base)?).ok()?;
         Some(
-            self.held
+            self.purges
                 .iter()
                 .skip(skip)
-                .take(BATCH_MOST)
+                .take(MAX_BATCH_PURGES)
                 .cloned()
                 .collect(),
         )
     }
 
     /// Forgets what every box has confirmed and no member may hold an old copy of any more. Returns how many.
-    pub fn compact(&mut self, confirmed: Number, horizon: Ms) -> usize {
-        let over = |p: &&Purge| p.number <= confirmed && p.at < horizon;
-        let count = self.held.iter().take_while(over).count();
-        for purge in self.held.drain(..count) {
-            self.ids.remove(&purge.id);
+    pub fn compact(&mut self, confirmed: PurgeNumber, horizon: UnixMillis) -> usize {
+        let over = |p: &&Purge| p.number <= confirmed && p.at_ms < horizon;
+        let count = self.purges.iter().take_while(over).count();
+        for purge in self.purges.drain(..count) {
+            self.by_command_id.remove(&purge.id);
         }
         self.base += count as u64;
         count
--- a/purges/src/log/tests.rs
+++ b/purges/src/log/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn command(id: &str, what: What) -> Command {
+fn command(id: &str, target: PurgeTarget) -> Command {
     Command {
-        what,
+        target,
         id: id.into(),
         who: "ops".into(),
         why: "photos".into(),
@@ -10,30 +10,30 @@
     }
 }
 
-fn put(ledger: &mut Ledger, now: Ms, id: &str) -> Number {
-    let Ok(Taken::New(purge)) = ledger.take(now, &command(id, What::Object(7))) else {
+fn put(log: &mut PurgeLog, now: UnixMillis, id: &str) -> PurgeNumber {
+    let Ok(Prepared::New(purge)) = log.prepare(now, &command(id, PurgeTarget::Object(7))) else {
         panic!()
     };
     let number = purge.number;
-    assert_eq!(ledger.append(ledger.identity, purge), Ok(true));
+    assert_eq!(log.append(log.identity, purge), Ok(true));
     number
 }
 
 #[test]
 fn the_same_id_is_one_purge_and_moments_never_go_back() {
-    let mut ledger = Ledger::new(9);
-    assert_eq!(put(&mut ledger, 500, "a"), 1);
+    let mut log = PurgeLog::new(9);
+    assert_eq!(put(&mut log, 500, "a"), 1);
     assert_eq!(
-        ledger.take(600, &command("a", What::Object(7))),
-        Ok(Taken::Known(1))
+        log.prepare(600, &command("a", PurgeTarget::Object(7))),
+        Ok(Prepared::Duplicate(1))
     );
     assert!(matches!(
-        ledger.take(600, &command("a", What::Object(8))),
+        log.prepare(600, &command("a", PurgeTarget::Object(8))),
         Err(Refused::Bad(_))
     ));
-    put(&mut ledger, 100, "b");
+    put(&mut log, 100, "b");
     assert_eq!(
-        ledger.get(2).unwrap().at,
+        log.get(2).unwrap().at_ms,
         500,
         "the clock went back, the order did not"
     );
@@ -41,10 +41,10 @@
 
 #[test]
 fn a_follower_takes_no_gap_no_foreign_number_and_no_second_content() {
-    let mut ledger = Ledger::new(9);
-    (0..5).for_each(|i| assert!(put(&mut ledger, i, &i.to_string()) > 0));
-    let all = ledger.batch(0).unwrap();
-    let mut follower = Ledger::new(9);
+    let mut log = PurgeLog::new(9);
+    (0..5).for_each(|i| assert!(put(&mut log, i, &i.to_string()) > 0));
+    let all = log.batch_after(0).unwrap();
+    let mut follower = PurgeLog::new(9);
     assert_eq!(follower.append(9, all[1].clone()), Err(Refused::Gap));
     assert_eq!(follower.append(8, all[0].clone()), Err(Refused::Foreign));
     all.iter()
@@ -55,54 +55,58 @@
         "a repeat is harmless"
     );
     let other = Purge {
-        what: What::Object(99),
+        target: PurgeTarget::Object(99),
         ..all[2].clone()
     };
     assert_eq!(follower.append(9, other), Err(Refused::Conflict));
-    assert_eq!(follower, ledger);
+    assert_eq!(follower, log);
 }
 
 #[test]
 fn only_what_is_confirmed_and_past_the_horizon_is_forgotten() {
-    let mut ledger = Ledger::new(9);
-    (0..10).for_each(|i| assert!(put(&mut ledger, i * 100, &i.to_string()) > 0));
-    assert_eq!(ledger.compact(0, 10_000), 0, "nobody confirmed");
-    assert_eq!(ledger.compact(10, 0), 0, "the horizon has not passed");
-    assert_eq!(ledger.compact(6, 401), 5);
+    let mut log = PurgeLog::new(9);
+    (0..10).for_each(|i| assert!(put(&mut log, i * 100, &i.to_string()) > 0));
+    assert_eq!(log.compact(0, 10_000), 0, "nobody confirmed");
+    assert_eq!(log.compact(10, 0), 0, "the horizon has not passed");
+    assert_eq!(log.compact(6, 401), 5);
     assert_eq!(
-        (ledger.base(), ledger.last(), ledger.get(5).is_none()),
+        (log.base(), log.last_number(), log.get(5).is_none()),
         (5, 10, true)
     );
-    assert_eq!(ledger.batch(4), None, "it has to begin anew");
-    assert_eq!(ledger.batch(7).unwrap().len(), 3);
-    assert_eq!(ledger.batch(10).unwrap(), []);
+    assert_eq!(log.batch_after(4), None, "it has to begin anew");
+    assert_eq!(log.batch_after(7).unwrap().len(), 3);
+    assert_eq!(log.batch_after(10).unwrap(), []);
 }
 
 #[test]
 fn odd_commands_are_refused() {
-    let ledger = Ledger::new(9);
-    for what in [
-        What::Tag("".into()),
-        What::Tag("a,b".into()),
-        What::Tag("x".repeat(65).into()),
-        What::Pattern("*".into()),
-        What::Pattern("**/*".into()),
-        What::Pattern("[".into()),
-        What::Pattern("a".repeat(201).into()),
+    let log = PurgeLog::new(9);
+    for target in [
+        PurgeTarget::Tag("".into()),
+        PurgeTarget::Tag("a,b".into()),
+        PurgeTarget::Tag("x".repeat(65).into()),
+        PurgeTarget::Pattern("*".into()),
+        PurgeTarget::Pattern("**/*".into()),
+        PurgeTarget::Pattern("[".into()),
+        PurgeTarget::Pattern("a".repeat(201).into()),
     ] {
         assert!(
             matches!(
-                ledger.take(1, &command("a", what.clone())),
+                log.prepare(1, &command("a", target.clone())),
                 Err(Refused::Bad(_))
             ),
-            "{what:?}"
+            "{target:?}"
         );
     }
     let all = Command {
         all: true,
-        ..command("a", What::Pattern("*".into()))
+        ..command("a", PurgeTarget::Pattern("*".into()))
     };
-    assert!(matches!(ledger.take(1, &all), Ok(Taken::New(_))));
-    assert!(ledger.take(1, &command("", What::Object(1))).is_err());
-    assert!(ledger.take(1, &command("a\nb", What::Object(1))).is_err());
+    assert!(matches!(log.prepare(1, &all), Ok(Prepared::New(_))));
+    assert!(log
+        .prepare(1, &command("", PurgeTarget::Object(1)))
+        .is_err());
+    assert!(log
+        .prepare(1, &command("a\nb", PurgeTarget::Object(1)))
+        .is_err());
 }
--- a/purges/src/matching/tests.rs
+++ b/purges/src/matching/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::key;
+use crate::request_key;
 
-fn purge(number: Number, at: Ms, what: What) -> Purge {
+fn purge(number: PurgeNumber, at_ms: UnixMillis, target: PurgeTarget) -> Purge {
     Purge {
         number,
-        at,
-        what,
+        at_ms,
+        target,
         id: number.to_string().into(),
         who: "".into(),
         why: "".into(),
@@ -14,19 +14,25 @@
 
 #[test]
 fn what_is_unknown_counts_as_matched_and_what_is_known_does_not() {
-    let (mut index, mut matcher) = (Index::new(1 << 16), Matcher::default());
-    index.learn(1, Some(&["vitara", "blue"]));
-    index.learn(2, Some(&[]));
-    index.learn(3, Some(&["a", "b", "c", "d", "e"]));
-    matcher.add(&purge(1, 500, What::Tag("vitara".into())), 0);
-    let floor = |index: &Index, object| {
-        matcher.floor(0, object, 0, index.tags(object), &key("v", object, 0))
+    let (mut index, mut matcher) = (TagIndex::new(1 << 16), PurgeMatcher::default());
+    index.record(1, Some(&["vitara", "blue"]));
+    index.record(2, Some(&[]));
+    index.record(3, Some(&["a", "b", "c", "d", "e"]));
+    matcher.add(&purge(1, 500, PurgeTarget::Tag("vitara".into())), 0);
+    let floor = |index: &TagIndex, object| {
+        matcher.floor(
+            0,
+            object,
+            0,
+            index.tags(object),
+            &request_key("v", object, 0),
+        )
     };
     assert_eq!([1, 2, 3, 4].map(|o| floor(&index, o)), [500, 0, 500, 500]);
     // A new version of the object has lost the tag.
-    index.learn(1, Some(&["blue"]));
+    index.record(1, Some(&["blue"]));
     assert_eq!(floor(&index, 1), 0);
-    index.learn(1, None);
+    index.record(1, None);
     assert_eq!(
         floor(&index, 1),
         0,
@@ -37,9 +43,9 @@
 
 #[test]
 fn the_index_keeps_its_size_and_forgets_into_unknown() {
-    let mut index = Index::new(1 << 16);
+    let mut index = TagIndex::new(1 << 16);
     let before = index.slots.len();
-    (0..100_000).for_each(|o| index.learn(o, Some(&["t"])));
+    (0..100_000).for_each(|o| index.record(o, Some(&["t"])));
     assert_eq!(index.slots.len(), before);
     let known = (0..100_000).filter(|o| index.tags(*o).is_some()).count();
     assert!(known <= before && known > before / 2, "{known} of {before}");
@@ -51,15 +57,25 @@
 
 #[test]
 fn floors_are_the_latest_of_all_that_match_and_end_for_who_confirmed() {
-    let mut matcher = Matcher::default();
-    matcher.add(&purge(1, 100, What::Object(7)), 5);
-    matcher.add(&purge(2, 200, What::Group(3)), 5);
+    let mut matcher = PurgeMatcher::default();
+    matcher.add(&purge(1, 100, PurgeTarget::Object(7)), 5);
+    matcher.add(&purge(2, 200, PurgeTarget::Group(3)), 5);
     matcher.add(
-        &purge(3, 300, What::Pattern("car-*/00000000000000*/*".into())),
+        &purge(
+            3,
+            300,
+            PurgeTarget::Pattern("car-*/00000000000000*/*".into()),
+        ),
         5,
     );
     let floor = |after, object, group, class: &str| {
-        matcher.floor(after, object, group, Some(&[]), &key(class, object, 0))
+        matcher.floor(
+            after,
+            object,
+            group,
+            Some(&[]),
+            &request_key(class, object, 0),
+        )
     };
     assert_eq!(floor(0, 7, 0, "page"), 105);
     assert_eq!(floor(0, 7, 3, "page"), 205);
@@ -73,14 +89,14 @@
     assert!(matcher.is_empty());
 }
 
-fn floor_of(matcher: &Matcher) -> Ms {
-    matcher.floor(0, 7, 3, Some(&[]), &key("car-video", 7, 0))
+fn floor_of(matcher: &PurgeMatcher) -> UnixMillis {
+    matcher.floor(0, 7, 3, Some(&[]), &request_key("car-video", 7, 0))
 }
 
 #[test]
 fn what_stands_in_no_ledger_counts_whatever_boxes_have_confirmed() {
-    let mut matcher = Matcher::default();
-    matcher.add(&purge(0, 400, What::Object(7)), 0);
+    let mut matcher = PurgeMatcher::default();
+    matcher.add(&purge(0, 400, PurgeTarget::Object(7)), 0);
     assert_eq!(matcher.floor(99, 7, 0, Some(&[]), "a/7/0"), 400);
     matcher.add_all(300);
     assert_eq!(
@@ -91,8 +107,8 @@
 
 #[test]
 fn patterns_put_together_match_as_they_did_one_by_one() {
-    let mut together = Matcher::default();
-    let mut single = Matcher::default();
+    let mut together = PurgeMatcher::default();
+    let mut single = PurgeMatcher::default();
     let mut rng = 3u64;
     for n in 1..=200 {
         rng = rng
@@ -104,36 +120,39 @@
             2 => format!("*/*/{}", (rng >> 40) % 30),
             _ => format!("class-[{}-9]/*{:x}/?", (rng >> 40) % 9, (rng >> 44) % 16),
         };
-        let purge = purge(n, n * 10, What::Pattern(text.into()));
+        let purge = purge(n, n * 10, PurgeTarget::Pattern(text.into()));
         together.add(&purge, 0);
         single.add(&purge, 0);
-        if let Some(job) = together.job() {
+        if let Some(job) = together.take_compile_job() {
             // One comes while they are put together.
-            let set = compile(job);
+            let set = compile_patterns(job);
             together.install(set);
         }
     }
-    assert!(together.recent.len() < RECENT_MOST && together.set.is_some());
+    assert!(together.uncompiled.len() < MAX_UNCOMPILED && together.compiled.is_some());
     for object in 0..2_000u64 {
         let object = object.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let key = key(
+        let key = request_key(
             &format!("class-{}", object % 11),
             object,
             (object % 40) as u32,
         );
-        let floor = |m: &Matcher| m.floor(0, object, 0, Some(&[]), &key);
+        let floor = |m: &PurgeMatcher| m.floor(0, object, 0, Some(&[]), &key);
         assert_eq!(floor(&together), floor(&single), "{key}");
     }
 }
 
 #[test]
 fn more_patterns_than_are_allowed_count_as_matching_everything() {
-    let mut matcher = Matcher::default();
-    for n in 1..=PATTERNS_MOST as u64 + 1 {
-        matcher.add(&purge(n, n, What::Pattern(format!("x{n}/*").into())), 0);
+    let mut matcher = PurgeMatcher::default();
+    for n in 1..=MAX_PATTERNS as u64 + 1 {
+        matcher.add(
+            &purge(n, n, PurgeTarget::Pattern(format!("x{n}/*").into())),
+            0,
+        );
     }
     assert_eq!(
         matcher.floor(0, 1, 0, Some(&[]), "other/1/1"),
-        PATTERNS_MOST as u64 + 1
+        MAX_PATTERNS as u64 + 1
     );
 }
--- a/purges/src/replication.rs
+++ b/purges/src/replication.rs
@@ -1,129 +1,129 @@
 //! Which box has confirmed what, and what it is sent next: in order, one batch out at a time, slow boxes apart from fast
 //! ones, paced over the fleet.
-use crate::log::BATCH_MOST;
-use crate::{Micros, Number, Timestamp};
+use crate::log::MAX_BATCH_PURGES;
+use crate::{Micros, PurgeNumber, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A batch that is not confirmed after this long is taken for lost, and what it held is sent again.
-const CONFIRM_MOST: Micros = 5_000_000;
+const CONFIRM_TIMEOUT: Micros = 5_000_000;
 /// Pauses after a loss: the first, and the longest.
-const PAUSE_FIRST: Micros = 100_000;
-const PAUSE_MOST: Micros = 10_000_000;
+const INITIAL_BACKOFF: Micros = 100_000;
+const MAX_BACKOFF: Micros = 10_000_000;
 /// A box whose last batch took longer than this is a slow one.
-const SLOW: Micros = 1_000_000;
+const SLOW_BATCH: Micros = 1_000_000;
 /// Batches out at once: to slow boxes at most so many, so that they don't take all the places.
-const OUT_MOST: usize = 64;
-const OUT_SLOW_MOST: usize = 8;
+const MAX_IN_FLIGHT: usize = 64;
+const MAX_SLOW_IN_FLIGHT: usize = 8;
 
 /// A box, by its id.
-pub type BoxId = u64;
+pub type NodeId = u64;
 
 /// What a box is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Batch {
     /// To whom.
-    pub to: BoxId,
+    pub node: NodeId,
     /// Purges after this number,
-    pub after: Number,
+    pub after: PurgeNumber,
     /// up to this one.
-    pub upto: Number,
+    pub through: PurgeNumber,
 }
 
 #[derive(Clone, Debug)]
-struct State {
+struct NodeState {
     /// Everything up to this one is carried out.
-    confirmed: Number,
+    confirmed: PurgeNumber,
     /// The batch that is out, and since when.
-    out: Option<(Number, Timestamp)>,
+    in_flight: Option<(PurgeNumber, Timestamp)>,
     connected: bool,
     slow: bool,
     failures: u32,
     /// Nothing is sent before this moment.
-    rests: Timestamp,
-    lies: u64,
+    paused_until: Timestamp,
+    stale_copies: u64,
 }
 
 /// How a box stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct NodeStatus {
     /// Which.
-    pub id: BoxId,
+    pub id: NodeId,
     /// Everything up to this number is carried out.
-    pub confirmed: Number,
+    pub confirmed: PurgeNumber,
     /// It can be reached.
     pub connected: bool,
     /// It takes long.
     pub slow: bool,
     /// How often it was caught with an old copy.
-    pub lies: u64,
+    pub stale_copies: u64,
 }
 
 /// All boxes.
 #[derive(Clone, Debug)]
-pub struct Boxes {
+pub struct Replication {
     identity: u64,
-    all: BTreeMap<BoxId, State>,
+    nodes: BTreeMap<NodeId, NodeState>,
     /// Who was sent something last: the next one comes first.
-    turn: BoxId,
-    out: usize,
-    out_slow: usize,
+    last_served: NodeId,
+    in_flight: usize,
+    slow_in_flight: usize,
     /// Purges a second over the fleet, and what may be sent now.
-    per_s: f64,
-    level: f64,
-    at: Timestamp,
+    purges_per_s: f64,
+    tokens: f64,
+    refilled_at: Timestamp,
 }
 
-impl Boxes {
+impl Replication {
     /// No boxes yet; `per_s` purges a second go out to all of them together. `identity`: of the ledger.
-    pub fn new(now: Timestamp, identity: u64, per_s: f64) -> Self {
-        let (per_s, all) = (per_s.max(1.0), BTreeMap::new());
-        Boxes {
+    pub fn new(now: Timestamp, identity: u64, purges_per_s: f64) -> Self {
+        let (purges_per_s, nodes) = (purges_per_s.max(1.0), BTreeMap::new());
+        Replication {
             identity,
-            all,
-            turn: 0,
-            out: 0,
-            out_slow: 0,
-            per_s,
-            level: per_s,
-            at: now,
+            nodes,
+            last_served: 0,
+            in_flight: 0,
+            slow_in_flight: 0,
+            purges_per_s,
+            tokens: purges_per_s,
+            refilled_at: now,
         }
     }
 
     /// A box is listed: a new one has nothing. One that was known before keeps what it confirmed, unless it says
     /// otherwise when it is connected.
-    pub fn list(&mut self, id: BoxId) {
-        self.all.entry(id).or_insert(State {
+    pub fn add_node(&mut self, id: NodeId) {
+        self.nodes.entry(id).or_insert(NodeState {
             confirmed: 0,
-            out: None,
+            in_flight: None,
             connected: false,
             slow: false,
             failures: 0,
-            rests: 0,
-            lies: 0,
+            paused_until: 0,
+            stale_copies: 0,
         });
     }
 
     /// A box has gone for good.
-    pub fn gone(&mut self, id: BoxId) {
-        self.end(id);
-        self.all.remove(&id);
+    pub fn remove_node(&mut self, id: NodeId) {
+        self.end_batch(id);
+        self.nodes.remove(&id);
     }
 
     /// A connection to a box is up, and it reports what it has carried out, of which ledger. `empty`: it holds no copy,
     /// so it starts at the head. A number of another ledger, or beyond `head`, is none.
     pub fn connected(
         &mut self,
-        id: BoxId,
-        ledger: u64,
-        reported: Number,
+        id: NodeId,
+        log: u64,
+        reported: PurgeNumber,
         empty: bool,
-        head: Number,
+        head: PurgeNumber,
     ) {
-        self.end(id);
+        self.end_batch(id);
         let identity = self.identity;
-        if let Some(state) = self.all.get_mut(&id) {
-            (state.connected, state.rests) = (true, 0);
-            state.confirmed = match (empty, ledger == identity && reported <= head) {
+        if let Some(state) = self.nodes.get_mut(&id) {
+            (state.connected, state.paused_until) = (true, 0);
+            state.confirmed = match (empty, log == identity && reported <= head) {
                 (true, _) => head,
                 (false, true) => reported,
                 (false, false) => 0,
@@ -132,137 +132,150 @@
     }
 
     /// The connection to a box is gone, with what was out on it.
-    pub fn lost(&mut self, now: Timestamp, id: BoxId) {
-        self.end(id);
-        if let Some(state) = self.all.get_mut(&id) {
+    pub fn disconnected(&mut self, now: Timestamp, id: NodeId) {
+        self.end_batch(id);
+        if let Some(state) = self.nodes.get_mut(&id) {
             state.connected = false;
-            Self::rest(state, now);
+            Self::back_off(state, now);
         }
     }
 
     /// A box has carried out everything up to a number. Less or more than was sent tells nothing: `false`.
-    pub fn confirmed(&mut self, now: Timestamp, id: BoxId, number: Number) -> bool {
-        let Some((upto, since)) = self.all.get(&id).and_then(|s| s.out) else {
+    pub fn confirmed(&mut self, now: Timestamp, id: NodeId, number: PurgeNumber) -> bool {
+        let Some((through, since)) = self.nodes.get(&id).and_then(|s| s.in_flight) else {
             return false;
         };
-        if number != upto {
+        if number != through {
             return false;
         }
-        self.end(id);
-        if let Some(state) = self.all.get_mut(&id) {
+        self.end_batch(id);
+        if let Some(state) = self.nodes.get_mut(&id) {
             (state.confirmed, state.failures) = (number, 0);
-            state.slow = now.saturating_sub(since) > SLOW;
+            state.slow = now.saturating_sub(since) > SLOW_BATCH;
         }
         true
     }
 
     /// An answer of a box was older than a purge that it had confirmed: it is purged anew, from the first that is held.
-    pub fn lied(&mut self, now: Timestamp, id: BoxId) {
-        self.end(id);
-        if let Some(state) = self.all.get_mut(&id) {
-            state.lies += 1;
+    pub fn stale_copy_served(&mut self, now: Timestamp, id: NodeId) {
+        self.end_batch(id);
+        if let Some(state) = self.nodes.get_mut(&id) {
+            state.stale_copies += 1;
             state.confirmed = 0;
-            Self::rest(state, now);
+            Self::back_off(state, now);
         }
     }
 
-    fn rest(state: &mut State, now: Timestamp) {
+    fn back_off(state: &mut NodeState, now: Timestamp) {
         state.failures += 1;
-        state.rests = now + (PAUSE_FIRST << (state.failures - 1).min(10)).min(PAUSE_MOST);
+        state.paused_until =
+            now + (INITIAL_BACKOFF << (state.failures - 1).min(10)).min(MAX_BACKOFF);
     }
 
-    fn end(&mut self, id: BoxId) {
-        if let Some(state) = self.all.get_mut(&id) {
-            if state.out.take().is_some() {
-                self.out -= 1;
-                self.out_slow -= usize::from(state.slow);
+    fn end_batch(&mut self, id: NodeId) {
+        if let Some(state) = self.nodes.get_mut(&id) {
+            if state.in_flight.take().is_some() {
+                self.in_flight -= 1;
+                self.slow_in_flight -= usize::from(state.slow);
             }
         }
     }
 
     /// What goes out now. `base`: the number before the first that the ledger holds, `head`: its last.
-    pub fn next(&mut self, now: Timestamp, base: Number, head: Number) -> Vec<Batch> {
-        self.level =
-            (self.level + now.saturating_sub(self.at) as f64 / 1e6 * self.per_s).min(self.per_s);
-        self.at = self.at.max(now);
-        let late = |s: &State| s.out.is_some_and(|(_, since)| now > since + CONFIRM_MOST);
+    pub fn next_batches(
+        &mut self,
+        now: Timestamp,
+        base: PurgeNumber,
+        head: PurgeNumber,
+    ) -> Vec<Batch> {
+        self.tokens = (self.tokens
+            + now.saturating_sub(self.refilled_at) as f64 / 1e6 * self.purges_per_s)
+            .min(self.purges_per_s);
+        self.refilled_at = self.refilled_at.max(now);
+        let late = |s: &NodeState| {
+            s.in_flight
+                .is_some_and(|(_, since)| now > since + CONFIRM_TIMEOUT)
+        };
         let overdue: Vec<_> = self
-            .all
+            .nodes
             .iter()
             .filter(|(_, s)| late(s))
             .map(|(id, _)| *id)
             .collect();
         for id in overdue {
-            self.end(id);
-            if let Some(state) = self.all.get_mut(&id) {
+            self.end_batch(id);
+            if let Some(state) = self.nodes.get_mut(&id) {
                 state.slow = true;
-                Self::rest(state, now);
+                Self::back_off(state, now);
             }
         }
         let mut batches = Vec::new();
         // In turn: who came last comes last.
-        let after = self.all.range(self.turn + 1..).map(|(id, _)| *id);
+        let after = self.nodes.range(self.last_served + 1..).map(|(id, _)| *id);
         let order: Vec<_> = after
-            .chain(self.all.range(..=self.turn).map(|(id, _)| *id))
+            .chain(self.nodes.range(..=self.last_served).map(|(id, _)| *id))
             .collect();
         for id in order {
-            if self.out >= OUT_MOST || self.level < 1.0 {
+            if self.in_flight >= MAX_IN_FLIGHT || self.tokens < 1.0 {
                 break;
             }
-            let Some(state) = self.all.get_mut(&id) else {
+            let Some(state) = self.nodes.get_mut(&id) else {
                 continue;
             };
-            let waits = !state.connected || state.out.is_some() || now < state.rests;
-            if waits || state.confirmed >= head || state.slow && self.out_slow >= OUT_SLOW_MOST {
+            let busy = !state.connected || state.in_flight.is_some() || now < state.paused_until;
+            if busy
+                || state.confirmed >= head
+                || state.slow && self.slow_in_flight >= MAX_SLOW_IN_FLIGHT
+            {
                 continue;
             }
             // What is not held any more was confirmed by all that were there, and is past the horizon.
             let from = state.confirmed.max(base);
-            let most = (self.level as u64).min(BATCH_MOST as u64).max(1);
-            let upto = head.min(from + most);
-            self.level -= (upto - from) as f64;
-            state.out = Some((upto, now));
-            self.out += 1;
-            self.out_slow += usize::from(state.slow);
-            self.turn = id;
+            let most = (self.tokens as u64).min(MAX_BATCH_PURGES as u64).max(1);
+            let through = head.min(from + most);
+            self.tokens -= (through - from) as f64;
+            state.in_flight = Some((through, now));
+            self.in_flight += 1;
+            self.slow_in_flight += usize::from(state.slow);
+            self.last_served = id;
             batches.push(Batch {
-                to: id,
+                node: id,
                 after: from,
-                upto,
+                through,
             });
         }
         batches
     }
 
     /// When [`Boxes::next`] may have something without anything else happening.
-    pub fn wake(&self, now: Timestamp, head: Number) -> Option<Timestamp> {
-        let behind = |s: &&State| s.connected && s.confirmed < head;
-        let due = |s: &State| match s.out {
-            Some((_, since)) => since + CONFIRM_MOST + 1,
-            None => s.rests,
+    pub fn next_wakeup(&self, now: Timestamp, head: PurgeNumber) -> Option<Timestamp> {
+        let behind = |s: &&NodeState| s.connected && s.confirmed < head;
+        let due = |s: &NodeState| match s.in_flight {
+            Some((_, since)) => since + CONFIRM_TIMEOUT + 1,
+            None => s.paused_until,
         };
-        let first = self.all.values().filter(behind).map(due).min()?;
-        let level = if self.level < 1.0 {
-            ((1.0 - self.level) / self.per_s * 1e6) as u64 + 1
+        let first = self.nodes.values().filter(behind).map(due).min()?;
+        let tokens = if self.tokens < 1.0 {
+            ((1.0 - self.tokens) / self.purges_per_s * 1e6) as u64 + 1
         } else {
             0
         };
-        Some(first.max(now + level).max(now + 1_000))
+        Some(first.max(now + tokens).max(now + 1_000))
     }
 
     /// What a box has confirmed; 0 for one that is not known.
-    pub fn confirmed_by(&self, id: BoxId) -> Number {
-        self.all.get(&id).map_or(0, |s| s.confirmed)
+    pub fn confirmed_by(&self, id: NodeId) -> PurgeNumber {
+        self.nodes.get(&id).map_or(0, |s| s.confirmed)
     }
 
     /// What every box has confirmed; `None`: there are none.
-    pub fn confirmed_by_all(&self) -> Option<Number> {
-        self.all.values().map(|s| s.confirmed).min()
+    pub fn confirmed_by_all(&self) -> Option<PurgeNumber> {
+        self.nodes.values().map(|s| s.confirmed).min()
     }
 
     /// Those that have not confirmed a number.
-    pub fn missing(&self, number: Number) -> BTreeSet<BoxId> {
-        self.all
+    pub fn unconfirmed(&self, number: PurgeNumber) -> BTreeSet<NodeId> {
+        self.nodes
             .iter()
             .filter(|(_, s)| s.confirmed < number)
             .map(|(id, _)| *id)
@@ -270,13 +283,13 @@
     }
 
     /// How each stands.
-    pub fn rows(&self) -> impl Iterator<Item = Row> + '_ {
-        self.all.iter().map(|(id, s)| Row {
+    pub fn statuses(&self) -> impl Iterator<Item = NodeStatus> + '_ {
+        self.nodes.iter().map(|(id, s)| NodeStatus {
             id: *id,
             confirmed: s.confirmed,
             connected: s.connected,
             slow: s.slow,
-            lies: s.lies,
+            stale_copies: s.stale_copies,
         })
     }
 }
--- a/purges/src/shield.rs
+++ b/purges/src/shield.rs
@@ -3,58 +3,59 @@
 use crate::Timestamp;
 
 /// Seconds of the rate that may be laid by.
-const LAID_BY_S: f64 = 1.0;
+const BURST_S: f64 = 1.0;
 /// Share of what is laid by that the least worth may not touch.
-const KEPT: f64 = 0.5;
+const RESERVED_SHARE: f64 = 0.5;
 
 /// The shield.
 #[derive(Clone, Debug)]
 pub struct Shield {
-    per_s: f64,
-    level: f64,
-    at: Timestamp,
+    passes_per_s: f64,
+    tokens: f64,
+    refilled_at: Timestamp,
     /// What went past, and what was turned away.
     pub passed: u64,
     /// Turned away.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 impl Shield {
     /// Lets `per_s` requests a second past.
-    pub fn new(now: Timestamp, per_s: f64) -> Self {
-        let per_s = per_s.max(0.1);
+    pub fn new(now: Timestamp, passes_per_s: f64) -> Self {
+        let passes_per_s = passes_per_s.max(0.1);
         Shield {
-            per_s,
-            level: per_s * LAID_BY_S,
-            at: now,
+            passes_per_s,
+            tokens: passes_per_s * BURST_S,
+            refilled_at: now,
             passed: 0,
-            refused: 0,
+            rejected: 0,
         }
     }
 
     /// Whether a request may go past the caches now. `worth`: 0 to 1, among the classes that there are. What is worth
     /// most may use all that is there, what is worth least leaves half of it.
-    pub fn may(&mut self, now: Timestamp, worth: f64) -> bool {
-        let most = (self.per_s * LAID_BY_S).max(1.0);
-        let passed = now.saturating_sub(self.at) as f64 / 1e6;
-        self.level = (self.level + passed * self.per_s).min(most);
-        self.at = self.at.max(now);
-        let keeps = most * KEPT * (1.0 - worth.clamp(0.0, 1.0));
-        let may = self.level - 1.0 >= keeps - 1e-9 && self.level >= 1.0;
-        if may {
-            self.level -= 1.0;
+    pub fn try_pass(&mut self, now: Timestamp, priority: f64) -> bool {
+        let capacity = (self.passes_per_s * BURST_S).max(1.0);
+        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.tokens = (self.tokens + passed * self.passes_per_s).min(capacity);
+        self.refilled_at = self.refilled_at.max(now);
+        let reserved = capacity * RESERVED_SHARE * (1.0 - priority.clamp(0.0, 1.0));
+        let passes = self.tokens - 1.0 >= reserved - 1e-9 && self.tokens >= 1.0;
+        if passes {
+            self.tokens -= 1.0;
             self.passed += 1;
         } else {
-            self.refused += 1;
+            self.rejected += 1;
         }
-        may
+        passes
     }
 
     /// Microseconds until there is room for a request of that worth, if nobody else takes it.
-    pub fn wait(&self, worth: f64) -> u64 {
-        let most = (self.per_s * LAID_BY_S).max(1.0);
-        let needs = (most * KEPT * (1.0 - worth.clamp(0.0, 1.0)) + 1.0).min(most);
-        ((needs - self.level).max(0.0) / self.per_s * 1e6).ceil() as u64
+    pub fn retry_after(&self, priority: f64) -> u64 {
+        let capacity = (self.passes_per_s * BURST_S).max(1.0);
+        let needs =
+            (capacity * RESERVED_SHARE * (1.0 - priority.clamp(0.0, 1.0)) + 1.0).min(capacity);
+        ((needs - self.tokens).max(0.0) / self.passes_per_s * 1e6).ceil() as u64
     }
 }
 
--- a/purges/tests/simulation.rs
+++ b/purges/tests/simulation.rs
@@ -2,24 +2,24 @@
 //! older than a purge that its front had known for half a second; with the strict lease, none older than one that the
 //! ledger had taken longer ago than the lease and half a second; purges reach each box in order; all are confirmed
 //! once the faults end. Taking a guard out has to be found.
-use cranesill_purges::lease::{Contact, Without};
-use cranesill_purges::log::{Command, Ledger, Taken};
-use cranesill_purges::matching::{compile, tag_mark, Index, Matcher};
-use cranesill_purges::replication::Boxes;
-use cranesill_purges::{key, Ms, Number, Purge, What};
+use cranesill_purges::lease::{Lease, WhenExpired};
+use cranesill_purges::log::{Command, Prepared, PurgeLog};
+use cranesill_purges::matching::{compile_patterns, tag_hash, PurgeMatcher, TagIndex};
+use cranesill_purges::replication::Replication;
+use cranesill_purges::{request_key, Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use std::collections::BTreeMap;
 
 const OBJECTS: u64 = 40;
 const TAGS: [&str; 4] = ["vitara", "blue", "winter", "old"];
 const FRONTS: usize = 3;
 const BOXES: u64 = 6;
-const START: Ms = 1_000_000;
-const GRACE: Ms = 500;
-const LEASE: Ms = 2_000;
-const FAULTS_UNTIL: Ms = 20_000;
-const END: Ms = 45_000;
+const START: UnixMillis = 1_000_000;
+const GRACE: UnixMillis = 500;
+const LEASE: UnixMillis = 2_000;
+const FAULTS_UNTIL: UnixMillis = 20_000;
+const END: UnixMillis = 45_000;
 /// By so much the origin's clock may be ahead.
-const SKEW: Ms = 1_500;
+const SKEW: UnixMillis = 1_500;
 
 struct Rng(u64);
 
@@ -59,41 +59,41 @@
 #[derive(Clone, Default)]
 struct Member {
     /// Copies: when the origin gave them out, by its clock, and truly.
-    copies: BTreeMap<u64, (Ms, Ms)>,
+    copies: BTreeMap<u64, (UnixMillis, UnixMillis)>,
     /// Fills under way: object, given out then, arrives then.
-    fills: Vec<(u64, (Ms, Ms), Ms)>,
-    applied: Number,
+    fills: Vec<(u64, (UnixMillis, UnixMillis), UnixMillis)>,
+    applied: PurgeNumber,
     up: bool,
     /// Answers with what it has, whatever it is asked.
     liar: bool,
 }
 
 struct Front {
-    ledger: Ledger,
-    matcher: Matcher,
-    index: Index,
-    contact: Contact,
+    log: PurgeLog,
+    matcher: PurgeMatcher,
+    index: TagIndex,
+    lease: Lease,
     /// When each number was learnt.
-    learnt: BTreeMap<Number, Ms>,
-    cut_until: Ms,
+    learnt: BTreeMap<PurgeNumber, UnixMillis>,
+    cut_until: UnixMillis,
 }
 
 struct World {
     rng: Rng,
     out: Guard,
-    ledger: Ledger,
-    boxes: Boxes,
+    log: PurgeLog,
+    boxes: Replication,
     members: Vec<Member>,
     fronts: Vec<Front>,
     /// On their way: batches of purges to fronts, and to boxes.
-    to_front: Vec<(Ms, usize, Vec<Purge>)>,
-    to_box: Vec<(Ms, u64, Number, Number)>,
-    from_box: Vec<(Ms, u64, Number)>,
+    to_front: Vec<(UnixMillis, usize, Vec<Purge>)>,
+    to_box: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)>,
+    from_box: Vec<(UnixMillis, u64, PurgeNumber)>,
     answers: u64,
     refused: u64,
 }
 
-fn tags_of(object: u64, version: Ms) -> Vec<&'static str> {
+fn tags_of(object: u64, version: UnixMillis) -> Vec<&'static str> {
     // Tags change with the version.
     let shift = (version / 7_000) as usize;
     (0..(object % 3) as usize)
@@ -102,33 +102,35 @@
 }
 
 fn concerns(purge: &Purge, object: u64, all_tags: &[&str]) -> bool {
-    match &purge.what {
-        What::Object(o) => *o == object,
-        What::Group(g) => u64::from(*g) == object % 5,
-        What::Tag(tag) => all_tags.contains(&&**tag),
-        What::Pattern(p) => key("video", object, 0).starts_with(p.trim_end_matches('*')),
+    match &purge.target {
+        PurgeTarget::Object(o) => *o == object,
+        PurgeTarget::Group(g) => u64::from(*g) == object % 5,
+        PurgeTarget::Tag(tag) => all_tags.contains(&&**tag),
+        PurgeTarget::Pattern(p) => {
+            request_key("video", object, 0).starts_with(p.trim_end_matches('*'))
+        }
     }
 }
 
 impl World {
     fn new(seed: u64, out: Guard) -> Self {
         let front = |_| Front {
-            ledger: Ledger::new(7),
-            matcher: Matcher::default(),
-            index: Index::new(2_048),
-            contact: Contact::new(START * 1_000, START, LEASE * 1_000, Without::Strict),
+            log: PurgeLog::new(7),
+            matcher: PurgeMatcher::default(),
+            index: TagIndex::new(2_048),
+            lease: Lease::new(START * 1_000, START, LEASE * 1_000, WhenExpired::Strict),
             learnt: BTreeMap::new(),
             cut_until: 0,
         };
-        let mut boxes = Boxes::new(START * 1_000, 7, 500.0);
+        let mut boxes = Replication::new(START * 1_000, 7, 500.0);
         (1..=BOXES).for_each(|id| {
-            boxes.list(id);
+            boxes.add_node(id);
             boxes.connected(id, 7, 0, true, 0);
         });
         World {
             rng: Rng(seed),
             out,
-            ledger: Ledger::new(7),
+            log: PurgeLog::new(7),
             boxes,
             members: vec![
                 Member {
@@ -146,38 +148,41 @@
         }
     }
 
-    fn purge(&mut self, now: Ms) {
-        let what = match self.rng.below(5) {
-            0 | 1 => What::Tag(TAGS[self.rng.below(4) as usize].into()),
-            2 => What::Object(self.rng.below(OBJECTS)),
-            3 => What::Group(self.rng.below(5) as u32),
-            _ => What::Pattern(format!("video/{:015x}*", self.rng.below(3)).into()),
+    fn purge(&mut self, now: UnixMillis) {
+        let target = match self.rng.below(5) {
+            0 | 1 => PurgeTarget::Tag(TAGS[self.rng.below(4) as usize].into()),
+            2 => PurgeTarget::Object(self.rng.below(OBJECTS)),
+            3 => PurgeTarget::Group(self.rng.below(5) as u32),
+            _ => PurgeTarget::Pattern(format!("video/{:015x}*", self.rng.below(3)).into()),
         };
         // Now and then the same command again.
         let id = self.rng.below(400).to_string().into();
         let command = Command {
-            what,
+            target,
             id,
             who: "sim".into(),
             why: "".into(),
             all: false,
         };
-        if let Ok(Taken::New(purge)) = self.ledger.take(now, &command) {
-            self.ledger.append(7, purge).unwrap();
+        if let Ok(Prepared::New(purge)) = self.log.prepare(now, &command) {
+            self.log.append(7, purge).unwrap();
         }
     }
 
     /// The writer sends to fronts what they lack, late, twice, in disorder or not at all.
-    fn replicate(&mut self, now: Ms, faults: bool) {
+    fn replicate(&mut self, now: UnixMillis, faults: bool) {
         for i in 0..FRONTS {
             if now < self.fronts[i].cut_until {
                 continue;
             }
-            let mut batch = self.ledger.batch(self.fronts[i].ledger.last()).unwrap();
+            let mut batch = self
+                .log
+                .batch_after(self.fronts[i].log.last_number())
+                .unwrap();
             if faults && self.rng.one_in(6) {
                 batch = self
-                    .ledger
-                    .batch(self.rng.below(self.ledger.last() + 1))
+                    .log
+                    .batch_after(self.rng.below(self.log.last_number() + 1))
                     .unwrap();
             }
             if faults && self.rng.one_in(8) {
@@ -188,12 +193,12 @@
         }
     }
 
-    fn arrive(&mut self, now: Ms) {
+    fn arrive(&mut self, now: UnixMillis) {
         let (due, rest) = std::mem::take(&mut self.to_front)
             .into_iter()
             .partition(|m| m.0 <= now);
         self.to_front = rest;
-        let due: Vec<(Ms, usize, Vec<Purge>)> = due;
+        let due: Vec<(UnixMillis, usize, Vec<Purge>)> = due;
         for (_, i, batch) in due {
             let front = &mut self.fronts[i];
             let skew = if self.out == Guard::SkewAllowed {
@@ -203,7 +208,7 @@
             };
             for purge in batch {
                 let number = purge.number;
-                match front.ledger.append(7, purge.clone()) {
+                match front.log.append(7, purge.clone()) {
                     Ok(true) => {
                         front.matcher.add(&purge, skew);
                         front.learnt.insert(number, now);
@@ -211,31 +216,33 @@
                     Ok(false) => {}
                     Err(_) if self.out == Guard::NumbersChecked => {
                         // It takes the number for its place: what is between is never asked for.
-                        let mut jump = Ledger::after(7, number - 1);
+                        let mut jump = PurgeLog::after(7, number - 1);
                         jump.append(7, purge).unwrap();
-                        front.ledger = jump;
+                        front.log = jump;
                     }
                     Err(_) => break,
                 }
             }
-            if let Some(job) = front.matcher.job() {
-                front.matcher.install(compile(job));
+            if let Some(job) = front.matcher.take_compile_job() {
+                front.matcher.install(compile_patterns(job));
             }
             // Contact is had by a front that has all that the writer had when this was sent.
-            if front.ledger.last() == self.ledger.last() || self.out == Guard::NumbersChecked {
-                front.contact.heard(now * 1_000, now);
+            if front.log.last_number() == self.log.last_number()
+                || self.out == Guard::NumbersChecked
+            {
+                front.lease.renew(now * 1_000, now);
             }
         }
         self.boxes_arrive(now);
     }
 
-    fn boxes_arrive(&mut self, now: Ms) {
+    fn boxes_arrive(&mut self, now: UnixMillis) {
         let (due, rest) = std::mem::take(&mut self.to_box)
             .into_iter()
             .partition(|m| m.0 <= now);
         self.to_box = rest;
-        let due: Vec<(Ms, u64, Number, Number)> = due;
-        for (_, id, after, upto) in due {
+        let due: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)> = due;
+        for (_, id, after, through) in due {
             let member = &mut self.members[id as usize - 1];
             if !member.up {
                 continue;
@@ -246,22 +253,23 @@
                 "box {id} was sent {after} and has {}",
                 member.applied
             );
-            for number in after + 1..=upto {
-                let Some(purge) = self.ledger.get(number) else {
+            for number in after + 1..=through {
+                let Some(purge) = self.log.get(number) else {
                     continue;
                 };
                 member.copies.retain(|object, (born, _)| {
-                    !concerns(purge, *object, &TAGS) || *born >= purge.at + SKEW
+                    !concerns(purge, *object, &TAGS) || *born >= purge.at_ms + SKEW
                 });
             }
-            member.applied = member.applied.max(upto);
-            self.from_box.push((now + 5 + self.rng.below(30), id, upto));
+            member.applied = member.applied.max(through);
+            self.from_box
+                .push((now + 5 + self.rng.below(30), id, through));
         }
         let (due, rest) = std::mem::take(&mut self.from_box)
             .into_iter()
             .partition(|m| m.0 <= now);
         self.from_box = rest;
-        let due: Vec<(Ms, u64, Number)> = due;
+        let due: Vec<(UnixMillis, u64, PurgeNumber)> = due;
         for (_, id, number) in due {
             if self.members[id as usize - 1].up {
                 self.boxes.confirmed(now * 1_000, id, number);
@@ -269,18 +277,18 @@
         }
         for batch in self
             .boxes
-            .next(now * 1_000, self.ledger.base(), self.ledger.last())
+            .next_batches(now * 1_000, self.log.base(), self.log.last_number())
         {
             self.to_box.push((
                 now + 5 + self.rng.below(60),
-                batch.to,
+                batch.node,
                 batch.after,
-                batch.upto,
+                batch.through,
             ));
         }
     }
 
-    fn fault(&mut self, now: Ms) {
+    fn fault(&mut self, now: UnixMillis) {
         let id = 1 + self.rng.below(BOXES);
         let at = id as usize - 1;
         match self.rng.below(5) {
@@ -290,7 +298,7 @@
                 self.members[at].fills.clear();
                 self.to_box.retain(|m| m.1 != id);
                 self.from_box.retain(|m| m.1 != id);
-                self.boxes.lost(now * 1_000, id);
+                self.boxes.disconnected(now * 1_000, id);
             }
             1 => self.back(now, id),
             2 => self.members[at].liar = !self.members[at].liar,
@@ -302,8 +310,8 @@
                 // A front restarts without its memory: everything may have been purged.
                 let at = self.rng.below(FRONTS as u64) as usize;
                 let front = &mut self.fronts[at];
-                (front.index, front.matcher) = (Index::new(2_048), Matcher::default());
-                let held: Vec<_> = front.ledger.iter().cloned().collect();
+                (front.index, front.matcher) = (TagIndex::new(2_048), PurgeMatcher::default());
+                let held: Vec<_> = front.log.iter().cloned().collect();
                 let skew = if self.out == Guard::SkewAllowed {
                     0
                 } else {
@@ -315,7 +323,7 @@
     }
 
     /// A box comes back, with its old disk or with none.
-    fn back(&mut self, now: Ms, id: u64) {
+    fn back(&mut self, now: UnixMillis, id: u64) {
         let member = &mut self.members[id as usize - 1];
         if member.up {
             return;
@@ -324,10 +332,10 @@
         let empty = self.rng.one_in(2);
         if empty {
             member.copies.clear();
-            member.applied = self.ledger.last();
+            member.applied = self.log.last_number();
         }
         let reported = if self.out == Guard::ReportBelieved {
-            self.ledger.last()
+            self.log.last_number()
         } else {
             member.applied
         };
@@ -335,12 +343,12 @@
             member.applied = reported;
         }
         self.boxes
-            .connected(id, 7, reported, empty, self.ledger.last());
+            .connected(id, 7, reported, empty, self.log.last_number());
         let _ = now;
     }
 
     /// A request at a front: what it was answered with is checked.
-    fn request(&mut self, now: Ms) -> Result<(), String> {
+    fn request(&mut self, now: UnixMillis) -> Result<(), String> {
         let (i, object) = (
             self.rng.below(FRONTS as u64) as usize,
             self.rng.below(OBJECTS),
@@ -353,7 +361,7 @@
             .into_iter()
             .partition(|f| f.2 <= now);
         member.fills = under_way;
-        let arrived: Vec<(u64, (Ms, Ms), Ms)> = arrived;
+        let arrived: Vec<(u64, (UnixMillis, UnixMillis), UnixMillis)> = arrived;
         arrived.into_iter().for_each(|(object, copy, _)| {
             member.copies.insert(object, copy);
         });
@@ -365,10 +373,10 @@
             (None, Guard::UnknownMatched) => Some(&[][..]),
             (tags, _) => tags,
         };
-        let contact = match self.out {
+        let lease = match self.out {
             Guard::ContactLease => 0,
-            _ => front.contact.floor(now * 1_000, now).saturating_add(
-                if now * 1_000 >= front.contact.due() {
+            _ => front.lease.floor(now * 1_000, now).saturating_add(
+                if now * 1_000 >= front.lease.expires_at() {
                     SKEW
                 } else {
                     0
@@ -382,9 +390,9 @@
                 object,
                 (object % 5) as u32,
                 tags,
-                &key("video", object, 0),
+                &request_key("video", object, 0),
             )
-            .max(contact);
+            .max(lease);
         let asked = floor;
         let copy = match member.copies.get(&object).copied() {
             Some(copy) if copy.0 >= floor || member.liar => copy,
@@ -399,7 +407,7 @@
         // that are known; one that names none is unknown.
         let names = tags_of(object, copy.1);
         let named = !self.rng.one_in(4);
-        let marks: Vec<u64> = names.iter().map(|t| tag_mark(t)).collect();
+        let marks: Vec<u64> = names.iter().map(|t| tag_hash(t)).collect();
         let judged = match (named, self.out) {
             (true, _) => Some(&marks[..]),
             (false, Guard::UnknownMatched) => Some(&[][..]),
@@ -418,13 +426,13 @@
                 object,
                 (object % 5) as u32,
                 judged,
-                &key("video", object, 0),
+                &request_key("video", object, 0),
             )
-            .max(contact);
+            .max(lease);
         if copy.0 < floor && self.out != Guard::AnswersChecked {
             self.refused += 1;
             if copy.0 < asked {
-                self.boxes.lied(now * 1_000, at as u64 + 1);
+                self.boxes.stale_copy_served(now * 1_000, at as u64 + 1);
             } else {
                 // It kept to what it was asked: the question was too mild.
                 front.index.forget(object);
@@ -433,17 +441,17 @@
         }
         self.answers += 1;
         if named {
-            front.index.learn(object, Some(&names));
+            front.index.record(object, Some(&names));
         }
         // What this copy carries is known only to the origin; the checker knows.
-        for purge in self.ledger.iter() {
+        for purge in self.log.iter() {
             let learnt = front.learnt.get(&purge.number);
             let known = learnt.is_some_and(|t| now > t + GRACE);
-            let overdue = now > purge.at + LEASE + GRACE;
-            if (known || overdue) && copy.1 < purge.at && concerns(purge, object, &names) {
+            let overdue = now > purge.at_ms + LEASE + GRACE;
+            if (known || overdue) && copy.1 < purge.at_ms && concerns(purge, object, &names) {
                 return Err(format!(
                     "at {now} front {i} answered object {object} from {} though purge {} of {:?} was at {} (known {known})",
-                    copy.1, purge.number, purge.what, purge.at
+                    copy.1, purge.number, purge.target, purge.at_ms
                 ));
             }
         }
@@ -473,8 +481,8 @@
             }
             now += 5;
         }
-        let head = self.ledger.last();
-        for row in self.boxes.rows() {
+        let head = self.log.last_number();
+        for row in self.boxes.statuses() {
             if !self.members[row.id as usize - 1].liar && row.confirmed != head {
                 return Err(format!(
                     "box {} has confirmed {} of {head}",
@@ -482,7 +490,7 @@
                 ));
             }
         }
-        let behind = self.fronts.iter().any(|f| f.ledger.last() != head);
+        let behind = self.fronts.iter().any(|f| f.log.last_number() != head);
         if behind {
             Err("a front never caught up".into())
         } else {
@@ -508,7 +516,7 @@
         world.answers,
         world.refused
     );
-    assert!(world.ledger.last() > 50);
+    assert!(world.log.last_number() > 50);
 }
 
 #[test]
@@ -533,13 +541,13 @@
 
 #[test]
 fn a_million_behind_comes_in_bounded_batches_and_slow_boxes_leave_room_for_fast_ones() {
-    let mut boxes = Boxes::new(0, 7, 100_000.0);
+    let mut boxes = Replication::new(0, 7, 100_000.0);
     (1..=100).for_each(|id| {
-        boxes.list(id);
+        boxes.add_node(id);
         boxes.connected(id, 7, 0, false, 1_000);
     });
-    let (mut now, mut out) = (0u64, Vec::<(u64, u64, Number)>::new());
-    let mut sent = BTreeMap::<u64, Number>::new();
+    let (mut now, mut out) = (0u64, Vec::<(u64, u64, PurgeNumber)>::new());
+    let mut sent = BTreeMap::<u64, PurgeNumber>::new();
     while now < 60_000_000 && boxes.confirmed_by_all() != Some(1_000) {
         now += 1_000;
         let done: Vec<_> = out.iter().filter(|o| o.0 <= now).copied().collect();
@@ -551,20 +559,24 @@
                 "a second word tells nothing"
             );
         }
-        for batch in boxes.next(now, 0, 1_000) {
-            assert!(batch.upto - batch.after <= 256);
+        for batch in boxes.next_batches(now, 0, 1_000) {
+            assert!(batch.through - batch.after <= 256);
             assert_eq!(
-                sent.insert(batch.to, batch.upto).unwrap_or(0),
+                sent.insert(batch.node, batch.through).unwrap_or(0),
                 batch.after,
                 "in order, none left out"
             );
             assert!(
-                !out.iter().any(|o| o.1 == batch.to),
+                !out.iter().any(|o| o.1 == batch.node),
                 "never two batches out"
             );
             // Twenty boxes take two seconds for each batch.
-            let takes = if batch.to % 5 == 0 { 2_000_000 } else { 20_000 };
-            out.push((now + takes, batch.to, batch.upto));
+            let takes = if batch.node % 5 == 0 {
+                2_000_000
+            } else {
+                20_000
+            };
+            out.push((now + takes, batch.node, batch.through));
         }
         if now == 2_500_000 {
             let fast = (1..=100).filter(|id| id % 5 != 0);
@@ -575,12 +587,15 @@
         }
     }
     assert_eq!(boxes.confirmed_by_all(), Some(1_000));
-    boxes.lied(now, 3);
-    assert_eq!(boxes.missing(1_000).into_iter().collect::<Vec<_>>(), [3]);
+    boxes.stale_copy_served(now, 3);
+    assert_eq!(
+        boxes.unconfirmed(1_000).into_iter().collect::<Vec<_>>(),
+        [3]
+    );
     // A number of another ledger is none.
     boxes.connected(4, 8, 900, false, 1_000);
     assert_eq!(boxes.confirmed_by(4), 0);
-    boxes.gone(3);
-    boxes.gone(4);
+    boxes.remove_node(3);
+    boxes.remove_node(4);
     assert_eq!(boxes.confirmed_by_all(), Some(1_000));
 }
