--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -119,11 +119,11 @@
     };
     let mut purges = Vec::new();
     while !body.is_empty() {
-        let DecodedRecord::Record(purge, used) = journal::decode_record(body) else {
+        let DecodedRecord::Record { purge, length } = journal::decode_record(body) else {
             return Err(Unreadable("a batch that is not as it was written"));
         };
         purges.push(purge);
-        body = &body[used..];
+        body = &body[length..];
     }
     Ok(Some((
         Frame {
--- a/front/src/routing/purge_floors.rs
+++ b/front/src/routing/purge_floors.rs
@@ -3,7 +3,9 @@
 use super::{ClientRequest, ObjectPart, ReplyKind, UpstreamReply};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::lease::Lease;
-use cranesill_purges::matching::{tag_hash, PatternSet, PurgeMark, PurgeMatcher, TagIndex};
+use cranesill_purges::matching::{
+    tag_hash, CompileError, CompileJob, PatternSet, PurgeMatcher, TagIndex,
+};
 use cranesill_purges::{request_key, Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use std::collections::HashMap;
 
@@ -106,12 +108,12 @@
     }
 
     /// Patterns to compile on a worker thread, once there are enough new ones.
-    pub fn take_compile_job(&mut self) -> Option<Vec<(Box<str>, PurgeMark)>> {
+    pub fn take_compile_job(&mut self) -> Option<CompileJob> {
         self.matcher.take_compile_job()
     }
 
     /// Installs patterns that were compiled.
-    pub fn install(&mut self, set: Result<PatternSet, String>) {
+    pub fn install(&mut self, set: Result<PatternSet, CompileError>) {
         self.matcher.install(set);
     }
 
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -3,7 +3,7 @@
 use crate::protocol::feed::News;
 use crate::protocol::snapshot::Snapshot;
 use crate::transport::Registered;
-use cranesill_purges::matching::{PatternSet, PurgeMark};
+use cranesill_purges::matching::{CompileError, CompileJob, PatternSet};
 use cranesill_purges::Purge;
 use rustls::ServerConnection;
 use serde_json::Value;
@@ -59,7 +59,7 @@
     /// Purges from before this moment, in Unix milliseconds, are over.
     Horizon(u64),
     /// Patterns to be put together, and those that were.
-    Compile(Vec<(Box<str>, PurgeMark)>),
+    Compile(CompileJob),
     /// Patterns that were put together.
-    Compiled(Box<Result<PatternSet, String>>),
+    Compiled(Box<Result<PatternSet, CompileError>>),
 }
--- a/front/src/server/drivers/purges/boxes.rs
+++ b/front/src/server/drivers/purges/boxes.rs
@@ -5,7 +5,7 @@
 use crate::transport::{dial, Stream};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use cranesill_purges::log::PurgeLog;
-use cranesill_purges::replication::Replication;
+use cranesill_purges::replication::{NodeReport, Replication};
 use cranesill_purges::PurgeNumber;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
@@ -159,8 +159,15 @@
                     self.boxes.confirmed(now, link.member, word.upto);
                 } else {
                     link.greeted = true;
-                    self.boxes
-                        .connected(link.member, word.ledger, word.upto, word.empty, head);
+                    self.boxes.connected(
+                        link.member,
+                        NodeReport {
+                            log: word.ledger,
+                            applied: word.upto,
+                            empty: word.empty,
+                        },
+                        head,
+                    );
                     if let Some(seat) = self.seats.get_mut(&link.member) {
                         seat.failures = 0;
                     }
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -10,8 +10,8 @@
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Purges as Settings;
 use cranesill_purges::journal::{self, GuardedFile, JournalFile, OpenedJournal};
-use cranesill_purges::log::{Command, Prepared, PurgeLog, Refused};
-use cranesill_purges::matching::{compile_patterns, PatternSet};
+use cranesill_purges::log::{Appended, Command, Prepared, PurgeLog};
+use cranesill_purges::matching::{compile_patterns, CompileError, PatternSet};
 use cranesill_purges::{Purge, PurgeTarget, UnixMillis};
 use replicas::{Followers, Following};
 use serde_json::{json, Value};
@@ -99,7 +99,7 @@
     KeptBatch(Durable, Result<(), String>),
     /// The file was written anew, or why not.
     Rewritten(Durable, Result<(), String>),
-    Compiled(Result<PatternSet, String>),
+    Compiled(Result<PatternSet, CompileError>),
 }
 
 /// Up to which purge of which ledger the file is durable.
@@ -381,11 +381,8 @@
                 },
                 Err(refused) => {
                     self.waiters.remove(&number);
-                    let why = match refused {
-                        Refused::Bad(why) => why.to_string(),
-                        other => format!("{other:?}").to_lowercase(),
-                    };
-                    turn.effects.push(Effect::Answer(number, Err(why)));
+                    turn.effects
+                        .push(Effect::Answer(number, Err(refused.to_string())));
                 }
             }
         }
@@ -477,8 +474,8 @@
             let sent = frame.purges.last().map(|purge| purge.number);
             for purge in frame.purges {
                 match self.ledger.append(frame.ledger, purge.clone()) {
-                    Ok(true) => new.push(purge),
-                    Ok(false) => {}
+                    Ok(Appended::New) => new.push(purge),
+                    Ok(Appended::AlreadyPresent) => {}
                     Err(refused) => {
                         tracing::warn!(
                             kind = "out-of-order",
@@ -719,9 +716,7 @@
                     .run(move || Done::Compiled(compile_patterns(patterns)))
                 {
                     turn.effects
-                        .push(Effect::Purges(Purging::Compiled(Box::new(Err(
-                            e.to_string()
-                        )))));
+                        .push(Effect::Purges(Purging::Compiled(Box::new(Err(e.into())))));
                 }
             }
             Effect::Members(members, whole) => {
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -60,7 +60,11 @@
             let held = if applied.0 == ledger { applied.1 } else { 0 };
             assert!(after <= held, "sent {after} to one that has {held}");
             let (mut rest, mut number) = (body, after);
-            while let DecodedRecord::Record(purge, used) = journal::decode_record(rest) {
+            while let DecodedRecord::Record {
+                purge,
+                length: used,
+            } = journal::decode_record(rest)
+            {
                 number += 1;
                 assert_eq!(purge.number, number);
                 rest = &rest[used..];
--- a/purges/src/journal/guarded.rs
+++ b/purges/src/journal/guarded.rs
@@ -1,20 +1,20 @@
-//! A file that is not written to after a failure until it is written anew.
+//! A journal file that accepts no append after a failure until it is rewritten.
 //!
-//! What a failed write left is not known, and the system reports a failed sync once: a later sync that succeeds does not mean
-//! that what was written before it is durable.
+//! What a failed write left behind is not known, and the system reports a failed sync only once: a later sync that
+//! succeeds does not mean that what was written before the failure is durable.
 use super::JournalFile;
 use std::io;
 
-/// A file with that rule.
+/// A journal file with that rule.
 #[derive(Debug)]
 pub struct GuardedFile<F> {
     file: F,
-    /// Why nothing may be appended until [`File::replace`] has succeeded.
+    /// The failure because of which nothing may be appended until [`JournalFile::replace`] has succeeded.
     failure: Option<String>,
 }
 
 impl<F: JournalFile> GuardedFile<F> {
-    /// A file that was read, or is to be made, by this process.
+    /// Guards a file that this process has just read or is about to create.
     pub fn new(file: F) -> Self {
         GuardedFile {
             file,
@@ -29,16 +29,18 @@
 
     fn check(&self) -> io::Result<()> {
         match &self.failure {
-            Some(why) => Err(io::Error::other(format!("an earlier write failed: {why}"))),
+            Some(cause) => Err(io::Error::other(format!(
+                "an earlier write failed: {cause}"
+            ))),
             None => Ok(()),
         }
     }
 
-    fn noted(&mut self, done: io::Result<()>) -> io::Result<()> {
-        if let Err(error) = &done {
+    fn remember_failure(&mut self, result: io::Result<()>) -> io::Result<()> {
+        if let Err(error) = &result {
             self.failure = Some(error.to_string());
         }
-        done
+        result
     }
 }
 
@@ -49,21 +51,21 @@
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.check()?;
-        let done = self.file.append(bytes);
-        self.noted(done)
+        let result = self.file.append(bytes);
+        self.remember_failure(result)
     }
 
     fn sync(&mut self) -> io::Result<()> {
         self.check()?;
-        let done = self.file.sync();
-        self.noted(done)
+        let result = self.file.sync();
+        self.remember_failure(result)
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let done = self.file.replace(bytes);
-        if done.is_ok() {
+        let result = self.file.replace(bytes);
+        if result.is_ok() {
             self.failure = None;
         }
-        self.noted(done)
+        self.remember_failure(result)
     }
 }
--- a/purges/src/journal/tests.rs
+++ b/purges/src/journal/tests.rs
@@ -1,5 +1,7 @@
+use super::record::decode_payload;
 use super::*;
 use crate::log::{Command, Prepared};
+use crate::PurgeTarget;
 
 #[derive(Default)]
 struct Memory {
@@ -189,7 +191,11 @@
             let at = (rng >> 33) as usize % odd.len();
             odd[at] = (rng >> 20) as u8;
         }
-        let _ = (decode_record(&odd), parse(&odd), parse(&odd[8..]));
+        let _ = (
+            decode_record(&odd),
+            decode_payload(&odd),
+            decode_payload(&odd[8..]),
+        );
     }
 }
 
--- a/purges/src/lease.rs
+++ b/purges/src/lease.rs
@@ -1,81 +1,101 @@
-//! The contact lease: a front that has not heard of the ledger for a while can't know what was purged.
+//! The lease of a follower on the purge log: a front that has not heard from the writer for a while cannot know what was
+//! purged.
 use crate::{Micros, Timestamp, UnixMillis};
 
-/// What a front does without contact.
+/// What a front does once its lease has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenExpired {
-    /// The floor follows the clock, a lease behind it: what the ledger took longer ago than that holds, known or
-    /// not. A floor that stayed at the last contact would let a copy pass that came after it and was purged later.
+    /// It serves no copy older than one lease duration: purges made before that had arrived, or are covered by that
+    /// floor. A floor fixed at the last renewal would let a copy pass that was created after it and purged later.
     Strict,
-    /// It goes on, and counts what stood under the doubt.
+    /// It goes on serving, and counts the replies that it could not verify.
     Available,
 }
 
-/// When the ledger was heard of last.
+/// A follower's lease on the purge log.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    lease: Micros,
-    without: WhenExpired,
-    /// On the monotonic clock, and by the wall.
-    renewed: (Timestamp, UnixMillis),
-    lost: bool,
-    /// Answers that stood under the doubt.
+    duration: Micros,
+    when_expired: WhenExpired,
+    renewed_at: Timestamp,
+    /// The same by the wall clock.
+    renewed_at_ms: UnixMillis,
+    /// Whether the expiry was reported.
+    reported: bool,
+    /// Replies that were served after expiry without being verified.
     pub unverified_replies: u64,
 }
 
 impl Lease {
-    /// Contact was had `now`; it is lost `lease` microseconds later.
-    pub fn new(now: Timestamp, wall: UnixMillis, lease: Micros, without: WhenExpired) -> Self {
+    /// A lease that is renewed at `now`, and at `now_ms` by the wall clock.
+    pub fn new(
+        now: Timestamp,
+        now_ms: UnixMillis,
+        duration: Micros,
+        when_expired: WhenExpired,
+    ) -> Self {
         Lease {
-            lease,
-            without,
-            renewed: (now, wall),
-            lost: false,
+            duration,
+            when_expired,
+            renewed_at: now,
+            renewed_at_ms: now_ms,
+            reported: false,
             unverified_replies: 0,
         }
     }
 
-    /// Contact was not had yet, as at a start.
-    pub fn expired(now: Timestamp, wall: UnixMillis, lease: Micros, without: WhenExpired) -> Self {
+    /// A lease that has expired, as at a start.
+    pub fn expired(
+        now: Timestamp,
+        now_ms: UnixMillis,
+        duration: Micros,
+        when_expired: WhenExpired,
+    ) -> Self {
         Lease::new(
-            now.saturating_sub(lease),
-            wall.saturating_sub(lease / 1_000),
-            lease,
-            without,
+            now.saturating_sub(duration),
+            now_ms.saturating_sub(duration / 1_000),
+            duration,
+            when_expired,
         )
     }
 
-    /// The ledger was heard of. `true`: contact was lost until now.
-    pub fn renew(&mut self, now: Timestamp, wall: UnixMillis) -> bool {
-        self.renewed = (now.max(self.renewed.0), wall);
-        std::mem::take(&mut self.lost)
+    /// Renews the lease, since the writer was heard from. Returns whether its expiry had been reported.
+    pub fn renew(&mut self, now: Timestamp, now_ms: UnixMillis) -> bool {
+        self.renewed_at = self.renewed_at.max(now);
+        self.renewed_at_ms = now_ms;
+        std::mem::take(&mut self.reported)
     }
 
-    /// When contact counts as lost if nothing is heard.
+    /// When the lease expires unless it is renewed.
     pub fn expires_at(&self) -> Timestamp {
-        self.renewed.0 + self.lease
+        self.renewed_at + self.duration
     }
 
-    /// Whether contact was lost just now: to be said once.
+    fn is_expired(&self, now: Timestamp) -> bool {
+        now >= self.expires_at()
+    }
+
+    /// Whether the lease has expired and that was not reported yet; it counts as reported from now on.
     pub fn report_expiry(&mut self, now: Timestamp) -> bool {
-        let lost = now >= self.expires_at();
-        lost && !std::mem::replace(&mut self.lost, lost)
+        self.is_expired(now) && !std::mem::replace(&mut self.reported, true)
     }
 
-    /// The floor that the loss of contact brings, in milliseconds of `wall`; 0: none.
-    pub fn floor(&self, now: Timestamp, wall: UnixMillis) -> UnixMillis {
-        match self.without {
-            WhenExpired::Strict if now >= self.expires_at() => {
-                wall.saturating_sub(self.lease / 1_000).max(self.renewed.1)
+    /// The earliest creation time of a copy that may be served, by the clock of `now_ms`; 0: any.
+    pub fn floor(&self, now: Timestamp, now_ms: UnixMillis) -> UnixMillis {
+        match self.when_expired {
+            WhenExpired::Strict if self.is_expired(now) => {
+                let one_lease_ago = now_ms.saturating_sub(self.duration / 1_000);
+                one_lease_ago.max(self.renewed_at_ms)
             }
             _ => 0,
         }
     }
 
-    /// An answer is passed on: where contact is lost and the front goes on all the same, it stands under the doubt.
+    /// Counts a reply that is served although the lease has expired.
     pub fn record_reply(&mut self, now: Timestamp) {
-        self.unverified_replies +=
-            u64::from(self.without == WhenExpired::Available && now >= self.expires_at());
+        if self.when_expired == WhenExpired::Available && self.is_expired(now) {
+            self.unverified_replies += 1;
+        }
     }
 }
 
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -1,14 +1,14 @@
-//! Purges over a fleet: numbered in one ledger, matched against requests, carried to boxes in order.
+//! Purges over a fleet: numbered in one ordered log, matched against requests, replicated to cache nodes in order.
 //!
-//! All of it is without input, output and clock. Moments of purges and copies are Unix milliseconds ([`Ms`]), as the
-//! members' `born` is; what waits goes by a monotonic clock in microseconds ([`Time`]).
+//! Everything here is without I/O and clock. Purges and copies are dated in Unix milliseconds ([`UnixMillis`]), as the
+//! cache nodes' `born` is; timers use a monotonic clock in microseconds ([`Timestamp`]).
 //!
-//! - [`log`]: numbers, repeats, followers, compaction.
-//! - [`journal`]: the ledger in one file, with checksums.
-//! - [`matching`]: which purge concerns a request. What is unknown counts as matched.
-//! - [`replication`]: which box has confirmed what, and what it is sent next.
-//! - [`lease`]: what a front may still say that has not heard of the ledger for a while.
-//! - [`shield`]: how much may go past the caches while floors are high.
+//! - [`log`]: numbering, repeated commands, followers, compaction.
+//! - [`journal`]: the log in one file, with checksums.
+//! - [`matching`]: which purges concern a request. What is unknown counts as matched.
+//! - [`replication`]: which cache node has confirmed what, and what it is sent next.
+//! - [`lease`]: what a front may still serve that has not heard from the writer of the log for a while.
+//! - [`shield`]: how much may be fetched past the caches after a large purge.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -19,53 +19,53 @@
 pub mod replication;
 pub mod shield;
 
-/// Unix milliseconds.
+/// A date in Unix milliseconds.
 pub type UnixMillis = u64;
-/// A moment on a clock that never goes back, in microseconds.
+/// A timestamp on a monotonic clock, in microseconds.
 pub type Timestamp = u64;
-/// A span in microseconds.
+/// A duration in microseconds.
 pub type Micros = u64;
-/// The number of a purge: 1 up, without gaps. 0: before the first.
+/// The number of a purge in its log, from 1 without gaps. 0 stands for the position before the first.
 pub type PurgeNumber = u64;
 
-/// Letters of a tag, a pattern, a command's id, and of who and why, at most.
+/// Longest surrogate tag, in bytes.
 pub const MAX_TAG_BYTES: usize = 64;
-/// Letters of a pattern.
+/// Longest pattern, in bytes.
 pub const MAX_PATTERN_BYTES: usize = 200;
-/// Letters of a command's id, and of who and why.
+/// Longest command id, and longest text that says who purges and why, in bytes.
 pub const MAX_TEXT_BYTES: usize = 200;
 
-/// What a purge names.
+/// What a purge removes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PurgeTarget {
-    /// One object, whatever the part.
+    /// One object with all its parts.
     Object(u64),
     /// All objects of a group.
     Group(u32),
-    /// All objects that carry a tag.
+    /// All objects that carry a surrogate tag.
     Tag(Box<str>),
-    /// All keys that a glob matches. A key is `CLASS/ITEM/PART`, the item as 16 hex digits in lower case.
+    /// All requests whose [`request_key`] a glob matches.
     Pattern(Box<str>),
 }
 
 /// A purge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// Its place in the order.
+    /// Its number in the log.
     pub number: PurgeNumber,
-    /// No copy from before this moment may answer.
+    /// Copies created before this time are stale.
     pub at_ms: UnixMillis,
-    /// What it names.
+    /// What it removes.
     pub target: PurgeTarget,
-    /// The command's id: the same one again is the same purge.
+    /// The id of the command: a command with the same id is the same purge.
     pub id: Box<str>,
-    /// Who asked.
+    /// Who requested it.
     pub who: Box<str>,
-    /// Why.
+    /// Why it was requested.
     pub why: Box<str>,
 }
 
-/// The key of a request as patterns see it.
+/// The key by which patterns match a request: `CLASS/OBJECT/PART`, the object as 16 hex digits in lower case.
 pub fn request_key(class: &str, object: u64, part: u32) -> String {
     format!("{class}/{object:016x}/{part}")
 }
--- a/purges/src/log/tests.rs
+++ b/purges/src/log/tests.rs
@@ -15,7 +15,7 @@
         panic!()
     };
     let number = purge.number;
-    assert_eq!(log.append(log.identity, purge), Ok(true));
+    assert_eq!(log.append(log.identity, purge), Ok(Appended::New));
     number
 }
 
@@ -27,10 +27,10 @@
         log.prepare(600, &command("a", PurgeTarget::Object(7))),
         Ok(Prepared::Duplicate(1))
     );
-    assert!(matches!(
+    assert_eq!(
         log.prepare(600, &command("a", PurgeTarget::Object(8))),
-        Err(Refused::Bad(_))
-    ));
+        Err(CommandError::IdInUse)
+    );
     put(&mut log, 100, "b");
     assert_eq!(
         log.get(2).unwrap().at_ms,
@@ -45,20 +45,23 @@
     (0..5).for_each(|i| assert!(put(&mut log, i, &i.to_string()) > 0));
     let all = log.batch_after(0).unwrap();
     let mut follower = PurgeLog::new(9);
-    assert_eq!(follower.append(9, all[1].clone()), Err(Refused::Gap));
-    assert_eq!(follower.append(8, all[0].clone()), Err(Refused::Foreign));
+    assert_eq!(follower.append(9, all[1].clone()), Err(AppendError::Gap));
+    assert_eq!(
+        follower.append(8, all[0].clone()),
+        Err(AppendError::Foreign)
+    );
     all.iter()
-        .for_each(|p| assert_eq!(follower.append(9, p.clone()), Ok(true)));
+        .for_each(|p| assert_eq!(follower.append(9, p.clone()), Ok(Appended::New)));
     assert_eq!(
         follower.append(9, all[2].clone()),
-        Ok(false),
+        Ok(Appended::AlreadyPresent),
         "a repeat is harmless"
     );
     let other = Purge {
         target: PurgeTarget::Object(99),
         ..all[2].clone()
     };
-    assert_eq!(follower.append(9, other), Err(Refused::Conflict));
+    assert_eq!(follower.append(9, other), Err(AppendError::Conflict));
     assert_eq!(follower, log);
 }
 
@@ -81,20 +84,36 @@
 #[test]
 fn odd_commands_are_refused() {
     let log = PurgeLog::new(9);
-    for target in [
-        PurgeTarget::Tag("".into()),
-        PurgeTarget::Tag("a,b".into()),
-        PurgeTarget::Tag("x".repeat(65).into()),
-        PurgeTarget::Pattern("*".into()),
-        PurgeTarget::Pattern("**/*".into()),
-        PurgeTarget::Pattern("[".into()),
-        PurgeTarget::Pattern("a".repeat(201).into()),
+    for (target, error) in [
+        (PurgeTarget::Tag("".into()), CommandError::InvalidTag),
+        (
+            PurgeTarget::Tag("a,b".into()),
+            CommandError::TagWithSeparator,
+        ),
+        (
+            PurgeTarget::Tag("x".repeat(65).into()),
+            CommandError::InvalidTag,
+        ),
+        (
+            PurgeTarget::Pattern("*".into()),
+            CommandError::MatchesEverything,
+        ),
+        (
+            PurgeTarget::Pattern("**/*".into()),
+            CommandError::MatchesEverything,
+        ),
+        (
+            PurgeTarget::Pattern("[".into()),
+            PatternError::Syntax.into(),
+        ),
+        (
+            PurgeTarget::Pattern("a".repeat(201).into()),
+            PatternError::Length.into(),
+        ),
     ] {
-        assert!(
-            matches!(
-                log.prepare(1, &command("a", target.clone())),
-                Err(Refused::Bad(_))
-            ),
+        assert_eq!(
+            log.prepare(1, &command("a", target.clone())),
+            Err(error),
             "{target:?}"
         );
     }
--- a/purges/src/matching/tests.rs
+++ b/purges/src/matching/tests.rs
@@ -1,5 +1,6 @@
+use super::purge_matcher::MAX_UNCOMPILED;
 use super::*;
-use crate::request_key;
+use crate::{request_key, Purge, PurgeTarget};
 
 fn purge(number: PurgeNumber, at_ms: UnixMillis, target: PurgeTarget) -> Purge {
     Purge {
--- a/purges/src/replication.rs
+++ b/purges/src/replication.rs
@@ -1,85 +1,136 @@
-//! Which box has confirmed what, and what it is sent next: in order, one batch out at a time, slow boxes apart from fast
-//! ones, paced over the fleet.
+//! Replication of the purge log to cache nodes: which node has confirmed what, and what it is sent next. A node gets the
+//! purges in order, one batch at a time; slow nodes do not hold up fast ones, and the rate over the fleet is limited.
 use crate::log::MAX_BATCH_PURGES;
 use crate::{Micros, PurgeNumber, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A batch that is not confirmed after this long is taken for lost, and what it held is sent again.
+/// A batch that is not confirmed after this long counts as lost, and its purges are sent again.
 const CONFIRM_TIMEOUT: Micros = 5_000_000;
-/// Pauses after a loss: the first, and the longest.
+/// Backoff after the first loss; it doubles with each further one.
 const INITIAL_BACKOFF: Micros = 100_000;
+/// Longest backoff.
 const MAX_BACKOFF: Micros = 10_000_000;
-/// A box whose last batch took longer than this is a slow one.
+/// A node counts as slow if its last batch took longer than this.
 const SLOW_BATCH: Micros = 1_000_000;
-/// Batches out at once: to slow boxes at most so many, so that they don't take all the places.
+/// Most batches in flight at once.
 const MAX_IN_FLIGHT: usize = 64;
+/// Most batches in flight to slow nodes, so that they do not take all the slots.
 const MAX_SLOW_IN_FLIGHT: usize = 8;
+/// Shortest time between two wake-ups.
+const MIN_WAKEUP_INTERVAL: Micros = 1_000;
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A box, by its id.
+/// Identifies a cache node.
 pub type NodeId = u64;
 
-/// What a box is sent.
+/// Purges to send to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// To whom.
+    /// The node.
     pub node: NodeId,
-    /// Purges after this number,
+    /// The number before the first purge of the batch.
     pub after: PurgeNumber,
-    /// up to this one.
+    /// The number of the last purge of the batch.
     pub through: PurgeNumber,
 }
 
-#[derive(Clone, Debug)]
+/// What a node reports when it is connected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NodeReport {
+    /// The identity of the log whose purges it has applied.
+    pub log: u64,
+    /// It has applied every purge up to this number.
+    pub applied: PurgeNumber,
+    /// Whether it has no copies at all.
+    pub empty: bool,
+}
+
+/// A batch that was sent and is not confirmed yet.
+#[derive(Clone, Copy, Debug)]
+struct InFlight {
+    through: PurgeNumber,
+    sent_at: Timestamp,
+}
+
+#[derive(Clone, Debug, Default)]
 struct NodeState {
-    /// Everything up to this one is carried out.
+    /// The node has applied every purge up to this number.
     confirmed: PurgeNumber,
-    /// The batch that is out, and since when.
-    in_flight: Option<(PurgeNumber, Timestamp)>,
+    in_flight: Option<InFlight>,
     connected: bool,
     slow: bool,
+    /// Losses since the last confirmation.
     failures: u32,
-    /// Nothing is sent before this moment.
+    /// Nothing is sent before this time.
     paused_until: Timestamp,
     stale_copies: u64,
 }
 
-/// How a box stands.
+impl NodeState {
+    fn back_off(&mut self, now: Timestamp) {
+        self.failures += 1;
+        let backoff = INITIAL_BACKOFF << (self.failures - 1).min(10);
+        self.paused_until = now + backoff.min(MAX_BACKOFF);
+    }
+
+    fn is_overdue(&self, now: Timestamp) -> bool {
+        self.in_flight
+            .is_some_and(|batch| now > batch.sent_at + CONFIRM_TIMEOUT)
+    }
+
+    fn is_ready(&self, now: Timestamp) -> bool {
+        self.connected && self.in_flight.is_none() && now >= self.paused_until
+    }
+
+    /// When the node may be sent something, or its batch counts as lost.
+    fn next_wakeup(&self) -> Timestamp {
+        match self.in_flight {
+            Some(batch) => batch.sent_at + CONFIRM_TIMEOUT + 1,
+            None => self.paused_until,
+        }
+    }
+}
+
+/// The status of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// Which.
+    /// The node.
     pub id: NodeId,
-    /// Everything up to this number is carried out.
+    /// It has applied every purge up to this number.
     pub confirmed: PurgeNumber,
-    /// It can be reached.
+    /// Whether it is connected.
     pub connected: bool,
-    /// It takes long.
+    /// Whether its last batch took long.
     pub slow: bool,
-    /// How often it was caught with an old copy.
+    /// How often it served a copy that it had confirmed to be purged.
     pub stale_copies: u64,
 }
 
-/// All boxes.
+/// The state of replication to all cache nodes.
 #[derive(Clone, Debug)]
 pub struct Replication {
+    /// The identity of the log.
     identity: u64,
     nodes: BTreeMap<NodeId, NodeState>,
-    /// Who was sent something last: the next one comes first.
+    /// The node that was sent a batch last: the next one is served first.
     last_served: NodeId,
     in_flight: usize,
     slow_in_flight: usize,
-    /// Purges a second over the fleet, and what may be sent now.
+    /// Limit on the purges sent, over all nodes.
     purges_per_s: f64,
+    /// Purges that may be sent now.
     tokens: f64,
     refilled_at: Timestamp,
 }
 
 impl Replication {
-    /// No boxes yet; `per_s` purges a second go out to all of them together. `identity`: of the ledger.
+    /// Replication of the log `identity`, without nodes. At most `purges_per_s` purges a second are sent to all of them
+    /// together.
     pub fn new(now: Timestamp, identity: u64, purges_per_s: f64) -> Self {
-        let (purges_per_s, nodes) = (purges_per_s.max(1.0), BTreeMap::new());
+        let purges_per_s = purges_per_s.max(1.0);
         Replication {
             identity,
-            nodes,
+            nodes: BTreeMap::new(),
             last_served: 0,
             in_flight: 0,
             slow_in_flight: 0,
@@ -89,207 +140,195 @@
         }
     }
 
-    /// A box is listed: a new one has nothing. One that was known before keeps what it confirmed, unless it says
-    /// otherwise when it is connected.
+    /// Adds a node, which has confirmed nothing. A node that is known already keeps its state until it is connected.
     pub fn add_node(&mut self, id: NodeId) {
-        self.nodes.entry(id).or_insert(NodeState {
-            confirmed: 0,
-            in_flight: None,
-            connected: false,
-            slow: false,
-            failures: 0,
-            paused_until: 0,
-            stale_copies: 0,
-        });
+        self.nodes.entry(id).or_default();
     }
 
-    /// A box has gone for good.
+    /// Removes a node for good.
     pub fn remove_node(&mut self, id: NodeId) {
         self.end_batch(id);
         self.nodes.remove(&id);
     }
 
-    /// A connection to a box is up, and it reports what it has carried out, of which ledger. `empty`: it holds no copy,
-    /// so it starts at the head. A number of another ledger, or beyond `head`, is none.
-    pub fn connected(
-        &mut self,
-        id: NodeId,
-        log: u64,
-        reported: PurgeNumber,
-        empty: bool,
-        head: PurgeNumber,
-    ) {
+    /// A node was connected and has reported its state. `head` is the last number of the log. A node without copies has
+    /// nothing to purge and starts there; a number of another log, or beyond `head`, counts as 0.
+    pub fn connected(&mut self, id: NodeId, report: NodeReport, head: PurgeNumber) {
         self.end_batch(id);
-        let identity = self.identity;
+        let credible = report.log == self.identity && report.applied <= head;
         if let Some(state) = self.nodes.get_mut(&id) {
-            (state.connected, state.paused_until) = (true, 0);
-            state.confirmed = match (empty, log == identity && reported <= head) {
-                (true, _) => head,
-                (false, true) => reported,
-                (false, false) => 0,
+            state.connected = true;
+            state.paused_until = 0;
+            state.confirmed = match report {
+                NodeReport { empty: true, .. } => head,
+                NodeReport { applied, .. } if credible => applied,
+                _ => 0,
             };
         }
     }
 
-    /// The connection to a box is gone, with what was out on it.
+    /// The connection to a node broke, with the batch in flight on it.
     pub fn disconnected(&mut self, now: Timestamp, id: NodeId) {
         self.end_batch(id);
         if let Some(state) = self.nodes.get_mut(&id) {
             state.connected = false;
-            Self::back_off(state, now);
+            state.back_off(now);
         }
     }
 
-    /// A box has carried out everything up to a number. Less or more than was sent tells nothing: `false`.
+    /// A node confirms that it has applied every purge up to a number. Returns whether that is the batch in flight;
+    /// another number is ignored.
     pub fn confirmed(&mut self, now: Timestamp, id: NodeId, number: PurgeNumber) -> bool {
-        let Some((through, since)) = self.nodes.get(&id).and_then(|s| s.in_flight) else {
+        let in_flight = self.nodes.get(&id).and_then(|state| state.in_flight);
+        let Some(batch) = in_flight.filter(|batch| batch.through == number) else {
             return false;
         };
-        if number != through {
-            return false;
-        }
         self.end_batch(id);
         if let Some(state) = self.nodes.get_mut(&id) {
-            (state.confirmed, state.failures) = (number, 0);
-            state.slow = now.saturating_sub(since) > SLOW_BATCH;
+            state.confirmed = number;
+            state.failures = 0;
+            state.slow = now.saturating_sub(batch.sent_at) > SLOW_BATCH;
         }
         true
     }
 
-    /// An answer of a box was older than a purge that it had confirmed: it is purged anew, from the first that is held.
+    /// A node served a copy older than a purge that it had confirmed: it is sent all purges of the log again.
     pub fn stale_copy_served(&mut self, now: Timestamp, id: NodeId) {
         self.end_batch(id);
         if let Some(state) = self.nodes.get_mut(&id) {
             state.stale_copies += 1;
             state.confirmed = 0;
-            Self::back_off(state, now);
+            state.back_off(now);
         }
     }
 
-    fn back_off(state: &mut NodeState, now: Timestamp) {
-        state.failures += 1;
-        state.paused_until =
-            now + (INITIAL_BACKOFF << (state.failures - 1).min(10)).min(MAX_BACKOFF);
-    }
-
+    /// Gives back the slot of a node's batch, if it has one in flight.
     fn end_batch(&mut self, id: NodeId) {
-        if let Some(state) = self.nodes.get_mut(&id) {
-            if state.in_flight.take().is_some() {
-                self.in_flight -= 1;
-                self.slow_in_flight -= usize::from(state.slow);
-            }
+        let Some(state) = self.nodes.get_mut(&id) else {
+            return;
+        };
+        if state.in_flight.take().is_some() {
+            self.in_flight -= 1;
+            self.slow_in_flight -= usize::from(state.slow);
         }
     }
 
-    /// What goes out now. `base`: the number before the first that the ledger holds, `head`: its last.
+    /// The batches to send now. `base` is the number before the first purge of the log, `head` its last number.
     pub fn next_batches(
         &mut self,
         now: Timestamp,
         base: PurgeNumber,
         head: PurgeNumber,
     ) -> Vec<Batch> {
-        self.tokens = (self.tokens
-            + now.saturating_sub(self.refilled_at) as f64 / 1e6 * self.purges_per_s)
-            .min(self.purges_per_s);
+        self.refill(now);
+        self.end_overdue_batches(now);
+        let mut batches = Vec::new();
+        for id in self.service_order() {
+            if self.in_flight >= MAX_IN_FLIGHT || self.tokens < 1.0 {
+                break;
+            }
+            batches.extend(self.next_batch(now, id, base, head));
+        }
+        batches
+    }
+
+    fn refill(&mut self, now: Timestamp) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_SECOND;
+        self.tokens = (self.tokens + elapsed_s * self.purges_per_s).min(self.purges_per_s);
         self.refilled_at = self.refilled_at.max(now);
-        let late = |s: &NodeState| {
-            s.in_flight
-                .is_some_and(|(_, since)| now > since + CONFIRM_TIMEOUT)
-        };
-        let overdue: Vec<_> = self
-            .nodes
-            .iter()
-            .filter(|(_, s)| late(s))
-            .map(|(id, _)| *id)
-            .collect();
+    }
+
+    fn end_overdue_batches(&mut self, now: Timestamp) {
+        let nodes = self.nodes.iter();
+        let overdue = nodes.filter(|(_, state)| state.is_overdue(now));
+        let overdue: Vec<NodeId> = overdue.map(|(id, _)| *id).collect();
         for id in overdue {
             self.end_batch(id);
             if let Some(state) = self.nodes.get_mut(&id) {
                 state.slow = true;
-                Self::back_off(state, now);
+                state.back_off(now);
             }
         }
-        let mut batches = Vec::new();
-        // In turn: who came last comes last.
-        let after = self.nodes.range(self.last_served + 1..).map(|(id, _)| *id);
-        let order: Vec<_> = after
-            .chain(self.nodes.range(..=self.last_served).map(|(id, _)| *id))
-            .collect();
-        for id in order {
-            if self.in_flight >= MAX_IN_FLIGHT || self.tokens < 1.0 {
-                break;
-            }
-            let Some(state) = self.nodes.get_mut(&id) else {
-                continue;
-            };
-            let busy = !state.connected || state.in_flight.is_some() || now < state.paused_until;
-            if busy
-                || state.confirmed >= head
-                || state.slow && self.slow_in_flight >= MAX_SLOW_IN_FLIGHT
-            {
-                continue;
-            }
-            // What is not held any more was confirmed by all that were there, and is past the horizon.
-            let from = state.confirmed.max(base);
-            let most = (self.tokens as u64).min(MAX_BATCH_PURGES as u64).max(1);
-            let through = head.min(from + most);
-            self.tokens -= (through - from) as f64;
-            state.in_flight = Some((through, now));
-            self.in_flight += 1;
-            self.slow_in_flight += usize::from(state.slow);
-            self.last_served = id;
-            batches.push(Batch {
-                node: id,
-                after: from,
-                through,
-            });
+    }
+
+    /// All nodes, from the one after the node that was served last.
+    fn service_order(&self) -> Vec<NodeId> {
+        let after = self.nodes.range(self.last_served + 1..);
+        let before = self.nodes.range(..=self.last_served);
+        after.chain(before).map(|(id, _)| *id).collect()
+    }
+
+    fn next_batch(
+        &mut self,
+        now: Timestamp,
+        id: NodeId,
+        base: PurgeNumber,
+        head: PurgeNumber,
+    ) -> Option<Batch> {
+        let state = self.nodes.get_mut(&id)?;
+        if !state.is_ready(now) || state.confirmed >= head {
+            return None;
         }
-        batches
+        if state.slow && self.slow_in_flight >= MAX_SLOW_IN_FLIGHT {
+            return None;
+        }
+        // Compacted purges were confirmed by all nodes of their time, and are older than any copy.
+        let after = state.confirmed.max(base);
+        let max_purges = (self.tokens as u64).clamp(1, MAX_BATCH_PURGES as u64);
+        let through = head.min(after + max_purges);
+        self.tokens -= (through - after) as f64;
+        state.in_flight = Some(InFlight {
+            through,
+            sent_at: now,
+        });
+        self.in_flight += 1;
+        self.slow_in_flight += usize::from(state.slow);
+        self.last_served = id;
+        Some(Batch {
+            node: id,
+            after,
+            through,
+        })
     }
 
-    /// When [`Boxes::next`] may have something without anything else happening.
+    /// When [`Replication::next_batches`] may return something unless another event comes first.
     pub fn next_wakeup(&self, now: Timestamp, head: PurgeNumber) -> Option<Timestamp> {
-        let behind = |s: &&NodeState| s.connected && s.confirmed < head;
-        let due = |s: &NodeState| match s.in_flight {
-            Some((_, since)) => since + CONFIRM_TIMEOUT + 1,
-            None => s.paused_until,
-        };
-        let first = self.nodes.values().filter(behind).map(due).min()?;
-        let tokens = if self.tokens < 1.0 {
-            ((1.0 - self.tokens) / self.purges_per_s * 1e6) as u64 + 1
-        } else {
-            0
+        let states = self.nodes.values();
+        let behind = states.filter(|state| state.connected && state.confirmed < head);
+        let first = behind.map(NodeState::next_wakeup).min()?;
+        let missing = 1.0 - self.tokens;
+        let refill = match missing > 0.0 {
+            true => (missing / self.purges_per_s * MICROS_PER_SECOND) as u64 + 1,
+            false => 0,
         };
-        Some(first.max(now + tokens).max(now + 1_000))
+        Some(first.max(now + refill).max(now + MIN_WAKEUP_INTERVAL))
     }
 
-    /// What a box has confirmed; 0 for one that is not known.
+    /// The number up to which a node has confirmed; 0 for an unknown one.
     pub fn confirmed_by(&self, id: NodeId) -> PurgeNumber {
-        self.nodes.get(&id).map_or(0, |s| s.confirmed)
+        self.nodes.get(&id).map_or(0, |state| state.confirmed)
     }
 
-    /// What every box has confirmed; `None`: there are none.
+    /// The number up to which all nodes have confirmed; `None` if there are none.
     pub fn confirmed_by_all(&self) -> Option<PurgeNumber> {
-        self.nodes.values().map(|s| s.confirmed).min()
+        self.nodes.values().map(|state| state.confirmed).min()
     }
 
-    /// Those that have not confirmed a number.
+    /// The nodes that have not confirmed a number.
     pub fn unconfirmed(&self, number: PurgeNumber) -> BTreeSet<NodeId> {
-        self.nodes
-            .iter()
-            .filter(|(_, s)| s.confirmed < number)
-            .map(|(id, _)| *id)
-            .collect()
+        let nodes = self.nodes.iter();
+        let unconfirmed = nodes.filter(|(_, state)| state.confirmed < number);
+        unconfirmed.map(|(id, _)| *id).collect()
     }
 
-    /// How each stands.
+    /// The status of each node.
     pub fn statuses(&self) -> impl Iterator<Item = NodeStatus> + '_ {
-        self.nodes.iter().map(|(id, s)| NodeStatus {
+        self.nodes.iter().map(|(id, state)| NodeStatus {
             id: *id,
-            confirmed: s.confirmed,
-            connected: s.connected,
-            slow: s.slow,
-            stale_copies: s.stale_copies,
+            confirmed: state.confirmed,
+            connected: state.connected,
+            slow: state.slow,
+            stale_copies: state.stale_copies,
         })
     }
 }
--- a/purges/src/shield.rs
+++ b/purges/src/shield.rs
@@ -1,26 +1,29 @@
-//! How much may go past the caches to the main store while floors are high: a rate, of which the last part is kept for
-//! what is worth more.
-use crate::Timestamp;
+//! The origin shield: a rate limit on fetches past the caches after a large purge, part of which is reserved for classes
+//! of higher priority.
+use crate::{Micros, Timestamp};
 
-/// Seconds of the rate that may be laid by.
+/// Seconds of the rate that may be saved up.
 const BURST_S: f64 = 1.0;
-/// Share of what is laid by that the least worth may not touch.
+/// Share of the burst that the lowest priority may not use.
 const RESERVED_SHARE: f64 = 0.5;
+/// Tolerance for rounding when tokens are compared.
+const ROUNDING: f64 = 1e-9;
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The shield.
+/// A token bucket with priorities. A priority is a number from 0 to 1, relative to the highest of all classes.
 #[derive(Clone, Debug)]
 pub struct Shield {
     passes_per_s: f64,
     tokens: f64,
     refilled_at: Timestamp,
-    /// What went past, and what was turned away.
+    /// Requests that passed.
     pub passed: u64,
-    /// Turned away.
+    /// Requests that were rejected.
     pub rejected: u64,
 }
 
 impl Shield {
-    /// Lets `per_s` requests a second past.
+    /// Lets `passes_per_s` requests a second pass.
     pub fn new(now: Timestamp, passes_per_s: f64) -> Self {
         let passes_per_s = passes_per_s.max(0.1);
         Shield {
@@ -32,15 +35,12 @@
         }
     }
 
-    /// Whether a request may go past the caches now. `worth`: 0 to 1, among the classes that there are. What is worth
-    /// most may use all that is there, what is worth least leaves half of it.
+    /// Whether a request may bypass the caches now. The highest priority may use all tokens, the lowest leaves half of
+    /// the burst.
     pub fn try_pass(&mut self, now: Timestamp, priority: f64) -> bool {
-        let capacity = (self.passes_per_s * BURST_S).max(1.0);
-        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
-        self.tokens = (self.tokens + passed * self.passes_per_s).min(capacity);
-        self.refilled_at = self.refilled_at.max(now);
-        let reserved = capacity * RESERVED_SHARE * (1.0 - priority.clamp(0.0, 1.0));
-        let passes = self.tokens - 1.0 >= reserved - 1e-9 && self.tokens >= 1.0;
+        self.refill(now);
+        let enough = self.tokens - 1.0 >= self.reserved(priority) - ROUNDING;
+        let passes = enough && self.tokens >= 1.0;
         if passes {
             self.tokens -= 1.0;
             self.passed += 1;
@@ -50,12 +50,26 @@
         passes
     }
 
-    /// Microseconds until there is room for a request of that worth, if nobody else takes it.
-    pub fn retry_after(&self, priority: f64) -> u64 {
-        let capacity = (self.passes_per_s * BURST_S).max(1.0);
-        let needs =
-            (capacity * RESERVED_SHARE * (1.0 - priority.clamp(0.0, 1.0)) + 1.0).min(capacity);
-        ((needs - self.tokens).max(0.0) / self.passes_per_s * 1e6).ceil() as u64
+    /// Time until a request of this priority may pass, if no other takes the tokens.
+    pub fn retry_after(&self, priority: f64) -> Micros {
+        let needed = (self.reserved(priority) + 1.0).min(self.burst());
+        let missing = (needed - self.tokens).max(0.0);
+        (missing / self.passes_per_s * MICROS_PER_SECOND).ceil() as Micros
+    }
+
+    fn refill(&mut self, now: Timestamp) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_SECOND;
+        self.tokens = (self.tokens + elapsed_s * self.passes_per_s).min(self.burst());
+        self.refilled_at = self.refilled_at.max(now);
+    }
+
+    fn burst(&self) -> f64 {
+        (self.passes_per_s * BURST_S).max(1.0)
+    }
+
+    /// Tokens that a request of this priority leaves to higher ones.
+    fn reserved(&self, priority: f64) -> f64 {
+        self.burst() * RESERVED_SHARE * (1.0 - priority.clamp(0.0, 1.0))
     }
 }
 
--- a/purges/tests/simulation.rs
+++ b/purges/tests/simulation.rs
@@ -3,9 +3,9 @@
 //! ledger had taken longer ago than the lease and half a second; purges reach each box in order; all are confirmed
 //! once the faults end. Taking a guard out has to be found.
 use cranesill_purges::lease::{Lease, WhenExpired};
-use cranesill_purges::log::{Command, Prepared, PurgeLog};
+use cranesill_purges::log::{Appended, Command, Prepared, PurgeLog};
 use cranesill_purges::matching::{compile_patterns, tag_hash, PurgeMatcher, TagIndex};
-use cranesill_purges::replication::Replication;
+use cranesill_purges::replication::{NodeReport, Replication};
 use cranesill_purges::{request_key, Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use std::collections::BTreeMap;
 
@@ -112,6 +112,14 @@
     }
 }
 
+fn report(log: u64, applied: PurgeNumber, empty: bool) -> NodeReport {
+    NodeReport {
+        log,
+        applied,
+        empty,
+    }
+}
+
 impl World {
     fn new(seed: u64, out: Guard) -> Self {
         let front = |_| Front {
@@ -125,7 +133,7 @@
         let mut boxes = Replication::new(START * 1_000, 7, 500.0);
         (1..=BOXES).for_each(|id| {
             boxes.add_node(id);
-            boxes.connected(id, 7, 0, true, 0);
+            boxes.connected(id, report(7, 0, true), 0);
         });
         World {
             rng: Rng(seed),
@@ -209,11 +217,11 @@
             for purge in batch {
                 let number = purge.number;
                 match front.log.append(7, purge.clone()) {
-                    Ok(true) => {
+                    Ok(Appended::New) => {
                         front.matcher.add(&purge, skew);
                         front.learnt.insert(number, now);
                     }
-                    Ok(false) => {}
+                    Ok(Appended::AlreadyPresent) => {}
                     Err(_) if self.out == Guard::NumbersChecked => {
                         // It takes the number for its place: what is between is never asked for.
                         let mut jump = PurgeLog::after(7, number - 1);
@@ -343,7 +351,7 @@
             member.applied = reported;
         }
         self.boxes
-            .connected(id, 7, reported, empty, self.log.last_number());
+            .connected(id, report(7, reported, empty), self.log.last_number());
         let _ = now;
     }
 
@@ -544,7 +552,7 @@
     let mut boxes = Replication::new(0, 7, 100_000.0);
     (1..=100).for_each(|id| {
         boxes.add_node(id);
-        boxes.connected(id, 7, 0, false, 1_000);
+        boxes.connected(id, report(7, 0, false), 1_000);
     });
     let (mut now, mut out) = (0u64, Vec::<(u64, u64, PurgeNumber)>::new());
     let mut sent = BTreeMap::<u64, PurgeNumber>::new();
@@ -593,7 +601,7 @@
         [3]
     );
     // A number of another ledger is none.
-    boxes.connected(4, 8, 900, false, 1_000);
+    boxes.connected(4, report(8, 900, false), 1_000);
     assert_eq!(boxes.confirmed_by(4), 0);
     boxes.remove_node(3);
     boxes.remove_node(4);
