--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -1,19 +1,19 @@
 //! Drives the ledger of purges: commands of operators in, a file behind it, purges out to the floors. A purge counts
 //! once it is kept; who asked is told then.
-mod boxes;
-pub mod replicas;
+mod cache_nodes;
+pub mod followers;
 
 use super::{Driver, Effect, Purging, Turn};
 use crate::protocol::follow::Frame;
 use crate::transport::Workers;
-use boxes::BoxLinks;
+use cache_nodes::BoxLinks;
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Purges as Settings;
 use cranesill_purges::journal::{self, GuardedFile, JournalFile, OpenedJournal};
 use cranesill_purges::log::{Appended, Command, Prepared, PurgeLog};
 use cranesill_purges::matching::{compile_patterns, CompileError, PatternSet};
 use cranesill_purges::{Purge, PurgeTarget, UnixMillis};
-use replicas::{Followers, Following};
+use followers::{Followers, Following};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
