--- a/front/src/routing/accounting.rs
+++ b/front/src/routing/accounting.rs
@@ -1,150 +1,147 @@
-//! Book: the end of each attempt is told to the decisions, once.
+//! Accounting: the end of each attempt is reported to the decisions, exactly once.
 use super::*;
-use cranesill::api::{Event, FillNote, Outcome, Status};
+use cranesill::api::{Event, FillNote, Outcome, Report, Status};
 
-impl Front {
-    /// Books the end of an attempt; a second end of the same one is passed over.
-    pub fn ended(&mut self, now: Timestamp, attempt: AttemptId, end: End) {
-        let Some(out) = self.out.remove(&attempt) else {
+impl RequestPipeline {
+    /// Handles the end of an attempt; a second end of the same one is ignored.
+    pub fn attempt_ended(&mut self, now: Timestamp, attempt: AttemptId, end: AttemptEnd) {
+        let Some(outstanding) = self.outstanding.remove(&attempt) else {
             return;
         };
-        if let Some(key) = out.past {
-            if let Some(count) = self.past.get_mut(&key) {
-                *count -= 1;
-                if *count == 0 {
-                    self.past.remove(&key);
-                }
-            }
-        }
+        self.release_bypass(outstanding.bypass);
         let id = attempt.request;
-        let end = self.judged(now, id, out.to, end);
-        let (status, note, waited, meter) = match &end {
-            End::Reply(reply) => (status(reply), reply.note, reply.waited, &reply.meter[..]),
-            // Not written whole: the member can't have run it.
-            End::Unsent { .. } => (Status::ConnectFailed, FillNote::None, 0, &[][..]),
-            End::Unplaced => (Status::NotSent, FillNote::None, 0, &[][..]),
-            End::Broken { .. } => (Status::Reset, FillNote::None, 0, &[][..]),
-            End::CalledOff => (Status::Cancelled, FillNote::None, 0, &[][..]),
-            End::Expired => (Status::Timeout, FillNote::None, 0, &[][..]),
-        };
-        if let Some(open) = self.open.get_mut(&id).filter(|_| !status.proves_not_run()) {
-            open.ran = Some(open.ran.map_or(out.sent, |ran| ran.min(out.sent)));
-        }
-        let along = matches!(
-            end,
-            End::Unsent { along: true } | End::Broken { along: true }
-        );
-        let closed = match &end {
-            End::Reply(reply) => self.relay(id, reply),
-            _ => !self.open.contains_key(&id),
+        let end = self.check_reply(now, id, outstanding.target, end);
+        let status = end.status();
+        self.note_possible_run(id, outstanding.sent_at, status);
+        let closed = match end.reply() {
+            Some(reply) => self.relay(id, reply),
+            None => !self.pending.contains_key(&id),
         };
-        let figure = |name: &String| {
-            meter
-                .iter()
-                .find(|m| m.0 == *name)
-                .map_or(f32::NAN, |m| m.1)
+        let reply = end.reply();
+        let outcome = Outcome {
+            request: id,
+            attempt: attempt.number,
+            closed,
+            status,
+            along: end.is_duplicate_failure(),
+            note: reply.map_or(FillNote::None, |reply| reply.fill_note),
+            waited: reply.map_or(0, |reply| reply.queueing_time),
+            latency: now.saturating_sub(outstanding.sent_at),
+            report: reply.and_then(|reply| self.read_load_report(reply)),
         };
-        let values: Vec<f32> = self.deployment.names.report.iter().map(figure).collect();
-        let report = self
-            .deployment
-            .layout
-            .read(&values)
-            .filter(|_| !meter.is_empty());
-        let latency = now.saturating_sub(out.sent);
-        let number = attempt.number;
-        self.tell(
-            now,
-            Event::Outcome(Outcome {
-                request: id,
-                attempt: number,
-                closed,
-                status,
-                along,
-                note,
-                waited,
-                latency,
-                report,
-            }),
-        );
+        self.handle_event(now, Event::Outcome(outcome));
     }
 
-    /// An answer from a copy that is older than a purge is none, whatever the member says; nor is one that calls current what
-    /// is not the client's copy.
-    fn judged(&mut self, now: Timestamp, id: RequestId, from: EndpointId, end: End) -> End {
-        let spoilt = |open: &Open, reply: &MemberReply| {
-            reply.word == Word::Valid
-                && (open.write || open.ask.have.as_deref() != reply.tag.as_deref())
+    fn release_bypass(&mut self, bypass: Option<ObjectPart>) {
+        let Some(part) = bypass else { return };
+        let Some(attempts) = self.bypasses.get_mut(&part) else {
+            return;
         };
-        if let (End::Reply(reply), Some(open)) = (&end, self.open.get(&id)) {
-            if spoilt(open, reply) {
-                return End::Reply(MemberReply {
-                    word: Word::Fault,
-                    ..reply.clone()
-                });
-            }
+        *attempts -= 1;
+        if *attempts == 0 {
+            self.bypasses.remove(&part);
         }
-        let open = self.open.get(&id).filter(|open| !open.write);
-        let (End::Reply(reply), Some((floors, open))) = (&end, self.floors.as_mut().zip(open))
-        else {
+    }
+
+    /// Remembers the earliest attempt that may have run: retries are recognized for a limited time after it.
+    fn note_possible_run(&mut self, id: RequestId, sent_at: Timestamp, status: Status) {
+        if status.proves_not_run() {
+            return;
+        }
+        if let Some(pending) = self.pending.get_mut(&id) {
+            let first = pending.first_possible_run.unwrap_or(sent_at);
+            pending.first_possible_run = Some(first.min(sent_at));
+        }
+    }
+
+    /// The endpoint's load, if it sent a report that the settings can read.
+    fn read_load_report(&self, reply: &UpstreamReply) -> Option<Report> {
+        if reply.load_report.is_empty() {
+            return None;
+        }
+        let value = |name: &String| {
+            let mut entries = reply.load_report.iter();
+            let entry = entries.find(|(reported, _)| reported == name);
+            entry.map_or(f32::NAN, |(_, value)| *value)
+        };
+        let values: Vec<f32> = self.deployment.names.report.iter().map(value).collect();
+        self.deployment.layout.read(&values)
+    }
+
+    /// Turns a reply that must not be relayed into a fault, whatever the endpoint claims: one from a copy older than a
+    /// purge, or one that calls a copy current that the client does not have.
+    fn check_reply(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        from: EndpointId,
+        end: AttemptEnd,
+    ) -> AttemptEnd {
+        let AttemptEnd::Reply(reply) = end else {
             return end;
         };
-        match floors.judge(now, &open.ask, reply) {
-            Judged::Good => return end,
-            Judged::Lie => self.commands.push_back(Command::Lied(from)),
-            Judged::Old => {}
+        let Some(pending) = self.pending.get(&id) else {
+            return AttemptEnd::Reply(reply);
+        };
+        if pending.contradicts(&reply) {
+            return AttemptEnd::Reply(reply.into_fault());
         }
-        End::Reply(MemberReply {
-            word: Word::Fault,
-            ..reply.clone()
-        })
+        let Some(floors) = self.floors.as_mut().filter(|_| !pending.write) else {
+            return AttemptEnd::Reply(reply);
+        };
+        match floors.check_reply(now, &pending.request, &reply) {
+            Freshness::Fresh => return AttemptEnd::Reply(reply),
+            Freshness::StaleUnrequested => {}
+            Freshness::StaleDespiteRequest => {
+                self.commands.push_back(Command::StaleCopyServed(from));
+            }
+        }
+        AttemptEnd::Reply(reply.into_fault())
     }
 
-    /// The time of an attempt is up: it is given up at the member, and its end is booked.
-    pub(super) fn expire(&mut self, now: Timestamp, attempt: AttemptId) {
-        if self.out.contains_key(&attempt) {
+    /// An attempt has timed out: it is cancelled at the endpoint, and its end is reported.
+    pub(super) fn time_out(&mut self, now: Timestamp, attempt: AttemptId) {
+        if self.outstanding.contains_key(&attempt) {
             self.commands.push_back(Command::Abort(attempt));
-            self.ended(now, attempt, End::Expired);
+            self.attempt_ended(now, attempt, AttemptEnd::TimedOut);
         }
     }
 
-    /// The front ends: whoever still waits is answered now. Only what can't have run is refused, so that trying again does no
-    /// harm.
-    pub fn give_up(&mut self, now: Timestamp) {
-        let mut open: Vec<_> = self
-            .open
-            .iter()
-            .map(|(id, open)| (*id, open.ran.is_some()))
-            .collect();
-        open.sort_unstable();
-        for (id, ran) in open {
-            let out = self.out.keys().any(|attempt| attempt.request == id);
-            let answer = if ran || out {
-                Answer::Failed
+    /// Responds to all pending requests, since the front stops. Only those that cannot have run are rejected, so that
+    /// retrying them is safe.
+    pub fn conclude_all(&mut self, now: Timestamp) {
+        let mut ids: Vec<_> = self.pending.keys().copied().collect();
+        ids.sort_unstable();
+        for id in ids {
+            let response = if self.may_have_run(id) {
+                Response::Failed
             } else {
-                Answer::Refused(self.later())
+                Response::Rejected(self.overload_retry_after())
             };
-            self.conclude(id, answer);
-            self.tell(now, Event::Cancelled(id));
+            self.conclude(id, response);
+            self.handle_event(now, Event::Cancelled(id));
         }
     }
 
-    /// Guards the rule that every request is answered: whatever the decisions wait for, the client's time is
-    /// up.
-    pub(super) fn overdue(&mut self, now: Timestamp, id: RequestId) {
-        if self.open.contains_key(&id) {
-            self.conclude(id, Answer::Failed);
-            self.tell(now, Event::Cancelled(id));
+    fn may_have_run(&self, id: RequestId) -> bool {
+        let pending = self.pending.get(&id);
+        let ran = pending.is_some_and(|pending| pending.first_possible_run.is_some());
+        ran || self.outstanding.keys().any(|out| out.request == id)
+    }
+
+    /// The client's deadline has passed: the request gets a response whatever the decisions wait for.
+    pub(super) fn deadline_passed(&mut self, now: Timestamp, id: RequestId) {
+        if self.pending.contains_key(&id) {
+            self.conclude(id, Response::Failed);
+            self.handle_event(now, Event::Cancelled(id));
         }
     }
 }
 
-/// A word that is no answer to a fetch counts as an error: it may have run.
-fn status(reply: &MemberReply) -> Status {
-    match reply.word {
-        Word::Hit | Word::Valid => Status::Ok,
-        Word::None => Status::Miss,
-        Word::Shed => Status::Rejected,
-        Word::Late => Status::NotSent,
-        Word::Fault | Word::Other => Status::Error,
+impl PendingRequest {
+    /// Whether a reply calls a copy current that is not the client's.
+    fn contradicts(&self, reply: &UpstreamReply) -> bool {
+        let same_copy = self.request.cached_tag.as_deref() == reply.tag.as_deref();
+        reply.kind == ReplyKind::NotModified && (self.write || !same_copy)
     }
 }
--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -5,7 +5,7 @@
 mod unconfirmed;
 
 use crate::protocol::client;
-use crate::routing::{Answer, Ask, ReplyTo};
+use crate::routing::{ClientRequest, ReplyTo, Response};
 use crate::transport::{Reactor, Registered, Stream};
 use connection::{Connection, ConnectionState, READ_PAUSE_WITH_REQUESTS};
 use cranesill::api::{Micros, Timestamp};
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub enum ClientEvent {
     /// A request to be routed.
-    Request(ReplyTo, Ask),
+    Request(ReplyTo, ClientRequest),
     /// A malformed request, with what is wrong with it.
     BadRequest(ReplyTo, &'static str),
     /// The client of a request has cancelled it or is disconnected: it needs no answer.
@@ -249,7 +249,7 @@
     }
 
     /// Gives a stream its final answer.
-    pub fn answer(&mut self, now: Timestamp, to: ReplyTo, answer: Answer) {
+    pub fn answer(&mut self, now: Timestamp, to: ReplyTo, answer: Response) {
         let Some(client) = self.connections.get_mut(&to.client) else {
             return;
         };
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection of a client: its state, and the frames that come on it.
 use super::ClientEvent;
 use crate::protocol::client::{self, Message};
-use crate::routing::{Ask, ReplyTo};
+use crate::routing::{ClientRequest, ReplyTo};
 use crate::transport::Stream;
 use cranesill::api::{Micros, Timestamp};
 use std::collections::HashSet;
@@ -166,7 +166,7 @@
         &mut self,
         now: Timestamp,
         from: ReplyTo,
-        request: Result<Ask, &'static str>,
+        request: Result<ClientRequest, &'static str>,
     ) -> ClientEvent {
         let request = request.and_then(|request| {
             if self.open_streams.len() > MAX_STREAMS {
@@ -176,8 +176,14 @@
         });
         match request {
             Ok(request) => {
-                let limit = request.limit.saturating_sub(self.accept_delay);
-                ClientEvent::Request(from, Ask { limit, ..request })
+                let time_limit = request.time_limit.saturating_sub(self.accept_delay);
+                ClientEvent::Request(
+                    from,
+                    ClientRequest {
+                        time_limit,
+                        ..request
+                    },
+                )
             }
             Err(error) => {
                 self.paused_at = Some(now);
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -1,7 +1,7 @@
 //! Carries out the commands of operators that concern the front itself.
 use super::Server;
 use crate::protocol::member::name_of;
-use crate::server::drivers::purges::what;
+use crate::server::drivers::purges::parse_target;
 use crate::server::error::AdminError;
 use cranesill::api::Timestamp;
 use cranesill_daemon::Level;
@@ -91,10 +91,10 @@
 
     /// Counts the known objects that a purge would match, without purging them.
     fn count_purge_matches(&self, arguments: &Value) -> Result<Value, AdminError> {
-        let target = what(arguments).map_err(AdminError::PurgeTarget)?;
+        let target = parse_target(arguments).map_err(AdminError::PurgeTarget)?;
         let floors = self.front.floors.as_ref();
         let floors = floors.ok_or(AdminError::PurgesDisabled)?;
-        let (known, matched) = floors.matched(&target);
+        let (known, matched) = floors.count_matches(&target);
         Ok(json!({"known_objects": known, "matched": matched}))
     }
 
@@ -130,10 +130,10 @@
             "out_by_hand": cordoned,
             "list": {
                 "last_event": revision,
-                "clock_ahead_ms": self.front.ahead.ms(),
+                "clock_ahead_ms": self.front.clock_offset.offset_ms(),
                 "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
             },
-            "open_requests": self.front.open(),
+            "open_requests": self.front.pending_requests(),
             "clients": self.clients.len(),
             "clients_most": self.config.clients_most(),
             "held_bytes": self.clients.buffered_bytes() + self.upstream.buffered_bytes(),
@@ -151,11 +151,11 @@
         let shield = self.front.shield.as_ref();
         json!({
             "live_objects_groups_tags_patterns": floors.counts(),
-            "answers_refused": floors.refused,
-            "lies": floors.lies,
+            "answers_refused": floors.stale_replies,
+            "lies": floors.stale_despite_request,
             "shield_passed": shield.map(|shield| shield.passed),
-            "shield_refused": shield.map(|shield| shield.refused),
-            "answers_in_doubt": floors.contact.as_ref().map(|contact| contact.doubtful),
+            "shield_refused": shield.map(|shield| shield.rejected),
+            "answers_in_doubt": floors.lease.as_ref().map(|lease| lease.unverified_replies),
         })
     }
 
@@ -165,16 +165,16 @@
         let mut put = |name: String, count: u64| {
             all.insert(format!("edge_relay.{name}"), count.into());
         };
-        for (class, counts) in self.front.counts() {
-            put(format!("handled.{class}.passed"), counts.passed);
-            put(format!("handled.{class}.dropped"), counts.dropped);
-            put(format!("handled.{class}.bad_gateway"), counts.bad_gateway);
+        for (class, counts) in self.front.response_counts() {
+            put(format!("handled.{class}.passed"), counts.served);
+            put(format!("handled.{class}.dropped"), counts.rejected);
+            put(format!("handled.{class}.bad_gateway"), counts.failed);
         }
         let known = self.upstream.listed().count() + self.startup.waiting();
         let skipped = self.upstream.listed();
-        let skipped = skipped.filter(|id| self.front.avoids(*id)).count();
+        let skipped = skipped.filter(|id| self.front.is_avoided(*id)).count();
         put("upstream_tries".into(), self.upstream.attempts_written);
-        put("in_progress".into(), self.front.open() as u64);
+        put("in_progress".into(), self.front.pending_requests() as u64);
         put("known_cache_nodes".into(), known as u64);
         put("skipped_cache_nodes".into(), skipped as u64);
         all.into()
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -4,7 +4,7 @@
 use super::timers::{Timer, SWEEP_INTERVAL};
 use super::{Server, FIRST_CONNECTION_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
 use crate::protocol::snapshot::Snapshot;
-use crate::routing::Front;
+use crate::routing::RequestPipeline;
 use crate::server::acceptor::AcceptBackoff;
 use crate::server::config::Config;
 use crate::server::discovery::Discovery;
@@ -110,7 +110,9 @@
             .local_addr()
             .map_err(ServerError::Listener)?;
         tracing::info!(name = server.config.name, %at, "listening");
-        server.front.set_reach(now, server.upstream.reach());
+        server
+            .front
+            .set_connection_limits(now, server.upstream.reach());
         server.start_drivers(now, known.list)?;
         for event in known.news {
             server.apply_watch_event(now, event, known.from);
@@ -143,7 +145,7 @@
         let has_peers = startup.is_some_and(|s| s.peers.is_some());
         let schedule = calls(now, &config, startup);
         Server {
-            front: Front::new(config.deployment.clone(), config.seed, config.room()),
+            front: RequestPipeline::new(config.deployment.clone(), config.seed, config.room()),
             clients: Clients::new(),
             upstream: CacheNodes::new(
                 config.links_most(),
@@ -248,7 +250,7 @@
     ) -> Result<(), ServerError> {
         let mut last = 0;
         let slot = (self.drivers.len() + 1, &mut last);
-        let behind_ms = self.front.ahead.behind_ms();
+        let behind_ms = self.front.clock_offset.behind_ms();
         let mut turn = Turn {
             now,
             behind_ms,
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -1,7 +1,7 @@
 //! Accepts clients and hands their requests and disconnections to the routing.
 use super::timers::Timer;
 use super::Server;
-use crate::routing::Answer;
+use crate::routing::Response;
 use crate::server::acceptor::Next;
 use crate::server::downstream::ClientEvent;
 use crate::transport::{used_up, AcceptFault, Registered};
@@ -117,12 +117,14 @@
     pub(super) fn handle_client_events(&mut self, now: Timestamp, events: Vec<ClientEvent>) {
         for event in events {
             let buffered = self.clients.buffered_bytes() + self.upstream.buffered_bytes();
-            self.front.holds(buffered);
+            self.front.set_buffered_bytes(buffered);
             match event {
-                ClientEvent::Request(from, request) => self.front.take_in(now, from, request),
+                ClientEvent::Request(from, request) => {
+                    self.front.receive_request(now, from, request)
+                }
                 ClientEvent::BadRequest(from, error) => {
                     tracing::info!(error, "bad request");
-                    self.clients.answer(now, from, Answer::Failed);
+                    self.clients.answer(now, from, Response::Failed);
                 }
                 ClientEvent::Disconnected(from) => {
                     self.disconnected.push(from);
@@ -137,9 +139,9 @@
     /// cancelled first: they would be given what the others free, and be forwarded for nobody.
     pub(super) fn cancel_disconnected(&mut self, now: Timestamp) {
         let mut disconnected = std::mem::take(&mut self.disconnected);
-        disconnected.sort_by_cached_key(|from| self.front.is_out(*from));
+        disconnected.sort_by_cached_key(|from| self.front.has_outstanding_attempt(*from));
         for from in disconnected {
-            self.front.gone(now, from);
+            self.front.cancel_request(now, from);
             self.run_commands(now, Vec::new());
         }
     }
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -23,7 +23,7 @@
         let id = member_id(text).ok_or(AdminError::EndpointMalformed)?;
         let known = self.upstream.listed().any(|listed| listed == id)
             || self.startup.has(id)
-            || self.front.avoids(id);
+            || self.front.is_avoided(id);
         if !known {
             return Err(AdminError::EndpointUnknown(text.into()));
         }
@@ -61,7 +61,7 @@
             out,
             "cache node by hand"
         );
-        self.front.by_hand(now, id, out);
+        self.front.set_cordoned(now, id, out);
         let mut ends = Vec::new();
         if out {
             self.upstream.exclude(id, &mut ends);
--- a/front/src/server/event_loop/dispatch.rs
+++ b/front/src/server/event_loop/dispatch.rs
@@ -1,7 +1,7 @@
 //! Carries out the routing's commands until there are none.
 use super::timers::Timer;
 use super::Server;
-use crate::routing::{AttemptId, Command, End, Fetch};
+use crate::routing::{AttemptEnd, AttemptId, Command, Fetch};
 use crate::server::downstream::ClientEvent;
 use crate::server::drivers::{Effect, EndpointEffect};
 use crate::server::upstream::{Ends, Target};
@@ -36,14 +36,14 @@
     pub(super) fn run_commands(&mut self, now: Timestamp, mut ends: Ends) {
         loop {
             for (attempt, end) in std::mem::take(&mut ends) {
-                self.front.ended(now, attempt, end);
+                self.front.attempt_ended(now, attempt, end);
             }
             for event in self.clients.take_disconnected() {
                 if let ClientEvent::Disconnected(from) = event {
-                    self.front.gone(now, from);
+                    self.front.cancel_request(now, from);
                 }
             }
-            let Some(command) = self.front.command() else {
+            let Some(command) = self.front.next_command() else {
                 return;
             };
             self.run_command(now, command, &mut ends);
@@ -52,16 +52,20 @@
 
     fn run_command(&mut self, now: Timestamp, command: Command, ends: &mut Ends) {
         match command {
-            Command::Send(attempt, endpoint, fetch) => {
-                self.begin_attempt(now, attempt, endpoint, &fetch, ends);
+            Command::Send {
+                attempt,
+                target,
+                fetch,
+            } => {
+                self.begin_attempt(now, attempt, target, &fetch, ends);
             }
             Command::Abort(attempt) => {
                 self.upstream.abort(now, attempt, ends);
-                ends.insert(0, (attempt, End::CalledOff));
+                ends.insert(0, (attempt, AttemptEnd::Cancelled));
             }
-            Command::Answer(to, answer) => self.clients.answer(now, to, answer),
-            Command::Wake(at, wake) => self.timers.add(at, Timer::Routing(wake)),
-            Command::Lied(endpoint) => {
+            Command::Respond { to, response } => self.clients.answer(now, to, response),
+            Command::SetTimer { at, timer } => self.timers.add(at, Timer::Routing(timer)),
+            Command::StaleCopyServed(endpoint) => {
                 let endpoint = endpoint.0;
                 let message = EndpointEffect::ServedPurged { endpoint };
                 self.effects.push(Effect::Endpoints(message));
@@ -85,7 +89,7 @@
         // window or not at all.
         let write_deadline = (now + connect_timeout)
             .min(now + self.config.deployment.limits.purge_grace)
-            .min(fetch.latest)
+            .min(fetch.write_by)
             .min(fetch.deadline);
         let target = Target {
             attempt,
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -20,7 +20,7 @@
         slot: usize,
         act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>),
     ) {
-        let behind_ms = self.front.ahead.behind_ms();
+        let behind_ms = self.front.clock_offset.behind_ms();
         if let Some((driver, last)) = slot.checked_sub(1).and_then(|i| self.drivers.get_mut(i)) {
             let (reactor, effects) = (&self.reactor, &mut self.effects);
             act(
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -3,10 +3,10 @@
 use super::Server;
 use crate::protocol::feed::{Listing, News};
 use crate::protocol::snapshot::Snapshot;
-use crate::routing::Origin;
+use crate::routing::EventSource;
 use crate::server::drivers::snapshot::wall_ms;
 use crate::server::drivers::{Effect, EndpointAddress, EndpointEffect};
-use cranesill::api::{EndpointEntry, EndpointId, EndpointState, Timestamp};
+use cranesill::api::{EndpointEntry, EndpointId, EndpointState, ListKind, Timestamp};
 use std::collections::HashSet;
 
 /// A clock skew against the list service beyond which a warning is logged.
@@ -16,13 +16,13 @@
     /// Reads watch events from the connection to the list service and applies them.
     pub(super) fn read_discovery(&mut self, now: Timestamp) {
         for event in self.discovery.ready(now) {
-            self.apply_watch_event(now, event, Origin::Service);
+            self.apply_watch_event(now, event, EventSource::Live);
         }
         self.timers.add(self.discovery.due, Timer::Discovery);
     }
 
     /// Applies a watch event: endpoints that change, or a purge.
-    pub(super) fn apply_watch_event(&mut self, now: Timestamp, event: News, origin: Origin) {
+    pub(super) fn apply_watch_event(&mut self, now: Timestamp, event: News, origin: EventSource) {
         if self.forwards_watch_events {
             let message = EndpointEffect::WatchEvent {
                 revision: self.discovery.stands().1,
@@ -43,7 +43,8 @@
                 at_ms,
             } => {
                 let purged_at = at_ms.saturating_mul(1_000);
-                self.front.purged(now, object, group, purged_at, origin);
+                self.front
+                    .apply_purge(now, object, group, purged_at, origin);
             }
         }
         self.check_clock_skew();
@@ -65,7 +66,7 @@
 
     /// Logs once that this clock is far from the list service's, until it is near again.
     fn check_clock_skew(&mut self) {
-        let skew_ms = self.front.ahead.ms();
+        let skew_ms = self.front.clock_offset.offset_ms();
         let skew_ms = skew_ms.filter(|ms| ms.abs() > MAX_CLOCK_SKEW_MS);
         if let Some(ahead_ms) = skew_ms.filter(|_| !self.clock_skew_logged) {
             tracing::warn!(
@@ -96,7 +97,7 @@
         // Forwarded as watch events it would count as new in the snapshot on disk; adopted, it keeps its age.
         self.forwards_watch_events = false;
         for event in list.news() {
-            self.apply_watch_event(now, event, Origin::Kept);
+            self.apply_watch_event(now, event, EventSource::Stored);
         }
         self.forwards_watch_events = true;
         self.effects
@@ -110,7 +111,7 @@
         now: Timestamp,
         complete: bool,
         list: Vec<Listing>,
-        origin: Origin,
+        origin: EventSource,
     ) {
         let entries: Vec<_> = list.iter().map(endpoint_entry).collect();
         let removed = if complete {
@@ -125,7 +126,12 @@
             .iter()
             .map(|entry| (entry.state, entry.member))
             .partition(|(state, _)| *state == EndpointState::Ready);
-        self.front.members(now, complete, entries, origin);
+        let kind = if complete {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
+        self.front.apply_endpoints(now, kind, entries, origin);
         let mut ends = Vec::new();
         let not_ready = not_ready.into_iter().map(|(_, endpoint)| endpoint);
         for endpoint in not_ready.chain(removed) {
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -11,7 +11,7 @@
 mod takeover;
 mod timers;
 
-use crate::routing::{Front, ReplyTo};
+use crate::routing::{ReplyTo, RequestPipeline};
 use crate::server::acceptor::AcceptBackoff;
 use crate::server::config::Config;
 use crate::server::discovery::Discovery;
@@ -72,7 +72,7 @@
     /// Readable once SIGHUP has come.
     sighup: Registered<UnixStream>,
     timers: Deadlines<Timer>,
-    front: Front,
+    front: RequestPipeline,
     clients: Clients,
     upstream: CacheNodes,
     discovery: Discovery,
@@ -125,7 +125,7 @@
         let client_events = self.clients.due(now);
         self.handle_client_events(now, client_events);
         self.run_due_drivers(now);
-        let pauses = self.clients.buffered_bytes() > self.config.room().bytes;
+        let pauses = self.clients.buffered_bytes() > self.config.room().max_buffered_bytes;
         self.upstream.pause(now, pauses);
         Ok(self.advance_shutdown(now))
     }
--- a/front/src/server/event_loop/reload.rs
+++ b/front/src/server/event_loop/reload.rs
@@ -23,7 +23,7 @@
         };
         tracing::info!(feed = %new.feed, "SIGHUP: configuration read");
         if self.discovery.move_to(now, new.feed) {
-            self.front.list_moved();
+            self.front.discovery_moved();
         }
         self.timers.add(now, Timer::Discovery);
     }
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -22,7 +22,7 @@
         self.shutdown = Some(drain);
         self.clients.drain(now, self.config.accept_fd.is_some());
         self.watch_listener(true);
-        let learned = self.front.learned();
+        let learned = self.front.learned_health();
         if let Some(handover) = &mut self.handover {
             handover.hand_over(now, &learned);
             self.share_limits(now, true);
@@ -39,20 +39,20 @@
         };
         let stage = drain.stage(now);
         if stage >= Stage::Refuses {
-            self.front.close(true);
+            self.front.reject_new_requests(true);
             for (driver, _) in &mut self.drivers {
                 driver.drain();
             }
         }
         if stage >= Stage::Parts {
-            self.front.give_up(now);
+            self.front.conclude_all(now);
         }
     }
 
     /// Shuts connections once nothing is owed on them, if a shutdown has begun. Returns whether the process can end.
     pub(super) fn advance_shutdown(&mut self, now: Timestamp) -> bool {
         // A request whose last byte comes after the end of its connection would be lost.
-        let owes = self.front.open() > 0
+        let owes = self.front.pending_requests() > 0
             || !self.clients.is_flushed()
             || self.clients.has_partial_requests();
         let clients = self.clients.len() > 0;
@@ -85,7 +85,7 @@
         // An operator may have resumed and quiesced it again since the timer was set.
         let quiesced_at = self.quiesced_at;
         if quiesced_at.is_some_and(|since| now >= since + QUIESCE_GRACE) {
-            self.front.close(true);
+            self.front.reject_new_requests(true);
         }
     }
 
@@ -97,7 +97,7 @@
         if self.quiesced_at.take().is_some() {
             tracing::info!(kind = "quiesce", "takes clients again");
             self.clients.resume();
-            self.front.close(false);
+            self.front.reject_new_requests(false);
         }
         Ok("takes clients")
     }
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -26,7 +26,7 @@
         if accepts && (first || !self.accepts_clients) {
             let learned = shared.learned(now);
             tracing::info!(kind = "upgrade", learned = learned.len(), "accepts clients");
-            self.front.learn(now, learned);
+            self.front.restore_learned_health(now, learned);
         }
         if first && !accepts {
             tracing::info!(
@@ -50,8 +50,8 @@
                 self.config.links_most(),
                 self.shutdown.map(|_| HANDOVER_UPSTREAM_IDLE),
             );
-            self.front.set_reach(now, self.upstream.reach());
-            self.front.set_room(self.config.room());
+            self.front.set_connection_limits(now, self.upstream.reach());
+            self.front.set_capacity(self.config.room());
         }
     }
 
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -1,7 +1,7 @@
 //! The kinds of timer that the loop sets, and what is done when one expires. Timers are not cancelled: whoever handles one
 //! checks whether it still matters.
 use super::Server;
-use crate::routing::{AttemptId, Origin, Wake};
+use crate::routing::{AttemptId, EventSource, Timer as RoutingTimer};
 use crate::server::drivers::{Effect, EndpointEffect};
 use crate::server::upstream::Ends;
 use cranesill::api::{Micros, Timestamp};
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// The routing asked to be woken.
-    Routing(Wake),
+    Routing(RoutingTimer),
     /// The upstream connection under this poller key fails if it is not established.
     ConnectTimeout(usize),
     /// The attempt is withdrawn if no byte of it has been written.
@@ -45,7 +45,7 @@
     pub(super) fn handle_timer(&mut self, now: Timestamp, timer: Timer) {
         let mut ends = Vec::new();
         match timer {
-            Timer::Routing(wake) => self.front.wake(now, wake),
+            Timer::Routing(wake) => self.front.handle_timer(now, wake),
             Timer::ConnectTimeout(key) => self.upstream.fail_unestablished(key, &mut ends),
             Timer::WriteDeadline(attempt) => self.upstream.withdraw(attempt, &mut ends),
             Timer::Discovery => self.poll_discovery(now),
@@ -54,7 +54,7 @@
             Timer::QuiesceGrace => self.end_quiesce_grace(now),
             Timer::SlowStart => {
                 let list = self.startup.due(now);
-                self.update_endpoints(now, false, list, Origin::Kept);
+                self.update_endpoints(now, false, list, EventSource::Stored);
             }
             Timer::TakeoverPoll => self.poll_takeover(now, false),
             Timer::CordonPoll => self.poll_cordons(now),
@@ -84,7 +84,7 @@
 
     /// Closes dead and idle connections and checks what has no timer of its own.
     fn sweep(&mut self, now: Timestamp, ends: &mut Ends) {
-        let max_buffered = self.config.room().bytes;
+        let max_buffered = self.config.room().max_buffered_bytes;
         let events = self
             .clients
             .sweep(now, max_buffered, self.config.held_most());
@@ -106,8 +106,8 @@
     /// Logs when the contact with the writer of the purge log is lost.
     fn check_purge_contact(&mut self, now: Timestamp) {
         let floors = self.front.floors.as_mut();
-        let contact = floors.and_then(|floors| floors.contact.as_mut());
-        if contact.is_some_and(|contact| contact.lost_now(now)) {
+        let lease = floors.and_then(|floors| floors.lease.as_mut());
+        if lease.is_some_and(|lease| lease.report_expiry(now)) {
             tracing::warn!(kind = "contact-lost", "purges: no contact with the ledger");
         }
     }
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -6,7 +6,7 @@
 mod withdrawal;
 use self::connection::Connection;
 use self::redial::Redials;
-use crate::routing::{AttemptId, End, Fetch, Txn};
+use crate::routing::{AttemptEnd, AttemptId, Fetch, TransactionId};
 use cranesill::api::{EndpointEntry, EndpointId, EndpointState, Micros, Timestamp};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 }
 
 /// Attempts that ended, each with how it ended.
-pub type Ends = Vec<(AttemptId, End)>;
+pub type Ends = Vec<(AttemptId, AttemptEnd)>;
 
 /// All connections to members; they belong to a member's id, since an address may come to be another's.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     by_endpoint: HashMap<EndpointId, Vec<usize>>,
     /// Where each listens, and when it started.
     listed: HashMap<EndpointId, (SocketAddr, Timestamp)>,
-    by_attempt: HashMap<AttemptId, (usize, Txn)>,
+    by_attempt: HashMap<AttemptId, (usize, TransactionId)>,
     /// Attempts for which this machine could not begin a connection.
     redials: Redials,
     max_connections: usize,
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to an endpoint, with the attempts on it and the ids that it carried.
 use crate::protocol::member;
-use crate::routing::{AttemptId, Fetch, Txn};
+use crate::routing::{AttemptId, Fetch, TransactionId};
 use crate::transport::Stream;
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use std::collections::{HashMap, HashSet};
@@ -39,12 +39,12 @@
 /// A connection to an endpoint.
 #[derive(Debug)]
 pub(super) struct Connection {
-    pub(super) stream: Stream<Option<Txn>>,
+    pub(super) stream: Stream<Option<TransactionId>>,
     pub(super) endpoint: EndpointId,
     pub(super) established: bool,
     /// Whether it gets no further attempts.
     pub(super) retired: bool,
-    pub(super) open_attempts: HashMap<Txn, Sent>,
+    pub(super) open_attempts: HashMap<TransactionId, Sent>,
     pub(super) recent_ids: RecentIds,
     pub(super) idle_since: Timestamp,
     /// When something was last received.
@@ -58,7 +58,11 @@
 }
 
 impl Connection {
-    pub(super) fn new(now: Timestamp, endpoint: EndpointId, stream: Stream<Option<Txn>>) -> Self {
+    pub(super) fn new(
+        now: Timestamp,
+        endpoint: EndpointId,
+        stream: Stream<Option<TransactionId>>,
+    ) -> Self {
         Connection {
             stream,
             endpoint,
@@ -90,7 +94,7 @@
     }
 
     /// Whether an attempt under this id may be sent here, where each connection carries up to `streams`.
-    pub(super) fn accepts(&self, txn: &Txn, streams: usize) -> bool {
+    pub(super) fn accepts(&self, txn: &TransactionId, streams: usize) -> bool {
         !self.retired
             && !self.recent_ids.has(txn)
             && self.open_attempts.len() < streams
@@ -100,8 +104,9 @@
     /// Whether the rest of an answer to a cancelled attempt has still to come, with everything else behind it.
     pub(super) fn is_blocked(&self) -> bool {
         let input = self.stream.input();
-        let whose =
-            || member::begun_id(input).and_then(|id| Txn::new(std::str::from_utf8(id).ok()?));
+        let whose = || {
+            member::begun_id(input).and_then(|id| TransactionId::new(std::str::from_utf8(id).ok()?))
+        };
         !input.is_empty()
             && (self.open_attempts.is_empty()
                 || whose().is_some_and(|txn| !self.open_attempts.contains_key(&txn)))
@@ -112,13 +117,13 @@
 /// for an attempt that was given up: it would be taken for that of the next attempt under the same id.
 #[derive(Debug, Default)]
 pub(super) struct RecentIds {
-    new: HashSet<Txn>,
-    old: HashSet<Txn>,
+    new: HashSet<TransactionId>,
+    old: HashSet<TransactionId>,
     since: Timestamp,
 }
 
 impl RecentIds {
-    pub(super) fn has(&self, txn: &Txn) -> bool {
+    pub(super) fn has(&self, txn: &TransactionId) -> bool {
         self.new.contains(txn) || self.old.contains(txn)
     }
 
@@ -126,7 +131,7 @@
         self.new.len() + self.old.len()
     }
 
-    pub(super) fn add(&mut self, now: Timestamp, txn: Txn) {
+    pub(super) fn add(&mut self, now: Timestamp, txn: TransactionId) {
         if now > self.since + RECENT_ID_TIME {
             self.old = std::mem::take(&mut self.new);
             self.since = now;
--- a/front/src/server/upstream/placement.rs
+++ b/front/src/server/upstream/placement.rs
@@ -2,7 +2,7 @@
 use super::connection::{Connection, Sent};
 use super::{CacheNodes, Ends, Target};
 use crate::protocol::member;
-use crate::routing::{End, Fetch, Txn};
+use crate::routing::{AttemptEnd, Fetch, TransactionId};
 use crate::transport::{dial, is_local, Reactor, Stream};
 use cranesill::api::{EndpointId, Timestamp};
 use std::io;
@@ -37,7 +37,7 @@
         ends: &mut Ends,
     ) -> Option<usize> {
         let endpoint = target.endpoint;
-        let chosen = self.choose_live(now, endpoint, &fetch.txn, ends);
+        let chosen = self.choose_live(now, endpoint, &fetch.transaction, ends);
         let new = self.begin_if_needed(now, reactor, key, endpoint, chosen);
         let may_wait = new == NewConnection::LocalFailure && chosen.is_none();
         if may_wait && self.redials.may_wait(now, endpoint) {
@@ -48,9 +48,14 @@
         match begun.or(chosen) {
             Some(key) => self.put(now, key, target, fetch, ends),
             None if new == NewConnection::Refused => {
-                ends.push((target.attempt, End::Unsent { along: false }));
+                ends.push((
+                    target.attempt,
+                    AttemptEnd::Unsent {
+                        duplicate_failure: false,
+                    },
+                ));
             }
-            None => ends.push((target.attempt, End::Unplaced)),
+            None => ends.push((target.attempt, AttemptEnd::NoConnection)),
         }
         begun
     }
@@ -107,7 +112,7 @@
         now: Timestamp,
         key: usize,
         endpoint: EndpointId,
-        stream: Stream<Option<Txn>>,
+        stream: Stream<Option<TransactionId>>,
     ) {
         let connection = Connection::new(now, endpoint, stream);
         self.connections.insert(key, connection);
@@ -117,9 +122,9 @@
     /// Puts an attempt on a connection, and writes what can be written of it.
     fn put(&mut self, now: Timestamp, key: usize, target: Target, fetch: &Fetch, ends: &mut Ends) {
         let Some(connection) = self.connections.get_mut(&key) else {
-            return ends.push((target.attempt, End::Unplaced));
+            return ends.push((target.attempt, AttemptEnd::NoConnection));
         };
-        connection.recent_ids.add(now, fetch.txn);
+        connection.recent_ids.add(now, fetch.transaction);
         let sent = Sent {
             attempt: target.attempt,
             sent_at: now,
@@ -129,13 +134,15 @@
             write_deadline: target.write_deadline,
             fetch: None,
         };
-        connection.open_attempts.insert(fetch.txn, sent);
+        connection.open_attempts.insert(fetch.transaction, sent);
         connection.stream.push(member::fetch(fetch, now));
-        self.by_attempt.insert(target.attempt, (key, fetch.txn));
+        self.by_attempt
+            .insert(target.attempt, (key, fetch.transaction));
         self.flush(now, key, ends);
         // Most are written at once and need no copy of the request.
         let connection = self.connections.get_mut(&key);
-        let sent = connection.and_then(|connection| connection.open_attempts.get_mut(&fetch.txn));
+        let sent =
+            connection.and_then(|connection| connection.open_attempts.get_mut(&fetch.transaction));
         if let Some(sent) = sent.filter(|sent| !sent.written) {
             sent.fetch = Some(Box::new(fetch.clone()));
         }
@@ -147,7 +154,7 @@
         &mut self,
         now: Timestamp,
         endpoint: EndpointId,
-        txn: &Txn,
+        txn: &TransactionId,
         ends: &mut Ends,
     ) -> Option<usize> {
         loop {
@@ -168,7 +175,7 @@
     }
 
     /// Chooses the connection to an endpoint that carries least, among those that may carry this id.
-    fn choose(&self, endpoint: EndpointId, txn: &Txn) -> Option<usize> {
+    fn choose(&self, endpoint: EndpointId, txn: &TransactionId) -> Option<usize> {
         let keys = self.by_endpoint.get(&endpoint)?.iter();
         let connections = keys.filter_map(|key| Some((*key, self.connections.get(key)?)));
         connections
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -1,7 +1,7 @@
 //! Reading from and writing to upstream connections, and their end.
 use super::{CacheNodes, Ends};
 use crate::protocol::member;
-use crate::routing::{End, Txn};
+use crate::routing::{AttemptEnd, TransactionId};
 use cranesill::api::Timestamp;
 use std::io;
 
@@ -64,16 +64,16 @@
         while let Some((id, reply, used)) =
             member::decode(connection.stream.input()).map_err(|_| malformed())?
         {
-            let txn = std::str::from_utf8(id).ok().and_then(Txn::new);
+            let txn = std::str::from_utf8(id).ok().and_then(TransactionId::new);
             let open = txn.and_then(|txn| connection.open_attempts.get(&txn));
             // Guards against passing on what no endpoint made: all that is served but a write names its copy.
-            if open.is_some_and(|sent| !sent.is_write) && reply.nameless() {
+            if open.is_some_and(|sent| !sent.is_write) && reply.lacks_identity() {
                 return Err(malformed());
             }
             let answered = txn.and_then(|txn| connection.open_attempts.remove(&txn));
             if let Some(sent) = answered {
                 self.by_attempt.remove(&sent.attempt);
-                ends.push((sent.attempt, End::Reply(reply)));
+                ends.push((sent.attempt, AttemptEnd::Reply(reply)));
                 connection.idle_since = now;
             } else {
                 // The attempt was cancelled, or nothing was asked under this id: the answer is dropped.
@@ -100,7 +100,7 @@
         connection.idle_since = now;
         let open_attempts = &mut connection.open_attempts;
         let attempts_written = &mut self.attempts_written;
-        let done = |tag: Option<Txn>| {
+        let done = |tag: Option<TransactionId>| {
             *attempts_written += u64::from(tag.is_some());
             if let Some(sent) = tag.and_then(|txn| open_attempts.get_mut(&txn)) {
                 sent.set_written();
@@ -158,11 +158,11 @@
         open.sort_unstable_by_key(|sent| sent.attempt);
         for (n, sent) in open.into_iter().enumerate() {
             self.by_attempt.remove(&sent.attempt);
-            let along = n > 0;
+            let duplicate_failure = n > 0;
             let end = if sent.written {
-                End::Broken { along }
+                AttemptEnd::Broken { duplicate_failure }
             } else {
-                End::Unsent { along }
+                AttemptEnd::Unsent { duplicate_failure }
             };
             ends.push((sent.attempt, end));
         }
--- a/front/src/server/upstream/withdrawal.rs
+++ b/front/src/server/upstream/withdrawal.rs
@@ -2,7 +2,7 @@
 use super::connection::{Connection, Sent};
 use super::{CacheNodes, Ends};
 use crate::protocol::member;
-use crate::routing::{AttemptId, End};
+use crate::routing::{AttemptEnd, AttemptId};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 
 /// A connection on which cancelled attempts waited for this long in all, and nothing was received, gets no further ones.
@@ -43,9 +43,15 @@
     /// Withdraws an attempt of which nothing is written: what was decided a while ago may contradict what is known since.
     pub fn withdraw(&mut self, attempt: AttemptId, ends: &mut Ends) {
         if self.redials.remove(attempt) {
-            return ends.push((attempt, End::Unplaced));
+            return ends.push((attempt, AttemptEnd::NoConnection));
         }
-        self.withdraw_unwritten(attempt, End::Unsent { along: false }, ends);
+        self.withdraw_unwritten(
+            attempt,
+            AttemptEnd::Unsent {
+                duplicate_failure: false,
+            },
+            ends,
+        );
     }
 
     /// Withdraws attempts on a connection that is established only now, if their deadline for writing has passed. Guards
@@ -62,7 +68,7 @@
             .collect();
         late.sort_unstable();
         for attempt in late {
-            self.withdraw_unwritten(attempt, End::Unplaced, ends);
+            self.withdraw_unwritten(attempt, AttemptEnd::NoConnection, ends);
         }
     }
 
@@ -85,18 +91,23 @@
             .collect();
         meant.sort_unstable();
         for attempt in meant {
-            self.withdraw_unwritten(attempt, End::Unplaced, ends);
+            self.withdraw_unwritten(attempt, AttemptEnd::NoConnection, ends);
         }
         ends.extend(
             self.redials
                 .exclude(out)
                 .into_iter()
-                .map(|attempt| (attempt, End::Unplaced)),
+                .map(|attempt| (attempt, AttemptEnd::NoConnection)),
         );
     }
 
     /// Takes an attempt back with this end, if nothing of it is written.
-    pub(super) fn withdraw_unwritten(&mut self, attempt: AttemptId, end: End, ends: &mut Ends) {
+    pub(super) fn withdraw_unwritten(
+        &mut self,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        ends: &mut Ends,
+    ) {
         let Some((key, txn)) = self.by_attempt.get(&attempt).copied() else {
             return;
         };
