--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,17 +2,12 @@
 //!
 //! The library does no input or output and reads no clock. The embedding program feeds [`api::Event`]s to a
 //! [`Router`] and carries out the [`api::Action`]s that it answers with. The decisions are in the module
-//! `policy`, with `placement` and `reach` beside it; the types that it speaks are in [`api`].
+//! `policy` and its submodules; the types that it speaks are in [`api`].
 #![doc = include_str!("../README.md")]
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 pub mod api;
-mod hash;
-mod parts;
-mod placement;
 mod policy;
-mod reach;
-mod state;
 
 pub use policy::Router;
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -1,7 +1,7 @@
 //! Choice of the cache for a request and of the source of a fill: the first in rendezvous order that will do. An
 //! order is walked only as far as need be: in a large fleet no decision looks at all members.
 use super::*;
-use crate::placement::Order;
+use crate::policy::placement::Order;
 
 /// How well a cache would do for a request; what is better is greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/policy.rs
+++ b/src/policy/mod.rs
@@ -4,13 +4,20 @@
 //! window at a threshold, probes it afterwards as SUSPECT with real requests, and moves on to the next member
 //! in hash order. `docs/design.md` cites the source and tells under what condition each departure acts.
 use crate::api::*;
-use crate::hash::mix;
-use crate::parts::{Bucket, Count, Purges, Queues, Seen, Timers};
-use crate::reach::Reach;
-use crate::state::{Attempt, Due, Failure, Member, Pace, Pending, Plan, Role, Roster, Spot, State};
+use crate::policy::hash::mix;
+use crate::policy::parts::{Bucket, Count, Purges, Queues, Seen, Timers};
+use crate::policy::reach::Reach;
+use crate::policy::state::{
+    Attempt, Due, Failure, Member, Pace, Pending, Plan, Role, Roster, Spot, State,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 mod choice;
+mod hash;
+mod parts;
+mod placement;
+mod reach;
+mod state;
 
 // ------------------------------------------------------------------------------------------ tuned values
 const MS: Micros = 1_000;
--- a/src/placement.rs
+++ b/src/policy/placement.rs
@@ -4,7 +4,7 @@
 //! member and compares numbers; nothing is sorted but the few that are found, and what was found for an object is
 //! remembered until the list changes. Further places are worked out when they are asked for.
 use crate::api::EndpointId;
-use crate::hash::{hashed_bits, rendezvous, HASH_RANGE};
+use crate::policy::hash::{hashed_bits, rendezvous, HASH_RANGE};
 use std::collections::BTreeMap;
 
 /// Places of an order that are worked out at once, and by how much more each time that these are not enough.
--- a/src/state.rs
+++ b/src/policy/state.rs
@@ -1,7 +1,7 @@
 //! What a router remembers of its members and requests. No decision is made here.
 use crate::api::*;
-use crate::parts::Bucket;
-use crate::placement::Ranking;
+use crate::policy::parts::Bucket;
+use crate::policy::placement::Ranking;
 use crate::policy::Health;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
