--- a/benchlink/src/tests.rs
+++ b/benchlink/src/tests.rs
@@ -48,7 +48,12 @@
         panic!()
     };
     assert_eq!(
-        (request.group, request.size_kb, request.left, request.part),
+        (
+            request.group,
+            request.size_kb,
+            request.time_left,
+            request.part
+        ),
         (11, 640.0, 240_000, 3)
     );
     assert_eq!(request.id, RequestId(0x000f_da3a_5d3a_91c4));
@@ -65,7 +70,7 @@
         (outcome.status, outcome.note, outcome.closed),
         (Status::Ok, FillNote::Filled, true)
     );
-    assert_eq!((outcome.waited, outcome.latency), (9400, 18500));
+    assert_eq!((outcome.source_wait, outcome.latency), (9400, 18500));
     let Event::Endpoints(ListKind::Full, entries) = next() else {
         panic!()
     };
@@ -86,11 +91,11 @@
     let mut out = Vec::new();
     let fill = Fill {
         source: EndpointId(0x2354_f211_900a),
-        oldest: 1_500_000,
+        max_age: 1_500_000,
         rank: 2,
-        join: true,
-        only_held: false,
-        renew: true,
+        coalesce: true,
+        only_cached: false,
+        refresh: true,
     };
     wire::encode(
         3,
@@ -157,11 +162,11 @@
             .read(values)
     };
     let full = read("[\"concurrent\", \"x0\", \"x1\"]", &[7.0, 0.5, 1.25]).unwrap();
-    assert_eq!((full.inflight, full.link), (Some(7.0), Some(1.25)));
+    assert_eq!((full.in_flight, full.link), (Some(7.0), Some(1.25)));
     let odd = read("[\"x1\", \"concurrent\"]", &[f32::NAN, -1.0, 9.0, 9.0]).unwrap();
-    assert_eq!((odd.inflight, odd.link), (None, None));
+    assert_eq!((odd.in_flight, odd.link), (None, None));
     let short = read("[\"concurrent\", \"x1\"]", &[3.0]).unwrap();
-    assert_eq!((short.inflight, short.link), (Some(3.0), None));
-    assert_eq!(read("[]", &[1.0]).unwrap(), Report::default());
+    assert_eq!((short.in_flight, short.link), (Some(3.0), None));
+    assert_eq!(read("[]", &[1.0]).unwrap(), LoadReport::default());
     assert_eq!(read("[\"x1\"]", &[]), None);
 }
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -159,7 +159,7 @@
                     part: part as u32,
                     group: group as u32,
                     size_kb: f64::from(size).max(0.0),
-                    left: u64::from(left),
+                    time_left: u64::from(left),
                 })
             }
             9 => {
@@ -184,9 +184,9 @@
                     attempt,
                     closed,
                     status,
-                    along,
+                    shared_failure: along,
                     note,
-                    waited,
+                    source_wait: waited,
                     latency,
                     report,
                 };
@@ -222,7 +222,7 @@
             other => return Err(format!("unknown list state {other}")),
         };
         Ok(EndpointEntry {
-            member,
+            endpoint: member,
             kind,
             zone,
             cell,
@@ -311,10 +311,10 @@
             put(4, who, out);
             out.extend(request.0.to_le_bytes());
             out.extend(attempt_timeout(*timeout));
-            out.extend(short(fill.oldest));
+            out.extend(short(fill.max_age));
             out.push(fill.rank);
             out.extend(member(fill.source));
-            let bits = [(fill.join, 1), (fill.only_held, 2), (fill.renew, 8)];
+            let bits = [(fill.coalesce, 1), (fill.only_cached, 2), (fill.refresh, 8)];
             out.push(bits.iter().map(|&(on, bit)| if on { bit } else { 0 }).sum());
             out.extend(member(*target));
         }
--- a/emulator/src/cold.rs
+++ b/emulator/src/cold.rs
@@ -121,42 +121,42 @@
         let alone = held == Held::Alone;
         let routers = if alone { 1 } else { self.fronts };
         let cold = SlowStartLimits {
-            from: 0.15,
-            warm_in: 15 * S,
-            fall_multiple: 4.0,
+            initial_share: 0.15,
+            warm_up: 15 * S,
+            overload_multiple: 4.0,
         };
         let class = Class {
-            aim: S,
-            aim_stretch: 2.0,
-            worth: 1.0,
-            effect: Effect::Safe,
+            latency_objective: S,
+            objective_stretch: 2.0,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Idempotent,
             write: false,
-            fresh: 0,
+            freshness_lifetime: 0,
             grace: 0,
         };
         Settings {
             zone: 1,
-            routers_by_zone: vec![0, routers],
-            routers,
-            number: if alone { 0 } else { number },
+            fronts_by_zone: vec![0, routers],
+            fronts: routers,
+            front_index: if alone { 0 } else { number },
             classes: vec![class],
             parent_kind: Some(PARENT),
             origin_kind: Some(ORIGIN),
             client_kb_per_s: 1_000.0,
             link_kb_per_s: 0.0,
-            direct: true,
-            joins: true,
-            purge_done: 6 * S,
-            cold_cache: cold,
-            cold_parent: SlowStartLimits {
-                fall_multiple: 2.0,
+            pass_through: true,
+            coalescing: true,
+            purge_propagation: 6 * S,
+            cache_slow_start: cold,
+            parent_slow_start: SlowStartLimits {
+                overload_multiple: 2.0,
                 ..cold
             },
-            overload_span: 1_500 * MS,
+            overload_window: 1_500 * MS,
             connect_timeout: 400 * MS,
             max_attempts: 8,
-            second_copies: false,
-            cancel: true,
+            hedging: false,
+            cancellation: true,
             max_retry_after: 500 * MS,
             must_subscribe: false,
         }
@@ -169,7 +169,7 @@
         let entry = |id: u64, kind: u8, weight: f64, started: Timestamp| {
             let zone = u16::from(kind == CACHE);
             EndpointEntry {
-                member: EndpointId(id),
+                endpoint: EndpointId(id),
                 kind,
                 zone,
                 cell: 0,
@@ -188,7 +188,7 @@
         let node = |e: &EndpointEntry| {
             let (holds, sent) = (HashSet::new(), VecDeque::new());
             (
-                e.member.0,
+                e.endpoint.0,
                 Node {
                     parent: e.kind == PARENT,
                     holds,
@@ -296,7 +296,7 @@
                 part,
                 group,
                 size_kb,
-                left: WAIT,
+                time_left: WAIT,
             }),
         );
     }
@@ -395,7 +395,7 @@
         let parent = self.nodes[&id].parent;
         let hold =
             |world: &mut World, at: u64| world.nodes.get_mut(&at).map(|n| n.holds.insert(object));
-        let fill = fill.filter(|fill| !fill.only_held);
+        let fill = fill.filter(|fill| !fill.only_cached);
         if parent {
             self.origin.push(self.now);
             hold(self, id);
@@ -435,20 +435,20 @@
             return Some(None);
         }
         let (cold, places) = match node.parent {
-            true => (limits.cold_parent, PARENT_PLACES),
-            false => (limits.cold_cache, PLACES),
+            true => (limits.parent_slow_start, PARENT_PLACES),
+            false => (limits.cache_slow_start, PLACES),
         };
-        let age = ((now - BEGIN) as f64 / cold.warm_in as f64).min(1.0);
-        let places = places * (cold.from + (1.0 - cold.from) * age);
+        let age = ((now - BEGIN) as f64 / cold.warm_up as f64).min(1.0);
+        let places = places * (cold.initial_share + (1.0 - cold.initial_share) * age);
         node.sent.push_back(now);
         while node
             .sent
             .front()
-            .is_some_and(|at| at + limits.overload_span < now)
+            .is_some_and(|at| at + limits.overload_window < now)
         {
             node.sent.pop_front();
         }
-        let n = cold.fall_multiple * places * limits.overload_span as f64 / WORK as f64;
+        let n = cold.overload_multiple * places * limits.overload_window as f64 / WORK as f64;
         let load = node.sent.len() as f64 / (n + 3.0 * n.sqrt() + 3.0);
         self.worst_load = self.worst_load.max(if age < 1.0 { load } else { 0.0 });
         if age < 1.0 && load > 1.0 {
@@ -487,9 +487,9 @@
             attempt,
             closed,
             status,
-            along,
+            shared_failure: along,
             note,
-            waited,
+            source_wait: waited,
             latency,
             report,
         };
--- a/front/src/protocol/shared.rs
+++ b/front/src/protocol/shared.rs
@@ -26,7 +26,7 @@
         let (down, lost) = (u8::from(m.down), u8::from(m.lost));
         body += &format!(
             "{} {} {} {down} {lost}\n",
-            name_of(m.member),
+            name_of(m.endpoint),
             m.started,
             m.cold_since
         );
@@ -67,7 +67,7 @@
         let (started, cold_since) = (number(&mut words)?, number(&mut words)?);
         let (down, lost) = (number(&mut words)? == 1, number(&mut words)? == 1);
         Some(LearnedHealth {
-            member,
+            endpoint: member,
             started,
             cold_since,
             down,
--- a/front/src/protocol/shared/tests.rs
+++ b/front/src/protocol/shared/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn what_is_torn_foreign_or_of_the_future_is_told_apart_and_never_taken() {
     let of = |id: u64, down| LearnedHealth {
-        member: EndpointId(id),
+        endpoint: EndpointId(id),
         started: 7,
         cold_since: 9,
         down,
--- a/front/src/routing/dispatch.rs
+++ b/front/src/routing/dispatch.rs
@@ -1,6 +1,6 @@
 //! Send: an attempt that was decided becomes a fetch for a member.
 use super::*;
-use cranesill::api::{Effect, Fill};
+use cranesill::api::{Fill, Idempotency};
 
 impl Front {
     /// Sends an attempt, which is given up at `until` or when the client's time is up; they are numbered in the
@@ -20,10 +20,10 @@
         let mut fill = fill.map(|fill| Source {
             source: Some(fill.source).filter(|s| *s != target),
             rank: fill.rank,
-            oldest: fill.oldest,
-            join: fill.join,
-            only_held: fill.only_held,
-            renew: fill.renew,
+            oldest: fill.max_age,
+            join: fill.coalesce,
+            only_held: fill.only_cached,
+            renew: fill.refresh,
         });
         // As of now, not as of when it was taken in: purges come while requests wait.
         let mut past = None;
@@ -39,7 +39,7 @@
                     only_held: false,
                     renew: false,
                 };
-                let joins = self.deployment.settings.joins;
+                let joins = self.deployment.settings.coalescing;
                 fill = Some(fill.map_or(bare, |fill| Source {
                     oldest,
                     join: joins,
@@ -98,10 +98,10 @@
                 .settings
                 .classes
                 .get(open.class)
-                .map(|c| c.effect),
+                .map(|c| c.idempotency),
             open.ran,
         ) {
-            (Some(Effect::Keyed { window, .. }), Some(ran)) => ran.saturating_add(window),
+            (Some(Idempotency::Keyed { window, .. }), Some(ran)) => ran.saturating_add(window),
             _ => Timestamp::MAX,
         };
         let fetch = Fetch {
@@ -134,10 +134,10 @@
             .position(|name| name == class)?;
         let most = classes
             .iter()
-            .map(|c| c.worth)
+            .map(|c| c.priority_weight)
             .fold(0.0, f64::max)
             .max(f64::MIN_POSITIVE);
-        let worth = classes.get(at)?.worth / most;
+        let worth = classes.get(at)?.priority_weight / most;
         let later = self.later();
         let shield = self.shield.as_mut()?;
         (!shield.may(now, worth)).then(|| shield.wait(worth).min(later))
--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -31,7 +31,7 @@
             part: ask.part,
             group: ask.group,
             size_kb: ask.size_kb,
-            left: deadline - now,
+            time_left: deadline - now,
         };
         self.admit(
             now,
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -150,7 +150,7 @@
 
     /// Whether the decisions avoid a listed member now.
     pub fn avoids(&self, member: EndpointId) -> bool {
-        self.router.avoids(member)
+        self.router.is_unavailable(member)
     }
 
     /// How long a client is asked to stay away when the front itself has no room.
--- a/front/src/routing/route.rs
+++ b/front/src/routing/route.rs
@@ -93,7 +93,7 @@
 
     /// What the decisions have learned of members, for the next process.
     pub fn learned(&self) -> Vec<cranesill::api::LearnedHealth> {
-        self.router.learned()
+        self.router.learned_health()
     }
 
     /// Takes over what an earlier process has learned.
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -40,7 +40,7 @@
     let state = cranesill::api::EndpointState::Ready;
     let (member, weight) = (EndpointId(0x31), 1.0);
     let origin = cranesill::api::EndpointEntry {
-        member,
+        endpoint: member,
         kind: 2,
         zone: 0,
         cell: 0,
@@ -126,7 +126,7 @@
         S,
         true,
         vec![cranesill::api::EndpointEntry {
-            member,
+            endpoint: member,
             kind: 0,
             zone: 1,
             cell: 0,
@@ -200,7 +200,7 @@
             panic!()
         };
         let entry = |l: &crate::protocol::feed::Listing| cranesill::api::EndpointEntry {
-            member: EndpointId(l.id.into()),
+            endpoint: EndpointId(l.id.into()),
             kind: l.kind,
             zone: l.zone,
             cell: l.cell,
@@ -309,7 +309,7 @@
     let entry = |id, kind, zone| {
         let (member, weight) = (EndpointId(id), 8.0);
         cranesill::api::EndpointEntry {
-            member,
+            endpoint: member,
             kind,
             zone,
             cell: 0,
@@ -459,7 +459,7 @@
         let entry = |id, kind, zone| {
             let (member, weight) = (EndpointId(id), 8.0);
             cranesill::api::EndpointEntry {
-                member,
+                endpoint: member,
                 kind,
                 zone,
                 cell: 0,
--- a/front/src/server/event_loop.rs
+++ b/front/src/server/event_loop.rs
@@ -278,7 +278,7 @@
                 Ok(Box::new(Purges::new(turn, &purges, &kinds)?))
             })?;
         }
-        let purge = self.config.deployment.settings.purge_done;
+        let purge = self.config.deployment.settings.purge_propagation;
         if let Some((startup, peers)) = daemon
             .startup
             .as_ref()
@@ -1063,7 +1063,7 @@
             Vec::new()
         };
         if whole {
-            let listed: HashSet<_> = entries.iter().map(|e| e.member).collect();
+            let listed: HashSet<_> = entries.iter().map(|e| e.endpoint).collect();
             self.nodes.keep_only(&listed);
             before.retain(|id| !listed.contains(id));
         }
@@ -1074,13 +1074,13 @@
         let mut left_out: Vec<_> = entries
             .iter()
             .filter(|e| e.state != EndpointState::Ready)
-            .map(|e| e.member)
+            .map(|e| e.endpoint)
             .collect();
         left_out.extend(before);
         let new: Vec<_> = entries
             .iter()
             .filter(|e| e.state == EndpointState::Ready)
-            .map(|e| e.member)
+            .map(|e| e.endpoint)
             .collect();
         self.front.members(now, whole, entries, origin);
         left_out
@@ -1191,7 +1191,7 @@
 
 fn entry(listing: &Listing) -> EndpointEntry {
     EndpointEntry {
-        member: EndpointId(listing.id.into()),
+        endpoint: EndpointId(listing.id.into()),
         kind: listing.kind,
         zone: listing.zone,
         cell: listing.cell,
--- a/front/src/server/handover/tests.rs
+++ b/front/src/server/handover/tests.rs
@@ -26,7 +26,7 @@
     let mut old = Shared::new(folder.path()).unwrap();
     let new = Shared::new(folder.path()).unwrap();
     let down = vec![LearnedHealth {
-        member: NODE,
+        endpoint: NODE,
         started: 0,
         cold_since: 0,
         down: true,
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -26,8 +26,8 @@
 fn position(config: &Config) -> FleetPosition {
     let settings = &config.deployment.settings;
     FleetPosition {
-        number: settings.number,
-        fronts: settings.routers,
+        number: settings.front_index,
+        fronts: settings.fronts,
     }
 }
 
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -246,12 +246,12 @@
     pub fn list(&mut self, entry: &EndpointEntry, address: SocketAddr) {
         let now = Some((address, entry.started));
         let before = if entry.state == EndpointState::Removed {
-            self.listed.remove(&entry.member)
+            self.listed.remove(&entry.endpoint)
         } else {
-            self.listed.insert(entry.member, (address, entry.started))
+            self.listed.insert(entry.endpoint, (address, entry.started))
         };
         if entry.state == EndpointState::Removed || before.is_some() && before != now {
-            for key in self.of.get(&entry.member).into_iter().flatten() {
+            for key in self.of.get(&entry.endpoint).into_iter().flatten() {
                 self.links
                     .get_mut(key)
                     .into_iter()
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -25,7 +25,7 @@
     let mut members = CacheNodes::new(links_most, 100, 15_000_000, 5_000_000);
     let state = EndpointState::Ready;
     let entry = EndpointEntry {
-        member: MEMBER,
+        endpoint: MEMBER,
         kind: 0,
         zone: 0,
         cell: 0,
@@ -264,7 +264,7 @@
         listener.set_nonblocking(true).unwrap();
         let (member, state) = (EndpointId(n as u64 + 1), EndpointState::Ready);
         let entry = EndpointEntry {
-            member,
+            endpoint: member,
             kind: 0,
             zone: 0,
             cell: 0,
@@ -408,7 +408,7 @@
     for (id, listener) in (1..).zip(&listeners) {
         let (member, state) = (EndpointId(id), EndpointState::Ready);
         let entry = EndpointEntry {
-            member,
+            endpoint: member,
             kind: 0,
             zone: 0,
             cell: 0,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod check;
 
-use cranesill::api::{Class, Effect, KeyScope, Micros, Report, Settings, SlowStartLimits};
+use cranesill::api::{Class, Idempotency, KeyScope, LoadReport, Micros, Settings, SlowStartLimits};
 use serde_json::Value;
 
 fn number(v: &Value, key: &str) -> f64 {
@@ -34,11 +34,11 @@
 
 impl ReportLayout {
     /// Names the values of a report. Those that are missing, negative or no number tell nothing.
-    pub fn read(&self, values: &[f32]) -> Option<Report> {
+    pub fn read(&self, values: &[f32]) -> Option<LoadReport> {
         let told = |at: Option<usize>| at.and_then(|i| values.get(i)).map(|v| f64::from(*v));
         let figure = |at| told(at).filter(|v| v.is_finite() && *v >= 0.0);
-        (!values.is_empty()).then(|| Report {
-            inflight: figure(self.inflight),
+        (!values.is_empty()).then(|| LoadReport {
+            in_flight: figure(self.inflight),
             link: figure(self.link),
         })
     }
@@ -126,41 +126,41 @@
     let mut classes = Vec::new();
     for (i, c) in v["classes"].as_array().unwrap_or(&none).iter().enumerate() {
         let effect = match c["semantics"].as_str() {
-            Some("pure") => Effect::Safe,
-            Some("token") => Effect::Keyed {
-                group: match c["group"].as_str() {
+            Some("pure") => Idempotency::Idempotent,
+            Some("token") => Idempotency::Keyed {
+                scope: match c["group"].as_str() {
                     Some("all") => KeyScope::All,
                     Some("zone") => KeyScope::Zone,
                     _ => KeyScope::Cell,
                 },
                 window: span(c, "memorySpan"),
             },
-            _ => Effect::Unsafe,
+            _ => Idempotency::NotIdempotent,
         };
         classes.push(Class {
-            aim: span(c, "aim"),
-            aim_stretch: number(c, "aimStretch"),
-            worth: number(c, "gain"),
-            effect,
+            latency_objective: span(c, "aim"),
+            objective_stretch: number(c, "aimStretch"),
+            priority_weight: number(c, "gain"),
+            idempotency: effect,
             write: family["classWrite"][i].as_bool().unwrap_or(false),
             grace: family["usableAfter"][i].as_f64().unwrap_or(0.0) as u64,
-            fresh: family["classFresh"][i].as_f64().unwrap_or(0.0) as u64,
+            freshness_lifetime: family["classFresh"][i].as_f64().unwrap_or(0.0) as u64,
         });
     }
     let seats = family["seatsByZone"].as_array().unwrap_or(&none);
     let cold_cache = SlowStartLimits {
-        from: number(rules, "coldFrom"),
-        warm_in: span(rules, "cold"),
-        fall_multiple: number(rules, "fallMultiple"),
+        initial_share: number(rules, "coldFrom"),
+        warm_up: span(rules, "cold"),
+        overload_multiple: number(rules, "fallMultiple"),
     };
     let settings = Settings {
         zone,
-        routers_by_zone: seats
+        fronts_by_zone: seats
             .iter()
             .map(|s| s.as_u64().unwrap_or(0) as u32)
             .collect(),
-        routers: number(v, "nInstances") as u32,
-        number: number(v, "index") as u32,
+        fronts: number(v, "nInstances") as u32,
+        front_index: number(v, "index") as u32,
         classes,
         parent_kind: kind(family, "upperKind"),
         origin_kind: kind(family, "rootKind"),
@@ -168,20 +168,20 @@
         link_kb_per_s: family["feedKbPerS"][usize::from(zone)]
             .as_f64()
             .unwrap_or(0.0),
-        direct: flag(family, "passThroughOk"),
-        joins: flag(family, "joins"),
-        purge_done: span(family, "purgeTakes"),
-        cold_cache,
-        cold_parent: SlowStartLimits {
-            from: number(family, "parentColdFrom"),
-            warm_in: span(family, "parentWarmsIn"),
-            fall_multiple: number(family, "parentFallMultiple"),
+        pass_through: flag(family, "passThroughOk"),
+        coalescing: flag(family, "joins"),
+        purge_propagation: span(family, "purgeTakes"),
+        cache_slow_start: cold_cache,
+        parent_slow_start: SlowStartLimits {
+            initial_share: number(family, "parentColdFrom"),
+            warm_up: span(family, "parentWarmsIn"),
+            overload_multiple: number(family, "parentFallMultiple"),
         },
-        overload_span: span(rules, "overloadFor"),
+        overload_window: span(rules, "overloadFor"),
         connect_timeout: span(limits, "connectTimeout"),
         max_attempts: number(limits, "sendCap") as u32,
-        second_copies: flag(limits, "mayDuplicate"),
-        cancel: flag(limits, "cancelling"),
+        hedging: flag(limits, "mayDuplicate"),
+        cancellation: flag(limits, "cancelling"),
         max_retry_after: if flag(limits, "retryAfter") {
             span(limits, "maxRetryAfter")
         } else {
--- a/src/api.rs
+++ b/src/api.rs
@@ -22,18 +22,18 @@
 
 /// What a class allows when an attempt may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the members within `group` for `window` after the first send.
     Keyed {
         /// Who drops the repeats.
-        group: KeyScope,
+        scope: KeyScope,
         /// For how long they remember.
         window: Micros,
     },
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The members that know each other's keys.
@@ -51,17 +51,17 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this span earns its full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's own sending time.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// Worth of one request answered in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Never kept by caches; runs at the origin.
     pub write: bool,
     /// How long a copy is fresh; 0: until it is purged.
-    pub fresh: Micros,
+    pub freshness_lifetime: Micros,
     /// How much older than fresh a copy may be when that is asked for.
     pub grace: Micros,
 }
@@ -70,11 +70,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartLimits {
     /// Share of its capacity that a member has at its start, at least.
-    pub from: f64,
+    pub initial_share: f64,
     /// By then it has all of it, rising in a line, at the latest.
-    pub warm_in: Micros,
+    pub warm_up: Micros,
     /// Sent more than this multiple of its present capacity, it falls over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
 }
 
 /// What a router is told at its start. It holds no names.
@@ -83,11 +83,11 @@
     /// The zone of this router.
     pub zone: u16,
     /// Routers in each zone.
-    pub routers_by_zone: Vec<u32>,
+    pub fronts_by_zone: Vec<u32>,
     /// Routers in all.
-    pub routers: u32,
+    pub fronts: u32,
     /// Number of this router among them, from 0.
-    pub number: u32,
+    pub front_index: u32,
     /// The request classes, by index.
     pub classes: Vec<Class>,
     /// Kind of the parents, if there are any.
@@ -99,25 +99,25 @@
     /// KB a second of the link into the zone of this router; 0 when not told.
     pub link_kb_per_s: f64,
     /// Requests may go straight to a parent or the origin.
-    pub direct: bool,
+    pub pass_through: bool,
     /// A request may join a fill that is under way.
-    pub joins: bool,
+    pub coalescing: bool,
     /// By then all caches have dropped purged copies by themselves.
-    pub purge_done: Micros,
+    pub purge_propagation: Micros,
     /// Limits of caches that started lately.
-    pub cold_cache: SlowStartLimits,
+    pub cache_slow_start: SlowStartLimits,
     /// Limits of parents that started lately.
-    pub cold_parent: SlowStartLimits,
+    pub parent_slow_start: SlowStartLimits,
     /// The span over which cold limits are counted.
-    pub overload_span: Micros,
+    pub overload_window: Micros,
     /// Connections not made within this span have failed.
     pub connect_timeout: Micros,
     /// Attempts for one request at most.
     pub max_attempts: u32,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be called off.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Clients are told how long to stay away; the longest that they heed.
     pub max_retry_after: Micros,
     /// Changes of the member list must be asked for.
@@ -139,7 +139,7 @@
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
     /// Which member.
-    pub member: EndpointId,
+    pub endpoint: EndpointId,
     /// Its kind.
     pub kind: u8,
     /// Its zone.
@@ -238,22 +238,22 @@
     /// How it ended.
     pub status: Status,
     /// It ended along with another attempt on the same broken connection, which is told of by itself.
-    pub along: bool,
+    pub shared_failure: bool,
     /// What is told of the fill.
     pub note: FillNote,
     /// Time to the source's first byte or to its failure; 0 when not told.
-    pub waited: Micros,
+    pub source_wait: Micros,
     /// Time since it was sent.
     pub latency: Micros,
     /// The load report of the member that answered, if it came with one.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What a member tells of its load. Reports are late and noisy; a figure that is not told is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that it holds.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Of a cache: transfers on the link into its zone over those that fit at full pace.
     pub link: Option<f64>,
 }
@@ -274,14 +274,14 @@
     /// Size in KB; 0 when not told.
     pub size_kb: f64,
     /// Time until the client gives up.
-    pub left: Micros,
+    pub time_left: Micros,
 }
 
 /// What one process of a router has learned of a member, for the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LearnedHealth {
     /// Which member.
-    pub member: EndpointId,
+    pub endpoint: EndpointId,
     /// When it started, as the list says: another process of it is another matter.
     pub started: Timestamp,
     /// Since when it is cold; 0: it started long ago.
@@ -326,15 +326,15 @@
     /// A parent, the origin, another cache, or the target itself for no fill.
     pub source: EndpointId,
     /// Oldest copy that will do; 0: the class's fresh time.
-    pub oldest: Micros,
+    pub max_age: Micros,
     /// 0: not kept; 1 to 3: the rank at which it is kept, the lowest is dropped first.
     pub rank: u8,
     /// Join a fill that is under way.
-    pub join: bool,
+    pub coalesce: bool,
     /// The source gives only what it holds.
-    pub only_held: bool,
+    pub only_cached: bool,
     /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    pub refresh: bool,
 }
 
 /// What a router asks the embedding program to do.
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -41,7 +41,7 @@
     fn order_in_reach(&self, ask: &Request) -> Order {
         let usable = self.reach.places().filter(|at| self.members.is_ready(*at));
         let listed = usable.map(|at| (&self.members[at].listed, at));
-        let candidates = listed.map(|(listed, at)| (listed.member, listed.weight, at));
+        let candidates = listed.map(|(listed, at)| (listed.endpoint, listed.weight, at));
         Order::among(Self::placement_key(Role::Cache, ask), candidates)
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -237,7 +237,7 @@
                 None => {}
             },
             Event::Purged(object, group, age) => {
-                let keep = self.settings.purge_done + PURGE_SLACK;
+                let keep = self.settings.purge_propagation + PURGE_SLACK;
                 self.purges.note(
                     object,
                     group,
@@ -272,7 +272,7 @@
                 _ if entry.zone != self.settings.zone => continue,
                 _ => Role::Cache,
             };
-            let known = self.members.find(entry.member);
+            let known = self.members.find(entry.endpoint);
             if let Some(at) = known.filter(|at| self.members[*at].listed.started == entry.started) {
                 self.members.update(at, entry);
                 continue;
@@ -286,9 +286,9 @@
                 role,
                 cold_since: self.members.cold_since(&entry, self.now),
                 cold: if role == Role::Parent {
-                    self.settings.cold_parent
+                    self.settings.parent_slow_start
                 } else {
-                    self.settings.cold_cache
+                    self.settings.cache_slow_start
                 },
                 health: Health {
                     changed: self.now,
@@ -342,7 +342,7 @@
     /// After a change of the list: what waits for members looks again, in the order of their ids.
     fn release_members(&mut self) {
         let member = |spot: &Spot| match spot {
-            Spot::Member(at) => Some((self.members[*at].listed.member, *at)),
+            Spot::Member(at) => Some((self.members[*at].listed.endpoint, *at)),
             _ => None,
         };
         let mut waited_for: Vec<_> = self.queues.keys().filter_map(member).collect();
@@ -377,9 +377,9 @@
 
     /// What is worth handing to the next process: who is DOWN or SUSPECT, and who is cold though not by the
     /// list.
-    pub fn learned(&self) -> Vec<LearnedHealth> {
+    pub fn learned_health(&self) -> Vec<LearnedHealth> {
         let all = self.members.all().map(|m| LearnedHealth {
-            member: m.listed.member,
+            endpoint: m.listed.endpoint,
             started: m.listed.started,
             cold_since: m.cold_since,
             down: m.health.down_since.is_some(),
@@ -393,7 +393,7 @@
     /// is SUSPECT: it has to prove itself to this one.
     fn learn(&mut self, one: LearnedHealth) {
         let same = |at: &usize| self.members[*at].listed.started == one.started;
-        let Some(at) = self.members.find(one.member).filter(same) else {
+        let Some(at) = self.members.find(one.endpoint).filter(same) else {
             return;
         };
         let member = &mut self.members[at];
@@ -406,7 +406,7 @@
     }
 
     /// Whether a listed member is avoided now: out by hand, draining, DOWN, or SUSPECT with its probes out.
-    pub fn avoids(&self, id: EndpointId) -> bool {
+    pub fn is_unavailable(&self, id: EndpointId) -> bool {
         self.members.is_by_hand(id) || self.members.find(id).is_some_and(|at| !self.usable(at))
     }
 
@@ -415,11 +415,11 @@
     fn routers(&self, role: Role) -> u32 {
         let zone = self
             .settings
-            .routers_by_zone
+            .fronts_by_zone
             .get(usize::from(self.settings.zone));
         match role {
             Role::Cache => zone.map_or(1, |n| (*n).max(1)),
-            _ => self.settings.routers.max(1),
+            _ => self.settings.fronts.max(1),
         }
     }
 
@@ -430,7 +430,7 @@
     // -------------------------------------------------------------------------------------------- guards
     fn is_cold(&self, at: usize) -> bool {
         let (m, now) = (&self.members[at], self.members.dated(self.now));
-        m.role != Role::Origin && m.cold_since > 0 && now < m.cold_since + m.cold.warm_in
+        m.role != Role::Origin && m.cold_since > 0 && now < m.cold_since + m.cold.warm_up
     }
 
     /// Slow start: a member that started lately gets no more than this router's share of what it can do for
@@ -446,17 +446,18 @@
             f64::from(self.routers(self.members[at].role)),
         );
         let (span, work) = (
-            self.settings.overload_span as f64,
+            self.settings.overload_window as f64,
             self.mean_work.iter().fold(1.0, |a, b| b.max(a)),
         );
         let now = self.members.dated(self.now);
         let member = &mut self.members[at];
-        let age = now.saturating_sub(member.cold_since) as f64 / limits.warm_in as f64;
-        let capacity = member.listed.weight * (limits.from + (1.0 - limits.from) * age.min(1.0));
-        let rate = capacity * limits.fall_multiple * COLD_SHARE;
+        let age = now.saturating_sub(member.cold_since) as f64 / limits.warm_up as f64;
+        let capacity = member.listed.weight
+            * (limits.initial_share + (1.0 - limits.initial_share) * age.min(1.0));
+        let rate = capacity * limits.overload_multiple * COLD_SHARE;
         let some = (rate * span / work / COLD_TURN).floor().clamp(1.0, routers);
-        let place =
-            mix(member.listed.member.0, member.start()).wrapping_add(self.settings.number.into());
+        let place = mix(member.listed.endpoint.0, member.start())
+            .wrapping_add(self.settings.front_index.into());
         member
             .budget
             .refill(self.now, rate / some, rate / some * span * COLD_BURST);
@@ -498,7 +499,7 @@
         let parent = self.members[source].role == Role::Parent;
         let void = self.void >= VOID_MUCH && self.purged(ask);
         let work = ask.size_kb / self.settings.client_kb_per_s * 1e6;
-        let apart = !self.settings.joins && work > self.mean_work[usize::from(ask.class)];
+        let apart = !self.settings.coalescing && work > self.mean_work[usize::from(ask.class)];
         self.origin()
             .filter(|at| parent && (void || apart || self.members[*at].pace.late >= ORIGIN_LATE))
     }
@@ -558,7 +559,7 @@
 
     /// Whether the object was purged so lately that old copies may be left.
     fn purged(&self, ask: &Request) -> bool {
-        let keep = self.settings.purge_done + PURGE_SLACK;
+        let keep = self.settings.purge_propagation + PURGE_SLACK;
         self.purges
             .last(ask.object, ask.group)
             .is_some_and(|at| self.now < at + keep)
@@ -567,8 +568,8 @@
     /// The oldest copy that will do, as an age; 0 where any fresh one does. No copy from before a purge may
     /// answer, at the cache or at the source, for as long as members may hold old ones.
     fn oldest(&self, req: &Pending) -> Micros {
-        let fresh = req.class.fresh + if req.stale { req.class.grace } else { 0 };
-        let keep = self.settings.purge_done + PURGE_SLACK;
+        let fresh = req.class.freshness_lifetime + if req.stale { req.class.grace } else { 0 };
+        let keep = self.settings.purge_propagation + PURGE_SLACK;
         self.purges
             .last(req.ask.object, req.ask.group)
             .filter(|at| self.now < at + keep)
@@ -692,12 +693,12 @@
         {
             return false;
         }
-        match (req.may_have_run, req.class.effect) {
-            (None, _) | (_, Effect::Safe) => true,
+        match (req.may_have_run, req.class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
             (
                 Some(first),
-                Effect::Keyed {
-                    group: KeyScope::All,
+                Idempotency::Keyed {
+                    scope: KeyScope::All,
                     window,
                 },
             ) => self.now + LEFT_LEAST < first + window,
@@ -711,7 +712,7 @@
             let Some(origin) = self.origin() else {
                 return Plan::No;
             };
-            if self.settings.direct {
+            if self.settings.pass_through {
                 return Plan::Go(origin, None);
             }
             return self
@@ -721,7 +722,7 @@
         let source = self.source_for(req);
         let Some(target) = self.cache_for(req) else {
             // No cache can take it: straight to the source, where that is allowed.
-            return match source.filter(|_| self.settings.direct) {
+            return match source.filter(|_| self.settings.pass_through) {
                 None => Plan::No,
                 Some(source) if !self.room(source) => Plan::Wait(Spot::Member(source)),
                 Some(source) => Plan::Go(source, self.origin().filter(|o| *o != source)),
@@ -730,7 +731,7 @@
         if !self.cache_room(target) {
             // The parents may carry what the caches left have no room for.
             let spare = source.filter(|at| {
-                self.settings.direct && self.fill_waits(*at, false, &req.ask).is_none()
+                self.settings.pass_through && self.fill_waits(*at, false, &req.ask).is_none()
             });
             let straight = |at| Plan::Go(at, self.origin().filter(|o| *o != at));
             return spare.map_or(Plan::Wait(Spot::Cache), straight);
@@ -740,7 +741,7 @@
         };
         if req.missed {
             // A second fill of the same part would crowd the link: the copy will be there soon.
-            let twin = !self.settings.joins && self.filling.contains(&req.key());
+            let twin = !self.settings.coalescing && self.filling.contains(&req.key());
             // What a parent has no room for goes to the origin while that has some, where the parents left
             // carry a DOWN one's fills, or where one place is more than this router's share of the parent: a
             // late fill holds all of such a limit, and many routers would wait beside an idle origin.
@@ -819,19 +820,19 @@
         }
         req.stale = req.missed && other.is_none();
         let fill = source.map(|at| Fill {
-            source: self.members[at].listed.member,
-            oldest: self.oldest(&req),
+            source: self.members[at].listed.endpoint,
+            max_age: self.oldest(&req),
             rank: if req.class.write {
                 0
             } else {
                 1 + u8::from(req.again)
             },
-            join: self.settings.joins,
-            only_held: self.members[at].role == Role::Cache
+            coalesce: self.settings.coalescing,
+            only_cached: self.members[at].role == Role::Cache
                 || (!req.lacks && self.slow_origin(at, &req.ask).is_some()),
-            renew: req.class.fresh > 0 && !req.class.write,
+            refresh: req.class.freshness_lifetime > 0 && !req.class.write,
         });
-        let target = self.members[target].listed.member;
+        let target = self.members[target].listed.endpoint;
         self.out.push(Action::Send {
             request: id,
             target,
@@ -891,13 +892,13 @@
         let calm = |at: usize| self.members[at].pace.late < CALM_LATE;
         let stalled = calm(target) && source.is_none_or(calm);
         let whole =
-            !self.settings.second_copies && self.settings.cancel && (source.is_none() || trial);
+            !self.settings.hedging && self.settings.cancellation && (source.is_none() || trial);
         if rescue && stalled && whole {
             // Never two at once here: it is called off, which leads to the next one. Not a fill, whose work
             // would be lost, but one on trial at a suspect.
             self.hedges -= 1.0;
             req.attempts[number].call_off(id, number, &mut self.out);
-        } else if rescue && self.settings.second_copies && stalled {
+        } else if rescue && self.settings.hedging && stalled {
             req.failed.push(target);
             if let (true, Some(source)) = (suspect == source, source) {
                 req.failed_sources.extend([source; RR_RETRIES]);
@@ -958,11 +959,15 @@
         if !member.health.fail(sent, self.now, failure == Failure::Lost) {
             return;
         }
-        let (role, id, count) = (member.role, member.listed.member.0, member.health.failures);
+        let (role, id, count) = (
+            member.role,
+            member.listed.endpoint.0,
+            member.health.failures,
+        );
         self.out.push(Action::Log(format!(
             "{role:?} {id:x} DOWN after {count} failures, {failure:?}"
         )));
-        if !self.settings.cancel || role != Role::Cache {
+        if !self.settings.cancellation || role != Role::Cache {
             return;
         }
         for (id, req) in self.pending.iter_mut().filter(|(_, r)| !r.done && r.safe()) {
@@ -1027,7 +1032,8 @@
         if !status.proves_not_run() && req.may_have_run.is_none() {
             req.may_have_run = Some(sent);
         }
-        let in_time = latency <= req.class.aim + (req.class.aim_stretch * req.work) as Micros;
+        let in_time = latency
+            <= req.class.latency_objective + (req.class.objective_stretch * req.work) as Micros;
         let by_source =
             other.filter(|_| matches!(note, FillNote::SourceRejected | FillNote::SourceLost));
         // The member at fault, if there is one; the failure is never charged to who only passed it on.
@@ -1070,7 +1076,7 @@
             _ if by_source.is_some() => {
                 let source = by_source.unwrap_or(target);
                 let connect = (self.settings.connect_timeout as f64 * CONNECT_SLACK) as Micros;
-                let lost = note == FillNote::SourceLost && outcome.waited <= connect;
+                let lost = note == FillNote::SourceLost && outcome.source_wait <= connect;
                 let slow = latency as f64 > SLOW_FAILURE * req.aim_at.saturating_sub(sent) as f64;
                 overload = !lost;
                 fault = Some((source, if lost { Failure::Lost } else { Failure::Soft }));
@@ -1093,7 +1099,7 @@
                 overload = status == Status::Rejected;
                 match status {
                     // All that one broken connection carried is one failure, not many.
-                    Status::ConnectFailed | Status::Reset if outcome.along => {}
+                    Status::ConnectFailed | Status::Reset if outcome.shared_failure => {}
                     Status::ConnectFailed | Status::Reset => fault = Some((target, Failure::Lost)),
                     // Bad requests get errors from all: nothing is said of this one before another serves it.
                     Status::Error => req.errors.push((target, sent)),
@@ -1112,7 +1118,7 @@
         let held = req.class.write && overload;
         if held && !live && !over {
             // Writes are few and worth most: they outwait a refusal, and the retry budget is not for them.
-            let until = self.now + (req.class.aim as f64 * WRITE_PAUSE) as Micros;
+            let until = self.now + (req.class.latency_objective as f64 * WRITE_PAUSE) as Micros;
             let until = until.min(req.deadline.saturating_sub(LEFT_LEAST));
             req.hold_until = Some(until);
             self.wake(until.saturating_sub(self.now), Due::Wait(id));
@@ -1164,7 +1170,7 @@
             }
             self.out.push(Action::Log(format!(
                 "{:?} {:x} UP again",
-                member.role, member.listed.member.0
+                member.role, member.listed.endpoint.0
             )));
         }
     }
@@ -1176,7 +1182,7 @@
         };
         req.call_off_others(
             Some(usize::from(number)),
-            self.settings.cancel,
+            self.settings.cancellation,
             &mut self.out,
         );
         // What is marked here is called off by nothing else.
@@ -1192,7 +1198,7 @@
         if let Some(spot) = req.waits.take() {
             self.queues.remove(spot, &req.place());
         }
-        req.call_off_others(None, self.settings.cancel, &mut self.out);
+        req.call_off_others(None, self.settings.cancellation, &mut self.out);
         if req.attempts.iter().all(|a| !a.live) {
             self.pending.remove(&id);
         }
@@ -1203,10 +1209,10 @@
         let Some(req) = self.pending.get(&id) else {
             return;
         };
-        let harmless = match req.class.effect {
-            Effect::Safe
-            | Effect::Keyed {
-                group: KeyScope::All,
+        let harmless = match req.class.idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: KeyScope::All,
                 ..
             } => true,
             _ => req.may_have_run.is_none(),
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -199,7 +199,7 @@
     /// Whether a member is listed as ready, and no operator took it out.
     pub fn is_ready(&self, at: usize) -> bool {
         let listed = &self.all[at].listed;
-        listed.state == EndpointState::Ready && !self.is_by_hand(listed.member)
+        listed.state == EndpointState::Ready && !self.is_by_hand(listed.endpoint)
     }
 
     /// The members of a role that are listed as ready and not out by hand.
@@ -233,10 +233,10 @@
 
     /// Puts a member in its old place, or in a new one, and returns the place.
     pub fn put(&mut self, member: Member) -> usize {
-        let known = self.find(member.listed.member);
+        let known = self.find(member.listed.endpoint);
         known.into_iter().for_each(|at| self.remove_usable(at));
         let at = known.or_else(|| self.free.pop()).unwrap_or(self.all.len());
-        self.index.insert(member.listed.member, at);
+        self.index.insert(member.listed.endpoint, at);
         if at == self.all.len() {
             self.all.push(member);
         } else {
@@ -271,15 +271,15 @@
     /// Before a change of a member: it is not among the usable ones.
     fn remove_usable(&mut self, at: usize) {
         let Member { listed, role, .. } = &self.all[at];
-        self.gone.remove(&listed.member);
+        self.gone.remove(&listed.endpoint);
         let (member, weight, usable) = (
-            listed.member,
+            listed.endpoint,
             listed.weight,
             &mut self.usable[*role as usize],
         );
         if let Ok(position) = usable
             .places
-            .binary_search_by_key(&member, |i| self.all[*i].listed.member)
+            .binary_search_by_key(&member, |i| self.all[*i].listed.endpoint)
         {
             usable.places.remove(position);
             usable.ranking.remove(member, weight);
@@ -290,7 +290,7 @@
     fn insert_usable(&mut self, at: usize) {
         let Member { listed, role, .. } = &self.all[at];
         if listed.state == EndpointState::Removed {
-            self.gone.insert(listed.member);
+            self.gone.insert(listed.endpoint);
         }
         if !self.is_ready(at) {
             return;
@@ -298,10 +298,10 @@
         let usable = &mut self.usable[*role as usize];
         let position = usable
             .places
-            .binary_search_by_key(&listed.member, |i| self.all[*i].listed.member);
+            .binary_search_by_key(&listed.endpoint, |i| self.all[*i].listed.endpoint);
         if let Err(position) = position {
             usable.places.insert(position, at);
-            usable.ranking.insert(listed.member, listed.weight, at);
+            usable.ranking.insert(listed.endpoint, listed.weight, at);
         }
     }
 }
@@ -403,8 +403,8 @@
     /// A request that came `now`, of which nothing is sent yet.
     pub fn new(ask: Request, class: Class, work: f64, now: Timestamp, again: bool) -> Self {
         Pending {
-            aim_at: now + class.aim + (class.aim_stretch * work) as Micros,
-            deadline: now + ask.left,
+            aim_at: now + class.latency_objective + (class.objective_stretch * work) as Micros,
+            deadline: now + ask.time_left,
             ask,
             class,
             work,
@@ -424,7 +424,7 @@
     }
 
     pub fn safe(&self) -> bool {
-        self.class.effect == Effect::Safe
+        self.class.idempotency == Idempotency::Idempotent
     }
 
     pub fn key(&self) -> (ObjectId, u32) {
@@ -443,7 +443,7 @@
     /// Place in a queue: sending time by worth. Both are positive, so their bits sort like the numbers.
     pub fn place(&self) -> (u64, RequestId) {
         (
-            (self.work / self.class.worth).max(0.0).to_bits(),
+            (self.work / self.class.priority_weight).max(0.0).to_bits(),
             self.ask.id,
         )
     }
--- a/tests/by_hand.rs
+++ b/tests/by_hand.rs
@@ -32,7 +32,9 @@
     assert_eq!(named(&mut stand, 1_001), [11, 12, 21].into());
     stand.tell(Event::Endpoints(ListKind::Full, usual()));
     assert_eq!(named(&mut stand, 2_001), [11, 12, 21].into());
-    assert!(stand.router.avoids(EndpointId(10)) && !stand.router.avoids(EndpointId(11)));
+    assert!(
+        stand.router.is_unavailable(EndpointId(10)) && !stand.router.is_unavailable(EndpointId(11))
+    );
     assert_eq!(stand.checker.broken, Vec::<String>::new());
 }
 
@@ -43,7 +45,7 @@
     stand.tell(Event::Cordon(EndpointId(10), true));
     stand.advance(3 * S);
     stand.tell(Event::Cordon(EndpointId(10), false));
-    assert!(!stand.router.avoids(EndpointId(10)));
+    assert!(!stand.router.is_unavailable(EndpointId(10)));
     // The checker holds it to the limits of one that started now.
     assert!(
         named(&mut stand, 1).contains(&10),
@@ -64,25 +66,25 @@
             next = stand.end(&sent, Status::ConnectFailed, FillNote::None, 0);
         }
     }
-    assert!(stand.router.avoids(EndpointId(10)), "it is DOWN");
+    assert!(stand.router.is_unavailable(EndpointId(10)), "it is DOWN");
     let sent = stand.live();
     stand.tell(Event::Cordon(EndpointId(10), true));
     stand.tell(Event::Cordon(EndpointId(10), false));
     assert!(
-        !stand.router.avoids(EndpointId(10)),
+        !stand.router.is_unavailable(EndpointId(10)),
         "not DOWN by what its old process did"
     );
     // What was sent to the old one fails now: that says nothing of the new one either.
     for sent in sent {
         stand.end(&sent, Status::Reset, FillNote::None, 0);
     }
-    assert!(!stand.router.avoids(EndpointId(10)));
+    assert!(!stand.router.is_unavailable(EndpointId(10)));
 }
 
 #[test]
 fn with_all_of_a_kind_out_requests_go_on_by_what_is_left_or_are_answered_at_once() {
     let direct = Settings {
-        direct: true,
+        pass_through: true,
         ..settings()
     };
     let mut stand = Stand::new(direct, usual());
@@ -143,11 +145,11 @@
         }
     }
     old.tell(Event::Cordon(EndpointId(11), false));
-    let learned = old.router.learned();
+    let learned = old.router.learned_health();
     let of = |id| {
         *learned
             .iter()
-            .find(|one| one.member.0 == id)
+            .find(|one| one.endpoint.0 == id)
             .expect("learned")
     };
     assert!(of(10).down && of(10).lost && !of(11).down && of(11).cold_since == old.now);
@@ -161,7 +163,10 @@
         .collect();
     assert!((1..=2).contains(&to_10.len()), "{} probes", to_10.len());
     new.end(&to_10[0], Status::ConnectFailed, FillNote::None, 0);
-    assert!(new.router.avoids(EndpointId(10)), "one failure is enough");
+    assert!(
+        new.router.is_unavailable(EndpointId(10)),
+        "one failure is enough"
+    );
     // Of a member that has started anew since, it says nothing.
     let mut new = Stand::new(settings(), members());
     let anew = EndpointEntry {
@@ -172,9 +177,9 @@
     new.tell(Event::LearnedHealth(learned));
     assert_eq!(
         new.router
-            .learned()
+            .learned_health()
             .iter()
-            .filter(|one| one.member.0 == 10)
+            .filter(|one| one.endpoint.0 == 10)
             .count(),
         0
     );
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,47 +11,50 @@
 pub const ORIGIN: u8 = 2;
 
 /// A class whose requests of 300 KB take 300 ms to send.
-pub fn class(effect: Effect, write: bool) -> Class {
+pub fn class(effect: Idempotency, write: bool) -> Class {
     Class {
-        aim: 500 * MS,
-        aim_stretch: 2.0,
-        worth: 1.0,
-        effect,
+        latency_objective: 500 * MS,
+        objective_stretch: 2.0,
+        priority_weight: 1.0,
+        idempotency: effect,
         write,
-        fresh: 0,
+        freshness_lifetime: 0,
         grace: 0,
     }
 }
 
 pub fn settings() -> Settings {
     let cold = SlowStartLimits {
-        from: 0.2,
-        warm_in: 20 * S,
-        fall_multiple: 4.0,
+        initial_share: 0.2,
+        warm_up: 20 * S,
+        overload_multiple: 4.0,
     };
     Settings {
         zone: 2,
-        routers_by_zone: vec![0, 0, 1],
-        routers: 1,
-        number: 0,
-        classes: vec![class(Effect::Safe, false), class(Effect::Unsafe, true)],
+        fronts_by_zone: vec![0, 0, 1],
+        fronts: 1,
+        front_index: 0,
+        classes: vec![
+            class(Idempotency::Idempotent, false),
+            class(Idempotency::NotIdempotent, true),
+        ],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
         client_kb_per_s: 1000.0,
         link_kb_per_s: 0.0,
-        direct: false,
-        joins: false,
-        purge_done: 6 * S,
-        cold_cache: cold,
-        cold_parent: SlowStartLimits {
-            fall_multiple: 2.0,
+        pass_through: false,
+        coalescing: false,
+        purge_propagation: 6 * S,
+        cache_slow_start: cold,
+        parent_slow_start: SlowStartLimits {
+            overload_multiple: 2.0,
             ..cold
         },
-        overload_span: 2 * S,
+        overload_window: 2 * S,
         connect_timeout: 400 * MS,
         max_attempts: 8,
-        second_copies: true,
-        cancel: true,
+        hedging: true,
+        cancellation: true,
         max_retry_after: 0,
         must_subscribe: false,
     }
@@ -60,7 +63,7 @@
 pub fn entry(id: u64, kind: u8) -> EndpointEntry {
     let zone = if kind == CACHE { 2 } else { 0 };
     EndpointEntry {
-        member: EndpointId(id),
+        endpoint: EndpointId(id),
         kind,
         zone,
         cell: 0,
@@ -92,7 +95,7 @@
         part: 0,
         group: 0,
         size_kb: 300.0,
-        left: 4 * S,
+        time_left: 4 * S,
     }
 }
 
@@ -204,7 +207,7 @@
         status: Status,
         note: FillNote,
         waited: Micros,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> Vec<Sent> {
         let mut same = self
             .sent
@@ -223,9 +226,9 @@
             attempt,
             closed,
             status,
-            along,
+            shared_failure: along,
             note,
-            waited,
+            source_wait: waited,
             latency,
             report,
         }))
@@ -334,12 +337,12 @@
                     // What was sent before this start was known did not go to this process as far as can be told.
                     if self
                         .members
-                        .get(&entry.member)
+                        .get(&entry.endpoint)
                         .is_some_and(|old| old.started != entry.started)
                     {
-                        self.cold.retain(|sent| sent.0 != entry.member);
+                        self.cold.retain(|sent| sent.0 != entry.endpoint);
                     }
-                    self.members.insert(entry.member, entry.clone());
+                    self.members.insert(entry.endpoint, entry.clone());
                 }
             }
             Event::Request(ask) => {
@@ -347,7 +350,7 @@
                     class: usize::from(ask.class),
                     object: ask.object,
                     group: ask.group,
-                    deadline: now + ask.left,
+                    deadline: now + ask.time_left,
                     attempts: Vec::new(),
                     closed: false,
                 };
@@ -403,12 +406,12 @@
                     .settings
                     .classes
                     .get(open.class)
-                    .map_or(Effect::Unsafe, |c| c.effect);
+                    .map_or(Idempotency::NotIdempotent, |c| c.idempotency);
                 let harmless = matches!(
                     effect,
-                    Effect::Safe
-                        | Effect::Keyed {
-                            group: KeyScope::All,
+                    Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: KeyScope::All,
                             ..
                         }
                 );
@@ -431,18 +434,18 @@
                 .push(format!("attempt after the answer: {id:?}"));
         }
         let out = open.attempts.iter().any(|a| a.1);
-        if out && !self.settings.second_copies {
+        if out && !self.settings.hedging {
             self.broken.push(format!("two at once: {id:?}"));
         }
         let ran = open
             .attempts
             .iter()
             .find(|a| a.2.is_none_or(|s| !s.proves_not_run()));
-        match (self.settings.classes[open.class].effect, ran) {
-            (Effect::Safe, _) | (_, None) => {}
+        match (self.settings.classes[open.class].idempotency, ran) {
+            (Idempotency::Idempotent, _) | (_, None) => {}
             (
-                Effect::Keyed {
-                    group: KeyScope::All,
+                Idempotency::Keyed {
+                    scope: KeyScope::All,
                     window,
                 },
                 Some(first),
@@ -453,13 +456,13 @@
         let write = self.settings.classes[open.class].write;
         let purge = self.purged.iter().filter(|(object, group, at)| {
             let named = object.map_or(*group == open.group, |o| o == open.object);
-            named && now < at + self.settings.purge_done
+            named && now < at + self.settings.purge_propagation
         });
         if let (Some(at), Some(fill), false) = (purge.map(|p| p.2).max(), fill, write) {
-            if fill.oldest == 0 || now - fill.oldest.min(now) < at && now > at {
+            if fill.max_age == 0 || now - fill.max_age.min(now) < at && now > at {
                 self.broken.push(format!(
                     "purged copy: {id:?} takes copies of age {}",
-                    fill.oldest
+                    fill.max_age
                 ));
             }
         }
@@ -484,16 +487,16 @@
     fn cold(&mut self, now: Timestamp, at: EndpointId) {
         let member = &self.members[&at];
         let limits = match member.kind {
-            PARENT => self.settings.cold_parent,
-            CACHE => self.settings.cold_cache,
+            PARENT => self.settings.parent_slow_start,
+            CACHE => self.settings.cache_slow_start,
             _ => return,
         };
-        let span = self.settings.overload_span;
-        if member.started == 0 || now >= member.started + limits.warm_in {
+        let span = self.settings.overload_window;
+        if member.started == 0 || now >= member.started + limits.warm_up {
             return;
         }
-        let age = now.saturating_sub(member.started) as f64 / limits.warm_in as f64;
-        let capacity = member.weight * (limits.from + (1.0 - limits.from) * age);
+        let age = now.saturating_sub(member.started) as f64 / limits.warm_up as f64;
+        let capacity = member.weight * (limits.initial_share + (1.0 - limits.initial_share) * age);
         self.cold.push((at, now, 300_000.0));
         let sum: f64 = self
             .cold
@@ -501,7 +504,7 @@
             .filter(|c| c.0 == at && c.1 + span > now)
             .map(|c| c.2)
             .sum();
-        if sum > limits.fall_multiple * capacity * span as f64 {
+        if sum > limits.overload_multiple * capacity * span as f64 {
             self.broken.push(format!("pushed over: {at:?}"));
         }
     }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -20,42 +20,42 @@
     let zone = hubs + rng.roll(locations);
     let classes = (0..1 + rng.roll(6)).map(|_| {
         let effect = match rng.roll(6) {
-            0 => Effect::Unsafe,
+            0 => Idempotency::NotIdempotent,
             // Windows shorter than any deadline, and longer.
-            1 => Effect::Keyed {
-                group: KeyScope::Zone,
+            1 => Idempotency::Keyed {
+                scope: KeyScope::Zone,
                 window: rng.roll(5_000) * MS,
             },
-            2 => Effect::Keyed {
-                group: KeyScope::All,
+            2 => Idempotency::Keyed {
+                scope: KeyScope::All,
                 window: 1 + rng.roll(5_000) * MS,
             },
-            3 => Effect::Keyed {
-                group: KeyScope::Cell,
+            3 => Idempotency::Keyed {
+                scope: KeyScope::Cell,
                 window: 50 * MS + rng.roll(950) * MS,
             },
-            _ => Effect::Safe,
+            _ => Idempotency::Idempotent,
         };
         let fresh = rng.roll(3) * 6 * S;
         let grace = if fresh > 0 { rng.roll(2) * 5 * S } else { 0 };
         let (aim, aim_stretch) = (100 * MS + rng.roll(900) * MS, rng.roll(4) as f64);
-        let write = effect != Effect::Safe && rng.roll(2) == 0;
+        let write = effect != Idempotency::Idempotent && rng.roll(2) == 0;
         Class {
-            aim,
-            aim_stretch,
-            worth: (1 + rng.roll(5)) as f64,
-            effect,
+            latency_objective: aim,
+            objective_stretch: aim_stretch,
+            priority_weight: (1 + rng.roll(5)) as f64,
+            idempotency: effect,
             write,
-            fresh,
+            freshness_lifetime: fresh,
             grace,
         }
     });
     let classes: Vec<_> = classes.collect();
     let here = 1 + rng.roll(6) as u32;
     let cold = |rng: &mut Rng, multiple| SlowStartLimits {
-        from: 0.06 + rng.roll(30) as f64 / 100.0,
-        warm_in: (5 + rng.roll(18)) * S,
-        fall_multiple: multiple,
+        initial_share: 0.06 + rng.roll(30) as f64 / 100.0,
+        warm_up: (5 + rng.roll(18)) * S,
+        overload_multiple: multiple,
     };
     let (parents, origin) = (rng.roll(5) > 0, rng.roll(8) > 0);
     let zones = (hubs + locations) as usize;
@@ -70,9 +70,9 @@
         .collect();
     let settings = Settings {
         zone: zone as u16,
-        routers: routers_by_zone.iter().sum::<u32>() * if rng.roll(4) == 0 { 60 } else { 1 },
-        routers_by_zone,
-        number: 0,
+        fronts: routers_by_zone.iter().sum::<u32>() * if rng.roll(4) == 0 { 60 } else { 1 },
+        fronts_by_zone: routers_by_zone,
+        front_index: 0,
         classes,
         // Which number a kind has is the deployment's own choice; the tests' checker knows these.
         parent_kind: parents.then_some(PARENT),
@@ -83,16 +83,16 @@
         } else {
             1_000.0 * (1 + rng.roll(60)) as f64
         },
-        direct: rng.roll(2) == 0,
-        joins: rng.roll(2) == 0,
-        purge_done: (2 + rng.roll(6)) * S,
-        cold_cache: cold(&mut rng, 4.0),
-        cold_parent: cold(&mut rng, 2.0),
-        overload_span: 500 * MS + rng.roll(1_500) * MS,
+        pass_through: rng.roll(2) == 0,
+        coalescing: rng.roll(2) == 0,
+        purge_propagation: (2 + rng.roll(6)) * S,
+        cache_slow_start: cold(&mut rng, 4.0),
+        parent_slow_start: cold(&mut rng, 2.0),
+        overload_window: 500 * MS + rng.roll(1_500) * MS,
         connect_timeout: 200 * MS + rng.roll(800) * MS,
         max_attempts: 1 + rng.roll(8) as u32,
-        second_copies: rng.roll(4) == 0,
-        cancel: rng.roll(4) > 0,
+        hedging: rng.roll(4) == 0,
+        cancellation: rng.roll(4) > 0,
         max_retry_after: rng.roll(2) * 500 * MS,
         must_subscribe: rng.roll(4) == 0,
     };
@@ -100,7 +100,7 @@
     let mut put = |kind: u8, zone: u64, weight: u64| {
         let (member, weight) = (EndpointId(10 + members.len() as u64), weight as f64);
         members.push(EndpointEntry {
-            member,
+            endpoint: member,
             kind,
             zone: zone as u16,
             cell: 0,
@@ -149,7 +149,11 @@
     let Deployment { settings, members } = deployment(seed);
     let mut rng = Rng(seed ^ 0x5eed);
     let (zone, classes) = (settings.zone, settings.classes.len() as u64);
-    let (direct, most, sized) = (settings.direct, settings.max_attempts, rng.roll(2) == 0);
+    let (direct, most, sized) = (
+        settings.pass_through,
+        settings.max_attempts,
+        rng.roll(2) == 0,
+    );
     let mut broken = Vec::new();
     let mut stand = Stand::new(settings, members.clone());
     let (mut next, mut served) = (0, 0);
@@ -163,7 +167,7 @@
                 request.part = rng.roll(3) as u32;
                 // The checker counts cold work as 300 ms each, so sizes that are told are of that mean at most.
                 request.size_kb = if sized { 300.0 } else { 0.0 };
-                request.left = 20 * MS + rng.roll(4_000) * MS;
+                request.time_left = 20 * MS + rng.roll(4_000) * MS;
                 stand.ask(request);
             }
             5..=8 => {
@@ -173,8 +177,8 @@
                     let filled = attempt.source.is_some_and(|s| s != attempt.target);
                     let (status, note) = end_of(&mut rng, filled);
                     served += usize::from(status == Status::Ok);
-                    let report = (rng.roll(2) == 0).then(|| Report {
-                        inflight: None,
+                    let report = (rng.roll(2) == 0).then(|| LoadReport {
+                        in_flight: None,
                         link: (rng.roll(3) > 0).then(|| rng.roll(500) as f64 / 100.0),
                     });
                     let waited = rng.roll(2_000) * MS;
@@ -189,7 +193,7 @@
                     0 => change.state = EndpointState::Draining,
                     1 => change.state = EndpointState::Removed,
                     2 => change.started = stand.now - rng.roll(3_000) * MS,
-                    3 => drop(stand.tell(Event::Cordon(change.member, rng.roll(3) == 0))),
+                    3 => drop(stand.tell(Event::Cordon(change.endpoint, rng.roll(3) == 0))),
                     _ => {}
                 }
                 let whole = rng.roll(20) == 0;
@@ -218,7 +222,7 @@
         let kind = |id: u64| {
             members
                 .iter()
-                .find(|m| m.member.0 == id)
+                .find(|m| m.endpoint.0 == id)
                 .map(|m| (m.kind, m.zone))
         };
         match kind(sent.target) {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,7 +10,7 @@
     // before a tenth of the answers of any one router was late.
     let mut stand = Stand::new(
         Settings {
-            joins: true,
+            coalescing: true,
             ..settings()
         },
         usual(),
@@ -25,7 +25,7 @@
         stand.served(&first[0]);
     }
     // Nothing is known of the origin but that it will be asked for all: it is as quick as ever.
-    let held = |sent: &Sent| sent.fill.is_some_and(|fill| fill.only_held);
+    let held = |sent: &Sent| sent.fill.is_some_and(|fill| fill.only_cached);
     let mut by_origin = 0;
     for id in 100..200 {
         let Some(first) = stand.ask(purged(id)).pop() else {
@@ -62,8 +62,8 @@
     let by_origin = |joins: bool, size_kb: f64| {
         let mut stand = Stand::new(
             Settings {
-                joins,
-                second_copies: false,
+                coalescing: joins,
+                hedging: false,
                 ..settings()
             },
             usual(),
@@ -86,7 +86,7 @@
             else {
                 continue;
             };
-            let held = |sent: &Sent| sent.fill.is_some_and(|fill| fill.only_held);
+            let held = |sent: &Sent| sent.fill.is_some_and(|fill| fill.only_cached);
             asked_for_held += u32::from(held(&first) && first.source != Some(first.target));
             if held(&first) {
                 let next = stand.end(&first, Status::Miss, FillNote::SourceMiss, 0);
@@ -121,8 +121,8 @@
     members[3].weight = 0.3;
     let mut stand = Stand::new(
         Settings {
-            joins: true,
-            direct: true,
+            coalescing: true,
+            pass_through: true,
             ..settings()
         },
         members,
@@ -150,9 +150,9 @@
     // Each of a hundred fronts hears of a source once a second: a few late answers kept it from sending there for ten
     // seconds after the source was quick again.
     let many = Settings {
-        routers: 100,
-        joins: true,
-        direct: true,
+        fronts: 100,
+        coalescing: true,
+        pass_through: true,
         ..settings()
     };
     let mut members = usual();
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -108,7 +108,7 @@
 fn two_fills_of_one_part_do_not_run_at_once_under_pressure() {
     for joins in [false, true] {
         let mut with = settings();
-        with.joins = joins;
+        with.coalescing = joins;
         let mut stand = Stand::new(with, tight());
         // As many as make the sources tight and leave room at the caches.
         let mut id = 0;
@@ -184,7 +184,7 @@
     let mut stand = Stand::new(settings(), usual());
     let write = Request {
         class: 1,
-        left: S,
+        time_left: S,
         ..ask(1, 5)
     };
     let mut next = stand.ask(write);
@@ -211,9 +211,9 @@
 fn stale_copies_are_asked_for_before_waiting() {
     let mut with_grace = settings();
     with_grace.classes[0] = Class {
-        fresh: 20 * S,
+        freshness_lifetime: 20 * S,
         grace: 30 * S,
-        ..class(Effect::Safe, false)
+        ..class(Idempotency::Idempotent, false)
     };
     let mut stand = Stand::new(with_grace, tight());
     // Misses take the places at the sources until one finds none.
@@ -223,10 +223,10 @@
             .into_iter()
             .filter(|s| s.source == Some(s.target))
         {
-            assert_eq!(look.fill.unwrap().oldest, 20 * S);
+            assert_eq!(look.fill.unwrap().max_age, 20 * S);
             for second in stand.end(&look, Status::Miss, FillNote::None, 0) {
                 if second.request == look.request && second.source == Some(second.target) {
-                    assert_eq!(second.fill.unwrap().oldest, 50 * S);
+                    assert_eq!(second.fill.unwrap().max_age, 50 * S);
                     return;
                 }
             }
@@ -239,7 +239,7 @@
 fn a_stalled_attempt_moves_where_no_second_copy_is_allowed() {
     // id98574: a cache lost some requests and served the others, so it was neither silent nor failing.
     let mut single = settings();
-    single.second_copies = false;
+    single.hedging = false;
     single.parent_kind = None;
     let mut stand = Stand::new(single, vec![entry(10, CACHE), entry(11, CACHE)]);
     let stalled = stand.ask(ask(1, 5)).remove(0);
@@ -285,7 +285,7 @@
     // Seen with processes: half of a front's caches were behind links that passed nothing, and 16 requests in a minute
     // were served. Nobody else is heard while the one request is out.
     let mut single = settings();
-    single.second_copies = false;
+    single.hedging = false;
     let mut members = usual();
     members.extend((13..16).map(|id| entry(id, CACHE)));
     let mut stand = Stand::new(single, members);
@@ -435,9 +435,9 @@
     note: FillNote,
     link: f64,
 ) -> Vec<Sent> {
-    let report = Some(Report {
+    let report = Some(LoadReport {
         link: Some(link),
-        ..Report::default()
+        ..LoadReport::default()
     });
     stand.end_with(sent, status, note, 0, report)
 }
@@ -478,7 +478,7 @@
     // reservas-cr big-1 (5d6f453f and before): each router might overdraw the budget by one request.
     for routers in [3u64, 30, 300] {
         let mut with = settings();
-        with.routers = routers as u32;
+        with.fronts = routers as u32;
         let start = 100 * S;
         let list = || {
             let mut members = usual();
@@ -489,7 +489,7 @@
         let one = |number| {
             Stand::new(
                 Settings {
-                    number: number as u32,
+                    front_index: number as u32,
                     ..with.clone()
                 },
                 list(),
@@ -511,7 +511,7 @@
                 let id = step * 1000 + n as u64 + 1;
                 let now = stand.now;
                 let asked = stand.ask(Request {
-                    left: S,
+                    time_left: S,
                     ..ask(id, id)
                 });
                 sent.extend(asked.iter().filter(|a| a.source == Some(20)).map(|_| now));
@@ -543,7 +543,7 @@
         let mut next = stand.ask(ask(id, id));
         stand.advance(10 * MS);
         while let Some(attempt) = next.first().cloned() {
-            let only_held = attempt.fill.is_some_and(|f| f.only_held);
+            let only_held = attempt.fill.is_some_and(|f| f.only_cached);
             next = match attempt.source {
                 Some(20 | 21) if only_held => {
                     held_only += 1;
@@ -561,7 +561,7 @@
         }
     }
     let through =
-        |s: &&Sent| s.number > 0 && s.source < Some(30) && s.fill.is_some_and(|f| !f.only_held);
+        |s: &&Sent| s.number > 0 && s.source < Some(30) && s.fill.is_some_and(|f| !f.only_cached);
     let through = stand
         .sent
         .iter()
@@ -587,7 +587,7 @@
     let id = u64::MAX - 5;
     let write = Request {
         class: 1,
-        left: S,
+        time_left: S,
         ..ask(id, 5)
     };
     let first = stand.ask(write).remove(0);
@@ -843,7 +843,7 @@
     let mut stand = Stand::new(settings(), usual());
     let mut held = crowd(&mut stand, 1..2000);
     let short = Request {
-        left: 600 * MS,
+        time_left: 600 * MS,
         size_kb: 100.0,
         ..ask(5000, 5000)
     };
@@ -880,9 +880,9 @@
                 .filter(|s| s.at + 500 * MS < stand.now)
                 .collect();
             for late in due {
-                let report = Some(Report {
+                let report = Some(LoadReport {
                     link: Some(told),
-                    ..Report::default()
+                    ..LoadReport::default()
                 });
                 stand.end_with(&late, Status::Ok, FillNote::Filled, 0, report);
             }
@@ -905,9 +905,9 @@
         },
         usual(),
     );
-    let told = Some(Report {
+    let told = Some(LoadReport {
         link: Some(0.5),
-        ..Report::default()
+        ..LoadReport::default()
     });
     let first = stand.ask(ask(1, 1)).remove(0);
     stand.end_with(&first, Status::Ok, FillNote::Hit, 0, told);
@@ -932,7 +932,7 @@
         small[..3].iter_mut().for_each(|cache| cache.weight = 2.0);
         let mut stand = Stand::new(
             Settings {
-                direct,
+                pass_through: direct,
                 ..settings()
             },
             small,
--- a/tests/largest.rs
+++ b/tests/largest.rs
@@ -19,11 +19,14 @@
 }
 
 /// Requests asked and answered in time, by size: the largest tenth, the next fifth, the others.
-fn play(seed: u64, day: Day, told: bool, effect: Effect) -> [(u32, u32); 3] {
-    let classes = vec![class(effect, false), class(Effect::Unsafe, true)];
+fn play(seed: u64, day: Day, told: bool, effect: Idempotency) -> [(u32, u32); 3] {
+    let classes = vec![
+        class(effect, false),
+        class(Idempotency::NotIdempotent, true),
+    ];
     let settings = Settings {
-        second_copies: false,
-        joins: true,
+        hedging: false,
+        coalescing: true,
         classes,
         ..settings()
     };
@@ -48,7 +51,7 @@
             let size_kb = if told { takes as f64 / 1_000.0 } else { 0.0 };
             begun.extend(stand.ask(Request {
                 size_kb,
-                left: WAITS,
+                time_left: WAITS,
                 ..ask(next, rng.roll(3_000))
             }));
         }
@@ -122,12 +125,12 @@
         (Day::Lossy, 0.5),
     ] {
         for effect in [
-            Effect::Safe,
-            Effect::Keyed {
-                group,
+            Idempotency::Idempotent,
+            Idempotency::Keyed {
+                scope: group,
                 window: 800 * MS,
             },
-            Effect::Unsafe,
+            Idempotency::NotIdempotent,
         ] {
             for (seed, told) in [(1, false), (2, false), (3, true)] {
                 let counts = play(seed, day, told, effect);
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -43,10 +43,10 @@
         let stands = (0..routers).map(|number| {
             let routers_by_zone = vec![0, 0, routers];
             let fleet = Settings {
-                routers,
-                routers_by_zone,
-                number,
-                second_copies: false,
+                fronts: routers,
+                fronts_by_zone: routers_by_zone,
+                front_index: number,
+                hedging: false,
                 ..settings()
             };
             Stand::new(fleet, members())
@@ -198,7 +198,7 @@
         }
         fleet.play(22 * S, &[]);
         let settings = settings();
-        let (limits, span) = (settings.cold_cache, settings.overload_span);
+        let (limits, span) = (settings.cache_slow_start, settings.overload_window);
         let all: Vec<_> = fleet
             .sent
             .iter()
@@ -206,16 +206,17 @@
             .map(|s| s.0)
             .collect();
         let mut got = 0;
-        for at in all.iter().filter(|at| **at < started + limits.warm_in) {
+        for at in all.iter().filter(|at| **at < started + limits.warm_up) {
             let sent = all
                 .iter()
                 .filter(|other| (*at..at + span).contains(other))
                 .count();
             got = got.max(sent);
             // What it can do at the window's begin, in requests of 300 ms.
-            let age = (at - started) as f64 / limits.warm_in as f64;
-            let capacity = cold.weight * (limits.from + (1.0 - limits.from) * age);
-            let most = limits.fall_multiple * capacity * span as f64 / 300_000.0;
+            let age = (at - started) as f64 / limits.warm_up as f64;
+            let capacity =
+                cold.weight * (limits.initial_share + (1.0 - limits.initial_share) * age);
+            let most = limits.overload_multiple * capacity * span as f64 / 300_000.0;
             assert!(
                 sent as f64 <= most,
                 "seed {seed}: {sent} in {span} us at age {age:.2}, {most:.1} at most"
@@ -240,11 +241,12 @@
 /// then, and what chance adds to that.
 fn budget(started: Timestamp, now: Timestamp) -> f64 {
     let settings = settings();
-    let limits = settings.cold_cache;
-    let age = (now - started) as f64 / limits.warm_in as f64;
-    let capacity = returned(started).weight * (limits.from + (1.0 - limits.from) * age);
+    let limits = settings.cache_slow_start;
+    let age = (now - started) as f64 / limits.warm_up as f64;
+    let capacity =
+        returned(started).weight * (limits.initial_share + (1.0 - limits.initial_share) * age);
     let allowed =
-        limits.fall_multiple * capacity * settings.overload_span as f64 / (300 * MS) as f64;
+        limits.overload_multiple * capacity * settings.overload_window as f64 / (300 * MS) as f64;
     if allowed < 30.0 {
         allowed + 3.0 * allowed.sqrt() + 3.0
     } else {
@@ -255,14 +257,14 @@
 /// Checks each span of a ramp against the budget. Returns the requests in the fullest one.
 fn keeps_the_budget(fleet: &Fleet, started: Timestamp, until: Timestamp, what: &str) -> usize {
     let settings = settings();
-    let ramp = started..until.min(started + settings.cold_cache.warm_in);
+    let ramp = started..until.min(started + settings.cache_slow_start.warm_up);
     let to_it = |(at, _, to): &&(Timestamp, usize, u64)| *to == RETURNED && ramp.contains(at);
     let all: Vec<Timestamp> = fleet.sent.iter().filter(to_it).map(|sent| sent.0).collect();
     let mut fullest = 0;
     for at in &all {
         let sent = all
             .iter()
-            .filter(|other| (*at..at + settings.overload_span).contains(*other))
+            .filter(|other| (*at..at + settings.overload_window).contains(*other))
             .count();
         fullest = fullest.max(sent);
         let most = budget(started, *at);
@@ -303,7 +305,7 @@
             fleet.play(S, &[]);
             // As after a reload: another service tells all of it.
             let mut all = members();
-            all.retain(|one| one.member != EndpointId(RETURNED));
+            all.retain(|one| one.endpoint != EndpointId(RETURNED));
             all.push(returned(started));
             fleet.tell(ListKind::Full, &all);
         }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -160,7 +160,7 @@
     let mut empty = Stand::new(settings(), Vec::new());
     assert!(empty.ask(ask(1, 5)).is_empty() && empty.answers.len() == 1);
     let mut direct = settings();
-    direct.direct = true;
+    direct.pass_through = true;
     let mut origin = Stand::new(direct, vec![entry(30, ORIGIN)]);
     assert_eq!(origin.ask(ask(1, 5))[0].target, 30);
     let mut none = settings();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -32,7 +32,7 @@
                 let mut request = ask(next, rng.roll(40));
                 request.class = rng.roll(classes) as u16;
                 request.group = rng.roll(4) as u32;
-                request.left = 20 * MS + rng.roll(4000) * MS;
+                request.time_left = 20 * MS + rng.roll(4000) * MS;
                 next += 1;
                 stand.ask(request);
             }
@@ -66,7 +66,7 @@
                 stand.tell(Event::Purged(object, rng.roll(4) as u32, age));
             }
             10 if rng.roll(8) == 0 => {
-                let member = usual()[rng.roll(6) as usize].member;
+                let member = usual()[rng.roll(6) as usize].endpoint;
                 stand.tell(Event::Cordon(member, rng.roll(6) == 0));
             }
             _ => {
@@ -90,29 +90,31 @@
 
 #[test]
 fn the_rules_hold_under_random_events_with_every_setting_that_matters() {
-    let keyed = Effect::Keyed {
-        group: KeyScope::All,
+    let keyed = Idempotency::Keyed {
+        scope: KeyScope::All,
         window: 2 * S,
     };
-    let zoned = Effect::Keyed {
-        group: KeyScope::Zone,
+    let zoned = Idempotency::Keyed {
+        scope: KeyScope::Zone,
         window: 2 * S,
     };
     let mut attempts = 0;
     for bits in 0..32u32 {
         let mut settings = settings();
-        settings.direct = bits & 1 != 0;
-        settings.second_copies = bits & 2 != 0;
-        settings.cancel = bits & 4 != 0;
-        settings.joins = bits & 8 != 0;
+        settings.pass_through = bits & 1 != 0;
+        settings.hedging = bits & 2 != 0;
+        settings.cancellation = bits & 4 != 0;
+        settings.coalescing = bits & 8 != 0;
         settings.must_subscribe = bits & 16 != 0;
         settings.classes.push(class(keyed, true));
         settings.classes.push(class(zoned, true));
-        settings.classes.push(class(Effect::Unsafe, false));
+        settings
+            .classes
+            .push(class(Idempotency::NotIdempotent, false));
         settings.classes.push(Class {
-            fresh: 20 * S,
+            freshness_lifetime: 20 * S,
             grace: 30 * S,
-            ..class(Effect::Safe, false)
+            ..class(Idempotency::Idempotent, false)
         });
         let stand = run(settings, u64::from(bits) + 7);
         assert_eq!(
@@ -145,11 +147,11 @@
     let source = EndpointId(source);
     let fill = Fill {
         source,
-        oldest,
+        max_age: oldest,
         rank: 1,
-        join: false,
-        only_held: false,
-        renew: false,
+        coalesce: false,
+        only_cached: false,
+        refresh: false,
     };
     Action::Send {
         request: RequestId(1),
@@ -162,13 +164,13 @@
 fn outcome(status: Status) -> Event {
     let (request, note) = (RequestId(1), FillNote::None);
     Event::Outcome(Outcome {
-        along: false,
+        shared_failure: false,
         request,
         attempt: 0,
         closed: false,
         status,
         note,
-        waited: 0,
+        source_wait: 0,
         latency: 0,
         report: None,
     })
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -20,9 +20,9 @@
         ..entry(id, kind)
     });
     let fleet = Settings {
-        routers,
-        routers_by_zone: vec![0, 0, routers],
-        joins: true,
+        fronts: routers,
+        fronts_by_zone: vec![0, 0, routers],
+        coalescing: true,
         ..settings()
     };
     Stand::new(fleet, caches.chain(others).collect())
@@ -130,9 +130,9 @@
             attempt: 0,
             closed: true,
             status,
-            along: false,
+            shared_failure: false,
             note: FillNote::None,
-            waited: 0,
+            source_wait: 0,
             latency: MS,
             report: None,
         };
@@ -192,14 +192,14 @@
             .chain([entry(20, PARENT), entry(30, ORIGIN)])
     };
     let fleet = Settings {
-        routers: ROUTERS,
-        routers_by_zone: vec![0, 0, ROUTERS],
+        fronts: ROUTERS,
+        fronts_by_zone: vec![0, 0, ROUTERS],
         ..settings()
     };
     let one = |number| {
         Stand::new(
             Settings {
-                number,
+                front_index: number,
                 ..fleet.clone()
             },
             members().collect(),
@@ -222,8 +222,8 @@
             }
         }
     }
-    let limits = settings().cold_cache;
-    let span = settings().overload_span;
+    let limits = settings().cache_slow_start;
+    let span = settings().overload_window;
     for id in (1_000..1_000 + CACHES).filter(|id| id % 10 < 6) {
         let times: Vec<Timestamp> = sent
             .iter()
@@ -231,9 +231,9 @@
             .map(|(_, at)| *at)
             .collect();
         for end in &times {
-            let age = (end - began) as f64 / limits.warm_in as f64;
-            let capacity = WEIGHT * (limits.from + (1.0 - limits.from) * age);
-            let calls = capacity * limits.fall_multiple * span as f64 / 300_000.0;
+            let age = (end - began) as f64 / limits.warm_up as f64;
+            let capacity = WEIGHT * (limits.initial_share + (1.0 - limits.initial_share) * age);
+            let calls = capacity * limits.overload_multiple * span as f64 / 300_000.0;
             let bound = if calls < 30.0 {
                 calls + 3.0 * calls.sqrt() + 3.0
             } else {
