--- /dev/null
+++ b/src/api/ids.rs
@@ -0,0 +1,13 @@
+//! Opaque identifiers: they are compared and hashed, nothing is read out of them.
+
+/// A cache, a parent or the origin.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct EndpointId(pub u64);
+
+/// One try of a client; the number is never used again for another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u64);
+
+/// An object; all its parts share the id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ObjectId(pub u64);
