--- a/benchlink/src/tests.rs
+++ b/benchlink/src/tests.rs
@@ -62,7 +62,14 @@
         next(),
         Event::Cancelled(RequestId(0x000a_58e6_0e6f_2b19))
     ));
-    assert!(matches!(next(), Event::Purged(Some(_), 11, 85_000)));
+    assert!(matches!(
+        next(),
+        Event::Purged {
+            object: Some(_),
+            group: 11,
+            age: 85_000
+        }
+    ));
     let Event::Outcome(outcome) = next() else {
         panic!()
     };
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -164,11 +164,11 @@
             }
             9 => {
                 let (file, group, age) = (self.u64()?, self.u16()?, self.u32()?);
-                Event::Purged(
-                    (file != 0).then_some(ObjectId(file)),
-                    u32::from(group),
-                    u64::from(age),
-                )
+                Event::Purged {
+                    object: (file != 0).then_some(ObjectId(file)),
+                    group: u32::from(group),
+                    age: u64::from(age),
+                }
             }
             10 => {
                 let request = RequestId(self.u64()?);
--- a/front/src/routing/route.rs
+++ b/front/src/routing/route.rs
@@ -78,7 +78,14 @@
         } else {
             self.ahead.here(at)
         };
-        self.tell(now, Event::Purged(object, group, now.saturating_sub(at)));
+        self.tell(
+            now,
+            Event::Purged {
+                object,
+                group,
+                age: now.saturating_sub(at),
+            },
+        );
     }
 
     /// The list is told by another machine from now on, whose clock nobody has compared with this one.
@@ -88,7 +95,13 @@
 
     /// An operator takes a member out, or gives it back.
     pub fn by_hand(&mut self, now: Timestamp, member: EndpointId, out: bool) {
-        self.tell(now, Event::Cordon(member, out));
+        self.tell(
+            now,
+            Event::Cordon {
+                endpoint: member,
+                cordoned: out,
+            },
+        );
     }
 
     /// What the decisions have learned of members, for the next process.
@@ -103,7 +116,7 @@
 
     /// How many cache nodes can be reached at once, each by a connection, and how long one stays open that carries nothing.
     pub fn set_reach(&mut self, now: Timestamp, (at_most, idle): (usize, Micros)) {
-        self.tell(now, Event::Connections(at_most, idle));
+        self.tell(now, Event::Connections { max: at_most, idle });
     }
 
     /// Changes the room for requests.
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -6,41 +6,41 @@
 pub struct Fill {
     /// A parent, the origin, another cache, or the target itself for no fill.
     pub source: EndpointId,
-    /// Oldest copy that will do; 0: the class's fresh time.
+    /// Greatest age of a copy that may answer; 0: the freshness lifetime of the class.
     pub max_age: Micros,
-    /// 0: not kept; 1 to 3: the rank at which it is kept, the lowest is dropped first.
+    /// 0: not cached; 1 to 3: the rank at which the copy is cached, the lowest is evicted first.
     pub rank: u8,
-    /// Join a fill that is under way.
+    /// Coalesce with a fill that is under way.
     pub coalesce: bool,
-    /// The source gives only what it holds.
+    /// The source answers from its cache only.
     pub only_cached: bool,
-    /// Serve an ageing copy and fetch it anew behind.
+    /// Serve a copy near the end of its freshness lifetime and refresh it in the background.
     pub refresh: bool,
 }
 
 /// What a router asks the embedding program to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a request. Attempts count from 0 in the order sent.
+    /// Send an attempt of a request. Attempts are numbered from 0 in the order sent.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint that gets it.
         target: EndpointId,
         /// Time-out of the attempt; 0: until the client gives up.
         timeout: Micros,
         /// How a miss is filled; `None`: it is not.
         fill: Option<Fill>,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt, by its number.
     Cancel(RequestId, u16),
-    /// Final answer: refused, harmless to try again after the span.
+    /// Final answer: rejected; retrying after this time is harmless.
     Reject(RequestId, Micros),
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed; the request may have run.
     Fail(RequestId),
-    /// Wake the router after a span with a token.
+    /// Set a timer: after this time the router gets an event with this token.
     Timer(Micros, u64),
-    /// Subscribe to the member list.
+    /// Subscribe to the endpoint list.
     Subscribe,
     /// A line for the log.
     Log(String),
--- a/src/api/endpoints.rs
+++ b/src/api/endpoints.rs
@@ -1,57 +1,57 @@
 //! The endpoint list, and what is learned about the endpoints on it.
 use super::{EndpointId, Timestamp};
 
-/// State of a list entry.
+/// State of an entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Runs.
+    /// It accepts requests.
     Ready,
-    /// Completes its work; nothing new may go to it.
+    /// It completes its requests; nothing new may go to it.
     Draining,
-    /// Removed.
+    /// It was removed from the list.
     Removed,
 }
 
-/// An entry of the member list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// Which member.
+    /// Which endpoint.
     pub endpoint: EndpointId,
-    /// Its kind.
+    /// Its kind, as an index into the deployment's kinds.
     pub kind: u8,
-    /// Its zone.
+    /// Its zone, as an index into the deployment's zones.
     pub zone: u16,
-    /// Its cell.
+    /// Its cell within the zone.
     pub cell: u16,
-    /// Transfers to clients that its link carries at full pace, give or take.
+    /// Transfers to clients that its link carries at full rate, approximately.
     pub weight: f64,
-    /// When it started; 0: long ago.
+    /// When its process started; 0: long ago.
     pub started: Timestamp,
-    /// What the list says of it.
+    /// Whether it accepts requests.
     pub state: EndpointState,
 }
 
-/// How complete a member list is.
+/// How complete an endpoint list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only what changed.
     Delta,
-    /// Everything; members that it lacks are gone.
+    /// Everything; endpoints that it lacks are removed.
     Full,
     /// A call for the list failed, or the subscription broke.
     Failed,
 }
 
-/// What one process of a router has learned of a member, for the next.
+/// What one process of a front has learned of an endpoint, for the next process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LearnedHealth {
-    /// Which member.
+    /// Which endpoint.
     pub endpoint: EndpointId,
-    /// When it started, as the list says: another process of it is another matter.
+    /// When it started, as the list says: this says nothing of another process of it.
     pub started: Timestamp,
-    /// Since when it is cold; 0: it started long ago.
+    /// When its slow start began; 0: it started long ago.
     pub cold_since: Timestamp,
-    /// It is DOWN, or was and has not proven itself since.
+    /// It is DOWN or SUSPECT.
     pub down: bool,
     /// It went DOWN because no connection was made.
     pub lost: bool,
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -8,44 +8,60 @@
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: u16,
-    /// The object asked for.
+    /// The requested object.
     pub object: ObjectId,
-    /// Which part of it.
+    /// Which part of the object.
     pub part: u32,
-    /// Its group, which purges may name.
+    /// The group of the object, which purges may name.
     pub group: u32,
-    /// Size in KB; 0 when not told.
+    /// Size of the answer in KB; 0 when not known.
     pub size_kb: f64,
     /// Time until the client gives up.
     pub time_left: Micros,
 }
 
-/// What a router is told.
+/// What a router is notified of.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the member list.
+    /// The endpoint list, or changes of it.
     Endpoints(ListKind, Vec<EndpointEntry>),
-    /// A client asks.
+    /// A request arrived.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
-    /// The answer of an attempt began; it belongs to the client now.
+    /// The answer of an attempt, by its number, has begun; the client gets this one.
     Started(RequestId, u16),
-    /// The client left; nothing is owed any more.
+    /// The client disconnected; nothing is owed any more.
     Cancelled(RequestId),
-    /// A timer that the router set has run out.
+    /// The timer with this token, which the router set, has expired.
     Timer(u64),
-    /// An object, or with `None` a whole group, was purged this long ago.
-    Purged(Option<ObjectId>, u32, Micros),
-    /// The router's clock is ahead of that by which members' starts are dated, by this at most.
+    /// A purge.
+    Purged {
+        /// The purged object; `None`: the complete group.
+        object: Option<ObjectId>,
+        /// The purged group, or that of the object.
+        group: u32,
+        /// How long ago that was.
+        age: Micros,
+    },
+    /// The router's clock is ahead of the clock by which starts of endpoints are dated, by this at most.
     ClockAhead(Micros),
-    /// An operator takes a member out (`true`), or gives it back.
-    Cordon(EndpointId, bool),
-    /// What an earlier process of this router has learned.
+    /// An operator cordons an endpoint, or ends that.
+    Cordon {
+        /// Which endpoint.
+        endpoint: EndpointId,
+        /// Nothing may go to it; `false`: it is given back, restarted.
+        cordoned: bool,
+    },
+    /// What an earlier process of this front has learned.
     LearnedHealth(Vec<LearnedHealth>),
-    /// Connections to caches that the embedding program can hold at once (0: any number), and how long one stays
-    /// open that carries nothing.
-    Connections(usize, Micros),
+    /// Limits of the connections to caches.
+    Connections {
+        /// Connections that the embedding program can have at once; 0: any number.
+        max: usize,
+        /// A connection that carries nothing is closed after this time.
+        idle: Micros,
+    },
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// One try of a client; the number is never used again for another.
+/// One request of a client; the id is never used again for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
--- a/src/api/outcome.rs
+++ b/src/api/outcome.rs
@@ -6,26 +6,26 @@
 pub enum Status {
     /// Served.
     Ok,
-    /// The member returned an error.
+    /// The endpoint answered with an error.
     Error,
-    /// Turned away unseen, or the source refused or was not reached.
+    /// Rejected without having run, or the source rejected it or was not reached.
     Rejected,
-    /// No answer in time.
+    /// No answer before the time-out.
     Timeout,
     /// No connection was made.
     ConnectFailed,
     /// The connection broke with the attempt in flight.
     Reset,
-    /// Called off.
+    /// Cancelled.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// No copy that will do, and none was filled.
+    /// No acceptable copy is cached, and none was filled.
     Miss,
 }
 
 impl Status {
-    /// Whether this ending proves that the request did not run.
+    /// Whether this status proves that the request did not run.
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
@@ -34,40 +34,40 @@
     }
 }
 
-/// What an answer tells of its fill.
+/// How the answer was filled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FillNote {
-    /// Nothing.
+    /// Nothing is known.
     #[default]
     None,
-    /// From a copy at hand.
+    /// From a cached copy.
     Hit,
     /// Filled by the source.
     Filled,
     /// Filled by way of the origin.
     FilledByOrigin,
-    /// Joined a fill, or one is under way here.
+    /// Coalesced with a fill that was under way.
     Coalesced,
-    /// From a copy past its fresh time.
+    /// From a copy past its freshness lifetime.
     Stale,
-    /// The source refused.
+    /// The source rejected the fill.
     SourceRejected,
     /// The source was not reached, broke off or ran out of time.
     SourceLost,
     /// The source lacks the object.
     SourceMiss,
-    /// No place for a fill at the cache.
+    /// The cache had no slot for a fill.
     NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
 }
 
-/// What a member tells of its load. Reports are late and noisy; a figure that is not told is `None`.
+/// Load that an endpoint reports. Reports are late and noisy; a figure that it lacks is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it holds.
+    /// Requests in flight at the endpoint.
     pub in_flight: Option<f64>,
-    /// Of a cache: transfers on the link into its zone over those that fit at full pace.
+    /// Of a cache: transfers on the link into its zone over those that fit at full rate.
     pub link: Option<f64>,
 }
 
@@ -78,18 +78,18 @@
     pub request: RequestId,
     /// Number of the attempt, from 0 in the order sent.
     pub attempt: u16,
-    /// The request is closed; nothing more is owed.
+    /// The client has its answer, or is gone: nothing more is owed.
     pub closed: bool,
     /// How it ended.
     pub status: Status,
-    /// It ended along with another attempt on the same broken connection, which is told of by itself.
+    /// It failed together with another attempt on the same broken connection, which has an outcome of its own.
     pub shared_failure: bool,
-    /// What is told of the fill.
+    /// How the answer was filled.
     pub note: FillNote,
-    /// Time to the source's first byte or to its failure; 0 when not told.
+    /// Time to the source's first byte or to its failure; 0 when not known.
     pub source_wait: Micros,
     /// Time since it was sent.
     pub latency: Micros,
-    /// The load report of the member that answered, if it came with one.
+    /// The load report of the endpoint that answered, if it sent one.
     pub report: Option<LoadReport>,
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,106 +1,106 @@
 //! What a front knows of its deployment when it starts.
 use super::Micros;
 
-/// What a class allows when an attempt may already have run.
+/// Whether a request may be repeated when an attempt may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat.
+    /// It may run any number of times.
     Idempotent,
-    /// Repeats are dropped by the members within `group` for `window` after the first send.
+    /// It carries an idempotency key: endpoints within `scope` drop repeats for `window` after the first attempt.
     Keyed {
-        /// Who drops the repeats.
+        /// Which endpoints drop the repeats.
         scope: KeyScope,
-        /// For how long they remember.
+        /// How long they remember the key.
         window: Micros,
     },
-    /// Must never run twice.
+    /// It must never run twice.
     NotIdempotent,
 }
 
-/// The members that know each other's keys.
+/// The endpoints that share idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All members.
+    /// All endpoints.
     All,
-    /// Members of one zone.
+    /// Endpoints of one zone.
     Zone,
-    /// Members of one cell.
+    /// Endpoints of one cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this span earns its full worth.
+    /// An answer within this time meets the objective.
     pub latency_objective: Micros,
-    /// The aim grows by this multiple of the request's own sending time.
+    /// The objective grows by this multiple of the request's own transfer time.
     pub objective_stretch: f64,
-    /// Worth of one request answered in time.
+    /// Weight of one request that is answered in time.
     pub priority_weight: f64,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub idempotency: Idempotency,
-    /// Never kept by caches; runs at the origin.
+    /// Never cached; runs at the origin.
     pub write: bool,
     /// How long a copy is fresh; 0: until it is purged.
     pub freshness_lifetime: Micros,
-    /// How much older than fresh a copy may be when that is asked for.
+    /// How much older than fresh a copy may be where a stale one is accepted.
     pub grace: Micros,
 }
 
-/// How fast members that started lately can be loaded.
+/// How fast endpoints that started recently can be loaded.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartLimits {
-    /// Share of its capacity that a member has at its start, at least.
+    /// Share of its capacity that an endpoint has at its start, at least.
     pub initial_share: f64,
-    /// By then it has all of it, rising in a line, at the latest.
+    /// Time until it has its full capacity, rising linearly, at the latest.
     pub warm_up: Micros,
-    /// Sent more than this multiple of its present capacity, it falls over.
+    /// It is overloaded when sent more than this multiple of its present capacity.
     pub overload_multiple: f64,
 }
 
-/// What a router is told at its start. It holds no names.
+/// What a router knows of its deployment when it starts. Zones, kinds and classes are indexes here, not names.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The zone of this router.
+    /// The zone of this front.
     pub zone: u16,
-    /// Routers in each zone.
+    /// Fronts in each zone.
     pub fronts_by_zone: Vec<u32>,
-    /// Routers in all.
+    /// Fronts in all zones.
     pub fronts: u32,
-    /// Number of this router among them, from 0.
+    /// Index of this front among them, from 0.
     pub front_index: u32,
     /// The request classes, by index.
     pub classes: Vec<Class>,
     /// Kind of the parents, if there are any.
     pub parent_kind: Option<u8>,
-    /// Kind of the origin, if it can be named.
+    /// Kind of the origin, if it is on the endpoint list.
     pub origin_kind: Option<u8>,
-    /// KB a second of one transfer to a client; 0 when not told.
+    /// KB a second of one transfer to a client; 0 when not known.
     pub client_kb_per_s: f64,
-    /// KB a second of the link into the zone of this router; 0 when not told.
+    /// KB a second of the link into the zone of this front; 0 when not known.
     pub link_kb_per_s: f64,
-    /// Requests may go straight to a parent or the origin.
+    /// Requests may bypass the caches and go to a parent or the origin.
     pub pass_through: bool,
-    /// A request may join a fill that is under way.
+    /// A request may coalesce with a fill that is under way.
     pub coalescing: bool,
-    /// By then all caches have dropped purged copies by themselves.
+    /// Time after a purge by which all caches have dropped the purged copies.
     pub purge_propagation: Micros,
-    /// Limits of caches that started lately.
+    /// Limits of caches that started recently.
     pub cache_slow_start: SlowStartLimits,
-    /// Limits of parents that started lately.
+    /// Limits of parents that started recently.
     pub parent_slow_start: SlowStartLimits,
-    /// The span over which cold limits are counted.
+    /// Time window over which load is compared with the slow-start limits.
     pub overload_window: Micros,
-    /// Connections not made within this span have failed.
+    /// A connection that is not made within this time has failed.
     pub connect_timeout: Micros,
-    /// Attempts for one request at most.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub cancellation: bool,
-    /// Clients are told how long to stay away; the longest that they heed.
+    /// Retry-after sent with rejections; 0: none.
     pub max_retry_after: Micros,
-    /// Changes of the member list must be asked for.
+    /// The endpoint list must be subscribed to.
     pub must_subscribe: bool,
 }
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -94,11 +94,11 @@
             Event::Started(id, number) => self.answer_started(id, number),
             Event::Cancelled(id) => self.finish(id),
             Event::Timer(token) => self.timer_expired(token),
-            Event::Purged(object, group, age) => self.record_purge(object, group, age),
+            Event::Purged { object, group, age } => self.record_purge(object, group, age),
             Event::ClockAhead(ahead) => self.endpoints.clock_ahead = ahead,
-            Event::Cordon(endpoint, cordoned) => self.set_cordoned(endpoint, cordoned),
+            Event::Cordon { endpoint, cordoned } => self.set_cordoned(endpoint, cordoned),
             Event::LearnedHealth(all) => self.restore_health(all),
-            Event::Connections(max, idle) => self.connections.set_limits(max, idle),
+            Event::Connections { max, idle } => self.connections.set_limits(max, idle),
         }
         actions.append(&mut self.actions);
     }
--- a/tests/by_hand.rs
+++ b/tests/by_hand.rs
@@ -19,8 +19,14 @@
 #[test]
 fn a_member_that_is_out_is_neither_asked_nor_a_source_whatever_the_list_says() {
     let mut stand = Stand::new(settings(), usual());
-    stand.tell(Event::Cordon(EndpointId(10), true));
-    stand.tell(Event::Cordon(EndpointId(20), true));
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(20),
+        cordoned: true,
+    });
     assert_eq!(named(&mut stand, 1), [11, 12, 21].into());
     // It leaves the list and returns, alone and with the whole list.
     let gone = EndpointEntry {
@@ -41,10 +47,19 @@
 #[test]
 fn one_call_back_undoes_two_calls_out_and_what_comes_back_is_cold() {
     let mut stand = Stand::new(settings(), usual());
-    stand.tell(Event::Cordon(EndpointId(10), true));
-    stand.tell(Event::Cordon(EndpointId(10), true));
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
     stand.advance(3 * S);
-    stand.tell(Event::Cordon(EndpointId(10), false));
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: false,
+    });
     assert!(!stand.router.is_unavailable(EndpointId(10)));
     // The checker holds it to the limits of one that started now.
     assert!(
@@ -68,8 +83,14 @@
     }
     assert!(stand.router.is_unavailable(EndpointId(10)), "it is DOWN");
     let sent = stand.live();
-    stand.tell(Event::Cordon(EndpointId(10), true));
-    stand.tell(Event::Cordon(EndpointId(10), false));
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: false,
+    });
     assert!(
         !stand.router.is_unavailable(EndpointId(10)),
         "not DOWN by what its old process did"
@@ -88,22 +109,31 @@
         ..settings()
     };
     let mut stand = Stand::new(direct, usual());
-    [20, 21]
-        .into_iter()
-        .for_each(|id| drop(stand.tell(Event::Cordon(EndpointId(id), true))));
+    [20, 21].into_iter().for_each(|id| {
+        drop(stand.tell(Event::Cordon {
+            endpoint: EndpointId(id),
+            cordoned: true,
+        }))
+    });
     assert!(
         named(&mut stand, 1).contains(&30),
         "without parents the origin fills"
     );
-    [10, 11, 12]
-        .into_iter()
-        .for_each(|id| drop(stand.tell(Event::Cordon(EndpointId(id), true))));
+    [10, 11, 12].into_iter().for_each(|id| {
+        drop(stand.tell(Event::Cordon {
+            endpoint: EndpointId(id),
+            cordoned: true,
+        }))
+    });
     assert_eq!(
         named(&mut stand, 1_001),
         [30].into(),
         "without caches requests go straight to the origin"
     );
-    stand.tell(Event::Cordon(EndpointId(30), true));
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(30),
+        cordoned: true,
+    });
     assert!(named(&mut stand, 2_001).is_empty());
     assert!(
         stand.answers.contains_key(&RequestId(2_001)),
@@ -113,9 +143,12 @@
     let mut stand = Stand::new(settings(), usual());
     let waiting: Vec<u64> = (1..=400).collect();
     waiting.iter().for_each(|id| drop(stand.ask(ask(*id, 5))));
-    [10, 11, 12, 20, 21, 30]
-        .into_iter()
-        .for_each(|id| drop(stand.tell(Event::Cordon(EndpointId(id), true))));
+    [10, 11, 12, 20, 21, 30].into_iter().for_each(|id| {
+        drop(stand.tell(Event::Cordon {
+            endpoint: EndpointId(id),
+            cordoned: true,
+        }))
+    });
     let sent: std::collections::BTreeSet<_> = stand.sent.iter().map(|s| s.request.0).collect();
     let left = waiting.iter().filter(|id| !sent.contains(id));
     assert!(left.clone().count() > 0, "some wait");
@@ -137,14 +170,20 @@
         ]
     };
     let mut old = Stand::new(settings(), members());
-    old.tell(Event::Cordon(EndpointId(11), true));
+    old.tell(Event::Cordon {
+        endpoint: EndpointId(11),
+        cordoned: true,
+    });
     for id in 1..=4 {
         let mut next = old.ask(ask(id, id));
         while let Some(sent) = next.first().cloned() {
             next = old.end(&sent, Status::ConnectFailed, FillNote::None, 0);
         }
     }
-    old.tell(Event::Cordon(EndpointId(11), false));
+    old.tell(Event::Cordon {
+        endpoint: EndpointId(11),
+        cordoned: false,
+    });
     let learned = old.router.learned_health();
     let of = |id| {
         *learned
@@ -188,8 +227,14 @@
 #[test]
 fn a_burst_just_after_it_is_back_goes_past_a_member_that_is_cold() {
     let mut stand = Stand::new(settings(), usual());
-    stand.tell(Event::Cordon(EndpointId(10), true));
-    stand.tell(Event::Cordon(EndpointId(10), false));
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: false,
+    });
     // Answered at once, so that nothing but its coldness holds them back.
     for id in 1..=400 {
         for sent in stand.ask(ask(id, id)) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -363,8 +363,14 @@
                 open.closed |= o.closed;
             }
             Event::Cancelled(id) => self.open.get_mut(id).expect("known").closed = true,
-            Event::Cordon(id, true) => drop(self.by_hand.insert(*id)),
-            Event::Cordon(id, false) => {
+            Event::Cordon {
+                endpoint: id,
+                cordoned: true,
+            } => drop(self.by_hand.insert(*id)),
+            Event::Cordon {
+                endpoint: id,
+                cordoned: false,
+            } => {
                 // It was restarted meanwhile, whatever the list says of it.
                 let back = self
                     .by_hand
@@ -377,7 +383,7 @@
                     self.cold.retain(|sent| sent.0 != *id);
                 }
             }
-            Event::Purged(object, group, age) => self.purged.push((*object, *group, now - age)),
+            Event::Purged { object, group, age } => self.purged.push((*object, *group, now - age)),
             _ => {}
         }
     }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -193,7 +193,10 @@
                     0 => change.state = EndpointState::Draining,
                     1 => change.state = EndpointState::Removed,
                     2 => change.started = stand.now - rng.roll(3_000) * MS,
-                    3 => drop(stand.tell(Event::Cordon(change.endpoint, rng.roll(3) == 0))),
+                    3 => drop(stand.tell(Event::Cordon {
+                        endpoint: change.endpoint,
+                        cordoned: rng.roll(3) == 0,
+                    })),
                     _ => {}
                 }
                 let whole = rng.roll(20) == 0;
@@ -207,11 +210,11 @@
             }
             _ => {
                 let object = (rng.roll(2) == 0).then_some(ObjectId(rng.roll(40)));
-                stand.tell(Event::Purged(
+                stand.tell(Event::Purged {
                     object,
-                    rng.roll(4) as u32,
-                    rng.roll(400) * MS,
-                ));
+                    group: rng.roll(4) as u32,
+                    age: rng.roll(400) * MS,
+                });
             }
         }
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -19,7 +19,11 @@
         group: 7,
         ..ask(id, id)
     };
-    stand.tell(Event::Purged(None, 7, 100 * MS));
+    stand.tell(Event::Purged {
+        object: None,
+        group: 7,
+        age: 100 * MS,
+    });
     for id in 1..=20 {
         let first = stand.ask(purged(id));
         stand.served(&first[0]);
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -978,8 +978,14 @@
     // A restart that operators make dates itself by this clock.
     let mut stand = Stand::new(settings(), vec![entry(10, CACHE), entry(30, ORIGIN)]);
     stand.tell(Event::ClockAhead(60 * S));
-    stand.tell(Event::Cordon(EndpointId(10), true));
-    stand.tell(Event::Cordon(EndpointId(10), false));
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    stand.tell(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: false,
+    });
     stand.advance(S);
     assert_eq!(crowd(&mut stand, 1..200).len(), cold);
     stand.advance(30 * S);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -63,11 +63,18 @@
             11 if rng.roll(4) == 0 => {
                 let object = (rng.roll(2) == 0).then_some(ObjectId(rng.roll(40)));
                 let age = rng.roll(400) * MS;
-                stand.tell(Event::Purged(object, rng.roll(4) as u32, age));
+                stand.tell(Event::Purged {
+                    object,
+                    group: rng.roll(4) as u32,
+                    age,
+                });
             }
             10 if rng.roll(8) == 0 => {
                 let member = usual()[rng.roll(6) as usize].endpoint;
-                stand.tell(Event::Cordon(member, rng.roll(6) == 0));
+                stand.tell(Event::Cordon {
+                    endpoint: member,
+                    cordoned: rng.roll(6) == 0,
+                });
             }
             _ => {
                 let live = stand.live();
@@ -211,11 +218,24 @@
     c.action(t, &attempt(10, 20, 0));
     broken(&c, "drained");
     let mut c = primed(0);
-    c.event(t, &Event::Cordon(EndpointId(20), true));
+    c.event(
+        t,
+        &Event::Cordon {
+            endpoint: EndpointId(20),
+            cordoned: true,
+        },
+    );
     c.action(t, &attempt(10, 20, 0));
     broken(&c, "out by hand");
     let mut c = primed(0);
-    c.event(t, &Event::Purged(Some(ObjectId(5)), 0, 100 * MS));
+    c.event(
+        t,
+        &Event::Purged {
+            object: Some(ObjectId(5)),
+            group: 0,
+            age: 100 * MS,
+        },
+    );
     c.action(t, &attempt(10, 20, 200 * MS));
     broken(&c, "purged copy");
     let mut c = primed(0);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -50,7 +50,10 @@
     // Beside one router a cache has room for one request, beside 900 for a small part of one of each.
     for (routers, weight) in [(1, 1.0), (900, 2.0)] {
         let mut stand = stand(3_200, routers, weight);
-        stand.tell(Event::Connections(100, IDLE));
+        stand.tell(Event::Connections {
+            max: 100,
+            idle: IDLE,
+        });
         let targets: BTreeSet<_> = (0..1_000).map(|n| served(&mut stand, n, n)).collect();
         assert_eq!(targets.len(), 100);
         assert!(
@@ -64,7 +67,10 @@
 #[test]
 fn while_connections_are_to_be_had_an_object_goes_to_its_own_cache() {
     let (mut free, mut bound) = (stand(80, 1, 40.0), stand(80, 1, 40.0));
-    bound.tell(Event::Connections(100, IDLE));
+    bound.tell(Event::Connections {
+        max: 100,
+        idle: IDLE,
+    });
     for n in 0..1_000 {
         assert_eq!(served(&mut free, n, n), served(&mut bound, n, n));
     }
@@ -73,7 +79,10 @@
 #[test]
 fn caches_that_are_no_longer_used_make_room_for_others() {
     let mut stand = stand(3_200, 1, 1.0);
-    stand.tell(Event::Connections(10, IDLE));
+    stand.tell(Event::Connections {
+        max: 10,
+        idle: IDLE,
+    });
     let first: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
     stand.advance(2 * IDLE);
     let second: BTreeSet<_> = (0..100)
@@ -86,7 +95,10 @@
 #[test]
 fn a_cache_that_leaves_is_no_longer_kept_to() {
     let mut stand = stand(3_200, 1, 1.0);
-    stand.tell(Event::Connections(10, IDLE));
+    stand.tell(Event::Connections {
+        max: 10,
+        idle: IDLE,
+    });
     let before: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
     let gone = *before.first().unwrap();
     let weight = 1.0;
@@ -207,7 +219,7 @@
     };
     let mut stands: Vec<_> = (0..ROUTERS).map(one).collect();
     for stand in &mut stands {
-        stand.tell(Event::Connections(8, IDLE));
+        stand.tell(Event::Connections { max: 8, idle: IDLE });
     }
     let (began, mut rng, mut sent) = (stands[0].now, Rng(7), Vec::new());
     for id in 0..600 {
