--- a/src/policy/connection_set.rs
+++ b/src/policy/connection_set.rs
@@ -1,30 +1,32 @@
-//! The caches that connections are held to, as this router can tell: those that it has sent to lately.
+//! The caches that this front has connections to, as far as it can tell: those that it has sent to recently.
 //!
-//! The embedding program can hold so many connections at once. In a fleet with more caches than that, each request
-//! would need a new connection to its own cache, and one would have to be closed for it or none be had. So once as many
-//! caches are in use, requests keep to these.
+//! The embedding program can have a limited number of connections. In a fleet with more caches than that, each request
+//! would need a new connection to its own cache, and another connection would have to be closed for it. So once as
+//! many caches are in use, requests are kept to these.
+use super::endpoint::EndpointIndex;
 use crate::api::{Micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Caches in use, each since when nothing was sent to it.
+/// Caches in use, each with the time of the last request to it.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionSet {
     /// Caches that can be in use at once; 0: any number.
     max_endpoints: usize,
     /// A connection that carries nothing for this long is closed.
     idle: Micros,
-    last_sent: BTreeMap<usize, Timestamp>,
-    by_time: BTreeSet<(Timestamp, usize)>,
+    last_sent: BTreeMap<EndpointIndex, Timestamp>,
+    by_time: BTreeSet<(Timestamp, EndpointIndex)>,
 }
 
 impl ConnectionSet {
-    /// From now on this holds of connections.
+    /// Sets how many caches can be in use, and after which time without a request one no longer is.
     pub fn set_limits(&mut self, max_endpoints: usize, idle: Micros) {
-        (self.max_endpoints, self.idle) = (max_endpoints, idle);
+        self.max_endpoints = max_endpoints;
+        self.idle = idle;
     }
 
-    /// Something is sent to a cache.
-    pub fn record_send(&mut self, now: Timestamp, endpoint: usize) {
+    /// Records a request to a cache.
+    pub fn record_send(&mut self, now: Timestamp, endpoint: EndpointIndex) {
         if self.max_endpoints == 0 {
             return;
         }
@@ -33,34 +35,32 @@
         self.by_time.insert((now, endpoint));
     }
 
-    /// A cache is another process from now on, or none.
-    pub fn forget(&mut self, endpoint: usize) {
-        if let Some(at) = self.last_sent.remove(&endpoint) {
-            self.by_time.remove(&(at, endpoint));
+    /// The process of a cache has ended: there is no connection to it.
+    pub fn forget(&mut self, endpoint: EndpointIndex) {
+        if let Some(sent_at) = self.last_sent.remove(&endpoint) {
+            self.by_time.remove(&(sent_at, endpoint));
         }
     }
 
-    /// Caches to which the connections are closed by now are no longer in use.
+    /// Forgets caches to which the connections are closed by now.
     pub fn expire(&mut self, now: Timestamp) {
-        while let Some((at, endpoint)) = self
-            .by_time
-            .first()
-            .copied()
-            .filter(|(at, _)| at + self.idle <= now)
-        {
-            self.by_time.remove(&(at, endpoint));
+        while let Some((sent_at, endpoint)) = self.by_time.first().copied() {
+            if sent_at + self.idle > now {
+                break;
+            }
+            self.by_time.remove(&(sent_at, endpoint));
             self.last_sent.remove(&endpoint);
         }
     }
 
-    /// Whether no further cache can be in use.
+    /// Whether as many caches are in use as can be.
     pub fn is_full(&self) -> bool {
         self.max_endpoints > 0 && self.last_sent.len() >= self.max_endpoints
     }
 
-    /// By how much this router's share of a cache in use is larger than that of a router that sends to all `caches`:
-    /// once each keeps to some of them, as many fewer send to each. 1 where that is not so.
-    pub fn share_factor(&self, endpoint: usize, caches: usize) -> f64 {
+    /// Factor by which this front's share of a cache in use is larger than that of a front that sends to all
+    /// `caches`: once each front keeps to some of them, as many fewer send to each. 1 where that is not so.
+    pub fn share_factor(&self, endpoint: EndpointIndex, caches: usize) -> f64 {
         if !self.is_full() || !self.last_sent.contains_key(&endpoint) {
             return 1.0;
         }
@@ -68,7 +68,7 @@
     }
 
     /// The caches in use.
-    pub fn endpoints(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn endpoints(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
         self.last_sent.keys().copied()
     }
 }
--- a/src/policy/connection_set/tests.rs
+++ b/src/policy/connection_set/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn it_is_full_while_as_many_are_in_use() {
+fn the_set_is_full_while_as_many_caches_are_in_use() {
     let mut connections = connection_set(2);
     connections.record_send(0, 7);
     connections.record_send(10, 7);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_that_is_forgotten_makes_room() {
+fn a_forgotten_cache_makes_room_for_another() {
     let mut connections = connection_set(1);
     connections.record_send(0, 3);
     assert!(connections.is_full());
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn without_a_limit_it_is_never_full_and_keeps_nothing() {
+fn without_a_limit_the_set_is_never_full_and_keeps_nothing() {
     let mut connections = connection_set(0);
     (0..1_000).for_each(|endpoint| connections.record_send(0, endpoint));
     assert!(!connections.is_full());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn its_share_of_a_cache_is_wider_once_each_router_keeps_to_some() {
+fn the_share_of_a_cache_is_larger_once_each_front_keeps_to_some() {
     let mut connections = connection_set(4);
     (0..3).for_each(|endpoint| connections.record_send(0, endpoint));
     assert_eq!(connections.share_factor(0, 100), 1.0);
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,33 +1,36 @@
-//! Placement: the usable members of a role in the rendezvous order of an object.
+//! Placement: the ready endpoints of a role in the rendezvous order of an object.
 //!
-//! Almost every decision ends among the first few places of an order. Those are found in one pass that hashes each
-//! member and compares numbers; nothing is sorted but the few that are found, and what was found for an object is
-//! remembered until the list changes. Further places are worked out when they are asked for.
+//! Almost every decision ends among the first few ranks of an order. Those are found in one pass that hashes each
+//! endpoint and compares integers; nothing is sorted but the few that are found, and the result for an object is
+//! cached until the list changes. Further ranks are computed on demand.
+use super::endpoint::EndpointIndex;
 use super::rendezvous_hash::{hashed_bits, rendezvous, HASH_RANGE};
 use crate::api::EndpointId;
 use std::collections::BTreeMap;
 
-/// Places of an order that are worked out at once, and by how much more each time that these are not enough.
-const FIRST_PLACES: usize = 16;
-const MORE_PLACES: usize = 4;
-/// Orders that are remembered, in each of two generations.
-const REMEMBERED: usize = 512;
-/// Relative error of a logarithm and an exponential, generously: what comes this close to a bound is scored in full.
+/// Ranks of an order that are computed at first.
+const FIRST_RANKS: usize = 16;
+/// Factor by which more are computed each time that these are not enough.
+const GROWTH_FACTOR: usize = 4;
+/// Cached orders in each of two generations.
+const MAX_CACHED_ORDERS: usize = 512;
+/// Generous bound of the relative error of a logarithm and an exponential: a hash this close to the bound is scored
+/// in full.
 const ROUNDING: f64 = 1e-9;
 
-/// A member that can be chosen: its id, and its place in the roster.
+/// An endpoint that can be chosen: its id, and its index in the endpoint table.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
-    member: EndpointId,
-    place: usize,
+    id: EndpointId,
+    index: EndpointIndex,
 }
 
-/// Members that have the same weight.
+/// Endpoints that have the same weight.
 #[derive(Debug)]
 struct WeightClass {
     weight: f64,
     /// In the order of their ids.
-    members: Vec<Candidate>,
+    candidates: Vec<Candidate>,
 }
 
 /// A candidate with its score for one object.
@@ -40,7 +43,7 @@
 impl Scored {
     fn new(key: u64, weight: f64, candidate: Candidate) -> Self {
         Scored {
-            score: rendezvous(key, candidate.member.0, weight),
+            score: rendezvous(key, candidate.id.0, weight),
             candidate,
         }
     }
@@ -49,98 +52,98 @@
     fn is_before(&self, other: &Scored) -> bool {
         let by_score = other.score.total_cmp(&self.score);
         by_score
-            .then_with(|| self.candidate.member.cmp(&other.candidate.member))
+            .then_with(|| self.candidate.id.cmp(&other.candidate.id))
             .is_lt()
     }
 }
 
-/// The usable members of one role.
+/// The ready endpoints of one role.
 #[derive(Debug, Default)]
 pub(crate) struct Ranking {
     classes: Vec<WeightClass>,
-    recent: Recent,
+    cache: OrderCache,
 }
 
-/// The first places of the objects that were asked for lately, in two generations.
+/// The first ranks of recently requested objects, in two generations.
 #[derive(Debug, Default)]
-struct Recent {
-    new: BTreeMap<u64, Vec<usize>>,
-    old: BTreeMap<u64, Vec<usize>>,
+struct OrderCache {
+    current: BTreeMap<u64, Vec<EndpointIndex>>,
+    previous: BTreeMap<u64, Vec<EndpointIndex>>,
 }
 
-/// The order of one object, as far as it is worked out.
+/// The order of one object, as far as it is computed.
 #[derive(Clone, Debug)]
 pub(crate) struct Order {
     key: u64,
-    places: Vec<usize>,
-    /// No member comes after those.
+    indexes: Vec<EndpointIndex>,
+    /// No endpoint comes after those.
     complete: bool,
 }
 
 impl Ranking {
-    /// Adds a member.
-    pub fn insert(&mut self, member: EndpointId, weight: f64, place: usize) {
-        self.recent = Recent::default();
-        let candidate = Candidate { member, place };
+    /// Adds an endpoint.
+    pub fn insert(&mut self, id: EndpointId, weight: f64, index: EndpointIndex) {
+        self.cache = OrderCache::default();
+        let candidate = Candidate { id, index };
         match self.classes.iter_mut().find(|class| class.weight == weight) {
             Some(class) => {
-                let at = class.members.partition_point(|other| other.member < member);
-                class.members.insert(at, candidate);
+                let at = class.candidates.partition_point(|other| other.id < id);
+                class.candidates.insert(at, candidate);
             }
             None => self.classes.push(WeightClass {
                 weight,
-                members: vec![candidate],
+                candidates: vec![candidate],
             }),
         }
     }
 
-    /// Takes a member out again, under the weight that it was added with.
-    pub fn remove(&mut self, member: EndpointId, weight: f64) {
-        self.recent = Recent::default();
+    /// Removes an endpoint under the weight that it was added with.
+    pub fn remove(&mut self, id: EndpointId, weight: f64) {
+        self.cache = OrderCache::default();
         let Some(class) = self.classes.iter_mut().find(|class| class.weight == weight) else {
             return;
         };
         if let Ok(at) = class
-            .members
-            .binary_search_by_key(&member, |candidate| candidate.member)
+            .candidates
+            .binary_search_by_key(&id, |candidate| candidate.id)
         {
-            class.members.remove(at);
+            class.candidates.remove(at);
         }
-        self.classes.retain(|class| !class.members.is_empty());
+        self.classes.retain(|class| !class.candidates.is_empty());
     }
 
-    /// The weight of all members together.
+    /// The total weight of all endpoints.
     pub fn weight(&self) -> f64 {
         self.classes
             .iter()
-            .map(|class| class.weight * class.members.len() as f64)
+            .map(|class| class.weight * class.candidates.len() as f64)
             .sum()
     }
 
     /// The order for an object.
     pub fn order(&mut self, key: u64) -> Order {
-        let places = match self.recent.get(key) {
-            Some(places) => places,
+        let indexes = match self.cache.get(key) {
+            Some(indexes) => indexes,
             None => {
-                let places = self.best(key, FIRST_PLACES);
-                self.recent.add(key, places.clone());
-                places
+                let indexes = self.best(key, FIRST_RANKS);
+                self.cache.add(key, indexes.clone());
+                indexes
             }
         };
         Order {
             key,
-            complete: places.len() < FIRST_PLACES,
-            places,
+            complete: indexes.len() < FIRST_RANKS,
+            indexes,
         }
     }
 
-    /// So many first places of the order for an object, or all if there are no more.
-    fn best(&self, key: u64, count: usize) -> Vec<usize> {
+    /// The first `count` ranks of the order for an object, or all if there are fewer.
+    fn best(&self, key: u64, count: usize) -> Vec<EndpointIndex> {
         let mut best: Vec<Scored> = Vec::with_capacity(count + 1);
         for class in &self.classes {
-            let mut least = least_bits(class.weight, &best, count);
-            for candidate in &class.members {
-                if hashed_bits(key, candidate.member.0) < least {
+            let mut min_bits = min_bits_for(class.weight, &best, count);
+            for candidate in &class.candidates {
+                if hashed_bits(key, candidate.id.0) < min_bits {
                     continue;
                 }
                 let scored = Scored::new(key, class.weight, *candidate);
@@ -148,18 +151,18 @@
                 if at < count {
                     best.insert(at, scored);
                     best.truncate(count);
-                    least = least_bits(class.weight, &best, count);
+                    min_bits = min_bits_for(class.weight, &best, count);
                 }
             }
         }
         best.into_iter()
-            .map(|scored| scored.candidate.place)
+            .map(|scored| scored.candidate.index)
             .collect()
     }
 }
 
-/// The least hash that a member of this weight can have if it belongs to the best ones.
-fn least_bits(weight: f64, best: &[Scored], count: usize) -> u64 {
+/// The least hash that an endpoint of this weight can have if it belongs to the best ones.
+fn min_bits_for(weight: f64, best: &[Scored], count: usize) -> u64 {
     let Some(last) = best.get(count - 1) else {
         return 0;
     };
@@ -168,53 +171,55 @@
     ((unit * HASH_RANGE) as u64).saturating_sub(1)
 }
 
-impl Recent {
-    fn get(&mut self, key: u64) -> Option<Vec<usize>> {
-        if let Some(places) = self.new.get(&key) {
-            return Some(places.clone());
+impl OrderCache {
+    fn get(&mut self, key: u64) -> Option<Vec<EndpointIndex>> {
+        if let Some(indexes) = self.current.get(&key) {
+            return Some(indexes.clone());
         }
-        let places = self.old.remove(&key)?;
-        self.add(key, places.clone());
-        Some(places)
+        let indexes = self.previous.remove(&key)?;
+        self.add(key, indexes.clone());
+        Some(indexes)
     }
 
-    fn add(&mut self, key: u64, places: Vec<usize>) {
-        if self.new.len() >= REMEMBERED {
-            self.old = std::mem::take(&mut self.new);
+    fn add(&mut self, key: u64, indexes: Vec<EndpointIndex>) {
+        if self.current.len() >= MAX_CACHED_ORDERS {
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.new.insert(key, places);
+        self.current.insert(key, indexes);
     }
 }
 
 impl Order {
-    /// An order of few members, worked out in full: those of `places`, each with its id and weight.
-    pub fn among(key: u64, places: impl Iterator<Item = (EndpointId, f64, usize)>) -> Self {
-        let scored =
-            |(member, weight, place)| Scored::new(key, weight, Candidate { member, place });
-        let mut all: Vec<Scored> = places.map(scored).collect();
+    /// A complete order of few endpoints, each given with its id, weight and index.
+    pub fn among(
+        key: u64,
+        indexes: impl Iterator<Item = (EndpointId, f64, EndpointIndex)>,
+    ) -> Self {
+        let scored = |(id, weight, index)| Scored::new(key, weight, Candidate { id, index });
+        let mut all: Vec<Scored> = indexes.map(scored).collect();
         all.sort_by(|a, b| {
             b.score
                 .total_cmp(&a.score)
-                .then_with(|| a.candidate.member.cmp(&b.candidate.member))
+                .then_with(|| a.candidate.id.cmp(&b.candidate.id))
         });
         Order {
             key,
-            places: all
+            indexes: all
                 .into_iter()
-                .map(|scored| scored.candidate.place)
+                .map(|scored| scored.candidate.index)
                 .collect(),
             complete: true,
         }
     }
 
-    /// The member at a position, from 0.
-    pub fn get(&mut self, ranking: &Ranking, position: usize) -> Option<usize> {
-        while position >= self.places.len() && !self.complete {
-            let count = self.places.len() * MORE_PLACES;
-            self.places = ranking.best(self.key, count);
-            self.complete = self.places.len() < count;
+    /// The endpoint at a position, from 0.
+    pub fn get(&mut self, ranking: &Ranking, position: usize) -> Option<EndpointIndex> {
+        while position >= self.indexes.len() && !self.complete {
+            let count = self.indexes.len() * GROWTH_FACTOR;
+            self.indexes = ranking.best(self.key, count);
+            self.complete = self.indexes.len() < count;
         }
-        self.places.get(position).copied()
+        self.indexes.get(position).copied()
     }
 }
 
--- a/src/policy/placement/tests.rs
+++ b/src/policy/placement/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 /// The order as a full sort gives it.
-fn sorted(key: u64, members: &[(u64, f64)]) -> Vec<usize> {
-    let mut all: Vec<_> = members
+fn sorted(key: u64, endpoints: &[(u64, f64)]) -> Vec<usize> {
+    let mut all: Vec<_> = endpoints
         .iter()
         .enumerate()
         .map(|(at, (id, weight))| (rendezvous(key, *id, *weight), *id, at))
@@ -11,9 +11,9 @@
     all.into_iter().map(|(_, _, at)| at).collect()
 }
 
-fn ranking(members: &[(u64, f64)]) -> Ranking {
+fn ranking(endpoints: &[(u64, f64)]) -> Ranking {
     let mut ranking = Ranking::default();
-    members
+    endpoints
         .iter()
         .enumerate()
         .for_each(|(at, (id, weight))| ranking.insert(EndpointId(*id), *weight, at));
@@ -28,18 +28,18 @@
 }
 
 #[test]
-fn orders_are_those_of_a_full_sort_for_any_number_of_members_and_any_weights() {
+fn orders_are_those_of_a_full_sort_for_any_number_of_endpoints_and_any_weights() {
     let weights: [fn(u64) -> f64; 3] = [|_| 8.0, |n| (1 + n % 3) as f64, |n| 0.1 + n as f64 * 0.37];
     for weight in weights {
         for count in [0, 1, 2, 15, 16, 17, 63, 64, 200, 900] {
-            let members: Vec<_> = (0..count).map(|n| (0x101 + n, weight(n))).collect();
-            let mut ranking = ranking(&members);
+            let endpoints: Vec<_> = (0..count).map(|n| (0x101 + n, weight(n))).collect();
+            let mut ranking = ranking(&endpoints);
             for object in 0..20 {
                 let key = crate::policy::rendezvous_hash::mix(object, count);
                 assert_eq!(
                     walked(&mut ranking, key),
-                    sorted(key, &members),
-                    "{count} members, {object}"
+                    sorted(key, &endpoints),
+                    "{count} endpoints, {object}"
                 );
             }
         }
@@ -47,24 +47,24 @@
 }
 
 #[test]
-fn what_is_remembered_of_an_order_ends_with_the_next_change() {
-    let mut members: Vec<_> = (0..40).map(|n| (n, 2.0)).collect();
-    let mut ranking = ranking(&members);
+fn a_cached_order_ends_with_the_next_change() {
+    let mut endpoints: Vec<_> = (0..40).map(|n| (n, 2.0)).collect();
+    let mut ranking = ranking(&endpoints);
     let first = walked(&mut ranking, 7);
     assert_eq!(walked(&mut ranking, 7), first);
-    let (id, weight) = members[first[0]];
+    let (id, weight) = endpoints[first[0]];
     ranking.remove(EndpointId(id), weight);
     assert_eq!(walked(&mut ranking, 7), first[1..]);
-    members.push((99, 5.0));
+    endpoints.push((99, 5.0));
     ranking.insert(EndpointId(id), weight, first[0]);
     ranking.insert(EndpointId(99), 5.0, 40);
-    assert_eq!(walked(&mut ranking, 7), sorted(7, &members));
+    assert_eq!(walked(&mut ranking, 7), sorted(7, &endpoints));
     assert_eq!(ranking.weight(), 85.0);
 }
 
 #[test]
-fn memory_of_orders_is_bounded() {
+fn the_cache_of_orders_is_bounded() {
     let mut ranking = ranking(&[(1, 1.0), (2, 1.0)]);
     (0..10_000).for_each(|key| drop(ranking.order(key)));
-    assert!(ranking.recent.new.len() + ranking.recent.old.len() <= 2 * REMEMBERED);
+    assert!(ranking.cache.current.len() + ranking.cache.previous.len() <= 2 * MAX_CACHED_ORDERS);
 }
--- a/src/policy/rendezvous_hash.rs
+++ b/src/policy/rendezvous_hash.rs
@@ -1,11 +1,12 @@
-//! Mixing of ids into evenly spread numbers, for rendezvous hashing.
+//! Rendezvous hashing: evenly spread hashes of ids, and the scores that are made of them.
 
-/// Bits of a hash that rendezvous scores are made of, and the number of hashes that they tell apart.
+/// Bits of a hash that rendezvous scores are made of.
 const HASH_BITS: u32 = 53;
-pub const HASH_RANGE: f64 = (1u64 << HASH_BITS) as f64;
+/// Number of different hashes of that many bits.
+pub(crate) const HASH_RANGE: f64 = (1u64 << HASH_BITS) as f64;
 
-/// Mixes two numbers into one (the finaliser of SplitMix64 over a combination of both).
-pub fn mix(a: u64, b: u64) -> u64 {
+/// Mixes two numbers into one: the finalizer of SplitMix64 over a combination of both.
+pub(crate) fn mix(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31);
     for _ in 0..2 {
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -15,16 +16,16 @@
     z
 }
 
-/// The bits of the hash of `member` for `object` that its rendezvous score is made of: of two members of the same
+/// The bits of the hash of `endpoint` for `object` that its rendezvous score is made of: of two endpoints of the same
 /// weight the one with the larger bits has the higher score.
-pub fn hashed_bits(object: u64, member: u64) -> u64 {
-    mix(object, member) >> (u64::BITS - HASH_BITS)
+pub(crate) fn hashed_bits(object: u64, endpoint: u64) -> u64 {
+    mix(object, endpoint) >> (u64::BITS - HASH_BITS)
 }
 
-/// Weighted rendezvous score of `member` for `object`: the highest score among the members wins, and each
-/// member wins a share of the objects in proportion to its weight.
-pub fn rendezvous(object: u64, member: u64, weight: f64) -> f64 {
-    let unit = (hashed_bits(object, member) as f64 + 0.5) / HASH_RANGE;
+/// Weighted rendezvous score of `endpoint` for `object`: the highest score among the endpoints wins, and each
+/// endpoint wins a share of the objects in proportion to its weight.
+pub(crate) fn rendezvous(object: u64, endpoint: u64, weight: f64) -> f64 {
+    let unit = (hashed_bits(object, endpoint) as f64 + 0.5) / HASH_RANGE;
     -weight / unit.ln()
 }
 
