--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -78,7 +78,10 @@
         let ops = kept(ops(), &mut faults);
         let sockets = kept(limit("sockets", SOCKETS_LEAST), &mut faults);
         let memory = kept(limit("memory_mb", MEMORY_LEAST), &mut faults);
-        let deployment = kept(cranesill_settings::read(&v["settings"]), &mut faults);
+        let deployment = kept(
+            cranesill_settings::read(&v["settings"]).map_err(|error| error.to_string()),
+            &mut faults,
+        );
         let known = deployment
             .as_ref()
             .and_then(|d| kept(known::read(&v["known"], &d.names), &mut faults));
--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -1,179 +1,233 @@
-//! What settings may be: each fault is told with its place. A key that is missing is none, since the wire leaves out what
-//! has its default; one of another kind, or out of bounds, would be read as 0 and followed in silence.
+//! Checks settings before they are read: each fault is reported with its path.
+//!
+//! A missing key is no fault, since the wire leaves out what has its default; a value of another kind, or out of
+//! bounds, would silently be read as 0.
+use crate::error::{Problem, SettingsFault};
 use serde_json::Value;
 
-/// Figures, each with the most that it may be; none is negative. Spans are microseconds, an hour at most.
-const SPAN: f64 = 3.6e9;
-const FIGURES: [(&str, f64); 20] = [
+/// Greatest duration: an hour in microseconds.
+const MAX_DURATION: f64 = 3.6e9;
+/// Numbers, each with the greatest value that is allowed; none is negative.
+const NUMBERS: [(&str, f64); 20] = [
     ("/zone", 65_535.0),
     ("/index", 1e6),
     ("/nInstances", 1e6),
     ("/familyInfo/clientKbPerS", 1e12),
-    ("/familyInfo/purgeTakes", SPAN),
-    ("/familyInfo/purgeGrace", SPAN),
+    ("/familyInfo/purgeTakes", MAX_DURATION),
+    ("/familyInfo/purgeGrace", MAX_DURATION),
     ("/familyInfo/parentColdFrom", 1.0),
-    ("/familyInfo/parentWarmsIn", SPAN),
+    ("/familyInfo/parentWarmsIn", MAX_DURATION),
     ("/familyInfo/parentFallMultiple", 1e6),
     ("/rules/coldFrom", 1.0),
-    ("/rules/cold", SPAN),
+    ("/rules/cold", MAX_DURATION),
     ("/rules/fallMultiple", 1e6),
-    ("/rules/overloadFor", SPAN),
-    ("/policyLimits/connIdle", SPAN),
-    ("/policyLimits/connectTimeout", SPAN),
-    ("/policyLimits/maxRetryAfter", SPAN),
+    ("/rules/overloadFor", MAX_DURATION),
+    ("/policyLimits/connIdle", MAX_DURATION),
+    ("/policyLimits/connectTimeout", MAX_DURATION),
+    ("/policyLimits/maxRetryAfter", MAX_DURATION),
     ("/policyLimits/openCap", 1e9),
     ("/policyLimits/sendCap", 65_535.0),
     ("/policyLimits/streamsPerConn", 1e9),
-    ("/step", SPAN),
+    ("/step", MAX_DURATION),
 ];
-const CLASS_FIGURES: [(&str, f64); 5] = [
-    ("/aim", SPAN),
+const CLASS_NUMBERS: [(&str, f64); 5] = [
+    ("/aim", MAX_DURATION),
     ("/aimStretch", 1e6),
     ("/gain", 1e12),
-    ("/deadline", SPAN),
-    ("/memorySpan", SPAN),
+    ("/deadline", MAX_DURATION),
+    ("/memorySpan", MAX_DURATION),
 ];
-const FLAGS: [&str; 5] = [
+const BOOLEANS: [&str; 5] = [
     "/familyInfo/joins",
     "/familyInfo/passThroughOk",
     "/policyLimits/cancelling",
     "/policyLimits/mayDuplicate",
     "/policyLimits/retryAfter",
 ];
+/// Indexes into the list of kinds, or -1.
 const KINDS: [&str; 2] = ["/familyInfo/upperKind", "/familyInfo/rootKind"];
-/// Lists, what each holds, and how many at most.
-const LISTS: [(&str, Holds); 10] = [
-    ("/classes", Holds::Objects),
-    ("/zones", Holds::Names),
-    ("/kinds", Holds::Names),
-    ("/report/fields", Holds::Names),
-    ("/familyInfo/classWrite", Holds::Flags),
-    ("/familyInfo/classFresh", Holds::Figures(SPAN)),
-    ("/familyInfo/usableAfter", Holds::Figures(SPAN)),
-    ("/familyInfo/seatsByZone", Holds::Figures(1e6)),
-    ("/familyInfo/feedKbPerS", Holds::Figures(1e12)),
-    ("/familyInfo/attachedTo", Holds::Figures(65_535.0)),
+const LISTS: [(&str, Expected); 10] = [
+    ("/classes", Expected::Object),
+    ("/zones", Expected::Text),
+    ("/kinds", Expected::Text),
+    ("/report/fields", Expected::Text),
+    ("/familyInfo/classWrite", Expected::Boolean),
+    ("/familyInfo/classFresh", Expected::Number(MAX_DURATION)),
+    ("/familyInfo/usableAfter", Expected::Number(MAX_DURATION)),
+    ("/familyInfo/seatsByZone", Expected::Number(1e6)),
+    ("/familyInfo/feedKbPerS", Expected::Number(1e12)),
+    ("/familyInfo/attachedTo", Expected::Number(65_535.0)),
 ];
-/// Of a word that is not known so much is told.
-const WORD_TOLD: usize = 40;
-const LIST_MOST: usize = 65_536;
+/// Lists by class.
+const CLASS_LISTS: [&str; 3] = ["classWrite", "classFresh", "usableAfter"];
+const SEMANTICS: [&str; 3] = ["pure", "token", "side_effect"];
+const KEY_SCOPES: [&str; 3] = ["all", "zone", "cell"];
+const DISCOVERY: [&str; 2] = ["automatic", "subscribe"];
+/// Characters of an unknown word that are reported.
+const MAX_REPORTED_CHARS: usize = 40;
+const MAX_LIST_ENTRIES: usize = 65_536;
 
+/// The kind of value that is expected.
 #[derive(Clone, Copy)]
-enum Holds {
-    Objects,
-    Names,
-    Flags,
-    Figures(f64),
+enum Expected {
+    Object,
+    Text,
+    Boolean,
+    /// From 0 to this.
+    Number(f64),
 }
 
-impl Holds {
-    fn fault(self, v: &Value) -> Option<String> {
+impl Expected {
+    fn problem(self, value: &Value) -> Option<Problem> {
         match self {
-            Holds::Objects => (!v.is_object()).then(|| "not an object".into()),
-            Holds::Names => (!v.is_string()).then(|| "not a text".into()),
-            Holds::Flags => (!v.is_boolean()).then(|| "not true or false".into()),
-            Holds::Figures(most) => match v.as_f64() {
-                None => Some("not a number".into()),
-                Some(n) => {
-                    (!(0.0..=most).contains(&n)).then(|| format!("{n:?}: not from 0 to {most}"))
-                }
+            Expected::Object => (!value.is_object()).then_some(Problem::NotAnObject),
+            Expected::Text => (!value.is_string()).then_some(Problem::NotAText),
+            Expected::Boolean => (!value.is_boolean()).then_some(Problem::NotABoolean),
+            Expected::Number(max) => match value.as_f64() {
+                None => Some(Problem::NotANumber),
+                Some(value) if (0.0..=max).contains(&value) => None,
+                Some(value) => Some(Problem::OutOfRange { value, max }),
             },
         }
     }
 }
 
-/// All that is wrong with settings, each with its path.
-pub fn faults(v: &Value) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut look = |v: &Value, before: &str, path: &str, holds: Holds| {
-        let found = v.pointer(path).filter(|v| !v.is_null());
-        if let Some(why) = found.and_then(|v| holds.fault(v)) {
-            faults.push(format!("{before}{}: {why}", path.replace('/', ".")));
+/// All that is wrong with settings.
+pub fn faults(settings: &Value) -> Vec<SettingsFault> {
+    let mut check = Check::default();
+    for (pointer, max) in NUMBERS {
+        check.value(settings, "settings", pointer, Expected::Number(max));
+    }
+    for pointer in BOOLEANS {
+        check.value(settings, "settings", pointer, Expected::Boolean);
+    }
+    for (index, class) in classes(settings).enumerate() {
+        check.class(index, class);
+    }
+    for (pointer, expected) in LISTS {
+        check.list(settings, pointer, expected);
+    }
+    for pointer in KINDS {
+        check.kind(settings, pointer);
+    }
+    for (index, class) in classes(settings).enumerate() {
+        check.class_words(index, class);
+    }
+    check.word(&settings["discovery"], "settings.discovery", &DISCOVERY);
+    check.zone(settings);
+    check.class_lists(settings);
+    check.faults
+}
+
+fn classes(settings: &Value) -> impl Iterator<Item = &Value> {
+    settings["classes"].as_array().into_iter().flatten()
+}
+
+/// The value at a JSON pointer; `null` is missing.
+fn present<'a>(value: &'a Value, pointer: &str) -> Option<&'a Value> {
+    value.pointer(pointer).filter(|found| !found.is_null())
+}
+
+/// The path that stands for a JSON pointer in reports.
+fn path(base: &str, pointer: &str) -> String {
+    format!("{base}{}", pointer.replace('/', "."))
+}
+
+fn count(settings: &Value, pointer: &str) -> Option<usize> {
+    settings
+        .pointer(pointer)
+        .and_then(Value::as_array)
+        .map(Vec::len)
+}
+
+/// The faults that were found so far.
+#[derive(Default)]
+struct Check {
+    faults: Vec<SettingsFault>,
+}
+
+impl Check {
+    fn report(&mut self, path: String, problem: Problem) {
+        self.faults.push(SettingsFault { path, problem });
+    }
+
+    fn value(&mut self, parent: &Value, base: &str, pointer: &str, expected: Expected) {
+        let found = present(parent, pointer);
+        if let Some(problem) = found.and_then(|value| expected.problem(value)) {
+            self.report(path(base, pointer), problem);
+        }
+    }
+
+    fn class(&mut self, index: usize, class: &Value) {
+        let base = format!("settings.classes[{index}]");
+        for (pointer, max) in CLASS_NUMBERS {
+            self.value(class, &base, pointer, Expected::Number(max));
         }
-    };
-    FIGURES
-        .iter()
-        .for_each(|(path, most)| look(v, "settings", path, Holds::Figures(*most)));
-    FLAGS
-        .iter()
-        .for_each(|path| look(v, "settings", path, Holds::Flags));
-    for (i, class) in v["classes"].as_array().into_iter().flatten().enumerate() {
-        let before = format!("settings.classes[{i}]");
-        CLASS_FIGURES
-            .iter()
-            .for_each(|(path, most)| look(class, &before, path, Holds::Figures(*most)));
-        look(class, &before, "/name", Holds::Names);
-    }
-    for (path, holds) in LISTS {
-        let name = format!("settings{}", path.replace('/', "."));
-        match v.pointer(path) {
-            None | Some(Value::Null) => {}
-            Some(Value::Array(all)) if all.len() > LIST_MOST => {
-                faults.push(format!("{name}: over {LIST_MOST} entries"));
+        self.value(class, &base, "/name", Expected::Text);
+    }
+
+    fn list(&mut self, settings: &Value, pointer: &str, expected: Expected) {
+        let name = path("settings", pointer);
+        match present(settings, pointer) {
+            None => {}
+            Some(Value::Array(entries)) if entries.len() > MAX_LIST_ENTRIES => {
+                let max = MAX_LIST_ENTRIES;
+                self.report(name, Problem::TooManyEntries { max });
             }
-            Some(Value::Array(all)) => {
-                let told = all
-                    .iter()
-                    .enumerate()
-                    .filter_map(|(i, v)| Some((i, holds.fault(v)?)));
-                faults.extend(told.map(|(i, why)| format!("{name}[{i}]: {why}")));
+            Some(Value::Array(entries)) => {
+                for (index, entry) in entries.iter().enumerate() {
+                    if let Some(problem) = expected.problem(entry) {
+                        self.report(format!("{name}[{index}]"), problem);
+                    }
+                }
             }
-            Some(_) => faults.push(format!("{name}: not a list")),
+            Some(_) => self.report(name, Problem::NotAList),
+        }
+    }
+
+    fn kind(&mut self, settings: &Value, pointer: &str) {
+        let is_kind = |value: &Value| value.as_i64().is_some_and(|n| (-1..=255).contains(&n));
+        if present(settings, pointer).is_some_and(|value| !is_kind(value)) {
+            self.report(path("settings", pointer), Problem::NotAKind);
         }
     }
-    for path in KINDS {
-        let found = v.pointer(path).filter(|v| !v.is_null());
-        if found.is_some_and(|v| !v.as_i64().is_some_and(|n| (-1..=255).contains(&n))) {
-            faults.push(format!(
-                "settings{}: not the place of a kind, or -1 for none",
-                path.replace('/', ".")
-            ));
+
+    fn class_words(&mut self, index: usize, class: &Value) {
+        let name = |key: &str| format!("settings.classes[{index}].{key}");
+        self.word(&class["semantics"], &name("semantics"), &SEMANTICS);
+        self.word(&class["group"], &name("group"), &KEY_SCOPES);
+    }
+
+    fn word(&mut self, value: &Value, path: &str, known: &'static [&'static str]) {
+        let is_known = value.as_str().is_some_and(|word| known.contains(&word));
+        if !value.is_null() && !is_known {
+            let word = value.to_string().chars().take(MAX_REPORTED_CHARS).collect();
+            self.report(path.to_string(), Problem::UnknownWord { word, known });
         }
     }
-    meanings(v, &mut faults);
-    faults
-}
 
-/// Faults of words, and of figures that do not go together.
-fn meanings(v: &Value, faults: &mut Vec<String>) {
-    let mut word = |v: &Value, name: &str, known: &[&str]| {
-        if !v.is_null() && !v.as_str().is_some_and(|word| known.contains(&word)) {
-            let told: String = v.to_string().chars().take(WORD_TOLD).collect();
-            faults.push(format!("{name}: {told}: none of {}", known.join(", ")));
+    fn zone(&mut self, settings: &Value) {
+        let zones = count(settings, "/zones");
+        let zone = settings["zone"].as_u64();
+        if zones
+            .zip(zone)
+            .is_some_and(|(zones, zone)| zone as usize >= zones)
+        {
+            let zone = settings["zone"].to_string();
+            self.report("settings.zone".to_string(), Problem::NoSuchZone { zone });
         }
-    };
-    for (i, class) in v["classes"].as_array().into_iter().flatten().enumerate() {
-        let name = |key: &str| format!("settings.classes[{i}].{key}");
-        word(
-            &class["semantics"],
-            &name("semantics"),
-            &["pure", "token", "side_effect"],
-        );
-        word(&class["group"], &name("group"), &["all", "zone", "cell"]);
-    }
-    word(
-        &v["discovery"],
-        "settings.discovery",
-        &["automatic", "subscribe"],
-    );
-    let count = |path: &str| v.pointer(path).and_then(Value::as_array).map(Vec::len);
-    if count("/zones")
-        .zip(v["zone"].as_u64())
-        .is_some_and(|(zones, zone)| zone as usize >= zones)
-    {
-        faults.push(format!(
-            "settings.zone: {}: not a place in settings.zones",
-            v["zone"]
-        ));
-    }
-    let Some(classes) = count("/classes") else {
-        return;
-    };
-    for key in ["classWrite", "classFresh", "usableAfter"] {
-        if count(&format!("/familyInfo/{key}")).is_some_and(|n| n > classes) {
-            faults.push(format!(
-                "settings.familyInfo.{key}: more entries than settings.classes"
-            ));
+    }
+
+    fn class_lists(&mut self, settings: &Value) {
+        let Some(classes) = count(settings, "/classes") else {
+            return;
+        };
+        for key in CLASS_LISTS {
+            let entries = count(settings, &format!("/familyInfo/{key}"));
+            if entries.is_some_and(|entries| entries > classes) {
+                let path = format!("settings.familyInfo.{key}");
+                self.report(path, Problem::MoreThanClasses);
+            }
         }
     }
 }
--- a/settings/src/check/tests.rs
+++ b/settings/src/check/tests.rs
@@ -8,8 +8,8 @@
 
 #[test]
 fn what_is_missing_is_no_fault_and_what_is_of_another_kind_names_its_place() {
-    assert_eq!(faults(&good()), Vec::<String>::new());
-    assert_eq!(faults(&json!({})), Vec::<String>::new());
+    assert_eq!(faults(&good()), Vec::<SettingsFault>::new());
+    assert_eq!(faults(&json!({})), Vec::<SettingsFault>::new());
     let cases = [
         ("/zone", json!(7)),
         ("/zone", json!("edge-1")),
@@ -35,8 +35,10 @@
         *settings.pointer_mut(path).unwrap() = value;
         let faults = faults(&settings);
         assert!(!faults.is_empty(), "{path}");
-        told.push(faults.join("; "));
-        assert!(crate::read(&settings).is_err(), "{path}");
+        let error = crate::read(&settings).expect_err(path);
+        let lines: Vec<String> = faults.iter().map(SettingsFault::to_string).collect();
+        assert_eq!(error.to_string(), lines.join("; "));
+        told.push(error.to_string());
     }
     let text = told.join("\n");
     for place in [
--- /dev/null
+++ b/settings/src/read.rs
@@ -0,0 +1,147 @@
+//! Reads settings that were checked.
+use crate::json::{duration, flag, kind, list, number, text, texts};
+use crate::{Deployment, Limits, Names, ReportLayout};
+use cranesill::api::{Class, Idempotency, KeyScope, Micros, Settings, SlowStartLimits};
+use serde_json::Value;
+
+/// Idle time after which cache nodes close connections, where it is not given.
+const DEFAULT_IDLE_US: f64 = 15e6;
+const DEFAULT_STREAMS: f64 = 1.0;
+const DEFAULT_OPEN_REQUESTS: f64 = 20_000.0;
+/// Nothing that was decided before a purge is too old, where no time is given.
+const UNLIMITED: Micros = Micros::MAX / 2;
+
+/// The deployment that the settings describe.
+pub fn deployment(v: &Value) -> Deployment {
+    Deployment {
+        settings: settings(v),
+        layout: report_layout(&v["report"]),
+        names: names(v),
+        limits: limits(v),
+    }
+}
+
+fn report_layout(report: &Value) -> ReportLayout {
+    let fields = list(report, "fields");
+    let position = |name: &str| fields.iter().position(|field| field.as_str() == Some(name));
+    ReportLayout {
+        in_flight: position("concurrent"),
+        link: position("x1"),
+    }
+}
+
+fn settings(v: &Value) -> Settings {
+    let family = &v["familyInfo"];
+    let limits = &v["policyLimits"];
+    let rules = &v["rules"];
+    let zone = number(v, "zone") as u16;
+    Settings {
+        zone,
+        fronts_by_zone: fronts_by_zone(family),
+        fronts: number(v, "nInstances") as u32,
+        front_index: number(v, "index") as u32,
+        classes: classes(v),
+        parent_kind: kind(family, "upperKind"),
+        origin_kind: kind(family, "rootKind"),
+        client_kb_per_s: number(family, "clientKbPerS"),
+        link_kb_per_s: family["feedKbPerS"][usize::from(zone)]
+            .as_f64()
+            .unwrap_or(0.0),
+        pass_through: flag(family, "passThroughOk"),
+        coalescing: flag(family, "joins"),
+        purge_propagation: duration(family, "purgeTakes"),
+        cache_slow_start: SlowStartLimits {
+            initial_share: number(rules, "coldFrom"),
+            warm_up: duration(rules, "cold"),
+            overload_multiple: number(rules, "fallMultiple"),
+        },
+        parent_slow_start: SlowStartLimits {
+            initial_share: number(family, "parentColdFrom"),
+            warm_up: duration(family, "parentWarmsIn"),
+            overload_multiple: number(family, "parentFallMultiple"),
+        },
+        overload_window: duration(rules, "overloadFor"),
+        connect_timeout: duration(limits, "connectTimeout"),
+        max_attempts: number(limits, "sendCap") as u32,
+        hedging: flag(limits, "mayDuplicate"),
+        cancellation: flag(limits, "cancelling"),
+        max_retry_after: if flag(limits, "retryAfter") {
+            duration(limits, "maxRetryAfter")
+        } else {
+            0
+        },
+        must_subscribe: v["discovery"].as_str() == Some("subscribe"),
+    }
+}
+
+fn fronts_by_zone(family: &Value) -> Vec<u32> {
+    let seats = list(family, "seatsByZone").iter();
+    seats
+        .map(|seats| seats.as_u64().unwrap_or(0) as u32)
+        .collect()
+}
+
+fn classes(v: &Value) -> Vec<Class> {
+    let family = &v["familyInfo"];
+    let all = list(v, "classes").iter().enumerate();
+    all.map(|(index, class)| Class {
+        latency_objective: duration(class, "aim"),
+        objective_stretch: number(class, "aimStretch"),
+        priority_weight: number(class, "gain"),
+        idempotency: idempotency(class),
+        write: family["classWrite"][index].as_bool().unwrap_or(false),
+        freshness_lifetime: family["classFresh"][index].as_f64().unwrap_or(0.0) as Micros,
+        grace: family["usableAfter"][index].as_f64().unwrap_or(0.0) as Micros,
+    })
+    .collect()
+}
+
+fn idempotency(class: &Value) -> Idempotency {
+    match class["semantics"].as_str() {
+        Some("pure") => Idempotency::Idempotent,
+        Some("token") => Idempotency::Keyed {
+            scope: match class["group"].as_str() {
+                Some("all") => KeyScope::All,
+                Some("zone") => KeyScope::Zone,
+                _ => KeyScope::Cell,
+            },
+            window: duration(class, "memorySpan"),
+        },
+        _ => Idempotency::NotIdempotent,
+    }
+}
+
+fn names(v: &Value) -> Names {
+    let classes = list(v, "classes").iter();
+    Names {
+        classes: classes.map(|class| text(&class["name"])).collect(),
+        zones: texts(v, "zones"),
+        kinds: texts(v, "kinds"),
+        report: texts(&v["report"], "fields"),
+    }
+}
+
+fn limits(v: &Value) -> Limits {
+    let limits = &v["policyLimits"];
+    let at_least_one = |key: &str, default: f64| {
+        let given = number(limits, key);
+        if given >= 1.0 {
+            given
+        } else {
+            default
+        }
+    };
+    let purge_grace = duration(&v["familyInfo"], "purgeGrace");
+    let classes = list(v, "classes").iter();
+    Limits {
+        idle: at_least_one("connIdle", DEFAULT_IDLE_US) as Micros,
+        purge_grace: if purge_grace > 0 {
+            purge_grace
+        } else {
+            UNLIMITED
+        },
+        streams: at_least_one("streamsPerConn", DEFAULT_STREAMS) as usize,
+        open: at_least_one("openCap", DEFAULT_OPEN_REQUESTS) as usize,
+        waits: classes.map(|class| duration(class, "deadline")).collect(),
+    }
+}
