--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -29,7 +29,7 @@
                 wire::Record::PowerOn { seed, profile } => {
                     let settings::Deployment {
                         settings, layout, ..
-                    } = settings::parse(profile)?;
+                    } = settings::parse(profile).map_err(|error| error.to_string())?;
                     routers.insert(who, (Router::new(settings, seed), layout));
                     continue;
                 }
--- a/front/src/routing/accounting.rs
+++ b/front/src/routing/accounting.rs
@@ -1,6 +1,6 @@
 //! Accounting: the end of each attempt is reported to the decisions, exactly once.
 use super::*;
-use cranesill::api::{Event, FillNote, Outcome, Report, Status};
+use cranesill::api::{Event, FillNote, LoadReport, Outcome, Status};
 
 impl RequestPipeline {
     /// Handles the end of an attempt; a second end of the same one is ignored.
@@ -23,9 +23,9 @@
             attempt: attempt.number,
             closed,
             status,
-            along: end.is_duplicate_failure(),
+            shared_failure: end.is_duplicate_failure(),
             note: reply.map_or(FillNote::None, |reply| reply.fill_note),
-            waited: reply.map_or(0, |reply| reply.queueing_time),
+            source_wait: reply.map_or(0, |reply| reply.queueing_time),
             latency: now.saturating_sub(outstanding.sent_at),
             report: reply.and_then(|reply| self.read_load_report(reply)),
         };
@@ -55,7 +55,7 @@
     }
 
     /// The endpoint's load, if it sent a report that the settings can read.
-    fn read_load_report(&self, reply: &UpstreamReply) -> Option<Report> {
+    fn read_load_report(&self, reply: &UpstreamReply) -> Option<LoadReport> {
         if reply.load_report.is_empty() {
             return None;
         }
--- a/front/src/routing/dispatch.rs
+++ b/front/src/routing/dispatch.rs
@@ -1,6 +1,6 @@
 //! Dispatch: an attempt that was decided becomes a fetch from an endpoint.
 use super::*;
-use cranesill::api::{Effect, Fill};
+use cranesill::api::{Fill, Idempotency};
 
 /// How an attempt is filled, once the purges known now are taken into account.
 struct FillPlan {
@@ -67,7 +67,7 @@
         let fill = match fill {
             Some(fill) => FillSource {
                 max_age: required.max_age,
-                join: self.deployment.settings.joins,
+                join: self.deployment.settings.coalescing,
                 ..fill
             },
             None => FillSource::without_fill(required.max_age),
@@ -106,8 +106,11 @@
     /// Priority weight of a class relative to the highest one, from 0 to 1.
     fn relative_priority(&self, class: usize) -> Option<f64> {
         let classes = &self.deployment.settings.classes;
-        let highest = classes.iter().map(|class| class.worth).fold(0.0, f64::max);
-        Some(classes.get(class)?.worth / highest.max(f64::MIN_POSITIVE))
+        let highest = classes
+            .iter()
+            .map(|class| class.priority_weight)
+            .fold(0.0, f64::max);
+        Some(classes.get(class)?.priority_weight / highest.max(f64::MIN_POSITIVE))
     }
 
     /// Rejects a request whose fetch would overload the main store. The decisions reserve a slot for the attempt until
@@ -176,9 +179,11 @@
     /// wait for its connection until after it.
     fn write_by(&self, pending: &PendingRequest) -> Timestamp {
         let class = self.deployment.settings.classes.get(pending.class);
-        let effect = class.map(|class| class.effect);
-        match (effect, pending.first_possible_run) {
-            (Some(Effect::Keyed { window, .. }), Some(ran_at)) => ran_at.saturating_add(window),
+        let idempotency = class.map(|class| class.idempotency);
+        match (idempotency, pending.first_possible_run) {
+            (Some(Idempotency::Keyed { window, .. }), Some(ran_at)) => {
+                ran_at.saturating_add(window)
+            }
             _ => Timestamp::MAX,
         }
     }
@@ -197,10 +202,10 @@
         FillSource {
             source: Some(fill.source).filter(|source| *source != target),
             rank: fill.rank,
-            max_age: fill.oldest,
-            join: fill.join,
-            cached_only: fill.only_held,
-            revalidate: fill.renew,
+            max_age: fill.max_age,
+            join: fill.coalesce,
+            cached_only: fill.only_cached,
+            revalidate: fill.refresh,
         }
     }
 
--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -23,7 +23,7 @@
             part: received.part,
             group: received.group,
             size_kb: received.size_kb,
-            left: deadline - now,
+            time_left: deadline - now,
         };
         let pending = PendingRequest {
             from,
--- a/front/src/routing/route.rs
+++ b/front/src/routing/route.rs
@@ -74,7 +74,14 @@
             EventSource::Live | EventSource::Configuration => self.clock_offset.to_local(at),
         };
         let age = now.saturating_sub(at);
-        self.handle_event(now, Event::Purged(object.map(ObjectId), group, age));
+        self.handle_event(
+            now,
+            Event::Purged {
+                object: object.map(ObjectId),
+                group,
+                age,
+            },
+        );
     }
 
     /// Discovery moves to another machine, whose clock was never compared with this one.
@@ -84,12 +91,12 @@
 
     /// An operator cordons an endpoint, or ends that.
     pub fn set_cordoned(&mut self, now: Timestamp, endpoint: EndpointId, cordoned: bool) {
-        self.handle_event(now, Event::Cordon(endpoint, cordoned));
+        self.handle_event(now, Event::Cordon { endpoint, cordoned });
     }
 
     /// What the decisions have learned of the endpoints' health, for the next process.
     pub fn learned_health(&self) -> Vec<LearnedHealth> {
-        self.router.learned()
+        self.router.learned_health()
     }
 
     /// Restores what an earlier process has learned of the endpoints' health.
@@ -103,7 +110,13 @@
         now: Timestamp,
         (max_connections, idle_timeout): (usize, Micros),
     ) {
-        self.handle_event(now, Event::Connections(max_connections, idle_timeout));
+        self.handle_event(
+            now,
+            Event::Connections {
+                max: max_connections,
+                idle: idle_timeout,
+            },
+        );
     }
 
     /// Changes the capacity limits.
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -225,7 +225,7 @@
         startup: Option<&cranesill_daemon::Startup>,
         list: Snapshot,
     ) -> Result<(), ServerError> {
-        let purge_done = self.config.deployment.settings.purge_done;
+        let purge_done = self.config.deployment.settings.purge_propagation;
         if let Some((startup, peers)) = startup.and_then(|s| Some((s, s.peers.as_ref()?))) {
             let list = list.clone();
             let seed = self.config.seed;
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -124,7 +124,7 @@
         }
         let (ready, not_ready): (Vec<_>, Vec<_>) = entries
             .iter()
-            .map(|entry| (entry.state, entry.member))
+            .map(|entry| (entry.state, entry.endpoint))
             .partition(|(state, _)| *state == EndpointState::Ready);
         let kind = if complete {
             ListKind::Full
@@ -148,7 +148,7 @@
 
     /// Forgets the addresses of endpoints that a complete list does not name, and returns these endpoints.
     fn remove_unlisted(&mut self, entries: &[EndpointEntry]) -> Vec<EndpointId> {
-        let listed: HashSet<_> = entries.iter().map(|entry| entry.member).collect();
+        let listed: HashSet<_> = entries.iter().map(|entry| entry.endpoint).collect();
         let mut removed: Vec<_> = self.upstream.listed().collect();
         removed.retain(|id| !listed.contains(id));
         self.upstream.keep_only(&listed);
@@ -188,7 +188,7 @@
 
 fn endpoint_entry(listing: &Listing) -> EndpointEntry {
     EndpointEntry {
-        member: EndpointId(listing.id.into()),
+        endpoint: EndpointId(listing.id.into()),
         kind: listing.kind,
         zone: listing.zone,
         cell: listing.cell,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -20,9 +20,9 @@
         ..entry(id, kind)
     });
     let fleet = Settings {
-        routers,
-        routers_by_zone: vec![0, 0, routers],
-        joins: true,
+        fronts: routers,
+        fronts_by_zone: vec![0, 0, routers],
+        coalescing: true,
         ..settings()
     };
     Stand::new(fleet, caches.chain(others).collect())
@@ -50,7 +50,10 @@
     // Beside one router a cache has room for one request, beside 900 for a small part of one of each.
     for (routers, weight) in [(1, 1.0), (900, 2.0)] {
         let mut stand = stand(3_200, routers, weight);
-        stand.tell(Event::Connections(100, IDLE));
+        stand.tell(Event::Connections {
+            max: 100,
+            idle: IDLE,
+        });
         let targets: BTreeSet<_> = (0..1_000).map(|n| served(&mut stand, n, n)).collect();
         assert_eq!(targets.len(), 100);
         assert!(
@@ -64,7 +67,10 @@
 #[test]
 fn while_connections_are_to_be_had_an_object_goes_to_its_own_cache() {
     let (mut free, mut bound) = (stand(80, 1, 40.0), stand(80, 1, 40.0));
-    bound.tell(Event::Connections(100, IDLE));
+    bound.tell(Event::Connections {
+        max: 100,
+        idle: IDLE,
+    });
     for n in 0..1_000 {
         assert_eq!(served(&mut free, n, n), served(&mut bound, n, n));
     }
@@ -73,7 +79,10 @@
 #[test]
 fn caches_that_are_no_longer_used_make_room_for_others() {
     let mut stand = stand(3_200, 1, 1.0);
-    stand.tell(Event::Connections(10, IDLE));
+    stand.tell(Event::Connections {
+        max: 10,
+        idle: IDLE,
+    });
     let first: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
     stand.advance(2 * IDLE);
     let second: BTreeSet<_> = (0..100)
@@ -86,7 +95,10 @@
 #[test]
 fn a_cache_that_leaves_is_no_longer_kept_to() {
     let mut stand = stand(3_200, 1, 1.0);
-    stand.tell(Event::Connections(10, IDLE));
+    stand.tell(Event::Connections {
+        max: 10,
+        idle: IDLE,
+    });
     let before: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
     let gone = *before.first().unwrap();
     let weight = 1.0;
@@ -130,9 +142,9 @@
             attempt: 0,
             closed: true,
             status,
-            along: false,
+            shared_failure: false,
             note: FillNote::None,
-            waited: 0,
+            source_wait: 0,
             latency: MS,
             report: None,
         };
@@ -192,14 +204,14 @@
             .chain([entry(20, PARENT), entry(30, ORIGIN)])
     };
     let fleet = Settings {
-        routers: ROUTERS,
-        routers_by_zone: vec![0, 0, ROUTERS],
+        fronts: ROUTERS,
+        fronts_by_zone: vec![0, 0, ROUTERS],
         ..settings()
     };
     let one = |number| {
         Stand::new(
             Settings {
-                number,
+                front_index: number,
                 ..fleet.clone()
             },
             members().collect(),
@@ -207,7 +219,7 @@
     };
     let mut stands: Vec<_> = (0..ROUTERS).map(one).collect();
     for stand in &mut stands {
-        stand.tell(Event::Connections(8, IDLE));
+        stand.tell(Event::Connections { max: 8, idle: IDLE });
     }
     let (began, mut rng, mut sent) = (stands[0].now, Rng(7), Vec::new());
     for id in 0..600 {
@@ -222,8 +234,8 @@
             }
         }
     }
-    let limits = settings().cold_cache;
-    let span = settings().overload_span;
+    let limits = settings().cache_slow_start;
+    let span = settings().overload_window;
     for id in (1_000..1_000 + CACHES).filter(|id| id % 10 < 6) {
         let times: Vec<Timestamp> = sent
             .iter()
@@ -231,9 +243,9 @@
             .map(|(_, at)| *at)
             .collect();
         for end in &times {
-            let age = (end - began) as f64 / limits.warm_in as f64;
-            let capacity = WEIGHT * (limits.from + (1.0 - limits.from) * age);
-            let calls = capacity * limits.fall_multiple * span as f64 / 300_000.0;
+            let age = (end - began) as f64 / limits.warm_up as f64;
+            let capacity = WEIGHT * (limits.initial_share + (1.0 - limits.initial_share) * age);
+            let calls = capacity * limits.overload_multiple * span as f64 / 300_000.0;
             let bound = if calls < 30.0 {
                 calls + 3.0 * calls.sqrt() + 3.0
             } else {
