--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -146,7 +146,7 @@
 
     /// Whether the decisions avoid an endpoint now.
     pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
-        self.router.is_avoided(endpoint)
+        self.router.is_unavailable(endpoint)
     }
 
     /// When a client may retry that was rejected because the front itself is overloaded.
