--- a/benchlink/src/tests.rs
+++ b/benchlink/src/tests.rs
@@ -9,7 +9,7 @@
         .collect()
 }
 
-fn answer(input: &[u8]) -> Result<Vec<u8>, String> {
+fn answer(input: &[u8]) -> Result<Vec<u8>, AdapterError> {
     let mut output = Vec::new();
     run(&mut &input[..], &mut output).map(|()| output)
 }
@@ -163,7 +163,7 @@
 fn reports_are_read_by_the_names_that_the_settings_give() {
     let read = |fields: &str, values: &[f32]| {
         let text = format!("{{\"report\": {{\"fields\": {fields}}}}}");
-        settings::parse(text.as_bytes())
+        cranesill_settings::parse(text.as_bytes())
             .unwrap()
             .layout
             .read(values)
