--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -74,7 +74,7 @@
 }
 
 /// Caches 10, 11, 12, parents 20, 21 and origin 30, all warm.
-pub fn usual() -> Vec<EndpointEntry> {
+pub fn default_endpoints() -> Vec<EndpointEntry> {
     [
         (10, CACHE),
         (11, CACHE),
@@ -87,7 +87,7 @@
     .to_vec()
 }
 
-pub fn ask(id: u64, object: u64) -> Request {
+pub fn new_request(id: u64, object: u64) -> Request {
     Request {
         id: RequestId(id),
         class: 0,
@@ -112,7 +112,7 @@
 }
 
 /// One router with all that it was told and did; every action is checked against the rules.
-pub struct Stand {
+pub struct RouterHarness {
     pub router: Router,
     pub now: Timestamp,
     pub sent: Vec<Sent>,
@@ -125,9 +125,9 @@
     pub along: bool,
 }
 
-impl Stand {
-    pub fn new(settings: Settings, members: Vec<EndpointEntry>) -> Self {
-        let mut stand = Stand {
+impl RouterHarness {
+    pub fn new(settings: Settings, endpoints: Vec<EndpointEntry>) -> Self {
+        let mut harness = RouterHarness {
             checker: Checker::new(settings.clone()),
             router: Router::new(settings, 1),
             now: 100 * S,
@@ -138,12 +138,12 @@
             trace: Vec::new(),
             along: false,
         };
-        stand.tell(Event::Endpoints(ListKind::Full, members));
-        stand
+        harness.notify(Event::Endpoints(ListKind::Full, endpoints));
+        harness
     }
 
     /// Tells the router an event and returns the attempts that it answers with.
-    pub fn tell(&mut self, event: Event) -> Vec<Sent> {
+    pub fn notify(&mut self, event: Event) -> Vec<Sent> {
         self.checker.event(self.now, &event);
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -185,8 +185,8 @@
         self.sent[before..].to_vec()
     }
 
-    pub fn ask(&mut self, request: Request) -> Vec<Sent> {
-        self.tell(Event::Request(request))
+    pub fn send_request(&mut self, request: Request) -> Vec<Sent> {
+        self.notify(Event::Request(request))
     }
 
     /// Ends an attempt and returns the attempts that this leads to.
@@ -221,7 +221,7 @@
         let (request, attempt) = (sent.request, sent.number);
         let closed = over || status == Status::Ok;
         let along = self.along;
-        self.tell(Event::Outcome(Outcome {
+        self.notify(Event::Outcome(Outcome {
             request,
             attempt,
             closed,
@@ -258,7 +258,7 @@
                     self.timers.remove(&t);
                     // A timer may come a little late.
                     self.now = self.now.max(t.0 + 2 * MS);
-                    self.tell(Event::Timer(t.1));
+                    self.notify(Event::Timer(t.1));
                 }
                 _ => break,
             }
@@ -285,24 +285,24 @@
 pub struct Checker {
     settings: Settings,
     open: BTreeMap<RequestId, Open>,
-    members: BTreeMap<EndpointId, EndpointEntry>,
+    endpoints: BTreeMap<EndpointId, EndpointEntry>,
     purged: Vec<(Option<ObjectId>, u32, Timestamp)>,
     cold: Vec<(EndpointId, Timestamp, f64)>,
-    by_hand: BTreeSet<EndpointId>,
-    pub broken: Vec<String>,
+    cordoned: BTreeSet<EndpointId>,
+    pub violations: Vec<String>,
 }
 
 impl Checker {
     pub fn new(settings: Settings) -> Self {
-        let (open, members, by_hand) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
+        let (open, endpoints, cordoned) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
         Checker {
             settings,
             open,
-            members,
-            by_hand,
+            endpoints,
+            cordoned,
             purged: Vec::new(),
             cold: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -321,7 +321,7 @@
             .iter()
             .filter(|(_, o)| !o.closed && o.deadline + 8 * MS < now)
             .collect();
-        self.broken
+        self.violations
             .extend(late.iter().map(|(id, _)| format!("lost: {id:?}")));
     }
 
@@ -329,20 +329,20 @@
         match event {
             Event::Endpoints(kind, entries) => {
                 if *kind == ListKind::Full {
-                    self.members
+                    self.endpoints
                         .values_mut()
                         .for_each(|m| m.state = EndpointState::Removed);
                 }
                 for entry in entries {
                     // What was sent before this start was known did not go to this process as far as can be told.
                     if self
-                        .members
+                        .endpoints
                         .get(&entry.endpoint)
                         .is_some_and(|old| old.started != entry.started)
                     {
                         self.cold.retain(|sent| sent.0 != entry.endpoint);
                     }
-                    self.members.insert(entry.endpoint, entry.clone());
+                    self.endpoints.insert(entry.endpoint, entry.clone());
                 }
             }
             Event::Request(ask) => {
@@ -366,19 +366,19 @@
             Event::Cordon {
                 endpoint: id,
                 cordoned: true,
-            } => drop(self.by_hand.insert(*id)),
+            } => drop(self.cordoned.insert(*id)),
             Event::Cordon {
                 endpoint: id,
                 cordoned: false,
             } => {
                 // It was restarted meanwhile, whatever the list says of it.
                 let back = self
-                    .by_hand
+                    .cordoned
                     .remove(id)
-                    .then(|| self.members.get_mut(id))
+                    .then(|| self.endpoints.get_mut(id))
                     .flatten();
-                if let Some(member) = back {
-                    member.started = now;
+                if let Some(endpoint) = back {
+                    endpoint.started = now;
                     // What went to the process before it was taken out did not go to this one.
                     self.cold.retain(|sent| sent.0 != *id);
                 }
@@ -399,10 +399,10 @@
             Action::Reject(id, _) | Action::Fail(id) => {
                 let refusal = matches!(action, Action::Reject(..));
                 let Some(open) = self.open.get_mut(id) else {
-                    return self.broken.push(format!("answer for unknown {id:?}"));
+                    return self.violations.push(format!("answer for unknown {id:?}"));
                 };
                 if open.closed {
-                    self.broken.push(format!("second answer: {id:?}"));
+                    self.violations.push(format!("second answer: {id:?}"));
                 }
                 let ran = open
                     .attempts
@@ -422,7 +422,7 @@
                         }
                 );
                 if refusal && ran && !harmless {
-                    self.broken
+                    self.violations
                         .push(format!("refused what may have run: {id:?}"));
                 }
                 open.closed = true;
@@ -433,15 +433,15 @@
 
     fn attempt(&mut self, now: Timestamp, id: RequestId, target: EndpointId, fill: Option<Fill>) {
         let Some(open) = self.open.get_mut(&id) else {
-            return self.broken.push(format!("attempt for unknown {id:?}"));
+            return self.violations.push(format!("attempt for unknown {id:?}"));
         };
         if open.closed {
-            self.broken
+            self.violations
                 .push(format!("attempt after the answer: {id:?}"));
         }
         let out = open.attempts.iter().any(|a| a.1);
         if out && !self.settings.hedging {
-            self.broken.push(format!("two at once: {id:?}"));
+            self.violations.push(format!("two at once: {id:?}"));
         }
         let ran = open
             .attempts
@@ -456,7 +456,7 @@
                 },
                 Some(first),
             ) if now < first.0 + window => {}
-            _ => self.broken.push(format!("effect twice: {id:?}")),
+            _ => self.violations.push(format!("effect twice: {id:?}")),
         }
         open.attempts.push((now, true, None));
         let write = self.settings.classes[open.class].write;
@@ -466,7 +466,7 @@
         });
         if let (Some(at), Some(fill), false) = (purge.map(|p| p.2).max(), fill, write) {
             if fill.max_age == 0 || now - fill.max_age.min(now) < at && now > at {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "purged copy: {id:?} takes copies of age {}",
                     fill.max_age
                 ));
@@ -479,30 +479,31 @@
         .into_iter()
         .flatten()
         {
-            if self.by_hand.contains(&at) {
-                self.broken.push(format!("out by hand: {at:?}"));
+            if self.cordoned.contains(&at) {
+                self.violations.push(format!("out by hand: {at:?}"));
             }
-            match self.members.get(&at) {
+            match self.endpoints.get(&at) {
                 Some(m) if m.state == EndpointState::Ready => self.cold(now, at),
-                _ => self.broken.push(format!("drained: {at:?}")),
+                _ => self.violations.push(format!("drained: {at:?}")),
             }
         }
     }
 
     /// All of the tests' cacheable requests take 300 ms to send; fills are counted as if each reached its source.
     fn cold(&mut self, now: Timestamp, at: EndpointId) {
-        let member = &self.members[&at];
-        let limits = match member.kind {
+        let endpoint = &self.endpoints[&at];
+        let limits = match endpoint.kind {
             PARENT => self.settings.parent_slow_start,
             CACHE => self.settings.cache_slow_start,
             _ => return,
         };
         let span = self.settings.overload_window;
-        if member.started == 0 || now >= member.started + limits.warm_up {
+        if endpoint.started == 0 || now >= endpoint.started + limits.warm_up {
             return;
         }
-        let age = now.saturating_sub(member.started) as f64 / limits.warm_up as f64;
-        let capacity = member.weight * (limits.initial_share + (1.0 - limits.initial_share) * age);
+        let age = now.saturating_sub(endpoint.started) as f64 / limits.warm_up as f64;
+        let capacity =
+            endpoint.weight * (limits.initial_share + (1.0 - limits.initial_share) * age);
         self.cold.push((at, now, 300_000.0));
         let sum: f64 = self
             .cold
@@ -511,7 +512,7 @@
             .map(|c| c.2)
             .sum();
         if sum > limits.overload_multiple * capacity * span as f64 {
-            self.broken.push(format!("pushed over: {at:?}"));
+            self.violations.push(format!("pushed over: {at:?}"));
         }
     }
 }
--- /dev/null
+++ b/tests/cordon.rs
@@ -0,0 +1,253 @@
+//! Endpoints that operators take out: whatever the list says meanwhile, and whatever was planned before.
+mod common;
+use common::*;
+use cranesill::api::*;
+
+/// Endpoints that a hundred requests for different objects name.
+fn named(harness: &mut RouterHarness, from: u64) -> std::collections::BTreeSet<u64> {
+    let mut named = std::collections::BTreeSet::new();
+    for id in from..from + 100 {
+        for sent in harness.send_request(new_request(id, id)) {
+            named.extend([sent.target].into_iter().chain(sent.source));
+            harness.served(&sent);
+        }
+        harness.advance(20 * MS);
+    }
+    named
+}
+
+#[test]
+fn a_cordoned_endpoint_is_neither_target_nor_source_whatever_the_list_says() {
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(20),
+        cordoned: true,
+    });
+    assert_eq!(named(&mut harness, 1), [11, 12, 21].into());
+    // It leaves the list and returns, alone and with the whole list.
+    let gone = EndpointEntry {
+        state: EndpointState::Removed,
+        ..entry(10, CACHE)
+    };
+    harness.notify(Event::Endpoints(ListKind::Delta, vec![gone]));
+    harness.notify(Event::Endpoints(ListKind::Delta, vec![entry(10, CACHE)]));
+    assert_eq!(named(&mut harness, 1_001), [11, 12, 21].into());
+    harness.notify(Event::Endpoints(ListKind::Full, default_endpoints()));
+    assert_eq!(named(&mut harness, 2_001), [11, 12, 21].into());
+    assert!(
+        harness.router.is_unavailable(EndpointId(10))
+            && !harness.router.is_unavailable(EndpointId(11))
+    );
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
+}
+
+#[test]
+fn one_uncordon_undoes_two_cordons_and_begins_a_slow_start() {
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    harness.advance(3 * S);
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: false,
+    });
+    assert!(!harness.router.is_unavailable(EndpointId(10)));
+    // The checker holds it to the limits of one that started now.
+    assert!(
+        named(&mut harness, 1).contains(&10),
+        "it is used again within two seconds"
+    );
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
+}
+
+#[test]
+fn an_uncordoned_endpoint_is_judged_by_its_answers_from_then_on() {
+    let mut harness = RouterHarness::new(
+        settings(),
+        vec![entry(10, CACHE), entry(20, PARENT), entry(30, ORIGIN)],
+    );
+    for id in 1..=4 {
+        let mut next = harness.send_request(new_request(id, id));
+        while let Some(sent) = next.first().cloned() {
+            next = harness.end(&sent, Status::ConnectFailed, FillNote::None, 0);
+        }
+    }
+    assert!(harness.router.is_unavailable(EndpointId(10)), "it is DOWN");
+    let sent = harness.live();
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: false,
+    });
+    assert!(
+        !harness.router.is_unavailable(EndpointId(10)),
+        "not DOWN by what its old process did"
+    );
+    // What was sent to the old one fails now: that says nothing of the new one either.
+    for sent in sent {
+        harness.end(&sent, Status::Reset, FillNote::None, 0);
+    }
+    assert!(!harness.router.is_unavailable(EndpointId(10)));
+}
+
+#[test]
+fn with_all_of_a_kind_cordoned_requests_use_the_rest_or_are_answered_at_once() {
+    let direct = Settings {
+        pass_through: true,
+        ..settings()
+    };
+    let mut harness = RouterHarness::new(direct, default_endpoints());
+    [20, 21].into_iter().for_each(|id| {
+        drop(harness.notify(Event::Cordon {
+            endpoint: EndpointId(id),
+            cordoned: true,
+        }))
+    });
+    assert!(
+        named(&mut harness, 1).contains(&30),
+        "without parents the origin fills"
+    );
+    [10, 11, 12].into_iter().for_each(|id| {
+        drop(harness.notify(Event::Cordon {
+            endpoint: EndpointId(id),
+            cordoned: true,
+        }))
+    });
+    assert_eq!(
+        named(&mut harness, 1_001),
+        [30].into(),
+        "without caches requests go straight to the origin"
+    );
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(30),
+        cordoned: true,
+    });
+    assert!(named(&mut harness, 2_001).is_empty());
+    assert!(
+        harness.answers.contains_key(&RequestId(2_001)),
+        "with nothing left they are refused at once"
+    );
+    // Requests that wait for a endpoint that is taken out are not left waiting.
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
+    let waiting: Vec<u64> = (1..=400).collect();
+    waiting
+        .iter()
+        .for_each(|id| drop(harness.send_request(new_request(*id, 5))));
+    [10, 11, 12, 20, 21, 30].into_iter().for_each(|id| {
+        drop(harness.notify(Event::Cordon {
+            endpoint: EndpointId(id),
+            cordoned: true,
+        }))
+    });
+    let sent: std::collections::BTreeSet<_> = harness.sent.iter().map(|s| s.request.0).collect();
+    let left = waiting.iter().filter(|id| !sent.contains(id));
+    assert!(left.clone().count() > 0, "some wait");
+    assert!(
+        left.clone()
+            .all(|id| harness.answers.contains_key(&RequestId(*id))),
+        "and are answered"
+    );
+}
+
+#[test]
+fn the_next_process_suspects_what_was_down_and_keeps_the_slow_start_of_what_was_uncordoned() {
+    let endpoints = || {
+        vec![
+            entry(10, CACHE),
+            entry(11, CACHE),
+            entry(20, PARENT),
+            entry(30, ORIGIN),
+        ]
+    };
+    let mut old = RouterHarness::new(settings(), endpoints());
+    old.notify(Event::Cordon {
+        endpoint: EndpointId(11),
+        cordoned: true,
+    });
+    for id in 1..=4 {
+        let mut next = old.send_request(new_request(id, id));
+        while let Some(sent) = next.first().cloned() {
+            next = old.end(&sent, Status::ConnectFailed, FillNote::None, 0);
+        }
+    }
+    old.notify(Event::Cordon {
+        endpoint: EndpointId(11),
+        cordoned: false,
+    });
+    let learned = old.router.learned_health();
+    let of = |id| {
+        *learned
+            .iter()
+            .find(|one| one.endpoint.0 == id)
+            .expect("learned")
+    };
+    assert!(of(10).down && of(10).lost && !of(11).down && of(11).cold_since == old.now);
+    let mut new = RouterHarness::new(settings(), endpoints());
+    new.now = old.now;
+    new.notify(Event::LearnedHealth(learned.clone()));
+    // SUSPECT: it is probed by one request and its further try, not by all.
+    let to_10: Vec<_> = (1..=40)
+        .flat_map(|id| new.send_request(new_request(id, id)))
+        .filter(|sent| sent.target == 10)
+        .collect();
+    assert!((1..=2).contains(&to_10.len()), "{} probes", to_10.len());
+    new.end(&to_10[0], Status::ConnectFailed, FillNote::None, 0);
+    assert!(
+        new.router.is_unavailable(EndpointId(10)),
+        "one failure is enough"
+    );
+    // Of a endpoint that has started anew since, it says nothing.
+    let mut new = RouterHarness::new(settings(), endpoints());
+    let anew = EndpointEntry {
+        started: new.now - S,
+        ..entry(10, CACHE)
+    };
+    new.notify(Event::Endpoints(ListKind::Delta, vec![anew]));
+    new.notify(Event::LearnedHealth(learned));
+    assert_eq!(
+        new.router
+            .learned_health()
+            .iter()
+            .filter(|one| one.endpoint.0 == 10)
+            .count(),
+        0
+    );
+}
+
+#[test]
+fn a_burst_after_uncordoning_skips_the_endpoint_in_slow_start() {
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: true,
+    });
+    harness.notify(Event::Cordon {
+        endpoint: EndpointId(10),
+        cordoned: false,
+    });
+    // Answered at once, so that nothing but its coldness holds them back.
+    for id in 1..=400 {
+        for sent in harness.send_request(new_request(id, id)) {
+            harness.served(&sent);
+        }
+        harness.advance(MS);
+    }
+    assert!(
+        harness.sent.iter().any(|sent| sent.target == 10),
+        "it gets its share of what it can do"
+    );
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
+}
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -7,10 +7,10 @@
 const SEEDS: u64 = 300;
 const STEPS: u64 = 700;
 
-/// The members of a deployment and what is told to its router.
+/// The endpoints of a deployment and what is told to its router.
 struct Deployment {
     settings: Settings,
-    members: Vec<EndpointEntry>,
+    endpoints: Vec<EndpointEntry>,
 }
 
 /// One to six hubs, one to eight locations of unequal size, one to six classes, with and without all that is optional.
@@ -96,11 +96,11 @@
         max_retry_after: rng.roll(2) * 500 * MS,
         must_subscribe: rng.roll(4) == 0,
     };
-    let mut members = Vec::new();
+    let mut endpoints = Vec::new();
     let mut put = |kind: u8, zone: u64, weight: u64| {
-        let (member, weight) = (EndpointId(10 + members.len() as u64), weight as f64);
-        members.push(EndpointEntry {
-            endpoint: member,
+        let (endpoint, weight) = (EndpointId(10 + endpoints.len() as u64), weight as f64);
+        endpoints.push(EndpointEntry {
+            endpoint: endpoint,
             kind,
             zone: zone as u16,
             cell: 0,
@@ -118,7 +118,10 @@
     if origin {
         put(ORIGIN, 0, 1);
     }
-    Deployment { settings, members }
+    Deployment {
+        settings,
+        endpoints,
+    }
 }
 
 /// An end that the settings allow, for what was asked.
@@ -144,9 +147,12 @@
     }
 }
 
-/// Plays one deployment; what was broken, and how many requests were served and attempts sent.
+/// Plays one deployment; what was violations, and how many requests were served and attempts sent.
 fn play(seed: u64) -> (Vec<String>, usize, usize) {
-    let Deployment { settings, members } = deployment(seed);
+    let Deployment {
+        settings,
+        endpoints,
+    } = deployment(seed);
     let mut rng = Rng(seed ^ 0x5eed);
     let (zone, classes) = (settings.zone, settings.classes.len() as u64);
     let (direct, most, sized) = (
@@ -154,24 +160,24 @@
         settings.max_attempts,
         rng.roll(2) == 0,
     );
-    let mut broken = Vec::new();
-    let mut stand = Stand::new(settings, members.clone());
+    let mut violations = Vec::new();
+    let mut harness = RouterHarness::new(settings, endpoints.clone());
     let (mut next, mut served) = (0, 0);
     for _ in 0..STEPS {
         match rng.roll(12) {
             0..=4 => {
                 next += 1;
-                let mut request = ask(next, rng.roll(40));
+                let mut request = new_request(next, rng.roll(40));
                 request.class = rng.roll(classes) as u16;
                 request.group = rng.roll(4) as u32;
                 request.part = rng.roll(3) as u32;
                 // The checker counts cold work as 300 ms each, so sizes that are told are of that mean at most.
                 request.size_kb = if sized { 300.0 } else { 0.0 };
                 request.time_left = 20 * MS + rng.roll(4_000) * MS;
-                stand.ask(request);
+                harness.send_request(request);
             }
             5..=8 => {
-                let live = stand.live();
+                let live = harness.live();
                 if !live.is_empty() {
                     let attempt = live[rng.roll(live.len() as u64) as usize].clone();
                     let filled = attempt.source.is_some_and(|s| s != attempt.target);
@@ -182,18 +188,18 @@
                         link: (rng.roll(3) > 0).then(|| rng.roll(500) as f64 / 100.0),
                     });
                     let waited = rng.roll(2_000) * MS;
-                    stand.end_with(&attempt, status, note, waited, report);
+                    harness.end_with(&attempt, status, note, waited, report);
                 }
             }
-            9 => drop(stand.advance(rng.roll(250) * MS)),
+            9 => drop(harness.advance(rng.roll(250) * MS)),
             10 => {
-                let mut change = members[rng.roll(members.len() as u64) as usize].clone();
+                let mut change = endpoints[rng.roll(endpoints.len() as u64) as usize].clone();
                 match rng.roll(6) {
                     _ if change.kind == ORIGIN => {}
                     0 => change.state = EndpointState::Draining,
                     1 => change.state = EndpointState::Removed,
-                    2 => change.started = stand.now - rng.roll(3_000) * MS,
-                    3 => drop(stand.tell(Event::Cordon {
+                    2 => change.started = harness.now - rng.roll(3_000) * MS,
+                    3 => drop(harness.notify(Event::Cordon {
                         endpoint: change.endpoint,
                         cordoned: rng.roll(3) == 0,
                     })),
@@ -205,12 +211,16 @@
                 } else {
                     ListKind::Delta
                 };
-                let told = if whole { members.clone() } else { vec![change] };
-                stand.tell(Event::Endpoints(kind, told));
+                let told = if whole {
+                    endpoints.clone()
+                } else {
+                    vec![change]
+                };
+                harness.notify(Event::Endpoints(kind, told));
             }
             _ => {
                 let object = (rng.roll(2) == 0).then_some(ObjectId(rng.roll(40)));
-                stand.tell(Event::Purged {
+                harness.notify(Event::Purged {
                     object,
                     group: rng.roll(4) as u32,
                     age: rng.roll(400) * MS,
@@ -219,45 +229,47 @@
         }
     }
     // All are answered once their time is up, whatever became of their attempts.
-    stand.advance(6 * S);
-    stand.checker.overdue(stand.now);
-    for sent in &stand.sent {
+    harness.advance(6 * S);
+    harness.checker.overdue(harness.now);
+    for sent in &harness.sent {
         let kind = |id: u64| {
-            members
+            endpoints
                 .iter()
                 .find(|m| m.endpoint.0 == id)
                 .map(|m| (m.kind, m.zone))
         };
         match kind(sent.target) {
             Some((CACHE, at)) if at == zone => {}
-            Some((CACHE, _)) => broken.push(format!("a cache of another location: {sent:?}")),
-            _ if !direct => broken.push(format!("straight to a parent or the origin: {sent:?}")),
+            Some((CACHE, _)) => violations.push(format!("a cache of another location: {sent:?}")),
+            _ if !direct => {
+                violations.push(format!("straight to a parent or the origin: {sent:?}"))
+            }
             _ => {}
         }
         // A source is a parent, the origin or the target itself: caches of other locations only where that is allowed,
         // and it is never made use of.
         match sent.source.filter(|s| *s != sent.target).and_then(kind) {
-            Some((CACHE, _)) => broken.push(format!("filled from a cache: {sent:?}")),
+            Some((CACHE, _)) => violations.push(format!("filled from a cache: {sent:?}")),
             _ if u32::from(sent.number) >= most => {
-                broken.push(format!("more than {most} attempts: {sent:?}"))
+                violations.push(format!("more than {most} attempts: {sent:?}"))
             }
             _ => {}
         }
     }
-    broken.extend(stand.checker.broken);
-    (broken, served, stand.sent.len())
+    violations.extend(harness.checker.violations);
+    (violations, served, harness.sent.len())
 }
 
 #[test]
 fn the_rules_hold_whatever_the_deployment_is_like() {
     let (mut served, mut sent) = (0, 0);
     for seed in 0..SEEDS {
-        let (broken, ok, attempts) = play(seed);
-        let told = broken.iter().take(3).collect::<Vec<_>>();
+        let (violations, ok, attempts) = play(seed);
+        let told = violations.iter().take(3).collect::<Vec<_>>();
         assert!(
-            broken.is_empty(),
+            violations.is_empty(),
             "seed {seed}: {} breaches, first {told:#?}",
-            broken.len()
+            violations.len()
         );
         (served, sent) = (served + ok, sent + attempts);
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,42 +4,42 @@
 use cranesill::api::*;
 
 #[test]
-fn when_all_copies_are_void_parents_are_first_asked_for_what_they_hold_and_the_origin_keeps_its_limit(
+fn after_a_purge_of_all_copies_parents_are_first_asked_for_cached_copies_and_the_origin_keeps_its_limit(
 ) {
     // Days on which all copies go void: what filled by way of the origin took the places of parents for seconds
     // before a tenth of the answers of any one router was late.
-    let mut stand = Stand::new(
+    let mut harness = RouterHarness::new(
         Settings {
             coalescing: true,
             ..settings()
         },
-        usual(),
+        default_endpoints(),
     );
     let purged = |id: u64| Request {
         group: 7,
-        ..ask(id, id)
+        ..new_request(id, id)
     };
-    stand.tell(Event::Purged {
+    harness.notify(Event::Purged {
         object: None,
         group: 7,
         age: 100 * MS,
     });
     for id in 1..=20 {
-        let first = stand.ask(purged(id));
-        stand.served(&first[0]);
+        let first = harness.send_request(purged(id));
+        harness.served(&first[0]);
     }
     // Nothing is known of the origin but that it will be asked for all: it is as quick as ever.
     let held = |sent: &Sent| sent.fill.is_some_and(|fill| fill.only_cached);
     let mut by_origin = 0;
     for id in 100..200 {
-        let Some(first) = stand.ask(purged(id)).pop() else {
+        let Some(first) = harness.send_request(purged(id)).pop() else {
             continue;
         };
         assert!(
             held(&first),
             "a parent is not made to fetch before it is known to lack the object"
         );
-        by_origin += stand
+        by_origin += harness
             .end(&first, Status::Miss, FillNote::SourceMiss, 0)
             .iter()
             .filter(|s| !held(s))
@@ -50,41 +50,41 @@
         (1..=60).contains(&by_origin),
         "{by_origin} fetches of the origin at once"
     );
-    let other = stand.ask(ask(300, 300));
+    let other = harness.send_request(new_request(300, 300));
     assert!(
         other.iter().all(|sent| !held(sent)),
         "what was not purged is filled as ever"
     );
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
-fn where_fills_are_not_joined_large_parts_are_first_asked_for_at_the_parent_and_keep_to_the_origins_limit(
-) {
+fn without_coalescing_large_parts_are_first_asked_for_at_the_parent_and_keep_to_the_origins_limit()
+{
     // A calm day of three hundred fronts: after a purge all fetched the same few large objects from the origin, each for
     // itself; none of these fetches ended in time, nothing was kept, and so it went on for as long as they were wanted.
     let by_origin = |joins: bool, size_kb: f64| {
-        let mut stand = Stand::new(
+        let mut harness = RouterHarness::new(
             Settings {
                 coalescing: joins,
                 hedging: false,
                 ..settings()
             },
-            usual(),
+            default_endpoints(),
         );
         // The mean of the class is learnt first.
         for id in 1..=40 {
-            stand
-                .ask(ask(id, id))
+            harness
+                .send_request(new_request(id, id))
                 .iter()
-                .for_each(|sent| stand.served(sent));
+                .for_each(|sent| harness.served(sent));
         }
         let (mut asked_for_held, mut fetched) = (0, 0);
         for id in 100..300 {
-            let Some(first) = stand
-                .ask(Request {
+            let Some(first) = harness
+                .send_request(Request {
                     size_kb,
-                    ..ask(id, id)
+                    ..new_request(id, id)
                 })
                 .pop()
             else {
@@ -93,13 +93,13 @@
             let held = |sent: &Sent| sent.fill.is_some_and(|fill| fill.only_cached);
             asked_for_held += u32::from(held(&first) && first.source != Some(first.target));
             if held(&first) {
-                let next = stand.end(&first, Status::Miss, FillNote::SourceMiss, 0);
+                let next = harness.end(&first, Status::Miss, FillNote::SourceMiss, 0);
                 fetched += next.iter().filter(|sent| !held(sent)).count();
             } else {
                 fetched += 1;
             }
         }
-        assert_eq!(stand.checker.broken, Vec::<String>::new());
+        assert_eq!(harness.checker.violations, Vec::<String>::new());
         (asked_for_held, fetched)
     };
     let (asked, fetched) = by_origin(false, 900.0);
@@ -117,26 +117,26 @@
 }
 
 #[test]
-fn what_the_last_parent_has_no_room_for_goes_to_an_idle_origin() {
+fn an_idle_origin_gets_what_the_last_parent_has_no_capacity_for() {
     // A hub was lost: once the list said so, the parent that was left had room for a third of a fill of each front,
     // and 1,700 requests a second were refused beside an origin that was idle.
-    let mut members = usual();
-    members.remove(4);
-    members[3].weight = 0.3;
-    let mut stand = Stand::new(
+    let mut endpoints = default_endpoints();
+    endpoints.remove(4);
+    endpoints[3].weight = 0.3;
+    let mut harness = RouterHarness::new(
         Settings {
             coalescing: true,
             pass_through: true,
             ..settings()
         },
-        members,
+        endpoints,
     );
     let mut by_source = std::collections::BTreeMap::<u64, u32>::new();
     for id in 1..=12 {
-        let mut next = stand.ask(ask(id, id));
+        let mut next = harness.send_request(new_request(id, id));
         while let Some(sent) = next.pop() {
             if sent.source == Some(sent.target) {
-                next = stand.end(&sent, Status::Miss, FillNote::None, 0);
+                next = harness.end(&sent, Status::Miss, FillNote::None, 0);
             } else {
                 *by_source
                     .entry(sent.source.unwrap_or(sent.target))
@@ -146,11 +146,11 @@
     }
     assert!(by_source.get(&30).is_some_and(|n| *n >= 8), "{by_source:?}");
     assert!(by_source.get(&20).is_some_and(|n| *n <= 4), "{by_source:?}");
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
-fn one_of_many_routers_does_not_hold_a_source_down_for_late_answers() {
+fn one_of_many_fronts_does_not_cut_the_limit_of_a_source_for_late_answers() {
     // Each of a hundred fronts hears of a source once a second: a few late answers kept it from sending there for ten
     // seconds after the source was quick again.
     let many = Settings {
@@ -159,19 +159,19 @@
         pass_through: true,
         ..settings()
     };
-    let mut members = usual();
-    members.remove(4);
-    let mut stand = Stand::new(many, members);
+    let mut endpoints = default_endpoints();
+    endpoints.remove(4);
+    let mut harness = RouterHarness::new(many, endpoints);
     for id in 1..=30 {
-        let sent = stand.ask(ask(id, id)).remove(0);
-        stand.advance(1500 * MS);
-        if stand.live().iter().any(|s| s.request == sent.request) {
-            stand.end(&sent, Status::Ok, FillNote::Filled, 1400 * MS);
+        let sent = harness.send_request(new_request(id, id)).remove(0);
+        harness.advance(1500 * MS);
+        if harness.live().iter().any(|s| s.request == sent.request) {
+            harness.end(&sent, Status::Ok, FillNote::Filled, 1400 * MS);
         }
     }
-    let first = stand.ask(ask(31, 31)).remove(0);
-    let next = stand.end(&first, Status::Miss, FillNote::SourceMiss, 0);
+    let first = harness.send_request(new_request(31, 31)).remove(0);
+    let next = harness.end(&first, Status::Miss, FillNote::SourceMiss, 0);
     let next: Vec<_> = next.iter().map(|sent| sent.source).collect();
     assert_eq!(next, [Some(20)], "the parent has room for what missed");
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -4,89 +4,90 @@
 use cranesill::api::*;
 
 /// Asks once for each object of the range and returns the attempts that are sent at once.
-fn crowd(stand: &mut Stand, ids: std::ops::Range<u64>) -> Vec<Sent> {
-    ids.flat_map(|id| stand.ask(ask(id, id))).collect()
+fn crowd(harness: &mut RouterHarness, ids: std::ops::Range<u64>) -> Vec<Sent> {
+    ids.flat_map(|id| harness.send_request(new_request(id, id)))
+        .collect()
 }
 
-/// The usual members with parents that have room for few.
+/// The usual endpoints with parents that have room for few.
 fn tight() -> Vec<EndpointEntry> {
-    let mut members = usual();
-    members[3..5]
+    let mut endpoints = default_endpoints();
+    endpoints[3..5]
         .iter_mut()
         .for_each(|parent| parent.weight = 6.0);
-    members
+    endpoints
 }
 
 #[test]
-fn refusals_for_lack_of_room_make_no_storm() {
+fn rejections_for_lack_of_capacity_make_no_retry_storm() {
     // i23556e: each refusal was tried up to eight times, twenty attempts a request.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=200 {
-        let mut next = stand.ask(ask(id, id));
+        let mut next = harness.send_request(new_request(id, id));
         while let Some(attempt) = next.first().cloned() {
-            next = stand.end(&attempt, Status::Rejected, FillNote::None, 0);
+            next = harness.end(&attempt, Status::Rejected, FillNote::None, 0);
         }
-        stand.advance(10 * MS);
+        harness.advance(10 * MS);
     }
-    stand.advance(5 * S);
-    let attempts = stand.sent.len();
+    harness.advance(5 * S);
+    let attempts = harness.sent.len();
     assert!(
         (200..=200 + 10 + 20 + 1).contains(&attempts),
         "{attempts} attempts of 200 requests"
     );
-    assert_eq!(stand.answers.len(), 200);
+    assert_eq!(harness.answers.len(), 200);
 }
 
 #[test]
-fn a_trouble_that_hits_all_alike_takes_none_down() {
+fn a_fault_that_hits_all_alike_takes_none_down() {
     // ia8f6a2: fills of all parents timed out behind a slow origin, and all went DOWN.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=60 {
-        if let Some(attempt) = stand.ask(ask(id, id)).first().cloned() {
-            stand.advance(50 * MS);
-            stand.end(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S);
+        if let Some(attempt) = harness.send_request(new_request(id, id)).first().cloned() {
+            harness.advance(50 * MS);
+            harness.end(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S);
         }
     }
-    assert_eq!(stand.log, Vec::<String>::new());
+    assert_eq!(harness.log, Vec::<String>::new());
 }
 
 #[test]
 fn a_parent_that_alone_is_slow_goes_down() {
     // i4761b2: a parent that answered late but inside the time-out never counted up.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=40 {
-        stand.ask(ask(id, id));
+        harness.send_request(new_request(id, id));
     }
     for round in 1..=30 {
-        stand.advance(100 * MS);
-        for attempt in stand.live() {
-            let late = stand.now > attempt.at + 2 * S;
+        harness.advance(100 * MS);
+        for attempt in harness.live() {
+            let late = harness.now > attempt.at + 2 * S;
             match attempt.source {
                 Some(20) if !late => {}
-                Some(_) => _ = stand.end(&attempt, Status::Ok, FillNote::Filled, 0),
+                Some(_) => _ = harness.end(&attempt, Status::Ok, FillNote::Filled, 0),
                 None => {}
             }
         }
-        stand.ask(ask(100 + round, 100 + round));
+        harness.send_request(new_request(100 + round, 100 + round));
     }
     assert_eq!(
-        stand
+        harness
             .log
             .iter()
             .filter(|l| l.contains("Parent 14 DOWN"))
             .count(),
         1,
         "{:?}",
-        stand.log
+        harness.log
     );
-    assert!(!stand.log.iter().any(|l| l.contains("Parent 15 DOWN")));
+    assert!(!harness.log.iter().any(|l| l.contains("Parent 15 DOWN")));
 }
 
 #[test]
-fn where_fills_are_many_a_cache_is_first_asked_for_what_it_holds() {
+fn where_fills_are_many_a_cache_is_first_asked_for_a_cached_copy() {
     // ia8f6a2: fills that waited took the places of hits.
-    let mut stand = Stand::new(settings(), tight());
-    let out = crowd(&mut stand, 1..400);
+    let mut harness = RouterHarness::new(settings(), tight());
+    let out = crowd(&mut harness, 1..400);
     let looks: Vec<_> = out.iter().filter(|s| s.source == Some(s.target)).collect();
     let fills = out
         .iter()
@@ -99,9 +100,9 @@
     );
     // A miss waits for room at its source, and is refused when an answer can no longer be in time.
     let missed = (*looks[0]).clone();
-    stand.end(&missed, Status::Miss, FillNote::None, 0);
-    stand.advance(2 * S);
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    harness.end(&missed, Status::Miss, FillNote::None, 0);
+    harness.advance(2 * S);
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
@@ -109,37 +110,37 @@
     for joins in [false, true] {
         let mut with = settings();
         with.coalescing = joins;
-        let mut stand = Stand::new(with, tight());
+        let mut harness = RouterHarness::new(with, tight());
         // As many as make the sources tight and leave room at the caches.
         let mut id = 0;
         let mut look = None;
         while look.is_none() && id < 400 {
             id += 1;
-            look = stand
-                .ask(ask(id, id))
+            look = harness
+                .send_request(new_request(id, id))
                 .into_iter()
                 .find(|s| s.source == Some(s.target));
         }
         let first = look.expect("the sources grow tight");
-        let second = stand.ask(ask(1000, id)).remove(0);
+        let second = harness.send_request(new_request(1000, id)).remove(0);
         assert_eq!(
             second.source,
             Some(second.target),
             "the twin looks first too"
         );
         // The sources have room again.
-        stand
+        harness
             .live()
             .iter()
             .filter(|s| s.source != Some(s.target))
             .skip(4)
-            .for_each(|s| stand.served(s));
-        let fill = stand.end(&first, Status::Miss, FillNote::None, 0);
+            .for_each(|s| harness.served(s));
+        let fill = harness.end(&first, Status::Miss, FillNote::None, 0);
         assert!(
             fill[0].source.is_some_and(|from| from >= 20),
             "the first miss is filled: {fill:?}"
         );
-        let twin = stand.end(&second, Status::Miss, FillNote::None, 0);
+        let twin = harness.end(&second, Status::Miss, FillNote::None, 0);
         // Where caches can join a fill the twin does, else it waits for the copy and is sent then.
         assert_eq!(
             twin.iter().filter(|s| s.request.0 == 1000).count(),
@@ -147,20 +148,20 @@
             "{twin:?}"
         );
         if !joins {
-            let then = stand.end(&fill[0], Status::Ok, FillNote::Filled, 0);
+            let then = harness.end(&fill[0], Status::Ok, FillNote::Filled, 0);
             assert!(then.iter().any(|s| s.request.0 == 1000), "{then:?}");
         }
     }
 }
 
 #[test]
-fn a_cache_without_room_is_passed_over() {
+fn a_cache_without_capacity_is_skipped() {
     // i80753b: more videos than one cache could send, while its neighbours had room.
-    let mut stand = Stand::new(settings(), usual());
-    let home = stand.ask(ask(1, 5)).remove(0);
-    stand.served(&home);
-    let held = |stand: &Stand| {
-        stand
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
+    let home = harness.send_request(new_request(1, 5)).remove(0);
+    harness.served(&home);
+    let held = |harness: &RouterHarness| {
+        harness
             .live()
             .iter()
             .filter(|s| s.target == home.target)
@@ -168,43 +169,43 @@
     };
     // A refusal cuts the limit of the cache to what it holds, less a little.
     for id in 2..10 {
-        let more = stand.ask(ask(id, 5)).remove(0);
+        let more = harness.send_request(new_request(id, 5)).remove(0);
         assert_eq!(more.target, home.target);
     }
-    let last = stand.live().pop().expect("they are out");
-    stand.end(&last, Status::Rejected, FillNote::None, 0);
-    assert!(held(&stand) > 6);
-    let over = stand.ask(ask(20, 5)).remove(0);
+    let last = harness.live().pop().expect("they are out");
+    harness.end(&last, Status::Rejected, FillNote::None, 0);
+    assert!(held(&harness) > 6);
+    let over = harness.send_request(new_request(20, 5)).remove(0);
     assert_ne!(over.target, home.target);
 }
 
 #[test]
-fn a_refused_write_waits_and_keeps_its_deadline() {
+fn a_rejected_write_waits_and_keeps_its_deadline() {
     // i219619: writes burnt their attempts in milliseconds; snapshot 6ee6ecee lost one whose timer came late.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     let write = Request {
         class: 1,
         time_left: S,
-        ..ask(1, 5)
+        ..new_request(1, 5)
     };
-    let mut next = stand.ask(write);
+    let mut next = harness.send_request(write);
     let mut tries = 0;
     while let Some(attempt) = next.first().cloned() {
         tries += 1;
         assert!(
-            stand
+            harness
                 .end(&attempt, Status::Rejected, FillNote::SourceRejected, 0)
                 .is_empty(),
             "no retry at once"
         );
-        next = stand.advance(60 * MS);
+        next = harness.advance(60 * MS);
     }
-    stand.advance(2 * S);
+    harness.advance(2 * S);
     assert!((4..=8).contains(&tries), "{tries} tries");
-    assert!(stand.answers.contains_key(&RequestId(1)));
-    let now = stand.now;
-    stand.checker.overdue(now);
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    assert!(harness.answers.contains_key(&RequestId(1)));
+    let now = harness.now;
+    harness.checker.overdue(now);
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
@@ -215,16 +216,16 @@
         grace: 30 * S,
         ..class(Idempotency::Idempotent, false)
     };
-    let mut stand = Stand::new(with_grace, tight());
+    let mut harness = RouterHarness::new(with_grace, tight());
     // Misses take the places at the sources until one finds none.
     for id in 1..400 {
-        for look in stand
-            .ask(ask(id, id))
+        for look in harness
+            .send_request(new_request(id, id))
             .into_iter()
             .filter(|s| s.source == Some(s.target))
         {
             assert_eq!(look.fill.unwrap().max_age, 20 * S);
-            for second in stand.end(&look, Status::Miss, FillNote::None, 0) {
+            for second in harness.end(&look, Status::Miss, FillNote::None, 0) {
                 if second.request == look.request && second.source == Some(second.target) {
                     assert_eq!(second.fill.unwrap().max_age, 50 * S);
                     return;
@@ -236,48 +237,54 @@
 }
 
 #[test]
-fn a_stalled_attempt_moves_where_no_second_copy_is_allowed() {
+fn a_stalled_attempt_moves_where_hedging_is_not_allowed() {
     // id98574: a cache lost some requests and served the others, so it was neither silent nor failing.
     let mut single = settings();
     single.hedging = false;
     single.parent_kind = None;
-    let mut stand = Stand::new(single, vec![entry(10, CACHE), entry(11, CACHE)]);
-    let stalled = stand.ask(ask(1, 5)).remove(0);
-    stand.advance(900 * MS);
+    let mut harness = RouterHarness::new(single, vec![entry(10, CACHE), entry(11, CACHE)]);
+    let stalled = harness.send_request(new_request(1, 5)).remove(0);
+    harness.advance(900 * MS);
     assert!(
-        stand.trace.contains(&Action::Cancel(RequestId(1), 0)),
+        harness.trace.contains(&Action::Cancel(RequestId(1), 0)),
         "{:?}",
-        stand.trace
+        harness.trace
     );
-    let next = stand
+    let next = harness
         .end(&stalled, Status::Cancelled, FillNote::None, 0)
         .remove(0);
     assert_ne!(next.target, stalled.target);
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
 fn a_silent_cache_goes_down_when_others_answer_and_its_requests_move() {
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=200 {
-        for attempt in stand.live().into_iter().filter(|s| s.target != 10) {
-            if stand.now > attempt.at + 200 * MS {
-                stand.served(&attempt);
+        for attempt in harness.live().into_iter().filter(|s| s.target != 10) {
+            if harness.now > attempt.at + 200 * MS {
+                harness.served(&attempt);
             }
         }
-        stand.ask(ask(id, id));
-        stand.advance(20 * MS);
-        if stand.log.iter().any(|l| l.contains("Cache a DOWN")) {
+        harness.send_request(new_request(id, id));
+        harness.advance(20 * MS);
+        if harness.log.iter().any(|l| l.contains("Cache a DOWN")) {
             break;
         }
     }
     assert!(
-        stand.log.iter().any(|l| l.contains("Cache a DOWN")),
+        harness.log.iter().any(|l| l.contains("Cache a DOWN")),
         "{:?}",
-        stand.log
+        harness.log
     );
-    assert!(stand.trace.iter().any(|a| matches!(a, Action::Cancel(..))));
-    assert!(!stand.ask(ask(999, 5)).iter().any(|s| s.target == 10));
+    assert!(harness
+        .trace
+        .iter()
+        .any(|a| matches!(a, Action::Cancel(..))));
+    assert!(!harness
+        .send_request(new_request(999, 5))
+        .iter()
+        .any(|s| s.target == 10));
 }
 
 #[test]
@@ -286,81 +293,81 @@
     // were served. Nobody else is heard while the one request is out.
     let mut single = settings();
     single.hedging = false;
-    let mut members = usual();
-    members.extend((13..16).map(|id| entry(id, CACHE)));
-    let mut stand = Stand::new(single, members);
+    let mut endpoints = default_endpoints();
+    endpoints.extend((13..16).map(|id| entry(id, CACHE)));
+    let mut harness = RouterHarness::new(single, endpoints);
     let mut silences = 0;
     for id in 1..=600 {
-        let mut next = stand.ask(ask(id, id % 50));
+        let mut next = harness.send_request(new_request(id, id % 50));
         while let Some(attempt) = next.first().cloned() {
             let silent = (10..13).contains(&attempt.target) && id > 60;
-            stand.advance(if silent { 1_500 * MS } else { 10 * MS });
+            harness.advance(if silent { 1_500 * MS } else { 10 * MS });
             let off = Action::Cancel(attempt.request, attempt.number);
             next.clear();
             if !silent {
-                stand.served(&attempt);
-            } else if stand.trace.contains(&off) {
-                next = stand.end(&attempt, Status::Cancelled, FillNote::None, 0);
+                harness.served(&attempt);
+            } else if harness.trace.contains(&off) {
+                next = harness.end(&attempt, Status::Cancelled, FillNote::None, 0);
             } else {
                 silences += 1;
-                stand.advance(2_600 * MS);
+                harness.advance(2_600 * MS);
             }
         }
     }
-    let down = stand.log.iter().filter(|l| l.contains("DOWN")).count();
+    let down = harness.log.iter().filter(|l| l.contains("DOWN")).count();
     assert!(
         down >= 3,
         "{down} DOWN, {silences} waited in vain: {:?}",
-        stand.log
+        harness.log
     );
     assert!(silences < 60, "{silences} of 540 requests waited in vain");
     // Where all fall silent at once that says nothing of any.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=20 {
-        let sent = stand.ask(ask(id, id));
-        stand.advance(10 * MS);
-        sent.iter().for_each(|attempt| stand.served(attempt));
+        let sent = harness.send_request(new_request(id, id));
+        harness.advance(10 * MS);
+        sent.iter().for_each(|attempt| harness.served(attempt));
     }
     for id in 21..=60 {
-        stand.ask(ask(id, id));
-        stand.advance(4_100 * MS);
+        harness.send_request(new_request(id, id));
+        harness.advance(4_100 * MS);
     }
     assert!(
-        !stand.log.iter().any(|l| l.contains("DOWN")),
+        !harness.log.iter().any(|l| l.contains("DOWN")),
         "{:?}",
-        stand.log
+        harness.log
     );
 }
 
 #[test]
-fn the_origin_takes_what_a_down_parent_leaves_without_room() {
+fn the_origin_takes_what_a_down_parent_leaves_without_capacity() {
     // iee772e: the other parent had no room for two shares of fills, and the origin was calm.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..200 {
-        let mut next = stand.ask(ask(id, id));
+        let mut next = harness.send_request(new_request(id, id));
         while let Some(attempt) = next.first().cloned() {
             next = match attempt.source {
-                Some(20) => stand.end(&attempt, Status::Rejected, FillNote::SourceLost, 0),
+                Some(20) => harness.end(&attempt, Status::Rejected, FillNote::SourceLost, 0),
                 Some(from) if from == attempt.target => {
-                    stand.end(&attempt, Status::Miss, FillNote::None, 0)
+                    harness.end(&attempt, Status::Miss, FillNote::None, 0)
                 }
-                _ => stand.end(&attempt, Status::Ok, FillNote::Filled, 0),
+                _ => harness.end(&attempt, Status::Ok, FillNote::Filled, 0),
             };
         }
-        if stand.log.iter().any(|l| l.contains("Parent 14 DOWN")) {
+        if harness.log.iter().any(|l| l.contains("Parent 14 DOWN")) {
             break;
         }
     }
-    assert!(stand.log.iter().any(|l| l.contains("Parent 14 DOWN")));
+    assert!(harness.log.iter().any(|l| l.contains("Parent 14 DOWN")));
     for id in 1000..1600 {
-        for look in stand.ask(ask(id, id)) {
+        for look in harness.send_request(new_request(id, id)) {
             if look.source == Some(look.target) {
-                stand.end(&look, Status::Miss, FillNote::None, 0);
+                harness.end(&look, Status::Miss, FillNote::None, 0);
             }
         }
     }
     let to = |source: u64| {
-        stand
+        harness
             .sent
             .iter()
             .filter(|s| s.source == Some(source))
@@ -375,30 +382,30 @@
 }
 
 #[test]
-fn a_cold_parent_gets_no_more_than_its_budget_and_a_hit_gives_it_back() {
-    let mut members = usual();
-    members[3].started = 100 * S;
-    members[4].started = 100 * S;
-    let mut stand = Stand::new(settings(), members);
-    let out = crowd(&mut stand, 1..60);
+fn a_parent_in_slow_start_gets_no_more_than_its_budget_and_a_hit_gives_it_back() {
+    let mut endpoints = default_endpoints();
+    endpoints[3].started = 100 * S;
+    endpoints[4].started = 100 * S;
+    let mut harness = RouterHarness::new(settings(), endpoints);
+    let out = crowd(&mut harness, 1..60);
     let to_parents = |sent: &[Sent]| sent.iter().filter(|s| s.source == Some(20)).count();
     assert!(to_parents(&out) <= 2, "{}", to_parents(&out));
     let (mut kept, mut given) = (0, 0);
     for (hit, sum, base) in [(false, &mut kept, 100), (true, &mut given, 1000)] {
-        let mut members = usual();
-        members[3].started = 100 * S;
-        members[4].started = 100 * S;
-        let mut stand = Stand::new(settings(), members);
-        stand.advance(500 * MS);
+        let mut endpoints = default_endpoints();
+        endpoints[3].started = 100 * S;
+        endpoints[4].started = 100 * S;
+        let mut harness = RouterHarness::new(settings(), endpoints);
+        harness.advance(500 * MS);
         for id in base..base + 60 {
-            for attempt in stand.ask(ask(id, id - base)) {
+            for attempt in harness.send_request(new_request(id, id - base)) {
                 *sum += usize::from(attempt.source == Some(20));
                 if hit {
-                    stand.served(&attempt);
+                    harness.served(&attempt);
                 }
             }
         }
-        assert_eq!(stand.checker.broken, Vec::<String>::new());
+        assert_eq!(harness.checker.violations, Vec::<String>::new());
     }
     assert!(
         kept > 0 && given > kept,
@@ -407,29 +414,29 @@
 }
 
 #[test]
-fn one_member_that_does_well_among_many_that_do_not_condemns_none() {
+fn one_healthy_endpoint_among_many_failing_ones_takes_none_down() {
     // i702365, i04dc8e: with many parents one that was not late was always found, and the rest went DOWN.
-    let mut members = usual();
-    members.extend((22..28).map(|id| entry(id, PARENT)));
-    let mut stand = Stand::new(settings(), members);
+    let mut endpoints = default_endpoints();
+    endpoints.extend((22..28).map(|id| entry(id, PARENT)));
+    let mut harness = RouterHarness::new(settings(), endpoints);
     for id in 1..=300 {
-        for attempt in stand.ask(ask(id, id)) {
-            stand.advance(30 * MS);
+        for attempt in harness.send_request(new_request(id, id)) {
+            harness.advance(30 * MS);
             match attempt.source {
-                Some(20) => _ = stand.end(&attempt, Status::Ok, FillNote::Filled, 0),
+                Some(20) => _ = harness.end(&attempt, Status::Ok, FillNote::Filled, 0),
                 Some(_) => {
-                    _ = stand.end(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S)
+                    _ = harness.end(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S)
                 }
                 None => {}
             }
         }
     }
-    assert_eq!(stand.log, Vec::<String>::new());
+    assert_eq!(harness.log, Vec::<String>::new());
 }
 
 /// Ends an attempt with a report of how full the link into the zone is.
 fn end_with_link(
-    stand: &mut Stand,
+    harness: &mut RouterHarness,
     sent: &Sent,
     status: Status,
     note: FillNote,
@@ -439,26 +446,26 @@
         link: Some(link),
         ..LoadReport::default()
     });
-    stand.end_with(sent, status, note, 0, report)
+    harness.end_with(sent, status, note, 0, report)
 }
 
 #[test]
 fn fills_wait_when_the_link_into_the_zone_is_full_and_no_source_is_blamed() {
     // valle-central big-1: after a flush every cache filled at a sixth of the pace, and all was late.
     for (link, many) in [(0.5, true), (6.0, false)] {
-        let mut stand = Stand::new(settings(), usual());
+        let mut harness = RouterHarness::new(settings(), default_endpoints());
         for id in 1..=1000 {
-            let mut next = stand.ask(ask(id, id));
+            let mut next = harness.send_request(new_request(id, id));
             while let Some(attempt) = next.first().cloned().filter(|a| a.source == Some(a.target)) {
-                next = end_with_link(&mut stand, &attempt, Status::Miss, FillNote::None, link);
+                next = end_with_link(&mut harness, &attempt, Status::Miss, FillNote::None, link);
             }
-            stand.advance(10 * MS);
-            let due = stand.now - if many { 300 * MS } else { 1900 * MS };
-            for attempt in stand.live().into_iter().filter(|a| a.at < due) {
-                end_with_link(&mut stand, &attempt, Status::Ok, FillNote::Filled, link);
+            harness.advance(10 * MS);
+            let due = harness.now - if many { 300 * MS } else { 1900 * MS };
+            for attempt in harness.live().into_iter().filter(|a| a.at < due) {
+                end_with_link(&mut harness, &attempt, Status::Ok, FillNote::Filled, link);
             }
         }
-        let fills = stand
+        let fills = harness
             .sent
             .iter()
             .filter(|a| a.source != Some(a.target))
@@ -468,26 +475,26 @@
             many,
             "link {link}: {fills} fills of 1000 requests"
         );
-        assert!(many || stand.log.is_empty(), "{:?}", stand.log);
-        assert_eq!(stand.checker.broken, Vec::<String>::new());
+        assert!(many || harness.log.is_empty(), "{:?}", harness.log);
+        assert_eq!(harness.checker.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn hundreds_of_routers_keep_within_the_budget_of_a_cold_parent() {
+fn hundreds_of_fronts_keep_within_the_slow_start_budget_of_a_parent() {
     // reservas-cr big-1 (5d6f453f and before): each router might overdraw the budget by one request.
     for routers in [3u64, 30, 300] {
         let mut with = settings();
         with.fronts = routers as u32;
         let start = 100 * S;
         let list = || {
-            let mut members = usual();
-            members[3].started = start;
-            members.remove(4);
-            members
+            let mut endpoints = default_endpoints();
+            endpoints[3].started = start;
+            endpoints.remove(4);
+            endpoints
         };
         let one = |number| {
-            Stand::new(
+            RouterHarness::new(
                 Settings {
                     front_index: number as u32,
                     ..with.clone()
@@ -498,21 +505,21 @@
         let mut fleet: Vec<_> = (0..routers).map(one).collect();
         let mut sent: Vec<Timestamp> = Vec::new();
         for step in 0..200 {
-            for (n, stand) in fleet.iter_mut().enumerate() {
+            for (n, harness) in fleet.iter_mut().enumerate() {
                 // All want the parent at once, again and again; fills take half a second each.
-                stand.advance(20 * MS);
-                for done in stand
+                harness.advance(20 * MS);
+                for done in harness
                     .live()
                     .into_iter()
                     .filter(|a| a.at + 500 * MS < start + step * 20 * MS)
                 {
-                    stand.end(&done, Status::Ok, FillNote::Filled, 0);
+                    harness.end(&done, Status::Ok, FillNote::Filled, 0);
                 }
                 let id = step * 1000 + n as u64 + 1;
-                let now = stand.now;
-                let asked = stand.ask(Request {
+                let now = harness.now;
+                let asked = harness.send_request(Request {
                     time_left: S,
-                    ..ask(id, id)
+                    ..new_request(id, id)
                 });
                 sent.extend(asked.iter().filter(|a| a.source == Some(20)).map(|_| now));
             }
@@ -535,34 +542,34 @@
 }
 
 #[test]
-fn while_the_origin_is_slow_parents_are_asked_for_what_they_hold_and_stay_up() {
+fn while_the_origin_is_slow_parents_are_asked_for_cached_copies_and_stay_up() {
     // valle-central rough-2: what waited for a slow origin took all places at the parents.
-    let mut stand = Stand::new(settings(), tight());
+    let mut harness = RouterHarness::new(settings(), tight());
     let mut held_only = 0;
     for id in 1..=400 {
-        let mut next = stand.ask(ask(id, id));
-        stand.advance(10 * MS);
+        let mut next = harness.send_request(new_request(id, id));
+        harness.advance(10 * MS);
         while let Some(attempt) = next.first().cloned() {
             let only_held = attempt.fill.is_some_and(|f| f.only_cached);
             next = match attempt.source {
                 Some(20 | 21) if only_held => {
                     held_only += 1;
-                    stand.end(&attempt, Status::Miss, FillNote::SourceMiss, 0)
+                    harness.end(&attempt, Status::Miss, FillNote::SourceMiss, 0)
                 }
                 Some(from) if from == attempt.target => {
-                    stand.end(&attempt, Status::Miss, FillNote::None, 0)
+                    harness.end(&attempt, Status::Miss, FillNote::None, 0)
                 }
                 _ => break,
             };
         }
-        let due = stand.now - 2 * S;
-        for late in stand.live().into_iter().filter(|a| a.at < due) {
-            stand.end(&late, Status::Ok, FillNote::FilledByOrigin, 0);
+        let due = harness.now - 2 * S;
+        for late in harness.live().into_iter().filter(|a| a.at < due) {
+            harness.end(&late, Status::Ok, FillNote::FilledByOrigin, 0);
         }
     }
     let through =
         |s: &&Sent| s.number > 0 && s.source < Some(30) && s.fill.is_some_and(|f| !f.only_cached);
-    let through = stand
+    let through = harness
         .sent
         .iter()
         .filter(through)
@@ -573,54 +580,54 @@
         "{held_only} asked for what they hold, {through} through"
     );
     assert!(
-        !stand.log.iter().any(|l| l.contains("Parent")),
+        !harness.log.iter().any(|l| l.contains("Parent")),
         "{:?}",
-        stand.log
+        harness.log
     );
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
 fn any_id_of_a_request_works_with_timers() {
     // Tokens once held the id shifted by eight bits, and lost its top.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     let id = u64::MAX - 5;
     let write = Request {
         class: 1,
         time_left: S,
-        ..ask(id, 5)
+        ..new_request(id, 5)
     };
-    let first = stand.ask(write).remove(0);
-    assert!(stand
+    let first = harness.send_request(write).remove(0);
+    assert!(harness
         .end(&first, Status::Rejected, FillNote::SourceRejected, 0)
         .is_empty());
-    let again = stand.advance(200 * MS);
+    let again = harness.advance(200 * MS);
     assert_eq!(again[0].request, RequestId(id));
 }
 
 #[test]
-fn a_request_waits_for_room_at_any_cache() {
+fn a_request_waits_for_capacity_at_any_cache() {
     // costa-pacifico rough-1: requests waited for the cache that hung, while others had room.
     // Whichever cache gets room, its own or the other, the one that waits goes there.
     for freed in [10, 11] {
-        let mut stand = Stand::new(
+        let mut harness = RouterHarness::new(
             settings(),
             vec![entry(10, CACHE), entry(11, CACHE), entry(20, PARENT)],
         );
         let mut id = 0;
-        while stand.sent.len() as u64 == id {
+        while harness.sent.len() as u64 == id {
             id += 1;
-            stand.ask(Request {
+            harness.send_request(Request {
                 part: id as u32,
-                ..ask(id, 5)
+                ..new_request(id, 5)
             });
         }
-        let done = stand
+        let done = harness
             .live()
             .into_iter()
             .find(|a| a.target == freed)
             .expect("both are in use");
-        let then = stand.end(&done, Status::Ok, FillNote::Hit, 0);
+        let then = harness.end(&done, Status::Ok, FillNote::Hit, 0);
         assert!(
             then.len() == 1 && then[0].request.0 == id && then[0].target == freed,
             "{then:?}"
@@ -629,50 +636,53 @@
 }
 
 #[test]
-fn what_is_asked_for_again_is_kept_at_a_higher_rank_than_one_offs() {
-    let mut stand = Stand::new(settings(), usual());
+fn repeated_requests_are_cached_at_a_higher_rank_than_one_offs() {
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     let rank = |sent: &[Sent]| sent[0].fill.unwrap().rank;
     // At first it can't tell one from the other, and must not make light of what is kept already.
-    assert_eq!(rank(&stand.ask(ask(9, 9))), 2);
-    stand.advance(11 * S);
-    assert_eq!(rank(&stand.ask(ask(1, 5))), 1);
-    stand.advance(3 * S);
+    assert_eq!(rank(&harness.send_request(new_request(9, 9))), 2);
+    harness.advance(11 * S);
+    assert_eq!(rank(&harness.send_request(new_request(1, 5))), 1);
+    harness.advance(3 * S);
     assert_eq!(
-        (rank(&stand.ask(ask(2, 5))), rank(&stand.ask(ask(3, 6)))),
+        (
+            rank(&harness.send_request(new_request(2, 5))),
+            rank(&harness.send_request(new_request(3, 6)))
+        ),
         (2, 1)
     );
     // Another part is another copy, and what was long ago does not count.
     assert_eq!(
-        rank(&stand.ask(Request {
+        rank(&harness.send_request(Request {
             part: 1,
-            ..ask(4, 5)
+            ..new_request(4, 5)
         })),
         1
     );
-    stand.advance(60 * S);
-    assert_eq!(rank(&stand.ask(ask(5, 5))), 1);
+    harness.advance(60 * S);
+    assert_eq!(rank(&harness.send_request(new_request(5, 5))), 1);
 }
 
 #[test]
-fn waves_of_draining_caches_and_a_restart_of_all_leave_cold_ones_standing() {
+fn waves_of_draining_caches_and_a_restart_of_all_overload_no_cache_in_slow_start() {
     // preempt and mass_restart: nothing goes to what drains, and what is new gets its budget and no more.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     let mut id = 0;
-    let mut work = |stand: &mut Stand, span: Micros| {
-        let end = stand.now + span;
-        while stand.now < end {
+    let mut work = |harness: &mut RouterHarness, span: Micros| {
+        let end = harness.now + span;
+        while harness.now < end {
             id += 1;
-            stand.ask(ask(id, id));
-            stand.advance(10 * MS);
-            let due = stand.now - 300 * MS;
-            for done in stand.live().into_iter().filter(|a| a.at < due) {
+            harness.send_request(new_request(id, id));
+            harness.advance(10 * MS);
+            let due = harness.now - 300 * MS;
+            for done in harness.live().into_iter().filter(|a| a.at < due) {
                 let looks = done.source == Some(done.target);
                 let (status, note) = if looks {
                     (Status::Miss, FillNote::None)
                 } else {
                     (Status::Ok, FillNote::Filled)
                 };
-                stand.end(&done, status, note, 0);
+                harness.end(&done, status, note, 0);
             }
         }
     };
@@ -681,112 +691,115 @@
             state: EndpointState::Draining,
             ..entry(old, CACHE)
         };
-        stand.tell(Event::Endpoints(ListKind::Delta, vec![drains]));
-        work(&mut stand, S);
+        harness.notify(Event::Endpoints(ListKind::Delta, vec![drains]));
+        work(&mut harness, S);
         let gone = EndpointEntry {
             state: EndpointState::Removed,
             ..entry(old, CACHE)
         };
         let fresh = EndpointEntry {
-            started: stand.now,
+            started: harness.now,
             ..entry(new, CACHE)
         };
-        stand.tell(Event::Endpoints(ListKind::Delta, vec![gone, fresh]));
-        work(&mut stand, S);
+        harness.notify(Event::Endpoints(ListKind::Delta, vec![gone, fresh]));
+        work(&mut harness, S);
     }
     assert!(
-        stand.sent.iter().any(|a| a.target == 13),
+        harness.sent.iter().any(|a| a.target == 13),
         "the first replacement is used"
     );
-    let now = stand.now;
+    let now = harness.now;
     let all = [12, 13, 14].map(|id| EndpointEntry {
         started: now,
         ..entry(id, CACHE)
     });
-    stand.tell(Event::Endpoints(ListKind::Delta, all.to_vec()));
-    work(&mut stand, 3 * S);
-    assert!(stand.sent.iter().any(|a| a.at > now && a.source.is_some()));
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    harness.notify(Event::Endpoints(ListKind::Delta, all.to_vec()));
+    work(&mut harness, 3 * S);
+    assert!(harness
+        .sent
+        .iter()
+        .any(|a| a.at > now && a.source.is_some()));
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
 fn a_few_late_answers_among_many_cut_no_limit() {
     // A calm day on sockets: sizes vary widely and are not told, so some answers are always late; with
     // hundreds of answers a second each pause had one, and every limit shrank to a tenth of the full pace.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=20 {
-        let sent = crowd(&mut stand, round * 100..round * 100 + 30);
-        stand.advance(50 * MS);
+        let sent = crowd(&mut harness, round * 100..round * 100 + 30);
+        harness.advance(50 * MS);
         for attempt in &sent[1..] {
-            stand.end(attempt, Status::Ok, FillNote::Hit, 0);
+            harness.end(attempt, Status::Ok, FillNote::Hit, 0);
         }
-        stand.advance(2 * S);
-        stand.end(&sent[0], Status::Ok, FillNote::Hit, 0);
+        harness.advance(2 * S);
+        harness.end(&sent[0], Status::Ok, FillNote::Hit, 0);
     }
-    assert_eq!(crowd(&mut stand, 5_000..5_120).len(), 120);
+    assert_eq!(crowd(&mut harness, 5_000..5_120).len(), 120);
 }
 
 #[test]
 fn a_source_that_is_lost_now_and_then_keeps_the_room_of_its_parent() {
     // A calm day on sockets: one fill in a thousand broke off, each cut the parent's limit to what it held,
     // and requests waited for room at parents that had all of it.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=20 {
-        let sent = crowd(&mut stand, round * 100..round * 100 + 30);
-        stand.advance(50 * MS);
+        let sent = crowd(&mut harness, round * 100..round * 100 + 30);
+        harness.advance(50 * MS);
         for attempt in &sent[1..] {
-            stand.end(attempt, Status::Ok, FillNote::Filled, 10 * MS);
+            harness.end(attempt, Status::Ok, FillNote::Filled, 10 * MS);
         }
-        for again in stand.end(&sent[0], Status::Error, FillNote::SourceLost, 10 * MS) {
-            stand.end(&again, Status::Ok, FillNote::Filled, 10 * MS);
+        for again in harness.end(&sent[0], Status::Error, FillNote::SourceLost, 10 * MS) {
+            harness.end(&again, Status::Ok, FillNote::Filled, 10 * MS);
         }
-        stand.advance(S);
+        harness.advance(S);
     }
-    let fills = crowd(&mut stand, 5_000..5_100)
+    let fills = crowd(&mut harness, 5_000..5_100)
         .iter()
         .filter(|s| s.source != Some(s.target))
         .count();
     assert!(fills >= 40, "{fills} fills at once");
-    assert_eq!(stand.log, Vec::<String>::new());
+    assert_eq!(harness.log, Vec::<String>::new());
 }
 
 #[test]
-fn late_answers_alone_leave_a_cache_its_full_pace() {
+fn late_answers_alone_leave_a_cache_its_full_share() {
     // A day with pauses: a good part of the answers was late, caches were held to a third of what goes there
     // at full pace, and requests were given up while they waited for room.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=30 {
-        let sent = crowd(&mut stand, round * 100..round * 100 + 10);
-        stand.advance(2 * S);
+        let sent = crowd(&mut harness, round * 100..round * 100 + 10);
+        harness.advance(2 * S);
         for attempt in &sent {
-            stand.end(attempt, Status::Ok, FillNote::Hit, 0);
+            harness.end(attempt, Status::Ok, FillNote::Hit, 0);
         }
     }
-    let sent = crowd(&mut stand, 5_000..5_060).len();
+    let sent = crowd(&mut harness, 5_000..5_060).len();
     assert!(sent >= 36, "{sent} of three times twenty at once");
 }
 
 #[test]
-fn requests_that_no_member_can_use_condemn_none() {
+fn requests_that_all_endpoints_answer_with_errors_take_none_down() {
     // Bad clients' requests, answered with an error by whoever got them, took all caches DOWN.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=40 {
-        let mut next = stand.ask(ask(id, id));
+        let mut next = harness.send_request(new_request(id, id));
         while let Some(attempt) = next.first().cloned() {
-            next = stand.end(&attempt, Status::Error, FillNote::None, 0);
+            next = harness.end(&attempt, Status::Error, FillNote::None, 0);
         }
     }
     assert_eq!(
-        (stand.log.len(), stand.sent.len(), stand.answers.len()),
+        (harness.log.len(), harness.sent.len(), harness.answers.len()),
         (0, 80, 40),
         "{:?}",
-        stand.log
+        harness.log
     );
     // One that answers with an error what another serves is at fault.
     for id in 101..=120 {
-        let first = stand.ask(ask(id, id)).remove(0);
+        let first = harness.send_request(new_request(id, id)).remove(0);
         let bad = |attempt: &Sent| attempt.target == 10;
-        let next = stand.end(
+        let next = harness.end(
             &first,
             if bad(&first) {
                 Status::Error
@@ -796,70 +809,72 @@
             FillNote::Hit,
             0,
         );
-        next.iter().for_each(|attempt| stand.served(attempt));
+        next.iter().for_each(|attempt| harness.served(attempt));
     }
     assert!(
-        stand.log.iter().any(|l| l.contains("Cache a DOWN")),
+        harness.log.iter().any(|l| l.contains("Cache a DOWN")),
         "{:?}",
-        stand.log
+        harness.log
     );
 }
 
 #[test]
-fn what_one_broken_connection_carried_is_one_failure() {
+fn all_attempts_on_one_broken_connection_are_one_failure() {
     // One spoilt answer broke a connection with four attempts on it, and its parent went DOWN.
     for (along, down) in [(true, 0), (false, 1)] {
-        let mut stand = Stand::new(settings(), usual());
-        let home = stand.ask(ask(1, 5)).remove(0);
-        let more: Vec<_> = (2..=4).flat_map(|id| stand.ask(ask(id, 5))).collect();
+        let mut harness = RouterHarness::new(settings(), default_endpoints());
+        let home = harness.send_request(new_request(1, 5)).remove(0);
+        let more: Vec<_> = (2..=4)
+            .flat_map(|id| harness.send_request(new_request(id, 5)))
+            .collect();
         assert!(more.iter().all(|s| s.target == home.target));
-        stand.end(&home, Status::Reset, FillNote::None, 0);
-        stand.along = along;
+        harness.end(&home, Status::Reset, FillNote::None, 0);
+        harness.along = along;
         more.iter()
-            .for_each(|attempt| drop(stand.end(attempt, Status::Reset, FillNote::None, 0)));
-        let lost = stand.log.iter().filter(|l| l.contains("DOWN")).count();
-        assert_eq!(lost, down, "{:?}", stand.log);
+            .for_each(|attempt| drop(harness.end(attempt, Status::Reset, FillNote::None, 0)));
+        let lost = harness.log.iter().filter(|l| l.contains("DOWN")).count();
+        assert_eq!(lost, down, "{:?}", harness.log);
     }
 }
 
 #[test]
-fn an_attempt_without_a_connection_goes_elsewhere_and_condemns_none() {
+fn an_attempt_without_a_connection_goes_elsewhere_and_takes_none_down() {
     // Descriptors were used up: each attempt counted as a lost one, six of a request in a row.
-    let mut stand = Stand::new(settings(), usual());
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=20 {
-        let first = stand.ask(ask(id, id)).remove(0);
-        let next = stand
+        let first = harness.send_request(new_request(id, id)).remove(0);
+        let next = harness
             .end(&first, Status::NotSent, FillNote::None, 0)
             .remove(0);
         assert_ne!(next.target, first.target);
-        stand.served(&next);
+        harness.served(&next);
     }
-    assert_eq!(stand.log, Vec::<String>::new());
+    assert_eq!(harness.log, Vec::<String>::new());
 }
 
 #[test]
-fn a_request_of_which_nothing_was_sent_is_refused_at_half_its_time() {
+fn a_request_of_which_nothing_was_sent_is_rejected_at_half_its_time() {
     // Requests waited for room till an answer could no longer be in time, which was past half of their time.
-    let mut stand = Stand::new(settings(), usual());
-    let mut held = crowd(&mut stand, 1..2000);
+    let mut harness = RouterHarness::new(settings(), default_endpoints());
+    let mut held = crowd(&mut harness, 1..2000);
     let short = Request {
         time_left: 600 * MS,
         size_kb: 100.0,
-        ..ask(5000, 5000)
+        ..new_request(5000, 5000)
     };
-    held.extend(stand.ask(short));
+    held.extend(harness.send_request(short));
     assert!(
         held.iter().all(|s| s.request.0 != 5000),
         "there is no room left"
     );
-    let begun = stand.now;
-    while !stand.answers.contains_key(&RequestId(5000)) {
-        stand.advance(5 * MS);
+    let begun = harness.now;
+    while !harness.answers.contains_key(&RequestId(5000)) {
+        harness.advance(5 * MS);
     }
     assert!(
-        stand.now <= begun + 310 * MS,
+        harness.now <= begun + 310 * MS,
         "after {} us",
-        stand.now - begun
+        harness.now - begun
     );
 }
 
@@ -868,27 +883,27 @@
     // A report of twice what fits, while fills still outran the clients, cut the link's limit again and again: two
     // thirds of requests looked first and then waited for a link that was half empty.
     for (told, calm) in [(2.0, true), (4.0, false)] {
-        let mut stand = Stand::new(settings(), usual());
+        let mut harness = RouterHarness::new(settings(), default_endpoints());
         let mut looks = 0;
         for id in 1..=400 {
-            let sent = stand.ask(ask(id, id));
+            let sent = harness.send_request(new_request(id, id));
             looks += sent.iter().filter(|s| s.source == Some(s.target)).count();
-            stand.advance(20 * MS);
-            let due: Vec<_> = stand
+            harness.advance(20 * MS);
+            let due: Vec<_> = harness
                 .live()
                 .into_iter()
-                .filter(|s| s.at + 500 * MS < stand.now)
+                .filter(|s| s.at + 500 * MS < harness.now)
                 .collect();
             for late in due {
                 let report = Some(LoadReport {
                     link: Some(told),
                     ..LoadReport::default()
                 });
-                stand.end_with(&late, Status::Ok, FillNote::Filled, 0, report);
+                harness.end_with(&late, Status::Ok, FillNote::Filled, 0, report);
             }
         }
         assert_eq!(
-            looks == 0 && stand.answers.is_empty(),
+            looks == 0 && harness.answers.is_empty(),
             calm,
             "{looks} looks at {told}"
         );
@@ -898,26 +913,26 @@
 #[test]
 fn what_missed_does_not_wait_behind_attempts_that_only_name_a_source() {
     // A front that served its zone alone held misses back while the link was half empty: hits had its places.
-    let mut stand = Stand::new(
+    let mut harness = RouterHarness::new(
         Settings {
             link_kb_per_s: 4_000.0,
             ..settings()
         },
-        usual(),
+        default_endpoints(),
     );
     let told = Some(LoadReport {
         link: Some(0.5),
         ..LoadReport::default()
     });
-    let first = stand.ask(ask(1, 1)).remove(0);
-    stand.end_with(&first, Status::Ok, FillNote::Hit, 0, told);
+    let first = harness.send_request(new_request(1, 1)).remove(0);
+    harness.end_with(&first, Status::Ok, FillNote::Hit, 0, told);
     // Twelve transfers of the link are this router's; more attempts than that name a source.
-    let out = crowd(&mut stand, 2..20);
+    let out = crowd(&mut harness, 2..20);
     assert!(
         out.iter().all(|s| s.source != Some(s.target)),
         "none had to look"
     );
-    let next = stand.end(&out[0], Status::Rejected, FillNote::SourceMiss, 0);
+    let next = harness.end(&out[0], Status::Rejected, FillNote::SourceMiss, 0);
     assert!(
         next.iter().any(|s| s.request == out[0].request),
         "it goes on at once: {next:?}"
@@ -925,19 +940,19 @@
 }
 
 #[test]
-fn where_no_cache_has_room_a_parent_that_has_some_is_asked_straight() {
+fn where_no_cache_has_capacity_requests_pass_through_to_a_parent_that_has_some() {
     // Two of a zone's three caches were gone: requests waited for the third to half their time, parents idle.
     for direct in [true, false] {
-        let mut small = usual();
+        let mut small = default_endpoints();
         small[..3].iter_mut().for_each(|cache| cache.weight = 2.0);
-        let mut stand = Stand::new(
+        let mut harness = RouterHarness::new(
             Settings {
                 pass_through: direct,
                 ..settings()
             },
             small,
         );
-        let out = crowd(&mut stand, 1..60);
+        let out = crowd(&mut harness, 1..60);
         let parents = out
             .iter()
             .filter(|s| s.target == 20 || s.target == 21)
@@ -948,23 +963,28 @@
             "{parents} of {}",
             out.len()
         );
-        assert_eq!(stand.checker.broken, Vec::<String>::new());
+        assert_eq!(harness.checker.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn a_clock_that_is_ahead_takes_no_cold_member_for_a_warm_one() {
+fn a_clock_that_is_ahead_takes_no_endpoint_in_slow_start_for_a_warm_one() {
     // Starts are dated by the list service's clock; a front half a minute ahead held no cold cache back.
     let admitted = |ahead: Micros, started: Option<Micros>| {
-        let mut stand = Stand::new(settings(), Vec::new());
-        stand.tell(Event::ClockAhead(ahead));
-        let started = started.map_or(0, |ago| stand.now - ago);
+        let mut harness = RouterHarness::new(settings(), Vec::new());
+        harness.notify(Event::ClockAhead(ahead));
+        let started = started.map_or(0, |ago| harness.now - ago);
         let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
-        stand.tell(Event::Endpoints(ListKind::Full, fresh.to_vec()));
-        stand.advance(S);
-        let sent = crowd(&mut stand, 1..200);
+        harness.notify(Event::Endpoints(ListKind::Full, fresh.to_vec()));
+        harness.advance(S);
+        let sent = crowd(&mut harness, 1..200);
         assert_eq!(
-            stand.checker.broken.iter().filter(|_| ahead == 0).count(),
+            harness
+                .checker
+                .violations
+                .iter()
+                .filter(|_| ahead == 0)
+                .count(),
             0
         );
         sent.len()
@@ -976,35 +996,35 @@
     );
     assert_eq!(admitted(30 * S, Some(30 * S + MS)), cold);
     // A restart that operators make dates itself by this clock.
-    let mut stand = Stand::new(settings(), vec![entry(10, CACHE), entry(30, ORIGIN)]);
-    stand.tell(Event::ClockAhead(60 * S));
-    stand.tell(Event::Cordon {
+    let mut harness = RouterHarness::new(settings(), vec![entry(10, CACHE), entry(30, ORIGIN)]);
+    harness.notify(Event::ClockAhead(60 * S));
+    harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
         cordoned: true,
     });
-    stand.tell(Event::Cordon {
+    harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
         cordoned: false,
     });
-    stand.advance(S);
-    assert_eq!(crowd(&mut stand, 1..200).len(), cold);
-    stand.advance(30 * S);
+    harness.advance(S);
+    assert_eq!(crowd(&mut harness, 1..200).len(), cold);
+    harness.advance(30 * S);
     assert!(
-        crowd(&mut stand, 300..500).len() > cold,
+        crowd(&mut harness, 300..500).len() > cold,
         "it is warm in time"
     );
 }
 
 #[test]
-fn a_clock_that_is_behind_takes_a_cold_member_for_warm_once_it_is() {
+fn a_clock_that_is_behind_ends_a_slow_start_in_time() {
     // By a clock an hour behind a cold cache had an hour of slow start before it, at its least.
     let admitted = |ahead_of_us: Micros, waits: Micros| {
-        let mut stand = Stand::new(settings(), Vec::new());
-        let started = stand.now + ahead_of_us;
+        let mut harness = RouterHarness::new(settings(), Vec::new());
+        let started = harness.now + ahead_of_us;
         let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
-        stand.tell(Event::Endpoints(ListKind::Full, fresh.to_vec()));
-        stand.advance(waits);
-        crowd(&mut stand, 1..200).len()
+        harness.notify(Event::Endpoints(ListKind::Full, fresh.to_vec()));
+        harness.advance(waits);
+        crowd(&mut harness, 1..200).len()
     };
     for behind in [5 * S, 3_600 * S] {
         assert_eq!(admitted(behind, S), admitted(0, S), "it is as cold");
--- a/tests/largest.rs
+++ b/tests/largest.rs
@@ -31,14 +31,14 @@
         ..settings()
     };
     let connect = settings.connect_timeout;
-    let mut stand = Stand::new(settings, usual());
+    let mut harness = RouterHarness::new(settings, default_endpoints());
     let (mut rng, mut counts, mut sizes) =
         (Rng(seed), [(0, 0); 3], std::collections::BTreeMap::new());
     // When attempts end, and how.
     let mut ends: Vec<(Timestamp, Sent, Status)> = Vec::new();
     let (mut next, mut cancelled) = (0, 0);
     for _ in 0..60 * S / STEP {
-        let mut begun = stand.advance(STEP);
+        let mut begun = harness.advance(STEP);
         if rng.roll(4) == 0 {
             next += 1;
             let (size, takes) = match rng.roll(10) {
@@ -49,10 +49,10 @@
             sizes.insert(RequestId(next), (size, takes));
             counts[size].0 += 1;
             let size_kb = if told { takes as f64 / 1_000.0 } else { 0.0 };
-            begun.extend(stand.ask(Request {
+            begun.extend(harness.send_request(Request {
                 size_kb,
                 time_left: WAITS,
-                ..ask(next, rng.roll(3_000))
+                ..new_request(next, rng.roll(3_000))
             }));
         }
         loop {
@@ -71,20 +71,20 @@
                     Day::Lossy if weak && rng.roll(10) < 4 => continue,
                     _ => (late + takes, Status::Ok),
                 };
-                ends.push((stand.now + after, sent, status));
+                ends.push((harness.now + after, sent, status));
             }
             // What is called off ends at once.
-            let off = stand.trace[cancelled..].iter().enumerate();
+            let off = harness.trace[cancelled..].iter().enumerate();
             let off = off.filter_map(|(i, action)| match action {
                 Action::Cancel(id, number) => Some((cancelled + i + 1, *id, *number)),
                 _ => None,
             });
             let off: Option<(usize, RequestId, u16)> = off.into_iter().next();
-            let due = ends.iter().position(|(at, ..)| *at <= stand.now);
+            let due = ends.iter().position(|(at, ..)| *at <= harness.now);
             let (sent, status) = match (off, due) {
                 (Some((seen, id, number)), _) => {
                     cancelled = seen;
-                    let live = stand
+                    let live = harness
                         .live()
                         .into_iter()
                         .find(|s| s.request == id && s.number == number);
@@ -97,22 +97,24 @@
                 }
                 (None, None) => break,
             };
-            if !stand
+            if !harness
                 .live()
                 .iter()
                 .any(|s| s.request == sent.request && s.number == sent.number)
             {
                 continue;
             }
-            if status == Status::Ok && !stand.checker.closed(sent.request) {
+            if status == Status::Ok && !harness.checker.closed(sent.request) {
                 counts[sizes[&sent.request].0].1 += 1;
             }
-            begun = stand.end(&sent, status, FillNote::Hit, 0);
+            begun = harness.end(&sent, status, FillNote::Hit, 0);
         }
-        cancelled = stand.trace.len();
-        stand.sent.retain(|s| s.live || stand.now < s.at + 10 * S);
+        cancelled = harness.trace.len();
+        harness
+            .sent
+            .retain(|s| s.live || harness.now < s.at + 10 * S);
     }
-    assert_eq!(stand.checker.broken, Vec::<String>::new());
+    assert_eq!(harness.checker.violations, Vec::<String>::new());
     counts
 }
 
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -6,18 +6,18 @@
 
 const ROUTERS: u32 = 48;
 const STEP: u64 = 10 * MS;
-/// How long a member takes for an answer.
+/// How long a endpoint takes for an answer.
 const ANSWER: u64 = 60 * MS;
 const CACHES: u64 = 12;
 /// Requests a second of a router of the usual fleet.
 const USUAL_RATE: f64 = 10.0;
 
-/// Many routers of one location, their shared members, and what was sent to whom.
+/// Many routers of one location, their shared endpoints, and what was sent to whom.
 struct Fleet {
-    stands: Vec<Stand>,
+    stands: Vec<RouterHarness>,
     /// Attempts that are out: when they end, by whom.
     out: VecDeque<(Timestamp, usize, Sent)>,
-    /// Every attempt, with the member that it was for.
+    /// Every attempt, with the endpoint that it was for.
     sent: Vec<(Timestamp, usize, u64)>,
     /// Requests that each router is asked in a step.
     asked_in_step: f64,
@@ -26,7 +26,7 @@
     now: Timestamp,
 }
 
-fn members() -> Vec<EndpointEntry> {
+fn endpoints() -> Vec<EndpointEntry> {
     let caches = (10..10 + CACHES).map(|id| entry(id, CACHE));
     caches
         .chain([entry(50, PARENT), entry(51, PARENT), entry(60, ORIGIN)])
@@ -49,7 +49,7 @@
                 hedging: false,
                 ..settings()
             };
-            Stand::new(fleet, members())
+            RouterHarness::new(fleet, endpoints())
         });
         let stands: Vec<_> = stands.collect();
         let now = stands[0].now;
@@ -66,10 +66,10 @@
         }
     }
 
-    /// All routers are told of members.
-    fn tell(&mut self, kind: ListKind, members: &[EndpointEntry]) {
+    /// All routers are told of endpoints.
+    fn notify(&mut self, kind: ListKind, endpoints: &[EndpointEntry]) {
         for n in 0..self.stands.len() {
-            let begun = self.stands[n].tell(Event::Endpoints(kind, members.to_vec()));
+            let begun = self.stands[n].notify(Event::Endpoints(kind, endpoints.to_vec()));
             self.note(n, begun, &[]);
         }
     }
@@ -91,7 +91,7 @@
                 for _ in 0..self.asks() {
                     self.next += 1;
                     let object = self.rng.roll(5_000);
-                    begun.extend(self.stands[n].ask(ask(self.next, object)));
+                    begun.extend(self.stands[n].send_request(new_request(self.next, object)));
                 }
                 self.note(n, begun, dead);
             }
@@ -111,19 +111,19 @@
                 self.note(n, begun, dead);
             }
             if self.now.is_multiple_of(S) {
-                for stand in &mut self.stands {
-                    let closed: Vec<_> = stand
+                for harness in &mut self.stands {
+                    let closed: Vec<_> = harness
                         .sent
                         .iter()
-                        .map(|s| s.live || !stand.checker.closed(s.request))
+                        .map(|s| s.live || !harness.checker.closed(s.request))
                         .collect();
                     let mut keep = closed.into_iter();
-                    stand.sent.retain(|_| keep.next().unwrap_or(true));
+                    harness.sent.retain(|_| keep.next().unwrap_or(true));
                 }
             }
         }
-        for stand in &self.stands {
-            assert_eq!(stand.checker.broken, Vec::<String>::new());
+        for harness in &self.stands {
+            assert_eq!(harness.checker.violations, Vec::<String>::new());
         }
     }
 
@@ -141,10 +141,10 @@
         }
     }
 
-    fn to(&self, member: u64, from: Timestamp, until: Timestamp) -> usize {
+    fn to(&self, endpoint: u64, from: Timestamp, until: Timestamp) -> usize {
         self.sent
             .iter()
-            .filter(|(at, _, to)| *to == member && (from..until).contains(at))
+            .filter(|(at, _, to)| *to == endpoint && (from..until).contains(at))
             .count()
     }
 }
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_cold_cache_gets_no_more_from_all_together_than_it_can_bear() {
+fn a_cache_in_slow_start_gets_no_more_from_all_fronts_than_it_can_bear() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(seed);
         fleet.play(3 * S, &[]);
@@ -193,8 +193,8 @@
             weight: 2.0,
             ..entry(11, CACHE)
         };
-        for stand in &mut fleet.stands {
-            stand.tell(Event::Endpoints(ListKind::Delta, vec![cold.clone()]));
+        for harness in &mut fleet.stands {
+            harness.notify(Event::Endpoints(ListKind::Delta, vec![cold.clone()]));
         }
         fleet.play(22 * S, &[]);
         let settings = settings();
@@ -281,13 +281,13 @@
 const FLEETS: [(u32, f64); 3] = [(1, 480.0), (ROUTERS, USUAL_RATE), (400, 1.2)];
 
 #[test]
-fn the_budget_of_a_slow_start_binds_with_one_router_and_with_hundreds_that_share_less_than_a_request(
+fn the_budget_of_a_slow_start_binds_with_one_front_and_with_hundreds_that_share_less_than_a_request(
 ) {
     for (routers, rate) in FLEETS {
         let mut fleet = Fleet::of(routers, rate, 7);
         fleet.play(3 * S, &[]);
         let started = fleet.now;
-        fleet.tell(ListKind::Delta, &[returned(started)]);
+        fleet.notify(ListKind::Delta, &[returned(started)]);
         fleet.play(12 * S, &[]);
         let fullest = keeps_the_budget(&fleet, started, fleet.now, &format!("{routers} routers"));
         assert!(fullest > 0, "{routers} routers: nothing was sent to it");
@@ -295,19 +295,19 @@
 }
 
 #[test]
-fn a_list_that_is_told_anew_in_a_slow_start_gives_no_second_budget() {
+fn a_repeated_list_during_a_slow_start_gives_no_second_budget() {
     for (routers, rate) in FLEETS {
         let mut fleet = Fleet::of(routers, rate, 8);
         fleet.play(3 * S, &[]);
         let started = fleet.now;
-        fleet.tell(ListKind::Delta, &[returned(started)]);
+        fleet.notify(ListKind::Delta, &[returned(started)]);
         for _ in 0..8 {
             fleet.play(S, &[]);
             // As after a reload: another service tells all of it.
-            let mut all = members();
+            let mut all = endpoints();
             all.retain(|one| one.endpoint != EndpointId(RETURNED));
             all.push(returned(started));
-            fleet.tell(ListKind::Full, &all);
+            fleet.notify(ListKind::Full, &all);
         }
         fleet.play(4 * S, &[]);
         keeps_the_budget(&fleet, started, fleet.now, &format!("{routers} routers"));
@@ -315,12 +315,12 @@
 }
 
 #[test]
-fn a_second_return_within_a_slow_start_begins_the_budget_anew() {
+fn a_second_restart_within_a_slow_start_restarts_the_budget() {
     for (routers, rate) in FLEETS {
         let mut fleet = Fleet::of(routers, rate, 9);
         fleet.play(3 * S, &[]);
         let first = fleet.now;
-        fleet.tell(ListKind::Delta, &[returned(first)]);
+        fleet.notify(ListKind::Delta, &[returned(first)]);
         fleet.play(6 * S, &[]);
         let what = format!("{routers} routers");
         keeps_the_budget(&fleet, first, fleet.now, &what);
@@ -328,10 +328,10 @@
             state: EndpointState::Removed,
             ..returned(first)
         };
-        fleet.tell(ListKind::Delta, &[gone]);
+        fleet.notify(ListKind::Delta, &[gone]);
         fleet.play(S, &[]);
         let second = fleet.now;
-        fleet.tell(ListKind::Delta, &[returned(second)]);
+        fleet.notify(ListKind::Delta, &[returned(second)]);
         fleet.play(12 * S, &[]);
         let fullest = keeps_the_budget(&fleet, second, fleet.now, &what);
         assert!(fullest > 0, "{what}: nothing was sent to it");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,78 +21,78 @@
     }
 }
 
-fn run(settings: Settings, seed: u64) -> Stand {
+fn run(settings: Settings, seed: u64) -> RouterHarness {
     let mut rng = Rng(seed);
     let classes = settings.classes.len() as u64;
-    let mut stand = Stand::new(settings, usual());
+    let mut harness = RouterHarness::new(settings, default_endpoints());
     let mut next = 1;
     for _ in 0..3000 {
         match rng.roll(12) {
             0..=5 => {
-                let mut request = ask(next, rng.roll(40));
+                let mut request = new_request(next, rng.roll(40));
                 request.class = rng.roll(classes) as u16;
                 request.group = rng.roll(4) as u32;
                 request.time_left = 20 * MS + rng.roll(4000) * MS;
                 next += 1;
-                stand.ask(request);
+                harness.send_request(request);
             }
             6..=8 => {
-                let live = stand.live();
+                let live = harness.live();
                 if !live.is_empty() {
                     let attempt = live[rng.roll(live.len() as u64) as usize].clone();
                     let filled = attempt.source.is_some_and(|s| s != attempt.target);
                     let (status, note) = end_of(&mut rng, filled);
                     let waited = rng.roll(2000) * MS;
-                    stand.end(&attempt, status, note, waited);
+                    harness.end(&attempt, status, note, waited);
                 }
             }
             9 => {
-                stand.advance(rng.roll(200) * MS);
+                harness.advance(rng.roll(200) * MS);
             }
             10 if rng.roll(4) == 0 => {
-                let mut change = usual()[rng.roll(6) as usize].clone();
+                let mut change = default_endpoints()[rng.roll(6) as usize].clone();
                 if change.kind != ORIGIN {
                     match rng.roll(3) {
                         0 => change.state = EndpointState::Draining,
                         1 => change.state = EndpointState::Removed,
-                        _ => change.started = stand.now - rng.roll(3000) * MS,
+                        _ => change.started = harness.now - rng.roll(3000) * MS,
                     }
                 }
-                stand.tell(Event::Endpoints(ListKind::Delta, vec![change]));
+                harness.notify(Event::Endpoints(ListKind::Delta, vec![change]));
             }
             11 if rng.roll(4) == 0 => {
                 let object = (rng.roll(2) == 0).then_some(ObjectId(rng.roll(40)));
                 let age = rng.roll(400) * MS;
-                stand.tell(Event::Purged {
+                harness.notify(Event::Purged {
                     object,
                     group: rng.roll(4) as u32,
                     age,
                 });
             }
             10 if rng.roll(8) == 0 => {
-                let member = usual()[rng.roll(6) as usize].endpoint;
-                stand.tell(Event::Cordon {
-                    endpoint: member,
+                let endpoint = default_endpoints()[rng.roll(6) as usize].endpoint;
+                harness.notify(Event::Cordon {
+                    endpoint: endpoint,
                     cordoned: rng.roll(6) == 0,
                 });
             }
             _ => {
-                let live = stand.live();
+                let live = harness.live();
                 let open: Vec<_> = live
                     .iter()
-                    .filter(|s| !stand.checker.closed(s.request))
+                    .filter(|s| !harness.checker.closed(s.request))
                     .collect();
                 if rng.roll(8) == 0 && !open.is_empty() {
                     let gone = open[rng.roll(open.len() as u64) as usize].request;
-                    stand.tell(Event::Cancelled(gone));
+                    harness.notify(Event::Cancelled(gone));
                 }
             }
         }
     }
-    stand.advance(20 * S);
-    let now = stand.now;
-    stand.checker.overdue(now);
-    stand
+    harness.advance(20 * S);
+    let now = harness.now;
+    harness.checker.overdue(now);
+    harness
 }
 
 #[test]
@@ -123,13 +123,13 @@
             grace: 30 * S,
             ..class(Idempotency::Idempotent, false)
         });
-        let stand = run(settings, u64::from(bits) + 7);
+        let harness = run(settings, u64::from(bits) + 7);
         assert_eq!(
-            stand.checker.broken,
+            harness.checker.violations,
             Vec::<String>::new(),
             "settings {bits:05b}"
         );
-        attempts += stand.sent.len();
+        attempts += harness.sent.len();
     }
     assert!(
         attempts > 30_000,
@@ -142,11 +142,20 @@
     assert_eq!(run(settings(), 3).trace, run(settings(), 3).trace);
 }
 
-/// A checker that knows the usual members and one open request of the class.
+/// A checker that knows the usual endpoints and one open request of the class.
 fn primed(class: u16) -> Checker {
     let mut checker = Checker::new(settings());
-    checker.event(100 * S, &Event::Endpoints(ListKind::Full, usual()));
-    checker.event(100 * S, &Event::Request(Request { class, ..ask(1, 5) }));
+    checker.event(
+        100 * S,
+        &Event::Endpoints(ListKind::Full, default_endpoints()),
+    );
+    checker.event(
+        100 * S,
+        &Event::Request(Request {
+            class,
+            ..new_request(1, 5)
+        }),
+    );
     checker
 }
 
@@ -186,29 +195,29 @@
 #[test]
 fn each_check_fails_on_a_broken_stream() {
     let t = 100 * S;
-    let broken = |checker: &Checker, what: &str| {
+    let assert_violation = |checker: &Checker, what: &str| {
         assert!(
-            checker.broken.iter().any(|b| b.contains(what)),
+            checker.violations.iter().any(|b| b.contains(what)),
             "{what}: {:?}",
-            checker.broken
+            checker.violations
         );
     };
     let mut c = primed(0);
     c.overdue(t + 5 * S);
-    broken(&c, "lost");
+    assert_violation(&c, "lost");
     let mut c = primed(0);
     c.action(t, &Action::Reject(RequestId(1), 0));
     c.action(t, &Action::Fail(RequestId(1)));
-    broken(&c, "second answer");
+    assert_violation(&c, "second answer");
     c.action(t, &attempt(10, 20, 0));
-    broken(&c, "after the answer");
+    assert_violation(&c, "after the answer");
     let mut c = primed(1);
     c.action(t, &attempt(10, 30, 0));
     c.event(t, &outcome(Status::Reset));
     c.action(t, &attempt(11, 30, 0));
-    broken(&c, "effect twice");
+    assert_violation(&c, "effect twice");
     c.action(t, &Action::Reject(RequestId(1), 0));
-    broken(&c, "may have run");
+    assert_violation(&c, "may have run");
     let mut c = primed(0);
     let drain = EndpointEntry {
         state: EndpointState::Draining,
@@ -216,7 +225,7 @@
     };
     c.event(t, &Event::Endpoints(ListKind::Delta, vec![drain]));
     c.action(t, &attempt(10, 20, 0));
-    broken(&c, "drained");
+    assert_violation(&c, "drained");
     let mut c = primed(0);
     c.event(
         t,
@@ -226,7 +235,7 @@
         },
     );
     c.action(t, &attempt(10, 20, 0));
-    broken(&c, "out by hand");
+    assert_violation(&c, "out by hand");
     let mut c = primed(0);
     c.event(
         t,
@@ -237,7 +246,7 @@
         },
     );
     c.action(t, &attempt(10, 20, 200 * MS));
-    broken(&c, "purged copy");
+    assert_violation(&c, "purged copy");
     let mut c = primed(0);
     c.event(
         t,
@@ -252,5 +261,5 @@
     for _ in 0..60 {
         c.action(t, &attempt(10, 20, 0));
     }
-    broken(&c, "pushed over");
+    assert_violation(&c, "pushed over");
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -9,7 +9,7 @@
 const IDLE: Micros = 7_500 * MS;
 
 /// One router of so many, with caches of this weight, two parents and the origin.
-fn stand(caches: u64, routers: u32, weight: f64) -> Stand {
+fn harness(caches: u64, routers: u32, weight: f64) -> RouterHarness {
     let caches = (1_000..1_000 + caches).map(|id| EndpointEntry {
         weight,
         ..entry(id, CACHE)
@@ -25,15 +25,15 @@
         coalescing: true,
         ..settings()
     };
-    Stand::new(fleet, caches.chain(others).collect())
+    RouterHarness::new(fleet, caches.chain(others).collect())
 }
 
 /// Asks for an object and has the attempt served after a while; the cache that it went to.
-fn served(stand: &mut Stand, id: u64, object: u64) -> u64 {
-    let sent = stand.ask(ask(id, object));
-    assert_eq!(sent.len(), 1, "{:?}", stand.answers);
-    stand.advance(2 * MS);
-    stand.served(&sent[0]);
+fn served(harness: &mut RouterHarness, id: u64, object: u64) -> u64 {
+    let sent = harness.send_request(new_request(id, object));
+    assert_eq!(sent.len(), 1, "{:?}", harness.answers);
+    harness.advance(2 * MS);
+    harness.served(&sent[0]);
     sent[0].target
 }
 
@@ -49,25 +49,25 @@
 fn a_router_keeps_to_as_many_caches_as_it_can_hold_connections_to() {
     // Beside one router a cache has room for one request, beside 900 for a small part of one of each.
     for (routers, weight) in [(1, 1.0), (900, 2.0)] {
-        let mut stand = stand(3_200, routers, weight);
-        stand.tell(Event::Connections {
+        let mut harness = harness(3_200, routers, weight);
+        harness.notify(Event::Connections {
             max: 100,
             idle: IDLE,
         });
-        let targets: BTreeSet<_> = (0..1_000).map(|n| served(&mut stand, n, n)).collect();
+        let targets: BTreeSet<_> = (0..1_000).map(|n| served(&mut harness, n, n)).collect();
         assert_eq!(targets.len(), 100);
         assert!(
-            stand.answers.is_empty() && stand.checker.broken.is_empty(),
+            harness.answers.is_empty() && harness.checker.violations.is_empty(),
             "{:?}",
-            stand.checker.broken
+            harness.checker.violations
         );
     }
 }
 
 #[test]
 fn while_connections_are_to_be_had_an_object_goes_to_its_own_cache() {
-    let (mut free, mut bound) = (stand(80, 1, 40.0), stand(80, 1, 40.0));
-    bound.tell(Event::Connections {
+    let (mut free, mut bound) = (harness(80, 1, 40.0), harness(80, 1, 40.0));
+    bound.notify(Event::Connections {
         max: 100,
         idle: IDLE,
     });
@@ -78,15 +78,15 @@
 
 #[test]
 fn caches_that_are_no_longer_used_make_room_for_others() {
-    let mut stand = stand(3_200, 1, 1.0);
-    stand.tell(Event::Connections {
+    let mut harness = harness(3_200, 1, 1.0);
+    harness.notify(Event::Connections {
         max: 10,
         idle: IDLE,
     });
-    let first: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
-    stand.advance(2 * IDLE);
+    let first: BTreeSet<_> = (0..100).map(|n| served(&mut harness, n, n)).collect();
+    harness.advance(2 * IDLE);
     let second: BTreeSet<_> = (0..100)
-        .map(|n| served(&mut stand, 1_000 + n, 1_000 + n))
+        .map(|n| served(&mut harness, 1_000 + n, 1_000 + n))
         .collect();
     assert_eq!((first.len(), second.len()), (10, 10));
     assert!(first.intersection(&second).count() < 5);
@@ -94,15 +94,15 @@
 
 #[test]
 fn a_cache_that_leaves_is_no_longer_kept_to() {
-    let mut stand = stand(3_200, 1, 1.0);
-    stand.tell(Event::Connections {
+    let mut harness = harness(3_200, 1, 1.0);
+    harness.notify(Event::Connections {
         max: 10,
         idle: IDLE,
     });
-    let before: BTreeSet<_> = (0..100).map(|n| served(&mut stand, n, n)).collect();
+    let before: BTreeSet<_> = (0..100).map(|n| served(&mut harness, n, n)).collect();
     let gone = *before.first().unwrap();
     let weight = 1.0;
-    stand.tell(Event::Endpoints(
+    harness.notify(Event::Endpoints(
         ListKind::Delta,
         vec![EndpointEntry {
             weight,
@@ -110,12 +110,14 @@
             ..entry(gone, CACHE)
         }],
     ));
-    let after: BTreeSet<_> = (0..100).map(|n| served(&mut stand, 1_000 + n, n)).collect();
+    let after: BTreeSet<_> = (0..100)
+        .map(|n| served(&mut harness, 1_000 + n, n))
+        .collect();
     assert!(!after.contains(&gone));
     assert!(
-        stand.checker.broken.is_empty(),
+        harness.checker.violations.is_empty(),
         "{:?}",
-        stand.checker.broken
+        harness.checker.violations
     );
 }
 
@@ -123,19 +125,21 @@
 fn cost(caches: u64) -> [Duration; 2] {
     const OBJECTS: u64 = 100;
     const ROUNDS: u64 = 60;
-    let mut stand = stand(caches, 1, 3_200.0 / caches as f64);
+    let mut harness = harness(caches, 1, 3_200.0 / caches as f64);
     for n in 0..OBJECTS {
-        served(&mut stand, n, n);
+        served(&mut harness, n, n);
     }
     let began = used();
     for n in OBJECTS..OBJECTS * ROUNDS {
         let mut actions = Vec::new();
-        stand
-            .router
-            .handle(stand.now, Event::Request(ask(n, n % OBJECTS)), &mut actions);
-        stand
+        harness.router.handle(
+            harness.now,
+            Event::Request(new_request(n, n % OBJECTS)),
+            &mut actions,
+        );
+        harness
             .router
-            .handle(stand.now, Event::Cancelled(RequestId(n)), &mut actions);
+            .handle(harness.now, Event::Cancelled(RequestId(n)), &mut actions);
         let status = Status::Cancelled;
         let outcome = Outcome {
             request: RequestId(n),
@@ -148,9 +152,9 @@
             latency: MS,
             report: None,
         };
-        stand
+        harness
             .router
-            .handle(stand.now, Event::Outcome(outcome), &mut actions);
+            .handle(harness.now, Event::Outcome(outcome), &mut actions);
     }
     let requests = used() - began;
     let began = used();
@@ -165,8 +169,8 @@
             state,
             ..entry(1_000 + n / 2 % caches, CACHE)
         };
-        stand.router.handle(
-            stand.now,
+        harness.router.handle(
+            harness.now,
             Event::Endpoints(ListKind::Delta, vec![change]),
             &mut Vec::new(),
         );
@@ -191,14 +195,14 @@
     const CACHES: u64 = 100;
     const WEIGHT: f64 = 2.0;
     const STEP: Micros = 10 * MS;
-    let started = stand(1, 1, 1.0).now;
+    let started = harness(1, 1, 1.0).now;
     // Six in ten are new.
     let listed = |id| EndpointEntry {
         weight: WEIGHT,
         started: if id % 10 < 6 { started } else { 0 },
         ..entry(id, CACHE)
     };
-    let members = || {
+    let endpoints = || {
         (1_000..1_000 + CACHES)
             .map(listed)
             .chain([entry(20, PARENT), entry(30, ORIGIN)])
@@ -209,27 +213,27 @@
         ..settings()
     };
     let one = |number| {
-        Stand::new(
+        RouterHarness::new(
             Settings {
                 front_index: number,
                 ..fleet.clone()
             },
-            members().collect(),
+            endpoints().collect(),
         )
     };
     let mut stands: Vec<_> = (0..ROUTERS).map(one).collect();
-    for stand in &mut stands {
-        stand.tell(Event::Connections { max: 8, idle: IDLE });
+    for harness in &mut stands {
+        harness.notify(Event::Connections { max: 8, idle: IDLE });
     }
     let (began, mut rng, mut sent) = (stands[0].now, Rng(7), Vec::new());
     for id in 0..600 {
-        for stand in &mut stands {
-            stand.advance(STEP);
-            for attempt in stand.live() {
-                stand.served(&attempt);
+        for harness in &mut stands {
+            harness.advance(STEP);
+            for attempt in harness.live() {
+                harness.served(&attempt);
             }
             if rng.roll(10) < 3 {
-                let begun = stand.ask(ask(id, rng.roll(5_000)));
+                let begun = harness.send_request(new_request(id, rng.roll(5_000)));
                 sent.extend(begun.iter().map(|s| (s.target, s.at)));
             }
         }
