--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -1,7 +1,7 @@
 //! The configuration.
 use crate::protocol::feed::News;
 use crate::protocol::known;
-use crate::routing::Room;
+use crate::routing::CapacityLimits;
 use cranesill_daemon::Daemon;
 use cranesill_settings::Deployment;
 use serde_json::Value;
@@ -78,7 +78,10 @@
         let ops = kept(ops(), &mut faults);
         let sockets = kept(limit("sockets", SOCKETS_LEAST), &mut faults);
         let memory = kept(limit("memory_mb", MEMORY_LEAST), &mut faults);
-        let deployment = kept(cranesill_settings::read(&v["settings"]), &mut faults);
+        let deployment = kept(
+            cranesill_settings::read(&v["settings"]).map_err(|error| error.to_string()),
+            &mut faults,
+        );
         let known = deployment
             .as_ref()
             .and_then(|d| kept(known::read(&v["known"], &d.names), &mut faults));
@@ -140,7 +143,7 @@
             6 + p
                 .serve
                 .as_ref()
-                .map_or(0, |_| super::drivers::purges::replicas::FOLLOWERS_MOST)
+                .map_or(0, |_| super::drivers::purges::followers::FOLLOWERS_MOST)
         }) + boxes.map_or(0, |b| b.connections_most);
         let ops = self
             .ops
@@ -166,10 +169,10 @@
     }
 
     /// Room for requests: half of the memory, the rest is for input, the program and the allocator.
-    pub fn room(&self) -> Room {
-        Room {
-            open: self.deployment.limits.open,
-            bytes: self.memory / 2 / self.processes(),
+    pub fn room(&self) -> CapacityLimits {
+        CapacityLimits {
+            max_pending: self.deployment.limits.open,
+            max_buffered_bytes: self.memory / 2 / self.processes(),
         }
     }
 
--- a/front/src/server/ctl.rs
+++ b/front/src/server/ctl.rs
@@ -79,7 +79,7 @@
     let verb = construct!(word, fields).map(|(word, fields)| Verb::Word(word, fields));
     construct!(Ctl { at, json, verb })
         .to_options()
-        .descr("Ask a running daemon")
+        .descr("ClientRequest a running daemon")
         .command("ctl")
 }
 
--- /dev/null
+++ b/front/src/server/downstream/eviction.rs
@@ -0,0 +1,124 @@
+//! Closes connections that are dead, idle, or in the way of others.
+use super::connection::{Connection, ConnectionState};
+use super::{ClientEvent, Clients};
+use cranesill::api::{Micros, Timestamp};
+
+/// An idle connection is closed after this long: clients close theirs far earlier.
+pub(super) const MAX_IDLE: Micros = 10_000_000;
+/// A client that reads nothing of what is written for this long is taken for dead.
+const MAX_STALL: Micros = 10_000_000;
+/// The same while clients use up the memory for buffers: others wait for them then.
+const MAX_STALL_UNDER_PRESSURE: Micros = 1_000_000;
+/// The first frame on a connection, and each that is begun, has to be complete after this long. Guards against clients that
+/// take up connections and send nothing, or never end a frame.
+const MAX_FRAME_TIME: Micros = 1_500_000;
+/// After this long without input no request is taken to be on its way: the connection may be closed for lack of
+/// descriptors.
+const MIN_EVICTABLE_IDLE: Micros = 1_000_000;
+
+impl Clients {
+    /// Closes connections that are dead or idle. While more than `max_buffered` bytes are buffered, those that buffer most
+    /// are closed too; above `pressure`, clients that read nothing are given less time. Returns requests that need no answer.
+    pub fn sweep(
+        &mut self,
+        now: Timestamp,
+        pressure: usize,
+        max_buffered: usize,
+    ) -> Vec<ClientEvent> {
+        // By what was buffered before anything is closed.
+        let max_stall = if self.buffered_bytes > pressure {
+            MAX_STALL_UNDER_PRESSURE
+        } else {
+            MAX_STALL
+        };
+        self.drain_idle(now);
+        let mut disconnected = self.close_stale(now, max_stall);
+        while self.buffered_bytes > max_buffered {
+            let most = self
+                .connections
+                .iter()
+                .max_by_key(|(key, connection)| (connection.stream.held(), **key))
+                .map(|(key, _)| *key);
+            let Some(key) = most else { break };
+            disconnected.extend(self.disconnect(key));
+        }
+        disconnected
+    }
+
+    /// Ends input where a frame is overdue, and drains connections that are idle. Paused reading is resumed on the way.
+    fn drain_idle(&mut self, now: Timestamp) {
+        let keys: Vec<_> = self.connections.keys().copied().collect();
+        for key in keys {
+            let closes_idle = self.closes_idle;
+            let Some(connection) = self.connections.get_mut(&key) else {
+                continue;
+            };
+            let was_open = connection.state == ConnectionState::Open;
+            let expected_since = connection.incomplete_since;
+            if was_open && expected_since.is_some_and(|since| now > since + MAX_FRAME_TIME) {
+                connection.reject_input();
+            }
+            let idle = now > connection.active_at + MAX_IDLE
+                && connection.open_streams.is_empty()
+                && connection.stream.flushed();
+            if was_open && (idle || closes_idle && connection.is_free(now)) {
+                connection.begin_draining();
+            }
+            self.flush(now, key);
+        }
+    }
+
+    /// Closes connections whose clients read nothing or do not close their side.
+    fn close_stale(&mut self, now: Timestamp, max_stall: Micros) -> Vec<ClientEvent> {
+        let is_stalled = |c: &Connection| !c.stream.flushed() && now > c.active_at + max_stall;
+        let is_overdue = |c: &Connection| matches!(c.state, ConnectionState::Shut(at) if now > at);
+        let stale: Vec<_> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| is_stalled(c) || is_overdue(c))
+            .map(|(key, c)| (*key, !c.stream.flushed()))
+            .collect();
+        let clients = stale.iter().filter(|(_, stalled)| *stalled).count();
+        if clients > 0 {
+            tracing::info!(clients, "clients given up that take nothing");
+        }
+        let keys = stale.into_iter().map(|(key, _)| key);
+        keys.flat_map(|key| self.disconnect(key)).collect()
+    }
+
+    /// Closes a connection without a request: one that never sent a complete frame before the one that was idle for longest.
+    /// A connection with unread input, most likely a request, is not idle. Returns whether one was closed.
+    pub fn evict(&mut self) -> bool {
+        let free = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.open_streams.is_empty() && c.stream.flushed());
+        let mut idle: Vec<_> = free
+            .map(|(key, c)| (c.incomplete_since.is_none(), c.active_at, *key))
+            .collect();
+        idle.sort_unstable();
+        let unread = |key: &usize| self.connections.get(key).is_some_and(|c| c.stream.unread());
+        let key = idle
+            .into_iter()
+            .map(|(.., key)| key)
+            .find(|key| !unread(key));
+        key.map(|key| self.disconnect(key)).is_some()
+    }
+
+    /// Closes the connection that was idle for longest, if it was for so long that no request is on its way there. Returns
+    /// whether one was closed.
+    pub fn evict_idle(&mut self, now: Timestamp) -> bool {
+        let idle = |c: &Connection| {
+            c.open_streams.is_empty() && c.stream.flushed() && c.stream.input().is_empty()
+        };
+        let evictable = |c: &Connection| idle(c) && now > c.active_at + MIN_EVICTABLE_IDLE;
+        let oldest = self
+            .connections
+            .iter()
+            .filter(|(_, c)| evictable(c) && !c.stream.unread());
+        let key = oldest
+            .min_by_key(|(key, c)| (c.active_at, **key))
+            .map(|(key, _)| *key);
+        key.map(|key| self.disconnect(key)).is_some()
+    }
+}
--- /dev/null
+++ b/front/src/server/upstream/connection.rs
@@ -0,0 +1,141 @@
+//! One connection to an endpoint, with the attempts on it and the ids that it carried.
+use crate::protocol::member;
+use crate::routing::{AttemptId, Fetch, TransactionId};
+use crate::transport::Stream;
+use cranesill::api::{EndpointId, Micros, Timestamp};
+use std::collections::{HashMap, HashSet};
+use std::io;
+
+/// For how long, or up to twice that, a connection remembers an id that it carried: answers to it may still come.
+const RECENT_ID_TIME: Micros = 10_000_000;
+/// Unexpected answers that a connection may bring beyond two for each id that it carried: one late and one repeated. More
+/// of them end it, or they would come for ever.
+const MAX_UNEXPECTED_ANSWERS: usize = 16;
+
+/// An attempt on a connection.
+#[derive(Debug)]
+pub(super) struct Sent {
+    pub(super) attempt: AttemptId,
+    pub(super) sent_at: Timestamp,
+    pub(super) is_write: bool,
+    /// The endpoint that it names as the source for a fill.
+    pub(super) source: Option<EndpointId>,
+    /// Whether all of it is written.
+    pub(super) written: bool,
+    /// Withdrawn if it is not begun to be written by then.
+    pub(super) write_deadline: Timestamp,
+    /// The request, until it is written: the time left that it names is as of when it is written.
+    pub(super) fetch: Option<Box<Fetch>>,
+}
+
+impl Sent {
+    /// Notes that it is written; the request need not be kept.
+    pub(super) fn set_written(&mut self) {
+        self.written = true;
+        self.fetch = None;
+    }
+}
+
+/// A connection to an endpoint.
+#[derive(Debug)]
+pub(super) struct Connection {
+    pub(super) stream: Stream<Option<TransactionId>>,
+    pub(super) endpoint: EndpointId,
+    pub(super) established: bool,
+    /// Whether it gets no further attempts.
+    pub(super) retired: bool,
+    pub(super) open_attempts: HashMap<TransactionId, Sent>,
+    pub(super) recent_ids: RecentIds,
+    pub(super) idle_since: Timestamp,
+    /// When something was last received.
+    pub(super) received_at: Timestamp,
+    /// Since when an answer is incomplete.
+    pub(super) partial_since: Option<Timestamp>,
+    /// For how long attempts waited here that were cancelled, since something was received.
+    pub(super) silent_wait: Micros,
+    /// Answers to no open attempt.
+    pub(super) unexpected_answers: usize,
+}
+
+impl Connection {
+    pub(super) fn new(
+        now: Timestamp,
+        endpoint: EndpointId,
+        stream: Stream<Option<TransactionId>>,
+    ) -> Self {
+        Connection {
+            stream,
+            endpoint,
+            established: false,
+            retired: false,
+            open_attempts: HashMap::new(),
+            recent_ids: RecentIds::default(),
+            idle_since: now,
+            received_at: now,
+            partial_since: None,
+            silent_wait: 0,
+            unexpected_answers: 0,
+        }
+    }
+
+    /// Whether it is established and carries no attempt.
+    pub(super) fn is_idle(&self) -> bool {
+        self.established && self.open_attempts.is_empty()
+    }
+
+    /// Counts an answer to no open attempt. Too many are an error.
+    pub(super) fn count_unexpected_answer(&mut self) -> io::Result<()> {
+        self.unexpected_answers += 1;
+        let limit = MAX_UNEXPECTED_ANSWERS + 2 * self.recent_ids.len();
+        if self.unexpected_answers > limit {
+            return Err(io::ErrorKind::InvalidData.into());
+        }
+        Ok(())
+    }
+
+    /// Whether an attempt under this id may be sent here, where each connection carries up to `streams`.
+    pub(super) fn accepts(&self, txn: &TransactionId, streams: usize) -> bool {
+        !self.retired
+            && !self.recent_ids.has(txn)
+            && self.open_attempts.len() < streams
+            && !self.is_blocked()
+    }
+
+    /// Whether the rest of an answer to a cancelled attempt has still to come, with everything else behind it.
+    pub(super) fn is_blocked(&self) -> bool {
+        let input = self.stream.input();
+        let whose = || {
+            member::begun_id(input).and_then(|id| TransactionId::new(std::str::from_utf8(id).ok()?))
+        };
+        !input.is_empty()
+            && (self.open_attempts.is_empty()
+                || whose().is_some_and(|txn| !self.open_attempts.contains_key(&txn)))
+    }
+}
+
+/// Ids that a connection carried recently, in two generations. Guards against an answer that comes twice, or late
+/// for an attempt that was given up: it would be taken for that of the next attempt under the same id.
+#[derive(Debug, Default)]
+pub(super) struct RecentIds {
+    new: HashSet<TransactionId>,
+    old: HashSet<TransactionId>,
+    since: Timestamp,
+}
+
+impl RecentIds {
+    pub(super) fn has(&self, txn: &TransactionId) -> bool {
+        self.new.contains(txn) || self.old.contains(txn)
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.new.len() + self.old.len()
+    }
+
+    pub(super) fn add(&mut self, now: Timestamp, txn: TransactionId) {
+        if now > self.since + RECENT_ID_TIME {
+            self.old = std::mem::take(&mut self.new);
+            self.since = now;
+        }
+        self.new.insert(txn);
+    }
+}
--- /dev/null
+++ b/front/src/server/upstream/placement.rs
@@ -0,0 +1,229 @@
+//! Chooses or begins a connection for an attempt.
+use super::connection::{Connection, Sent};
+use super::{CacheNodes, Ends, Target};
+use crate::protocol::member;
+use crate::routing::{AttemptEnd, Fetch, TransactionId};
+use crate::transport::{dial, is_local, Reactor, Stream};
+use cranesill::api::{EndpointId, Timestamp};
+use std::io;
+
+/// With this many attempts open a connection counts as busy and another is begun: a large answer blocks what is behind it.
+const MAX_CALM_STREAMS: usize = 1;
+
+/// What came of a new connection that an attempt might need.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum NewConnection {
+    /// None was needed, or there is no capacity for one.
+    NotBegun,
+    /// It was begun.
+    Begun,
+    /// The endpoint refused it.
+    Refused,
+    /// This machine could not begin it, which says nothing of the endpoint.
+    LocalFailure,
+    /// It failed in some other way.
+    Failed,
+}
+
+impl CacheNodes {
+    /// Sends an attempt on a connection; `key` is for a new one. Returns the key if a connection was begun.
+    pub fn send(
+        &mut self,
+        now: Timestamp,
+        reactor: &Reactor,
+        key: usize,
+        target: Target,
+        fetch: &Fetch,
+        ends: &mut Ends,
+    ) -> Option<usize> {
+        let endpoint = target.endpoint;
+        let chosen = self.choose_live(now, endpoint, &fetch.transaction, ends);
+        let new = self.begin_if_needed(now, reactor, key, endpoint, chosen);
+        let may_wait = new == NewConnection::LocalFailure && chosen.is_none();
+        if may_wait && self.redials.may_wait(now, endpoint) {
+            self.redials.wait(now, target, fetch);
+            return None;
+        }
+        let begun = (new == NewConnection::Begun).then_some(key);
+        match begun.or(chosen) {
+            Some(key) => self.put(now, key, target, fetch, ends),
+            None if new == NewConnection::Refused => {
+                ends.push((
+                    target.attempt,
+                    AttemptEnd::Unsent {
+                        duplicate_failure: false,
+                    },
+                ));
+            }
+            None => ends.push((target.attempt, AttemptEnd::NoConnection)),
+        }
+        begun
+    }
+
+    /// Begins a connection if none was chosen, or if the chosen one is busy and the endpoint may have another.
+    fn begin_if_needed(
+        &mut self,
+        now: Timestamp,
+        reactor: &Reactor,
+        key: usize,
+        endpoint: EndpointId,
+        chosen: Option<usize>,
+    ) -> NewConnection {
+        let open_attempts = |key| {
+            let connection: Option<&Connection> = self.connections.get(&key);
+            connection.map_or(0, |connection| connection.open_attempts.len())
+        };
+        let is_calm = chosen.is_some_and(|key| open_attempts(key) < MAX_CALM_STREAMS);
+        let max_per_endpoint = (self.max_connections / self.listed.len().max(1)).max(2);
+        if is_calm || self.usable_connections(endpoint) >= max_per_endpoint {
+            return NewConnection::NotBegun;
+        }
+        let Some((address, _)) = self.listed.get(&endpoint).copied() else {
+            return NewConnection::NotBegun;
+        };
+        // One that would only be the second to an endpoint closes none to another.
+        let has_capacity = self.connections.len() < self.max_connections
+            || chosen.is_none() && self.free_connection();
+        if !has_capacity {
+            return NewConnection::NotBegun;
+        }
+        match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
+            Ok(stream) => {
+                self.redials.dialled(endpoint);
+                self.insert(now, key, endpoint, stream);
+                NewConnection::Begun
+            }
+            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => NewConnection::Refused,
+            Err(e) if is_local(&e) => NewConnection::LocalFailure,
+            Err(_) => NewConnection::Failed,
+        }
+    }
+
+    /// Counts an endpoint's connections that still get attempts. Those to an earlier process of it may stay silent for long
+    /// and must not keep the new one from being reached.
+    fn usable_connections(&self, endpoint: EndpointId) -> usize {
+        let keys = self.by_endpoint.get(&endpoint).into_iter().flatten();
+        let connections = keys.filter_map(|key| self.connections.get(key));
+        connections.filter(|connection| !connection.retired).count()
+    }
+
+    fn insert(
+        &mut self,
+        now: Timestamp,
+        key: usize,
+        endpoint: EndpointId,
+        stream: Stream<Option<TransactionId>>,
+    ) {
+        let connection = Connection::new(now, endpoint, stream);
+        self.connections.insert(key, connection);
+        self.by_endpoint.entry(endpoint).or_default().push(key);
+    }
+
+    /// Puts an attempt on a connection, and writes what can be written of it.
+    fn put(&mut self, now: Timestamp, key: usize, target: Target, fetch: &Fetch, ends: &mut Ends) {
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return ends.push((target.attempt, AttemptEnd::NoConnection));
+        };
+        connection.recent_ids.add(now, fetch.transaction);
+        let sent = Sent {
+            attempt: target.attempt,
+            sent_at: now,
+            is_write: fetch.write,
+            source: fetch.fill.and_then(|fill| fill.source),
+            written: false,
+            write_deadline: target.write_deadline,
+            fetch: None,
+        };
+        connection.open_attempts.insert(fetch.transaction, sent);
+        connection.stream.push(member::fetch(fetch, now));
+        self.by_attempt
+            .insert(target.attempt, (key, fetch.transaction));
+        self.flush(now, key, ends);
+        // Most are written at once and need no copy of the request.
+        let connection = self.connections.get_mut(&key);
+        let sent =
+            connection.and_then(|connection| connection.open_attempts.get_mut(&fetch.transaction));
+        if let Some(sent) = sent.filter(|sent| !sent.written) {
+            sent.fetch = Some(Box::new(fetch.clone()));
+        }
+    }
+
+    /// Chooses a connection, and reads from it first if it is idle. Guards against commands that are written into the end of
+    /// a connection: the endpoint may have closed it, which was not reported yet.
+    fn choose_live(
+        &mut self,
+        now: Timestamp,
+        endpoint: EndpointId,
+        txn: &TransactionId,
+        ends: &mut Ends,
+    ) -> Option<usize> {
+        loop {
+            let key = self.choose(endpoint, txn)?;
+            let connection = self.connections.get(&key);
+            if !connection.is_some_and(Connection::is_idle) {
+                return Some(key);
+            }
+            if let Err(error) = self.read(now, key, ends) {
+                self.fail(key, &error.to_string(), ends);
+                continue;
+            }
+            let connection = self.connections.get(&key);
+            if connection.is_some_and(|connection| connection.accepts(txn, self.max_streams)) {
+                return Some(key);
+            }
+        }
+    }
+
+    /// Chooses the connection to an endpoint that carries least, among those that may carry this id.
+    fn choose(&self, endpoint: EndpointId, txn: &TransactionId) -> Option<usize> {
+        let keys = self.by_endpoint.get(&endpoint)?.iter();
+        let connections = keys.filter_map(|key| Some((*key, self.connections.get(key)?)));
+        connections
+            .filter(|(_, connection)| connection.accepts(txn, self.max_streams))
+            .min_by_key(|(key, connection)| {
+                let open_attempts = connection.open_attempts.len();
+                (open_attempts, !connection.established, *key)
+            })
+            .map(|(key, _)| key)
+    }
+
+    /// Closes the connection that was idle for longest if there is no capacity for one more. Guards against requests that
+    /// find no connection while others are idle. Returns whether there is capacity.
+    fn free_connection(&mut self) -> bool {
+        if self.connections.len() < self.max_connections {
+            return true;
+        }
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_idle());
+        let longest = idle
+            .min_by_key(|(key, connection)| (!connection.retired, connection.idle_since, **key))
+            .map(|(key, _)| *key);
+        if let Some(key) = longest {
+            self.fail(key, "idle", &mut Vec::new());
+        }
+        self.connections.len() < self.max_connections
+    }
+
+    /// Begins a connection to an endpoint that has none, before a request needs it. Returns whether one was begun; one that
+    /// cannot be begun now is begun for the first request.
+    pub fn connect_ahead(
+        &mut self,
+        now: Timestamp,
+        reactor: &Reactor,
+        key: usize,
+        endpoint: EndpointId,
+    ) -> bool {
+        let has_capacity = self.connections.len() < self.max_connections;
+        if !has_capacity || self.usable_connections(endpoint) > 0 {
+            return false;
+        }
+        let Some((address, _)) = self.listed.get(&endpoint).copied() else {
+            return false;
+        };
+        let stream = dial(address).and_then(|socket| Stream::new(reactor, socket, key, true));
+        let begun = stream.map(|stream| self.insert(now, key, endpoint, stream));
+        begun.is_ok()
+    }
+}
--- a/purges/src/log.rs
+++ b/purges/src/log.rs
@@ -1,213 +1,250 @@
-//! The ledger: purges in order. One writes, others follow; only numbers and positions are assumed of the writer, so
-//! that a replicated log can take its place.
-use crate::matching::glob;
-use crate::{Ms, Number, Purge, What, TAG_MOST, WORDS_MOST};
+//! The purge log: purges in order. One front writes it and others follow. Only numbers and positions are assumed of the
+//! writer, so that a replicated log can take its place.
+use crate::matching::{parse_pattern, PatternError};
+use crate::{Purge, PurgeNumber, PurgeTarget, UnixMillis, MAX_TAG_BYTES, MAX_TEXT_BYTES};
 use std::collections::{HashMap, VecDeque};
+use thiserror::Error;
 
-/// Purges in one batch for a follower or a box, and bytes of it by estimate.
-pub const BATCH_MOST: usize = 256;
-/// Purges that are held at most: one more is refused until some are compacted.
-pub const HELD_MOST: usize = 4_000_000;
+/// Most purges in one batch for a follower or a cache node.
+pub const MAX_BATCH_PURGES: usize = 256;
+/// Most purges in the log: further ones are rejected until some are compacted.
+pub const MAX_PURGES: usize = 4_000_000;
 
 /// A command to purge, as an operator gives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// What it names.
-    pub what: What,
-    /// Its id: repeating it is one purge.
+    /// What to remove.
+    pub target: PurgeTarget,
+    /// Its id: repeating a command is one purge.
     pub id: Box<str>,
-    /// Who asks.
+    /// Who requests it.
     pub who: Box<str>,
-    /// Why.
+    /// Why it is requested.
     pub why: Box<str>,
-    /// A pattern that matches everything is meant to.
+    /// Whether the operator has confirmed a pattern that matches everything.
     pub all: bool,
 }
 
-/// What became of a command.
+/// A command that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It is this purge; to be kept before anybody is told.
+pub enum Prepared {
+    /// It is this new purge, which must be durable before anybody is notified of it.
     New(Purge),
-    /// It was this purge before.
-    Known(Number),
+    /// It repeats the purge of this number.
+    Duplicate(PurgeNumber),
 }
 
-/// Why something does not go into the ledger.
+/// Why a command was rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum CommandError {
+    /// A text of the command is too long or contains control characters.
+    #[error("id, who or why: too long, or with control characters")]
+    InvalidText,
+    /// The command has no id.
+    #[error("id: empty")]
+    EmptyId,
+    /// The tag is empty, too long or contains control characters.
+    #[error("tag: empty, too long, or with control characters")]
+    InvalidTag,
+    /// The tag contains a character that separates tags on the wire.
+    #[error("tag: with a comma or semicolon")]
+    TagWithSeparator,
+    /// The pattern is not valid.
+    #[error(transparent)]
+    Pattern(#[from] PatternError),
+    /// The pattern matches everything, which the operator has not confirmed.
+    #[error("pattern: it matches everything; say so if it is meant")]
+    MatchesEverything,
+    /// The id belongs to a purge of another target.
+    #[error("id: names another purge")]
+    IdInUse,
+    /// The log holds [`MAX_PURGES`].
+    #[error("full")]
+    Full,
+}
+
+/// What [`PurgeLog::append`] did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// A number that comes after the next one: what is between has to come first.
+pub enum Appended {
+    /// The purge is the new last one.
+    New,
+    /// The log had the same purge already.
+    AlreadyPresent,
+}
+
+/// Why a purge was not appended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum AppendError {
+    /// Its number is beyond the next one: those between have to come first.
+    #[error("a gap in the numbers")]
     Gap,
-    /// From another ledger than the one followed.
+    /// It belongs to another log.
+    #[error("a purge of another log")]
     Foreign,
-    /// The same number with other content.
+    /// The log has another purge under its number.
+    #[error("another purge has this number")]
     Conflict,
-    /// No room.
+    /// The log holds [`MAX_PURGES`].
+    #[error("the log is full")]
     Full,
-    /// What is named can't be: why.
-    Bad(&'static str),
 }
 
-/// The ledger.
+/// The purge log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ledger {
-    /// Which ledger this is: numbers of another mean nothing here.
+pub struct PurgeLog {
+    /// Identifies the log: numbers of another one mean nothing here.
     pub identity: u64,
-    /// The number before the first that is held.
-    base: Number,
-    held: VecDeque<Purge>,
-    ids: HashMap<Box<str>, Number>,
+    /// The number before the first purge that the log still has.
+    base: PurgeNumber,
+    purges: VecDeque<Purge>,
+    by_command_id: HashMap<Box<str>, PurgeNumber>,
 }
 
-impl Ledger {
-    /// An empty ledger.
+impl PurgeLog {
+    /// An empty log.
     pub fn new(identity: u64) -> Self {
-        Ledger {
+        PurgeLog {
             identity,
             base: 0,
-            held: VecDeque::new(),
-            ids: HashMap::new(),
+            purges: VecDeque::new(),
+            by_command_id: HashMap::new(),
         }
     }
 
-    /// One that continues after `base`: what came before was compacted.
-    pub fn after(identity: u64, base: Number) -> Self {
-        Ledger {
+    /// An empty log that continues after `base`: everything up to it was compacted.
+    pub fn after(identity: u64, base: PurgeNumber) -> Self {
+        PurgeLog {
             base,
-            ..Ledger::new(identity)
+            ..PurgeLog::new(identity)
         }
     }
 
-    /// The last number; 0: none yet.
-    pub fn last(&self) -> Number {
-        self.base + self.held.len() as u64
+    /// The last number; 0 if there was no purge yet.
+    pub fn last_number(&self) -> PurgeNumber {
+        self.base + self.purges.len() as u64
     }
 
-    /// The number before the first that is held.
-    pub fn base(&self) -> Number {
+    /// The number before the first purge that the log still has.
+    pub fn base(&self) -> PurgeNumber {
         self.base
     }
 
-    /// One purge.
-    pub fn get(&self, number: Number) -> Option<&Purge> {
-        let at = number.checked_sub(self.base + 1)?;
-        self.held.get(usize::try_from(at).ok()?)
+    /// The purge of a number, unless it was compacted or is not there yet.
+    pub fn get(&self, number: PurgeNumber) -> Option<&Purge> {
+        let index = number.checked_sub(self.base + 1)?;
+        self.purges.get(usize::try_from(index).ok()?)
     }
 
-    /// All that are held, in order.
+    /// All purges that the log still has, in order.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Purge> {
-        self.held.iter()
+        self.purges.iter()
     }
 
-    /// Takes a command in at `now`, as the writer. What is new is not in the ledger yet: it is appended once it is
-    /// kept. Moments never go back, whatever the clock does: order by number is order by moment.
-    pub fn take(&self, now: Ms, command: &Command) -> Result<Taken, Refused> {
-        let sound =
-            |text: &str, most: usize| text.len() <= most && !text.chars().any(char::is_control);
-        if !(sound(&command.id, WORDS_MOST)
-            && sound(&command.who, WORDS_MOST)
-            && sound(&command.why, WORDS_MOST))
-        {
-            return Err(Refused::Bad(
-                "id, who or why: too long, or with control characters",
-            ));
-        }
-        if command.id.is_empty() {
-            return Err(Refused::Bad("id: empty"));
-        }
-        match &command.what {
-            What::Tag(tag) if tag.is_empty() || !sound(tag, TAG_MOST) => {
-                return Err(Refused::Bad(
-                    "tag: empty, too long, or with control characters",
-                ));
+    /// Validates a command at `now`, on the writer. A new purge is not in the log yet: it is appended once it is
+    /// durable. Dates never decrease, whatever the clock does, so that the order by number is the order by date.
+    pub fn prepare(&self, now: UnixMillis, command: &Command) -> Result<Prepared, CommandError> {
+        command.validate()?;
+        if let Some(number) = self.by_command_id.get(&command.id) {
+            let known = self.get(*number);
+            if known.is_some_and(|purge| purge.target != command.target) {
+                return Err(CommandError::IdInUse);
             }
-            What::Tag(tag) if tag.contains([',', ';']) => {
-                return Err(Refused::Bad("tag: with a comma or semicolon"))
-            }
-            What::Pattern(pattern) => {
-                let all = glob(pattern).map_err(Refused::Bad)?.1;
-                if all && !command.all {
-                    return Err(Refused::Bad(
-                        "pattern: it matches everything; say so if it is meant",
-                    ));
-                }
-            }
-            _ => {}
+            return Ok(Prepared::Duplicate(*number));
         }
-        if let Some(number) = self.ids.get(&command.id) {
-            let same = self.get(*number).is_none_or(|p| p.what == command.what);
-            return if same {
-                Ok(Taken::Known(*number))
-            } else {
-                Err(Refused::Bad("id: names another purge"))
-            };
+        if self.purges.len() >= MAX_PURGES {
+            return Err(CommandError::Full);
         }
-        if self.held.len() >= HELD_MOST {
-            return Err(Refused::Full);
-        }
-        let at = self.held.back().map_or(now, |p| p.at.max(now));
-        let Command {
-            what, id, who, why, ..
-        } = command.clone();
-        Ok(Taken::New(Purge {
-            number: self.last() + 1,
-            at,
-            what,
-            id,
-            who,
-            why,
+        let last_at_ms = self.purges.back().map_or(0, |purge| purge.at_ms);
+        Ok(Prepared::New(Purge {
+            number: self.last_number() + 1,
+            at_ms: last_at_ms.max(now),
+            target: command.target.clone(),
+            id: command.id.clone(),
+            who: command.who.clone(),
+            why: command.why.clone(),
         }))
     }
 
-    /// Puts a purge behind the last, as it was kept by the writer or came from it. `Ok(false)`: it is there already.
-    pub fn append(&mut self, identity: u64, purge: Purge) -> Result<bool, Refused> {
+    /// Appends a purge that is durable on the writer, or came from it.
+    pub fn append(&mut self, identity: u64, purge: Purge) -> Result<Appended, AppendError> {
         if identity != self.identity {
-            return Err(Refused::Foreign);
+            return Err(AppendError::Foreign);
         }
-        if purge.number <= self.last() {
-            let same = self.get(purge.number).is_none_or(|held| *held == purge);
-            return if same {
-                Ok(false)
-            } else {
-                Err(Refused::Conflict)
-            };
+        if purge.number <= self.last_number() {
+            let known = self.get(purge.number);
+            if known.is_some_and(|known| *known != purge) {
+                return Err(AppendError::Conflict);
+            }
+            return Ok(Appended::AlreadyPresent);
         }
-        if purge.number > self.last() + 1 {
-            return Err(Refused::Gap);
+        if purge.number > self.last_number() + 1 {
+            return Err(AppendError::Gap);
         }
-        if self.held.len() >= HELD_MOST {
-            return Err(Refused::Full);
+        if self.purges.len() >= MAX_PURGES {
+            return Err(AppendError::Full);
         }
-        self.ids.insert(purge.id.clone(), purge.number);
-        self.held.push_back(purge);
-        Ok(true)
+        self.by_command_id.insert(purge.id.clone(), purge.number);
+        self.purges.push_back(purge);
+        Ok(Appended::New)
     }
 
-    /// What comes after a number, as one batch. `None`: some of it is not held any more, and the follower has to
-    /// begin at [`Ledger::base`] and take what is older for purged.
-    pub fn batch(&self, after: Number) -> Option<Vec<Purge>> {
-        let skip = usize::try_from(after.checked_sub(self.base)?).ok()?;
-        Some(
-            self.held
-                .iter()
-                .skip(skip)
-                .take(BATCH_MOST)
-                .cloned()
-                .collect(),
-        )
+    /// The purges after a number, as one batch. `None`: some of them were compacted, and the follower has to begin at
+    /// [`PurgeLog::base`] and count everything older as purged.
+    pub fn batch_after(&self, after: PurgeNumber) -> Option<Vec<Purge>> {
+        let skipped = usize::try_from(after.checked_sub(self.base)?).ok()?;
+        let batch = self.purges.iter().skip(skipped).take(MAX_BATCH_PURGES);
+        Some(batch.cloned().collect())
     }
 
-    /// Forgets what every box has confirmed and no member may hold an old copy of any more. Returns how many.
-    pub fn compact(&mut self, confirmed: Number, horizon: Ms) -> usize {
-        let over = |p: &&Purge| p.number <= confirmed && p.at < horizon;
-        let count = self.held.iter().take_while(over).count();
-        for purge in self.held.drain(..count) {
-            self.ids.remove(&purge.id);
+    /// Removes purges up to number `confirmed`, which all cache nodes have applied, that are from before `horizon`: no
+    /// endpoint has an older copy any more. Returns how many it removed.
+    pub fn compact(&mut self, confirmed: PurgeNumber, horizon: UnixMillis) -> usize {
+        let obsolete = |purge: &&Purge| purge.number <= confirmed && purge.at_ms < horizon;
+        let count = self.purges.iter().take_while(obsolete).count();
+        for purge in self.purges.drain(..count) {
+            self.by_command_id.remove(&purge.id);
         }
         self.base += count as u64;
         count
     }
 }
 
+impl Command {
+    fn validate(&self) -> Result<(), CommandError> {
+        let texts = [&self.id, &self.who, &self.why];
+        if !texts.iter().all(|text| is_valid_text(text, MAX_TEXT_BYTES)) {
+            return Err(CommandError::InvalidText);
+        }
+        if self.id.is_empty() {
+            return Err(CommandError::EmptyId);
+        }
+        match &self.target {
+            PurgeTarget::Object(_) | PurgeTarget::Group(_) => Ok(()),
+            PurgeTarget::Tag(tag) => validate_tag(tag),
+            PurgeTarget::Pattern(pattern) => {
+                let parsed = parse_pattern(pattern)?;
+                if parsed.matches_everything && !self.all {
+                    return Err(CommandError::MatchesEverything);
+                }
+                Ok(())
+            }
+        }
+    }
+}
+
+fn validate_tag(tag: &str) -> Result<(), CommandError> {
+    if tag.is_empty() || !is_valid_text(tag, MAX_TAG_BYTES) {
+        return Err(CommandError::InvalidTag);
+    }
+    if tag.contains([',', ';']) {
+        return Err(CommandError::TagWithSeparator);
+    }
+    Ok(())
+}
+
+fn is_valid_text(text: &str, max_bytes: usize) -> bool {
+    text.len() <= max_bytes && !text.chars().any(char::is_control)
+}
+
 #[cfg(test)]
 mod tests;
