--- a/front/src/server/cli.rs
+++ b/front/src/server/cli.rs
@@ -1,6 +1,7 @@
-//! The command line.
+//! The command line: what the program is asked to do.
 use super::config::{settings, Config};
 use super::ctl::{self, Ctl};
+use super::error::{CommandError, ConfigErrors};
 use super::event_loop::Server;
 use super::signals::Early;
 use bpaf::{construct, long, positional, OptionParser, Parser};
@@ -85,87 +86,95 @@
         .descr("A front for caches that fill from parents and an origin")
 }
 
-fn serve(
-    Serve {
-        config,
-        settings: own,
-        ops,
-        accept_fd,
-    }: Serve,
-) -> Result<(), Vec<String>> {
+/// Serves until SIGTERM. Returns all errors that can be found, one a line for the operator.
+fn serve(options: Serve) -> Result<(), Vec<CommandError>> {
     // Before anything is read: a signal that comes while the program starts would end it by the system's own way.
-    let early = Early::new().map_err(|e| vec![format!("signals: {e}")])?;
-    let mut config = Config::load(&config)?;
-    let daemon = own.as_deref().map_or(Ok(Daemon::default()), settings)?;
-    let mut faults = Vec::new();
-    if let Some(ops) = ops {
-        config.ops = ops
-            .parse()
-            .map_err(|_| faults.push(format!("RELAY_OPS: no address: {ops}")))
-            .ok();
+    let early = Early::new().map_err(|e| vec![CommandError::Signals(e)])?;
+    let mut config = Config::load(&options.config).map_err(command_errors)?;
+    let settings = match &options.settings {
+        Some(file) => settings(file).map_err(command_errors)?,
+        None => Daemon::default(),
+    };
+    apply_options(&mut config, &options)?;
+    config
+        .reserve(&settings)
+        .map_err(|e| vec![CommandError::Config(e)])?;
+    let server = Server::new(config, settings, options.settings);
+    let server = server.map_err(|e| vec![CommandError::Server(e)])?;
+    early.again().map_err(|e| vec![CommandError::Signals(e)])?;
+    server.run().map_err(|e| vec![CommandError::Server(e)])
+}
+
+/// Puts what the command line or the environment says in the place of what the configuration says.
+fn apply_options(config: &mut Config, options: &Serve) -> Result<(), Vec<CommandError>> {
+    let mut errors = Vec::new();
+    if let Some(text) = &options.ops {
+        match text.parse() {
+            Ok(address) => config.ops = Some(address),
+            Err(_) => errors.push(CommandError::OpsAddress(text.clone())),
+        }
     }
-    if let Some(fd) = accept_fd {
-        config.accept_fd = fd
-            .parse()
-            .map_err(|_| faults.push(format!("RELAY_ACCEPT_FD: {fd}: no number")))
-            .ok();
+    if let Some(text) = &options.accept_fd {
+        match text.parse() {
+            Ok(descriptor) => config.accept_fd = Some(descriptor),
+            Err(_) => errors.push(CommandError::AcceptDescriptor(text.clone())),
+        }
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if errors.is_empty() {
+        Ok(())
+    } else {
+        Err(errors)
     }
-    config.reserve(&daemon).map_err(|e| vec![e])?;
-    let server = Server::new(config, daemon, own).map_err(|e| vec![e.to_string()])?;
-    early.again().map_err(|e| vec![format!("signals: {e}")])?;
-    server.run().map_err(|e| vec![e.to_string()])
 }
 
-/// Reads both files as far as they are named; all faults of both are told.
-fn check(config: Option<PathBuf>, own: Option<PathBuf>) -> Result<(), Vec<String>> {
+fn command_errors(errors: ConfigErrors) -> Vec<CommandError> {
+    errors.into_iter().map(CommandError::Config).collect()
+}
+
+/// Reads both files as far as they are named; the errors of both are returned.
+fn check(config: Option<PathBuf>, own: Option<PathBuf>) -> Result<(), Vec<CommandError>> {
     if config.is_none() && own.is_none() {
-        return Err(vec!["neither a configuration nor settings are named".into()]);
+        return Err(vec![CommandError::NothingToCheck]);
     }
     let config = config.map(|file| Config::load(&file));
-    let own = own.map(|file| settings(&file));
-    let mut faults: Vec<String> = Vec::new();
-    if let (Some(Ok(config)), Some(Ok(daemon))) = (&config, &own) {
-        faults.extend(config.clone().reserve(daemon).err());
+    let settings = own.map(|file| settings(&file));
+    let mut errors = Vec::new();
+    if let (Some(Ok(config)), Some(Ok(settings))) = (&config, &settings) {
+        let reserved = config.clone().reserve(settings);
+        errors.extend(reserved.err().map(CommandError::Config));
     }
     match config {
         Some(Ok(config)) => println!("{}", config.summary()),
-        Some(Err(found)) => faults.extend(found),
+        Some(Err(found)) => errors.extend(command_errors(found)),
         None => {}
     }
-    match own {
-        Some(Ok(daemon)) => {
-            let on = [
-                ("control", daemon.control.is_some()),
-                ("tls", daemon.tls.is_some()),
-                ("certs", daemon.certs.is_some()),
-                ("purges", daemon.purges.is_some()),
-                ("startup", daemon.startup.is_some()),
-            ];
-            let on: Vec<_> = on
-                .into_iter()
-                .filter(|(_, on)| *on)
-                .map(|(name, _)| name)
-                .collect();
-            println!(
-                "settings: {}",
-                if on.is_empty() {
-                    "everything is off".into()
-                } else {
-                    on.join(", ")
-                }
-            );
-        }
-        Some(Err(found)) => faults.extend(found),
+    match settings {
+        Some(Ok(settings)) => println!("settings: {}", enabled_subsystems(&settings)),
+        Some(Err(found)) => errors.extend(command_errors(found)),
         None => {}
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(())
     } else {
-        Err(faults)
+        Err(errors)
+    }
+}
+
+/// Names the subsystems that the settings switch on.
+fn enabled_subsystems(settings: &Daemon) -> String {
+    let subsystems = [
+        ("control", settings.control.is_some()),
+        ("tls", settings.tls.is_some()),
+        ("certs", settings.certs.is_some()),
+        ("purges", settings.purges.is_some()),
+        ("startup", settings.startup.is_some()),
+    ];
+    let enabled = subsystems.into_iter().filter(|(_, enabled)| *enabled);
+    let names: Vec<_> = enabled.map(|(name, _)| name).collect();
+    if names.is_empty() {
+        return "everything is off".into();
     }
+    names.join(", ")
 }
 
 /// Runs what the command line asks for.
@@ -189,10 +198,10 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(faults) => {
-            faults
-                .iter()
-                .for_each(|fault| eprintln!("cranesill: {fault}"));
+        Err(errors) => {
+            for error in errors {
+                eprintln!("cranesill: {error}");
+            }
             ExitCode::FAILURE
         }
     }
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -1,4 +1,5 @@
-//! The configuration.
+//! The platform's configuration of one front, and the limits that follow from it.
+use super::error::{ConfigError, ConfigErrors, ConfigFault};
 use crate::protocol::feed::News;
 use crate::protocol::known;
 use crate::routing::Room;
@@ -8,164 +9,125 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Least limits with which a front can do anything.
-const SOCKETS_LEAST: u64 = 96;
-const MEMORY_LEAST: u64 = 16;
+/// The least limits with which a front can serve.
+const MIN_SOCKETS: u64 = 96;
+const MIN_MEMORY_MB: u64 = 16;
+/// Descriptors of the purge log itself: files, the listener, and the connection to the writer.
+const PURGE_LOG_DESCRIPTORS: usize = 6;
 
-/// What a front is told at its start.
+/// What the platform configures for a front.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where it was read from, and is read again at a reload.
+    /// The file that this was read from; a reload reads it again.
     pub file: PathBuf,
+    /// The front's name.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Seed of the front's random choices.
     pub seed: u64,
+    /// The address of the list service.
     pub feed: SocketAddr,
+    /// The limit on open descriptors.
     pub sockets: usize,
     /// Descriptors that subsystems take from those of clients.
     pub reserved: usize,
+    /// The limit on memory, in bytes.
     pub memory: usize,
-    /// The number of the last event that is known, and the events.
+    /// The revision of the endpoint list that is known at the start, and the events that lead to it.
     pub known: (u64, Vec<News>),
+    /// Rules and limits of the deployment.
     pub deployment: Deployment,
-    /// Where operators call, if anywhere.
+    /// Where operators of the platform connect, if anywhere.
     pub ops: Option<SocketAddr>,
-    /// The clients' listening socket, where the platform holds it.
+    /// The descriptor of the clients' listening socket, where the platform hands it over.
     pub accept_fd: Option<i32>,
-    /// Two processes of this front share its limits now.
+    /// Whether two processes of this front share its limits now.
     pub halved: bool,
 }
 
 impl Config {
-    /// Reads the file. The errors are all that can be found, a line each.
-    pub fn load(file: &Path) -> Result<Self, Vec<String>> {
-        let at = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
-        let text = std::fs::read(file).map_err(|e| vec![at(&e)])?;
-        let value = serde_json::from_slice(&text).map_err(|e| vec![at(&e)])?;
-        Self::read(file, &value)
-            .map_err(|faults| faults.iter().map(|e| at(&format!("$.{e}"))).collect())
+    /// Reads the file. All errors that can be found are returned.
+    pub fn load(file: &Path) -> Result<Self, ConfigErrors> {
+        let text = std::fs::read(file).map_err(|source| ConfigError::unreadable(file, source))?;
+        let value: Value =
+            serde_json::from_slice(&text).map_err(|source| ConfigError::no_json(file, source))?;
+        Self::read(file, &value).map_err(|faults| {
+            let error = |fault| ConfigError::invalid(file, fault);
+            faults.into_iter().map(error).collect()
+        })
     }
 
-    fn read(file: &Path, v: &Value) -> Result<Self, Vec<String>> {
-        let address = |key: &str| {
-            let text = v[key].as_str().ok_or_else(|| format!("{key}: missing"))?;
-            text.parse::<SocketAddr>()
-                .map_err(|_| format!("{key}: no address: {text}"))
-        };
-        let ops = || {
-            if v["ops"].is_null() {
-                Ok(None)
-            } else {
-                address("ops").map(Some)
-            }
-        };
-        let limit = |key: &str, least: u64| {
-            let told = v["limits"][key]
-                .as_f64()
-                .ok_or_else(|| format!("limits.{key}: missing"))? as u64;
-            Some(told)
-                .filter(|n| *n >= least)
-                .ok_or_else(|| format!("limits.{key}: under {least}"))
-        };
-        let seed = || {
-            let text = v["seed"].as_str().ok_or("seed: missing")?;
-            u64::from_str_radix(text, 16).map_err(|_| format!("seed: not hex: {text}"))
-        };
+    fn read(file: &Path, value: &Value) -> Result<Self, Vec<ConfigFault>> {
         let mut faults = Vec::new();
-        let listen = kept(address("listen"), &mut faults);
-        let seed = kept(seed(), &mut faults);
-        let feed = kept(address("feed"), &mut faults);
-        let ops = kept(ops(), &mut faults);
-        let sockets = kept(limit("sockets", SOCKETS_LEAST), &mut faults);
-        let memory = kept(limit("memory_mb", MEMORY_LEAST), &mut faults);
-        let deployment = kept(cranesill_settings::read(&v["settings"]), &mut faults);
-        let known = deployment
-            .as_ref()
-            .and_then(|d| kept(known::read(&v["known"], &d.names), &mut faults));
-        let all = listen
-            .zip(ops)
-            .zip(seed)
-            .zip(feed)
-            .zip(sockets)
-            .zip(memory)
-            .zip(deployment)
-            .zip(known);
-        let Some((((((((listen, ops), seed), feed), sockets), memory), deployment), known)) = all
-        else {
-            return Err(faults);
+        let listen = noted(address(value, "listen"), &mut faults);
+        let seed = noted(seed(value), &mut faults);
+        let feed = noted(address(value, "feed"), &mut faults);
+        let ops = noted(optional_address(value, "ops"), &mut faults);
+        let sockets = noted(limit(value, "sockets", MIN_SOCKETS), &mut faults);
+        let memory_mb = noted(limit(value, "memory_mb", MIN_MEMORY_MB), &mut faults);
+        let deployment = cranesill_settings::read(&value["settings"])
+            .map_err(|e| ConfigFault::Deployment(e.to_string()));
+        let deployment = noted(deployment, &mut faults);
+        let known = deployment.as_ref().and_then(|deployment| {
+            let known = known::read(&value["known"], &deployment.names);
+            let known = known.map_err(|e| ConfigFault::Known(e.to_string()));
+            noted(known, &mut faults)
+        });
+        let config = || {
+            Some(Config {
+                file: file.to_path_buf(),
+                name: value["name"].as_str().unwrap_or("front").to_string(),
+                listen: listen?,
+                seed: seed?,
+                feed: feed?,
+                sockets: sockets? as usize,
+                reserved: 0,
+                memory: memory_mb? as usize * (1 << 20),
+                known: known?,
+                deployment: deployment?,
+                ops: ops?,
+                accept_fd: None,
+                halved: false,
+            })
         };
-        let name = v["name"].as_str().unwrap_or("front").to_string();
-        let (sockets, memory) = (sockets as usize, memory as usize * (1 << 20));
-        let file = file.to_path_buf();
-        let accept_fd = None;
-        Ok(Config {
-            file,
-            name,
-            listen,
-            seed,
-            feed,
-            sockets,
-            reserved: 0,
-            memory,
-            known,
-            deployment,
-            ops,
-            accept_fd,
-            halved: false,
-        })
+        config().ok_or(faults)
     }
 
     fn processes(&self) -> usize {
         1 + usize::from(self.halved)
     }
 
-    /// Connections of clients held at once.
-    pub fn clients_most(&self) -> usize {
+    /// Returns how many clients may be connected at once.
+    pub fn max_clients(&self) -> usize {
         (self.sockets / 2).saturating_sub(self.reserved) / self.processes()
     }
 
-    /// Takes descriptors for what the daemon's own settings switch on from those of clients.
-    pub fn reserve(&mut self, daemon: &Daemon) -> Result<(), String> {
-        let tls = daemon.tls.as_ref().map_or(0, |tls| tls.handshakes_most + 1);
-        let control = daemon
-            .control
-            .as_ref()
-            .map_or(0, |_| super::drivers::control::OPERATORS_MOST + 1);
-        let certs = daemon
-            .certs
-            .as_ref()
-            .map_or(0, |c| c.orders_at_once + super::drivers::certs::DESCRIPTORS);
-        let boxes = daemon.purges.as_ref().and_then(|p| p.boxes.as_ref());
-        let purges = daemon.purges.as_ref().map_or(0, |p| {
-            6 + p
-                .serve
-                .as_ref()
-                .map_or(0, |_| super::drivers::purges::replicas::FOLLOWERS_MOST)
-        }) + boxes.map_or(0, |b| b.connections_most);
+    /// Takes the descriptors of subsystems that the settings switch on from those of clients.
+    pub fn reserve(&mut self, settings: &Daemon) -> Result<(), ConfigError> {
+        let subsystems = subsystem_descriptors(settings);
         let ops = self
             .ops
             .map_or(0, |_| super::drivers::ops::CALLERS_MOST + 1);
-        let peers = daemon.startup.as_ref().and_then(|s| s.peers.as_ref());
-        let peers = peers.map_or(0, |_| super::drivers::peers::ASKERS_MOST + 4);
-        let own = tls + control + certs + purges + peers;
-        self.reserved = own + ops;
-        let most = self.sockets / 4;
-        if own > most {
-            return Err(format!(
-                "$.tls.handshakes_most: control, tls, certs, purges and peers would take {own} descriptors, and {most} of {} are \
-                 for them",
-                self.sockets
-            ));
+        self.reserved = subsystems + ops;
+        let limit = self.sockets / 4;
+        if subsystems > limit {
+            return Err(ConfigError::TooManyDescriptors {
+                needed: subsystems,
+                limit,
+                sockets: self.sockets,
+            });
         }
         Ok(())
     }
 
-    /// Connections to members held at once; what is left is for the feed, the poller and files.
-    pub fn links_most(&self) -> usize {
+    /// Returns how many upstream connections may be open at once. The remaining descriptors are for the list service, the
+    /// poller and files.
+    pub fn max_upstream_connections(&self) -> usize {
         self.sockets * 3 / 8 / self.processes()
     }
 
-    /// Room for requests: half of the memory, the rest is for input, the program and the allocator.
+    /// Returns the capacity for requests: half of the memory; the rest is for input, the program and the allocator.
     pub fn room(&self) -> Room {
         Room {
             open: self.deployment.limits.open,
@@ -173,12 +135,13 @@
         }
     }
 
-    /// Bytes held for clients from which on those are given up that hold most: members were held back before.
-    pub fn held_most(&self) -> usize {
+    /// Returns the bytes buffered for clients above which those that take up most are disconnected. Reading from upstream
+    /// stops long before.
+    pub fn max_client_buffers(&self) -> usize {
         self.memory * 5 / 8 / self.processes()
     }
 
-    /// One line on what is asked for.
+    /// Returns one line that sums the configuration up.
     pub fn summary(&self) -> String {
         format!(
             "{} listens on {}, hears {} from event {}: {} classes, {} sockets, {} MB",
@@ -193,19 +156,76 @@
     }
 }
 
-/// What could be read; what could not is put to the faults.
-fn kept<T>(found: Result<T, impl Into<String>>, faults: &mut Vec<String>) -> Option<T> {
-    found.map_err(|e| faults.push(e.into())).ok()
+/// Descriptors that the subsystems use at most.
+fn subsystem_descriptors(settings: &Daemon) -> usize {
+    let tls = settings.tls.as_ref();
+    let tls = tls.map_or(0, |tls| tls.handshakes_most + 1);
+    let control = settings.control.as_ref();
+    let control = control.map_or(0, |_| super::drivers::control::OPERATORS_MOST + 1);
+    let certs = settings.certs.as_ref();
+    let certs = certs.map_or(0, |certs| {
+        certs.orders_at_once + super::drivers::certs::DESCRIPTORS
+    });
+    let purges = settings.purges.as_ref().map_or(0, purge_descriptors);
+    let startup = settings.startup.as_ref();
+    let peers = startup.and_then(|startup| startup.peers.as_ref());
+    let peers = peers.map_or(0, |_| super::drivers::peers::ASKERS_MOST + 4);
+    tls + control + certs + purges + peers
+}
+
+fn purge_descriptors(purges: &cranesill_daemon::Purges) -> usize {
+    let serve = purges.serve.as_ref();
+    let followers = serve.map_or(0, |_| super::drivers::purges::replicas::FOLLOWERS_MOST);
+    let boxes = purges.boxes.as_ref();
+    let connections = boxes.map_or(0, |boxes| boxes.connections_most);
+    PURGE_LOG_DESCRIPTORS + followers + connections
+}
+
+fn address(value: &Value, key: &'static str) -> Result<SocketAddr, ConfigFault> {
+    let text = value[key].as_str().ok_or(ConfigFault::Missing(key))?;
+    text.parse().map_err(|_| ConfigFault::NoAddress {
+        key,
+        text: text.into(),
+    })
+}
+
+fn optional_address(value: &Value, key: &'static str) -> Result<Option<SocketAddr>, ConfigFault> {
+    if value[key].is_null() {
+        return Ok(None);
+    }
+    address(value, key).map(Some)
+}
+
+fn limit(value: &Value, key: &'static str, minimum: u64) -> Result<u64, ConfigFault> {
+    let limit = value["limits"][key].as_f64();
+    let limit = limit.ok_or(ConfigFault::LimitMissing(key))? as u64;
+    if limit < minimum {
+        return Err(ConfigFault::LimitTooLow { key, minimum });
+    }
+    Ok(limit)
+}
+
+fn seed(value: &Value) -> Result<u64, ConfigFault> {
+    let text = value["seed"].as_str().ok_or(ConfigFault::Missing("seed"))?;
+    u64::from_str_radix(text, 16).map_err(|_| ConfigFault::SeedMalformed(text.into()))
+}
+
+/// Returns what could be read; what could not is added to the faults.
+fn noted<T>(result: Result<T, ConfigFault>, faults: &mut Vec<ConfigFault>) -> Option<T> {
+    result.map_err(|fault| faults.push(fault)).ok()
 }
 
-/// Reads the daemon's own settings. The errors are all that can be found, a line each.
-pub fn settings(file: &Path) -> Result<Daemon, Vec<String>> {
-    let at = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
-    let text = std::fs::read(file).map_err(|e| vec![at(&e)])?;
-    let daemon = cranesill_daemon::read(&text)
-        .map_err(|faults| faults.iter().map(|f| at(f)).collect::<Vec<_>>())?;
-    match daemon.certs.as_ref().map(super::drivers::certs::check) {
-        Some(Err(why)) => Err(vec![at(&format!("$.{why}"))]),
-        _ => Ok(daemon),
+/// Reads the daemon's own settings. All errors that can be found are returned.
+pub fn settings(file: &Path) -> Result<Daemon, ConfigErrors> {
+    let text = std::fs::read(file).map_err(|source| ConfigError::unreadable(file, source))?;
+    let settings = cranesill_daemon::read(&text).map_err(|faults| {
+        let error = |fault| ConfigError::invalid_settings(file, fault);
+        faults.into_iter().map(error).collect::<ConfigErrors>()
+    })?;
+    let certs = settings.certs.as_ref();
+    if let Some(Err(text)) = certs.map(super::drivers::certs::check) {
+        let fault = ConfigFault::Certificates(text);
+        return Err(ConfigError::invalid(file, fault).into());
     }
+    Ok(settings)
 }
--- a/front/src/server/ctl.rs
+++ b/front/src/server/ctl.rs
@@ -207,7 +207,7 @@
         match (&self.socket, &self.settings) {
             (Some(path), _) => Ok(path.clone()),
             (None, Some(file)) => {
-                let daemon = super::config::settings(file).map_err(|faults| faults.join("; "))?;
+                let daemon = super::config::settings(file).map_err(|errors| errors.to_string())?;
                 let control = daemon
                     .control
                     .ok_or_else(|| format!("{}: $.control: missing", file.display()))?;
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -135,9 +135,9 @@
             },
             "open_requests": self.front.open(),
             "clients": self.clients.len(),
-            "clients_most": self.config.clients_most(),
+            "clients_most": self.config.max_clients(),
             "held_bytes": self.clients.buffered_bytes() + self.upstream.buffered_bytes(),
-            "held_bytes_most": self.config.held_most(),
+            "held_bytes_most": self.config.max_client_buffers(),
             "settings": self.settings_file,
             "purges": self.purge_status(),
         })
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -146,7 +146,7 @@
             front: Front::new(config.deployment.clone(), config.seed, config.room()),
             clients: Clients::new(),
             upstream: CacheNodes::new(
-                config.links_most(),
+                config.max_upstream_connections(),
                 limits.streams,
                 limits.idle,
                 max_wait(&config),
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -56,7 +56,7 @@
 
     /// Whether one more client may connect, if need be in place of one without a request. Guards the limit on descriptors.
     fn has_client_slot(&mut self) -> bool {
-        self.clients.len() < self.config.clients_most() || self.clients.evict()
+        self.clients.len() < self.config.max_clients() || self.clients.evict()
     }
 
     /// Stops accepting after a failed call; it is tried again at `until`.
--- a/front/src/server/event_loop/reload.rs
+++ b/front/src/server/event_loop/reload.rs
@@ -16,8 +16,8 @@
     fn reload_config(&mut self, now: Timestamp) {
         let new = match Config::load(&self.config.file) {
             Ok(new) => new,
-            Err(faults) => {
-                let error = faults.join("; ");
+            Err(errors) => {
+                let error = errors.to_string();
                 return tracing::warn!(error, "the configuration stays as it was");
             }
         };
@@ -34,8 +34,8 @@
         };
         let new = match crate::server::config::settings(file) {
             Ok(new) => new,
-            Err(faults) => {
-                let error = faults.join("; ");
+            Err(errors) => {
+                let error = errors.to_string();
                 return tracing::warn!(error, "the settings stay as they were");
             }
         };
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -47,7 +47,7 @@
     pub(super) fn share_limits(&mut self, now: Timestamp, halved: bool) {
         if std::mem::replace(&mut self.config.halved, halved) != halved {
             self.upstream.limit(
-                self.config.links_most(),
+                self.config.max_upstream_connections(),
                 self.shutdown.map(|_| HANDOVER_UPSTREAM_IDLE),
             );
             self.front.set_reach(now, self.upstream.reach());
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -87,7 +87,7 @@
         let max_buffered = self.config.room().bytes;
         let events = self
             .clients
-            .sweep(now, max_buffered, self.config.held_most());
+            .sweep(now, max_buffered, self.config.max_client_buffers());
         self.log.sweep();
         self.check_purge_contact(now);
         self.handle_client_events(now, events);
