--- a/front/src/server/discovery.rs
+++ b/front/src/server/discovery.rs
@@ -1,4 +1,4 @@
-//! The connection to the control feed.
+//! Discovery: the connection to the list service, which sends watch events of the endpoint list.
 use crate::protocol::feed::{decode, hello, News};
 use crate::transport::{dial, Outgoing, Reactor, Stream};
 use cranesill::api::{Micros, Timestamp};
@@ -7,111 +7,131 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// An empty frame comes each second: no whole one for longer means that the connection is dead.
-const SILENCE_MOST: Micros = 2_500_000;
-/// A service that says for so long that its last event is before the one held here has begun to count anew; one that is only
-/// behind comes up to it by then.
-const BEHIND_MOST: Micros = 3_000_000;
+/// The service sends an empty frame each second: without a complete one for this long the connection is dead.
+const MAX_SILENCE: Micros = 2_500_000;
+/// A service whose revision is older than the one known here for this long has begun to count anew; one that is only behind
+/// catches up by then.
+const MAX_BEHIND: Micros = 3_000_000;
 /// Bytes that one read takes at most.
-const READ_MOST: usize = 16 * 1024;
-/// Reads in one turn: a service that tells without end keeps neither timers nor clients waiting.
-const READS_MOST: usize = 8;
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// Reads in one turn: a service that sends without end keeps neither timers nor clients waiting.
+const MAX_READS_PER_TURN: usize = 8;
 
-/// Follows the feed from the last event that is known.
+/// A time in which the list service cannot be reached.
+#[derive(Clone, Copy, Debug)]
+struct Outage {
+    since: Timestamp,
+    /// Whether it was logged: a single lost connection is nothing to wake anybody for.
+    logged: bool,
+}
+
+/// Follows the endpoint list from the revision that is known.
 #[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
-    last: u64,
+    /// The revision of the endpoint list that is known here.
+    revision: u64,
+    /// Where reads go first.
     scratch: Vec<u8>,
+    /// The connection, if there is one, and its poller key.
     stream: Option<(usize, Stream<()>)>,
-    /// It is connected.
-    up: bool,
-    /// When it calls: the service is one for all fronts.
+    /// Whether the connection is established.
+    established: bool,
+    /// Decides when to connect: all fronts share one service.
     calls: CallSchedule,
-    /// Since when nothing is heard of the service, and whether that was told.
-    lost: Option<(Timestamp, bool)>,
-    /// Since when this connection says that its last event is before the one held here.
-    behind: Option<Timestamp>,
-    /// When it is given up if nothing more is heard, or tried again.
-    pub due: Timestamp,
-    /// CallSchedule that were made.
-    pub called: u64,
+    /// Set while the service cannot be reached.
+    outage: Option<Outage>,
+    /// Since when the service reports an older revision than the one known here.
+    behind_since: Option<Timestamp>,
+    /// When the connection is given up if nothing is received, or tried again.
+    pub deadline: Timestamp,
+    /// How often a connection was begun.
+    pub calls_made: u64,
 }
 
 impl Discovery {
-    /// Is not connected yet: that is due soon.
+    /// Begins without a connection; the first is due at the deadline.
     pub fn new(
         now: Timestamp,
         address: SocketAddr,
-        last: u64,
+        revision: u64,
         mut calls: CallSchedule,
-        others: bool,
+        has_peers: bool,
     ) -> Self {
-        let (scratch, due) = (vec![0; READ_MOST], calls.first_call(now, others));
+        let deadline = calls.first_call(now, has_peers);
         Discovery {
             address,
-            last,
-            scratch,
+            revision,
+            scratch: vec![0; MAX_READ_BYTES],
             stream: None,
-            up: false,
+            established: false,
             calls,
-            lost: None,
-            due,
-            called: 0,
-            behind: None,
+            outage: None,
+            deadline,
+            calls_made: 0,
+            behind_since: None,
         }
     }
 
-    /// Since when the service was not heard of, if it is not now; and the last event that is held.
-    pub fn stands(&self) -> (Option<Timestamp>, u64) {
-        (self.lost.map(|lost| lost.0), self.last)
+    /// Returns since when the service cannot be reached; `None` while it can.
+    pub fn lost_at(&self) -> Option<Timestamp> {
+        self.outage.map(|outage| outage.since)
+    }
+
+    /// Returns the revision of the endpoint list that is known here.
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
-    /// Whether the service is heard now: it has said something on this connection.
-    pub fn heard(&self) -> bool {
-        self.up && self.lost.is_none() && self.calls.has_received()
+    /// Whether the service is connected and has sent something on this connection.
+    pub fn is_connected(&self) -> bool {
+        self.established && self.outage.is_none() && self.calls.has_received()
     }
 
-    /// Whether this is the connection to the feed.
-    pub fn is(&self, key: usize) -> bool {
+    /// Whether this is the poller key of the connection.
+    pub fn has(&self, key: usize) -> bool {
         self.stream.as_ref().is_some_and(|s| s.0 == key)
     }
 
-    /// What others told stands for all events up to this one.
-    pub fn skip_to(&mut self, number: u64) {
-        self.last = self.last.max(number);
+    /// Skips the events up to this revision: a list of peers stands for them.
+    pub fn advance_to(&mut self, number: u64) {
+        self.revision = self.revision.max(number);
     }
 
-    /// The feed is elsewhere from now on: what comes after the last event held is asked for there at once. Whether it was at
-    /// another address before.
+    /// Connects to this address from now on, at once, and asks for what is newer than the known revision. Returns whether the
+    /// address has changed.
     pub fn move_to(&mut self, now: Timestamp, address: SocketAddr) -> bool {
-        (self.stream, self.due) = (None, now);
+        self.stream = None;
+        self.deadline = now;
         std::mem::replace(&mut self.address, address) != address
     }
 
-    /// What is due: to connect, or to give up what has been silent for too long and call again later.
-    pub fn go(&mut self, now: Timestamp, reactor: &Reactor, key: usize) {
+    /// Handles the deadline: connects, or gives up a connection that was silent for too long and connects again later.
+    pub fn poll(&mut self, now: Timestamp, reactor: &Reactor, key: usize) {
         if self.stream.is_some() {
-            self.end(
+            self.end_call(
                 now,
-                if self.up {
+                if self.established {
                     CallEnd::Silent
                 } else {
                     CallEnd::Unanswered
                 },
             );
-            if self.due > now {
+            if self.deadline > now {
                 return;
             }
         }
-        self.due = self.calls.start_call(now);
-        self.called += 1;
-        self.behind = None;
+        self.deadline = self.calls.start_call(now);
+        self.calls_made += 1;
+        self.behind_since = None;
         match dial(self.address).and_then(|s| Stream::new(reactor, s, key, true)) {
-            Ok(stream) => (self.stream, self.up) = (Some((key, stream)), false),
-            Err(_) => return self.end(now, CallEnd::Refused),
+            Ok(stream) => {
+                self.stream = Some((key, stream));
+                self.established = false;
+            }
+            Err(_) => return self.end_call(now, CallEnd::Refused),
         }
-        let head = hello(self.last).to_vec();
+        let head = hello(self.revision).to_vec();
         if let Some((_, stream)) = &mut self.stream {
             stream.push(Outgoing {
                 tag: (),
@@ -122,11 +142,11 @@
         }
     }
 
-    /// Goes on with the connection; what is new.
+    /// Handles a connection that can be read or written. Returns new watch events.
     pub fn ready(&mut self, now: Timestamp) -> Vec<News> {
         let mut news = Vec::new();
-        if let Err(e) = self.go_on(now, &mut news) {
-            self.end(
+        if let Err(e) = self.read(now, &mut news) {
+            self.end_call(
                 now,
                 match e.kind() {
                     io::ErrorKind::ConnectionRefused => CallEnd::Refused,
@@ -138,71 +158,107 @@
         news
     }
 
-    /// A call, or the connection that came of it, has ended.
-    fn end(&mut self, now: Timestamp, end: CallEnd) {
+    /// Notes that a connection has ended, or could not be established.
+    fn end_call(&mut self, now: Timestamp, end: CallEnd) {
         self.stream = None;
-        self.due = self.calls.end_call(now, end);
-        let (since, told) = self.lost.unwrap_or((now, false));
-        // One break is nothing to wake anybody for.
-        let tell = !told && self.calls.is_failing();
-        if tell {
-            let again_ms = (self.due - now) / 1_000;
+        self.deadline = self.calls.end_call(now, end);
+        let outage = self.outage.get_or_insert(Outage {
+            since: now,
+            logged: false,
+        });
+        if !outage.logged && self.calls.is_failing() {
+            outage.logged = true;
+            let again_ms = (self.deadline - now) / 1_000;
             tracing::warn!(kind = "list", ?end, again_ms, at = %self.address, "the list service fails: what is known stands");
         }
-        self.lost = Some((since, told || tell));
     }
 
-    fn go_on(&mut self, now: Timestamp, news: &mut Vec<News>) -> io::Result<()> {
+    /// Writes the request once the connection is established. Returns whether it is.
+    fn establish(&mut self, now: Timestamp) -> io::Result<bool> {
         let Some((_, stream)) = &mut self.stream else {
-            return Ok(());
+            return Ok(false);
         };
         if !stream.connected()? {
-            return Ok(());
+            return Ok(false);
         }
-        self.up = true;
+        self.established = true;
         if !stream.flushed() {
             stream.flush(|()| {})?;
             stream.rewatch(true)?;
-            self.due = now + SILENCE_MOST;
+            self.deadline = now + MAX_SILENCE;
+        }
+        Ok(true)
+    }
+
+    /// Reads watch events until there are none or it is the others' turn.
+    fn read(&mut self, now: Timestamp, events: &mut Vec<News>) -> io::Result<()> {
+        if !self.establish(now)? {
+            return Ok(());
         }
-        for _ in 0..READS_MOST {
-            let Some(n) = stream.fill(&mut self.scratch)? else {
+        for _ in 0..MAX_READS_PER_TURN {
+            let Some((_, stream)) = &mut self.stream else {
                 break;
             };
-            if n == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
+            match stream.fill(&mut self.scratch)? {
+                None => break,
+                Some(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
+                Some(_) => {}
             }
-            let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
-            while let Some((number, event, used)) = decode(stream.input()).map_err(bad)? {
-                stream.consume(used);
-                // Only a whole frame is a sign of life: a feed may stop in the middle of one.
-                self.due = now + SILENCE_MOST;
-                self.calls.record_message(now);
-                if let Some((since, true)) = self.lost.take() {
-                    let lost_ms = now.saturating_sub(since) / 1_000;
-                    tracing::info!(kind = "list", lost_ms, "the list service is heard again");
-                }
-                let behind = number < self.last && event.is_none() && self.calls.has_budget();
-                self.behind = behind.then(|| self.behind.unwrap_or(now));
-                if self.behind.is_some_and(|since| now >= since + BEHIND_MOST) {
-                    tracing::warn!(
-                        kind = "list",
-                        number,
-                        held = self.last,
-                        "the list service counts anew: all is asked for"
-                    );
-                    self.last = 0;
-                    return Err(io::ErrorKind::UnexpectedEof.into());
-                }
-                // After a new connection events may come again.
-                if let Some(event) = event.filter(|_| number > self.last) {
-                    self.last = number;
-                    news.push(event);
+            while let Some((revision, event)) = self.take_frame()? {
+                self.record_frame(now);
+                self.check_revision(now, revision, event.is_some())?;
+                // After a reconnect events may come again.
+                if let Some(event) = event.filter(|_| revision > self.revision) {
+                    self.revision = revision;
+                    events.push(event);
                 }
             }
         }
         Ok(())
     }
+
+    /// Takes a complete frame off the input: a revision and, unless there is nothing new, the event that leads to it.
+    fn take_frame(&mut self) -> io::Result<Option<(u64, Option<News>)>> {
+        let Some((_, stream)) = &mut self.stream else {
+            return Ok(None);
+        };
+        let malformed = |_| io::Error::from(io::ErrorKind::InvalidData);
+        let Some((revision, event, used)) = decode(stream.input()).map_err(malformed)? else {
+            return Ok(None);
+        };
+        stream.consume(used);
+        Ok(Some((revision, event)))
+    }
+
+    /// Notes that the service is there. Only a complete frame shows it: a service may stop in the middle of one.
+    fn record_frame(&mut self, now: Timestamp) {
+        self.deadline = now + MAX_SILENCE;
+        self.calls.record_message(now);
+        let outage = self.outage.take();
+        if let Some(outage) = outage.filter(|outage| outage.logged) {
+            let lost_ms = now.saturating_sub(outage.since) / 1_000;
+            tracing::info!(kind = "list", lost_ms, "the list service is heard again");
+        }
+    }
+
+    /// Fails if the service has been behind the revision that is known here for so long that it must have begun to count anew.
+    /// The next connection asks for the complete list then.
+    fn check_revision(&mut self, now: Timestamp, number: u64, has_event: bool) -> io::Result<()> {
+        let is_behind = number < self.revision && !has_event && self.calls.has_budget();
+        self.behind_since = is_behind.then(|| self.behind_since.unwrap_or(now));
+        let behind_since = self.behind_since;
+        if behind_since.is_none_or(|since| now < since + MAX_BEHIND) {
+            return Ok(());
+        }
+        tracing::warn!(
+            kind = "list",
+            number,
+            held = self.revision,
+            "the list service counts anew: all is asked for"
+        );
+        self.revision = 0;
+        Err(io::ErrorKind::UnexpectedEof.into())
+    }
 }
 
 #[cfg(test)]
--- a/front/src/server/discovery/tests.rs
+++ b/front/src/server/discovery/tests.rs
@@ -20,20 +20,20 @@
         ),
         false,
     );
-    assert!(feed.due <= 200_000);
-    feed.go(0, &reactor, 5);
+    assert!(feed.deadline <= 200_000);
+    feed.poll(0, &reactor, 5);
     assert!(
-        feed.due <= 1_000_000,
+        feed.deadline <= 1_000_000,
         "a connection that never comes up is given up soon"
     );
     let (mut peer, _) = listener.accept().unwrap();
     let mut hello = [0; 8];
-    while feed.due <= 1_000_000 {
+    while feed.deadline <= 1_000_000 {
         reactor.wait(0, Some(1_000_000)).unwrap();
         feed.ready(0);
     }
     peer.read_exact(&mut hello).unwrap();
-    assert_eq!((u64::from_be_bytes(hello), feed.due), (7, SILENCE_MOST));
+    assert_eq!((u64::from_be_bytes(hello), feed.deadline), (7, MAX_SILENCE));
     // A whole frame is a sign of life, what comes of the next one is not.
     let empty = [&[0, 0, 0, 9][..], &7u64.to_be_bytes(), &[0]].concat();
     for (now, bytes) in [
@@ -44,6 +44,6 @@
         peer.write_all(bytes).unwrap();
         reactor.wait(0, Some(20_000_000)).unwrap();
         assert!(feed.ready(now).is_empty());
-        assert_eq!(feed.due, 1_000_000 + SILENCE_MOST);
+        assert_eq!(feed.deadline, 1_000_000 + MAX_SILENCE);
     }
 }
--- a/front/src/server/drain.rs
+++ b/front/src/server/drain.rs
@@ -1,42 +1,42 @@
-//! The end of a process, from SIGTERM on: when it stops serving, when it gives up what is open, when it is over. No I/O and no
-//! clock; all moments follow from how long the classes' requests take at most.
+//! The stages of a graceful shutdown after SIGTERM: when a process stops taking requests, when it gives up open ones, when it
+//! ends. No I/O and no clock; all deadlines follow from how long the classes' requests may take.
 use cranesill::api::{Micros, Timestamp};
 
 /// Requests are taken for this long after SIGTERM: clients hear of it one after another.
-const SERVES_MOST: Micros = 1_000_000;
+const MAX_SERVING_TIME: Micros = 1_000_000;
 /// The system kills a process no earlier than the longest time of a class after SIGTERM, of which no more than this counts,
 /// and this much more.
-const COUNTED_MOST: Micros = 3_000_000;
+const MAX_COUNTED_WAIT: Micros = 3_000_000;
 const KILL_AFTER: Micros = 700_000;
 /// The process has ended by itself so much earlier.
-const MARGIN: Micros = 100_000;
+const END_MARGIN: Micros = 100_000;
 /// Clients whose connections are shut have this long to read what was said and to close.
-const PARTS_MOST: Micros = 200_000;
+const MAX_CLOSING_TIME: Micros = 200_000;
 /// While another process takes over, connections are held open for their clients until this much before the longest time.
 const HAND_OVER_MARGIN: Micros = 200_000;
 
-/// How far it is.
+/// How far a shutdown has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Requests are taken.
-    Serves,
+    /// Requests are still taken.
+    Serving,
     /// New ones are refused, open ones end.
-    Refuses,
-    /// What is still open is answered as given up; connections are shut, and clients read what was said.
-    Parts,
-    /// The process ends, whatever is not done.
-    Over,
+    Refusing,
+    /// Requests that are still open are answered as given up; connections are closed once clients have read their answers.
+    Closing,
+    /// The process ends, whatever is unfinished.
+    Ended,
 }
 
-/// The moments of one end.
+/// The deadlines of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
-    refuses: Timestamp,
-    parts: Timestamp,
-    over: Timestamp,
-    /// Until when clients may keep connections on which nothing is open.
-    lets: Timestamp,
-    parting: Option<Timestamp>,
+    refuse_at: Timestamp,
+    close_at: Timestamp,
+    end_at: Timestamp,
+    /// Until when clients may keep connections without an open request.
+    linger_until: Timestamp,
+    closing_since: Option<Timestamp>,
 }
 
 impl Drain {
@@ -48,52 +48,63 @@
             .copied()
             .max()
             .filter(|w| *w > 0)
-            .unwrap_or(COUNTED_MOST)
-            .min(COUNTED_MOST);
-        let over = now + longest + KILL_AFTER - MARGIN;
-        let parts = over - PARTS_MOST;
-        let refuses = (now + SERVES_MOST).min(parts);
-        let lets = now + longest.saturating_sub(HAND_OVER_MARGIN);
+            .unwrap_or(MAX_COUNTED_WAIT)
+            .min(MAX_COUNTED_WAIT);
+        let end_at = now + longest + KILL_AFTER - END_MARGIN;
+        let close_at = end_at - MAX_CLOSING_TIME;
+        let refuse_at = (now + MAX_SERVING_TIME).min(close_at);
+        let linger_until = now + longest.saturating_sub(HAND_OVER_MARGIN);
+        let linger_until = if beside {
+            linger_until.clamp(refuse_at, close_at)
+        } else {
+            refuse_at
+        };
         Drain {
-            refuses,
-            parts,
-            over,
-            lets: if beside {
-                lets.clamp(refuses, parts)
-            } else {
-                refuses
-            },
-            parting: None,
+            refuse_at,
+            close_at,
+            end_at,
+            linger_until,
+            closing_since: None,
         }
     }
 
-    /// The moments at which something is due.
-    pub fn moments(&self) -> [Timestamp; 4] {
-        [self.refuses, self.lets, self.parts, self.over]
+    /// Returns the times at which a stage may begin.
+    pub fn deadlines(&self) -> [Timestamp; 4] {
+        [
+            self.refuse_at,
+            self.linger_until,
+            self.close_at,
+            self.end_at,
+        ]
     }
 
-    /// How far it is now.
+    /// Returns how far the shutdown has come.
     pub fn stage(&self, now: Timestamp) -> Stage {
-        match self.parting {
-            _ if now >= self.over => Stage::Over,
-            Some(since) if now >= since + PARTS_MOST => Stage::Over,
-            Some(_) => Stage::Parts,
-            None if now >= self.parts => Stage::Parts,
-            None if now >= self.refuses => Stage::Refuses,
-            None => Stage::Serves,
+        match self.closing_since {
+            _ if now >= self.end_at => Stage::Ended,
+            Some(since) if now >= since + MAX_CLOSING_TIME => Stage::Ended,
+            Some(_) => Stage::Closing,
+            None if now >= self.close_at => Stage::Closing,
+            None if now >= self.refuse_at => Stage::Refusing,
+            None => Stage::Serving,
         }
     }
 
     /// Nothing is owed to anybody any more; `clients`: some are connected. Returns when it is over at the latest, if
     /// connections are to be shut from now on.
-    pub fn part(&mut self, now: Timestamp, owes: bool, clients: bool) -> Option<Timestamp> {
-        let lets = now < self.lets && clients;
-        let begins = self.parting.is_none()
-            && (self.stage(now) >= Stage::Parts
-                || self.stage(now) == Stage::Refuses && !owes && !lets);
+    pub fn begin_closing(
+        &mut self,
+        now: Timestamp,
+        owes: bool,
+        clients: bool,
+    ) -> Option<Timestamp> {
+        let lingers = now < self.linger_until && clients;
+        let begins = self.closing_since.is_none()
+            && (self.stage(now) >= Stage::Closing
+                || self.stage(now) == Stage::Refusing && !owes && !lingers);
         begins.then(|| {
-            self.parting = Some(now);
-            self.over.min(now + PARTS_MOST)
+            self.closing_since = Some(now);
+            self.end_at.min(now + MAX_CLOSING_TIME)
         })
     }
 }
--- a/front/src/server/drain/tests.rs
+++ b/front/src/server/drain/tests.rs
@@ -19,13 +19,13 @@
                 .unwrap_or(3_000_000)
                 .min(3_000_000);
             let mut drain = Drain::new(7, waits, beside);
-            assert!(drain.over < 7 + longest + 700_000);
+            assert!(drain.end_at < 7 + longest + 700_000);
             // What was taken is given up, and its client has time to read that.
-            assert!(drain.refuses <= drain.parts && drain.parts + 200_000 <= drain.over);
-            assert!(drain.moments().iter().all(|at| *at <= drain.over));
-            let at = drain.parts;
-            assert_eq!(drain.part(at, true, true), Some(drain.over));
-            assert_eq!(drain.stage(drain.over), Stage::Over);
+            assert!(drain.refuse_at <= drain.close_at && drain.close_at + 200_000 <= drain.end_at);
+            assert!(drain.deadlines().iter().all(|at| *at <= drain.end_at));
+            let at = drain.close_at;
+            assert_eq!(drain.begin_closing(at, true, true), Some(drain.end_at));
+            assert_eq!(drain.stage(drain.end_at), Stage::Ended);
         }
     }
 }
@@ -35,26 +35,30 @@
     let mut alone = Drain::new(0, &[5_000_000], false);
     assert_eq!(
         (alone.stage(999_999), alone.stage(1_000_000)),
-        (Stage::Serves, Stage::Refuses)
+        (Stage::Serving, Stage::Refusing)
     );
     assert_eq!(
-        alone.part(999_999, false, true),
+        alone.begin_closing(999_999, false, true),
         None,
         "requests are still taken"
     );
-    assert_eq!(alone.part(1_000_000, true, true), None, "something is owed");
-    assert_eq!(alone.part(1_200_000, false, true), Some(1_400_000));
-    assert_eq!(alone.part(1_200_001, false, true), None, "once");
+    assert_eq!(
+        alone.begin_closing(1_000_000, true, true),
+        None,
+        "something is owed"
+    );
+    assert_eq!(alone.begin_closing(1_200_000, false, true), Some(1_400_000));
+    assert_eq!(alone.begin_closing(1_200_001, false, true), None, "once");
     assert_eq!(
         (alone.stage(1_399_999), alone.stage(1_400_000)),
-        (Stage::Parts, Stage::Over)
+        (Stage::Closing, Stage::Ended)
     );
     let mut beside = Drain::new(0, &[5_000_000], true);
-    assert_eq!(beside.part(2_799_999, false, true), None);
+    assert_eq!(beside.begin_closing(2_799_999, false, true), None);
     assert_eq!(
-        beside.clone().part(1_000_000, false, false),
+        beside.clone().begin_closing(1_000_000, false, false),
         Some(1_200_000),
         "all have gone"
     );
-    assert!(beside.part(2_800_000, false, true).is_some());
+    assert!(beside.begin_closing(2_800_000, false, true).is_some());
 }
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -103,13 +103,14 @@
         let in_use = self.upstream.listed().count();
         let mut state = self
             .startup
-            .shown(in_use, self.upstream.reached_endpoints());
-        let (lost_at, revision) = self.discovery.stands();
-        let next_call_at = lost_at.map(|_| self.discovery.due);
+            .state(in_use, self.upstream.reached_endpoints());
+        let lost_at = self.discovery.lost_at();
+        let revision = self.discovery.revision();
+        let next_call_at = lost_at.map(|_| self.discovery.deadline);
         state["list"] = json!({
             "last_event": revision,
             "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
-            "calls": self.discovery.called,
+            "calls": self.discovery.calls_made,
             "next_call_in_ms": next_call_at.map(|at| at.saturating_sub(now) / 1_000),
         });
         state
@@ -118,7 +119,8 @@
     /// The state of the whole front.
     fn status(&self, now: Timestamp) -> Value {
         let cordoned: Vec<_> = self.cordoned.iter().map(|id| name_of(*id)).collect();
-        let (lost_at, revision) = self.discovery.stands();
+        let lost_at = self.discovery.lost_at();
+        let revision = self.discovery.revision();
         json!({
             "name": self.config.name,
             "version": env!("CARGO_PKG_VERSION"),
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -20,7 +20,7 @@
 use crate::server::error::ServerError;
 use crate::server::log::Log;
 use crate::server::signals::raised;
-use crate::server::startup::{calls, known, snapshots, Startup};
+use crate::server::startup::{call_schedule, known_list, snapshot_path, Startup};
 use crate::server::upstream::CacheNodes;
 use crate::transport::{at_start, inherited, listen, Clock, Deadlines, Reactor, Registered};
 use cranesill::api::{Micros, Timestamp};
@@ -101,9 +101,13 @@
         let inherited = inherited_listener(&config)?;
         let log = Log::install(&settings.log);
         let sources = Sources::open(&config, inherited)?;
-        let known = known(&mut config, settings.startup.as_ref());
-        let mut server =
-            Self::assemble(config, settings, settings_file, (log, sources, known.last));
+        let known = known_list(&mut config, settings.startup.as_ref());
+        let mut server = Self::assemble(
+            config,
+            settings,
+            settings_file,
+            (log, sources, known.revision),
+        );
         let now = server.clock.now();
         let at = server
             .listener
@@ -111,15 +115,17 @@
             .map_err(ServerError::Listener)?;
         tracing::info!(name = server.config.name, %at, "listening");
         server.front.set_reach(now, server.upstream.reach());
-        server.start_drivers(now, known.list)?;
-        for event in known.news {
-            server.apply_watch_event(now, event, known.from);
+        server.start_drivers(now, known.snapshot)?;
+        for event in known.events {
+            server.apply_watch_event(now, event, known.origin);
         }
         server.forwards_watch_events = server.has_list_followers();
         server.poll_takeover(now, true);
         server.poll_cordons(now);
         server.update_readiness(now);
-        server.timers.add(server.discovery.due, Timer::Discovery);
+        server
+            .timers
+            .add(server.discovery.deadline, Timer::Discovery);
         server.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
         Ok(server)
     }
@@ -141,7 +147,7 @@
         let limits = &config.deployment.limits;
         let startup = settings.startup.as_ref();
         let has_peers = startup.is_some_and(|s| s.peers.is_some());
-        let schedule = calls(now, &config, startup);
+        let schedule = call_schedule(now, &config, startup);
         Server {
             front: Front::new(config.deployment.clone(), config.seed, config.room()),
             clients: Clients::new(),
@@ -232,7 +238,7 @@
                 Ok(Box::new(Peers::new(turn, peers, list, seed, times)?))
             })?;
         }
-        if let Some(path) = snapshots(&self.config, startup) {
+        if let Some(path) = snapshot_path(&self.config, startup) {
             self.start_driver(now, |turn| {
                 Ok(Box::new(Snapshots::new(turn, path, list, purge_done)?))
             })?;
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -4,7 +4,7 @@
 use crate::protocol::member::name_of;
 use crate::protocol::ops::member_id;
 use crate::server::error::AdminError;
-use crate::server::handover::OUT_MOST;
+use crate::server::handover::MAX_CORDONS;
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use serde_json::Value;
 
@@ -22,19 +22,19 @@
         let text = args["node"].as_str().ok_or(AdminError::EndpointMissing)?;
         let id = member_id(text).ok_or(AdminError::EndpointMalformed)?;
         let known = self.upstream.listed().any(|listed| listed == id)
-            || self.startup.has(id)
+            || self.startup.is_waiting(id)
             || self.front.avoids(id);
         if !known {
             return Err(AdminError::EndpointUnknown(text.into()));
         }
-        if out && self.cordoned.len() >= OUT_MOST && !self.cordoned.contains(&id) {
+        if out && self.cordoned.len() >= MAX_CORDONS && !self.cordoned.contains(&id) {
             return Err(AdminError::TooManyCordons {
                 endpoint: text.into(),
-                limit: OUT_MOST,
+                limit: MAX_CORDONS,
             });
         }
         if let Some(handover) = &self.handover {
-            let stored = handover.set_out(id, out);
+            let stored = handover.set_cordon(id, out);
             stored.map_err(|source| AdminError::CordonNotStored {
                 endpoint: text.into(),
                 source,
@@ -74,7 +74,7 @@
         let Some(handover) = &mut self.handover else {
             return;
         };
-        if let Some(out) = handover.out() {
+        if let Some(out) = handover.cordons() {
             let changed: Vec<_> = out.symmetric_difference(&self.cordoned).copied().collect();
             for id in changed {
                 self.apply_cordon(now, id, out.contains(&id));
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -18,14 +18,14 @@
         for event in self.discovery.ready(now) {
             self.apply_watch_event(now, event, Origin::Service);
         }
-        self.timers.add(self.discovery.due, Timer::Discovery);
+        self.timers.add(self.discovery.deadline, Timer::Discovery);
     }
 
     /// Applies a watch event: endpoints that change, or a purge.
     pub(super) fn apply_watch_event(&mut self, now: Timestamp, event: News, origin: Origin) {
         if self.forwards_watch_events {
             let message = EndpointEffect::WatchEvent {
-                revision: self.discovery.stands().1,
+                revision: self.discovery.revision(),
                 event: event.clone(),
             };
             self.effects.push(Effect::Endpoints(message));
@@ -34,7 +34,7 @@
         match event {
             News::Members { whole, list } => {
                 self.announce_endpoints(now, &list, whole);
-                let list = self.startup.listed(now, whole, list);
+                let list = self.startup.stagger(now, whole, list);
                 self.update_endpoints(now, whole, list, origin);
             }
             News::Purge {
@@ -79,7 +79,7 @@
 
     /// Adopts a list that peers hold, unless the list service is connected or has already sent a list as new.
     pub(super) fn adopt_peer_list(&mut self, now: Timestamp, list: Box<Snapshot>) {
-        if self.discovery.heard() || list.number <= self.discovery.stands().1 {
+        if self.discovery.is_connected() || list.number <= self.discovery.revision() {
             return;
         }
         let event = list.number;
@@ -92,7 +92,7 @@
             members,
             "the list is taken from peers"
         );
-        self.discovery.skip_to(list.number);
+        self.discovery.advance_to(list.number);
         // Forwarded as watch events it would count as new in the snapshot on disk; adopted, it keeps its age.
         self.forwards_watch_events = false;
         for event in list.news() {
@@ -132,10 +132,10 @@
             self.upstream.exclude(endpoint, &mut ends);
         }
         self.run_commands(now, ends);
-        if self.startup.dials() {
+        if self.startup.connects_ahead() {
             self.connect_ahead(now, ready.into_iter().map(|(_, endpoint)| endpoint));
         }
-        if let Some(at) = self.startup.next() {
+        if let Some(at) = self.startup.next_deadline() {
             self.timers.add(at, Timer::SlowStart);
         }
     }
@@ -167,7 +167,7 @@
     pub(super) fn update_readiness(&mut self, now: Timestamp) {
         let in_use = self.upstream.listed().count();
         let reached = self.upstream.reached_endpoints();
-        self.clients.ready = self.startup.ready(now, in_use, reached);
+        self.clients.ready = self.startup.check_readiness(now, in_use, reached);
     }
 }
 
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -19,7 +19,7 @@
 use crate::server::drain::Drain;
 use crate::server::drivers::{slot_of, Driver, Effect};
 use crate::server::error::ServerError;
-use crate::server::handover::Shared;
+use crate::server::handover::Handover;
 use crate::server::log::Log;
 use crate::server::signals::drain;
 use crate::server::startup::Startup;
@@ -86,7 +86,7 @@
     /// The graceful shutdown, once SIGTERM has come.
     shutdown: Option<Drain>,
     /// What is shared with other processes of this front, where the platform starts a new one beside the old.
-    handover: Option<Shared>,
+    handover: Option<Handover>,
     /// Whether it is this process that accepts clients.
     accepts_clients: bool,
     accept_backoff: AcceptBackoff,
@@ -155,7 +155,7 @@
             slot if slot > 0 && slot == self.admin_slot => Rank::Admin,
             slot if slot > 0 => Rank::Driver(slot),
             _ if key == LISTENER_KEY => Rank::Listener,
-            _ if self.discovery.is(key) => Rank::Discovery,
+            _ if self.discovery.has(key) => Rank::Discovery,
             _ if self.upstream.has(key) => Rank::Upstream,
             _ => Rank::Clients,
         }
@@ -191,7 +191,7 @@
                 });
                 self.carry_out_effects(now);
             }
-            _ if self.discovery.is(key) => self.read_discovery(now),
+            _ if self.discovery.has(key) => self.read_discovery(now),
             _ if self.upstream.has(key) => {
                 let mut ends = Vec::new();
                 self.upstream.ready(now, key, readable, &mut ends);
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -27,7 +27,7 @@
             handover.hand_over(now, &learned);
             self.share_limits(now, true);
         }
-        for at in drain.moments() {
+        for at in drain.deadlines() {
             self.timers.add(at, Timer::ShutdownStage);
         }
     }
@@ -38,13 +38,13 @@
             return;
         };
         let stage = drain.stage(now);
-        if stage >= Stage::Refuses {
+        if stage >= Stage::Refusing {
             self.front.close(true);
             for (driver, _) in &mut self.drivers {
                 driver.drain();
             }
         }
-        if stage >= Stage::Parts {
+        if stage >= Stage::Closing {
             self.front.give_up(now);
         }
     }
@@ -59,12 +59,12 @@
         let Some(drain) = &mut self.shutdown else {
             return false;
         };
-        if let Some(over) = drain.part(now, owes, clients) {
+        if let Some(over) = drain.begin_closing(now, owes, clients) {
             self.clients.close_all(now);
             self.timers.add(over, Timer::ShutdownStage);
         }
         let all_gone = self.clients.closes_all() && self.clients.len() == 0;
-        drain.stage(now) == Stage::Over || all_gone
+        drain.stage(now) == Stage::Ended || all_gone
     }
 
     /// Drains this front until an operator resumes it: clients are told to go elsewhere, and requests that were taken are
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -1,7 +1,7 @@
 //! Takes the clients' socket over from an earlier process of this front and leaves it to a later one.
 use super::timers::Timer;
 use super::Server;
-use crate::server::handover::Shared;
+use crate::server::handover::Handover;
 use crate::transport::at_start;
 use cranesill::api::{Micros, Timestamp};
 use std::io;
@@ -22,9 +22,9 @@
         if self.shutdown.is_some() {
             return;
         }
-        let (accepts, alone) = (shared.accepts(), shared.alone());
+        let (accepts, alone) = (shared.try_accept(), shared.is_alone());
         if accepts && (first || !self.accepts_clients) {
-            let learned = shared.learned(now);
+            let learned = shared.take_learned(now);
             tracing::info!(kind = "upgrade", learned = learned.len(), "accepts clients");
             self.front.learn(now, learned);
         }
@@ -63,12 +63,12 @@
 
 /// The folder that the platform shares between the processes of this front. Without it a new process serves all the
 /// same.
-pub(super) fn open_handover() -> Option<Shared> {
+pub(super) fn open_handover() -> Option<Handover> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
     let found = folder
         .ok_or_else(|| io::Error::other("TMPDIR is not set"))
         .map(PathBuf::from);
-    let opened = found.and_then(|folder| at_start(|| Shared::new(&folder)));
+    let opened = found.and_then(|folder| at_start(|| Handover::new(&folder)));
     if let Err(error) = &opened {
         tracing::warn!(kind = "upgrade", %error, "nothing is shared with another process: it accepts clients as well");
     }
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -53,7 +53,7 @@
             Timer::ShutdownStage => self.enter_shutdown_stage(now),
             Timer::QuiesceGrace => self.end_quiesce_grace(now),
             Timer::SlowStart => {
-                let list = self.startup.due(now);
+                let list = self.startup.take_due(now);
                 self.update_endpoints(now, false, list, Origin::Kept);
             }
             Timer::TakeoverPoll => self.poll_takeover(now, false),
@@ -74,12 +74,12 @@
 
     /// Gives up a silent connection to the list service, or connects, unless the deadline has moved since the timer was set.
     fn poll_discovery(&mut self, now: Timestamp) {
-        if now < self.discovery.due {
+        if now < self.discovery.deadline {
             return;
         }
         let key = self.next_key();
-        self.discovery.go(now, &self.reactor, key);
-        self.timers.add(self.discovery.due, Timer::Discovery);
+        self.discovery.poll(now, &self.reactor, key);
+        self.timers.add(self.discovery.deadline, Timer::Discovery);
     }
 
     /// Closes dead and idle connections and checks what has no timer of its own.
@@ -94,7 +94,7 @@
         self.cancel_disconnected(now);
         self.upstream.sweep(now, ends);
         self.update_readiness(now);
-        if self.discovery.heard() && self.forwards_watch_events {
+        if self.discovery.is_connected() && self.forwards_watch_events {
             self.effects
                 .push(Effect::Endpoints(EndpointEffect::Current));
             self.carry_out_effects(now);
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -1,11 +1,10 @@
-//! What the processes of one front share while a new one takes over from the old: two locks and a few small files in the
-//! folder that the platform gives to both.
+//! Handover of the clients' socket from one process of a front to the next: two locks and a few small files in the directory
+//! that the platform gives to both.
 //!
-//! `accept` is locked by the process that accepts clients, `alive` by one that has no earlier process beside it any more.
-//! The system lets go of a lock when its process ends, however it ends: what a dead one left is told from a live one by
-//! that alone.
+//! The process that accepts clients holds the lock `accept`; a process without an earlier one beside it holds `alive`. The
+//! system releases a lock when its process ends, however it ends: that alone distinguishes a dead process from a live one.
 //!
-//! All of it is tiny and in memory, so it is done on the loop: no call here waits for a disk or another process.
+//! The files are tiny and in memory, so they are read and written on the loop: no call waits for a disk or another process.
 use crate::protocol::shared::{learned, out_member, out_name, read_learned, LEARNED_MOST};
 use cranesill::api::{EndpointId, LearnedHealth, Micros, Timestamp};
 use std::collections::BTreeSet;
@@ -14,21 +13,21 @@
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// What was learned longer ago than this says nothing of now.
-const LEARNED_FRESH: Micros = 10_000_000;
-/// Members out by hand at once.
-pub const OUT_MOST: usize = 1_024;
-/// Files in the folder that are looked at. With more it can't be told who is out, and all stay as they are: what is passed
-/// over would come back into use by it.
-const FILES_MOST: usize = 4 * OUT_MOST;
-/// Files with names of no meaning here that are told of in the log.
-const FOREIGN_TOLD: usize = 4;
+/// Learned health that is older than this is not used.
+const MAX_LEARNED_AGE: Micros = 10_000_000;
+/// Endpoints that can be cordoned at once.
+pub const MAX_CORDONS: usize = 1_024;
+/// Files in the directory that are read at most. With more, cordons stay as they are: one that is passed over would come back
+/// into use.
+const MAX_FILES: usize = 4 * MAX_CORDONS;
+/// Files with unknown names that are logged.
+const MAX_FOREIGN_LOGGED: usize = 4;
 
-/// A lock that a process has or waits for.
+/// A file lock that a process holds or waits for.
 #[derive(Debug)]
 struct Lock {
     file: File,
-    held: bool,
+    is_held: bool,
 }
 
 impl Lock {
@@ -41,13 +40,16 @@
             .write(true)
             .custom_flags(libc::O_NONBLOCK);
         let file = options.open(path)?;
-        Ok(Lock { file, held: false })
+        Ok(Lock {
+            file,
+            is_held: false,
+        })
     }
 
-    /// Takes it, if nobody has it.
+    /// Takes the lock if no other process holds it. Returns whether this process holds it.
     fn take(&mut self) -> bool {
-        if !self.held {
-            self.held = match self.file.try_lock() {
+        if !self.is_held {
+            self.is_held = match self.file.try_lock() {
                 Ok(()) => true,
                 Err(TryLockError::WouldBlock) => false,
                 // A file system without locks: better two that accept than none.
@@ -57,23 +59,23 @@
                 }
             };
         }
-        self.held
+        self.is_held
     }
 }
 
-/// The folder and the locks in it.
+/// The shared directory and the locks in it.
 #[derive(Debug)]
-pub struct Shared {
+pub struct Handover {
     folder: PathBuf,
     accept: Lock,
     alive: Lock,
-    foreign: usize,
-    /// It was told that the folder can't be read.
-    unreadable: bool,
+    foreign_files: usize,
+    /// Whether it was logged that the directory can't be read.
+    unreadable_logged: bool,
 }
 
-impl Shared {
-    /// Opens the folder, which is made if need be, in `parent`.
+impl Handover {
+    /// Opens the directory in `parent`; it is made if need be.
     pub fn new(parent: &Path) -> io::Result<Self> {
         let folder = parent.join("cranesill");
         match fs::DirBuilder::new().mode(0o700).create(&folder) {
@@ -84,28 +86,28 @@
             Lock::new(&folder.join("accept"))?,
             Lock::new(&folder.join("alive"))?,
         );
-        Ok(Shared {
+        Ok(Handover {
             folder,
             accept,
             alive,
-            foreign: 0,
-            unreadable: false,
+            foreign_files: 0,
+            unreadable_logged: false,
         })
     }
 
-    /// Whether this process accepts clients, from now on if not before.
-    pub fn accepts(&mut self) -> bool {
+    /// Takes over accepting clients if no other process does. Returns whether this process accepts.
+    pub fn try_accept(&mut self) -> bool {
         self.accept.take()
     }
 
-    /// Whether no earlier process is left.
-    pub fn alone(&mut self) -> bool {
+    /// Whether no earlier process of this front is left.
+    pub fn is_alone(&mut self) -> bool {
         self.alive.take()
     }
 
-    /// Leaves accepting to another process, with what was learned.
+    /// Leaves accepting to another process, with the health that this one has learned.
     pub fn hand_over(&mut self, now: Timestamp, members: &[LearnedHealth]) {
-        if !self.accept.held {
+        if !self.accept.is_held {
             return;
         }
         let aside = self
@@ -127,11 +129,11 @@
         if let Err(error) = self.accept.file.unlock() {
             tracing::warn!(kind = "upgrade", %error, "the next process accepts only once this one has ended");
         }
-        self.accept.held = false;
+        self.accept.is_held = false;
     }
 
-    /// What an earlier process has learned lately. It is read once.
-    pub fn learned(&self, now: Timestamp) -> Vec<LearnedHealth> {
+    /// Takes the health that an earlier process has learned recently. It is read once.
+    pub fn take_learned(&self, now: Timestamp) -> Vec<LearnedHealth> {
         let path = self.folder.join("learned");
         let mut text = Vec::new();
         let opened = File::options()
@@ -148,7 +150,7 @@
             Ok(_) => drop(fs::remove_file(&path)),
         }
         match read_learned(&text) {
-            Ok((at, members)) if at <= now && now <= at + LEARNED_FRESH => members,
+            Ok((at, members)) if at <= now && now <= at + MAX_LEARNED_AGE => members,
             Ok(_) => {
                 tracing::info!(kind = "upgrade", "what was learned is too old");
                 Vec::new()
@@ -160,8 +162,8 @@
         }
     }
 
-    /// Notes that a member is out by hand, or no longer, for all processes of this front.
-    pub fn set_out(&self, member: EndpointId, out: bool) -> io::Result<()> {
+    /// Cordons an endpoint for all processes of this front, or lifts its cordon.
+    pub fn set_cordon(&self, member: EndpointId, out: bool) -> io::Result<()> {
         let path = self.folder.join(out_name(member));
         if out {
             File::create(path).map(drop)
@@ -176,22 +178,22 @@
         }
     }
 
-    /// The members that are out by hand; `None`: that can't be told, and all stay as they are.
-    pub fn out(&mut self) -> Option<BTreeSet<EndpointId>> {
-        let found = self.read_out();
-        // It is asked ten times a second: one line tells it.
-        if let Some(error) = found.as_ref().err().filter(|_| !self.unreadable) {
+    /// Reads which endpoints are cordoned; `None` where that can't be read, and all stay as they are.
+    pub fn cordons(&mut self) -> Option<BTreeSet<EndpointId>> {
+        let found = self.read_cordons();
+        // It is read ten times a second: one line in the log is enough.
+        if let Some(error) = found.as_ref().err().filter(|_| !self.unreadable_logged) {
             tracing::warn!(kind = "by-hand", %error, "what is shared can't be read: calls to another process are missed");
         }
-        self.unreadable = found.is_err();
+        self.unreadable_logged = found.is_err();
         found.ok()
     }
 
-    fn read_out(&mut self) -> io::Result<BTreeSet<EndpointId>> {
+    fn read_cordons(&mut self) -> io::Result<BTreeSet<EndpointId>> {
         let mut out = BTreeSet::new();
         let mut foreign = 0;
         for (n, entry) in fs::read_dir(&self.folder)?.enumerate() {
-            if n >= FILES_MOST {
+            if n >= MAX_FILES {
                 return Err(io::Error::other("too many files"));
             }
             let name = entry?.file_name();
@@ -202,13 +204,13 @@
                     || name.ends_with(".tmp") => {}
                 None => {
                     foreign += 1;
-                    if foreign > self.foreign && foreign <= FOREIGN_TOLD {
+                    if foreign > self.foreign_files && foreign <= MAX_FOREIGN_LOGGED {
                         tracing::warn!(kind = "upgrade", file = %name, "a file of no meaning here");
                     }
                 }
             }
         }
-        self.foreign = self.foreign.max(foreign);
+        self.foreign_files = self.foreign_files.max(foreign);
         Ok(out)
     }
 }
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -1,4 +1,5 @@
-//! The cold start on the loop: which members are used already, and whether the front is ready. The choices are the crate's.
+//! Start of a front: the endpoint list that it begins with, slow start of endpoints, and readiness. The decisions are made by
+//! `cranesill_startup`.
 use super::config::Config;
 use super::drivers::snapshot::{load, path, wall_ms};
 use crate::protocol::feed::{Listing, News};
@@ -13,8 +14,8 @@
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
-/// When this front calls the list service.
-pub fn calls(now: Timestamp, config: &Config, settings: Option<&Settings>) -> CallSchedule {
+/// Makes the schedule of connections to the list service.
+pub fn call_schedule(now: Timestamp, config: &Config, settings: Option<&Settings>) -> CallSchedule {
     let budget = settings.map(|startup| CallBudget {
         calls_per_s: startup.calls_per_s.into(),
         max_wait: startup.wait_most_ms * 1_000,
@@ -31,8 +32,8 @@
     }
 }
 
-/// Where the list is kept on disk; `None`: it is not.
-pub fn snapshots(config: &Config, settings: Option<&Settings>) -> Option<PathBuf> {
+/// Returns where the endpoint list is kept on disk; `None` where it is not.
+pub fn snapshot_path(config: &Config, settings: Option<&Settings>) -> Option<PathBuf> {
     let folder = settings
         .filter(|_| config.accept_fd.is_none())?
         .snapshots
@@ -40,7 +41,7 @@
     Some(path(folder, &config.name))
 }
 
-/// Which list a front follows.
+/// Identifies the list that a front follows.
 fn source(config: &Config, settings: Option<&Settings>) -> u64 {
     // Records refer to places in these lists.
     let names = &config.deployment.names;
@@ -51,31 +52,32 @@
     crc32fast::hash(of.as_bytes()).into()
 }
 
-/// What a front knows at its start.
-pub struct Known {
-    /// The last event.
-    pub last: u64,
-    /// All that there is to be told.
-    pub news: Vec<News>,
-    /// Where that comes from.
-    pub from: Origin,
-    /// The list as it is to be kept on disk from then on. One that was read there stays as old as it is.
-    pub list: Snapshot,
+/// The endpoint list that a front begins with.
+pub struct KnownList {
+    /// The revision of the list.
+    pub revision: u64,
+    /// The events that lead to it.
+    pub events: Vec<News>,
+    /// Where the list comes from.
+    pub origin: Origin,
+    /// The list as it is kept on disk from then on. One that was read there keeps its age.
+    pub snapshot: Snapshot,
 }
 
-/// What the configuration knows, or what lies on disk and is newer.
-pub fn known(config: &mut Config, settings: Option<&Settings>) -> Known {
+/// Returns the list of the configuration, or the one on disk if that is newer.
+pub fn known_list(config: &mut Config, settings: Option<&Settings>) -> KnownList {
     let (last, mut news) = std::mem::take(&mut config.known);
     let serve_ms = settings.map_or(0, |s| s.serve_snapshot_s * 1_000);
     let source = source(config, settings);
-    let found = snapshots(config, settings).and_then(|path| load(&path, source, last, serve_ms));
+    let found =
+        snapshot_path(config, settings).and_then(|path| load(&path, source, last, serve_ms));
     if let Some(list) = found {
         news.extend(list.news());
-        return Known {
-            last: list.number,
-            news,
-            from: Origin::Kept,
-            list,
+        return KnownList {
+            revision: list.number,
+            events: news,
+            origin: Origin::Kept,
+            snapshot: list,
         };
     }
     let mut list = Snapshot {
@@ -86,20 +88,20 @@
         .for_each(|one| list.take(last, wall_ms(), 0, u64::MAX, one));
     // Purges that were known at the start are kept from the first news on.
     list.got_ms.clear();
-    Known {
-        last,
-        news,
-        from: Origin::Known,
-        list,
+    KnownList {
+        revision: last,
+        events: news,
+        origin: Origin::Known,
+        snapshot: list,
     }
 }
 
-/// What the settings switch on of it.
+/// Slow start and readiness, as far as the settings switch them on.
 pub struct Startup {
-    /// Members that are listed and wait to be used.
+    /// Endpoints that are listed and not in use yet.
     slow_start: Option<SlowStart<Listing>>,
     ready: Option<Readiness>,
-    /// What was last waited for, as it was logged.
+    /// Why the front was not ready when that was last logged.
     waits: Option<NotReady>,
     zone: u16,
     origin: Option<u8>,
@@ -137,8 +139,8 @@
         }
     }
 
-    /// The list tells of members: those that are to be taken over now.
-    pub fn listed(&mut self, now: Timestamp, whole: bool, list: Vec<Listing>) -> Vec<Listing> {
+    /// Takes listed endpoints in, and returns those that come into use now.
+    pub fn stagger(&mut self, now: Timestamp, whole: bool, list: Vec<Listing>) -> Vec<Listing> {
         let Some(slow_start) = &mut self.slow_start else {
             return list;
         };
@@ -158,37 +160,37 @@
         slow_start.update(now, whole, list.into_iter().map(endpoint).collect())
     }
 
-    /// Members whose turn has come.
-    pub fn due(&mut self, now: Timestamp) -> Vec<Listing> {
+    /// Takes out the endpoints that come into use by now.
+    pub fn take_due(&mut self, now: Timestamp) -> Vec<Listing> {
         self.slow_start
             .as_mut()
             .map_or_else(Vec::new, |slow_start| slow_start.poll(now))
     }
 
-    /// When the next one's turn comes.
-    pub fn next(&self) -> Option<Timestamp> {
+    /// Returns when the next endpoint comes into use.
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.slow_start.as_ref().and_then(SlowStart::next_deadline)
     }
 
-    /// Whether connections are begun before anything is asked.
-    pub fn dials(&self) -> bool {
+    /// Whether endpoints are connected to before a request needs them.
+    pub fn connects_ahead(&self) -> bool {
         self.slow_start.is_some()
     }
 
-    /// Whether a member is listed and waits.
-    pub fn has(&self, member: EndpointId) -> bool {
+    /// Whether an endpoint is listed and not in use yet.
+    pub fn is_waiting(&self, member: EndpointId) -> bool {
         self.slow_start
             .as_ref()
             .is_some_and(|slow_start| slow_start.is_waiting(member.0))
     }
 
-    /// How many members are listed and wait.
+    /// Returns how many endpoints are listed and not in use yet.
     pub fn waiting(&self) -> usize {
         self.slow_start.as_ref().map_or(0, SlowStart::waiting)
     }
 
-    /// Whether the front is ready, with so many members in use and so many of them reached. Tells the log what changes.
-    pub fn ready(&mut self, now: Timestamp, used: usize, reached: usize) -> bool {
+    /// Returns whether the front is ready with so many endpoints in use and connected. Logs changes.
+    pub fn check_readiness(&mut self, now: Timestamp, used: usize, reached: usize) -> bool {
         let waiting = self.waiting();
         let Some(ready) = &mut self.ready else {
             return true;
@@ -205,8 +207,8 @@
         self.waits.is_none()
     }
 
-    /// For operators.
-    pub fn shown(&self, used: usize, reached: usize) -> Value {
+    /// Returns the state as operators see it.
+    pub fn state(&self, used: usize, reached: usize) -> Value {
         json!({
             "members_used": used, "members_reached": reached, "members_waiting": self.waiting(),
             "ready": self.waits.is_none(), "waits_for": self.waits.map(|waits| waits.to_string()),
