--- a/front/src/server/ctl.rs
+++ b/front/src/server/ctl.rs
@@ -6,17 +6,20 @@
 mod options;
 mod output;
 
+use super::error::CtlError;
 use client::At;
 use output::{table, verdict};
 use serde_json::{json, Value};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::time::{SystemTime, UNIX_EPOCH};
 
 pub use options::{certs, ctl, purge, purges};
 
+/// What the daemon is asked to do.
 #[derive(Clone, Debug)]
 enum Verb {
-    /// A word with `name=value` fields.
+    /// A command by name, with `name=value` pairs.
     Word(String, Vec<String>),
     List,
     Show(String),
@@ -36,7 +39,7 @@
     Boxes,
 }
 
-/// What an operator asks for.
+/// An operator's command, and the daemon that it is for.
 #[derive(Clone, Debug)]
 pub struct Ctl {
     at: At,
@@ -44,61 +47,45 @@
     verb: Verb,
 }
 
-/// `a=1` and `b=x` as an object; what reads as JSON is that, all else is text.
-fn fields(all: &[String]) -> Result<Value, String> {
+/// Exit code where no such certificate or purge exists.
+const NOT_FOUND: u8 = 3;
+/// How the daemon's answer begins where the settings name no certificate.
+const NO_CERTIFICATES: &str = "no certificate is configured";
+
+/// `a=1` and `b=x` as an object; a value that reads as JSON is that, any other is text.
+fn fields(pairs: &[String]) -> Result<Value, CtlError> {
     let mut object = serde_json::Map::new();
-    for field in all {
-        let (name, value) = field
+    for pair in pairs {
+        let (name, value) = pair
             .split_once('=')
-            .ok_or_else(|| format!("{field}: not FIELD=VALUE"))?;
+            .ok_or_else(|| CtlError::NotAField(pair.clone()))?;
         let value = serde_json::from_str(value).unwrap_or_else(|_| value.into());
         object.insert(name.into(), value);
     }
     Ok(object.into())
 }
 
-fn carry_out(ctl: &Ctl) -> Result<u8, String> {
-    let ask = |word: &str, args: Value| ctl.at.ask(word, &args);
-    let read = |file: &PathBuf| {
-        std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))
-    };
-    let answer = match &ctl.verb {
-        Verb::Word(word, all) => ask(word, fields(all)?)?,
-        Verb::List | Verb::Show(_) => {
-            let name = if let Verb::Show(name) = &ctl.verb {
-                name.as_str()
-            } else {
-                ""
-            };
-            let answer = ask("certs", json!({"name": name}))?;
-            let rows = answer["certificates"]
-                .as_array()
-                .cloned()
-                .unwrap_or_default();
-            if rows.is_empty() && !name.is_empty() {
-                eprintln!("cranesill: no certificate for {name}");
-                return Ok(3);
-            }
-            match (&ctl.verb, ctl.json) {
-                (_, true) => println!("{answer:#}"),
-                (Verb::List, _) => println!("{}", table(&rows)),
-                _ => println!("{:#}", rows[0]),
-            }
-            return Ok(verdict(&rows));
+/// Returns the command that the daemon is sent, and its arguments.
+fn command(verb: &Verb) -> Result<(&str, Value), CtlError> {
+    let read = |file: &Path| std::fs::read_to_string(file).map_err(|e| CtlError::io(file, e));
+    Ok(match verb {
+        Verb::Word(name, pairs) => (name, fields(pairs)?),
+        Verb::List => ("certs", json!({"name": ""})),
+        Verb::Show(name) => ("certs", json!({"name": name})),
+        Verb::Renew(name) => ("certs-renew", json!({"name": name})),
+        Verb::Revoke(name, reason) => ("certs-revoke", json!({"name": name, "reason": reason})),
+        Verb::Import(key, chain) => {
+            let arguments = json!({"key": read(key)?, "chain": read(chain)?});
+            ("certs-import", arguments)
         }
-        Verb::Renew(name) => ask("certs-renew", json!({"name": name}))?,
-        Verb::Revoke(name, reason) => ask("certs-revoke", json!({"name": name, "reason": reason}))?,
-        Verb::Import(key, chain) => ask(
-            "certs-import",
-            json!({"key": read(key)?, "chain": read(chain)?}),
-        )?,
-        Verb::RollKey => ask("certs-roll-key", Value::Null)?,
+        Verb::RollKey => ("certs-roll-key", Value::Null),
+        Verb::Boxes => ("purge-boxes", Value::Null),
+        Verb::Purges(number) => ("purges", json!({"number": number})),
         Verb::Purge {
             what: (name, value),
             dry: true,
             ..
-        } => ask("purge-dry", json!({*name: value}))?,
-        Verb::Boxes => ask("purge-boxes", Value::Null)?,
+        } => ("purge-dry", json!({*name: value})),
         Verb::Purge {
             what: (name, value),
             id,
@@ -108,28 +95,34 @@
             ..
         } => {
             let who = std::env::var("USER").unwrap_or_else(|_| "operator".into());
-            // An id of its own for a command that names none: it can't be repeated by chance.
-            let made = || {
-                let now = std::time::SystemTime::now()
-                    .duration_since(std::time::UNIX_EPOCH)
-                    .unwrap_or_default();
-                format!("{}-{}", now.as_nanos(), std::process::id())
-            };
-            let id = id.clone().unwrap_or_else(made);
-            ask(
-                "purge",
-                json!({*name: value, "id": id, "who": who, "why": why, "all": all, "wait_s": wait}),
-            )?
+            let id = id.clone().unwrap_or_else(unique_id);
+            let arguments =
+                json!({*name: value, "id": id, "who": who, "why": why, "all": all, "wait_s": wait});
+            ("purge", arguments)
         }
-        Verb::Purges(number) => {
-            let answer = ask("purges", json!({"number": number}))?;
-            if number.is_some() && answer["purges"].as_array().is_none_or(Vec::is_empty) {
-                eprintln!("cranesill: no such purge, or it is over");
-                return Ok(3);
-            }
-            answer
+    })
+}
+
+/// An id for a purge that names none: no other purge is taken for the same by chance.
+fn unique_id() -> String {
+    let now = SystemTime::now().duration_since(UNIX_EPOCH);
+    let nanoseconds = now.unwrap_or_default().as_nanos();
+    format!("{nanoseconds}-{}", std::process::id())
+}
+
+/// Sends the command and prints the answer. Returns the exit code.
+fn execute(ctl: &Ctl) -> Result<u8, CtlError> {
+    let (name, arguments) = command(&ctl.verb)?;
+    let answer = ctl.at.ask(name, &arguments)?;
+    match &ctl.verb {
+        Verb::List => return Ok(print_certificates(&answer, None, ctl.json)),
+        Verb::Show(name) => return Ok(print_certificates(&answer, Some(name), ctl.json)),
+        Verb::Purges(Some(_)) if answer["purges"].as_array().is_none_or(Vec::is_empty) => {
+            eprintln!("cranesill: no such purge, or it is over");
+            return Ok(NOT_FOUND);
         }
-    };
+        _ => {}
+    }
     match answer.as_str().filter(|_| !ctl.json) {
         Some(text) => println!("{text}"),
         None => println!("{answer:#}"),
@@ -137,17 +130,35 @@
     Ok(0)
 }
 
-/// Asks the daemon and prints its answer.
+/// Prints all certificates, or the one for `name`. Returns the exit code.
+fn print_certificates(answer: &Value, name: Option<&str>, json: bool) -> u8 {
+    let rows = answer["certificates"].as_array();
+    let rows = rows.cloned().unwrap_or_default();
+    match (name, rows.first()) {
+        (Some(name), None) if !name.is_empty() => {
+            eprintln!("cranesill: no certificate for {name}");
+            return NOT_FOUND;
+        }
+        _ if json => println!("{answer:#}"),
+        (Some(_), Some(row)) => println!("{row:#}"),
+        _ => println!("{}", table(&rows)),
+    }
+    verdict(&rows)
+}
+
+/// Sends an operator's command to the daemon and prints its answer.
 pub fn run(ctl: Ctl) -> ExitCode {
-    match carry_out(&ctl) {
+    match execute(&ctl) {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             eprintln!("cranesill: {error}");
-            ExitCode::from(if error.starts_with("no certificate is configured") {
-                3
+            let not_found =
+                matches!(&error, CtlError::Rejected(text) if text.starts_with(NO_CERTIFICATES));
+            if not_found {
+                ExitCode::from(NOT_FOUND)
             } else {
-                1
-            })
+                ExitCode::FAILURE
+            }
         }
     }
 }
--- a/front/src/server/ctl/client.rs
+++ b/front/src/server/ctl/client.rs
@@ -1,18 +1,19 @@
 //! The connection to a running daemon's control socket.
 use crate::server::config;
+use crate::server::error::CtlError;
 use serde_json::{json, Value};
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{self, BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The daemon answers within this, or is taken for stuck; orders are not waited for.
-const ANSWER_MOST: Duration = Duration::from_secs(130);
+/// The daemon answers within this time or is taken for stuck; it does not wait for certificate orders.
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(130);
 
-/// Bytes of an answer.
-const LINE_MOST: u64 = 16 << 20;
+/// Bytes of an answer at most.
+const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// Where the daemon is.
+/// Where the daemon's control socket is: at a path, or where settings say.
 #[derive(Clone, Debug)]
 pub(super) struct At {
     pub(super) socket: Option<PathBuf>,
@@ -20,36 +21,37 @@
 }
 
 impl At {
-    pub(super) fn path(&self) -> Result<PathBuf, String> {
-        match (&self.socket, &self.settings) {
-            (Some(path), _) => Ok(path.clone()),
-            (None, Some(file)) => {
-                let daemon = config::settings(file).map_err(|errors| errors.to_string())?;
-                let control = daemon
-                    .control
-                    .ok_or_else(|| format!("{}: $.control: missing", file.display()))?;
-                Ok(control.path)
-            }
-            _ => Err("neither --socket nor --settings is given".into()),
+    /// Returns the path of the control socket.
+    fn path(&self) -> Result<PathBuf, CtlError> {
+        if let Some(path) = &self.socket {
+            return Ok(path.clone());
         }
+        let file = self.settings.as_ref().ok_or(CtlError::NoSocket)?;
+        let control = config::settings(file)?.control;
+        let control = control.ok_or_else(|| CtlError::ControlDisabled(file.clone()))?;
+        Ok(control.path)
     }
 
-    pub(super) fn ask(&self, word: &str, args: &Value) -> Result<Value, String> {
+    /// Sends a command to the daemon and waits for its result.
+    pub(super) fn ask(&self, command: &str, arguments: &Value) -> Result<Value, CtlError> {
         let path = self.path()?;
-        let failed = |e: std::io::Error| format!("{}: {e}", path.display());
-        let mut socket = UnixStream::connect(&path).map_err(failed)?;
-        socket.set_read_timeout(Some(ANSWER_MOST)).map_err(failed)?;
-        let line = json!({"word": word, "args": args}).to_string() + "\n";
-        socket.write_all(line.as_bytes()).map_err(failed)?;
-        let mut answer = String::new();
-        BufReader::new(socket.take(LINE_MOST))
-            .read_line(&mut answer)
-            .map_err(failed)?;
+        let answer = exchange(&path, command, arguments).map_err(|e| CtlError::io(&path, e))?;
         let answer: Value =
-            serde_json::from_str(&answer).map_err(|_| format!("{}: no answer", path.display()))?;
+            serde_json::from_str(&answer).map_err(|_| CtlError::NoAnswer(path.clone()))?;
         match answer["error"].as_str() {
-            Some(error) => Err(error.into()),
+            Some(error) => Err(CtlError::Rejected(error.into())),
             None => Ok(answer["ok"].clone()),
         }
     }
 }
+
+/// Writes a command to the socket and reads the line that answers it.
+fn exchange(path: &Path, command: &str, arguments: &Value) -> io::Result<String> {
+    let mut socket = UnixStream::connect(path)?;
+    socket.set_read_timeout(Some(MAX_ANSWER_TIME))?;
+    let line = json!({"word": command, "args": arguments}).to_string() + "\n";
+    socket.write_all(line.as_bytes())?;
+    let mut answer = String::new();
+    BufReader::new(socket.take(MAX_ANSWER_BYTES)).read_line(&mut answer)?;
+    Ok(answer)
+}
--- a/front/src/server/ctl/output.rs
+++ b/front/src/server/ctl/output.rs
@@ -1,11 +1,15 @@
 //! How certificates are shown to operators, as a table and as an exit code.
 use serde_json::Value;
 
-/// A certificate with less of its life left than this is told of by the exit code, in hundredths.
+/// A certificate with less than this share of its lifetime left, in hundredths, needs attention.
 const SOON_PERCENT: i64 = 15;
+/// Exit code of a certificate that ends soon, is missing or lacks names.
+const NEEDS_ATTENTION: u8 = 4;
+/// Exit code of a certificate that has expired.
+const EXPIRED: u8 = 5;
 
-/// A span as people say it.
-fn span(seconds: i64) -> String {
+/// A duration as people say it.
+fn duration(seconds: i64) -> String {
     let s = seconds.unsigned_abs();
     match s {
         0..=119 => format!("{s} s"),
@@ -15,78 +19,83 @@
     }
 }
 
+/// Shows certificates as a table.
 pub(super) fn table(rows: &[Value]) -> String {
-    let mut lines = vec![["NAME", "CERTIFICATE", "ENDS", "ORDER", "WHY"].map(String::from)];
-    for row in rows {
-        let text = |field: &str| row[field].as_str().unwrap_or("").to_string();
-        let ends = match row["left_s"].as_i64() {
-            Some(left) if left < 0 => format!("{} ago", span(left)),
-            Some(left) => format!("in {}", span(left)),
-            None => "-".into(),
-        };
-        let order = match row["next_s"].as_i64() {
-            Some(next) => format!("{} ({})", text("order"), span(next)),
-            None => text("order"),
-        };
-        let mut why = match &row["why"] {
-            Value::Null => "-".to_string(),
-            why => format!(
-                "{}: {}",
-                why["cause"].as_str().unwrap_or(""),
-                why["text"].as_str().unwrap_or("")
-            ),
-        };
-        let refused: Vec<_> = row["refused"]
-            .as_array()
-            .into_iter()
-            .flatten()
-            .filter_map(Value::as_str)
-            .collect();
-        if !refused.is_empty() {
-            why = format!("refused: {}; {why}", refused.join(" "));
-        }
-        lines.push([text("name"), text("certificate"), ends, order, why]);
-    }
-    let wide = |i: usize| {
-        lines
-            .iter()
-            .map(|l| l[i].chars().count())
-            .max()
-            .unwrap_or(0)
+    let header = ["NAME", "CERTIFICATE", "ENDS", "ORDER", "WHY"].map(String::from);
+    let lines: Vec<_> = std::iter::once(header)
+        .chain(rows.iter().map(cells))
+        .collect();
+    let width = |column: usize| {
+        let widths = lines.iter().map(|line| line[column].chars().count());
+        widths.max().unwrap_or(0)
     };
-    let widths: Vec<_> = (0..4).map(wide).collect();
-    let line = |l: &[String; 5]| {
-        let cells: Vec<_> = (0..4)
-            .map(|i| format!("{:w$}", l[i], w = widths[i]))
+    let widths = [0, 1, 2, 3].map(width);
+    let line = |line: &[String; 5]| {
+        let columns = line.iter().zip(widths);
+        let columns: Vec<_> = columns
+            .map(|(cell, width)| format!("{cell:width$}"))
             .collect();
-        format!("{}  {}", cells.join("  "), l[4])
-            .trim_end()
-            .to_string()
+        let line = format!("{}  {}", columns.join("  "), line[4]);
+        line.trim_end().to_string()
     };
     lines.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// What the exit code says of certificates.
+/// The cells of one certificate's line.
+fn cells(row: &Value) -> [String; 5] {
+    let text = |field: &str| row[field].as_str().unwrap_or("").to_string();
+    let ends = match row["left_s"].as_i64() {
+        Some(left) if left < 0 => format!("{} ago", duration(left)),
+        Some(left) => format!("in {}", duration(left)),
+        None => "-".into(),
+    };
+    let order = match row["next_s"].as_i64() {
+        Some(next) => format!("{} ({})", text("order"), duration(next)),
+        None => text("order"),
+    };
+    [text("name"), text("certificate"), ends, order, reason(row)]
+}
+
+/// Why a certificate is not as it should be, and which of its names are refused.
+fn reason(row: &Value) -> String {
+    let why = match &row["why"] {
+        Value::Null => "-".to_string(),
+        why => format!(
+            "{}: {}",
+            why["cause"].as_str().unwrap_or(""),
+            why["text"].as_str().unwrap_or("")
+        ),
+    };
+    let refused = row["refused"].as_array().into_iter().flatten();
+    let refused: Vec<_> = refused.filter_map(Value::as_str).collect();
+    if refused.is_empty() {
+        return why;
+    }
+    format!("refused: {}; {why}", refused.join(" "))
+}
+
+/// Returns the exit code that sums certificates up: that of the worst one.
 pub(super) fn verdict(rows: &[Value]) -> u8 {
-    let of = |row: &Value| {
-        let life = row["not_after"]
-            .as_i64()
-            .zip(row["not_before"].as_i64())
-            .map_or(0, |(a, b)| a - b);
-        let left = row["left_s"].as_i64();
-        match (row["certificate"].as_str(), left) {
-            (Some("EXPIRED"), _) => 5,
-            (Some("good"), Some(left)) if left * 100 >= life * SOON_PERCENT => {
-                let covers = row["covers"].as_array().cloned().unwrap_or_default();
-                let names = row["names"].as_array().cloned().unwrap_or_default();
-                if names.iter().all(|n| covers.contains(n)) {
-                    0
-                } else {
-                    4
-                }
-            }
-            _ => 4,
+    rows.iter().map(exit_code).max().unwrap_or(0)
+}
+
+fn exit_code(row: &Value) -> u8 {
+    let not_after = row["not_after"].as_i64();
+    let lifetime = not_after
+        .zip(row["not_before"].as_i64())
+        .map_or(0, |(not_after, not_before)| not_after - not_before);
+    match (row["certificate"].as_str(), row["left_s"].as_i64()) {
+        (Some("EXPIRED"), _) => EXPIRED,
+        (Some("good"), Some(left)) if left * 100 >= lifetime * SOON_PERCENT && is_complete(row) => {
+            0
         }
-    };
-    rows.iter().map(of).max().unwrap_or(0)
+        _ => NEEDS_ATTENTION,
+    }
+}
+
+/// Whether a certificate covers all the names that it should.
+fn is_complete(row: &Value) -> bool {
+    let covered = row["covers"].as_array().cloned().unwrap_or_default();
+    let names = row["names"].as_array().cloned().unwrap_or_default();
+    names.iter().all(|name| covered.contains(name))
 }
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -260,3 +260,42 @@
         source: io::Error,
     },
 }
+
+/// Why an operator's command to a running daemon fails on the operator's side, or what the daemon answers.
+#[derive(Debug, thiserror::Error)]
+pub enum CtlError {
+    /// It is not known where the daemon listens.
+    #[error("neither --socket nor --settings is given")]
+    NoSocket,
+    /// The settings that should name the socket cannot be used.
+    #[error(transparent)]
+    Settings(#[from] ConfigErrors),
+    /// The settings switch no control socket on.
+    #[error("{}: $.control: missing", .0.display())]
+    ControlDisabled(PathBuf),
+    /// A file or the socket cannot be read or written.
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The file or socket.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The daemon closed the connection, or sent no JSON.
+    #[error("{}: no answer", .0.display())]
+    NoAnswer(PathBuf),
+    /// An argument is no pair of a name and a value.
+    #[error("{0}: not FIELD=VALUE")]
+    NotAField(String),
+    /// The daemon rejects the command, with this text.
+    #[error("{0}")]
+    Rejected(String),
+}
+
+impl CtlError {
+    /// The file or socket at `path` cannot be read or written.
+    pub fn io(path: &Path, source: io::Error) -> Self {
+        let path = path.to_path_buf();
+        CtlError::Io { path, source }
+    }
+}
