--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -161,7 +161,7 @@
     let tls = settings.tls.as_ref();
     let tls = tls.map_or(0, |tls| tls.handshakes_most + 1);
     let control = settings.control.as_ref();
-    let control = control.map_or(0, |_| super::drivers::control::OPERATORS_MOST + 1);
+    let control = control.map_or(0, |_| super::drivers::control::MAX_OPERATORS + 1);
     let certs = settings.certs.as_ref();
     let certs = certs.map_or(0, |certs| {
         certs.orders_at_once + super::drivers::certs::DESCRIPTORS
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -1,32 +1,39 @@
-//! The control socket: one JSON object a line from operators, one a line back.
+//! The control socket: operators send commands, one JSON object a line, and get one line back for each.
 use super::{AdminEffect, Driver, Effect, Turn};
 use crate::transport::{at_start, Registered};
 use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Read, Write};
-use std::os::unix::fs::PermissionsExt;
+use std::os::unix::fs::{FileTypeExt, PermissionsExt};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// Operators at once; one more is closed.
-pub const OPERATORS_MOST: usize = 8;
-/// Bytes of a word, and of what is not taken yet.
-const LINE_MOST: usize = 512 * 1024;
-const OUTPUT_MOST: usize = 8 << 20;
-/// Words of one operator that wait for their answers.
-const OPEN_MOST: usize = 8;
-/// An operator that neither says nor takes anything for this long is closed.
-const IDLE_MOST: Micros = 60_000_000;
-const READ_MOST: usize = 16 * 1024;
+/// Operators connected at once; any more are disconnected.
+pub const MAX_OPERATORS: usize = 8;
+/// Bytes of a command, and of input that is not taken yet.
+const MAX_LINE_BYTES: usize = 512 * 1024;
+/// Bytes of answers that an operator has not read.
+const MAX_OUTPUT_BYTES: usize = 8 << 20;
+/// Commands of one operator that are not answered yet.
+const MAX_OPEN_COMMANDS: usize = 8;
+/// An operator that neither sends nor reads anything for this long is disconnected.
+const MAX_IDLE: Micros = 60_000_000;
+/// Bytes that one read takes at most.
+const MAX_READ_BYTES: usize = 16 * 1024;
 
+/// Characters of an unknown command that are repeated to the operator.
+const MAX_QUOTED_CHARACTERS: usize = 60;
+
+/// The connection of an operator.
 struct Operator {
     socket: Registered<UnixStream>,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Words that are not answered yet.
-    open: usize,
-    moved: Timestamp,
+    /// Commands that are not answered yet.
+    open_commands: usize,
+    /// When something was last read or written.
+    active_at: Timestamp,
 }
 
 /// The control socket.
@@ -35,66 +42,109 @@
     listener_key: usize,
     path: PathBuf,
     operators: HashMap<usize, Operator>,
-    /// Who waits for which answer.
-    asked: BTreeMap<u64, usize>,
-    last: u64,
+    /// Which operator, by poller key, waits for the answer to which command.
+    waiting: BTreeMap<u64, usize>,
+    last_id: u64,
     help: BTreeMap<&'static str, &'static str>,
-    sweep: Timestamp,
+    sweep_at: Timestamp,
+}
+
+/// Why the control socket cannot be made.
+#[derive(Debug, thiserror::Error)]
+pub enum SocketError {
+    /// The socket cannot be made or listened on.
+    #[error("control.path: {}: {source}", path.display())]
+    Io {
+        /// Where it should be.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// Another process listens there.
+    #[error("control.path: {}: another daemon listens there", .0.display())]
+    InUse(PathBuf),
+    /// There is something else, which is not displaced.
+    #[error("control.path: {}: it is no socket", .0.display())]
+    NoSocket(PathBuf),
+    /// The socket cannot be watched.
+    #[error("control.path: {0}")]
+    Unwatched(#[source] io::Error),
+}
+
+/// What an operator asks for.
+enum Request {
+    /// The list of commands.
+    Help,
+    /// A command that a subsystem carries out.
+    Command { name: String, arguments: Value },
 }
 
-/// Makes the socket: 0600 before anybody can connect, in the place of one that nobody listens on.
-fn bind(path: &Path) -> Result<UnixListener, String> {
-    let failed = |e: io::Error| format!("control.path: {}: {e}", path.display());
+/// What is wrong with an operator's line.
+#[derive(Debug, thiserror::Error)]
+enum RequestError {
+    #[error("no JSON object: {0}")]
+    NoJson(#[source] serde_json::Error),
+    #[error("no field `word`")]
+    NoName,
+    #[error("no such word: {0:?}; `help` lists them")]
+    Unknown(String),
+}
+
+/// Makes the socket: with mode 0600 before anybody can connect, and in the place of one that nobody listens on.
+fn bind(path: &Path) -> Result<UnixListener, SocketError> {
     if at_start(|| UnixStream::connect(path)).is_ok() {
-        return Err(format!(
-            "control.path: {}: another daemon listens there",
-            path.display()
-        ));
+        return Err(SocketError::InUse(path.to_path_buf()));
     }
-    match std::fs::symlink_metadata(path) {
-        Ok(meta) if !std::os::unix::fs::FileTypeExt::is_socket(&meta.file_type()) => {
-            return Err(format!("control.path: {}: it is no socket", path.display()));
-        }
-        _ => {}
+    let metadata = std::fs::symlink_metadata(path);
+    if metadata.is_ok_and(|metadata| !metadata.file_type().is_socket()) {
+        return Err(SocketError::NoSocket(path.to_path_buf()));
     }
+    bind_aside(path).map_err(|source| SocketError::Io {
+        path: path.to_path_buf(),
+        source,
+    })
+}
+
+/// Makes the socket under another name and renames it, so that it is never there with another mode.
+fn bind_aside(path: &Path) -> io::Result<UnixListener> {
     let aside = path.with_extension(format!("{}.tmp", std::process::id()));
     let _ = std::fs::remove_file(&aside);
-    let listener = at_start(|| UnixListener::bind(&aside)).map_err(failed)?;
+    let listener = at_start(|| UnixListener::bind(&aside))?;
     let made = std::fs::set_permissions(&aside, std::fs::Permissions::from_mode(0o600))
         .and_then(|()| std::fs::rename(&aside, path))
         .and_then(|()| listener.set_nonblocking(true));
     if made.is_err() {
         let _ = std::fs::remove_file(&aside);
     }
-    made.map(|()| listener).map_err(failed)
+    made.map(|()| listener)
 }
 
 impl Control {
-    /// Listens; the words are those of all drivers and of the front.
+    /// Listens at `path`; `help` holds the commands of all drivers and of the front.
     pub fn new(
         turn: &mut Turn<'_>,
         path: &Path,
         help: BTreeMap<&'static str, &'static str>,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, SocketError> {
         let listener_key = turn.key();
         let listener = turn.reactor.watch(bind(path)?, listener_key, false);
-        let listener = listener.map_err(|e| format!("control.path: {e}"))?;
+        let listener = listener.map_err(SocketError::Unwatched)?;
         tracing::info!(path = %path.display(), "control socket");
         Ok(Control {
             listener,
             listener_key,
             path: path.to_path_buf(),
             operators: HashMap::new(),
-            asked: BTreeMap::new(),
-            last: 0,
+            waiting: BTreeMap::new(),
+            last_id: 0,
             help,
-            sweep: turn.now + IDLE_MOST / 4,
+            sweep_at: turn.now + MAX_IDLE / 4,
         })
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
         while let Ok((socket, _)) = self.listener.accept() {
-            if self.operators.len() >= OPERATORS_MOST || socket.set_nonblocking(true).is_err() {
+            if self.operators.len() >= MAX_OPERATORS || socket.set_nonblocking(true).is_err() {
                 continue;
             }
             let key = turn.key();
@@ -106,8 +156,8 @@
                         socket,
                         input,
                         output,
-                        open: 0,
-                        moved: turn.now,
+                        open_commands: 0,
+                        active_at: turn.now,
                     },
                 );
             }
@@ -118,7 +168,7 @@
         let Some(operator) = self.operators.get_mut(&key) else {
             return Ok(());
         };
-        let mut chunk = [0; READ_MOST];
+        let mut chunk = [0; MAX_READ_BYTES];
         match (&*operator.socket).read(&mut chunk) {
             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(n) => operator.input.extend_from_slice(&chunk[..n]),
@@ -132,71 +182,78 @@
             }
             Err(e) => return Err(e),
         }
-        operator.moved = turn.now;
-        if operator.input.len() > LINE_MOST {
+        operator.active_at = turn.now;
+        if operator.input.len() > MAX_LINE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        self.words(turn, key);
+        self.take_commands(turn, key);
         Ok(())
     }
 
-    /// Takes whole lines off the input, as far as more words may be open.
-    fn words(&mut self, turn: &mut Turn<'_>, key: usize) {
-        while let Some(operator) = self.operators.get_mut(&key).filter(|o| o.open < OPEN_MOST) {
-            let Some(end) = operator.input.iter().position(|b| *b == b'\n') else {
+    /// Takes complete lines off the input, as far as more commands may be open.
+    fn take_commands(&mut self, turn: &mut Turn<'_>, key: usize) {
+        while let Some(operator) = self.operators.get_mut(&key) {
+            if operator.open_commands >= MAX_OPEN_COMMANDS {
+                break;
+            }
+            let Some(end) = operator.input.iter().position(|byte| *byte == b'\n') else {
                 break;
             };
             let line: Vec<u8> = operator.input.drain(..=end).collect();
-            operator.open += 1;
-            self.last += 1;
-            self.asked.insert(self.last, key);
-            let word =
-                serde_json::from_slice::<Value>(&line).map_err(|e| format!("no JSON object: {e}"));
-            let word = word.and_then(|v| {
-                let word = v["word"].as_str().ok_or("no field `word`")?.to_string();
-                Ok((word, v.get("args").cloned().unwrap_or(Value::Null)))
-            });
-            match word {
-                Ok((word, _)) if word == "help" => {
-                    self.answer(turn.now, self.last, Ok(json!(self.help)))
-                }
-                Ok((word, args)) if self.help.contains_key(word.as_str()) => {
-                    turn.effects.push(Effect::Admin(AdminEffect::Command {
-                        id: self.last,
-                        name: word,
-                        arguments: args,
-                    }));
+            operator.open_commands += 1;
+            self.last_id += 1;
+            let id = self.last_id;
+            self.waiting.insert(id, key);
+            match self.decode(&line) {
+                Ok(Request::Help) => self.answer(turn.now, id, Ok(json!(self.help))),
+                Ok(Request::Command { name, arguments }) => {
+                    let command = AdminEffect::Command {
+                        id,
+                        name,
+                        arguments,
+                    };
+                    turn.effects.push(Effect::Admin(command));
                 }
-                Ok((word, _)) => {
-                    let word: String = word.chars().take(60).collect();
-                    self.answer(
-                        turn.now,
-                        self.last,
-                        Err(format!("no such word: {word:?}; `help` lists them")),
-                    );
-                }
-                Err(why) => self.answer(turn.now, self.last, Err(why)),
+                Err(error) => self.answer(turn.now, id, Err(error.to_string())),
             }
         }
         self.watch(key);
     }
 
-    fn answer(&mut self, now: Timestamp, number: u64, answer: Result<Value, String>) {
-        let Some(key) = self.asked.remove(&number) else {
+    /// Reads one line of an operator.
+    fn decode(&self, line: &[u8]) -> Result<Request, RequestError> {
+        let value: Value = serde_json::from_slice(line).map_err(RequestError::NoJson)?;
+        let name = value["word"].as_str().ok_or(RequestError::NoName)?;
+        if name == "help" {
+            return Ok(Request::Help);
+        }
+        if !self.help.contains_key(name) {
+            let name = name.chars().take(MAX_QUOTED_CHARACTERS).collect();
+            return Err(RequestError::Unknown(name));
+        }
+        Ok(Request::Command {
+            name: name.to_string(),
+            arguments: value.get("args").cloned().unwrap_or(Value::Null),
+        })
+    }
+
+    /// Writes the answer of a command to its operator.
+    fn answer(&mut self, now: Timestamp, id: u64, result: Result<Value, String>) {
+        let Some(key) = self.waiting.remove(&id) else {
             return;
         };
         let Some(operator) = self.operators.get_mut(&key) else {
             return;
         };
-        let answer = match answer {
+        let answer = match result {
             Ok(value) => json!({"ok": value}),
             Err(why) => json!({"error": why}),
         };
-        operator.open -= 1;
+        operator.open_commands -= 1;
         operator
             .output
             .extend(answer.to_string().bytes().chain([b'\n']));
-        if operator.output.len() > OUTPUT_MOST || self.write(now, key).is_err() {
+        if operator.output.len() > MAX_OUTPUT_BYTES || self.write(now, key).is_err() {
             self.drop(key);
         }
     }
@@ -210,7 +267,7 @@
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => {
                     operator.output.drain(..n);
-                    operator.moved = now;
+                    operator.active_at = now;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -223,8 +280,8 @@
 
     fn watch(&mut self, key: usize) {
         if let Some(operator) = self.operators.get(&key) {
-            // Not read from while its words wait: it can't fill the memory.
-            let reads = operator.open < OPEN_MOST;
+            // Not read from while its commands wait: it can't fill the memory.
+            let reads = operator.open_commands < MAX_OPEN_COMMANDS;
             // It can only fail for a source that is not watched.
             let _ = operator.socket.rewatch(reads, !operator.output.is_empty());
         }
@@ -232,7 +289,7 @@
 
     fn drop(&mut self, key: usize) {
         self.operators.remove(&key);
-        self.asked.retain(|_, k| *k != key);
+        self.waiting.retain(|_, k| *k != key);
     }
 }
 
@@ -256,13 +313,13 @@
         if read.is_err() {
             self.drop(key);
         } else if writable {
-            self.words(turn, key);
+            self.take_commands(turn, key);
         }
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        let idle = |o: &Operator| o.open == 0 && turn.now > o.moved + IDLE_MOST;
-        let stuck = |o: &Operator| !o.output.is_empty() && turn.now > o.moved + IDLE_MOST;
+        let idle = |o: &Operator| o.open_commands == 0 && turn.now > o.active_at + MAX_IDLE;
+        let stuck = |o: &Operator| !o.output.is_empty() && turn.now > o.active_at + MAX_IDLE;
         let over = self
             .operators
             .iter()
@@ -271,11 +328,11 @@
         over.collect::<Vec<_>>()
             .into_iter()
             .for_each(|key| self.drop(key));
-        self.sweep = turn.now + IDLE_MOST / 4;
+        self.sweep_at = turn.now + MAX_IDLE / 4;
     }
 
     fn next(&self) -> Option<Timestamp> {
-        Some(self.sweep)
+        Some(self.sweep_at)
     }
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
@@ -284,10 +341,11 @@
             result: answer,
         }) = effect
         {
-            let key = self.asked.get(number).copied();
+            let key = self.waiting.get(number).copied();
             self.answer(turn.now, *number, answer.clone());
-            // A word that waited for room.
-            key.into_iter().for_each(|key| self.words(turn, key));
+            // A command may have waited for this one.
+            key.into_iter()
+                .for_each(|key| self.take_commands(turn, key));
         }
     }
 }
--- a/front/src/server/drivers/control/tests.rs
+++ b/front/src/server/drivers/control/tests.rs
@@ -67,11 +67,12 @@
     assert_eq!(mode & 0o777, 0o600);
     assert!(bind(&stage.control.path)
         .unwrap_err()
+        .to_string()
         .contains("another daemon"));
     let file = stage._folder.path().join("file");
     std::fs::write(&file, "x").unwrap();
     assert!(
-        bind(&file).unwrap_err().contains("no socket"),
+        bind(&file).unwrap_err().to_string().contains("no socket"),
         "nothing of somebody else's is displaced"
     );
     // What a killed daemon left behind is displaced.
@@ -110,11 +111,11 @@
         endless.write(&[b'x'; 8_192])
     } {
         sent += n;
-        assert!(sent < 2 * LINE_MOST, "it is closed by then");
+        assert!(sent < 2 * MAX_LINE_BYTES, "it is closed by then");
     }
     let _many: Vec<_> = (0..40).map(|_| stage.operator()).collect();
     stage.turn(4);
-    assert!(stage.control.operators.len() <= OPERATORS_MOST);
+    assert!(stage.control.operators.len() <= MAX_OPERATORS);
     // The first is still served.
     let mut effects = Vec::new();
     let slot = (1, &mut stage.last);
@@ -130,7 +131,7 @@
         .handle_effect(&mut turn, &Effect::response(4, Ok(json!({"a": 1}))));
     assert_eq!(lines.next().unwrap().unwrap(), r#"{"ok":{"a":1}}"#);
     let mut turn = Turn {
-        now: IDLE_MOST + 6,
+        now: MAX_IDLE + 6,
         behind_ms: 0,
         reactor: &stage.reactor,
         effects: &mut effects,
@@ -150,7 +151,7 @@
     one.write_all("{\"word\":\"status\"}\n".repeat(20).as_bytes())
         .unwrap();
     stage.turn(1);
-    assert_eq!(stage.effects.len(), OPEN_MOST);
+    assert_eq!(stage.effects.len(), MAX_OPEN_COMMANDS);
     let mut effects = Vec::new();
     let slot = (1, &mut stage.last);
     let mut turn = Turn {
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -210,7 +210,7 @@
     Listener(#[source] io::Error),
     /// A subsystem that the settings switch on cannot start; the text names the setting.
     #[error("{0}")]
-    Subsystem(String),
+    Subsystem(#[source] Box<dyn std::error::Error>),
 }
 
 /// Why an operator's command is rejected. The texts are what the operator sees.
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -27,6 +27,7 @@
 use cranesill_daemon::Daemon;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::collections::{BTreeMap, BTreeSet};
+use std::error::Error;
 use std::net::TcpListener;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
@@ -250,7 +251,7 @@
     fn start_driver(
         &mut self,
         now: Timestamp,
-        make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, String>,
+        make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, Box<dyn Error>>,
     ) -> Result<(), ServerError> {
         let mut last = 0;
         let slot = (self.drivers.len() + 1, &mut last);
