--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -106,9 +106,7 @@
     /// Takes the descriptors of subsystems that the settings switch on from those of clients.
     pub fn reserve(&mut self, settings: &Daemon) -> Result<(), ConfigError> {
         let subsystems = subsystem_descriptors(settings);
-        let ops = self
-            .ops
-            .map_or(0, |_| super::drivers::ops::CALLERS_MOST + 1);
+        let ops = self.ops.map_or(0, |_| super::drivers::ops::MAX_CALLERS + 1);
         self.reserved = subsystems + ops;
         let limit = self.sockets / 4;
         if subsystems > limit {
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -1,5 +1,5 @@
-//! The second address, for operators alone: one line a connection, an answer, and a close. What a call does is a word
-//! of the loop, the same that the control socket takes.
+//! The second address, on which the platform's operators call: one line a connection, an answer, and a close. A call stands
+//! for a command, the same that the control socket takes.
 use super::{AdminEffect, Driver, Effect, Turn};
 use crate::protocol::ops::{answer, decode, Call, LINE_MOST};
 use crate::protocol::{member::name_of, Unreadable};
@@ -11,41 +11,45 @@
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Callers held at once: some say nothing and remain, and must not keep out one that asks.
-pub const CALLERS_MOST: usize = 24;
-/// While all places are taken, a caller that has been there for this long without a call makes room: a call comes with
-/// its connection, give or take a round trip.
-const PATIENCE: Micros = 20_000;
-/// Pause before the listener is tried again that found no descriptor.
-const AGAIN: Micros = 100_000;
-/// A caller is closed after this long, whatever it has said.
-const STAY_MOST: Micros = 5_000_000;
-/// One that has its answer is closed after this long if it does not close by itself.
-const FAREWELL: Micros = 500_000;
+/// Callers connected at once: some send nothing and remain, and must not keep out one with a call.
+pub const MAX_CALLERS: usize = 24;
+/// While all slots are taken, a caller that was silent for this long gives its own up: a call comes with its connection, give
+/// or take a round trip.
+const MIN_SILENT_TIME: Micros = 20_000;
+/// Pause before `accept` or `listen` is tried again after a failure.
+const RETRY_INTERVAL: Micros = 100_000;
+/// A caller is disconnected after this long in any case.
+const MAX_CONNECTED_TIME: Micros = 5_000_000;
+/// A caller with its answer is disconnected after this long if it does not close by itself.
+const CLOSE_TIMEOUT: Micros = 500_000;
 
+/// Reads of one caller in one turn.
+const MAX_READS_PER_TURN: usize = 2;
+
+/// The connection of an operator.
 struct Caller {
     socket: Registered<TcpStream>,
     input: Vec<u8>,
     output: Vec<u8>,
-    since: Timestamp,
-    /// Its call was taken; what it says now is passed over.
-    called: bool,
-    /// All is written: it is closed then.
-    ends: Option<Timestamp>,
+    connected_at: Timestamp,
+    /// Whether its call was taken; what it sends after that is dropped.
+    has_called: bool,
+    /// When it is disconnected, once its answer is written.
+    closes_at: Option<Timestamp>,
 }
 
-/// The second address and who calls there.
+/// The second address and the callers there.
 pub struct Ops {
     at: SocketAddr,
-    /// `None`: another process has the address still.
+    /// `None` while another process has the address.
     listener: Option<Registered<TcpListener>>,
     listener_key: usize,
     callers: BTreeMap<usize, Caller>,
-    /// No place was to be had: the listener rests until there is one.
-    full: bool,
+    /// Whether the listener rests until there is a slot for a caller.
+    resting: bool,
     acceptor: AcceptBackoff,
-    /// It is tried again then, whoever is there.
-    again: Option<Timestamp>,
+    /// When the listener is tried again after a failure.
+    retry_at: Option<Timestamp>,
 }
 
 impl Ops {
@@ -61,14 +65,14 @@
             listener: None,
             listener_key,
             callers,
-            full: false,
+            resting: false,
             acceptor,
-            again: None,
+            retry_at: None,
         };
         match at_start(|| ops.listen(turn)) {
             Err(error) if beside && error.kind() == io::ErrorKind::AddrInUse => {
                 tracing::warn!(kind = "ops", %at, "address for operators is taken: tried for until it is free");
-                ops.again = Some(turn.now + AGAIN);
+                ops.retry_at = Some(turn.now + RETRY_INTERVAL);
             }
             listens => listens.map_err(|e| format!("ops: {at}: {e}"))?,
         }
@@ -84,76 +88,87 @@
         Ok(())
     }
 
+    /// Accepts callers until there are none, or no slot or descriptor for them.
     fn accept(&mut self, turn: &mut Turn<'_>) {
         self.acceptor.begin_turn();
         loop {
-            if self.callers.len() >= CALLERS_MOST && !self.make_room(turn) {
-                return self.rest(true);
+            if self.callers.len() >= MAX_CALLERS && !self.free_slot(turn) {
+                return self.set_resting(true);
             }
             let Some(listener) = &self.listener else {
                 return;
             };
-            let socket = match listener.accept() {
-                Ok((socket, _)) => socket,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.rest(false),
-                // Out of descriptors: a caller that says nothing gives its own up. Without one the listener rests, or it
-                // would be told of again at once and without end.
-                Err(e)
-                    if AcceptFault::of(&e) == AcceptFault::Descriptors
-                        && used_up()
-                        && self.make_room(turn) =>
-                {
-                    continue
-                }
+            match listener.accept() {
+                Ok((socket, _)) => self.add(turn, socket),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.set_resting(false),
                 Err(error) => {
-                    if self.acceptor.failed(turn.now, AcceptFault::of(&error)) == Next::Retry {
-                        continue;
+                    if !self.accept_failed(turn, &error) {
+                        return;
                     }
-                    tracing::warn!(kind = "ops", %error, "no operator can be heard for now");
-                    self.again = Some(turn.now + AGAIN);
-                    return self.rest(true);
                 }
-            };
-            let key = turn.key();
-            if socket.set_nonblocking(true).is_err() {
-                continue;
-            }
-            if let Ok(socket) = turn.reactor.watch(socket, key, false) {
-                let (input, output) = (Vec::new(), Vec::new());
-                let caller = Caller {
-                    socket,
-                    input,
-                    output,
-                    since: turn.now,
-                    called: false,
-                    ends: None,
-                };
-                self.callers.insert(key, caller);
-                self.go_on(turn, key);
             }
         }
     }
 
+    /// Handles a failed call. Returns whether another is worth making now; otherwise the listener rests, or it would be
+    /// reported again at once and without end.
+    fn accept_failed(&mut self, turn: &mut Turn<'_>, error: &io::Error) -> bool {
+        let fault = AcceptFault::of(error);
+        // Out of descriptors: a silent caller gives its own up.
+        if fault == AcceptFault::Descriptors && used_up() && self.free_slot(turn) {
+            return true;
+        }
+        if self.acceptor.failed(turn.now, fault) == Next::Retry {
+            return true;
+        }
+        tracing::warn!(kind = "ops", %error, "no operator can be heard for now");
+        self.retry_at = Some(turn.now + RETRY_INTERVAL);
+        self.set_resting(true);
+        false
+    }
+
+    /// Adds a caller. Its call may have come already.
+    fn add(&mut self, turn: &mut Turn<'_>, socket: TcpStream) {
+        let key = turn.key();
+        if socket.set_nonblocking(true).is_err() {
+            return;
+        }
+        let Ok(socket) = turn.reactor.watch(socket, key, false) else {
+            return;
+        };
+        let caller = Caller {
+            socket,
+            input: Vec::new(),
+            output: Vec::new(),
+            connected_at: turn.now,
+            has_called: false,
+            closes_at: None,
+        };
+        self.callers.insert(key, caller);
+        self.serve(turn, key);
+    }
+
     /// It can only fail for a socket that is not watched.
-    fn rest(&mut self, full: bool) {
-        if std::mem::replace(&mut self.full, full) != full {
-            let _ = self
-                .listener
-                .as_ref()
-                .map(|listener| listener.rewatch(!full, false));
+    fn set_resting(&mut self, resting: bool) {
+        if self.resting == resting {
+            return;
+        }
+        self.resting = resting;
+        if let Some(listener) = &self.listener {
+            let _ = listener.rewatch(!resting, false);
         }
     }
 
-    /// Closes the caller that least needs its place: first one that has its answer, then the one that has said nothing
-    /// whole for longest. Keys are given out in the order of arrival.
-    fn make_room(&mut self, turn: &mut Turn<'_>) -> bool {
+    /// Disconnects the caller that least needs its slot: one with its answer, or else the one that was silent for longest. Keys
+    /// are given out in the order of arrival. Returns whether there is a slot.
+    fn free_slot(&mut self, turn: &mut Turn<'_>) -> bool {
         let done = self
             .callers
             .iter()
-            .find(|(_, c)| c.ends.is_some())
+            .find(|(_, c)| c.closes_at.is_some())
             .map(|(key, _)| *key);
         let silent = || {
-            let old = |c: &Caller| !c.called && turn.now >= c.since + PATIENCE;
+            let old = |c: &Caller| !c.has_called && turn.now >= c.connected_at + MIN_SILENT_TIME;
             self.callers
                 .iter()
                 .find(|(_, c)| old(c))
@@ -162,19 +177,19 @@
         let Some(key) = done.or_else(silent) else {
             return false;
         };
-        // It may have said it by now.
-        self.go_on(turn, key);
+        // Its call may have come by now.
+        self.serve(turn, key);
         if self
             .callers
             .get(&key)
-            .is_some_and(|c| !c.called || c.ends.is_some())
+            .is_some_and(|c| !c.has_called || c.closes_at.is_some())
         {
             self.callers.remove(&key);
         }
-        self.callers.len() < CALLERS_MOST
+        self.callers.len() < MAX_CALLERS
     }
 
-    fn go_on(&mut self, turn: &mut Turn<'_>, key: usize) {
+    fn serve(&mut self, turn: &mut Turn<'_>, key: usize) {
         let Some(caller) = self.callers.get_mut(&key) else {
             return;
         };
@@ -183,13 +198,15 @@
         match (call, over) {
             (Err(_), _) | (_, Err(_)) => drop(self.callers.remove(&key)),
             (Ok(Some(Ok(call))), _) => {
-                caller.called = true;
-                let (word, args) = word(call);
+                caller.has_called = true;
+                let (name, arguments) = command(call);
                 // The key is the number: no other driver gives it out.
+                let id = key as u64;
+                let name = name.into();
                 turn.effects.push(Effect::Admin(AdminEffect::Command {
-                    id: key as u64,
-                    name: word.into(),
-                    arguments: args,
+                    id,
+                    name,
+                    arguments,
                 }));
             }
             (Ok(Some(Err(Unreadable(why)))), _) => {
@@ -204,7 +221,8 @@
         let Some(caller) = self.callers.get_mut(&key) else {
             return;
         };
-        (caller.called, caller.output) = (true, text);
+        caller.has_called = true;
+        caller.output = text;
         if caller.write(now).is_err() {
             self.callers.remove(&key);
         }
@@ -212,41 +230,11 @@
 }
 
 impl Caller {
-    /// Reads what there is: its call, once that is whole. An error: it is gone.
+    /// Reads what has come. Returns the call once it is complete; an error means that the caller is disconnected.
     fn read(&mut self) -> io::Result<Option<Result<Call, Unreadable>>> {
-        let mut chunk = [0; LINE_MOST];
-        let mut ended = false;
-        // What one caller sends takes up two reads at most in its turn.
-        for _ in 0..2 {
-            match (&*self.socket).read(&mut chunk) {
-                Ok(0) => {
-                    ended = true;
-                    break;
-                }
-                Ok(n) if !self.called => self.input.extend_from_slice(&chunk[..n]),
-                Ok(_) => {}
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
-                    ) =>
-                {
-                    break
-                }
-                Err(e) => return Err(e),
-            }
-        }
-        if self.called {
-            // It has its answer, and knows it.
-            return if ended && self.output.is_empty() && self.ends.is_some() {
-                Err(io::ErrorKind::UnexpectedEof.into())
-            } else {
-                if ended {
-                    // An end would be told again and again.
-                    self.socket.rewatch(false, !self.output.is_empty())?;
-                }
-                Ok(None)
-            };
+        let ended = self.fill()?;
+        if self.has_called {
+            return self.read_after_call(ended).map(|()| None);
         }
         match decode(&self.input, ended) {
             Ok(None) if ended => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -256,10 +244,39 @@
                 }
                 Ok(call.map(Ok))
             }
-            Err(why) => Ok(Some(Err(why))),
+            Err(error) => Ok(Some(Err(error))),
+        }
+    }
+
+    /// Reads into the input; what comes after the call is dropped. Returns whether the caller has ended its side.
+    fn fill(&mut self) -> io::Result<bool> {
+        let mut chunk = [0; LINE_MOST];
+        for _ in 0..MAX_READS_PER_TURN {
+            match (&*self.socket).read(&mut chunk) {
+                Ok(0) => return Ok(true),
+                Ok(n) if !self.has_called => self.input.extend_from_slice(&chunk[..n]),
+                Ok(_) => {}
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => break,
+                Err(e) => return Err(e),
+            }
+        }
+        Ok(false)
+    }
+
+    /// A caller that has its answer may end its side; then it is disconnected.
+    fn read_after_call(&mut self, ended: bool) -> io::Result<()> {
+        if !ended {
+            return Ok(());
+        }
+        if self.output.is_empty() && self.closes_at.is_some() {
+            return Err(io::ErrorKind::UnexpectedEof.into());
         }
+        // Watched for reading, the end would be reported again and again.
+        self.socket.rewatch(false, !self.output.is_empty())
     }
 
+    /// Writes the answer, and shuts this side once it is written.
     fn write(&mut self, now: Timestamp) -> io::Result<()> {
         if self.output.is_empty() {
             return Ok(());
@@ -278,12 +295,13 @@
         // Closed at once, what it sent beyond its call would make the system reset the connection, and the answer with
         // it.
         self.socket.shutdown(std::net::Shutdown::Write)?;
-        self.ends = Some(now + FAREWELL);
+        self.closes_at = Some(now + CLOSE_TIMEOUT);
         self.socket.rewatch(true, false)
     }
 }
 
-fn word(call: Call) -> (&'static str, Value) {
+/// The operators' command that a call stands for, and its arguments.
+fn command(call: Call) -> (&'static str, Value) {
     match call {
         Call::Health => ("health", Value::Null),
         Call::Counters => ("counters", Value::Null),
@@ -299,12 +317,13 @@
         if key == self.listener_key {
             self.accept(turn);
         } else {
-            self.go_on(turn, key);
+            self.serve(turn, key);
         }
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        let over = |c: &Caller| turn.now >= c.ends.unwrap_or(c.since + STAY_MOST);
+        let over =
+            |c: &Caller| turn.now >= c.closes_at.unwrap_or(c.connected_at + MAX_CONNECTED_TIME);
         let over: Vec<_> = self
             .callers
             .iter()
@@ -313,27 +332,30 @@
             .collect();
         over.into_iter()
             .for_each(|key| drop(self.callers.remove(&key)));
-        if self.listener.is_none() && self.again.is_some_and(|at| turn.now >= at) {
-            self.again = self.listen(turn).is_err().then_some(turn.now + AGAIN);
+        if self.listener.is_none() && self.retry_at.is_some_and(|at| turn.now >= at) {
+            self.retry_at = self
+                .listen(turn)
+                .is_err()
+                .then_some(turn.now + RETRY_INTERVAL);
         }
-        if self.full {
-            self.again = None;
+        if self.resting {
+            self.retry_at = None;
             self.accept(turn);
         }
     }
 
     fn next(&self) -> Option<Timestamp> {
         let waits = |c: &Caller| {
-            if self.full && !c.called {
-                PATIENCE
+            if self.resting && !c.has_called {
+                MIN_SILENT_TIME
             } else {
-                STAY_MOST
+                MAX_CONNECTED_TIME
             }
         };
         self.callers
             .values()
-            .map(|c| c.ends.unwrap_or(c.since + waits(c)))
-            .chain(self.again)
+            .map(|c| c.closes_at.unwrap_or(c.connected_at + waits(c)))
+            .chain(self.retry_at)
             .min()
     }
 
