--- a/front/src/server/acceptor.rs
+++ b/front/src/server/acceptor.rs
@@ -1,19 +1,18 @@
-//! When the clients' listener is tried again after a failed `accept`, and how long a new connection may have waited
-//! meanwhile. No I/O and no clock.
+//! Backoff of a listener whose `accept` fails, and how long a new connection may have waited meanwhile. No I/O and no clock.
 use crate::transport::AcceptFault;
 use cranesill::api::{Micros, Timestamp};
 
-/// Failed calls in one turn after which the listener rests: it would keep the loop to itself.
+/// Failed calls in one turn after which the listener rests: it would take up the whole loop.
 const MAX_FAILURES_IN_TURN: usize = 8;
 /// The first rest of the listener, and the longest: each is twice as long as the one before.
 const MIN_REST: Micros = 5_000;
 const MAX_REST: Micros = 20_000;
-/// A shortage of the whole system is taken for a lasting one after this long.
+/// A shortage of the whole system counts as lasting after this long.
 const LASTING: Micros = 1_000_000;
-/// A wait in the system's queue that is not taken off the time of a request: it may have come at its end.
+/// Part of the wait in the system's queue that is not charged to requests: they may have come at its end.
 const UNCHARGED: Micros = 50_000;
 
-/// What is to be done after a failed call.
+/// What to do after a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Accept again at once.
@@ -27,15 +26,15 @@
 pub struct AcceptBackoff {
     /// Since when connections may wait in the system's queue because a call failed.
     failing_since: Option<Timestamp>,
-    /// The listener is not to be watched.
+    /// Whether the listener is not to be watched.
     resting: bool,
-    /// The last rest; 0: the last call did not fail.
+    /// How long the last rest was; 0 if the last call did not fail.
     rest: Micros,
     failures_in_turn: usize,
 }
 
 impl AcceptBackoff {
-    /// A turn of the loop begins to accept.
+    /// Begins a turn of the loop.
     pub fn begin_turn(&mut self) {
         self.failures_in_turn = 0;
     }
@@ -45,13 +44,12 @@
         self.resting
     }
 
-    /// The rest is over.
+    /// Ends the rest.
     pub fn resume(&mut self) {
         self.resting = false;
     }
 
-    /// A connection was accepted. Returns how much of its client's time it may have spent in the system's queue because of
-    /// failures before.
+    /// Notes that a connection was accepted. Returns how long it may have been in the system's queue because of failures before.
     pub fn accepted(&mut self, now: Timestamp) -> Micros {
         self.rest = 0;
         let waited = self
@@ -60,12 +58,13 @@
         waited.saturating_sub(UNCHARGED)
     }
 
-    /// Nobody waits in the system's queue.
+    /// Notes that the system's queue is empty.
     pub fn emptied(&mut self) {
-        (self.failing_since, self.rest) = (None, 0);
+        self.failing_since = None;
+        self.rest = 0;
     }
 
-    /// A call failed.
+    /// Notes that a call failed. Returns when to make the next.
     pub fn failed(&mut self, now: Timestamp, fault: AcceptFault) -> Next {
         self.failing_since.get_or_insert(now);
         self.failures_in_turn += 1;
@@ -77,7 +76,7 @@
         Next::Rest(now + self.rest)
     }
 
-    /// Whether a shortage has gone on for so long that it does not seem to pass by itself.
+    /// Whether a shortage has lasted so long that it does not seem to pass by itself.
     pub fn is_lasting(&self, now: Timestamp) -> bool {
         self.failing_since
             .is_some_and(|since| now >= since + LASTING)
--- a/front/src/server/cli.rs
+++ b/front/src/server/cli.rs
@@ -101,7 +101,9 @@
         .map_err(|e| vec![CommandError::Config(e)])?;
     let server = Server::new(config, settings, options.settings);
     let server = server.map_err(|e| vec![CommandError::Server(e)])?;
-    early.again().map_err(|e| vec![CommandError::Signals(e)])?;
+    early
+        .raise_again()
+        .map_err(|e| vec![CommandError::Signals(e)])?;
     server.run().map_err(|e| vec![CommandError::Server(e)])
 }
 
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -19,7 +19,7 @@
 use crate::server::drivers::{Driver, Turn};
 use crate::server::error::ServerError;
 use crate::server::log::Log;
-use crate::server::signals::raised;
+use crate::server::signals;
 use crate::server::startup::{call_schedule, known_list, snapshot_path, Startup};
 use crate::server::upstream::CacheNodes;
 use crate::transport::{at_start, inherited, listen, Clock, Deadlines, Reactor, Registered};
@@ -58,9 +58,9 @@
         let listener = reactor
             .watch(listener, LISTENER_KEY, false)
             .map_err(ServerError::Poller)?;
-        let sigterm = at_start(|| raised(&reactor, SIGTERM, SIGTERM_KEY));
+        let sigterm = at_start(|| signals::watch(&reactor, SIGTERM, SIGTERM_KEY));
         let sigterm = sigterm.map_err(ServerError::Signals)?;
-        let sighup = at_start(|| raised(&reactor, SIGHUP, SIGHUP_KEY));
+        let sighup = at_start(|| signals::watch(&reactor, SIGHUP, SIGHUP_KEY));
         let sighup = sighup.map_err(ServerError::Signals)?;
         Ok(Sources {
             clock: Clock::new(),
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -21,7 +21,7 @@
 use crate::server::error::ServerError;
 use crate::server::handover::Handover;
 use crate::server::log::Log;
-use crate::server::signals::drain;
+use crate::server::signals;
 use crate::server::startup::Startup;
 use crate::server::upstream::CacheNodes;
 use crate::transport::{Clock, Deadlines, Reactor, Registered};
@@ -182,7 +182,7 @@
             LISTENER_KEY => self.accept_clients(now),
             SIGTERM_KEY => self.begin_shutdown(now),
             SIGHUP_KEY => {
-                drain(&self.sighup);
+                signals::clear(&self.sighup);
                 self.reload(now);
             }
             _ if slot_of(key) > 0 => {
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -3,7 +3,7 @@
 use super::Server;
 use crate::server::drain::{Drain, Stage};
 use crate::server::error::AdminError;
-use crate::server::signals::drain;
+use crate::server::signals;
 use cranesill::api::{Micros, Timestamp};
 
 /// How long a quiesced front still takes requests on open connections before it refuses them.
@@ -12,7 +12,7 @@
 impl Server {
     /// Begins the graceful shutdown after SIGTERM: clients are notified, and requests that were taken are still answered.
     pub(super) fn begin_shutdown(&mut self, now: Timestamp) {
-        drain(&self.sigterm);
+        signals::clear(&self.sigterm);
         if self.shutdown.is_some() {
             return;
         }
--- a/front/src/server/signals.rs
+++ b/front/src/server/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: what becomes readable when one comes, and those that come before anything listens for them.
+//! Signals: a socket that becomes readable when one comes, and those that come while the process starts.
 use crate::transport::{Reactor, Registered};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::io;
@@ -6,11 +6,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Signals that come while the program starts. It takes no descriptor: one that the platform hands over may have any number.
+/// Catches signals while the process starts. It takes no descriptor: one that the platform hands over may have any number.
 pub struct Early([(i32, Arc<AtomicBool>); 2]);
 
 impl Early {
-    /// From now on none of them ends the program.
+    /// Catches SIGTERM and SIGHUP, which end the process otherwise.
     pub fn new() -> io::Result<Self> {
         let early = Early([SIGTERM, SIGHUP].map(|signal| (signal, Arc::default())));
         for (signal, came) in &early.0 {
@@ -19,8 +19,9 @@
         Ok(early)
     }
 
-    /// Whoever listens now hears of what came before. One that comes meanwhile may be heard twice, which is as once.
-    pub fn again(self) -> io::Result<()> {
+    /// Raises the signals that came before again, for whoever watches them now. One that comes meanwhile may be raised twice,
+    /// which has the same effect as once.
+    pub fn raise_again(self) -> io::Result<()> {
         let came = self
             .0
             .iter()
@@ -30,16 +31,16 @@
     }
 }
 
-/// What becomes readable when a signal comes.
-pub fn raised(reactor: &Reactor, signal: i32, key: usize) -> io::Result<Registered<UnixStream>> {
+/// Watches a socket under `key` that becomes readable when the signal comes.
+pub fn watch(reactor: &Reactor, signal: i32, key: usize) -> io::Result<Registered<UnixStream>> {
     let (read, write) = UnixStream::pair()?;
     read.set_nonblocking(true)?;
     signal_hook::low_level::pipe::register(signal, write)?;
     reactor.watch(read, key, false)
 }
 
-/// Takes out what a signal left there.
-pub fn drain(signal: &Registered<UnixStream>) {
+/// Makes the socket of a signal unreadable until the signal comes again.
+pub fn clear(signal: &Registered<UnixStream>) {
     let mut bytes = [0; 16];
     while matches!(io::Read::read(&mut &**signal, &mut bytes), Ok(n) if n > 0) {}
 }
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to members.
+//! Upstream: the connections to cache nodes, parents and the origin.
 mod connection;
 mod placement;
 mod redial;
@@ -11,15 +11,14 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Share of the members' idle time after which a connection is closed here: a request must not cross their
-/// close.
+/// Fraction of the endpoints' idle time after which a connection is closed here: a request must not cross their close.
 const IDLE_FRACTION: f64 = 0.5;
-/// Share of the connections that first ones to cache nodes may take up; the rest is for parents, the origin, and second
-/// ones to nodes that are busy.
+/// Fraction of the connections that first ones to cache nodes may take up; the rest is for parents, the origin, and second
+/// ones to busy endpoints.
 const CACHE_NODE_FRACTION: f64 = 0.75;
 /// Bytes that one read takes at most.
 const MAX_READ_BYTES: usize = 64 * 1024;
-/// An answer of which nothing more comes for this long is broken off, and whatever is behind it with it.
+/// An incomplete answer of which nothing more comes for this long ends its connection.
 const MAX_PARTIAL_ANSWER_TIME: Micros = 500_000;
 
 /// Where an attempt is to be sent.
@@ -36,33 +35,35 @@
 /// Attempts that ended, each with how it ended.
 pub type Ends = Vec<(AttemptId, End)>;
 
-/// All connections to members; they belong to a member's id, since an address may come to be another's.
+/// All upstream connections. Each belongs to an endpoint by its id, since an address may come to be another endpoint's.
 #[derive(Debug)]
 pub struct CacheNodes {
     connections: HashMap<usize, Connection>,
-    /// Connections of each member.
+    /// The connections to each endpoint.
     by_endpoint: HashMap<EndpointId, Vec<usize>>,
-    /// Where each listens, and when it started.
+    /// Where each listed endpoint listens, and when it started.
     listed: HashMap<EndpointId, (SocketAddr, Timestamp)>,
+    /// The connection of each open attempt, and the id that it has there.
     by_attempt: HashMap<AttemptId, (usize, Txn)>,
     /// Attempts for which this machine could not begin a connection.
     redials: Redials,
     max_connections: usize,
     max_streams: usize,
     max_idle: Micros,
-    /// An answer that is begun is whole after this long, or nobody waits for it any more.
+    /// An answer that is begun is complete after this long, or no client waits for it any more.
     max_answer_time: Micros,
-    /// Commands that were written whole.
+    /// Attempts that were written completely.
     pub attempts_written: u64,
-    /// Bytes held on all connections.
+    /// Bytes buffered on all connections.
     buffered_bytes: usize,
-    /// Nothing is read: too much is held already.
+    /// Whether reading is paused because too much is buffered.
     paused: bool,
     scratch: Vec<u8>,
 }
 
 impl CacheNodes {
-    /// Holds up to `max_connections` connections, each with up to `streams` attempts; nobody waits for an answer longer than `whole`.
+    /// Has no connections yet. An endpoint closes connections that are idle for `max_idle`; each carries up to `max_streams`
+    /// attempts.
     pub fn new(
         max_connections: usize,
         max_streams: usize,
@@ -86,13 +87,13 @@
         }
     }
 
-    /// From now on so many connections are held at most; one that carries nothing for `idle` is closed.
+    /// Changes the limits on connections, and on how long one may be idle.
     pub fn limit(&mut self, max_connections: usize, idle: Option<Micros>) {
         self.max_connections = max_connections;
         self.max_idle = idle.unwrap_or(self.max_idle);
     }
 
-    /// How many cache nodes can be reached at once, each by a connection, and how long one stays open that carries nothing.
+    /// Returns how many cache nodes can be connected at once, and how long an idle connection stays open.
     pub fn reach(&self) -> (usize, Micros) {
         (
             (self.max_connections as f64 * CACHE_NODE_FRACTION) as usize,
@@ -100,23 +101,22 @@
         )
     }
 
-    /// Whether this is a connection to a member.
+    /// Whether this is the poller key of an upstream connection.
     pub fn has(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// The members that are listed.
+    /// Returns the listed endpoints.
     pub fn listed(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.listed.keys().copied()
     }
 
-    /// Bytes held on all connections.
+    /// Returns the bytes buffered on all connections.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Reads nothing more from members, or goes on. Guards the memory limit: what members send faster than
-    /// clients take it stays with the members.
+    /// Pauses or resumes reading. Guards the memory limit: what endpoints send faster than clients read it stays with them.
     pub fn pause(&mut self, now: Timestamp, paused: bool) {
         if self.paused != paused {
             self.paused = paused;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes over where a member listens. Connections to an earlier process of it get nothing new.
+    /// Notes where an endpoint listens. Connections to an earlier process of it get no further attempts.
     pub fn update_endpoint(&mut self, entry: &EndpointEntry, address: SocketAddr) {
         let now = Some((address, entry.started));
         let before = if entry.state == EndpointState::Removed {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The whole list is about to come: what it lacks is gone.
+    /// Removes the endpoints that a complete list does not name.
     pub fn keep_only(&mut self, listed: &HashSet<EndpointId>) {
         self.listed.retain(|member, _| listed.contains(member));
         self.connections
@@ -156,7 +156,7 @@
             .for_each(|l| l.retired = true);
     }
 
-    /// How many of the members that are listed have a connection that is up.
+    /// Returns how many listed endpoints have an established connection.
     pub fn reached_endpoints(&self) -> usize {
         let up = |key: &usize| {
             self.connections
@@ -169,46 +169,47 @@
             .count()
     }
 
-    /// When attempts that wait for a connection to be begun are due to try again.
+    /// Returns when attempts that wait for a connection are to be tried again.
     pub fn redial_due(&self) -> Option<Timestamp> {
         self.redials.due()
     }
 
-    /// Attempts that are to be sent again now, to the node and by the moment that they had before.
+    /// Takes out the attempts that are to be tried again now.
     pub fn take_redials(&mut self, now: Timestamp) -> Vec<(Target, Fetch)> {
         self.redials.take(now)
     }
 
-    /// Closes connections that stopped in the middle of an answer, and those that carry nothing and are old or
-    /// not to be used again.
+    /// Closes connections with an answer that is overdue, and idle ones that are old or retired.
     pub fn sweep(&mut self, now: Timestamp, ends: &mut Ends) {
-        let short = |l: &Connection| {
-            now > l.received_at + MAX_PARTIAL_ANSWER_TIME
-                || l.partial_since
-                    .is_some_and(|at| now > at + self.max_answer_time)
-        };
-        let part = |l: &Connection| !self.paused && !l.stream.input().is_empty() && short(l);
-        let part: Vec<_> = self
-            .connections
-            .iter()
-            .filter(|(_, l)| part(l))
-            .map(|(key, _)| *key)
-            .collect();
-        part.into_iter()
-            .for_each(|key| self.fail(key, "an answer stops short", ends));
-        let over = |l: &Connection| {
-            l.open_attempts.is_empty() && (l.retired || now > l.idle_since + self.max_idle)
-        };
-        let over: Vec<_> = self
-            .connections
-            .iter()
-            .filter(|(_, l)| over(l))
-            .map(|(key, _)| *key)
-            .collect();
-        over.into_iter()
-            .for_each(|key| self.fail(key, "idle", &mut Vec::new()));
+        let overdue = self.keys_where(|connection| self.is_overdue(now, connection));
+        for key in overdue {
+            self.fail(key, "an answer stops short", ends);
+        }
+        let unused = self.keys_where(|connection| {
+            let is_old = now > connection.idle_since + self.max_idle;
+            connection.open_attempts.is_empty() && (connection.retired || is_old)
+        });
+        for key in unused {
+            self.fail(key, "idle", &mut Vec::new());
+        }
         self.by_endpoint.retain(|_, keys| !keys.is_empty());
     }
+
+    fn keys_where(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<usize> {
+        let connections = self.connections.iter();
+        let matching = connections.filter(|(_, connection)| predicate(connection));
+        matching.map(|(key, _)| *key).collect()
+    }
+
+    /// Whether an answer has begun on a connection and nothing more of it comes, or not all of it in time.
+    fn is_overdue(&self, now: Timestamp, connection: &Connection) -> bool {
+        if self.paused || connection.stream.input().is_empty() {
+            return false;
+        }
+        let is_silent = now > connection.received_at + MAX_PARTIAL_ANSWER_TIME;
+        let partial_since = connection.partial_since;
+        is_silent || partial_since.is_some_and(|since| now > since + self.max_answer_time)
+    }
 }
 
 #[cfg(test)]
--- a/front/src/server/upstream/redial.rs
+++ b/front/src/server/upstream/redial.rs
@@ -1,15 +1,15 @@
-//! Attempts for which this machine could not begin a connection: they wait a moment and try again. Such a failure says nothing
-//! of the node, and nothing of the request was written. No I/O and no clock.
+//! Attempts for which this machine could not begin a connection: they are retried after a short pause. Such a failure says
+//! nothing of the endpoint, and nothing of the request was written. No I/O and no clock.
 use super::Target;
 use crate::routing::{AttemptId, Fetch};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// Pause between two tries.
+/// Pause between two retries.
 const RETRY_INTERVAL: Micros = 5_000;
-/// A node that could not be dialled for this long is not waited for: its requests go elsewhere at once.
+/// Requests for an endpoint that could not be connected to for this long go elsewhere at once.
 const MAX_WAIT: Micros = 250_000;
-/// After so long without a failure the next one is the first again.
+/// After this long without a failure the next one counts as the first.
 const FORGOTTEN: Micros = 100_000;
 
 #[derive(Debug)]
@@ -18,29 +18,29 @@
     fetch: Fetch,
 }
 
-/// Since when a node can't be dialled, and when that was tried last.
+/// Since when connecting to an endpoint fails, and when it failed last.
 #[derive(Clone, Copy, Debug)]
 struct Failing {
     since: Timestamp,
     last: Timestamp,
 }
 
-/// The attempts that wait, each with the node that it is for.
+/// The attempts that wait for a retry.
 #[derive(Debug, Default)]
 pub struct Redials {
     waiting: BTreeMap<AttemptId, Waiting>,
     failing: HashMap<EndpointId, Failing>,
-    /// When the next try is due.
+    /// When the next retry is due.
     due: Option<Timestamp>,
 }
 
 impl Redials {
-    /// A connection to this node was begun.
+    /// Notes that a connection to this endpoint was begun.
     pub fn dialled(&mut self, to: EndpointId) {
         self.failing.remove(&to);
     }
 
-    /// A connection to this node could not be begun. Whether an attempt may wait for the next try.
+    /// Notes that a connection to this endpoint could not be begun. Returns whether an attempt may wait for a retry.
     pub fn may_wait(&mut self, now: Timestamp, to: EndpointId) -> bool {
         self.failing
             .retain(|_, failing| now <= failing.last + FORGOTTEN);
@@ -52,7 +52,7 @@
         now < failing.since + MAX_WAIT
     }
 
-    /// An attempt waits until the next try.
+    /// Holds an attempt until the next retry.
     pub fn wait(&mut self, now: Timestamp, target: Target, fetch: &Fetch) {
         let waiting = Waiting {
             target,
@@ -62,12 +62,12 @@
         self.due.get_or_insert(now + RETRY_INTERVAL);
     }
 
-    /// When the next try is due; `None`: nothing waits.
+    /// Returns when the next retry is due; `None` while nothing waits.
     pub fn due(&self) -> Option<Timestamp> {
         self.due
     }
 
-    /// Takes out all that wait if the next try is due: they wait again where it fails. What had to be begun before now is left
+    /// Takes out all attempts if the retry is due; they are held again where it fails. Those whose deadline has passed are left
     /// to be withdrawn.
     pub fn take(&mut self, now: Timestamp) -> Vec<(Target, Fetch)> {
         if self.due.is_none_or(|due| now < due) {
@@ -84,23 +84,24 @@
             .collect()
     }
 
-    /// An attempt waits no more. Whether it did.
+    /// Takes an attempt out. Returns whether it was held.
     pub fn remove(&mut self, attempt: AttemptId) -> bool {
         self.waiting.remove(&attempt).is_some()
     }
 
-    /// Attempts that were to go to this node, or to have it fill them, wait no more.
-    pub fn exclude(&mut self, out: EndpointId) -> Vec<AttemptId> {
+    /// Takes out the attempts that are for this endpoint or name it as the source for a fill.
+    pub fn exclude(&mut self, endpoint: EndpointId) -> Vec<AttemptId> {
         let source = |fetch: &Fetch| fetch.fill.and_then(|fill| fill.source);
-        let meant = self
-            .waiting
-            .iter()
-            .filter(|(_, one)| one.target.endpoint == out || source(&one.fetch) == Some(out));
-        let meant: Vec<_> = meant.map(|(attempt, _)| *attempt).collect();
-        meant
-            .iter()
-            .for_each(|attempt| drop(self.waiting.remove(attempt)));
-        meant
+        let concerns = |waiting: &Waiting| {
+            waiting.target.endpoint == endpoint || source(&waiting.fetch) == Some(endpoint)
+        };
+        let waiting = self.waiting.iter();
+        let excluded = waiting.filter(|(_, waiting)| concerns(waiting));
+        let excluded: Vec<_> = excluded.map(|(attempt, _)| *attempt).collect();
+        for attempt in &excluded {
+            self.waiting.remove(attempt);
+        }
+        excluded
     }
 }
 
--- a/front/src/server/upstream/withdrawal.rs
+++ b/front/src/server/upstream/withdrawal.rs
@@ -1,5 +1,4 @@
 //! Attempts that are cancelled, or not written any more because something changed while they waited.
-use super::connection::{Connection, Sent};
 use super::{CacheNodes, Ends};
 use crate::protocol::member;
 use crate::routing::{AttemptId, End};
@@ -69,30 +68,21 @@
     /// Withdraws what waits to be written to an endpoint that drains, was removed or cordoned, and what names it as the source
     /// for a fill. Guards the rule on drains: a connection may be established later than new work is allowed there. The ends
     /// count against no endpoint.
-    pub fn exclude(&mut self, out: EndpointId, ends: &mut Ends) {
-        let meant = |connection: &Connection, sent: &Sent| {
-            !sent.written && (connection.endpoint == out || sent.source == Some(out))
-        };
-        let open = self.connections.values().flat_map(|connection| {
-            connection
-                .open_attempts
-                .values()
-                .map(move |sent| (connection, sent))
-        });
-        let mut meant: Vec<_> = open
-            .filter(|(connection, sent)| meant(connection, sent))
-            .map(|(_, sent)| sent.attempt)
-            .collect();
-        meant.sort_unstable();
-        for attempt in meant {
+    pub fn exclude(&mut self, endpoint: EndpointId, ends: &mut Ends) {
+        let mut excluded = Vec::new();
+        for connection in self.connections.values() {
+            let is_target = connection.endpoint == endpoint;
+            let attempts = connection.open_attempts.values();
+            let concerned = attempts
+                .filter(|sent| !sent.written && (is_target || sent.source == Some(endpoint)));
+            excluded.extend(concerned.map(|sent| sent.attempt));
+        }
+        excluded.sort_unstable();
+        for attempt in excluded {
             self.withdraw_unwritten(attempt, End::Unplaced, ends);
         }
-        ends.extend(
-            self.redials
-                .exclude(out)
-                .into_iter()
-                .map(|attempt| (attempt, End::Unplaced)),
-        );
+        let waiting = self.redials.exclude(endpoint).into_iter();
+        ends.extend(waiting.map(|attempt| (attempt, End::Unplaced)));
     }
 
     /// Takes an attempt back with this end, if nothing of it is written.
