--- a/front/src/server/floors.rs
+++ b/front/src/server/floors.rs
@@ -1,70 +1,76 @@
-//! Carries out for the front what the ledger of purges brought about.
+//! Applies messages of the purge log to the routing, which refuses answers older than a purge.
 use super::drivers::{Effect, Purging};
 use crate::routing::{Floors, Front};
 use cranesill::api::Timestamp;
-use cranesill_daemon::WithoutContact;
+use cranesill_daemon::{Purges, WithoutContact};
 use cranesill_purges::lease::{Contact, Without};
 use cranesill_purges::shield::Shield;
 
-/// Takes news of the ledger over; what is to be done elsewhere for it.
-pub fn take(front: &mut Front, now: Timestamp, news: Purging) -> Option<Effect> {
-    let job = |floors: &mut Floors| {
-        floors
-            .job()
-            .map(|job| Effect::Purges(Purging::Compile(job)))
-    };
-    match news {
-        Purging::Floors(settings, all) => {
-            let mut floors = Floors::new(settings.index_bytes, settings.skew_ms);
-            all.into_iter().for_each(|at| floors.add_all(at));
-            floors.contact = settings.follow.map(|follow| {
-                let without = match follow.without_contact {
-                    WithoutContact::Strict => Without::Strict,
-                    WithoutContact::Available => Without::Available,
-                };
-                Contact::lost(now, now / 1_000, follow.lease_ms * 1_000, without)
-            });
-            front.floors = Some(floors);
-            front.shield = settings.shield_per_s.map(|n| Shield::new(now, n.into()));
-        }
+/// Applies a message of the purge log to the routing. Returns the message that follows from it, if any.
+pub fn take(front: &mut Front, now: Timestamp, message: Purging) -> Option<Effect> {
+    match message {
+        Purging::Floors(settings, all) => install(front, now, &settings, all),
         Purging::Purged(purges) => {
-            if let Some(floors) = &mut front.floors {
-                purges.iter().for_each(|purge| floors.add(purge));
-                return job(floors);
-            }
+            let floors = front.floors.as_mut()?;
+            purges.iter().for_each(|purge| floors.add(purge));
+            return compile_job(floors);
         }
         Purging::Everything(at) => {
-            front
-                .floors
-                .iter_mut()
-                .for_each(|floors| floors.add_all(at));
-        }
-        Purging::Contact => {
-            let contact = front.floors.as_mut().and_then(|f| f.contact.as_mut());
-            if contact.is_some_and(|contact| contact.heard(now, now / 1_000)) {
-                tracing::info!("purges: contact with the ledger again");
+            if let Some(floors) = &mut front.floors {
+                floors.add_all(at);
             }
         }
+        Purging::Contact => note_contact(front, now),
         Purging::Confirmed(number) => {
-            front
-                .floors
-                .iter_mut()
-                .for_each(|floors| floors.confirmed = number);
+            if let Some(floors) = &mut front.floors {
+                floors.confirmed = number;
+            }
         }
         Purging::Horizon(horizon) => {
-            front
-                .floors
-                .iter_mut()
-                .for_each(|floors| floors.expire(horizon));
-        }
-        Purging::Compiled(set) => {
             if let Some(floors) = &mut front.floors {
-                floors.install(*set);
-                return job(floors);
+                floors.expire(horizon);
             }
         }
-        // It is a driver's.
+        Purging::Compiled(set) => {
+            let floors = front.floors.as_mut()?;
+            floors.install(*set);
+            return compile_job(floors);
+        }
+        // The driver of purges carries it out.
         Purging::Compile(_) => {}
     }
     None
 }
+
+/// Patterns that are to be compiled, if there are new ones.
+fn compile_job(floors: &mut Floors) -> Option<Effect> {
+    let patterns = floors.job()?;
+    Some(Effect::Purges(Purging::Compile(patterns)))
+}
+
+/// Switches purges on.
+fn install(front: &mut Front, now: Timestamp, settings: &Purges, purged_until: Option<u64>) {
+    let mut floors = Floors::new(settings.index_bytes, settings.skew_ms);
+    if let Some(at) = purged_until {
+        floors.add_all(at);
+    }
+    floors.contact = settings.follow.as_ref().map(|follow| {
+        let without = match follow.without_contact {
+            WithoutContact::Strict => Without::Strict,
+            WithoutContact::Available => Without::Available,
+        };
+        Contact::lost(now, now / 1_000, follow.lease_ms * 1_000, without)
+    });
+    front.floors = Some(floors);
+    let shield_rate = settings.shield_per_s;
+    front.shield = shield_rate.map(|per_s| Shield::new(now, per_s.into()));
+}
+
+/// Notes that the writer of the purge log was in contact and that all it has is here.
+fn note_contact(front: &mut Front, now: Timestamp) {
+    let floors = front.floors.as_mut();
+    let contact = floors.and_then(|floors| floors.contact.as_mut());
+    if contact.is_some_and(|contact| contact.heard(now, now / 1_000)) {
+        tracing::info!("purges: contact with the ledger again");
+    }
+}
--- a/front/src/server/log.rs
+++ b/front/src/server/log.rs
@@ -1,4 +1,4 @@
-//! The log: events of `tracing` as lines on standard error, text or JSON, so many a second at most.
+//! The log: events of `tracing` as lines on standard error, in text or JSON, limited per second.
 use cranesill_daemon::{Format, Level, Log as Settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,60 +12,64 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::{reload, Layer, Registry};
 
-/// Lines a second at most: guards the one core against a storm of news.
-const LINES_MOST: u32 = 50;
-/// Of these, notes may take so many: warnings and errors are not lost among them.
-const NOTES_MOST: u32 = 35;
-/// Kinds of left out lines that are told apart.
-const KINDS_MOST: usize = 32;
-/// Letters of a line at most.
-const LINE_MOST: usize = 4_000;
+/// Lines a second at most. Guards the CPU against storms of events.
+const MAX_LINES_PER_SECOND: u32 = 50;
+/// Lines below warnings a second at most: warnings and errors are not lost among them.
+const MAX_NOTES_PER_SECOND: u32 = 35;
+/// Kinds of suppressed lines that are counted separately.
+const MAX_SUPPRESSED_KINDS: usize = 32;
+/// Characters of a line at most.
+const MAX_LINE_CHARACTERS: usize = 4_000;
 
-/// Decides which lines are written. No clock: seconds come in.
+/// Decides which lines are written. Without a clock: seconds are passed in.
 #[derive(Debug, Default)]
 struct Limiter {
     second: u64,
     notes: u32,
-    alarms: u32,
-    left_out: BTreeMap<String, u64>,
+    warnings: u32,
+    suppressed: BTreeMap<String, u64>,
 }
 
 impl Limiter {
-    /// Whether a line of that kind is written now; else it is counted.
-    fn admit(&mut self, second: u64, alarm: bool, kind: &str) -> bool {
+    /// Returns whether a line of this kind is written now; otherwise it is counted.
+    fn admit(&mut self, second: u64, is_warning: bool, kind: &str) -> bool {
         if second != self.second {
-            (self.second, self.notes, self.alarms) = (second, 0, 0);
+            self.second = second;
+            self.notes = 0;
+            self.warnings = 0;
         }
-        let all = self.notes + self.alarms;
-        let room = all < LINES_MOST && (alarm || self.notes < NOTES_MOST);
-        match (room, alarm) {
-            (true, true) => self.alarms += 1,
+        let all = self.notes + self.warnings;
+        let admitted =
+            all < MAX_LINES_PER_SECOND && (is_warning || self.notes < MAX_NOTES_PER_SECOND);
+        match (admitted, is_warning) {
+            (true, true) => self.warnings += 1,
             (true, false) => self.notes += 1,
-            (false, _) => {
-                let known = self.left_out.contains_key(kind) || self.left_out.len() < KINDS_MOST;
-                *self
-                    .left_out
-                    .entry(if known { kind.into() } else { "others".into() })
-                    .or_default() += 1;
-            }
+            (false, _) => self.count_suppressed(kind),
         }
-        room
+        admitted
+    }
+
+    fn count_suppressed(&mut self, kind: &str) {
+        let is_counted =
+            self.suppressed.contains_key(kind) || self.suppressed.len() < MAX_SUPPRESSED_KINDS;
+        let kind = if is_counted { kind } else { "others" };
+        *self.suppressed.entry(kind.into()).or_default() += 1;
     }
 
-    /// What was left out in an earlier second, by kind.
-    fn told(&mut self, second: u64) -> Option<BTreeMap<String, u64>> {
-        let over = second != self.second && !self.left_out.is_empty();
-        over.then(|| std::mem::take(&mut self.left_out))
+    /// Takes out how many lines were suppressed in an earlier second, by kind.
+    fn take_suppressed(&mut self, second: u64) -> Option<BTreeMap<String, u64>> {
+        let over = second != self.second && !self.suppressed.is_empty();
+        over.then(|| std::mem::take(&mut self.suppressed))
     }
 }
 
 #[derive(Debug, Default)]
-struct Shared {
+struct Writer {
     json: AtomicBool,
     limiter: Mutex<Limiter>,
 }
 
-struct Lines(Arc<Shared>);
+struct Lines(Arc<Writer>);
 
 /// Collects an event's fields.
 #[derive(Default)]
@@ -105,57 +109,65 @@
     (now.as_secs(), now.subsec_micros())
 }
 
-/// One line; `level` in lower case. What could break a line is escaped.
+/// Formats one line; `level` is in lower case. What could break a line is escaped.
 fn line(
     json: bool,
-    (second, micros): (u64, u32),
+    time: (u64, u32),
     level: &str,
     message: &str,
     fields: &[(&str, String)],
 ) -> String {
-    let mut line = String::new();
-    if json {
-        let mut object = serde_json::Map::new();
-        object.insert(
-            "ts".into(),
-            (second as f64 + f64::from(micros) / 1e6).into(),
-        );
-        object.insert("level".into(), level.into());
-        object.insert("message".into(), message.into());
-        for (name, value) in fields {
-            object.insert(
-                (*name).into(),
-                value.chars().take(LINE_MOST).collect::<String>().into(),
-            );
-        }
-        line = serde_json::Value::Object(object).to_string();
+    let mut line = if json {
+        json_line(time, level, message, fields)
     } else {
+        text_line(time, level, message, fields)
+    };
+    line.push('\n');
+    line
+}
+
+fn json_line(
+    (second, micros): (u64, u32),
+    level: &str,
+    message: &str,
+    fields: &[(&str, String)],
+) -> String {
+    let seconds = second as f64 + f64::from(micros) / 1e6;
+    let mut object = serde_json::Map::new();
+    object.insert("ts".into(), seconds.into());
+    object.insert("level".into(), level.into());
+    object.insert("message".into(), message.into());
+    for (name, value) in fields {
+        let value: String = value.chars().take(MAX_LINE_CHARACTERS).collect();
+        object.insert((*name).into(), value.into());
+    }
+    serde_json::Value::Object(object).to_string()
+}
+
+fn text_line(
+    (second, micros): (u64, u32),
+    level: &str,
+    message: &str,
+    fields: &[(&str, String)],
+) -> String {
+    let message = message.escape_debug();
+    let mut line = format!("{second}.{micros:06} {level} {message}");
+    for (name, value) in fields {
+        let needs_quotes = |c: char| c.is_control() || " \"=".contains(c);
         // Writing into a string can't fail.
-        let _ = write!(
-            line,
-            "{second}.{micros:06} {level} {}",
-            message.escape_debug()
-        );
-        for (name, value) in fields {
-            let bare = !value.is_empty()
-                && value
-                    .chars()
-                    .all(|c| !c.is_control() && !" \"=".contains(c));
-            let _ = if bare {
-                write!(line, " {name}={value}")
-            } else {
-                write!(line, " {name}={value:?}")
-            };
-        }
-        if let Some((at, _)) = line.char_indices().nth(LINE_MOST) {
-            line.truncate(at);
-        }
+        let _ = if value.is_empty() || value.chars().any(needs_quotes) {
+            write!(line, " {name}={value:?}")
+        } else {
+            write!(line, " {name}={value}")
+        };
+    }
+    if let Some((at, _)) = line.char_indices().nth(MAX_LINE_CHARACTERS) {
+        line.truncate(at);
     }
-    line.push('\n');
     line
 }
 
-impl Shared {
+impl Writer {
     fn write(&self, level: &str, message: &str, fields: &[(&str, String)]) {
         let text = line(
             self.json.load(Ordering::Relaxed),
@@ -164,20 +176,23 @@
             message,
             fields,
         );
-        // Nobody is left to be told of a log that can't be written.
+        // There is nowhere else to report a log that can't be written.
         let _ = std::io::stderr().lock().write_all(text.as_bytes());
     }
 
-    fn tell_left_out(&self) {
-        let told = self
+    fn report_suppressed(&self) {
+        let suppressed = self
             .limiter
             .lock()
             .ok()
-            .and_then(|mut limiter| limiter.told(now().0));
-        if let Some(told) = told {
-            let lines = told.values().sum::<u64>().to_string();
+            .and_then(|mut limiter| limiter.take_suppressed(now().0));
+        if let Some(suppressed) = suppressed {
+            let lines = suppressed.values().sum::<u64>().to_string();
             let mut fields = vec![("lines", lines)];
-            let kinds: Vec<_> = told.iter().map(|(kind, n)| format!("{kind}:{n}")).collect();
+            let kinds: Vec<_> = suppressed
+                .iter()
+                .map(|(kind, n)| format!("{kind}:{n}"))
+                .collect();
             fields.push(("kinds", kinds.join(",")));
             self.write("warn", "lines left out", &fields);
         }
@@ -189,15 +204,15 @@
         let mut fields = Fields::default();
         event.record(&mut fields);
         let level = *event.metadata().level();
-        let alarm = level <= tracing::Level::WARN;
+        let is_warning = level <= tracing::Level::WARN;
         let kind = fields.kind.as_deref().unwrap_or(&fields.message);
-        self.0.tell_left_out();
-        let room = self
+        self.0.report_suppressed();
+        let admitted = self
             .0
             .limiter
             .lock()
-            .is_ok_and(|mut limiter| limiter.admit(now().0, alarm, kind));
-        if room {
+            .is_ok_and(|mut limiter| limiter.admit(now().0, is_warning, kind));
+        if admitted {
             self.0.write(
                 &level.to_string().to_lowercase(),
                 &fields.message,
@@ -219,38 +234,38 @@
 
 /// The log of this process.
 pub struct Log {
-    shared: Arc<Shared>,
+    writer: Arc<Writer>,
     level: reload::Handle<LevelFilter, Registry>,
 }
 
 impl Log {
-    /// Begins to write; a process does that once.
+    /// Installs the log for the process. Only the first call in a process has an effect.
     pub fn install(settings: &Settings) -> Self {
-        let shared = Arc::new(Shared::default());
-        shared
+        let writer = Arc::new(Writer::default());
+        writer
             .json
             .store(settings.format == Format::Json, Ordering::Relaxed);
         let (filter, level) = reload::Layer::new(filter(settings.level));
         let subscriber = Registry::default()
             .with(filter)
-            .with(Lines(Arc::clone(&shared)));
+            .with(Lines(Arc::clone(&writer)));
         // A second one in the same process, as in tests, leaves the first in place.
         let _ = tracing::subscriber::set_global_default(subscriber);
-        Log { shared, level }
+        Log { writer, level }
     }
 
-    /// Changes form and level in service.
+    /// Changes format and level.
     pub fn set(&self, settings: &Settings) {
-        self.shared
+        self.writer
             .json
             .store(settings.format == Format::Json, Ordering::Relaxed);
         // It can only fail once the subscriber is gone.
         let _ = self.level.modify(|level| *level = filter(settings.level));
     }
 
-    /// Tells what was left out, if there was something, also where no further line comes.
+    /// Logs what was suppressed, also where no further line comes.
     pub fn sweep(&self) {
-        self.shared.tell_left_out();
+        self.writer.report_suppressed();
     }
 }
 
--- a/front/src/server/log/tests.rs
+++ b/front/src/server/log/tests.rs
@@ -6,18 +6,18 @@
     let notes = (0..100).filter(|_| limiter.admit(7, false, "note")).count();
     let alarms = (0..100).filter(|_| limiter.admit(7, true, "broke")).count();
     assert_eq!((notes, alarms), (35, 15));
-    assert_eq!(limiter.told(7), None, "the second is not over");
-    let told = limiter.told(8).unwrap();
+    assert_eq!(limiter.take_suppressed(7), None, "the second is not over");
+    let told = limiter.take_suppressed(8).unwrap();
     assert_eq!((told["note"], told["broke"]), (65, 85));
-    assert_eq!(limiter.told(9), None);
+    assert_eq!(limiter.take_suppressed(9), None);
     assert!(limiter.admit(8, false, "note"));
     // Kinds are bounded too.
     let written = (0..1_000)
         .filter(|i| limiter.admit(9, false, &i.to_string()))
         .count();
     assert_eq!(written, 35);
-    let told = limiter.told(10).unwrap();
-    assert!(told.len() <= KINDS_MOST + 1);
+    let told = limiter.take_suppressed(10).unwrap();
+    assert!(told.len() <= MAX_SUPPRESSED_KINDS + 1);
     assert_eq!(told.values().sum::<u64>(), 965);
 }
 
@@ -35,5 +35,5 @@
         (Some("a\n\"b\" c"), Some("warn"))
     );
     let long = line(false, (5, 7), "info", "x", &[("a", "é".repeat(9_000))]);
-    assert!(long.chars().count() <= LINE_MOST + 1 && long.ends_with('\n'));
+    assert!(long.chars().count() <= MAX_LINE_CHARACTERS + 1 && long.ends_with('\n'));
 }
