--- a/front/src/server/cli.rs
+++ b/front/src/server/cli.rs
@@ -12,7 +12,10 @@
 #[derive(Clone, Debug)]
 enum Command {
     Serve(Serve),
-    Check(Option<PathBuf>, Option<PathBuf>),
+    Check {
+        config: Option<PathBuf>,
+        settings: Option<PathBuf>,
+    },
     Schema,
     Ctl(Ctl),
     Version,
@@ -28,21 +31,45 @@
 }
 
 fn options() -> OptionParser<Command> {
-    let file = || {
-        let option = long("config")
-            .help("The configuration")
-            .env("RELAY_CONFIG")
-            .argument::<PathBuf>("FILE");
-        let given = positional::<PathBuf>("FILE").help("The configuration");
-        construct!([given, option])
-    };
-    let own = || {
-        long("settings")
-            .help("The daemon's own settings")
-            .argument::<PathBuf>("FILE")
-            .optional()
-    };
-    let (settings, config) = (own(), file());
+    let serve = serve_command();
+    let check = check_command();
+    let schema = bpaf::pure(Command::Schema)
+        .to_options()
+        .descr("Print the JSON Schema of the settings")
+        .command("schema");
+    let version = bpaf::pure(Command::Version)
+        .to_options()
+        .descr("Print the version")
+        .command("version");
+    let ctl = ctl::ctl().map(Command::Ctl);
+    let certs = ctl::certs().map(Command::Ctl);
+    let purge = ctl::purge().map(Command::Ctl);
+    let purges = ctl::purges().map(Command::Ctl);
+    construct!([serve, check, schema, ctl, certs, purge, purges, version])
+        .to_options()
+        .descr("A front for caches that fill from parents and an origin")
+}
+
+/// The configuration's file, by option or position.
+fn config_file() -> impl Parser<PathBuf> {
+    let option = long("config")
+        .help("The configuration")
+        .env("RELAY_CONFIG")
+        .argument::<PathBuf>("FILE");
+    let given = positional::<PathBuf>("FILE").help("The configuration");
+    construct!([given, option])
+}
+
+fn settings_file() -> impl Parser<Option<PathBuf>> {
+    long("settings")
+        .help("The daemon's own settings")
+        .argument::<PathBuf>("FILE")
+        .optional()
+}
+
+fn serve_command() -> impl Parser<Command> {
+    let settings = settings_file();
+    let config = config_file();
     let ops = long("ops")
         .help("Where operators call, if not as the configuration says")
         .env("RELAY_OPS")
@@ -53,37 +80,26 @@
         .env("RELAY_ACCEPT_FD")
         .argument::<String>("N")
         .optional();
-    let serve = construct!(Serve {
+    construct!(Serve {
         settings,
         ops,
         accept_fd,
         config
     })
-    .map(Command::Serve);
-    let serve = serve.to_options().descr("Serve clients until SIGTERM");
-    let (settings, config) = (own(), file().optional());
-    let check =
-        construct!(settings, config).map(|(settings, config)| Command::Check(config, settings));
-    let check = check
-        .to_options()
-        .descr("Read configuration and settings and say what is wrong with them");
-    let schema = bpaf::pure(Command::Schema)
-        .to_options()
-        .descr("Print the JSON Schema of the settings");
-    let version = bpaf::pure(Command::Version)
-        .to_options()
-        .descr("Print the version");
-    let serve = serve.command("serve");
-    let check = check.command("check");
-    let schema = schema.command("schema");
-    let version = version.command("version");
-    let ctl = ctl::ctl().map(Command::Ctl);
-    let certs = ctl::certs().map(Command::Ctl);
-    let purge = ctl::purge().map(Command::Ctl);
-    let purges = ctl::purges().map(Command::Ctl);
-    construct!([serve, check, schema, ctl, certs, purge, purges, version])
+    .map(Command::Serve)
+    .to_options()
+    .descr("Serve clients until SIGTERM")
+    .command("serve")
+}
+
+fn check_command() -> impl Parser<Command> {
+    let settings = settings_file();
+    let config = config_file().optional();
+    construct!(settings, config)
+        .map(|(settings, config)| Command::Check { config, settings })
         .to_options()
-        .descr("A front for caches that fill from parents and an origin")
+        .descr("Read configuration and settings and say what is wrong with them")
+        .command("check")
 }
 
 /// Serves until SIGTERM. Returns all errors that can be found, one a line for the operator.
@@ -134,12 +150,12 @@
 }
 
 /// Reads both files as far as they are named; the errors of both are returned.
-fn check(config: Option<PathBuf>, own: Option<PathBuf>) -> Result<(), Vec<CommandError>> {
-    if config.is_none() && own.is_none() {
+fn check(config: Option<PathBuf>, settings_file: Option<PathBuf>) -> Result<(), Vec<CommandError>> {
+    if config.is_none() && settings_file.is_none() {
         return Err(vec![CommandError::NothingToCheck]);
     }
     let config = config.map(|file| Config::load(&file));
-    let settings = own.map(|file| settings(&file));
+    let settings = settings_file.map(|file| settings(&file));
     let mut errors = Vec::new();
     if let (Some(Ok(config)), Some(Ok(settings))) = (&config, &settings) {
         let reserved = config.clone().reserve(settings);
@@ -179,11 +195,11 @@
     names.join(", ")
 }
 
-/// Runs what the command line asks for.
+/// Runs the command that the command line asks for.
 pub fn run() -> ExitCode {
     let done = match options().run() {
         Command::Serve(asked) => serve(asked),
-        Command::Check(config, own) => check(config, own),
+        Command::Check { config, settings } => check(config, settings),
         Command::Schema => {
             // A value of JSON can always be written as text.
             println!(
