--- a/front/src/server/drain.rs
+++ b/front/src/server/drain.rs
@@ -2,17 +2,17 @@
 //! ends. No I/O and no clock; all deadlines follow from how long the classes' requests may take.
 use cranesill::api::{Micros, Timestamp};
 
-/// Requests are taken for this long after SIGTERM: clients hear of it one after another.
+/// Requests are taken for this long after SIGTERM: clients are notified one after another.
 const MAX_SERVING_TIME: Micros = 1_000_000;
-/// The system kills a process no earlier than the longest time of a class after SIGTERM, of which no more than this counts,
-/// and this much more.
+/// The platform kills a process no earlier than the longest time of a class after SIGTERM, of which no more than this counts.
 const MAX_COUNTED_WAIT: Micros = 3_000_000;
+/// Time between the longest time of a class and the kill.
 const KILL_AFTER: Micros = 700_000;
-/// The process has ended by itself so much earlier.
+/// The process ends by itself this much before the kill.
 const END_MARGIN: Micros = 100_000;
-/// Clients whose connections are shut have this long to read what was said and to close.
+/// How long clients have to read their answers and to close their connections.
 const MAX_CLOSING_TIME: Micros = 200_000;
-/// While another process takes over, connections are held open for their clients until this much before the longest time.
+/// While another process takes over, connections stay open for their clients until this much before the longest time.
 const HAND_OVER_MARGIN: Micros = 200_000;
 
 /// How far a shutdown has come.
@@ -20,7 +20,7 @@
 pub enum Stage {
     /// Requests are still taken.
     Serving,
-    /// New ones are refused, open ones end.
+    /// New requests are refused, open ones are answered.
     Refusing,
     /// Requests that are still open are answered as given up; connections are closed once clients have read their answers.
     Closing,
@@ -31,7 +31,9 @@
 /// The deadlines of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
+    /// When new requests are refused.
     refuse_at: Timestamp,
+    /// When connections are closed, whatever is unfinished.
     close_at: Timestamp,
     end_at: Timestamp,
     /// Until when clients may keep connections without an open request.
@@ -90,22 +92,22 @@
         }
     }
 
-    /// Nothing is owed to anybody any more; `clients`: some are connected. Returns when it is over at the latest, if
-    /// connections are to be shut from now on.
+    /// Begins to close connections if it is time: once nothing is unfinished and clients were given the time to leave by
+    /// themselves, or at the deadline. Returns when the shutdown ends at the latest, if closing begins now.
     pub fn begin_closing(
         &mut self,
         now: Timestamp,
-        owes: bool,
-        clients: bool,
+        has_unfinished: bool,
+        has_clients: bool,
     ) -> Option<Timestamp> {
-        let lingers = now < self.linger_until && clients;
-        let begins = self.closing_since.is_none()
-            && (self.stage(now) >= Stage::Closing
-                || self.stage(now) == Stage::Refusing && !owes && !lingers);
-        begins.then(|| {
-            self.closing_since = Some(now);
-            self.end_at.min(now + MAX_CLOSING_TIME)
-        })
+        let lingers = now < self.linger_until && has_clients;
+        let is_finished = self.stage(now) == Stage::Refusing && !has_unfinished && !lingers;
+        let is_due = self.stage(now) >= Stage::Closing || is_finished;
+        if self.closing_since.is_some() || !is_due {
+            return None;
+        }
+        self.closing_since = Some(now);
+        Some(self.end_at.min(now + MAX_CLOSING_TIME))
     }
 }
 
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -2,7 +2,7 @@
 use super::admin::ADMIN_COMMANDS;
 use super::takeover::open_handover;
 use super::timers::{Timer, SWEEP_INTERVAL};
-use super::{Server, FIRST_CONNECTION_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
+use super::{RunningDriver, Server, FIRST_CONNECTION_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::Front;
 use crate::server::acceptor::AcceptBackoff;
@@ -121,7 +121,7 @@
             server.apply_watch_event(now, event, known.origin);
         }
         server.forwards_watch_events = server.has_list_followers();
-        server.poll_takeover(now, true);
+        server.begin_takeover(now);
         server.poll_cordons(now);
         server.update_readiness(now);
         server
@@ -213,7 +213,7 @@
             let commands = self
                 .drivers
                 .iter()
-                .flat_map(|(driver, _)| driver.commands());
+                .flat_map(|running| running.driver.commands());
             let help: BTreeMap<_, _> = commands.chain(ADMIN_COMMANDS).collect();
             self.start_driver(now, |turn| {
                 Ok(Box::new(Control::new(turn, &control.path, help)?))
@@ -264,7 +264,10 @@
             slot,
         };
         let driver = make(&mut turn).map_err(ServerError::Subsystem)?;
-        self.drivers.push((driver, last));
+        self.drivers.push(RunningDriver {
+            driver,
+            last_key: last,
+        });
         Ok(())
     }
 }
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -20,20 +20,18 @@
         slot: usize,
         act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>),
     ) {
-        let behind_ms = self.front.ahead.behind_ms();
-        if let Some((driver, last)) = slot.checked_sub(1).and_then(|i| self.drivers.get_mut(i)) {
-            let (reactor, effects) = (&self.reactor, &mut self.effects);
-            act(
-                driver.as_mut(),
-                &mut Turn {
-                    now,
-                    behind_ms,
-                    reactor,
-                    effects,
-                    slot: (slot, last),
-                },
-            );
-        }
+        let index = slot.checked_sub(1);
+        let Some(running) = index.and_then(|index| self.drivers.get_mut(index)) else {
+            return;
+        };
+        let mut turn = Turn {
+            now,
+            behind_ms: self.front.ahead.behind_ms(),
+            reactor: &self.reactor,
+            effects: &mut self.effects,
+            slot: (slot, &mut running.last_key),
+        };
+        act(running.driver.as_mut(), &mut turn);
     }
 
     /// Carries out messages of subsystems, and those that they bring about in turn, until there are none.
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -32,10 +32,13 @@
             self.carry_out_effects(now);
         }
         match event {
-            News::Members { whole, list } => {
-                self.announce_endpoints(now, &list, whole);
-                let list = self.startup.stagger(now, whole, list);
-                self.update_endpoints(now, whole, list, origin);
+            News::Members {
+                whole: complete,
+                list,
+            } => {
+                self.announce_endpoints(now, &list, complete);
+                let list = self.startup.stagger(now, complete, list);
+                self.update_endpoints(now, complete, list, origin);
             }
             News::Purge {
                 object,
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -56,6 +56,13 @@
     Listener,
 }
 
+/// A subsystem that the settings switch on.
+struct RunningDriver {
+    driver: Box<dyn Driver>,
+    /// The poller key that it was given last.
+    last_key: usize,
+}
+
 /// A front: the event loop and everything that runs on it.
 pub struct Server {
     config: Config,
@@ -96,8 +103,8 @@
     quiesced_at: Option<Timestamp>,
     /// The slot of the driver that answers operators of the platform; 0 where there is none.
     admin_slot: usize,
-    /// Subsystems that the settings switch on, each with the last key that it gave out.
-    drivers: Vec<(Box<dyn Driver>, usize)>,
+    /// Subsystems that the settings switch on, in the order of their slots.
+    drivers: Vec<RunningDriver>,
     /// Messages of subsystems that are not carried out yet.
     effects: Vec<Effect>,
     /// Requests whose clients have disconnected in this turn.
@@ -131,7 +138,10 @@
     }
 
     fn next_deadline(&self) -> Option<Timestamp> {
-        let drivers = self.drivers.iter().filter_map(|(driver, _)| driver.next());
+        let drivers = self
+            .drivers
+            .iter()
+            .filter_map(|running| running.driver.next());
         let own = [self.timers.next(), self.clients.next()];
         drivers.chain(own.into_iter().flatten()).min()
     }
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -40,8 +40,8 @@
         let stage = drain.stage(now);
         if stage >= Stage::Refusing {
             self.front.close(true);
-            for (driver, _) in &mut self.drivers {
-                driver.drain();
+            for running in &mut self.drivers {
+                running.driver.drain();
             }
         }
         if stage >= Stage::Closing {
@@ -52,22 +52,22 @@
     /// Shuts connections once nothing is owed on them, if a shutdown has begun. Returns whether the process can end.
     pub(super) fn advance_shutdown(&mut self, now: Timestamp) -> bool {
         // A request whose last byte comes after the end of its connection would be lost.
-        let owes = self.front.open() > 0
+        let has_unfinished = self.front.open() > 0
             || !self.clients.is_flushed()
             || self.clients.has_partial_requests();
-        let clients = self.clients.len() > 0;
+        let has_clients = self.clients.len() > 0;
         let Some(drain) = &mut self.shutdown else {
             return false;
         };
-        if let Some(over) = drain.begin_closing(now, owes, clients) {
+        if let Some(end_at) = drain.begin_closing(now, has_unfinished, has_clients) {
             self.clients.close_all(now);
-            self.timers.add(over, Timer::ShutdownStage);
+            self.timers.add(end_at, Timer::ShutdownStage);
         }
-        let all_gone = self.clients.closes_all() && self.clients.len() == 0;
-        drain.stage(now) == Stage::Ended || all_gone
+        let all_closed = self.clients.closes_all() && self.clients.len() == 0;
+        drain.stage(now) == Stage::Ended || all_closed
     }
 
-    /// Drains this front until an operator resumes it: clients are told to go elsewhere, and requests that were taken are
+    /// Drains this front until an operator resumes it: clients are asked to go elsewhere, and requests that were taken are
     /// answered.
     pub(super) fn quiesce(&mut self, now: Timestamp) -> &'static str {
         if self.quiesced_at.is_none() {
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -7,43 +7,51 @@
 use std::io;
 use std::path::PathBuf;
 
-/// A process that waits for another to leave the clients' socket to it looks this often.
+/// Interval at which a process looks whether another has left the clients' socket to it, or has ended.
 const TAKEOVER_POLL_INTERVAL: Micros = 10_000;
 
-/// A process that leaves the socket to another closes connections to members that carry nothing for this long.
+/// A process that has left the clients' socket to another closes upstream connections that are idle for this long.
 const HANDOVER_UPSTREAM_IDLE: Micros = 500_000;
 
 impl Server {
+    /// Looks for another process of this front when this one starts.
+    pub(super) fn begin_takeover(&mut self, now: Timestamp) {
+        // Accepting is taken over by the first look, if no other process accepts.
+        self.accepts_clients = self.handover.is_none();
+        self.poll_takeover(now);
+        if !self.accepts_clients {
+            tracing::info!(
+                kind = "upgrade",
+                "waits for another process to leave the clients' socket"
+            );
+        }
+    }
+
     /// Accepts clients once no other process of this front does, and uses all of its limits once none is left.
-    pub(super) fn poll_takeover(&mut self, now: Timestamp, first: bool) {
-        let Some(shared) = &mut self.handover else {
+    pub(super) fn poll_takeover(&mut self, now: Timestamp) {
+        let Some(handover) = &mut self.handover else {
             return;
         };
         if self.shutdown.is_some() {
             return;
         }
-        let (accepts, alone) = (shared.try_accept(), shared.is_alone());
-        if accepts && (first || !self.accepts_clients) {
-            let learned = shared.take_learned(now);
+        let accepts = handover.try_accept();
+        let is_alone = handover.is_alone();
+        if accepts && !self.accepts_clients {
+            let learned = handover.take_learned(now);
             tracing::info!(kind = "upgrade", learned = learned.len(), "accepts clients");
             self.front.learn(now, learned);
         }
-        if first && !accepts {
-            tracing::info!(
-                kind = "upgrade",
-                "waits for another process to leave the clients' socket"
-            );
-        }
         self.accepts_clients = accepts;
-        self.share_limits(now, !alone);
+        self.share_limits(now, !is_alone);
         self.watch_listener(true);
-        if !accepts || !alone {
+        if !accepts || !is_alone {
             self.timers
                 .add(now + TAKEOVER_POLL_INTERVAL, Timer::TakeoverPoll);
         }
     }
 
-    /// Shares the limits with another process of this front, or no longer.
+    /// Shares the limits with another process of this front, or uses all of them again.
     pub(super) fn share_limits(&mut self, now: Timestamp, halved: bool) {
         if std::mem::replace(&mut self.config.halved, halved) != halved {
             self.upstream.limit(
@@ -61,14 +69,14 @@
     }
 }
 
-/// The folder that the platform shares between the processes of this front. Without it a new process serves all the
-/// same.
+/// Opens the directory that the platform shares between the processes of this front. Without it a new process serves all
+/// the same.
 pub(super) fn open_handover() -> Option<Handover> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
-    let found = folder
+    let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty());
+    let found = directory
         .ok_or_else(|| io::Error::other("TMPDIR is not set"))
         .map(PathBuf::from);
-    let opened = found.and_then(|folder| at_start(|| Handover::new(&folder)));
+    let opened = found.and_then(|directory| at_start(|| Handover::new(&directory)));
     if let Err(error) = &opened {
         tracing::warn!(kind = "upgrade", %error, "nothing is shared with another process: it accepts clients as well");
     }
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -56,7 +56,7 @@
                 let list = self.startup.take_due(now);
                 self.update_endpoints(now, false, list, Origin::Kept);
             }
-            Timer::TakeoverPoll => self.poll_takeover(now, false),
+            Timer::TakeoverPoll => self.poll_takeover(now),
             Timer::CordonPoll => self.poll_cordons(now),
             Timer::CordonConfirmation(id) => {
                 self.effects.push(Effect::response(id, Ok("out".into())));
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -140,7 +140,7 @@
     }
 
     /// Takes listed endpoints in, and returns those that come into use now.
-    pub fn stagger(&mut self, now: Timestamp, whole: bool, list: Vec<Listing>) -> Vec<Listing> {
+    pub fn stagger(&mut self, now: Timestamp, complete: bool, list: Vec<Listing>) -> Vec<Listing> {
         let Some(slow_start) = &mut self.slow_start else {
             return list;
         };
@@ -157,7 +157,7 @@
             admission: admission(&l),
             entry: l,
         };
-        slow_start.update(now, whole, list.into_iter().map(endpoint).collect())
+        slow_start.update(now, complete, list.into_iter().map(endpoint).collect())
     }
 
     /// Takes out the endpoints that come into use by now.
