--- a/front/src/server/downstream/unconfirmed.rs
+++ b/front/src/server/downstream/unconfirmed.rs
@@ -1,8 +1,8 @@
-//! Requests that came together with the end of their client's side.
+//! Requests that came together with the end of their client's side of the connection.
 //!
 //! Such a client may have closed its connection long ago: while the front was busy or its listener rested, the request and the
-//! end arrived before either was read. Whether it still waits shows by the system's answer to the next frame, a reset where
-//! nobody is there. Until that can have come, the request is not forwarded.
+//! end arrived before either was read. Whether it still waits shows by the system's answer to the next frame: a reset where it
+//! does not. The request is held back until the reset can have come.
 use crate::routing::{Ask, ReplyTo};
 use cranesill::api::{Micros, Timestamp};
 use std::collections::VecDeque;
@@ -21,23 +21,23 @@
         self.0.push_back((now + RESET_WAIT, from, ask));
     }
 
-    /// The client has closed its connection: its requests are dropped.
+    /// Drops the requests of a client that has closed its connection.
     pub fn drop_client(&mut self, client: usize) {
         self.0.retain(|(_, from, _)| from.client != client);
     }
 
-    /// When the next request is forwarded.
+    /// Returns when the next request is forwarded.
     pub fn next(&self) -> Option<Timestamp> {
         self.0.front().map(|(at, ..)| *at)
     }
 
-    /// A request whose client was not seen to have gone.
+    /// Takes out a request whose client has not disconnected in time.
     pub fn take(&mut self, now: Timestamp) -> Option<(ReplyTo, Ask)> {
         self.next().filter(|at| *at <= now)?;
         self.0.pop_front().map(|(_, from, ask)| (from, ask))
     }
 
-    /// Whether none is held back.
+    /// Whether no request is held back.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/front/src/server/drain.rs
+++ b/front/src/server/drain.rs
@@ -35,15 +35,17 @@
     refuse_at: Timestamp,
     /// When connections are closed, whatever is unfinished.
     close_at: Timestamp,
+    /// When the process ends at the latest.
     end_at: Timestamp,
     /// Until when clients may keep connections without an open request.
     linger_until: Timestamp,
+    /// When connections began to be closed.
     closing_since: Option<Timestamp>,
 }
 
 impl Drain {
-    /// SIGTERM has come. `waits`: the longest time of each class, 0 where there is none; `beside`: another process has taken
-    /// the clients' socket over.
+    /// Begins the shutdown. `waits` holds the longest time of each class, 0 where there is none; `beside` says that another
+    /// process has taken the clients' socket over.
     pub fn new(now: Timestamp, waits: &[Micros], beside: bool) -> Self {
         let longest = waits
             .iter()
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -99,22 +99,22 @@
     Challenge(String, Option<Arc<Proof>>),
 }
 
-/// What concerns the ledger of purges.
+/// Messages about the log of purges.
 pub enum Purging {
-    /// Purges are on from now on; everything may have been purged up to a moment in Unix milliseconds.
+    /// Purges are on from now on; everything may have been purged up to this Unix time in milliseconds, if there is one.
     Floors(cranesill_daemon::Purges, Option<u64>),
-    /// Everything may have been purged up to a moment in Unix milliseconds.
+    /// Everything may have been purged up to this Unix time in milliseconds.
     Everything(u64),
-    /// The writer of the ledger was heard of, and all that it has is here.
+    /// The writer of the log was in contact, and all that it has is here.
     Contact,
-    /// Purges that count from now on.
+    /// Purges that take effect now.
     Purged(Vec<Purge>),
-    /// All boxes have carried out everything up to this number.
+    /// All cache nodes have carried out everything up to this number.
     Confirmed(u64),
-    /// Purges from before this moment, in Unix milliseconds, are over.
+    /// Purges from before this Unix time in milliseconds no longer matter.
     Horizon(u64),
-    /// Patterns to be put together, and those that were.
+    /// Patterns that are to be compiled.
     Compile(Vec<(Box<str>, Mark)>),
-    /// Patterns that were put together.
+    /// Patterns that were compiled, or why they could not be.
     Compiled(Box<Result<Set, String>>),
 }
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -53,20 +53,18 @@
 }
 
 impl Ops {
-    /// Listens for operators. Where another process of this front may live (`beside`) it can have the address still, or
+    /// Listens for operators. Where another process of this front may live (`beside`) that may still have the address, as may
     /// for a moment any connection of the machine that was given the same port: clients are served all the same, and the
-    /// address is tried for until it is free. Else that is an error.
+    /// address is retried until it is free. Otherwise that is an error.
     pub fn new(turn: &mut Turn<'_>, at: SocketAddr, beside: bool) -> Result<Self, String> {
         let listener_key = turn.key();
-        let callers = BTreeMap::new();
-        let acceptor = AcceptBackoff::default();
         let mut ops = Ops {
             at,
             listener: None,
             listener_key,
-            callers,
+            callers: BTreeMap::new(),
             resting: false,
-            acceptor,
+            acceptor: AcceptBackoff::default(),
             retry_at: None,
         };
         match at_start(|| ops.listen(turn)) {
--- a/front/src/server/mod.rs
+++ b/front/src/server/mod.rs
@@ -1,4 +1,8 @@
-//! Command line, configuration, log, the one loop, and a file for each subsystem that it drives.
+//! The server: command line, configuration, log, the event loop, and a driver for each subsystem that it runs.
+//!
+//! `event_loop` waits for sockets, signals and timers and hands each on: `downstream` holds the connections of clients,
+//! `upstream` those to cache nodes, parents and the origin, `discovery` the one to the list service, and `drivers` the
+//! subsystems that the daemon's own settings switch on.
 mod acceptor;
 mod cli;
 mod config;
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -66,16 +66,16 @@
 
 /// Returns the list of the configuration, or the one on disk if that is newer.
 pub fn known_list(config: &mut Config, settings: Option<&Settings>) -> KnownList {
-    let (last, mut news) = std::mem::take(&mut config.known);
+    let (revision, mut events) = std::mem::take(&mut config.known);
     let serve_ms = settings.map_or(0, |s| s.serve_snapshot_s * 1_000);
     let source = source(config, settings);
     let found =
-        snapshot_path(config, settings).and_then(|path| load(&path, source, last, serve_ms));
+        snapshot_path(config, settings).and_then(|path| load(&path, source, revision, serve_ms));
     if let Some(list) = found {
-        news.extend(list.news());
+        events.extend(list.news());
         return KnownList {
             revision: list.number,
-            events: news,
+            events,
             origin: Origin::Kept,
             snapshot: list,
         };
@@ -84,13 +84,14 @@
         source,
         ..Snapshot::default()
     };
-    news.iter()
-        .for_each(|one| list.take(last, wall_ms(), 0, u64::MAX, one));
-    // Purges that were known at the start are kept from the first news on.
+    for event in &events {
+        list.take(revision, wall_ms(), 0, u64::MAX, event);
+    }
+    // Purges that were known at the start are kept from the first watch event on.
     list.got_ms.clear();
     KnownList {
-        revision: last,
-        events: news,
+        revision,
+        events,
         origin: Origin::Known,
         snapshot: list,
     }
@@ -117,25 +118,20 @@
             s.handshakes_per_s
                 .map(|per_s| SlowStart::new(position(config), per_s.into(), most))
         });
-        let ready = settings.map(|s| {
-            let (most, spread) = (s.ready_most_ms * 1_000, s.ready_spread_ms * 1_000);
+        let ready = settings.map(|settings| {
             let policy = ReadinessPolicy {
-                min_percent: s.ready_percent,
-                max_wait: most,
-                spread,
+                min_percent: settings.ready_percent,
+                max_wait: settings.ready_most_ms * 1_000,
+                spread: settings.ready_spread_ms * 1_000,
             };
             Readiness::new(now, position(config), policy)
         });
-        let (zone, origin) = (
-            config.deployment.settings.zone,
-            config.deployment.settings.origin_kind,
-        );
         Startup {
             slow_start,
             ready,
             waits: None,
-            zone,
-            origin,
+            zone: config.deployment.settings.zone,
+            origin: config.deployment.settings.origin_kind,
         }
     }
 
