--- a/front/src/server/ctl/options.rs
+++ b/front/src/server/ctl/options.rs
@@ -22,7 +22,8 @@
 
 /// `cranesill ctl`.
 pub fn ctl() -> impl Parser<Ctl> {
-    let (at, json) = (at(), json_out());
+    let at = at();
+    let json = json_out();
     let word = positional::<String>("WORD").help("What to ask; `help` lists all");
     let fields = positional::<String>("FIELD=VALUE").many();
     let verb = construct!(word, fields).map(|(word, fields)| Verb::Word(word, fields));
@@ -75,7 +76,8 @@
         .descr("Give the account another key");
     let roll = roll.command("roll-key");
     let verb = construct!([list, show, renew, revoke, import, roll]);
-    let (at, json) = (at(), json_out());
+    let at = at();
+    let json = json_out();
     construct!(Ctl { at, json, verb })
         .to_options()
         .descr("Certificates of a running daemon")
@@ -116,7 +118,8 @@
         .help("The same, for so many seconds at most")
         .argument::<u64>("S");
     let wait = construct!([wait, wait_s]).optional();
-    let (at, json) = (at(), json_out());
+    let at = at();
+    let json = json_out();
     let verb = construct!(Verb::Purge {
         what,
         id,
@@ -144,7 +147,8 @@
         .descr("What each box has confirmed")
         .command("boxes");
     let verb = construct!([list, show, boxes]);
-    let (at, json) = (at(), json_out());
+    let at = at();
+    let json = json_out();
     construct!(Ctl { at, json, verb })
         .to_options()
         .descr("Purges of a running daemon")
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -149,13 +149,12 @@
             }
             let key = turn.key();
             if let Ok(socket) = turn.reactor.watch(socket, key, false) {
-                let (input, output) = (Vec::new(), Vec::new());
                 self.operators.insert(
                     key,
                     Operator {
                         socket,
-                        input,
-                        output,
+                        input: Vec::new(),
+                        output: Vec::new(),
                         open_commands: 0,
                         active_at: turn.now,
                     },
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -38,6 +38,14 @@
     closes_at: Option<Timestamp>,
 }
 
+/// The second address cannot be listened on.
+#[derive(Debug, thiserror::Error)]
+#[error("ops: {address}: {source}")]
+pub struct ListenError {
+    address: SocketAddr,
+    source: io::Error,
+}
+
 /// The second address and the callers there.
 pub struct Ops {
     at: SocketAddr,
@@ -56,7 +64,7 @@
     /// Listens for operators. Where another process of this front may live (`beside`) that may still have the address, as may
     /// for a moment any connection of the machine that was given the same port: clients are served all the same, and the
     /// address is retried until it is free. Otherwise that is an error.
-    pub fn new(turn: &mut Turn<'_>, at: SocketAddr, beside: bool) -> Result<Self, String> {
+    pub fn new(turn: &mut Turn<'_>, at: SocketAddr, beside: bool) -> Result<Self, ListenError> {
         let listener_key = turn.key();
         let mut ops = Ops {
             at,
@@ -72,7 +80,10 @@
                 tracing::warn!(kind = "ops", %at, "address for operators is taken: tried for until it is free");
                 ops.retry_at = Some(turn.now + RETRY_INTERVAL);
             }
-            listens => listens.map_err(|e| format!("ops: {at}: {e}"))?,
+            listens => listens.map_err(|source| ListenError {
+                address: at,
+                source,
+            })?,
         }
         Ok(ops)
     }
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -82,10 +82,8 @@
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(e),
             _ => {}
         }
-        let (accept, alive) = (
-            Lock::new(&folder.join("accept"))?,
-            Lock::new(&folder.join("alive"))?,
-        );
+        let accept = Lock::new(&folder.join("accept"))?;
+        let alive = Lock::new(&folder.join("alive"))?;
         Ok(Handover {
             folder,
             accept,
