--- a/front/src/server/ctl/client.rs
+++ b/front/src/server/ctl/client.rs
@@ -16,7 +16,9 @@
 /// Where the daemon's control socket is: at a path, or where settings say.
 #[derive(Clone, Debug)]
 pub(super) struct At {
+    /// The path of the socket.
     pub(super) socket: Option<PathBuf>,
+    /// A settings file that names the path.
     pub(super) settings: Option<PathBuf>,
 }
 
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -35,9 +35,13 @@
 /// answers on their way go with it. They are never taken in: whoever sent them could get no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
+    /// Requests are taken.
     Open,
+    /// The client has ended its side and is still owed answers.
     HalfClosed,
+    /// Nothing more is taken in; what is owed is written.
     Draining,
+    /// This side is shut; the connection is closed at this time at the latest.
     Shut(Timestamp),
 }
 
@@ -47,6 +51,7 @@
     pub(super) stream: Stream<()>,
     /// Streams whose requests are not answered yet.
     pub(super) open_streams: HashSet<u32>,
+    /// What events mean here now.
     pub(super) state: ConnectionState,
     /// When something was last read, or written out of the buffer.
     pub(super) active_at: Timestamp,
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -35,8 +35,9 @@
 /// Nobody waits for an answer longer than this where the settings name no time.
 const DEFAULT_MAX_WAIT: Micros = 3_000_000;
 
-/// What the operating system gives a server before it serves.
+/// What a server watches and writes to from the start.
 struct Sources {
+    log: Log,
     clock: Clock,
     reactor: Reactor,
     listener: Registered<TcpListener>,
@@ -45,8 +46,13 @@
 }
 
 impl Sources {
-    /// Watches signals and the clients' listener, which is `inherited` where the platform hands it over.
-    fn open(config: &Config, inherited: Option<TcpListener>) -> Result<Self, ServerError> {
+    /// Installs the log, and watches signals and the clients' listener, which is `inherited` where the platform hands it over.
+    fn open(
+        config: &Config,
+        settings: &Daemon,
+        inherited: Option<TcpListener>,
+    ) -> Result<Self, ServerError> {
+        let log = Log::install(&settings.log);
         let reactor = at_start(Reactor::new).map_err(ServerError::Poller)?;
         let listener = match inherited {
             Some(listener) => listener,
@@ -63,6 +69,7 @@
         let sighup = at_start(|| signals::watch(&reactor, SIGHUP, SIGHUP_KEY));
         let sighup = sighup.map_err(ServerError::Signals)?;
         Ok(Sources {
+            log,
             clock: Clock::new(),
             reactor,
             listener,
@@ -100,15 +107,9 @@
     ) -> Result<Self, ServerError> {
         // First of all: what is opened before could get the number of a socket that nobody handed over.
         let inherited = inherited_listener(&config)?;
-        let log = Log::install(&settings.log);
-        let sources = Sources::open(&config, inherited)?;
+        let sources = Sources::open(&config, &settings, inherited)?;
         let known = known_list(&mut config, settings.startup.as_ref());
-        let mut server = Self::assemble(
-            config,
-            settings,
-            settings_file,
-            (log, sources, known.revision),
-        );
+        let mut server = Self::assemble(config, settings, settings_file, sources, known.revision);
         let now = server.clock.now();
         let at = server
             .listener
@@ -142,7 +143,8 @@
         config: Config,
         settings: Daemon,
         settings_file: Option<PathBuf>,
-        (log, sources, revision): (Log, Sources, u64),
+        sources: Sources,
+        revision: u64,
     ) -> Self {
         let now = sources.clock.now();
         let limits = &config.deployment.limits;
@@ -175,7 +177,7 @@
             disconnected: Vec::new(),
             last_key: FIRST_CONNECTION_KEY,
             started_at: now,
-            log,
+            log: sources.log,
             config,
             settings,
             settings_file,
--- a/front/src/server/log.rs
+++ b/front/src/server/log.rs
@@ -69,6 +69,7 @@
     limiter: Mutex<Limiter>,
 }
 
+/// Writes the events of `tracing` as lines.
 struct Lines(Arc<Writer>);
 
 /// Collects an event's fields.
@@ -102,6 +103,7 @@
     }
 }
 
+/// The Unix time in seconds and the microseconds beyond.
 fn now() -> (u64, u32) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -24,6 +24,7 @@
     CallSchedule::new(now, position(config), config.seed, budget)
 }
 
+/// The front's place in its fleet.
 fn position(config: &Config) -> FleetPosition {
     let settings = &config.deployment.settings;
     FleetPosition {
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -16,7 +16,9 @@
 #[derive(Debug)]
 pub(super) struct Sent {
     pub(super) attempt: AttemptId,
+    /// When it was put on the connection.
     pub(super) sent_at: Timestamp,
+    /// Whether its request changes something at the endpoint.
     pub(super) is_write: bool,
     /// The endpoint that it names as the source for a fill.
     pub(super) source: Option<EndpointId>,
@@ -41,11 +43,15 @@
 pub(super) struct Connection {
     pub(super) stream: Stream<Option<Txn>>,
     pub(super) endpoint: EndpointId,
+    /// Whether the connection is up.
     pub(super) established: bool,
     /// Whether it gets no further attempts.
     pub(super) retired: bool,
+    /// Attempts that are not answered yet, by the id of their request.
     pub(super) open_attempts: HashMap<Txn, Sent>,
+    /// Ids that may still be answered here.
     pub(super) recent_ids: RecentIds,
+    /// When something was last sent or answered.
     pub(super) idle_since: Timestamp,
     /// When something was last received.
     pub(super) received_at: Timestamp,
@@ -58,6 +64,7 @@
 }
 
 impl Connection {
+    /// A connection that is being established.
     pub(super) fn new(now: Timestamp, endpoint: EndpointId, stream: Stream<Option<Txn>>) -> Self {
         Connection {
             stream,
@@ -118,14 +125,17 @@
 }
 
 impl RecentIds {
+    /// Whether the connection carried this id recently.
     pub(super) fn has(&self, txn: &Txn) -> bool {
         self.new.contains(txn) || self.old.contains(txn)
     }
 
+    /// Returns how many ids it carried recently.
     pub(super) fn len(&self) -> usize {
         self.new.len() + self.old.len()
     }
 
+    /// Adds an id, and forgets those that are too old.
     pub(super) fn add(&mut self, now: Timestamp, txn: Txn) {
         if now > self.since + RECENT_ID_TIME {
             self.old = std::mem::take(&mut self.new);
