--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -17,7 +17,7 @@
         &mut self,
         now: Timestamp,
         args: &Value,
-        out: bool,
+        cordoned: bool,
     ) -> Result<Value, AdminError> {
         let text = args["node"].as_str().ok_or(AdminError::EndpointMissing)?;
         let id = member_id(text).ok_or(AdminError::EndpointMalformed)?;
@@ -27,27 +27,27 @@
         if !known {
             return Err(AdminError::EndpointUnknown(text.into()));
         }
-        if out && self.cordoned.len() >= MAX_CORDONS && !self.cordoned.contains(&id) {
+        if cordoned && self.cordoned.len() >= MAX_CORDONS && !self.cordoned.contains(&id) {
             return Err(AdminError::TooManyCordons {
                 endpoint: text.into(),
                 limit: MAX_CORDONS,
             });
         }
         if let Some(handover) = &self.handover {
-            let stored = handover.set_cordon(id, out);
+            let stored = handover.set_cordon(id, cordoned);
             stored.map_err(|source| AdminError::CordonNotStored {
                 endpoint: text.into(),
                 source,
             })?;
         }
-        self.apply_cordon(now, id, out);
+        self.apply_cordon(now, id, cordoned);
         self.run_commands(now, Vec::new());
-        Ok(if out { "out" } else { "may serve" }.into())
+        Ok(if cordoned { "out" } else { "may serve" }.into())
     }
 
     /// Takes an endpoint out of service or back, if that changes anything.
-    fn apply_cordon(&mut self, now: Timestamp, id: EndpointId, out: bool) {
-        let changed = if out {
+    fn apply_cordon(&mut self, now: Timestamp, id: EndpointId, cordoned: bool) {
+        let changed = if cordoned {
             self.cordoned.insert(id)
         } else {
             self.cordoned.remove(&id)
@@ -58,12 +58,12 @@
         tracing::info!(
             kind = "by-hand",
             member = name_of(id),
-            out,
+            out = cordoned,
             "cache node by hand"
         );
-        self.front.by_hand(now, id, out);
+        self.front.by_hand(now, id, cordoned);
         let mut ends = Vec::new();
-        if out {
+        if cordoned {
             self.upstream.exclude(id, &mut ends);
         }
         self.run_commands(now, ends);
@@ -74,10 +74,13 @@
         let Some(handover) = &mut self.handover else {
             return;
         };
-        if let Some(out) = handover.cordons() {
-            let changed: Vec<_> = out.symmetric_difference(&self.cordoned).copied().collect();
+        if let Some(cordons) = handover.cordons() {
+            let changed: Vec<_> = cordons
+                .symmetric_difference(&self.cordoned)
+                .copied()
+                .collect();
             for id in changed {
-                self.apply_cordon(now, id, out.contains(&id));
+                self.apply_cordon(now, id, cordons.contains(&id));
             }
         }
         self.timers
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -23,6 +23,9 @@
 /// Files with unknown names that are logged.
 const MAX_FOREIGN_LOGGED: usize = 4;
 
+/// Names of the other files in the directory.
+const OWN_FILES: [&str; 3] = ["accept", "alive", "learned"];
+
 /// A file lock that a process holds or waits for.
 #[derive(Debug)]
 struct Lock {
@@ -161,18 +164,14 @@
     }
 
     /// Cordons an endpoint for all processes of this front, or lifts its cordon.
-    pub fn set_cordon(&self, member: EndpointId, out: bool) -> io::Result<()> {
-        let path = self.folder.join(out_name(member));
-        if out {
-            File::create(path).map(drop)
-        } else {
-            fs::remove_file(path).or_else(|e| {
-                if e.kind() == io::ErrorKind::NotFound {
-                    Ok(())
-                } else {
-                    Err(e)
-                }
-            })
+    pub fn set_cordon(&self, endpoint: EndpointId, cordoned: bool) -> io::Result<()> {
+        let path = self.folder.join(out_name(endpoint));
+        if cordoned {
+            return File::create(path).map(drop);
+        }
+        match fs::remove_file(path) {
+            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
+            _ => Ok(()),
         }
     }
 
@@ -188,7 +187,7 @@
     }
 
     fn read_cordons(&mut self) -> io::Result<BTreeSet<EndpointId>> {
-        let mut out = BTreeSet::new();
+        let mut cordons = BTreeSet::new();
         let mut foreign = 0;
         for (n, entry) in fs::read_dir(&self.folder)?.enumerate() {
             if n >= MAX_FILES {
@@ -197,9 +196,8 @@
             let name = entry?.file_name();
             let name = name.to_string_lossy();
             match out_member(&name) {
-                Some(member) => drop(out.insert(member)),
-                None if ["accept", "alive", "learned"].contains(&&*name)
-                    || name.ends_with(".tmp") => {}
+                Some(endpoint) => drop(cordons.insert(endpoint)),
+                None if OWN_FILES.contains(&&*name) || name.ends_with(".tmp") => {}
                 None => {
                     foreign += 1;
                     if foreign > self.foreign_files && foreign <= MAX_FOREIGN_LOGGED {
@@ -209,7 +207,7 @@
             }
         }
         self.foreign_files = self.foreign_files.max(foreign);
-        Ok(out)
+        Ok(cordons)
     }
 }
 
