--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -142,24 +142,24 @@
         })
     }
 
+    /// Accepts the operators that wait to connect.
     fn accept(&mut self, turn: &mut Turn<'_>) {
         while let Ok((socket, _)) = self.listener.accept() {
             if self.operators.len() >= MAX_OPERATORS || socket.set_nonblocking(true).is_err() {
                 continue;
             }
             let key = turn.key();
-            if let Ok(socket) = turn.reactor.watch(socket, key, false) {
-                self.operators.insert(
-                    key,
-                    Operator {
-                        socket,
-                        input: Vec::new(),
-                        output: Vec::new(),
-                        open_commands: 0,
-                        active_at: turn.now,
-                    },
-                );
-            }
+            let Ok(socket) = turn.reactor.watch(socket, key, false) else {
+                continue;
+            };
+            let operator = Operator {
+                socket,
+                input: Vec::new(),
+                output: Vec::new(),
+                open_commands: 0,
+                active_at: turn.now,
+            };
+            self.operators.insert(key, operator);
         }
     }
 
@@ -286,6 +286,24 @@
         }
     }
 
+    /// Writes answers and reads commands, as far as the poller reported it.
+    fn transfer(
+        &mut self,
+        turn: &mut Turn<'_>,
+        key: usize,
+        readable: bool,
+        writable: bool,
+    ) -> io::Result<()> {
+        if writable {
+            self.write(turn.now, key)?;
+        }
+        if readable {
+            self.read(turn, key)?;
+        }
+        Ok(())
+    }
+
+    /// Disconnects an operator; answers to its commands are dropped.
     fn drop(&mut self, key: usize) {
         self.operators.remove(&key);
         self.waiting.retain(|_, k| *k != key);
@@ -297,36 +315,27 @@
         if key == self.listener_key {
             return self.accept(turn);
         }
-        let written = if writable {
-            self.write(turn.now, key)
-        } else {
-            Ok(())
-        };
-        let read = written.and_then(|()| {
-            if readable {
-                self.read(turn, key)
-            } else {
-                Ok(())
-            }
-        });
-        if read.is_err() {
-            self.drop(key);
-        } else if writable {
+        if self.transfer(turn, key, readable, writable).is_err() {
+            return self.drop(key);
+        }
+        if writable {
             self.take_commands(turn, key);
         }
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        let idle = |o: &Operator| o.open_commands == 0 && turn.now > o.active_at + MAX_IDLE;
-        let stuck = |o: &Operator| !o.output.is_empty() && turn.now > o.active_at + MAX_IDLE;
-        let over = self
-            .operators
-            .iter()
-            .filter(|(_, o)| idle(o) || stuck(o))
-            .map(|(key, _)| *key);
-        over.collect::<Vec<_>>()
-            .into_iter()
-            .for_each(|key| self.drop(key));
+        let is_over = |operator: &Operator| {
+            let is_inactive = turn.now > operator.active_at + MAX_IDLE;
+            // One that waits for the result of a command may be silent, one that does not read its answers may not.
+            let may_be_silent = operator.open_commands > 0 && operator.output.is_empty();
+            is_inactive && !may_be_silent
+        };
+        let operators = self.operators.iter();
+        let over = operators.filter(|(_, operator)| is_over(operator));
+        let over: Vec<_> = over.map(|(key, _)| *key).collect();
+        for key in over {
+            self.drop(key);
+        }
         self.sweep_at = turn.now + MAX_IDLE / 4;
     }
 
