--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -19,9 +19,9 @@
 use crate::server::drain::Drain;
 use crate::server::drivers::{slot_of, Driver, Effect};
 use crate::server::error::ServerError;
-use crate::server::handover::Shared;
+use crate::server::handover::Handover;
 use crate::server::log::Log;
-use crate::server::signals::drain;
+use crate::server::signals;
 use crate::server::startup::Startup;
 use crate::server::upstream::CacheNodes;
 use crate::transport::{Clock, Deadlines, Reactor, Registered};
@@ -56,6 +56,13 @@
     Listener,
 }
 
+/// A subsystem that the settings switch on.
+struct RunningDriver {
+    driver: Box<dyn Driver>,
+    /// The poller key that it was given last.
+    last_key: usize,
+}
+
 /// A front: the event loop and everything that runs on it.
 pub struct Server {
     config: Config,
@@ -86,7 +93,7 @@
     /// The graceful shutdown, once SIGTERM has come.
     shutdown: Option<Drain>,
     /// What is shared with other processes of this front, where the platform starts a new one beside the old.
-    handover: Option<Shared>,
+    handover: Option<Handover>,
     /// Whether it is this process that accepts clients.
     accepts_clients: bool,
     accept_backoff: AcceptBackoff,
@@ -96,8 +103,8 @@
     quiesced_at: Option<Timestamp>,
     /// The slot of the driver that answers operators of the platform; 0 where there is none.
     admin_slot: usize,
-    /// Subsystems that the settings switch on, each with the last key that it gave out.
-    drivers: Vec<(Box<dyn Driver>, usize)>,
+    /// Subsystems that the settings switch on, in the order of their slots.
+    drivers: Vec<RunningDriver>,
     /// Messages of subsystems that are not carried out yet.
     effects: Vec<Effect>,
     /// Requests whose clients have disconnected in this turn.
@@ -131,7 +138,10 @@
     }
 
     fn next_deadline(&self) -> Option<Timestamp> {
-        let drivers = self.drivers.iter().filter_map(|(driver, _)| driver.next());
+        let drivers = self
+            .drivers
+            .iter()
+            .filter_map(|running| running.driver.next());
         let own = [self.timers.next(), self.clients.next()];
         drivers.chain(own.into_iter().flatten()).min()
     }
@@ -155,7 +165,7 @@
             slot if slot > 0 && slot == self.admin_slot => Rank::Admin,
             slot if slot > 0 => Rank::Driver(slot),
             _ if key == LISTENER_KEY => Rank::Listener,
-            _ if self.discovery.is(key) => Rank::Discovery,
+            _ if self.discovery.has(key) => Rank::Discovery,
             _ if self.upstream.has(key) => Rank::Upstream,
             _ => Rank::Clients,
         }
@@ -182,7 +192,7 @@
             LISTENER_KEY => self.accept_clients(now),
             SIGTERM_KEY => self.begin_shutdown(now),
             SIGHUP_KEY => {
-                drain(&self.sighup);
+                signals::clear(&self.sighup);
                 self.reload(now);
             }
             _ if slot_of(key) > 0 => {
@@ -191,7 +201,7 @@
                 });
                 self.carry_out_effects(now);
             }
-            _ if self.discovery.is(key) => self.read_discovery(now),
+            _ if self.discovery.has(key) => self.read_discovery(now),
             _ if self.upstream.has(key) => {
                 let mut ends = Vec::new();
                 self.upstream.ready(now, key, readable, &mut ends);
