--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -140,7 +140,7 @@
             6 + p
                 .serve
                 .as_ref()
-                .map_or(0, |_| super::drivers::purges::followers::FOLLOWERS_MOST)
+                .map_or(0, |_| super::drivers::purges::MAX_FOLLOWERS)
         }) + boxes.map_or(0, |b| b.connections_most);
         let ops = self
             .ops
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -1,335 +1,398 @@
-//! Connections over which boxes are purged: one to each, beside those of requests. What goes out when is chosen in
-//! `cranesill_purges::replication`.
+//! Connections over which cache nodes are sent purges: one to each node, beside those of requests. What is sent when is
+//! decided in [`cranesill_purges::replication`].
 use crate::protocol::{member, purge};
 use crate::server::drivers::Turn;
 use crate::transport::{dial, Stream};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use cranesill_purges::log::PurgeLog;
-use cranesill_purges::replication::{NodeReport, Replication};
+use cranesill_purges::replication::{Batch, NodeId, NodeReport, NodeStatus, Replication};
 use cranesill_purges::PurgeNumber;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 use std::net::SocketAddr;
 
-/// A connection that is not up, or whose box has not said how it stands, after this long has failed.
-const HELLO_MOST: Micros = 2_000_000;
-/// A batch that is not confirmed after this long ends its connection: it may stay open and silent for ever.
-const CONFIRM_MOST: Micros = 4_000_000;
-/// Pauses between two tries to connect: the first, and the longest.
-const RETRY_FIRST: Micros = 200_000;
-const RETRY_MOST: Micros = 10_000_000;
-const READ_MOST: usize = 4 * 1024;
+/// A connection whose node has not reported its state after this long has failed.
+const REPORT_TIMEOUT: Micros = 2_000_000;
+/// A connection with a batch that is not confirmed after this long is closed: it could stay open and silent for ever.
+const CONFIRM_TIMEOUT: Micros = 4_000_000;
+/// Backoff after the first failure; it doubles with each further one.
+const INITIAL_BACKOFF: Micros = 200_000;
+/// Longest backoff.
+const MAX_BACKOFF: Micros = 10_000_000;
+const READ_BUFFER_BYTES: usize = 4 * 1024;
 
+/// A connection to a node.
 #[derive(Debug)]
-struct Link {
-    member: u64,
+struct Connection {
+    node: NodeId,
     stream: Stream<()>,
-    /// The command that is out, and what it carries up to; 0: the question how it stands.
-    asked: (u64, PurgeNumber),
-    since: Timestamp,
-    greeted: bool,
-    /// A command is out.
-    waits: bool,
+    /// The id of the last command.
+    command: u64,
+    /// When the last command was sent, or answered.
+    last_progress_at: Timestamp,
+    /// Whether the node has reported its state.
+    reported: bool,
+    awaiting_answer: bool,
 }
 
+impl Connection {
+    fn is_overdue(&self, now: Timestamp) -> bool {
+        let timeout = match self.reported {
+            true => CONFIRM_TIMEOUT,
+            false => REPORT_TIMEOUT,
+        };
+        self.awaiting_answer && now > self.last_progress_at + timeout
+    }
+}
+
+impl Connection {
+    /// The next answer to the last command, if one has arrived. A repeated answer, or one to no command, is dropped.
+    fn next_answer(&mut self, now: Timestamp) -> io::Result<Option<purge::Word>> {
+        loop {
+            let decoded = purge::decode(self.stream.input()).map_err(|e| io::Error::other(e.0))?;
+            let Some((answer, length)) = decoded else {
+                return Ok(None);
+            };
+            self.stream.consume(length);
+            if answer.id == self.command {
+                self.last_progress_at = now;
+                self.awaiting_answer = false;
+                return Ok(Some(answer));
+            }
+        }
+    }
+
+    /// The first answer reports the node's state, further ones confirm batches.
+    fn apply_answer(
+        &mut self,
+        answer: purge::Word,
+        replication: &mut Replication,
+        node: Option<&mut Node>,
+        head: PurgeNumber,
+    ) {
+        if self.reported {
+            replication.confirmed(self.last_progress_at, self.node, answer.upto);
+            return;
+        }
+        self.reported = true;
+        let report = NodeReport {
+            log: answer.ledger,
+            applied: answer.upto,
+            empty: answer.empty,
+        };
+        replication.connected(self.node, report, head);
+        if let Some(node) = node {
+            node.failures = 0;
+        }
+    }
+}
+
+/// A node in the endpoint list.
 #[derive(Debug)]
-struct Seat {
+struct Node {
     address: SocketAddr,
-    link: Option<usize>,
-    due: Timestamp,
+    /// The poller key of its connection.
+    connection: Option<usize>,
+    connect_at: Timestamp,
+    /// Failures since the last report.
     failures: u32,
 }
 
-/// Boxes that speak of purges, and the connections to them.
+impl Node {
+    fn back_off(&mut self, now: Timestamp) {
+        self.failures += 1;
+        let backoff = INITIAL_BACKOFF << (self.failures - 1).min(10);
+        self.connect_at = now + backoff.min(MAX_BACKOFF);
+    }
+}
+
+/// The cache nodes that are sent purges, and the connections to them.
 #[derive(Debug)]
-pub struct BoxLinks {
-    boxes: Replication,
-    seats: BTreeMap<u64, Seat>,
-    links: HashMap<usize, Link>,
-    /// Connections at once.
-    most: usize,
-    last: u64,
+pub(super) struct CacheNodeLinks {
+    replication: Replication,
+    /// Positions of the kinds of endpoints that are sent purges.
+    kinds: Vec<u8>,
+    nodes: BTreeMap<NodeId, Node>,
+    /// By poller key.
+    connections: HashMap<usize, Connection>,
+    max_connections: usize,
+    last_command: u64,
     scratch: Vec<u8>,
+    /// What all nodes had confirmed when that was asked last.
     confirmed: PurgeNumber,
 }
 
-impl BoxLinks {
-    /// No boxes yet.
-    pub fn new(now: Timestamp, ledger: &PurgeLog, per_s: f64, most: usize) -> Self {
-        BoxLinks {
-            boxes: Replication::new(now, ledger.identity, per_s),
-            seats: BTreeMap::new(),
-            links: HashMap::new(),
-            most,
-            last: 0,
-            scratch: vec![0; READ_MOST],
+impl CacheNodeLinks {
+    /// Links without nodes. Endpoints of the given kinds are sent purges, at most `purges_per_s` a second together.
+    pub(super) fn new(
+        now: Timestamp,
+        log: &PurgeLog,
+        kinds: Vec<u8>,
+        purges_per_s: f64,
+        max_connections: usize,
+    ) -> Self {
+        CacheNodeLinks {
+            replication: Replication::new(now, log.identity, purges_per_s),
+            kinds,
+            nodes: BTreeMap::new(),
+            connections: HashMap::new(),
+            max_connections,
+            last_command: 0,
+            scratch: vec![0; READ_BUFFER_BYTES],
             confirmed: 0,
         }
     }
 
-    /// Takes over where members listen; `None`: one has gone.
-    pub fn list(&mut self, now: Timestamp, members: &[(u64, Option<SocketAddr>)], whole: bool) {
-        if whole {
-            let gone: Vec<_> = self
-                .seats
-                .keys()
-                .filter(|id| !members.iter().any(|m| m.0 == **id))
-                .copied()
-                .collect();
-            gone.into_iter().for_each(|id| self.gone(id));
+    /// Applies the endpoint list (`full`) or changes of it: ids, kinds and addresses (`None`: removed).
+    pub(super) fn apply_endpoints(
+        &mut self,
+        now: Timestamp,
+        endpoints: &[(NodeId, u8, Option<SocketAddr>)],
+        full: bool,
+    ) {
+        let nodes = endpoints
+            .iter()
+            .filter(|(_, kind, _)| self.kinds.contains(kind));
+        let nodes: Vec<_> = nodes.map(|(id, _, address)| (*id, *address)).collect();
+        if full {
+            let known = self.nodes.keys().copied();
+            let missing = known.filter(|id| !nodes.iter().any(|(listed, _)| listed == id));
+            for id in missing.collect::<Vec<_>>() {
+                self.remove_node(id);
+            }
         }
-        for (id, address) in members {
+        for (id, address) in nodes {
             match address {
-                None => self.gone(*id),
-                Some(address) if self.seats.get(id).is_some_and(|s| s.address == *address) => {}
-                Some(address) => {
-                    // Another address is another process: what it holds has to be asked anew.
-                    let old = self.seats.get_mut(id).and_then(|s| s.link.take());
-                    old.and_then(|key| self.links.remove(&key));
-                    self.boxes.add_node(*id);
-                    self.boxes.disconnected(now, *id);
-                    let seat = Seat {
-                        address: *address,
-                        link: None,
-                        due: now,
-                        failures: 0,
-                    };
-                    self.seats.insert(*id, seat);
-                }
+                Some(address) => self.set_address(now, id, address),
+                None => self.remove_node(id),
             }
         }
     }
 
-    fn gone(&mut self, id: u64) {
-        if let Some(key) = self.seats.remove(&id).and_then(|seat| seat.link) {
-            self.links.remove(&key);
+    fn set_address(&mut self, now: Timestamp, id: NodeId, address: SocketAddr) {
+        let known = self.nodes.get_mut(&id);
+        if known.as_ref().is_some_and(|node| node.address == address) {
+            return;
         }
-        self.boxes.remove_node(id);
+        // Another address is another process, which has to report its state.
+        if let Some(key) = known.and_then(|node| node.connection.take()) {
+            self.connections.remove(&key);
+        }
+        self.replication.add_node(id);
+        self.replication.disconnected(now, id);
+        let node = Node {
+            address,
+            connection: None,
+            connect_at: now,
+            failures: 0,
+        };
+        self.nodes.insert(id, node);
     }
 
-    /// Whether this is a connection to a box.
-    pub fn has(&self, key: usize) -> bool {
-        self.links.contains_key(&key)
+    fn remove_node(&mut self, id: NodeId) {
+        if let Some(key) = self.nodes.remove(&id).and_then(|node| node.connection) {
+            self.connections.remove(&key);
+        }
+        self.replication.remove_node(id);
+    }
+
+    /// Whether a poller key is that of a connection.
+    pub(super) fn has(&self, key: usize) -> bool {
+        self.connections.contains_key(&key)
     }
 
-    /// A box was caught with a copy that it had confirmed to be gone.
-    pub fn lied(&mut self, now: Timestamp, id: u64) {
-        if self.boxes.confirmed_by(id) > 0 {
+    /// A node served a copy that it had confirmed to be purged.
+    pub(super) fn stale_copy_served(&mut self, now: Timestamp, id: NodeId) {
+        if self.replication.confirmed_by(id) > 0 {
             tracing::warn!(
                 kind = "lied",
                 member = member::name_of(EndpointId(id)),
                 "purges: a box served what it had purged"
             );
-            self.boxes.stale_copy_served(now, id);
+            self.replication.stale_copy_served(now, id);
         }
     }
 
-    /// Goes on with a connection.
-    pub fn ready(&mut self, now: Timestamp, key: usize, head: PurgeNumber) {
-        if let Err(error) = self.go_on(now, key, head) {
-            self.fail(now, key, &error.to_string());
+    /// Handles a ready connection. `head` is the last number of the log.
+    pub(super) fn ready(&mut self, now: Timestamp, key: usize, head: PurgeNumber) {
+        if let Err(error) = self.read(now, key, head) {
+            self.disconnect(now, key, &error.to_string());
         }
     }
 
-    fn go_on(&mut self, now: Timestamp, key: usize, head: PurgeNumber) -> io::Result<()> {
-        let Some(link) = self.links.get_mut(&key) else {
+    fn read(&mut self, now: Timestamp, key: usize, head: PurgeNumber) -> io::Result<()> {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return Ok(());
         };
-        if !link.stream.connected()? {
+        if !connection.stream.connected()? {
             return Ok(());
         }
-        link.stream.flush(|()| {})?;
-        link.stream.rewatch(true)?;
-        while let Some(n) = link.stream.fill(&mut self.scratch)? {
-            if n == 0 {
+        connection.stream.flush(|()| {})?;
+        connection.stream.rewatch(true)?;
+        while let Some(received) = connection.stream.fill(&mut self.scratch)? {
+            if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            loop {
-                let found =
-                    purge::decode(link.stream.input()).map_err(|e| io::Error::other(e.0))?;
-                let Some((word, used)) = found else { break };
-                link.stream.consume(used);
-                // A repeat, or an answer to nothing that is out, tells nothing.
-                if word.id != link.asked.0 {
-                    continue;
-                }
-                (link.since, link.waits) = (now, false);
-                if link.greeted {
-                    self.boxes.confirmed(now, link.member, word.upto);
-                } else {
-                    link.greeted = true;
-                    self.boxes.connected(
-                        link.member,
-                        NodeReport {
-                            log: word.ledger,
-                            applied: word.upto,
-                            empty: word.empty,
-                        },
-                        head,
-                    );
-                    if let Some(seat) = self.seats.get_mut(&link.member) {
-                        seat.failures = 0;
-                    }
-                }
+            while let Some(answer) = connection.next_answer(now)? {
+                let node = self.nodes.get_mut(&connection.node);
+                connection.apply_answer(answer, &mut self.replication, node, head);
             }
         }
         Ok(())
     }
 
-    fn fail(&mut self, now: Timestamp, key: usize, why: &str) {
-        let Some(link) = self.links.remove(&key) else {
+    fn disconnect(&mut self, now: Timestamp, key: usize, why: &str) {
+        let Some(connection) = self.connections.remove(&key) else {
             return;
         };
-        self.boxes.disconnected(now, link.member);
-        if let Some(seat) = self.seats.get_mut(&link.member) {
-            seat.link = None;
-            seat.failures += 1;
-            seat.due = now + (RETRY_FIRST << (seat.failures - 1).min(10)).min(RETRY_MOST);
-            if seat.failures == 1 {
-                let member = member::name_of(EndpointId(link.member));
-                tracing::info!(
-                    kind = "box-lost",
-                    member,
-                    error = why,
-                    "purges: no connection to a box"
-                );
-            }
+        let id = connection.node;
+        self.replication.disconnected(now, id);
+        let Some(node) = self.nodes.get_mut(&id) else {
+            return;
+        };
+        node.connection = None;
+        node.back_off(now);
+        if node.failures == 1 {
+            tracing::info!(
+                kind = "box-lost",
+                member = member::name_of(EndpointId(id)),
+                error = why,
+                "purges: no connection to a box"
+            );
         }
     }
 
-    /// Connects and sends what is due.
-    pub fn work(&mut self, turn: &mut Turn<'_>, ledger: &PurgeLog) {
+    /// Closes connections that are overdue, connects and sends what is due.
+    pub(super) fn send_due(&mut self, turn: &mut Turn<'_>, log: &PurgeLog) {
         let now = turn.now;
-        let quiet = |l: &Link| {
-            let most = if l.greeted { CONFIRM_MOST } else { HELLO_MOST };
-            l.waits && now > l.since + most
-        };
-        let quiet: Vec<_> = self
-            .links
-            .iter()
-            .filter(|(_, l)| quiet(l))
-            .map(|(key, _)| *key)
-            .collect();
-        quiet
-            .into_iter()
-            .for_each(|key| self.fail(now, key, "it says nothing"));
-        let due = self
-            .seats
-            .iter()
-            .filter(|(_, s)| s.link.is_none() && s.due <= now)
-            .map(|(id, _)| *id);
-        for id in due.collect::<Vec<_>>() {
-            if self.links.len() >= self.most {
+        self.disconnect_overdue(now);
+        self.connect_due(turn, log);
+        let batches = self
+            .replication
+            .next_batches(now, log.base(), log.last_number());
+        for batch in batches {
+            self.send_batch(now, batch, log);
+        }
+    }
+
+    fn disconnect_overdue(&mut self, now: Timestamp) {
+        let connections = self.connections.iter();
+        let overdue = connections.filter(|(_, connection)| connection.is_overdue(now));
+        let overdue: Vec<usize> = overdue.map(|(key, _)| *key).collect();
+        for key in overdue {
+            self.disconnect(now, key, "it says nothing");
+        }
+    }
+
+    fn connect_due(&mut self, turn: &mut Turn<'_>, log: &PurgeLog) {
+        let nodes = self.nodes.iter();
+        let due =
+            nodes.filter(|(_, node)| node.connection.is_none() && node.connect_at <= turn.now);
+        let due: Vec<NodeId> = due.map(|(id, _)| *id).collect();
+        for id in due {
+            if self.connections.len() >= self.max_connections {
                 break;
             }
-            let key = turn.key();
-            self.last += 1;
-            let Some(seat) = self.seats.get_mut(&id) else {
-                continue;
-            };
-            match dial(seat.address).and_then(|s| Stream::new(turn.reactor, s, key, true)) {
-                Ok(mut stream) => {
-                    stream.push(purge::batch(self.last, ledger.identity, 0, 0, &[]));
-                    seat.link = Some(key);
-                    let asked = (self.last, 0);
-                    self.links.insert(
-                        key,
-                        Link {
-                            member: id,
-                            stream,
-                            asked,
-                            since: now,
-                            greeted: false,
-                            waits: true,
-                        },
-                    );
-                }
-                Err(_) => {
-                    seat.failures += 1;
-                    seat.due = now + (RETRY_FIRST << (seat.failures - 1).min(10)).min(RETRY_MOST);
-                }
-            }
+            self.connect(turn, id, log);
         }
-        for batch in self
-            .boxes
-            .next_batches(now, ledger.base(), ledger.last_number())
-        {
-            let key = self.seats.get(&batch.node).and_then(|s| s.link);
-            let Some((key, link)) =
-                key.and_then(|key| self.links.get_mut(&key).map(|link| (key, link)))
-            else {
-                continue;
-            };
-            let mut purges = ledger.batch_after(batch.after).unwrap_or_default();
-            purges.truncate((batch.through - batch.after) as usize);
-            self.last += 1;
-            link.asked = (self.last, batch.through);
-            (link.since, link.waits) = (now, true);
-            link.stream.push(purge::batch(
-                self.last,
-                ledger.identity,
-                batch.after,
-                batch.through,
-                &purges,
-            ));
-            if let Err(error) = link
-                .stream
-                .flush(|()| {})
-                .and_then(|()| link.stream.rewatch(true))
-            {
-                self.fail(now, key, &error.to_string());
-            }
+    }
+
+    /// Connects to a node, and asks for its state by an empty batch.
+    fn connect(&mut self, turn: &mut Turn<'_>, id: NodeId, log: &PurgeLog) {
+        let key = turn.key();
+        self.last_command += 1;
+        let Some(node) = self.nodes.get_mut(&id) else {
+            return;
+        };
+        let connected =
+            dial(node.address).and_then(|socket| Stream::new(turn.reactor, socket, key, true));
+        let Ok(mut stream) = connected else {
+            return node.back_off(turn.now);
+        };
+        stream.push(purge::batch(self.last_command, log.identity, 0, 0, &[]));
+        node.connection = Some(key);
+        let connection = Connection {
+            node: id,
+            stream,
+            command: self.last_command,
+            last_progress_at: turn.now,
+            reported: false,
+            awaiting_answer: true,
+        };
+        self.connections.insert(key, connection);
+    }
+
+    fn send_batch(&mut self, now: Timestamp, batch: Batch, log: &PurgeLog) {
+        let Some(key) = self.nodes.get(&batch.node).and_then(|node| node.connection) else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return;
+        };
+        let mut purges = log.batch_after(batch.after).unwrap_or_default();
+        purges.truncate((batch.through - batch.after) as usize);
+        self.last_command += 1;
+        connection.command = self.last_command;
+        connection.last_progress_at = now;
+        connection.awaiting_answer = true;
+        let stream = &mut connection.stream;
+        stream.push(purge::batch(
+            self.last_command,
+            log.identity,
+            batch.after,
+            batch.through,
+            &purges,
+        ));
+        if let Err(error) = stream.flush(|()| {}).and_then(|()| stream.rewatch(true)) {
+            self.disconnect(now, key, &error.to_string());
         }
     }
 
-    /// When there may be something to be done without anything else happening.
-    pub fn next(&self, now: Timestamp, head: PurgeNumber) -> Option<Timestamp> {
-        let full = self.links.len() >= self.most;
-        let dial = self
-            .seats
+    /// When something is due without another event. `head` is the last number of the log.
+    pub(super) fn next_due(&self, now: Timestamp, head: PurgeNumber) -> Option<Timestamp> {
+        let full = self.connections.len() >= self.max_connections;
+        let unconnected = self
+            .nodes
             .values()
-            .filter(|s| s.link.is_none() && !full)
-            .map(|s| s.due)
+            .filter(|node| node.connection.is_none() && !full);
+        let connect = unconnected.map(|node| node.connect_at).min();
+        let connections = self.connections.values();
+        let awaiting = connections.filter(|connection| connection.awaiting_answer);
+        // The shorter of the two time-outs: a check that comes early does nothing.
+        let check = awaiting
+            .map(|connection| connection.last_progress_at + REPORT_TIMEOUT + 1)
             .min();
-        let hello = self
-            .links
-            .values()
-            .filter(|l| l.waits)
-            .map(|l| l.since + HELLO_MOST + 1)
-            .min();
-        [dial, hello, self.boxes.next_wakeup(now, head)]
+        [connect, check, self.replication.next_wakeup(now, head)]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// What all boxes have confirmed, if that has changed.
-    pub fn changed(&mut self) -> Option<PurgeNumber> {
-        let now = self.boxes.confirmed_by_all().unwrap_or(0);
-        (std::mem::replace(&mut self.confirmed, now) != now).then_some(now)
+    /// The number that all nodes have confirmed, if it has changed since the last call.
+    pub(super) fn take_confirmation(&mut self) -> Option<PurgeNumber> {
+        let confirmed = self.confirmed();
+        let before = std::mem::replace(&mut self.confirmed, confirmed);
+        (before != confirmed).then_some(confirmed)
     }
 
-    /// What all boxes have confirmed.
-    pub fn confirmed(&self) -> PurgeNumber {
-        self.boxes.confirmed_by_all().unwrap_or(0)
+    /// The number that all nodes have confirmed; 0 if there are none.
+    pub(super) fn confirmed(&self) -> PurgeNumber {
+        self.replication.confirmed_by_all().unwrap_or(0)
     }
 
-    /// Boxes that have not confirmed a number, by name.
-    pub fn missing(&self, number: PurgeNumber) -> Vec<String> {
-        self.boxes
-            .unconfirmed(number)
-            .into_iter()
-            .map(|id| member::name_of(EndpointId(id)))
-            .collect()
+    /// The names of the nodes that have not confirmed a number.
+    pub(super) fn unconfirmed(&self, number: PurgeNumber) -> Vec<String> {
+        let nodes = self.replication.unconfirmed(number).into_iter();
+        nodes.map(|id| member::name_of(EndpointId(id))).collect()
     }
 
-    /// How each box stands.
-    pub fn rows(&self) -> Vec<Value> {
-        let row = |r: cranesill_purges::replication::NodeStatus| {
-            json!({"box": member::name_of(EndpointId(r.id)), "confirmed": r.confirmed, "connected": r.connected,
-                   "slow": r.slow, "lies": r.stale_copies})
+    /// The status of each node, as operators see it.
+    pub(super) fn rows(&self) -> Vec<Value> {
+        let row = |node: NodeStatus| {
+            json!({"box": member::name_of(EndpointId(node.id)), "confirmed": node.confirmed,
+                   "connected": node.connected, "slow": node.slow, "lies": node.stale_copies})
         };
-        self.boxes.statuses().map(row).collect()
+        self.replication.statuses().map(row).collect()
     }
 }
--- /dev/null
+++ b/front/src/server/drivers/purges/commands.rs
@@ -0,0 +1,307 @@
+//! Commands of operators: purging, and showing the log and the cache nodes.
+use super::{purge_date, Purges};
+use crate::server::drivers::{Effect, Purging, Turn};
+use cranesill::api::{Micros, Timestamp};
+use cranesill_purges::log::{Command, CommandError, Prepared};
+use cranesill_purges::{Purge, PurgeNumber, PurgeTarget};
+use serde_json::{json, Value};
+use thiserror::Error;
+
+/// Most commands that wait to be made durable.
+const MAX_QUEUED_COMMANDS: usize = 1_024;
+/// Most purges that one command shows.
+const MAX_ROWS: usize = 1_000;
+/// Longest time that an operator may wait for the cache nodes, in seconds.
+const MAX_WAIT_S: u64 = 120;
+const SECOND: Micros = 1_000_000;
+/// Groups are numbered below this.
+const GROUPS: u32 = 256;
+
+/// Why a purge target is not valid.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum TargetError {
+    /// None of the targets is given, or several.
+    #[error("exactly one of object, group, tag, pattern")]
+    NotOne,
+    /// The object is not valid.
+    #[error("object: not 16 hex digits")]
+    Object,
+    /// The group is not valid.
+    #[error("group: no number below 256")]
+    Group,
+}
+
+/// Why a command of an operator failed.
+#[derive(Debug, Error)]
+pub(super) enum OperatorError {
+    #[error(transparent)]
+    Target(#[from] TargetError),
+    #[error(transparent)]
+    Rejected(#[from] CommandError),
+    #[error("this front follows the ledger at {writer}: purge at its writer")]
+    NotTheWriter { writer: String },
+    #[error("too many wait to be kept")]
+    QueueFull,
+    #[error("the ledger can't be kept: {0}")]
+    JournalFailed(String),
+    /// The purge may be in the journal, or not.
+    #[error(
+        "it counts here until a restart, and could not be kept: {0}; repeat it with the same id"
+    )]
+    NotDurable(String),
+    #[error("purge {number} is not confirmed by {}", nodes.join(" "))]
+    Unconfirmed {
+        number: PurgeNumber,
+        nodes: Vec<String>,
+    },
+    #[error("no box is sent purges")]
+    NoCacheNodes,
+}
+
+/// Who gave a command, and for how long they wait for the cache nodes to confirm it.
+#[derive(Clone, Copy)]
+pub(super) struct Operator {
+    id: u64,
+    waits_until: Option<Timestamp>,
+}
+
+/// A command that waits to be made durable.
+pub(super) struct QueuedCommand {
+    operator: Operator,
+    command: Command,
+}
+
+/// A purge that is being made durable.
+pub(super) struct AppendingPurge {
+    operator: Operator,
+    purge: Purge,
+}
+
+/// An operator who waits until all cache nodes have confirmed a purge.
+pub(super) struct ConfirmationWait {
+    operator: u64,
+    pub(super) until: Timestamp,
+    number: PurgeNumber,
+}
+
+fn answer(turn: &mut Turn<'_>, operator: u64, result: Result<Value, OperatorError>) {
+    let result = result.map_err(|error| error.to_string());
+    turn.effects.push(Effect::Answer(operator, result));
+}
+
+impl Purges {
+    /// Handles a command of an operator; those of other subsystems are ignored.
+    pub(super) fn handle_command(
+        &mut self,
+        turn: &mut Turn<'_>,
+        operator: u64,
+        name: &str,
+        args: &Value,
+    ) {
+        match name {
+            "purge" => match self.queue_purge(turn.now, operator, args) {
+                Ok(()) => self.process_queue(turn),
+                Err(error) => answer(turn, operator, Err(error)),
+            },
+            "purge-boxes" => answer(turn, operator, self.show_cache_nodes()),
+            "purges" => answer(turn, operator, Ok(self.show_log(args))),
+            _ => {}
+        }
+    }
+
+    fn queue_purge(
+        &mut self,
+        now: Timestamp,
+        operator: u64,
+        args: &Value,
+    ) -> Result<(), OperatorError> {
+        if self.writer.is_some() {
+            let follow = self.settings.follow.as_ref();
+            let writer = follow.map_or_else(String::new, |follow| follow.address.clone());
+            return Err(OperatorError::NotTheWriter { writer });
+        }
+        let text = |name: &str| args[name].as_str().unwrap_or("").into();
+        let command = Command {
+            target: parse_target(args)?,
+            id: text("id"),
+            who: text("who"),
+            why: text("why"),
+            all: args["all"].as_bool().unwrap_or(false),
+        };
+        if self.queue.len() >= MAX_QUEUED_COMMANDS {
+            return Err(OperatorError::QueueFull);
+        }
+        let wait_s = args["wait_s"].as_u64();
+        let operator = Operator {
+            id: operator,
+            waits_until: wait_s.map(|seconds| now + seconds.min(MAX_WAIT_S) * SECOND),
+        };
+        self.queue.push_back(QueuedCommand { operator, command });
+        Ok(())
+    }
+
+    /// Makes the next command durable, unless another one is being made so.
+    pub(super) fn process_queue(&mut self, turn: &mut Turn<'_>) {
+        while self.appending.is_none() {
+            let Some(QueuedCommand { operator, command }) = self.queue.pop_front() else {
+                return;
+            };
+            if let Some(cause) = &self.journal_failure {
+                let error = OperatorError::JournalFailed(cause.clone());
+                answer(turn, operator.id, Err(error));
+                continue;
+            }
+            match self.log.prepare(purge_date(turn), &command) {
+                Ok(Prepared::Duplicate(number)) => {
+                    let shown = json!({"number": number, "repeated": true});
+                    self.answer_purge(turn, operator, number, shown);
+                }
+                Ok(Prepared::New(purge)) => self.append(turn, AppendingPurge { operator, purge }),
+                Err(error) => answer(turn, operator.id, Err(error.into())),
+            }
+        }
+    }
+
+    fn append(&mut self, turn: &mut Turn<'_>, appending: AppendingPurge) {
+        if self.journal.file().is_none() {
+            return self.purge_appended(turn, appending);
+        }
+        let purge = appending.purge.clone();
+        self.appending = Some(appending);
+        if let Err(error) = self.journal.append(purge) {
+            self.journal_failed(turn, &error.to_string());
+        }
+    }
+
+    /// A purge is durable, and takes effect.
+    pub(super) fn purge_appended(&mut self, turn: &mut Turn<'_>, appended: AppendingPurge) {
+        let AppendingPurge { operator, purge } = appended;
+        let number = purge.number;
+        tracing::info!(number, what = ?purge.target, who = %purge.who, why = %purge.why, "purge");
+        // It was prepared as the next one, and nothing was appended since.
+        let _ = self.log.append(self.log.identity, purge.clone());
+        turn.effects
+            .push(Effect::Purges(Purging::Purged(vec![purge])));
+        let shown = json!({"number": number, "repeated": false});
+        self.answer_purge(turn, operator, number, shown);
+    }
+
+    /// A purge could not be made durable. It takes effect on this front all the same, since it may be in the journal; its
+    /// operator is told that it may not last.
+    pub(super) fn purge_not_durable(
+        &mut self,
+        turn: &mut Turn<'_>,
+        failed: AppendingPurge,
+        cause: &str,
+    ) {
+        // Without a number it counts whatever the cache nodes confirm.
+        let purge = Purge {
+            number: 0,
+            ..failed.purge
+        };
+        turn.effects
+            .push(Effect::Purges(Purging::Purged(vec![purge])));
+        let error = OperatorError::NotDurable(cause.into());
+        answer(turn, failed.operator.id, Err(error));
+    }
+
+    /// Answers an operator at once, or later if they wait for the cache nodes.
+    fn answer_purge(
+        &mut self,
+        turn: &mut Turn<'_>,
+        operator: Operator,
+        number: PurgeNumber,
+        shown: Value,
+    ) {
+        match operator.waits_until.filter(|_| self.cache_nodes.is_some()) {
+            Some(until) => self.confirmation_waits.push(ConfirmationWait {
+                operator: operator.id,
+                until,
+                number,
+            }),
+            None => answer(turn, operator.id, Ok(shown)),
+        }
+        self.serve_peers(turn);
+    }
+
+    /// Answers operators who wait for the cache nodes, if all have confirmed or the time is up.
+    pub(super) fn answer_confirmation_waits(&mut self, turn: &mut Turn<'_>) {
+        let Some(nodes) = &self.cache_nodes else {
+            return;
+        };
+        self.confirmation_waits.retain(|wait| {
+            let number = wait.number;
+            let unconfirmed = nodes.unconfirmed(number);
+            let result = match unconfirmed.is_empty() {
+                true => Ok(json!({"number": number, "confirmed": "by all boxes"})),
+                false if turn.now >= wait.until => Err(OperatorError::Unconfirmed {
+                    number,
+                    nodes: unconfirmed,
+                }),
+                false => return true,
+            };
+            answer(turn, wait.operator, result);
+            false
+        });
+    }
+
+    fn show_cache_nodes(&self) -> Result<Value, OperatorError> {
+        let nodes = self.cache_nodes.as_ref();
+        let rows = nodes.ok_or(OperatorError::NoCacheNodes)?.rows();
+        Ok(json!({"last": self.log.last_number(), "boxes": rows}))
+    }
+
+    fn show_log(&self, args: &Value) -> Value {
+        let rows: Vec<Value> = match args["number"].as_u64() {
+            Some(number) => self.log.get(number).into_iter().map(row).collect(),
+            None => self.log.iter().rev().take(MAX_ROWS).map(row).collect(),
+        };
+        let followers = self.followers.as_ref();
+        json!({"last": self.log.last_number(), "held_after": self.log.base(),
+               "ledger": format!("{:016x}", self.log.identity), "not_kept": self.journal_failure,
+               "followers": followers.map(|followers| followers.known()), "purges": rows})
+    }
+}
+
+fn row(purge: &Purge) -> Value {
+    let target = match &purge.target {
+        PurgeTarget::Object(object) => json!({"object": format!("{object:016x}")}),
+        PurgeTarget::Group(group) => json!({"group": group}),
+        PurgeTarget::Tag(tag) => json!({"tag": tag}),
+        PurgeTarget::Pattern(pattern) => json!({"pattern": pattern}),
+    };
+    json!({"number": purge.number, "at_ms": purge.at_ms, "what": target, "id": purge.id, "who": purge.who,
+           "why": purge.why})
+}
+
+/// The purge target that a command names.
+pub fn parse_target(args: &Value) -> Result<PurgeTarget, TargetError> {
+    let names = ["object", "group", "tag", "pattern"];
+    let mut given = names.into_iter().filter(|name| !args[*name].is_null());
+    let (Some(name), None) = (given.next(), given.next()) else {
+        return Err(TargetError::NotOne);
+    };
+    let value = &args[name];
+    let text = value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string);
+    match name {
+        "object" => parse_object(&text).ok_or(TargetError::Object),
+        "group" => parse_group(&text).ok_or(TargetError::Group),
+        "tag" => Ok(PurgeTarget::Tag(text.into())),
+        _ => Ok(PurgeTarget::Pattern(text.into())),
+    }
+}
+
+fn parse_object(text: &str) -> Option<PurgeTarget> {
+    if text.len() != 16 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return None;
+    }
+    let number = u64::from_str_radix(text, 16).ok()?;
+    Some(PurgeTarget::Object(number))
+}
+
+fn parse_group(text: &str) -> Option<PurgeTarget> {
+    let number: u32 = text.parse().ok()?;
+    (number < GROUPS).then_some(PurgeTarget::Group(number))
+}
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -1,356 +1,255 @@
-//! The ledger between fronts: the writer's end, which serves those that follow, and a follower's, which keeps contact.
-use crate::protocol::follow::{frame, hello, read_frame, read_hello, Frame, Hello, HELLO};
+//! The writer's end of the purge log: it serves the log to the fronts that follow.
+use super::outgoing;
+use super::start::StartError;
+use crate::protocol::follow::{frame, read_hello, Frame, Hello, HELLO};
 use crate::server::drivers::Turn;
-use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
+use crate::transport::{at_start, listen, Registered, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::log::PurgeLog;
-use cranesill_purges::PurgeNumber;
+use cranesill_purges::{Purge, PurgeNumber};
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
-use std::rc::Rc;
 
-/// Followers at once; one more is closed.
-pub const FOLLOWERS_MOST: usize = 32;
-/// A follower that has not said who it is after this long, or takes nothing for this long, is closed.
-const SILENCE_MOST: Micros = 5_000_000;
-/// An empty batch goes out after this long without another.
-const BEAT: Micros = 500_000;
-/// Pauses between two tries of a follower: the first, and the longest.
-const RETRY_FIRST: Micros = 200_000;
-const RETRY_MOST: Micros = 5_000_000;
-/// Without a whole frame for this long a follower connects anew.
-const QUIET_MOST: Micros = 2_500_000;
-const READ_MOST: usize = 64 * 1024;
-
-fn out(bytes: Vec<u8>) -> Outgoing<()> {
-    Outgoing {
-        tag: (),
-        head: bytes,
-        body: Rc::default(),
-        tail: b"",
-    }
-}
+/// Most followers at once; further ones are closed.
+pub const MAX_FOLLOWERS: usize = 32;
+/// A follower that does not introduce itself, or takes nothing, for this long is closed.
+const SILENCE_TIMEOUT: Micros = 5_000_000;
+/// An empty batch is sent as a heartbeat after this long without another.
+const HEARTBEAT_INTERVAL: Micros = 500_000;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Length of a confirmation.
+const CONFIRMATION_BYTES: usize = 8;
 
 #[derive(Debug)]
-struct Reader {
+struct Follower {
     stream: Stream<()>,
-    /// The last number that it has kept; `None`: it has not said who it is.
-    last: Option<PurgeNumber>,
-    /// Up to where the batch goes that is out.
-    sent: Option<PurgeNumber>,
-    moved: Timestamp,
-    beat: Timestamp,
+    /// The number up to which it has stored the log; `None` until it has introduced itself.
+    stored: Option<PurgeNumber>,
+    /// The last number of the batch that it has not confirmed.
+    in_flight: Option<PurgeNumber>,
+    last_progress_at: Timestamp,
+    heartbeat_at: Timestamp,
 }
 
-/// The writer's end.
-#[derive(Debug)]
-pub struct Followers {
-    listener: Registered<TcpListener>,
-    listener_key: usize,
-    all: HashMap<usize, Reader>,
-    scratch: Vec<u8>,
-}
-
-impl Followers {
-    /// Listens.
-    pub fn new(turn: &mut Turn<'_>, at: &str) -> Result<Self, String> {
-        let failed = |e: &dyn std::fmt::Display| format!("purges.serve: {at}: {e}");
-        let address: SocketAddr = at
-            .parse()
-            .map_err(|e: std::net::AddrParseError| failed(&e))?;
-        let listener_key = turn.key();
-        let listener = at_start(|| listen(address)).map_err(|e| failed(&e))?;
-        let local = listener.local_addr().map_err(|e| failed(&e))?;
-        tracing::info!(at = %local, "purges: serving the ledger");
-        let listener = turn
-            .reactor
-            .watch(listener, listener_key, false)
-            .map_err(|e| failed(&e))?;
-        Ok(Followers {
-            listener,
-            listener_key,
-            all: HashMap::new(),
-            scratch: vec![0; READ_MOST],
-        })
+impl Follower {
+    fn new(now: Timestamp, stream: Stream<()>) -> Self {
+        Follower {
+            stream,
+            stored: None,
+            in_flight: None,
+            last_progress_at: now,
+            heartbeat_at: now,
+        }
     }
 
-    /// Whether this is one of its sources.
-    pub fn has(&self, key: usize) -> bool {
-        key == self.listener_key || self.all.contains_key(&key)
+    fn is_silent(&self, now: Timestamp) -> bool {
+        let waiting = self.stored.is_none() || self.in_flight.is_some() || !self.stream.flushed();
+        waiting && now > self.last_progress_at + SILENCE_TIMEOUT
     }
 
-    /// Followers that said who they are, and the least number that they have kept.
-    pub fn state(&self) -> (usize, Option<PurgeNumber>) {
-        let known = self.all.values().filter_map(|r| r.last);
-        (known.clone().count(), known.min())
+    /// The number after which it is sent the next batch; `None` while it cannot be sent one.
+    fn ready_after(&self) -> Option<PurgeNumber> {
+        self.stored
+            .filter(|_| self.in_flight.is_none() && self.stream.flushed())
     }
 
-    /// Goes on with one of its sources.
-    pub fn ready(&mut self, turn: &mut Turn<'_>, key: usize, ledger: &PurgeLog) {
-        if key == self.listener_key {
-            while let Ok((socket, _)) = self.listener.accept() {
-                if self.all.len() >= FOLLOWERS_MOST {
-                    continue;
-                }
-                let key = turn.key();
-                if let Ok(stream) = Stream::new(turn.reactor, socket, key, false) {
-                    let reader = Reader {
-                        stream,
-                        last: None,
-                        sent: None,
-                        moved: turn.now,
-                        beat: turn.now,
-                    };
-                    self.all.insert(key, reader);
-                }
-            }
-            return;
-        }
-        if let Err(error) = self.read(turn.now, key, ledger) {
-            self.all.remove(&key);
-            tracing::info!(kind = "follower-lost", %error, "purges: a follower has gone");
+    fn next_due(&self) -> Timestamp {
+        match (self.stored, self.in_flight) {
+            (Some(_), None) => self.heartbeat_at,
+            _ => self.last_progress_at + SILENCE_TIMEOUT + 1,
         }
     }
 
-    fn read(&mut self, now: Timestamp, key: usize, ledger: &PurgeLog) -> io::Result<()> {
-        let Some(reader) = self.all.get_mut(&key) else {
+    fn flush(&mut self) -> io::Result<()> {
+        self.stream.flush(|()| {})?;
+        self.stream.rewatch(true)
+    }
+
+    /// Reads the introduction, if it is complete. A follower of another log, or with numbers that this one does not have,
+    /// begins anew.
+    fn read_introduction(&mut self, log: &PurgeLog) -> io::Result<()> {
+        let decoded = read_hello(self.stream.input()).map_err(|e| invalid(e.0))?;
+        let Some(Hello { ledger, last }) = decoded else {
             return Ok(());
         };
-        let bad = |why: &'static str| io::Error::new(io::ErrorKind::InvalidData, why);
-        reader.stream.flush(|()| {})?;
-        while let Some(n) = reader.stream.fill(&mut self.scratch)? {
-            if n == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
-            }
-            reader.moved = now;
-            if reader.last.is_none() {
-                let Some(told) = read_hello(reader.stream.input()).map_err(|e| bad(e.0))? else {
-                    continue;
-                };
-                reader.stream.consume(HELLO);
-                let known = told.ledger == ledger.identity
-                    && (ledger.base()..=ledger.last_number()).contains(&told.last);
-                let last = if known { told.last } else { ledger.base() };
-                if !known {
-                    let (identity, base, head) =
-                        (ledger.identity, ledger.base(), ledger.last_number());
-                    let anew = Frame {
-                        anew: true,
-                        ledger: identity,
-                        base,
-                        head,
-                        purges: Vec::new(),
-                    };
-                    reader.stream.push(out(frame(&anew)));
-                }
-                reader.last = Some(last);
-            }
-            while let Some(number) = reader
-                .stream
-                .input()
-                .first_chunk::<8>()
-                .map(|b| u64::from_le_bytes(*b))
-            {
-                reader.stream.consume(8);
-                // Its word for what is out, and for nothing else.
-                if reader.sent.take() != Some(number) {
-                    return Err(bad("a follower confirms what it was not sent"));
-                }
-                reader.last = Some(number);
-            }
-            if reader.stream.input().len() > HELLO {
-                return Err(bad("a follower says too much"));
-            }
+        self.stream.consume(HELLO);
+        let known = (log.base()..=log.last_number()).contains(&last);
+        if ledger == log.identity && known {
+            self.stored = Some(last);
+            return Ok(());
         }
-        reader.stream.rewatch(true)
+        let begin_anew = Frame {
+            anew: true,
+            ..batch_frame(log, Vec::new())
+        };
+        self.stream.push(outgoing(frame(&begin_anew)));
+        self.stored = Some(log.base());
+        Ok(())
     }
 
-    /// Sends what is due.
-    pub fn work(&mut self, now: Timestamp, ledger: &PurgeLog) {
-        let mut gone = Vec::new();
-        for (key, reader) in &mut self.all {
-            let waits = reader.last.is_none() || reader.sent.is_some() || !reader.stream.flushed();
-            if waits && now > reader.moved + SILENCE_MOST {
-                gone.push(*key);
-            }
-            let Some(last) = reader
-                .last
-                .filter(|_| reader.sent.is_none() && reader.stream.flushed())
-            else {
-                continue;
-            };
-            if last >= ledger.last_number() && now < reader.beat {
-                continue;
-            }
-            let Some(purges) = ledger.batch_after(last) else {
-                // It was compacted away under it: it says anew how it stands.
-                gone.push(*key);
-                continue;
-            };
-            reader.sent = purges.last().map(|p| p.number);
-            let (identity, base, head) = (ledger.identity, ledger.base(), ledger.last_number());
-            let batch = Frame {
-                anew: false,
-                ledger: identity,
-                base,
-                head,
-                purges,
-            };
-            reader.stream.push(out(frame(&batch)));
-            reader.beat = now + BEAT;
-            if reader.sent.is_some() {
-                reader.moved = now;
-            }
-            if reader
-                .stream
-                .flush(|()| {})
-                .and_then(|()| reader.stream.rewatch(true))
-                .is_err()
-            {
-                gone.push(*key);
+    fn read_confirmations(&mut self) -> io::Result<()> {
+        while let Some(bytes) = self.stream.input().first_chunk::<CONFIRMATION_BYTES>() {
+            let number = u64::from_le_bytes(*bytes);
+            self.stream.consume(CONFIRMATION_BYTES);
+            if self.in_flight.take() != Some(number) {
+                return Err(invalid("a follower confirms what it was not sent"));
             }
+            self.stored = Some(number);
         }
-        gone.into_iter().for_each(|key| drop(self.all.remove(&key)));
+        Ok(())
     }
 
-    /// The next moment at which something is due.
-    pub fn next(&self) -> Option<Timestamp> {
-        let due = |r: &Reader| {
-            if r.last.is_some() && r.sent.is_none() {
-                r.beat
-            } else {
-                r.moved + SILENCE_MOST + 1
-            }
+    /// Sends a batch, or an empty one as a heartbeat. Returns whether the connection works.
+    fn send_if_due(&mut self, now: Timestamp, log: &PurgeLog) -> bool {
+        let Some(after) = self.ready_after() else {
+            return true;
+        };
+        if after >= log.last_number() && now < self.heartbeat_at {
+            return true;
+        }
+        let Some(purges) = log.batch_after(after) else {
+            // Its next purges were compacted meanwhile: it has to introduce itself again.
+            return false;
         };
-        self.all.values().map(due).min()
+        self.in_flight = purges.last().map(|purge| purge.number);
+        self.stream.push(outgoing(frame(&batch_frame(log, purges))));
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+        if self.in_flight.is_some() {
+            self.last_progress_at = now;
+        }
+        self.flush().is_ok()
     }
 }
 
-/// A follower's end.
+fn invalid(why: &'static str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, why)
+}
+
+fn batch_frame(log: &PurgeLog, purges: Vec<Purge>) -> Frame {
+    Frame {
+        anew: false,
+        ledger: log.identity,
+        base: log.base(),
+        head: log.last_number(),
+        purges,
+    }
+}
+
+/// The followers of this front.
 #[derive(Debug)]
-pub struct Following {
-    address: SocketAddr,
-    link: Option<(usize, Stream<()>)>,
-    heard: Timestamp,
-    due: Timestamp,
-    failures: u32,
-    /// The last purge that came on this connection and is not confirmed.
-    owed: Option<PurgeNumber>,
+pub(super) struct Followers {
+    listener: Registered<TcpListener>,
+    listener_key: usize,
+    /// By the poller keys of their connections.
+    followers: HashMap<usize, Follower>,
     scratch: Vec<u8>,
 }
 
-impl Following {
-    /// Not connected yet.
-    pub fn new(now: Timestamp, address: &str) -> Result<Self, String> {
-        let address = address
-            .parse()
-            .map_err(|e| format!("purges.follow.address: {address}: {e}"))?;
-        Ok(Following {
-            address,
-            link: None,
-            heard: now,
-            due: now,
-            failures: 0,
-            owed: None,
-            scratch: vec![0; READ_MOST],
+impl Followers {
+    /// Listens for followers.
+    pub(super) fn new(turn: &mut Turn<'_>, address: &str) -> Result<Self, StartError> {
+        let socket_address: SocketAddr =
+            address.parse().map_err(|cause| StartError::ServeAddress {
+                address: address.into(),
+                cause,
+            })?;
+        let listener_key = turn.key();
+        let listener = Self::listen(turn, socket_address, listener_key).map_err(|cause| {
+            StartError::Serve {
+                address: address.into(),
+                cause,
+            }
+        })?;
+        Ok(Followers {
+            listener,
+            listener_key,
+            followers: HashMap::new(),
+            scratch: vec![0; READ_BUFFER_BYTES],
         })
     }
 
-    /// Whether this is its connection.
-    pub fn has(&self, key: usize) -> bool {
-        self.link.as_ref().is_some_and(|l| l.0 == key)
+    fn listen(
+        turn: &mut Turn<'_>,
+        address: SocketAddr,
+        key: usize,
+    ) -> io::Result<Registered<TcpListener>> {
+        let listener = at_start(|| listen(address))?;
+        let local = listener.local_addr()?;
+        tracing::info!(at = %local, "purges: serving the ledger");
+        turn.reactor.watch(listener, key, false)
     }
 
-    /// Frames that came.
-    pub fn ready(&mut self, now: Timestamp) -> Vec<Frame> {
-        let mut frames = Vec::new();
-        if let Err(error) = self.read(now, &mut frames) {
-            self.lost(now, &error.to_string());
-        }
-        frames
+    /// Whether a poller key is that of the listener or of a follower.
+    pub(super) fn has(&self, key: usize) -> bool {
+        key == self.listener_key || self.followers.contains_key(&key)
     }
 
-    fn read(&mut self, now: Timestamp, frames: &mut Vec<Frame>) -> io::Result<()> {
-        let Some((_, stream)) = &mut self.link else {
-            return Ok(());
-        };
-        if !stream.connected()? {
-            return Ok(());
-        }
-        stream.flush(|()| {})?;
-        // One read a turn: a writer that has much to say does not keep the loop to itself.
-        if let Some(n) = stream.fill(&mut self.scratch)? {
-            if n == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
-            }
-            while let Some((frame, used)) =
-                read_frame(stream.input()).map_err(|e| io::Error::other(e.0))?
-            {
-                stream.consume(used);
-                (self.heard, self.failures) = (now, 0);
-                frames.push(frame);
-            }
-        }
-        stream.rewatch(true)
+    /// The number of followers that have introduced themselves.
+    pub(super) fn known(&self) -> usize {
+        let followers = self.followers.values();
+        followers
+            .filter(|follower| follower.stored.is_some())
+            .count()
     }
 
-    /// What came can't be used, or nothing comes any more.
-    pub fn lost(&mut self, now: Timestamp, why: &str) {
-        if self.link.take().is_some() || self.failures == 0 {
-            tracing::info!(kind = "writer-lost", writer = %self.address, error = why, "purges: no connection to the writer");
+    /// Handles a ready listener or connection.
+    pub(super) fn ready(&mut self, turn: &mut Turn<'_>, key: usize, log: &PurgeLog) {
+        if key == self.listener_key {
+            return self.accept(turn);
+        }
+        if let Err(error) = self.read(turn.now, key, log) {
+            self.followers.remove(&key);
+            tracing::info!(kind = "follower-lost", %error, "purges: a follower has gone");
         }
-        // The writer takes no confirmation of what it has not sent on the same connection.
-        self.owed = None;
-        self.failures += 1;
-        self.due = now + (RETRY_FIRST << (self.failures - 1).min(8)).min(RETRY_MOST);
     }
 
-    /// Everything up to a number came in one batch: it is confirmed once it is durable.
-    pub fn owe(&mut self, number: PurgeNumber) {
-        self.owed = Some(number);
+    fn accept(&mut self, turn: &mut Turn<'_>) {
+        while let Ok((socket, _)) = self.listener.accept() {
+            if self.followers.len() >= MAX_FOLLOWERS {
+                continue;
+            }
+            let key = turn.key();
+            if let Ok(stream) = Stream::new(turn.reactor, socket, key, false) {
+                self.followers.insert(key, Follower::new(turn.now, stream));
+            }
+        }
     }
 
-    /// Everything up to a number is durable. The writer is told where it waits for that.
-    pub fn kept(&mut self, now: Timestamp, durable: PurgeNumber) {
-        let Some(number) = self.owed.filter(|number| *number <= durable) else {
-            return;
+    fn read(&mut self, now: Timestamp, key: usize, log: &PurgeLog) -> io::Result<()> {
+        let Some(follower) = self.followers.get_mut(&key) else {
+            return Ok(());
         };
-        self.owed = None;
-        if let Some((_, stream)) = &mut self.link {
-            stream.push(out(number.to_le_bytes().to_vec()));
-            if let Err(error) = stream.flush(|()| {}).and_then(|()| stream.rewatch(true)) {
-                self.lost(now, &error.to_string());
+        follower.stream.flush(|()| {})?;
+        while let Some(received) = follower.stream.fill(&mut self.scratch)? {
+            if received == 0 {
+                return Err(io::ErrorKind::UnexpectedEof.into());
+            }
+            follower.last_progress_at = now;
+            if follower.stored.is_none() {
+                follower.read_introduction(log)?;
+            }
+            if follower.stored.is_none() {
+                continue;
+            }
+            follower.read_confirmations()?;
+            if follower.stream.input().len() > HELLO {
+                return Err(invalid("a follower says too much"));
             }
         }
+        follower.stream.rewatch(true)
     }
 
-    /// Connects where that is due, and says which ledger is durable here, and up to which purge.
-    pub fn work(&mut self, turn: &mut Turn<'_>, ledger: u64, last: PurgeNumber) {
-        let now = turn.now;
-        if self.link.is_some() && now > self.heard + QUIET_MOST {
-            self.lost(now, "it says nothing");
-        }
-        if self.link.is_some() || now < self.due {
-            return;
-        }
-        let key = turn.key();
-        match dial(self.address).and_then(|socket| Stream::new(turn.reactor, socket, key, true)) {
-            Ok(mut stream) => {
-                stream.push(out(hello(Hello { ledger, last })));
-                self.heard = now;
-                self.link = Some((key, stream));
-            }
-            Err(error) => self.lost(now, &error.to_string()),
-        }
+    /// Sends followers what is due, and closes those that are silent or fail.
+    pub(super) fn send_due(&mut self, now: Timestamp, log: &PurgeLog) {
+        self.followers.retain(|_, follower| {
+            let silent = follower.is_silent(now);
+            follower.send_if_due(now, log) && !silent
+        });
     }
 
-    /// The next moment at which something is due.
-    pub fn next(&self) -> Timestamp {
-        if self.link.is_some() {
-            self.heard + QUIET_MOST + 1
-        } else {
-            self.due
-        }
+    /// When something is due without another event.
+    pub(super) fn next_due(&self) -> Option<Timestamp> {
+        self.followers.values().map(Follower::next_due).min()
     }
 }
--- /dev/null
+++ b/front/src/server/drivers/purges/journal_writer.rs
@@ -0,0 +1,235 @@
+//! Writes the purge log's journal on a worker thread, since syncing a file may block.
+use crate::transport::{Reactor, Workers};
+use cranesill_purges::journal::{self, GuardedFile, JournalFile};
+use cranesill_purges::log::PurgeLog;
+use cranesill_purges::matching::{compile_patterns, CompileError, CompileJob, PatternSet};
+use cranesill_purges::Purge;
+use std::io::{self, Read, Write};
+use std::os::unix::fs::OpenOptionsExt;
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex};
+use thiserror::Error;
+
+/// Largest journal that is read.
+const MAX_JOURNAL_BYTES: u64 = 1 << 30;
+/// Permissions of the journal: its owner may read and write it.
+const JOURNAL_MODE: u32 = 0o600;
+
+/// The journal on disk.
+pub(super) struct DiskFile {
+    path: PathBuf,
+    /// Open for appending.
+    pub(super) append_handle: Option<std::fs::File>,
+}
+
+impl DiskFile {
+    /// The journal at a path; nothing is opened yet.
+    pub(super) fn new(path: PathBuf) -> Self {
+        DiskFile {
+            path,
+            append_handle: None,
+        }
+    }
+
+    fn folder(&self) -> &Path {
+        let parent = self.path.parent();
+        let folder = parent.filter(|path| !path.as_os_str().is_empty());
+        folder.unwrap_or(Path::new("."))
+    }
+}
+
+impl JournalFile for DiskFile {
+    fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
+        let file = match std::fs::File::open(&self.path) {
+            Ok(file) => file,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+            Err(error) => return Err(error),
+        };
+        let mut bytes = Vec::new();
+        file.take(MAX_JOURNAL_BYTES + 1).read_to_end(&mut bytes)?;
+        if bytes.len() as u64 > MAX_JOURNAL_BYTES {
+            return Err(io::Error::other(format!(
+                "more than {MAX_JOURNAL_BYTES} bytes"
+            )));
+        }
+        Ok(Some(bytes))
+    }
+
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let file = match &mut self.append_handle {
+            Some(file) => file,
+            None => {
+                let file = std::fs::OpenOptions::new().append(true).open(&self.path)?;
+                self.append_handle.insert(file)
+            }
+        };
+        file.write_all(bytes)
+    }
+
+    fn sync(&mut self) -> io::Result<()> {
+        match &self.append_handle {
+            Some(file) => file.sync_data(),
+            None => Ok(()),
+        }
+    }
+
+    fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.append_handle = None;
+        let temporary = self.path.with_extension("tmp");
+        let mut file = std::fs::OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .mode(JOURNAL_MODE)
+            .open(&temporary)?;
+        file.write_all(bytes)?;
+        file.sync_all()?;
+        std::fs::rename(&temporary, &self.path)?;
+        std::fs::File::open(self.folder())?.sync_all()
+    }
+}
+
+/// Up to which purge of which log the journal is durable.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct DurablePosition {
+    pub(super) log: u64,
+    pub(super) number: u64,
+}
+
+impl DurablePosition {
+    /// The end of a log.
+    pub(super) fn end_of(log: &PurgeLog) -> Self {
+        DurablePosition {
+            log: log.identity,
+            number: log.last_number(),
+        }
+    }
+
+    /// The start of a log, of which nothing is durable.
+    pub(super) fn start_of(log: &PurgeLog) -> Self {
+        DurablePosition {
+            log: log.identity,
+            number: log.base(),
+        }
+    }
+
+    /// Includes what was written since; a write of another log is ignored.
+    pub(super) fn advance(&mut self, written: DurablePosition) {
+        if self.log == written.log {
+            self.number = self.number.max(written.number);
+        }
+    }
+}
+
+/// Why a write failed.
+#[derive(Debug, Error)]
+pub(super) enum WriteError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// An earlier write panicked, and left the file in an unknown state.
+    #[error("its writer has failed")]
+    WriterPanicked,
+}
+
+type WriteResult = Result<(), WriteError>;
+
+/// Work that a worker thread has completed.
+pub(super) enum Completed {
+    /// A purge of an operator was appended.
+    PurgeAppended(WriteResult),
+    /// A batch from the writer was appended.
+    BatchAppended {
+        durable: DurablePosition,
+        result: WriteResult,
+    },
+    /// The journal was rewritten.
+    Rewritten {
+        durable: DurablePosition,
+        result: WriteResult,
+    },
+    PatternsCompiled(Result<PatternSet, CompileError>),
+}
+
+type SharedFile = Arc<Mutex<GuardedFile<DiskFile>>>;
+
+/// Hands work to the worker threads. Writes are done in the order given.
+pub(super) struct JournalWriter {
+    file: Option<SharedFile>,
+    workers: Workers<Completed>,
+}
+
+impl JournalWriter {
+    /// A writer without a journal. `key` becomes readable when work is completed.
+    pub(super) fn new(reactor: &Reactor, key: usize) -> io::Result<Self> {
+        Ok(JournalWriter {
+            file: None,
+            workers: Workers::new(reactor, key)?,
+        })
+    }
+
+    /// Sets the journal to write.
+    pub(super) fn set_file(&mut self, file: Option<GuardedFile<DiskFile>>) {
+        self.file = file.map(|file| Arc::new(Mutex::new(file)));
+    }
+
+    /// The journal, if the settings name one.
+    pub(super) fn file(&self) -> Option<&SharedFile> {
+        self.file.as_ref()
+    }
+
+    /// Appends a purge of an operator.
+    pub(super) fn append(&mut self, purge: Purge) -> io::Result<()> {
+        let write = move |file: &mut GuardedFile<DiskFile>| journal::append_purge(file, &purge);
+        self.write(write, Completed::PurgeAppended)
+    }
+
+    /// Appends purges that came from the writer, after which the journal is durable up to `durable`.
+    pub(super) fn append_batch(
+        &mut self,
+        durable: DurablePosition,
+        purges: Vec<Purge>,
+    ) -> io::Result<()> {
+        let write = move |file: &mut GuardedFile<DiskFile>| journal::append_purges(file, &purges);
+        self.write(write, move |result| Completed::BatchAppended {
+            durable,
+            result,
+        })
+    }
+
+    /// Rewrites the journal.
+    pub(super) fn rewrite(&mut self, log: PurgeLog) -> io::Result<()> {
+        let durable = DurablePosition::end_of(&log);
+        let write = move |file: &mut GuardedFile<DiskFile>| journal::rewrite(file, &log);
+        self.write(write, move |result| Completed::Rewritten {
+            durable,
+            result,
+        })
+    }
+
+    fn write(
+        &mut self,
+        write: impl FnOnce(&mut GuardedFile<DiskFile>) -> io::Result<()> + Send + 'static,
+        completed: impl FnOnce(WriteResult) -> Completed + Send + 'static,
+    ) -> io::Result<()> {
+        let Some(file) = self.file.clone() else {
+            return Ok(());
+        };
+        self.workers.in_order(move || {
+            completed(match file.lock() {
+                Ok(mut file) => write(&mut file).map_err(WriteError::Io),
+                Err(_) => Err(WriteError::WriterPanicked),
+            })
+        })
+    }
+
+    /// Compiles patterns, beside the writes.
+    pub(super) fn compile(&self, job: CompileJob) -> io::Result<()> {
+        let work = move || Completed::PatternsCompiled(compile_patterns(job));
+        self.workers.run(work)
+    }
+
+    /// The work that was completed since the last call.
+    pub(super) fn completed(&mut self) -> Vec<Completed> {
+        self.workers.results()
+    }
+}
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -1,7 +1,12 @@
 //! The driver with a scripted writer and a file that fails.
+use super::journal_writer::DiskFile;
 use super::*;
 use crate::protocol::follow::{frame, read_hello, Frame, Hello, HELLO};
 use crate::transport::Reactor;
+use cranesill_purges::journal::{self, JournalFile, OpenedJournal};
+use cranesill_purges::PurgeTarget;
+use serde_json::json;
+use std::io::{self, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
@@ -152,18 +157,18 @@
         .unwrap();
     stage
         .purges
-        .disk
-        .as_ref()
+        .journal
+        .file()
         .unwrap()
         .lock()
         .unwrap()
         .file_mut()
-        .tail = Some(full);
+        .append_handle = Some(full);
     socket.write_all(&batch(3, 3)).unwrap();
-    stage.until(|purges| purges.broken.clone());
+    stage.until(|purges| purges.journal_failure.clone());
     assert_eq!(std::fs::read(&path).unwrap(), kept);
     // It counts here, and the writer is told of nothing that a restart would not find.
-    assert_eq!(stage.purges.ledger.last_number(), 3);
+    assert_eq!(stage.purges.log.last_number(), 3);
     stage.now += 2 * SECOND;
     let (mut socket, hello) = stage.hello();
     assert_eq!(
@@ -177,16 +182,13 @@
     assert!(stage.is_silent(&mut socket));
     // The disk is well again: the file is written anew, and what is owed is confirmed.
     std::fs::remove_dir(&aside).unwrap();
-    for _ in 0..=SWEEP / SECOND {
+    for _ in 0..=SWEEP_INTERVAL / SECOND {
         stage.now += SECOND;
         socket.write_all(&batch(4, 3)).unwrap();
         stage.until(|_| Some(()));
     }
     assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 3);
-    let mut file = Disk {
-        path: path.clone(),
-        tail: None,
-    };
+    let mut file = DiskFile::new(path.clone());
     let OpenedJournal::Complete {
         log: ledger,
         torn_bytes: torn,
@@ -217,11 +219,11 @@
         let aside = path.with_extension("tmp");
         std::os::unix::fs::symlink("/dev/full", &aside).unwrap();
         let mut stage = Stage::within(folder);
-        assert!(stage.purges.broken.is_some(), "{found:?}");
+        assert!(stage.purges.journal_failure.is_some(), "{found:?}");
         std::fs::remove_file(&aside).unwrap();
-        stage.now += SWEEP;
-        stage.until(|purges| purges.broken.is_none().then_some(()));
-        let mut file = Disk { path, tail: None };
+        stage.now += SWEEP_INTERVAL;
+        stage.until(|purges| purges.journal_failure.is_none().then_some(()));
+        let mut file = DiskFile::new(path);
         let OpenedJournal::Complete {
             log: ledger,
             torn_bytes: torn,
@@ -229,7 +231,7 @@
         else {
             panic!()
         };
-        assert_eq!((&ledger, torn), (&stage.purges.ledger, 0));
+        assert_eq!((&ledger, torn), (&stage.purges.log, 0));
     }
 }
 
--- a/front/src/server/event_loop.rs
+++ b/front/src/server/event_loop.rs
@@ -279,7 +279,8 @@
         let kinds = self.config.deployment.names.kinds.clone();
         if let Some(purges) = daemon.purges {
             self.start(now, |turn| {
-                Ok(Box::new(Purges::new(turn, &purges, &kinds)?))
+                let purges = Purges::new(turn, &purges, &kinds).map_err(|e| e.to_string())?;
+                Ok(Box::new(purges))
             })?;
         }
         let purge = self.config.deployment.settings.purge_done;
@@ -425,7 +426,7 @@
                 Ok(json!(format!("level is {level:?}").to_lowercase()))
             }
             "purge-dry" => {
-                let target = parse_target(args)?;
+                let target = parse_target(args).map_err(|e| e.to_string())?;
                 let floors = self.front.floors.as_ref().ok_or("purges are off")?;
                 let (known, matched) = floors.count_matches(&target);
                 Ok(json!({"known_objects": known, "matched": matched}))
