--- a/front/src/routing/purge_floors.rs
+++ b/front/src/routing/purge_floors.rs
@@ -4,7 +4,7 @@
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::lease::Lease;
 use cranesill_purges::matching::{
-    tag_hash, CompileError, CompileJob, PatternSet, PurgeMatcher, TagIndex,
+    tag_hash, CompileError, CompileJob, PatternSet, PurgeMatcher, RequestAttributes, TagIndex,
 };
 use cranesill_purges::{request_key, Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use std::collections::HashMap;
@@ -119,22 +119,25 @@
 
     /// Live purges: of objects, groups, tags and patterns.
     pub fn counts(&self) -> [usize; 4] {
-        self.matcher.counts()
+        let live = self.matcher.live_purges();
+        [live.objects, live.groups, live.tags, live.patterns]
     }
 
     /// The number of indexed objects, and how many of them a purge of this target would concern, where that is known.
     pub fn count_matches(&self, target: &PurgeTarget) -> (usize, Option<usize>) {
         match target {
             PurgeTarget::Tag(tag) => {
-                let (known, tagged) = self.index.count(tag);
-                (known, Some(tagged))
+                let counts = self.index.count(tag);
+                (counts.known_objects, Some(counts.tagged_objects))
             }
             PurgeTarget::Object(object) => {
-                let known = self.index.count("").0;
+                let known = self.index.count("").known_objects;
                 let matched = usize::from(self.index.tags(*object).is_some());
                 (known, Some(matched))
             }
-            PurgeTarget::Group(_) | PurgeTarget::Pattern(_) => (self.index.count("").0, None),
+            PurgeTarget::Group(_) | PurgeTarget::Pattern(_) => {
+                (self.index.count("").known_objects, None)
+            }
         }
     }
 
@@ -167,9 +170,13 @@
             return lease_floor.saturating_mul(MILLISECOND);
         }
         let key = request_key(&request.class, object.id, request.part);
-        let purge_floor = self
-            .matcher
-            .floor(after, object.id, request.group, tags, &key);
+        let attributes = RequestAttributes {
+            object: object.id,
+            group: request.group,
+            tags,
+            key: &key,
+        };
+        let purge_floor = self.matcher.floor(after, &attributes);
         purge_floor.max(lease_floor).saturating_mul(MILLISECOND)
     }
 
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -38,9 +38,10 @@
 
 impl Connection {
     fn is_overdue(&self, now: Timestamp) -> bool {
-        let timeout = match self.reported {
-            true => CONFIRM_TIMEOUT,
-            false => REPORT_TIMEOUT,
+        let timeout = if self.reported {
+            CONFIRM_TIMEOUT
+        } else {
+            REPORT_TIMEOUT
         };
         self.awaiting_answer && now > self.last_progress_at + timeout
     }
--- a/front/src/server/drivers/purges/start.rs
+++ b/front/src/server/drivers/purges/start.rs
@@ -101,9 +101,10 @@
         }
         OpenedJournal::NewerVersion => return Err(StartError::NewerJournal(path.clone())),
     };
-    let journal_failure = match intact {
-        true => None,
-        false => rewrite(&mut file, &log).map_err(failed)?,
+    let journal_failure = if intact {
+        None
+    } else {
+        rewrite(&mut file, &log).map_err(failed)?
     };
     Ok(LoadedLog {
         log,
--- a/purges/examples/measure-purges.rs
+++ b/purges/examples/measure-purges.rs
@@ -1,10 +1,10 @@
-//! Measures matching, the ledger and its journal: `make measure-purges`. The figures stand in `docs/design/purges.md`.
+//! Measures matching, the purge log and its journal: `make measure-purges`. The figures are in `docs/design/purges.md`.
 use cranesill_purges::journal::{self, JournalFile, OpenedJournal};
 use cranesill_purges::log::{Command, Prepared, PurgeLog};
-use cranesill_purges::matching::{compile_patterns, PurgeMatcher, TagIndex};
+use cranesill_purges::matching::{compile_patterns, PurgeMatcher, RequestAttributes, TagIndex};
 use cranesill_purges::{request_key, Purge, PurgeTarget};
 use std::io;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 struct Memory(Vec<u8>);
 
@@ -52,25 +52,32 @@
     for i in 0..rounds {
         let object = i.wrapping_mul(0x9e37_79b9_7f4a_7c15) % 200_000;
         let key = request_key("page-bits", object, (i % 4) as u32);
-        sum =
-            sum.wrapping_add(matcher.floor(0, object, (i % 256) as u32, index.tags(object), &key));
+        let request = RequestAttributes {
+            object,
+            group: (i % 256) as u32,
+            tags: index.tags(object),
+            key: &key,
+        };
+        sum = sum.wrapping_add(matcher.floor(0, &request));
     }
     let each = begun.elapsed().as_nanos() as f64 / rounds as f64;
     println!("{case}: {each:.0} ns a request, its key's text included (sum {sum})");
 }
 
 fn main() {
+    let index = measure_index();
+    measure_matching(&index);
+    let log = measure_journal();
+    measure_disk(&log);
+}
+
+fn measure_index() -> TagIndex {
+    const MODELS: [&str; 4] = ["vitara", "swift", "alto", "dzire"];
     let mut index = TagIndex::new(4 << 20);
     let before = resident();
     let begun = Instant::now();
     for object in 0..200_000u64 {
-        index.record(
-            object,
-            Some(&[
-                ["vitara", "swift", "alto", "dzire"][object as usize % 4],
-                "blue",
-            ]),
-        );
+        index.record(object, Some(&[MODELS[object as usize % 4], "blue"]));
     }
     let known = (0..200_000).filter(|o| index.tags(*o).is_some()).count();
     println!(
@@ -78,8 +85,12 @@
         begun.elapsed().as_nanos() as f64 / 2e5,
         resident().saturating_sub(before)
     );
+    index
+}
+
+fn measure_matching(index: &TagIndex) {
     let mut matcher = PurgeMatcher::default();
-    cost(&matcher, &index, "no purge");
+    cost(&matcher, index, "no purge");
     for number in 1..=10_000u64 {
         let target = match number % 3 {
             0 => PurgeTarget::Object(number * 17),
@@ -88,36 +99,41 @@
         };
         matcher.add(&purge(number, target), 0);
     }
-    cost(&matcher, &index, "10,000 purges");
-    let mut longest = 0;
+    cost(&matcher, index, "10,000 purges");
+    let mut longest = Duration::ZERO;
     for number in 10_001..=11_000u64 {
-        let text = match number % 3 {
+        let pattern = match number % 3 {
             0 => format!("car-video/{number:x}*/*"),
             1 => format!("page-*/*{number:x}/?"),
             _ => format!("*/{:016x}/*", number * 31),
         };
-        matcher.add(&purge(number, PurgeTarget::Pattern(text.into())), 0);
+        matcher.add(&purge(number, PurgeTarget::Pattern(pattern.into())), 0);
         if let Some(job) = matcher.take_compile_job() {
             let begun = Instant::now();
             let set = compile_patterns(job);
-            longest = longest.max(begun.elapsed().as_micros());
+            longest = longest.max(begun.elapsed());
             matcher.install(set);
         }
     }
-    cost(&matcher, &index, "10,000 purges and 1,000 patterns");
+    cost(&matcher, index, "10,000 purges and 1,000 patterns");
     println!(
-        "putting the patterns together, off the loop: {longest} us at most; {} bytes resident",
+        "compiling the patterns, off the loop: {} us at most; {} bytes resident",
+        longest.as_micros(),
         resident()
     );
-    let (before, begun) = (resident(), Instant::now());
-    let (mut log, mut file) = (PurgeLog::new(7), Memory(Vec::new()));
+}
+
+/// Fills a log of a million with its journal in memory, and reads it again.
+fn measure_journal() -> PurgeLog {
+    let before = resident();
+    let begun = Instant::now();
+    let mut log = PurgeLog::new(7);
+    let mut file = Memory(Vec::new());
     journal::rewrite(&mut file, &log).unwrap();
     for n in 0..1_000_000u64 {
-        let target = PurgeTarget::Object(n);
-        let id = n.to_string().into();
         let command = Command {
-            target,
-            id,
+            target: PurgeTarget::Object(n),
+            id: n.to_string().into(),
             who: "ops".into(),
             why: "new photos".into(),
             all: false,
@@ -129,7 +145,7 @@
         log.append(7, purge).unwrap();
     }
     println!(
-        "a ledger of a million: {} bytes of file, {} bytes of memory, {:.0} ns to take one in without the disk",
+        "a log of a million: {} bytes of file, {} bytes of memory, {:.0} ns to append one without the disk",
         file.0.len(),
         resident().saturating_sub(before),
         begun.elapsed().as_nanos() as f64 / 1e6
@@ -144,20 +160,25 @@
         begun.elapsed().as_millis(),
         log.last_number()
     );
+    log
+}
+
+fn measure_disk(log: &PurgeLog) {
     let folder = std::env::temp_dir().join(format!("measure-purges-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let mut disk = std::fs::File::create(folder.join("ledger")).unwrap();
-    let (mut spans, bytes) = (Vec::new(), journal::encode_record(log.get(1).unwrap()));
+    let mut file = std::fs::File::create(folder.join("ledger")).unwrap();
+    let bytes = journal::encode_record(log.get(1).unwrap());
+    let mut durations = Vec::new();
     for _ in 0..500 {
         let begun = Instant::now();
-        io::Write::write_all(&mut disk, &bytes).unwrap();
-        disk.sync_data().unwrap();
-        spans.push(begun.elapsed().as_micros());
+        io::Write::write_all(&mut file, &bytes).unwrap();
+        file.sync_data().unwrap();
+        durations.push(begun.elapsed().as_micros());
     }
-    spans.sort_unstable();
+    durations.sort_unstable();
     println!(
-        "keeping one on this disk: p50 {} us, p99 {} us",
-        spans[250], spans[495]
+        "making one durable on this disk: p50 {} us, p99 {} us",
+        durations[250], durations[495]
     );
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/purges/src/journal.rs
+++ b/purges/src/journal.rs
@@ -80,9 +80,10 @@
     if !header.starts_with(MAGIC) {
         let other_version =
             header.starts_with(MAGIC_STEM) && header[MAGIC_STEM.len()].is_ascii_digit();
-        return Err(match other_version {
-            true => HeaderError::NewerVersion,
-            false => HeaderError::Damaged,
+        return Err(if other_version {
+            HeaderError::NewerVersion
+        } else {
+            HeaderError::Damaged
         });
     }
     let number = |offset: usize| {
--- a/purges/src/matching.rs
+++ b/purges/src/matching.rs
@@ -8,8 +8,8 @@
     compile_patterns, parse_pattern, CompileError, CompileJob, ParsedPattern, PatternError,
     PatternSet,
 };
-pub use purge_matcher::{PurgeMatcher, MAX_PATTERNS};
-pub use tag_index::{tag_hash, TagIndex};
+pub use purge_matcher::{LivePurges, PurgeMatcher, RequestAttributes, MAX_PATTERNS};
+pub use tag_index::{tag_hash, TagCounts, TagIndex};
 
 use crate::{PurgeNumber, UnixMillis};
 
--- a/purges/src/matching/purge_matcher.rs
+++ b/purges/src/matching/purge_matcher.rs
@@ -20,6 +20,32 @@
     mark: PurgeMark,
 }
 
+/// What purges are matched against.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestAttributes<'a> {
+    /// The requested object.
+    pub object: u64,
+    /// The object's group.
+    pub group: u32,
+    /// Hashes of the object's tags; `None` if they are unknown.
+    pub tags: Option<&'a [u64]>,
+    /// The [`request_key`](crate::request_key).
+    pub key: &'a str,
+}
+
+/// The numbers of live purges, by kind of target.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LivePurges {
+    /// Of objects.
+    pub objects: usize,
+    /// Of groups.
+    pub groups: usize,
+    /// Of tags.
+    pub tags: usize,
+    /// Of patterns.
+    pub patterns: usize,
+}
+
 /// Live purges.
 #[derive(Debug, Default)]
 pub struct PurgeMatcher {
@@ -132,16 +158,8 @@
         }
     }
 
-    /// The earliest creation time of a copy that may be served, by purges after the number `after`; 0: any. `tags` are
-    /// the hashes of the object's tags; `None` if they are unknown.
-    pub fn floor(
-        &self,
-        after: PurgeNumber,
-        object: u64,
-        group: u32,
-        tags: Option<&[u64]>,
-        key: &str,
-    ) -> UnixMillis {
+    /// The earliest creation time of a copy that may answer a request, by purges after the number `after`; 0: any.
+    pub fn floor(&self, after: PurgeNumber, request: &RequestAttributes<'_>) -> UnixMillis {
         let mut floor = 0;
         let mut apply = |mark: &PurgeMark| {
             if mark.number > after {
@@ -149,9 +167,13 @@
             }
         };
         apply(&self.all);
-        self.objects.get(&object).into_iter().for_each(&mut apply);
-        self.groups.get(&group).into_iter().for_each(&mut apply);
-        match tags {
+        if let Some(mark) = self.objects.get(&request.object) {
+            apply(mark);
+        }
+        if let Some(mark) = self.groups.get(&request.group) {
+            apply(mark);
+        }
+        match request.tags {
             None => apply(&self.any_tag),
             Some(tags) => tags
                 .iter()
@@ -159,9 +181,9 @@
                 .for_each(&mut apply),
         }
         if let Some(set) = &self.compiled {
-            set.matches(key).for_each(&mut apply);
+            set.matches(request.key).for_each(&mut apply);
         }
-        self.uncompiled_floor(floor, after, key)
+        self.uncompiled_floor(floor, after, request.key)
     }
 
     /// Raises a floor by the patterns that are not compiled. Only those that could raise it are matched.
@@ -186,14 +208,14 @@
         self.uncompiled.len() + compiled
     }
 
-    /// The numbers of live purges of objects, groups, tags and patterns.
-    pub fn counts(&self) -> [usize; 4] {
-        [
-            self.objects.len(),
-            self.groups.len(),
-            self.tags.len(),
-            self.patterns(),
-        ]
+    /// The numbers of live purges.
+    pub fn live_purges(&self) -> LivePurges {
+        LivePurges {
+            objects: self.objects.len(),
+            groups: self.groups.len(),
+            tags: self.tags.len(),
+            patterns: self.patterns(),
+        }
     }
 
     /// Removes purges from before `horizon`: no endpoint has a copy from before it any more.
--- a/purges/src/matching/tag_index.rs
+++ b/purges/src/matching/tag_index.rs
@@ -30,6 +30,15 @@
     }
 }
 
+/// The result of [`TagIndex::count`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TagCounts {
+    /// Objects in the index.
+    pub known_objects: usize,
+    /// Those of them that carry the tag.
+    pub tagged_objects: usize,
+}
+
 /// The index. The tags of an object that was replaced, or never seen, are unknown.
 #[derive(Debug)]
 pub struct TagIndex {
@@ -93,15 +102,18 @@
         slot.tags.get(..count)
     }
 
-    /// The number of objects in the index, and of those that carry a tag. It visits all slots.
-    pub fn count(&self, tag: &str) -> (usize, usize) {
+    /// Counts the objects in the index, and those that carry a tag. It visits all slots.
+    pub fn count(&self, tag: &str) -> TagCounts {
         let hash = tag_hash(tag);
         let known = self.slots.iter().filter(|slot| slot.count > 0);
         let tagged = known.clone().filter(|slot| {
             let count = usize::from(slot.count) - 1;
             slot.tags.iter().take(count).any(|tag| *tag == hash)
         });
-        (known.count(), tagged.count())
+        TagCounts {
+            known_objects: known.count(),
+            tagged_objects: tagged.count(),
+        }
     }
 }
 
--- a/purges/src/matching/tests.rs
+++ b/purges/src/matching/tests.rs
@@ -2,6 +2,20 @@
 use super::*;
 use crate::{request_key, Purge, PurgeTarget};
 
+fn request<'a>(
+    object: u64,
+    group: u32,
+    tags: Option<&'a [u64]>,
+    key: &'a str,
+) -> RequestAttributes<'a> {
+    RequestAttributes {
+        object,
+        group,
+        tags,
+        key,
+    }
+}
+
 fn purge(number: PurgeNumber, at_ms: UnixMillis, target: PurgeTarget) -> Purge {
     Purge {
         number,
@@ -14,7 +28,7 @@
 }
 
 #[test]
-fn what_is_unknown_counts_as_matched_and_what_is_known_does_not() {
+fn unknown_tags_count_as_matched_and_known_ones_do_not() {
     let (mut index, mut matcher) = (TagIndex::new(1 << 16), PurgeMatcher::default());
     index.record(1, Some(&["vitara", "blue"]));
     index.record(2, Some(&[]));
@@ -23,10 +37,7 @@
     let floor = |index: &TagIndex, object| {
         matcher.floor(
             0,
-            object,
-            0,
-            index.tags(object),
-            &request_key("v", object, 0),
+            &request(object, 0, index.tags(object), &request_key("v", object, 0)),
         )
     };
     assert_eq!([1, 2, 3, 4].map(|o| floor(&index, o)), [500, 0, 500, 500]);
@@ -37,13 +48,19 @@
     assert_eq!(
         floor(&index, 1),
         0,
-        "an answer that names none tells nothing"
+        "a reply that names none changes nothing"
+    );
+    assert_eq!(
+        index.count("blue"),
+        TagCounts {
+            known_objects: 3,
+            tagged_objects: 1
+        }
     );
-    assert_eq!(index.count("blue"), (3, 1));
 }
 
 #[test]
-fn the_index_keeps_its_size_and_forgets_into_unknown() {
+fn the_index_keeps_its_size_and_replaced_objects_become_unknown() {
     let mut index = TagIndex::new(1 << 16);
     let before = index.slots.len();
     (0..100_000).for_each(|o| index.record(o, Some(&["t"])));
@@ -57,7 +74,7 @@
 }
 
 #[test]
-fn floors_are_the_latest_of_all_that_match_and_end_for_who_confirmed() {
+fn a_floor_is_the_latest_match_and_ends_once_it_is_confirmed() {
     let mut matcher = PurgeMatcher::default();
     matcher.add(&purge(1, 100, PurgeTarget::Object(7)), 5);
     matcher.add(&purge(2, 200, PurgeTarget::Group(3)), 5);
@@ -72,10 +89,7 @@
     let floor = |after, object, group, class: &str| {
         matcher.floor(
             after,
-            object,
-            group,
-            Some(&[]),
-            &request_key(class, object, 0),
+            &request(object, group, Some(&[]), &request_key(class, object, 0)),
         )
     };
     assert_eq!(floor(0, 7, 0, "page"), 105);
@@ -85,29 +99,41 @@
     assert_eq!(floor(2, 7, 3, "car-video"), 305);
     assert_eq!(floor(0, 8, 0, "page"), 0);
     matcher.expire(206);
-    assert_eq!((matcher.counts(), floor_of(&matcher)), ([0, 0, 0, 1], 305));
+    assert_eq!(
+        (matcher.live_purges(), floor_of(&matcher)),
+        (
+            LivePurges {
+                patterns: 1,
+                ..LivePurges::default()
+            },
+            305
+        )
+    );
     matcher.expire(306);
     assert!(matcher.is_empty());
 }
 
 fn floor_of(matcher: &PurgeMatcher) -> UnixMillis {
-    matcher.floor(0, 7, 3, Some(&[]), &request_key("car-video", 7, 0))
+    matcher.floor(
+        0,
+        &request(7, 3, Some(&[]), &request_key("car-video", 7, 0)),
+    )
 }
 
 #[test]
-fn what_stands_in_no_ledger_counts_whatever_boxes_have_confirmed() {
+fn a_purge_without_a_number_counts_whatever_nodes_have_confirmed() {
     let mut matcher = PurgeMatcher::default();
     matcher.add(&purge(0, 400, PurgeTarget::Object(7)), 0);
-    assert_eq!(matcher.floor(99, 7, 0, Some(&[]), "a/7/0"), 400);
+    assert_eq!(matcher.floor(99, &request(7, 0, Some(&[]), "a/7/0")), 400);
     matcher.add_all(300);
     assert_eq!(
-        [0, 99].map(|after| matcher.floor(after, 8, 0, Some(&[]), "a/8/0")),
+        [0, 99].map(|after| matcher.floor(after, &request(8, 0, Some(&[]), "a/8/0"))),
         [300, 300]
     );
 }
 
 #[test]
-fn patterns_put_together_match_as_they_did_one_by_one() {
+fn compiled_patterns_match_as_they_did_one_by_one() {
     let mut together = PurgeMatcher::default();
     let mut single = PurgeMatcher::default();
     let mut rng = 3u64;
@@ -125,7 +151,7 @@
         together.add(&purge, 0);
         single.add(&purge, 0);
         if let Some(job) = together.take_compile_job() {
-            // One comes while they are put together.
+            // Compiled at once here; the driver does it on a worker thread.
             let set = compile_patterns(job);
             together.install(set);
         }
@@ -138,7 +164,7 @@
             object,
             (object % 40) as u32,
         );
-        let floor = |m: &PurgeMatcher| m.floor(0, object, 0, Some(&[]), &key);
+        let floor = |m: &PurgeMatcher| m.floor(0, &request(object, 0, Some(&[]), &key));
         assert_eq!(floor(&together), floor(&single), "{key}");
     }
 }
@@ -153,7 +179,7 @@
         );
     }
     assert_eq!(
-        matcher.floor(0, 1, 0, Some(&[]), "other/1/1"),
+        matcher.floor(0, &request(1, 0, Some(&[]), "other/1/1")),
         MAX_PATTERNS as u64 + 1
     );
 }
--- a/purges/src/replication.rs
+++ b/purges/src/replication.rs
@@ -297,9 +297,10 @@
         let behind = states.filter(|state| state.connected && state.confirmed < head);
         let first = behind.map(NodeState::next_wakeup).min()?;
         let missing = 1.0 - self.tokens;
-        let refill = match missing > 0.0 {
-            true => (missing / self.purges_per_s * MICROS_PER_SECOND) as u64 + 1,
-            false => 0,
+        let refill = if missing > 0.0 {
+            (missing / self.purges_per_s * MICROS_PER_SECOND) as u64 + 1
+        } else {
+            0
         };
         Some(first.max(now + refill).max(now + MIN_WAKEUP_INTERVAL))
     }
--- a/purges/tests/simulation.rs
+++ b/purges/tests/simulation.rs
@@ -1,10 +1,12 @@
-//! Fronts, a ledger and boxes on one virtual clock, with faults from a seed. What is checked: no answer from a copy
-//! older than a purge that its front had known for half a second; with the strict lease, none older than one that the
-//! ledger had taken longer ago than the lease and half a second; purges reach each box in order; all are confirmed
-//! once the faults end. Taking a guard out has to be found.
+//! Fronts, a purge log and cache nodes on one virtual clock, with faults from a seed. Checked are: no reply from a copy
+//! older than a purge that its front had known for half a second; with the strict lease, none older than one that the log
+//! had accepted longer ago than the lease and half a second; purges reach each node in order; all are confirmed once the
+//! faults end. The absence of each guard has to be found.
 use cranesill_purges::lease::{Lease, WhenExpired};
 use cranesill_purges::log::{Appended, Command, Prepared, PurgeLog};
-use cranesill_purges::matching::{compile_patterns, tag_hash, PurgeMatcher, TagIndex};
+use cranesill_purges::matching::{
+    compile_patterns, tag_hash, PurgeMatcher, RequestAttributes, TagIndex,
+};
 use cranesill_purges::replication::{NodeReport, Replication};
 use cranesill_purges::{request_key, Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use std::collections::BTreeMap;
@@ -12,14 +14,14 @@
 const OBJECTS: u64 = 40;
 const TAGS: [&str; 4] = ["vitara", "blue", "winter", "old"];
 const FRONTS: usize = 3;
-const BOXES: u64 = 6;
-const START: UnixMillis = 1_000_000;
-const GRACE: UnixMillis = 500;
-const LEASE: UnixMillis = 2_000;
-const FAULTS_UNTIL: UnixMillis = 20_000;
-const END: UnixMillis = 45_000;
-/// By so much the origin's clock may be ahead.
-const SKEW: UnixMillis = 1_500;
+const NODES: u64 = 6;
+const START_MS: UnixMillis = 1_000_000;
+const GRACE_MS: UnixMillis = 500;
+const LEASE_MS: UnixMillis = 2_000;
+const FAULTS_MS: UnixMillis = 20_000;
+const DURATION_MS: UnixMillis = 45_000;
+/// How far the origin's clock may be ahead.
+const SKEW_MS: UnixMillis = 1_500;
 
 struct Rng(u64);
 
@@ -36,36 +38,36 @@
     }
 }
 
-/// The guards, each of which may be taken out.
+/// The guards, each of which may be missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Guard {
     Nothing,
-    /// What a member says is good is taken.
+    /// Replies are relayed without being checked.
     AnswersChecked,
-    /// An object whose tags are not known is taken to have none.
+    /// An object whose tags are unknown counts as having none.
     UnknownMatched,
-    /// An answer is judged by the tags that were learnt before, not by its own.
+    /// A reply is checked by the indexed tags, not by its own.
     OwnTags,
-    /// A front without contact goes on as if it knew all.
-    ContactLease,
-    /// Clocks are taken to agree.
+    /// A front whose lease has expired goes on as if it knew all purges.
+    LeaseExpiry,
+    /// Clocks count as equal.
     SkewAllowed,
-    /// A follower takes what comes, whatever its number.
+    /// A follower accepts purges whatever their numbers.
     NumbersChecked,
-    /// A box that lost its copies' memory keeps its place in the order.
+    /// A node that lost its copies reports what it had applied before.
     ReportBelieved,
 }
 
 #[derive(Clone, Default)]
-struct Member {
+struct CacheNode {
     /// Copies: when the origin gave them out, by its clock, and truly.
     copies: BTreeMap<u64, (UnixMillis, UnixMillis)>,
     /// Fills under way: object, given out then, arrives then.
     fills: Vec<(u64, (UnixMillis, UnixMillis), UnixMillis)>,
     applied: PurgeNumber,
     up: bool,
-    /// Answers with what it has, whatever it is asked.
-    liar: bool,
+    /// It serves what it has, whatever age is allowed.
+    serves_stale: bool,
 }
 
 struct Front {
@@ -73,22 +75,22 @@
     matcher: PurgeMatcher,
     index: TagIndex,
     lease: Lease,
-    /// When each number was learnt.
-    learnt: BTreeMap<PurgeNumber, UnixMillis>,
+    /// When each purge arrived.
+    learned_at: BTreeMap<PurgeNumber, UnixMillis>,
     cut_until: UnixMillis,
 }
 
 struct World {
     rng: Rng,
-    out: Guard,
+    without: Guard,
     log: PurgeLog,
-    boxes: Replication,
-    members: Vec<Member>,
+    replication: Replication,
+    nodes: Vec<CacheNode>,
     fronts: Vec<Front>,
     /// On their way: batches of purges to fronts, and to boxes.
     to_front: Vec<(UnixMillis, usize, Vec<Purge>)>,
-    to_box: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)>,
-    from_box: Vec<(UnixMillis, u64, PurgeNumber)>,
+    to_node: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)>,
+    from_node: Vec<(UnixMillis, u64, PurgeNumber)>,
     answers: u64,
     refused: u64,
 }
@@ -121,36 +123,41 @@
 }
 
 impl World {
-    fn new(seed: u64, out: Guard) -> Self {
+    fn new(seed: u64, without: Guard) -> Self {
         let front = |_| Front {
             log: PurgeLog::new(7),
             matcher: PurgeMatcher::default(),
             index: TagIndex::new(2_048),
-            lease: Lease::new(START * 1_000, START, LEASE * 1_000, WhenExpired::Strict),
-            learnt: BTreeMap::new(),
+            lease: Lease::new(
+                START_MS * 1_000,
+                START_MS,
+                LEASE_MS * 1_000,
+                WhenExpired::Strict,
+            ),
+            learned_at: BTreeMap::new(),
             cut_until: 0,
         };
-        let mut boxes = Replication::new(START * 1_000, 7, 500.0);
-        (1..=BOXES).for_each(|id| {
-            boxes.add_node(id);
-            boxes.connected(id, report(7, 0, true), 0);
+        let mut replication = Replication::new(START_MS * 1_000, 7, 500.0);
+        (1..=NODES).for_each(|id| {
+            replication.add_node(id);
+            replication.connected(id, report(7, 0, true), 0);
         });
         World {
             rng: Rng(seed),
-            out,
+            without,
             log: PurgeLog::new(7),
-            boxes,
-            members: vec![
-                Member {
+            replication,
+            nodes: vec![
+                CacheNode {
                     up: true,
-                    ..Member::default()
+                    ..CacheNode::default()
                 };
-                BOXES as usize
+                NODES as usize
             ],
             fronts: (0..FRONTS).map(front).collect(),
             to_front: vec![],
-            to_box: vec![],
-            from_box: vec![],
+            to_node: vec![],
+            from_node: vec![],
             answers: 0,
             refused: 0,
         }
@@ -209,20 +216,20 @@
         let due: Vec<(UnixMillis, usize, Vec<Purge>)> = due;
         for (_, i, batch) in due {
             let front = &mut self.fronts[i];
-            let skew = if self.out == Guard::SkewAllowed {
+            let skew = if self.without == Guard::SkewAllowed {
                 0
             } else {
-                SKEW
+                SKEW_MS
             };
             for purge in batch {
                 let number = purge.number;
                 match front.log.append(7, purge.clone()) {
                     Ok(Appended::New) => {
                         front.matcher.add(&purge, skew);
-                        front.learnt.insert(number, now);
+                        front.learned_at.insert(number, now);
                     }
                     Ok(Appended::AlreadyPresent) => {}
-                    Err(_) if self.out == Guard::NumbersChecked => {
+                    Err(_) if self.without == Guard::NumbersChecked => {
                         // It takes the number for its place: what is between is never asked for.
                         let mut jump = PurgeLog::after(7, number - 1);
                         jump.append(7, purge).unwrap();
@@ -236,58 +243,58 @@
             }
             // Contact is had by a front that has all that the writer had when this was sent.
             if front.log.last_number() == self.log.last_number()
-                || self.out == Guard::NumbersChecked
+                || self.without == Guard::NumbersChecked
             {
                 front.lease.renew(now * 1_000, now);
             }
         }
-        self.boxes_arrive(now);
+        self.nodes_arrive(now);
     }
 
-    fn boxes_arrive(&mut self, now: UnixMillis) {
-        let (due, rest) = std::mem::take(&mut self.to_box)
+    fn nodes_arrive(&mut self, now: UnixMillis) {
+        let (due, rest) = std::mem::take(&mut self.to_node)
             .into_iter()
             .partition(|m| m.0 <= now);
-        self.to_box = rest;
+        self.to_node = rest;
         let due: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)> = due;
         for (_, id, after, through) in due {
-            let member = &mut self.members[id as usize - 1];
-            if !member.up {
+            let node = &mut self.nodes[id as usize - 1];
+            if !node.up {
                 continue;
             }
             // In order: nothing may be left out between what is applied and what comes.
             assert!(
-                after <= member.applied,
+                after <= node.applied,
                 "box {id} was sent {after} and has {}",
-                member.applied
+                node.applied
             );
             for number in after + 1..=through {
                 let Some(purge) = self.log.get(number) else {
                     continue;
                 };
-                member.copies.retain(|object, (born, _)| {
-                    !concerns(purge, *object, &TAGS) || *born >= purge.at_ms + SKEW
+                node.copies.retain(|object, (born, _)| {
+                    !concerns(purge, *object, &TAGS) || *born >= purge.at_ms + SKEW_MS
                 });
             }
-            member.applied = member.applied.max(through);
-            self.from_box
+            node.applied = node.applied.max(through);
+            self.from_node
                 .push((now + 5 + self.rng.below(30), id, through));
         }
-        let (due, rest) = std::mem::take(&mut self.from_box)
+        let (due, rest) = std::mem::take(&mut self.from_node)
             .into_iter()
             .partition(|m| m.0 <= now);
-        self.from_box = rest;
+        self.from_node = rest;
         let due: Vec<(UnixMillis, u64, PurgeNumber)> = due;
         for (_, id, number) in due {
-            if self.members[id as usize - 1].up {
-                self.boxes.confirmed(now * 1_000, id, number);
+            if self.nodes[id as usize - 1].up {
+                self.replication.confirmed(now * 1_000, id, number);
             }
         }
-        for batch in self
-            .boxes
-            .next_batches(now * 1_000, self.log.base(), self.log.last_number())
+        for batch in
+            self.replication
+                .next_batches(now * 1_000, self.log.base(), self.log.last_number())
         {
-            self.to_box.push((
+            self.to_node.push((
                 now + 5 + self.rng.below(60),
                 batch.node,
                 batch.after,
@@ -297,19 +304,19 @@
     }
 
     fn fault(&mut self, now: UnixMillis) {
-        let id = 1 + self.rng.below(BOXES);
+        let id = 1 + self.rng.below(NODES);
         let at = id as usize - 1;
         match self.rng.below(5) {
             0 => {
                 // It dies, with what is out to it.
-                self.members[at].up = false;
-                self.members[at].fills.clear();
-                self.to_box.retain(|m| m.1 != id);
-                self.from_box.retain(|m| m.1 != id);
-                self.boxes.disconnected(now * 1_000, id);
+                self.nodes[at].up = false;
+                self.nodes[at].fills.clear();
+                self.to_node.retain(|m| m.1 != id);
+                self.from_node.retain(|m| m.1 != id);
+                self.replication.disconnected(now * 1_000, id);
             }
-            1 => self.back(now, id),
-            2 => self.members[at].liar = !self.members[at].liar,
+            1 => self.restart(now, id),
+            2 => self.nodes[at].serves_stale = !self.nodes[at].serves_stale,
             3 => {
                 let front = self.rng.below(FRONTS as u64) as usize;
                 self.fronts[front].cut_until = now + self.rng.below(6_000);
@@ -320,10 +327,10 @@
                 let front = &mut self.fronts[at];
                 (front.index, front.matcher) = (TagIndex::new(2_048), PurgeMatcher::default());
                 let held: Vec<_> = front.log.iter().cloned().collect();
-                let skew = if self.out == Guard::SkewAllowed {
+                let skew = if self.without == Guard::SkewAllowed {
                     0
                 } else {
-                    SKEW
+                    SKEW_MS
                 };
                 held.iter().for_each(|p| front.matcher.add(p, skew));
             }
@@ -331,26 +338,26 @@
     }
 
     /// A box comes back, with its old disk or with none.
-    fn back(&mut self, now: UnixMillis, id: u64) {
-        let member = &mut self.members[id as usize - 1];
-        if member.up {
+    fn restart(&mut self, now: UnixMillis, id: u64) {
+        let node = &mut self.nodes[id as usize - 1];
+        if node.up {
             return;
         }
-        member.up = true;
+        node.up = true;
         let empty = self.rng.one_in(2);
         if empty {
-            member.copies.clear();
-            member.applied = self.log.last_number();
+            node.copies.clear();
+            node.applied = self.log.last_number();
         }
-        let reported = if self.out == Guard::ReportBelieved {
+        let reported = if self.without == Guard::ReportBelieved {
             self.log.last_number()
         } else {
-            member.applied
+            node.applied
         };
-        if self.out == Guard::ReportBelieved {
-            member.applied = reported;
+        if self.without == Guard::ReportBelieved {
+            node.applied = reported;
         }
-        self.boxes
+        self.replication
             .connected(id, report(7, reported, empty), self.log.last_number());
         let _ = now;
     }
@@ -361,31 +368,31 @@
             self.rng.below(FRONTS as u64) as usize,
             self.rng.below(OBJECTS),
         );
-        let at = self.rng.below(BOXES) as usize;
+        let at = self.rng.below(NODES) as usize;
         // The origin's clock is ahead of the others'.
-        let fresh = (now + SKEW - 100, now);
-        let member = &mut self.members[at];
-        let (arrived, under_way) = std::mem::take(&mut member.fills)
+        let fresh = (now + SKEW_MS - 100, now);
+        let node = &mut self.nodes[at];
+        let (arrived, under_way) = std::mem::take(&mut node.fills)
             .into_iter()
             .partition(|f| f.2 <= now);
-        member.fills = under_way;
+        node.fills = under_way;
         let arrived: Vec<(u64, (UnixMillis, UnixMillis), UnixMillis)> = arrived;
         arrived.into_iter().for_each(|(object, copy, _)| {
-            member.copies.insert(object, copy);
+            node.copies.insert(object, copy);
         });
-        if !member.up {
+        if !node.up {
             return Ok(());
         }
         let front = &mut self.fronts[i];
-        let tags = match (front.index.tags(object), self.out) {
+        let tags = match (front.index.tags(object), self.without) {
             (None, Guard::UnknownMatched) => Some(&[][..]),
             (tags, _) => tags,
         };
-        let lease = match self.out {
-            Guard::ContactLease => 0,
+        let lease = match self.without {
+            Guard::LeaseExpiry => 0,
             _ => front.lease.floor(now * 1_000, now).saturating_add(
                 if now * 1_000 >= front.lease.expires_at() {
-                    SKEW
+                    SKEW_MS
                 } else {
                     0
                 },
@@ -395,19 +402,21 @@
             .matcher
             .floor(
                 0,
-                object,
-                (object % 5) as u32,
-                tags,
-                &request_key("video", object, 0),
+                &RequestAttributes {
+                    object,
+                    group: (object % 5) as u32,
+                    tags,
+                    key: &request_key("video", object, 0),
+                },
             )
             .max(lease);
         let asked = floor;
-        let copy = match member.copies.get(&object).copied() {
-            Some(copy) if copy.0 >= floor || member.liar => copy,
+        let copy = match node.copies.get(&object).copied() {
+            Some(copy) if copy.0 >= floor || node.serves_stale => copy,
             _ => {
                 // A fill, which takes its time; others may get what it brings.
                 let late = self.rng.below(300);
-                member.fills.push((object, fresh, now + late));
+                node.fills.push((object, fresh, now + late));
                 fresh
             }
         };
@@ -416,31 +425,34 @@
         let names = tags_of(object, copy.1);
         let named = !self.rng.one_in(4);
         let marks: Vec<u64> = names.iter().map(|t| tag_hash(t)).collect();
-        let judged = match (named, self.out) {
+        let checked_by = match (named, self.without) {
             (true, _) => Some(&marks[..]),
             (false, Guard::UnknownMatched) => Some(&[][..]),
             (false, Guard::OwnTags) => front.index.tags(object),
             (false, _) => None,
         };
-        let judged = if self.out == Guard::OwnTags {
+        let checked_by = if self.without == Guard::OwnTags {
             front.index.tags(object)
         } else {
-            judged
+            checked_by
         };
         let floor = front
             .matcher
             .floor(
                 0,
-                object,
-                (object % 5) as u32,
-                judged,
-                &request_key("video", object, 0),
+                &RequestAttributes {
+                    object,
+                    group: (object % 5) as u32,
+                    tags: checked_by,
+                    key: &request_key("video", object, 0),
+                },
             )
             .max(lease);
-        if copy.0 < floor && self.out != Guard::AnswersChecked {
+        if copy.0 < floor && self.without != Guard::AnswersChecked {
             self.refused += 1;
             if copy.0 < asked {
-                self.boxes.stale_copy_served(now * 1_000, at as u64 + 1);
+                self.replication
+                    .stale_copy_served(now * 1_000, at as u64 + 1);
             } else {
                 // It kept to what it was asked: the question was too mild.
                 front.index.forget(object);
@@ -453,9 +465,9 @@
         }
         // What this copy carries is known only to the origin; the checker knows.
         for purge in self.log.iter() {
-            let learnt = front.learnt.get(&purge.number);
-            let known = learnt.is_some_and(|t| now > t + GRACE);
-            let overdue = now > purge.at_ms + LEASE + GRACE;
+            let learned_at = front.learned_at.get(&purge.number);
+            let known = learned_at.is_some_and(|t| now > t + GRACE_MS);
+            let overdue = now > purge.at_ms + LEASE_MS + GRACE_MS;
             if (known || overdue) && copy.1 < purge.at_ms && concerns(purge, object, &names) {
                 return Err(format!(
                     "at {now} front {i} answered object {object} from {} though purge {} of {:?} was at {} (known {known})",
@@ -467,9 +479,9 @@
     }
 
     fn run(&mut self) -> Result<(), String> {
-        let mut now = START;
-        while now < START + END {
-            let faults = now < START + FAULTS_UNTIL;
+        let mut now = START_MS;
+        while now < START_MS + DURATION_MS {
+            let faults = now < START_MS + FAULTS_MS;
             if faults && self.rng.one_in(40) {
                 self.purge(now);
             }
@@ -481,7 +493,7 @@
             }
             if !faults {
                 self.fronts.iter_mut().for_each(|f| f.cut_until = 0);
-                (1..=BOXES).for_each(|id| self.back(now, id));
+                (1..=NODES).for_each(|id| self.restart(now, id));
             }
             self.arrive(now);
             if faults || self.rng.one_in(4) {
@@ -490,8 +502,8 @@
             now += 5;
         }
         let head = self.log.last_number();
-        for row in self.boxes.statuses() {
-            if !self.members[row.id as usize - 1].liar && row.confirmed != head {
+        for row in self.replication.statuses() {
+            if !self.nodes[row.id as usize - 1].serves_stale && row.confirmed != head {
                 return Err(format!(
                     "box {} has confirmed {} of {head}",
                     row.id, row.confirmed
@@ -507,13 +519,13 @@
     }
 }
 
-fn runs(out: Guard, seeds: std::ops::Range<u64>) -> Vec<(u64, String)> {
-    let run = |seed| World::new(seed, out).run().err().map(|e| (seed, e));
+fn runs(without: Guard, seeds: std::ops::Range<u64>) -> Vec<(u64, String)> {
+    let run = |seed| World::new(seed, without).run().err().map(|e| (seed, e));
     seeds.filter_map(run).collect()
 }
 
 #[test]
-fn no_front_answers_from_an_older_copy_than_it_may_over_many_seeds() {
+fn no_front_serves_a_stale_copy_over_many_seeds() {
     let found = runs(Guard::Nothing, 0..150);
     assert!(found.is_empty(), "{:#?}", &found[..found.len().min(3)]);
     let mut world = World::new(1, Guard::Nothing);
@@ -529,45 +541,48 @@
 
 #[test]
 fn each_guard_that_is_taken_out_is_found() {
-    for out in [
+    for without in [
         Guard::AnswersChecked,
         Guard::UnknownMatched,
         Guard::OwnTags,
-        Guard::ContactLease,
+        Guard::LeaseExpiry,
         Guard::SkewAllowed,
         Guard::NumbersChecked,
     ] {
-        assert!(!runs(out, 0..40).is_empty(), "{out:?} was not missed");
+        assert!(
+            !runs(without, 0..40).is_empty(),
+            "{without:?} was not missed"
+        );
     }
 }
 
 #[test]
-fn a_box_that_reports_more_than_it_has_is_caught_by_its_answers() {
+fn a_node_that_reports_more_than_it_applied_is_caught_by_its_replies() {
     // It costs refused answers, and none that is old.
     assert!(runs(Guard::ReportBelieved, 0..40).is_empty());
 }
 
 #[test]
-fn a_million_behind_comes_in_bounded_batches_and_slow_boxes_leave_room_for_fast_ones() {
-    let mut boxes = Replication::new(0, 7, 100_000.0);
+fn nodes_far_behind_get_bounded_batches_and_slow_ones_leave_slots_for_fast_ones() {
+    let mut replication = Replication::new(0, 7, 100_000.0);
     (1..=100).for_each(|id| {
-        boxes.add_node(id);
-        boxes.connected(id, report(7, 0, false), 1_000);
+        replication.add_node(id);
+        replication.connected(id, report(7, 0, false), 1_000);
     });
-    let (mut now, mut out) = (0u64, Vec::<(u64, u64, PurgeNumber)>::new());
+    let (mut now, mut without) = (0u64, Vec::<(u64, u64, PurgeNumber)>::new());
     let mut sent = BTreeMap::<u64, PurgeNumber>::new();
-    while now < 60_000_000 && boxes.confirmed_by_all() != Some(1_000) {
+    while now < 60_000_000 && replication.confirmed_by_all() != Some(1_000) {
         now += 1_000;
-        let done: Vec<_> = out.iter().filter(|o| o.0 <= now).copied().collect();
-        out.retain(|o| o.0 > now);
+        let done: Vec<_> = without.iter().filter(|o| o.0 <= now).copied().collect();
+        without.retain(|o| o.0 > now);
         for (_, id, number) in done {
-            assert!(boxes.confirmed(now, id, number));
+            assert!(replication.confirmed(now, id, number));
             assert!(
-                !boxes.confirmed(now, id, number),
-                "a second word tells nothing"
+                !replication.confirmed(now, id, number),
+                "a repeated confirmation is ignored"
             );
         }
-        for batch in boxes.next_batches(now, 0, 1_000) {
+        for batch in replication.next_batches(now, 0, 1_000) {
             assert!(batch.through - batch.after <= 256);
             assert_eq!(
                 sent.insert(batch.node, batch.through).unwrap_or(0),
@@ -575,7 +590,7 @@
                 "in order, none left out"
             );
             assert!(
-                !out.iter().any(|o| o.1 == batch.node),
+                !without.iter().any(|o| o.1 == batch.node),
                 "never two batches out"
             );
             // Twenty boxes take two seconds for each batch.
@@ -584,26 +599,29 @@
             } else {
                 20_000
             };
-            out.push((now + takes, batch.node, batch.through));
+            without.push((now + takes, batch.node, batch.through));
         }
         if now == 2_500_000 {
             let fast = (1..=100).filter(|id| id % 5 != 0);
             assert!(
-                fast.clone().all(|id| boxes.confirmed_by(id) == 1_000),
+                fast.clone().all(|id| replication.confirmed_by(id) == 1_000),
                 "the fast ones are done"
             );
         }
     }
-    assert_eq!(boxes.confirmed_by_all(), Some(1_000));
-    boxes.stale_copy_served(now, 3);
+    assert_eq!(replication.confirmed_by_all(), Some(1_000));
+    replication.stale_copy_served(now, 3);
     assert_eq!(
-        boxes.unconfirmed(1_000).into_iter().collect::<Vec<_>>(),
+        replication
+            .unconfirmed(1_000)
+            .into_iter()
+            .collect::<Vec<_>>(),
         [3]
     );
     // A number of another ledger is none.
-    boxes.connected(4, report(8, 900, false), 1_000);
-    assert_eq!(boxes.confirmed_by(4), 0);
-    boxes.remove_node(3);
-    boxes.remove_node(4);
-    assert_eq!(boxes.confirmed_by_all(), Some(1_000));
+    replication.connected(4, report(8, 900, false), 1_000);
+    assert_eq!(replication.confirmed_by(4), 0);
+    replication.remove_node(3);
+    replication.remove_node(4);
+    assert_eq!(replication.confirmed_by_all(), Some(1_000));
 }
