--- a/front/src/routing/clock_offset/tests.rs
+++ b/front/src/routing/clock_offset/tests.rs
@@ -3,8 +3,8 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn what_is_named_is_never_taken_for_older_than_it_is_whatever_the_clock() {
-    // By the service's clock it is 1,000 s later; delays of news go from 40 to 240 ms, after a break to 8 s.
+fn a_converted_timestamp_is_never_too_early_whatever_the_clock() {
+    // Discovery's clock starts at 1,000 s; messages take from 40 to 240 ms, after an interruption up to 8 s.
     for clock in [0, 9 * S as i64, -9 * S as i64, 3_600 * S as i64, 450_000] {
         let mut clock_offset = ClockOffset::default();
         let here = |at: Timestamp| at.saturating_add_signed(clock);
@@ -22,7 +22,7 @@
             );
             assert!(
                 taken <= here(at + delay),
-                "nothing is taken for later than it was heard of"
+                "no timestamp is later than its arrival"
             );
             if n > 200 {
                 assert!(
@@ -39,7 +39,7 @@
 fn a_clock_that_drifts_is_followed_and_silence_forgets_nothing() {
     let mut clock_offset = ClockOffset::default();
     for n in 0..3_000u64 {
-        // A hundredth faster, and news each second: two windows of drift at most.
+        // A hundredth faster, with a message each second: two windows of drift at most.
         let (now, at) = (1_000 * S + n * S + n * 10_000, 1_000 * S + n * S);
         clock_offset.observe(now, at);
         let late = (now - clock_offset.to_local(at)) as f64 / 1e6;
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn a_clock_that_is_behind_is_known_to_be_by_as_much_as_news_show() {
+fn a_clock_that_is_behind_is_known_to_be_by_as_much_as_messages_show() {
     let mut clock_offset = ClockOffset::default();
-    assert_eq!(clock_offset.behind_ms(), 0, "nothing was heard");
+    assert_eq!(clock_offset.behind_ms(), 0, "nothing was observed");
     clock_offset.observe(10_000_000, 9_900_000);
     assert_eq!(clock_offset.behind_ms(), 0, "late news, or a clock ahead");
     clock_offset.observe(10_000_000, 3_610_000_000 - 200_000);
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -4,7 +4,7 @@
 
 const S: Timestamp = 1_000_000;
 
-fn front(capacity: CapacityLimits) -> RequestPipeline {
+fn pipeline(capacity: CapacityLimits) -> RequestPipeline {
     let config: Value = serde_json::from_str(include_str!("../../examples/config.json")).unwrap();
     RequestPipeline::new(
         cranesill_settings::read(&config["settings"]).unwrap(),
@@ -13,7 +13,7 @@
     )
 }
 
-fn ask(n: u64) -> (ReplyTo, ClientRequest) {
+fn client_request(n: u64) -> (ReplyTo, ClientRequest) {
     let ask = ClientRequest {
         class: "book-car".into(),
         transaction: TransactionId::new(&format!("{n:016x}")).unwrap(),
@@ -37,7 +37,7 @@
 
 /// An origin and nothing else: writes go there.
 fn with_origin(capacity: CapacityLimits) -> RequestPipeline {
-    let mut front = front(capacity);
+    let mut front = pipeline(capacity);
     let state = cranesill::api::EndpointState::Ready;
     let (member, weight) = (EndpointId(0x31), 1.0);
     let origin = cranesill::api::EndpointEntry {
@@ -71,22 +71,22 @@
 }
 
 #[test]
-fn without_room_a_request_is_refused_at_once_with_a_time_to_come_back() {
-    // A calm day turned away thousands of requests a second: each was taken to need the largest answer.
+fn without_capacity_a_request_is_rejected_at_once_with_retry_after() {
+    // On a calm day thousands of requests a second were rejected: for each the largest response was reserved.
     let mut front = with_origin(CapacityLimits {
         max_pending: 5_000,
         max_buffered_bytes: 96 << 20,
     });
     for n in 1..=1_000 {
-        let (from, ask) = ask(n);
+        let (from, ask) = client_request(n);
         front.receive_request(S, from, ask);
     }
     assert!(
         answers(&mut front).is_empty(),
-        "there is room for a thousand usual answers"
+        "there is memory for a thousand usual responses"
     );
     front.set_buffered_bytes(96 << 20);
-    let (from, ask) = ask(2_000);
+    let (from, ask) = client_request(2_000);
     front.receive_request(S, from, ask);
     assert_eq!(answers(&mut front), [Response::Rejected(500_000)]);
 }
@@ -97,7 +97,7 @@
         max_pending: 10,
         max_buffered_bytes: 96 << 20,
     });
-    let (from, first) = ask(1);
+    let (from, first) = client_request(1);
     front.receive_request(
         S,
         from,
@@ -117,10 +117,10 @@
 }
 
 #[test]
-fn what_waits_for_room_goes_by_the_size_that_the_client_told() {
-    // Guards against sizes that are lost on their way to the decisions: on a calm day of a deployment whose clients tell
-    // them, a quarter of the worth went because all was taken to need the same time.
-    let mut front = front(CapacityLimits {
+fn requests_that_wait_for_capacity_are_ordered_by_the_size_that_the_client_stated() {
+    // Guards against sizes that do not reach the decisions: on a calm day of a deployment whose clients state them, a
+    // quarter of the priority weight was lost because every part counted as taking the same time.
+    let mut front = pipeline(CapacityLimits {
         max_pending: 1_000,
         max_buffered_bytes: 96 << 20,
     });
@@ -141,7 +141,7 @@
         EventSource::Live,
     );
     let mut video = |n: u64, size_kb: f64| {
-        let (from, base) = ask(n);
+        let (from, base) = client_request(n);
         let item = Some(ObjectKey {
             text: format!("{n:016x}").into(),
             id: n,
@@ -165,7 +165,7 @@
             }
         })
     };
-    // One place: the first takes it, the large one and then the small one wait for it.
+    // One slot: the first request takes it, the large one and then the small one wait for it.
     let first = video(1, 3_000.0).expect("the cache is free");
     assert_eq!((video(2, 60_000.0), video(3, 30.0)), (None, None));
     let reply = UpstreamReply {
@@ -180,7 +180,7 @@
     assert_eq!(
         next,
         Some(3),
-        "what earns most for its sending time goes first"
+        "the highest priority weight for its sending time goes first"
     );
 }
 
@@ -224,7 +224,7 @@
         );
     }
     let mut fetch = |n: u64, class: &str| {
-        let (from, base) = ask(n);
+        let (from, base) = client_request(n);
         let item = Some(ObjectKey {
             text: format!("{n:016x}").into(),
             id: n,
@@ -264,14 +264,14 @@
 }
 
 #[test]
-fn an_end_counts_once_and_so_does_an_answer() {
+fn an_attempt_end_counts_once_and_so_does_a_response() {
     let mut front = with_origin(CapacityLimits {
         max_pending: 10,
         max_buffered_bytes: 96 << 20,
     });
-    let (from, first) = ask(1);
+    let (from, first) = client_request(1);
     front.receive_request(S, from, first.clone());
-    // The same id while it is open could not be told apart at the member.
+    // The endpoint could not tell two pending requests under one identifier apart.
     front.receive_request(S, ReplyTo { stream: 9, ..from }, first);
     let done = commands(&mut front);
     let [Command::Send { attempt, .. }, Command::Respond {
@@ -307,12 +307,12 @@
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_and_its_attempt_is_given_up() {
+fn a_disconnected_client_gets_no_response_and_its_attempt_is_cancelled() {
     let mut front = with_origin(CapacityLimits {
         max_pending: 10,
         max_buffered_bytes: 96 << 20,
     });
-    let (from, ask) = ask(1);
+    let (from, ask) = client_request(1);
     front.receive_request(S, from, ask);
     let Some(Command::Send { attempt, .. }) = commands(&mut front).into_iter().next() else {
         panic!()
@@ -326,7 +326,7 @@
 #[test]
 fn after_a_purge_of_everything_fetches_past_the_caches_are_bounded_and_joined_ones_cost_nothing() {
     use cranesill_purges::{shield::Shield, Purge, PurgeTarget};
-    let mut front = front(CapacityLimits {
+    let mut front = pipeline(CapacityLimits {
         max_pending: 10_000,
         max_buffered_bytes: 1 << 30,
     });
@@ -362,7 +362,7 @@
     front.shield = Some(Shield::new(S, 20.0));
     let (mut sent, mut refused) = (0, 0);
     for n in 1..=200u64 {
-        let (from, mut ask) = ask(n);
+        let (from, mut ask) = client_request(n);
         let id = n % 100;
         ask.class = "page-bits".into();
         ask.group = 3;
@@ -385,7 +385,7 @@
                     response: Response::Rejected(later),
                     ..
                 } => {
-                    assert!(later > 0, "it is told when to come back");
+                    assert!(later > 0, "it comes with the time to retry");
                     refused += 1;
                 }
                 Command::Respond { response, .. } => panic!("{response:?}"),
@@ -393,8 +393,8 @@
             }
         }
     }
-    // Twenty objects at most, and a second ask for one of these joins the first. What is turned away leaves its place:
-    // all the others would wait for room else.
+    // Twenty objects at most, and a second request for one of these joins the first. A rejected request gives its slot
+    // back: all others would wait for capacity otherwise.
     assert!(
         refused >= 100 && (1..=40).contains(&sent),
         "{sent} sent, {refused} refused"
@@ -407,27 +407,27 @@
         max_pending: 40,
         max_buffered_bytes: 96 << 20,
     });
-    let (mut taken, mut now, mut rng) = (0u64, S, 7u64);
+    let (mut accepted, mut now, mut rng) = (0u64, S, 7u64);
     let mut roll = |n: u64| {
         rng = rng
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
         (rng >> 33) % n
     };
-    let (mut out, mut open, mut told) = (Vec::new(), Vec::new(), [0u64; 3]);
+    let (mut outstanding, mut open, mut responses) = (Vec::new(), Vec::new(), [0u64; 3]);
     for n in 1..=4_000u64 {
         now += roll(20_000);
         match roll(8) {
             0..=2 => {
-                let (from, mut ask) = ask(n);
+                let (from, mut ask) = client_request(n);
                 ask.class = ["book-car", "page-bits", "no-such"][roll(3) as usize].into();
-                // One that there is not is in no count, and a page without an object is none either.
-                taken += u64::from(ask.class == "book-car");
+                // A request of an unknown class is not counted, nor is a page without an object.
+                accepted += u64::from(ask.class == "book-car");
                 open.push(from);
                 front.receive_request(now, from, ask);
             }
-            3..=5 if !out.is_empty() => {
-                let attempt = out.swap_remove(roll(out.len() as u64) as usize);
+            3..=5 if !outstanding.is_empty() => {
+                let attempt = outstanding.swap_remove(roll(outstanding.len() as u64) as usize);
                 let reply = |word| {
                     AttemptEnd::Reply(UpstreamReply {
                         kind: word,
@@ -455,20 +455,20 @@
         }
         while let Some(command) = front.next_command() {
             match command {
-                Command::Send { attempt, .. } => out.push(attempt),
+                Command::Send { attempt, .. } => outstanding.push(attempt),
                 Command::Abort(attempt) => front.attempt_ended(now, attempt, AttemptEnd::Cancelled),
                 Command::Respond {
                     response: Response::Served(_) | Response::NotModified,
                     ..
-                } => told[0] += 1,
+                } => responses[0] += 1,
                 Command::Respond {
                     response: Response::Rejected(_),
                     ..
-                } => told[1] += 1,
+                } => responses[1] += 1,
                 Command::Respond {
                     response: Response::Failed,
                     ..
-                } => told[2] += 1,
+                } => responses[2] += 1,
                 _ => {}
             }
         }
@@ -477,22 +477,25 @@
         let sum = |of: fn(&ResponseCounts) -> u64| counts.iter().map(of).sum::<u64>();
         let all =
             sum(|c| c.served) + sum(|c| c.rejected) + sum(|c| c.failed) + sum(|c| c.cancelled);
-        assert_eq!(all + front.pending_requests() as u64, taken, "after {n}");
-        // What clients were told is what is counted, but for requests of no class.
-        assert_eq!((sum(|c| c.served), sum(|c| c.rejected)), (told[0], told[1]));
-        assert!(sum(|c| c.failed) <= told[2]);
+        assert_eq!(all + front.pending_requests() as u64, accepted, "after {n}");
+        // The responses that clients get are those counted, except for requests of no class.
+        assert_eq!(
+            (sum(|c| c.served), sum(|c| c.rejected)),
+            (responses[0], responses[1])
+        );
+        assert!(sum(|c| c.failed) <= responses[2]);
     }
     assert!(
-        told.iter().all(|n| *n > 50),
-        "all of it must come about: {told:?}"
+        responses.iter().all(|n| *n > 50),
+        "each kind of response must occur: {responses:?}"
     );
 }
 
 #[test]
-fn a_list_service_on_another_machine_dates_by_a_clock_of_its_own() {
-    // The first one agrees with this clock. The second is 4 s behind: what it says was 4 s ago is now.
+fn discovery_on_another_machine_dates_by_a_clock_of_its_own() {
+    // The first machine agrees with this clock. The second is 4 s behind: what it dates 4 s ago happens now.
     let oldest = |moved: bool| {
-        let mut front = front(CapacityLimits {
+        let mut front = pipeline(CapacityLimits {
             max_pending: 1_000,
             max_buffered_bytes: 96 << 20,
         });
@@ -521,7 +524,7 @@
             front.discovery_moved();
         }
         front.apply_purge(now, None, 3, now - 4 * S, EventSource::Live);
-        let (from, mut ask) = ask(1);
+        let (from, mut ask) = client_request(1);
         (ask.class, ask.group) = ("car-video".into(), 3);
         ask.object = Some(ObjectKey {
             text: format!("{:016x}", 7).into(),
@@ -545,6 +548,6 @@
     assert_eq!(
         oldest(false),
         S + 4 * S - S / 10 - 1_000,
-        "the same service: it was told late"
+        "the same machine: the message was late"
     );
 }
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -10,13 +10,13 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-const LEDGER: u64 = 0xfeed;
+const LOG: u64 = 0xfeed;
 const SECOND: Timestamp = 1_000_000;
-/// Guards against hanging; nothing is told from it.
-const GUARD: Duration = Duration::from_secs(20);
+/// Guards against hanging; nothing is concluded from it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A follower on a loop, and the listener of its writer.
-struct Stage {
+/// A follower with its poller, and the listener of its writer.
+struct TestFollower {
     reactor: Reactor,
     purges: Purges,
     last_key: usize,
@@ -25,9 +25,9 @@
     folder: tempfile::TempDir,
 }
 
-impl Stage {
+impl TestFollower {
     fn new() -> Self {
-        Stage::within(tempfile::tempdir().unwrap())
+        TestFollower::within(tempfile::tempdir().unwrap())
     }
 
     fn within(folder: tempfile::TempDir) -> Self {
@@ -46,7 +46,7 @@
             slot,
         };
         let purges = Purges::new(&mut turn, &settings, &[]).unwrap();
-        Stage {
+        TestFollower {
             reactor,
             purges,
             last_key,
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Lets the driver go on until something holds.
+    /// Runs the driver until a condition holds.
     fn until<T>(&mut self, mut holds: impl FnMut(&Purges) -> Option<T>) -> T {
-        let guard = Instant::now() + GUARD;
+        let guard = Instant::now() + TEST_TIMEOUT;
         loop {
             let events = self.reactor.wait(0, Some(1_000)).unwrap();
             let mut effects = Vec::new();
@@ -81,16 +81,16 @@
         }
     }
 
-    /// The follower's next connection, and what it says that it holds.
+    /// Accepts the follower's next connection, with its introduction.
     fn hello(&mut self) -> (TcpStream, Hello) {
         let writer = self.writer.try_clone().unwrap();
         writer.set_nonblocking(true).unwrap();
         let mut socket = self.until(|_| writer.accept().ok()).0;
-        let hello = self.heard::<HELLO>(&mut socket);
+        let hello = self.read_exactly::<HELLO>(&mut socket);
         (socket, read_hello(&hello).unwrap().unwrap())
     }
 
-    fn heard<const N: usize>(&mut self, socket: &mut TcpStream) -> [u8; N] {
+    fn read_exactly<const N: usize>(&mut self, socket: &mut TcpStream) -> [u8; N] {
         socket.set_nonblocking(true).unwrap();
         let (mut all, mut at) = ([0; N], 0);
         self.until(|_| {
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Whether the follower says nothing for a while.
+    /// Whether the follower sends nothing for a while.
     fn is_silent(&mut self, socket: &mut TcpStream) -> bool {
         let over = Instant::now() + Duration::from_millis(200);
         self.until(|_| (Instant::now() > over).then_some(()));
@@ -120,12 +120,12 @@
     }
 }
 
-/// Purges from one number to another; a sign of life where that is none.
+/// Purges from one number to another; a heartbeat if that is none.
 fn batch(first: u64, last: u64) -> Vec<u8> {
     let purges = (first..=last).map(purge).collect();
     frame(&Frame {
         anew: false,
-        ledger: LEDGER,
+        ledger: LOG,
         base: 0,
         head: last,
         purges,
@@ -134,20 +134,20 @@
 
 #[test]
 fn a_follower_confirms_and_claims_only_what_is_durable_and_recovers_once_its_disk_is_well() {
-    let mut stage = Stage::new();
-    let path = stage.folder.path().join("purges");
-    let (mut socket, _) = stage.hello();
+    let mut follower = TestFollower::new();
+    let path = follower.folder.path().join("purges");
+    let (mut socket, _) = follower.hello();
     let anew = Frame {
         anew: true,
-        ledger: LEDGER,
+        ledger: LOG,
         base: 0,
         head: 0,
         purges: Vec::new(),
     };
     socket.write_all(&frame(&anew)).unwrap();
     socket.write_all(&batch(1, 2)).unwrap();
-    assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 2);
-    // From now on nothing can be appended, nor written anew.
+    assert_eq!(u64::from_le_bytes(follower.read_exactly(&mut socket)), 2);
+    // From now on nothing can be appended, and the journal cannot be rewritten.
     let aside = path.with_extension("tmp");
     std::fs::create_dir(&aside).unwrap();
     let kept = std::fs::read(&path).unwrap();
@@ -155,7 +155,7 @@
         .append(true)
         .open("/dev/full")
         .unwrap();
-    stage
+    follower
         .purges
         .journal
         .file()
@@ -165,29 +165,29 @@
         .file_mut()
         .append_handle = Some(full);
     socket.write_all(&batch(3, 3)).unwrap();
-    stage.until(|purges| purges.journal_failure.clone());
+    follower.until(|purges| purges.journal_failure.clone());
     assert_eq!(std::fs::read(&path).unwrap(), kept);
-    // It counts here, and the writer is told of nothing that a restart would not find.
-    assert_eq!(stage.purges.log.last_number(), 3);
-    stage.now += 2 * SECOND;
-    let (mut socket, hello) = stage.hello();
+    // It takes effect here, and nothing is confirmed to the writer that a restart would not find.
+    assert_eq!(follower.purges.log.last_number(), 3);
+    follower.now += 2 * SECOND;
+    let (mut socket, hello) = follower.hello();
     assert_eq!(
         hello,
         Hello {
-            ledger: LEDGER,
+            ledger: LOG,
             last: 2
         }
     );
     socket.write_all(&batch(3, 3)).unwrap();
-    assert!(stage.is_silent(&mut socket));
-    // The disk is well again: the file is written anew, and what is owed is confirmed.
+    assert!(follower.is_silent(&mut socket));
+    // The disk works again: the journal is rewritten, and what the writer waits for is confirmed.
     std::fs::remove_dir(&aside).unwrap();
     for _ in 0..=SWEEP_INTERVAL / SECOND {
-        stage.now += SECOND;
+        follower.now += SECOND;
         socket.write_all(&batch(4, 3)).unwrap();
-        stage.until(|_| Some(()));
+        follower.until(|_| Some(()));
     }
-    assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 3);
+    assert_eq!(u64::from_le_bytes(follower.read_exactly(&mut socket)), 3);
     let mut file = DiskFile::new(path.clone());
     let OpenedJournal::Complete {
         log: ledger,
@@ -198,14 +198,14 @@
     };
     assert_eq!((ledger.last_number(), torn), (3, 0));
     socket.write_all(&batch(4, 4)).unwrap();
-    assert_eq!(u64::from_le_bytes(stage.heard(&mut socket)), 4);
+    assert_eq!(u64::from_le_bytes(follower.read_exactly(&mut socket)), 4);
 }
 
 #[test]
 fn a_disk_that_is_full_at_the_start_ends_no_start_and_is_written_once_it_is_well() {
-    // A torn file, one that is missing, and one that is damaged; each has to be written anew.
+    // A torn file, one that is missing, and one that is damaged; each has to be rewritten.
     let mut whole = Memory::default();
-    journal::rewrite(&mut whole, &PurgeLog::new(LEDGER)).unwrap();
+    journal::rewrite(&mut whole, &PurgeLog::new(LOG)).unwrap();
     journal::append_purge(&mut whole, &purge(1)).unwrap();
     let torn = whole.0[..whole.0.len() - 1].to_vec();
     let mut damaged = whole.0.clone();
@@ -218,11 +218,11 @@
             .for_each(|bytes| std::fs::write(&path, bytes).unwrap());
         let aside = path.with_extension("tmp");
         std::os::unix::fs::symlink("/dev/full", &aside).unwrap();
-        let mut stage = Stage::within(folder);
-        assert!(stage.purges.journal_failure.is_some(), "{found:?}");
+        let mut follower = TestFollower::within(folder);
+        assert!(follower.purges.journal_failure.is_some(), "{found:?}");
         std::fs::remove_file(&aside).unwrap();
-        stage.now += SWEEP_INTERVAL;
-        stage.until(|purges| purges.journal_failure.is_none().then_some(()));
+        follower.now += SWEEP_INTERVAL;
+        follower.until(|purges| purges.journal_failure.is_none().then_some(()));
         let mut file = DiskFile::new(path);
         let OpenedJournal::Complete {
             log: ledger,
@@ -231,7 +231,7 @@
         else {
             panic!()
         };
-        assert_eq!((&ledger, torn), (&stage.purges.log, 0));
+        assert_eq!((&ledger, torn), (&follower.purges.log, 0));
     }
 }
 
--- a/purges/src/journal/tests.rs
+++ b/purges/src/journal/tests.rs
@@ -8,7 +8,7 @@
     kept: Option<Vec<u8>>,
     live: Vec<u8>,
     full: bool,
-    /// Syncs fail; what was written before is lost, as the system drops pages that it could not write.
+    /// Whether syncs fail; unsynced bytes are lost, as the system drops pages that it could not write.
     unsynced: bool,
 }
 
@@ -18,7 +18,7 @@
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         if self.full {
-            // As a full disk does: a part of it is there.
+            // As on a full disk, a part is written.
             self.live.extend(&bytes[..bytes.len() / 2]);
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_was_kept_is_there_after_a_cut_at_any_byte_and_no_more() {
+fn durable_records_are_read_after_a_cut_at_any_byte_and_no_more() {
     let (file, log) = filled(20);
     let whole = file.kept.unwrap();
     let ends: Vec<usize> = (0..=20)
@@ -129,7 +129,7 @@
                     );
                 }
                 OpenedJournal::NewerVersion => assert_eq!(at, 7),
-                // A length that grew past the end looks like a record that is cut off: nothing of it was told.
+                // A length that grew past the end looks like a record that was cut off: nobody was notified of it.
                 OpenedJournal::Complete {
                     log: found,
                     torn_bytes,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_full_disk_leaves_what_was_kept_before() {
+fn a_full_disk_leaves_earlier_records_readable() {
     let (mut file, log) = filled(3);
     file.full = true;
     let command = Command {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn after_a_failed_write_or_sync_nothing_counts_as_kept_until_the_file_is_written_anew() {
+fn after_a_failed_write_or_sync_nothing_counts_as_durable_until_the_journal_is_rewritten() {
     for unsynced in [false, true] {
         let (mut memory, mut log) = filled(3);
         (memory.full, memory.unsynced) = (!unsynced, unsynced);
@@ -222,7 +222,7 @@
         let first = purge(&log, "x");
         assert!(append_purges(&mut file, std::slice::from_ref(&first)).is_err());
         log.append(0xfeed, first).unwrap();
-        // The disk is well again: a batch that follows would be kept behind a gap.
+        // The disk works again: a batch that follows would be stored behind a gap.
         (file.file_mut().full, file.file_mut().unsynced) = (false, false);
         let second = purge(&log, "y");
         assert!(
--- a/purges/src/lease/tests.rs
+++ b/purges/src/lease/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_loss_is_said_once_raises_the_floor_or_is_counted_and_ends_with_the_next_word() {
+fn an_expiry_is_reported_once_raises_the_floor_or_is_counted_and_ends_with_a_renewal() {
     let mut strict = Lease::new(0, 1_000, 500, WhenExpired::Strict);
     assert_eq!(
         (strict.floor(499, 1_000), strict.report_expiry(499)),
@@ -27,7 +27,7 @@
     assert_eq!(
         fresh.floor(9_000_000, 9_000),
         8_500,
-        "a start is a loss until the first word"
+        "at a start the lease has expired until it is renewed"
     );
     let mut open = Lease::new(0, 1_000, 500, WhenExpired::Available);
     [400, 900, 901]
--- a/purges/src/log/tests.rs
+++ b/purges/src/log/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_same_id_is_one_purge_and_moments_never_go_back() {
+fn the_same_id_is_one_purge_and_dates_never_decrease() {
     let mut log = PurgeLog::new(9);
     assert_eq!(put(&mut log, 500, "a"), 1);
     assert_eq!(
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_follower_takes_no_gap_no_foreign_number_and_no_second_content() {
+fn a_follower_accepts_no_gap_no_foreign_number_and_no_second_content() {
     let mut log = PurgeLog::new(9);
     (0..5).for_each(|i| assert!(put(&mut log, i, &i.to_string()) > 0));
     let all = log.batch_after(0).unwrap();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn only_what_is_confirmed_and_past_the_horizon_is_forgotten() {
+fn only_confirmed_purges_past_the_horizon_are_compacted() {
     let mut log = PurgeLog::new(9);
     (0..10).for_each(|i| assert!(put(&mut log, i * 100, &i.to_string()) > 0));
     assert_eq!(log.compact(0, 10_000), 0, "nobody confirmed");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn odd_commands_are_refused() {
+fn invalid_commands_are_rejected() {
     let log = PurgeLog::new(9);
     for (target, error) in [
         (PurgeTarget::Tag("".into()), CommandError::InvalidTag),
--- a/purges/src/shield/tests.rs
+++ b/purges/src/shield/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn over_any_span_no_more_than_the_rate_goes_past_and_what_is_worth_most_comes_first() {
+fn no_more_than_the_rate_passes_over_any_duration_and_high_priorities_come_first() {
     let mut shield = Shield::new(0, 100.0);
     let (mut high, mut low) = (0, 0);
     for step in 0..100_000u64 {
-        // A thousand of each worth a second, for ten seconds of what would be a purge of everything.
+        // Ten seconds of requests at both priorities, as after a purge of everything.
         let now = step * 100;
         if step % 10 == 0 {
             low += u32::from(shield.try_pass(now, 0.0));
@@ -17,12 +17,12 @@
     assert!(high + low <= 1_100, "{high} {low}");
     assert!(
         high >= 990,
-        "what is worth most gets nearly all it asks for: {high} {low}"
+        "the highest priority gets nearly all that it asks for: {high} {low}"
     );
 }
 
 #[test]
-fn the_wait_told_is_enough() {
+fn retry_after_is_long_enough() {
     let mut shield = Shield::new(0, 10.0);
     while shield.try_pass(0, 0.0) {}
     let wait = shield.retry_after(0.0);
