--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -104,41 +104,33 @@
         settings: &Settings,
         platform_kinds: &[String],
     ) -> Result<Self, StartError> {
-        let cache_node_settings = settings.boxes.as_ref();
-        let kinds = cache_node_settings
-            .map(|nodes| start::kind_positions(&nodes.kinds, platform_kinds))
-            .transpose()?;
+        let kinds = start::cache_node_kinds(settings, platform_kinds)?;
         let journal_key = turn.key();
         let mut journal =
             JournalWriter::new(turn.reactor, journal_key).map_err(StartError::Workers)?;
-        let start::LoadedLog {
-            log,
-            file,
-            journal_failure,
-        } = start::load(turn.now, settings)?;
-        journal.set_file(file);
+        let loaded = start::load(turn.now, settings)?;
+        let durable = loaded.durable();
+        let log = loaded.log;
+        journal.set_file(loaded.file);
         announce(turn, settings, &log, &journal);
-        let cache_nodes = kinds.zip(cache_node_settings).map(|(kinds, nodes)| {
+        let cache_nodes = settings.boxes.as_ref().map(|nodes| {
             let rate = nodes.per_s.into();
             CacheNodeLinks::new(turn.now, &log, kinds, rate, nodes.connections_most)
         });
-        let serve = settings.serve.as_ref();
-        let followers = serve
-            .map(|address| Followers::new(turn, address))
-            .transpose()?;
-        let follow = settings.follow.as_ref();
-        let writer = follow
-            .map(|follow| WriterLink::new(turn.now, &follow.address))
-            .transpose()?;
+        let followers = match &settings.serve {
+            Some(address) => Some(Followers::new(turn, address)?),
+            None => None,
+        };
+        let writer = match &settings.follow {
+            Some(follow) => Some(WriterLink::new(turn.now, &follow.address)?),
+            None => None,
+        };
         Ok(Purges {
-            durable: match &journal_failure {
-                Some(_) => DurablePosition::start_of(&log),
-                None => DurablePosition::end_of(&log),
-            },
+            durable,
             log,
             journal,
             journal_key,
-            journal_failure,
+            journal_failure: loaded.journal_failure,
             settings: settings.clone(),
             queue: VecDeque::new(),
             appending: None,
--- a/front/src/server/drivers/purges/start.rs
+++ b/front/src/server/drivers/purges/start.rs
@@ -1,5 +1,5 @@
 //! Loads the purge log at the start. Whatever cannot be read counts as purged.
-use super::journal_writer::DiskFile;
+use super::journal_writer::{DiskFile, DurablePosition};
 use super::unix_ms;
 use cranesill::api::Timestamp;
 use cranesill_daemon::Purges as Settings;
@@ -69,6 +69,16 @@
     pub(super) journal_failure: Option<String>,
 }
 
+impl LoadedLog {
+    /// Up to where the journal is durable: nowhere if it has to be rewritten first.
+    pub(super) fn durable(&self) -> DurablePosition {
+        match &self.journal_failure {
+            Some(_) => DurablePosition::start_of(&self.log),
+            None => DurablePosition::end_of(&self.log),
+        }
+    }
+}
+
 /// Loads the log that the settings name, or begins one.
 pub(super) fn load(now: Timestamp, settings: &Settings) -> Result<LoadedLog, StartError> {
     let identity = unix_ms(now) ^ (u64::from(std::process::id()) << IDENTITY_TIME_BITS);
@@ -190,9 +200,9 @@
     Ok(Some(error.to_string()))
 }
 
-/// The positions of the named kinds in the platform's list.
-pub(super) fn kind_positions(
-    names: &[String],
+/// The positions, in the platform's list, of the kinds of endpoints that are sent purges.
+pub(super) fn cache_node_kinds(
+    settings: &Settings,
     platform_kinds: &[String],
 ) -> Result<Vec<u8>, StartError> {
     let position = |name: &String| {
@@ -201,5 +211,6 @@
             .and_then(|position| u8::try_from(position).ok())
             .ok_or_else(|| StartError::UnknownKind(name.clone()))
     };
-    names.iter().map(position).collect()
+    let names = settings.boxes.iter().flat_map(|nodes| &nodes.kinds);
+    names.map(position).collect()
 }
