--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -1,4 +1,5 @@
 //! What can go wrong when a front starts, runs, or carries out an operator's command.
+use super::drivers::purges::TargetError;
 use std::fmt::{self, Display, Formatter};
 use std::io;
 use std::net::SocketAddr;
@@ -229,8 +230,8 @@
     #[error("level: {0}")]
     LogLevel(#[source] serde_json::Error),
     /// The arguments do not say what to purge.
-    #[error("{0}")]
-    PurgeTarget(String),
+    #[error(transparent)]
+    PurgeTarget(#[from] TargetError),
     /// The settings do not switch purges on.
     #[error("purges are off")]
     PurgesDisabled,
