--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -100,7 +100,7 @@
     let mut put = |kind: u8, zone: u64, weight: u64| {
         let (endpoint, weight) = (EndpointId(10 + endpoints.len() as u64), weight as f64);
         endpoints.push(EndpointEntry {
-            endpoint: endpoint,
+            endpoint,
             kind,
             zone: zone as u16,
             cell: 0,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -72,7 +72,7 @@
             10 if rng.roll(8) == 0 => {
                 let endpoint = default_endpoints()[rng.roll(6) as usize].endpoint;
                 harness.notify(Event::Cordon {
-                    endpoint: endpoint,
+                    endpoint,
                     cordoned: rng.roll(6) == 0,
                 });
             }
