--- a/benchlink/src/wire/encode.rs
+++ b/benchlink/src/wire/encode.rs
@@ -28,22 +28,11 @@
             request,
             target,
             timeout,
-            fill: None,
-        } => {
-            header(code::SEND, instance, out);
-            out.extend(request.0.to_le_bytes());
-            out.extend(address(*target));
-            out.extend(attempt_timeout(*timeout));
-        }
-        Action::Send {
-            request,
-            target,
-            timeout,
-            fill: Some(fill),
-        } => {
-            header(code::SEND_WITH_FILL, instance, out);
-            send_with_fill(*request, *target, *timeout, fill, out);
-        }
+            fill,
+        } => match fill {
+            None => send(instance, *request, *target, *timeout, out),
+            Some(fill) => send_with_fill(instance, *request, *target, *timeout, fill, out),
+        },
         Action::Cancel(request, attempt) => {
             header(code::CANCEL, instance, out);
             out.extend(request.0.to_le_bytes());
@@ -80,13 +69,22 @@
     text(message, out);
 }
 
+fn send(instance: u32, request: RequestId, target: EndpointId, timeout: Micros, out: &mut Vec<u8>) {
+    header(code::SEND, instance, out);
+    out.extend(request.0.to_le_bytes());
+    out.extend(address(target));
+    out.extend(attempt_timeout(timeout));
+}
+
 fn send_with_fill(
+    instance: u32,
     request: RequestId,
     target: EndpointId,
     timeout: Micros,
     fill: &Fill,
     out: &mut Vec<u8>,
 ) {
+    header(code::SEND_WITH_FILL, instance, out);
     out.extend(request.0.to_le_bytes());
     out.extend(attempt_timeout(timeout));
     out.extend(duration(fill.max_age));
--- a/emulator/src/cold.rs
+++ b/emulator/src/cold.rs
@@ -121,7 +121,7 @@
         let alone = held == Held::Alone;
         let routers = if alone { 1 } else { self.fronts };
         let cold = SlowStartLimits {
-            initial_share: 0.15,
+            initial_capacity_fraction: 0.15,
             warm_up: 15 * S,
             overload_multiple: 4.0,
         };
@@ -439,7 +439,8 @@
             false => (limits.cache_slow_start, PLACES),
         };
         let age = ((now - BEGIN) as f64 / cold.warm_up as f64).min(1.0);
-        let places = places * (cold.initial_share + (1.0 - cold.initial_share) * age);
+        let places = places
+            * (cold.initial_capacity_fraction + (1.0 - cold.initial_capacity_fraction) * age);
         node.sent.push_back(now);
         while node
             .sent
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -83,7 +83,7 @@
 /// Parses the JSON text of the settings.
 ///
 /// # Errors
-/// Text that is not JSON, and whatever [`read`] rejects.
+/// Text that is not JSON, and whatever [`read()`] rejects.
 pub fn parse(text: &[u8]) -> Result<Deployment, SettingsError> {
     read(&serde_json::from_slice(text)?)
 }
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -50,16 +50,8 @@
         pass_through: flag(family, "passThroughOk"),
         coalescing: flag(family, "joins"),
         purge_propagation: duration(family, "purgeTakes"),
-        cache_slow_start: SlowStartLimits {
-            initial_share: number(rules, "coldFrom"),
-            warm_up: duration(rules, "cold"),
-            overload_multiple: number(rules, "fallMultiple"),
-        },
-        parent_slow_start: SlowStartLimits {
-            initial_share: number(family, "parentColdFrom"),
-            warm_up: duration(family, "parentWarmsIn"),
-            overload_multiple: number(family, "parentFallMultiple"),
-        },
+        cache_slow_start: cache_slow_start(rules),
+        parent_slow_start: parent_slow_start(family),
         overload_window: duration(rules, "overloadFor"),
         connect_timeout: duration(limits, "connectTimeout"),
         max_attempts: number(limits, "sendCap") as u32,
@@ -74,6 +66,22 @@
     }
 }
 
+fn cache_slow_start(rules: &Value) -> SlowStartLimits {
+    SlowStartLimits {
+        initial_capacity_fraction: number(rules, "coldFrom"),
+        warm_up: duration(rules, "cold"),
+        overload_multiple: number(rules, "fallMultiple"),
+    }
+}
+
+fn parent_slow_start(family: &Value) -> SlowStartLimits {
+    SlowStartLimits {
+        initial_capacity_fraction: number(family, "parentColdFrom"),
+        warm_up: duration(family, "parentWarmsIn"),
+        overload_multiple: number(family, "parentFallMultiple"),
+    }
+}
+
 fn fronts_by_zone(family: &Value) -> Vec<u32> {
     let seats = list(family, "seatsByZone").iter();
     seats
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartLimits {
     /// Share of its capacity that an endpoint has at its start, at least.
-    pub initial_share: f64,
+    pub initial_capacity_fraction: f64,
     /// Time until it has its full capacity, rising linearly, at the latest.
     pub warm_up: Micros,
     /// It is overloaded when sent more than this multiple of its present capacity.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -6,7 +6,7 @@
 use crate::api::{Micros, RequestId};
 
 /// Share of its time that a request waits at most while nothing of it was sent: its client can ask elsewhere.
-const MAX_WAIT_SHARE: f64 = 0.5;
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
 impl Router {
     /// Sends the next attempt of a request, lets it wait, or gives up.
@@ -53,7 +53,7 @@
         let mut wait = last_in_time.saturating_sub(self.now + transfer_time);
         if pending.attempts.is_empty() {
             let time_left = pending.deadline.saturating_sub(self.now);
-            wait = wait.min((time_left as f64 * MAX_WAIT_SHARE) as Micros);
+            wait = wait.min((time_left as f64 * MAX_WAIT_FRACTION) as Micros);
         }
         let purpose = TimerPurpose::WaitEnd(pending.request.id);
         self.set_timer(wait.max(MILLISECOND), purpose);
--- a/src/policy/cache_choice.rs
+++ b/src/policy/cache_choice.rs
@@ -135,7 +135,7 @@
     /// Whether a cache has capacity for one more request of this front.
     pub(super) fn cache_has_capacity(&self, cache: EndpointIndex) -> bool {
         let caches = self.endpoints.ready(Role::Cache).len();
-        let factor = self.connections.share_factor(cache, caches);
+        let factor = self.connections.quota_factor(cache, caches);
         let concurrency = &self.endpoints[cache].concurrency;
         concurrency.has_scaled_capacity(self.now, factor)
     }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -12,7 +12,7 @@
 /// Slots by which the limits of all fronts together grow in a round of answers in time.
 pub(crate) const GROWTH_SLOTS: f64 = 4.0;
 /// Share of the full capacity by which a limit grows at least in such a round.
-const CATCH_UP_SHARE: f64 = 0.05;
+const CATCH_UP_FRACTION: f64 = 0.05;
 /// Factor by which a jam cuts a limit, at most once in `CUT_INTERVAL`.
 const CUT_FACTOR: f64 = 0.85;
 const CUT_INTERVAL: Micros = 300 * MILLISECOND;
@@ -57,7 +57,7 @@
     /// The limit is never cut below this.
     pub min_limit: f64,
     /// This front's share of the full capacity; 0 when that is not known.
-    pub full_share: f64,
+    pub full_quota: f64,
     cut_at: Option<Timestamp>,
     /// Moving average of the ratio of late answers.
     late_ratio: f64,
@@ -67,14 +67,14 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit for an endpoint of which this front has `full_share`, with requests `in_flight` from before.
-    pub fn for_endpoint(full_share: f64, in_flight: u32, service_time_us: f64) -> Self {
+    /// A limit for an endpoint of which this front has `full_quota`, with requests `in_flight` from before.
+    pub fn for_endpoint(full_quota: f64, in_flight: u32, service_time_us: f64) -> Self {
         ConcurrencyLimit {
             in_flight,
-            limit: INITIAL_LIMIT_FACTOR * full_share,
-            min_limit: MIN_LIMIT.min(full_share),
+            limit: INITIAL_LIMIT_FACTOR * full_quota,
+            min_limit: MIN_LIMIT.min(full_quota),
             service_time_us,
-            full_share,
+            full_quota,
             ..ConcurrencyLimit::default()
         }
     }
@@ -140,7 +140,7 @@
         match signal {
             LoadSignal::InTime => self.grow(growth),
             LoadSignal::Late if self.is_calm() => {}
-            LoadSignal::Late => self.cut(now, self.min_limit.max(self.full_share)),
+            LoadSignal::Late => self.cut(now, self.min_limit.max(self.full_quota)),
             LoadSignal::Overloaded => self.cut(now, self.min_limit),
         }
     }
@@ -148,7 +148,7 @@
     /// Grows a limit that is in use for at least half.
     fn grow(&mut self, growth: f64) {
         if f64::from(self.in_flight + 1) > self.limit / 2.0 {
-            self.limit += growth.max(CATCH_UP_SHARE * self.full_share) / self.limit;
+            self.limit += growth.max(CATCH_UP_FRACTION * self.full_quota) / self.limit;
         }
     }
 
--- a/src/policy/connection_set.rs
+++ b/src/policy/connection_set.rs
@@ -60,7 +60,7 @@
 
     /// Factor by which this front's share of a cache in use is larger than that of a front that sends to all
     /// `caches`: once each front keeps to some of them, as many fewer send to each. 1 where that is not so.
-    pub fn share_factor(&self, endpoint: EndpointIndex, caches: usize) -> f64 {
+    pub fn quota_factor(&self, endpoint: EndpointIndex, caches: usize) -> f64 {
         if !self.is_full() || !self.last_sent.contains_key(&endpoint) {
             return 1.0;
         }
--- a/src/policy/connection_set/tests.rs
+++ b/src/policy/connection_set/tests.rs
@@ -46,9 +46,9 @@
 fn the_share_of_a_cache_is_larger_once_each_front_keeps_to_some() {
     let mut connections = connection_set(4);
     (0..3).for_each(|endpoint| connections.record_send(0, endpoint));
-    assert_eq!(connections.share_factor(0, 100), 1.0);
+    assert_eq!(connections.quota_factor(0, 100), 1.0);
     connections.record_send(0, 3);
-    assert_eq!(connections.share_factor(0, 100), 25.0);
-    assert_eq!(connections.share_factor(9, 100), 1.0);
-    assert_eq!(connections.share_factor(0, 2), 1.0);
+    assert_eq!(connections.quota_factor(0, 100), 25.0);
+    assert_eq!(connections.quota_factor(9, 100), 1.0);
+    assert_eq!(connections.quota_factor(0, 2), 1.0);
 }
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -57,7 +57,7 @@
 
     /// Adds an endpoint, or the next process of the one at the index `known`.
     fn add_endpoint(&mut self, entry: EndpointEntry, role: Role, known: Option<EndpointIndex>) {
-        let full_share = entry.weight / f64::from(self.fronts_sharing(role));
+        let full_quota = entry.weight / f64::from(self.fronts_sharing(role));
         let in_flight = known.map_or(0, |at| self.endpoints[at].concurrency.in_flight);
         let slow_start = match role {
             Role::Parent => self.settings.parent_slow_start,
@@ -69,7 +69,7 @@
             slow_start,
             health: Health::new(self.now),
             concurrency: ConcurrencyLimit::for_endpoint(
-                full_share,
+                full_quota,
                 in_flight,
                 DEFAULT_TRANSFER_TIME_US,
             ),
@@ -92,16 +92,16 @@
 
     fn resize_origin_limit(&mut self) {
         let parents = self.endpoints.ranking(Role::Parent).weight();
-        let share = parents * ORIGIN_SIZE_RATIO / f64::from(self.fronts_sharing(Role::Origin));
+        let quota = parents * ORIGIN_SIZE_RATIO / f64::from(self.fronts_sharing(Role::Origin));
         let Some(at) = self.origin() else {
             return;
         };
         let concurrency = &mut self.endpoints[at].concurrency;
-        concurrency.min_limit = MIN_LIMIT.min(share);
+        concurrency.min_limit = MIN_LIMIT.min(quota);
         let lower_bound = if concurrency.was_cut() {
             concurrency.min_limit
         } else {
-            INITIAL_LIMIT_FACTOR * share
+            INITIAL_LIMIT_FACTOR * quota
         };
         concurrency.limit = concurrency.limit.max(lower_bound);
     }
@@ -111,14 +111,14 @@
         let caches = self.endpoints.ranking(Role::Cache).weight();
         let known = self.settings.link_kb_per_s / self.settings.client_kb_per_s;
         let size = if known > 0.0 { known } else { caches };
-        let share = size / f64::from(self.fronts_sharing(Role::Cache));
+        let quota = size / f64::from(self.fronts_sharing(Role::Cache));
         if self.link_report.is_none() {
-            self.link.limit = INITIAL_LIMIT_FACTOR * share;
+            self.link.limit = INITIAL_LIMIT_FACTOR * quota;
         }
         self.link.min_limit = if known > 0.0 {
-            share
+            quota
         } else {
-            MIN_LIMIT.min(share)
+            MIN_LIMIT.min(quota)
         };
     }
 
--- a/src/policy/fills.rs
+++ b/src/policy/fills.rs
@@ -14,7 +14,7 @@
 /// of them are hits that never reach it. What has missed is held to the limit itself.
 const MAX_NAMED_FACTOR: f64 = 2.0;
 /// Ranks at which copies are kept: one-off requests below what is requested again.
-const RANK_NOT_KEPT: u8 = 0;
+const RANK_NOT_CACHED: u8 = 0;
 const RANK_FIRST_REQUEST: u8 = 1;
 const RANK_REPEATED_REQUEST: u8 = 2;
 
@@ -80,7 +80,7 @@
             source: self.endpoints[source].listed.endpoint,
             max_age: self.max_age(pending),
             rank: match (is_write, pending.requested_recently) {
-                (true, _) => RANK_NOT_KEPT,
+                (true, _) => RANK_NOT_CACHED,
                 (false, false) => RANK_FIRST_REQUEST,
                 (false, true) => RANK_REPEATED_REQUEST,
             },
--- a/src/policy/load_feedback.rs
+++ b/src/policy/load_feedback.rs
@@ -60,7 +60,7 @@
 
     /// Whether this front's share of a source is less than one slot: many fronts send to few parents. The origin's
     /// size is a guess, so it goes with the parents there.
-    pub(super) fn has_fractional_share(&self, at: EndpointIndex) -> bool {
+    pub(super) fn has_fractional_quota(&self, at: EndpointIndex) -> bool {
         let fractional = |at: &EndpointIndex| self.endpoints[*at].concurrency.min_limit < 1.0;
         match self.endpoints[at].role {
             Role::Origin => self.endpoints.ready(Role::Parent).iter().any(fractional),
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -12,11 +12,11 @@
 use crate::api::{FillNote, Micros, Outcome, RequestId, Status, Timestamp};
 
 /// A failed fill that took this share of the time for the request moves on to the next source at once.
-const SLOW_FAILURE_SHARE: f64 = 0.25;
+const SLOW_FAILURE_FRACTION: f64 = 0.25;
 /// A source lost within this multiple of the time-out for connections was not reached: its process is gone.
 const CONNECT_TIMEOUT_SLACK: f64 = 1.25;
 /// A write that was rejected for lack of capacity waits this share of its latency objective.
-const WRITE_WAIT_SHARE: f64 = 0.1;
+const WRITE_WAIT_FRACTION: f64 = 0.1;
 
 /// A failure and the endpoint that is charged with it.
 #[derive(Clone, Copy, Debug)]
@@ -40,6 +40,11 @@
         overloaded: false,
     };
 
+    const OVERLOADED: Verdict = Verdict {
+        fault: None,
+        overloaded: true,
+    };
+
     fn fault(endpoint: EndpointIndex, failure: Failure) -> Self {
         Verdict {
             fault: Some(Fault { endpoint, failure }),
@@ -149,10 +154,7 @@
                 // The parent only passed it on: no failure of its own, but what is behind it has no capacity.
                 let at = source.unwrap_or(target);
                 self.adapt_limit(Resource::Endpoint(at), LoadSignal::Late);
-                Verdict {
-                    fault: None,
-                    overloaded: true,
-                }
+                Verdict::OVERLOADED
             }
             _ => self.judge_failed_target(pending, attempt, outcome),
         }
@@ -194,7 +196,7 @@
         filled_by: Option<EndpointIndex>,
         in_time: bool,
     ) {
-        let fractional = |at| self.has_fractional_share(at);
+        let fractional = |at| self.has_fractional_quota(at);
         let well = in_time || filled_by.is_some_and(fractional);
         if well || filled_by.is_none() || self.link_utilization() <= Some(LINK_FULL) {
             let served_by = Resource::Endpoint(filled_by.unwrap_or(target));
@@ -214,7 +216,7 @@
         let not_reached =
             outcome.note == FillNote::SourceLost && outcome.source_wait <= timeout as Micros;
         let time_for_request = pending.objective_at.saturating_sub(attempt.sent_at);
-        let slow = outcome.latency as f64 > SLOW_FAILURE_SHARE * time_for_request as f64;
+        let slow = outcome.latency as f64 > SLOW_FAILURE_FRACTION * time_for_request as f64;
         let tries = if slow { MAX_SOURCE_TRIES } else { 1 };
         pending.failed_sources.extend(vec![source; tries]);
         let signal = if outcome.note == FillNote::SourceRejected {
@@ -262,10 +264,7 @@
                 if outcome.note != FillNote::NoFillSlot {
                     self.adapt_limit(Resource::Endpoint(target), LoadSignal::Overloaded);
                 }
-                Verdict {
-                    fault: None,
-                    overloaded: true,
-                }
+                Verdict::OVERLOADED
             }
             Status::Ok | Status::Cancelled | Status::NotSent | Status::Miss => Verdict::NOTHING,
         }
@@ -274,7 +273,7 @@
     /// Writes are few and have the highest priority: they wait after a rejection, and the retry budget is not for
     /// them.
     fn hold_write(&mut self, pending: &mut PendingRequest) {
-        let wait = (pending.class.latency_objective as f64 * WRITE_WAIT_SHARE) as Micros;
+        let wait = (pending.class.latency_objective as f64 * WRITE_WAIT_FRACTION) as Micros;
         let last_moment: Timestamp = pending.deadline.saturating_sub(MIN_TIME_LEFT);
         let until = (self.now + wait).min(last_moment);
         pending.hold_until = Some(until);
--- a/src/policy/planning.rs
+++ b/src/policy/planning.rs
@@ -115,7 +115,7 @@
         let home = self.ranked(Role::Parent, &mut order, 0);
         let home_is_down =
             home.is_some_and(|at| !self.endpoints[at].health.is_selectable(self.now));
-        let may_spare = home_is_down || self.has_fractional_share(source);
+        let may_spare = home_is_down || self.has_fractional_quota(source);
         self.origin()
             .filter(|origin| may_spare && !self.has_capacity(source) && self.has_capacity(*origin))
     }
--- a/src/policy/recent_keys.rs
+++ b/src/policy/recent_keys.rs
@@ -26,7 +26,7 @@
 impl<K: Ord> RecentKeys<K> {
     /// Adds a key and returns whether it was requested in the last one or two periods, or may have been.
     pub fn insert(&mut self, key: K, now: Timestamp, period: Micros) -> bool {
-        let too_early_to_tell = now < *self.first_used_at.get_or_insert(now) + period;
+        let history_too_short = now < *self.first_used_at.get_or_insert(now) + period;
         if now >= self.period_started_at + period {
             self.previous = std::mem::take(&mut self.current);
             if now >= self.period_started_at + 2 * period {
@@ -35,7 +35,7 @@
             self.period_started_at = now;
         }
         let in_previous = self.previous.contains(&key);
-        !self.current.insert(key) || in_previous || too_early_to_tell
+        !self.current.insert(key) || in_previous || history_too_short
     }
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -5,9 +5,9 @@
 use crate::api::Timestamp;
 
 /// Share of the overload multiple that an endpoint in slow start is offered; the rest is for what is not seen.
-const OFFERED_SHARE: f64 = 0.5;
+const OFFERED_FRACTION: f64 = 0.5;
 /// Share of the overload window whose budget can be spent in one burst.
-const BURST_SHARE: f64 = 0.1;
+const BURST_FRACTION: f64 = 0.1;
 /// Requests in the overload window that a front's share must allow, or only some of the fronts send there.
 const MIN_REQUESTS_IN_WINDOW: f64 = 2.0;
 
@@ -17,8 +17,9 @@
         let limits = &self.slow_start;
         let elapsed = shared_now.saturating_sub(self.slow_start_at) as f64;
         let age = elapsed / limits.warm_up as f64;
-        let share = limits.initial_share + (1.0 - limits.initial_share) * age.min(1.0);
-        self.listed.weight * share
+        let fraction = limits.initial_capacity_fraction
+            + (1.0 - limits.initial_capacity_fraction) * age.min(1.0);
+        self.listed.weight * fraction
     }
 }
 
@@ -46,14 +47,14 @@
         let shared_now = self.endpoints.shared_clock(self.now);
         let endpoint = &mut self.endpoints[at];
         let capacity = endpoint.warming_capacity(shared_now);
-        let rate = capacity * endpoint.slow_start.overload_multiple * OFFERED_SHARE;
+        let rate = capacity * endpoint.slow_start.overload_multiple * OFFERED_FRACTION;
         let requests_in_window = rate * window_us / transfer_time_us;
         let senders = (requests_in_window / MIN_REQUESTS_IN_WINDOW)
             .floor()
             .clamp(1.0, fronts);
         let position = mix(endpoint.listed.endpoint.0, endpoint.last_start())
             .wrapping_add(self.settings.front_index.into());
-        let max_level = rate / senders * window_us * BURST_SHARE;
+        let max_level = rate / senders * window_us * BURST_FRACTION;
         let budget = &mut endpoint.slow_start_budget;
         budget.refill(self.now, rate / senders, max_level);
         // Overdrawn by one request, or one larger than the bucket would never pass.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,7 +25,7 @@
 
 pub fn settings() -> Settings {
     let cold = SlowStartLimits {
-        initial_share: 0.2,
+        initial_capacity_fraction: 0.2,
         warm_up: 20 * S,
         overload_multiple: 4.0,
     };
@@ -502,8 +502,8 @@
             return;
         }
         let age = now.saturating_sub(endpoint.started) as f64 / limits.warm_up as f64;
-        let capacity =
-            endpoint.weight * (limits.initial_share + (1.0 - limits.initial_share) * age);
+        let capacity = endpoint.weight
+            * (limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * age);
         self.cold.push((at, now, 300_000.0));
         let sum: f64 = self
             .cold
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -53,7 +53,7 @@
     let classes: Vec<_> = classes.collect();
     let here = 1 + rng.roll(6) as u32;
     let cold = |rng: &mut Rng, multiple| SlowStartLimits {
-        initial_share: 0.06 + rng.roll(30) as f64 / 100.0,
+        initial_capacity_fraction: 0.06 + rng.roll(30) as f64 / 100.0,
         warm_up: (5 + rng.roll(18)) * S,
         overload_multiple: multiple,
     };
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -214,8 +214,9 @@
             got = got.max(sent);
             // What it can do at the window's begin, in requests of 300 ms.
             let age = (at - started) as f64 / limits.warm_up as f64;
-            let capacity =
-                cold.weight * (limits.initial_share + (1.0 - limits.initial_share) * age);
+            let capacity = cold.weight
+                * (limits.initial_capacity_fraction
+                    + (1.0 - limits.initial_capacity_fraction) * age);
             let most = limits.overload_multiple * capacity * span as f64 / 300_000.0;
             assert!(
                 sent as f64 <= most,
@@ -243,8 +244,8 @@
     let settings = settings();
     let limits = settings.cache_slow_start;
     let age = (now - started) as f64 / limits.warm_up as f64;
-    let capacity =
-        returned(started).weight * (limits.initial_share + (1.0 - limits.initial_share) * age);
+    let capacity = returned(started).weight
+        * (limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * age);
     let allowed =
         limits.overload_multiple * capacity * settings.overload_window as f64 / (300 * MS) as f64;
     if allowed < 30.0 {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -248,7 +248,9 @@
             .collect();
         for end in &times {
             let age = (end - began) as f64 / limits.warm_up as f64;
-            let capacity = WEIGHT * (limits.initial_share + (1.0 - limits.initial_share) * age);
+            let capacity = WEIGHT
+                * (limits.initial_capacity_fraction
+                    + (1.0 - limits.initial_capacity_fraction) * age);
             let calls = capacity * limits.overload_multiple * span as f64 / 300_000.0;
             let bound = if calls < 30.0 {
                 calls + 3.0 * calls.sqrt() + 3.0
