--- a/front/src/protocol/shared.rs
+++ b/front/src/protocol/shared.rs
@@ -23,12 +23,12 @@
 pub fn learned(at: Timestamp, members: &[LearnedHealth]) -> String {
     let mut body = format!("at {at}\n");
     for m in members {
-        let (down, lost) = (u8::from(m.down), u8::from(m.lost));
+        let (down, lost) = (u8::from(m.down), u8::from(m.connection_lost));
         body += &format!(
             "{} {} {} {down} {lost}\n",
             name_of(m.endpoint),
             m.started,
-            m.cold_since
+            m.slow_start_at
         );
     }
     format!(
@@ -69,9 +69,9 @@
         Some(LearnedHealth {
             endpoint: member,
             started,
-            cold_since,
+            slow_start_at: cold_since,
             down,
-            lost,
+            connection_lost: lost,
         })
     };
     let members = lines
--- a/front/src/protocol/shared/tests.rs
+++ b/front/src/protocol/shared/tests.rs
@@ -5,9 +5,9 @@
     let of = |id: u64, down| LearnedHealth {
         endpoint: EndpointId(id),
         started: 7,
-        cold_since: 9,
+        slow_start_at: 9,
         down,
-        lost: down,
+        connection_lost: down,
     };
     let all = vec![of(0x11, true), of(0x12, false)];
     let text = learned(5, &all);
--- a/front/src/server/handover/tests.rs
+++ b/front/src/server/handover/tests.rs
@@ -28,9 +28,9 @@
     let down = vec![LearnedHealth {
         endpoint: NODE,
         started: 0,
-        cold_since: 0,
+        slow_start_at: 0,
         down: true,
-        lost: false,
+        connection_lost: false,
     }];
     let mut hand_over = |now| {
         assert!(old.accepts());
--- a/src/api/endpoints.rs
+++ b/src/api/endpoints.rs
@@ -50,9 +50,9 @@
     /// When it started, as the list says: this says nothing of another process of it.
     pub started: Timestamp,
     /// When its slow start began; 0: it started long ago.
-    pub cold_since: Timestamp,
+    pub slow_start_at: Timestamp,
     /// It is DOWN or SUSPECT.
     pub down: bool,
     /// It went DOWN because no connection was made.
-    pub lost: bool,
+    pub connection_lost: bool,
 }
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -158,11 +158,11 @@
         let all = self.endpoints.all().map(|endpoint| LearnedHealth {
             endpoint: endpoint.listed.endpoint,
             started: endpoint.listed.started,
-            cold_since: endpoint.slow_start_at,
+            slow_start_at: endpoint.slow_start_at,
             down: endpoint.health.is_down_or_suspect(),
-            lost: endpoint.health.down_cause() == Some(DownCause::ConnectionLost),
+            connection_lost: endpoint.health.down_cause() == Some(DownCause::ConnectionLost),
         });
-        all.filter(|learned| learned.down || learned.cold_since != learned.started)
+        all.filter(|learned| learned.down || learned.slow_start_at != learned.started)
             .collect()
     }
 
@@ -182,10 +182,10 @@
             return;
         };
         let endpoint = &mut self.endpoints[at];
-        endpoint.slow_start_at = endpoint.slow_start_at.max(learned.cold_since);
+        endpoint.slow_start_at = endpoint.slow_start_at.max(learned.slow_start_at);
         self.warming_up.insert(at);
         if learned.down {
-            let cause = if learned.lost {
+            let cause = if learned.connection_lost {
                 DownCause::ConnectionLost
             } else {
                 DownCause::FailedRequests
--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -194,7 +194,9 @@
             .find(|one| one.endpoint.0 == id)
             .expect("learned")
     };
-    assert!(of(10).down && of(10).lost && !of(11).down && of(11).cold_since == old.now);
+    assert!(
+        of(10).down && of(10).connection_lost && !of(11).down && of(11).slow_start_at == old.now
+    );
     let mut new = RouterHarness::new(settings(), endpoints());
     new.now = old.now;
     new.notify(Event::LearnedHealth(learned.clone()));
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -57,3 +57,22 @@
         );
     }
 }
+
+#[test]
+fn the_deploy_file_lists_each_decision_module() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
+    let list = deploy
+        .lines()
+        .find_map(|line| line.strip_prefix("policy = ["))
+        .and_then(|rest| rest.split(']').next())
+        .expect("a list of policy files");
+    let mut listed: Vec<PathBuf> = list
+        .split(", ")
+        .map(|name| root.join(name.trim_matches('"')))
+        .collect();
+    let mut modules = source_files(&root.join("src/policy"));
+    listed.sort_unstable();
+    modules.sort_unstable();
+    assert_eq!(listed, modules);
+}
