--- a/src/policy/fills.rs
+++ b/src/policy/fills.rs
@@ -1,4 +1,4 @@
-//! Fills: what has to wait, and what a cache is told about filling a miss.
+//! Fills: what has to wait, and the instructions for a cache that fills a miss.
 use super::endpoint::{EndpointIndex, Role};
 use super::request_state::{PendingRequest, Route, WaitTarget};
 use super::requests::transfer_time_us;
--- a/src/policy/load_feedback.rs
+++ b/src/policy/load_feedback.rs
@@ -9,7 +9,7 @@
 /// Transfers on the link into the zone, over those that fit at full rate, from which it is full: a fill runs two to
 /// four times as fast as a client takes it, so up to there it holds up none.
 pub(super) const LINK_FULL: f64 = 3.0;
-/// A link that is told to be emptier than this is taken for this full.
+/// A link with a lower reported utilization is taken to have this one.
 const MIN_LINK_UTILIZATION: f64 = 0.2;
 /// How long a load report holds.
 const REPORT_LIFETIME: Micros = 1_000 * MILLISECOND;
