--- a/src/policy/fills.rs
+++ b/src/policy/fills.rs
@@ -1,5 +1,6 @@
 //! Fills: what has to wait, and the instructions for a cache that fills a miss.
 use super::endpoint::{EndpointIndex, Role};
+use super::load_feedback::LINK_FULL;
 use super::request_state::{PendingRequest, Route, WaitTarget};
 use super::requests::transfer_time_us;
 use super::router::Router;
@@ -64,7 +65,7 @@
     /// not to wait behind a fill that has to wait.
     pub(super) fn must_check_cache_first(&self, source: EndpointIndex, request: &Request) -> bool {
         let link_exceeded = self.link_report.is_some() && self.link.exceeds(MAX_NAMED_FACTOR);
-        let link_full = self.link_utilization() > Some(super::load_feedback::LINK_FULL);
+        let link_full = self.link_utilization() > Some(LINK_FULL);
         let source_exceeded = self.endpoints[source].concurrency.exceeds(MAX_NAMED_FACTOR);
         (link_exceeded || link_full || source_exceeded)
             && self.slow_origin_behind(source, request).is_none()
