--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -2,7 +2,7 @@
 //! certificates to the TLS listener.
 use super::served::{Proof, Tables};
 use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
-use crate::transport::{at_start, listen, Registered, Workers};
+use crate::transport::{at_start, listen, Registered, RestingListener, Workers};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_certs::disk::{self, Folder};
 use cranesill_certs::exchange::{exchange, make_key, prove, roots, Made};
@@ -62,7 +62,7 @@
     workers_key: usize,
     folder: Option<Arc<Mutex<Folder>>>,
     exchanges: Option<Exchanges>,
-    listener: Option<(Registered<TcpListener>, usize)>,
+    listener: Option<(RestingListener<TcpListener>, usize)>,
     lookers: HashMap<usize, Looker>,
     /// There is no place for another looker now.
     crowded: bool,
@@ -187,12 +187,9 @@
                 let listener = at_start(|| listen(at)).map_err(|e| failed(&e))?;
                 let at = listener.local_addr().map_err(|e| failed(&e))?;
                 tracing::info!(%at, "answering challenges");
-                Some((
-                    turn.reactor
-                        .watch(listener, key, false)
-                        .map_err(|e| failed(&e))?,
-                    key,
-                ))
+                let listener = turn.reactor.watch(listener, key, false);
+                let listener = listener.map_err(|e| failed(&e))?;
+                Some((RestingListener::new(listener), key))
             }
         };
         let mut folder = None;
@@ -360,7 +357,7 @@
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
-        let Some((listener, _)) = &self.listener else {
+        let Some((listener, _)) = &mut self.listener else {
             return;
         };
         for _ in 0..ACCEPTS_MOST {
@@ -370,14 +367,13 @@
                     return;
                 };
                 if due + KEPT_LEAST > turn.now + LOOK_MOST {
-                    // It can only fail for a listener that is not watched.
-                    let _ = listener.rewatch(false, false);
+                    listener.set_watched(false);
                     self.crowded = true;
                     return;
                 }
                 self.lookers.remove(&key);
             }
-            let Ok((socket, _)) = listener.accept() else {
+            let Some(socket) = listener.accept(turn.now) else {
                 return;
             };
             let key = turn.key();
@@ -541,13 +537,15 @@
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
+        if let Some((listener, _)) = &mut self.listener {
+            listener.resume_if_due(turn.now);
+        }
         self.lookers.retain(|_, looker| looker.due > turn.now);
         if std::mem::take(&mut self.crowded) {
             // Goes on to accept; `accept` makes room where it may.
-            let _ = self
-                .listener
-                .as_ref()
-                .map(|(listener, _)| listener.rewatch(true, false));
+            if let Some((listener, _)) = &self.listener {
+                listener.set_watched(true);
+            }
         }
         if turn.now >= self.next {
             self.handle(turn, Event::Tick);
@@ -563,7 +561,10 @@
                 due
             }
         });
-        looker.into_iter().chain([self.next]).min()
+        let listener = self.listener.as_ref();
+        let listener = listener.and_then(|(listener, _)| listener.resumes_at());
+        let own = looker.into_iter().chain(listener);
+        own.chain([self.next]).min()
     }
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -1,6 +1,6 @@
 //! The control socket: operators send commands, one JSON object a line, and get one line back for each.
 use super::{AdminEffect, Driver, Effect, Turn};
-use crate::transport::{at_start, Registered};
+use crate::transport::{at_start, Registered, RestingListener};
 use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
@@ -38,7 +38,7 @@
 
 /// The control socket.
 pub struct Control {
-    listener: Registered<UnixListener>,
+    listener: RestingListener<UnixListener>,
     listener_key: usize,
     path: PathBuf,
     operators: HashMap<usize, Operator>,
@@ -131,7 +131,7 @@
         let listener = listener.map_err(SocketError::Unwatched)?;
         tracing::info!(path = %path.display(), "control socket");
         Ok(Control {
-            listener,
+            listener: RestingListener::new(listener),
             listener_key,
             path: path.to_path_buf(),
             operators: HashMap::new(),
@@ -144,7 +144,7 @@
 
     /// Accepts the operators that wait to connect.
     fn accept(&mut self, turn: &mut Turn<'_>) {
-        while let Ok((socket, _)) = self.listener.accept() {
+        while let Some(socket) = self.listener.accept(turn.now) {
             if self.operators.len() >= MAX_OPERATORS || socket.set_nonblocking(true).is_err() {
                 continue;
             }
@@ -324,6 +324,7 @@
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
+        self.listener.resume_if_due(turn.now);
         let is_over = |operator: &Operator| {
             let is_inactive = turn.now > operator.active_at + MAX_IDLE;
             // One that waits for the result of a command may be silent, one that does not read its answers may not.
@@ -340,7 +341,8 @@
     }
 
     fn next(&self) -> Option<Timestamp> {
-        Some(self.sweep_at)
+        let listener = self.listener.resumes_at().into_iter();
+        listener.chain([self.sweep_at]).min()
     }
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
@@ -361,7 +363,7 @@
 impl Drop for Control {
     fn drop(&mut self) {
         // Only one's own: another daemon may have taken the place since.
-        let mine = self.listener.local_addr().is_ok();
+        let mine = self.listener.get().local_addr().is_ok();
         if mine {
             let _ = std::fs::remove_file(&self.path);
         }
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -4,7 +4,7 @@
 use super::snapshot::wall_ms;
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
-use crate::transport::{at_start, dial, listen, Outgoing, Registered, Stream};
+use crate::transport::{at_start, dial, listen, Outgoing, RestingListener, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
 use cranesill_startup::{check_snapshot, ListOffer, PeerBootstrap, SnapshotHeader};
@@ -39,7 +39,7 @@
 
 /// The driver.
 pub struct Peers {
-    listener: Registered<TcpListener>,
+    listener: RestingListener<TcpListener>,
     listener_key: usize,
     peers: Vec<SocketAddr>,
     core: PeerBootstrap,
@@ -92,7 +92,7 @@
             seed,
         );
         Ok(Peers {
-            listener,
+            listener: RestingListener::new(listener),
             listener_key,
             peers,
             core,
@@ -111,7 +111,7 @@
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
-        while let Ok((socket, _)) = self.listener.accept() {
+        while let Some(socket) = self.listener.accept(turn.now) {
             if self.askers.len() >= ASKERS_MOST {
                 continue;
             }
@@ -289,6 +289,7 @@
 
     fn due(&mut self, turn: &mut Turn<'_>) {
         let now = turn.now;
+        self.listener.resume_if_due(now);
         self.askers.retain(|_, asker| asker.until > now);
         let late: Vec<_> = self
             .asked
@@ -316,7 +317,9 @@
             .values()
             .map(|a| a.until)
             .chain(self.asked.values().map(|a| a.until));
-        ends.chain([self.core.next_round()]).min()
+        ends.chain([self.core.next_round()])
+            .chain(self.listener.resumes_at())
+            .min()
     }
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -3,7 +3,7 @@
 use super::start::StartError;
 use crate::protocol::follow::{frame, read_hello, Frame, Hello, HELLO};
 use crate::server::drivers::Turn;
-use crate::transport::{at_start, listen, Registered, Stream};
+use crate::transport::{at_start, listen, Registered, RestingListener, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::log::PurgeLog;
 use cranesill_purges::{Purge, PurgeNumber};
@@ -139,7 +139,7 @@
 /// The followers of this front.
 #[derive(Debug)]
 pub(super) struct Followers {
-    listener: Registered<TcpListener>,
+    listener: RestingListener<TcpListener>,
     listener_key: usize,
     /// By the poller keys of their connections.
     followers: HashMap<usize, Follower>,
@@ -162,7 +162,7 @@
             }
         })?;
         Ok(Followers {
-            listener,
+            listener: RestingListener::new(listener),
             listener_key,
             followers: HashMap::new(),
             scratch: vec![0; READ_BUFFER_BYTES],
@@ -205,7 +205,7 @@
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
-        while let Ok((socket, _)) = self.listener.accept() {
+        while let Some(socket) = self.listener.accept(turn.now) {
             if self.followers.len() >= MAX_FOLLOWERS {
                 continue;
             }
@@ -242,6 +242,7 @@
 
     /// Sends followers what is due, and closes those that are silent or fail.
     pub(super) fn send_due(&mut self, now: Timestamp, log: &PurgeLog) {
+        self.listener.resume_if_due(now);
         self.followers.retain(|_, follower| {
             let silent = follower.is_silent(now);
             follower.send_if_due(now, log) && !silent
@@ -250,6 +251,7 @@
 
     /// When something is due without another event.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
-        self.followers.values().map(Follower::next_due).min()
+        let followers = self.followers.values().map(Follower::next_due);
+        followers.chain(self.listener.resumes_at()).min()
     }
 }
--- a/front/src/transport/mod.rs
+++ b/front/src/transport/mod.rs
@@ -5,6 +5,7 @@
 mod descriptors;
 mod faults;
 mod reactor;
+mod resting_listener;
 mod stream;
 mod workers;
 
@@ -14,5 +15,6 @@
 pub use descriptors::used_up;
 pub use faults::{is_local, AcceptFault};
 pub use reactor::{Reactor, Registered};
+pub use resting_listener::RestingListener;
 pub use stream::{dial, inherited, listen, Outgoing, Stream};
 pub use workers::Workers;
