--- a/startup/src/call_budget.rs
+++ b/startup/src/call_budget.rs
@@ -1,4 +1,4 @@
-//! When a front calls the list service again. All fronts share one service: what each does by itself is harmless, and
+//! When a front calls the list service again. All fronts use one service: what each does by itself is harmless, and
 //! what all do in step keeps it down.
 use crate::rng::next_fraction;
 use crate::{FleetPosition, Micros, Timestamp};
@@ -8,13 +8,13 @@
 const RETRY_INTERVAL: Micros = 200_000;
 /// Wait between two calls in the urgent period (see [`CallBudget::urgent_period`]).
 const URGENT_INTERVAL: Micros = 500_000;
-/// Smallest share of the budget, as a wait between two calls of one front.
-const MIN_SHARE: Micros = 1_000_000;
+/// The quota of one front is at least this, as a wait between two calls of one front.
+const MIN_QUOTA: Micros = 1_000_000;
 /// Relative jitter of a wait, to either side.
 const JITTER: f64 = 0.25;
 /// The same once the calls of the fleet are spread evenly, which more jitter would undo.
 const SPREAD_JITTER: f64 = 0.03;
-/// The calls of a fleet that started in step are spread over this time at least, or over the share if that is shorter.
+/// The calls of a fleet that started in step are spread over this time at least, or over the quota if that is shorter.
 const MIN_SPREAD: Micros = 3_000_000;
 /// A connection that delivered messages over this long had worked. One that broke sooner is no reason for haste.
 const MIN_HEALTHY: Micros = 2_000_000;
@@ -45,7 +45,7 @@
 pub struct CallBudget {
     /// Calls per second of the whole fleet.
     pub calls_per_s: f64,
-    /// Longest wait of one front between two calls, whatever its share.
+    /// Longest wait of one front between two calls, whatever its quota.
     pub max_wait: Micros,
     /// For this long after the last message of the service, calls are made twice a second: whatever has changed since
     /// then is learned in time by a call before it must be obeyed. Later, nothing is gained by haste.
@@ -55,17 +55,17 @@
 /// The budget of one front.
 #[derive(Clone, Copy, Debug)]
 struct FrontBudget {
-    /// Wait between two calls at this front's share.
-    share: Micros,
+    /// This front's quota of the budget, as a wait between two calls.
+    quota: Micros,
     urgent_period: Micros,
 }
 
 impl FrontBudget {
     fn new(fronts: u32, budget: CallBudget) -> Self {
         let seconds = f64::from(fronts) / budget.calls_per_s.max(f64::MIN_POSITIVE);
-        let share = (seconds * 1e6) as Micros;
+        let quota = (seconds * 1e6) as Micros;
         FrontBudget {
-            share: share.max(MIN_SHARE).min(budget.max_wait),
+            quota: quota.max(MIN_QUOTA).min(budget.max_wait),
             urgent_period: budget.urgent_period,
         }
     }
@@ -80,7 +80,7 @@
     failures: u32,
     /// Calls in a row that were never answered while calls were rare.
     unanswered: u32,
-    /// This front has waited its share since the service was last healthy, so the calls of the fleet are spread.
+    /// This front has waited by its quota since the service was last healthy, so the calls of the fleet are spread.
     spread: bool,
     call_started_at: Timestamp,
     /// When the last complete message arrived on any connection; at first the start, whose events the configuration
@@ -129,19 +129,19 @@
         self.spread = true;
         let place = f64::from(self.position.number) + self.random();
         now + RETRY_INTERVAL
-            + (budget.share as f64 * place / f64::from(self.position.fronts)) as Micros
+            + (budget.quota as f64 * place / f64::from(self.position.fronts)) as Micros
     }
 
     /// A call is made. Returns the deadline by which it must have connected.
     pub fn start_call(&mut self, now: Timestamp) -> Timestamp {
         self.call_started_at = now;
         self.first_message_at = None;
-        let share_limit = |budget: FrontBudget| {
+        let quota_limit = |budget: FrontBudget| {
             MAX_CONNECT_TIMEOUT
-                .min(budget.share / 2)
+                .min(budget.quota / 2)
                 .max(CONNECT_TIMEOUT)
         };
-        let longest = self.budget.map_or(CONNECT_TIMEOUT, share_limit);
+        let longest = self.budget.map_or(CONNECT_TIMEOUT, quota_limit);
         let growth = CONNECT_TIMEOUT_GROWTH.saturating_pow(self.unanswered);
         let timeout = CONNECT_TIMEOUT.saturating_mul(growth).min(longest);
         now + (timeout as f64 * self.jitter(JITTER)) as Micros
@@ -185,7 +185,7 @@
             self.spread = false;
         }
         let budget = self.budget.unwrap_or(FrontBudget {
-            share: RETRY_INTERVAL,
+            quota: RETRY_INTERVAL,
             urgent_period: Micros::MAX,
         });
         let urgent_until = self.last_message_at.saturating_add(budget.urgent_period);
@@ -197,20 +197,20 @@
         };
         let wait = match self.failures {
             0 => RETRY_INTERVAL,
-            _ if urgent => URGENT_INTERVAL.min(budget.share),
-            _ => budget.share,
+            _ if urgent => URGENT_INTERVAL.min(budget.quota),
+            _ => budget.quota,
         };
         self.failures = self.failures.saturating_add(1);
-        let waited = self.waited_in_vain(now, end);
-        let at_own_share = self.budget.is_some() && rare && wait >= budget.share;
-        match at_own_share {
-            true => now + self.share_wait(wait, waited),
+        let waited = self.unanswered_wait(now, end);
+        let at_quota = self.budget.is_some() && rare && wait >= budget.quota;
+        match at_quota {
+            true => now + self.quota_wait(wait, waited),
             false => now + self.short_wait(wait, waited),
         }
     }
 
     /// Time that was spent waiting for an answer counts towards the wait before the next call.
-    fn waited_in_vain(&self, now: Timestamp, end: CallEnd) -> Micros {
+    fn unanswered_wait(&self, now: Timestamp, end: CallEnd) -> Micros {
         match end {
             CallEnd::Unanswered | CallEnd::Silent => {
                 now.saturating_sub(self.call_started_at.max(self.last_message_at))
@@ -227,13 +227,14 @@
         left.max(RETRY_INTERVAL as f64 * random) as Micros
     }
 
-    fn share_wait(&mut self, wait: Micros, waited: Micros) -> Micros {
-        let (wait, waited) = (wait as f64, waited as f64);
+    fn quota_wait(&mut self, wait: Micros, waited: Micros) -> Micros {
+        let wait = wait as f64;
+        let waited = waited as f64;
         if self.spread {
             return (wait * self.jitter(SPREAD_JITTER) - waited).max(0.0) as Micros;
         }
-        // A fleet that started in step is spread over the whole share, each front by its number. Where the fronts have
-        // waited in vain for about as long as that, what is left of the share would bring them close together again.
+        // A fleet that started in step is spread over the whole quota, each front by its number. Where the fronts have
+        // waited in vain for about as long as that, what is left of the quota would bring them close together again.
         self.spread = true;
         let place =
             (f64::from(self.position.number) + self.random()) / f64::from(self.position.fronts);
