--- a/front/tests/syscalls.rs
+++ b/front/tests/syscalls.rs
@@ -469,6 +469,38 @@
     all_is_well(&mut stage, 67);
 }
 
+#[test]
+fn a_front_that_starts_while_calls_fail_serves_all_that_is_asked() {
+    let mut stage = stage(|_| {}, 0, 73);
+    let faults = [
+        (Call::Accept, libc::ENOBUFS),
+        (Call::Accept, libc::ECONNABORTED),
+        (Call::Connect, libc::EADDRNOTAVAIL),
+        (Call::Connect, libc::ENETUNREACH),
+        (Call::ReadAccepted, libc::EINTR),
+        (Call::ReadDialled, libc::EAGAIN),
+        (Call::WriteAccepted, libc::EAGAIN),
+        (Call::WriteDialled, libc::EINTR),
+    ];
+    for (call, errno) in faults {
+        stage.kill(&[0]);
+        let before = stage.fleet.machines[0].socket_faults();
+        let every_other = SocketFaults::all(&[call], errno).every(2);
+        stage.fleet.machines[0].sockets(Some(&every_other));
+        stage.fleet.restart([0]);
+        stage.fleet.address(0);
+        let visitors = Visitors::begin(&stage, 4, 3, 5 * MS);
+        stage.served("answers while calls fail from the start on", 40);
+        visitors.end();
+        assert!(
+            stage.fleet.machines[0].socket_faults() > before,
+            "{call:?}: nothing failed"
+        );
+        stage.fleet.machines[0].sockets(None);
+    }
+    all_is_well(&mut stage, 73);
+}
+
 #[test]
 fn a_start_gives_up_a_shortage_that_lasts_with_one_line() {
     let mut stage = stage(|_| {}, 0, 68);
