--- a/front/src/server/cli.rs
+++ b/front/src/server/cli.rs
@@ -1,6 +1,7 @@
-//! The command line.
+//! The command line: what the program is asked to do.
 use super::config::{settings, Config};
 use super::ctl::{self, Ctl};
+use super::error::{CommandError, ConfigErrors};
 use super::event_loop::Server;
 use super::signals::Early;
 use bpaf::{construct, long, positional, OptionParser, Parser};
@@ -11,7 +12,10 @@
 #[derive(Clone, Debug)]
 enum Command {
     Serve(Serve),
-    Check(Option<PathBuf>, Option<PathBuf>),
+    Check {
+        config: Option<PathBuf>,
+        settings: Option<PathBuf>,
+    },
     Schema,
     Ctl(Ctl),
     Version,
@@ -27,21 +31,45 @@
 }
 
 fn options() -> OptionParser<Command> {
-    let file = || {
-        let option = long("config")
-            .help("The configuration")
-            .env("RELAY_CONFIG")
-            .argument::<PathBuf>("FILE");
-        let given = positional::<PathBuf>("FILE").help("The configuration");
-        construct!([given, option])
-    };
-    let own = || {
-        long("settings")
-            .help("The daemon's own settings")
-            .argument::<PathBuf>("FILE")
-            .optional()
-    };
-    let (settings, config) = (own(), file());
+    let serve = serve_command();
+    let check = check_command();
+    let schema = bpaf::pure(Command::Schema)
+        .to_options()
+        .descr("Print the JSON Schema of the settings")
+        .command("schema");
+    let version = bpaf::pure(Command::Version)
+        .to_options()
+        .descr("Print the version")
+        .command("version");
+    let ctl = ctl::ctl().map(Command::Ctl);
+    let certs = ctl::certs().map(Command::Ctl);
+    let purge = ctl::purge().map(Command::Ctl);
+    let purges = ctl::purges().map(Command::Ctl);
+    construct!([serve, check, schema, ctl, certs, purge, purges, version])
+        .to_options()
+        .descr("A front for caches that fill from parents and an origin")
+}
+
+/// The configuration's file, by option or position.
+fn config_file() -> impl Parser<PathBuf> {
+    let option = long("config")
+        .help("The configuration")
+        .env("RELAY_CONFIG")
+        .argument::<PathBuf>("FILE");
+    let given = positional::<PathBuf>("FILE").help("The configuration");
+    construct!([given, option])
+}
+
+fn settings_file() -> impl Parser<Option<PathBuf>> {
+    long("settings")
+        .help("The daemon's own settings")
+        .argument::<PathBuf>("FILE")
+        .optional()
+}
+
+fn serve_command() -> impl Parser<Command> {
+    let settings = settings_file();
+    let config = config_file();
     let ops = long("ops")
         .help("Where operators call, if not as the configuration says")
         .env("RELAY_OPS")
@@ -52,127 +80,126 @@
         .env("RELAY_ACCEPT_FD")
         .argument::<String>("N")
         .optional();
-    let serve = construct!(Serve {
+    construct!(Serve {
         settings,
         ops,
         accept_fd,
         config
     })
-    .map(Command::Serve);
-    let serve = serve.to_options().descr("Serve clients until SIGTERM");
-    let (settings, config) = (own(), file().optional());
-    let check =
-        construct!(settings, config).map(|(settings, config)| Command::Check(config, settings));
-    let check = check
-        .to_options()
-        .descr("Read configuration and settings and say what is wrong with them");
-    let schema = bpaf::pure(Command::Schema)
-        .to_options()
-        .descr("Print the JSON Schema of the settings");
-    let version = bpaf::pure(Command::Version)
-        .to_options()
-        .descr("Print the version");
-    let serve = serve.command("serve");
-    let check = check.command("check");
-    let schema = schema.command("schema");
-    let version = version.command("version");
-    let ctl = ctl::ctl().map(Command::Ctl);
-    let certs = ctl::certs().map(Command::Ctl);
-    let purge = ctl::purge().map(Command::Ctl);
-    let purges = ctl::purges().map(Command::Ctl);
-    construct!([serve, check, schema, ctl, certs, purge, purges, version])
+    .map(Command::Serve)
+    .to_options()
+    .descr("Serve clients until SIGTERM")
+    .command("serve")
+}
+
+fn check_command() -> impl Parser<Command> {
+    let settings = settings_file();
+    let config = config_file().optional();
+    construct!(settings, config)
+        .map(|(settings, config)| Command::Check { config, settings })
         .to_options()
-        .descr("A front for caches that fill from parents and an origin")
+        .descr("Read configuration and settings and say what is wrong with them")
+        .command("check")
 }
 
-fn serve(
-    Serve {
-        config,
-        settings: own,
-        ops,
-        accept_fd,
-    }: Serve,
-) -> Result<(), Vec<String>> {
+/// Serves until SIGTERM. Returns all errors that can be found, one a line for the operator.
+fn serve(options: Serve) -> Result<(), Vec<CommandError>> {
     // Before anything is read: a signal that comes while the program starts would end it by the system's own way.
-    let early = Early::new().map_err(|e| vec![format!("signals: {e}")])?;
-    let mut config = Config::load(&config)?;
-    let daemon = own.as_deref().map_or(Ok(Daemon::default()), settings)?;
-    let mut faults = Vec::new();
-    if let Some(ops) = ops {
-        config.ops = ops
-            .parse()
-            .map_err(|_| faults.push(format!("RELAY_OPS: no address: {ops}")))
-            .ok();
+    let early = Early::new().map_err(|e| vec![CommandError::Signals(e)])?;
+    let mut config = Config::load(&options.config).map_err(command_errors)?;
+    let settings = match &options.settings {
+        Some(file) => settings(file).map_err(command_errors)?,
+        None => Daemon::default(),
+    };
+    apply_options(&mut config, &options)?;
+    config
+        .reserve(&settings)
+        .map_err(|e| vec![CommandError::Config(e)])?;
+    let server = Server::new(config, settings, options.settings);
+    let server = server.map_err(|e| vec![CommandError::Server(e)])?;
+    early
+        .raise_again()
+        .map_err(|e| vec![CommandError::Signals(e)])?;
+    server.run().map_err(|e| vec![CommandError::Server(e)])
+}
+
+/// Puts what the command line or the environment says in the place of what the configuration says.
+fn apply_options(config: &mut Config, options: &Serve) -> Result<(), Vec<CommandError>> {
+    let mut errors = Vec::new();
+    if let Some(text) = &options.ops {
+        match text.parse() {
+            Ok(address) => config.ops = Some(address),
+            Err(_) => errors.push(CommandError::OpsAddress(text.clone())),
+        }
     }
-    if let Some(fd) = accept_fd {
-        config.accept_fd = fd
-            .parse()
-            .map_err(|_| faults.push(format!("RELAY_ACCEPT_FD: {fd}: no number")))
-            .ok();
+    if let Some(text) = &options.accept_fd {
+        match text.parse() {
+            Ok(descriptor) => config.accept_fd = Some(descriptor),
+            Err(_) => errors.push(CommandError::AcceptDescriptor(text.clone())),
+        }
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if errors.is_empty() {
+        Ok(())
+    } else {
+        Err(errors)
     }
-    config.reserve(&daemon).map_err(|e| vec![e])?;
-    let server = Server::new(config, daemon, own).map_err(|e| vec![e.to_string()])?;
-    early.again().map_err(|e| vec![format!("signals: {e}")])?;
-    server.run().map_err(|e| vec![e.to_string()])
 }
 
-/// Reads both files as far as they are named; all faults of both are told.
-fn check(config: Option<PathBuf>, own: Option<PathBuf>) -> Result<(), Vec<String>> {
-    if config.is_none() && own.is_none() {
-        return Err(vec!["neither a configuration nor settings are named".into()]);
+fn command_errors(errors: ConfigErrors) -> Vec<CommandError> {
+    errors.into_iter().map(CommandError::Config).collect()
+}
+
+/// Reads both files as far as they are named; the errors of both are returned.
+fn check(config: Option<PathBuf>, settings_file: Option<PathBuf>) -> Result<(), Vec<CommandError>> {
+    if config.is_none() && settings_file.is_none() {
+        return Err(vec![CommandError::NothingToCheck]);
     }
     let config = config.map(|file| Config::load(&file));
-    let own = own.map(|file| settings(&file));
-    let mut faults: Vec<String> = Vec::new();
-    if let (Some(Ok(config)), Some(Ok(daemon))) = (&config, &own) {
-        faults.extend(config.clone().reserve(daemon).err());
+    let settings = settings_file.map(|file| settings(&file));
+    let mut errors = Vec::new();
+    if let (Some(Ok(config)), Some(Ok(settings))) = (&config, &settings) {
+        let reserved = config.clone().reserve(settings);
+        errors.extend(reserved.err().map(CommandError::Config));
     }
     match config {
         Some(Ok(config)) => println!("{}", config.summary()),
-        Some(Err(found)) => faults.extend(found),
+        Some(Err(found)) => errors.extend(command_errors(found)),
         None => {}
     }
-    match own {
-        Some(Ok(daemon)) => {
-            let on = [
-                ("control", daemon.control.is_some()),
-                ("tls", daemon.tls.is_some()),
-                ("certs", daemon.certs.is_some()),
-                ("purges", daemon.purges.is_some()),
-                ("startup", daemon.startup.is_some()),
-            ];
-            let on: Vec<_> = on
-                .into_iter()
-                .filter(|(_, on)| *on)
-                .map(|(name, _)| name)
-                .collect();
-            println!(
-                "settings: {}",
-                if on.is_empty() {
-                    "everything is off".into()
-                } else {
-                    on.join(", ")
-                }
-            );
-        }
-        Some(Err(found)) => faults.extend(found),
+    match settings {
+        Some(Ok(settings)) => println!("settings: {}", enabled_subsystems(&settings)),
+        Some(Err(found)) => errors.extend(command_errors(found)),
         None => {}
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(())
     } else {
-        Err(faults)
+        Err(errors)
+    }
+}
+
+/// Names the subsystems that the settings switch on.
+fn enabled_subsystems(settings: &Daemon) -> String {
+    let subsystems = [
+        ("control", settings.control.is_some()),
+        ("tls", settings.tls.is_some()),
+        ("certs", settings.certs.is_some()),
+        ("purges", settings.purges.is_some()),
+        ("startup", settings.startup.is_some()),
+    ];
+    let enabled = subsystems.into_iter().filter(|(_, enabled)| *enabled);
+    let names: Vec<_> = enabled.map(|(name, _)| name).collect();
+    if names.is_empty() {
+        return "everything is off".into();
     }
+    names.join(", ")
 }
 
-/// Runs what the command line asks for.
+/// Runs the command that the command line asks for.
 pub fn run() -> ExitCode {
     let done = match options().run() {
         Command::Serve(asked) => serve(asked),
-        Command::Check(config, own) => check(config, own),
+        Command::Check { config, settings } => check(config, settings),
         Command::Schema => {
             // A value of JSON can always be written as text.
             println!(
@@ -189,10 +216,10 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(faults) => {
-            faults
-                .iter()
-                .for_each(|fault| eprintln!("cranesill: {fault}"));
+        Err(errors) => {
+            for error in errors {
+                eprintln!("cranesill: {error}");
+            }
             ExitCode::FAILURE
         }
     }
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -2,7 +2,7 @@
 use super::admin::ADMIN_COMMANDS;
 use super::takeover::open_handover;
 use super::timers::{Timer, SWEEP_INTERVAL};
-use super::{Server, FIRST_CONNECTION_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
+use super::{RunningDriver, Server, FIRST_CONNECTION_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::RequestPipeline;
 use crate::server::acceptor::AcceptBackoff;
@@ -19,14 +19,15 @@
 use crate::server::drivers::{Driver, Turn};
 use crate::server::error::ServerError;
 use crate::server::log::Log;
-use crate::server::signals::raised;
-use crate::server::startup::{calls, known, snapshots, Startup};
+use crate::server::signals;
+use crate::server::startup::{call_schedule, known_list, snapshot_path, Startup};
 use crate::server::upstream::CacheNodes;
 use crate::transport::{at_start, inherited, listen, Clock, Deadlines, Reactor, Registered};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Daemon;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::collections::{BTreeMap, BTreeSet};
+use std::error::Error;
 use std::net::TcpListener;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
@@ -34,8 +35,9 @@
 /// Nobody waits for an answer longer than this where the settings name no time.
 const DEFAULT_MAX_WAIT: Micros = 3_000_000;
 
-/// What the operating system gives a server before it serves.
+/// What a server watches and writes to from the start.
 struct Sources {
+    log: Log,
     clock: Clock,
     reactor: Reactor,
     listener: Registered<TcpListener>,
@@ -44,8 +46,13 @@
 }
 
 impl Sources {
-    /// Watches signals and the clients' listener, which is `inherited` where the platform hands it over.
-    fn open(config: &Config, inherited: Option<TcpListener>) -> Result<Self, ServerError> {
+    /// Installs the log, and watches signals and the clients' listener, which is `inherited` where the platform hands it over.
+    fn open(
+        config: &Config,
+        settings: &Daemon,
+        inherited: Option<TcpListener>,
+    ) -> Result<Self, ServerError> {
+        let log = Log::install(&settings.log);
         let reactor = at_start(Reactor::new).map_err(ServerError::Poller)?;
         let listener = match inherited {
             Some(listener) => listener,
@@ -57,11 +64,12 @@
         let listener = reactor
             .watch(listener, LISTENER_KEY, false)
             .map_err(ServerError::Poller)?;
-        let sigterm = at_start(|| raised(&reactor, SIGTERM, SIGTERM_KEY));
+        let sigterm = at_start(|| signals::watch(&reactor, SIGTERM, SIGTERM_KEY));
         let sigterm = sigterm.map_err(ServerError::Signals)?;
-        let sighup = at_start(|| raised(&reactor, SIGHUP, SIGHUP_KEY));
+        let sighup = at_start(|| signals::watch(&reactor, SIGHUP, SIGHUP_KEY));
         let sighup = sighup.map_err(ServerError::Signals)?;
         Ok(Sources {
+            log,
             clock: Clock::new(),
             reactor,
             listener,
@@ -99,11 +107,9 @@
     ) -> Result<Self, ServerError> {
         // First of all: what is opened before could get the number of a socket that nobody handed over.
         let inherited = inherited_listener(&config)?;
-        let log = Log::install(&settings.log);
-        let sources = Sources::open(&config, inherited)?;
-        let known = known(&mut config, settings.startup.as_ref());
-        let mut server =
-            Self::assemble(config, settings, settings_file, (log, sources, known.last));
+        let sources = Sources::open(&config, &settings, inherited)?;
+        let known = known_list(&mut config, settings.startup.as_ref());
+        let mut server = Self::assemble(config, settings, settings_file, sources, known.revision);
         let now = server.clock.now();
         let at = server
             .listener
@@ -113,15 +119,17 @@
         server
             .front
             .set_connection_limits(now, server.upstream.reach());
-        server.start_drivers(now, known.list)?;
-        for event in known.news {
-            server.apply_watch_event(now, event, known.from);
+        server.start_drivers(now, known.snapshot)?;
+        for event in known.events {
+            server.apply_watch_event(now, event, known.origin);
         }
         server.forwards_watch_events = server.has_list_followers();
-        server.poll_takeover(now, true);
+        server.begin_takeover(now);
         server.poll_cordons(now);
         server.update_readiness(now);
-        server.timers.add(server.discovery.due, Timer::Discovery);
+        server
+            .timers
+            .add(server.discovery.deadline, Timer::Discovery);
         server.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
         Ok(server)
     }
@@ -137,18 +145,19 @@
         config: Config,
         settings: Daemon,
         settings_file: Option<PathBuf>,
-        (log, sources, revision): (Log, Sources, u64),
+        sources: Sources,
+        revision: u64,
     ) -> Self {
         let now = sources.clock.now();
         let limits = &config.deployment.limits;
         let startup = settings.startup.as_ref();
         let has_peers = startup.is_some_and(|s| s.peers.is_some());
-        let schedule = calls(now, &config, startup);
+        let schedule = call_schedule(now, &config, startup);
         Server {
             front: RequestPipeline::new(config.deployment.clone(), config.seed, config.room()),
             clients: Clients::new(),
             upstream: CacheNodes::new(
-                config.links_most(),
+                config.max_upstream_connections(),
                 limits.streams,
                 limits.idle,
                 max_wait(&config),
@@ -170,7 +179,7 @@
             disconnected: Vec::new(),
             last_key: FIRST_CONNECTION_KEY,
             started_at: now,
-            log,
+            log: sources.log,
             config,
             settings,
             settings_file,
@@ -208,7 +217,7 @@
             let commands = self
                 .drivers
                 .iter()
-                .flat_map(|(driver, _)| driver.commands());
+                .flat_map(|running| running.driver.commands());
             let help: BTreeMap<_, _> = commands.chain(ADMIN_COMMANDS).collect();
             self.start_driver(now, |turn| {
                 Ok(Box::new(Control::new(turn, &control.path, help)?))
@@ -234,7 +243,7 @@
                 Ok(Box::new(Peers::new(turn, peers, list, seed, times)?))
             })?;
         }
-        if let Some(path) = snapshots(&self.config, startup) {
+        if let Some(path) = snapshot_path(&self.config, startup) {
             self.start_driver(now, |turn| {
                 Ok(Box::new(Snapshots::new(turn, path, list, purge_done)?))
             })?;
@@ -246,7 +255,7 @@
     fn start_driver(
         &mut self,
         now: Timestamp,
-        make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, String>,
+        make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, Box<dyn Error>>,
     ) -> Result<(), ServerError> {
         let mut last = 0;
         let slot = (self.drivers.len() + 1, &mut last);
@@ -259,7 +268,10 @@
             slot,
         };
         let driver = make(&mut turn).map_err(ServerError::Subsystem)?;
-        self.drivers.push((driver, last));
+        self.drivers.push(RunningDriver {
+            driver,
+            last_key: last,
+        });
         Ok(())
     }
 }
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -3,7 +3,7 @@
 use super::Server;
 use crate::server::drain::{Drain, Stage};
 use crate::server::error::AdminError;
-use crate::server::signals::drain;
+use crate::server::signals;
 use cranesill::api::{Micros, Timestamp};
 
 /// How long a quiesced front still takes requests on open connections before it refuses them.
@@ -12,7 +12,7 @@
 impl Server {
     /// Begins the graceful shutdown after SIGTERM: clients are notified, and requests that were taken are still answered.
     pub(super) fn begin_shutdown(&mut self, now: Timestamp) {
-        drain(&self.sigterm);
+        signals::clear(&self.sigterm);
         if self.shutdown.is_some() {
             return;
         }
@@ -27,7 +27,7 @@
             handover.hand_over(now, &learned);
             self.share_limits(now, true);
         }
-        for at in drain.moments() {
+        for at in drain.deadlines() {
             self.timers.add(at, Timer::ShutdownStage);
         }
     }
@@ -38,13 +38,13 @@
             return;
         };
         let stage = drain.stage(now);
-        if stage >= Stage::Refuses {
+        if stage >= Stage::Refusing {
             self.front.reject_new_requests(true);
-            for (driver, _) in &mut self.drivers {
-                driver.drain();
+            for running in &mut self.drivers {
+                running.driver.drain();
             }
         }
-        if stage >= Stage::Parts {
+        if stage >= Stage::Closing {
             self.front.conclude_all(now);
         }
     }
@@ -52,22 +52,22 @@
     /// Shuts connections once nothing is owed on them, if a shutdown has begun. Returns whether the process can end.
     pub(super) fn advance_shutdown(&mut self, now: Timestamp) -> bool {
         // A request whose last byte comes after the end of its connection would be lost.
-        let owes = self.front.pending_requests() > 0
+        let has_unfinished = self.front.pending_requests() > 0
             || !self.clients.is_flushed()
             || self.clients.has_partial_requests();
-        let clients = self.clients.len() > 0;
+        let has_clients = self.clients.len() > 0;
         let Some(drain) = &mut self.shutdown else {
             return false;
         };
-        if let Some(over) = drain.part(now, owes, clients) {
+        if let Some(end_at) = drain.begin_closing(now, has_unfinished, has_clients) {
             self.clients.close_all(now);
-            self.timers.add(over, Timer::ShutdownStage);
+            self.timers.add(end_at, Timer::ShutdownStage);
         }
-        let all_gone = self.clients.closes_all() && self.clients.len() == 0;
-        drain.stage(now) == Stage::Over || all_gone
+        let all_closed = self.clients.closes_all() && self.clients.len() == 0;
+        drain.stage(now) == Stage::Ended || all_closed
     }
 
-    /// Drains this front until an operator resumes it: clients are told to go elsewhere, and requests that were taken are
+    /// Drains this front until an operator resumes it: clients are asked to go elsewhere, and requests that were taken are
     /// answered.
     pub(super) fn quiesce(&mut self, now: Timestamp) -> &'static str {
         if self.quiesced_at.is_none() {
--- a/src/policy/fills.rs
+++ b/src/policy/fills.rs
@@ -1,5 +1,6 @@
-//! Fills: what has to wait, and what a cache is told about filling a miss.
+//! Fills: what has to wait, and the instructions for a cache that fills a miss.
 use super::endpoint::{EndpointIndex, Role};
+use super::load_feedback::LINK_FULL;
 use super::request_state::{PendingRequest, Route, WaitTarget};
 use super::requests::transfer_time_us;
 use super::router::Router;
@@ -14,7 +15,7 @@
 /// of them are hits that never reach it. What has missed is held to the limit itself.
 const MAX_NAMED_FACTOR: f64 = 2.0;
 /// Ranks at which copies are kept: one-off requests below what is requested again.
-const RANK_NOT_KEPT: u8 = 0;
+const RANK_NOT_CACHED: u8 = 0;
 const RANK_FIRST_REQUEST: u8 = 1;
 const RANK_REPEATED_REQUEST: u8 = 2;
 
@@ -64,7 +65,7 @@
     /// not to wait behind a fill that has to wait.
     pub(super) fn must_check_cache_first(&self, source: EndpointIndex, request: &Request) -> bool {
         let link_exceeded = self.link_report.is_some() && self.link.exceeds(MAX_NAMED_FACTOR);
-        let link_full = self.link_utilization() > Some(super::load_feedback::LINK_FULL);
+        let link_full = self.link_utilization() > Some(LINK_FULL);
         let source_exceeded = self.endpoints[source].concurrency.exceeds(MAX_NAMED_FACTOR);
         (link_exceeded || link_full || source_exceeded)
             && self.slow_origin_behind(source, request).is_none()
@@ -80,7 +81,7 @@
             source: self.endpoints[source].listed.endpoint,
             max_age: self.max_age(pending),
             rank: match (is_write, pending.requested_recently) {
-                (true, _) => RANK_NOT_KEPT,
+                (true, _) => RANK_NOT_CACHED,
                 (false, false) => RANK_FIRST_REQUEST,
                 (false, true) => RANK_REPEATED_REQUEST,
             },
