--- a/front/src/protocol/ops.rs
+++ b/front/src/protocol/admin.rs
@@ -3,7 +3,7 @@
 use cranesill::api::EndpointId;
 
 /// Bytes of a call at most, with its line end.
-pub const LINE_MOST: usize = 256;
+pub const MAX_LINE_BYTES: usize = 256;
 
 /// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,24 +23,24 @@
 }
 
 /// The id of a member as it stands in text.
-pub fn member_id(text: &str) -> Option<EndpointId> {
+pub fn endpoint_id(text: &str) -> Option<EndpointId> {
     let digits = text
         .strip_prefix("s-")
         .filter(|d| d.len() == 8 && d.bytes().all(|b| b.is_ascii_hexdigit()))?;
     u64::from_str_radix(digits, 16).ok().map(EndpointId)
 }
 
-/// Reads the call that `input` holds. `None`: its line is not whole yet. `ended`: nothing more comes.
+/// Reads the call that `input` holds. `None`: its line is not complete yet. `ended`: nothing more comes.
 pub fn decode(input: &[u8], ended: bool) -> Result<Option<Call>, Unreadable> {
     let Some(end) = input.iter().position(|b| *b == b'\n') else {
         return match input.len() {
-            n if n >= LINE_MOST => Err(Unreadable("the line is too long")),
+            n if n >= MAX_LINE_BYTES => Err(Unreadable("the line is too long")),
             n if n > 0 && ended => Err(Unreadable("the line has no end")),
             _ => Ok(None),
         };
     };
     let (line, rest) = (&input[..end], &input[end + 1..]);
-    if end >= LINE_MOST {
+    if end >= MAX_LINE_BYTES {
         return Err(Unreadable("the line is too long"));
     }
     // No call does half of what was said: what comes behind it would be left undone.
@@ -57,7 +57,7 @@
     let of = |call: fn(EndpointId) -> Call| match id {
         None => Err(Unreadable("ID is missing")),
         Some(_) if more.is_some() => Err(Unreadable("a word too many")),
-        Some(id) => member_id(id)
+        Some(id) => endpoint_id(id)
             .map(call)
             .ok_or(Unreadable("ID is not s- and 8 hex digits")),
     };
--- a/front/src/protocol/ops/tests.rs
+++ b/front/src/protocol/admin/tests.rs
@@ -6,7 +6,7 @@
         Ok(call) => format!("{call:?}"),
         Err(Unreadable(why)) => why.to_string(),
     };
-    let long = [b'x'; LINE_MOST];
+    let long = [b'x'; MAX_LINE_BYTES];
     let all: [(&[u8], bool); 20] = [
         (b"", false),
         (b"", true),
--- a/front/src/protocol/client.rs
+++ b/front/src/protocol/client.rs
@@ -17,15 +17,15 @@
 /// A frame from a client.
 #[derive(Debug)]
 pub enum Message<'a> {
-    /// A request on a stream, its fields and body still to be read by `ask`.
+    /// A request on a stream, its fields and body still to be read by `decode_request`.
     Request(u32, &'a [u8]),
     /// Nobody waits for this stream any more.
-    Gone(u32),
+    Cancelled(u32),
     /// Is the front ready?
     Ready(u32),
 }
 
-/// Takes the first frame off `input`, with its length in bytes. `None`: it is not whole yet.
+/// Takes the first frame off `input`, with its length in bytes. `None`: it is not complete yet.
 pub fn decode(input: &[u8]) -> Result<Option<(Message<'_>, usize)>, Unreadable> {
     let mut cursor = Cursor(input);
     let Some(length) = cursor.u32().map(|n| n as usize) else {
@@ -45,7 +45,7 @@
     let message = match kind {
         10 if stream == 0 => return Err(Unreadable("request on stream 0")),
         10 => Message::Request(stream, cursor.0),
-        12 => Message::Gone(stream),
+        12 => Message::Cancelled(stream),
         20 => Message::Ready(stream),
         _ => return Err(Unreadable("unknown frame type")),
     };
@@ -54,7 +54,7 @@
 
 /// Reads the payload of a request; the error says which field is bad. Fields that are not known are passed
 /// over.
-pub fn ask(payload: &[u8]) -> Result<ClientRequest, &'static str> {
+pub fn decode_request(payload: &[u8]) -> Result<ClientRequest, &'static str> {
     let mut cursor = Cursor(payload);
     let count = cursor.u8().ok_or("fields cut off")?;
     let (mut class, mut txn, mut limit, mut item, mut have) = (None, None, None, None, None);
--- a/front/src/protocol/client/tests.rs
+++ b/front/src/protocol/client/tests.rs
@@ -34,9 +34,9 @@
         panic!()
     };
     assert_eq!(used, whole.len());
-    insta::assert_debug_snapshot!(ask(payload));
+    insta::assert_debug_snapshot!(decode_request(payload));
     for cut in 0..payload.len() - 4 {
-        assert!(ask(&payload[..cut]).is_err(), "cut at {cut}");
+        assert!(decode_request(&payload[..cut]).is_err(), "cut at {cut}");
     }
 }
 
@@ -54,7 +54,7 @@
             ("limit", "5"),
             (name, value),
         ];
-        ask(&request(&good, b"")[9..]).unwrap_err()
+        decode_request(&request(&good, b"")[9..]).unwrap_err()
     };
     let told = [
         bad("txn", "+b1f03aa5c7e2d41"),
@@ -84,7 +84,7 @@
         bad(name, value);
     }
     let good = [("verb", "v"), ("txn", "9b1f03aa5c7e2d41"), ("limit", "5")];
-    assert!(ask(&request(&good, &[7; 48_000])[9..]).is_ok());
-    assert!(ask(&request(&good, &[7; 48_001])[9..]).is_err());
+    assert!(decode_request(&request(&good, &[7; 48_000])[9..]).is_ok());
+    assert!(decode_request(&request(&good, &[7; 48_001])[9..]).is_err());
     insta::assert_debug_snapshot!(told);
 }
--- a/front/src/protocol/known.rs
+++ b/front/src/protocol/configured_events.rs
@@ -1,19 +1,19 @@
 //! The events that a front is given at its start, as JSON.
-use super::feed::{Listing, News};
+use super::discovery::{EndpointRecord, WatchEvent};
 use super::hex16;
 use cranesill::api::EndpointState;
 use cranesill_settings::Names;
 use serde_json::Value;
 
 /// Reads `known`: the number of the last event, and the events.
-pub fn read(known: &Value, names: &Names) -> Result<(u64, Vec<News>), String> {
+pub fn read(known: &Value, names: &Names) -> Result<(u64, Vec<WatchEvent>), String> {
     let last = known["n"].as_u64().ok_or("known: no number")?;
     let events = known["events"].as_array().ok_or("known: no events")?;
     let read = |event| news(event, names).ok_or_else(|| format!("known: unusable event {event}"));
     Ok((last, events.iter().map(read).collect::<Result<_, _>>()?))
 }
 
-fn news(event: &Value, names: &Names) -> Option<News> {
+fn news(event: &Value, names: &Names) -> Option<WatchEvent> {
     if let Some(purge) = event.get("purge") {
         let object = purge["key"]
             .as_str()
@@ -24,7 +24,7 @@
             .as_u64()
             .map_or(Some(0), |g| u32::try_from(g).ok())?;
         (object.is_some() || purge.get("group").is_some()).then_some(())?;
-        return Some(News::Purge {
+        return Some(WatchEvent::Purge {
             object,
             group,
             at_ms: purge["at"].as_u64()?,
@@ -36,15 +36,15 @@
         .iter()
         .map(|m| listing(m, names))
         .collect::<Option<_>>()?;
-    // The whole list stands in the first event, whatever its mark says.
-    let whole = members["reset"].as_bool().unwrap_or(false) || event["n"].as_u64() == Some(1);
-    Some(News::Members { whole, list })
+    // The complete list stands in the first event, whatever its mark says.
+    let complete = members["reset"].as_bool().unwrap_or(false) || event["n"].as_u64() == Some(1);
+    Some(WatchEvent::Endpoints { complete, list })
 }
 
-fn listing(member: &Value, names: &Names) -> Option<Listing> {
+fn listing(member: &Value, names: &Names) -> Option<EndpointRecord> {
     let place =
         |list: &[String], name: &Value| list.iter().position(|n| Some(n.as_str()) == name.as_str());
-    Some(Listing {
+    Some(EndpointRecord {
         id: u32::from_str_radix(member["instanceId"].as_str()?.strip_prefix("s-")?, 16).ok()?,
         address: member["hostPort"].as_str()?.parse().ok()?,
         state: match member["lifecycle"].as_str()? {
--- a/front/src/protocol/feed.rs
+++ b/front/src/protocol/discovery.rs
@@ -3,13 +3,13 @@
 use cranesill::api::EndpointState;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Bytes of one frame at most: a whole list of some thousand members.
+/// Bytes of one frame at most: a complete list of some thousand members.
 const LENGTH_MOST: usize = 1 << 20;
 const RECORD: usize = 27;
 
 /// What the feed says of a member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct EndpointRecord {
     /// Its id, which outlives its address.
     pub id: u32,
     /// Where it listens.
@@ -30,13 +30,13 @@
 
 /// One event.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
-    /// The whole list, or what has changed in it.
-    Members {
-        /// Whether it is the whole list.
-        whole: bool,
+pub enum WatchEvent {
+    /// The complete list, or what has changed in it.
+    Endpoints {
+        /// Whether it is the complete list.
+        complete: bool,
         /// The members.
-        list: Vec<Listing>,
+        list: Vec<EndpointRecord>,
     },
     /// An object or a group was purged.
     Purge {
@@ -55,9 +55,9 @@
 }
 
 /// An event's number, the event (`None` if there is nothing new), and the length of its frame in bytes.
-type Decoded = (u64, Option<News>, usize);
+type Decoded = (u64, Option<WatchEvent>, usize);
 
-/// Takes the first frame off `input`. `None`: it is not whole yet.
+/// Takes the first frame off `input`. `None`: it is not complete yet.
 pub fn decode(input: &[u8]) -> Result<Option<Decoded>, Unreadable> {
     let mut cursor = Cursor(input);
     let Some(length) = cursor.u32().map(|n| n as usize) else {
@@ -83,8 +83,8 @@
                 .chunks(RECORD)
                 .map(|r| listing(Cursor(r)))
                 .collect::<Option<Vec<_>>>();
-            Some(News::Members {
-                whole: kind == 1,
+            Some(WatchEvent::Endpoints {
+                complete: kind == 1,
                 list: list.ok_or(Unreadable("unknown state"))?,
             })
         }
@@ -93,7 +93,7 @@
                 .u64()
                 .zip(cursor.u64())
                 .ok_or(Unreadable("purge cut off"))?;
-            Some(News::Purge {
+            Some(WatchEvent::Purge {
                 object: Some(object),
                 group: 0,
                 at_ms,
@@ -104,7 +104,7 @@
                 .u16()
                 .zip(cursor.u64())
                 .ok_or(Unreadable("purge cut off"))?;
-            Some(News::Purge {
+            Some(WatchEvent::Purge {
                 object: None,
                 group: group.into(),
                 at_ms,
@@ -115,7 +115,7 @@
     Ok(Some((number, news, 4 + length)))
 }
 
-fn listing(mut record: Cursor<'_>) -> Option<Listing> {
+fn listing(mut record: Cursor<'_>) -> Option<EndpointRecord> {
     let id = record.u32()?;
     let address = SocketAddr::from((Ipv4Addr::from(record.array::<4>()?), record.u16()?));
     let state = match record.u8()? {
@@ -126,7 +126,7 @@
     };
     let (zone, kind, cell) = (record.u8()?.into(), record.u8()?, record.u16()?);
     let weight = f64::from(record.u32()?) / 1e3;
-    Some(Listing {
+    Some(EndpointRecord {
         id,
         address,
         state,
--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -59,7 +59,7 @@
     .concat()
 }
 
-/// Reads a follower's first word. `None`: it is not whole yet.
+/// Reads a follower's first word. `None`: it is not complete yet.
 pub fn read_hello(input: &[u8]) -> Result<Option<Hello>, Unreadable> {
     let known = input.len().min(MAGIC.len());
     if input[..known] != MAGIC[..known] {
@@ -94,7 +94,7 @@
     bytes
 }
 
-/// Takes the first frame off `input`, with its length in bytes. `None`: it is not whole yet.
+/// Takes the first frame off `input`, with its length in bytes. `None`: it is not complete yet.
 pub fn read_frame(input: &[u8]) -> Result<Option<(Frame, usize)>, Unreadable> {
     let mut cursor = Cursor(input);
     let Some(kind) = cursor.u8() else {
--- a/front/src/protocol/shared.rs
+++ b/front/src/protocol/handover.rs
@@ -1,22 +1,22 @@
 //! What the processes of one front leave for each other in a folder that they share: names of files that say it all, and
 //! one file of what was learned of members' health. No I/O here.
-use super::ops::member_id;
-use crate::protocol::member::name_of;
+use super::admin::endpoint_id;
+use crate::protocol::member::endpoint_name;
 use cranesill::api::{EndpointId, LearnedHealth, Timestamp};
 
 /// Of the form of these files; one of another version is as if absent.
 const VERSION: &str = "v1";
 /// Bytes of what was learned, at most: some thousand members.
-pub const LEARNED_MOST: usize = 256 * 1024;
+pub const MAX_LEARNED_BYTES: usize = 256 * 1024;
 
 /// The file whose presence says that a member is out by hand.
 pub fn out_name(member: EndpointId) -> String {
-    format!("{VERSION}.out.{}", name_of(member))
+    format!("{VERSION}.out.{}", endpoint_name(member))
 }
 
 /// The member that a file of this name says is out by hand.
 pub fn out_member(name: &str) -> Option<EndpointId> {
-    member_id(name.strip_prefix(VERSION)?.strip_prefix(".out.")?)
+    endpoint_id(name.strip_prefix(VERSION)?.strip_prefix(".out.")?)
 }
 
 /// Writes what was learned up to a moment: a head with version and checksum, and a line for each member.
@@ -26,7 +26,7 @@
         let (down, lost) = (u8::from(m.down), u8::from(m.connection_lost));
         body += &format!(
             "{} {} {} {down} {lost}\n",
-            name_of(m.endpoint),
+            endpoint_name(m.endpoint),
             m.started,
             m.slow_start_at
         );
@@ -63,7 +63,7 @@
     let member = |line: &str| {
         let mut words = line.split(' ');
         let number = |id: &mut std::str::Split<'_, char>| id.next()?.parse::<u64>().ok();
-        let member = member_id(words.next()?)?;
+        let member = endpoint_id(words.next()?)?;
         let (started, cold_since) = (number(&mut words)?, number(&mut words)?);
         let (down, lost) = (number(&mut words)? == 1, number(&mut words)? == 1);
         Some(LearnedHealth {
--- a/front/src/protocol/member.rs
+++ b/front/src/protocol/member.rs
@@ -11,7 +11,7 @@
 const DIGITS_MOST: usize = 7;
 
 /// How a member is named in text.
-pub fn name_of(member: EndpointId) -> String {
+pub fn endpoint_name(member: EndpointId) -> String {
     format!("s-{:08x}", member.0)
 }
 
@@ -35,7 +35,7 @@
     fields += &format!(",limit={limit}");
     if let Some(fill) = &fetch.fill {
         if let Some(source) = fill.source {
-            fields += &format!(",from={}", name_of(source));
+            fields += &format!(",from={}", endpoint_name(source));
         }
         if fill.rank > 0 {
             fields += &format!(",rank={}", fill.rank);
@@ -122,7 +122,7 @@
 /// The four strings of an answer, and its length in bytes.
 type Parts<'a> = ([&'a [u8]; 4], usize);
 
-/// The four strings of the first answer, and its length in bytes. `None`: it is not whole yet.
+/// The four strings of the first answer, and its length in bytes. `None`: it is not complete yet.
 pub fn parts(input: &[u8]) -> Result<Option<Parts<'_>>, Unreadable> {
     let Some((count, mut at)) = length(input, 0, b'*', STRINGS_MOST.len())? else {
         return Ok(None);
@@ -154,7 +154,7 @@
     input.get(begin..begin + n)
 }
 
-/// Takes the first answer off `input`. `None`: it is not whole yet.
+/// Takes the first answer off `input`. `None`: it is not complete yet.
 pub fn decode(input: &[u8]) -> Result<Option<Decoded<'_>>, Unreadable> {
     let Some((parts, at)) = parts(input)? else {
         return Ok(None);
--- a/front/src/protocol/mod.rs
+++ b/front/src/protocol/mod.rs
@@ -1,12 +1,12 @@
 //! Codecs of the wires. No input or output here: bytes in, messages out, and back.
+pub mod admin;
 pub mod client;
-pub mod feed;
+pub mod configured_events;
+pub mod discovery;
 pub mod follow;
-pub mod known;
+pub mod handover;
 pub mod member;
-pub mod ops;
 pub mod purge;
-pub mod shared;
 pub mod snapshot;
 
 /// Why a stream of bytes can't be read any further.
--- a/front/src/protocol/purge.rs
+++ b/front/src/protocol/purge.rs
@@ -32,7 +32,7 @@
 
 /// What a box says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct Confirmation {
     /// Of the command that it answers.
     pub id: u64,
     /// Of the ledger.
@@ -43,8 +43,8 @@
     pub empty: bool,
 }
 
-/// Takes the first word off `input`, with its length in bytes. `None`: it is not whole yet.
-pub fn decode(input: &[u8]) -> Result<Option<(Word, usize)>, Unreadable> {
+/// Takes the first confirmation off `input`, with its length in bytes. `None`: it is not complete yet.
+pub fn decode(input: &[u8]) -> Result<Option<(Confirmation, usize)>, Unreadable> {
     let Some(([id, word, fields, _], used)) = parts(input)? else {
         return Ok(None);
     };
@@ -53,7 +53,7 @@
         return Err(Unreadable("a box that does not speak of purges"));
     }
     let id = super::hex16(text(id)?).ok_or(Unreadable("no id"))?;
-    let mut found = Word {
+    let mut found = Confirmation {
         id,
         ledger: 0,
         upto: 0,
--- a/front/src/protocol/purge/tests.rs
+++ b/front/src/protocol/purge/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(
         (found, used),
         (
-            Word {
+            Confirmation {
                 id: 7,
                 ledger: 0xfeed,
                 upto: 8,
--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -1,12 +1,12 @@
 //! The list of members as a front last knew it, on disk: a head with version and checksum, as of what processes leave for each
 //! other, and a line for each member and each purge that still counts. No I/O here.
-use super::feed::{Listing, News};
+use super::discovery::{EndpointRecord, WatchEvent};
 use cranesill::api::EndpointState;
 use std::collections::BTreeMap;
 
 const VERSION: &str = "v1";
 /// Bytes at most: some thousand members and as many purges.
-pub const BYTES_MOST: usize = 2 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 2 << 20;
 /// Purges that are kept at most; with more the snapshot is not to be served from.
 const PURGES_MOST: usize = 10_000;
 
@@ -20,7 +20,7 @@
     /// When it was known so, in Unix milliseconds.
     pub at_ms: u64,
     /// The members by their ids.
-    pub members: BTreeMap<u32, Listing>,
+    pub members: BTreeMap<u32, EndpointRecord>,
     /// Purges: object or group, and when.
     pub purges: Vec<(Option<u64>, u32, u64)>,
     /// When each of them was heard of here, by a clock that is never stepped. How long they are kept follows from this: wall
@@ -31,11 +31,18 @@
 impl Snapshot {
     /// Takes news over that are heard of at `heard_ms` of the monotonic clock, which is `at_ms` of the wall clock. Purges that
     /// were heard of longer ago than `keep_ms` are over.
-    pub fn take(&mut self, number: u64, at_ms: u64, heard_ms: u64, keep_ms: u64, news: &News) {
+    pub fn take(
+        &mut self,
+        number: u64,
+        at_ms: u64,
+        heard_ms: u64,
+        keep_ms: u64,
+        news: &WatchEvent,
+    ) {
         (self.number, self.at_ms) = (number, at_ms);
         match news {
-            News::Members { whole, list } => {
-                if *whole {
+            WatchEvent::Endpoints { complete, list } => {
+                if *complete {
                     self.members.clear();
                 }
                 for one in list {
@@ -46,7 +53,7 @@
                     }
                 }
             }
-            News::Purge {
+            WatchEvent::Purge {
                 object,
                 group,
                 at_ms,
@@ -65,17 +72,17 @@
     }
 
     /// What a front that starts is to be told of it.
-    pub fn news(&self) -> Vec<News> {
-        let whole = News::Members {
-            whole: true,
+    pub fn news(&self) -> Vec<WatchEvent> {
+        let complete = WatchEvent::Endpoints {
+            complete: true,
             list: self.members.values().cloned().collect(),
         };
-        let purge = |p: &(Option<u64>, u32, u64)| News::Purge {
+        let purge = |p: &(Option<u64>, u32, u64)| WatchEvent::Purge {
             object: p.0,
             group: p.1,
             at_ms: p.2,
         };
-        std::iter::once(whole)
+        std::iter::once(complete)
             .chain(self.purges.iter().map(purge))
             .collect()
     }
@@ -97,7 +104,7 @@
             "cranesill list {VERSION} {:08x}\n{body}",
             crc32fast::hash(body.as_bytes())
         );
-        Some(text).filter(|text| text.len() <= BYTES_MOST)
+        Some(text).filter(|text| text.len() <= MAX_SNAPSHOT_BYTES)
     }
 
     /// By this two lists with the same last event are told apart. Purges are not in it: which of them are over depends on the
@@ -122,7 +129,7 @@
 
     /// Reads it. The error says why it is as if absent.
     pub fn read(text: &[u8]) -> Result<Self, &'static str> {
-        if text.len() > BYTES_MOST {
+        if text.len() > MAX_SNAPSHOT_BYTES {
             return Err("it is too long");
         }
         let text = std::str::from_utf8(text).map_err(|_| "it is no text")?;
@@ -166,7 +173,7 @@
         match words {
             ["m", id, address, state, zone, kind, cell, weight, started] => {
                 let id = u32::from_str_radix(id, 16).ok()?;
-                let listing = Listing {
+                let listing = EndpointRecord {
                     id,
                     address: address.parse().ok()?,
                     state: [EndpointState::Ready, EndpointState::Draining]
--- a/front/src/protocol/snapshot/tests.rs
+++ b/front/src/protocol/snapshot/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn listing(id: u32, state: EndpointState) -> Listing {
+fn listing(id: u32, state: EndpointState) -> EndpointRecord {
     let address = "127.0.0.1:80".parse().unwrap();
-    Listing {
+    EndpointRecord {
         id,
         address,
         state,
@@ -29,8 +29,8 @@
         900,
         900,
         45,
-        &News::Members {
-            whole: true,
+        &WatchEvent::Endpoints {
+            complete: true,
             list: members,
         },
     );
@@ -39,7 +39,7 @@
         950,
         950,
         45,
-        &News::Purge {
+        &WatchEvent::Purge {
             object: Some(0xabc),
             group: 0,
             at_ms: 940,
@@ -50,7 +50,7 @@
         960,
         960,
         45,
-        &News::Purge {
+        &WatchEvent::Purge {
             object: None,
             group: 9,
             at_ms: 955,
@@ -61,8 +61,8 @@
         999,
         999,
         45,
-        &News::Members {
-            whole: false,
+        &WatchEvent::Endpoints {
+            complete: false,
             list: vec![listing(3, EndpointState::Removed)],
         },
     );
@@ -97,7 +97,7 @@
             now,
             now,
             8_000,
-            &News::Purge {
+            &WatchEvent::Purge {
                 object: Some(1),
                 group: 0,
                 at_ms: 6_400_000,
@@ -108,7 +108,7 @@
             now + 7_000,
             now + 7_000,
             8_000,
-            &News::Purge {
+            &WatchEvent::Purge {
                 object: Some(2),
                 group: 0,
                 at_ms: 6_407_000,
@@ -124,8 +124,8 @@
             now + 9_000,
             now + 9_000,
             8_000,
-            &News::Members {
-                whole: false,
+            &WatchEvent::Endpoints {
+                complete: false,
                 list: vec![],
             },
         );
@@ -137,8 +137,8 @@
             now + 20_000,
             now + 20_000,
             8_000,
-            &News::Members {
-                whole: false,
+            &WatchEvent::Endpoints {
+                complete: false,
                 list: vec![],
             },
         );
@@ -151,7 +151,7 @@
             5,
             5,
             8_000,
-            &News::Purge {
+            &WatchEvent::Purge {
                 object: Some(n),
                 group: 0,
                 at_ms: 5,
@@ -186,7 +186,7 @@
     ] {
         assert!(Snapshot::read(whole(body).as_bytes()).is_err(), "{body}");
     }
-    assert!(Snapshot::read(&vec![b'x'; BYTES_MOST + 1]).is_err());
+    assert!(Snapshot::read(&vec![b'x'; MAX_SNAPSHOT_BYTES + 1]).is_err());
     let many = (0..=PURGES_MOST as u64).map(|n| (Some(n), 0, n)).collect();
     assert_eq!(
         Snapshot {
@@ -203,8 +203,8 @@
     for step in [-3_600_000i64, -5_000, 5_000, 3_600_000] {
         let mut known = Snapshot::default();
         let wall = |ms: u64| (10_000_000 + ms).saturating_add_signed(step);
-        let none = || News::Members {
-            whole: false,
+        let none = || WatchEvent::Endpoints {
+            complete: false,
             list: vec![],
         };
         known.take(
@@ -212,7 +212,7 @@
             10_000_000,
             100,
             8_000,
-            &News::Purge {
+            &WatchEvent::Purge {
                 object: Some(1),
                 group: 0,
                 at_ms: 6_400_000,
--- a/front/src/protocol/tests.rs
+++ b/front/src/protocol/tests.rs
@@ -28,14 +28,14 @@
         if let Ok(Some((message, used))) = client::decode(&bytes) {
             assert!(used <= bytes.len());
             if let client::Message::Request(_, payload) = message {
-                let _ = client::ask(payload);
+                let _ = client::decode_request(payload);
             }
         }
         assert!(member::decode(&bytes)
             .ok()
             .flatten()
             .is_none_or(|found| found.2 <= bytes.len()));
-        assert!(feed::decode(&bytes)
+        assert!(discovery::decode(&bytes)
             .ok()
             .flatten()
             .is_none_or(|found| found.2 <= bytes.len()));
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -190,7 +190,8 @@
     let config: Value =
         serde_json::from_str(include_str!("../../examples/three-hubs.json")).unwrap();
     let deployment = cranesill_settings::read(&config["settings"]).unwrap();
-    let (_, known) = crate::protocol::known::read(&config["known"], &deployment.names).unwrap();
+    let (_, known) =
+        crate::protocol::configured_events::read(&config["known"], &deployment.names).unwrap();
     let mut front = RequestPipeline::new(
         deployment,
         1,
@@ -200,21 +201,22 @@
         },
     );
     for news in known {
-        let crate::protocol::feed::News::Members { whole, list } = news else {
+        let crate::protocol::discovery::WatchEvent::Endpoints { complete, list } = news else {
             panic!()
         };
-        let entry = |l: &crate::protocol::feed::Listing| cranesill::api::EndpointEntry {
-            endpoint: EndpointId(l.id.into()),
-            kind: l.kind,
-            zone: l.zone,
-            cell: l.cell,
-            weight: l.weight,
-            started: 0,
-            state: l.state,
-        };
+        let entry =
+            |l: &crate::protocol::discovery::EndpointRecord| cranesill::api::EndpointEntry {
+                endpoint: EndpointId(l.id.into()),
+                kind: l.kind,
+                zone: l.zone,
+                cell: l.cell,
+                weight: l.weight,
+                started: 0,
+                state: l.state,
+            };
         front.apply_endpoints(
             S,
-            if whole {
+            if complete {
                 ListKind::Full
             } else {
                 ListKind::Delta
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration of one front, and the limits that follow from it.
 use super::error::{ConfigError, ConfigErrors, ConfigFault};
-use crate::protocol::feed::News;
-use crate::protocol::known;
+use crate::protocol::configured_events;
+use crate::protocol::discovery::WatchEvent;
 use crate::routing::CapacityLimits;
 use cranesill_daemon::Daemon;
 use cranesill_settings::Deployment;
@@ -35,7 +35,7 @@
     /// The limit on memory, in bytes.
     pub memory: usize,
     /// The revision of the endpoint list that is known at the start, and the events that lead to it.
-    pub known: (u64, Vec<News>),
+    pub known: (u64, Vec<WatchEvent>),
     /// Rules and limits of the deployment.
     pub deployment: Deployment,
     /// Where operators of the platform connect, if anywhere.
@@ -70,7 +70,7 @@
             .map_err(|e| ConfigFault::Deployment(e.to_string()));
         let deployment = noted(deployment, &mut faults);
         let known = deployment.as_ref().and_then(|deployment| {
-            let known = known::read(&value["known"], &deployment.names);
+            let known = configured_events::read(&value["known"], &deployment.names);
             let known = known.map_err(|e| ConfigFault::Known(e.to_string()));
             noted(known, &mut faults)
         });
--- a/front/src/server/discovery.rs
+++ b/front/src/server/discovery.rs
@@ -1,5 +1,5 @@
 //! Discovery: the connection to the list service, which sends watch events of the endpoint list.
-use crate::protocol::feed::{decode, hello, News};
+use crate::protocol::discovery::{decode, hello, WatchEvent};
 use crate::transport::{dial, Outgoing, Reactor, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_startup::{CallEnd, CallSchedule};
@@ -143,7 +143,7 @@
     }
 
     /// Handles a connection that can be read or written. Returns new watch events.
-    pub fn ready(&mut self, now: Timestamp) -> Vec<News> {
+    pub fn ready(&mut self, now: Timestamp) -> Vec<WatchEvent> {
         let mut news = Vec::new();
         if let Err(e) = self.read(now, &mut news) {
             self.end_call(
@@ -191,7 +191,7 @@
     }
 
     /// Reads watch events until there are none or it is the others' turn.
-    fn read(&mut self, now: Timestamp, events: &mut Vec<News>) -> io::Result<()> {
+    fn read(&mut self, now: Timestamp, events: &mut Vec<WatchEvent>) -> io::Result<()> {
         if !self.establish(now)? {
             return Ok(());
         }
@@ -218,7 +218,7 @@
     }
 
     /// Takes a complete frame off the input: a revision and, unless there is nothing new, the event that leads to it.
-    fn take_frame(&mut self) -> io::Result<Option<(u64, Option<News>)>> {
+    fn take_frame(&mut self) -> io::Result<Option<(u64, Option<WatchEvent>)>> {
         let Some((_, stream)) = &mut self.stream else {
             return Ok(None);
         };
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -146,14 +146,14 @@
             match message {
                 Message::Request(stream, payload) => {
                     let from = reply_to(key, stream);
-                    let request = client::ask(payload);
+                    let request = client::decode_request(payload);
                     // Streams are new on their connection; an answer could else be taken for another's.
                     if !self.open_streams.insert(stream) {
                         return self.reject_input();
                     }
                     events.push(self.accept_request(now, from, request));
                 }
-                Message::Gone(stream) => {
+                Message::Cancelled(stream) => {
                     if self.open_streams.remove(&stream) {
                         events.push(ClientEvent::Disconnected(reply_to(key, stream)));
                     }
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -1,6 +1,6 @@
 //! Messages from one subsystem to the others, grouped by the subsystem that they concern.
 use super::served::{Proof, Table};
-use crate::protocol::feed::News;
+use crate::protocol::discovery::WatchEvent;
 use crate::protocol::snapshot::Snapshot;
 use crate::transport::Registered;
 use cranesill_purges::matching::{CompileError, CompileJob, PatternSet};
@@ -74,7 +74,7 @@
         /// The revision of the list that the event leads to.
         revision: u64,
         /// The event.
-        event: News,
+        event: WatchEvent,
     },
     /// The list service has confirmed that there is nothing new.
     Current,
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -1,8 +1,8 @@
 //! The second address, on which the platform's operators call: one line a connection, an answer, and a close. A call stands
 //! for a command, the same that the control socket takes.
 use super::{AdminEffect, Driver, Effect, Turn};
-use crate::protocol::ops::{answer, decode, Call, LINE_MOST};
-use crate::protocol::{member::name_of, Unreadable};
+use crate::protocol::admin::{answer, decode, Call, MAX_LINE_BYTES};
+use crate::protocol::{member::endpoint_name, Unreadable};
 use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, used_up, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
@@ -259,7 +259,7 @@
 
     /// Reads into the input; what comes after the call is dropped. Returns whether the caller has ended its side.
     fn fill(&mut self) -> io::Result<bool> {
-        let mut chunk = [0; LINE_MOST];
+        let mut chunk = [0; MAX_LINE_BYTES];
         for _ in 0..MAX_READS_PER_TURN {
             match (&*self.socket).read(&mut chunk) {
                 Ok(0) => return Ok(true),
@@ -314,8 +314,8 @@
     match call {
         Call::Health => ("health", Value::Null),
         Call::Counters => ("counters", Value::Null),
-        Call::Cordon(id) => ("cordon", json!({"node": name_of(id)})),
-        Call::Uncordon(id) => ("uncordon", json!({"node": name_of(id)})),
+        Call::Cordon(id) => ("cordon", json!({"node": endpoint_name(id)})),
+        Call::Uncordon(id) => ("uncordon", json!({"node": endpoint_name(id)})),
         Call::Quiesce => ("quiesce", Value::Null),
         Call::Resume => ("resume", Value::Null),
     }
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -3,7 +3,7 @@
 //! disk, or nothing if there is none newer, and the end.
 use super::snapshot::wall_ms;
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
-use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
+use crate::protocol::snapshot::{Snapshot, MAX_SNAPSHOT_BYTES};
 use crate::transport::{at_start, dial, listen, Outgoing, RestingListener, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
@@ -207,7 +207,7 @@
             if n == 0 {
                 return Ok(true);
             }
-            if asked.stream.input().len() > BYTES_MOST {
+            if asked.stream.input().len() > MAX_SNAPSHOT_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -49,7 +49,7 @@
 
 impl Connection {
     /// The next answer to the last command, if one has arrived. A repeated answer, or one to no command, is dropped.
-    fn next_answer(&mut self, now: Timestamp) -> io::Result<Option<purge::Word>> {
+    fn next_answer(&mut self, now: Timestamp) -> io::Result<Option<purge::Confirmation>> {
         loop {
             let decoded = purge::decode(self.stream.input()).map_err(|e| io::Error::other(e.0))?;
             let Some((answer, length)) = decoded else {
@@ -67,7 +67,7 @@
     /// The first answer reports the node's state, further ones confirm batches.
     fn apply_answer(
         &mut self,
-        answer: purge::Word,
+        answer: purge::Confirmation,
         replication: &mut Replication,
         node: Option<&mut Node>,
         head: PurgeNumber,
@@ -210,7 +210,7 @@
         if self.replication.confirmed_by(id) > 0 {
             tracing::warn!(
                 kind = "lied",
-                member = member::name_of(EndpointId(id)),
+                member = member::endpoint_name(EndpointId(id)),
                 "purges: a box served what it had purged"
             );
             self.replication.stale_copy_served(now, id);
@@ -259,7 +259,7 @@
         if node.failures == 1 {
             tracing::info!(
                 kind = "box-lost",
-                member = member::name_of(EndpointId(id)),
+                member = member::endpoint_name(EndpointId(id)),
                 error = why,
                 "purges: no connection to a box"
             );
@@ -387,13 +387,15 @@
     /// The names of the nodes that have not confirmed a number.
     pub(super) fn unconfirmed(&self, number: PurgeNumber) -> Vec<String> {
         let nodes = self.replication.unconfirmed(number).into_iter();
-        nodes.map(|id| member::name_of(EndpointId(id))).collect()
+        nodes
+            .map(|id| member::endpoint_name(EndpointId(id)))
+            .collect()
     }
 
     /// The status of each node, as operators see it.
     pub(super) fn rows(&self) -> Vec<Value> {
         let row = |node: NodeStatus| {
-            json!({"box": member::name_of(EndpointId(node.id)), "confirmed": node.confirmed,
+            json!({"box": member::endpoint_name(EndpointId(node.id)), "confirmed": node.confirmed,
                    "connected": node.connected, "slow": node.slow, "lies": node.stale_copies})
         };
         self.replication.statuses().map(row).collect()
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -1,8 +1,8 @@
 //! Keeps the list of members on disk, so that a front that starts anew asks for changes only, and has a list to serve from while
 //! the list service can't be reached. Written aside and renamed, on a thread of its own.
 use super::{Driver, Effect, EndpointEffect, Turn};
-use crate::protocol::feed::News;
-use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
+use crate::protocol::discovery::WatchEvent;
+use crate::protocol::snapshot::{Snapshot, MAX_SNAPSHOT_BYTES};
 use crate::transport::Workers;
 use cranesill::api::{Micros, Timestamp};
 use cranesill_startup::{check_snapshot, SnapshotHeader};
@@ -53,7 +53,10 @@
         .read(true)
         .custom_flags(libc::O_NONBLOCK)
         .open(path);
-    let read = opened.and_then(|file| file.take(BYTES_MOST as u64 + 1).read_to_end(&mut text));
+    let read = opened.and_then(|file| {
+        file.take(MAX_SNAPSHOT_BYTES as u64 + 1)
+            .read_to_end(&mut text)
+    });
     let found = match read {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
         Err(error) => Err(error.to_string()),
@@ -179,7 +182,7 @@
         })
     }
 
-    fn news(&mut self, now: Timestamp, number: u64, news: &News) {
+    fn news(&mut self, now: Timestamp, number: u64, news: &WatchEvent) {
         self.known
             .take(number, wall_ms(), now / 1_000, self.purge_ms, news);
         self.dated = now;
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -1,6 +1,6 @@
 //! Carries out the commands of operators that concern the front itself.
 use super::Server;
-use crate::protocol::member::name_of;
+use crate::protocol::member::endpoint_name;
 use crate::server::drivers::purges::parse_target;
 use crate::server::error::AdminError;
 use cranesill::api::Timestamp;
@@ -118,7 +118,7 @@
 
     /// The state of the whole front.
     fn status(&self, now: Timestamp) -> Value {
-        let cordoned: Vec<_> = self.cordoned.iter().map(|id| name_of(*id)).collect();
+        let cordoned: Vec<_> = self.cordoned.iter().map(|id| endpoint_name(*id)).collect();
         let lost_at = self.discovery.lost_at();
         let revision = self.discovery.revision();
         json!({
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -1,8 +1,8 @@
 //! Takes endpoints out of service and back at an operator's request, also one made to another process of this front.
 use super::timers::Timer;
 use super::Server;
-use crate::protocol::member::name_of;
-use crate::protocol::ops::member_id;
+use crate::protocol::admin::endpoint_id;
+use crate::protocol::member::endpoint_name;
 use crate::server::error::AdminError;
 use crate::server::handover::MAX_CORDONS;
 use cranesill::api::{EndpointId, Micros, Timestamp};
@@ -20,7 +20,7 @@
         cordoned: bool,
     ) -> Result<Value, AdminError> {
         let text = args["node"].as_str().ok_or(AdminError::EndpointMissing)?;
-        let id = member_id(text).ok_or(AdminError::EndpointMalformed)?;
+        let id = endpoint_id(text).ok_or(AdminError::EndpointMalformed)?;
         let known = self.upstream.listed().any(|listed| listed == id)
             || self.startup.is_waiting(id)
             || self.front.is_avoided(id);
@@ -57,7 +57,7 @@
         }
         tracing::info!(
             kind = "by-hand",
-            member = name_of(id),
+            member = endpoint_name(id),
             out = cordoned,
             "cache node by hand"
         );
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -1,7 +1,7 @@
 //! Applies watch events of the endpoint list and lists that peers hold.
 use super::timers::Timer;
 use super::Server;
-use crate::protocol::feed::{Listing, News};
+use crate::protocol::discovery::{EndpointRecord, WatchEvent};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::EventSource;
 use crate::server::drivers::snapshot::wall_ms;
@@ -22,7 +22,12 @@
     }
 
     /// Applies a watch event: endpoints that change, or a purge.
-    pub(super) fn apply_watch_event(&mut self, now: Timestamp, event: News, origin: EventSource) {
+    pub(super) fn apply_watch_event(
+        &mut self,
+        now: Timestamp,
+        event: WatchEvent,
+        origin: EventSource,
+    ) {
         if self.forwards_watch_events {
             let message = EndpointEffect::WatchEvent {
                 revision: self.discovery.revision(),
@@ -32,15 +37,12 @@
             self.carry_out_effects(now);
         }
         match event {
-            News::Members {
-                whole: complete,
-                list,
-            } => {
+            WatchEvent::Endpoints { complete, list } => {
                 self.announce_endpoints(now, &list, complete);
                 let list = self.startup.stagger(now, complete, list);
                 self.update_endpoints(now, complete, list, origin);
             }
-            News::Purge {
+            WatchEvent::Purge {
                 object,
                 group,
                 at_ms,
@@ -55,7 +57,7 @@
     }
 
     /// Tells the drivers which endpoints are listed.
-    fn announce_endpoints(&mut self, now: Timestamp, list: &[Listing], complete: bool) {
+    fn announce_endpoints(&mut self, now: Timestamp, list: &[EndpointRecord], complete: bool) {
         if self.drivers.is_empty() {
             return;
         }
@@ -113,7 +115,7 @@
         &mut self,
         now: Timestamp,
         complete: bool,
-        list: Vec<Listing>,
+        list: Vec<EndpointRecord>,
         origin: EventSource,
     ) {
         let entries: Vec<_> = list.iter().map(endpoint_entry).collect();
@@ -180,7 +182,7 @@
     }
 }
 
-fn endpoint_address(listing: &Listing) -> EndpointAddress {
+fn endpoint_address(listing: &EndpointRecord) -> EndpointAddress {
     let listed = listing.state != EndpointState::Removed;
     EndpointAddress {
         id: listing.id.into(),
@@ -189,7 +191,7 @@
     }
 }
 
-fn endpoint_entry(listing: &Listing) -> EndpointEntry {
+fn endpoint_entry(listing: &EndpointRecord) -> EndpointEntry {
     EndpointEntry {
         endpoint: EndpointId(listing.id.into()),
         kind: listing.kind,
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -5,7 +5,7 @@
 //! system releases a lock when its process ends, however it ends: that alone distinguishes a dead process from a live one.
 //!
 //! The files are tiny and in memory, so they are read and written on the loop: no call waits for a disk or another process.
-use crate::protocol::shared::{learned, out_member, out_name, read_learned, LEARNED_MOST};
+use crate::protocol::handover::{learned, out_member, out_name, read_learned, MAX_LEARNED_BYTES};
 use cranesill::api::{EndpointId, LearnedHealth, Micros, Timestamp};
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
@@ -115,7 +115,7 @@
             .folder
             .join(format!("learned.{}.tmp", std::process::id()));
         let text = learned(now, members);
-        let text = if text.len() <= LEARNED_MOST {
+        let text = if text.len() <= MAX_LEARNED_BYTES {
             text
         } else {
             learned(now, &[])
@@ -141,7 +141,8 @@
             .read(true)
             .custom_flags(libc::O_NONBLOCK)
             .open(&path);
-        let found = opened.and_then(|f| f.take(LEARNED_MOST as u64 + 1).read_to_end(&mut text));
+        let found =
+            opened.and_then(|f| f.take(MAX_LEARNED_BYTES as u64 + 1).read_to_end(&mut text));
         match found {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Vec::new(),
             Err(error) => {
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -2,7 +2,7 @@
 //! `cranesill_startup`.
 use super::config::Config;
 use super::drivers::snapshot::{load, path, wall_ms};
-use crate::protocol::feed::{Listing, News};
+use crate::protocol::discovery::{EndpointRecord, WatchEvent};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::EventSource;
 use cranesill::api::{EndpointId, EndpointState, Timestamp};
@@ -58,7 +58,7 @@
     /// The revision of the list.
     pub revision: u64,
     /// The events that lead to it.
-    pub events: Vec<News>,
+    pub events: Vec<WatchEvent>,
     /// Where the list comes from.
     pub origin: EventSource,
     /// The list as it is kept on disk from then on. One that was read there keeps its age.
@@ -101,7 +101,7 @@
 /// Slow start and readiness, as far as the settings switch them on.
 pub struct Startup {
     /// Endpoints that are listed and not in use yet.
-    slow_start: Option<SlowStart<Listing>>,
+    slow_start: Option<SlowStart<EndpointRecord>>,
     ready: Option<Readiness>,
     /// Why the front was not ready when that was last logged.
     waits: Option<NotReady>,
@@ -137,11 +137,16 @@
     }
 
     /// Takes listed endpoints in, and returns those that come into use now.
-    pub fn stagger(&mut self, now: Timestamp, complete: bool, list: Vec<Listing>) -> Vec<Listing> {
+    pub fn stagger(
+        &mut self,
+        now: Timestamp,
+        complete: bool,
+        list: Vec<EndpointRecord>,
+    ) -> Vec<EndpointRecord> {
         let Some(slow_start) = &mut self.slow_start else {
             return list;
         };
-        let admission = |l: &Listing| match l.state {
+        let admission = |l: &EndpointRecord| match l.state {
             EndpointState::Ready if Some(l.kind) != self.origin => Admission::Staggered(Group {
                 kind: l.kind,
                 near: l.zone == self.zone,
@@ -149,7 +154,7 @@
             EndpointState::Removed => Admission::Removed,
             _ => Admission::Immediate,
         };
-        let endpoint = |l: Listing| ListedEndpoint {
+        let endpoint = |l: EndpointRecord| ListedEndpoint {
             id: l.id.into(),
             admission: admission(&l),
             entry: l,
@@ -158,7 +163,7 @@
     }
 
     /// Takes out the endpoints that come into use by now.
-    pub fn take_due(&mut self, now: Timestamp) -> Vec<Listing> {
+    pub fn take_due(&mut self, now: Timestamp) -> Vec<EndpointRecord> {
         self.slow_start
             .as_mut()
             .map_or_else(Vec::new, |slow_start| slow_start.poll(now))
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -147,7 +147,7 @@
         connection.stream.discount(&mut self.buffered_bytes);
         let attempts = connection.open_attempts.len();
         if attempts > 0 {
-            let member = member::name_of(connection.endpoint);
+            let member = member::endpoint_name(connection.endpoint);
             let up = connection.established;
             tracing::info!(member, up, error, attempts, "connection lost");
         }
