--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -264,12 +264,12 @@
         let Some(client) = self.connections.get_mut(&key) else {
             return;
         };
-        let before = client.stream.held();
+        let before = client.stream.buffered_bytes();
         let written = client.stream.flush(|()| {});
-        if client.stream.held() < before {
+        if client.stream.buffered_bytes() < before {
             client.active_at = now;
         }
-        client.stream.count(&mut self.buffered_bytes);
+        client.stream.update_total(&mut self.buffered_bytes);
         let done = client.open_streams.is_empty() && client.stream.flushed();
         if client.state == ConnectionState::Draining && done {
             // Everything is written: the client closes the connection now, or a sweep does.
@@ -294,7 +294,7 @@
         let Some(mut client) = self.connections.remove(&key) else {
             return Vec::new();
         };
-        client.stream.discount(&mut self.buffered_bytes);
+        client.stream.remove_from_total(&mut self.buffered_bytes);
         self.unconfirmed.drop_client(key);
         let mut open: Vec<_> = client.open_streams.into_iter().collect();
         open.sort_unstable();
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -82,7 +82,7 @@
     pub(super) fn wants_input(&self, now: Timestamp) -> bool {
         self.state != ConnectionState::HalfClosed
             && !self.is_paused(now)
-            && self.stream.untaken() < MAX_UNREAD_ANSWERS
+            && self.stream.unsent_messages() < MAX_UNREAD_ANSWERS
     }
 
     /// Whether reading is paused after a bad request.
--- a/front/src/server/downstream/eviction.rs
+++ b/front/src/server/downstream/eviction.rs
@@ -37,7 +37,7 @@
             let most = self
                 .connections
                 .iter()
-                .max_by_key(|(key, connection)| (connection.stream.held(), **key))
+                .max_by_key(|(key, connection)| (connection.stream.buffered_bytes(), **key))
                 .map(|(key, _)| *key);
             let Some(key) = most else { break };
             disconnected.extend(self.disconnect(key));
--- a/front/src/server/downstream/tests.rs
+++ b/front/src/server/downstream/tests.rs
@@ -43,7 +43,7 @@
                 .wait(0, Some(until))
                 .unwrap()
                 .iter()
-                .any(|event| event.1)
+                .any(|event| event.readable)
         })
     }
 }
--- a/front/src/server/drivers/control/tests.rs
+++ b/front/src/server/drivers/control/tests.rs
@@ -42,7 +42,7 @@
             if events.is_empty() {
                 return;
             }
-            for (key, readable, writable) in events {
+            for event in events {
                 let slot = (1, &mut self.last);
                 let mut turn = Turn {
                     now,
@@ -51,7 +51,8 @@
                     effects: &mut self.effects,
                     slot,
                 };
-                self.control.ready(&mut turn, key, readable, writable);
+                self.control
+                    .ready(&mut turn, event.key, event.readable, event.writable);
             }
         }
     }
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -70,8 +70,9 @@
                 effects: &mut effects,
                 slot,
             };
-            for (key, readable, writable) in events {
-                self.purges.ready(&mut turn, key, readable, writable);
+            for event in events {
+                self.purges
+                    .ready(&mut turn, event.key, event.readable, event.writable);
             }
             self.purges.due(&mut turn);
             if let Some(found) = holds(&self.purges) {
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -24,7 +24,7 @@
 use crate::server::signals;
 use crate::server::startup::Startup;
 use crate::server::upstream::CacheNodes;
-use crate::transport::{Clock, Deadlines, Reactor, Registered};
+use crate::transport::{Clock, Deadlines, Reactor, ReadyEvent, Registered};
 use cranesill::api::{EndpointId, Timestamp};
 use cranesill_daemon::Daemon;
 use std::collections::BTreeSet;
@@ -148,14 +148,14 @@
 
     /// Handles what the poller reported, in the order of [`Rank`]. Requests of clients that disconnected are cancelled before
     /// anything is read from upstream.
-    fn handle_events(&mut self, now: Timestamp, mut events: Vec<(usize, bool, bool)>) {
-        events.sort_by_cached_key(|(key, ..)| self.rank(*key));
-        let clients_end = events.partition_point(|(key, ..)| self.rank(*key) < Rank::Upstream);
-        for (n, (key, readable, writable)) in events.into_iter().enumerate() {
+    fn handle_events(&mut self, now: Timestamp, mut events: Vec<ReadyEvent>) {
+        events.sort_by_cached_key(|event| self.rank(event.key));
+        let clients_end = events.partition_point(|event| self.rank(event.key) < Rank::Upstream);
+        for (n, event) in events.into_iter().enumerate() {
             if n == clients_end {
                 self.cancel_disconnected(now);
             }
-            self.handle_event(now, key, readable, writable);
+            self.handle_event(now, event);
         }
         self.cancel_disconnected(now);
     }
@@ -187,7 +187,12 @@
         self.last_key
     }
 
-    fn handle_event(&mut self, now: Timestamp, key: usize, readable: bool, writable: bool) {
+    fn handle_event(&mut self, now: Timestamp, event: ReadyEvent) {
+        let ReadyEvent {
+            key,
+            readable,
+            writable,
+        } = event;
         match key {
             LISTENER_KEY => self.accept_clients(now),
             SIGTERM_KEY => self.begin_shutdown(now),
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -215,7 +215,7 @@
             .wait(0, Some(20_000_000))
             .unwrap()
             .iter()
-            .any(|(_, readable, _)| *readable)
+            .any(|event| event.readable)
         {}
         members.ready(now, 1, true, &mut ends);
         members.sweep(now, &mut ends);
@@ -353,8 +353,8 @@
                 }
             }
             6 | 7 => {
-                for (key, readable, _) in reactor.wait(now, Some(now)).unwrap() {
-                    members.ready(now, key, readable, &mut ends);
+                for event in reactor.wait(now, Some(now)).unwrap() {
+                    members.ready(now, event.key, event.readable, &mut ends);
                 }
             }
             8 => {
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -84,7 +84,7 @@
         }
         let is_partial = !connection.stream.input().is_empty();
         connection.partial_since = is_partial.then(|| connection.partial_since.unwrap_or(now));
-        connection.stream.count(&mut self.buffered_bytes);
+        connection.stream.update_total(&mut self.buffered_bytes);
         Ok(())
     }
 
@@ -110,7 +110,7 @@
             .stream
             .flush(done)
             .and_then(|()| connection.stream.rewatch(!self.paused));
-        connection.stream.count(&mut self.buffered_bytes);
+        connection.stream.update_total(&mut self.buffered_bytes);
         if let Err(e) = flushed {
             self.fail(key, &e.to_string(), ends);
         }
@@ -144,7 +144,9 @@
         let Some(mut connection) = self.connections.remove(&key) else {
             return;
         };
-        connection.stream.discount(&mut self.buffered_bytes);
+        connection
+            .stream
+            .remove_from_total(&mut self.buffered_bytes);
         let attempts = connection.open_attempts.len();
         if attempts > 0 {
             let member = member::endpoint_name(connection.endpoint);
--- a/front/src/transport/mod.rs
+++ b/front/src/transport/mod.rs
@@ -14,7 +14,7 @@
 pub use deadlines::Deadlines;
 pub use descriptors::used_up;
 pub use faults::{is_local, AcceptFault};
-pub use reactor::{Reactor, Registered};
+pub use reactor::{Reactor, ReadyEvent, Registered};
 pub use resting_listener::RestingListener;
 pub use stream::{dial, inherited, listen, Outgoing, Stream};
 pub use workers::Workers;
--- a/front/src/transport/reactor.rs
+++ b/front/src/transport/reactor.rs
@@ -13,6 +13,17 @@
     events: Events,
 }
 
+/// A watched source that the poller reports as ready.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReadyEvent {
+    /// The key under which the source is watched.
+    pub key: usize,
+    /// Whether a read would not block.
+    pub readable: bool,
+    /// Whether a write would not block.
+    pub writable: bool,
+}
+
 /// A source that is watched for as long as this lives.
 #[derive(Debug)]
 pub struct Registered<S: AsFd> {
@@ -51,24 +62,30 @@
         })
     }
 
-    /// Waits until something can be done or the moment `until` has come; the keys, with whether they can be
-    /// read and written.
+    /// Waits until a source is ready, a signal comes or `deadline` has passed, and returns the sources that are ready.
+    /// Without a deadline it waits as long as it takes.
     pub fn wait(
         &mut self,
         now: Timestamp,
-        until: Option<Timestamp>,
-    ) -> io::Result<Vec<(usize, bool, bool)>> {
+        deadline: Option<Timestamp>,
+    ) -> io::Result<Vec<ReadyEvent>> {
         self.events.clear();
-        let left = until.map(|at| Duration::from_micros(at.saturating_sub(now)));
-        match self.poller.wait(&mut self.events, left) {
+        let timeout = deadline.map(|at| Duration::from_micros(at.saturating_sub(now)));
+        match self.poller.wait(&mut self.events, timeout) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
-        Ok(self
-            .events
-            .iter()
-            .map(|e| (e.key, e.readable, e.writable))
-            .collect())
+        Ok(self.events.iter().map(ReadyEvent::from).collect())
+    }
+}
+
+impl From<Event> for ReadyEvent {
+    fn from(event: Event) -> Self {
+        ReadyEvent {
+            key: event.key,
+            readable: event.readable,
+            writable: event.writable,
+        }
     }
 }
 
@@ -81,10 +98,8 @@
             PollMode::Level,
         )
     }
-}
 
-impl<S: AsFd> Registered<S> {
-    /// Is watched under another key from now on, for reading.
+    /// Watches it under another key from now on, for reading.
     pub fn rekey(&mut self, key: usize) -> io::Result<()> {
         self.key = key;
         self.rewatch(true, false)
--- a/front/src/transport/resting_listener/tests.rs
+++ b/front/src/transport/resting_listener/tests.rs
@@ -55,7 +55,7 @@
 
 fn is_reported(reactor: &mut Reactor) -> bool {
     let events = reactor.wait(0, Some(20_000)).unwrap();
-    events.iter().any(|(key, ..)| *key == KEY)
+    events.iter().any(|event| event.key == KEY)
 }
 
 #[test]
--- a/front/src/transport/stream.rs
+++ b/front/src/transport/stream.rs
@@ -8,11 +8,11 @@
 use std::rc::Rc;
 
 /// Room for input that an idle connection keeps.
-const KEPT_MOST: usize = 4 * 1024;
+const MAX_IDLE_CAPACITY: usize = 4 * 1024;
 /// Slices that one gathered write takes at most.
-const SLICES_MOST: usize = 48;
+const MAX_SLICES: usize = 48;
 /// What `connect` says of a connection that is being made, or is made.
-const UNDER_WAY: [i32; 3] = [libc::EINPROGRESS, libc::EALREADY, libc::EISCONN];
+const CONNECT_IN_PROGRESS: [i32; 3] = [libc::EINPROGRESS, libc::EALREADY, libc::EISCONN];
 /// Connections that the system accepts ahead of the program.
 const BACKLOG: i32 = 1024;
 
@@ -49,7 +49,7 @@
     /// Bytes of the first of `output` that are written.
     written: usize,
     output_len: usize,
-    /// What a sum over connections counts for this one.
+    /// What a total over connections counts for this one.
     counted: usize,
     watched: (bool, bool),
     tls: Option<Box<Tls>>,
@@ -159,30 +159,30 @@
             self.consumed = 0;
             self.input.clear();
             // Guards the memory limit: hundreds of connections would each keep room for their largest message.
-            self.input.shrink_to(KEPT_MOST);
+            self.input.shrink_to(MAX_IDLE_CAPACITY);
         }
     }
 
     /// Bytes that this connection holds: input not dealt with and output not written.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.input.len() - self.consumed
             + self.output_len
             + self.tls.as_ref().map_or(0, |tls| tls.sealed)
     }
 
-    /// Brings a sum over connections up to date with what this one holds.
-    pub fn count(&mut self, sum: &mut usize) {
-        let held = self.held();
-        *sum = *sum - std::mem::replace(&mut self.counted, held) + held;
+    /// Brings a total over connections up to date with what this one holds.
+    pub fn update_total(&mut self, total: &mut usize) {
+        let buffered = self.buffered_bytes();
+        *total = *total - std::mem::replace(&mut self.counted, buffered) + buffered;
     }
 
-    /// Takes this connection out of a sum over connections.
-    pub fn discount(&mut self, sum: &mut usize) {
-        *sum -= std::mem::take(&mut self.counted);
+    /// Takes this connection out of a total over connections.
+    pub fn remove_from_total(&mut self, total: &mut usize) {
+        *total -= std::mem::take(&mut self.counted);
     }
 
     /// Messages that the other side has not taken yet.
-    pub fn untaken(&self) -> usize {
+    pub fn unsent_messages(&self) -> usize {
         self.output.len()
     }
 
@@ -224,12 +224,12 @@
     pub fn flush(&mut self, mut done: impl FnMut(T)) -> io::Result<()> {
         while !self.flushed() {
             let mut skip = self.written;
-            let mut slices = Vec::with_capacity(SLICES_MOST);
+            let mut slices = Vec::with_capacity(MAX_SLICES);
             for part in self
                 .output
                 .iter()
                 .flat_map(Outgoing::parts)
-                .take(SLICES_MOST)
+                .take(MAX_SLICES)
             {
                 let begun = skip.min(part.len());
                 skip -= begun;
@@ -384,7 +384,13 @@
         }
     };
     match connected {
-        Err(e) if !UNDER_WAY.iter().any(|code| e.raw_os_error() == Some(*code)) => Err(e),
+        Err(e)
+            if !CONNECT_IN_PROGRESS
+                .iter()
+                .any(|code| e.raw_os_error() == Some(*code)) =>
+        {
+            Err(e)
+        }
         _ => Ok(socket.into()),
     }
 }
--- a/front/src/transport/stream/tests.rs
+++ b/front/src/transport/stream/tests.rs
@@ -13,5 +13,5 @@
     stream.consume(99_999);
     assert_eq!(stream.input(), [7]);
     stream.consume(1);
-    assert!(stream.input.capacity() <= KEPT_MOST);
+    assert!(stream.input.capacity() <= MAX_IDLE_CAPACITY);
 }
--- a/front/src/transport/workers/tests.rs
+++ b/front/src/transport/workers/tests.rs
@@ -8,7 +8,7 @@
     workers.run(|| 1_000).unwrap();
     let mut all = Vec::new();
     while all.len() < 51 {
-        assert_eq!(reactor.wait(0, Some(20_000_000)).unwrap()[0].0, 9);
+        assert_eq!(reactor.wait(0, Some(20_000_000)).unwrap()[0].key, 9);
         all.extend(workers.results());
     }
     let ordered: Vec<_> = all.iter().copied().filter(|i| *i < 1_000).collect();
