--- /dev/null
+++ b/front/src/protocol/client/request.rs
@@ -0,0 +1,192 @@
+//! The payload of a request frame: a counted list of named fields, and the body behind them.
+use super::{MAX_BODY_BYTES, MICROS_PER_MS};
+use crate::protocol::{hex16, Cursor};
+use crate::routing::{ClientRequest, ObjectKey, TransactionId};
+use std::rc::Rc;
+
+/// The largest size of an object, in KB, that a client may state. It is far above any object that is served, and no sum of
+/// such sizes overflows.
+const MAX_SIZE_KB: f64 = 1e9;
+/// The longest tag or idempotency key, in characters.
+const MAX_TAG_LENGTH: usize = 64;
+/// Groups are numbered below this.
+const MAX_GROUPS: u32 = 256;
+
+/// Why the payload of a request cannot be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RequestError {
+    /// The payload is empty.
+    #[error("fields cut off")]
+    FieldsTruncated,
+    /// The payload ends within the name of a field.
+    #[error("field name cut off")]
+    FieldNameTruncated,
+    /// The payload ends within the value of a field.
+    #[error("field value cut off")]
+    FieldValueTruncated,
+    /// The value of a field is not UTF-8.
+    #[error("a field is no text")]
+    FieldNotText,
+    /// `txn` is malformed.
+    #[error("txn is not 16 hex digits")]
+    Transaction,
+    /// `limit` is malformed.
+    #[error("limit is no number")]
+    TimeLimit,
+    /// `item` is malformed.
+    #[error("item is not 16 hex digits")]
+    Object,
+    /// `part` is malformed.
+    #[error("part is no number")]
+    Part,
+    /// `group` is malformed or too large.
+    #[error("group is no number below 256")]
+    Group,
+    /// `ram` is malformed or too large.
+    #[error("ram is no size in KB")]
+    Size,
+    /// `have` holds more than letters and digits, or is too long.
+    #[error("have is no bare tag")]
+    CachedTag,
+    /// `unique` holds more than letters and digits, or is too long.
+    #[error("unique is no bare key")]
+    IdempotencyKey,
+    /// The body is longer than an upstream reads.
+    #[error("body too long")]
+    BodyTooLong,
+    /// `verb` is missing.
+    #[error("no verb")]
+    ClassMissing,
+    /// `txn` is missing.
+    #[error("no txn")]
+    TransactionMissing,
+    /// `limit` is missing.
+    #[error("no limit")]
+    TimeLimitMissing,
+    /// The connection has as many open streams as it may have.
+    #[error("too many streams")]
+    TooManyStreams,
+}
+
+/// Decodes the payload of a request frame. Unknown fields are ignored; of a field that is repeated the last value counts.
+pub fn decode_request(payload: &[u8]) -> Result<ClientRequest, RequestError> {
+    let mut cursor = Cursor(payload);
+    let count = cursor.u8().ok_or(RequestError::FieldsTruncated)?;
+    let mut fields = Fields::default();
+    for _ in 0..count {
+        let (name, value) = next_field(&mut cursor)?;
+        fields.set(name, value)?;
+    }
+    if cursor.0.len() > MAX_BODY_BYTES {
+        return Err(RequestError::BodyTooLong);
+    }
+    fields.into_request(cursor.0)
+}
+
+/// Takes one field off the payload: its name and its value.
+fn next_field<'a>(cursor: &mut Cursor<'a>) -> Result<(&'a [u8], &'a str), RequestError> {
+    let name = cursor
+        .u8()
+        .and_then(|length| cursor.bytes(length.into()))
+        .ok_or(RequestError::FieldNameTruncated)?;
+    let value = cursor
+        .u16()
+        .and_then(|length| cursor.bytes(length.into()))
+        .ok_or(RequestError::FieldValueTruncated)?;
+    let value = std::str::from_utf8(value).map_err(|_| RequestError::FieldNotText)?;
+    Ok((name, value))
+}
+
+/// The fields of a request that were decoded so far.
+#[derive(Default)]
+struct Fields {
+    class: Option<String>,
+    transaction: Option<TransactionId>,
+    time_limit_ms: Option<u32>,
+    object: Option<ObjectKey>,
+    part: u32,
+    group: u32,
+    size_kb: f64,
+    cached_tag: Option<Rc<str>>,
+    idempotency_key: Option<Rc<str>>,
+}
+
+impl Fields {
+    fn set(&mut self, name: &[u8], value: &str) -> Result<(), RequestError> {
+        match name {
+            b"verb" => self.class = Some(value.to_string()),
+            b"txn" => {
+                hex16(value).ok_or(RequestError::Transaction)?;
+                self.transaction = TransactionId::new(value);
+            }
+            b"limit" => {
+                self.time_limit_ms = Some(parse_number(value).ok_or(RequestError::TimeLimit)?);
+            }
+            b"item" => self.object = Some(parse_object(value)?),
+            b"part" => self.part = parse_number(value).ok_or(RequestError::Part)?,
+            b"group" => self.group = parse_group(value)?,
+            b"ram" => self.size_kb = parse_size_kb(value).ok_or(RequestError::Size)?,
+            b"have" => {
+                self.cached_tag = Some(parse_tag(value).ok_or(RequestError::CachedTag)?);
+            }
+            b"unique" => {
+                self.idempotency_key = Some(parse_tag(value).ok_or(RequestError::IdempotencyKey)?);
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn into_request(self, body: &[u8]) -> Result<ClientRequest, RequestError> {
+        let class = self.class.ok_or(RequestError::ClassMissing)?;
+        let transaction = self.transaction.ok_or(RequestError::TransactionMissing)?;
+        let time_limit_ms = self.time_limit_ms.ok_or(RequestError::TimeLimitMissing)?;
+        Ok(ClientRequest {
+            class,
+            transaction,
+            time_limit: u64::from(time_limit_ms) * MICROS_PER_MS,
+            object: self.object,
+            part: self.part,
+            group: self.group,
+            size_kb: self.size_kb,
+            cached_tag: self.cached_tag,
+            idempotency_key: self.idempotency_key,
+            body: body.into(),
+        })
+    }
+}
+
+fn parse_object(value: &str) -> Result<ObjectKey, RequestError> {
+    let id = hex16(value).ok_or(RequestError::Object)?;
+    Ok(ObjectKey {
+        text: value.into(),
+        id,
+    })
+}
+
+fn parse_group(value: &str) -> Result<u32, RequestError> {
+    parse_number(value)
+        .filter(|group| *group < MAX_GROUPS)
+        .ok_or(RequestError::Group)
+}
+
+/// Parses a tag or key of letters and digits alone: upstream it stands in a list of fields that commas separate, and any
+/// other character could begin a field of its own there.
+fn parse_tag(value: &str) -> Option<Rc<str>> {
+    let fits = (1..=MAX_TAG_LENGTH).contains(&value.len());
+    let is_bare = value.bytes().all(|b| b.is_ascii_alphanumeric());
+    (fits && is_bare).then(|| value.into())
+}
+
+/// Parses digits alone. The standard library would accept a sign as well.
+fn parse_number(text: &str) -> Option<u32> {
+    let digits_alone = text.bytes().all(|b| b.is_ascii_digit());
+    digits_alone.then(|| text.parse().ok()).flatten()
+}
+
+/// Parses a plain decimal number of KB. The standard library would accept a sign, an exponent and infinity as well.
+fn parse_size_kb(text: &str) -> Option<f64> {
+    let is_plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let size: Option<f64> = is_plain.then(|| text.parse().ok()).flatten();
+    size.filter(|kb| *kb <= MAX_SIZE_KB)
+}
--- a/front/src/protocol/client/tests.rs
+++ b/front/src/protocol/client/tests.rs
@@ -54,7 +54,9 @@
             ("limit", "5"),
             (name, value),
         ];
-        decode_request(&request(&good, b"")[9..]).unwrap_err()
+        decode_request(&request(&good, b"")[9..])
+            .unwrap_err()
+            .to_string()
     };
     let told = [
         bad("txn", "+b1f03aa5c7e2d41"),
--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -4,7 +4,7 @@
 mod lifecycle;
 mod unconfirmed;
 
-use crate::protocol::client;
+use crate::protocol::client::{self, RequestError};
 use crate::routing::{ClientRequest, ReplyTo, Response};
 use crate::transport::{Reactor, Registered, Stream};
 use connection::{Connection, ConnectionState, READ_PAUSE_WITH_REQUESTS};
@@ -27,7 +27,7 @@
     /// A request to be routed.
     Request(ReplyTo, ClientRequest),
     /// A malformed request, with what is wrong with it.
-    BadRequest(ReplyTo, &'static str),
+    BadRequest(ReplyTo, RequestError),
     /// The client of a request has cancelled it or is disconnected: it needs no answer.
     Disconnected(ReplyTo),
 }
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! One connection of a client: its state, and the frames that come on it.
 use super::ClientEvent;
-use crate::protocol::client::{self, Message};
+use crate::protocol::client::{self, Message, RequestError};
 use crate::routing::{ClientRequest, ReplyTo};
 use crate::transport::Stream;
 use cranesill::api::{Micros, Timestamp};
@@ -171,11 +171,11 @@
         &mut self,
         now: Timestamp,
         from: ReplyTo,
-        request: Result<ClientRequest, &'static str>,
+        request: Result<ClientRequest, RequestError>,
     ) -> ClientEvent {
         let request = request.and_then(|request| {
             if self.open_streams.len() > MAX_STREAMS {
-                return Err("too many streams");
+                return Err(RequestError::TooManyStreams);
             }
             Ok(request)
         });
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -123,7 +123,7 @@
                     self.front.receive_request(now, from, request)
                 }
                 ClientEvent::BadRequest(from, error) => {
-                    tracing::info!(error, "bad request");
+                    tracing::info!(%error, "bad request");
                     self.clients.answer(now, from, Response::Failed);
                 }
                 ClientEvent::Disconnected(from) => {
