--- a/front/src/protocol/handover/tests.rs
+++ b/front/src/protocol/handover/tests.rs
@@ -10,11 +10,11 @@
         connection_lost: down,
     };
     let all = vec![of(0x11, true), of(0x12, false)];
-    let text = learned(5, &all);
-    assert_eq!(read_learned(text.as_bytes()), Ok((5, all)));
+    let text = encode_learned(5, &all);
+    assert_eq!(decode_learned(text.as_bytes()), Ok((5, all)));
     for cut in 0..text.len() {
         assert!(
-            read_learned(&text.as_bytes()[..cut]).is_err(),
+            decode_learned(&text.as_bytes()[..cut]).is_err(),
             "cut after {cut}"
         );
     }
@@ -22,15 +22,15 @@
         let mut bytes = text.clone().into_bytes();
         bytes[at] ^= 1;
         // A flipped bit in the checksum's own letter case is no other checksum.
-        assert!(read_learned(&bytes).is_err(), "byte {at}");
+        assert!(decode_learned(&bytes).is_err(), "byte {at}");
     }
     let future = text.replace("v1", "v2");
     assert_eq!(
-        read_learned(future.as_bytes()),
-        Err("it is of another version")
+        decode_learned(future.as_bytes()),
+        Err(StoredFileError::OtherVersion)
     );
     assert_eq!(
-        out_member(&out_name(EndpointId(0x00c41f7a))),
+        cordoned_endpoint(&cordon_file_name(EndpointId(0x00c41f7a))),
         Some(EndpointId(0x00c41f7a))
     );
     for name in [
@@ -40,6 +40,6 @@
         "v1.in.s-00c41f7a",
         "",
     ] {
-        assert_eq!(out_member(name), None, "{name}");
+        assert_eq!(cordoned_endpoint(name), None, "{name}");
     }
 }
--- a/front/src/protocol/mod.rs
+++ b/front/src/protocol/mod.rs
@@ -8,6 +8,7 @@
 pub mod member;
 pub mod purge;
 pub mod snapshot;
+pub mod stored_file;
 
 /// Why a stream of bytes can't be read any further.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -1,10 +1,14 @@
 //! The list of members as a front last knew it, on disk: a head with version and checksum, as of what processes leave for each
 //! other, and a line for each member and each purge that still counts. No I/O here.
 use super::discovery::{EndpointRecord, WatchEvent};
+use super::stored_file::{self, StoredFileError};
 use cranesill::api::EndpointState;
 use std::collections::BTreeMap;
 
 const VERSION: &str = "v1";
+const KIND: &str = "list";
+/// Fields of the header line: the program, the kind of file, the version and the checksum.
+const HEADER_FIELDS: usize = 4;
 /// Bytes at most: some thousand members and as many purges.
 pub const MAX_SNAPSHOT_BYTES: usize = 2 << 20;
 /// Purges that are kept at most; with more the snapshot is not to be served from.
@@ -100,10 +104,7 @@
                 None => format!("g {group} {at_ms}\n"),
             };
         }
-        let text = format!(
-            "cranesill list {VERSION} {:08x}\n{body}",
-            crc32fast::hash(body.as_bytes())
-        );
+        let text = stored_file::encode(KIND, VERSION, &body);
         Some(text).filter(|text| text.len() <= MAX_SNAPSHOT_BYTES)
     }
 
@@ -127,23 +128,16 @@
         body
     }
 
-    /// Reads it. The error says why it is as if absent.
-    pub fn read(text: &[u8]) -> Result<Self, &'static str> {
+    /// Decodes a snapshot.
+    pub fn read(text: &[u8]) -> Result<Self, StoredFileError> {
         if text.len() > MAX_SNAPSHOT_BYTES {
-            return Err("it is too long");
+            return Err(StoredFileError::TooLong);
         }
-        let text = std::str::from_utf8(text).map_err(|_| "it is no text")?;
-        let (head, body) = text.split_once('\n').ok_or("it has no head")?;
-        let head: Vec<_> = head.split(' ').collect();
-        if head.len() != 4 || head[..2] != ["cranesill", "list"] {
-            return Err("it is of something else");
-        }
-        if head[2] != VERSION {
-            return Err("it is of another version");
-        }
-        if u32::from_str_radix(head[3], 16) != Ok(crc32fast::hash(body.as_bytes())) {
-            return Err("its checksum is wrong");
+        let (header, body) = stored_file::split(text)?;
+        if header.split(' ').count() != HEADER_FIELDS {
+            return Err(StoredFileError::OtherKind);
         }
+        stored_file::check_header(header, KIND, VERSION, body)?;
         let mut found = Snapshot::default();
         for (n, line) in body.lines().enumerate() {
             let words: Vec<_> = line.split(' ').collect();
@@ -152,10 +146,10 @@
             } else {
                 found.line(&words)
             };
-            read.ok_or("a line can't be read")?;
+            read.ok_or(StoredFileError::MalformedLine)?;
         }
         if body.is_empty() {
-            return Err("it has no number");
+            return Err(StoredFileError::RevisionMissing);
         }
         Ok(found)
     }
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -220,7 +220,7 @@
             return self.core.record_no_update(peer);
         }
         let judged = Snapshot::read(text)
-            .map_err(str::to_string)
+            .map_err(|error| error.to_string())
             .and_then(|list| {
                 let header = SnapshotHeader {
                     source: list.source,
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -60,7 +60,7 @@
     let found = match read {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
         Err(error) => Err(error.to_string()),
-        Ok(_) => Snapshot::read(&text).map_err(str::to_string),
+        Ok(_) => Snapshot::read(&text).map_err(|error| error.to_string()),
     };
     let found = found.and_then(|found| {
         let header = SnapshotHeader {
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -5,7 +5,9 @@
 //! system releases a lock when its process ends, however it ends: that alone distinguishes a dead process from a live one.
 //!
 //! The files are tiny and in memory, so they are read and written on the loop: no call waits for a disk or another process.
-use crate::protocol::handover::{learned, out_member, out_name, read_learned, MAX_LEARNED_BYTES};
+use crate::protocol::handover::{
+    cordon_file_name, cordoned_endpoint, decode_learned, encode_learned, MAX_LEARNED_BYTES,
+};
 use cranesill::api::{EndpointId, LearnedHealth, Micros, Timestamp};
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
@@ -114,11 +116,11 @@
         let aside = self
             .folder
             .join(format!("learned.{}.tmp", std::process::id()));
-        let text = learned(now, members);
+        let text = encode_learned(now, members);
         let text = if text.len() <= MAX_LEARNED_BYTES {
             text
         } else {
-            learned(now, &[])
+            encode_learned(now, &[])
         };
         let written =
             fs::write(&aside, text).and_then(|()| fs::rename(&aside, self.folder.join("learned")));
@@ -151,14 +153,14 @@
             }
             Ok(_) => drop(fs::remove_file(&path)),
         }
-        match read_learned(&text) {
+        match decode_learned(&text) {
             Ok((at, members)) if at <= now && now <= at + MAX_LEARNED_AGE => members,
             Ok(_) => {
                 tracing::info!(kind = "upgrade", "what was learned is too old");
                 Vec::new()
             }
             Err(error) => {
-                tracing::warn!(kind = "upgrade", error, "what was learned is left aside");
+                tracing::warn!(kind = "upgrade", %error, "what was learned is left aside");
                 Vec::new()
             }
         }
@@ -166,7 +168,7 @@
 
     /// Cordons an endpoint for all processes of this front, or lifts its cordon.
     pub fn set_cordon(&self, endpoint: EndpointId, cordoned: bool) -> io::Result<()> {
-        let path = self.folder.join(out_name(endpoint));
+        let path = self.folder.join(cordon_file_name(endpoint));
         if cordoned {
             return File::create(path).map(drop);
         }
@@ -196,7 +198,7 @@
             }
             let name = entry?.file_name();
             let name = name.to_string_lossy();
-            match out_member(&name) {
+            match cordoned_endpoint(&name) {
                 Some(endpoint) => drop(cordons.insert(endpoint)),
                 None if OWN_FILES.contains(&&*name) || name.ends_with(".tmp") => {}
                 None => {
