--- a/front/src/protocol/discovery.rs
+++ b/front/src/protocol/discovery.rs
@@ -1,41 +1,56 @@
-//! Events of the control feed.
+//! Watch events of the list service: endpoints that change, and purges. All numbers are big-endian.
 use super::{Cursor, Unreadable};
 use cranesill::api::EndpointState;
 use std::net::{Ipv4Addr, SocketAddr};
+use std::ops::RangeInclusive;
 
-/// Bytes of one frame at most: a complete list of some thousand members.
-const LENGTH_MOST: usize = 1 << 20;
-const RECORD: usize = 27;
+/// The lengths that a frame may state, in bytes; the longest holds a complete list of some thousand endpoints.
+const FRAME_LENGTHS: RangeInclusive<usize> = 9..=1 << 20;
+/// Bytes of a frame's length, which does not count itself.
+const LENGTH_BYTES: usize = 4;
+/// Bytes of the record of one endpoint.
+const RECORD_BYTES: usize = 27;
+/// Weights are sent in thousandths.
+const WEIGHT_UNIT: f64 = 1e3;
 
-/// What the feed says of a member.
+/// Kinds of frames.
+mod kind {
+    pub const NOTHING_NEW: u8 = 0;
+    pub const COMPLETE_LIST: u8 = 1;
+    pub const CHANGES: u8 = 2;
+    pub const OBJECT_PURGE: u8 = 3;
+    pub const GROUP_PURGE: u8 = 4;
+}
+
+/// An endpoint as the list service describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Its id, which outlives its address.
+    /// Its id, which stays the same when its address changes.
     pub id: u32,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its state.
+    /// Whether it takes requests.
     pub state: EndpointState,
-    /// Place in the settings' list of zones.
+    /// The index of its zone in the settings' list of zones.
     pub zone: u16,
-    /// Place in the settings' list of kinds.
+    /// The index of its machine type in the settings' list of kinds.
     pub kind: u8,
-    /// Its cell.
+    /// The cell that it belongs to.
     pub cell: u16,
-    /// Its size.
+    /// Its share of the load, relative to other endpoints.
     pub weight: f64,
-    /// Unix millisecond of a late start, or 0.
+    /// When it started, in Unix milliseconds, if it joined later than the others; otherwise 0.
     pub started_ms: u64,
 }
 
-/// One event.
+/// A change that the list service announces.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// The complete list, or what has changed in it.
+    /// The complete endpoint list, or the endpoints that changed.
     Endpoints {
-        /// Whether it is the complete list.
+        /// Whether `list` is complete: endpoints that it does not name are removed.
         complete: bool,
-        /// The members.
+        /// The endpoints.
         list: Vec<EndpointRecord>,
     },
     /// An object or a group was purged.
@@ -44,99 +59,126 @@
         object: Option<u64>,
         /// The group, if no object is named.
         group: u32,
-        /// Unix millisecond of the purge.
+        /// When it was purged, in Unix milliseconds.
         at_ms: u64,
     },
 }
 
-/// What a front writes to begin with: the number of the last event that it holds.
-pub fn hello(last: u64) -> [u8; 8] {
-    last.to_be_bytes()
+/// A decoded frame.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecodedFrame {
+    /// The revision of the list that the event leads to.
+    pub revision: u64,
+    /// The event; `None` if there is nothing new.
+    pub event: Option<WatchEvent>,
+    /// The length of the frame in bytes.
+    pub length: usize,
 }
 
-/// An event's number, the event (`None` if there is nothing new), and the length of its frame in bytes.
-type Decoded = (u64, Option<WatchEvent>, usize);
+/// Encodes what a front sends on connecting: the revision that it knows.
+pub fn hello(revision: u64) -> [u8; 8] {
+    revision.to_be_bytes()
+}
 
-/// Takes the first frame off `input`. `None`: it is not complete yet.
-pub fn decode(input: &[u8]) -> Result<Option<Decoded>, Unreadable> {
+/// Decodes the first frame of `input`. `None`: it is not complete yet.
+pub fn decode(input: &[u8]) -> Result<Option<DecodedFrame>, Unreadable> {
     let mut cursor = Cursor(input);
     let Some(length) = cursor.u32().map(|n| n as usize) else {
         return Ok(None);
     };
-    if !(9..=LENGTH_MOST).contains(&length) {
+    if !FRAME_LENGTHS.contains(&length) {
         return Err(Unreadable("frame length out of bounds"));
     }
     let Some(frame) = cursor.bytes(length) else {
         return Ok(None);
     };
     let mut cursor = Cursor(frame);
-    let (number, kind) = cursor
+    let (revision, kind) = cursor
         .u64()
         .zip(cursor.u8())
         .ok_or(Unreadable("frame cut off"))?;
-    let news = match kind {
-        0 => None,
-        1 | 2 if cursor.0.len() % RECORD != 0 => return Err(Unreadable("record cut off")),
-        1 | 2 => {
-            let list = cursor
-                .0
-                .chunks(RECORD)
-                .map(|r| listing(Cursor(r)))
-                .collect::<Option<Vec<_>>>();
-            Some(WatchEvent::Endpoints {
-                complete: kind == 1,
-                list: list.ok_or(Unreadable("unknown state"))?,
-            })
-        }
-        3 => {
-            let (object, at_ms) = cursor
-                .u64()
-                .zip(cursor.u64())
-                .ok_or(Unreadable("purge cut off"))?;
-            Some(WatchEvent::Purge {
-                object: Some(object),
-                group: 0,
-                at_ms,
-            })
-        }
-        4 => {
-            let (group, at_ms) = cursor
-                .u16()
-                .zip(cursor.u64())
-                .ok_or(Unreadable("purge cut off"))?;
-            Some(WatchEvent::Purge {
-                object: None,
-                group: group.into(),
-                at_ms,
-            })
-        }
-        _ => return Err(Unreadable("unknown kind")),
-    };
-    Ok(Some((number, news, 4 + length)))
+    Ok(Some(DecodedFrame {
+        revision,
+        event: decode_event(kind, cursor)?,
+        length: LENGTH_BYTES + length,
+    }))
 }
 
-fn listing(mut record: Cursor<'_>) -> Option<EndpointRecord> {
-    let id = record.u32()?;
-    let address = SocketAddr::from((Ipv4Addr::from(record.array::<4>()?), record.u16()?));
-    let state = match record.u8()? {
-        0 => EndpointState::Ready,
-        1 => EndpointState::Draining,
-        2 => EndpointState::Removed,
-        _ => return None,
-    };
-    let (zone, kind, cell) = (record.u8()?.into(), record.u8()?, record.u16()?);
-    let weight = f64::from(record.u32()?) / 1e3;
+fn decode_event(kind: u8, payload: Cursor<'_>) -> Result<Option<WatchEvent>, Unreadable> {
+    match kind {
+        kind::NOTHING_NEW => Ok(None),
+        kind::COMPLETE_LIST => decode_endpoints(payload, true).map(Some),
+        kind::CHANGES => decode_endpoints(payload, false).map(Some),
+        kind::OBJECT_PURGE => decode_object_purge(payload).map(Some),
+        kind::GROUP_PURGE => decode_group_purge(payload).map(Some),
+        _ => Err(Unreadable("unknown kind")),
+    }
+}
+
+fn decode_endpoints(payload: Cursor<'_>, complete: bool) -> Result<WatchEvent, Unreadable> {
+    if !payload.0.len().is_multiple_of(RECORD_BYTES) {
+        return Err(Unreadable("record cut off"));
+    }
+    let records = payload.0.chunks(RECORD_BYTES);
+    let list: Option<Vec<_>> = records.map(|bytes| decode_record(Cursor(bytes))).collect();
+    Ok(WatchEvent::Endpoints {
+        complete,
+        list: list.ok_or(Unreadable("unknown state"))?,
+    })
+}
+
+fn decode_object_purge(mut payload: Cursor<'_>) -> Result<WatchEvent, Unreadable> {
+    let (object, at_ms) = payload
+        .u64()
+        .zip(payload.u64())
+        .ok_or(Unreadable("purge cut off"))?;
+    Ok(WatchEvent::Purge {
+        object: Some(object),
+        group: 0,
+        at_ms,
+    })
+}
+
+fn decode_group_purge(mut payload: Cursor<'_>) -> Result<WatchEvent, Unreadable> {
+    let (group, at_ms) = payload
+        .u16()
+        .zip(payload.u64())
+        .ok_or(Unreadable("purge cut off"))?;
+    Ok(WatchEvent::Purge {
+        object: None,
+        group: group.into(),
+        at_ms,
+    })
+}
+
+/// Decodes the record of an endpoint. `None`: its state is unknown. The fields are decoded in the order in which they stand.
+fn decode_record(mut record: Cursor<'_>) -> Option<EndpointRecord> {
     Some(EndpointRecord {
-        id,
-        address,
-        state,
-        zone,
-        kind,
-        cell,
-        weight,
+        id: record.u32()?,
+        address: decode_address(&mut record)?,
+        state: decode_state(record.u8()?)?,
+        zone: record.u8()?.into(),
+        kind: record.u8()?,
+        cell: record.u16()?,
+        weight: f64::from(record.u32()?) / WEIGHT_UNIT,
         started_ms: record.u64()?,
     })
 }
 
+fn decode_address(record: &mut Cursor<'_>) -> Option<SocketAddr> {
+    let address = Ipv4Addr::from(record.array::<4>()?);
+    let port = record.u16()?;
+    Some(SocketAddr::from((address, port)))
+}
+
+fn decode_state(code: u8) -> Option<EndpointState> {
+    match code {
+        0 => Some(EndpointState::Ready),
+        1 => Some(EndpointState::Draining),
+        2 => Some(EndpointState::Removed),
+        _ => None,
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/front/src/protocol/discovery/tests.rs
+++ b/front/src/protocol/discovery/tests.rs
@@ -34,7 +34,8 @@
         .map(|(number, kind, payload)| {
             let whole = frame(*number, *kind, payload);
             (0..whole.len()).for_each(|cut| assert_eq!(decode(&whole[..cut]).unwrap(), None));
-            decode(&whole).unwrap().unwrap()
+            let decoded = decode(&whole).unwrap().unwrap();
+            (decoded.revision, decoded.event, decoded.length)
         })
         .collect();
     insta::assert_debug_snapshot!(read);
--- a/front/src/server/discovery.rs
+++ b/front/src/server/discovery.rs
@@ -223,11 +223,11 @@
             return Ok(None);
         };
         let malformed = |_| io::Error::from(io::ErrorKind::InvalidData);
-        let Some((revision, event, used)) = decode(stream.input()).map_err(malformed)? else {
+        let Some(frame) = decode(stream.input()).map_err(malformed)? else {
             return Ok(None);
         };
-        stream.consume(used);
-        Ok(Some((revision, event)))
+        stream.consume(frame.length);
+        Ok(Some((frame.revision, frame.event)))
     }
 
     /// Notes that the service is there. Only a complete frame shows it: a service may stop in the middle of one.
