--- a/front/src/protocol/admin.rs
+++ b/front/src/protocol/admin.rs
@@ -1,28 +1,28 @@
-//! Operators' calls on the second address: one line a connection, and its answer.
+//! The admin protocol on the operators' address: each connection carries one call on one line, and its answer.
 use super::Unreadable;
 use cranesill::api::EndpointId;
 
-/// Bytes of a call at most, with its line end.
+/// The longest line of a call, in bytes, with its line end.
 pub const MAX_LINE_BYTES: usize = 256;
 
-/// What an operator asks for.
+/// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Can this process serve?
+    /// Asks whether this process can serve.
     Health,
-    /// The figures.
+    /// Asks for the counters.
     Counters,
-    /// Take a member out, by hand.
+    /// Cordons an endpoint.
     Cordon(EndpointId),
-    /// A member may serve again.
+    /// Lifts an endpoint's cordon.
     Uncordon(EndpointId),
-    /// Empty the front.
+    /// Drains the front.
     Quiesce,
-    /// Take clients again.
+    /// Accepts clients again after a drain.
     Resume,
 }
 
-/// The id of a member as it stands in text.
+/// Parses the textual form of an endpoint id, `s-` and 8 hex digits.
 pub fn endpoint_id(text: &str) -> Option<EndpointId> {
     let digits = text
         .strip_prefix("s-")
@@ -30,72 +30,87 @@
     u64::from_str_radix(digits, 16).ok().map(EndpointId)
 }
 
-/// Reads the call that `input` holds. `None`: its line is not complete yet. `ended`: nothing more comes.
+/// Decodes the call that `input` holds. `None`: its line is not complete yet. `ended`: no more input will come.
 pub fn decode(input: &[u8], ended: bool) -> Result<Option<Call>, Unreadable> {
     let Some(end) = input.iter().position(|b| *b == b'\n') else {
-        return match input.len() {
-            n if n >= MAX_LINE_BYTES => Err(Unreadable("the line is too long")),
-            n if n > 0 && ended => Err(Unreadable("the line has no end")),
-            _ => Ok(None),
-        };
+        return check_incomplete(input, ended).map(|()| None);
     };
-    let (line, rest) = (&input[..end], &input[end + 1..]);
     if end >= MAX_LINE_BYTES {
         return Err(Unreadable("the line is too long"));
     }
-    // No call does half of what was said: what comes behind it would be left undone.
-    if !rest.is_empty() {
+    // A call that ignored what stands behind it would leave the rest undone without a word.
+    if input.len() > end + 1 {
         return Err(Unreadable("one line a connection"));
     }
-    let line = std::str::from_utf8(line).map_err(|_| Unreadable("the line is no text"))?;
-    let mut words = line
-        .strip_suffix('\r')
-        .unwrap_or(line)
-        .split(' ')
-        .filter(|word| !word.is_empty());
-    let (word, id, more) = (words.next().unwrap_or_default(), words.next(), words.next());
-    let of = |call: fn(EndpointId) -> Call| match id {
-        None => Err(Unreadable("ID is missing")),
-        Some(_) if more.is_some() => Err(Unreadable("a word too many")),
-        Some(id) => endpoint_id(id)
-            .map(call)
-            .ok_or(Unreadable("ID is not s- and 8 hex digits")),
-    };
-    let plain = |call| {
-        if id.is_some() {
-            Err(Unreadable("a word too many"))
-        } else {
-            Ok(call)
-        }
-    };
-    match word {
-        "health" => plain(Call::Health),
-        "counters" => plain(Call::Counters),
-        "cordon" => of(Call::Cordon),
-        "uncordon" => of(Call::Uncordon),
-        "quiesce" => plain(Call::Quiesce),
-        "resume" => plain(Call::Resume),
+    let line = std::str::from_utf8(&input[..end]);
+    let line = line.map_err(|_| Unreadable("the line is no text"))?;
+    decode_line(line.strip_suffix('\r').unwrap_or(line)).map(Some)
+}
+
+/// Checks a line whose end has not been received.
+fn check_incomplete(input: &[u8], ended: bool) -> Result<(), Unreadable> {
+    if input.len() >= MAX_LINE_BYTES {
+        return Err(Unreadable("the line is too long"));
+    }
+    if ended && !input.is_empty() {
+        return Err(Unreadable("the line has no end"));
+    }
+    Ok(())
+}
+
+fn decode_line(line: &str) -> Result<Call, Unreadable> {
+    let mut words = line.split(' ').filter(|word| !word.is_empty());
+    let name = words.next().unwrap_or_default();
+    let arguments: Vec<_> = words.collect();
+    match name {
+        "health" => without_argument(Call::Health, &arguments),
+        "counters" => without_argument(Call::Counters, &arguments),
+        "cordon" => endpoint_argument(&arguments).map(Call::Cordon),
+        "uncordon" => endpoint_argument(&arguments).map(Call::Uncordon),
+        "quiesce" => without_argument(Call::Quiesce, &arguments),
+        "resume" => without_argument(Call::Resume, &arguments),
         _ => Err(Unreadable("no such call")),
     }
-    .map(Some)
 }
 
-/// Writes the answer to a call: a word of its own, or lines and a last one of a point.
+fn without_argument(call: Call, arguments: &[&str]) -> Result<Call, Unreadable> {
+    if arguments.is_empty() {
+        Ok(call)
+    } else {
+        Err(Unreadable("a word too many"))
+    }
+}
+
+fn endpoint_argument(arguments: &[&str]) -> Result<EndpointId, Unreadable> {
+    match arguments {
+        [] => Err(Unreadable("ID is missing")),
+        [id] => endpoint_id(id).ok_or(Unreadable("ID is not s- and 8 hex digits")),
+        _ => Err(Unreadable("a word too many")),
+    }
+}
+
+/// Encodes the answer to a call: a status line and, where there are `lines`, these and a last one that holds a dot.
 pub fn answer(answer: Result<&str, &str>, lines: Option<&[String]>) -> Vec<u8> {
-    // What is told comes on one line whatever it holds.
-    let plain = |text: &str| text.replace(['\r', '\n'], " ");
-    let head = match answer {
+    let status = match answer {
         Ok("") => "+OK".into(),
-        Ok(text) => format!("+OK {}", plain(text)),
-        Err(why) => format!("-ERR {}", plain(why)),
+        Ok(text) => format!("+OK {}", on_one_line(text)),
+        Err(error) => format!("-ERR {}", on_one_line(error)),
     };
-    let mut out = head + "\n";
-    if let Some(lines) = lines {
-        lines.iter().for_each(|line| out += &(plain(line) + "\n"));
+    let mut out = status + "\n";
+    for line in lines.into_iter().flatten() {
+        out += &on_one_line(line);
+        out += "\n";
+    }
+    if lines.is_some() {
         out += ".\n";
     }
     out.into_bytes()
 }
 
+/// Replaces line ends: a text that held one would begin a line of its own in the answer.
+fn on_one_line(text: &str) -> String {
+    text.replace(['\r', '\n'], " ")
+}
+
 #[cfg(test)]
 mod tests;
--- a/front/src/protocol/configured_events.rs
+++ b/front/src/protocol/configured_events.rs
@@ -1,65 +1,116 @@
-//! The events that a front is given at its start, as JSON.
+//! The watch events that the platform's configuration gives a front for its start, as JSON.
 use super::discovery::{EndpointRecord, WatchEvent};
 use super::hex16;
 use cranesill::api::EndpointState;
 use cranesill_settings::Names;
 use serde_json::Value;
 
-/// Reads `known`: the number of the last event, and the events.
-pub fn read(known: &Value, names: &Names) -> Result<(u64, Vec<WatchEvent>), String> {
-    let last = known["n"].as_u64().ok_or("known: no number")?;
-    let events = known["events"].as_array().ok_or("known: no events")?;
-    let read = |event| news(event, names).ok_or_else(|| format!("known: unusable event {event}"));
-    Ok((last, events.iter().map(read).collect::<Result<_, _>>()?))
+/// Why the configured events cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ConfiguredEventsError {
+    /// The revision is missing or no number.
+    #[error("known: no number")]
+    RevisionMissing,
+    /// The list of events is missing.
+    #[error("known: no events")]
+    EventsMissing,
+    /// An event is malformed.
+    #[error("known: unusable event {0}")]
+    MalformedEvent(Value),
 }
 
-fn news(event: &Value, names: &Names) -> Option<WatchEvent> {
-    if let Some(purge) = event.get("purge") {
-        let object = purge["key"]
-            .as_str()
-            .map(|key| hex16(key).ok_or(()))
-            .transpose()
-            .ok()?;
-        let group = purge["group"]
-            .as_u64()
-            .map_or(Some(0), |g| u32::try_from(g).ok())?;
-        (object.is_some() || purge.get("group").is_some()).then_some(())?;
-        return Some(WatchEvent::Purge {
-            object,
-            group,
-            at_ms: purge["at"].as_u64()?,
-        });
+/// Reads the value of `known`: the revision of the endpoint list, and the events that lead to it.
+pub fn read(known: &Value, names: &Names) -> Result<(u64, Vec<WatchEvent>), ConfiguredEventsError> {
+    let revision = known["n"]
+        .as_u64()
+        .ok_or(ConfiguredEventsError::RevisionMissing)?;
+    let events = known["events"]
+        .as_array()
+        .ok_or(ConfiguredEventsError::EventsMissing)?;
+    let read = |event: &Value| {
+        read_event(event, names).ok_or_else(|| ConfiguredEventsError::MalformedEvent(event.clone()))
+    };
+    let events = events.iter().map(read).collect::<Result<_, _>>()?;
+    Ok((revision, events))
+}
+
+fn read_event(event: &Value, names: &Names) -> Option<WatchEvent> {
+    match event.get("purge") {
+        Some(purge) => read_purge(purge),
+        None => read_endpoints(event, names),
+    }
+}
+
+fn read_purge(purge: &Value) -> Option<WatchEvent> {
+    let object = match purge["key"].as_str() {
+        Some(key) => Some(hex16(key)?),
+        None => None,
+    };
+    let group = match purge["group"].as_u64() {
+        Some(group) => u32::try_from(group).ok()?,
+        None => 0,
+    };
+    let names_target = object.is_some() || purge.get("group").is_some();
+    if !names_target {
+        return None;
     }
+    Some(WatchEvent::Purge {
+        object,
+        group,
+        at_ms: purge["at"].as_u64()?,
+    })
+}
+
+fn read_endpoints(event: &Value, names: &Names) -> Option<WatchEvent> {
     let members = event.get("members")?;
     let list = members["instances"]
         .as_array()?
         .iter()
-        .map(|m| listing(m, names))
+        .map(|instance| read_endpoint(instance, names))
         .collect::<Option<_>>()?;
-    // The complete list stands in the first event, whatever its mark says.
-    let complete = members["reset"].as_bool().unwrap_or(false) || event["n"].as_u64() == Some(1);
-    Some(WatchEvent::Endpoints { complete, list })
+    // The first event holds the complete list, whatever its mark says.
+    let is_first = event["n"].as_u64() == Some(1);
+    let is_reset = members["reset"].as_bool().unwrap_or(false);
+    Some(WatchEvent::Endpoints {
+        complete: is_first || is_reset,
+        list,
+    })
 }
 
-fn listing(member: &Value, names: &Names) -> Option<EndpointRecord> {
-    let place =
-        |list: &[String], name: &Value| list.iter().position(|n| Some(n.as_str()) == name.as_str());
+fn read_endpoint(instance: &Value, names: &Names) -> Option<EndpointRecord> {
+    let zone = index_of(&names.zones, &instance["zone"])?;
+    let kind = index_of(&names.kinds, &instance["machineType"])?;
     Some(EndpointRecord {
-        id: u32::from_str_radix(member["instanceId"].as_str()?.strip_prefix("s-")?, 16).ok()?,
-        address: member["hostPort"].as_str()?.parse().ok()?,
-        state: match member["lifecycle"].as_str()? {
-            "in_service" => EndpointState::Ready,
-            "terminating" => EndpointState::Draining,
-            "terminated" => EndpointState::Removed,
-            _ => return None,
-        },
-        zone: u16::try_from(place(&names.zones, &member["zone"])?).ok()?,
-        kind: u8::try_from(place(&names.kinds, &member["machineType"])?).ok()?,
-        cell: u16::try_from(member["cell"].as_u64().unwrap_or(0)).ok()?,
-        weight: member["weight"].as_f64().unwrap_or(0.0),
-        started_ms: member["startedAtMs"].as_u64().unwrap_or(0),
+        id: read_id(&instance["instanceId"])?,
+        address: instance["hostPort"].as_str()?.parse().ok()?,
+        state: read_state(&instance["lifecycle"])?,
+        zone: u16::try_from(zone).ok()?,
+        kind: u8::try_from(kind).ok()?,
+        cell: u16::try_from(instance["cell"].as_u64().unwrap_or(0)).ok()?,
+        weight: instance["weight"].as_f64().unwrap_or(0.0),
+        started_ms: instance["startedAtMs"].as_u64().unwrap_or(0),
     })
 }
 
+fn read_id(value: &Value) -> Option<u32> {
+    let digits = value.as_str()?.strip_prefix("s-")?;
+    u32::from_str_radix(digits, 16).ok()
+}
+
+fn read_state(value: &Value) -> Option<EndpointState> {
+    match value.as_str()? {
+        "in_service" => Some(EndpointState::Ready),
+        "terminating" => Some(EndpointState::Draining),
+        "terminated" => Some(EndpointState::Removed),
+        _ => None,
+    }
+}
+
+/// The index of a name in a list of the settings.
+fn index_of(list: &[String], name: &Value) -> Option<usize> {
+    let name = name.as_str()?;
+    list.iter().position(|listed| listed == name)
+}
+
 #[cfg(test)]
 mod tests;
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -71,7 +71,7 @@
         let deployment = noted(deployment, &mut faults);
         let known = deployment.as_ref().and_then(|deployment| {
             let known = configured_events::read(&value["known"], &deployment.names);
-            let known = known.map_err(|e| ConfigFault::Known(e.to_string()));
+            let known = known.map_err(ConfigFault::from);
             noted(known, &mut faults)
         });
         let config = || {
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -1,5 +1,6 @@
 //! What can go wrong when a front starts, runs, or carries out an operator's command.
 use super::drivers::purges::TargetError;
+use crate::protocol::configured_events::ConfiguredEventsError;
 use std::fmt::{self, Display, Formatter};
 use std::io;
 use std::net::SocketAddr;
@@ -38,8 +39,8 @@
     #[error("{0}")]
     Deployment(String),
     /// The endpoint list that is known at the start cannot be used.
-    #[error("{0}")]
-    Known(String),
+    #[error(transparent)]
+    Known(#[from] ConfiguredEventsError),
     /// The settings of certificates cannot be used.
     #[error("{0}")]
     Certificates(String),
