--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -15,7 +15,7 @@
 
 const MAGIC: &[u8; 8] = b"CRFOLLOW";
 const VERSION: u16 = 1;
-pub const HELLO: usize = 26;
+pub const HELLO_BYTES: usize = 26;
 /// Bytes of a batch's body.
 const BODY_MOST: usize = MAX_BATCH_PURGES * 2_100;
 const HEAD: usize = 29;
@@ -60,12 +60,12 @@
 }
 
 /// Reads a follower's first word. `None`: it is not complete yet.
-pub fn read_hello(input: &[u8]) -> Result<Option<Hello>, Unreadable> {
+pub fn decode_hello(input: &[u8]) -> Result<Option<Hello>, Unreadable> {
     let known = input.len().min(MAGIC.len());
     if input[..known] != MAGIC[..known] {
         return Err(Unreadable("no follower"));
     }
-    let Some(bytes) = input.get(..HELLO) else {
+    let Some(bytes) = input.get(..HELLO_BYTES) else {
         return Ok(None);
     };
     let mut cursor = Cursor(&bytes[MAGIC.len()..]);
@@ -95,7 +95,7 @@
 }
 
 /// Takes the first frame off `input`, with its length in bytes. `None`: it is not complete yet.
-pub fn read_frame(input: &[u8]) -> Result<Option<(Frame, usize)>, Unreadable> {
+pub fn decode_frame(input: &[u8]) -> Result<Option<(Frame, usize)>, Unreadable> {
     let mut cursor = Cursor(input);
     let Some(kind) = cursor.u8() else {
         return Ok(None);
--- a/front/src/protocol/follow/tests.rs
+++ b/front/src/protocol/follow/tests.rs
@@ -5,9 +5,9 @@
 fn words_are_the_same_however_they_are_cut_and_odd_ones_are_refused() {
     let told = Hello { ledger: 7, last: 9 };
     let bytes = hello(told);
-    (0..HELLO).for_each(|cut| assert_eq!(read_hello(&bytes[..cut]).unwrap(), None));
-    assert_eq!(read_hello(&bytes).unwrap(), Some(told));
-    assert!(read_hello(b"GET /").is_err());
+    (0..HELLO_BYTES).for_each(|cut| assert_eq!(decode_hello(&bytes[..cut]).unwrap(), None));
+    assert_eq!(decode_hello(&bytes).unwrap(), Some(told));
+    assert!(decode_hello(b"GET /").is_err());
     let target = PurgeTarget::Pattern("a/*".into());
     let purge = Purge {
         number: 10,
@@ -26,8 +26,8 @@
     };
     let bytes = frame(&sent);
     (0..bytes.len())
-        .for_each(|cut| assert_eq!(read_frame(&bytes[..cut]).unwrap(), None, "cut at {cut}"));
-    assert_eq!(read_frame(&bytes).unwrap(), Some((sent, bytes.len())));
+        .for_each(|cut| assert_eq!(decode_frame(&bytes[..cut]).unwrap(), None, "cut at {cut}"));
+    assert_eq!(decode_frame(&bytes).unwrap(), Some((sent, bytes.len())));
     let mut rng = 3u64;
     for _ in 0..30_000 {
         let mut odd = bytes.clone();
@@ -38,13 +38,13 @@
             let at = (rng >> 33) as usize % odd.len();
             odd[at] = (rng >> 20) as u8;
         }
-        assert!(read_frame(&odd)
+        assert!(decode_frame(&odd)
             .ok()
             .flatten()
             .is_none_or(|f| f.1 <= odd.len()));
-        let _ = read_hello(&odd);
+        let _ = decode_hello(&odd);
     }
     let mut long = bytes;
     long[25..29].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert!(read_frame(&long).is_err());
+    assert!(decode_frame(&long).is_err());
 }
--- a/front/src/protocol/handover.rs
+++ b/front/src/protocol/handover.rs
@@ -2,7 +2,7 @@
 //! are cordoned, and one file with the health that was learned of endpoints. No I/O here.
 use super::admin::endpoint_id;
 use super::stored_file::{self, StoredFileError};
-use crate::protocol::member::endpoint_name;
+use crate::protocol::cache_node::endpoint_name;
 use cranesill::api::{EndpointId, LearnedHealth, Timestamp};
 
 /// The version of these files; one of another version is treated as absent.
--- a/front/src/protocol/mod.rs
+++ b/front/src/protocol/mod.rs
@@ -1,11 +1,11 @@
 //! Codecs of the wires. No input or output here: bytes in, messages out, and back.
 pub mod admin;
+pub mod cache_node;
 pub mod client;
 pub mod configured_events;
 pub mod discovery;
 pub mod follow;
 pub mod handover;
-pub mod member;
 pub mod purge;
 pub mod snapshot;
 pub mod stored_file;
--- a/front/src/protocol/purge.rs
+++ b/front/src/protocol/purge.rs
@@ -1,5 +1,5 @@
 //! Purges to boxes and their word for it (`docs/protocol.md`): in the members' form, on connections of their own.
-use super::member::{parts, strings};
+use super::cache_node::{parts, strings};
 use super::Unreadable;
 use crate::transport::Outgoing;
 use cranesill_purges::{journal, Purge, PurgeNumber};
--- a/front/src/protocol/tests.rs
+++ b/front/src/protocol/tests.rs
@@ -31,7 +31,7 @@
                 let _ = client::decode_request(payload);
             }
         }
-        assert!(member::decode(&bytes)
+        assert!(cache_node::decode(&bytes)
             .ok()
             .flatten()
             .is_none_or(|found| found.2 <= bytes.len()));
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -2,7 +2,7 @@
 //! for a command, the same that the control socket takes.
 use super::{AdminEffect, Driver, Effect, Turn};
 use crate::protocol::admin::{answer, decode, Call, MAX_LINE_BYTES};
-use crate::protocol::{member::endpoint_name, Unreadable};
+use crate::protocol::{cache_node::endpoint_name, Unreadable};
 use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, used_up, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -1,6 +1,6 @@
 //! Connections over which cache nodes are sent purges: one to each node, beside those of requests. What is sent when is
 //! decided in [`cranesill_purges::replication`].
-use crate::protocol::{member, purge};
+use crate::protocol::{cache_node, purge};
 use crate::server::drivers::{EndpointAddress, Turn};
 use crate::transport::{dial, Stream};
 use cranesill::api::{EndpointId, Micros, Timestamp};
@@ -210,7 +210,7 @@
         if self.replication.confirmed_by(id) > 0 {
             tracing::warn!(
                 kind = "lied",
-                member = member::endpoint_name(EndpointId(id)),
+                member = cache_node::endpoint_name(EndpointId(id)),
                 "purges: a box served what it had purged"
             );
             self.replication.stale_copy_served(now, id);
@@ -259,7 +259,7 @@
         if node.failures == 1 {
             tracing::info!(
                 kind = "box-lost",
-                member = member::endpoint_name(EndpointId(id)),
+                member = cache_node::endpoint_name(EndpointId(id)),
                 error = why,
                 "purges: no connection to a box"
             );
@@ -388,14 +388,14 @@
     pub(super) fn unconfirmed(&self, number: PurgeNumber) -> Vec<String> {
         let nodes = self.replication.unconfirmed(number).into_iter();
         nodes
-            .map(|id| member::endpoint_name(EndpointId(id)))
+            .map(|id| cache_node::endpoint_name(EndpointId(id)))
             .collect()
     }
 
     /// The status of each node, as operators see it.
     pub(super) fn rows(&self) -> Vec<Value> {
         let row = |node: NodeStatus| {
-            json!({"box": member::endpoint_name(EndpointId(node.id)), "confirmed": node.confirmed,
+            json!({"box": cache_node::endpoint_name(EndpointId(node.id)), "confirmed": node.confirmed,
                    "connected": node.connected, "slow": node.slow, "lies": node.stale_copies})
         };
         self.replication.statuses().map(row).collect()
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -1,7 +1,7 @@
 //! The writer's end of the purge log: it serves the log to the fronts that follow.
 use super::outgoing;
 use super::start::StartError;
-use crate::protocol::follow::{frame, read_hello, Frame, Hello, HELLO};
+use crate::protocol::follow::{decode_hello, frame, Frame, Hello, HELLO_BYTES};
 use crate::server::drivers::Turn;
 use crate::transport::{at_start, listen, Registered, RestingListener, Stream};
 use cranesill::api::{Micros, Timestamp};
@@ -69,11 +69,11 @@
     /// Reads the introduction, if it is complete. A follower of another log, or with numbers that this one does not have,
     /// begins anew.
     fn read_introduction(&mut self, log: &PurgeLog) -> io::Result<()> {
-        let decoded = read_hello(self.stream.input()).map_err(|e| invalid(e.0))?;
+        let decoded = decode_hello(self.stream.input()).map_err(|e| invalid(e.0))?;
         let Some(Hello { ledger, last }) = decoded else {
             return Ok(());
         };
-        self.stream.consume(HELLO);
+        self.stream.consume(HELLO_BYTES);
         let known = (log.base()..=log.last_number()).contains(&last);
         if ledger == log.identity && known {
             self.stored = Some(last);
@@ -233,7 +233,7 @@
                 continue;
             }
             follower.read_confirmations()?;
-            if follower.stream.input().len() > HELLO {
+            if follower.stream.input().len() > HELLO_BYTES {
                 return Err(invalid("a follower says too much"));
             }
         }
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -1,7 +1,7 @@
 //! The driver with a scripted writer and a file that fails.
 use super::journal_writer::DiskFile;
 use super::*;
-use crate::protocol::follow::{frame, read_hello, Frame, Hello, HELLO};
+use crate::protocol::follow::{decode_hello, frame, Frame, Hello, HELLO_BYTES};
 use crate::transport::Reactor;
 use cranesill_purges::journal::{self, JournalFile, OpenedJournal};
 use cranesill_purges::PurgeTarget;
@@ -87,8 +87,8 @@
         let writer = self.writer.try_clone().unwrap();
         writer.set_nonblocking(true).unwrap();
         let mut socket = self.until(|_| writer.accept().ok()).0;
-        let hello = self.read_exactly::<HELLO>(&mut socket);
-        (socket, read_hello(&hello).unwrap().unwrap())
+        let hello = self.read_exactly::<HELLO_BYTES>(&mut socket);
+        (socket, decode_hello(&hello).unwrap().unwrap())
     }
 
     fn read_exactly<const N: usize>(&mut self, socket: &mut TcpStream) -> [u8; N] {
--- a/front/src/server/drivers/purges/writer_link.rs
+++ b/front/src/server/drivers/purges/writer_link.rs
@@ -1,7 +1,7 @@
 //! A follower's connection to the writer of the purge log, which also renews the lease.
 use super::outgoing;
 use super::start::StartError;
-use crate::protocol::follow::{hello, read_frame, Frame, Hello};
+use crate::protocol::follow::{decode_frame, hello, Frame, Hello};
 use crate::server::drivers::Turn;
 use crate::transport::{dial, Stream};
 use cranesill::api::{Micros, Timestamp};
@@ -85,7 +85,7 @@
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             loop {
-                let decoded = read_frame(stream.input()).map_err(|e| io::Error::other(e.0))?;
+                let decoded = decode_frame(stream.input()).map_err(|e| io::Error::other(e.0))?;
                 let Some((frame, length)) = decoded else {
                     break;
                 };
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -1,6 +1,6 @@
 //! Carries out the commands of operators that concern the front itself.
 use super::Server;
-use crate::protocol::member::endpoint_name;
+use crate::protocol::cache_node::endpoint_name;
 use crate::server::drivers::purges::parse_target;
 use crate::server::error::AdminError;
 use cranesill::api::Timestamp;
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -2,7 +2,7 @@
 use super::timers::Timer;
 use super::Server;
 use crate::protocol::admin::endpoint_id;
-use crate::protocol::member::endpoint_name;
+use crate::protocol::cache_node::endpoint_name;
 use crate::server::error::AdminError;
 use crate::server::handover::MAX_CORDONS;
 use cranesill::api::{EndpointId, Micros, Timestamp};
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -1,5 +1,5 @@
 //! One connection to an endpoint, with the attempts on it and the ids that it carried.
-use crate::protocol::member;
+use crate::protocol::cache_node;
 use crate::routing::{AttemptId, Fetch, TransactionId};
 use crate::transport::Stream;
 use cranesill::api::{EndpointId, Micros, Timestamp};
@@ -112,7 +112,8 @@
     pub(super) fn is_blocked(&self) -> bool {
         let input = self.stream.input();
         let whose = || {
-            member::begun_id(input).and_then(|id| TransactionId::new(std::str::from_utf8(id).ok()?))
+            cache_node::begun_id(input)
+                .and_then(|id| TransactionId::new(std::str::from_utf8(id).ok()?))
         };
         !input.is_empty()
             && (self.open_attempts.is_empty()
--- a/front/src/server/upstream/placement.rs
+++ b/front/src/server/upstream/placement.rs
@@ -1,7 +1,7 @@
 //! Chooses or begins a connection for an attempt.
 use super::connection::{Connection, Sent};
 use super::{CacheNodes, Ends, Target};
-use crate::protocol::member;
+use crate::protocol::cache_node;
 use crate::routing::{AttemptEnd, Fetch, TransactionId};
 use crate::transport::{dial, is_local, Reactor, Stream};
 use cranesill::api::{EndpointId, Timestamp};
@@ -135,7 +135,7 @@
             fetch: None,
         };
         connection.open_attempts.insert(fetch.transaction, sent);
-        connection.stream.push(member::fetch(fetch, now));
+        connection.stream.push(cache_node::fetch(fetch, now));
         self.by_attempt
             .insert(target.attempt, (key, fetch.transaction));
         self.flush(now, key, ends);
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -1,6 +1,6 @@
 //! Reading from and writing to upstream connections, and their end.
 use super::{CacheNodes, Ends};
-use crate::protocol::member;
+use crate::protocol::cache_node;
 use crate::routing::{AttemptEnd, TransactionId};
 use cranesill::api::Timestamp;
 use std::io;
@@ -62,7 +62,7 @@
             return Ok(());
         };
         while let Some((id, reply, used)) =
-            member::decode(connection.stream.input()).map_err(|_| malformed())?
+            cache_node::decode(connection.stream.input()).map_err(|_| malformed())?
         {
             let txn = std::str::from_utf8(id).ok().and_then(TransactionId::new);
             let open = txn.and_then(|txn| connection.open_attempts.get(&txn));
@@ -124,7 +124,7 @@
         let open = &connection.open_attempts;
         connection.stream.rewrite(|tag| {
             let fetch = open.get(tag.as_ref()?)?.fetch.as_ref()?;
-            Some(member::fetch(fetch, now).head)
+            Some(cache_node::fetch(fetch, now).head)
         });
     }
 
@@ -149,7 +149,7 @@
             .remove_from_total(&mut self.buffered_bytes);
         let attempts = connection.open_attempts.len();
         if attempts > 0 {
-            let member = member::endpoint_name(connection.endpoint);
+            let member = cache_node::endpoint_name(connection.endpoint);
             let up = connection.established;
             tracing::info!(member, up, error, attempts, "connection lost");
         }
--- a/front/src/server/upstream/withdrawal.rs
+++ b/front/src/server/upstream/withdrawal.rs
@@ -1,6 +1,6 @@
 //! Attempts that are cancelled, or not written any more because something changed while they waited.
 use super::{CacheNodes, Ends};
-use crate::protocol::member;
+use crate::protocol::cache_node;
 use crate::routing::{AttemptEnd, AttemptId};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 
@@ -29,7 +29,7 @@
         if connection.stream.take_back(|tag| *tag == Some(txn)) {
             return;
         }
-        connection.stream.push(member::abort(txn));
+        connection.stream.push(cache_node::abort(txn));
         self.flush(now, key, ends);
         // Guards the rule that no two attempts of a request are out: a cancellation that can't be written yet has no effect, the
         // end of the connection has.
