--- /dev/null
+++ b/front/src/protocol/bulk_strings.rs
@@ -0,0 +1,114 @@
+//! Arrays of bulk strings, in the form that the Redis serialization protocol (RESP2) gives them. Cache nodes receive commands
+//! and send replies in it.
+use super::Unreadable;
+
+/// The strings of a reply: an id, the reply's name, fields and an object.
+pub const REPLY_STRINGS: usize = 4;
+/// The longest of each of a reply's strings, in bytes. For the object there is room beyond the largest that is served.
+const MAX_STRING_BYTES: [usize; REPLY_STRINGS] = [16, 16, 4_096, 262_144];
+/// The most digits that a length may have.
+const MAX_LENGTH_DIGITS: usize = 7;
+/// Bytes of a length's line beside its digits: the marker and the line end.
+const LENGTH_LINE_OVERHEAD: usize = 3;
+const LINE_END: &[u8] = b"\r\n";
+/// Room for a typical command's strings, so that encoding one allocates once.
+const TYPICAL_COMMAND_BYTES: usize = 256;
+
+/// Encodes bulk strings, without the array's header.
+pub fn encode(strings: &[&[u8]]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(TYPICAL_COMMAND_BYTES);
+    for string in strings {
+        out.extend(format!("${}\r\n", string.len()).bytes());
+        out.extend(*string);
+        out.extend(LINE_END);
+    }
+    out
+}
+
+/// A reply's strings, still undecoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Reply<'a> {
+    /// The strings.
+    pub strings: [&'a [u8]; REPLY_STRINGS],
+    /// The length of the reply in bytes.
+    pub length: usize,
+}
+
+/// Decodes the strings of the first reply of `input`. `None`: it is not complete yet.
+pub fn decode_reply(input: &[u8]) -> Result<Option<Reply<'_>>, Unreadable> {
+    let Some(array) = decode_length(input, 0, b'*', REPLY_STRINGS)? else {
+        return Ok(None);
+    };
+    if array.value != REPLY_STRINGS {
+        return Err(Unreadable("no answer of four strings"));
+    }
+    let mut next = array.end;
+    let mut strings: [&[u8]; REPLY_STRINGS] = [b""; REPLY_STRINGS];
+    for (string, max_bytes) in strings.iter_mut().zip(MAX_STRING_BYTES) {
+        let Some(length) = decode_length(input, next, b'$', max_bytes)? else {
+            return Ok(None);
+        };
+        let end = length.end + length.value + LINE_END.len();
+        let Some(terminated) = input.get(length.end..end) else {
+            return Ok(None);
+        };
+        *string = terminated
+            .strip_suffix(LINE_END)
+            .ok_or(Unreadable("string without its end"))?;
+        next = end;
+    }
+    Ok(Some(Reply {
+        strings,
+        length: next,
+    }))
+}
+
+/// Returns the id of the first reply as soon as it was received, whether or not the rest of the reply was.
+pub fn first_id(input: &[u8]) -> Option<&[u8]> {
+    let array = decode_length(input, 0, b'*', REPLY_STRINGS).ok()??;
+    let id = decode_length(input, array.end, b'$', MAX_STRING_BYTES[0]).ok()??;
+    input.get(id.end..id.end + id.value)
+}
+
+/// A length that was decoded.
+#[derive(Clone, Copy, Debug)]
+struct Length {
+    value: usize,
+    /// Where the bytes behind its line begin.
+    end: usize,
+}
+
+/// Decodes a line that begins with `marker` and holds a length of at most `max`. `None`: it is not complete yet.
+fn decode_length(
+    input: &[u8],
+    start: usize,
+    marker: u8,
+    max: usize,
+) -> Result<Option<Length>, Unreadable> {
+    let rest = &input[start.min(input.len())..];
+    if rest.first().is_some_and(|b| *b != marker) {
+        return Err(Unreadable("no array of bulk strings"));
+    }
+    let max_line_bytes = MAX_LENGTH_DIGITS + LENGTH_LINE_OVERHEAD;
+    let line_end = rest.iter().take(max_line_bytes).position(|b| *b == b'\n');
+    let Some(line_end) = line_end else {
+        return if rest.len() > max_line_bytes {
+            Err(Unreadable("length too long"))
+        } else {
+            Ok(None)
+        };
+    };
+    let value = parse_length(&rest[1..line_end]).filter(|value| *value <= max);
+    let value = value.ok_or(Unreadable("length out of bounds"))?;
+    let end = start + line_end + 1;
+    Ok(Some(Length { value, end }))
+}
+
+/// Parses the digits of a length and the carriage return behind them.
+fn parse_length(line: &[u8]) -> Option<usize> {
+    let digits = line.strip_suffix(b"\r")?;
+    if !digits.iter().all(u8::is_ascii_digit) {
+        return None;
+    }
+    std::str::from_utf8(digits).ok()?.parse().ok()
+}
--- a/front/src/protocol/cache_node/tests.rs
+++ b/front/src/protocol/cache_node/tests.rs
@@ -52,9 +52,12 @@
     for cut in 0..whole.len() - 1 {
         assert!(decode(&whole[..cut]).unwrap().is_none(), "cut at {cut}");
     }
-    let (id, reply, used) = decode(&whole).unwrap().unwrap();
-    assert_eq!((id, used), (&b"9b1f03aa5c7e2d41"[..], whole.len() - 1));
-    insta::assert_debug_snapshot!(reply);
+    let decoded = decode(&whole).unwrap().unwrap();
+    assert_eq!(
+        (decoded.id, decoded.length),
+        (&b"9b1f03aa5c7e2d41"[..], whole.len() - 1)
+    );
+    insta::assert_debug_snapshot!(decoded.reply);
 }
 
 #[test]
@@ -79,7 +82,7 @@
     ] {
         let n = fields.len();
         let answer = format!("*4\r\n$1\r\na\r\n$3\r\nHIT\r\n${n}\r\n{fields}\r\n$0\r\n\r\n");
-        let (_, reply, _) = decode(answer.as_bytes()).unwrap().unwrap();
+        let reply = decode(answer.as_bytes()).unwrap().unwrap().reply;
         assert_eq!(
             reply.tag.is_some() && reply.created_at_ms.is_some(),
             named,
--- a/front/src/protocol/mod.rs
+++ b/front/src/protocol/mod.rs
@@ -1,5 +1,6 @@
 //! Codecs of the wires. No input or output here: bytes in, messages out, and back.
 pub mod admin;
+pub mod bulk_strings;
 pub mod cache_node;
 pub mod client;
 pub mod configured_events;
--- a/front/src/protocol/purge.rs
+++ b/front/src/protocol/purge.rs
@@ -1,11 +1,13 @@
-//! Purges to boxes and their word for it (`docs/protocol.md`): in the members' form, on connections of their own.
-use super::cache_node::{parts, strings};
-use super::Unreadable;
+//! Purges to cache nodes and their confirmations (`docs/protocol.md`, "Members that are purged"): in the form of other commands to cache nodes,
+//! on connections of their own.
+use super::bulk_strings::{self, decode_reply};
+use super::{hex16, Unreadable};
 use crate::transport::Outgoing;
 use cranesill_purges::{journal, Purge, PurgeNumber};
 use std::rc::Rc;
 
-/// A batch for a box: purges after one number up to another, of one ledger. An empty one asks how the box stands.
+/// Encodes a batch for a cache node: the purges of a log after one number up to another. An empty batch asks the node how far
+/// it has applied the log.
 pub fn batch(
     id: u64,
     ledger: u64,
@@ -16,7 +18,7 @@
     let fields = format!("ledger={ledger:016x},after={after},upto={upto}");
     let body: Vec<u8> = purges.iter().flat_map(journal::encode_record).collect();
     let mut head = b"*4\r\n".to_vec();
-    head.extend(strings(&[
+    head.extend(bulk_strings::encode(&[
         b"purge",
         format!("{id:016x}").as_bytes(),
         fields.as_bytes(),
@@ -30,44 +32,54 @@
     }
 }
 
-/// What a box says.
+/// A cache node's confirmation that it has applied purges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmation {
-    /// Of the command that it answers.
+    /// The id of the command that it answers.
     pub id: u64,
-    /// Of the ledger.
+    /// The identity of the purge log.
     pub ledger: u64,
-    /// Everything up to this number is carried out.
+    /// Every purge up to this number is applied.
     pub upto: PurgeNumber,
-    /// It holds no copy.
+    /// Whether the cache node holds no copy at all.
     pub empty: bool,
 }
 
-/// Takes the first confirmation off `input`, with its length in bytes. `None`: it is not complete yet.
+/// Decodes the first confirmation of `input`, and returns it with its length in bytes. `None`: it is not complete yet.
 pub fn decode(input: &[u8]) -> Result<Option<(Confirmation, usize)>, Unreadable> {
-    let Some(([id, word, fields, _], used)) = parts(input)? else {
+    let Some(reply) = decode_reply(input)? else {
         return Ok(None);
     };
-    let text = |bytes| std::str::from_utf8(bytes).map_err(|_| Unreadable("no text"));
-    if word != b"DONE" {
+    let [id, name, fields, _] = reply.strings;
+    if name != b"DONE" {
         return Err(Unreadable("a box that does not speak of purges"));
     }
-    let id = super::hex16(text(id)?).ok_or(Unreadable("no id"))?;
-    let mut found = Confirmation {
-        id,
+    let mut confirmation = Confirmation {
+        id: hex16(as_text(id)?).ok_or(Unreadable("no id"))?,
         ledger: 0,
         upto: 0,
         empty: false,
     };
-    for (name, value) in text(fields)?.split(',').filter_map(|f| f.split_once('=')) {
-        match name {
-            "ledger" => found.ledger = super::hex16(value).ok_or(Unreadable("no ledger"))?,
-            "upto" => found.upto = value.parse().map_err(|_| Unreadable("no number"))?,
-            "empty" => found.empty = value == "1",
-            _ => {}
-        }
+    let fields = as_text(fields)?;
+    for (name, value) in fields.split(',').filter_map(|field| field.split_once('=')) {
+        set_field(&mut confirmation, name, value)?;
     }
-    Ok(Some((found, used)))
+    Ok(Some((confirmation, reply.length)))
+}
+
+/// Sets a field of a confirmation. Unknown fields are ignored.
+fn set_field(confirmation: &mut Confirmation, name: &str, value: &str) -> Result<(), Unreadable> {
+    match name {
+        "ledger" => confirmation.ledger = hex16(value).ok_or(Unreadable("no ledger"))?,
+        "upto" => confirmation.upto = value.parse().map_err(|_| Unreadable("no number"))?,
+        "empty" => confirmation.empty = value == "1",
+        _ => {}
+    }
+    Ok(())
+}
+
+fn as_text(bytes: &[u8]) -> Result<&str, Unreadable> {
+    std::str::from_utf8(bytes).map_err(|_| Unreadable("no text"))
 }
 
 #[cfg(test)]
--- a/front/src/protocol/tests.rs
+++ b/front/src/protocol/tests.rs
@@ -34,7 +34,7 @@
         assert!(cache_node::decode(&bytes)
             .ok()
             .flatten()
-            .is_none_or(|found| found.2 <= bytes.len()));
+            .is_none_or(|found| found.length <= bytes.len()));
         assert!(discovery::decode(&bytes)
             .ok()
             .flatten()
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -112,7 +112,7 @@
     pub(super) fn is_blocked(&self) -> bool {
         let input = self.stream.input();
         let whose = || {
-            cache_node::begun_id(input)
+            cache_node::first_id(input)
                 .and_then(|id| TransactionId::new(std::str::from_utf8(id).ok()?))
         };
         !input.is_empty()
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -1,6 +1,6 @@
 //! Reading from and writing to upstream connections, and their end.
 use super::{CacheNodes, Ends};
-use crate::protocol::cache_node;
+use crate::protocol::cache_node::{self, DecodedReply};
 use crate::routing::{AttemptEnd, TransactionId};
 use cranesill::api::Timestamp;
 use std::io;
@@ -61,7 +61,7 @@
         let Some(connection) = self.connections.get_mut(&key) else {
             return Ok(());
         };
-        while let Some((id, reply, used)) =
+        while let Some(DecodedReply { id, reply, length }) =
             cache_node::decode(connection.stream.input()).map_err(|_| malformed())?
         {
             let txn = std::str::from_utf8(id).ok().and_then(TransactionId::new);
@@ -79,7 +79,7 @@
                 // The attempt was cancelled, or nothing was asked under this id: the answer is dropped.
                 connection.count_unexpected_answer()?;
             }
-            connection.stream.consume(used);
+            connection.stream.consume(length);
             connection.partial_since = None;
         }
         let is_partial = !connection.stream.input().is_empty();
