--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -1,4 +1,5 @@
-//! Between a ledger's writer and those that follow it (our own protocol; numbers are little-endian).
+//! The protocol between the writer of the purge log and its followers (`docs/protocol.md`, "Between the ledger's writer and
+//! those that follow it"). All numbers are little-endian.
 //!
 //! ```text
 //! follower   "CRFOLLOW" version:2 ledger:8 last:8       once; then last:8 after each batch that it has kept
@@ -6,8 +7,8 @@
 //!                                                       kind 1 begin anew behind `base`: what was before is not known
 //! ```
 //!
-//! One batch is out at a time: a follower that is slow is waited for. An empty batch each second is a sign of life, and
-//! `head` tells whether the follower has all.
+//! The writer sends the next batch only once the follower has confirmed the one before, and
+//! waits for a slow follower. It sends an empty batch each second as a heartbeat; `head` tells whether the follower has everything.
 use super::{Cursor, Unreadable};
 use cranesill_purges::journal::{self, DecodedRecord};
 use cranesill_purges::log::MAX_BATCH_PURGES;
@@ -15,40 +16,50 @@
 
 const MAGIC: &[u8; 8] = b"CRFOLLOW";
 const VERSION: u16 = 1;
+/// Bytes of a follower's hello.
 pub const HELLO_BYTES: usize = 26;
-/// Bytes of a batch's body.
-const BODY_MOST: usize = MAX_BATCH_PURGES * 2_100;
-const HEAD: usize = 29;
+/// The most bytes that one encoded purge takes.
+const MAX_RECORD_BYTES: usize = 2_100;
+/// The longest body of a frame, in bytes.
+const MAX_BODY_BYTES: usize = MAX_BATCH_PURGES * MAX_RECORD_BYTES;
+/// Bytes of a frame before its body.
+const FRAME_HEADER_BYTES: usize = 29;
 
-/// What a follower says first.
+/// Kinds of frames.
+mod kind {
+    pub const BATCH: u8 = 0;
+    pub const BEGIN_ANEW: u8 = 1;
+}
+
+/// What a follower sends on connecting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
-    /// The ledger that it follows; 0: none yet.
+    /// The identity of the log that it follows; 0 if it follows none yet.
     pub ledger: u64,
-    /// The last number that it has kept.
+    /// The number of the last purge that it has stored.
     pub last: PurgeNumber,
 }
 
-/// What a writer sends.
+/// What the writer sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// The follower has to begin anew behind `base`.
+    /// Whether the follower has to discard its log and begin anew after `base`.
     pub anew: bool,
-    /// Which ledger this is.
+    /// The identity of the log.
     pub ledger: u64,
-    /// The number before the first that is held.
+    /// The number before the first purge that the writer still has.
     pub base: PurgeNumber,
-    /// The last number that there is.
+    /// The number of the writer's last purge.
     pub head: PurgeNumber,
-    /// What follows the last number that the follower told.
+    /// The purges after the last that the follower has confirmed.
     pub purges: Vec<Purge>,
 }
 
-fn little(cursor: &mut Cursor<'_>) -> Option<u64> {
+fn little_endian(cursor: &mut Cursor<'_>) -> Option<u64> {
     cursor.array().map(u64::from_le_bytes)
 }
 
-/// The bytes of a follower's first word.
+/// Encodes a follower's hello.
 pub fn hello(hello: Hello) -> Vec<u8> {
     [
         &MAGIC[..],
@@ -59,10 +70,11 @@
     .concat()
 }
 
-/// Reads a follower's first word. `None`: it is not complete yet.
+/// Decodes a follower's hello. `None`: it is not complete yet.
 pub fn decode_hello(input: &[u8]) -> Result<Option<Hello>, Unreadable> {
-    let known = input.len().min(MAGIC.len());
-    if input[..known] != MAGIC[..known] {
+    // Another protocol is rejected by its first bytes: it may never send as many as a hello has.
+    let received = input.len().min(MAGIC.len());
+    if input[..received] != MAGIC[..received] {
         return Err(Unreadable("no follower"));
     }
     let Some(bytes) = input.get(..HELLO_BYTES) else {
@@ -73,19 +85,24 @@
     if version != Some(VERSION) {
         return Err(Unreadable("a follower of another version"));
     }
-    Ok(little(&mut cursor)
-        .zip(little(&mut cursor))
+    Ok(little_endian(&mut cursor)
+        .zip(little_endian(&mut cursor))
         .map(|(ledger, last)| Hello { ledger, last }))
 }
 
-/// The bytes of a frame.
+/// Encodes a frame.
 pub fn frame(frame: &Frame) -> Vec<u8> {
     let body: Vec<u8> = frame
         .purges
         .iter()
         .flat_map(journal::encode_record)
         .collect();
-    let mut bytes = vec![u8::from(frame.anew)];
+    let kind = if frame.anew {
+        kind::BEGIN_ANEW
+    } else {
+        kind::BATCH
+    };
+    let mut bytes = vec![kind];
     for number in [frame.ledger, frame.base, frame.head] {
         bytes.extend(number.to_le_bytes());
     }
@@ -94,29 +111,40 @@
     bytes
 }
 
-/// Takes the first frame off `input`, with its length in bytes. `None`: it is not complete yet.
+/// Decodes the first frame of `input`, and returns it with its length in bytes. `None`: it is not complete yet.
 pub fn decode_frame(input: &[u8]) -> Result<Option<(Frame, usize)>, Unreadable> {
     let mut cursor = Cursor(input);
     let Some(kind) = cursor.u8() else {
         return Ok(None);
     };
-    if kind > 1 {
+    if kind > kind::BEGIN_ANEW {
         return Err(Unreadable("an unknown kind of frame"));
     }
-    let numbers = little(&mut cursor)
-        .zip(little(&mut cursor))
-        .zip(little(&mut cursor));
+    let numbers = little_endian(&mut cursor)
+        .zip(little_endian(&mut cursor))
+        .zip(little_endian(&mut cursor));
     let Some((((ledger, base), head), size)) = numbers.zip(cursor.array().map(u32::from_le_bytes))
     else {
         return Ok(None);
     };
     let size = size as usize;
-    if size > BODY_MOST {
+    if size > MAX_BODY_BYTES {
         return Err(Unreadable("a batch that is too long"));
     }
-    let Some(mut body) = cursor.bytes(size) else {
+    let Some(body) = cursor.bytes(size) else {
         return Ok(None);
     };
+    let frame = Frame {
+        anew: kind == kind::BEGIN_ANEW,
+        ledger,
+        base,
+        head,
+        purges: decode_purges(body)?,
+    };
+    Ok(Some((frame, FRAME_HEADER_BYTES + size)))
+}
+
+fn decode_purges(mut body: &[u8]) -> Result<Vec<Purge>, Unreadable> {
     let mut purges = Vec::new();
     while !body.is_empty() {
         let DecodedRecord::Record { purge, length } = journal::decode_record(body) else {
@@ -125,16 +153,7 @@
         purges.push(purge);
         body = &body[length..];
     }
-    Ok(Some((
-        Frame {
-            anew: kind == 1,
-            ledger,
-            base,
-            head,
-            purges,
-        },
-        HEAD + size,
-    )))
+    Ok(purges)
 }
 
 #[cfg(test)]
--- a/front/src/protocol/mod.rs
+++ b/front/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Codecs of the wires. No input or output here: bytes in, messages out, and back.
+//! Codecs of the wire protocols and of the files that the front writes. They turn bytes into messages and back, and do no I/O.
 pub mod admin;
 pub mod bulk_strings;
 pub mod cache_node;
@@ -11,17 +11,18 @@
 pub mod snapshot;
 pub mod stored_file;
 
-/// Why a stream of bytes can't be read any further.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why received bytes cannot be decoded. Where the next message begins is then unknown, and the connection is closed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
 pub struct Unreadable(pub &'static str);
 
-/// Takes fields off the front of some bytes. All numbers are big-endian.
+/// Takes fields off the front of a byte slice. Its numbers are big-endian.
 #[derive(Clone, Copy, Debug)]
 struct Cursor<'a>(&'a [u8]);
 
 impl<'a> Cursor<'a> {
-    fn bytes(&mut self, n: usize) -> Option<&'a [u8]> {
-        let (field, rest) = self.0.split_at_checked(n)?;
+    fn bytes(&mut self, length: usize) -> Option<&'a [u8]> {
+        let (field, rest) = self.0.split_at_checked(length)?;
         self.0 = rest;
         Some(field)
     }
@@ -47,7 +48,7 @@
     }
 }
 
-/// The 16 hex digits of an id.
+/// Parses an id of exactly 16 hex digits.
 fn hex16(text: &str) -> Option<u64> {
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
