--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -1,5 +1,5 @@
-//! The list of members as a front last knew it, on disk: a head with version and checksum, as of what processes leave for each
-//! other, and a line for each member and each purge that still counts. No I/O here.
+//! The endpoint list as a front last knew it, in the form in which it is stored on disk and sent to peers: the header of a
+//! stored file, a line for each endpoint and a line for each purge that still counts. No I/O here.
 use super::discovery::{EndpointRecord, WatchEvent};
 use super::stored_file::{self, StoredFileError};
 use cranesill::api::EndpointState;
@@ -9,127 +9,140 @@
 const KIND: &str = "list";
 /// Fields of the header line: the program, the kind of file, the version and the checksum.
 const HEADER_FIELDS: usize = 4;
-/// Bytes at most: some thousand members and as many purges.
+/// The largest snapshot, in bytes: some thousand endpoints and as many purges.
 pub const MAX_SNAPSHOT_BYTES: usize = 2 << 20;
-/// Purges that are kept at most; with more the snapshot is not to be served from.
-const PURGES_MOST: usize = 10_000;
+/// The most purges that a snapshot may hold; one with more must not be served from.
+const MAX_PURGES: usize = 10_000;
+/// Weights are written in thousandths.
+const WEIGHT_UNIT: f64 = 1e3;
 
-/// A list with the number of the last event that is in it.
+/// A purge that still counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecordedPurge {
+    /// The object; `None` for a whole group.
+    pub object: Option<u64>,
+    /// The group, if no object is named.
+    pub group: u32,
+    /// When it was purged, in Unix milliseconds.
+    pub at_ms: u64,
+}
+
+/// The endpoint list at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Which list it is.
+    /// The identity of the list.
     pub source: u64,
-    /// The last event.
+    /// The revision: the number of the last watch event that is included.
     pub number: u64,
-    /// When it was known so, in Unix milliseconds.
+    /// When the list was current, in Unix milliseconds.
     pub at_ms: u64,
-    /// The members by their ids.
+    /// The endpoints by their ids.
     pub members: BTreeMap<u32, EndpointRecord>,
-    /// Purges: object or group, and when.
-    pub purges: Vec<(Option<u64>, u32, u64)>,
-    /// When each of them was heard of here, by a clock that is never stepped. How long they are kept follows from this: wall
+    /// The purges that still count, in the order in which they were received.
+    pub purges: Vec<RecordedPurge>,
+    /// When each purge was received, in milliseconds of the monotonic clock. How long purges are kept follows from this: wall
     /// clocks may differ, and may be set at any time.
-    pub got_ms: Vec<u64>,
+    pub received_at_ms: Vec<u64>,
 }
 
 impl Snapshot {
-    /// Takes news over that are heard of at `heard_ms` of the monotonic clock, which is `at_ms` of the wall clock. Purges that
-    /// were heard of longer ago than `keep_ms` are over.
-    pub fn take(
+    /// Applies a watch event that was received at `received_ms` of the monotonic clock, which is `at_ms` of the wall clock.
+    /// Purges that were received longer ago than `keep_ms` are dropped.
+    pub fn apply(
         &mut self,
         number: u64,
         at_ms: u64,
-        heard_ms: u64,
+        received_ms: u64,
         keep_ms: u64,
-        news: &WatchEvent,
+        event: &WatchEvent,
     ) {
-        (self.number, self.at_ms) = (number, at_ms);
-        match news {
-            WatchEvent::Endpoints { complete, list } => {
-                if *complete {
-                    self.members.clear();
-                }
-                for one in list {
-                    if one.state == EndpointState::Removed {
-                        self.members.remove(&one.id);
-                    } else {
-                        self.members.insert(one.id, one.clone());
-                    }
-                }
-            }
+        self.number = number;
+        self.at_ms = at_ms;
+        match event {
+            WatchEvent::Endpoints { complete, list } => self.apply_endpoints(*complete, list),
             WatchEvent::Purge {
                 object,
                 group,
                 at_ms,
-            } => self.purges.push((*object, *group, *at_ms)),
+            } => self.purges.push(RecordedPurge {
+                object: *object,
+                group: *group,
+                at_ms: *at_ms,
+            }),
         }
-        self.got_ms.resize(self.purges.len(), heard_ms);
-        // They stand in the order in which they came; one more than may be written says that there were too many.
-        let over = self
-            .got_ms
-            .iter()
-            .take_while(|got| **got < heard_ms.saturating_sub(keep_ms))
-            .count();
-        let over = over.max(self.purges.len().saturating_sub(PURGES_MOST + 1));
-        self.purges.drain(..over);
-        self.got_ms.drain(..over);
+        self.received_at_ms.resize(self.purges.len(), received_ms);
+        self.drop_purges(received_ms.saturating_sub(keep_ms));
     }
 
-    /// What a front that starts is to be told of it.
-    pub fn news(&self) -> Vec<WatchEvent> {
-        let complete = WatchEvent::Endpoints {
+    fn apply_endpoints(&mut self, complete: bool, list: &[EndpointRecord]) {
+        if complete {
+            self.members.clear();
+        }
+        for endpoint in list {
+            if endpoint.state == EndpointState::Removed {
+                self.members.remove(&endpoint.id);
+            } else {
+                self.members.insert(endpoint.id, endpoint.clone());
+            }
+        }
+    }
+
+    /// Drops the purges that were received before `kept_since`, and the oldest of too many.
+    fn drop_purges(&mut self, kept_since: u64) {
+        let received = self.received_at_ms.iter();
+        let expired = received.take_while(|at| **at < kept_since).count();
+        // One more than may be written stays: by it `encode` sees that there were too many.
+        let excess = self.purges.len().saturating_sub(MAX_PURGES + 1);
+        let dropped = expired.max(excess);
+        self.purges.drain(..dropped);
+        self.received_at_ms.drain(..dropped);
+    }
+
+    /// Returns the watch events that lead a front that starts to this list.
+    pub fn watch_events(&self) -> Vec<WatchEvent> {
+        let endpoints = WatchEvent::Endpoints {
             complete: true,
             list: self.members.values().cloned().collect(),
         };
-        let purge = |p: &(Option<u64>, u32, u64)| WatchEvent::Purge {
-            object: p.0,
-            group: p.1,
-            at_ms: p.2,
-        };
-        std::iter::once(complete)
-            .chain(self.purges.iter().map(purge))
-            .collect()
+        let purges = self.purges.iter().map(|purge| WatchEvent::Purge {
+            object: purge.object,
+            group: purge.group,
+            at_ms: purge.at_ms,
+        });
+        std::iter::once(endpoints).chain(purges).collect()
     }
 
-    /// As it is written. `None`: it has grown too large to be.
-    pub fn text(&self) -> Option<String> {
-        if self.purges.len() > PURGES_MOST {
+    /// Encodes the snapshot. `None`: it is too large to be used.
+    pub fn encode(&self) -> Option<String> {
+        if self.purges.len() > MAX_PURGES {
             return None;
         }
-        let mut body =
-            format!("from {:016x} {} {}\n", self.source, self.number, self.at_ms) + &self.lines();
-        for (object, group, at_ms) in &self.purges {
-            body += &match object {
+        let mut body = format!("from {:016x} {} {}\n", self.source, self.number, self.at_ms);
+        body += &self.endpoint_lines();
+        for purge in &self.purges {
+            let at_ms = purge.at_ms;
+            body += &match purge.object {
                 Some(object) => format!("o {object:016x} {at_ms}\n"),
-                None => format!("g {group} {at_ms}\n"),
+                None => format!("g {} {at_ms}\n", purge.group),
             };
         }
         let text = stored_file::encode(KIND, VERSION, &body);
         Some(text).filter(|text| text.len() <= MAX_SNAPSHOT_BYTES)
     }
 
-    /// By this two lists with the same last event are told apart. Purges are not in it: which of them are over depends on the
-    /// moment.
+    /// Returns a digest by which two lists of the same revision are distinguished. It leaves purges out: which of them still
+    /// count depends on the time.
     pub fn digest(&self) -> u64 {
-        crc32fast::hash(self.lines().as_bytes()).into()
+        crc32fast::hash(self.endpoint_lines().as_bytes()).into()
     }
 
-    /// A line for each member.
-    fn lines(&self) -> String {
-        let mut body = String::new();
-        for m in self.members.values() {
-            let state = u8::from(m.state == EndpointState::Draining);
-            let weight = (m.weight * 1e3).round() as u64;
-            body += &format!(
-                "m {:08x} {} {state} {} {} {} {weight} {}\n",
-                m.id, m.address, m.zone, m.kind, m.cell, m.started_ms
-            );
-        }
-        body
+    /// Encodes a line for each endpoint.
+    fn endpoint_lines(&self) -> String {
+        self.members.values().map(encode_endpoint).collect()
     }
 
     /// Decodes a snapshot.
-    pub fn read(text: &[u8]) -> Result<Self, StoredFileError> {
+    pub fn decode(text: &[u8]) -> Result<Self, StoredFileError> {
         if text.len() > MAX_SNAPSHOT_BYTES {
             return Err(StoredFileError::TooLong);
         }
@@ -138,57 +151,40 @@
             return Err(StoredFileError::OtherKind);
         }
         stored_file::check_header(header, KIND, VERSION, body)?;
-        let mut found = Snapshot::default();
-        for (n, line) in body.lines().enumerate() {
-            let words: Vec<_> = line.split(' ').collect();
-            let read = if n == 0 {
-                found.first(&words)
-            } else {
-                found.line(&words)
-            };
-            read.ok_or(StoredFileError::MalformedLine)?;
-        }
-        if body.is_empty() {
-            return Err(StoredFileError::RevisionMissing);
+        let mut lines = body.lines();
+        let first = lines.next().ok_or(StoredFileError::RevisionMissing)?;
+        let mut snapshot = decode_first_line(first).ok_or(StoredFileError::MalformedLine)?;
+        for line in lines {
+            snapshot
+                .decode_line(line)
+                .ok_or(StoredFileError::MalformedLine)?;
         }
-        Ok(found)
-    }
-
-    fn first(&mut self, words: &[&str]) -> Option<()> {
-        let ["from", source, number, at] = words else {
-            return None;
-        };
-        self.source = u64::from_str_radix(source, 16).ok()?;
-        (self.number, self.at_ms) = (number.parse().ok()?, at.parse().ok()?);
-        Some(())
+        Ok(snapshot)
     }
 
-    fn line(&mut self, words: &[&str]) -> Option<()> {
-        match words {
-            ["m", id, address, state, zone, kind, cell, weight, started] => {
-                let id = u32::from_str_radix(id, 16).ok()?;
-                let listing = EndpointRecord {
-                    id,
-                    address: address.parse().ok()?,
-                    state: [EndpointState::Ready, EndpointState::Draining]
-                        .get(state.parse::<usize>().ok()?)
-                        .copied()?,
-                    zone: zone.parse().ok()?,
-                    kind: kind.parse().ok()?,
-                    cell: cell.parse().ok()?,
-                    weight: weight.parse::<u32>().ok().map(|w| f64::from(w) / 1e3)?,
-                    started_ms: started.parse().ok()?,
-                };
-                self.members.insert(id, listing).is_none().then_some(())
+    /// Decodes a line behind the first one. `None`: it is malformed, or names an endpoint a second time.
+    fn decode_line(&mut self, line: &str) -> Option<()> {
+        let fields: Vec<_> = line.split(' ').collect();
+        match fields[..] {
+            ["m", ref endpoint @ ..] => {
+                let endpoint = decode_endpoint(endpoint)?;
+                let replaced = self.members.insert(endpoint.id, endpoint);
+                replaced.is_none().then_some(())
             }
-            ["o", object, at] => {
-                let object = u64::from_str_radix(object, 16).ok()?;
-                self.purges.push((Some(object), 0, at.parse().ok()?));
+            ["o", object, at_ms] => {
+                self.purges.push(RecordedPurge {
+                    object: Some(u64::from_str_radix(object, 16).ok()?),
+                    group: 0,
+                    at_ms: at_ms.parse().ok()?,
+                });
                 Some(())
             }
-            ["g", group, at] => {
-                self.purges
-                    .push((None, group.parse().ok()?, at.parse().ok()?));
+            ["g", group, at_ms] => {
+                self.purges.push(RecordedPurge {
+                    object: None,
+                    group: group.parse().ok()?,
+                    at_ms: at_ms.parse().ok()?,
+                });
                 Some(())
             }
             _ => None,
@@ -196,5 +192,57 @@
     }
 }
 
+/// Decodes the first line: the identity of the list, the revision and when it was current.
+fn decode_first_line(line: &str) -> Option<Snapshot> {
+    let fields: Vec<_> = line.split(' ').collect();
+    let ["from", source, number, at_ms] = fields[..] else {
+        return None;
+    };
+    Some(Snapshot {
+        source: u64::from_str_radix(source, 16).ok()?,
+        number: number.parse().ok()?,
+        at_ms: at_ms.parse().ok()?,
+        ..Snapshot::default()
+    })
+}
+
+fn encode_endpoint(endpoint: &EndpointRecord) -> String {
+    let state = u8::from(endpoint.state == EndpointState::Draining);
+    let weight = (endpoint.weight * WEIGHT_UNIT).round() as u64;
+    format!(
+        "m {:08x} {} {state} {} {} {} {weight} {}\n",
+        endpoint.id,
+        endpoint.address,
+        endpoint.zone,
+        endpoint.kind,
+        endpoint.cell,
+        endpoint.started_ms
+    )
+}
+
+fn decode_endpoint(fields: &[&str]) -> Option<EndpointRecord> {
+    let [id, address, state, zone, kind, cell, weight, started_ms] = fields else {
+        return None;
+    };
+    Some(EndpointRecord {
+        id: u32::from_str_radix(id, 16).ok()?,
+        address: address.parse().ok()?,
+        state: decode_state(state)?,
+        zone: zone.parse().ok()?,
+        kind: kind.parse().ok()?,
+        cell: cell.parse().ok()?,
+        weight: f64::from(weight.parse::<u32>().ok()?) / WEIGHT_UNIT,
+        started_ms: started_ms.parse().ok()?,
+    })
+}
+
+fn decode_state(code: &str) -> Option<EndpointState> {
+    match code.parse::<usize>().ok()? {
+        0 => Some(EndpointState::Ready),
+        1 => Some(EndpointState::Draining),
+        _ => None,
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/front/src/protocol/snapshot/tests.rs
+++ b/front/src/protocol/snapshot/tests.rs
@@ -24,7 +24,7 @@
         listing(2, EndpointState::Draining),
         listing(3, EndpointState::Ready),
     ];
-    known.take(
+    known.apply(
         4,
         900,
         900,
@@ -34,7 +34,7 @@
             list: members,
         },
     );
-    known.take(
+    known.apply(
         5,
         950,
         950,
@@ -45,7 +45,7 @@
             at_ms: 940,
         },
     );
-    known.take(
+    known.apply(
         6,
         960,
         960,
@@ -56,7 +56,7 @@
             at_ms: 955,
         },
     );
-    known.take(
+    known.apply(
         7,
         999,
         999,
@@ -77,13 +77,13 @@
         (2, 1),
         "gone, and over"
     );
-    let text = known.text().unwrap();
-    let read = Snapshot::read(text.as_bytes()).unwrap();
+    let text = known.encode().unwrap();
+    let read = Snapshot::decode(text.as_bytes()).unwrap();
     assert_eq!(
-        (read.text(), read.digest()),
+        (read.encode(), read.digest()),
         (Some(text.clone()), known.digest())
     );
-    assert_eq!(known.news().len(), 2);
+    assert_eq!(known.watch_events().len(), 2);
     insta::assert_snapshot!(text);
 }
 
@@ -92,7 +92,7 @@
     // This clock is an hour ahead of the one that dates purges, or behind it.
     for now in [10_000_000, 2_800_000] {
         let mut known = Snapshot::default();
-        known.take(
+        known.apply(
             1,
             now,
             now,
@@ -103,7 +103,7 @@
                 at_ms: 6_400_000,
             },
         );
-        known.take(
+        known.apply(
             2,
             now + 7_000,
             now + 7_000,
@@ -119,7 +119,7 @@
             2,
             "copies from before both may still be held"
         );
-        known.take(
+        known.apply(
             3,
             now + 9_000,
             now + 9_000,
@@ -131,8 +131,8 @@
         );
         assert_eq!(known.purges.len(), 1);
         // One that was read is kept from then on.
-        let mut read = Snapshot::read(known.text().unwrap().as_bytes()).unwrap();
-        read.take(
+        let mut read = Snapshot::decode(known.encode().unwrap().as_bytes()).unwrap();
+        read.apply(
             4,
             now + 20_000,
             now + 20_000,
@@ -145,8 +145,8 @@
         assert_eq!(read.purges.len(), 1);
     }
     let mut known = Snapshot::default();
-    for n in 0..2 * PURGES_MOST as u64 {
-        known.take(
+    for n in 0..2 * MAX_PURGES as u64 {
+        known.apply(
             n,
             5,
             5,
@@ -158,17 +158,17 @@
             },
         );
     }
-    assert_eq!((known.purges.len(), known.text()), (PURGES_MOST + 1, None));
+    assert_eq!((known.purges.len(), known.encode()), (MAX_PURGES + 1, None));
 }
 
 #[test]
 fn cut_at_every_byte_or_changed_in_any_it_is_as_if_absent() {
-    let text = known().text().unwrap().into_bytes();
+    let text = known().encode().unwrap().into_bytes();
     for cut in 0..text.len() {
-        assert!(Snapshot::read(&text[..cut]).is_err(), "cut at {cut}");
+        assert!(Snapshot::decode(&text[..cut]).is_err(), "cut at {cut}");
         let mut bad = text.clone();
         bad[cut] ^= 1;
-        assert!(Snapshot::read(&bad).is_err(), "byte {cut}");
+        assert!(Snapshot::decode(&bad).is_err(), "byte {cut}");
     }
     let whole = |body: &str| {
         format!(
@@ -184,16 +184,22 @@
         "from 1 2 3\no zz 3\n",
         "from 1 2 3\ng -1 3\n",
     ] {
-        assert!(Snapshot::read(whole(body).as_bytes()).is_err(), "{body}");
+        assert!(Snapshot::decode(whole(body).as_bytes()).is_err(), "{body}");
     }
-    assert!(Snapshot::read(&vec![b'x'; MAX_SNAPSHOT_BYTES + 1]).is_err());
-    let many = (0..=PURGES_MOST as u64).map(|n| (Some(n), 0, n)).collect();
+    assert!(Snapshot::decode(&vec![b'x'; MAX_SNAPSHOT_BYTES + 1]).is_err());
+    let many = (0..=MAX_PURGES as u64)
+        .map(|n| RecordedPurge {
+            object: Some(n),
+            group: 0,
+            at_ms: n,
+        })
+        .collect();
     assert_eq!(
         Snapshot {
             purges: many,
             ..known()
         }
-        .text(),
+        .encode(),
         None
     );
 }
@@ -207,7 +213,7 @@
             complete: false,
             list: vec![],
         };
-        known.take(
+        known.apply(
             1,
             10_000_000,
             100,
@@ -218,13 +224,13 @@
                 at_ms: 6_400_000,
             },
         );
-        known.take(2, wall(7_000), 7_100, 8_000, &none());
+        known.apply(2, wall(7_000), 7_100, 8_000, &none());
         assert_eq!(
             known.purges.len(),
             1,
             "{step}: copies from before it may still be held"
         );
-        known.take(3, wall(9_000), 9_100, 8_000, &none());
+        known.apply(3, wall(9_000), 9_100, 8_000, &none());
         assert_eq!(known.purges.len(), 0, "{step}");
     }
 }
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -145,7 +145,7 @@
             asker.answered = true;
             if let Some(text) = Some(&self.known)
                 .filter(|k| k.number > held)
-                .and_then(Snapshot::text)
+                .and_then(Snapshot::encode)
             {
                 self.served += 1;
                 asker.stream.push(Outgoing {
@@ -219,7 +219,7 @@
         if text.is_empty() {
             return self.core.record_no_update(peer);
         }
-        let judged = Snapshot::read(text)
+        let judged = Snapshot::decode(text)
             .map_err(|error| error.to_string())
             .and_then(|list| {
                 let header = SnapshotHeader {
@@ -330,7 +330,7 @@
             }) => {
                 self.heard = Some(turn.now);
                 self.known
-                    .take(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
+                    .apply(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
             }
             Effect::Endpoints(EndpointEffect::Current) => {
                 self.heard = Some(turn.now);
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -60,7 +60,7 @@
     let found = match read {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
         Err(error) => Err(error.to_string()),
-        Ok(_) => Snapshot::read(&text).map_err(|error| error.to_string()),
+        Ok(_) => Snapshot::decode(&text).map_err(|error| error.to_string()),
     };
     let found = found.and_then(|found| {
         let header = SnapshotHeader {
@@ -184,7 +184,7 @@
 
     fn news(&mut self, now: Timestamp, number: u64, news: &WatchEvent) {
         self.known
-            .take(number, wall_ms(), now / 1_000, self.purge_ms, news);
+            .apply(number, wall_ms(), now / 1_000, self.purge_ms, news);
         self.dated = now;
         self.dirty = true;
     }
@@ -211,7 +211,7 @@
             return;
         }
         self.dirty = false;
-        let Some(text) = self.known.text() else {
+        let Some(text) = self.known.encode() else {
             // What lies there is older and is asked on from: nothing is lost, a start takes longer.
             if !std::mem::replace(&mut self.failed, true) {
                 tracing::warn!(
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -101,7 +101,7 @@
         self.discovery.advance_to(list.number);
         // Forwarded as watch events it would count as new in the snapshot on disk; adopted, it keeps its age.
         self.forwards_watch_events = false;
-        for event in list.news() {
+        for event in list.watch_events() {
             self.apply_watch_event(now, event, EventSource::Stored);
         }
         self.forwards_watch_events = true;
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -73,7 +73,7 @@
     let found =
         snapshot_path(config, settings).and_then(|path| load(&path, source, revision, serve_ms));
     if let Some(list) = found {
-        events.extend(list.news());
+        events.extend(list.watch_events());
         return KnownList {
             revision: list.number,
             events,
@@ -86,10 +86,10 @@
         ..Snapshot::default()
     };
     for event in &events {
-        list.take(revision, wall_ms(), 0, u64::MAX, event);
+        list.apply(revision, wall_ms(), 0, u64::MAX, event);
     }
     // Purges that were known at the start are kept from the first watch event on.
-    list.got_ms.clear();
+    list.received_at_ms.clear();
     KnownList {
         revision,
         events,
