--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -1,6 +1,7 @@
 //! What can go wrong when a front starts, runs, or carries out an operator's command.
 use super::drivers::purges::TargetError;
 use crate::protocol::configured_events::ConfiguredEventsError;
+use crate::transport::InheritedSocketError;
 use std::fmt::{self, Display, Formatter};
 use std::io;
 use std::net::SocketAddr;
@@ -191,7 +192,7 @@
         /// The number under which it was inherited.
         descriptor: RawFd,
         /// Why it is no listening socket.
-        reason: String,
+        reason: InheritedSocketError,
     },
     /// The clients' address cannot be listened on.
     #[error("{address}: {source}")]
--- a/front/src/transport/clock.rs
+++ b/front/src/transport/clock.rs
@@ -2,8 +2,8 @@
 use cranesill::api::{Micros, Timestamp};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Microseconds since the Unix epoch, read once at the start and carried on by the monotonic clock: moments
-/// that the control feed names can be compared with it, and it never goes back.
+/// Microseconds since the Unix epoch, read once at the start and carried on by the monotonic clock: timestamps
+/// of watch events can be compared with it, and it never goes back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     epoch: Micros,
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Creates a clock that begins at the system's time.
     pub fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Now.
+    /// Returns the current timestamp.
     pub fn now(&self) -> Timestamp {
         self.epoch + self.start.elapsed().as_micros() as Micros
     }
--- a/front/src/transport/deadlines.rs
+++ b/front/src/transport/deadlines.rs
@@ -1,9 +1,10 @@
-//! Moments at which something is due.
+//! Timestamps at which something is due.
 use cranesill::api::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A queue of due moments. Entries are not taken back: who is woken checks whether it still matters.
+/// A queue of entries that are due at a timestamp. Entries are never removed early: whoever takes one checks whether it still
+/// applies.
 #[derive(Debug)]
 pub struct Deadlines<T> {
     heap: BinaryHeap<Reverse<(Timestamp, u64, T)>>,
@@ -19,18 +20,18 @@
         }
     }
 
-    /// Notes that `what` is due `at`.
+    /// Adds an entry that is due at `at`.
     pub fn add(&mut self, at: Timestamp, what: T) {
         self.last += 1;
         self.heap.push(Reverse((at, self.last, what)));
     }
 
-    /// The next moment at which something is due.
+    /// Returns the earliest timestamp at which an entry is due.
     pub fn next(&self) -> Option<Timestamp> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Takes out what is due by `now`, earliest first; what is due at the same moment in the order added.
+    /// Takes an entry that is due by `now`: the earliest first, and of equal ones the one that was added first.
     pub fn take(&mut self, now: Timestamp) -> Option<T> {
         self.next().filter(|at| *at <= now)?;
         self.heap.pop().map(|Reverse((_, _, what))| what)
--- a/front/src/transport/mod.rs
+++ b/front/src/transport/mod.rs
@@ -6,6 +6,7 @@
 mod faults;
 mod reactor;
 mod resting_listener;
+mod socket;
 mod stream;
 mod workers;
 
@@ -16,5 +17,6 @@
 pub use faults::{is_local, AcceptFault};
 pub use reactor::{Reactor, ReadyEvent, Registered};
 pub use resting_listener::RestingListener;
-pub use stream::{dial, inherited, listen, Outgoing, Stream};
+pub use socket::{dial, inherited, listen, InheritedSocketError};
+pub use stream::{Outgoing, Stream};
 pub use workers::Workers;
--- a/front/src/transport/reactor.rs
+++ b/front/src/transport/reactor.rs
@@ -33,7 +33,7 @@
 }
 
 impl Reactor {
-    /// A reactor that watches nothing yet.
+    /// Creates a reactor that watches nothing yet.
     pub fn new() -> io::Result<Self> {
         Ok(Reactor {
             poller: Rc::new(Poller::new()?),
@@ -42,7 +42,7 @@
     }
 
     #[allow(unsafe_code)]
-    /// Watches `source` under `key`.
+    /// Watches `source` under `key` for reading and, if `write` is set, for writing.
     pub fn watch<S: AsFd + AsRawFd>(
         &self,
         source: S,
@@ -90,7 +90,7 @@
 }
 
 impl<S: AsFd> Registered<S> {
-    /// Changes what it is watched for.
+    /// Changes whether it is watched for reading and for writing.
     pub fn rewatch(&self, read: bool, write: bool) -> io::Result<()> {
         self.poller.modify_with_mode(
             &self.source,
--- a/front/src/transport/stream/tests.rs
+++ b/front/src/transport/stream/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::transport::listen;
 
 #[test]
 fn what_is_dealt_with_leaves_no_room_behind() {
--- a/front/src/transport/workers.rs
+++ b/front/src/transport/workers.rs
@@ -1,28 +1,28 @@
-//! Threads for what blocks. The loop hands work over and goes on; results come through a queue, and the poller is
-//! woken by a byte on a socket.
+//! Worker threads for blocking calls. The event loop hands work over and goes on. Results come back through a queue, and a
+//! byte on a socket wakes the poller.
 use super::{at_start, Reactor, Registered};
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-/// Stack of a thread: handshakes and parsers need little.
+/// The stack of a thread: handshakes and parsers need little.
 const STACK_BYTES: usize = 512 * 1024;
 
 type Work<R> = Box<dyn FnOnce() -> R + Send>;
 
-/// Runs work elsewhere: some side by side, some in order.
+/// Runs work on threads of its own, either concurrently or in order.
 pub struct Workers<R: Send + 'static> {
     woken: Registered<UnixStream>,
     waker: Arc<UnixStream>,
     sender: Sender<R>,
     results: Receiver<R>,
-    /// A thread for work that must keep its order; made with the first.
+    /// The queue of the thread for work in order, which is started with the first such work.
     ordered: Option<Sender<Work<R>>>,
 }
 
 impl<R: Send + 'static> Workers<R> {
-    /// No thread yet. `key` is ready to be read once there are results.
+    /// Creates workers without a thread. The poller reports `key` as readable once there are results.
     pub fn new(reactor: &Reactor, key: usize) -> io::Result<Self> {
         let (woken, waker) = at_start(UnixStream::pair)?;
         woken.set_nonblocking(true)?;
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Runs work on a thread of its own. The caller bounds how many there are.
+    /// Runs work on a new thread. The caller limits how many there are.
     pub fn run(&self, work: impl FnOnce() -> R + Send + 'static) -> io::Result<()> {
         let (sender, waker) = (self.sender.clone(), Arc::clone(&self.waker));
         let thread = std::thread::Builder::new()
@@ -48,7 +48,7 @@
             .map(drop)
     }
 
-    /// Runs work after all that was given here before.
+    /// Runs work after all earlier work that was given here.
     pub fn in_order(&mut self, work: impl FnOnce() -> R + Send + 'static) -> io::Result<()> {
         let ordered = match &self.ordered {
             Some(ordered) => ordered,
@@ -71,7 +71,7 @@
             .map_err(|_| io::Error::other("the thread is gone"))
     }
 
-    /// What has been done since this was asked last.
+    /// Takes the results that have come since the last call.
     pub fn results(&mut self) -> Vec<R> {
         let mut bytes = [0; 64];
         while matches!((&*self.woken).read(&mut bytes), Ok(n) if n > 0) {}
@@ -80,7 +80,7 @@
 }
 
 fn complete<R>(sender: &Sender<R>, waker: &UnixStream, result: R) {
-    // Nobody waits any more where the loop has ended; a full socket wakes it as well as one byte more would.
+    // The queue is closed once the loop has ended. If the socket is full, the poller is woken already.
     if sender.send(result).is_ok() {
         let _ = (&*waker).write(&[1]);
     }
