--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! One connection of a client: its state, and the frames that come on it.
 use super::ClientEvent;
-use crate::protocol::client::{self, Message};
+use crate::protocol::client::{self, Message, RequestError};
 use crate::routing::{ClientRequest, ReplyTo};
 use crate::transport::Stream;
 use cranesill::api::{Micros, Timestamp};
@@ -82,7 +82,7 @@
     pub(super) fn wants_input(&self, now: Timestamp) -> bool {
         self.state != ConnectionState::HalfClosed
             && !self.is_paused(now)
-            && self.stream.untaken() < MAX_UNREAD_ANSWERS
+            && self.stream.unsent_messages() < MAX_UNREAD_ANSWERS
     }
 
     /// Whether reading is paused after a bad request.
@@ -146,14 +146,14 @@
             match message {
                 Message::Request(stream, payload) => {
                     let from = reply_to(key, stream);
-                    let request = client::ask(payload);
+                    let request = client::decode_request(payload);
                     // Streams are new on their connection; an answer could else be taken for another's.
                     if !self.open_streams.insert(stream) {
                         return self.reject_input();
                     }
                     events.push(self.accept_request(now, from, request));
                 }
-                Message::Gone(stream) => {
+                Message::Cancelled(stream) => {
                     if self.open_streams.remove(&stream) {
                         events.push(ClientEvent::Disconnected(reply_to(key, stream)));
                     }
@@ -171,11 +171,11 @@
         &mut self,
         now: Timestamp,
         from: ReplyTo,
-        request: Result<ClientRequest, &'static str>,
+        request: Result<ClientRequest, RequestError>,
     ) -> ClientEvent {
         let request = request.and_then(|request| {
             if self.open_streams.len() > MAX_STREAMS {
-                return Err("too many streams");
+                return Err(RequestError::TooManyStreams);
             }
             Ok(request)
         });
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -3,7 +3,7 @@
 //! disk, or nothing if there is none newer, and the end.
 use super::snapshot::wall_ms;
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
-use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
+use crate::protocol::snapshot::{Snapshot, MAX_SNAPSHOT_BYTES};
 use crate::transport::{at_start, dial, listen, Outgoing, RestingListener, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
@@ -145,7 +145,7 @@
             asker.answered = true;
             if let Some(text) = Some(&self.known)
                 .filter(|k| k.number > held)
-                .and_then(Snapshot::text)
+                .and_then(Snapshot::encode)
             {
                 self.served += 1;
                 asker.stream.push(Outgoing {
@@ -207,7 +207,7 @@
             if n == 0 {
                 return Ok(true);
             }
-            if asked.stream.input().len() > BYTES_MOST {
+            if asked.stream.input().len() > MAX_SNAPSHOT_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
@@ -219,8 +219,8 @@
         if text.is_empty() {
             return self.core.record_no_update(peer);
         }
-        let judged = Snapshot::read(text)
-            .map_err(str::to_string)
+        let judged = Snapshot::decode(text)
+            .map_err(|error| error.to_string())
             .and_then(|list| {
                 let header = SnapshotHeader {
                     source: list.source,
@@ -330,7 +330,7 @@
             }) => {
                 self.heard = Some(turn.now);
                 self.known
-                    .take(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
+                    .apply(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
             }
             Effect::Endpoints(EndpointEffect::Current) => {
                 self.heard = Some(turn.now);
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -1,5 +1,7 @@
 //! What can go wrong when a front starts, runs, or carries out an operator's command.
 use super::drivers::purges::TargetError;
+use crate::protocol::configured_events::ConfiguredEventsError;
+use crate::transport::InheritedSocketError;
 use std::fmt::{self, Display, Formatter};
 use std::io;
 use std::net::SocketAddr;
@@ -38,8 +40,8 @@
     #[error("{0}")]
     Deployment(String),
     /// The endpoint list that is known at the start cannot be used.
-    #[error("{0}")]
-    Known(String),
+    #[error(transparent)]
+    Known(#[from] ConfiguredEventsError),
     /// The settings of certificates cannot be used.
     #[error("{0}")]
     Certificates(String),
@@ -190,7 +192,7 @@
         /// The number under which it was inherited.
         descriptor: RawFd,
         /// Why it is no listening socket.
-        reason: String,
+        reason: InheritedSocketError,
     },
     /// The clients' address cannot be listened on.
     #[error("{address}: {source}")]
