--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -167,7 +167,7 @@
     let purges = settings.purges.as_ref().map_or(0, purge_descriptors);
     let startup = settings.startup.as_ref();
     let peers = startup.and_then(|startup| startup.peers.as_ref());
-    let peers = peers.map_or(0, |_| super::drivers::peers::ASKERS_MOST + 4);
+    let peers = peers.map_or(0, |_| super::drivers::peers::MAX_CLIENTS + 4);
     tls + control + certs + purges + peers
 }
 
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -1,263 +1,363 @@
-//! The list from one another. A front serves what it holds to those that ask, and asks a few while it does not hear the list
-//! service. An asker writes the number of its last event, 8 bytes; what comes back is the text of the list as it is kept on
-//! disk, or nothing if there is none newer, and the end.
+//! Exchanges the endpoint list with peers. A front serves its list to the fronts that ask for it, and polls a few peers while
+//! the list service is silent. A request is the last revision that the client knows, 8 bytes big-endian. The response is the
+//! list in the form in which it is kept on disk, or nothing if there is no newer one; then the connection is closed.
 use super::snapshot::wall_ms;
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::{at_start, dial, listen, Outgoing, RestingListener, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
-use cranesill_startup::{check_snapshot, ListOffer, PeerBootstrap, SnapshotHeader};
-use serde_json::json;
+use cranesill_startup::{
+    check_snapshot, ListOffer, PeerBootstrap, SnapshotHeader, SnapshotRejected,
+};
+use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io;
-use std::net::{SocketAddr, TcpListener};
+use std::net::{AddrParseError, SocketAddr, TcpListener};
 use std::rc::Rc;
+use thiserror::Error;
 
-/// Askers at once; one more is closed.
-pub const ASKERS_MOST: usize = 16;
-/// An exchange takes no longer than this, on either end: one that is slow by the byte is given up.
-const EXCHANGE_MOST: Micros = 1_500_000;
-/// Without a word of the service for this long others are asked.
-const UNHEARD: Micros = 1_000_000;
-const READ_MOST: usize = 64 * 1024;
-const HELLO: usize = 8;
+/// How many clients are served at once; a further one is disconnected.
+pub const MAX_CLIENTS: usize = 16;
+/// An exchange that takes longer is abandoned on either end, so that a peer that sends byte by byte holds no slot.
+const EXCHANGE_TIMEOUT: Micros = 1_500_000;
+/// Peers are polled once the list service was silent for this long.
+const SERVICE_TIMEOUT: Micros = 1_000_000;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+const REQUEST_BYTES: usize = 8;
 
-struct Asker {
+/// Why the list cannot be exchanged with peers. The texts are what the operator sees.
+#[derive(Debug, Error)]
+pub enum PeersError {
+    /// An address in the settings is not valid.
+    #[error("startup.peers.{key}: {address}: {cause}")]
+    Address {
+        /// The key of the setting.
+        key: &'static str,
+        /// What stands there.
+        address: String,
+        /// Why it is not valid.
+        cause: AddrParseError,
+    },
+    /// The address for peers cannot be listened on.
+    #[error("startup.peers.listen: {address}: {cause}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        cause: io::Error,
+    },
+}
+
+/// Why a peer's list is not used.
+#[derive(Debug, Error)]
+enum ListError {
+    #[error("{0}")]
+    Malformed(&'static str),
+    #[error(transparent)]
+    Rejected(#[from] SnapshotRejected),
+}
+
+/// For how long lists and the purges in them may be used.
+#[derive(Clone, Copy, Debug)]
+pub struct ListLifetimes {
+    /// Purges are kept for this many milliseconds.
+    pub purge_ms: u64,
+    /// A list may be served from up to this age in milliseconds.
+    pub serve_ms: u64,
+}
+
+/// A connection from a peer that asks for the list.
+struct Client {
     stream: Stream<()>,
-    until: Timestamp,
-    answered: bool,
+    deadline: Timestamp,
+    responded: bool,
 }
 
-struct Asked {
+/// A connection to a peer that is asked for its list.
+struct Poll {
     peer: usize,
     stream: Stream<()>,
-    until: Timestamp,
-    /// The number of the last event that was held when it was asked.
-    held: u64,
+    deadline: Timestamp,
+    /// The last revision that was known when the peer was asked.
+    known_revision: u64,
+}
+
+/// How far the response of a peer has arrived.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    Pending,
+    Complete,
 }
 
-/// The driver.
+/// Figures for operators.
+#[derive(Default)]
+struct Counters {
+    /// Lists sent to clients.
+    served: u64,
+    /// Usable lists received from peers.
+    offered: u64,
+    /// Lists adopted from peers.
+    adopted: u64,
+    /// Polls that failed or brought an unusable list.
+    failed: u64,
+}
+
+/// The driver that exchanges the endpoint list with peers.
 pub struct Peers {
     listener: RestingListener<TcpListener>,
     listener_key: usize,
     peers: Vec<SocketAddr>,
-    core: PeerBootstrap,
+    bootstrap: PeerBootstrap,
     known: Snapshot,
-    purge_ms: u64,
-    serve_ms: u64,
-    askers: HashMap<usize, Asker>,
-    asked: HashMap<usize, Asked>,
-    scratch: Vec<u8>,
-    /// When the service was last heard.
-    heard: Option<Timestamp>,
-    /// For operators: lists served, rounds, lists offered and taken, peers that failed.
-    served: u64,
-    offered: u64,
-    taken: u64,
-    failed: u64,
+    lifetimes: ListLifetimes,
+    clients: HashMap<usize, Client>,
+    polls: HashMap<usize, Poll>,
+    read_buffer: Vec<u8>,
+    /// When the list service last sent something.
+    service_seen_at: Option<Timestamp>,
+    counters: Counters,
+}
+
+/// Returns the address under `key` of the settings.
+fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, PeersError> {
+    text.parse().map_err(|cause| PeersError::Address {
+        key,
+        address: text.into(),
+        cause,
+    })
+}
+
+/// Returns the addresses of the other fronts: all in the settings except this front's own.
+fn other_peers(settings: &Settings, own: SocketAddr) -> Result<Vec<SocketAddr>, PeersError> {
+    let mut peers = Vec::new();
+    for text in &settings.ask {
+        let address = parse_address("ask", text)?;
+        if address != own {
+            peers.push(address);
+        }
+    }
+    Ok(peers)
+}
+
+/// Bytes to send, as the stream takes them.
+fn outgoing(bytes: Vec<u8>) -> Outgoing<()> {
+    Outgoing {
+        tag: (),
+        head: bytes,
+        body: Rc::default(),
+        tail: b"",
+    }
 }
 
 impl Peers {
-    /// Listens; `known` is what is held at the start.
+    /// Opens the socket for peers. `known` is the list that the front begins with.
     pub fn new(
         turn: &mut Turn<'_>,
         settings: &Settings,
         known: Snapshot,
         seed: u64,
-        (purge_ms, serve_ms): (u64, u64),
-    ) -> Result<Self, String> {
-        let address = |text: &str, path: &str| {
-            text.parse::<SocketAddr>()
-                .map_err(|e| format!("startup.peers.{path}: {text}: {e}"))
-        };
-        let own = address(&settings.listen, "listen")?;
-        let all = settings
-            .ask
-            .iter()
-            .map(|text| address(text, "ask"))
-            .collect::<Result<Vec<_>, _>>()?;
-        let peers: Vec<_> = all.into_iter().filter(|at| *at != own).collect();
-        let failed = |e: io::Error| format!("startup.peers.listen: {own}: {e}");
+        lifetimes: ListLifetimes,
+    ) -> Result<Self, PeersError> {
+        let address = parse_address("listen", &settings.listen)?;
+        let peers = other_peers(settings, address)?;
         let listener_key = turn.key();
-        let listener = at_start(|| listen(own))
+        let listener = at_start(|| listen(address))
             .and_then(|l| turn.reactor.watch(l, listener_key, false))
-            .map_err(failed)?;
-        tracing::info!(at = %own, peers = peers.len(), "the list is served to peers");
-        let core = PeerBootstrap::new(
-            turn.now,
-            peers.len(),
-            settings.agree,
-            settings.every_ms * 1_000,
-            seed,
-        );
+            .map_err(|cause| PeersError::Listen { address, cause })?;
+        tracing::info!(at = %address, peers = peers.len(), "the list is served to peers");
+        let interval = settings.every_ms * 1_000;
+        let bootstrap = PeerBootstrap::new(turn.now, peers.len(), settings.agree, interval, seed);
         Ok(Peers {
             listener: RestingListener::new(listener),
             listener_key,
             peers,
-            core,
+            bootstrap,
             known,
-            purge_ms,
-            serve_ms,
-            askers: HashMap::new(),
-            asked: HashMap::new(),
-            scratch: vec![0; READ_MOST],
-            heard: None,
-            served: 0,
-            offered: 0,
-            taken: 0,
-            failed: 0,
+            lifetimes,
+            clients: HashMap::new(),
+            polls: HashMap::new(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            service_seen_at: None,
+            counters: Counters::default(),
         })
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
         while let Some(socket) = self.listener.accept(turn.now) {
-            if self.askers.len() >= ASKERS_MOST {
+            if self.clients.len() >= MAX_CLIENTS {
                 continue;
             }
             let key = turn.key();
             if let Ok(stream) = Stream::new(turn.reactor, socket, key, false) {
-                let until = turn.now + EXCHANGE_MOST;
-                self.askers.insert(
-                    key,
-                    Asker {
-                        stream,
-                        until,
-                        answered: false,
-                    },
-                );
+                let client = Client {
+                    stream,
+                    deadline: turn.now + EXCHANGE_TIMEOUT,
+                    responded: false,
+                };
+                self.clients.insert(key, client);
             }
         }
     }
 
-    /// Goes on with an asker. An error: it is done with, or of no use.
-    fn serve(&mut self, key: usize) -> io::Result<()> {
-        let Some(asker) = self.askers.get_mut(&key) else {
+    /// Reads from and writes to a client. An error means that the exchange is complete or that the client misbehaves; either
+    /// way the connection is to be closed.
+    fn serve_client(&mut self, key: usize) -> io::Result<()> {
+        let Some(client) = self.clients.get_mut(&key) else {
             return Ok(());
         };
-        while let Some(n) = asker.stream.fill(&mut self.scratch)? {
-            if n == 0 || asker.stream.input().len() > HELLO {
+        while let Some(n) = client.stream.fill(&mut self.read_buffer)? {
+            if n == 0 || client.stream.input().len() > REQUEST_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
-        let hello: Option<[u8; HELLO]> = asker.stream.input().try_into().ok();
-        if let Some(held) = hello.filter(|_| !asker.answered).map(u64::from_be_bytes) {
-            asker.answered = true;
-            if let Some(text) = Some(&self.known)
-                .filter(|k| k.number > held)
-                .and_then(Snapshot::text)
-            {
-                self.served += 1;
-                asker.stream.push(Outgoing {
-                    tag: (),
-                    head: text.into(),
-                    body: Rc::default(),
-                    tail: b"",
-                });
+        let request: Option<[u8; REQUEST_BYTES]> = client.stream.input().try_into().ok();
+        if let Some(request) = request.filter(|_| !client.responded) {
+            client.responded = true;
+            let client_revision = u64::from_be_bytes(request);
+            let newer = Some(&self.known).filter(|known| known.number > client_revision);
+            if let Some(text) = newer.and_then(Snapshot::text) {
+                self.counters.served += 1;
+                client.stream.push(outgoing(text.into()));
             }
         }
-        asker.stream.flush(|()| {})?;
-        asker.stream.rewatch(true)?;
-        if asker.answered && asker.stream.flushed() {
+        client.stream.flush(|()| {})?;
+        client.stream.rewatch(true)?;
+        if client.responded && client.stream.flushed() {
             return Err(io::ErrorKind::WriteZero.into());
         }
         Ok(())
     }
 
-    fn ask(&mut self, turn: &mut Turn<'_>, peer: usize) {
+    fn poll_peer(&mut self, turn: &mut Turn<'_>, peer: usize) {
         let key = turn.key();
-        match dial(self.peers[peer]).and_then(|socket| Stream::new(turn.reactor, socket, key, true))
-        {
-            Ok(mut stream) => {
-                let held = self.known.number;
-                let head = held.to_be_bytes().to_vec();
-                stream.push(Outgoing {
-                    tag: (),
-                    head,
-                    body: Rc::default(),
-                    tail: b"",
-                });
-                self.asked.insert(
-                    key,
-                    Asked {
-                        peer,
-                        stream,
-                        until: turn.now + EXCHANGE_MOST,
-                        held,
-                    },
-                );
-            }
-            Err(_) => self.core.record_failure(turn.now, peer),
-        }
+        let connected =
+            dial(self.peers[peer]).and_then(|socket| Stream::new(turn.reactor, socket, key, true));
+        let Ok(mut stream) = connected else {
+            return self.bootstrap.record_failure(turn.now, peer);
+        };
+        let known_revision = self.known.number;
+        stream.push(outgoing(known_revision.to_be_bytes().to_vec()));
+        let poll = Poll {
+            peer,
+            stream,
+            deadline: turn.now + EXCHANGE_TIMEOUT,
+            known_revision,
+        };
+        self.polls.insert(key, poll);
     }
 
-    /// Goes on with a peer that was asked. `true`: all has come that it has to say.
-    fn hear(&mut self, key: usize) -> io::Result<bool> {
-        let Some(asked) = self.asked.get_mut(&key) else {
-            return Ok(false);
+    /// Reads from and writes to a peer that is polled.
+    fn advance_poll(&mut self, key: usize) -> io::Result<Progress> {
+        let Some(poll) = self.polls.get_mut(&key) else {
+            return Ok(Progress::Pending);
         };
-        if !asked.stream.connected()? {
-            return Ok(false);
+        if !poll.stream.connected()? {
+            return Ok(Progress::Pending);
         }
-        if !asked.stream.flushed() {
-            asked.stream.flush(|()| {})?;
-            asked.stream.rewatch(true)?;
+        if !poll.stream.flushed() {
+            poll.stream.flush(|()| {})?;
+            poll.stream.rewatch(true)?;
         }
-        while let Some(n) = asked.stream.fill(&mut self.scratch)? {
+        while let Some(n) = poll.stream.fill(&mut self.read_buffer)? {
             if n == 0 {
-                return Ok(true);
+                return Ok(Progress::Complete);
             }
-            if asked.stream.input().len() > BYTES_MOST {
+            if poll.stream.input().len() > BYTES_MOST {
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
-        Ok(false)
+        Ok(Progress::Pending)
     }
 
-    fn said(&mut self, turn: &mut Turn<'_>, asked: &Asked) {
-        let (peer, text) = (asked.peer, asked.stream.input());
-        if text.is_empty() {
-            return self.core.record_no_update(peer);
+    fn handle_response(&mut self, turn: &mut Turn<'_>, poll: &Poll) {
+        let peer = poll.peer;
+        let response = poll.stream.input();
+        if response.is_empty() {
+            return self.bootstrap.record_no_update(peer);
         }
-        let judged = Snapshot::read(text)
-            .map_err(str::to_string)
-            .and_then(|list| {
-                let header = SnapshotHeader {
-                    source: list.source,
-                    revision: list.number,
-                    current_at_ms: list.at_ms,
-                };
-                let held = asked.held.max(self.known.number);
-                let good =
-                    check_snapshot(wall_ms(), header, self.known.source, held, self.serve_ms);
-                good.map_err(|why| why.to_string()).map(|()| list)
-            });
-        match judged {
-            Ok(list) => {
-                self.offered += 1;
-                let offer = ListOffer {
-                    revision: list.number,
-                    digest: list.digest(),
-                };
-                if self
-                    .core
-                    .record_offer(turn.now, peer, self.known.number, offer)
-                {
-                    turn.effects
-                        .push(Effect::Endpoints(EndpointEffect::Offered(Box::new(list))));
-                }
-            }
-            Err(why) => {
+        match self.check_list(response, poll.known_revision) {
+            Ok(list) => self.record_offer(turn, peer, list),
+            Err(error) => {
                 let at = self.peers[peer];
-                tracing::info!(kind = "peer", why, %at, "a peer's list is left aside");
-                self.lost(turn.now, peer);
+                tracing::info!(kind = "peer", why = %error, %at, "a peer's list is left aside");
+                self.record_failure(turn.now, peer);
+            }
+        }
+    }
+
+    /// Decodes a peer's list and checks that it may be used. The list that is known may have become newer than
+    /// `asked_revision`, the revision that was known when the peer was asked.
+    fn check_list(&self, text: &[u8], asked_revision: u64) -> Result<Snapshot, ListError> {
+        let list = Snapshot::read(text).map_err(ListError::Malformed)?;
+        let header = SnapshotHeader {
+            source: list.source,
+            revision: list.number,
+            current_at_ms: list.at_ms,
+        };
+        check_snapshot(
+            wall_ms(),
+            header,
+            self.known.source,
+            asked_revision.max(self.known.number),
+            self.lifetimes.serve_ms,
+        )?;
+        Ok(list)
+    }
+
+    fn record_offer(&mut self, turn: &mut Turn<'_>, peer: usize, list: Snapshot) {
+        self.counters.offered += 1;
+        let offer = ListOffer {
+            revision: list.number,
+            digest: list.digest(),
+        };
+        let known_revision = self.known.number;
+        let quorum = self
+            .bootstrap
+            .record_offer(turn.now, peer, known_revision, offer);
+        if quorum {
+            let offered = EndpointEffect::Offered(Box::new(list));
+            turn.effects.push(Effect::Endpoints(offered));
+        }
+    }
+
+    fn record_failure(&mut self, now: Timestamp, peer: usize) {
+        self.counters.failed += 1;
+        self.bootstrap.record_failure(now, peer);
+    }
+
+    /// Disconnects clients and peers whose exchange takes too long.
+    fn close_expired(&mut self, now: Timestamp) {
+        self.clients.retain(|_, client| client.deadline > now);
+        let expired: Vec<_> = self
+            .polls
+            .iter()
+            .filter(|(_, poll)| poll.deadline <= now)
+            .map(|(key, _)| *key)
+            .collect();
+        for key in expired {
+            if let Some(poll) = self.polls.remove(&key) {
+                self.record_failure(now, poll.peer);
             }
         }
     }
 
-    fn lost(&mut self, now: Timestamp, peer: usize) {
-        self.failed += 1;
-        self.core.record_failure(now, peer);
+    /// Whether the list service was silent for so long that peers are polled.
+    fn service_is_silent(&self, now: Timestamp) -> bool {
+        self.service_seen_at
+            .is_none_or(|at| now >= at + SERVICE_TIMEOUT)
+    }
+
+    /// Returns the state as operators see it.
+    fn state(&self) -> Value {
+        json!({
+            "last_event": self.known.number,
+            "known_ms_ago": wall_ms().saturating_sub(self.known.at_ms),
+            "served": self.counters.served,
+            "offered": self.counters.offered,
+            "taken": self.counters.adopted,
+            "failed": self.counters.failed,
+        })
     }
 }
 
@@ -266,90 +366,69 @@
         if key == self.listener_key {
             return self.accept(turn);
         }
-        if self.askers.contains_key(&key) {
-            if self.serve(key).is_err() {
-                self.askers.remove(&key);
+        if self.clients.contains_key(&key) {
+            if self.serve_client(key).is_err() {
+                self.clients.remove(&key);
             }
             return;
         }
-        match self.hear(key) {
-            Ok(false) => {}
-            Ok(true) => {
-                if let Some(asked) = self.asked.remove(&key) {
-                    self.said(turn, &asked);
-                }
-            }
-            Err(_) => {
-                if let Some(asked) = self.asked.remove(&key) {
-                    self.lost(turn.now, asked.peer);
-                }
-            }
+        let progress = self.advance_poll(key);
+        if matches!(progress, Ok(Progress::Pending)) {
+            return;
+        }
+        let Some(poll) = self.polls.remove(&key) else {
+            return;
+        };
+        match progress {
+            Ok(_) => self.handle_response(turn, &poll),
+            Err(_) => self.record_failure(turn.now, poll.peer),
         }
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
         let now = turn.now;
         self.listener.resume_if_due(now);
-        self.askers.retain(|_, asker| asker.until > now);
-        let late: Vec<_> = self
-            .asked
-            .iter()
-            .filter(|(_, a)| a.until <= now)
-            .map(|(key, _)| *key)
-            .collect();
-        for key in late {
-            if let Some(asked) = self.asked.remove(&key) {
-                self.lost(now, asked.peer);
-            }
+        self.close_expired(now);
+        if now < self.bootstrap.next_round() {
+            return;
         }
-        if now >= self.core.next_round() {
-            let asked = self.core.start_round(now);
-            let unheard = self.heard.is_none_or(|at| now >= at + UNHEARD);
-            for peer in asked.into_iter().filter(|_| unheard) {
-                self.ask(turn, peer);
+        // Rounds are counted while the service is in contact, too; nobody is polled then.
+        let chosen = self.bootstrap.start_round(now);
+        if self.service_is_silent(now) {
+            for peer in chosen {
+                self.poll_peer(turn, peer);
             }
         }
     }
 
     fn next(&self) -> Option<Timestamp> {
-        let ends = self
-            .askers
-            .values()
-            .map(|a| a.until)
-            .chain(self.asked.values().map(|a| a.until));
-        ends.chain([self.core.next_round()])
+        let clients = self.clients.values().map(|client| client.deadline);
+        let polls = self.polls.values().map(|poll| poll.deadline);
+        clients
+            .chain(polls)
+            .chain([self.bootstrap.next_round()])
             .chain(self.listener.resumes_at())
             .min()
     }
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
         match effect {
-            Effect::Endpoints(EndpointEffect::WatchEvent {
-                revision: number,
-                event: news,
-            }) => {
-                self.heard = Some(turn.now);
+            Effect::Endpoints(EndpointEffect::WatchEvent { revision, event }) => {
+                self.service_seen_at = Some(turn.now);
+                let purge_ms = self.lifetimes.purge_ms;
                 self.known
-                    .take(*number, wall_ms(), turn.now / 1_000, self.purge_ms, news);
+                    .take(*revision, wall_ms(), turn.now / 1_000, purge_ms, event);
             }
             Effect::Endpoints(EndpointEffect::Current) => {
-                self.heard = Some(turn.now);
+                self.service_seen_at = Some(turn.now);
                 self.known.at_ms = wall_ms();
             }
             Effect::Endpoints(EndpointEffect::Adopted(list)) => {
-                self.taken += 1;
+                self.counters.adopted += 1;
                 self.known = Snapshot::clone(list);
             }
-            Effect::Admin(AdminEffect::Command {
-                id: number,
-                name: word,
-                ..
-            }) if word == "peers" => {
-                let shown = json!({
-                    "last_event": self.known.number, "known_ms_ago": wall_ms().saturating_sub(self.known.at_ms),
-                    "served": self.served, "offered": self.offered, "taken": self.taken, "failed": self.failed,
-                });
-                turn.effects.push(Effect::response(*number, Ok(shown)));
+            Effect::Admin(AdminEffect::Command { id, name, .. }) if name == "peers" => {
+                turn.effects.push(Effect::response(*id, Ok(self.state())));
             }
             _ => {}
         }
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -12,7 +12,7 @@
 use crate::server::drivers::certs::Certs;
 use crate::server::drivers::control::Control;
 use crate::server::drivers::ops::Ops;
-use crate::server::drivers::peers::Peers;
+use crate::server::drivers::peers::{ListLifetimes, Peers};
 use crate::server::drivers::purges::Purges;
 use crate::server::drivers::snapshot::{purge_ms, Snapshots};
 use crate::server::drivers::tls::Tls;
@@ -238,9 +238,12 @@
         if let Some((startup, peers)) = startup.and_then(|s| Some((s, s.peers.as_ref()?))) {
             let list = list.clone();
             let seed = self.config.seed;
-            let times = (purge_ms(purge_done), startup.serve_snapshot_s * 1_000);
+            let lifetimes = ListLifetimes {
+                purge_ms: purge_ms(purge_done),
+                serve_ms: startup.serve_snapshot_s * 1_000,
+            };
             self.start_driver(now, |turn| {
-                Ok(Box::new(Peers::new(turn, peers, list, seed, times)?))
+                Ok(Box::new(Peers::new(turn, peers, list, seed, lifetimes)?))
             })?;
         }
         if let Some(path) = snapshot_path(&self.config, startup) {
