--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -1,10 +1,15 @@
 //! Exchanges the endpoint list with peers. A front serves its list to the fronts that ask for it, and polls a few peers while
 //! the list service is silent. A request is the last revision that the client knows, 8 bytes big-endian. The response is the
 //! list in the form in which it is kept on disk, or nothing if there is no newer one; then the connection is closed.
+mod clients;
+
+pub use clients::MAX_CLIENTS;
+
 use super::snapshot::wall_ms;
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::{at_start, dial, listen, Outgoing, RestingListener, Stream};
+use clients::Clients;
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
 use cranesill_startup::{
@@ -17,14 +22,13 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// How many clients are served at once; a further one is disconnected.
-pub const MAX_CLIENTS: usize = 16;
 /// An exchange that takes longer is abandoned on either end, so that a peer that sends byte by byte holds no slot.
 const EXCHANGE_TIMEOUT: Micros = 1_500_000;
 /// Peers are polled once the list service was silent for this long.
 const SERVICE_TIMEOUT: Micros = 1_000_000;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-const REQUEST_BYTES: usize = 8;
+/// A request is the last revision that the client knows.
+const REQUEST_BYTES: usize = size_of::<u64>();
 
 /// Why the list cannot be exchanged with peers. The texts are what the operator sees.
 #[derive(Debug, Error)]
@@ -67,13 +71,6 @@
     pub serve_ms: u64,
 }
 
-/// A connection from a peer that asks for the list.
-struct Client {
-    stream: Stream<()>,
-    deadline: Timestamp,
-    responded: bool,
-}
-
 /// A connection to a peer that is asked for its list.
 struct Poll {
     peer: usize,
@@ -93,8 +90,6 @@
 /// Figures for operators.
 #[derive(Default)]
 struct Counters {
-    /// Lists sent to clients.
-    served: u64,
     /// Usable lists received from peers.
     offered: u64,
     /// Lists adopted from peers.
@@ -111,7 +106,7 @@
     bootstrap: PeerBootstrap,
     known: Snapshot,
     lifetimes: ListLifetimes,
-    clients: HashMap<usize, Client>,
+    clients: Clients,
     polls: HashMap<usize, Poll>,
     read_buffer: Vec<u8>,
     /// When the list service last sent something.
@@ -175,7 +170,7 @@
             bootstrap,
             known,
             lifetimes,
-            clients: HashMap::new(),
+            clients: Clients::default(),
             polls: HashMap::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
             service_seen_at: None,
@@ -185,50 +180,10 @@
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
         while let Some(socket) = self.listener.accept(turn.now) {
-            if self.clients.len() >= MAX_CLIENTS {
-                continue;
-            }
-            let key = turn.key();
-            if let Ok(stream) = Stream::new(turn.reactor, socket, key, false) {
-                let client = Client {
-                    stream,
-                    deadline: turn.now + EXCHANGE_TIMEOUT,
-                    responded: false,
-                };
-                self.clients.insert(key, client);
-            }
+            self.clients.admit(turn, socket);
         }
     }
 
-    /// Reads from and writes to a client. An error means that the exchange is complete or that the client misbehaves; either
-    /// way the connection is to be closed.
-    fn serve_client(&mut self, key: usize) -> io::Result<()> {
-        let Some(client) = self.clients.get_mut(&key) else {
-            return Ok(());
-        };
-        while let Some(n) = client.stream.fill(&mut self.read_buffer)? {
-            if n == 0 || client.stream.input().len() > REQUEST_BYTES {
-                return Err(io::ErrorKind::InvalidData.into());
-            }
-        }
-        let request: Option<[u8; REQUEST_BYTES]> = client.stream.input().try_into().ok();
-        if let Some(request) = request.filter(|_| !client.responded) {
-            client.responded = true;
-            let client_revision = u64::from_be_bytes(request);
-            let newer = Some(&self.known).filter(|known| known.number > client_revision);
-            if let Some(text) = newer.and_then(Snapshot::text) {
-                self.counters.served += 1;
-                client.stream.push(outgoing(text.into()));
-            }
-        }
-        client.stream.flush(|()| {})?;
-        client.stream.rewatch(true)?;
-        if client.responded && client.stream.flushed() {
-            return Err(io::ErrorKind::WriteZero.into());
-        }
-        Ok(())
-    }
-
     fn poll_peer(&mut self, turn: &mut Turn<'_>, peer: usize) {
         let key = turn.key();
         let connected =
@@ -328,7 +283,7 @@
 
     /// Disconnects clients and peers whose exchange takes too long.
     fn close_expired(&mut self, now: Timestamp) {
-        self.clients.retain(|_, client| client.deadline > now);
+        self.clients.close_expired(now);
         let expired: Vec<_> = self
             .polls
             .iter()
@@ -353,7 +308,7 @@
         json!({
             "last_event": self.known.number,
             "known_ms_ago": wall_ms().saturating_sub(self.known.at_ms),
-            "served": self.counters.served,
+            "served": self.clients.served(),
             "offered": self.counters.offered,
             "taken": self.counters.adopted,
             "failed": self.counters.failed,
@@ -366,11 +321,10 @@
         if key == self.listener_key {
             return self.accept(turn);
         }
-        if self.clients.contains_key(&key) {
-            if self.serve_client(key).is_err() {
-                self.clients.remove(&key);
-            }
-            return;
+        if self.clients.contains(key) {
+            return self
+                .clients
+                .advance(key, &self.known, &mut self.read_buffer);
         }
         let progress = self.advance_poll(key);
         if matches!(progress, Ok(Progress::Pending)) {
@@ -402,10 +356,9 @@
     }
 
     fn next(&self) -> Option<Timestamp> {
-        let clients = self.clients.values().map(|client| client.deadline);
         let polls = self.polls.values().map(|poll| poll.deadline);
-        clients
-            .chain(polls)
+        polls
+            .chain(self.clients.next_deadline())
             .chain([self.bootstrap.next_round()])
             .chain(self.listener.resumes_at())
             .min()
