--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -5,16 +5,14 @@
 
 pub use clients::MAX_CLIENTS;
 
-use super::snapshot::wall_ms;
+use super::snapshot::{decode_list, wall_clock_ms, ListRequirements};
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::{at_start, dial, listen, Outgoing, RestingListener, Stream};
 use clients::Clients;
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
-use cranesill_startup::{
-    check_snapshot, ListOffer, PeerBootstrap, SnapshotHeader, SnapshotRejected,
-};
+use cranesill_startup::{ListOffer, PeerBootstrap};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io;
@@ -53,15 +51,6 @@
     },
 }
 
-/// Why a peer's list is not used.
-#[derive(Debug, Error)]
-enum ListError {
-    #[error("{0}")]
-    Malformed(&'static str),
-    #[error(transparent)]
-    Rejected(#[from] SnapshotRejected),
-}
-
 /// For how long lists and the purges in them may be used.
 #[derive(Clone, Copy, Debug)]
 pub struct ListLifetimes {
@@ -231,7 +220,13 @@
         if response.is_empty() {
             return self.bootstrap.record_no_update(peer);
         }
-        match self.check_list(response, poll.known_revision) {
+        // The known list may have become newer since the peer was asked.
+        let required = ListRequirements {
+            source: self.known.source,
+            known_revision: poll.known_revision.max(self.known.number),
+            max_age_ms: self.lifetimes.serve_ms,
+        };
+        match decode_list(response, required) {
             Ok(list) => self.record_offer(turn, peer, list),
             Err(error) => {
                 let at = self.peers[peer];
@@ -241,25 +236,6 @@
         }
     }
 
-    /// Decodes a peer's list and checks that it may be used. The list that is known may have become newer than
-    /// `asked_revision`, the revision that was known when the peer was asked.
-    fn check_list(&self, text: &[u8], asked_revision: u64) -> Result<Snapshot, ListError> {
-        let list = Snapshot::read(text).map_err(ListError::Malformed)?;
-        let header = SnapshotHeader {
-            source: list.source,
-            revision: list.number,
-            current_at_ms: list.at_ms,
-        };
-        check_snapshot(
-            wall_ms(),
-            header,
-            self.known.source,
-            asked_revision.max(self.known.number),
-            self.lifetimes.serve_ms,
-        )?;
-        Ok(list)
-    }
-
     fn record_offer(&mut self, turn: &mut Turn<'_>, peer: usize, list: Snapshot) {
         self.counters.offered += 1;
         let offer = ListOffer {
@@ -307,7 +283,7 @@
     fn state(&self) -> Value {
         json!({
             "last_event": self.known.number,
-            "known_ms_ago": wall_ms().saturating_sub(self.known.at_ms),
+            "known_ms_ago": wall_clock_ms().saturating_sub(self.known.at_ms),
             "served": self.clients.served(),
             "offered": self.counters.offered,
             "taken": self.counters.adopted,
@@ -369,12 +345,17 @@
             Effect::Endpoints(EndpointEffect::WatchEvent { revision, event }) => {
                 self.service_seen_at = Some(turn.now);
                 let purge_ms = self.lifetimes.purge_ms;
-                self.known
-                    .take(*revision, wall_ms(), turn.now / 1_000, purge_ms, event);
+                self.known.take(
+                    *revision,
+                    wall_clock_ms(),
+                    turn.now / 1_000,
+                    purge_ms,
+                    event,
+                );
             }
             Effect::Endpoints(EndpointEffect::Current) => {
                 self.service_seen_at = Some(turn.now);
-                self.known.at_ms = wall_ms();
+                self.known.at_ms = wall_clock_ms();
             }
             Effect::Endpoints(EndpointEffect::Adopted(list)) => {
                 self.counters.adopted += 1;
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -1,42 +1,76 @@
-//! Keeps the list of members on disk, so that a front that starts anew asks for changes only, and has a list to serve from while
-//! the list service can't be reached. Written aside and renamed, on a thread of its own.
+//! Keeps the endpoint list on disk. A front that starts again serves from it while the list service cannot be reached, and
+//! asks the service only for what changed since. A worker thread writes the list to a temporary file and renames that.
 use super::{Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::feed::News;
 use crate::protocol::snapshot::{Snapshot, BYTES_MOST};
 use crate::transport::Workers;
 use cranesill::api::{Micros, Timestamp};
-use cranesill_startup::{check_snapshot, SnapshotHeader};
+use cranesill_startup::{check_snapshot, SnapshotHeader, SnapshotRejected};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 
-/// Files of the folder that are looked at for what is left of killed processes.
-const FILES_MAX: usize = 10_000;
-/// Pause between two writes.
-const EACH: Micros = 1_000_000;
-/// While nothing changes the list is written this often, with the time at which it was still known to be so. It is dated by the
-/// wall clock, which the next process compares; a step of that is made up for by the next of these writes.
-const AGAIN: Micros = 20_000_000;
-/// Purges are kept this much longer than members may hold older copies.
-const PURGE_SLACK_MS: u64 = 2_000;
-
-/// For how long purges are kept, where members may hold older copies for `takes`.
-pub fn purge_ms(takes: Micros) -> u64 {
-    takes / 1_000 + PURGE_SLACK_MS
+/// How many files of the folder are searched for temporary files of killed processes.
+const MAX_SCANNED_FILES: usize = 10_000;
+/// Least time between two writes.
+const WRITE_INTERVAL: Micros = 1_000_000;
+/// While nothing changes the list is written this often, with the time at which it was last known to be current. That time is
+/// of the wall clock, since another process compares it; after a step of the wall clock the next of these writes corrects it.
+const REFRESH_INTERVAL: Micros = 20_000_000;
+/// Purges are kept this much longer than endpoints may hold older copies.
+const PURGE_MARGIN_MS: u64 = 2_000;
+
+/// Why snapshots cannot be kept.
+#[derive(Debug, Error)]
+pub enum SnapshotsError {
+    /// The thread that writes could not be set up.
+    #[error("startup.snapshots: {0}")]
+    Workers(#[source] io::Error),
+}
+
+/// Why a list from disk or from a peer is not used.
+#[derive(Debug, Error)]
+pub enum ListError {
+    /// The file cannot be read.
+    #[error(transparent)]
+    Unreadable(#[from] io::Error),
+    /// The text is no list.
+    #[error("{0}")]
+    Malformed(&'static str),
+    /// The list is too old, not newer than the known one, or another service's.
+    #[error(transparent)]
+    Rejected(#[from] SnapshotRejected),
+}
+
+/// What a list must satisfy to be used.
+#[derive(Clone, Copy, Debug)]
+pub struct ListRequirements {
+    /// Identifies the list that this front follows.
+    pub source: u64,
+    /// The revision that this front knows; the list must be newer.
+    pub known_revision: u64,
+    /// The list may be up to this many milliseconds old.
+    pub max_age_ms: u64,
 }
 
-/// Unix milliseconds.
-pub fn wall_ms() -> u64 {
+/// Returns for how many milliseconds purges are kept where endpoints may hold older copies for `propagation`.
+pub fn purge_retention_ms(propagation: Micros) -> u64 {
+    propagation / 1_000 + PURGE_MARGIN_MS
+}
+
+/// The wall clock as Unix time in milliseconds.
+pub fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64
 }
 
-/// Where the snapshot of a front of this name lies.
-pub fn path(folder: &Path, name: &str) -> PathBuf {
+/// Returns the file in which the front `name` keeps its list.
+pub fn file_path(folder: &Path, name: &str) -> PathBuf {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     let name: String = name
         .bytes()
@@ -45,201 +79,224 @@
     folder.join(format!("{name}.list"))
 }
 
-/// Reads what lies there, if a front is to serve from it that knows so much by its configuration. Otherwise the log says why.
-pub fn load(path: &Path, source: u64, known: u64, serve_ms: u64) -> Option<Snapshot> {
-    let mut text = Vec::new();
-    // Not blocking: what somebody else put there may be a pipe that nobody writes to.
-    let opened = File::options()
-        .read(true)
-        .custom_flags(libc::O_NONBLOCK)
-        .open(path);
-    let read = opened.and_then(|file| file.take(BYTES_MOST as u64 + 1).read_to_end(&mut text));
-    let found = match read {
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
-        Err(error) => Err(error.to_string()),
-        Ok(_) => Snapshot::read(&text).map_err(str::to_string),
+/// Decodes a list and checks that it may be used.
+pub fn decode_list(text: &[u8], required: ListRequirements) -> Result<Snapshot, ListError> {
+    let list = Snapshot::read(text).map_err(ListError::Malformed)?;
+    let header = SnapshotHeader {
+        source: list.source,
+        revision: list.number,
+        current_at_ms: list.at_ms,
     };
-    let found = found.and_then(|found| {
-        let header = SnapshotHeader {
-            source: found.source,
-            revision: found.number,
-            current_at_ms: found.at_ms,
-        };
-        check_snapshot(wall_ms(), header, source, known, serve_ms)
-            .map_err(|why| why.to_string())
-            .map(|()| found)
-    });
+    check_snapshot(
+        wall_clock_ms(),
+        header,
+        required.source,
+        required.known_revision,
+        required.max_age_ms,
+    )?;
+    Ok(list)
+}
+
+/// Reads the list on disk if it exists and may be used. Logs whether and why.
+pub fn load(path: &Path, required: ListRequirements) -> Option<Snapshot> {
     let at = path.display();
-    match found {
-        Ok(found) => {
-            let age_ms = wall_ms().saturating_sub(found.at_ms);
-            let (event, members) = (found.number, found.members.len());
+    match read_file(path).and_then(|text| decode_list(&text, required)) {
+        Ok(list) => {
+            let age_ms = wall_clock_ms().saturating_sub(list.at_ms);
+            let event = list.number;
+            let members = list.members.len();
             tracing::info!(kind = "snapshot", event, members, age_ms, %at, "the list is served from disk");
-            Some(found)
+            Some(list)
         }
-        Err(why) => {
-            tracing::info!(kind = "snapshot", why, %at, "the list on disk is left aside");
+        Err(ListError::Unreadable(error)) if error.kind() == io::ErrorKind::NotFound => None,
+        Err(error) => {
+            tracing::info!(kind = "snapshot", why = %error, %at, "the list on disk is left aside");
             None
         }
     }
 }
 
-fn write(path: &Path, text: &str) -> io::Result<()> {
-    let aside = aside_of(path);
+/// Reads the file as far as a list may reach, and one byte beyond, by which one that is too long is seen.
+fn read_file(path: &Path) -> Result<Vec<u8>, ListError> {
+    // Not blocking: the file may be a pipe that nobody writes to.
+    let file = File::options()
+        .read(true)
+        .custom_flags(libc::O_NONBLOCK)
+        .open(path)?;
+    let mut text = Vec::new();
+    file.take(BYTES_MOST as u64 + 1).read_to_end(&mut text)?;
+    Ok(text)
+}
+
+/// Replaces the file durably, or leaves it as it was.
+fn replace_file(path: &Path, text: &str) -> io::Result<()> {
+    let temporary = temporary_path(path);
     let folder = path
         .parent()
         .filter(|folder| !folder.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    let written = File::create(&aside).and_then(|mut file| {
+    let written = File::create(&temporary).and_then(|mut file| {
         file.write_all(text.as_bytes())?;
-        // A name must not come to stand for what the disk does not have yet.
+        // Before the rename: the name must not refer to data that the disk does not have yet.
         file.sync_data()?;
-        fs::rename(&aside, path)?;
-        // The name itself is durable with its folder.
+        fs::rename(&temporary, path)?;
+        // The new name is durable once the folder is synced.
         File::open(folder)?.sync_all()
     });
     if written.is_err() {
-        let _ = fs::remove_file(&aside);
+        let _ = fs::remove_file(&temporary);
     }
     written
 }
 
-/// Where this process writes a snapshot before that takes its place.
-fn aside_of(path: &Path) -> PathBuf {
+/// The file to which this process writes before it renames it.
+fn temporary_path(path: &Path) -> PathBuf {
     path.with_extension(format!("{}.tmp", std::process::id()))
 }
 
-/// Takes away what processes of this front left that were killed in the midst of a write. One that still lives, and writes at
-/// this moment, fails and writes again.
-fn clean(path: &Path) {
-    let Some((folder, stem)) = path
-        .parent()
-        .zip(path.file_stem().and_then(|stem| stem.to_str()))
-    else {
+/// Removes the temporary files of processes of this front that were killed during a write. If one of them is alive and
+/// writes now, its write fails and it writes again.
+fn remove_temporary_files(path: &Path) {
+    let stem = path.file_stem().and_then(|stem| stem.to_str());
+    let Some((folder, stem)) = path.parent().zip(stem) else {
         return;
     };
-    let is_left = |name: &str| {
+    let is_temporary = |name: &str| {
         let middle = name
             .strip_prefix(stem)
             .and_then(|rest| rest.strip_prefix('.')?.strip_suffix(".tmp"));
         middle.is_some_and(|pid| !pid.is_empty() && pid.bytes().all(|b| b.is_ascii_digit()))
     };
-    // Best effort: a folder that can't be read is told of when something is written.
-    for file in fs::read_dir(folder)
-        .into_iter()
-        .flatten()
-        .flatten()
-        .take(FILES_MAX)
-    {
-        if file.file_name().to_str().is_some_and(is_left) {
+    // Best effort: a folder that cannot be read is logged when the list is written.
+    let files = fs::read_dir(folder).into_iter().flatten().flatten();
+    for file in files.take(MAX_SCANNED_FILES) {
+        if file.file_name().to_str().is_some_and(is_temporary) {
             let _ = fs::remove_file(file.path());
         }
     }
 }
 
-/// The driver.
+/// The driver that keeps the endpoint list on disk.
 pub struct Snapshots {
     path: PathBuf,
     known: Snapshot,
-    /// Purges count for so long.
-    purge_ms: u64,
+    purge_retention_ms: u64,
     workers: Workers<io::Result<()>>,
-    /// Something is not written yet; a write is under way.
+    /// The list has changed since the last write began.
     dirty: bool,
-    busy: bool,
-    due: Timestamp,
-    failed: bool,
-    /// When the list was last dated.
-    dated: Timestamp,
+    writing: bool,
+    next_write_at: Timestamp,
+    /// The last write failed, which is logged once.
+    failing: bool,
+    /// When the list was last confirmed as current and marked for a write.
+    refreshed_at: Timestamp,
 }
 
 impl Snapshots {
-    /// Keeps what is known and becomes known in `path`; `purge` is for how long members may hold purged copies.
+    /// Keeps the list `known`, and what it becomes, in the file `path`. Endpoints may hold purged copies for
+    /// `purge_propagation`.
     pub fn new(
         turn: &mut Turn<'_>,
         path: PathBuf,
         known: Snapshot,
-        purge: Micros,
-    ) -> Result<Self, String> {
+        purge_propagation: Micros,
+    ) -> Result<Self, SnapshotsError> {
         let key = turn.key();
-        let workers =
-            Workers::new(turn.reactor, key).map_err(|e| format!("startup.snapshots: {e}"))?;
-        let purge_ms = purge_ms(purge);
-        clean(&path);
+        let workers = Workers::new(turn.reactor, key).map_err(SnapshotsError::Workers)?;
+        remove_temporary_files(&path);
         Ok(Snapshots {
             path,
             known,
-            purge_ms,
+            purge_retention_ms: purge_retention_ms(purge_propagation),
             workers,
             dirty: false,
-            busy: false,
-            due: turn.now,
-            failed: false,
-            dated: 0,
+            writing: false,
+            next_write_at: turn.now,
+            failing: false,
+            refreshed_at: 0,
         })
     }
 
-    fn news(&mut self, now: Timestamp, number: u64, news: &News) {
-        self.known
-            .take(number, wall_ms(), now / 1_000, self.purge_ms, news);
-        self.dated = now;
+    fn apply_watch_event(&mut self, now: Timestamp, revision: u64, event: &News) {
+        let received_at_ms = now / 1_000;
+        self.known.take(
+            revision,
+            wall_clock_ms(),
+            received_at_ms,
+            self.purge_retention_ms,
+            event,
+        );
+        self.refreshed_at = now;
         self.dirty = true;
     }
+
+    fn handle_write_result(&mut self, now: Timestamp, result: io::Result<()>) {
+        self.writing = false;
+        self.next_write_at = now + WRITE_INTERVAL;
+        if let Err(error) = &result {
+            self.dirty = true;
+            if !self.failing {
+                tracing::warn!(kind = "snapshot", %error, at = %self.path.display(), "the list can't be kept on disk");
+            }
+        }
+        self.failing = result.is_err();
+    }
+
+    /// The list has outgrown what may be written. The older one on disk stays usable: the next start takes longer, since it
+    /// asks for all changes since.
+    fn report_too_large(&mut self) {
+        if self.failing {
+            return;
+        }
+        self.failing = true;
+        tracing::warn!(
+            kind = "snapshot",
+            purges = self.known.purges.len(),
+            "the list is too large for the disk"
+        );
+    }
 }
 
 impl Driver for Snapshots {
     fn ready(&mut self, turn: &mut Turn<'_>, _: usize, _: bool, _: bool) {
-        for done in self.workers.results() {
-            self.busy = false;
-            self.due = turn.now + EACH;
-            if let Err(error) = &done {
-                // What is known is kept: it is tried again, and told once.
-                self.dirty = true;
-                if !self.failed {
-                    tracing::warn!(kind = "snapshot", %error, at = %self.path.display(), "the list can't be kept on disk");
-                }
-            }
-            self.failed = done.is_err();
+        for result in self.workers.results() {
+            self.handle_write_result(turn.now, result);
         }
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        if !self.dirty || self.busy || turn.now < self.due {
+        if !self.dirty || self.writing || turn.now < self.next_write_at {
             return;
         }
         self.dirty = false;
         let Some(text) = self.known.text() else {
-            // What lies there is older and is asked on from: nothing is lost, a start takes longer.
-            if !std::mem::replace(&mut self.failed, true) {
-                tracing::warn!(
-                    kind = "snapshot",
-                    purges = self.known.purges.len(),
-                    "the list is too large for the disk"
-                );
-            }
-            return;
+            return self.report_too_large();
         };
         let path = self.path.clone();
-        self.busy = self.workers.in_order(move || write(&path, &text)).is_ok();
-        self.dirty = !self.busy;
-        self.due = turn.now + EACH;
+        let begun = self.workers.in_order(move || replace_file(&path, &text));
+        self.writing = begun.is_ok();
+        self.dirty = begun.is_err();
+        self.next_write_at = turn.now + WRITE_INTERVAL;
     }
 
     fn next(&self) -> Option<Timestamp> {
-        (self.dirty && !self.busy).then_some(self.due)
+        (self.dirty && !self.writing).then_some(self.next_write_at)
     }
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
+        let Effect::Endpoints(effect) = effect else {
+            return;
+        };
         match effect {
-            Effect::Endpoints(EndpointEffect::WatchEvent {
-                revision: number,
-                event: news,
-            }) => self.news(turn.now, *number, news),
-            Effect::Endpoints(EndpointEffect::Current) if turn.now >= self.dated + AGAIN => {
-                (self.known.at_ms, self.dated) = (wall_ms(), turn.now);
+            EndpointEffect::WatchEvent { revision, event } => {
+                self.apply_watch_event(turn.now, *revision, event);
+            }
+            EndpointEffect::Current if turn.now >= self.refreshed_at + REFRESH_INTERVAL => {
+                self.known.at_ms = wall_clock_ms();
+                self.refreshed_at = turn.now;
                 self.dirty = self.known.number > 0;
             }
-            Effect::Endpoints(EndpointEffect::Adopted(list)) => {
+            EndpointEffect::Adopted(list) => {
                 self.known = Snapshot::clone(list);
                 self.dirty = true;
             }
--- a/front/src/server/drivers/snapshot/tests.rs
+++ b/front/src/server/drivers/snapshot/tests.rs
@@ -9,7 +9,7 @@
         .iter()
         .chain(&["n1.77.tmp", "n1.4194304.tmp"])
         .for_each(|name| fs::write(at(name), "half").unwrap());
-    clean(&at("n1.list"));
+    remove_temporary_files(&at("n1.list"));
     assert!(others.iter().all(|name| at(name).exists()));
     assert!(!at("n1.77.tmp").exists() && !at("n1.4194304.tmp").exists());
 }
@@ -18,15 +18,15 @@
 fn a_write_that_fails_leaves_the_snapshot_before_it_and_nothing_half_written() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("n1.list");
-    write(&path, "before").unwrap();
+    replace_file(&path, "before").unwrap();
     // A disk that is full.
-    std::os::unix::fs::symlink("/dev/full", aside_of(&path)).unwrap();
+    std::os::unix::fs::symlink("/dev/full", temporary_path(&path)).unwrap();
     assert_eq!(
-        write(&path, "after").unwrap_err().kind(),
+        replace_file(&path, "after").unwrap_err().kind(),
         io::ErrorKind::StorageFull
     );
     assert_eq!(fs::read_to_string(&path).unwrap(), "before");
     assert_eq!(fs::read_dir(folder.path()).unwrap().count(), 1);
-    write(&path, "after").unwrap();
+    replace_file(&path, "after").unwrap();
     assert_eq!(fs::read_to_string(&path).unwrap(), "after");
 }
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -14,7 +14,7 @@
 use crate::server::drivers::ops::Ops;
 use crate::server::drivers::peers::{ListLifetimes, Peers};
 use crate::server::drivers::purges::Purges;
-use crate::server::drivers::snapshot::{purge_ms, Snapshots};
+use crate::server::drivers::snapshot::{purge_retention_ms, Snapshots};
 use crate::server::drivers::tls::Tls;
 use crate::server::drivers::{Driver, Turn};
 use crate::server::error::ServerError;
@@ -239,7 +239,7 @@
             let list = list.clone();
             let seed = self.config.seed;
             let lifetimes = ListLifetimes {
-                purge_ms: purge_ms(purge_done),
+                purge_ms: purge_retention_ms(purge_done),
                 serve_ms: startup.serve_snapshot_s * 1_000,
             };
             self.start_driver(now, |turn| {
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::protocol::feed::{Listing, News};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::EventSource;
-use crate::server::drivers::snapshot::wall_ms;
+use crate::server::drivers::snapshot::wall_clock_ms;
 use crate::server::drivers::{Effect, EndpointAddress, EndpointEffect};
 use cranesill::api::{EndpointEntry, EndpointId, EndpointState, ListKind, Timestamp};
 use std::collections::HashSet;
@@ -87,7 +87,7 @@
             return;
         }
         let event = list.number;
-        let age_ms = wall_ms().saturating_sub(list.at_ms);
+        let age_ms = wall_clock_ms().saturating_sub(list.at_ms);
         let members = list.members.len();
         tracing::info!(
             kind = "list",
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -1,7 +1,7 @@
 //! Start of a front: the endpoint list that it begins with, slow start of endpoints, and readiness. The decisions are made by
 //! `cranesill_startup`.
 use super::config::Config;
-use super::drivers::snapshot::{load, path, wall_ms};
+use super::drivers::snapshot::{file_path, load, wall_clock_ms, ListRequirements};
 use crate::protocol::feed::{Listing, News};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::EventSource;
@@ -39,7 +39,7 @@
         .filter(|_| config.accept_fd.is_none())?
         .snapshots
         .as_ref()?;
-    Some(path(folder, &config.name))
+    Some(file_path(folder, &config.name))
 }
 
 /// Identifies the list that a front follows.
@@ -68,10 +68,13 @@
 /// Returns the list of the configuration, or the one on disk if that is newer.
 pub fn known_list(config: &mut Config, settings: Option<&Settings>) -> KnownList {
     let (revision, mut events) = std::mem::take(&mut config.known);
-    let serve_ms = settings.map_or(0, |s| s.serve_snapshot_s * 1_000);
     let source = source(config, settings);
-    let found =
-        snapshot_path(config, settings).and_then(|path| load(&path, source, revision, serve_ms));
+    let required = ListRequirements {
+        source,
+        known_revision: revision,
+        max_age_ms: settings.map_or(0, |s| s.serve_snapshot_s * 1_000),
+    };
+    let found = snapshot_path(config, settings).and_then(|path| load(&path, required));
     if let Some(list) = found {
         events.extend(list.news());
         return KnownList {
@@ -86,7 +89,7 @@
         ..Snapshot::default()
     };
     for event in &events {
-        list.take(revision, wall_ms(), 0, u64::MAX, event);
+        list.take(revision, wall_clock_ms(), 0, u64::MAX, event);
     }
     // Purges that were known at the start are kept from the first watch event on.
     list.got_ms.clear();
