--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -1,6 +1,6 @@
 //! Drives the ACME client: exchanges, keys and files on worker threads, http-01 challenges on a listener of its own,
 //! certificates to the TLS listener.
-use super::served::{Proof, Tables};
+use super::certificate_table::{Proof, Tables};
 use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
 use crate::transport::{at_start, listen, Registered, RestingListener, Workers};
 use cranesill::api::{Micros, Timestamp};
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -1,5 +1,5 @@
 //! Messages from one subsystem to the others, grouped by the subsystem that they concern.
-use super::served::{Proof, Table};
+use super::certificate_table::{Proof, Table};
 use crate::protocol::feed::News;
 use crate::protocol::snapshot::Snapshot;
 use crate::transport::Registered;
--- a/front/src/server/drivers/mod.rs
+++ b/front/src/server/drivers/mod.rs
@@ -1,13 +1,13 @@
 //! The interface between the event loop and its subsystems. A driver has a range of poller keys of its own, one next
 //! deadline, and effects by which it sends messages to the others. A subsystem is added by a file here and a line in
 //! `event_loop/assembly.rs`; its messages are a group of their own in `effect.rs`.
+mod certificate_table;
 pub mod certs;
 pub mod control;
 mod effect;
 pub mod ops;
 pub mod peers;
 pub mod purges;
-mod served;
 pub mod snapshot;
 pub mod tls;
 
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -1,6 +1,6 @@
 //! The TLS listener: handshakes on the loop, bounded in number, in time and in their share of the core, behind
 //! everything that open connections want. A connection whose handshake is complete is a client's like any other.
-use super::served::{Proof, Table, ACME, BINARY};
+use super::certificate_table::{Proof, Table, ACME, BINARY};
 use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
 use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, AcceptFault, Registered};
