--- a/front/src/server/drivers/certificate_table.rs
+++ b/front/src/server/drivers/certificate_table.rs
@@ -1,4 +1,4 @@
-//! Which certificate stands for which name in handshakes.
+//! Which certificate is served in a TLS handshake, by the host name that the client asks for.
 use cranesill_certs::{Identity, Wall};
 use rustls::crypto::CryptoProvider;
 use rustls::server::{NoServerSessionStorage, ProducesTickets, ResolvesServerCert};
@@ -7,52 +7,53 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// The binary protocol (our own name).
-pub const BINARY: &[u8] = b"cranesill/1";
-/// RFC 8737, section 6.2.
-pub const ACME: &[u8] = b"acme-tls/1";
-/// A certificate and what handshakes with it are made by.
+/// Name of the binary protocol in ALPN (RFC 7301); a private one.
+pub const ALPN_BINARY: &[u8] = b"cranesill/1";
+/// Name of the ACME challenge protocol in ALPN (RFC 8737, section 6.2).
+pub const ALPN_ACME: &[u8] = b"acme-tls/1";
+/// A certificate that is served.
 #[derive(Clone)]
-pub struct Served {
-    /// How handshakes are made.
+pub struct ServedCertificate {
+    /// The configuration of handshakes with this certificate.
     pub config: Arc<ServerConfig>,
-    /// Until when it holds.
+    /// The last second, in Unix time, at which the certificate is valid.
     pub not_after: Wall,
 }
 
-/// Which certificate stands for which name.
+/// The certificates that are served, by host name.
 #[derive(Default)]
-pub struct Table {
-    names: HashMap<String, Served>,
-    /// For clients that name none.
-    default: Option<Served>,
+pub struct CertificateTable {
+    by_name: HashMap<String, ServedCertificate>,
+    /// For clients that send no host name.
+    default: Option<ServedCertificate>,
 }
 
-/// What shows control of a name (RFC 8737, section 3).
-pub struct Proof(Arc<ServerConfig>);
+/// The certificate that answers a TLS-ALPN challenge for a name (RFC 8737, section 3).
+pub struct ChallengeCertificate(Arc<ServerConfig>);
 
+/// Resolves to the same certificate for every client.
 #[derive(Debug)]
-struct One(Arc<CertifiedKey>);
+struct FixedCertificate(Arc<CertifiedKey>);
 
-impl ResolvesServerCert for One {
+impl ResolvesServerCert for FixedCertificate {
     fn resolve(&self, _: rustls::server::ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         Some(Arc::clone(&self.0))
     }
 }
 
-fn config(
+/// Returns the configuration of handshakes with one certificate and one protocol.
+fn server_config(
     key: &Arc<CertifiedKey>,
     protocol: &[u8],
     tickets: Option<Arc<dyn ProducesTickets>>,
-) -> Result<Arc<ServerConfig>, String> {
+) -> Result<Arc<ServerConfig>, rustls::Error> {
     let provider: Arc<CryptoProvider> = Arc::new(rustls::crypto::ring::default_provider());
     let mut config = ServerConfig::builder_with_provider(provider)
-        .with_safe_default_protocol_versions()
-        .map_err(|e| e.to_string())?
+        .with_safe_default_protocol_versions()?
         .with_no_client_auth()
-        .with_cert_resolver(Arc::new(One(Arc::clone(key))));
+        .with_cert_resolver(Arc::new(FixedCertificate(Arc::clone(key))));
     config.alpn_protocols = vec![protocol.to_vec()];
-    // Resumption by tickets alone: nothing is kept here for clients that are not connected.
+    // Sessions are resumed by tickets alone, so that clients that are not connected take no memory.
     config.session_storage = Arc::new(NoServerSessionStorage {});
     if let Some(tickets) = tickets {
         config.ticketer = tickets;
@@ -61,104 +62,107 @@
     Ok(Arc::new(config))
 }
 
-impl Proof {
-    /// From a certificate made for a challenge.
-    pub fn new(key: &Arc<CertifiedKey>) -> Result<Proof, String> {
-        config(key, ACME, None).map(Proof)
+impl ChallengeCertificate {
+    /// Serves `key`, which was made for a challenge.
+    pub fn new(key: &Arc<CertifiedKey>) -> Result<Self, rustls::Error> {
+        server_config(key, ALPN_ACME, None).map(ChallengeCertificate)
     }
 
-    /// What a handshake is made with that asks for it.
+    /// Returns the configuration of handshakes that ask for the challenge.
     pub fn config(&self) -> Arc<ServerConfig> {
         Arc::clone(&self.0)
     }
 }
 
-/// A certificate's identities, in order, with the tickets that are good for them.
-struct Group {
-    served: Vec<(Identity, Served)>,
+/// The identities of one configured certificate in order of preference, and the session tickets issued with them.
+struct CertificateGroup {
+    served: Vec<(Identity, ServedCertificate)>,
     tickets: Arc<dyn ProducesTickets>,
 }
 
-/// Makes tables out of what is served for each certificate. Tickets outlive a renewal, since what they vouch for
-/// still holds, and end with a key that must not be trusted any more.
+/// Builds the table from the identities of each configured certificate. Session tickets stay valid across a renewal, since
+/// the identity that they stand for does, and end with a key that must not be trusted any more.
 #[derive(Default)]
-pub struct Tables {
-    groups: BTreeMap<String, Group>,
+pub struct CertificateTableBuilder {
+    groups: BTreeMap<String, CertificateGroup>,
 }
 
-impl Tables {
-    /// Takes over what is served for a certificate.
-    pub fn set(&mut self, id: &str, all: &[Identity], fresh_tickets: bool) -> Result<(), String> {
-        if all.is_empty() {
+impl CertificateTableBuilder {
+    /// Replaces the identities of the certificate `id`; none removes it. With `fresh_tickets` earlier session tickets end.
+    pub fn set(
+        &mut self,
+        id: &str,
+        identities: &[Identity],
+        fresh_tickets: bool,
+    ) -> Result<(), rustls::Error> {
+        if identities.is_empty() {
             self.groups.remove(id);
             return Ok(());
         }
-        let old = self
-            .groups
-            .get(id)
-            .filter(|_| !fresh_tickets)
-            .map(|g| Arc::clone(&g.tickets));
-        let tickets = match old {
-            Some(tickets) => tickets,
-            None => rustls::crypto::ring::Ticketer::new().map_err(|e| e.to_string())?,
+        let earlier = self.groups.get(id).filter(|_| !fresh_tickets);
+        let tickets = match earlier {
+            Some(group) => Arc::clone(&group.tickets),
+            None => rustls::crypto::ring::Ticketer::new()?,
         };
-        let served = all.iter().map(|identity| {
-            let config = config(&identity.certified, BINARY, Some(Arc::clone(&tickets)))?;
-            Ok((
-                identity.clone(),
-                Served {
-                    config,
-                    not_after: identity.not_after,
-                },
-            ))
-        });
-        let served = served.collect::<Result<_, String>>()?;
-        self.groups.insert(id.into(), Group { served, tickets });
+        let mut served = Vec::with_capacity(identities.len());
+        for identity in identities {
+            let tickets = Some(Arc::clone(&tickets));
+            let certificate = ServedCertificate {
+                config: server_config(&identity.certified, ALPN_BINARY, tickets)?,
+                not_after: identity.not_after,
+            };
+            served.push((identity.clone(), certificate));
+        }
+        self.groups
+            .insert(id.into(), CertificateGroup { served, tickets });
         Ok(())
     }
 
-    /// The table as it is now; the first name of the first certificate is the one for clients that name none.
-    pub fn table(&self, first: Option<&str>) -> Arc<Table> {
-        let mut table = Table::default();
+    /// Returns the table as of now. Clients that send no host name get the certificate `default`, or else the first.
+    pub fn build(&self, default: Option<&str>) -> Arc<CertificateTable> {
+        let mut table = CertificateTable::default();
         for group in self.groups.values() {
-            // The first that covers a name stands for it: the later ones go in before it.
+            // In reverse order: of the identities that cover a name the first one is to remain.
             for (identity, served) in group.served.iter().rev() {
                 for name in &identity.names {
-                    table.names.insert(name.clone(), served.clone());
+                    table.by_name.insert(name.clone(), served.clone());
                 }
             }
         }
-        let group = first
+        let group = default
             .and_then(|id| self.groups.get(id))
             .or_else(|| self.groups.values().next());
         table.default = group
-            .and_then(|g| g.served.first())
+            .and_then(|group| group.served.first())
             .map(|(_, served)| served.clone());
         Arc::new(table)
     }
 }
 
-impl Table {
-    /// How many names it has.
+impl CertificateTable {
+    /// Returns how many host names it has.
     pub fn len(&self) -> usize {
-        self.names.len()
+        self.by_name.len()
     }
 
-    /// Whether it has a certificate for clients that name none.
-    pub fn any(&self) -> bool {
+    /// Whether there is a certificate for clients that send no host name.
+    pub fn has_default(&self) -> bool {
         self.default.is_some()
     }
 
-    /// What stands for a name.
-    pub fn find(&self, name: Option<&str>) -> Option<&Served> {
+    /// Returns the certificate for a host name, be it one for a wildcard, or the default one if there is no name.
+    pub fn find(&self, name: Option<&str>) -> Option<&ServedCertificate> {
         let Some(name) = name else {
             return self.default.as_ref();
         };
         let name = name.to_ascii_lowercase();
-        let wild = || {
-            name.split_once('.')
-                .and_then(|(_, rest)| self.names.get(&format!("*.{rest}")))
-        };
-        self.names.get(&name).or_else(wild)
+        self.by_name
+            .get(&name)
+            .or_else(|| self.find_wildcard(&name))
+    }
+
+    fn find_wildcard(&self, name: &str) -> Option<&ServedCertificate> {
+        let (_, parent) = name.split_once('.')?;
+        self.by_name.get(&format!("*.{parent}"))
     }
 }
--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -1,6 +1,6 @@
 //! Drives the ACME client: exchanges, keys and files on worker threads, http-01 challenges on a listener of its own,
 //! certificates to the TLS listener.
-use super::certificate_table::{Proof, Tables};
+use super::certificate_table::{CertificateTableBuilder, ChallengeCertificate};
 use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
 use crate::transport::{at_start, listen, Registered, RestingListener, Workers};
 use cranesill::api::{Micros, Timestamp};
@@ -68,7 +68,7 @@
     crowded: bool,
     /// Tokens and what is shown for them.
     shown: HashMap<String, String>,
-    tables: Tables,
+    certificate_tables: CertificateTableBuilder,
     first: Option<String>,
     me: String,
     wall_now: u64,
@@ -215,7 +215,7 @@
             lookers: HashMap::new(),
             crowded: false,
             shown: HashMap::new(),
-            tables: Tables::default(),
+            certificate_tables: CertificateTableBuilder::default(),
             first: settings
                 .certificates
                 .first()
@@ -245,7 +245,7 @@
         }
         if served {
             turn.effects.push(Effect::Tls(TlsEffect::Certificates(
-                self.tables.table(self.first.as_deref()),
+                self.certificate_tables.build(self.first.as_deref()),
             )));
         }
         self.next = self.client.next(moment);
@@ -312,8 +312,8 @@
                 Ok(())
             }
             Action::Serve(id, all, fresh) => {
-                if let Err(error) = self.tables.set(&id, &all, fresh) {
-                    tracing::error!(name = id, error, "a certificate can't be served");
+                if let Err(error) = self.certificate_tables.set(&id, &all, fresh) {
+                    tracing::error!(name = id, %error, "a certificate can't be served");
                 }
                 Ok(())
             }
@@ -518,7 +518,9 @@
                 match done {
                     Done::Event(event) => self.handle(turn, event),
                     Done::Proof(task, name, made) => {
-                        let proof = made.and_then(|key| Proof::new(&key));
+                        let proof = made.and_then(|key| {
+                            ChallengeCertificate::new(&key).map_err(|e| e.to_string())
+                        });
                         let done = proof.map(|proof| {
                             turn.effects.push(Effect::Tls(TlsEffect::Challenge(
                                 name,
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -1,5 +1,5 @@
 //! Messages from one subsystem to the others, grouped by the subsystem that they concern.
-use super::certificate_table::{Proof, Table};
+use super::certificate_table::{CertificateTable, ChallengeCertificate};
 use crate::protocol::feed::News;
 use crate::protocol::snapshot::Snapshot;
 use crate::transport::Registered;
@@ -94,9 +94,9 @@
     /// A handshake is complete: the connection is a client's.
     Client(Registered<TcpStream>, Box<ServerConnection>),
     /// The certificates to be served from now on.
-    Certificates(Arc<Table>),
+    Certificates(Arc<CertificateTable>),
     /// Handshakes for a name show control of it by this proof (RFC 8737); `None`: no longer.
-    Challenge(String, Option<Arc<Proof>>),
+    Challenge(String, Option<Arc<ChallengeCertificate>>),
 }
 
 /// Messages about the log of purges.
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -1,6 +1,6 @@
 //! The TLS listener: handshakes on the loop, bounded in number, in time and in their share of the core, behind
 //! everything that open connections want. A connection whose handshake is complete is a client's like any other.
-use super::certificate_table::{Proof, Table, ACME, BINARY};
+use super::certificate_table::{CertificateTable, ChallengeCertificate, ALPN_ACME, ALPN_BINARY};
 use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
 use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, AcceptFault, Registered};
@@ -72,8 +72,8 @@
     /// Whether the listener is watched.
     accepting: bool,
     settings: Settings,
-    table: Arc<Table>,
-    proofs: HashMap<String, Arc<Proof>>,
+    table: Arc<CertificateTable>,
+    proofs: HashMap<String, Arc<ChallengeCertificate>>,
     slots: Slots,
     cpu_share: CpuShare,
     /// When each place was taken, oldest first; some have gone.
@@ -247,7 +247,7 @@
             self.counts.resumed +=
                 u64::from(connection.handshake_kind() == Some(rustls::HandshakeKind::Resumed));
             // What answered a challenge has nothing more to say.
-            if connection.alpn_protocol() == Some(BINARY) {
+            if connection.alpn_protocol() == Some(ALPN_BINARY) {
                 turn.effects
                     .push(Effect::Tls(TlsEffect::Client(socket, connection)));
             }
@@ -346,25 +346,25 @@
 /// What a handshake is made with, or the alert that ends it and a word for the counts.
 fn choose(
     accepted: &rustls::server::Accepted,
-    table: &Table,
-    proofs: &HashMap<String, Arc<Proof>>,
+    table: &CertificateTable,
+    proofs: &HashMap<String, Arc<ChallengeCertificate>>,
     expired: Expired,
 ) -> Result<Arc<ServerConfig>, (u8, &'static str)> {
     let hello = accepted.client_hello();
     let name = hello.server_name();
     let offers = |wanted: &[u8]| hello.alpn().is_some_and(|mut all| all.any(|p| p == wanted));
-    if offers(ACME) {
+    if offers(ALPN_ACME) {
         let proof = name.and_then(|n| proofs.get(&n.to_ascii_lowercase()));
         return proof
             .map(|p| p.config())
             .ok_or((UNRECOGNIZED_NAME, "no-challenge"));
     }
-    if !offers(BINARY) {
+    if !offers(ALPN_BINARY) {
         return Err((NO_APPLICATION_PROTOCOL, "no-protocol"));
     }
     let served = match table.find(name) {
         Some(served) => served,
-        None if !table.any() => return Err((INTERNAL_ERROR, "no-certificate")),
+        None if !table.has_default() => return Err((INTERNAL_ERROR, "no-certificate")),
         None => return Err((UNRECOGNIZED_NAME, "unknown-name")),
     };
     let wall = SystemTime::now()
