--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -1,380 +1,335 @@
-//! The TLS listener: handshakes on the loop, bounded in number, in time and in their share of the core, behind
-//! everything that open connections want. A connection whose handshake is complete is a client's like any other.
-use super::certificate_table::{CertificateTable, ChallengeCertificate, ALPN_ACME, ALPN_BINARY};
+//! The TLS listener. Handshakes run on the event loop, bounded in number, in duration and in their share of the CPU, and
+//! after everything that open connections need. A connection whose handshake is complete is a client's like any other.
+mod handshake;
+mod selection;
+
+use super::certificate_table::ALPN_BINARY;
 use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
 use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
-use cranesill_daemon::{Daemon, Expired, Tls as Settings};
+use cranesill_daemon::{Daemon, Tls as Settings};
 use cranesill_limits::{CpuShare, Slots};
-use rustls::server::Acceptor;
-use rustls::{ServerConfig, ServerConnection};
-use serde_json::json;
-use std::collections::{BTreeMap, HashMap};
-use std::io::{self, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use handshake::{Handshake, HandshakeError, Progress};
+use rustls::HandshakeKind;
+use selection::CertificateSelector;
+use serde_json::{json, Value};
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::io;
+use std::net::{AddrParseError, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::Instant;
+use thiserror::Error;
 
-/// Core time that handshakes get in one turn before open connections are looked at again.
-const SLICE: Micros = 2_000;
+/// CPU time of handshakes in one turn, after which open connections come first again.
+const MAX_CPU_PER_TURN: Micros = 2_000;
 /// Connections accepted in one turn.
-const ACCEPTS_MOST: usize = 16;
-/// A place is kept for this long before it may be displaced: those that come in a flood wait in the system's queue.
-const KEPT_LEAST: Micros = 250_000;
-/// Bytes that a client may send before its handshake is complete.
-const HELLO_MOST: usize = 64 * 1024;
-/// Pause between two notes of handshakes that failed.
-const NOTE_EACH: Micros = 1_000_000;
-
-/// Alerts that are sent before there are keys (RFC 8446, section 6; RFC 6066, section 3; RFC 7301, section 3.2).
-const CERTIFICATE_EXPIRED: u8 = 45;
-const INTERNAL_ERROR: u8 = 80;
-const UNRECOGNIZED_NAME: u8 = 112;
-const NO_APPLICATION_PROTOCOL: u8 = 120;
+const MAX_ACCEPTS_PER_TURN: usize = 16;
+/// A handshake keeps its slot for at least this long before a newer one may displace it. In a flood the newer ones wait in the
+/// system's queue.
+const MIN_SLOT_DURATION: Micros = 250_000;
+/// Least time between two log lines about failed handshakes.
+const LOG_INTERVAL: Micros = 1_000_000;
 
-enum Phase {
-    Hello(Box<Acceptor>),
-    Shake(Box<ServerConnection>),
-}
-
-struct Handshake {
-    socket: Registered<TcpStream>,
-    phase: Phase,
-    read: usize,
-}
-
-/// What became of a step.
-enum Step {
-    /// More has to come.
-    Wait,
-    Done,
-    /// It is over; the word is for the counts.
-    Over(&'static str),
+/// Why the TLS listener cannot start. The texts are what the operator sees.
+#[derive(Debug, Error)]
+pub enum TlsError {
+    /// The address is not valid.
+    #[error("tls.listen: {address}: {cause}")]
+    Address {
+        /// The address in the settings.
+        address: String,
+        /// Why it is not valid.
+        cause: AddrParseError,
+    },
+    /// The address cannot be listened on.
+    #[error("tls.listen: {address}: {cause}")]
+    Listen {
+        /// The address in the settings.
+        address: String,
+        /// What the system says.
+        cause: io::Error,
+    },
 }
 
+/// Figures for operators.
 #[derive(Default)]
-struct Counts {
+struct Counters {
     accepted: u64,
     complete: u64,
     resumed: u64,
     displaced: u64,
-    late: u64,
+    timed_out: u64,
+    /// By the label of the error.
     failed: BTreeMap<&'static str, u64>,
-    core_us: u64,
+    cpu_us: u64,
+}
+
+/// A handshake that was given a slot. It may have ended since.
+struct Admitted {
+    at: Timestamp,
+    key: usize,
 }
 
-/// The listener.
+/// The driver of the TLS listener.
 pub struct Tls {
     listener: Registered<TcpListener>,
     listener_key: usize,
-    at: SocketAddr,
+    address: SocketAddr,
     /// Whether the listener is watched.
     accepting: bool,
     settings: Settings,
-    table: Arc<CertificateTable>,
-    proofs: HashMap<String, Arc<ChallengeCertificate>>,
+    selector: CertificateSelector,
     slots: Slots,
     cpu_share: CpuShare,
-    /// When each place was taken, oldest first; some have gone.
-    taken: std::collections::VecDeque<(Timestamp, usize)>,
-    all: HashMap<usize, Handshake>,
-    counts: Counts,
-    /// Failures since the last note.
-    untold: BTreeMap<&'static str, u64>,
-    note_at: Timestamp,
-    accepts: AcceptBackoff,
-    /// Nothing is accepted before this moment: a call failed.
-    rests: Timestamp,
+    /// Oldest first.
+    admitted: VecDeque<Admitted>,
+    handshakes: HashMap<usize, Handshake>,
+    counters: Counters,
+    /// Failures since the last log line, by label.
+    unlogged_failures: BTreeMap<&'static str, u64>,
+    next_log_at: Timestamp,
+    accept_backoff: AcceptBackoff,
+    /// After a failed call nothing is accepted before this timestamp.
+    accept_resumes_at: Timestamp,
     draining: bool,
 }
 
 impl Tls {
-    /// Listens.
-    pub fn new(turn: &mut Turn<'_>, settings: Settings) -> Result<Self, String> {
-        let failed = |e: &dyn std::fmt::Display| format!("tls.listen: {}: {e}", settings.listen);
-        let at: SocketAddr = settings
-            .listen
-            .parse()
-            .map_err(|e: std::net::AddrParseError| failed(&e))?;
+    /// Opens the listening socket.
+    pub fn new(turn: &mut Turn<'_>, settings: Settings) -> Result<Self, TlsError> {
+        let configured: SocketAddr =
+            settings.listen.parse().map_err(|cause| TlsError::Address {
+                address: settings.listen.clone(),
+                cause,
+            })?;
+        let listen_error = |cause| TlsError::Listen {
+            address: settings.listen.clone(),
+            cause,
+        };
         let listener_key = turn.key();
-        let listener = at_start(|| listen(at)).map_err(|e| failed(&e))?;
-        let at = listener.local_addr().map_err(|e| failed(&e))?;
+        let listener = at_start(|| listen(configured)).map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?;
         let listener = turn
             .reactor
             .watch(listener, listener_key, false)
-            .map_err(|e| failed(&e))?;
-        tracing::info!(%at, "TLS listening");
-        let span = settings.handshake_ms * 1_000;
+            .map_err(listen_error)?;
+        tracing::info!(at = %address, "TLS listening");
+        let timeout = settings.handshake_ms * 1_000;
         Ok(Tls {
             listener,
             listener_key,
-            at,
+            address,
             accepting: true,
-            slots: Slots::new(settings.handshakes_most, span),
+            slots: Slots::new(settings.handshakes_most, timeout),
             cpu_share: CpuShare::new(turn.now, settings.core_percent),
+            selector: CertificateSelector {
+                table: Arc::default(),
+                challenges: HashMap::new(),
+                expired: settings.expired,
+            },
             settings,
-            table: Arc::default(),
-            proofs: HashMap::new(),
-            taken: Default::default(),
-            all: HashMap::new(),
-            counts: Counts::default(),
-            untold: BTreeMap::new(),
-            note_at: 0,
-            accepts: AcceptBackoff::default(),
-            rests: 0,
+            admitted: VecDeque::new(),
+            handshakes: HashMap::new(),
+            counters: Counters::default(),
+            unlogged_failures: BTreeMap::new(),
+            next_log_at: 0,
+            accept_backoff: AcceptBackoff::default(),
+            accept_resumes_at: 0,
             draining: false,
         })
     }
 
-    /// When a connection may be accepted.
-    fn room(&mut self, now: Timestamp) -> Result<(), Timestamp> {
-        while self
-            .taken
-            .front()
-            .is_some_and(|(_, key)| !self.all.contains_key(key))
-        {
-            self.taken.pop_front();
+    /// Whether a slot is free or may be taken from the oldest handshake.
+    fn has_slot(&mut self, now: Timestamp) -> bool {
+        while let Some(oldest) = self.admitted.front() {
+            if self.handshakes.contains_key(&oldest.key) {
+                break;
+            }
+            self.admitted.pop_front();
         }
         let free = self.slots.len() < self.settings.handshakes_most;
-        match self.taken.front() {
-            Some((since, _)) if !free && now < since + KEPT_LEAST => Err(since + KEPT_LEAST),
-            _ => Ok(()),
-        }
+        let oldest = self.admitted.front();
+        free || oldest.is_none_or(|oldest| now >= oldest.at + MIN_SLOT_DURATION)
+    }
+
+    /// Whether a connection may be accepted: there is a slot, and the CPU share leaves no handshake waiting.
+    fn may_accept(&mut self, now: Timestamp) -> bool {
+        self.has_slot(now) && (!self.slots.has_ready() || self.cpu_share.may_start(now))
     }
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
-        self.accepts.begin_turn();
-        for _ in 0..ACCEPTS_MOST {
-            if self.room(turn.now).is_err()
-                || self.slots.has_ready() && !self.cpu_share.may_start(turn.now)
-            {
-                // The rest waits in the system's queue.
-                return self.watch(false);
+        self.accept_backoff.begin_turn();
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            if !self.may_accept(turn.now) {
+                // Other connections wait in the system's queue.
+                return self.watch_listener(false);
             }
-            let socket = match self.listener.accept() {
-                Ok((socket, _)) => socket,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.accepts.emptied(),
-                Err(e) => match self.accepts.failed(turn.now, AcceptFault::of(&e)) {
-                    Next::Retry => continue,
+            match self.listener.accept() {
+                Ok((socket, _)) => self.admit(turn, socket),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    return self.accept_backoff.emptied();
+                }
+                Err(e) => match self.accept_backoff.failed(turn.now, AcceptFault::of(&e)) {
+                    Next::Retry => {}
                     Next::Rest(until) => {
                         tracing::warn!(error = %e, "TLS accept");
-                        self.rests = until;
-                        return self.watch(false);
+                        self.accept_resumes_at = until;
+                        return self.watch_listener(false);
                     }
                 },
-            };
-            // Nothing is asked before the handshake is complete: the wait is no request's.
-            self.accepts.accepted(turn.now);
-            let key = turn.key();
-            let ready = socket
-                .set_nonblocking(true)
-                .and_then(|()| socket.set_nodelay(true));
-            let Ok(socket) = ready.and_then(|()| turn.reactor.watch(socket, key, false)) else {
-                continue;
-            };
-            self.counts.accepted += 1;
-            let displaced = self.slots.acquire(turn.now, key).displaced;
-            for old in displaced {
-                self.counts.displaced += 1;
-                self.all.remove(&old);
             }
-            self.taken.push_back((turn.now, key));
-            let phase = Phase::Hello(Box::default());
-            self.all.insert(
-                key,
-                Handshake {
-                    socket,
-                    phase,
-                    read: 0,
-                },
-            );
         }
     }
 
-    fn watch(&mut self, accepting: bool) {
+    /// Begins the handshake on an accepted connection, if need be in the slot of an older one.
+    fn admit(&mut self, turn: &mut Turn<'_>, socket: TcpStream) {
+        // No request is sent before the handshake is complete, so the time in the system's queue is charged to none.
+        self.accept_backoff.accepted(turn.now);
+        let key = turn.key();
+        let ready = socket
+            .set_nonblocking(true)
+            .and_then(|()| socket.set_nodelay(true));
+        let Ok(socket) = ready.and_then(|()| turn.reactor.watch(socket, key, false)) else {
+            return;
+        };
+        self.counters.accepted += 1;
+        for displaced in self.slots.acquire(turn.now, key).displaced {
+            self.counters.displaced += 1;
+            self.handshakes.remove(&displaced);
+        }
+        self.admitted.push_back(Admitted { at: turn.now, key });
+        self.handshakes.insert(key, Handshake::new(socket));
+    }
+
+    fn watch_listener(&mut self, accepting: bool) {
         if self.accepting != accepting {
             self.accepting = accepting;
-            // The listener is watched for as long as the program runs: this can't fail.
+            // It can only fail for a listener that is not watched, and this one is as long as the program runs.
             let _ = self.listener.rewatch(accepting, false);
         }
     }
 
-    /// Lets handshakes go on that something came for, as far as their share of the core goes.
-    fn work(&mut self, turn: &mut Turn<'_>) {
+    /// Advances the handshakes whose sockets are ready, as far as the CPU share allows.
+    fn advance_ready(&mut self, turn: &mut Turn<'_>) {
         let mut spent = 0;
-        while spent < SLICE && self.cpu_share.may_start(turn.now) {
+        while spent < MAX_CPU_PER_TURN && self.cpu_share.may_start(turn.now) {
             let Some(key) = self.slots.next_ready() else {
                 break;
             };
-            let begun = Instant::now();
-            let step = self.step(key);
-            let took = begun.elapsed().as_micros() as Micros;
-            self.cpu_share.charge(took.max(1));
-            self.counts.core_us += took;
-            spent += took.max(1);
-            match step {
-                Step::Wait => {
-                    if let Some(handshake) = self.all.get(&key) {
-                        let writes = match &handshake.phase {
-                            Phase::Hello(_) => false,
-                            Phase::Shake(connection) => connection.wants_write(),
-                        };
-                        // It can only fail for a socket that is not watched.
-                        let _ = handshake.socket.rewatch(true, writes);
-                    }
-                }
-                Step::Done => self.done(turn, key),
-                Step::Over(why) => {
-                    self.slots.release(key);
-                    self.all.remove(&key);
-                    *self.counts.failed.entry(why).or_default() += 1;
-                    *self.untold.entry(why).or_default() += 1;
+            let started_at = Instant::now();
+            let progress = match self.handshakes.get_mut(&key) {
+                Some(handshake) => handshake.advance(&self.selector),
+                None => Ok(Progress::Pending),
+            };
+            let elapsed = started_at.elapsed().as_micros() as Micros;
+            self.counters.cpu_us += elapsed;
+            // At least one microsecond each, so that the loop ends.
+            let charged = elapsed.max(1);
+            self.cpu_share.charge(charged);
+            spent += charged;
+            self.handle_progress(turn, key, progress);
+        }
+    }
+
+    fn handle_progress(
+        &mut self,
+        turn: &mut Turn<'_>,
+        key: usize,
+        progress: Result<Progress, HandshakeError>,
+    ) {
+        match progress {
+            Ok(Progress::Pending) => {
+                if let Some(handshake) = self.handshakes.get(&key) {
+                    handshake.watch();
                 }
             }
+            Ok(Progress::Complete) => self.complete(turn, key),
+            Err(error) => {
+                self.slots.release(key);
+                self.handshakes.remove(&key);
+                *self.counters.failed.entry(error.label()).or_default() += 1;
+                self.note_failure(error.label());
+            }
         }
     }
 
-    fn done(&mut self, turn: &mut Turn<'_>, key: usize) {
+    fn complete(&mut self, turn: &mut Turn<'_>, key: usize) {
         self.slots.release(key);
-        if let Some(Handshake {
-            socket,
-            phase: Phase::Shake(connection),
-            ..
-        }) = self.all.remove(&key)
-        {
-            self.counts.complete += 1;
-            self.counts.resumed +=
-                u64::from(connection.handshake_kind() == Some(rustls::HandshakeKind::Resumed));
-            // What answered a challenge has nothing more to say.
-            if connection.alpn_protocol() == Some(ALPN_BINARY) {
-                turn.effects
-                    .push(Effect::Tls(TlsEffect::Client(socket, connection)));
-            }
+        let handshake = self.handshakes.remove(&key);
+        let Some((socket, connection)) = handshake.and_then(Handshake::into_connection) else {
+            return;
+        };
+        self.counters.complete += 1;
+        if connection.handshake_kind() == Some(HandshakeKind::Resumed) {
+            self.counters.resumed += 1;
+        }
+        // A connection that checked an ACME challenge ends here.
+        if connection.alpn_protocol() == Some(ALPN_BINARY) {
+            let client = TlsEffect::Client(socket, connection);
+            turn.effects.push(Effect::Tls(client));
         }
     }
 
-    fn step(&mut self, key: usize) -> Step {
-        let Some(handshake) = self.all.get_mut(&key) else {
-            return Step::Wait;
-        };
-        let mut socket: &TcpStream = &handshake.socket;
-        loop {
-            let read = match &mut handshake.phase {
-                Phase::Hello(acceptor) => acceptor.read_tls(&mut socket),
-                Phase::Shake(connection) => connection.read_tls(&mut socket),
-            };
-            let blocked = match read {
-                Ok(0) => return Step::Over("closed"),
-                Ok(n) => {
-                    handshake.read += n;
-                    false
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => true,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return Step::Over("broken"),
-            };
-            if handshake.read > HELLO_MOST {
-                return Step::Over("too-long");
-            }
-            match &mut handshake.phase {
-                Phase::Hello(acceptor) => match acceptor.accept() {
-                    Ok(None) if blocked => return Step::Wait,
-                    Ok(None) => {}
-                    Ok(Some(accepted)) => {
-                        match choose(&accepted, &self.table, &self.proofs, self.settings.expired) {
-                            Ok(config) => match accepted.into_connection(config) {
-                                Ok(connection) => {
-                                    handshake.phase = Phase::Shake(Box::new(connection))
-                                }
-                                Err((_, mut alert)) => {
-                                    let _ = alert.write(&mut socket);
-                                    return Step::Over("no-agreement");
-                                }
-                            },
-                            Err((alert, why)) => {
-                                // A record of one fatal alert (RFC 8446, section 5.1); best effort.
-                                let _ = socket.write(&[21, 3, 3, 0, 2, 2, alert]);
-                                return Step::Over(why);
-                            }
-                        }
-                    }
-                    Err((_, mut alert)) => {
-                        let _ = alert.write(&mut socket);
-                        return Step::Over("garbage");
-                    }
-                },
-                Phase::Shake(connection) => {
-                    let state = connection.process_new_packets();
-                    while connection.wants_write() {
-                        match connection.write_tls(&mut socket) {
-                            Ok(n) if n > 0 => {}
-                            Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                            _ => return Step::Over("broken"),
-                        }
-                    }
-                    if state.is_err() {
-                        return Step::Over("refused");
-                    }
-                    if !connection.is_handshaking() {
-                        return Step::Done;
-                    }
-                    if blocked {
-                        return Step::Wait;
-                    }
-                }
-            }
+    /// Ends the handshakes that take too long.
+    fn close_expired(&mut self, now: Timestamp) {
+        for key in self.slots.take_expired(now) {
+            self.counters.timed_out += 1;
+            self.note_failure("late");
+            self.handshakes.remove(&key);
         }
     }
 
-    fn note(&mut self, now: Timestamp) {
-        if now < self.note_at || self.untold.is_empty() {
+    fn note_failure(&mut self, label: &'static str) {
+        *self.unlogged_failures.entry(label).or_default() += 1;
+    }
+
+    fn log_failures(&mut self, now: Timestamp) {
+        if now < self.next_log_at || self.unlogged_failures.is_empty() {
             return;
         }
         let kinds: Vec<_> = self
-            .untold
+            .unlogged_failures
             .iter()
-            .map(|(why, n)| format!("{why}:{n}"))
+            .map(|(label, count)| format!("{label}:{count}"))
             .collect();
         tracing::info!(kinds = kinds.join(","), "handshakes failed");
-        self.untold.clear();
-        self.note_at = now + NOTE_EACH;
+        self.unlogged_failures.clear();
+        self.next_log_at = now + LOG_INTERVAL;
     }
-}
 
-/// What a handshake is made with, or the alert that ends it and a word for the counts.
-fn choose(
-    accepted: &rustls::server::Accepted,
-    table: &CertificateTable,
-    proofs: &HashMap<String, Arc<ChallengeCertificate>>,
-    expired: Expired,
-) -> Result<Arc<ServerConfig>, (u8, &'static str)> {
-    let hello = accepted.client_hello();
-    let name = hello.server_name();
-    let offers = |wanted: &[u8]| hello.alpn().is_some_and(|mut all| all.any(|p| p == wanted));
-    if offers(ALPN_ACME) {
-        let proof = name.and_then(|n| proofs.get(&n.to_ascii_lowercase()));
-        return proof
-            .map(|p| p.config())
-            .ok_or((UNRECOGNIZED_NAME, "no-challenge"));
-    }
-    if !offers(ALPN_BINARY) {
-        return Err((NO_APPLICATION_PROTOCOL, "no-protocol"));
+    /// Returns when the listener may be watched again; `None` while it is watched or for good.
+    fn next_accept(&self) -> Option<Timestamp> {
+        if self.accepting || self.draining {
+            return None;
+        }
+        let full = self.slots.len() >= self.settings.handshakes_most;
+        let slot_at = self
+            .admitted
+            .front()
+            .filter(|oldest| full && self.handshakes.contains_key(&oldest.key))
+            .map_or(0, |oldest| oldest.at + MIN_SLOT_DURATION);
+        let cpu_at = self.cpu_share.next_start();
+        Some(slot_at.max(cpu_at).max(self.accept_resumes_at))
     }
-    let served = match table.find(name) {
-        Some(served) => served,
-        None if !table.has_default() => return Err((INTERNAL_ERROR, "no-certificate")),
-        None => return Err((UNRECOGNIZED_NAME, "unknown-name")),
-    };
-    let wall = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_secs();
-    if wall > served.not_after && expired == Expired::Refuse {
-        return Err((CERTIFICATE_EXPIRED, "expired"));
+
+    /// Returns the state as operators see it.
+    fn state(&self) -> Value {
+        let counters = &self.counters;
+        json!({
+            "at": self.address.to_string(),
+            "accepting": self.accepting,
+            "under_way": self.handshakes.len(),
+            "names": self.selector.table.len(),
+            "accepted": counters.accepted,
+            "complete": counters.complete,
+            "resumed": counters.resumed,
+            "displaced": counters.displaced,
+            "late": counters.timed_out,
+            "failed": counters.failed,
+            "core_us": counters.cpu_us,
+        })
     }
-    Ok(Arc::clone(&served.config))
 }
 
 impl Driver for Tls {
@@ -383,43 +338,27 @@
             return self.accept(turn);
         }
         self.slots.mark_ready(key);
-        if let Some(handshake) = self.all.get(&key) {
-            // It waits for its turn: the poller would tell of it without end. It can't fail for a watched socket.
-            let _ = handshake.socket.rewatch(false, false);
+        if let Some(handshake) = self.handshakes.get(&key) {
+            // While it waits for its turn the poller would report it again and again.
+            handshake.unwatch();
         }
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        for key in self.slots.take_expired(turn.now) {
-            self.counts.late += 1;
-            *self.untold.entry("late").or_default() += 1;
-            self.all.remove(&key);
+        self.close_expired(turn.now);
+        self.advance_ready(turn);
+        let paused = self.accepting || self.draining || turn.now < self.accept_resumes_at;
+        if !paused && self.has_slot(turn.now) && self.cpu_share.may_start(turn.now) {
+            self.watch_listener(true);
         }
-        self.work(turn);
-        let rested = turn.now >= self.rests && !self.draining;
-        if !self.accepting
-            && rested
-            && self.room(turn.now).is_ok()
-            && self.cpu_share.may_start(turn.now)
-        {
-            self.watch(true);
-        }
-        self.note(turn.now);
+        self.log_failures(turn.now);
     }
 
     fn next(&self) -> Option<Timestamp> {
-        let work = self.slots.has_ready().then(|| self.cpu_share.next_start());
-        let accept = (!self.accepting && !self.draining).then(|| {
-            let full = self.slots.len() >= self.settings.handshakes_most;
-            let oldest = self
-                .taken
-                .front()
-                .filter(|(_, key)| full && self.all.contains_key(key));
-            let room = oldest.map_or(0, |(since, _)| since + KEPT_LEAST);
-            room.max(self.cpu_share.next_start()).max(self.rests)
-        });
-        let note = (!self.untold.is_empty()).then_some(self.note_at);
-        [self.slots.next_deadline(), work, accept, note]
+        let has_ready = self.slots.has_ready();
+        let advance = has_ready.then(|| self.cpu_share.next_start());
+        let log = (!self.unlogged_failures.is_empty()).then_some(self.next_log_at);
+        [self.slots.next_deadline(), advance, self.next_accept(), log]
             .into_iter()
             .flatten()
             .min()
@@ -427,24 +366,18 @@
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
         match effect {
-            Effect::Tls(TlsEffect::Certificates(table)) => self.table = Arc::clone(table),
-            Effect::Tls(TlsEffect::Challenge(name, Some(proof))) => {
-                drop(self.proofs.insert(name.clone(), Arc::clone(proof)))
+            Effect::Tls(TlsEffect::Certificates(table)) => {
+                self.selector.table = Arc::clone(table);
+            }
+            Effect::Tls(TlsEffect::Challenge(name, Some(certificate))) => {
+                let certificate = Arc::clone(certificate);
+                self.selector.challenges.insert(name.clone(), certificate);
             }
-            Effect::Tls(TlsEffect::Challenge(name, None)) => drop(self.proofs.remove(name)),
-            Effect::Admin(AdminEffect::Command {
-                id: number,
-                name: word,
-                ..
-            }) if word == "tls" => {
-                let counts = &self.counts;
-                let state = json!({
-                    "at": self.at.to_string(), "accepting": self.accepting, "under_way": self.all.len(),
-                    "names": self.table.len(), "accepted": counts.accepted,
-                    "complete": counts.complete, "resumed": counts.resumed, "displaced": counts.displaced,
-                    "late": counts.late, "failed": counts.failed, "core_us": counts.core_us,
-                });
-                turn.effects.push(Effect::response(*number, Ok(state)));
+            Effect::Tls(TlsEffect::Challenge(name, None)) => {
+                self.selector.challenges.remove(name);
+            }
+            Effect::Admin(AdminEffect::Command { id, name, .. }) if name == "tls" => {
+                turn.effects.push(Effect::response(*id, Ok(self.state())));
             }
             _ => {}
         }
@@ -458,20 +391,23 @@
     }
 
     fn reload(&mut self, turn: &mut Turn<'_>, settings: &Daemon) {
-        if let Some(new) = &settings.tls {
-            let listen = std::mem::take(&mut self.settings.listen);
-            self.settings = Settings {
-                listen,
-                ..new.clone()
-            };
-            self.slots
-                .set_limits(new.handshakes_most, new.handshake_ms * 1_000);
-            self.cpu_share.set_percent(turn.now, new.core_percent);
-        }
+        let Some(new) = &settings.tls else {
+            return;
+        };
+        // The socket stays open, so the address stays.
+        let listen = std::mem::take(&mut self.settings.listen);
+        self.settings = Settings {
+            listen,
+            ..new.clone()
+        };
+        self.selector.expired = new.expired;
+        self.slots
+            .set_limits(new.handshakes_most, new.handshake_ms * 1_000);
+        self.cpu_share.set_percent(turn.now, new.core_percent);
     }
 
     fn drain(&mut self) {
         self.draining = true;
-        self.watch(false);
+        self.watch_listener(false);
     }
 }
