--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -221,8 +221,8 @@
         faults.into_iter().map(error).collect::<ConfigErrors>()
     })?;
     let certs = settings.certs.as_ref();
-    if let Some(Err(text)) = certs.map(super::drivers::certs::check) {
-        let fault = ConfigFault::Certificates(text);
+    if let Some(Err(error)) = certs.map(super::drivers::certs::check) {
+        let fault = ConfigFault::Certificates(error);
         return Err(ConfigError::invalid(file, fault).into());
     }
     Ok(settings)
--- /dev/null
+++ b/front/src/server/drivers/certs/challenges.rs
@@ -0,0 +1,235 @@
+//! Answers http-01 challenges (RFC 8555, section 8.3) on a listener of their own.
+use super::settings::CertsError;
+use crate::server::drivers::Turn;
+use crate::transport::{at_start, listen, Registered, RestingListener};
+use cranesill::api::{Micros, Timestamp};
+use std::collections::HashMap;
+use std::io::{self, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+
+/// Clients at once; a further one displaces the oldest.
+pub(super) const MAX_CLIENTS: usize = 16;
+/// A client is not displaced before this long. In a flood the newer ones wait in the system's queue.
+const MIN_CLIENT_DURATION: Micros = 250_000;
+/// Connections accepted in one turn.
+const MAX_ACCEPTS_PER_TURN: usize = 16;
+const MAX_REQUEST_BYTES: usize = 4 * 1024;
+/// A client that takes longer is disconnected.
+const CLIENT_TIMEOUT: Micros = 5_000_000;
+const READ_BUFFER_BYTES: usize = 1024;
+const MAX_HEADERS: usize = 32;
+const PATH_PREFIX: &str = "/.well-known/acme-challenge/";
+
+/// A connection of an authority, or of somebody else, that asks for a challenge.
+struct Client {
+    socket: Registered<TcpStream>,
+    request: Vec<u8>,
+    response: Vec<u8>,
+    deadline: Timestamp,
+}
+
+struct Listener {
+    socket: RestingListener<TcpListener>,
+    key: usize,
+}
+
+/// The open challenges and the clients that ask for them.
+#[derive(Default)]
+pub(super) struct Challenges {
+    listener: Option<Listener>,
+    clients: HashMap<usize, Client>,
+    /// No client may be displaced yet, so that the listener is not watched.
+    full: bool,
+    /// Key authorizations by their tokens.
+    authorizations: HashMap<String, String>,
+}
+
+impl Challenges {
+    /// Listens at `address`; without one nothing is answered.
+    pub(super) fn new(turn: &mut Turn<'_>, address: Option<&str>) -> Result<Self, CertsError> {
+        let listener = address.map(|text| open(turn, text)).transpose()?;
+        Ok(Challenges {
+            listener,
+            ..Challenges::default()
+        })
+    }
+
+    /// Answers for a token with a key authorization from now on.
+    pub(super) fn publish(&mut self, token: String, authorization: String) {
+        self.authorizations.insert(token, authorization);
+    }
+
+    /// Answers for a token no more.
+    pub(super) fn withdraw(&mut self, token: &str) {
+        self.authorizations.remove(token);
+    }
+
+    /// A socket is ready.
+    pub(super) fn ready(&mut self, turn: &mut Turn<'_>, key: usize) {
+        if self.listener.as_ref().is_some_and(|l| l.key == key) {
+            return self.accept(turn);
+        }
+        let Some(client) = self.clients.get_mut(&key) else {
+            return;
+        };
+        if advance(client, &self.authorizations).is_err() {
+            self.clients.remove(&key);
+        }
+    }
+
+    fn accept(&mut self, turn: &mut Turn<'_>) {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            if !self.make_room(turn.now) {
+                return self.pause();
+            }
+            let Some(listener) = &mut self.listener else {
+                return;
+            };
+            let Some(socket) = listener.socket.accept(turn.now) else {
+                return;
+            };
+            self.admit(turn, socket);
+        }
+    }
+
+    /// Disconnects the oldest client if there are as many as may be. Returns whether a new one may come.
+    fn make_room(&mut self, now: Timestamp) -> bool {
+        if self.clients.len() < MAX_CLIENTS {
+            return true;
+        }
+        let clients = self.clients.iter();
+        let oldest = clients.min_by_key(|(key, client)| (client.deadline, **key));
+        let Some((key, deadline)) = oldest.map(|(key, client)| (*key, client.deadline)) else {
+            return true;
+        };
+        if deadline + MIN_CLIENT_DURATION > now + CLIENT_TIMEOUT {
+            return false;
+        }
+        self.clients.remove(&key);
+        true
+    }
+
+    /// Accepts nothing until a client may be displaced.
+    fn pause(&mut self) {
+        if let Some(listener) = &self.listener {
+            listener.socket.set_watched(false);
+            self.full = true;
+        }
+    }
+
+    fn admit(&mut self, turn: &mut Turn<'_>, socket: TcpStream) {
+        let key = turn.key();
+        let ready = socket
+            .set_nonblocking(true)
+            .and_then(|()| turn.reactor.watch(socket, key, false));
+        if let Ok(socket) = ready {
+            let client = Client {
+                socket,
+                request: Vec::new(),
+                response: Vec::new(),
+                deadline: turn.now + CLIENT_TIMEOUT,
+            };
+            self.clients.insert(key, client);
+        }
+    }
+
+    /// Disconnects clients that take too long, and lets the listener go on.
+    pub(super) fn due(&mut self, now: Timestamp) {
+        if let Some(listener) = &mut self.listener {
+            listener.socket.resume_if_due(now);
+        }
+        self.clients.retain(|_, client| client.deadline > now);
+        if std::mem::take(&mut self.full) {
+            // If there is still no room, the next call of `accept` pauses it again.
+            if let Some(listener) = &self.listener {
+                listener.socket.set_watched(true);
+            }
+        }
+    }
+
+    /// Returns when [`Challenges::due`] is to be called next.
+    pub(super) fn next_deadline(&self) -> Option<Timestamp> {
+        let deadlines = self.clients.values().map(|client| client.deadline);
+        let client = deadlines.min().map(|deadline| match self.full {
+            true => deadline + MIN_CLIENT_DURATION - CLIENT_TIMEOUT,
+            false => deadline,
+        });
+        let listener = self.listener.as_ref();
+        let listener = listener.and_then(|listener| listener.socket.resumes_at());
+        client.into_iter().chain(listener).min()
+    }
+}
+
+fn open(turn: &mut Turn<'_>, text: &str) -> Result<Listener, CertsError> {
+    let configured: SocketAddr = text.parse().map_err(|cause| CertsError::ListenAddress {
+        address: text.into(),
+        cause,
+    })?;
+    let listen_error = |cause| CertsError::Listen {
+        address: text.into(),
+        cause,
+    };
+    let key = turn.key();
+    let listener = at_start(|| listen(configured)).map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
+    tracing::info!(at = %address, "answering challenges");
+    let listener = turn.reactor.watch(listener, key, false);
+    let socket = RestingListener::new(listener.map_err(listen_error)?);
+    Ok(Listener { socket, key })
+}
+
+/// Reads the request and writes the response. An error means that the connection is to be closed, be it because the response
+/// is written.
+fn advance(client: &mut Client, authorizations: &HashMap<String, String>) -> io::Result<()> {
+    let mut buffer = [0; READ_BUFFER_BYTES];
+    while client.response.is_empty() {
+        match (&*client.socket).read(&mut buffer) {
+            Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
+            Ok(n) => client.request.extend_from_slice(&buffer[..n]),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+            Err(e) => return Err(e),
+        }
+        if client.request.len() > MAX_REQUEST_BYTES {
+            return Err(io::ErrorKind::InvalidData.into());
+        }
+        client.response = respond(&client.request, authorizations).unwrap_or_default();
+    }
+    while !client.response.is_empty() {
+        match (&*client.socket).write(&client.response) {
+            Ok(n) if n > 0 => drop(client.response.drain(..n)),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                return client.socket.rewatch(false, true);
+            }
+            _ => break,
+        }
+    }
+    let _ = client.socket.shutdown(Shutdown::Write);
+    Err(io::ErrorKind::UnexpectedEof.into())
+}
+
+/// Returns the response to a request; `None` while the request is not complete.
+fn respond(request: &[u8], authorizations: &HashMap<String, String>) -> Option<Vec<u8>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let (status, body) = match head.parse(request) {
+        Ok(httparse::Status::Partial) => return None,
+        Err(_) => ("400 Bad Request", ""),
+        Ok(httparse::Status::Complete(_)) => {
+            let token = head.path.and_then(|path| path.strip_prefix(PATH_PREFIX));
+            match (head.method, token.and_then(|t| authorizations.get(t))) {
+                (Some("GET"), Some(authorization)) => ("200 OK", authorization.as_str()),
+                (Some("GET"), None) => ("404 Not Found", ""),
+                _ => ("405 Method Not Allowed", ""),
+            }
+        }
+    };
+    let length = body.len();
+    let text = format!(
+        "HTTP/1.1 {status}\r\nContent-Type: application/octet-stream\r\nContent-Length: {length}\r\n\
+         Connection: close\r\n\r\n{body}"
+    );
+    Some(text.into_bytes())
+}
+
+#[cfg(test)]
+mod tests;
--- a/front/src/server/drivers/certs/tests.rs
+++ b/front/src/server/drivers/certs/challenges/tests.rs
@@ -2,11 +2,14 @@
 
 #[test]
 fn a_challenge_is_answered_under_its_token_and_nothing_else_is() {
-    let shown = HashMap::from([("tok_en-1".to_string(), "tok_en-1.print".to_string())]);
-    let ask = |text: &str| answer(text.as_bytes(), &shown).map(|a| String::from_utf8(a).unwrap());
-    let whole = "GET /.well-known/acme-challenge/tok_en-1 HTTP/1.1\r\nHost: a\r\n\r\n";
-    (0..whole.len()).for_each(|cut| assert!(ask(&whole[..cut]).is_none_or(|a| a.contains("400"))));
-    assert!(ask(whole).unwrap().ends_with("\r\n\r\ntok_en-1.print"));
+    let authorizations = HashMap::from([("tok_en-1".to_string(), "tok_en-1.print".to_string())]);
+    let ask = |text: &str| {
+        respond(text.as_bytes(), &authorizations).map(|a| String::from_utf8(a).unwrap())
+    };
+    let complete = "GET /.well-known/acme-challenge/tok_en-1 HTTP/1.1\r\nHost: a\r\n\r\n";
+    (0..complete.len())
+        .for_each(|cut| assert!(ask(&complete[..cut]).is_none_or(|a| a.contains("400"))));
+    assert!(ask(complete).unwrap().ends_with("\r\n\r\ntok_en-1.print"));
     for (bad, status) in [
         (
             "GET /.well-known/acme-challenge/other HTTP/1.1\r\n\r\n",
--- /dev/null
+++ b/front/src/server/drivers/certs/operators.rs
@@ -0,0 +1,94 @@
+//! The operators' commands about certificates.
+use super::{time_now, Certs};
+use crate::server::drivers::{Effect, Turn};
+use cranesill_certs::planner::Row;
+use cranesill_certs::{Event, Identity};
+use serde_json::{json, Value};
+
+/// The commands, each with a line of help.
+pub(super) const COMMANDS: [(&str, &str); 5] = [
+    (
+        "certs",
+        "certificates: how each stands, and the authority; {name}: one",
+    ),
+    ("certs-renew", "{name}: order it now"),
+    (
+        "certs-revoke",
+        "{name, reason}: revoke it and order another",
+    ),
+    ("certs-import", "{key, chain}: serve these, both in PEM"),
+    ("certs-roll-key", "give the account another key"),
+];
+
+impl Certs {
+    /// Carries out a command. Those that take an exchange with the authority are answered later.
+    pub(super) fn handle_command(
+        &mut self,
+        turn: &mut Turn<'_>,
+        id: u64,
+        command: &str,
+        arguments: &Value,
+    ) {
+        let text = |field: &str| arguments[field].as_str().unwrap_or("");
+        let name = text("name").to_ascii_lowercase();
+        match command {
+            "certs" => {
+                let state = self.state(turn, &name);
+                turn.effects.push(Effect::response(id, Ok(state)));
+            }
+            "certs-renew" => self.handle(turn, Event::Renew(id, name)),
+            "certs-revoke" => {
+                let reason = arguments["reason"].as_u64();
+                let reason = reason.and_then(|r| u8::try_from(r).ok()).unwrap_or(0);
+                self.handle(turn, Event::Revoke(id, name, reason));
+            }
+            "certs-import" => match Identity::join(text("key"), text("chain")) {
+                Ok(identity) => self.handle(turn, Event::Import(id, Box::new(identity))),
+                Err(why) => turn.effects.push(Effect::response(id, Err(why))),
+            },
+            "certs-roll-key" => self.handle(turn, Event::RollKey(id)),
+            _ => {}
+        }
+    }
+
+    /// Returns the state of the authority, and of the certificates that cover `name` or of all if that is empty.
+    fn state(&self, turn: &Turn<'_>, name: &str) -> Value {
+        let time = time_now(turn.now);
+        let rows: Vec<_> = self
+            .client
+            .rows(time)
+            .iter()
+            .filter(|(row, _)| name.is_empty() || row.names.iter().any(|n| n == name))
+            .map(|(row, served)| row_state(row, *served, time.wall))
+            .collect();
+        json!({"certificates": rows, "authority": self.client.state(time)})
+    }
+}
+
+/// Returns the state of one certificate at a Unix time in seconds.
+fn row_state(row: &Row, served: Option<&Identity>, wall_clock_s: u64) -> Value {
+    let state = match served {
+        None => "missing",
+        Some(identity) if wall_clock_s > identity.not_after => "EXPIRED",
+        Some(identity) if wall_clock_s < identity.not_before => "not-yet-valid",
+        Some(_) => "good",
+    };
+    let failure = row.why.as_ref();
+    let failure = failure.map(|(cause, text)| json!({"cause": cause.word(), "text": text}));
+    json!({
+        "name": row.id,
+        "names": row.names,
+        "certificate": state,
+        "order": row.state,
+        "next_s": row.next_s,
+        "failures": row.failures,
+        "refused": row.refused,
+        "why": failure,
+        "not_before": served.map(|i| i.not_before),
+        "not_after": served.map(|i| i.not_after),
+        "left_s": served.map(|i| i.not_after as i64 - wall_clock_s as i64),
+        "covers": served.map(|i| i.names.clone()),
+        "serial": served.map(|i| i.serial.clone()),
+        "issuer": served.map(|i| i.issuer.clone()),
+    })
+}
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -1,4 +1,5 @@
 //! What can go wrong when a front starts, runs, or carries out an operator's command.
+use super::drivers::certs::CertsError;
 use super::drivers::purges::TargetError;
 use std::fmt::{self, Display, Formatter};
 use std::io;
@@ -41,8 +42,8 @@
     #[error("{0}")]
     Known(String),
     /// The settings of certificates cannot be used.
-    #[error("{0}")]
-    Certificates(String),
+    #[error(transparent)]
+    Certificates(#[from] CertsError),
 }
 
 /// Why a configuration or settings file cannot be used.
