--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -19,7 +19,7 @@
     /// Concerns TLS connections and certificates.
     Tls(TlsEffect),
     /// Concerns the log of purges.
-    Purges(Purging),
+    Purges(PurgeEffect),
 }
 
 impl Effect {
@@ -100,7 +100,7 @@
 }
 
 /// Messages about the log of purges.
-pub enum Purging {
+pub enum PurgeEffect {
     /// Purges are on from now on; everything may have been purged up to this Unix time in milliseconds, if there is one.
     Floors(cranesill_daemon::Purges, Option<u64>),
     /// Everything may have been purged up to this Unix time in milliseconds.
--- a/front/src/server/drivers/mod.rs
+++ b/front/src/server/drivers/mod.rs
@@ -11,7 +11,7 @@
 pub mod snapshot;
 pub mod tls;
 
-pub use effect::{AdminEffect, Effect, EndpointAddress, EndpointEffect, Purging, TlsEffect};
+pub use effect::{AdminEffect, Effect, EndpointAddress, EndpointEffect, PurgeEffect, TlsEffect};
 
 use crate::transport::Reactor;
 use cranesill::api::Timestamp;
--- a/front/src/server/drivers/purges/commands.rs
+++ b/front/src/server/drivers/purges/commands.rs
@@ -1,6 +1,6 @@
 //! Commands of operators: purging, and showing the log and the cache nodes.
 use super::{purge_date, Purges};
-use crate::server::drivers::{Effect, Purging, Turn};
+use crate::server::drivers::{Effect, PurgeEffect, Turn};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::log::{Command, CommandError, Prepared};
 use cranesill_purges::{Purge, PurgeNumber, PurgeTarget};
@@ -181,7 +181,7 @@
         // It was prepared as the next one, and nothing was appended since.
         let _ = self.log.append(self.log.identity, purge.clone());
         turn.effects
-            .push(Effect::Purges(Purging::Purged(vec![purge])));
+            .push(Effect::Purges(PurgeEffect::Purged(vec![purge])));
         let shown = json!({"number": number, "repeated": false});
         self.answer_purge(turn, operator, number, shown);
     }
@@ -200,7 +200,7 @@
             ..failed.purge
         };
         turn.effects
-            .push(Effect::Purges(Purging::Purged(vec![purge])));
+            .push(Effect::Purges(PurgeEffect::Purged(vec![purge])));
         let error = OperatorError::NotDurable(cause.into());
         answer(turn, failed.operator.id, Err(error));
     }
--- a/front/src/server/drivers/purges/following.rs
+++ b/front/src/server/drivers/purges/following.rs
@@ -2,7 +2,7 @@
 use super::journal_writer::DurablePosition;
 use super::{purge_date, Purges};
 use crate::protocol::follow::Frame;
-use crate::server::drivers::{Effect, Purging, Turn};
+use crate::server::drivers::{Effect, PurgeEffect, Turn};
 use cranesill_purges::log::{AppendError, Appended, PurgeLog};
 use cranesill_purges::{Purge, PurgeNumber};
 
@@ -31,7 +31,7 @@
         self.log = PurgeLog::after(frame.ledger, frame.base);
         self.durable = DurablePosition::end_of(&self.log);
         if lost {
-            let everything = Purging::Everything(purge_date(turn));
+            let everything = PurgeEffect::Everything(purge_date(turn));
             turn.effects.push(Effect::Purges(everything));
         }
         self.rewrite_journal(turn);
@@ -50,7 +50,7 @@
         };
         if !new.is_empty() {
             turn.effects
-                .push(Effect::Purges(Purging::Purged(new.clone())));
+                .push(Effect::Purges(PurgeEffect::Purged(new.clone())));
             self.store_batch(turn, new);
         }
         if let (Some(number), Some(writer)) = (last_sent, &mut self.writer) {
@@ -58,7 +58,7 @@
             writer.confirm_durable(turn.now, self.durable.number);
         }
         if frame.ledger == self.log.identity && frame.head == self.log.last_number() {
-            turn.effects.push(Effect::Purges(Purging::Contact));
+            turn.effects.push(Effect::Purges(PurgeEffect::Contact));
         }
         true
     }
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -12,7 +12,7 @@
 pub use followers::MAX_FOLLOWERS;
 pub use start::StartError;
 
-use super::{AdminEffect, Driver, Effect, EndpointEffect, Purging, Turn};
+use super::{AdminEffect, Driver, Effect, EndpointEffect, PurgeEffect, Turn};
 use crate::transport::Outgoing;
 use cache_nodes::CacheNodeLinks;
 use commands::{AppendingPurge, ConfirmationWait, QueuedCommand};
@@ -81,9 +81,9 @@
     let last = log.last_number();
     tracing::info!(last, live = live.len(), unknown, "purges");
     let purged_up_to = unknown.then(|| unix_ms(turn.now));
-    let floors = Purging::Floors(settings.clone(), purged_up_to);
+    let floors = PurgeEffect::Floors(settings.clone(), purged_up_to);
     turn.effects.push(Effect::Purges(floors));
-    turn.effects.push(Effect::Purges(Purging::Purged(live)));
+    turn.effects.push(Effect::Purges(PurgeEffect::Purged(live)));
 }
 
 /// Bytes to send, as the stream takes them.
@@ -161,7 +161,7 @@
         nodes.send_due(turn, &self.log);
         if let Some(number) = nodes.take_confirmation() {
             turn.effects
-                .push(Effect::Purges(Purging::Confirmed(number)));
+                .push(Effect::Purges(PurgeEffect::Confirmed(number)));
         }
         self.answer_confirmation_waits(turn);
     }
@@ -198,7 +198,7 @@
                 result: Err(error), ..
             } => self.rewrite_failed(&error.to_string()),
             Completed::PatternsCompiled(set) => {
-                let compiled = Purging::Compiled(Box::new(set));
+                let compiled = PurgeEffect::Compiled(Box::new(set));
                 turn.effects.push(Effect::Purges(compiled));
             }
         }
@@ -242,7 +242,8 @@
     /// Removes purges that are older than any copy.
     fn sweep(&mut self, turn: &mut Turn<'_>) {
         let horizon = horizon(turn.now, &self.settings);
-        turn.effects.push(Effect::Purges(Purging::Horizon(horizon)));
+        turn.effects
+            .push(Effect::Purges(PurgeEffect::Horizon(horizon)));
         // A purge that is being appended could be lost by a rewrite.
         if self.appending.is_some() {
             return;
@@ -258,7 +259,7 @@
 
     fn compile(&mut self, turn: &mut Turn<'_>, job: CompileJob) {
         if let Err(error) = self.journal.compile(job) {
-            let failed = Purging::Compiled(Box::new(Err(error.into())));
+            let failed = PurgeEffect::Compiled(Box::new(Err(error.into())));
             turn.effects.push(Effect::Purges(failed));
         }
     }
@@ -310,7 +311,7 @@
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
         match effect {
-            Effect::Purges(Purging::Compile(job)) => self.compile(turn, job.clone()),
+            Effect::Purges(PurgeEffect::Compile(job)) => self.compile(turn, job.clone()),
             Effect::Endpoints(EndpointEffect::Listed {
                 endpoints,
                 complete,
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -3,7 +3,7 @@
 use super::timers::Timer;
 use super::Server;
 use crate::server::drivers::{
-    AdminEffect, Driver, Effect, EndpointEffect, Purging, TlsEffect, Turn,
+    AdminEffect, Driver, Effect, EndpointEffect, PurgeEffect, TlsEffect, Turn,
 };
 use crate::server::floors;
 use cranesill::api::{Micros, Timestamp};
@@ -50,7 +50,7 @@
                 self.add_tls_client(now, socket, *connection);
             }
             Effect::Endpoints(EndpointEffect::Offered(list)) => self.adopt_peer_list(now, list),
-            Effect::Purges(message) if !matches!(message, Purging::Compile(_)) => {
+            Effect::Purges(message) if !matches!(message, PurgeEffect::Compile(_)) => {
                 let follow_up = floors::take(&mut self.front, now, message);
                 self.effects.extend(follow_up);
             }
--- a/front/src/server/floors.rs
+++ b/front/src/server/floors.rs
@@ -1,5 +1,5 @@
 //! Applies messages of the purge log to the routing, which refuses answers older than a purge.
-use super::drivers::{Effect, Purging};
+use super::drivers::{Effect, PurgeEffect};
 use crate::routing::{PurgeFloors, RequestPipeline};
 use cranesill::api::Timestamp;
 use cranesill_daemon::{Purges, WithoutContact};
@@ -7,37 +7,37 @@
 use cranesill_purges::shield::Shield;
 
 /// Applies a message of the purge log to the routing. Returns the message that follows from it, if any.
-pub fn take(front: &mut RequestPipeline, now: Timestamp, message: Purging) -> Option<Effect> {
+pub fn take(front: &mut RequestPipeline, now: Timestamp, message: PurgeEffect) -> Option<Effect> {
     match message {
-        Purging::Floors(settings, all) => install(front, now, &settings, all),
-        Purging::Purged(purges) => {
+        PurgeEffect::Floors(settings, all) => install(front, now, &settings, all),
+        PurgeEffect::Purged(purges) => {
             let floors = front.floors.as_mut()?;
             purges.iter().for_each(|purge| floors.add(purge));
             return compile_job(floors);
         }
-        Purging::Everything(at) => {
+        PurgeEffect::Everything(at) => {
             if let Some(floors) = &mut front.floors {
                 floors.add_all(at);
             }
         }
-        Purging::Contact => renew_lease(front, now),
-        Purging::Confirmed(number) => {
+        PurgeEffect::Contact => renew_lease(front, now),
+        PurgeEffect::Confirmed(number) => {
             if let Some(floors) = &mut front.floors {
                 floors.confirmed = number;
             }
         }
-        Purging::Horizon(horizon) => {
+        PurgeEffect::Horizon(horizon) => {
             if let Some(floors) = &mut front.floors {
                 floors.expire(horizon);
             }
         }
-        Purging::Compiled(set) => {
+        PurgeEffect::Compiled(set) => {
             let floors = front.floors.as_mut()?;
             floors.install(*set);
             return compile_job(floors);
         }
         // The driver of purges carries it out.
-        Purging::Compile(_) => {}
+        PurgeEffect::Compile(_) => {}
     }
     None
 }
@@ -45,7 +45,7 @@
 /// Patterns that are to be compiled, if there are new ones.
 fn compile_job(floors: &mut PurgeFloors) -> Option<Effect> {
     let patterns = floors.take_compile_job()?;
-    Some(Effect::Purges(Purging::Compile(patterns)))
+    Some(Effect::Purges(PurgeEffect::Compile(patterns)))
 }
 
 /// Switches purges on.
