--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -167,7 +167,7 @@
     let purges = settings.purges.as_ref().map_or(0, purge_descriptors);
     let startup = settings.startup.as_ref();
     let peers = startup.and_then(|startup| startup.peers.as_ref());
-    let peers = peers.map_or(0, |_| super::drivers::peers::ASKERS_MOST + 4);
+    let peers = peers.map_or(0, |_| super::drivers::peers::MAX_CLIENTS + 4);
     tls + control + certs + purges + peers
 }
 
@@ -221,8 +221,8 @@
         faults.into_iter().map(error).collect::<ConfigErrors>()
     })?;
     let certs = settings.certs.as_ref();
-    if let Some(Err(text)) = certs.map(super::drivers::certs::check) {
-        let fault = ConfigFault::Certificates(text);
+    if let Some(Err(error)) = certs.map(super::drivers::certs::check) {
+        let fault = ConfigFault::Certificates(error);
         return Err(ConfigError::invalid(file, fault).into());
     }
     Ok(settings)
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -1,5 +1,5 @@
 //! Messages from one subsystem to the others, grouped by the subsystem that they concern.
-use super::served::{Proof, Table};
+use super::certificate_table::{CertificateTable, ChallengeCertificate};
 use crate::protocol::discovery::WatchEvent;
 use crate::protocol::snapshot::Snapshot;
 use crate::transport::Registered;
@@ -19,7 +19,7 @@
     /// Concerns TLS connections and certificates.
     Tls(TlsEffect),
     /// Concerns the log of purges.
-    Purges(Purging),
+    Purges(PurgeEffect),
 }
 
 impl Effect {
@@ -94,13 +94,13 @@
     /// A handshake is complete: the connection is a client's.
     Client(Registered<TcpStream>, Box<ServerConnection>),
     /// The certificates to be served from now on.
-    Certificates(Arc<Table>),
+    Certificates(Arc<CertificateTable>),
     /// Handshakes for a name show control of it by this proof (RFC 8737); `None`: no longer.
-    Challenge(String, Option<Arc<Proof>>),
+    Challenge(String, Option<Arc<ChallengeCertificate>>),
 }
 
 /// Messages about the log of purges.
-pub enum Purging {
+pub enum PurgeEffect {
     /// Purges are on from now on; everything may have been purged up to this Unix time in milliseconds, if there is one.
     Floors(cranesill_daemon::Purges, Option<u64>),
     /// Everything may have been purged up to this Unix time in milliseconds.
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -1,4 +1,5 @@
 //! What can go wrong when a front starts, runs, or carries out an operator's command.
+use super::drivers::certs::CertsError;
 use super::drivers::purges::TargetError;
 use crate::protocol::configured_events::ConfiguredEventsError;
 use crate::transport::InheritedSocketError;
@@ -43,8 +44,8 @@
     #[error(transparent)]
     Known(#[from] ConfiguredEventsError),
     /// The settings of certificates cannot be used.
-    #[error("{0}")]
-    Certificates(String),
+    #[error(transparent)]
+    Certificates(#[from] CertsError),
 }
 
 /// Why a configuration or settings file cannot be used.
