--- a/front/src/protocol/admin.rs
+++ b/front/src/protocol/admin.rs
@@ -1,5 +1,4 @@
 //! The admin protocol on the operators' address: each connection carries one call on one line, and its answer.
-use super::Unreadable;
 use cranesill::api::EndpointId;
 
 /// The longest line of a call, in bytes, with its line end.
@@ -22,6 +21,35 @@
     Resume,
 }
 
+/// Why a call cannot be decoded. The operator sees the text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CallError {
+    /// The line is longer than any call.
+    #[error("the line is too long")]
+    LineTooLong,
+    /// The connection ended before the line did.
+    #[error("the line has no end")]
+    LineUnterminated,
+    /// More input follows the line.
+    #[error("one line a connection")]
+    SecondLine,
+    /// The line is not UTF-8.
+    #[error("the line is no text")]
+    NotText,
+    /// There is no call of this name.
+    #[error("no such call")]
+    UnknownCall,
+    /// The call has more arguments than it takes.
+    #[error("a word too many")]
+    TooManyArguments,
+    /// The call needs the id of an endpoint.
+    #[error("ID is missing")]
+    EndpointMissing,
+    /// The argument is no id of an endpoint.
+    #[error("ID is not s- and 8 hex digits")]
+    EndpointMalformed,
+}
+
 /// Parses the textual form of an endpoint id, `s-` and 8 hex digits.
 pub fn endpoint_id(text: &str) -> Option<EndpointId> {
     let digits = text
@@ -31,37 +59,37 @@
 }
 
 /// Decodes the call that `input` holds. `None`: its line is not complete yet. `ended`: no more input will come.
-pub fn decode(input: &[u8], ended: bool) -> Result<Option<Call>, Unreadable> {
+pub fn decode(input: &[u8], ended: bool) -> Result<Option<Call>, CallError> {
     let Some(end) = input.iter().position(|b| *b == b'\n') else {
         return check_incomplete(input, ended).map(|()| None);
     };
     if end >= MAX_LINE_BYTES {
-        return Err(Unreadable("the line is too long"));
+        return Err(CallError::LineTooLong);
     }
-    // A call that ignored what stands behind it would leave the rest undone without a word.
+    // A second call on the connection would be ignored silently.
     if input.len() > end + 1 {
-        return Err(Unreadable("one line a connection"));
+        return Err(CallError::SecondLine);
     }
     let line = std::str::from_utf8(&input[..end]);
-    let line = line.map_err(|_| Unreadable("the line is no text"))?;
+    let line = line.map_err(|_| CallError::NotText)?;
     decode_line(line.strip_suffix('\r').unwrap_or(line)).map(Some)
 }
 
 /// Checks a line whose end has not been received.
-fn check_incomplete(input: &[u8], ended: bool) -> Result<(), Unreadable> {
+fn check_incomplete(input: &[u8], ended: bool) -> Result<(), CallError> {
     if input.len() >= MAX_LINE_BYTES {
-        return Err(Unreadable("the line is too long"));
+        return Err(CallError::LineTooLong);
     }
     if ended && !input.is_empty() {
-        return Err(Unreadable("the line has no end"));
+        return Err(CallError::LineUnterminated);
     }
     Ok(())
 }
 
-fn decode_line(line: &str) -> Result<Call, Unreadable> {
-    let mut words = line.split(' ').filter(|word| !word.is_empty());
-    let name = words.next().unwrap_or_default();
-    let arguments: Vec<_> = words.collect();
+fn decode_line(line: &str) -> Result<Call, CallError> {
+    let mut fields = line.split(' ').filter(|field| !field.is_empty());
+    let name = fields.next().unwrap_or_default();
+    let arguments: Vec<_> = fields.collect();
     match name {
         "health" => without_argument(Call::Health, &arguments),
         "counters" => without_argument(Call::Counters, &arguments),
@@ -69,23 +97,23 @@
         "uncordon" => endpoint_argument(&arguments).map(Call::Uncordon),
         "quiesce" => without_argument(Call::Quiesce, &arguments),
         "resume" => without_argument(Call::Resume, &arguments),
-        _ => Err(Unreadable("no such call")),
+        _ => Err(CallError::UnknownCall),
     }
 }
 
-fn without_argument(call: Call, arguments: &[&str]) -> Result<Call, Unreadable> {
+fn without_argument(call: Call, arguments: &[&str]) -> Result<Call, CallError> {
     if arguments.is_empty() {
         Ok(call)
     } else {
-        Err(Unreadable("a word too many"))
+        Err(CallError::TooManyArguments)
     }
 }
 
-fn endpoint_argument(arguments: &[&str]) -> Result<EndpointId, Unreadable> {
+fn endpoint_argument(arguments: &[&str]) -> Result<EndpointId, CallError> {
     match arguments {
-        [] => Err(Unreadable("ID is missing")),
-        [id] => endpoint_id(id).ok_or(Unreadable("ID is not s- and 8 hex digits")),
-        _ => Err(Unreadable("a word too many")),
+        [] => Err(CallError::EndpointMissing),
+        [id] => endpoint_id(id).ok_or(CallError::EndpointMalformed),
+        _ => Err(CallError::TooManyArguments),
     }
 }
 
--- a/front/src/protocol/admin/tests.rs
+++ b/front/src/protocol/admin/tests.rs
@@ -4,7 +4,7 @@
 fn a_call_is_one_whole_line_and_all_else_is_told_why() {
     let read = |bytes: &[u8], ended| match decode(bytes, ended) {
         Ok(call) => format!("{call:?}"),
-        Err(Unreadable(why)) => why.to_string(),
+        Err(error) => error.to_string(),
     };
     let long = [b'x'; MAX_LINE_BYTES];
     let all: [(&[u8], bool); 20] = [
--- a/front/src/protocol/cache_node.rs
+++ b/front/src/protocol/cache_node.rs
@@ -12,8 +12,8 @@
 const MICROS_PER_MS: u64 = 1_000;
 
 /// Returns the name of an endpoint in text: `s-` and 8 hex digits.
-pub fn endpoint_name(member: EndpointId) -> String {
-    format!("s-{:08x}", member.0)
+pub fn endpoint_name(endpoint: EndpointId) -> String {
+    format!("s-{:08x}", endpoint.0)
 }
 
 /// Encodes a `fetch` command that is sent at `now`. Its body is written behind the head without being copied.
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -1,8 +1,8 @@
 //! The second address, on which the platform's operators call: one line a connection, an answer, and a close. A call stands
 //! for a command, the same that the control socket takes.
 use super::{AdminEffect, Driver, Effect, Turn};
-use crate::protocol::admin::{answer, decode, Call, MAX_LINE_BYTES};
-use crate::protocol::{cache_node::endpoint_name, Unreadable};
+use crate::protocol::admin::{answer, decode, Call, CallError, MAX_LINE_BYTES};
+use crate::protocol::cache_node::endpoint_name;
 use crate::server::acceptor::{AcceptBackoff, Next};
 use crate::transport::{at_start, listen, used_up, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
@@ -218,9 +218,9 @@
                     arguments,
                 }));
             }
-            (Ok(Some(Err(Unreadable(why)))), _) => {
-                tracing::info!(kind = "ops", error = why, "bad call");
-                self.answer(turn.now, key, answer(Err(why), None));
+            (Ok(Some(Err(error))), _) => {
+                tracing::info!(kind = "ops", %error, "bad call");
+                self.answer(turn.now, key, answer(Err(&error.to_string()), None));
             }
             (Ok(None), _) => {}
         }
@@ -240,7 +240,7 @@
 
 impl Caller {
     /// Reads what has come. Returns the call once it is complete; an error means that the caller is disconnected.
-    fn read(&mut self) -> io::Result<Option<Result<Call, Unreadable>>> {
+    fn read(&mut self) -> io::Result<Option<Result<Call, CallError>>> {
         let ended = self.fill()?;
         if self.has_called {
             return self.read_after_call(ended).map(|()| None);
--- a/front/src/transport/workers.rs
+++ b/front/src/transport/workers.rs
@@ -39,7 +39,8 @@
 
     /// Runs work on a new thread. The caller limits how many there are.
     pub fn run(&self, work: impl FnOnce() -> R + Send + 'static) -> io::Result<()> {
-        let (sender, waker) = (self.sender.clone(), Arc::clone(&self.waker));
+        let sender = self.sender.clone();
+        let waker = Arc::clone(&self.waker);
         let thread = std::thread::Builder::new()
             .name("worker".into())
             .stack_size(STACK_BYTES);
@@ -54,7 +55,8 @@
             Some(ordered) => ordered,
             None => {
                 let (ordered, queue) = channel::<Work<R>>();
-                let (sender, waker) = (self.sender.clone(), Arc::clone(&self.waker));
+                let sender = self.sender.clone();
+                let waker = Arc::clone(&self.waker);
                 let thread = std::thread::Builder::new()
                     .name("in-order".into())
                     .stack_size(STACK_BYTES);
