--- a/front/src/protocol/admin/tests.rs
+++ b/front/src/protocol/admin/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_call_is_one_whole_line_and_all_else_is_told_why() {
+fn a_call_is_one_complete_line_and_anything_else_is_rejected_with_a_reason() {
     let read = |bytes: &[u8], ended| match decode(bytes, ended) {
         Ok(call) => format!("{call:?}"),
         Err(error) => error.to_string(),
--- a/front/src/protocol/follow/tests.rs
+++ b/front/src/protocol/follow/tests.rs
@@ -2,7 +2,7 @@
 use cranesill_purges::PurgeTarget;
 
 #[test]
-fn words_are_the_same_however_they_are_cut_and_odd_ones_are_refused() {
+fn messages_are_decoded_however_they_are_split_and_malformed_ones_are_rejected() {
     let told = Hello { ledger: 7, last: 9 };
     let bytes = hello(told);
     (0..HELLO_BYTES).for_each(|cut| assert_eq!(decode_hello(&bytes[..cut]).unwrap(), None));
--- a/front/src/protocol/handover/tests.rs
+++ b/front/src/protocol/handover/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_torn_foreign_or_of_the_future_is_told_apart_and_never_taken() {
+fn truncated_foreign_and_newer_files_are_distinguished_and_never_used() {
     let of = |id: u64, down| LearnedHealth {
         endpoint: EndpointId(id),
         started: 7,
--- a/front/src/protocol/purge/tests.rs
+++ b/front/src/protocol/purge/tests.rs
@@ -2,7 +2,7 @@
 use cranesill_purges::PurgeTarget;
 
 #[test]
-fn a_batch_is_written_as_members_read_and_a_word_is_read_once_it_is_whole() {
+fn a_batch_is_encoded_for_cache_nodes_and_a_confirmation_is_decoded_once_it_is_complete() {
     let target = PurgeTarget::Tag("vitara".into());
     let purge = Purge {
         number: 8,
--- a/front/src/transport/stream/tests.rs
+++ b/front/src/transport/stream/tests.rs
@@ -2,7 +2,7 @@
 use crate::transport::listen;
 
 #[test]
-fn what_is_dealt_with_leaves_no_room_behind() {
+fn consumed_input_leaves_no_capacity_behind() {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let socket = listener.accept().unwrap().0;
