--- a/front/src/server/drivers/certs/actions.rs
+++ b/front/src/server/drivers/certs/actions.rs
@@ -133,7 +133,10 @@
         let certificate = result
             .and_then(|key| ChallengeCertificate::new(&key).map_err(|error| error.to_string()));
         let published = certificate.map(|certificate| {
-            let challenge = TlsEffect::Challenge(name, Some(Arc::new(certificate)));
+            let challenge = TlsEffect::Challenge {
+                name,
+                certificate: Some(Arc::new(certificate)),
+            };
             turn.effects.push(Effect::Tls(challenge));
         });
         self.handle(turn, Event::Done(task, published));
@@ -142,7 +145,10 @@
     fn withdraw(&mut self, turn: &mut Turn<'_>, challenge: Challenge) -> Option<Event> {
         self.challenges.withdraw(&challenge.token);
         if challenge.way == Way::TlsAlpn {
-            let withdrawn = TlsEffect::Challenge(challenge.name, None);
+            let withdrawn = TlsEffect::Challenge {
+                name: challenge.name,
+                certificate: None,
+            };
             turn.effects.push(Effect::Tls(withdrawn));
         }
         None
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -4,7 +4,7 @@
 use crate::protocol::snapshot::Snapshot;
 use crate::transport::Registered;
 use cranesill_purges::matching::{CompileError, CompileJob, PatternSet};
-use cranesill_purges::Purge;
+use cranesill_purges::{Purge, PurgeNumber, UnixMillis};
 use rustls::ServerConnection;
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
@@ -92,27 +92,51 @@
 /// Messages about TLS connections and certificates.
 pub enum TlsEffect {
     /// A handshake is complete: the connection is a client's.
-    Client(Registered<TcpStream>, Box<ServerConnection>),
+    Client {
+        /// The client's socket.
+        socket: Registered<TcpStream>,
+        /// The TLS connection on it.
+        connection: Box<ServerConnection>,
+    },
     /// The certificates to be served from now on.
     Certificates(Arc<CertificateTable>),
-    /// Handshakes for a name show control of it by this proof (RFC 8737); `None`: no longer.
-    Challenge(String, Option<Arc<ChallengeCertificate>>),
+    /// An ACME challenge of type tls-alpn-01 (RFC 8737) begins or ends.
+    Challenge {
+        /// The host name.
+        name: String,
+        /// What answers the challenge; `None` once it has ended.
+        certificate: Option<Arc<ChallengeCertificate>>,
+    },
 }
 
 /// Messages about the log of purges.
 pub enum PurgeEffect {
-    /// Purges are on from now on; everything may have been purged up to this Unix time in milliseconds, if there is one.
-    Floors(cranesill_daemon::Purges, Option<u64>),
-    /// Everything may have been purged up to this Unix time in milliseconds.
-    Everything(u64),
+    /// Purges are enforced from now on.
+    Enabled {
+        /// The settings of purges.
+        settings: cranesill_daemon::Purges,
+        /// Everything may have been purged up to this time. `None` if all purges are known.
+        purged_up_to: Option<UnixMillis>,
+    },
+    /// Everything may have been purged up to this time.
+    AllPurged {
+        /// The time.
+        up_to: UnixMillis,
+    },
     /// The writer of the log was in contact, and all that it has is here.
     Contact,
     /// Purges that take effect now.
     Purged(Vec<Purge>),
-    /// All cache nodes have carried out everything up to this number.
-    Confirmed(u64),
-    /// Purges from before this Unix time in milliseconds no longer matter.
-    Horizon(u64),
+    /// All cache nodes have carried out the purges up to this number.
+    Confirmed {
+        /// The number of the last one.
+        up_to: PurgeNumber,
+    },
+    /// No cache node has a copy from before this time, so older purges no longer matter.
+    Expired {
+        /// The time.
+        horizon: UnixMillis,
+    },
     /// Patterns that are to be compiled.
     Compile(CompileJob),
     /// Patterns that were compiled, or why they could not be.
--- a/front/src/server/drivers/purges/following.rs
+++ b/front/src/server/drivers/purges/following.rs
@@ -31,7 +31,9 @@
         self.log = PurgeLog::after(frame.ledger, frame.base);
         self.durable = DurablePosition::end_of(&self.log);
         if lost {
-            let everything = PurgeEffect::Everything(purge_date(turn));
+            let everything = PurgeEffect::AllPurged {
+                up_to: purge_date(turn),
+            };
             turn.effects.push(Effect::Purges(everything));
         }
         self.rewrite_journal(turn);
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -81,8 +81,11 @@
     let last = log.last_number();
     tracing::info!(last, live = live.len(), unknown, "purges");
     let purged_up_to = unknown.then(|| unix_ms(turn.now));
-    let floors = PurgeEffect::Floors(settings.clone(), purged_up_to);
-    turn.effects.push(Effect::Purges(floors));
+    let enabled = PurgeEffect::Enabled {
+        settings: settings.clone(),
+        purged_up_to,
+    };
+    turn.effects.push(Effect::Purges(enabled));
     turn.effects.push(Effect::Purges(PurgeEffect::Purged(live)));
 }
 
@@ -161,7 +164,7 @@
         nodes.send_due(turn, &self.log);
         if let Some(number) = nodes.take_confirmation() {
             turn.effects
-                .push(Effect::Purges(PurgeEffect::Confirmed(number)));
+                .push(Effect::Purges(PurgeEffect::Confirmed { up_to: number }));
         }
         self.answer_confirmation_waits(turn);
     }
@@ -243,7 +246,7 @@
     fn sweep(&mut self, turn: &mut Turn<'_>) {
         let horizon = horizon(turn.now, &self.settings);
         turn.effects
-            .push(Effect::Purges(PurgeEffect::Horizon(horizon)));
+            .push(Effect::Purges(PurgeEffect::Expired { horizon }));
         // A purge that is being appended could be lost by a rewrite.
         if self.appending.is_some() {
             return;
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -266,7 +266,7 @@
         }
         // A connection that checked an ACME challenge ends here.
         if connection.alpn_protocol() == Some(ALPN_BINARY) {
-            let client = TlsEffect::Client(socket, connection);
+            let client = TlsEffect::Client { socket, connection };
             turn.effects.push(Effect::Tls(client));
         }
     }
@@ -369,13 +369,13 @@
             Effect::Tls(TlsEffect::Certificates(table)) => {
                 self.selector.table = Arc::clone(table);
             }
-            Effect::Tls(TlsEffect::Challenge(name, Some(certificate))) => {
-                let certificate = Arc::clone(certificate);
-                self.selector.challenges.insert(name.clone(), certificate);
-            }
-            Effect::Tls(TlsEffect::Challenge(name, None)) => {
-                self.selector.challenges.remove(name);
-            }
+            Effect::Tls(TlsEffect::Challenge { name, certificate }) => match certificate {
+                Some(certificate) => {
+                    let certificate = Arc::clone(certificate);
+                    self.selector.challenges.insert(name.clone(), certificate);
+                }
+                None => drop(self.selector.challenges.remove(name)),
+            },
             Effect::Admin(AdminEffect::Command { id, name, .. }) if name == "tls" => {
                 turn.effects.push(Effect::response(*id, Ok(self.state())));
             }
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -46,7 +46,7 @@
     /// Carries out a message that concerns the front itself, or passes it to all drivers.
     fn carry_out(&mut self, now: Timestamp, effect: Effect) {
         match effect {
-            Effect::Tls(TlsEffect::Client(socket, connection)) => {
+            Effect::Tls(TlsEffect::Client { socket, connection }) => {
                 self.add_tls_client(now, socket, *connection);
             }
             Effect::Endpoints(EndpointEffect::Offered(list)) => self.adopt_peer_list(now, list),
--- a/front/src/server/floors.rs
+++ b/front/src/server/floors.rs
@@ -9,24 +9,27 @@
 /// Applies a message of the purge log to the routing. Returns the message that follows from it, if any.
 pub fn take(front: &mut RequestPipeline, now: Timestamp, message: PurgeEffect) -> Option<Effect> {
     match message {
-        PurgeEffect::Floors(settings, all) => install(front, now, &settings, all),
+        PurgeEffect::Enabled {
+            settings,
+            purged_up_to,
+        } => install(front, now, &settings, purged_up_to),
         PurgeEffect::Purged(purges) => {
             let floors = front.floors.as_mut()?;
             purges.iter().for_each(|purge| floors.add(purge));
             return compile_job(floors);
         }
-        PurgeEffect::Everything(at) => {
+        PurgeEffect::AllPurged { up_to } => {
             if let Some(floors) = &mut front.floors {
-                floors.add_all(at);
+                floors.add_all(up_to);
             }
         }
         PurgeEffect::Contact => renew_lease(front, now),
-        PurgeEffect::Confirmed(number) => {
+        PurgeEffect::Confirmed { up_to } => {
             if let Some(floors) = &mut front.floors {
-                floors.confirmed = number;
+                floors.confirmed = up_to;
             }
         }
-        PurgeEffect::Horizon(horizon) => {
+        PurgeEffect::Expired { horizon } => {
             if let Some(floors) = &mut front.floors {
                 floors.expire(horizon);
             }
@@ -53,10 +56,10 @@
     front: &mut RequestPipeline,
     now: Timestamp,
     settings: &Purges,
-    purged_until: Option<u64>,
+    purged_up_to: Option<u64>,
 ) {
     let mut floors = PurgeFloors::new(settings.index_bytes, settings.skew_ms);
-    if let Some(at) = purged_until {
+    if let Some(at) = purged_up_to {
         floors.add_all(at);
     }
     floors.lease = settings.follow.as_ref().map(|follow| {
