--- a/front/src/server/drivers/control/tests.rs
+++ b/front/src/server/drivers/control/tests.rs
@@ -1,11 +1,12 @@
 use super::*;
+use crate::server::drivers::PollerKeys;
 use crate::transport::Reactor;
 use std::io::{BufRead, BufReader};
 
 struct Stage {
     reactor: Reactor,
     effects: Vec<Effect>,
-    last: usize,
+    keys: PollerKeys,
     control: Control,
     _folder: tempfile::TempDir,
 }
@@ -13,20 +14,21 @@
 impl Stage {
     fn new() -> Self {
         let folder = tempfile::tempdir().unwrap();
-        let (reactor, mut effects, mut last) = (Reactor::new().unwrap(), Vec::new(), 0);
+        let (reactor, mut effects, mut keys) =
+            (Reactor::new().unwrap(), Vec::new(), PollerKeys::new(1));
         let path = folder.path().join("c.sock");
         let mut turn = Turn {
             now: 0,
             behind_ms: 0,
             reactor: &reactor,
             effects: &mut effects,
-            slot: (1, &mut last),
+            keys: &mut keys,
         };
         let control = Control::new(&mut turn, &path, [("status", "how it stands")].into()).unwrap();
         Stage {
             reactor,
             effects,
-            last,
+            keys,
             control,
             _folder: folder,
         }
@@ -43,13 +45,12 @@
                 return;
             }
             for (key, readable, writable) in events {
-                let slot = (1, &mut self.last);
                 let mut turn = Turn {
                     now,
                     behind_ms: 0,
                     reactor: &self.reactor,
                     effects: &mut self.effects,
-                    slot,
+                    keys: &mut self.keys,
                 };
                 self.control.ready(&mut turn, key, readable, writable);
             }
@@ -118,13 +119,12 @@
     assert!(stage.control.operators.len() <= MAX_OPERATORS);
     // The first is still served.
     let mut effects = Vec::new();
-    let slot = (1, &mut stage.last);
     let mut turn = Turn {
         now: 5,
         behind_ms: 0,
         reactor: &stage.reactor,
         effects: &mut effects,
-        slot,
+        keys: &mut stage.keys,
     };
     stage
         .control
@@ -135,7 +135,7 @@
         behind_ms: 0,
         reactor: &stage.reactor,
         effects: &mut effects,
-        slot: (1, &mut stage.last),
+        keys: &mut stage.keys,
     };
     stage.control.due(&mut turn);
     assert!(
@@ -153,13 +153,12 @@
     stage.turn(1);
     assert_eq!(stage.effects.len(), MAX_OPEN_COMMANDS);
     let mut effects = Vec::new();
-    let slot = (1, &mut stage.last);
     let mut turn = Turn {
         now: 2,
         behind_ms: 0,
         reactor: &stage.reactor,
         effects: &mut effects,
-        slot,
+        keys: &mut stage.keys,
     };
     stage
         .control
--- a/front/src/server/drivers/mod.rs
+++ b/front/src/server/drivers/mod.rs
@@ -20,6 +20,26 @@
 /// Lower bits of a poller key; those above them are the slot of its driver.
 const SLOT_BITS: u32 = 40;
 
+/// The poller keys of one driver. No other driver has any of them, and none is given twice.
+#[derive(Debug)]
+pub struct PollerKeys {
+    /// The driver's slot: the upper part of its keys.
+    slot: usize,
+    last: usize,
+}
+
+impl PollerKeys {
+    /// The keys of the driver in `slot`. Slots count from 1.
+    pub fn new(slot: usize) -> Self {
+        PollerKeys { slot, last: 0 }
+    }
+
+    fn take_next(&mut self) -> usize {
+        self.last += 1;
+        (self.slot << SLOT_BITS) | self.last
+    }
+}
+
 /// What a driver may use while the loop calls it. A turn of the loop gives each driver that has something to do one of
 /// these; it ends with the call, so nothing of it can be kept.
 pub struct Turn<'a> {
@@ -31,15 +51,14 @@
     pub reactor: &'a Reactor,
     /// Messages to other subsystems, carried out after the call.
     pub effects: &'a mut Vec<Effect>,
-    /// The driver's slot, which is the upper part of its poller keys, and the last key that it was given.
-    pub slot: (usize, &'a mut usize),
+    /// The driver's poller keys.
+    pub keys: &'a mut PollerKeys,
 }
 
 impl Turn<'_> {
     /// Returns a poller key that no other source has had.
     pub fn key(&mut self) -> usize {
-        *self.slot.1 += 1;
-        (self.slot.0 << SLOT_BITS) | *self.slot.1
+        self.keys.take_next()
     }
 }
 
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -2,6 +2,7 @@
 use super::journal_writer::DiskFile;
 use super::*;
 use crate::protocol::follow::{frame, read_hello, Frame, Hello, HELLO};
+use crate::server::drivers::PollerKeys;
 use crate::transport::Reactor;
 use cranesill_purges::journal::{self, JournalFile, OpenedJournal};
 use cranesill_purges::PurgeTarget;
@@ -19,7 +20,7 @@
 struct TestFollower {
     reactor: Reactor,
     purges: Purges,
-    last_key: usize,
+    keys: PollerKeys,
     now: Timestamp,
     writer: TcpListener,
     folder: tempfile::TempDir,
@@ -36,20 +37,20 @@
             json!({"address": writer.local_addr().unwrap().to_string(), "lease_ms": 1_000});
         let settings = json!({"file": folder.path().join("purges"), "follow": follow});
         let settings: Settings = serde_json::from_value(settings).unwrap();
-        let (reactor, mut last_key, mut effects) = (Reactor::new().unwrap(), 0, Vec::new());
-        let slot = (1, &mut last_key);
+        let (reactor, mut keys, mut effects) =
+            (Reactor::new().unwrap(), PollerKeys::new(1), Vec::new());
         let mut turn = Turn {
             now: SECOND,
             behind_ms: 0,
             reactor: &reactor,
             effects: &mut effects,
-            slot,
+            keys: &mut keys,
         };
         let purges = Purges::new(&mut turn, &settings, &[]).unwrap();
         TestFollower {
             reactor,
             purges,
-            last_key,
+            keys,
             now: SECOND,
             writer,
             folder,
@@ -62,13 +63,12 @@
         loop {
             let events = self.reactor.wait(0, Some(1_000)).unwrap();
             let mut effects = Vec::new();
-            let slot = (1, &mut self.last_key);
             let mut turn = Turn {
                 now: self.now,
                 behind_ms: 0,
                 reactor: &self.reactor,
                 effects: &mut effects,
-                slot,
+                keys: &mut self.keys,
             };
             for (key, readable, writable) in events {
                 self.purges.ready(&mut turn, key, readable, writable);
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -16,7 +16,7 @@
 use crate::server::drivers::purges::Purges;
 use crate::server::drivers::snapshot::{purge_retention_ms, Snapshots};
 use crate::server::drivers::tls::Tls;
-use crate::server::drivers::{Driver, Turn};
+use crate::server::drivers::{Driver, PollerKeys, Turn};
 use crate::server::error::ServerError;
 use crate::server::log::Log;
 use crate::server::signals;
@@ -260,21 +260,17 @@
         now: Timestamp,
         make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, Box<dyn Error>>,
     ) -> Result<(), ServerError> {
-        let mut last = 0;
-        let slot = (self.drivers.len() + 1, &mut last);
+        let mut keys = PollerKeys::new(self.drivers.len() + 1);
         let behind_ms = self.front.clock_offset.behind_ms();
         let mut turn = Turn {
             now,
             behind_ms,
             reactor: &self.reactor,
             effects: &mut self.effects,
-            slot,
+            keys: &mut keys,
         };
         let driver = make(&mut turn).map_err(ServerError::Subsystem)?;
-        self.drivers.push(RunningDriver {
-            driver,
-            last_key: last,
-        });
+        self.drivers.push(RunningDriver { driver, keys });
         Ok(())
     }
 }
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -29,7 +29,7 @@
             behind_ms: self.front.clock_offset.behind_ms(),
             reactor: &self.reactor,
             effects: &mut self.effects,
-            slot: (slot, &mut running.last_key),
+            keys: &mut running.keys,
         };
         act(running.driver.as_mut(), &mut turn);
     }
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -17,7 +17,7 @@
 use crate::server::discovery::Discovery;
 use crate::server::downstream::Clients;
 use crate::server::drain::Drain;
-use crate::server::drivers::{slot_of, Driver, Effect};
+use crate::server::drivers::{slot_of, Driver, Effect, PollerKeys};
 use crate::server::error::ServerError;
 use crate::server::handover::Handover;
 use crate::server::log::Log;
@@ -59,8 +59,7 @@
 /// A subsystem that the settings switch on.
 struct RunningDriver {
     driver: Box<dyn Driver>,
-    /// The poller key that it was given last.
-    last_key: usize,
+    keys: PollerKeys,
 }
 
 /// A front: the event loop and everything that runs on it.
