--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -66,7 +66,7 @@
     Moment { now, wall }
 }
 
-/// Opens the folder of certificates and reads it. A failure is logged: it costs what the folder held, but no start.
+/// Opens the folder of certificates and reads it. A failure is logged: the front starts without the stored certificates.
 fn open_folder(path: &Path, front_name: &str) -> Option<(Folder, Loaded)> {
     let opened = Folder::open(path.to_path_buf(), front_name).map_err(|e| e.to_string());
     let read = opened.and_then(|mut folder| {
--- a/front/src/server/drivers/certs/actions.rs
+++ b/front/src/server/drivers/certs/actions.rs
@@ -52,7 +52,7 @@
         });
         started
             .err()
-            .map(|error| Event::Answered(task, Err(no_thread(&error))))
+            .map(|error| Event::Answered(task, Err(thread_error(&error))))
     }
 
     /// Generates a key. Returns the event of a failure to start.
@@ -69,7 +69,7 @@
                 Err(why) => failure(why),
             })
         });
-        started.err().map(|error| failure(no_thread(&error)))
+        started.err().map(|error| failure(thread_error(&error)))
     }
 
     /// Writes to the folder, after everything that was to be written before. Returns the event of a failure to start.
@@ -85,7 +85,7 @@
         });
         started
             .err()
-            .map(|error| Event::Done(task, Err(no_thread(&error))))
+            .map(|error| Event::Done(task, Err(thread_error(&error))))
     }
 
     /// Reads a certificate from the folder again. Returns the event of a failure to start.
@@ -164,7 +164,7 @@
     }
 }
 
-fn no_thread(error: &io::Error) -> String {
+fn thread_error(error: &io::Error) -> String {
     format!("no thread: {error}")
 }
 
--- a/front/src/server/drivers/certs/challenges.rs
+++ b/front/src/server/drivers/certs/challenges.rs
@@ -79,7 +79,7 @@
 
     fn accept(&mut self, turn: &mut Turn<'_>) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            if !self.make_room(turn.now) {
+            if !self.reserve_slot(turn.now) {
                 return self.pause();
             }
             let Some(listener) = &mut self.listener else {
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Disconnects the oldest client if there are as many as may be. Returns whether a new one may come.
-    fn make_room(&mut self, now: Timestamp) -> bool {
+    /// Disconnects the oldest client if there are as many as may be. Returns whether a new one may be accepted.
+    fn reserve_slot(&mut self, now: Timestamp) -> bool {
         if self.clients.len() < MAX_CLIENTS {
             return true;
         }
@@ -140,7 +140,7 @@
         }
         self.clients.retain(|_, client| client.deadline > now);
         if std::mem::take(&mut self.full) {
-            // If there is still no room, the next call of `accept` pauses it again.
+            // If there is still no slot, the next call of `accept` pauses it again.
             if let Some(listener) = &self.listener {
                 listener.socket.set_watched(true);
             }
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -1,5 +1,6 @@
 //! The TLS listener. Handshakes run on the event loop, bounded in number, in duration and in their share of the CPU, and
 //! after everything that open connections need. A connection whose handshake is complete is a client's like any other.
+mod failure_log;
 mod handshake;
 mod selection;
 
@@ -10,6 +11,7 @@
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::{Daemon, Tls as Settings};
 use cranesill_limits::{CpuShare, Slots};
+use failure_log::FailureLog;
 use handshake::{Handshake, HandshakeError, Progress};
 use rustls::HandshakeKind;
 use selection::CertificateSelector;
@@ -28,8 +30,6 @@
 /// A handshake keeps its slot for at least this long before a newer one may displace it. In a flood the newer ones wait in the
 /// system's queue.
 const MIN_SLOT_DURATION: Micros = 250_000;
-/// Least time between two log lines about failed handshakes.
-const LOG_INTERVAL: Micros = 1_000_000;
 
 /// Why the TLS listener cannot start. The texts are what the operator sees.
 #[derive(Debug, Error)]
@@ -86,9 +86,7 @@
     admitted: VecDeque<Admitted>,
     handshakes: HashMap<usize, Handshake>,
     counters: Counters,
-    /// Failures since the last log line, by label.
-    unlogged_failures: BTreeMap<&'static str, u64>,
-    next_log_at: Timestamp,
+    failure_log: FailureLog,
     accept_backoff: AcceptBackoff,
     /// After a failed call nothing is accepted before this timestamp.
     accept_resumes_at: Timestamp,
@@ -132,8 +130,7 @@
             admitted: VecDeque::new(),
             handshakes: HashMap::new(),
             counters: Counters::default(),
-            unlogged_failures: BTreeMap::new(),
-            next_log_at: 0,
+            failure_log: FailureLog::default(),
             accept_backoff: AcceptBackoff::default(),
             accept_resumes_at: 0,
             draining: false,
@@ -249,7 +246,7 @@
                 self.slots.release(key);
                 self.handshakes.remove(&key);
                 *self.counters.failed.entry(error.label()).or_default() += 1;
-                self.note_failure(error.label());
+                self.failure_log.record(error.label());
             }
         }
     }
@@ -275,29 +272,11 @@
     fn close_expired(&mut self, now: Timestamp) {
         for key in self.slots.take_expired(now) {
             self.counters.timed_out += 1;
-            self.note_failure("late");
+            self.failure_log.record("late");
             self.handshakes.remove(&key);
         }
     }
 
-    fn note_failure(&mut self, label: &'static str) {
-        *self.unlogged_failures.entry(label).or_default() += 1;
-    }
-
-    fn log_failures(&mut self, now: Timestamp) {
-        if now < self.next_log_at || self.unlogged_failures.is_empty() {
-            return;
-        }
-        let kinds: Vec<_> = self
-            .unlogged_failures
-            .iter()
-            .map(|(label, count)| format!("{label}:{count}"))
-            .collect();
-        tracing::info!(kinds = kinds.join(","), "handshakes failed");
-        self.unlogged_failures.clear();
-        self.next_log_at = now + LOG_INTERVAL;
-    }
-
     /// Returns when the listener may be watched again; `None` while it is watched or for good.
     fn next_accept(&self) -> Option<Timestamp> {
         if self.accepting || self.draining {
@@ -351,13 +330,13 @@
         if !paused && self.has_slot(turn.now) && self.cpu_share.may_start(turn.now) {
             self.watch_listener(true);
         }
-        self.log_failures(turn.now);
+        self.failure_log.log_if_due(turn.now);
     }
 
     fn next(&self) -> Option<Timestamp> {
         let has_ready = self.slots.has_ready();
         let advance = has_ready.then(|| self.cpu_share.next_start());
-        let log = (!self.unlogged_failures.is_empty()).then_some(self.next_log_at);
+        let log = self.failure_log.next_deadline();
         [self.slots.next_deadline(), advance, self.next_accept(), log]
             .into_iter()
             .flatten()
