--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,7 @@
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
+	cargo rustdoc -p cranesill-front --bin cranesill --locked -- -D warnings --document-private-items
 
 run: build
 	target/release/cranesill serve $(CONFIG)
