--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration of one front, and the limits that follow from it.
 use super::error::{ConfigError, ConfigErrors, ConfigFault};
-use crate::protocol::feed::News;
-use crate::protocol::known;
+use crate::protocol::configured_events;
+use crate::protocol::discovery::WatchEvent;
 use crate::routing::CapacityLimits;
 use cranesill_daemon::Daemon;
 use cranesill_settings::Deployment;
@@ -35,7 +35,7 @@
     /// The limit on memory, in bytes.
     pub memory: usize,
     /// The revision of the endpoint list that is known at the start, and the events that lead to it.
-    pub known: (u64, Vec<News>),
+    pub known: (u64, Vec<WatchEvent>),
     /// Rules and limits of the deployment.
     pub deployment: Deployment,
     /// Where operators of the platform connect, if anywhere.
@@ -70,8 +70,8 @@
             .map_err(|e| ConfigFault::Deployment(e.to_string()));
         let deployment = noted(deployment, &mut faults);
         let known = deployment.as_ref().and_then(|deployment| {
-            let known = known::read(&value["known"], &deployment.names);
-            let known = known.map_err(|e| ConfigFault::Known(e.to_string()));
+            let known = configured_events::read(&value["known"], &deployment.names);
+            let known = known.map_err(ConfigFault::from);
             noted(known, &mut faults)
         });
         let config = || {
@@ -167,7 +167,7 @@
     let purges = settings.purges.as_ref().map_or(0, purge_descriptors);
     let startup = settings.startup.as_ref();
     let peers = startup.and_then(|startup| startup.peers.as_ref());
-    let peers = peers.map_or(0, |_| super::drivers::peers::ASKERS_MOST + 4);
+    let peers = peers.map_or(0, |_| super::drivers::peers::MAX_CLIENTS + 4);
     tls + control + certs + purges + peers
 }
 
@@ -221,8 +221,8 @@
         faults.into_iter().map(error).collect::<ConfigErrors>()
     })?;
     let certs = settings.certs.as_ref();
-    if let Some(Err(text)) = certs.map(super::drivers::certs::check) {
-        let fault = ConfigFault::Certificates(text);
+    if let Some(Err(error)) = certs.map(super::drivers::certs::check) {
+        let fault = ConfigFault::Certificates(error);
         return Err(ConfigError::invalid(file, fault).into());
     }
     Ok(settings)
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -1,5 +1,8 @@
 //! What can go wrong when a front starts, runs, or carries out an operator's command.
+use super::drivers::certs::CertsError;
 use super::drivers::purges::TargetError;
+use crate::protocol::configured_events::ConfiguredEventsError;
+use crate::transport::InheritedSocketError;
 use std::fmt::{self, Display, Formatter};
 use std::io;
 use std::net::SocketAddr;
@@ -38,11 +41,11 @@
     #[error("{0}")]
     Deployment(String),
     /// The endpoint list that is known at the start cannot be used.
-    #[error("{0}")]
-    Known(String),
+    #[error(transparent)]
+    Known(#[from] ConfiguredEventsError),
     /// The settings of certificates cannot be used.
-    #[error("{0}")]
-    Certificates(String),
+    #[error(transparent)]
+    Certificates(#[from] CertsError),
 }
 
 /// Why a configuration or settings file cannot be used.
@@ -190,7 +193,7 @@
         /// The number under which it was inherited.
         descriptor: RawFd,
         /// Why it is no listening socket.
-        reason: String,
+        reason: InheritedSocketError,
     },
     /// The clients' address cannot be listened on.
     #[error("{address}: {source}")]
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -12,11 +12,11 @@
 use crate::server::drivers::certs::Certs;
 use crate::server::drivers::control::Control;
 use crate::server::drivers::ops::Ops;
-use crate::server::drivers::peers::Peers;
+use crate::server::drivers::peers::{ListLifetimes, Peers};
 use crate::server::drivers::purges::Purges;
-use crate::server::drivers::snapshot::{purge_ms, Snapshots};
+use crate::server::drivers::snapshot::{purge_retention_ms, Snapshots};
 use crate::server::drivers::tls::Tls;
-use crate::server::drivers::{Driver, Turn};
+use crate::server::drivers::{Driver, PollerKeys, Turn};
 use crate::server::error::ServerError;
 use crate::server::log::Log;
 use crate::server::signals;
@@ -238,9 +238,12 @@
         if let Some((startup, peers)) = startup.and_then(|s| Some((s, s.peers.as_ref()?))) {
             let list = list.clone();
             let seed = self.config.seed;
-            let times = (purge_ms(purge_done), startup.serve_snapshot_s * 1_000);
+            let lifetimes = ListLifetimes {
+                purge_ms: purge_retention_ms(purge_done),
+                serve_ms: startup.serve_snapshot_s * 1_000,
+            };
             self.start_driver(now, |turn| {
-                Ok(Box::new(Peers::new(turn, peers, list, seed, times)?))
+                Ok(Box::new(Peers::new(turn, peers, list, seed, lifetimes)?))
             })?;
         }
         if let Some(path) = snapshot_path(&self.config, startup) {
@@ -257,21 +260,17 @@
         now: Timestamp,
         make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, Box<dyn Error>>,
     ) -> Result<(), ServerError> {
-        let mut last = 0;
-        let slot = (self.drivers.len() + 1, &mut last);
+        let mut keys = PollerKeys::new(self.drivers.len() + 1);
         let behind_ms = self.front.clock_offset.behind_ms();
         let mut turn = Turn {
             now,
             behind_ms,
             reactor: &self.reactor,
             effects: &mut self.effects,
-            slot,
+            keys: &mut keys,
         };
         let driver = make(&mut turn).map_err(ServerError::Subsystem)?;
-        self.drivers.push(RunningDriver {
-            driver,
-            last_key: last,
-        });
+        self.drivers.push(RunningDriver { driver, keys });
         Ok(())
     }
 }
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -3,7 +3,7 @@
 use super::timers::Timer;
 use super::Server;
 use crate::server::drivers::{
-    AdminEffect, Driver, Effect, EndpointEffect, Purging, TlsEffect, Turn,
+    AdminEffect, Driver, Effect, EndpointEffect, PurgeEffect, TlsEffect, Turn,
 };
 use crate::server::floors;
 use cranesill::api::{Micros, Timestamp};
@@ -29,7 +29,7 @@
             behind_ms: self.front.clock_offset.behind_ms(),
             reactor: &self.reactor,
             effects: &mut self.effects,
-            slot: (slot, &mut running.last_key),
+            keys: &mut running.keys,
         };
         act(running.driver.as_mut(), &mut turn);
     }
@@ -46,11 +46,11 @@
     /// Carries out a message that concerns the front itself, or passes it to all drivers.
     fn carry_out(&mut self, now: Timestamp, effect: Effect) {
         match effect {
-            Effect::Tls(TlsEffect::Client(socket, connection)) => {
+            Effect::Tls(TlsEffect::Client { socket, connection }) => {
                 self.add_tls_client(now, socket, *connection);
             }
             Effect::Endpoints(EndpointEffect::Offered(list)) => self.adopt_peer_list(now, list),
-            Effect::Purges(message) if !matches!(message, Purging::Compile(_)) => {
+            Effect::Purges(message) if !matches!(message, PurgeEffect::Compile(_)) => {
                 let follow_up = floors::take(&mut self.front, now, message);
                 self.effects.extend(follow_up);
             }
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -1,6 +1,6 @@
 //! Reading from and writing to upstream connections, and their end.
 use super::{CacheNodes, Ends};
-use crate::protocol::member;
+use crate::protocol::cache_node::{self, DecodedReply};
 use crate::routing::{AttemptEnd, TransactionId};
 use cranesill::api::Timestamp;
 use std::io;
@@ -61,8 +61,8 @@
         let Some(connection) = self.connections.get_mut(&key) else {
             return Ok(());
         };
-        while let Some((id, reply, used)) =
-            member::decode(connection.stream.input()).map_err(|_| malformed())?
+        while let Some(DecodedReply { id, reply, length }) =
+            cache_node::decode(connection.stream.input()).map_err(|_| malformed())?
         {
             let txn = std::str::from_utf8(id).ok().and_then(TransactionId::new);
             let open = txn.and_then(|txn| connection.open_attempts.get(&txn));
@@ -79,12 +79,12 @@
                 // The attempt was cancelled, or nothing was asked under this id: the answer is dropped.
                 connection.count_unexpected_answer()?;
             }
-            connection.stream.consume(used);
+            connection.stream.consume(length);
             connection.partial_since = None;
         }
         let is_partial = !connection.stream.input().is_empty();
         connection.partial_since = is_partial.then(|| connection.partial_since.unwrap_or(now));
-        connection.stream.count(&mut self.buffered_bytes);
+        connection.stream.update_total(&mut self.buffered_bytes);
         Ok(())
     }
 
@@ -110,7 +110,7 @@
             .stream
             .flush(done)
             .and_then(|()| connection.stream.rewatch(!self.paused));
-        connection.stream.count(&mut self.buffered_bytes);
+        connection.stream.update_total(&mut self.buffered_bytes);
         if let Err(e) = flushed {
             self.fail(key, &e.to_string(), ends);
         }
@@ -124,7 +124,7 @@
         let open = &connection.open_attempts;
         connection.stream.rewrite(|tag| {
             let fetch = open.get(tag.as_ref()?)?.fetch.as_ref()?;
-            Some(member::fetch(fetch, now).head)
+            Some(cache_node::fetch(fetch, now).head)
         });
     }
 
@@ -144,10 +144,12 @@
         let Some(mut connection) = self.connections.remove(&key) else {
             return;
         };
-        connection.stream.discount(&mut self.buffered_bytes);
+        connection
+            .stream
+            .remove_from_total(&mut self.buffered_bytes);
         let attempts = connection.open_attempts.len();
         if attempts > 0 {
-            let member = member::name_of(connection.endpoint);
+            let member = cache_node::endpoint_name(connection.endpoint);
             let up = connection.established;
             tracing::info!(member, up, error, attempts, "connection lost");
         }
--- a/front/src/transport/stream/tests.rs
+++ b/front/src/transport/stream/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
+use crate::transport::listen;
 
 #[test]
-fn what_is_dealt_with_leaves_no_room_behind() {
+fn consumed_input_leaves_no_capacity_behind() {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let socket = listener.accept().unwrap().0;
@@ -13,5 +14,5 @@
     stream.consume(99_999);
     assert_eq!(stream.input(), [7]);
     stream.consume(1);
-    assert!(stream.input.capacity() <= KEPT_MOST);
+    assert!(stream.input.capacity() <= MAX_IDLE_CAPACITY);
 }
