--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: whether a request is sent, waits for capacity, or is given up.
 use super::endpoint::Role;
-use super::request_state::{GiveUpReason, PendingRequest, Plan, TimerPurpose, WaitTarget};
+use super::request_state::{PendingRequest, Plan, PlanError, TimerPurpose, WaitTarget};
 use super::router::Router;
 use super::units::{MILLISECOND, MIN_TIME_LEFT};
 use crate::api::{Micros, RequestId};
@@ -15,39 +15,39 @@
             return;
         };
         let plan = self.plan_if_allowed(&pending);
-        pending.hold_until = None;
-        let waited_before = pending.waits_for.take().is_some();
+        pending.backoff_until = None;
+        let waited_before = pending.waiting_for.take().is_some();
         if let Ok(Plan::Wait(target)) = plan {
             self.enqueue(&mut pending, target);
             if !waited_before {
-                self.limit_wait(&pending);
+                self.set_wait_timer(&pending);
             }
         }
         self.pending.insert(id, pending);
         match plan {
             Ok(Plan::Send(route)) => self.send(id, route),
             Ok(Plan::Wait(_)) => {}
-            Err(_) => self.give_up(id),
+            Err(_) => self.reject_or_fail(id),
         }
     }
 
-    fn plan_if_allowed(&mut self, pending: &PendingRequest) -> Result<Plan, GiveUpReason> {
+    fn plan_if_allowed(&mut self, pending: &PendingRequest) -> Result<Plan, PlanError> {
         if self.now + MIN_TIME_LEFT >= pending.deadline {
-            return Err(GiveUpReason::DeadlineTooClose);
+            return Err(PlanError::DeadlineTooClose);
         }
         if !self.may_repeat(pending) {
-            return Err(GiveUpReason::NotRepeatable);
+            return Err(PlanError::NotRepeatable);
         }
         self.plan(pending)
     }
 
     fn enqueue(&mut self, pending: &mut PendingRequest, target: WaitTarget) {
-        pending.waits_for = Some(target);
+        pending.waiting_for = Some(target);
         self.wait_queues.add(target, pending.queue_position());
     }
 
     /// Sets the timer that ends the wait: it lasts for as long as an answer can still be in time.
-    fn limit_wait(&mut self, pending: &PendingRequest) {
+    fn set_wait_timer(&mut self, pending: &PendingRequest) {
         let last_in_time = pending.objective_at.min(pending.deadline);
         let transfer_time = pending.transfer_time_us as Micros;
         let mut wait = last_in_time.saturating_sub(self.now + transfer_time);
@@ -55,7 +55,7 @@
             let time_left = pending.deadline.saturating_sub(self.now);
             wait = wait.min((time_left as f64 * MAX_WAIT_FRACTION) as Micros);
         }
-        let purpose = TimerPurpose::WaitEnd(pending.request.id);
+        let purpose = TimerPurpose::WaitExpired(pending.request.id);
         self.set_timer(wait.max(MILLISECOND), purpose);
     }
 
@@ -66,7 +66,7 @@
         if queue.is_empty() {
             return;
         }
-        while self.need_not_wait_for(target) {
+        while self.should_wake(target) {
             let Some(position) = queue.pop_first() else {
                 break;
             };
@@ -75,7 +75,7 @@
         self.wait_queues.put_back(target, queue);
     }
 
-    fn need_not_wait_for(&self, target: WaitTarget) -> bool {
+    fn should_wake(&self, target: WaitTarget) -> bool {
         match target {
             WaitTarget::Cache => {
                 let caches = self.endpoints.ready(Role::Cache).iter();
@@ -89,14 +89,14 @@
     }
 
     /// The wait of a write after a rejection has ended, or one for capacity, which came to nothing.
-    pub(super) fn wait_ended(&mut self, id: RequestId) {
+    pub(super) fn wait_timer_expired(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id).filter(|pending| !pending.done) else {
             return;
         };
-        if pending.hold_until.is_some_and(|until| until <= self.now) {
+        if pending.backoff_until.is_some_and(|until| until <= self.now) {
             self.next_attempt(id);
-        } else if pending.waits_for.is_some() {
-            self.give_up(id);
+        } else if pending.waiting_for.is_some() {
+            self.reject_or_fail(id);
         }
     }
 }
--- a/src/policy/cache_choice.rs
+++ b/src/policy/cache_choice.rs
@@ -9,7 +9,7 @@
 
 /// Requests at a cache over its full capacity, as if all fronts of the zone had as many in flight as this one, from
 /// which an object spills over to the next cache with half of that.
-const SPILL_LOAD: f64 = 1.8;
+const MIN_SPILL_LOAD: f64 = 1.8;
 /// Requests that this front has in flight at least where it spills over.
 const MIN_SPILL_IN_FLIGHT: u32 = 3;
 /// Utilization of the link from which nothing spills over: each cache more is a fill more.
@@ -17,15 +17,15 @@
 
 /// How well a cache would do for a request; what is better is greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Fitness {
+struct Suitability {
     /// It has not failed the request.
-    untried: bool,
+    has_not_failed: bool,
     has_capacity: bool,
 }
 
-impl Fitness {
-    const BEST: Fitness = Fitness {
-        untried: true,
+impl Suitability {
+    const BEST: Suitability = Suitability {
+        has_not_failed: true,
         has_capacity: true,
     };
 }
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     cache: EndpointIndex,
-    fitness: Fitness,
+    suitability: Suitability,
     /// Position in the order after it.
     next_position: usize,
 }
@@ -57,14 +57,14 @@
     }
 
     /// The ready caches that connections are kept to, in rendezvous order of the object.
-    fn order_of_connected(&self, request: &Request) -> Order {
+    fn connected_order(&self, request: &Request) -> Order {
         let connected = self.connections.endpoints();
         let ready = connected.filter(|at| self.endpoints.is_ready(*at));
         let candidates = ready.map(|at| {
             let listed = &self.endpoints[at].listed;
             (listed.endpoint, listed.weight, at)
         });
-        Order::among(Self::placement_key(Role::Cache, request), candidates)
+        Order::from_endpoints(Self::placement_key(Role::Cache, request), candidates)
     }
 
     /// The endpoint at a position in an order.
@@ -82,9 +82,11 @@
     pub(super) fn cache_for(&mut self, pending: &PendingRequest) -> Option<EndpointIndex> {
         self.refill_slow_start_budgets(Role::Cache, pending.is_idempotent());
         if self.connections.is_full() {
-            let order = self.order_of_connected(&pending.request);
+            let order = self.connected_order(&pending.request);
             let found = self.first_cache(pending, order);
-            if let Some((cache, _)) = found.filter(|(_, fitness)| *fitness == Fitness::BEST) {
+            if let Some((cache, _)) =
+                found.filter(|(_, suitability)| *suitability == Suitability::BEST)
+            {
                 return Some(cache);
             }
         }
@@ -98,36 +100,40 @@
         &mut self,
         pending: &PendingRequest,
         mut order: Order,
-    ) -> Option<(EndpointIndex, Fitness)> {
+    ) -> Option<(EndpointIndex, Suitability)> {
         let mut best: Option<Candidate> = None;
         let mut position = 0;
         while let Some(cache) = self.ranked(Role::Cache, &mut order, position) {
             position += 1;
-            let Some(fitness) = self.fitness(pending, cache) else {
+            let Some(suitability) = self.suitability(pending, cache) else {
                 continue;
             };
-            if best.is_none_or(|best| fitness > best.fitness) {
+            if best.is_none_or(|best| suitability > best.suitability) {
                 best = Some(Candidate {
                     cache,
-                    fitness,
+                    suitability,
                     next_position: position,
                 });
             }
-            if fitness == Fitness::BEST {
+            if suitability == Suitability::BEST {
                 break;
             }
         }
         let best = best?;
         let spilled = self.spill_over(pending, best, order);
-        Some((spilled.unwrap_or(best.cache), best.fitness))
+        Some((spilled.unwrap_or(best.cache), best.suitability))
     }
 
     /// How well a cache would do for a request; `None`: not at all. Only idempotent requests probe a SUSPECT one.
-    fn fitness(&mut self, pending: &PendingRequest, cache: EndpointIndex) -> Option<Fitness> {
-        let fits =
+    fn suitability(
+        &mut self,
+        pending: &PendingRequest,
+        cache: EndpointIndex,
+    ) -> Option<Suitability> {
+        let is_suitable =
             self.is_healthy_for(cache, pending.is_idempotent()) && self.slow_start_allows(cache);
-        fits.then(|| Fitness {
-            untried: !pending.failed_targets.contains(&cache),
+        is_suitable.then(|| Suitability {
+            has_not_failed: !pending.failed_targets.contains(&cache),
             has_capacity: self.cache_has_capacity(cache),
         })
     }
@@ -149,9 +155,9 @@
         mut order: Order,
     ) -> Option<EndpointIndex> {
         let fronts = self.fronts_sharing(Role::Cache);
-        let load = load_of_all_fronts(&self.endpoints[first.cache], fronts);
+        let load = estimated_load(&self.endpoints[first.cache], fronts);
         let in_flight = self.endpoints[first.cache].concurrency.in_flight;
-        if load <= SPILL_LOAD || in_flight < MIN_SPILL_IN_FLIGHT {
+        if load <= MIN_SPILL_LOAD || in_flight < MIN_SPILL_IN_FLIGHT {
             return None;
         }
         let utilization = self.link_utilization();
@@ -161,8 +167,10 @@
         let mut position = first.next_position;
         while let Some(cache) = self.ranked(Role::Cache, &mut order, position) {
             position += 1;
-            let other_load = load_of_all_fronts(&self.endpoints[cache], fronts);
-            if other_load < load / 2.0 && self.fitness(pending, cache) == Some(first.fitness) {
+            let other_load = estimated_load(&self.endpoints[cache], fronts);
+            if other_load < load / 2.0
+                && self.suitability(pending, cache) == Some(first.suitability)
+            {
                 return Some(cache);
             }
         }
@@ -171,6 +179,6 @@
 }
 
 /// Requests at a cache over its full capacity, if each of so many fronts had as many in flight as this one.
-fn load_of_all_fronts(cache: &Endpoint, fronts: u32) -> f64 {
+fn estimated_load(cache: &Endpoint, fronts: u32) -> f64 {
     f64::from(cache.concurrency.in_flight * fronts) / cache.listed.weight
 }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -10,14 +10,14 @@
 /// Requests that one front may always have in flight, unless its share of the full capacity is less.
 pub(crate) const MIN_LIMIT: f64 = 2.0;
 /// Slots by which the limits of all fronts together grow in a round of answers in time.
-pub(crate) const GROWTH_SLOTS: f64 = 4.0;
+pub(crate) const GROWTH_SLOTS_PER_ROUND: f64 = 4.0;
 /// Share of the full capacity by which a limit grows at least in such a round.
-const CATCH_UP_FRACTION: f64 = 0.05;
+const MIN_GROWTH_FRACTION: f64 = 0.05;
 /// Factor by which a jam cuts a limit, at most once in `CUT_INTERVAL`.
 const CUT_FACTOR: f64 = 0.85;
 const CUT_INTERVAL: Micros = 300 * MILLISECOND;
 /// Ratio of late answers up to which an endpoint is calm.
-const CALM_LATE_RATIO: f64 = 0.1;
+const CONGESTION_LATE_RATIO: f64 = 0.1;
 
 /// What an answer says about the load of the endpoint or link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 impl LoadSignal {
     /// In time, or late.
-    pub fn in_time_or_late(in_time: bool) -> Self {
+    pub fn from_timeliness(in_time: bool) -> Self {
         if in_time {
             LoadSignal::InTime
         } else {
@@ -43,8 +43,8 @@
 
 /// The fraction of a limit is kept to by turns: one more request may be in flight for that share of the time.
 #[derive(Clone, Debug, Default)]
-struct Turn {
-    started_at: Timestamp,
+struct FractionalSlot {
+    taken_at: Timestamp,
     /// The next turn may start this long after the last one.
     interval: Micros,
 }
@@ -63,7 +63,7 @@
     late_ratio: f64,
     /// Moving average of the time that a request is in flight, in microseconds.
     service_time_us: f64,
-    turn: Turn,
+    fractional_slot: FractionalSlot,
 }
 
 impl ConcurrencyLimit {
@@ -88,9 +88,9 @@
     pub fn has_scaled_capacity(&self, now: Timestamp, factor: f64) -> bool {
         let in_flight = f64::from(self.in_flight);
         let limit = self.limit * factor;
-        let interval = (self.turn.interval as f64 / factor) as Micros;
-        let next_turn_at = self.turn.started_at.saturating_add(interval);
-        in_flight + 1.0 <= limit || (in_flight < limit && now >= next_turn_at)
+        let interval = (self.fractional_slot.interval as f64 / factor) as Micros;
+        let next_slot_at = self.fractional_slot.taken_at.saturating_add(interval);
+        in_flight + 1.0 <= limit || (in_flight < limit && now >= next_slot_at)
     }
 
     /// Whether this multiple of the limit is in flight.
@@ -99,8 +99,8 @@
     }
 
     /// Whether few answers are late.
-    pub fn is_calm(&self) -> bool {
-        self.late_ratio < CALM_LATE_RATIO
+    pub fn is_uncongested(&self) -> bool {
+        self.late_ratio < CONGESTION_LATE_RATIO
     }
 
     /// Moving average of the ratio of late answers.
@@ -119,8 +119,8 @@
         self.in_flight += 1;
         (0.0 < fraction && fraction < 1.0).then(|| {
             let interval = (self.service_time_us / fraction) as Micros;
-            self.turn = Turn {
-                started_at: now,
+            self.fractional_slot = FractionalSlot {
+                taken_at: now,
                 interval,
             };
             interval
@@ -139,7 +139,7 @@
         self.late_ratio += (late - self.late_ratio) * EWMA_WEIGHT;
         match signal {
             LoadSignal::InTime => self.grow(growth),
-            LoadSignal::Late if self.is_calm() => {}
+            LoadSignal::Late if self.is_uncongested() => {}
             LoadSignal::Late => self.cut(now, self.min_limit.max(self.full_quota)),
             LoadSignal::Overloaded => self.cut(now, self.min_limit),
         }
@@ -148,7 +148,7 @@
     /// Grows a limit that is in use for at least half.
     fn grow(&mut self, growth: f64) {
         if f64::from(self.in_flight + 1) > self.limit / 2.0 {
-            self.limit += growth.max(CATCH_UP_FRACTION * self.full_quota) / self.limit;
+            self.limit += growth.max(MIN_GROWTH_FRACTION * self.full_quota) / self.limit;
         }
     }
 
--- a/src/policy/connection_set.rs
+++ b/src/policy/connection_set.rs
@@ -13,16 +13,16 @@
     /// Caches that can be in use at once; 0: any number.
     max_endpoints: usize,
     /// A connection that carries nothing for this long is closed.
-    idle: Micros,
+    idle_timeout: Micros,
     last_sent: BTreeMap<EndpointIndex, Timestamp>,
-    by_time: BTreeSet<(Timestamp, EndpointIndex)>,
+    by_last_sent: BTreeSet<(Timestamp, EndpointIndex)>,
 }
 
 impl ConnectionSet {
     /// Sets how many caches can be in use, and after which time without a request one no longer is.
-    pub fn set_limits(&mut self, max_endpoints: usize, idle: Micros) {
+    pub fn set_limits(&mut self, max_endpoints: usize, idle_timeout: Micros) {
         self.max_endpoints = max_endpoints;
-        self.idle = idle;
+        self.idle_timeout = idle_timeout;
     }
 
     /// Records a request to a cache.
@@ -30,25 +30,25 @@
         if self.max_endpoints == 0 {
             return;
         }
-        self.forget(endpoint);
+        self.remove(endpoint);
         self.last_sent.insert(endpoint, now);
-        self.by_time.insert((now, endpoint));
+        self.by_last_sent.insert((now, endpoint));
     }
 
     /// The process of a cache has ended: there is no connection to it.
-    pub fn forget(&mut self, endpoint: EndpointIndex) {
+    pub fn remove(&mut self, endpoint: EndpointIndex) {
         if let Some(sent_at) = self.last_sent.remove(&endpoint) {
-            self.by_time.remove(&(sent_at, endpoint));
+            self.by_last_sent.remove(&(sent_at, endpoint));
         }
     }
 
     /// Forgets caches to which the connections are closed by now.
     pub fn expire(&mut self, now: Timestamp) {
-        while let Some((sent_at, endpoint)) = self.by_time.first().copied() {
-            if sent_at + self.idle > now {
+        while let Some((sent_at, endpoint)) = self.by_last_sent.first().copied() {
+            if sent_at + self.idle_timeout > now {
                 break;
             }
-            self.by_time.remove(&(sent_at, endpoint));
+            self.by_last_sent.remove(&(sent_at, endpoint));
             self.last_sent.remove(&endpoint);
         }
     }
--- a/src/policy/connection_set/tests.rs
+++ b/src/policy/connection_set/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_set_is_full_while_as_many_caches_are_in_use() {
+fn set_is_full_at_the_maximum_number_of_caches() {
     let mut connections = connection_set(2);
     connections.record_send(0, 7);
     connections.record_send(10, 7);
@@ -26,16 +26,16 @@
 }
 
 #[test]
-fn a_forgotten_cache_makes_room_for_another() {
+fn removing_a_cache_frees_a_place_in_the_set() {
     let mut connections = connection_set(1);
     connections.record_send(0, 3);
     assert!(connections.is_full());
-    connections.forget(3);
+    connections.remove(3);
     assert!(!connections.is_full());
 }
 
 #[test]
-fn without_a_limit_the_set_is_never_full_and_keeps_nothing() {
+fn unlimited_set_is_never_full_and_stores_nothing() {
     let mut connections = connection_set(0);
     (0..1_000).for_each(|endpoint| connections.record_send(0, endpoint));
     assert!(!connections.is_full());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_share_of_a_cache_is_larger_once_each_front_keeps_to_some() {
+fn quota_grows_when_fronts_use_a_subset_of_the_caches() {
     let mut connections = connection_set(4);
     (0..3).for_each(|endpoint| connections.record_send(0, endpoint));
     assert_eq!(connections.quota_factor(0, 100), 1.0);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -40,7 +40,7 @@
         Attempt {
             route,
             sent_at: self.now,
-            live: true,
+            in_flight: true,
             cancelled: false,
             probes: Probes {
                 target: self.is_suspect(route.target),
@@ -48,17 +48,17 @@
             },
             slow_start_charge_us: 0.0,
             uses_link: !pending.class.write && from_outside,
-            origin_behind: route
+            upstream_origin: route
                 .source
                 .filter(|_| pending.parent_missed)
-                .and_then(|at| self.slow_origin_behind(at, &pending.request)),
+                .and_then(|at| self.slow_upstream_origin(at, &pending.request)),
         }
     }
 
     /// Takes a slot at all that an attempt uses, and charges slow-start budgets.
     fn acquire_capacity(&mut self, pending: &PendingRequest, attempt: &mut Attempt) {
         let target = attempt.route.target;
-        if let Some(origin) = attempt.origin_behind {
+        if let Some(origin) = attempt.upstream_origin {
             self.acquire(Resource::Endpoint(origin));
         }
         if attempt.uses_link {
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -63,7 +63,7 @@
             Role::Parent => self.settings.parent_slow_start,
             Role::Cache | Role::Origin => self.settings.cache_slow_start,
         };
-        let at = self.endpoints.put(Endpoint {
+        let at = self.endpoints.insert(Endpoint {
             role,
             slow_start_at: self.endpoints.slow_start_at(&entry, self.now),
             slow_start,
@@ -76,14 +76,14 @@
             slow_start_budget: TokenBucket::new(self.now),
             listed: entry,
         });
-        self.connections.forget(at);
+        self.connections.remove(at);
         self.warming_up.insert(at);
     }
 
     /// After a change of the list: forgets what was removed, fits the limits to what is left, and wakes what waits.
     fn endpoints_changed(&mut self) {
-        for at in self.endpoints.forget_removed() {
-            self.connections.forget(at);
+        for at in self.endpoints.remove_idle() {
+            self.connections.remove(at);
         }
         self.resize_origin_limit();
         self.resize_link_limit();
@@ -142,7 +142,7 @@
             return;
         }
         if let Some(at) = self.endpoints.find(id).filter(|_| !cordoned) {
-            let started_at = self.endpoints.shared_clock(self.now);
+            let started_at = self.endpoints.discovery_time(self.now);
             let endpoint = &mut self.endpoints[at];
             endpoint.restart_slow_start(self.now, started_at);
             endpoint.health = Health::new(self.now);
@@ -169,12 +169,12 @@
     /// Takes over what an earlier process learned.
     pub(super) fn restore_health(&mut self, all: Vec<LearnedHealth>) {
         all.into_iter()
-            .for_each(|learned| self.restore_one(learned));
+            .for_each(|learned| self.restore_endpoint_health(learned));
     }
 
     /// Takes over what was learned of one endpoint, unless it has restarted since. What was DOWN is SUSPECT: it has
     /// to prove itself to this process.
-    fn restore_one(&mut self, learned: LearnedHealth) {
+    fn restore_endpoint_health(&mut self, learned: LearnedHealth) {
         let same_process =
             |at: &EndpointIndex| self.endpoints[*at].listed.started == learned.started;
         let known = self.endpoints.find(learned.endpoint);
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -38,14 +38,14 @@
     }
 
     /// `now` on the clock by which starts are dated.
-    pub fn shared_clock(&self, now: Timestamp) -> Timestamp {
+    pub fn discovery_time(&self, now: Timestamp) -> Timestamp {
         now.saturating_sub(self.clock_ahead)
     }
 
     /// When the slow start of an endpoint began that is listed now. A start in the future shows that this clock is
     /// behind: it was just now.
     pub fn slow_start_at(&self, entry: &EndpointEntry, now: Timestamp) -> Timestamp {
-        entry.started.min(self.shared_clock(now))
+        entry.started.min(self.discovery_time(now))
     }
 
     /// Cordons an endpoint or ends that. Returns whether that changes anything.
@@ -109,7 +109,7 @@
     }
 
     /// Puts an endpoint at its old index, or at a new one, and returns the index.
-    pub fn put(&mut self, endpoint: Endpoint) -> EndpointIndex {
+    pub fn insert(&mut self, endpoint: Endpoint) -> EndpointIndex {
         let id = endpoint.listed.endpoint;
         let known = self.find(id);
         known.into_iter().for_each(|at| self.remove_ready(at));
@@ -127,7 +127,7 @@
     }
 
     /// Forgets endpoints that were removed from the list and have nothing in flight, and returns their indexes.
-    pub fn forget_removed(&mut self) -> Vec<EndpointIndex> {
+    pub fn remove_idle(&mut self) -> Vec<EndpointIndex> {
         let idle = |at: &EndpointIndex| self.endpoints[*at].concurrency.in_flight == 0;
         let index_if_idle = |id: &EndpointId| self.index.get(id).copied().filter(idle);
         let forgotten: Vec<_> = self
--- a/src/policy/failure_detection.rs
+++ b/src/policy/failure_detection.rs
@@ -8,8 +8,8 @@
     /// Whether requests may go to an endpoint as far as its health goes; only what `may_probe` goes to a SUSPECT one.
     pub(super) fn is_healthy_for(&self, at: EndpointIndex, may_probe: bool) -> bool {
         let health = &self.endpoints[at].health;
-        let trusted = may_probe || health.state(self.now) == HealthState::Up;
-        trusted && health.is_selectable(self.now)
+        let acceptable = may_probe || health.state(self.now) == HealthState::Up;
+        acceptable && health.is_selectable(self.now)
     }
 
     /// Whether an endpoint is SUSPECT.
@@ -18,14 +18,17 @@
     }
 
     /// Charges a failure to the endpoint that has been silent since `sent_at`: the target, or else the source.
-    pub(super) fn suspect_silent(
+    pub(super) fn charge_unresponsive(
         &mut self,
         target: EndpointIndex,
         source: Option<EndpointIndex>,
         sent_at: Timestamp,
     ) -> Option<EndpointIndex> {
-        let silent = |at: &EndpointIndex| self.endpoints[*at].health.last_answer_at() < sent_at;
-        let suspect = Some(target).filter(silent).or(source.filter(silent))?;
+        let unresponsive =
+            |at: &EndpointIndex| self.endpoints[*at].health.last_response_at() < sent_at;
+        let suspect = Some(target)
+            .filter(unresponsive)
+            .or(source.filter(unresponsive))?;
         self.record_failure(suspect, sent_at, Failure::Soft);
         Some(suspect)
     }
@@ -33,19 +36,19 @@
     /// Whether most peers (other endpoints of the role) that were heard from since `sent_at` do well. Only then a
     /// soft failure says something of this one: a fault that hits all alike (a slow origin, a full link, an
     /// overload) must not take them DOWN. Failures that did not count tell too.
-    fn peers_do_well(&self, at: EndpointIndex, sent_at: Timestamp) -> bool {
+    fn most_peers_healthy(&self, at: EndpointIndex, sent_at: Timestamp) -> bool {
         let peers = self.endpoints.ready(self.endpoints[at].role).iter();
         let mut known = 0_usize;
-        let mut well = 0_usize;
+        let mut healthy = 0_usize;
         for peer in peers.filter(|peer| **peer != at) {
             let health = &self.endpoints[*peer].health;
-            let does_well = health.does_well();
-            if !does_well || health.last_answer_at() >= sent_at {
+            let is_healthy = health.has_few_failures();
+            if !is_healthy || health.last_response_at() >= sent_at {
                 known += 1;
-                well += usize::from(does_well);
+                healthy += usize::from(is_healthy);
             }
         }
-        well * 2 > known
+        healthy * 2 > known
     }
 
     /// Counts a failure; when a cache goes DOWN by it, idempotent requests in flight there are moved.
@@ -55,8 +58,10 @@
         sent_at: Timestamp,
         failure: Failure,
     ) {
-        let silent_since = self.endpoints[at].health.note_failure(sent_at, self.now);
-        if failure == Failure::Soft && !self.peers_do_well(at, silent_since) {
+        let unresponsive_since = self.endpoints[at]
+            .health
+            .record_failure_time(sent_at, self.now);
+        if failure == Failure::Soft && !self.most_peers_healthy(at, unresponsive_since) {
             return;
         }
         let endpoint = &mut self.endpoints[at];
@@ -70,12 +75,12 @@
             "{role:?} {id:x} DOWN after {count} failures, {failure:?}"
         )));
         if role == Role::Cache {
-            self.move_requests_from(at);
+            self.cancel_attempts_at(at);
         }
     }
 
     /// Cancels idempotent attempts at a cache, which leads to attempts elsewhere.
-    fn move_requests_from(&mut self, cache: EndpointIndex) {
+    fn cancel_attempts_at(&mut self, cache: EndpointIndex) {
         if !self.settings.cancellation {
             return;
         }
@@ -93,7 +98,7 @@
 
     /// Counts a served request of an endpoint.
     pub(super) fn record_success(&mut self, at: EndpointIndex, sent_at: Timestamp) {
-        let started_at = self.endpoints.shared_clock(self.now);
+        let started_at = self.endpoints.discovery_time(self.now);
         let endpoint = &mut self.endpoints[at];
         let Some(cause) = endpoint.health.count_success(sent_at, self.now) else {
             return;
--- a/src/policy/fills.rs
+++ b/src/policy/fills.rs
@@ -1,6 +1,6 @@
 //! Fills: what has to wait, and the instructions for a cache that fills a miss.
 use super::endpoint::{EndpointIndex, Role};
-use super::load_feedback::LINK_FULL;
+use super::load_feedback::FULL_LINK_UTILIZATION;
 use super::request_state::{PendingRequest, Route, WaitTarget};
 use super::requests::transfer_time_us;
 use super::router::Router;
@@ -13,7 +13,7 @@
 const MANY_PURGED_RATIO: f64 = 0.25;
 /// Attempts that name a source, over its limit, from which a cache is first asked for a cached copy only: about half
 /// of them are hits that never reach it. What has missed is held to the limit itself.
-const MAX_NAMED_FACTOR: f64 = 2.0;
+const MAX_POTENTIAL_FILLS_FACTOR: f64 = 2.0;
 /// Ranks at which copies are kept: one-off requests below what is requested again.
 const RANK_NOT_CACHED: u8 = 0;
 const RANK_FIRST_REQUEST: u8 = 1;
@@ -21,7 +21,7 @@
 
 impl Router {
     /// What a fill from a source has to wait for, if anything: for the link only where reports tell of it.
-    pub(super) fn fill_must_wait_for(
+    pub(super) fn capacity_wait_target(
         &self,
         source: EndpointIndex,
         parent_missed: bool,
@@ -30,19 +30,19 @@
         if !self.has_capacity(source) {
             return Some(WaitTarget::Endpoint(source));
         }
-        if self.link_report.is_some() && self.link.exceeds(MAX_NAMED_FACTOR) {
+        if self.link_report.is_some() && self.link.exceeds(MAX_POTENTIAL_FILLS_FACTOR) {
             return Some(WaitTarget::Link);
         }
-        let origin_behind = self
-            .slow_origin_behind(source, request)
+        let upstream_origin = self
+            .slow_upstream_origin(source, request)
             .filter(|at| parent_missed && !self.has_capacity(*at));
-        origin_behind.map(WaitTarget::Endpoint)
+        upstream_origin.map(WaitTarget::Endpoint)
     }
 
     /// The origin, where `source` is a parent and what comes by way of the origin is late, or will be since all
     /// copies were purged: a parent is then first asked for a cached copy only, or its slots would all be taken by
     /// what waits for the origin. Each of many fronts sees too few late answers to learn it in time.
-    pub(super) fn slow_origin_behind(
+    pub(super) fn slow_upstream_origin(
         &self,
         source: EndpointIndex,
         request: &Request,
@@ -53,22 +53,25 @@
         let many_purged =
             self.purged_ratio >= MANY_PURGED_RATIO && self.was_purged_recently(request);
         let mean_us = self.mean_transfer_time_us[usize::from(request.class)];
-        let large_and_fetched_alone =
+        let large_without_coalescing =
             !self.settings.coalescing && transfer_time_us(request, &self.settings) > mean_us;
         self.origin().filter(|at| {
             let late_ratio = self.endpoints[*at].concurrency.late_ratio();
-            many_purged || large_and_fetched_alone || late_ratio >= ORIGIN_LATE_RATIO
+            many_purged || large_without_coalescing || late_ratio >= ORIGIN_LATE_RATIO
         })
     }
 
     /// Whether the link or a source has so much to do that a cache is first asked for a cached copy only: a hit is
     /// not to wait behind a fill that has to wait.
     pub(super) fn must_check_cache_first(&self, source: EndpointIndex, request: &Request) -> bool {
-        let link_exceeded = self.link_report.is_some() && self.link.exceeds(MAX_NAMED_FACTOR);
-        let link_full = self.link_utilization() > Some(LINK_FULL);
-        let source_exceeded = self.endpoints[source].concurrency.exceeds(MAX_NAMED_FACTOR);
+        let link_exceeded =
+            self.link_report.is_some() && self.link.exceeds(MAX_POTENTIAL_FILLS_FACTOR);
+        let link_full = self.link_utilization() > Some(FULL_LINK_UTILIZATION);
+        let source_exceeded = self.endpoints[source]
+            .concurrency
+            .exceeds(MAX_POTENTIAL_FILLS_FACTOR);
         (link_exceeded || link_full || source_exceeded)
-            && self.slow_origin_behind(source, request).is_none()
+            && self.slow_upstream_origin(source, request).is_none()
     }
 
     /// The instructions for a fill that go with an attempt.
@@ -76,7 +79,9 @@
         let source = route.source?;
         let is_write = pending.class.write;
         let from_cache = self.endpoints[source].role == Role::Cache;
-        let slow_origin = self.slow_origin_behind(source, &pending.request).is_some();
+        let slow_origin = self
+            .slow_upstream_origin(source, &pending.request)
+            .is_some();
         Some(Fill {
             source: self.endpoints[source].listed.endpoint,
             max_age: self.max_age(pending),
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -64,10 +64,10 @@
     changed_at: Timestamp,
     /// Probes in flight while SUSPECT.
     probes_in_flight: u32,
-    last_answer_at: Timestamp,
+    last_response_at: Timestamp,
     last_failure_at: Timestamp,
     /// When the first attempt of its present silence was sent, if that was after its last answer.
-    silent_since: Timestamp,
+    unresponsive_since: Timestamp,
 }
 
 impl Health {
@@ -116,20 +116,20 @@
     }
 
     /// When it answered last.
-    pub fn last_answer_at(&self) -> Timestamp {
-        self.last_answer_at
+    pub fn last_response_at(&self) -> Timestamp {
+        self.last_response_at
     }
 
     /// Whether it shows few failures: UP, its last sign of life newer than its last failure, and at most half of the
     /// failures that would take it DOWN.
-    pub fn does_well(&self) -> bool {
-        let answered_last = self.last_failure_at <= self.last_answer_at;
-        !self.is_down_or_suspect() && answered_last && self.failures * 2 <= MAX_RETRIES
+    pub fn has_few_failures(&self) -> bool {
+        let responded_last = self.last_failure_at <= self.last_response_at;
+        !self.is_down_or_suspect() && responded_last && self.failures * 2 <= MAX_RETRIES
     }
 
     /// An answer of any kind arrived.
-    pub fn record_answer(&mut self, now: Timestamp) {
-        self.last_answer_at = now;
+    pub fn record_response(&mut self, now: Timestamp) {
+        self.last_response_at = now;
     }
 
     /// A probe was sent.
@@ -144,14 +144,14 @@
 
     /// Notes a failure, whether or not it will count, and returns since when the endpoint has been silent. Where
     /// there is little traffic its peers are only heard from over its whole silence.
-    pub fn note_failure(&mut self, sent_at: Timestamp, now: Timestamp) -> Timestamp {
+    pub fn record_failure_time(&mut self, sent_at: Timestamp, now: Timestamp) -> Timestamp {
         self.last_failure_at = now;
-        self.silent_since = if self.silent_since <= self.last_answer_at {
+        self.unresponsive_since = if self.unresponsive_since <= self.last_response_at {
             sent_at
         } else {
-            self.silent_since.min(sent_at)
+            self.unresponsive_since.min(sent_at)
         };
-        self.silent_since
+        self.unresponsive_since
     }
 
     /// Counts a failed attempt. Returns whether the endpoint went DOWN by it.
@@ -177,7 +177,7 @@
     /// Counts a served request. Returns why the endpoint had been DOWN if it came UP by it. One that is UP has one
     /// failure taken off, not all: an endpoint that fails every other attempt must go DOWN.
     pub fn count_success(&mut self, sent_at: Timestamp, now: Timestamp) -> Option<DownCause> {
-        self.last_answer_at = now;
+        self.last_response_at = now;
         match self.availability {
             Availability::Up => {
                 self.failures = self.failures.saturating_sub(1);
@@ -185,7 +185,7 @@
             }
             Availability::Down { since, cause } if sent_at >= since + FAIL_WINDOW => {
                 *self = Health::new(now);
-                self.last_answer_at = now;
+                self.last_response_at = now;
                 Some(cause)
             }
             // A late success of an attempt from before the window's end is no probe.
--- a/src/policy/load_feedback.rs
+++ b/src/policy/load_feedback.rs
@@ -1,5 +1,5 @@
 //! What answers and load reports do to the concurrency limits.
-use super::concurrency_limit::{LoadSignal, GROWTH_SLOTS};
+use super::concurrency_limit::{LoadSignal, GROWTH_SLOTS_PER_ROUND};
 use super::endpoint::{EndpointIndex, Role};
 use super::request_state::{Resource, TimerPurpose};
 use super::router::{LinkReport, Router};
@@ -8,18 +8,18 @@
 
 /// Transfers on the link into the zone, over those that fit at full rate, from which it is full: a fill runs two to
 /// four times as fast as a client takes it, so up to there it holds up none.
-pub(super) const LINK_FULL: f64 = 3.0;
+pub(super) const FULL_LINK_UTILIZATION: f64 = 3.0;
 /// A link with a lower reported utilization is taken to have this one.
 const MIN_LINK_UTILIZATION: f64 = 0.2;
 /// How long a load report holds.
-const REPORT_LIFETIME: Micros = 1_000 * MILLISECOND;
+const MAX_LOAD_REPORT_AGE: Micros = 1_000 * MILLISECOND;
 
 impl Router {
     /// Takes a slot at a resource; if it was a turn, a timer wakes what waits there at the next one.
     pub(super) fn acquire(&mut self, resource: Resource) {
         let now = self.now;
         if let Some(delay) = self.concurrency_mut(resource).acquire(now) {
-            self.set_timer(delay, TimerPurpose::NextTurn(resource));
+            self.set_timer(delay, TimerPurpose::FractionalSlotFree(resource));
         }
     }
 
@@ -30,11 +30,11 @@
             Resource::Link => (Role::Cache, self.link_utilization()),
         };
         // Where a report says how empty the link is, its limit grows the faster.
-        let emptiness = report.map_or(1.0, |utilization| {
-            LINK_FULL / utilization.max(MIN_LINK_UTILIZATION)
+        let headroom = report.map_or(1.0, |utilization| {
+            FULL_LINK_UTILIZATION / utilization.max(MIN_LINK_UTILIZATION)
         });
-        let growth =
-            (GROWTH_SLOTS / f64::from(self.fronts_sharing(role))).min(1.0) * emptiness.max(1.0);
+        let growth = (GROWTH_SLOTS_PER_ROUND / f64::from(self.fronts_sharing(role))).min(1.0)
+            * headroom.max(1.0);
         let now = self.now;
         self.concurrency_mut(resource).adapt(now, signal, growth);
     }
@@ -42,12 +42,12 @@
     /// How full the link into the zone is, where a recent report tells.
     pub(super) fn link_utilization(&self) -> Option<f64> {
         self.link_report
-            .filter(|report| self.now < report.received_at + REPORT_LIFETIME)
+            .filter(|report| self.now < report.received_at + MAX_LOAD_REPORT_AGE)
             .map(|report| report.utilization)
     }
 
     /// Takes over what the load report of a cache says about the link.
-    pub(super) fn note_load_report(&mut self, from: EndpointIndex, report: Option<LoadReport>) {
+    pub(super) fn record_load_report(&mut self, from: EndpointIndex, report: Option<LoadReport>) {
         let report = report.filter(|_| self.endpoints[from].role == Role::Cache);
         let utilization = report.and_then(|report| report.link);
         if let Some(utilization) = utilization.filter(|value| value.is_finite()) {
--- a/src/policy/multiset/tests.rs
+++ b/src/policy/multiset/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_multiset_forgets_a_key_with_its_last_occurrence() {
+fn key_is_removed_with_its_last_occurrence() {
     let mut count = Multiset::default();
     count.add(7);
     count.add(7);
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -2,9 +2,9 @@
 use super::concurrency_limit::LoadSignal;
 use super::endpoint::EndpointIndex;
 use super::health::Failure;
-use super::load_feedback::LINK_FULL;
+use super::load_feedback::FULL_LINK_UTILIZATION;
 use super::request_state::{
-    Attempt, ErrorAnswer, PendingRequest, Resource, TimerPurpose, WaitTarget,
+    Attempt, ErrorResponse, PendingRequest, Resource, TimerPurpose, WaitTarget,
 };
 use super::router::Router;
 use super::source_choice::MAX_SOURCE_TRIES;
@@ -14,9 +14,9 @@
 /// A failed fill that took this share of the time for the request moves on to the next source at once.
 const SLOW_FAILURE_FRACTION: f64 = 0.25;
 /// A source lost within this multiple of the time-out for connections was not reached: its process is gone.
-const CONNECT_TIMEOUT_SLACK: f64 = 1.25;
+const CONNECT_TIMEOUT_FACTOR: f64 = 1.25;
 /// A write that was rejected for lack of capacity waits this share of its latency objective.
-const WRITE_WAIT_FRACTION: f64 = 0.1;
+const WRITE_BACKOFF_FRACTION: f64 = 0.1;
 
 /// A failure and the endpoint that is charged with it.
 #[derive(Clone, Copy, Debug)]
@@ -27,26 +27,26 @@
 
 /// What an outcome says beside its effect on the request.
 #[derive(Clone, Copy, Debug, Default)]
-struct Verdict {
+struct Assessment {
     /// The endpoint at fault; never one that only passed a failure on.
     fault: Option<Fault>,
     /// Something had no capacity.
     overloaded: bool,
 }
 
-impl Verdict {
-    const NOTHING: Verdict = Verdict {
+impl Assessment {
+    const NO_FAULT: Assessment = Assessment {
         fault: None,
         overloaded: false,
     };
 
-    const OVERLOADED: Verdict = Verdict {
+    const OVERLOADED: Assessment = Assessment {
         fault: None,
         overloaded: true,
     };
 
     fn fault(endpoint: EndpointIndex, failure: Failure) -> Self {
-        Verdict {
+        Assessment {
             fault: Some(Fault { endpoint, failure }),
             overloaded: false,
         }
@@ -68,22 +68,22 @@
         if !outcome.status.proves_not_run() && pending.may_have_run_at.is_none() {
             pending.may_have_run_at = Some(attempt.sent_at);
         }
-        let verdict = self.judge(&mut pending, &attempt, &outcome);
-        let over = pending.done || outcome.closed;
-        let live = pending.has_live_attempt();
-        let hold = pending.class.write && verdict.overloaded;
-        if hold && !live && !over {
-            self.hold_write(&mut pending);
+        let assessment = self.handle_outcome(&mut pending, &attempt, &outcome);
+        let is_finished = pending.done || outcome.closed;
+        let has_attempt_in_flight = pending.has_attempt_in_flight();
+        let backs_off = pending.class.write && assessment.overloaded;
+        if backs_off && !has_attempt_in_flight && !is_finished {
+            self.back_off_write(&mut pending);
         }
         let fill = WaitTarget::Fill(pending.request.object, pending.request.part);
         self.pending.insert(id, pending);
-        self.update_health(&attempt, outcome.status, verdict.fault);
-        if over {
+        self.update_health(&attempt, outcome.status, assessment.fault);
+        if is_finished {
             self.finish(id);
-        } else if !live && !hold {
-            self.retry_within_budget(id, verdict.overloaded);
+        } else if !has_attempt_in_flight && !backs_off {
+            self.retry_within_budget(id, assessment.overloaded);
         }
-        self.wake_after(&attempt, fill);
+        self.wake_waiting_after(&attempt, fill);
     }
 
     /// Gives back the slots and budgets that an attempt took.
@@ -99,12 +99,12 @@
         if attempt.uses_link {
             self.link.release(latency);
         }
-        if let Some(origin) = attempt.origin_behind {
+        if let Some(origin) = attempt.upstream_origin {
             self.endpoints[origin].concurrency.release(latency);
         }
-        self.note_load_report(attempt.route.target, outcome.report);
+        self.record_load_report(attempt.route.target, outcome.report);
         if let Some(utilization) = self.link_utilization().filter(|_| attempt.uses_link) {
-            let signal = if utilization <= LINK_FULL {
+            let signal = if utilization <= FULL_LINK_UTILIZATION {
                 LoadSignal::InTime
             } else {
                 LoadSignal::Overloaded
@@ -121,47 +121,52 @@
     }
 
     /// Takes the outcome into account for the request and the concurrency limits.
-    fn judge(
+    fn handle_outcome(
         &mut self,
         pending: &mut PendingRequest,
         attempt: &Attempt,
         outcome: &Outcome,
-    ) -> Verdict {
+    ) -> Assessment {
         let target = attempt.route.target;
         let source = attempt.route.other_source();
         match (outcome.status, outcome.note, source) {
             (Status::Ok, ..) => {
-                self.judge_served(pending, attempt, outcome);
-                Verdict::NOTHING
+                self.handle_served(pending, attempt, outcome);
+                Assessment::NO_FAULT
             }
             (Status::NotSent | Status::Cancelled, ..) => {
                 pending.failed_targets.push(target);
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             (Status::Miss, _, None) => {
                 pending.missed = true;
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             (_, FillNote::SourceRejected | FillNote::SourceLost, Some(source)) => {
-                self.judge_failed_source(pending, attempt, outcome, source)
+                self.handle_failed_source(pending, attempt, outcome, source)
             }
             (_, FillNote::SourceMiss, _) => {
                 pending.parent_missed = true;
                 pending.missed = true;
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             (_, FillNote::OriginFailed, _) => {
                 // The parent only passed it on: no failure of its own, but what is behind it has no capacity.
                 let at = source.unwrap_or(target);
                 self.adapt_limit(Resource::Endpoint(at), LoadSignal::Late);
-                Verdict::OVERLOADED
+                Assessment::OVERLOADED
             }
-            _ => self.judge_failed_target(pending, attempt, outcome),
+            _ => self.handle_failed_target(pending, attempt, outcome),
         }
     }
 
     /// The request was served.
-    fn judge_served(&mut self, pending: &mut PendingRequest, attempt: &Attempt, outcome: &Outcome) {
+    fn handle_served(
+        &mut self,
+        pending: &mut PendingRequest,
+        attempt: &Attempt,
+        outcome: &Outcome,
+    ) {
         let sent_at = attempt.sent_at;
         let target = attempt.route.target;
         self.record_success(target, sent_at);
@@ -170,7 +175,7 @@
             self.record_failure(error.endpoint, error.sent_at, Failure::Error);
         }
         // What came by way of the origin tells of the parent no more than that it answers. A late fill is no failure,
-        // but no sign of life either: attempts that are overdue count (`suspect_silent`).
+        // but no sign of life either: attempts that are overdue count (`charge_unresponsive`).
         let in_time = outcome.latency <= pending.latency_objective();
         let source = attempt.route.other_source();
         let filled_by = match outcome.note {
@@ -197,22 +202,25 @@
         in_time: bool,
     ) {
         let fractional = |at| self.has_fractional_quota(at);
-        let well = in_time || filled_by.is_some_and(fractional);
-        if well || filled_by.is_none() || self.link_utilization() <= Some(LINK_FULL) {
+        let counts_as_in_time = in_time || filled_by.is_some_and(fractional);
+        if counts_as_in_time
+            || filled_by.is_none()
+            || self.link_utilization() <= Some(FULL_LINK_UTILIZATION)
+        {
             let served_by = Resource::Endpoint(filled_by.unwrap_or(target));
-            self.adapt_limit(served_by, LoadSignal::in_time_or_late(well));
+            self.adapt_limit(served_by, LoadSignal::from_timeliness(counts_as_in_time));
         }
     }
 
     /// The source rejected the fill, or it was not reached, broke off or ran out of time.
-    fn judge_failed_source(
+    fn handle_failed_source(
         &mut self,
         pending: &mut PendingRequest,
         attempt: &Attempt,
         outcome: &Outcome,
         source: EndpointIndex,
-    ) -> Verdict {
-        let timeout = self.settings.connect_timeout as f64 * CONNECT_TIMEOUT_SLACK;
+    ) -> Assessment {
+        let timeout = self.settings.connect_timeout as f64 * CONNECT_TIMEOUT_FACTOR;
         let not_reached =
             outcome.note == FillNote::SourceLost && outcome.source_wait <= timeout as Micros;
         let time_for_request = pending.objective_at.saturating_sub(attempt.sent_at);
@@ -226,58 +234,58 @@
         };
         self.adapt_limit(Resource::Endpoint(source), signal);
         if not_reached {
-            return Verdict::fault(source, Failure::Lost);
+            return Assessment::fault(source, Failure::Lost);
         }
-        Verdict {
+        Assessment {
             overloaded: true,
-            ..Verdict::fault(source, Failure::Soft)
+            ..Assessment::fault(source, Failure::Soft)
         }
     }
 
     /// The target itself failed the attempt.
-    fn judge_failed_target(
+    fn handle_failed_target(
         &mut self,
         pending: &mut PendingRequest,
         attempt: &Attempt,
         outcome: &Outcome,
-    ) -> Verdict {
+    ) -> Assessment {
         let target = attempt.route.target;
         pending.failed_targets.push(target);
         match outcome.status {
             // All that one broken connection carried is one failure, not many.
-            Status::ConnectFailed | Status::Reset if outcome.shared_failure => Verdict::NOTHING,
-            Status::ConnectFailed | Status::Reset => Verdict::fault(target, Failure::Lost),
+            Status::ConnectFailed | Status::Reset if outcome.shared_failure => Assessment::NO_FAULT,
+            Status::ConnectFailed | Status::Reset => Assessment::fault(target, Failure::Lost),
             Status::Error => {
                 // Bad requests get errors from all: nothing is said of this one before another serves it.
-                pending.errors.push(ErrorAnswer {
+                pending.errors.push(ErrorResponse {
                     endpoint: target,
                     sent_at: attempt.sent_at,
                 });
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             Status::Timeout => {
                 let at = attempt.route.other_source().unwrap_or(target);
                 self.adapt_limit(Resource::Endpoint(at), LoadSignal::Late);
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             Status::Rejected => {
                 if outcome.note != FillNote::NoFillSlot {
                     self.adapt_limit(Resource::Endpoint(target), LoadSignal::Overloaded);
                 }
-                Verdict::OVERLOADED
+                Assessment::OVERLOADED
             }
-            Status::Ok | Status::Cancelled | Status::NotSent | Status::Miss => Verdict::NOTHING,
+            Status::Ok | Status::Cancelled | Status::NotSent | Status::Miss => Assessment::NO_FAULT,
         }
     }
 
     /// Writes are few and have the highest priority: they wait after a rejection, and the retry budget is not for
     /// them.
-    fn hold_write(&mut self, pending: &mut PendingRequest) {
-        let wait = (pending.class.latency_objective as f64 * WRITE_WAIT_FRACTION) as Micros;
-        let last_moment: Timestamp = pending.deadline.saturating_sub(MIN_TIME_LEFT);
-        let until = (self.now + wait).min(last_moment);
-        pending.hold_until = Some(until);
-        let purpose = TimerPurpose::WaitEnd(pending.request.id);
+    fn back_off_write(&mut self, pending: &mut PendingRequest) {
+        let wait = (pending.class.latency_objective as f64 * WRITE_BACKOFF_FRACTION) as Micros;
+        let latest: Timestamp = pending.deadline.saturating_sub(MIN_TIME_LEFT);
+        let until = (self.now + wait).min(latest);
+        pending.backoff_until = Some(until);
+        let purpose = TimerPurpose::WaitExpired(pending.request.id);
         self.set_timer(until.saturating_sub(self.now), purpose);
     }
 
@@ -285,11 +293,11 @@
         let target = attempt.route.target;
         match status {
             Status::Timeout => {
-                self.suspect_silent(target, attempt.route.other_source(), attempt.sent_at);
+                self.charge_unresponsive(target, attempt.route.other_source(), attempt.sent_at);
             }
             Status::Cancelled | Status::NotSent | Status::ConnectFailed | Status::Reset => {}
             Status::Ok | Status::Error | Status::Rejected | Status::Miss => {
-                self.endpoints[target].health.record_answer(self.now);
+                self.endpoints[target].health.record_response(self.now);
             }
         }
         if let Some(fault) = fault {
@@ -300,21 +308,21 @@
     /// Sends the next attempt; what was rejected for lack of capacity is retried only within the retry budget.
     fn retry_within_budget(&mut self, id: RequestId, overloaded: bool) {
         if overloaded {
-            if !self.retry_budget.allows_one() {
-                return self.give_up(id);
+            if !self.retry_budget.has_token() {
+                return self.reject_or_fail(id);
             }
-            self.retry_budget.spend();
+            self.retry_budget.withdraw();
         }
         self.next_attempt(id);
     }
 
     /// Wakes what waits for the capacity that an attempt gave back, or for its fill.
-    fn wake_after(&mut self, attempt: &Attempt, fill: WaitTarget) {
+    fn wake_waiting_after(&mut self, attempt: &Attempt, fill: WaitTarget) {
         let source = attempt.route.other_source();
         self.wake_waiting(WaitTarget::Cache);
         self.wake_waiting(WaitTarget::Endpoint(attempt.route.target));
         self.wake_waiting(WaitTarget::Link);
-        for at in attempt.origin_behind.into_iter().chain(source) {
+        for at in attempt.upstream_origin.into_iter().chain(source) {
             self.wake_waiting(WaitTarget::Endpoint(at));
         }
         if source.is_some() {
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -4,19 +4,19 @@
 //! endpoint and compares integers; nothing is sorted but the few that are found, and the result for an object is
 //! cached until the list changes. Further ranks are computed on demand.
 use super::endpoint::EndpointIndex;
-use super::rendezvous_hash::{hashed_bits, rendezvous, HASH_RANGE};
+use super::rendezvous_hash::{hash_bits, rendezvous, HASH_RANGE};
 use crate::api::EndpointId;
 use std::collections::BTreeMap;
 
 /// Ranks of an order that are computed at first.
-const FIRST_RANKS: usize = 16;
+const INITIAL_RANKS: usize = 16;
 /// Factor by which more are computed each time that these are not enough.
 const GROWTH_FACTOR: usize = 4;
 /// Cached orders in each of two generations.
 const MAX_CACHED_ORDERS: usize = 512;
 /// Generous bound of the relative error of a logarithm and an exponential: a hash this close to the bound is scored
 /// in full.
-const ROUNDING: f64 = 1e-9;
+const SCORE_RELATIVE_ERROR: f64 = 1e-9;
 
 /// An endpoint that can be chosen: its id, and its index in the endpoint table.
 #[derive(Clone, Copy, Debug)]
@@ -125,25 +125,25 @@
         let indexes = match self.cache.get(key) {
             Some(indexes) => indexes,
             None => {
-                let indexes = self.best(key, FIRST_RANKS);
+                let indexes = self.top_ranks(key, INITIAL_RANKS);
                 self.cache.add(key, indexes.clone());
                 indexes
             }
         };
         Order {
             key,
-            complete: indexes.len() < FIRST_RANKS,
+            complete: indexes.len() < INITIAL_RANKS,
             indexes,
         }
     }
 
     /// The first `count` ranks of the order for an object, or all if there are fewer.
-    fn best(&self, key: u64, count: usize) -> Vec<EndpointIndex> {
+    fn top_ranks(&self, key: u64, count: usize) -> Vec<EndpointIndex> {
         let mut best: Vec<Scored> = Vec::with_capacity(count + 1);
         for class in &self.classes {
             let mut min_bits = min_bits_for(class.weight, &best, count);
             for candidate in &class.candidates {
-                if hashed_bits(key, candidate.id.0) < min_bits {
+                if hash_bits(key, candidate.id.0) < min_bits {
                     continue;
                 }
                 let scored = Scored::new(key, class.weight, *candidate);
@@ -167,7 +167,7 @@
         return 0;
     };
     // The score is `-weight / ln(unit)`, solved for the unit.
-    let unit = (-weight / last.score).exp() * (1.0 - ROUNDING);
+    let unit = (-weight / last.score).exp() * (1.0 - SCORE_RELATIVE_ERROR);
     ((unit * HASH_RANGE) as u64).saturating_sub(1)
 }
 
@@ -191,7 +191,7 @@
 
 impl Order {
     /// A complete order of few endpoints, each given with its id, weight and index.
-    pub fn among(
+    pub fn from_endpoints(
         key: u64,
         indexes: impl Iterator<Item = (EndpointId, f64, EndpointIndex)>,
     ) -> Self {
@@ -216,7 +216,7 @@
     pub fn get(&mut self, ranking: &Ranking, position: usize) -> Option<EndpointIndex> {
         while position >= self.indexes.len() && !self.complete {
             let count = self.indexes.len() * GROWTH_FACTOR;
-            self.indexes = ranking.best(self.key, count);
+            self.indexes = ranking.top_ranks(self.key, count);
             self.complete = self.indexes.len() < count;
         }
         self.indexes.get(position).copied()
--- a/src/policy/placement/tests.rs
+++ b/src/policy/placement/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn orders_are_those_of_a_full_sort_for_any_number_of_endpoints_and_any_weights() {
+fn order_equals_a_full_sort_for_any_endpoint_count_and_weights() {
     let weights: [fn(u64) -> f64; 3] = [|_| 8.0, |n| (1 + n % 3) as f64, |n| 0.1 + n as f64 * 0.37];
     for weight in weights {
         for count in [0, 1, 2, 15, 16, 17, 63, 64, 200, 900] {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_cached_order_ends_with_the_next_change() {
+fn cached_orders_are_invalidated_by_a_change_of_endpoints() {
     let mut endpoints: Vec<_> = (0..40).map(|n| (n, 2.0)).collect();
     let mut ranking = ranking(&endpoints);
     let first = walked(&mut ranking, 7);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_cache_of_orders_is_bounded() {
+fn order_cache_is_bounded() {
     let mut ranking = ranking(&[(1, 1.0), (2, 1.0)]);
     (0..10_000).for_each(|key| drop(ranking.order(key)));
     assert!(ranking.cache.current.len() + ranking.cache.previous.len() <= 2 * MAX_CACHED_ORDERS);
--- a/src/policy/planning.rs
+++ b/src/policy/planning.rs
@@ -1,11 +1,11 @@
 //! The plan for the next attempt of a request: where it goes, or what it waits for.
 use super::endpoint::{EndpointIndex, Role};
-use super::request_state::{GiveUpReason, PendingRequest, Plan, Route, WaitTarget};
+use super::request_state::{PendingRequest, Plan, PlanError, Route, WaitTarget};
 use super::router::Router;
 
 impl Router {
     /// Target and source of the next attempt.
-    pub(super) fn plan(&mut self, pending: &PendingRequest) -> Result<Plan, GiveUpReason> {
+    pub(super) fn plan(&mut self, pending: &PendingRequest) -> Result<Plan, PlanError> {
         if pending.class.write {
             return self.plan_write(pending);
         }
@@ -14,7 +14,7 @@
             return self.plan_without_cache(source);
         };
         if !self.cache_has_capacity(cache) {
-            return Ok(self.plan_beside_full_caches(pending, source));
+            return Ok(self.plan_with_full_caches(pending, source));
         }
         let plan = match source {
             None => Plan::Send(Route::without_fill(cache)),
@@ -28,20 +28,20 @@
     }
 
     /// Writes run at the origin: straight, or by way of a cache where that is not allowed.
-    fn plan_write(&mut self, pending: &PendingRequest) -> Result<Plan, GiveUpReason> {
-        let origin = self.origin().ok_or(GiveUpReason::NoOrigin)?;
+    fn plan_write(&mut self, pending: &PendingRequest) -> Result<Plan, PlanError> {
+        let origin = self.origin().ok_or(PlanError::NoOrigin)?;
         if self.settings.pass_through {
             return Ok(Plan::Send(Route::direct(origin)));
         }
         let cache = self.cache_for(pending);
-        let cache = cache.ok_or(GiveUpReason::NoUsableCache)?;
+        let cache = cache.ok_or(PlanError::NoUsableCache)?;
         Ok(Plan::Send(Route::filled_from(cache, origin)))
     }
 
     /// No cache is usable: straight to the source, where that is allowed.
-    fn plan_without_cache(&self, source: Option<EndpointIndex>) -> Result<Plan, GiveUpReason> {
+    fn plan_without_cache(&self, source: Option<EndpointIndex>) -> Result<Plan, PlanError> {
         let source = source.filter(|_| self.settings.pass_through);
-        let source = source.ok_or(GiveUpReason::NoUsableCache)?;
+        let source = source.ok_or(PlanError::NoUsableCache)?;
         if !self.has_capacity(source) {
             return Ok(Plan::Wait(WaitTarget::Endpoint(source)));
         }
@@ -49,16 +49,16 @@
     }
 
     /// The parents may carry what the remaining caches have no capacity for.
-    fn plan_beside_full_caches(
+    fn plan_with_full_caches(
         &self,
         pending: &PendingRequest,
         source: Option<EndpointIndex>,
     ) -> Plan {
-        let spare = source.filter(|source| {
-            let wait = self.fill_must_wait_for(*source, false, &pending.request);
+        let available_source = source.filter(|source| {
+            let wait = self.capacity_wait_target(*source, false, &pending.request);
             self.settings.pass_through && wait.is_none()
         });
-        match spare {
+        match available_source {
             Some(source) => Plan::Send(self.pass_through_route(source)),
             None => Plan::Wait(WaitTarget::Cache),
         }
@@ -79,8 +79,8 @@
         cache: EndpointIndex,
         source: EndpointIndex,
     ) -> Plan {
-        let source = self.spare_origin_for(pending, source).unwrap_or(source);
-        match self.wait_before_fill(pending, source) {
+        let source = self.origin_instead_of(pending, source).unwrap_or(source);
+        match self.fill_wait_target(pending, source) {
             None => Plan::Send(Route::filled_from(cache, source)),
             // Rather than wait, ask once more for a copy past its freshness lifetime.
             Some(_) if pending.class.grace > 0 && !pending.accepts_stale => {
@@ -90,7 +90,7 @@
         }
     }
 
-    fn wait_before_fill(
+    fn fill_wait_target(
         &self,
         pending: &PendingRequest,
         source: EndpointIndex,
@@ -100,23 +100,24 @@
             // A second fill of the same part would crowd the link: the copy will be there soon.
             return Some(WaitTarget::Fill(part.0, part.1));
         }
-        self.fill_must_wait_for(source, pending.parent_missed, &pending.request)
+        self.capacity_wait_target(source, pending.parent_missed, &pending.request)
     }
 
     /// The origin in place of a parent without capacity, while the origin has some: where the remaining parents carry
     /// a DOWN one's fills, or where one slot is more than this front's share of the parent. A late fill holds all of
     /// such a limit, and many fronts would wait beside an idle origin.
-    fn spare_origin_for(
+    fn origin_instead_of(
         &mut self,
         pending: &PendingRequest,
         source: EndpointIndex,
     ) -> Option<EndpointIndex> {
         let mut order = self.order(Role::Parent, &pending.request);
-        let home = self.ranked(Role::Parent, &mut order, 0);
-        let home_is_down =
-            home.is_some_and(|at| !self.endpoints[at].health.is_selectable(self.now));
-        let may_spare = home_is_down || self.has_fractional_quota(source);
-        self.origin()
-            .filter(|origin| may_spare && !self.has_capacity(source) && self.has_capacity(*origin))
+        let preferred_parent = self.ranked(Role::Parent, &mut order, 0);
+        let preferred_is_down =
+            preferred_parent.is_some_and(|at| !self.endpoints[at].health.is_selectable(self.now));
+        let may_use_origin = preferred_is_down || self.has_fractional_quota(source);
+        self.origin().filter(|origin| {
+            may_use_origin && !self.has_capacity(source) && self.has_capacity(*origin)
+        })
     }
 }
--- a/src/policy/purges.rs
+++ b/src/policy/purges.rs
@@ -5,25 +5,25 @@
 use crate::api::{Micros, ObjectId, Request, Timestamp};
 
 /// Purges are remembered this much longer than caches may have old copies.
-const MEMORY_SLACK: Micros = 1_000 * MILLISECOND;
+const PURGE_RETENTION_SLACK: Micros = 1_000 * MILLISECOND;
 
 impl Router {
     /// For how long a purge is remembered.
-    fn purge_memory(&self) -> Micros {
-        self.settings.purge_propagation + MEMORY_SLACK
+    fn purge_retention(&self) -> Micros {
+        self.settings.purge_propagation + PURGE_RETENTION_SLACK
     }
 
     /// Records the purge of an object, or of a whole group, that was made this long ago.
     pub(super) fn record_purge(&mut self, object: Option<ObjectId>, group: u32, age: Micros) {
         let purged_at = self.now.saturating_sub(age);
-        let horizon = self.now.saturating_sub(self.purge_memory());
+        let horizon = self.now.saturating_sub(self.purge_retention());
         self.purge_times.record(object, group, purged_at, horizon);
     }
 
     /// When the object of a request was purged, if that was so recently that old copies may be left.
     fn recent_purge_at(&self, request: &Request) -> Option<Timestamp> {
         let latest = self.purge_times.latest(request.object, request.group);
-        latest.filter(|purged_at| self.now < purged_at + self.purge_memory())
+        latest.filter(|purged_at| self.now < purged_at + self.purge_retention())
     }
 
     /// Whether the object of a request was purged so recently that old copies may be left.
--- a/src/policy/rendezvous_hash.rs
+++ b/src/policy/rendezvous_hash.rs
@@ -18,14 +18,14 @@
 
 /// The bits of the hash of `endpoint` for `object` that its rendezvous score is made of: of two endpoints of the same
 /// weight the one with the larger bits has the higher score.
-pub(crate) fn hashed_bits(object: u64, endpoint: u64) -> u64 {
+pub(crate) fn hash_bits(object: u64, endpoint: u64) -> u64 {
     mix(object, endpoint) >> (u64::BITS - HASH_BITS)
 }
 
 /// Weighted rendezvous score of `endpoint` for `object`: the highest score among the endpoints wins, and each
 /// endpoint wins a share of the objects in proportion to its weight.
 pub(crate) fn rendezvous(object: u64, endpoint: u64, weight: f64) -> f64 {
-    let unit = (hashed_bits(object, endpoint) as f64 + 0.5) / HASH_RANGE;
+    let unit = (hash_bits(object, endpoint) as f64 + 0.5) / HASH_RANGE;
     -weight / unit.ln()
 }
 
--- a/src/policy/rendezvous_hash/tests.rs
+++ b/src/policy/rendezvous_hash/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn shares_follow_weights_and_removal_moves_only_what_was_lost() {
+fn shares_follow_weights_and_removal_moves_only_objects_of_the_removed_endpoint() {
     let endpoints = [(11u64, 1.0), (12, 2.0), (13, 1.0)];
     let best = |object: u64, among: &[(u64, f64)]| {
         let score = |m: &(u64, f64)| rendezvous(object, m.0, m.1);
--- a/src/policy/request_state.rs
+++ b/src/policy/request_state.rs
@@ -42,9 +42,9 @@
     /// An attempt, by its number, is overdue.
     AttemptOverdue(RequestId, usize),
     /// A request has waited for as long as it may.
-    WaitEnd(RequestId),
+    WaitExpired(RequestId),
     /// The next turn under the fraction of a concurrency limit.
-    NextTurn(Resource),
+    FractionalSlotFree(Resource),
 }
 
 /// Where an attempt goes.
@@ -92,7 +92,7 @@
 
 /// Why a request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum GiveUpReason {
+pub(crate) enum PlanError {
     /// Too little time is left.
     DeadlineTooClose,
     /// The class, the number of attempts or the errors allow no further attempt.
@@ -116,7 +116,7 @@
     pub route: Route,
     pub sent_at: Timestamp,
     /// It is in flight.
-    pub live: bool,
+    pub in_flight: bool,
     /// It was cancelled, or may not be cancelled any more.
     pub cancelled: bool,
     pub probes: Probes,
@@ -125,7 +125,7 @@
     /// A miss comes in through the link into the zone.
     pub uses_link: bool,
     /// The origin, where it is known that a parent has to fetch from it.
-    pub origin_behind: Option<EndpointIndex>,
+    pub upstream_origin: Option<EndpointIndex>,
 }
 
 impl Attempt {
@@ -139,7 +139,7 @@
 
     /// Cancels the attempt if it is still in flight and was not cancelled before.
     pub fn cancel(&mut self, request: RequestId, number: usize, actions: &mut Vec<Action>) {
-        if self.live && !self.cancelled {
+        if self.in_flight && !self.cancelled {
             self.cancelled = true;
             actions.push(Action::Cancel(request, number as u16));
         }
@@ -148,7 +148,7 @@
 
 /// An error answer that is not yet charged to the endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ErrorAnswer {
+pub(crate) struct ErrorResponse {
     pub endpoint: EndpointIndex,
     pub sent_at: Timestamp,
 }
@@ -176,14 +176,14 @@
     pub failed_targets: Vec<EndpointIndex>,
     /// Sources that failed this request, once for each failure.
     pub failed_sources: Vec<EndpointIndex>,
-    pub errors: Vec<ErrorAnswer>,
+    pub errors: Vec<ErrorResponse>,
     /// The cache was asked for a cached copy only and lacks it.
     pub missed: bool,
     /// The parent was asked for a cached copy only and lacks it: a fill goes by way of the origin.
     pub parent_missed: bool,
-    pub waits_for: Option<WaitTarget>,
+    pub waiting_for: Option<WaitTarget>,
     /// A write that was rejected waits until then.
-    pub hold_until: Option<Timestamp>,
+    pub backoff_until: Option<Timestamp>,
     /// The last attempt asked for a copy past its freshness lifetime.
     pub accepts_stale: bool,
     /// The part was requested recently by another request.
@@ -216,8 +216,8 @@
             errors: Vec::new(),
             missed: false,
             parent_missed: false,
-            waits_for: None,
-            hold_until: None,
+            waiting_for: None,
+            backoff_until: None,
             accepts_stale: false,
             requested_recently,
             may_have_run_at: None,
@@ -242,17 +242,17 @@
     }
 
     /// Whether an attempt is in flight.
-    pub fn has_live_attempt(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.live)
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
     /// Marks an attempt as ended and returns it; `None` if it is not in flight.
     pub fn end_attempt(&mut self, number: u16) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(usize::from(number))?;
-        if !attempt.live {
+        if !attempt.in_flight {
             return None;
         }
-        attempt.live = false;
+        attempt.in_flight = false;
         Some(attempt.clone())
     }
 
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -6,7 +6,7 @@
 
 /// A part requested again within this time, or twice it, is kept at a higher rank: one-off requests displace nothing
 /// of it.
-const REQUEST_MEMORY: Micros = 10_000 * MILLISECOND;
+const RECENT_REQUEST_PERIOD: Micros = 10_000 * MILLISECOND;
 /// Transfer time in microseconds that is assumed where no size is known.
 pub(super) const DEFAULT_TRANSFER_TIME_US: f64 = 200_000.0;
 
@@ -27,10 +27,12 @@
         }
         let transfer_time_us = self.assumed_transfer_time_us(&request, &class);
         self.update_averages(&request, transfer_time_us);
-        self.hedge_budget.earn();
-        self.retry_budget.earn();
+        self.hedge_budget.deposit();
+        self.retry_budget.deposit();
         let part = (request.object, request.part);
-        let requested_recently = self.recent_parts.insert(part, self.now, REQUEST_MEMORY);
+        let requested_recently = self
+            .recent_parts
+            .insert(part, self.now, RECENT_REQUEST_PERIOD);
         let id = request.id;
         let pending = PendingRequest::new(
             request,
@@ -64,7 +66,7 @@
     }
 
     /// The answer of an attempt has begun: this attempt belongs to the client, the others are cancelled.
-    pub(super) fn answer_started(&mut self, id: RequestId, number: u16) {
+    pub(super) fn response_started(&mut self, id: RequestId, number: u16) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
@@ -83,14 +85,14 @@
             return;
         };
         pending.done = true;
-        if let Some(target) = pending.waits_for.take() {
+        if let Some(target) = pending.waiting_for.take() {
             let position = pending.queue_position();
             self.wait_queues.remove(target, &position);
         }
         if self.settings.cancellation {
             pending.cancel_all(&mut self.actions);
         }
-        if !pending.has_live_attempt() {
+        if !pending.has_attempt_in_flight() {
             self.pending.remove(&id);
         }
     }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -10,9 +10,9 @@
 const MAX_ERRORS: usize = 2;
 
 /// What is done about an overdue attempt that has stalled.
-enum Rescue {
+enum OverdueAction {
     /// Cancel it, which leads to the next attempt.
-    Move,
+    Cancel,
     /// Send a second attempt beside it.
     Hedge,
 }
@@ -45,53 +45,54 @@
             return;
         };
         let attempt = pending.attempts.get(number);
-        let Some(attempt) = attempt.filter(|attempt| attempt.live && !attempt.cancelled) else {
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight && !attempt.cancelled)
+        else {
             return;
         };
         let route = attempt.route;
-        let suspect = self.suspect_silent(route.target, route.other_source(), attempt.sent_at);
+        let suspect = self.charge_unresponsive(route.target, route.other_source(), attempt.sent_at);
         let Some(mut pending) = self.pending.remove(&id) else {
             return;
         };
-        let hedge = match self.rescue(&pending, number) {
+        let hedge = match self.overdue_action(&pending, number) {
             None => None,
-            Some(Rescue::Move) => {
-                self.hedge_budget.spend();
+            Some(OverdueAction::Cancel) => {
+                self.hedge_budget.withdraw();
                 pending.attempts[number].cancel(id, number, &mut self.actions);
                 None
             }
-            Some(Rescue::Hedge) => self.plan_hedge(&mut pending, route, suspect),
+            Some(OverdueAction::Hedge) => self.plan_hedge(&mut pending, route, suspect),
         };
         self.pending.insert(id, pending);
         if let Some(route) = hedge {
-            self.hedge_budget.spend();
+            self.hedge_budget.withdraw();
             self.send(id, route);
         }
     }
 
     /// What may be done about an overdue attempt.
-    fn rescue(&self, pending: &PendingRequest, number: usize) -> Option<Rescue> {
+    fn overdue_action(&self, pending: &PendingRequest, number: usize) -> Option<OverdueAction> {
         let attempt = &pending.attempts[number];
-        let alone = pending
+        let is_only_attempt = pending
             .attempts
             .iter()
-            .all(|other| other.live == (other.sent_at == attempt.sent_at) && !other.cancelled);
+            .all(|other| other.in_flight == (other.sent_at == attempt.sent_at) && !other.cancelled);
         let allowed = pending.is_idempotent()
-            && alone
-            && self.hedge_budget.allows_one()
+            && is_only_attempt
+            && self.hedge_budget.has_token()
             && self.may_repeat(pending);
         let source = attempt.route.other_source();
-        let is_calm = |at: EndpointIndex| self.endpoints[at].concurrency.is_calm();
-        let stalled = is_calm(attempt.route.target) && source.is_none_or(is_calm);
+        let is_uncongested = |at: EndpointIndex| self.endpoints[at].concurrency.is_uncongested();
+        let stalled = is_uncongested(attempt.route.target) && source.is_none_or(is_uncongested);
         if !allowed || !stalled {
             return None;
         }
         if self.settings.hedging {
-            return Some(Rescue::Hedge);
+            return Some(OverdueAction::Hedge);
         }
         // Never two at once here. Not a fill, whose work would be lost, but one that probes a SUSPECT cache.
-        let movable = source.is_none() || attempt.probes.target;
-        (self.settings.cancellation && movable).then_some(Rescue::Move)
+        let cancellable = source.is_none() || attempt.probes.target;
+        (self.settings.cancellation && cancellable).then_some(OverdueAction::Cancel)
     }
 
     /// Where the hedged request goes, if it has anywhere to go beside the target of the overdue attempt.
@@ -113,7 +114,7 @@
     }
 
     /// The final answer of what is not served: a rejection where that is known to be harmless.
-    pub(super) fn give_up(&mut self, id: RequestId) {
+    pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else {
             return;
         };
@@ -125,12 +126,12 @@
             } => true,
             Idempotency::Keyed { .. } | Idempotency::NotIdempotent => false,
         };
-        let answer = if may_be_repeated || pending.may_have_run_at.is_none() {
+        let action = if may_be_repeated || pending.may_have_run_at.is_none() {
             Action::Reject(id, self.settings.max_retry_after)
         } else {
             Action::Fail(id)
         };
-        self.actions.push(answer);
+        self.actions.push(action);
         self.finish(id);
     }
 }
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -91,7 +91,7 @@
             Event::Endpoints(kind, entries) => self.apply_endpoint_list(kind, entries),
             Event::Request(request) => self.request_arrived(request),
             Event::Outcome(outcome) => self.attempt_ended(outcome),
-            Event::Started(id, number) => self.answer_started(id, number),
+            Event::Started(id, number) => self.response_started(id, number),
             Event::Cancelled(id) => self.finish(id),
             Event::Timer(token) => self.timer_expired(token),
             Event::Purged { object, group, age } => self.record_purge(object, group, age),
@@ -106,8 +106,8 @@
     fn timer_expired(&mut self, token: u64) {
         match self.timers.take(token) {
             Some(TimerPurpose::AttemptOverdue(id, number)) => self.attempt_overdue(id, number),
-            Some(TimerPurpose::WaitEnd(id)) => self.wait_ended(id),
-            Some(TimerPurpose::NextTurn(resource)) => self.wake_waiting(resource.into()),
+            Some(TimerPurpose::WaitExpired(id)) => self.wait_timer_expired(id),
+            Some(TimerPurpose::FractionalSlotFree(resource)) => self.wake_waiting(resource.into()),
             None => {}
         }
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -5,7 +5,7 @@
 use crate::api::Timestamp;
 
 /// Share of the overload multiple that an endpoint in slow start is offered; the rest is for what is not seen.
-const OFFERED_FRACTION: f64 = 0.5;
+const OFFERED_LOAD_FRACTION: f64 = 0.5;
 /// Share of the overload window whose budget can be spent in one burst.
 const BURST_FRACTION: f64 = 0.1;
 /// Requests in the overload window that a front's share must allow, or only some of the fronts send there.
@@ -13,9 +13,9 @@
 
 impl Endpoint {
     /// Its present capacity in transfers, at a time on the clock by which starts are dated.
-    fn warming_capacity(&self, shared_now: Timestamp) -> f64 {
+    fn current_capacity(&self, discovery_now: Timestamp) -> f64 {
         let limits = &self.slow_start;
-        let elapsed = shared_now.saturating_sub(self.slow_start_at) as f64;
+        let elapsed = discovery_now.saturating_sub(self.slow_start_at) as f64;
         let age = elapsed / limits.warm_up as f64;
         let fraction = limits.initial_capacity_fraction
             + (1.0 - limits.initial_capacity_fraction) * age.min(1.0);
@@ -27,7 +27,7 @@
     /// Whether an endpoint is in slow start.
     pub(super) fn is_warming_up(&self, at: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[at];
-        let now = self.endpoints.shared_clock(self.now);
+        let now = self.endpoints.discovery_time(self.now);
         endpoint.role != Role::Origin
             && endpoint.slow_start_at > 0
             && now < endpoint.slow_start_at + endpoint.slow_start.warm_up
@@ -44,10 +44,10 @@
         let fronts = f64::from(self.fronts_sharing(self.endpoints[at].role));
         let window_us = self.settings.overload_window as f64;
         let transfer_time_us = self.longest_mean_transfer_time_us();
-        let shared_now = self.endpoints.shared_clock(self.now);
+        let discovery_now = self.endpoints.discovery_time(self.now);
         let endpoint = &mut self.endpoints[at];
-        let capacity = endpoint.warming_capacity(shared_now);
-        let rate = capacity * endpoint.slow_start.overload_multiple * OFFERED_FRACTION;
+        let capacity = endpoint.current_capacity(discovery_now);
+        let rate = capacity * endpoint.slow_start.overload_multiple * OFFERED_LOAD_FRACTION;
         let requests_in_window = rate * window_us / transfer_time_us;
         let senders = (requests_in_window / MIN_REQUESTS_IN_WINDOW)
             .floor()
--- a/src/policy/source_choice.rs
+++ b/src/policy/source_choice.rs
@@ -19,7 +19,7 @@
             if !self.endpoints[at].health.is_selectable(self.now) || !self.slow_start_allows(at) {
                 continue;
             }
-            if !has_given_up(pending, at) {
+            if !has_exhausted_tries(pending, at) {
                 return Some(at);
             }
             first_selectable = first_selectable.or(Some(at));
@@ -29,7 +29,7 @@
 }
 
 /// Whether a request has tried a source often enough.
-fn has_given_up(pending: &PendingRequest, source: EndpointIndex) -> bool {
+fn has_exhausted_tries(pending: &PendingRequest, source: EndpointIndex) -> bool {
     let failures = pending.failed_sources.iter();
     failures.filter(|failed| **failed == source).count() >= MAX_SOURCE_TRIES
 }
--- a/src/policy/timers/tests.rs
+++ b/src/policy/timers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_timer_is_due_once() {
+fn timer_purpose_is_returned_once() {
     let mut timers = Timers::default();
     let (a, b) = (timers.set("a"), timers.set("b"));
     assert_ne!(a, b);
--- a/src/policy/wait_queues/tests.rs
+++ b/src/policy/wait_queues/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn queues_keep_their_order_and_leave_nothing_behind() {
+fn queues_keep_their_order_and_empty_queues_are_removed() {
     let mut queues = WaitQueues::default();
     [3, 1, 2].iter().for_each(|n| queues.add('a', *n));
     queues.remove('a', &2);
