--- a/benchlink/src/tests.rs
+++ b/benchlink/src/tests.rs
@@ -9,21 +9,21 @@
         .collect()
 }
 
-fn answer(input: &[u8]) -> Result<Vec<u8>, AdapterError> {
+fn replies_to(input: &[u8]) -> Result<Vec<u8>, AdapterError> {
     let mut output = Vec::new();
     run(&mut &input[..], &mut output).map(|()| output)
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn an_empty_frame_gets_an_empty_reply() {
     assert_eq!(
-        answer(&bytes("5a5c800000000000 04000000 00000000")).unwrap(),
+        replies_to(&bytes("5a5c800000000000 04000000 00000000")).unwrap(),
         bytes("00000000")
     );
 }
 
 #[test]
-fn the_events_of_the_wire_page_are_decoded() {
+fn events_are_decoded_from_reference_bytes() {
     let frame = bytes(
         "0800 03000000 c4913a5d3ada0f00 00003041 00002044 00000000 80a90300 0100 640ad2557c3bf091 00004040 0000
          0300 03000000 4d00000000000000
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_actions_of_the_wire_page_are_encoded() {
+fn actions_are_encoded_to_reference_bytes() {
     let (request, target) = (
         RequestId(0x000f_da3a_5d3a_91c4),
         EndpointId(0x232b_074a_120a),
@@ -139,9 +139,9 @@
         "5a5c800000000000 26000000 02000000
          0300 03000000 4d00000000000000 0900 03000000 010ad2557c000000 0b00 084c0100",
     );
-    assert!(answer(&good).is_ok());
+    assert!(replies_to(&good).is_ok());
     for cut in 1..good.len() {
-        assert!(answer(&good[..cut]).is_err(), "cut at {cut}");
+        assert!(replies_to(&good[..cut]).is_err(), "cut at {cut}");
     }
     let mut state = 7u64;
     for _ in 0..20_000 {
@@ -153,14 +153,14 @@
             let at = 8 + (state >> 33) as usize % (frame.len() - 8);
             frame[at] = (state >> 24) as u8;
         }
-        let _ = answer(&frame);
+        let _ = replies_to(&frame);
     }
-    assert!(answer(&bytes("0000000000000000 0a000000 01000000 ff7f 03000000")).is_err());
-    assert!(answer(&bytes("0000000000000000 03000000 00")).is_err());
+    assert!(replies_to(&bytes("0000000000000000 0a000000 01000000 ff7f 03000000")).is_err());
+    assert!(replies_to(&bytes("0000000000000000 03000000 00")).is_err());
 }
 
 #[test]
-fn reports_are_read_by_the_names_that_the_settings_give() {
+fn load_reports_are_read_by_the_configured_field_names() {
     let read = |fields: &str, values: &[f32]| {
         let text = format!("{{\"report\": {{\"fields\": {fields}}}}}");
         cranesill_settings::parse(text.as_bytes())
--- a/benchlink/src/wire/decode.rs
+++ b/benchlink/src/wire/decode.rs
@@ -67,7 +67,7 @@
 
     fn bytes(&mut self, count: usize) -> Result<&'a [u8], WireError> {
         let split = self.rest.split_at_checked(count);
-        let (field, rest) = split.ok_or(WireError::RecordCutOff)?;
+        let (field, rest) = split.ok_or(WireError::RecordTruncated)?;
         self.rest = rest;
         Ok(field)
     }
@@ -103,9 +103,9 @@
 
     /// The address and the port as one number, in the order of the bytes.
     fn endpoint_id(&mut self) -> Result<EndpointId, WireError> {
-        let mut wide = [0u8; 8];
-        wide[..ADDRESS_BYTES].copy_from_slice(self.bytes(ADDRESS_BYTES)?);
-        Ok(EndpointId(u64::from_le_bytes(wide)))
+        let mut padded = [0u8; 8];
+        padded[..ADDRESS_BYTES].copy_from_slice(self.bytes(ADDRESS_BYTES)?);
+        Ok(EndpointId(u64::from_le_bytes(padded)))
     }
 
     /// The values of a load report.
@@ -228,7 +228,7 @@
             0 => EndpointState::Draining,
             1 => EndpointState::Ready,
             2 => EndpointState::Removed,
-            other => return Err(WireError::UnknownListState(other)),
+            other => return Err(WireError::UnknownEndpointState(other)),
         };
         Ok(EndpointEntry {
             endpoint,
@@ -255,7 +255,7 @@
         Status::Miss,
     ];
     let status = ALL.get(usize::from(code)).copied();
-    status.ok_or(WireError::UnknownOutcome(code))
+    status.ok_or(WireError::UnknownStatus(code))
 }
 
 /// Unknown notes say nothing.
--- a/benchlink/src/wire/encode.rs
+++ b/benchlink/src/wire/encode.rs
@@ -110,8 +110,10 @@
 }
 
 fn address(endpoint: EndpointId) -> [u8; 6] {
-    let wide = endpoint.0.to_le_bytes();
-    [wide[0], wide[1], wide[2], wide[3], wide[4], wide[5]]
+    let padded = endpoint.0.to_le_bytes();
+    [
+        padded[0], padded[1], padded[2], padded[3], padded[4], padded[5],
+    ]
 }
 
 fn duration(duration: Micros) -> [u8; 4] {
--- a/benchlink/src/wire/error.rs
+++ b/benchlink/src/wire/error.rs
@@ -13,16 +13,16 @@
     Write(#[source] io::Error),
     /// The input ended within the header of a frame.
     #[error("frame header cut off after {received} bytes")]
-    HeaderCutOff { received: usize },
+    HeaderTruncated { received: usize },
     /// The length of a frame leaves no space for its record count.
     #[error("frame shorter than its record count")]
     FrameTooShort,
     /// The input ended within a frame.
     #[error("frame cut off: {received} of {length} bytes")]
-    FrameCutOff { received: usize, length: usize },
+    FrameTruncated { received: usize, length: usize },
     /// A frame ends within a record.
     #[error("record cut off")]
-    RecordCutOff,
+    RecordTruncated,
     /// A frame goes on after its last record.
     #[error("{0} bytes after the last record")]
     TrailingBytes(usize),
@@ -31,13 +31,13 @@
     UnknownRecord(u16),
     /// An outcome of unknown kind.
     #[error("unknown outcome {0}")]
-    UnknownOutcome(u16),
+    UnknownStatus(u16),
     /// An endpoint list of unknown kind.
     #[error("unknown list mode {0}")]
     UnknownListMode(u8),
     /// A list entry in an unknown state.
     #[error("unknown list state {0}")]
-    UnknownListState(u8),
+    UnknownEndpointState(u8),
     /// The replies of a frame are longer than a frame can be.
     #[error("reply too long")]
     ReplyTooLong,
--- a/benchlink/src/wire/frame.rs
+++ b/benchlink/src/wire/frame.rs
@@ -39,7 +39,7 @@
         .map_err(WireError::Read)?;
     if body.len() < length {
         let received = body.len();
-        return Err(WireError::FrameCutOff { received, length });
+        return Err(WireError::FrameTruncated { received, length });
     }
     Ok(Some(Frame { now, count, body }))
 }
@@ -50,7 +50,7 @@
     while received < header.len() {
         match input.read(&mut header[received..]) {
             Ok(0) if received == 0 => return Ok(None),
-            Ok(0) => return Err(WireError::HeaderCutOff { received }),
+            Ok(0) => return Err(WireError::HeaderTruncated { received }),
             Ok(bytes) => received += bytes,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(WireError::Read(error)),
