--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,15 +1,16 @@
-//! Admission: whether a request is sent, waits for capacity, or is given up.
+//! Admission: whether a request is sent, waits for capacity, or is rejected or failed.
 use super::endpoint::Role;
 use super::request_state::{PendingRequest, Plan, PlanError, TimerPurpose, WaitTarget};
 use super::router::Router;
 use super::units::{MILLISECOND, MIN_TIME_LEFT};
 use crate::api::{Micros, RequestId};
 
-/// Share of its time that a request waits at most while nothing of it was sent: its client can ask elsewhere.
+/// Fraction of its remaining time that a request waits at most before its first attempt, so that a rejection leaves
+/// its client time to retry elsewhere.
 const MAX_WAIT_FRACTION: f64 = 0.5;
 
 impl Router {
-    /// Sends the next attempt of a request, lets it wait, or gives up.
+    /// Sends the next attempt of a request, queues the request, or rejects or fails it.
     pub(super) fn next_attempt(&mut self, id: RequestId) {
         let Some(mut pending) = self.pending.remove(&id) else {
             return;
@@ -46,7 +47,7 @@
         self.wait_queues.add(target, pending.queue_position());
     }
 
-    /// Sets the timer that ends the wait: it lasts for as long as an answer can still be in time.
+    /// Sets the timer that ends a wait when a response could no longer meet the objective.
     fn set_wait_timer(&mut self, pending: &PendingRequest) {
         let last_in_time = pending.objective_at.min(pending.deadline);
         let transfer_time = pending.transfer_time_us as Micros;
@@ -59,8 +60,7 @@
         self.set_timer(wait.max(MILLISECOND), purpose);
     }
 
-    /// Lets requests that wait for something go on while it is available, or never will be, in the order of their
-    /// queue.
+    /// Resumes the requests that wait for `target`, in queue order, while it has capacity or has become unusable.
     pub(super) fn wake_waiting(&mut self, target: WaitTarget) {
         let mut queue = self.wait_queues.take(&target);
         if queue.is_empty() {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The wait of a write after a rejection has ended, or one for capacity, which came to nothing.
+    /// Ends a wait: a write is retried after its backoff, a request that got no capacity is rejected or failed.
     pub(super) fn wait_timer_expired(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id).filter(|pending| !pending.done) else {
             return;
--- a/src/policy/cache_choice.rs
+++ b/src/policy/cache_choice.rs
@@ -1,5 +1,6 @@
-//! Choice of the cache for a request: the first in rendezvous order that will do. An order is walked only as far as
-//! needed: in a large fleet no decision iterates over all endpoints.
+//! Choice of the cache for a request: the first suitable one in the rendezvous order of the object.
+//!
+//! Orders are evaluated lazily, so that in a large fleet no decision iterates over all endpoints.
 use super::endpoint::{Endpoint, EndpointIndex, Role};
 use super::placement::Order;
 use super::rendezvous_hash::mix;
@@ -7,18 +8,18 @@
 use super::router::Router;
 use crate::api::Request;
 
-/// Requests at a cache over its full capacity, as if all fronts of the zone had as many in flight as this one, from
-/// which an object spills over to the next cache with half of that.
+/// Estimated load of a cache, as requests of all fronts of the zone over its weight, above which an object spills over
+/// to the next cache with less than half that load.
 const MIN_SPILL_LOAD: f64 = 1.8;
-/// Requests that this front has in flight at least where it spills over.
+/// Minimum number of requests that this front has in flight at a cache before it spills over.
 const MIN_SPILL_IN_FLIGHT: u32 = 3;
-/// Utilization of the link from which nothing spills over: each cache more is a fill more.
+/// Link utilization from which objects do not spill over, since each additional cache means an additional fill.
 const MAX_SPILL_LINK_UTILIZATION: f64 = 1.0;
 
-/// How well a cache would do for a request; what is better is greater.
+/// Suitability of a cache for a request, ordered from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Suitability {
-    /// It has not failed the request.
+    /// Whether the cache has not yet failed this request.
     has_not_failed: bool,
     has_capacity: bool,
 }
@@ -30,18 +31,18 @@
     };
 }
 
-/// A cache that was found in an order.
+/// A suitable cache found in an order.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     cache: EndpointIndex,
     suitability: Suitability,
-    /// Position in the order after it.
+    /// Position in the order after the cache.
     next_position: usize,
 }
 
 impl Router {
-    /// What the rendezvous order of an object goes by. Caches keep each part of an object by itself, so there the
-    /// part is hashed too: a popular object would otherwise rest on one cache alone.
+    /// Key of the rendezvous order of an object. Caches store the parts of an object separately, so the part is
+    /// included for them: otherwise one cache would carry all load of a popular object.
     fn placement_key(role: Role, request: &Request) -> u64 {
         let part = match role {
             Role::Cache => u64::from(request.part),
@@ -50,13 +51,13 @@
         mix(request.object.0, part)
     }
 
-    /// The ready endpoints of a role in rendezvous order of the object.
+    /// The ready endpoints of a role, in rendezvous order of the object.
     pub(super) fn order(&mut self, role: Role, request: &Request) -> Order {
         let key = Self::placement_key(role, request);
         self.endpoints.ranking_mut(role).order(key)
     }
 
-    /// The ready caches that connections are kept to, in rendezvous order of the object.
+    /// The ready caches in the connection set, in rendezvous order of the object.
     fn connected_order(&self, request: &Request) -> Order {
         let connected = self.connections.endpoints();
         let ready = connected.filter(|at| self.endpoints.is_ready(*at));
@@ -77,8 +78,8 @@
         order.get(self.endpoints.ranking(role), position)
     }
 
-    /// The cache for a request: the first in rendezvous order that will do. While there are connections to as many
-    /// caches as can be, the first among those, unless none of them has capacity.
+    /// The cache for a request: the first suitable one in rendezvous order. While the connection set is full, caches
+    /// in the set are preferred unless none of them has capacity.
     pub(super) fn cache_for(&mut self, pending: &PendingRequest) -> Option<EndpointIndex> {
         self.refill_slow_start_budgets(Role::Cache, pending.is_idempotent());
         if self.connections.is_full() {
@@ -94,8 +95,8 @@
         self.first_cache(pending, order).map(|(cache, _)| cache)
     }
 
-    /// The first cache in an order that is selectable, has not failed the request (while there is another) and that
-    /// slow start allows; one without capacity is skipped while another has some.
+    /// The first cache in an order that is selectable and that slow start allows. Caches that failed the request, or
+    /// have no capacity, are skipped as long as there is a better one.
     fn first_cache(
         &mut self,
         pending: &PendingRequest,
@@ -124,7 +125,8 @@
         Some((spilled.unwrap_or(best.cache), best.suitability))
     }
 
-    /// How well a cache would do for a request; `None`: not at all. Only idempotent requests probe a SUSPECT one.
+    /// Suitability of a cache for a request; `None` if the request may not go there. Only idempotent requests probe a
+    /// SUSPECT cache.
     fn suitability(
         &mut self,
         pending: &PendingRequest,
@@ -146,8 +148,8 @@
         concurrency.has_scaled_capacity(self.now, factor)
     }
 
-    /// The next cache in the order for an object that the first one has too many requests for: one as fit, with half
-    /// of its load.
+    /// The next cache in the order with the same suitability and less than half the load, if the first cache is
+    /// overloaded and the link has capacity for another fill.
     fn spill_over(
         &mut self,
         pending: &PendingRequest,
@@ -178,7 +180,8 @@
     }
 }
 
-/// Requests at a cache over its full capacity, if each of so many fronts had as many in flight as this one.
+/// Estimated load of a cache, in requests over its weight, assuming that each of `fronts` fronts has as many requests
+/// in flight there as this one.
 fn estimated_load(cache: &Endpoint, fronts: u32) -> f64 {
     f64::from(cache.concurrency.in_flight * fronts) / cache.listed.weight
 }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,37 +1,36 @@
 //! Concurrency limit of an endpoint or of the link into the zone: how many requests this front may have in flight.
 //!
-//! The limit grows while answers come in time and is cut when they come late or are rejected, like the window of a
-//! transport protocol. Guards against a jam in which all answers come too late.
+//! The limit grows while responses arrive in time and is cut when they are late or rejected, like the congestion
+//! window of a transport protocol. This prevents congestion collapse, where all responses arrive too late.
 use super::units::{indicator, EWMA_WEIGHT, MILLISECOND};
 use crate::api::{Micros, Timestamp};
 
-/// Requests that all fronts may have in flight at first, over the full capacity of an endpoint or link.
+/// Initial limit of all fronts together, as a multiple of the full capacity of the endpoint or link.
 pub(crate) const INITIAL_LIMIT_FACTOR: f64 = 3.0;
-/// Requests that one front may always have in flight, unless its share of the full capacity is less.
+/// Lower bound of the limit of one front, unless its quota of the full capacity is smaller.
 pub(crate) const MIN_LIMIT: f64 = 2.0;
-/// Slots by which the limits of all fronts together grow in a round of answers in time.
+/// Slots by which the limits of all fronts together grow per round, i.e. per as many in-time responses as the limit.
 pub(crate) const GROWTH_SLOTS_PER_ROUND: f64 = 4.0;
-/// Share of the full capacity by which a limit grows at least in such a round.
+/// Lower bound of the growth of a limit per round, as a fraction of this front's quota.
 const MIN_GROWTH_FRACTION: f64 = 0.05;
-/// Factor by which a jam cuts a limit, at most once in `CUT_INTERVAL`.
+/// Factor by which congestion cuts a limit, at most once per `CUT_INTERVAL`.
 const CUT_FACTOR: f64 = 0.85;
 const CUT_INTERVAL: Micros = 300 * MILLISECOND;
-/// Ratio of late answers up to which an endpoint is calm.
+/// Ratio of late responses from which an endpoint is congested.
 const CONGESTION_LATE_RATIO: f64 = 0.1;
 
-/// What an answer says about the load of the endpoint or link.
+/// What a response indicates about the load of the endpoint or link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadSignal {
-    /// It came in time.
     InTime,
-    /// It came late. Sizes vary and are not always known, so this alone leaves the full share.
+    /// The response was late. The limit is not cut below the full quota for this alone, since response sizes vary and
+    /// may be unknown.
     Late,
-    /// A rejection or a load report: a sure sign of too much load.
+    /// A rejection or a load report showed overload.
     Overloaded,
 }
 
 impl LoadSignal {
-    /// In time, or late.
     pub fn from_timeliness(in_time: bool) -> Self {
         if in_time {
             LoadSignal::InTime
@@ -41,25 +40,25 @@
     }
 }
 
-/// The fraction of a limit is kept to by turns: one more request may be in flight for that share of the time.
+/// Use of the fractional part of a limit: one more request is admitted for that fraction of the time.
 #[derive(Clone, Debug, Default)]
 struct FractionalSlot {
     taken_at: Timestamp,
-    /// The next turn may start this long after the last one.
+    /// Minimum time between two uses of the fractional part.
     interval: Micros,
 }
 
-/// Requests that this front has in flight somewhere, and how many it may have.
+/// Requests that this front has in flight at an endpoint or on the link, and their limit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
     pub in_flight: u32,
     pub limit: f64,
-    /// The limit is never cut below this.
+    /// Lower bound of the limit.
     pub min_limit: f64,
-    /// This front's share of the full capacity; 0 when that is not known.
+    /// This front's quota of the full capacity; 0 if unknown.
     pub full_quota: f64,
     cut_at: Option<Timestamp>,
-    /// Moving average of the ratio of late answers.
+    /// Moving average of the ratio of late responses.
     late_ratio: f64,
     /// Moving average of the time that a request is in flight, in microseconds.
     service_time_us: f64,
@@ -67,7 +66,8 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit for an endpoint of which this front has `full_quota`, with requests `in_flight` from before.
+    /// Creates the limit of an endpoint of which this front's quota is `full_quota`, with `in_flight` requests already
+    /// there.
     pub fn for_endpoint(full_quota: f64, in_flight: u32, service_time_us: f64) -> Self {
         ConcurrencyLimit {
             in_flight,
@@ -84,7 +84,7 @@
         self.has_scaled_capacity(now, 1.0)
     }
 
-    /// The same under a limit that is larger by this factor: turns come as much sooner.
+    /// Whether one more request may be in flight under a limit multiplied by `factor`.
     pub fn has_scaled_capacity(&self, now: Timestamp, factor: f64) -> bool {
         let in_flight = f64::from(self.in_flight);
         let limit = self.limit * factor;
@@ -93,27 +93,25 @@
         in_flight + 1.0 <= limit || (in_flight < limit && now >= next_slot_at)
     }
 
-    /// Whether this multiple of the limit is in flight.
+    /// Whether the requests in flight reach `multiple` times the limit.
     pub fn exceeds(&self, multiple: f64) -> bool {
         f64::from(self.in_flight) >= self.limit * multiple
     }
 
-    /// Whether few answers are late.
     pub fn is_uncongested(&self) -> bool {
         self.late_ratio < CONGESTION_LATE_RATIO
     }
 
-    /// Moving average of the ratio of late answers.
     pub fn late_ratio(&self) -> f64 {
         self.late_ratio
     }
 
-    /// Whether the limit was ever cut.
+    /// Whether the limit has ever been cut.
     pub fn was_cut(&self) -> bool {
         self.cut_at.is_some()
     }
 
-    /// Takes a slot, and returns how long the next turn is away if this one was a turn.
+    /// Takes a slot. If it was the fractional slot, returns the time until that is available again.
     pub fn acquire(&mut self, now: Timestamp) -> Option<Micros> {
         let fraction = self.limit - f64::from(self.in_flight);
         self.in_flight += 1;
@@ -127,13 +125,13 @@
         })
     }
 
-    /// Gives a slot back that was taken for this long.
+    /// Returns a slot that was taken for `duration`.
     pub fn release(&mut self, duration: Micros) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.service_time_us += (duration as f64 - self.service_time_us) * EWMA_WEIGHT;
     }
 
-    /// Grows or cuts the limit after an answer; `growth` is by how many slots it grows in a round of answers in time.
+    /// Grows or cuts the limit after a response; `growth` is the number of slots that it grows per round.
     pub fn adapt(&mut self, now: Timestamp, signal: LoadSignal, growth: f64) {
         let late = indicator(signal != LoadSignal::InTime);
         self.late_ratio += (late - self.late_ratio) * EWMA_WEIGHT;
@@ -145,7 +143,7 @@
         }
     }
 
-    /// Grows a limit that is in use for at least half.
+    /// Grows the limit if at least half of it is in use.
     fn grow(&mut self, growth: f64) {
         if f64::from(self.in_flight + 1) > self.limit / 2.0 {
             self.limit += growth.max(MIN_GROWTH_FRACTION * self.full_quota) / self.limit;
--- a/src/policy/connection_set/tests.rs
+++ b/src/policy/connection_set/tests.rs
@@ -17,7 +17,7 @@
     connections.record_send(20, 9);
     assert!(connections.is_full());
     assert_eq!(connections.endpoints().collect::<Vec<_>>(), [7, 9]);
-    // The connection to the first is closed for lack of use.
+    // The connection to cache 7 reaches its idle timeout.
     connections.expire(10 + IDLE - 1);
     assert!(connections.is_full());
     connections.expire(10 + IDLE);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,11 +1,11 @@
-//! Dispatch: sends an attempt and takes the capacity that it needs.
+//! Dispatch: sends an attempt and acquires the capacity that it needs.
 use super::endpoint::Role;
 use super::request_state::{Attempt, PendingRequest, Probes, Resource, Route, TimerPurpose};
 use super::router::Router;
 use super::units::MILLISECOND;
 use crate::api::{Action, Micros, RequestId};
 
-/// An attempt is never overdue before this multiple of its own transfer time plus a round of waiting.
+/// An attempt is overdue at the earliest after this multiple of its transfer time plus `OVERDUE_SLACK`.
 const OVERDUE_TRANSFER_FACTOR: f64 = 1.5;
 const OVERDUE_SLACK: Micros = 100 * MILLISECOND;
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes a slot at all that an attempt uses, and charges slow-start budgets.
+    /// Acquires a slot at each resource that an attempt uses, and charges slow-start budgets.
     fn acquire_capacity(&mut self, pending: &PendingRequest, attempt: &mut Attempt) {
         let target = attempt.route.target;
         if let Some(origin) = attempt.upstream_origin {
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, operators' cordons, and health that is handed over between processes.
+//! Changes of the endpoint list, cordons, and health state that is handed over between processes.
 use super::concurrency_limit::{ConcurrencyLimit, INITIAL_LIMIT_FACTOR, MIN_LIMIT};
 use super::endpoint::{Endpoint, EndpointIndex, Role};
 use super::health::{DownCause, Health};
@@ -8,13 +8,13 @@
 use super::token_bucket::TokenBucket;
 use crate::api::{Action, EndpointEntry, EndpointId, LearnedHealth, ListKind};
 
-/// Size of the origin, which is not known, over that of all parents.
+/// Assumed capacity of the origin, as a ratio of the total capacity of the parents.
 const ORIGIN_SIZE_RATIO: f64 = 0.25;
-/// Weight of an endpoint whose list entry has none.
+/// Weight of an endpoint whose list entry has no valid one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 impl Router {
-    /// Takes over the endpoint list or a change of it.
+    /// Applies an endpoint list or a change of it.
     pub(super) fn apply_endpoint_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
         match kind {
             ListKind::Failed => self.actions.push(Action::Subscribe),
@@ -38,12 +38,12 @@
         let same_process = |at: &EndpointIndex| self.endpoints[*at].listed.started == entry.started;
         match known.filter(same_process) {
             Some(at) => self.endpoints.update(at, entry),
-            // New, or restarted and empty again: its old health says nothing.
+            // New, or restarted with an empty cache: earlier health state does not apply.
             None => self.add_endpoint(entry, role, known),
         }
     }
 
-    /// What an entry is to this front. Caches of other zones are of no use here and are not kept.
+    /// Role of an entry for this front; `None` for caches of other zones, which are not kept.
     fn role_of(&self, entry: &EndpointEntry) -> Option<Role> {
         let kind = Some(entry.kind);
         if kind == self.settings.parent_kind {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Adds an endpoint, or the next process of the one at the index `known`.
+    /// Adds an endpoint, or replaces the one at index `known` with its next process.
     fn add_endpoint(&mut self, entry: EndpointEntry, role: Role, known: Option<EndpointIndex>) {
         let full_quota = entry.weight / f64::from(self.fronts_sharing(role));
         let in_flight = known.map_or(0, |at| self.endpoints[at].concurrency.in_flight);
@@ -80,7 +80,8 @@
         self.warming_up.insert(at);
     }
 
-    /// After a change of the list: forgets what was removed, fits the limits to what is left, and wakes what waits.
+    /// After a change of the list: removes endpoints that are no longer listed, resizes limits and wakes waiting
+    /// requests.
     fn endpoints_changed(&mut self) {
         for at in self.endpoints.remove_idle() {
             self.connections.remove(at);
@@ -106,7 +107,8 @@
         concurrency.limit = concurrency.limit.max(lower_bound);
     }
 
-    /// Where the size of the link is not known it is at first taken for that of the caches behind it.
+    /// Without a configured rate, the link is assumed to be as large as the caches behind it until a load report
+    /// arrives.
     fn resize_link_limit(&mut self) {
         let caches = self.endpoints.ranking(Role::Cache).weight();
         let known = self.settings.link_kb_per_s / self.settings.client_kb_per_s;
@@ -122,7 +124,7 @@
         };
     }
 
-    /// Wakes what waits for endpoints, in the order of their ids.
+    /// Wakes requests that wait for endpoints, in the order of the endpoint ids.
     fn wake_waiting_for_endpoints(&mut self) {
         let endpoint = |target: &WaitTarget| match target {
             WaitTarget::Endpoint(at) => Some((self.endpoints[*at].listed.endpoint, *at)),
@@ -135,8 +137,8 @@
         }
     }
 
-    /// An operator cordons an endpoint or ends that; the list has no say in it. What comes back was restarted: it is
-    /// in slow start, and neither an old failure nor an old answer says anything of it.
+    /// Cordons or uncordons an endpoint, regardless of its state in the list. An uncordoned endpoint was restarted: it
+    /// begins a slow start, and its earlier health state is dropped.
     pub(super) fn set_cordoned(&mut self, id: EndpointId, cordoned: bool) {
         if !self.endpoints.set_cordoned(id, cordoned) {
             return;
@@ -152,8 +154,8 @@
         self.wake_waiting(WaitTarget::Cache);
     }
 
-    /// What is worth handing to the next process: which endpoints are DOWN or SUSPECT, and which are in slow start
-    /// though the list does not say so.
+    /// Health state to hand over to the next process: endpoints that are DOWN or SUSPECT, and slow starts that the
+    /// endpoint list does not show.
     pub fn learned_health(&self) -> Vec<LearnedHealth> {
         let all = self.endpoints.all().map(|endpoint| LearnedHealth {
             endpoint: endpoint.listed.endpoint,
@@ -166,14 +168,14 @@
             .collect()
     }
 
-    /// Takes over what an earlier process learned.
+    /// Restores the health state that an earlier process handed over.
     pub(super) fn restore_health(&mut self, all: Vec<LearnedHealth>) {
         all.into_iter()
             .for_each(|learned| self.restore_endpoint_health(learned));
     }
 
-    /// Takes over what was learned of one endpoint, unless it has restarted since. What was DOWN is SUSPECT: it has
-    /// to prove itself to this process.
+    /// Restores the state of one endpoint, unless it has restarted since. An endpoint that was DOWN becomes SUSPECT,
+    /// so that this process probes it.
     fn restore_endpoint_health(&mut self, learned: LearnedHealth) {
         let same_process =
             |at: &EndpointIndex| self.endpoints[*at].listed.started == learned.started;
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Whether a listed endpoint gets no requests now: cordoned, draining, DOWN, or SUSPECT with its probes in flight.
+    /// Whether an endpoint gets no requests now: cordoned, draining, DOWN, or SUSPECT with all its probes in flight.
     pub fn is_unavailable(&self, id: EndpointId) -> bool {
         let known = self.endpoints.find(id);
         self.endpoints.is_cordoned(id) || known.is_some_and(|at| !self.is_usable(at))
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -1,54 +1,53 @@
-//! The table of endpoints: what the endpoint list says, by index, id and role.
+//! The endpoints from the endpoint list, by index, id and role.
 use super::endpoint::{Endpoint, EndpointIndex, Role};
 use super::placement::Ranking;
 use crate::api::{EndpointEntry, EndpointId, EndpointState, Micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// The endpoints, each at an index that it keeps while it is listed or has requests in flight. A change of one
+/// Table of endpoints. An endpoint keeps its index while it is listed or has requests in flight. A change of one
 /// endpoint does not iterate over the others.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     endpoints: Vec<Endpoint>,
     index: BTreeMap<EndpointId, EndpointIndex>,
-    /// Indexes of endpoints that were forgotten.
+    /// Indexes that can be reused.
     free: Vec<EndpointIndex>,
-    /// Endpoints that were removed from the list; some may still have requests in flight.
+    /// Endpoints that were removed from the list. Some may still have requests in flight.
     removed: BTreeSet<EndpointId>,
     /// Endpoints that are listed as ready and not cordoned, by role.
     ready: [ReadyEndpoints; 3],
-    /// Endpoints that operators cordoned: by id, since this outlives the entry in the list.
+    /// Cordoned endpoints, by id since a cordon outlives the list entry.
     cordoned: BTreeSet<EndpointId>,
-    /// How far this clock is ahead of the one by which starts are dated.
+    /// How far this clock is ahead of the discovery clock.
     pub clock_ahead: Micros,
 }
 
 /// The ready endpoints of a role.
 #[derive(Debug, Default)]
 struct ReadyEndpoints {
-    /// Their indexes, in the order of their ids.
+    /// In the order of the endpoint ids.
     indexes: Vec<EndpointIndex>,
     ranking: Ranking,
 }
 
 impl EndpointTable {
-    /// The index of an endpoint.
     pub fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.index.get(&id).copied()
     }
 
-    /// `now` on the clock by which starts are dated.
+    /// Converts `now` to the discovery clock, the clock of the start times in the endpoint list.
     pub fn discovery_time(&self, now: Timestamp) -> Timestamp {
         now.saturating_sub(self.clock_ahead)
     }
 
-    /// When the slow start of an endpoint began that is listed now. A start in the future shows that this clock is
-    /// behind: it was just now.
+    /// Start of the slow start of a listed endpoint. A start time in the future means that this clock is behind, so
+    /// `now` is used instead.
     pub fn slow_start_at(&self, entry: &EndpointEntry, now: Timestamp) -> Timestamp {
         entry.started.min(self.discovery_time(now))
     }
 
-    /// Cordons an endpoint or ends that. Returns whether that changes anything.
+    /// Cordons or uncordons an endpoint. Returns whether its state changed.
     pub fn set_cordoned(&mut self, id: EndpointId, cordoned: bool) -> bool {
         let known = self.find(id);
         known.into_iter().for_each(|at| self.remove_ready(at));
@@ -61,12 +60,12 @@
         changed
     }
 
-    /// All known endpoints, in the order of their ids.
+    /// All endpoints in the table, in the order of their ids.
     pub fn all(&self) -> impl Iterator<Item = &Endpoint> {
         self.index.values().map(|at| &self.endpoints[*at])
     }
 
-    /// Whether operators cordoned an endpoint, listed or not.
+    /// Whether an endpoint is cordoned, listed or not.
     pub fn is_cordoned(&self, id: EndpointId) -> bool {
         self.cordoned.contains(&id)
     }
@@ -82,17 +81,16 @@
         &self.ready[role as usize].indexes
     }
 
-    /// The same endpoints, to be ranked for an object.
+    /// Rendezvous ranking of the ready endpoints of a role.
     pub fn ranking(&self, role: Role) -> &Ranking {
         &self.ready[role as usize].ranking
     }
 
-    /// The same, to rank them.
     pub fn ranking_mut(&mut self, role: Role) -> &mut Ranking {
         &mut self.ready[role as usize].ranking
     }
 
-    /// A complete list follows: what it lacks is removed.
+    /// Marks all endpoints as removed before a complete list is applied.
     pub fn mark_all_removed(&mut self) {
         self.ready = Default::default();
         self.removed = self.index.keys().copied().collect();
@@ -101,14 +99,14 @@
             .for_each(|endpoint| endpoint.listed.state = EndpointState::Removed);
     }
 
-    /// Takes over what the list says now of a known endpoint.
+    /// Replaces the list entry of a known endpoint.
     pub fn update(&mut self, at: EndpointIndex, entry: EndpointEntry) {
         self.remove_ready(at);
         self.endpoints[at].listed = entry;
         self.insert_ready(at);
     }
 
-    /// Puts an endpoint at its old index, or at a new one, and returns the index.
+    /// Inserts an endpoint at its previous index or a new one, and returns the index.
     pub fn insert(&mut self, endpoint: Endpoint) -> EndpointIndex {
         let id = endpoint.listed.endpoint;
         let known = self.find(id);
@@ -126,7 +124,7 @@
         at
     }
 
-    /// Forgets endpoints that were removed from the list and have nothing in flight, and returns their indexes.
+    /// Drops removed endpoints without requests in flight, and returns their indexes.
     pub fn remove_idle(&mut self) -> Vec<EndpointIndex> {
         let idle = |at: &EndpointIndex| self.endpoints[*at].concurrency.in_flight == 0;
         let index_if_idle = |id: &EndpointId| self.index.get(id).copied().filter(idle);
@@ -143,7 +141,7 @@
         forgotten.into_iter().map(|(_, at)| at).collect()
     }
 
-    /// Before a change of an endpoint: takes it out of the ready ones.
+    /// Removes an endpoint from the ready ones before it is changed.
     fn remove_ready(&mut self, at: EndpointIndex) {
         let Endpoint { listed, role, .. } = &self.endpoints[at];
         let id = listed.endpoint;
@@ -158,7 +156,7 @@
         }
     }
 
-    /// After a change of an endpoint: adds it to the ready ones if it is ready.
+    /// Adds an endpoint to the ready ones after a change, if it is ready.
     fn insert_ready(&mut self, at: EndpointIndex) {
         let Endpoint { listed, role, .. } = &self.endpoints[at];
         if listed.state == EndpointState::Removed {
--- a/src/policy/failure_detection.rs
+++ b/src/policy/failure_detection.rs
@@ -1,23 +1,23 @@
-//! Passive failure detection: which endpoint a failed attempt is charged to, and what follows from it.
+//! Passive failure detection: which endpoint is charged with a failed attempt, and the consequences.
 use super::endpoint::{EndpointIndex, Role};
 use super::health::{DownCause, Failure, HealthState};
 use super::router::Router;
 use crate::api::{Action, Timestamp};
 
 impl Router {
-    /// Whether requests may go to an endpoint as far as its health goes; only what `may_probe` goes to a SUSPECT one.
+    /// Whether the health of an endpoint admits a request; a SUSPECT one admits only requests that `may_probe`.
     pub(super) fn is_healthy_for(&self, at: EndpointIndex, may_probe: bool) -> bool {
         let health = &self.endpoints[at].health;
         let acceptable = may_probe || health.state(self.now) == HealthState::Up;
         acceptable && health.is_selectable(self.now)
     }
 
-    /// Whether an endpoint is SUSPECT.
     pub(super) fn is_suspect(&self, at: EndpointIndex) -> bool {
         self.endpoints[at].health.state(self.now) == HealthState::Suspect
     }
 
-    /// Charges a failure to the endpoint that has been silent since `sent_at`: the target, or else the source.
+    /// Charges a failure to the endpoint that has not responded since `sent_at`: the target, or else the source.
+    /// Returns the endpoint charged.
     pub(super) fn charge_unresponsive(
         &mut self,
         target: EndpointIndex,
@@ -33,9 +33,9 @@
         Some(suspect)
     }
 
-    /// Whether most peers (other endpoints of the role) that were heard from since `sent_at` do well. Only then a
-    /// soft failure says something of this one: a fault that hits all alike (a slow origin, a full link, an
-    /// overload) must not take them DOWN. Failures that did not count tell too.
+    /// Whether most peers (other endpoints of the role) that responded since `sent_at`, or have failures, are healthy.
+    /// Soft failures count only then: a fault that affects all peers alike, such as a slow origin, a full link or
+    /// overload, must not take them DOWN. Failures that were not counted are included.
     fn most_peers_healthy(&self, at: EndpointIndex, sent_at: Timestamp) -> bool {
         let peers = self.endpoints.ready(self.endpoints[at].role).iter();
         let mut known = 0_usize;
@@ -51,7 +51,7 @@
         healthy * 2 > known
     }
 
-    /// Counts a failure; when a cache goes DOWN by it, idempotent requests in flight there are moved.
+    /// Counts a failure. If it takes a cache DOWN, idempotent requests in flight there are retried elsewhere.
     pub(super) fn record_failure(
         &mut self,
         at: EndpointIndex,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Cancels idempotent attempts at a cache, which leads to attempts elsewhere.
+    /// Cancels idempotent attempts at a cache; each cancellation leads to an attempt elsewhere.
     fn cancel_attempts_at(&mut self, cache: EndpointIndex) {
         if !self.settings.cancellation {
             return;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Counts a served request of an endpoint.
+    /// Counts a request that an endpoint served.
     pub(super) fn record_success(&mut self, at: EndpointIndex, sent_at: Timestamp) {
         let started_at = self.endpoints.discovery_time(self.now);
         let endpoint = &mut self.endpoints[at];
@@ -104,7 +104,7 @@
             return;
         };
         if cause == DownCause::ConnectionLost {
-            // No connection was made before: the process died and comes back with an empty cache.
+            // The process had stopped, so it has restarted with an empty cache.
             endpoint.restart_slow_start(self.now, started_at);
             self.warming_up.insert(at);
         }
--- a/src/policy/fills.rs
+++ b/src/policy/fills.rs
@@ -1,4 +1,4 @@
-//! Fills: what has to wait, and the instructions for a cache that fills a miss.
+//! Fills: what they wait for, and the instructions for a cache that fills a miss.
 use super::endpoint::{EndpointIndex, Role};
 use super::load_feedback::FULL_LINK_UTILIZATION;
 use super::request_state::{PendingRequest, Route, WaitTarget};
@@ -6,21 +6,23 @@
 use super::router::Router;
 use crate::api::{Fill, Request};
 
-/// Ratio of late answers from which the origin is slow.
+/// Ratio of late responses from which the origin is considered slow.
 const ORIGIN_LATE_RATIO: f64 = 0.4;
-/// Ratio of requests whose object was purged recently, from which the origin is asked for all of these: what fills
-/// by way of it is held to its limit before the first late answer shows that it has no capacity for more.
+/// Ratio of requests for recently purged objects from which fills of such objects are held to the origin's limit: they
+/// reach the origin, and its overload would show only after the first late responses.
 const MANY_PURGED_RATIO: f64 = 0.25;
-/// Attempts that name a source, over its limit, from which a cache is first asked for a cached copy only: about half
-/// of them are hits that never reach it. What has missed is held to the limit itself.
+/// Attempts that may fill from a source, as a multiple of its limit, from which a cache is first checked for a copy
+/// without a fill. About half of these attempts are hits, which never reach the source; requests that missed are held
+/// to the limit itself.
 const MAX_POTENTIAL_FILLS_FACTOR: f64 = 2.0;
-/// Ranks at which copies are kept: one-off requests below what is requested again.
+/// Ranks of cached copies: parts requested once are evicted before parts requested repeatedly.
 const RANK_NOT_CACHED: u8 = 0;
 const RANK_FIRST_REQUEST: u8 = 1;
 const RANK_REPEATED_REQUEST: u8 = 2;
 
 impl Router {
-    /// What a fill from a source has to wait for, if anything: for the link only where reports tell of it.
+    /// What a fill from a source has to wait for, if anything. The link counts only if load reports show its
+    /// utilization.
     pub(super) fn capacity_wait_target(
         &self,
         source: EndpointIndex,
@@ -39,9 +41,10 @@
         upstream_origin.map(WaitTarget::Endpoint)
     }
 
-    /// The origin, where `source` is a parent and what comes by way of the origin is late, or will be since all
-    /// copies were purged: a parent is then first asked for a cached copy only, or its slots would all be taken by
-    /// what waits for the origin. Each of many fronts sees too few late answers to learn it in time.
+    /// The origin, if `source` is a parent and fills through it from the origin are late, or are expected to be
+    /// because many objects were purged or large parts are not coalesced. The parent is then first asked for a cached
+    /// copy only; otherwise fills that wait for the origin would hold all its slots. A single front of many sees too
+    /// few late responses to detect this in time.
     pub(super) fn slow_upstream_origin(
         &self,
         source: EndpointIndex,
@@ -61,8 +64,8 @@
         })
     }
 
-    /// Whether the link or a source has so much to do that a cache is first asked for a cached copy only: a hit is
-    /// not to wait behind a fill that has to wait.
+    /// Whether the link or a source is so loaded that a cache is first checked for a copy without a fill, so that hits
+    /// do not wait behind fills.
     pub(super) fn must_check_cache_first(&self, source: EndpointIndex, request: &Request) -> bool {
         let link_exceeded =
             self.link_report.is_some() && self.link.exceeds(MAX_POTENTIAL_FILLS_FACTOR);
@@ -74,7 +77,7 @@
             && self.slow_upstream_origin(source, request).is_none()
     }
 
-    /// The instructions for a fill that go with an attempt.
+    /// Fill instructions for an attempt.
     pub(super) fn fill_instructions(&self, pending: &PendingRequest, route: Route) -> Option<Fill> {
         let source = route.source?;
         let is_write = pending.class.write;
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,50 +1,50 @@
 //! Health of one endpoint: the failure counter and its states UP, DOWN and SUSPECT.
 //!
-//! One mechanism serves caches, parents and the origin. It is a state machine without I/O; which failures are
-//! charged to which endpoint is decided in `failure_detection`.
+//! Caches, parents and the origin use the same state machine. Which endpoint is charged with a failure is decided in
+//! `failure_detection`.
 use super::units::MILLISECOND;
 use crate::api::{Micros, Timestamp};
 
-/// Failed attempts beyond the first that take an endpoint DOWN (Traffic Server's `max_retries`).
+/// Failures beyond the first that take an endpoint DOWN (Traffic Server's `max_retries`).
 const MAX_RETRIES: u32 = 3;
-/// Probes of a SUSPECT endpoint beside the first (Traffic Server's `suspect_server`).
+/// Probes of a SUSPECT endpoint in flight in addition to the first (Traffic Server's `suspect_server`).
 const MAX_SUSPECT_RETRIES: u32 = 1;
-/// How long a DOWN endpoint gets no requests. Traffic Server has 60 s, its design 10 s; here an endpoint is a good
-/// part of a zone, and a probe costs one request that is retried elsewhere.
+/// Time for which a DOWN endpoint gets no requests. Traffic Server's default is 60 s; it is shorter here because one
+/// endpoint is a large part of a zone, and a probe costs only one request that is retried elsewhere.
 const FAIL_WINDOW: Micros = 5_000 * MILLISECOND;
 
 /// Whether an endpoint may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthState {
-    /// It gets requests.
+    /// Gets requests.
     Up,
-    /// It gets none until the fail window ends.
+    /// Gets no requests until the fail window ends.
     Down,
-    /// The fail window has ended; a few requests probe it.
+    /// The fail window has ended, and a few requests probe the endpoint.
     Suspect,
 }
 
-/// What a failed attempt says about the endpoint. The names appear in log lines.
+/// Kind of failure of an attempt. The names appear in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No connection was made, or it broke: the process is gone.
+    /// The connection could not be established or broke: the process has stopped.
     Lost,
-    /// An error answer.
+    /// An error response.
     Error,
-    /// Rejected, slow or silent: a fault of its own only where its peers do better.
+    /// A rejection, or a late or missing response: charged to the endpoint only if most of its peers are healthy.
     Soft,
 }
 
 /// Why an endpoint went DOWN.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DownCause {
-    /// No connection was made: it will come back with an empty cache.
+    /// The connection failed, so the endpoint will restart with an empty cache.
     ConnectionLost,
-    /// It failed requests though it runs.
+    /// Its process runs but failed requests.
     FailedRequests,
 }
 
-/// Whether an endpoint is out of use; the end of the fail window is worked out from `since`.
+/// Stored state. Whether an endpoint that is not UP is DOWN or SUSPECT follows from `since` and the current time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Availability {
     #[default]
@@ -60,18 +60,18 @@
 pub(crate) struct Health {
     availability: Availability,
     failures: u32,
-    /// Attempts sent before this time prove nothing about the current state.
+    /// Attempts sent before this time are not evidence of the current state.
     changed_at: Timestamp,
     /// Probes in flight while SUSPECT.
     probes_in_flight: u32,
     last_response_at: Timestamp,
     last_failure_at: Timestamp,
-    /// When the first attempt of its present silence was sent, if that was after its last answer.
+    /// When the first failed attempt after the last response was sent.
     unresponsive_since: Timestamp,
 }
 
 impl Health {
-    /// A healthy endpoint of which nothing is known from before `now`.
+    /// Creates the state of an UP endpoint; attempts sent before `now` do not count.
     pub fn new(now: Timestamp) -> Self {
         Health {
             changed_at: now,
@@ -79,7 +79,6 @@
         }
     }
 
-    /// The state at this time.
     pub fn state(&self, now: Timestamp) -> HealthState {
         match self.availability {
             Availability::Up => HealthState::Up,
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Whether it went DOWN and has not proven itself since.
+    /// Whether it went DOWN and no probe has succeeded since.
     pub fn is_down_or_suspect(&self) -> bool {
         self.availability != Availability::Up
     }
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Whether a request may go there: UP, or SUSPECT with a probe to spare.
+    /// Whether a request may be sent: UP, or SUSPECT with fewer probes in flight than allowed.
     pub fn is_selectable(&self, now: Timestamp) -> bool {
         match self.state(now) {
             HealthState::Up => true,
@@ -110,40 +109,37 @@
         }
     }
 
-    /// Failures that count at present.
+    /// Current value of the failure counter.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// When it answered last.
     pub fn last_response_at(&self) -> Timestamp {
         self.last_response_at
     }
 
-    /// Whether it shows few failures: UP, its last sign of life newer than its last failure, and at most half of the
-    /// failures that would take it DOWN.
+    /// Whether it is UP, has responded since its last failure, and has at most half of the failures that would take it
+    /// DOWN.
     pub fn has_few_failures(&self) -> bool {
         let responded_last = self.last_failure_at <= self.last_response_at;
         !self.is_down_or_suspect() && responded_last && self.failures * 2 <= MAX_RETRIES
     }
 
-    /// An answer of any kind arrived.
+    /// Records a response of any kind.
     pub fn record_response(&mut self, now: Timestamp) {
         self.last_response_at = now;
     }
 
-    /// A probe was sent.
     pub fn start_probe(&mut self) {
         self.probes_in_flight += 1;
     }
 
-    /// A probe ended.
     pub fn end_probe(&mut self) {
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
     }
 
-    /// Notes a failure, whether or not it will count, and returns since when the endpoint has been silent. Where
-    /// there is little traffic its peers are only heard from over its whole silence.
+    /// Records the time of a failure, counted or not. Returns when the first failed attempt since the last response
+    /// was sent: with little traffic, peers may have responded only at some time within that whole period.
     pub fn record_failure_time(&mut self, sent_at: Timestamp, now: Timestamp) -> Timestamp {
         self.last_failure_at = now;
         self.unresponsive_since = if self.unresponsive_since <= self.last_response_at {
@@ -154,7 +150,7 @@
         self.unresponsive_since
     }
 
-    /// Counts a failed attempt. Returns whether the endpoint went DOWN by it.
+    /// Counts a failed attempt. Returns whether it took the endpoint DOWN.
     pub fn count_failure(&mut self, sent_at: Timestamp, now: Timestamp, failure: Failure) -> bool {
         let state = self.state(now);
         if state == HealthState::Down || sent_at < self.changed_at {
@@ -174,8 +170,8 @@
         true
     }
 
-    /// Counts a served request. Returns why the endpoint had been DOWN if it came UP by it. One that is UP has one
-    /// failure taken off, not all: an endpoint that fails every other attempt must go DOWN.
+    /// Counts a served request. Returns why the endpoint had been DOWN if this brings it UP. An UP endpoint has one
+    /// failure subtracted rather than all: one that fails every other attempt must go DOWN.
     pub fn count_success(&mut self, sent_at: Timestamp, now: Timestamp) -> Option<DownCause> {
         self.last_response_at = now;
         match self.availability {
@@ -188,12 +184,12 @@
                 self.last_response_at = now;
                 Some(cause)
             }
-            // A late success of an attempt from before the window's end is no probe.
+            // An attempt from before the end of the fail window is not a probe.
             Availability::Down { .. } => None,
         }
     }
 
-    /// Makes an UP endpoint SUSPECT, as another process of this front found it.
+    /// Makes an UP endpoint SUSPECT, as another process of this front observed.
     pub fn suspect(&mut self, now: Timestamp, cause: DownCause) {
         if self.availability == Availability::Up {
             let since = now.saturating_sub(FAIL_WINDOW);
--- a/src/policy/load_feedback.rs
+++ b/src/policy/load_feedback.rs
@@ -1,4 +1,4 @@
-//! What answers and load reports do to the concurrency limits.
+//! Adapts concurrency limits to responses and load reports.
 use super::concurrency_limit::{LoadSignal, GROWTH_SLOTS_PER_ROUND};
 use super::endpoint::{EndpointIndex, Role};
 use super::request_state::{Resource, TimerPurpose};
@@ -6,16 +6,17 @@
 use super::units::MILLISECOND;
 use crate::api::{LoadReport, Micros};
 
-/// Transfers on the link into the zone, over those that fit at full rate, from which it is full: a fill runs two to
-/// four times as fast as a client takes it, so up to there it holds up none.
+/// Utilization of the link into the zone from which it is full. A fill runs two to four times as fast as a client
+/// reads it, so below this value fills do not delay clients.
 pub(super) const FULL_LINK_UTILIZATION: f64 = 3.0;
-/// A link with a lower reported utilization is taken to have this one.
+/// Lower bound applied to the reported utilization of the link.
 const MIN_LINK_UTILIZATION: f64 = 0.2;
-/// How long a load report holds.
+/// Age from which a load report is ignored.
 const MAX_LOAD_REPORT_AGE: Micros = 1_000 * MILLISECOND;
 
 impl Router {
-    /// Takes a slot at a resource; if it was a turn, a timer wakes what waits there at the next one.
+    /// Takes a slot of a resource. If it was the fractional slot, sets a timer that wakes waiting requests once it is
+    /// available again.
     pub(super) fn acquire(&mut self, resource: Resource) {
         let now = self.now;
         if let Some(delay) = self.concurrency_mut(resource).acquire(now) {
@@ -23,13 +24,13 @@
         }
     }
 
-    /// Adapts the limit of a resource after an answer.
+    /// Adapts the limit of a resource after a response.
     pub(super) fn adapt_limit(&mut self, resource: Resource, signal: LoadSignal) {
         let (role, report) = match resource {
             Resource::Endpoint(at) => (self.endpoints[at].role, None),
             Resource::Link => (Role::Cache, self.link_utilization()),
         };
-        // Where a report says how empty the link is, its limit grows the faster.
+        // The limit of the link grows faster the more headroom a load report shows.
         let headroom = report.map_or(1.0, |utilization| {
             FULL_LINK_UTILIZATION / utilization.max(MIN_LINK_UTILIZATION)
         });
@@ -39,14 +40,14 @@
         self.concurrency_mut(resource).adapt(now, signal, growth);
     }
 
-    /// How full the link into the zone is, where a recent report tells.
+    /// Utilization of the link into the zone, if a recent load report contains it.
     pub(super) fn link_utilization(&self) -> Option<f64> {
         self.link_report
             .filter(|report| self.now < report.received_at + MAX_LOAD_REPORT_AGE)
             .map(|report| report.utilization)
     }
 
-    /// Takes over what the load report of a cache says about the link.
+    /// Records the link utilization from the load report of a cache.
     pub(super) fn record_load_report(&mut self, from: EndpointIndex, report: Option<LoadReport>) {
         let report = report.filter(|_| self.endpoints[from].role == Role::Cache);
         let utilization = report.and_then(|report| report.link);
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Whether this front's share of a source is less than one slot: many fronts send to few parents. The origin's
-    /// size is a guess, so it goes with the parents there.
+    /// Whether this front's quota of a source is less than one slot, as with many fronts and few parents. The capacity
+    /// of the origin is only estimated from the parents, so the parents' quotas decide there.
     pub(super) fn has_fractional_quota(&self, at: EndpointIndex) -> bool {
         let fractional = |at: &EndpointIndex| self.endpoints[*at].concurrency.min_limit < 1.0;
         match self.endpoints[at].role {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,26 +1,25 @@
-//! The decisions of a request router, without I/O and without a clock. The types of its interface are in
-//! [`crate::api`]; `docs/design.md` cites the design that they follow and says when each departure from it acts.
+//! Decision logic of a request router, without I/O and without a clock. The types of its interface are in
+//! [`crate::api`]; `docs/design.md` cites the design that it follows and describes when each departure from it applies.
 //!
-//! [`Router`] (module `router`) holds the state and hands each event to the module that decides about it:
+//! [`Router`] (module `router`) holds the state and dispatches each event to the module that handles it:
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `endpoint_list` | changes of the endpoint list, operators' cordons, health handed over between processes |
-//! | `requests` | the life of a request from its arrival to its end |
-//! | `admission` | whether a request is sent, waits for capacity, or is given up |
-//! | `planning` | where the next attempt goes |
-//! | `cache_choice`, `source_choice` | the cache and the source of a fill, in rendezvous order |
-//! | `fills` | what a fill waits for and the instructions that go with it |
-//! | `purges` | the greatest age of a copy that may answer |
-//! | `dispatch` | sends an attempt and takes the capacity that it needs |
-//! | `outcomes` | what the end of an attempt says, and what becomes of the request |
+//! | `endpoint_list` | changes of the endpoint list, cordons, health state handed over between processes |
+//! | `requests` | arrival and end of requests |
+//! | `admission` | whether a request is sent, waits for capacity, or is rejected or failed |
+//! | `planning` | route of the next attempt |
+//! | `cache_choice`, `source_choice` | cache and source of a fill, in rendezvous order |
+//! | `fills` | what a fill waits for, and fill instructions |
+//! | `purges` | maximum age of a copy that may be served |
+//! | `dispatch` | sending an attempt and acquiring its capacity |
+//! | `outcomes` | updates of health and limits after an attempt, next step of the request |
 //! | `retries` | retries and hedged requests |
 //! | `failure_detection`, `health` | which endpoint is charged with a failure; UP, DOWN and SUSPECT |
 //! | `load_feedback`, `concurrency_limit` | how many requests may be in flight |
-//! | `slow_start` | what an endpoint gets that started recently |
+//! | `slow_start` | load of endpoints that started recently |
 //!
-//! The other modules are data structures. Modules that decide extend [`Router`]; no module imports one that imports
-//! it.
+//! The other modules are data structures. Decision modules extend [`Router`]; module imports form no cycles.
 mod admission;
 mod cache_choice;
 mod concurrency_limit;
--- a/src/policy/multiset.rs
+++ b/src/policy/multiset.rs
@@ -1,4 +1,4 @@
-//! A multiset: keys with the number of times that each was added.
+//! A multiset.
 use std::collections::BTreeMap;
 
 /// Counts how often each key was added and not removed.
@@ -12,12 +12,12 @@
 }
 
 impl<K: Ord> Multiset<K> {
-    /// Adds one.
+    /// Adds one occurrence.
     pub fn add(&mut self, key: K) {
         *self.0.entry(key).or_insert(0) += 1;
     }
 
-    /// Takes one away, if there is one.
+    /// Removes one occurrence, if there is any.
     pub fn remove(&mut self, key: &K) {
         let left = self.0.get_mut(key).map(|n| {
             *n -= 1;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether any is left.
+    /// Whether there is at least one occurrence.
     pub fn contains(&self, key: &K) -> bool {
         self.0.contains_key(key)
     }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what it says about endpoints and load, and what becomes of the request.
+//! The end of an attempt: updates health and limits, and finishes or retries the request.
 use super::concurrency_limit::LoadSignal;
 use super::endpoint::EndpointIndex;
 use super::health::Failure;
@@ -11,26 +11,27 @@
 use super::units::MIN_TIME_LEFT;
 use crate::api::{FillNote, Micros, Outcome, RequestId, Status, Timestamp};
 
-/// A failed fill that took this share of the time for the request moves on to the next source at once.
+/// Fraction of the time to the latency objective from which a failed fill is slow: the request moves to the next
+/// source without further tries.
 const SLOW_FAILURE_FRACTION: f64 = 0.25;
-/// A source lost within this multiple of the time-out for connections was not reached: its process is gone.
+/// A source lost within this multiple of the connect timeout was not reached, i.e. its process has stopped.
 const CONNECT_TIMEOUT_FACTOR: f64 = 1.25;
-/// A write that was rejected for lack of capacity waits this share of its latency objective.
+/// Fraction of the latency objective for which a write backs off after a rejection for lack of capacity.
 const WRITE_BACKOFF_FRACTION: f64 = 0.1;
 
-/// A failure and the endpoint that is charged with it.
+/// A failure and the endpoint charged with it.
 #[derive(Clone, Copy, Debug)]
 struct Fault {
     endpoint: EndpointIndex,
     failure: Failure,
 }
 
-/// What an outcome says beside its effect on the request.
+/// Consequences of an outcome beyond the request itself.
 #[derive(Clone, Copy, Debug, Default)]
 struct Assessment {
-    /// The endpoint at fault; never one that only passed a failure on.
+    /// Never names an endpoint that only passed on the failure of another.
     fault: Option<Fault>,
-    /// Something had no capacity.
+    /// Whether the attempt failed for lack of capacity.
     overloaded: bool,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl Router {
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
         let id = outcome.request;
         let Some(mut pending) = self.pending.remove(&id) else {
@@ -86,7 +87,7 @@
         self.wake_waiting_after(&attempt, fill);
     }
 
-    /// Gives back the slots and budgets that an attempt took.
+    /// Releases the slots and budgets that an attempt acquired.
     fn release_capacity(&mut self, pending: &PendingRequest, attempt: &Attempt, outcome: &Outcome) {
         let latency = outcome.latency;
         for (at, is_probe) in attempt.endpoints() {
@@ -114,13 +115,13 @@
         if let Some(source) = attempt.route.other_source() {
             self.fills_in_flight.remove(&pending.part_key());
             if matches!(outcome.note, FillNote::Hit | FillNote::Stale) {
-                // A hit did not reach the source: its slow-start budget gets the charge back.
+                // A hit did not reach the source, so the charge to its slow-start budget is returned.
                 self.endpoints[source].slow_start_budget.level += attempt.slow_start_charge_us;
             }
         }
     }
 
-    /// Takes the outcome into account for the request and the concurrency limits.
+    /// Updates the request and the concurrency limits, and returns the remaining consequences.
     fn handle_outcome(
         &mut self,
         pending: &mut PendingRequest,
@@ -151,7 +152,7 @@
                 Assessment::NO_FAULT
             }
             (_, FillNote::OriginFailed, _) => {
-                // The parent only passed it on: no failure of its own, but what is behind it has no capacity.
+                // The parent only passed on the origin's failure, so it is not charged with it.
                 let at = source.unwrap_or(target);
                 self.adapt_limit(Resource::Endpoint(at), LoadSignal::Late);
                 Assessment::OVERLOADED
@@ -160,7 +161,7 @@
         }
     }
 
-    /// The request was served.
+    /// Handles a served request.
     fn handle_served(
         &mut self,
         pending: &mut PendingRequest,
@@ -170,12 +171,12 @@
         let sent_at = attempt.sent_at;
         let target = attempt.route.target;
         self.record_success(target, sent_at);
-        // What is served here is a good request: whoever answered it with an error is at fault.
+        // The request is valid since it was served here: endpoints that returned an error for it are at fault.
         for error in std::mem::take(&mut pending.errors) {
             self.record_failure(error.endpoint, error.sent_at, Failure::Error);
         }
-        // What came by way of the origin tells of the parent no more than that it answers. A late fill is no failure,
-        // but no sign of life either: attempts that are overdue count (`charge_unresponsive`).
+        // A fill through the origin only shows that the parent responds. A late fill is neither a failure nor a
+        // success of the source; overdue attempts are counted in `charge_unresponsive`.
         let in_time = outcome.latency <= pending.latency_objective();
         let source = attempt.route.other_source();
         let filled_by = match outcome.note {
@@ -192,9 +193,9 @@
         self.adapt_after_serving(target, filled_by, in_time);
     }
 
-    /// Adapts the limit of the endpoint that a served request came from. Of a source of which one slot is more than
-    /// its share a front hears too seldom to tell a jam by late answers: a few would hold its limit down long after.
-    /// What came fills caches.
+    /// Adapts the limit of the endpoint that served a request. With a quota below one slot a front sees too few
+    /// responses to detect congestion by late ones, and a few of them would keep the limit low for long: there every
+    /// response counts as in time. Late fills are not held against a source while the link is full.
     fn adapt_after_serving(
         &mut self,
         target: EndpointIndex,
@@ -212,7 +213,7 @@
         }
     }
 
-    /// The source rejected the fill, or it was not reached, broke off or ran out of time.
+    /// Handles a fill that the source rejected, or a source that was not reached, broke its connection or timed out.
     fn handle_failed_source(
         &mut self,
         pending: &mut PendingRequest,
@@ -242,7 +243,7 @@
         }
     }
 
-    /// The target itself failed the attempt.
+    /// Handles a failure of the target itself.
     fn handle_failed_target(
         &mut self,
         pending: &mut PendingRequest,
@@ -252,11 +253,12 @@
         let target = attempt.route.target;
         pending.failed_targets.push(target);
         match outcome.status {
-            // All that one broken connection carried is one failure, not many.
+            // A broken connection counts as one failure however many attempts it carried.
             Status::ConnectFailed | Status::Reset if outcome.shared_failure => Assessment::NO_FAULT,
             Status::ConnectFailed | Status::Reset => Assessment::fault(target, Failure::Lost),
             Status::Error => {
-                // Bad requests get errors from all: nothing is said of this one before another serves it.
+                // Invalid requests get errors from all endpoints: charged only once another endpoint serves the
+                // request.
                 pending.errors.push(ErrorResponse {
                     endpoint: target,
                     sent_at: attempt.sent_at,
@@ -278,8 +280,8 @@
         }
     }
 
-    /// Writes are few and have the highest priority: they wait after a rejection, and the retry budget is not for
-    /// them.
+    /// Delays a rejected write. Writes are few and have the highest priority, so they back off instead of using the
+    /// retry budget.
     fn back_off_write(&mut self, pending: &mut PendingRequest) {
         let wait = (pending.class.latency_objective as f64 * WRITE_BACKOFF_FRACTION) as Micros;
         let latest: Timestamp = pending.deadline.saturating_sub(MIN_TIME_LEFT);
@@ -305,7 +307,7 @@
         }
     }
 
-    /// Sends the next attempt; what was rejected for lack of capacity is retried only within the retry budget.
+    /// Sends the next attempt. After a rejection for lack of capacity this is limited by the retry budget.
     fn retry_within_budget(&mut self, id: RequestId, overloaded: bool) {
         if overloaded {
             if !self.retry_budget.has_token() {
@@ -316,7 +318,7 @@
         self.next_attempt(id);
     }
 
-    /// Wakes what waits for the capacity that an attempt gave back, or for its fill.
+    /// Wakes requests that wait for the capacity that an attempt released, or for its fill.
     fn wake_waiting_after(&mut self, attempt: &Attempt, fill: WaitTarget) {
         let source = attempt.route.other_source();
         self.wake_waiting(WaitTarget::Cache);
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,35 +1,35 @@
 //! Placement: the ready endpoints of a role in the rendezvous order of an object.
 //!
-//! Almost every decision ends among the first few ranks of an order. Those are found in one pass that hashes each
-//! endpoint and compares integers; nothing is sorted but the few that are found, and the result for an object is
-//! cached until the list changes. Further ranks are computed on demand.
+//! Most decisions need only the first few ranks of an order. They are found in one pass that hashes each endpoint and
+//! compares integers; only the endpoints found are sorted, and the result is cached until the list changes. Further
+//! ranks are computed on demand.
 use super::endpoint::EndpointIndex;
 use super::rendezvous_hash::{hash_bits, rendezvous, HASH_RANGE};
 use crate::api::EndpointId;
 use std::collections::BTreeMap;
 
-/// Ranks of an order that are computed at first.
+/// Ranks of an order that are computed initially.
 const INITIAL_RANKS: usize = 16;
-/// Factor by which more are computed each time that these are not enough.
+/// Factor by which the number of computed ranks grows when more are needed.
 const GROWTH_FACTOR: usize = 4;
-/// Cached orders in each of two generations.
+/// Maximum number of cached orders in each of the two generations.
 const MAX_CACHED_ORDERS: usize = 512;
-/// Generous bound of the relative error of a logarithm and an exponential: a hash this close to the bound is scored
-/// in full.
+/// Upper bound of the relative rounding error of a logarithm and an exponential. Hashes this close to the threshold
+/// are scored exactly.
 const SCORE_RELATIVE_ERROR: f64 = 1e-9;
 
-/// An endpoint that can be chosen: its id, and its index in the endpoint table.
+/// An endpoint to be ranked.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     id: EndpointId,
     index: EndpointIndex,
 }
 
-/// Endpoints that have the same weight.
+/// Endpoints of the same weight.
 #[derive(Debug)]
 struct WeightClass {
     weight: f64,
-    /// In the order of their ids.
+    /// Sorted by id.
     candidates: Vec<Candidate>,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether this one comes before another in the order: by score, then by id.
+    /// Whether this candidate precedes another in the order: by score, then by id.
     fn is_before(&self, other: &Scored) -> bool {
         let by_score = other.score.total_cmp(&self.score);
         by_score
@@ -64,24 +64,23 @@
     cache: OrderCache,
 }
 
-/// The first ranks of recently requested objects, in two generations.
+/// First ranks of the orders of recently requested objects, in two generations.
 #[derive(Debug, Default)]
 struct OrderCache {
     current: BTreeMap<u64, Vec<EndpointIndex>>,
     previous: BTreeMap<u64, Vec<EndpointIndex>>,
 }
 
-/// The order of one object, as far as it is computed.
+/// The order of one object, as far as it has been computed.
 #[derive(Clone, Debug)]
 pub(crate) struct Order {
     key: u64,
     indexes: Vec<EndpointIndex>,
-    /// No endpoint comes after those.
+    /// Whether `indexes` contains all endpoints.
     complete: bool,
 }
 
 impl Ranking {
-    /// Adds an endpoint.
     pub fn insert(&mut self, id: EndpointId, weight: f64, index: EndpointIndex) {
         self.cache = OrderCache::default();
         let candidate = Candidate { id, index };
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Removes an endpoint under the weight that it was added with.
+    /// Removes an endpoint; `weight` is the one that it was added with.
     pub fn remove(&mut self, id: EndpointId, weight: f64) {
         self.cache = OrderCache::default();
         let Some(class) = self.classes.iter_mut().find(|class| class.weight == weight) else {
@@ -112,7 +111,7 @@
         self.classes.retain(|class| !class.candidates.is_empty());
     }
 
-    /// The total weight of all endpoints.
+    /// Total weight of all endpoints.
     pub fn weight(&self) -> f64 {
         self.classes
             .iter()
@@ -120,7 +119,7 @@
             .sum()
     }
 
-    /// The order for an object.
+    /// The order for the object with this placement key.
     pub fn order(&mut self, key: u64) -> Order {
         let indexes = match self.cache.get(key) {
             Some(indexes) => indexes,
@@ -137,7 +136,7 @@
         }
     }
 
-    /// The first `count` ranks of the order for an object, or all if there are fewer.
+    /// The first `count` ranks of the order for a placement key, or all if there are fewer.
     fn top_ranks(&self, key: u64, count: usize) -> Vec<EndpointIndex> {
         let mut best: Vec<Scored> = Vec::with_capacity(count + 1);
         for class in &self.classes {
@@ -161,12 +160,12 @@
     }
 }
 
-/// The least hash that an endpoint of this weight can have if it belongs to the best ones.
+/// The smallest hash with which an endpoint of this weight can be among the best `count`.
 fn min_bits_for(weight: f64, best: &[Scored], count: usize) -> u64 {
     let Some(last) = best.get(count - 1) else {
         return 0;
     };
-    // The score is `-weight / ln(unit)`, solved for the unit.
+    // Solves `score = -weight / ln(unit)` for `unit`.
     let unit = (-weight / last.score).exp() * (1.0 - SCORE_RELATIVE_ERROR);
     ((unit * HASH_RANGE) as u64).saturating_sub(1)
 }
@@ -190,7 +189,7 @@
 }
 
 impl Order {
-    /// A complete order of few endpoints, each given with its id, weight and index.
+    /// Creates a complete order of a few endpoints, given as id, weight and index.
     pub fn from_endpoints(
         key: u64,
         indexes: impl Iterator<Item = (EndpointId, f64, EndpointIndex)>,
--- a/src/policy/placement/tests.rs
+++ b/src/policy/placement/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The order as a full sort gives it.
+/// The expected order, computed by a full sort.
 fn sorted(key: u64, endpoints: &[(u64, f64)]) -> Vec<usize> {
     let mut all: Vec<_> = endpoints
         .iter()
--- a/src/policy/planning.rs
+++ b/src/policy/planning.rs
@@ -1,10 +1,10 @@
-//! The plan for the next attempt of a request: where it goes, or what it waits for.
+//! Plan for the next attempt of a request: its route, or what the request waits for.
 use super::endpoint::{EndpointIndex, Role};
 use super::request_state::{PendingRequest, Plan, PlanError, Route, WaitTarget};
 use super::router::Router;
 
 impl Router {
-    /// Target and source of the next attempt.
+    /// Plans the next attempt of a request.
     pub(super) fn plan(&mut self, pending: &PendingRequest) -> Result<Plan, PlanError> {
         if pending.class.write {
             return self.plan_write(pending);
@@ -27,7 +27,7 @@
         Ok(plan)
     }
 
-    /// Writes run at the origin: straight, or by way of a cache where that is not allowed.
+    /// Writes run at the origin: directly, or through a cache where pass-through is not allowed.
     fn plan_write(&mut self, pending: &PendingRequest) -> Result<Plan, PlanError> {
         let origin = self.origin().ok_or(PlanError::NoOrigin)?;
         if self.settings.pass_through {
@@ -38,7 +38,7 @@
         Ok(Plan::Send(Route::filled_from(cache, origin)))
     }
 
-    /// No cache is usable: straight to the source, where that is allowed.
+    /// No cache is usable: sends directly to the source if pass-through is allowed.
     fn plan_without_cache(&self, source: Option<EndpointIndex>) -> Result<Plan, PlanError> {
         let source = source.filter(|_| self.settings.pass_through);
         let source = source.ok_or(PlanError::NoUsableCache)?;
@@ -48,7 +48,8 @@
         Ok(Plan::Send(self.pass_through_route(source)))
     }
 
-    /// The parents may carry what the remaining caches have no capacity for.
+    /// No cache has capacity: sends directly to the source if pass-through is allowed and the source has capacity,
+    /// else waits for a cache.
     fn plan_with_full_caches(
         &self,
         pending: &PendingRequest,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Straight to a source, which fills a miss from the origin.
+    /// Route directly to a parent or the origin; a parent fills a miss from the origin.
     fn pass_through_route(&self, target: EndpointIndex) -> Route {
         Route {
             target,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The cache was asked and lacks the part: fills it.
+    /// The cache has no copy of the part: plans a fill.
     fn plan_fill(
         &mut self,
         pending: &PendingRequest,
@@ -82,7 +83,7 @@
         let source = self.origin_instead_of(pending, source).unwrap_or(source);
         match self.fill_wait_target(pending, source) {
             None => Plan::Send(Route::filled_from(cache, source)),
-            // Rather than wait, ask once more for a copy past its freshness lifetime.
+            // Checks the cache once more, for a copy past its freshness lifetime, before waiting.
             Some(_) if pending.class.grace > 0 && !pending.accepts_stale => {
                 Plan::Send(Route::without_fill(cache))
             }
@@ -97,15 +98,15 @@
     ) -> Option<WaitTarget> {
         let part = pending.part_key();
         if !self.settings.coalescing && self.fills_in_flight.contains(&part) {
-            // A second fill of the same part would crowd the link: the copy will be there soon.
+            // A second fill of the same part would only load the link: a copy will be available soon.
             return Some(WaitTarget::Fill(part.0, part.1));
         }
         self.capacity_wait_target(source, pending.parent_missed, &pending.request)
     }
 
-    /// The origin in place of a parent without capacity, while the origin has some: where the remaining parents carry
-    /// a DOWN one's fills, or where one slot is more than this front's share of the parent. A late fill holds all of
-    /// such a limit, and many fronts would wait beside an idle origin.
+    /// The origin instead of a parent without capacity, if the origin has some. Applies where the preferred parent is
+    /// DOWN and the others carry its fills, or where this front's quota of the parent is less than one slot: a single
+    /// late fill would use up such a limit, and many fronts would wait while the origin is idle.
     fn origin_instead_of(
         &mut self,
         pending: &PendingRequest,
--- a/src/policy/purge_times.rs
+++ b/src/policy/purge_times.rs
@@ -1,4 +1,4 @@
-//! When objects and groups were purged last.
+//! Times of recent purges.
 use crate::api::{ObjectId, Timestamp};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
 }
 
 impl PurgeTimes {
-    /// Records a purge made at `purged_at` of an object, or of a whole group, and forgets those from before `horizon`.
+    /// Records a purge at `purged_at` of an object, or of a group if `object` is `None`, and drops those from before
+    /// `horizon`.
     pub fn record(
         &mut self,
         object: Option<ObjectId>,
@@ -27,7 +28,7 @@
         *last = purged_at.max(*last);
     }
 
-    /// The latest purge of an object, by itself or with its group.
+    /// Time of the latest purge of an object, whether by itself or with its group.
     pub fn latest(&self, object: ObjectId, group: u32) -> Option<Timestamp> {
         self.objects
             .get(&object)
--- a/src/policy/recent_keys.rs
+++ b/src/policy/recent_keys.rs
@@ -1,14 +1,14 @@
-//! Memory of the keys that were requested recently.
+//! Set of recently requested keys.
 use crate::api::{Micros, Timestamp};
 use std::collections::BTreeSet;
 
-/// The keys that were requested in this period and in the one before.
+/// Keys requested in the current and the previous period.
 #[derive(Clone, Debug)]
 pub(crate) struct RecentKeys<K> {
     current: BTreeSet<K>,
     previous: BTreeSet<K>,
     period_started_at: Timestamp,
-    /// Time of the first request: before a whole period has passed it cannot tell which keys are new.
+    /// Time of the first request. Until a full period after it, new keys cannot be told from old ones.
     first_used_at: Option<Timestamp>,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl<K: Ord> RecentKeys<K> {
-    /// Adds a key and returns whether it was requested in the last one or two periods, or may have been.
+    /// Adds a key. Returns whether it was requested in the last one to two periods, or may have been.
     pub fn insert(&mut self, key: K, now: Timestamp, period: Micros) -> bool {
         let history_too_short = now < *self.first_used_at.get_or_insert(now) + period;
         if now >= self.period_started_at + period {
--- a/src/policy/recent_keys/tests.rs
+++ b/src/policy/recent_keys/tests.rs
@@ -3,10 +3,10 @@
 #[test]
 fn keys_are_remembered_for_one_to_two_periods() {
     let mut recent = RecentKeys::default();
-    // Guards against a restart that makes light of all that was kept for good reason before.
+    // After a restart, keys requested before it must not be treated as new.
     assert!(
         recent.insert(0, 50, 50) && recent.insert(7, 99, 50),
-        "it can't tell what is new yet"
+        "new keys cannot be told from old ones yet"
     );
     assert!(!recent.insert(1, 100, 50));
     assert!(recent.insert(1, 140, 50));
--- a/src/policy/request_state.rs
+++ b/src/policy/request_state.rs
@@ -1,27 +1,26 @@
-//! What a front remembers of a request until it is answered, and of each of its attempts.
+//! State of a request until it is answered, and of its attempts.
 use super::endpoint::EndpointIndex;
 use crate::api::{Action, Class, Idempotency, Micros, ObjectId, Request, RequestId, Timestamp};
 
-/// One part of an object: what caches keep and fill.
+/// One part of an object, the unit that caches store and fill.
 pub(crate) type PartKey = (ObjectId, u32);
 
-/// What a waiting request waits for.
+/// Condition that a request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum WaitTarget {
     /// Capacity at any cache.
     Cache,
     /// Capacity at an endpoint.
     Endpoint(EndpointIndex),
-    /// Capacity on the link into the zone.
+    /// Capacity of the link into the zone.
     Link,
-    /// The end of a fill of the same part.
+    /// The end of a fill of this part.
     Fill(ObjectId, u32),
 }
 
-/// What has a concurrency limit.
+/// A resource with a concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Resource {
-    /// An endpoint.
     Endpoint(EndpointIndex),
     /// The link into the zone of this front.
     Link,
@@ -36,27 +35,27 @@
     }
 }
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum TimerPurpose {
-    /// An attempt, by its number, is overdue.
+    /// The attempt with this number is overdue.
     AttemptOverdue(RequestId, usize),
-    /// A request has waited for as long as it may.
+    /// The wait or the backoff of a request ends.
     WaitExpired(RequestId),
-    /// The next turn under the fraction of a concurrency limit.
+    /// The fractional slot of a concurrency limit is available again.
     FractionalSlotFree(Resource),
 }
 
-/// Where an attempt goes.
+/// Route of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Route {
     pub target: EndpointIndex,
-    /// Where a miss is filled from. The target itself: it is not filled. `None`: no instructions for a fill are sent.
+    /// Where a miss is filled from. The target itself: a miss is not filled. `None`: no fill instructions are sent.
     pub source: Option<EndpointIndex>,
 }
 
 impl Route {
-    /// To this endpoint alone.
+    /// Route to an endpoint without fill instructions.
     pub fn direct(target: EndpointIndex) -> Self {
         Route {
             target,
@@ -64,7 +63,7 @@
         }
     }
 
-    /// To this cache, which fills a miss from the source.
+    /// Route to a cache that fills a miss from `source`.
     pub fn filled_from(target: EndpointIndex, source: EndpointIndex) -> Self {
         Route {
             target,
@@ -72,38 +71,38 @@
         }
     }
 
-    /// To this cache, which does not fill a miss.
+    /// Route to a cache that does not fill a miss.
     pub fn without_fill(target: EndpointIndex) -> Self {
         Route::filled_from(target, target)
     }
 
-    /// The source, where that is another endpoint than the target.
+    /// The source, if it is not the target itself.
     pub fn other_source(&self) -> Option<EndpointIndex> {
         self.source.filter(|source| *source != self.target)
     }
 }
 
-/// What is done next for a request.
+/// Next step for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Plan {
     Send(Route),
     Wait(WaitTarget),
 }
 
-/// Why a request is given up.
+/// Why no further attempt of a request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlanError {
-    /// Too little time is left.
+    /// Too little time is left before the deadline.
     DeadlineTooClose,
-    /// The class, the number of attempts or the errors allow no further attempt.
+    /// The idempotency of the class, the number of attempts or the error responses rule out another attempt.
     NotRepeatable,
-    /// No cache is usable, nor is anything else allowed.
+    /// No cache is usable, and the request may not bypass the caches.
     NoUsableCache,
-    /// No origin is known, and only that can run the request.
+    /// No origin is ready, and the request can run only there.
     NoOrigin,
 }
 
-/// Which endpoints of an attempt it probes, since they are SUSPECT.
+/// Which endpoints of an attempt are SUSPECT and are probed by it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Probes {
     pub target: bool,
@@ -115,16 +114,15 @@
 pub(crate) struct Attempt {
     pub route: Route,
     pub sent_at: Timestamp,
-    /// It is in flight.
     pub in_flight: bool,
-    /// It was cancelled, or may not be cancelled any more.
+    /// Whether the attempt was cancelled, or must not be cancelled because a response has begun.
     pub cancelled: bool,
     pub probes: Probes,
-    /// Microseconds of transfer time charged to the slow-start budget of the source.
+    /// Transfer time in microseconds charged to the slow-start budget of the source.
     pub slow_start_charge_us: f64,
-    /// A miss comes in through the link into the zone.
+    /// Whether a miss is transferred over the link into the zone.
     pub uses_link: bool,
-    /// The origin, where it is known that a parent has to fetch from it.
+    /// The origin, if a parent is known to have to fetch from it.
     pub upstream_origin: Option<EndpointIndex>,
 }
 
@@ -137,7 +135,7 @@
         target.into_iter().chain(source)
     }
 
-    /// Cancels the attempt if it is still in flight and was not cancelled before.
+    /// Cancels the attempt if it is in flight and not marked as cancelled.
     pub fn cancel(&mut self, request: RequestId, number: usize, actions: &mut Vec<Action>) {
         if self.in_flight && !self.cancelled {
             self.cancelled = true;
@@ -146,56 +144,57 @@
     }
 }
 
-/// An error answer that is not yet charged to the endpoint.
+/// An error response that has not been charged to the endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ErrorResponse {
     pub endpoint: EndpointIndex,
     pub sent_at: Timestamp,
 }
 
-/// Position in a wait queue: the requests with the highest priority weight for their transfer time come first.
+/// Position in a wait queue: requests with the highest ratio of priority weight to transfer time come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
-    /// Bits of the transfer time over the priority weight. It is not negative, so the bits sort like the number.
+    /// Bits of the ratio of transfer time to priority weight. The ratio is not negative, so its bits sort like its
+    /// value.
     cost_bits: u64,
     pub request: RequestId,
 }
 
-/// A request that is not answered yet.
+/// A request that has not been answered.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub request: Request,
     pub class: Class,
-    /// Its own transfer time in microseconds.
+    /// Transfer time of the response in microseconds.
     pub transfer_time_us: f64,
-    /// An answer by then meets the latency objective.
+    /// Latest time of a response that meets the latency objective.
     pub objective_at: Timestamp,
     pub deadline: Timestamp,
     pub attempts: Vec<Attempt>,
     /// Targets that failed this request.
     pub failed_targets: Vec<EndpointIndex>,
-    /// Sources that failed this request, once for each failure.
+    /// Sources that failed this request, once per failure.
     pub failed_sources: Vec<EndpointIndex>,
     pub errors: Vec<ErrorResponse>,
-    /// The cache was asked for a cached copy only and lacks it.
+    /// Whether a cache was checked for a copy without a fill and had none.
     pub missed: bool,
-    /// The parent was asked for a cached copy only and lacks it: a fill goes by way of the origin.
+    /// Whether a parent was asked for a cached copy only and had none: a fill goes through to the origin.
     pub parent_missed: bool,
     pub waiting_for: Option<WaitTarget>,
-    /// A write that was rejected waits until then.
+    /// End of the backoff of a rejected write.
     pub backoff_until: Option<Timestamp>,
-    /// The last attempt asked for a copy past its freshness lifetime.
+    /// Whether the last attempt accepted a copy past its freshness lifetime.
     pub accepts_stale: bool,
-    /// The part was requested recently by another request.
+    /// Whether the part was requested recently by another request.
     pub requested_recently: bool,
-    /// When the first attempt was sent that may have run.
+    /// When the first attempt that may have run was sent.
     pub may_have_run_at: Option<Timestamp>,
-    /// Nothing more is owed to the client.
+    /// Whether the client has its response or has disconnected.
     pub done: bool,
 }
 
 impl PendingRequest {
-    /// A request that arrived `now`, of which nothing is sent yet.
+    /// Creates the state of a request that arrived at `now`.
     pub fn new(
         request: Request,
         class: Class,
@@ -225,23 +224,20 @@
         }
     }
 
-    /// Whether it may run any number of times.
     pub fn is_idempotent(&self) -> bool {
         self.class.idempotency == Idempotency::Idempotent
     }
 
-    /// The part that it asks for.
     pub fn part_key(&self) -> PartKey {
         (self.request.object, self.request.part)
     }
 
-    /// Latency up to which an answer of one attempt is in time.
+    /// Latency up to which the response of one attempt is in time.
     pub fn latency_objective(&self) -> Micros {
         let stretch = self.class.objective_stretch * self.transfer_time_us;
         self.class.latency_objective + stretch as Micros
     }
 
-    /// Whether an attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
@@ -256,12 +252,12 @@
         Some(attempt.clone())
     }
 
-    /// Cancels all attempts.
+    /// Cancels all attempts in flight.
     pub fn cancel_all(&mut self, actions: &mut Vec<Action>) {
         self.cancel_all_but(None, actions);
     }
 
-    /// Cancels all attempts but one.
+    /// Cancels all attempts in flight except `number`.
     pub fn cancel_all_but(&mut self, number: Option<usize>, actions: &mut Vec<Action>) {
         for (other, attempt) in self.attempts.iter_mut().enumerate() {
             if Some(other) != number {
@@ -270,7 +266,6 @@
         }
     }
 
-    /// Its position in a wait queue.
     pub fn queue_position(&self) -> QueuePosition {
         let cost = self.transfer_time_us / self.class.priority_weight;
         QueuePosition {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,22 +1,22 @@
-//! The life of a request from its arrival to its end.
+//! Arrival and end of requests.
 use super::request_state::PendingRequest;
 use super::router::Router;
 use super::units::{indicator, EWMA_WEIGHT, MILLISECOND, SECOND_US};
 use crate::api::{Action, Class, Micros, Request, RequestId, Settings};
 
-/// A part requested again within this time, or twice it, is kept at a higher rank: one-off requests displace nothing
-/// of it.
+/// A part requested again within one to two of these periods is cached at a higher rank, so that one-off requests do
+/// not evict it.
 const RECENT_REQUEST_PERIOD: Micros = 10_000 * MILLISECOND;
-/// Transfer time in microseconds that is assumed where no size is known.
+/// Transfer time in microseconds that is assumed if the size is unknown.
 pub(super) const DEFAULT_TRANSFER_TIME_US: f64 = 200_000.0;
 
-/// Time in microseconds to send the answer to the client, by the size that the request tells.
+/// Time in microseconds to send the response to the client, from the size given in the request.
 pub(super) fn transfer_time_us(request: &Request, settings: &Settings) -> f64 {
     request.size_kb / settings.client_kb_per_s * SECOND_US
 }
 
 impl Router {
-    /// A request arrived.
+    /// Handles a new request.
     pub(super) fn request_arrived(&mut self, request: Request) {
         let class = usize::from(request.class);
         let Some(class) = self.settings.classes.get(class).cloned() else {
@@ -65,7 +65,7 @@
         self.purged_ratio += (purged - self.purged_ratio) * EWMA_WEIGHT;
     }
 
-    /// The answer of an attempt has begun: this attempt belongs to the client, the others are cancelled.
+    /// Handles the start of a response: the client receives that of this attempt, and the others are cancelled.
     pub(super) fn response_started(&mut self, id: RequestId, number: u16) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
@@ -73,13 +73,13 @@
         if self.settings.cancellation {
             pending.cancel_all_but(Some(usize::from(number)), &mut self.actions);
         }
-        // Nothing else cancels an attempt that is marked here.
+        // Prevents any later cancellation, also of the attempt that the client receives.
         for attempt in &mut pending.attempts {
             attempt.cancelled = true;
         }
     }
 
-    /// Nothing more is owed to the client: cancels what is still in flight and forgets the request once nothing is.
+    /// Ends a request: cancels its attempts in flight, and drops its state once none is left.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries and hedged requests: whether a request may be sent again, and what becomes of overdue attempts.
+//! Retries and hedged requests: whether a request may be sent again, and how overdue attempts are handled.
 use super::endpoint::EndpointIndex;
 use super::request_state::{PendingRequest, Plan, Route};
 use super::router::Router;
@@ -6,19 +6,19 @@
 use super::units::MIN_TIME_LEFT;
 use crate::api::{Action, Idempotency, KeyScope, RequestId};
 
-/// Endpoints that answer a request with an error before it is given up: the request is at fault, not they.
+/// Number of error responses from which the request itself is considered at fault and is not sent again.
 const MAX_ERRORS: usize = 2;
 
-/// What is done about an overdue attempt that has stalled.
+/// How a stalled attempt is handled.
 enum OverdueAction {
     /// Cancel it, which leads to the next attempt.
     Cancel,
-    /// Send a second attempt beside it.
+    /// Send a second attempt in parallel.
     Hedge,
 }
 
 impl Router {
-    /// Whether a request may be sent (again): what may have run is repeated only as its class allows.
+    /// Whether a request may be sent, or sent again: after an attempt that may have run, only as its class allows.
     pub(super) fn may_repeat(&self, pending: &PendingRequest) -> bool {
         let max_attempts = self.settings.max_attempts as usize;
         if pending.attempts.len() >= max_attempts || pending.errors.len() >= MAX_ERRORS {
@@ -37,9 +37,9 @@
         }
     }
 
-    /// An attempt is overdue: a fresh one could only just be in time. Where few answers of its endpoints are late
-    /// this is no jam but a stall (an endpoint loses some requests): a hedged request is sent or it moves, within
-    /// budget. In a jam that would only add to it.
+    /// Handles an attempt that is so late that a new one could only just meet the objective. If few responses of its
+    /// endpoints are late, the attempt has stalled, e.g. because an endpoint lost the request: it is hedged, or
+    /// cancelled and sent elsewhere, within the hedge budget. Under congestion that would only add load.
     pub(super) fn attempt_overdue(&mut self, id: RequestId, number: usize) {
         let Some(pending) = self.pending.get(&id).filter(|pending| !pending.done) else {
             return;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What may be done about an overdue attempt.
+    /// How to handle an overdue attempt; `None`: leave it in flight.
     fn overdue_action(&self, pending: &PendingRequest, number: usize) -> Option<OverdueAction> {
         let attempt = &pending.attempts[number];
         let is_only_attempt = pending
@@ -90,12 +90,13 @@
         if self.settings.hedging {
             return Some(OverdueAction::Hedge);
         }
-        // Never two at once here. Not a fill, whose work would be lost, but one that probes a SUSPECT cache.
+        // Without hedging only one attempt may be in flight. A fill is not cancelled, since its work would be lost,
+        // unless it probes a SUSPECT cache.
         let cancellable = source.is_none() || attempt.probes.target;
         (self.settings.cancellation && cancellable).then_some(OverdueAction::Cancel)
     }
 
-    /// Where the hedged request goes, if it has anywhere to go beside the target of the overdue attempt.
+    /// Route of a hedged request, if there is a target other than that of the overdue attempt.
     fn plan_hedge(
         &mut self,
         pending: &mut PendingRequest,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The final answer of what is not served: a rejection where that is known to be harmless.
+    /// Ends a request that is not served: with a rejection if the client may safely repeat it, else with a failure.
     pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else {
             return;
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,11 +1,10 @@
-//! A retry budget: additional attempts as a share of the requests.
-//!
-//! Without it an overload would turn into a retry storm.
+//! Retry budget: limits additional attempts to a fraction of the requests, so that an overload does not become a retry
+//! storm.
 
-/// Additional attempts that can be saved up.
+/// Maximum balance, in attempts.
 const MAX_TOKENS: f64 = 10.0;
 
-/// Additional attempts that may be sent now.
+/// Token bucket that is filled by requests and drained by additional attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -13,7 +12,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget that earns so much with each request.
+    /// Creates a full budget that gains `tokens_per_request` with each request.
     pub fn new(tokens_per_request: f64) -> Self {
         RetryBudget {
             tokens: MAX_TOKENS,
@@ -21,17 +20,17 @@
         }
     }
 
-    /// A request arrived.
+    /// Adds the tokens of one request.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.tokens_per_request).min(MAX_TOKENS);
     }
 
-    /// Whether one more attempt is allowed.
+    /// Whether the balance allows an additional attempt.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// An additional attempt is sent.
+    /// Removes the token of an additional attempt.
     pub fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -1,4 +1,4 @@
-//! The router: its state, and the way of each event to the module that decides about it.
+//! The router: its state, and the dispatch of events to the modules that handle them.
 use super::concurrency_limit::ConcurrencyLimit;
 use super::connection_set::ConnectionSet;
 use super::endpoint::{EndpointIndex, Role};
@@ -15,34 +15,34 @@
 use crate::api::{Action, Event, Micros, RequestId, Settings, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Retries after a rejection for lack of capacity, for each request.
+/// Retries after a rejection for lack of capacity, per request.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Hedged requests and moves of overdue attempts, for each request.
+/// Hedged requests and cancellations of overdue attempts, per request.
 const HEDGES_PER_REQUEST: f64 = 0.05;
 
-/// The last load report about the link into the zone.
+/// The link utilization from the latest load report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LinkReport {
-    /// Transfers over those that fit at full rate.
+    /// Transfers in progress over those that fit at full rate.
     pub utilization: f64,
     pub received_at: Timestamp,
 }
 
-/// The decisions of one front. Deterministic: the same settings and events give the same actions.
+/// Decision state of one front. It is deterministic: the same settings and events give the same actions.
 #[derive(Debug)]
 pub struct Router {
     pub(super) settings: Settings,
     pub(super) now: Timestamp,
-    /// Actions of the event that is being handled.
+    /// Actions of the event being handled.
     pub(super) actions: Vec<Action>,
     pub(super) endpoints: EndpointTable,
     pub(super) connections: ConnectionSet,
-    /// Endpoints that are in slow start, or were when last checked.
+    /// Endpoints that were in slow start when last checked.
     pub(super) warming_up: BTreeSet<EndpointIndex>,
     pub(super) recent_parts: RecentKeys<PartKey>,
     pub(super) pending: BTreeMap<RequestId, PendingRequest>,
     pub(super) purge_times: PurgeTimes,
-    /// Moving average of the ratio of requests whose object was purged recently.
+    /// Moving average of the ratio of requests for recently purged objects.
     pub(super) purged_ratio: f64,
     /// Moving average of the transfer time in microseconds, by class; 0 before the first request.
     pub(super) mean_transfer_time_us: Vec<f64>,
@@ -52,13 +52,13 @@
     timers: Timers<TimerPurpose>,
     pub(super) hedge_budget: RetryBudget,
     pub(super) retry_budget: RetryBudget,
-    /// Fills from outside on the link into the zone.
+    /// Limit of fills over the link into the zone.
     pub(super) link: ConcurrencyLimit,
     pub(super) link_report: Option<LinkReport>,
 }
 
 impl Router {
-    /// A router at its start. Nothing is random: the seed is not used.
+    /// Creates a router without endpoints. The seed is unused, since no decision is random.
     pub fn new(settings: Settings, _seed: u64) -> Self {
         let subscription = settings.must_subscribe.then_some(Action::Subscribe);
         Router {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Handles one event and appends what is to be done about it.
+    /// Handles one event at time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.connections.expire(now);
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Sets a timer.
     pub(super) fn set_timer(&mut self, delay: Micros, purpose: TimerPurpose) {
         let token = self.timers.set(purpose);
         self.actions.push(Action::Timer(delay, token));
     }
 
-    /// Fronts that send to endpoints of a role: those of the zone to its caches, all to the others.
+    /// Number of fronts that share the endpoints of a role: those of the zone for caches, all fronts for parents and
+    /// the origin.
     pub(super) fn fronts_sharing(&self, role: Role) -> u32 {
         let zone = usize::from(self.settings.zone);
         match role {
@@ -130,17 +130,16 @@
         }
     }
 
-    /// The origin, if one is ready.
+    /// The origin, if it is listed as ready.
     pub(super) fn origin(&self) -> Option<EndpointIndex> {
         self.endpoints.ready(Role::Origin).first().copied()
     }
 
-    /// Whether an endpoint may get requests: ready, and not DOWN.
+    /// Whether an endpoint is ready and its health admits requests.
     pub(super) fn is_usable(&self, at: EndpointIndex) -> bool {
         self.endpoints.is_ready(at) && self.endpoints[at].health.is_selectable(self.now)
     }
 
-    /// The concurrency limit of a resource.
     pub(super) fn concurrency_mut(&mut self, resource: Resource) -> &mut ConcurrencyLimit {
         match resource {
             Resource::Endpoint(at) => &mut self.endpoints[at].concurrency,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,18 +1,20 @@
-//! Slow start: an endpoint that started recently gets no more than it can surely bear.
+//! Slow start: limits the load of an endpoint that started recently.
 use super::endpoint::{Endpoint, EndpointIndex, Role};
 use super::rendezvous_hash::mix;
 use super::router::Router;
 use crate::api::Timestamp;
 
-/// Share of the overload multiple that an endpoint in slow start is offered; the rest is for what is not seen.
+/// Fraction of the overload multiple that is offered to an endpoint in slow start; the rest is a margin for load that
+/// this front does not observe.
 const OFFERED_LOAD_FRACTION: f64 = 0.5;
-/// Share of the overload window whose budget can be spent in one burst.
+/// Fraction of the overload window's budget that can be spent in one burst.
 const BURST_FRACTION: f64 = 0.1;
-/// Requests in the overload window that a front's share must allow, or only some of the fronts send there.
+/// Requests per overload window that a front's share must allow; with less, only some of the fronts send to the
+/// endpoint.
 const MIN_REQUESTS_IN_WINDOW: f64 = 2.0;
 
 impl Endpoint {
-    /// Its present capacity in transfers, at a time on the clock by which starts are dated.
+    /// Capacity in transfers at a time on the discovery clock.
     fn current_capacity(&self, discovery_now: Timestamp) -> f64 {
         let limits = &self.slow_start;
         let elapsed = discovery_now.saturating_sub(self.slow_start_at) as f64;
@@ -24,7 +26,6 @@
 }
 
 impl Router {
-    /// Whether an endpoint is in slow start.
     pub(super) fn is_warming_up(&self, at: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[at];
         let now = self.endpoints.discovery_time(self.now);
@@ -33,10 +34,10 @@
             && now < endpoint.slow_start_at + endpoint.slow_start.warm_up
     }
 
-    /// Whether slow start allows a request to go to an endpoint. One that started recently gets no more than this
-    /// front's share of what it can surely do. Guards against overloading it, and against jams at one that is still
-    /// slow. Where the share is too small only some fronts send at all, by index from a position hashed for the
-    /// endpoint; more of them as it warms up. It harms where few of them need the endpoint.
+    /// Whether slow start allows a request to an endpoint. An endpoint that started recently gets no more than this
+    /// front's share of the load that it can take, to prevent overload and late responses. Where the share is too
+    /// small only some fronts send to it, selected by index from a position hashed for the endpoint, and more of them
+    /// as it warms up. A drawback is that the fronts that need the endpoint may not be among them.
     pub(super) fn slow_start_allows(&mut self, at: EndpointIndex) -> bool {
         if !self.is_warming_up(at) {
             return true;
@@ -57,7 +58,7 @@
         let max_level = rate / senders * window_us * BURST_FRACTION;
         let budget = &mut endpoint.slow_start_budget;
         budget.refill(self.now, rate / senders, max_level);
-        // Overdrawn by one request, or one larger than the bucket would never pass.
+        // A balance above zero suffices, as a request larger than the bucket would otherwise never be sent.
         budget.level > 0.0 && position % (fronts as u64) < senders as u64
     }
 
@@ -66,8 +67,8 @@
         means.fold(1.0, |longest, mean| longest.max(*mean))
     }
 
-    /// Budgets of the endpoints of a role in slow start fill by the capacity at that time, in each decision that
-    /// could choose them, whether or not they come first. All others are skipped. `may_probe`: also SUSPECT ones.
+    /// Refills the slow-start budgets of the ready, healthy endpoints of a role at their current capacity. This is
+    /// done in every decision that could choose them, whatever their rank. `may_probe` includes SUSPECT endpoints.
     pub(super) fn refill_slow_start_budgets(&mut self, role: Role, may_probe: bool) {
         let warming_up: Vec<EndpointIndex> = self.warming_up.iter().copied().collect();
         for at in warming_up {
--- a/src/policy/source_choice.rs
+++ b/src/policy/source_choice.rs
@@ -1,14 +1,14 @@
-//! Choice of the source of a fill: the first parent in rendezvous order that will do, else the origin.
+//! Choice of the source of a fill: the first suitable parent in rendezvous order, else the origin.
 use super::endpoint::{EndpointIndex, Role};
 use super::request_state::PendingRequest;
 use super::router::Router;
 
-/// Tries of a request at one source before the next (Traffic Server's `rr_retries`).
+/// Maximum number of failed tries of a request at one source (Traffic Server's `rr_retries`).
 pub(super) const MAX_SOURCE_TRIES: usize = 3;
 
 impl Router {
-    /// The source of a fill: the first parent in rendezvous order that is selectable and that slow start allows,
-    /// after three failed tries the next; the origin when there is none.
+    /// The source of a fill: the first parent in rendezvous order that is selectable, that slow start allows and that
+    /// has not failed the request too often; without such a parent, the first selectable one; else the origin.
     pub(super) fn source_for(&mut self, pending: &PendingRequest) -> Option<EndpointIndex> {
         self.refill_slow_start_budgets(Role::Parent, true);
         let mut order = self.order(Role::Parent, &pending.request);
@@ -28,7 +28,6 @@
     }
 }
 
-/// Whether a request has tried a source often enough.
 fn has_exhausted_tries(pending: &PendingRequest, source: EndpointIndex) -> bool {
     let failures = pending.failed_sources.iter();
     failures.filter(|failed| **failed == source).count() >= MAX_SOURCE_TRIES
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,7 +1,7 @@
-//! What the timers that are set are for.
+//! Purposes of pending timers.
 use std::collections::BTreeMap;
 
-/// The purpose of each timer that is set. Tokens count up, so none is used twice.
+/// The purpose of each pending timer. Tokens are never reused.
 #[derive(Clone, Debug)]
 pub(crate) struct Timers<T> {
     purposes: BTreeMap<u64, T>,
@@ -25,7 +25,7 @@
         self.last_token
     }
 
-    /// The purpose of the timer with this token, once.
+    /// Removes the timer with this token and returns its purpose.
     pub fn take(&mut self, token: u64) -> Option<T> {
         self.purposes.remove(&token)
     }
--- a/src/policy/units.rs
+++ b/src/policy/units.rs
@@ -1,16 +1,16 @@
-//! Units and weights that several decisions share.
+//! Units and constants shared by several decisions.
 use crate::api::Micros;
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 pub(crate) const MILLISECOND: Micros = 1_000;
-/// Microseconds in a second, for figures per second.
+/// Microseconds per second, as a float for rates.
 pub(crate) const SECOND_US: f64 = 1e6;
-/// Weight of a new value in exponentially weighted moving averages.
+/// Weight of a new value in an exponentially weighted moving average.
 pub(crate) const EWMA_WEIGHT: f64 = 0.05;
-/// Less time left than this is too little to send anything.
+/// Minimum time before the deadline at which an attempt is still sent.
 pub(crate) const MIN_TIME_LEFT: Micros = 5 * MILLISECOND;
 
-/// 1 for true, 0 for false, to be averaged.
+/// 1 for true and 0 for false, as input to an average.
 pub(crate) fn indicator(value: bool) -> f64 {
     f64::from(u8::from(value))
 }
--- a/src/policy/wait_queues.rs
+++ b/src/policy/wait_queues.rs
@@ -1,7 +1,7 @@
-//! Sorted queues, one for each thing that is waited for.
+//! Sorted wait queues by key.
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sorted queues, one for each key.
+/// Sorted queues by key. Empty queues are not stored.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitQueues<K, T>(BTreeMap<K, BTreeSet<T>>);
 
@@ -17,7 +17,7 @@
         self.0.entry(key).or_default().insert(item);
     }
 
-    /// Takes an item out of the queue of `key`.
+    /// Removes an item from the queue of `key`.
     pub fn remove(&mut self, key: K, item: &T) {
         if let Some(queue) = self.0.get_mut(&key) {
             queue.remove(item);
@@ -27,17 +27,17 @@
         }
     }
 
-    /// The keys of queues that are not empty, in order.
+    /// Keys of the queues that are not empty, in order.
     pub fn keys(&self) -> impl Iterator<Item = &K> {
         self.0.keys()
     }
 
-    /// The complete queue of `key`, which is empty afterwards.
+    /// Removes and returns the queue of `key`, which may be empty.
     pub fn take(&mut self, key: &K) -> BTreeSet<T> {
         self.0.remove(key).unwrap_or_default()
     }
 
-    /// Puts back what is left of a queue that was taken, beside what was added since.
+    /// Merges the rest of a queue returned by `take` with the items added since.
     pub fn put_back(&mut self, key: K, mut queue: BTreeSet<T>) {
         for item in self.take(&key) {
             queue.insert(item);
