--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,47 +1,47 @@
-//! Actions: what a router asks the embedding program to do.
+//! Actions that a router returns to the embedding program.
 use super::{EndpointId, Micros, RequestId};
 
-/// Where a miss is filled from, and what happens with the copy.
+/// Instructions for a cache: where it fills a miss from and how it stores the copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fill {
-    /// A parent, the origin, another cache, or the target itself for no fill.
+    /// A parent, the origin or another cache; the target itself if a miss is not to be filled.
     pub source: EndpointId,
-    /// Greatest age of a copy that may answer; 0: the freshness lifetime of the class.
+    /// Maximum age of a copy that may be served; 0: the freshness lifetime of the class.
     pub max_age: Micros,
-    /// 0: not cached; 1 to 3: the rank at which the copy is cached, the lowest is evicted first.
+    /// Rank at which the copy is cached, from 1 to 3, the lowest being evicted first; 0: not cached.
     pub rank: u8,
-    /// Coalesce with a fill that is under way.
+    /// Whether the fill may coalesce with one of the same part that is in flight.
     pub coalesce: bool,
-    /// The source answers from its cache only.
+    /// Whether the source may answer from its cache only.
     pub only_cached: bool,
-    /// Serve a copy near the end of its freshness lifetime and refresh it in the background.
+    /// Whether a copy near the end of its freshness lifetime is served and refreshed in the background.
     pub refresh: bool,
 }
 
-/// What a router asks the embedding program to do.
+/// An operation that the embedding program performs for a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a request. Attempts are numbered from 0 in the order sent.
+    /// Send an attempt of a request. The attempts of a request are numbered from 0 in the order sent.
     Send {
-        /// The request.
+        /// Id from the [`Event::Request`](super::Event::Request) that announced the request.
         request: RequestId,
-        /// The endpoint that gets it.
+        /// Endpoint that the attempt is sent to.
         target: EndpointId,
-        /// Time-out of the attempt; 0: until the client gives up.
+        /// Timeout of the attempt; 0: the deadline of the request.
         timeout: Micros,
-        /// How a miss is filled; `None`: it is not.
+        /// Fill instructions; `None`: a miss is not filled.
         fill: Option<Fill>,
     },
-    /// Cancel an attempt, by its number.
+    /// Cancel the attempt with this number.
     Cancel(RequestId, u16),
-    /// Final answer: rejected; retrying after this time is harmless.
+    /// Final answer: rejected. The client may safely retry after this time.
     Reject(RequestId, Micros),
-    /// Final answer: failed; the request may have run.
+    /// Final answer: failed. The request may have run.
     Fail(RequestId),
-    /// Set a timer: after this time the router gets an event with this token.
+    /// Set a timer: after this time the router expects an [`Event::Timer`](super::Event::Timer) with this token.
     Timer(Micros, u64),
     /// Subscribe to the endpoint list.
     Subscribe,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/api/endpoints.rs
+++ b/src/api/endpoints.rs
@@ -1,58 +1,58 @@
-//! The endpoint list, and what is learned about the endpoints on it.
+//! Entries of the endpoint list, and the health state that is handed over between processes.
 use super::{EndpointId, Timestamp};
 
 /// State of an entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts requests.
+    /// Accepts requests.
     Ready,
-    /// It completes its requests; nothing new may go to it.
+    /// Completes its requests in flight and accepts no new ones.
     Draining,
-    /// It was removed from the list.
+    /// No longer on the list.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// Id under which attempts are sent to it.
     pub endpoint: EndpointId,
-    /// Its kind, as an index into the deployment's kinds.
+    /// Index into the deployment's kinds.
     pub kind: u8,
-    /// Its zone, as an index into the deployment's zones.
+    /// Index into the deployment's zones.
     pub zone: u16,
-    /// Its cell within the zone.
+    /// Cell within the zone.
     pub cell: u16,
-    /// Transfers to clients that its link carries at full rate, approximately.
+    /// Approximate number of transfers to clients that its link carries at full rate.
     pub weight: f64,
-    /// When its process started; 0: long ago.
+    /// Start time of its process; 0: unknown or long ago.
     pub started: Timestamp,
     /// Whether it accepts requests.
     pub state: EndpointState,
 }
 
-/// How complete an endpoint list is.
+/// How an endpoint list relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// Contains only the entries that changed.
     Delta,
-    /// Everything; endpoints that it lacks are removed.
+    /// Contains all entries; endpoints missing from it are removed.
     Full,
     /// A call for the list failed, or the subscription broke.
     Failed,
 }
 
-/// What one process of a front has learned of an endpoint, for the next process.
+/// Health state of an endpoint that a front process hands over to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LearnedHealth {
-    /// Which endpoint.
+    /// Endpoint that the state belongs to.
     pub endpoint: EndpointId,
-    /// When it started, as the list says: this says nothing of another process of it.
+    /// Start time from the endpoint list. The state does not apply to a process with another start time.
     pub started: Timestamp,
-    /// When its slow start began; 0: it started long ago.
+    /// Start of its slow start; 0: long ago.
     pub slow_start_at: Timestamp,
-    /// It is DOWN or SUSPECT.
+    /// Whether it is DOWN or SUSPECT.
     pub down: bool,
-    /// It went DOWN because no connection was made.
+    /// Whether it went DOWN because of a failed or broken connection.
     pub connection_lost: bool,
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,4 +1,4 @@
-//! Events: what a router is notified of.
+//! Events that the embedding program passes to a router.
 use super::{
     EndpointEntry, EndpointId, LearnedHealth, ListKind, Micros, ObjectId, Outcome, RequestId,
 };
@@ -6,62 +6,62 @@
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Identifies the request in actions and later events.
     pub id: RequestId,
     /// Index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: u16,
-    /// The requested object.
+    /// Object that the client requests.
     pub object: ObjectId,
-    /// Which part of the object.
+    /// Index of the requested part of the object.
     pub part: u32,
-    /// The group of the object, which purges may name.
+    /// Group of the object, by which purges can select it.
     pub group: u32,
-    /// Size of the answer in KB; 0 when not known.
+    /// Size of the response in KB; 0 if unknown.
     pub size_kb: f64,
-    /// Time until the client gives up.
+    /// Time until the deadline of the request.
     pub time_left: Micros,
 }
 
-/// What a router is notified of.
+/// An event that the embedding program passes to a router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, or changes of it.
+    /// The endpoint list, or a change of it.
     Endpoints(ListKind, Vec<EndpointEntry>),
     /// A request arrived.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
-    /// The answer of an attempt, by its number, has begun; the client gets this one.
+    /// The response of the attempt with this number has begun. The client receives this response.
     Started(RequestId, u16),
-    /// The client disconnected; nothing is owed any more.
+    /// The client disconnected; the request needs no further attempts.
     Cancelled(RequestId),
-    /// The timer with this token, which the router set, has expired.
+    /// The timer that the router set with this token has expired.
     Timer(u64),
-    /// A purge.
+    /// Copies were purged.
     Purged {
-        /// The purged object; `None`: the complete group.
+        /// The purged object; `None`: all objects of the group.
         object: Option<ObjectId>,
-        /// The purged group, or that of the object.
+        /// The purged group, or the group of the purged object.
         group: u32,
-        /// How long ago that was.
+        /// Time since the purge.
         age: Micros,
     },
-    /// The router's clock is ahead of the clock by which starts of endpoints are dated, by this at most.
+    /// Upper bound of how far the router's clock is ahead of the clock of the start times in the endpoint list.
     ClockAhead(Micros),
-    /// An operator cordons an endpoint, or ends that.
+    /// An operator cordoned or uncordoned an endpoint.
     Cordon {
-        /// Which endpoint.
+        /// Endpoint that is cordoned or uncordoned.
         endpoint: EndpointId,
-        /// Nothing may go to it; `false`: it is given back, restarted.
+        /// `true`: the endpoint gets no requests; `false`: it is back in service after a restart.
         cordoned: bool,
     },
-    /// What an earlier process of this front has learned.
+    /// Health state that an earlier process of this front handed over.
     LearnedHealth(Vec<LearnedHealth>),
     /// Limits of the connections to caches.
     Connections {
-        /// Connections that the embedding program can have at once; 0: any number.
+        /// Maximum number of connections that the embedding program has at once; 0: unlimited.
         max: usize,
-        /// A connection that carries nothing is closed after this time.
+        /// Time without requests after which a connection is closed.
         idle: Micros,
     },
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,13 +1,13 @@
-//! Opaque identifiers: they are compared and hashed, nothing is read out of them.
+//! Opaque identifiers, which are only compared and hashed.
 
-/// A cache, a parent or the origin.
+/// Identifies a cache, a parent or the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// One request of a client; the id is never used again for another.
+/// Identifies one request of a client. An id is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An object; all its parts share the id.
+/// Identifies an object; all its parts share the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObjectId(pub u64);
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the decisions: the events that a router is notified of and the actions that it asks for.
+//! Interface of the decision module: the events that a router handles and the actions that it returns.
 //!
-//! Timestamps and durations are microseconds on one clock that never goes back. Ids are opaque: they are compared and
-//! hashed, nothing is read out of them.
+//! Timestamps and durations are in microseconds on one monotonic clock. Ids are opaque: they are only compared and
+//! hashed.
 mod action;
 mod endpoints;
 mod event;
--- a/src/api/outcome.rs
+++ b/src/api/outcome.rs
@@ -1,26 +1,26 @@
-//! How an attempt ended.
+//! Outcomes of attempts.
 use super::{Micros, RequestId};
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Served.
     Ok,
-    /// The endpoint answered with an error.
+    /// The endpoint returned an error response.
     Error,
     /// Rejected without having run, or the source rejected it or was not reached.
     Rejected,
-    /// No answer before the time-out.
+    /// No response before the timeout.
     Timeout,
-    /// No connection was made.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The connection broke with the attempt in flight.
+    /// The connection broke while the attempt was in flight.
     Reset,
-    /// Cancelled.
+    /// Cancelled by the router.
     Cancelled,
-    /// Never sent.
+    /// Not sent by the embedding program.
     NotSent,
-    /// No acceptable copy is cached, and none was filled.
+    /// No acceptable copy is cached, and the miss was not filled.
     Miss,
 }
 
@@ -34,62 +34,63 @@
     }
 }
 
-/// How the answer was filled.
+/// How a cache obtained the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FillNote {
-    /// Nothing is known.
+    /// Unknown.
     #[default]
     None,
-    /// From a cached copy.
+    /// Served from a cached copy.
     Hit,
-    /// Filled by the source.
+    /// Filled from the source.
     Filled,
-    /// Filled by way of the origin.
+    /// Filled from the origin through the source.
     FilledByOrigin,
-    /// Coalesced with a fill that was under way.
+    /// Coalesced with a fill in flight.
     Coalesced,
-    /// From a copy past its freshness lifetime.
+    /// Served from a copy past its freshness lifetime.
     Stale,
     /// The source rejected the fill.
     SourceRejected,
-    /// The source was not reached, broke off or ran out of time.
+    /// The source was not reached, its connection broke, or it timed out.
     SourceLost,
-    /// The source lacks the object.
+    /// The source does not have the object.
     SourceMiss,
-    /// The cache had no slot for a fill.
+    /// The cache had no free slot for a fill.
     NoFillSlot,
-    /// The origin failed behind the parent.
+    /// The origin failed while the parent fetched from it.
     OriginFailed,
 }
 
-/// Load that an endpoint reports. Reports are late and noisy; a figure that it lacks is `None`.
+/// Load reported by an endpoint. Reports are delayed and noisy; a value that is not reported is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight at the endpoint.
     pub in_flight: Option<f64>,
-    /// Of a cache: transfers on the link into its zone over those that fit at full rate.
+    /// Utilization of the link into a cache's zone: transfers in progress over those that fit at full rate.
     pub link: Option<f64>,
 }
 
-/// The end of one attempt.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, from 0 in the order sent.
     pub attempt: u16,
-    /// The client has its answer, or is gone: nothing more is owed.
+    /// Whether the client has received its response or has disconnected, so that no further attempt is needed.
     pub closed: bool,
-    /// How it ended.
+    /// Result of the attempt.
     pub status: Status,
-    /// It failed together with another attempt on the same broken connection, which has an outcome of its own.
+    /// Whether the attempt failed because its connection broke, and another attempt on that connection is charged with
+    /// it.
     pub shared_failure: bool,
-    /// How the answer was filled.
+    /// How the cache obtained the response.
     pub note: FillNote,
-    /// Time to the source's first byte or to its failure; 0 when not known.
+    /// Time until the first byte from the source or until its failure; 0 if unknown.
     pub source_wait: Micros,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub latency: Micros,
-    /// The load report of the endpoint that answered, if it sent one.
+    /// Load report of the endpoint that responded, if it sent one.
     pub report: Option<LoadReport>,
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,23 +1,24 @@
-//! What a front knows of its deployment when it starts.
+//! Settings of the deployment that a router is created with.
 use super::Micros;
 
-/// Whether a request may be repeated when an attempt may already have run.
+/// Whether a request may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// Safe to run any number of times.
     Idempotent,
-    /// It carries an idempotency key: endpoints within `scope` drop repeats for `window` after the first attempt.
+    /// The request carries an idempotency key: endpoints within `scope` ignore repeats for `window` after the first
+    /// attempt.
     Keyed {
-        /// Which endpoints drop the repeats.
+        /// Endpoints that ignore the repeats.
         scope: KeyScope,
-        /// How long they remember the key.
+        /// Time for which they remember the key.
         window: Micros,
     },
-    /// It must never run twice.
+    /// Must never run twice.
     NotIdempotent,
 }
 
-/// The endpoints that share idempotency keys.
+/// Set of endpoints that share idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
@@ -31,76 +32,76 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time meets the objective.
+    /// A response within this time meets the objective, apart from `objective_stretch`.
     pub latency_objective: Micros,
-    /// The objective grows by this multiple of the request's own transfer time.
+    /// Multiple of the request's own transfer time by which the objective is extended.
     pub objective_stretch: f64,
-    /// Weight of one request that is answered in time.
+    /// Weight of a request that is served in time, relative to other classes.
     pub priority_weight: f64,
-    /// Whether requests may be repeated.
+    /// Whether and how a request may be repeated.
     pub idempotency: Idempotency,
-    /// Never cached; runs at the origin.
+    /// Whether requests are writes, which run at the origin and are never cached.
     pub write: bool,
-    /// How long a copy is fresh; 0: until it is purged.
+    /// Time for which a copy is fresh; 0: until it is purged.
     pub freshness_lifetime: Micros,
-    /// How much older than fresh a copy may be where a stale one is accepted.
+    /// Time past its freshness lifetime for which a copy may still be served where stale copies are accepted.
     pub grace: Micros,
 }
 
-/// How fast endpoints that started recently can be loaded.
+/// Load limits of an endpoint in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartLimits {
-    /// Share of its capacity that an endpoint has at its start, at least.
+    /// Lower bound of the fraction of its capacity that an endpoint has when it starts.
     pub initial_capacity_fraction: f64,
-    /// Time until it has its full capacity, rising linearly, at the latest.
+    /// Upper bound of the time until the endpoint has its full capacity, which rises linearly.
     pub warm_up: Micros,
-    /// It is overloaded when sent more than this multiple of its present capacity.
+    /// Multiple of its current capacity above which the endpoint is overloaded.
     pub overload_multiple: f64,
 }
 
-/// What a router knows of its deployment when it starts. Zones, kinds and classes are indexes here, not names.
+/// Settings of the deployment that a router is created with. Zones, kinds and classes are indexes, not names.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The zone of this front.
+    /// Zone of this front.
     pub zone: u16,
-    /// Fronts in each zone.
+    /// Number of fronts in each zone.
     pub fronts_by_zone: Vec<u32>,
-    /// Fronts in all zones.
+    /// Number of fronts in all zones.
     pub fronts: u32,
-    /// Index of this front among them, from 0.
+    /// Index of this front among all fronts, from 0.
     pub front_index: u32,
-    /// The request classes, by index.
+    /// Request classes, by index.
     pub classes: Vec<Class>,
-    /// Kind of the parents, if there are any.
+    /// Kind of the parents; `None`: the deployment has none.
     pub parent_kind: Option<u8>,
-    /// Kind of the origin, if it is on the endpoint list.
+    /// Kind of the origin; `None`: it is not on the endpoint list.
     pub origin_kind: Option<u8>,
-    /// KB a second of one transfer to a client; 0 when not known.
+    /// Rate of one transfer to a client in KB/s; 0 if unknown.
     pub client_kb_per_s: f64,
-    /// KB a second of the link into the zone of this front; 0 when not known.
+    /// Rate of the link into the zone of this front in KB/s; 0 if unknown.
     pub link_kb_per_s: f64,
-    /// Requests may bypass the caches and go to a parent or the origin.
+    /// Whether requests may bypass the caches and go to a parent or the origin.
     pub pass_through: bool,
-    /// A request may coalesce with a fill that is under way.
+    /// Whether a fill may coalesce with one of the same part that is in flight.
     pub coalescing: bool,
     /// Time after a purge by which all caches have dropped the purged copies.
     pub purge_propagation: Micros,
-    /// Limits of caches that started recently.
+    /// Slow-start limits of caches.
     pub cache_slow_start: SlowStartLimits,
-    /// Limits of parents that started recently.
+    /// Slow-start limits of parents.
     pub parent_slow_start: SlowStartLimits,
     /// Time window over which load is compared with the slow-start limits.
     pub overload_window: Micros,
-    /// A connection that is not made within this time has failed.
+    /// Time after which a connection attempt has failed.
     pub connect_timeout: Micros,
-    /// Maximum number of attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Retry-after sent with rejections; 0: none.
+    /// Retry-after time sent with rejections; 0: none.
     pub max_retry_after: Micros,
-    /// The endpoint list must be subscribed to.
+    /// Whether the endpoint list has to be subscribed to.
     pub must_subscribe: bool,
 }
--- a/src/api/time.rs
+++ b/src/api/time.rs
@@ -1,4 +1,4 @@
-//! Timestamps and durations: microseconds on one monotonic clock of the embedding program.
+//! Timestamps and durations in microseconds on a monotonic clock.
 
 /// A point in time on the embedding program's monotonic clock, in microseconds.
 pub type Timestamp = u64;
