--- a/benchlink/src/error.rs
+++ b/benchlink/src/error.rs
@@ -1,15 +1,18 @@
-//! Why the adapter stops.
+//! Errors that stop the adapter.
 use crate::wire::WireError;
 use cranesill_settings::SettingsError;
 use thiserror::Error;
 
-/// Why the adapter stops.
+/// Error that stops the adapter.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// The input or the output failed, or the input is malformed.
+    /// Reading or writing failed, or the input is malformed.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// The settings of an instance cannot be read.
-    #[error(transparent)]
-    Settings(#[from] SettingsError),
+    /// The settings of an instance are invalid.
+    #[error("cannot start instance {instance}: {source}")]
+    Settings {
+        instance: u32,
+        source: SettingsError,
+    },
 }
--- a/benchlink/src/host.rs
+++ b/benchlink/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances: one router each, with the layout of its load reports.
+//! Instances of the simulator: one router each, with the layout of its load reports.
 use crate::error::AdapterError;
 use crate::wire::{self, Reader, Record};
 use cranesill::api::{Action, Event, Outcome, Timestamp};
@@ -13,16 +13,16 @@
     layout: ReportLayout,
 }
 
-/// All instances that run, by number.
+/// The running instances, by number.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    /// Kept to be reused.
+    /// Buffer, reused between events.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles the records of a frame and returns the bytes of the replies.
+    /// Handles the records of a frame and returns the encoded replies.
     pub fn handle_frame(&mut self, frame: &wire::Frame) -> Result<Vec<u8>, AdapterError> {
         let mut replies = Vec::new();
         let mut records = Reader::new(&frame.body);
@@ -56,7 +56,10 @@
     fn start(&mut self, number: u32, seed: u64, profile: &[u8]) -> Result<(), AdapterError> {
         let Deployment {
             settings, layout, ..
-        } = settings::parse(profile)?;
+        } = settings::parse(profile).map_err(|source| AdapterError::Settings {
+            instance: number,
+            source,
+        })?;
         let router = Router::new(settings, seed);
         self.instances.insert(number, Instance { router, layout });
         Ok(())
@@ -78,7 +81,7 @@
         self.handle_event(now, number, Event::Outcome(outcome), replies);
     }
 
-    /// A panic ends the instance alone and is reported as its fault.
+    /// Passes an event to the router of an instance. A panic stops only that instance and is reported as its fault.
     fn handle_event(&mut self, now: Timestamp, number: u32, event: Event, replies: &mut Vec<u8>) {
         let Some(instance) = self.instances.get_mut(&number) else {
             return;
--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts cranesill routers on the wire of the simulator: frames on standard input and output.
+//! Adapter that runs cranesill routers in a simulator, with frames on standard input and output.
 #![deny(missing_docs)]
 mod error;
 mod host;
@@ -9,7 +9,7 @@
 use std::io::{self, Read, Write};
 
 fn main() {
-    // Panics are reported on the wire.
+    // Panics are reported as fault records instead of on standard error.
     std::panic::set_hook(Box::new(|_| {}));
     if let Err(error) = run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         eprintln!("cranesill-adapter: {error}");
@@ -17,7 +17,7 @@
     }
 }
 
-/// Answers frames until the input ends.
+/// Reads frames and writes the replies until the input ends.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     while let Some(frame) = wire::read_frame(input)? {
--- a/benchlink/src/tests.rs
+++ b/benchlink/src/tests.rs
@@ -159,6 +159,37 @@
     assert!(replies_to(&bytes("0000000000000000 03000000 00")).is_err());
 }
 
+#[test]
+fn errors_name_the_sizes_and_the_instance() {
+    let error = |hex: &str| replies_to(&bytes(hex)).unwrap_err().to_string();
+    assert_eq!(
+        error("0000000000000000 0400"),
+        "input ended within a frame header: got 10 of 16 bytes"
+    );
+    assert_eq!(
+        error("0000000000000000 03000000 00000000"),
+        "frame length 3 is below the 4 bytes of the record count"
+    );
+    assert_eq!(
+        error("0000000000000000 06000000 01000000 03"),
+        "input ended within a frame: got 1 of 2 bytes"
+    );
+    assert_eq!(
+        error("0000000000000000 06000000 01000000 0300"),
+        "frame ended within a record: field of 4 bytes, 0 left"
+    );
+    assert_eq!(
+        error("0000000000000000 05000000 00000000 03"),
+        "frame has 1 bytes after its last record"
+    );
+    // A start record of instance 7 with seed 0 and a profile that is not a JSON object.
+    let invalid_settings = cranesill_settings::parse(b"[]").unwrap_err();
+    assert_eq!(
+        error("0000000000000000 18000000 01000000 0500 07000000 0000000000000000 02000000 5b5d"),
+        format!("cannot start instance 7: {invalid_settings}")
+    );
+}
+
 #[test]
 fn load_reports_are_read_by_the_configured_field_names() {
     let read = |fields: &str, values: &[f32]| {
--- a/benchlink/src/wire/decode.rs
+++ b/benchlink/src/wire/decode.rs
@@ -1,42 +1,40 @@
-//! Decodes the records of a frame.
+//! Decoder of the records of a frame.
 use super::WireError;
 use cranesill::api::{
     EndpointEntry, EndpointId, EndpointState, Event, FillNote, ListKind, ObjectId, Outcome,
     Request, RequestId, Status,
 };
 
-/// Bytes of an address with its port.
+/// Bytes of an address including the port.
 const ADDRESS_BYTES: usize = 6;
-/// Unused bytes at the end of the record that an answer has begun.
+/// Unused trailing bytes of the record for the start of a response.
 const STARTED_UNUSED_BYTES: usize = 10;
 
-/// A decoded record.
 #[derive(Debug)]
 pub enum Record<'a> {
-    /// An instance starts.
+    /// Start of an instance.
     PowerOn { seed: u64, profile: &'a [u8] },
-    /// An instance is killed.
+    /// Forced stop of an instance.
     Detach,
-    /// A record that the decisions have no use for.
+    /// A record without meaning for the router.
     Ignored,
-    /// An event for the decisions.
+    /// An event for the router.
     Event(Event),
-    /// The end of an attempt, and the values of the load report that came with it.
+    /// The end of an attempt, with the values of the load report that came with it.
     Outcome(Outcome, Vec<f32>),
 }
 
-/// Takes fields off the front of a frame's bytes.
+/// Reader of the fields of a frame.
 pub struct Reader<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> Reader<'a> {
-    /// Reads from the start of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Self {
         Reader { rest: bytes }
     }
 
-    /// Fails when bytes are left over.
+    /// Fails if bytes are left over.
     pub fn finish(&self) -> Result<(), WireError> {
         match self.rest.len() {
             0 => Ok(()),
@@ -44,7 +42,7 @@
         }
     }
 
-    /// The next record and the instance that it concerns.
+    /// Decodes the next record and returns it with the number of its instance.
     pub fn record(&mut self) -> Result<(u32, Record<'a>), WireError> {
         let code = self.u16()?;
         let instance = self.u32()?;
@@ -67,7 +65,10 @@
 
     fn bytes(&mut self, count: usize) -> Result<&'a [u8], WireError> {
         let split = self.rest.split_at_checked(count);
-        let (field, rest) = split.ok_or(WireError::RecordTruncated)?;
+        let (field, rest) = split.ok_or(WireError::RecordTruncated {
+            needed: count,
+            remaining: self.rest.len(),
+        })?;
         self.rest = rest;
         Ok(field)
     }
@@ -101,14 +102,13 @@
         Ok(RequestId(self.u64()?))
     }
 
-    /// The address and the port as one number, in the order of the bytes.
+    /// Address and port as one number, in byte order.
     fn endpoint_id(&mut self) -> Result<EndpointId, WireError> {
         let mut padded = [0u8; 8];
         padded[..ADDRESS_BYTES].copy_from_slice(self.bytes(ADDRESS_BYTES)?);
         Ok(EndpointId(u64::from_le_bytes(padded)))
     }
 
-    /// The values of a load report.
     fn load_values(&mut self) -> Result<Vec<f32>, WireError> {
         (0..self.u8()?).map(|_| self.f32()).collect()
     }
@@ -127,7 +127,7 @@
         Ok(Record::PowerOn { seed, profile })
     }
 
-    /// A record with a payload that the decisions have no use for.
+    /// Skips a record with a payload that the router does not use.
     fn ignored_payload(&mut self) -> Result<Record<'a>, WireError> {
         self.u32()?;
         let length = usize::from(self.u16()?);
@@ -135,7 +135,7 @@
         Ok(Record::Ignored)
     }
 
-    /// A load report on its own; those that come with outcomes are enough.
+    /// Skips a separate load report: the reports that come with outcomes suffice.
     fn load_report(&mut self) -> Result<Record<'a>, WireError> {
         self.endpoint_id()?;
         status(self.u16()?)?;
@@ -165,7 +165,7 @@
         }))
     }
 
-    /// Object 0 stands for the complete group.
+    /// Object 0 means all objects of the group.
     fn purge(&mut self) -> Result<Event, WireError> {
         let object = self.u64()?;
         let group = self.u16()?;
@@ -258,7 +258,7 @@
     status.ok_or(WireError::UnknownStatus(code))
 }
 
-/// Unknown notes say nothing.
+/// Unknown codes are decoded as [`FillNote::None`].
 fn fill_note(code: u32) -> FillNote {
     const ALL: [FillNote; 11] = [
         FillNote::None,
--- a/benchlink/src/wire/encode.rs
+++ b/benchlink/src/wire/encode.rs
@@ -1,7 +1,7 @@
-//! Encodes the records of a reply.
+//! Encoder of the records of a reply.
 use cranesill::api::{Action, EndpointId, Fill, Micros, RequestId};
 
-/// Codes of the records.
+/// Record codes.
 mod code {
     pub const LOG: u16 = 1;
     pub const SEND: u16 = 2;
@@ -14,14 +14,14 @@
     pub const SUBSCRIBE: u16 = 13;
 }
 
-/// Bits of the flags of a fill.
+/// Flag bits of a fill.
 const COALESCE_BIT: u8 = 1;
 const ONLY_CACHED_BIT: u8 = 2;
 const REFRESH_BIT: u8 = 8;
-/// Starts the subscription to the endpoint list.
+/// Argument of the subscribe record that starts the subscription.
 const SUBSCRIBE: u8 = 1;
 
-/// Appends the record of one action.
+/// Appends the record of an action.
 pub fn encode(instance: u32, action: &Action, out: &mut Vec<u8>) {
     match action {
         Action::Send {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Appends the record of a fault of an instance.
+/// Appends a record that reports a fault of an instance.
 pub fn encode_fault(instance: u32, message: &str, out: &mut Vec<u8>) {
     header(code::FAULT, instance, out);
     text(message, out);
@@ -110,17 +110,15 @@
 }
 
 fn address(endpoint: EndpointId) -> [u8; 6] {
-    let padded = endpoint.0.to_le_bytes();
-    [
-        padded[0], padded[1], padded[2], padded[3], padded[4], padded[5],
-    ]
+    let bytes = endpoint.0.to_le_bytes();
+    [bytes[0], bytes[1], bytes[2], bytes[3], bytes[4], bytes[5]]
 }
 
 fn duration(duration: Micros) -> [u8; 4] {
     u32::try_from(duration).unwrap_or(u32::MAX).to_le_bytes()
 }
 
-/// Time-outs are read as signed by the wire: what does not fit means "until the client gives up".
+/// Timeouts are signed on the wire. A value that does not fit is sent as 0, which means the deadline of the request.
 fn attempt_timeout(timeout: Micros) -> [u8; 4] {
     i32::try_from(timeout).unwrap_or(0).to_le_bytes()
 }
--- a/benchlink/src/wire/error.rs
+++ b/benchlink/src/wire/error.rs
@@ -1,44 +1,43 @@
-//! What can go wrong on the wire.
+//! Errors in reading and writing frames.
+use super::frame::{COUNT_BYTES, HEADER_BYTES};
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter stops.
+/// Error in reading or writing a frame.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// The input failed.
-    #[error("cannot read: {0}")]
+    #[error("cannot read a frame from standard input: {0}")]
     Read(#[source] io::Error),
-    /// The output failed.
-    #[error("cannot write: {0}")]
+    #[error("cannot write replies to standard output: {0}")]
     Write(#[source] io::Error),
-    /// The input ended within the header of a frame.
-    #[error("frame header cut off after {received} bytes")]
+    #[error(
+        "input ended within a frame header: got {received} of {} bytes",
+        HEADER_BYTES
+    )]
     HeaderTruncated { received: usize },
-    /// The length of a frame leaves no space for its record count.
-    #[error("frame shorter than its record count")]
-    FrameTooShort,
-    /// The input ended within a frame.
-    #[error("frame cut off: {received} of {length} bytes")]
+    /// The length of a frame does not include its record count.
+    #[error(
+        "frame length {length} is below the {} bytes of the record count",
+        COUNT_BYTES
+    )]
+    FrameTooShort { length: usize },
+    #[error("input ended within a frame: got {received} of {length} bytes")]
     FrameTruncated { received: usize, length: usize },
     /// A frame ends within a record.
-    #[error("record cut off")]
-    RecordTruncated,
-    /// A frame goes on after its last record.
-    #[error("{0} bytes after the last record")]
+    #[error("frame ended within a record: field of {needed} bytes, {remaining} left")]
+    RecordTruncated { needed: usize, remaining: usize },
+    /// A frame has more bytes than its records.
+    #[error("frame has {0} bytes after its last record")]
     TrailingBytes(usize),
-    /// A record of unknown kind.
     #[error("unknown record code {0}")]
     UnknownRecord(u16),
-    /// An outcome of unknown kind.
-    #[error("unknown outcome {0}")]
+    #[error("unknown status code {0}")]
     UnknownStatus(u16),
-    /// An endpoint list of unknown kind.
-    #[error("unknown list mode {0}")]
+    #[error("unknown endpoint list mode {0}")]
     UnknownListMode(u8),
-    /// A list entry in an unknown state.
-    #[error("unknown list state {0}")]
+    #[error("unknown endpoint state {0} in an endpoint list")]
     UnknownEndpointState(u8),
-    /// The replies of a frame are longer than a frame can be.
-    #[error("reply too long")]
-    ReplyTooLong,
+    /// The replies to a frame exceed the length field of a frame.
+    #[error("replies to a frame have {0} bytes, more than {max}", max = u32::MAX)]
+    ReplyTooLong(usize),
 }
--- a/benchlink/src/wire/frame.rs
+++ b/benchlink/src/wire/frame.rs
@@ -1,26 +1,25 @@
-//! Frames: the clock and a number of records in, the bytes of all replies out.
+//! Frames: a timestamp and records as input, the encoded replies as output.
 use super::decode::Reader;
 use super::WireError;
 use cranesill::api::Timestamp;
 use std::io::{ErrorKind, Read, Write};
 
-/// Bytes of the clock, the length and the number of records.
-const HEADER_BYTES: usize = 16;
-/// Bytes of the number of records, which the length of a frame includes.
-const COUNT_BYTES: usize = 4;
+/// Bytes of the timestamp, the length and the record count.
+pub(super) const HEADER_BYTES: usize = 16;
+/// Bytes of the record count, which is included in the length of a frame.
+pub(super) const COUNT_BYTES: usize = 4;
 
-/// A frame of events.
+/// An input frame.
 #[derive(Debug)]
 pub struct Frame {
-    /// The clock of the simulator.
+    /// Time on the simulator's clock.
     pub now: Timestamp,
-    /// Number of records.
     pub count: u32,
-    /// The bytes of the records.
+    /// The encoded records.
     pub body: Vec<u8>,
 }
 
-/// Reads one frame; `None` at a clean end of input.
+/// Reads one frame; `None` if the input ended before it.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, WireError> {
     let Some(header) = read_header(input)? else {
         return Ok(None);
@@ -31,7 +30,7 @@
     let count = fields.u32()?;
     let length = length
         .checked_sub(COUNT_BYTES)
-        .ok_or(WireError::FrameTooShort)?;
+        .ok_or(WireError::FrameTooShort { length })?;
     let mut body = Vec::new();
     input
         .take(length as u64)
@@ -59,9 +58,10 @@
     Ok(Some(header))
 }
 
-/// Writes the replies to one frame.
+/// Writes the replies to a frame.
 pub fn write_frame(output: &mut impl Write, replies: &[u8]) -> Result<(), WireError> {
-    let length = u32::try_from(replies.len()).map_err(|_| WireError::ReplyTooLong)?;
+    let length =
+        u32::try_from(replies.len()).map_err(|_| WireError::ReplyTooLong(replies.len()))?;
     output
         .write_all(&length.to_le_bytes())
         .and_then(|()| output.write_all(replies))
--- a/benchlink/src/wire/mod.rs
+++ b/benchlink/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The wire of the simulator: frames of records. All numbers are little-endian and unpadded.
+//! Wire format of the simulator: frames of records. All numbers are little-endian, without padding.
 mod decode;
 mod encode;
 mod error;
