--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether the requests in flight reach `multiple` times the limit.
-    pub fn exceeds(&self, multiple: f64) -> bool {
+    pub fn reaches(&self, multiple: f64) -> bool {
         f64::from(self.in_flight) >= self.limit * multiple
     }
 
--- a/src/policy/failure_detection.rs
+++ b/src/policy/failure_detection.rs
@@ -38,17 +38,17 @@
     /// overload, must not take them DOWN. Failures that were not counted are included.
     fn most_peers_healthy(&self, at: EndpointIndex, sent_at: Timestamp) -> bool {
         let peers = self.endpoints.ready(self.endpoints[at].role).iter();
-        let mut known = 0_usize;
+        let mut observed = 0_usize;
         let mut healthy = 0_usize;
         for peer in peers.filter(|peer| **peer != at) {
             let health = &self.endpoints[*peer].health;
             let is_healthy = health.has_few_failures();
             if !is_healthy || health.last_response_at() >= sent_at {
-                known += 1;
+                observed += 1;
                 healthy += usize::from(is_healthy);
             }
         }
-        healthy * 2 > known
+        healthy * 2 > observed
     }
 
     /// Counts a failure. If it takes a cache DOWN, idempotent requests in flight there are retried elsewhere.
--- a/src/policy/fills.rs
+++ b/src/policy/fills.rs
@@ -32,7 +32,7 @@
         if !self.has_capacity(source) {
             return Some(WaitTarget::Endpoint(source));
         }
-        if self.link_report.is_some() && self.link.exceeds(MAX_POTENTIAL_FILLS_FACTOR) {
+        if self.link_report.is_some() && self.link.reaches(MAX_POTENTIAL_FILLS_FACTOR) {
             return Some(WaitTarget::Link);
         }
         let upstream_origin = self
@@ -68,11 +68,11 @@
     /// do not wait behind fills.
     pub(super) fn must_check_cache_first(&self, source: EndpointIndex, request: &Request) -> bool {
         let link_exceeded =
-            self.link_report.is_some() && self.link.exceeds(MAX_POTENTIAL_FILLS_FACTOR);
+            self.link_report.is_some() && self.link.reaches(MAX_POTENTIAL_FILLS_FACTOR);
         let link_full = self.link_utilization() > Some(FULL_LINK_UTILIZATION);
         let source_exceeded = self.endpoints[source]
             .concurrency
-            .exceeds(MAX_POTENTIAL_FILLS_FACTOR);
+            .reaches(MAX_POTENTIAL_FILLS_FACTOR);
         (link_exceeded || link_full || source_exceeded)
             && self.slow_upstream_origin(source, request).is_none()
     }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -16,7 +16,7 @@
 const MAX_CACHED_ORDERS: usize = 512;
 /// Upper bound of the relative rounding error of a logarithm and an exponential. Hashes this close to the threshold
 /// are scored exactly.
-const SCORE_RELATIVE_ERROR: f64 = 1e-9;
+const MAX_SCORE_RELATIVE_ERROR: f64 = 1e-9;
 
 /// An endpoint to be ranked.
 #[derive(Clone, Copy, Debug)]
@@ -166,7 +166,7 @@
         return 0;
     };
     // Solves `score = -weight / ln(unit)` for `unit`.
-    let unit = (-weight / last.score).exp() * (1.0 - SCORE_RELATIVE_ERROR);
+    let unit = (-weight / last.score).exp() * (1.0 - MAX_SCORE_RELATIVE_ERROR);
     ((unit * HASH_RANGE) as u64).saturating_sub(1)
 }
 
