--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,52 +1,53 @@
-//! The end of an attempt: what it says about endpoints and load, and what becomes of the request.
+//! The end of an attempt: updates health and limits, and finishes or retries the request.
 use super::concurrency_limit::LoadSignal;
 use super::endpoint::EndpointIndex;
 use super::health::Failure;
-use super::load_feedback::LINK_FULL;
+use super::load_feedback::FULL_LINK_UTILIZATION;
 use super::request_state::{
-    Attempt, ErrorAnswer, PendingRequest, Resource, TimerPurpose, WaitTarget,
+    Attempt, ErrorResponse, PendingRequest, Resource, TimerPurpose, WaitTarget,
 };
 use super::router::Router;
 use super::source_choice::MAX_SOURCE_TRIES;
 use super::units::MIN_TIME_LEFT;
 use crate::api::{FillNote, Micros, Outcome, RequestId, Status, Timestamp};
 
-/// A failed fill that took this share of the time for the request moves on to the next source at once.
+/// Fraction of the time to the latency objective from which a failed fill is slow: the request moves to the next
+/// source without further tries.
 const SLOW_FAILURE_FRACTION: f64 = 0.25;
-/// A source lost within this multiple of the time-out for connections was not reached: its process is gone.
-const CONNECT_TIMEOUT_SLACK: f64 = 1.25;
-/// A write that was rejected for lack of capacity waits this share of its latency objective.
-const WRITE_WAIT_FRACTION: f64 = 0.1;
+/// A source lost within this multiple of the connect timeout was not reached, i.e. its process has stopped.
+const CONNECT_TIMEOUT_FACTOR: f64 = 1.25;
+/// Fraction of the latency objective for which a write backs off after a rejection for lack of capacity.
+const WRITE_BACKOFF_FRACTION: f64 = 0.1;
 
-/// A failure and the endpoint that is charged with it.
+/// A failure and the endpoint charged with it.
 #[derive(Clone, Copy, Debug)]
 struct Fault {
     endpoint: EndpointIndex,
     failure: Failure,
 }
 
-/// What an outcome says beside its effect on the request.
+/// Consequences of an outcome beyond the request itself.
 #[derive(Clone, Copy, Debug, Default)]
-struct Verdict {
-    /// The endpoint at fault; never one that only passed a failure on.
+struct Assessment {
+    /// Never names an endpoint that only passed on the failure of another.
     fault: Option<Fault>,
-    /// Something had no capacity.
+    /// Whether the attempt failed for lack of capacity.
     overloaded: bool,
 }
 
-impl Verdict {
-    const NOTHING: Verdict = Verdict {
+impl Assessment {
+    const NO_FAULT: Assessment = Assessment {
         fault: None,
         overloaded: false,
     };
 
-    const OVERLOADED: Verdict = Verdict {
+    const OVERLOADED: Assessment = Assessment {
         fault: None,
         overloaded: true,
     };
 
     fn fault(endpoint: EndpointIndex, failure: Failure) -> Self {
-        Verdict {
+        Assessment {
             fault: Some(Fault { endpoint, failure }),
             overloaded: false,
         }
@@ -54,7 +55,7 @@
 }
 
 impl Router {
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn attempt_ended(&mut self, outcome: Outcome) {
         let id = outcome.request;
         let Some(mut pending) = self.pending.remove(&id) else {
@@ -68,25 +69,25 @@
         if !outcome.status.proves_not_run() && pending.may_have_run_at.is_none() {
             pending.may_have_run_at = Some(attempt.sent_at);
         }
-        let verdict = self.judge(&mut pending, &attempt, &outcome);
-        let over = pending.done || outcome.closed;
-        let live = pending.has_live_attempt();
-        let hold = pending.class.write && verdict.overloaded;
-        if hold && !live && !over {
-            self.hold_write(&mut pending);
+        let assessment = self.handle_outcome(&mut pending, &attempt, &outcome);
+        let is_finished = pending.done || outcome.closed;
+        let has_attempt_in_flight = pending.has_attempt_in_flight();
+        let backs_off = pending.class.write && assessment.overloaded;
+        if backs_off && !has_attempt_in_flight && !is_finished {
+            self.back_off_write(&mut pending);
         }
         let fill = WaitTarget::Fill(pending.request.object, pending.request.part);
         self.pending.insert(id, pending);
-        self.update_health(&attempt, outcome.status, verdict.fault);
-        if over {
+        self.update_health(&attempt, outcome.status, assessment.fault);
+        if is_finished {
             self.finish(id);
-        } else if !live && !hold {
-            self.retry_within_budget(id, verdict.overloaded);
+        } else if !has_attempt_in_flight && !backs_off {
+            self.retry_within_budget(id, assessment.overloaded);
         }
-        self.wake_after(&attempt, fill);
+        self.wake_waiting_after(&attempt, fill);
     }
 
-    /// Gives back the slots and budgets that an attempt took.
+    /// Releases the slots and budgets that an attempt acquired.
     fn release_capacity(&mut self, pending: &PendingRequest, attempt: &Attempt, outcome: &Outcome) {
         let latency = outcome.latency;
         for (at, is_probe) in attempt.endpoints() {
@@ -99,12 +100,12 @@
         if attempt.uses_link {
             self.link.release(latency);
         }
-        if let Some(origin) = attempt.origin_behind {
+        if let Some(origin) = attempt.upstream_origin {
             self.endpoints[origin].concurrency.release(latency);
         }
-        self.note_load_report(attempt.route.target, outcome.report);
+        self.record_load_report(attempt.route.target, outcome.report);
         if let Some(utilization) = self.link_utilization().filter(|_| attempt.uses_link) {
-            let signal = if utilization <= LINK_FULL {
+            let signal = if utilization <= FULL_LINK_UTILIZATION {
                 LoadSignal::InTime
             } else {
                 LoadSignal::Overloaded
@@ -114,63 +115,68 @@
         if let Some(source) = attempt.route.other_source() {
             self.fills_in_flight.remove(&pending.part_key());
             if matches!(outcome.note, FillNote::Hit | FillNote::Stale) {
-                // A hit did not reach the source: its slow-start budget gets the charge back.
+                // A hit did not reach the source, so the charge to its slow-start budget is returned.
                 self.endpoints[source].slow_start_budget.level += attempt.slow_start_charge_us;
             }
         }
     }
 
-    /// Takes the outcome into account for the request and the concurrency limits.
-    fn judge(
+    /// Updates the request and the concurrency limits, and returns the remaining consequences.
+    fn handle_outcome(
         &mut self,
         pending: &mut PendingRequest,
         attempt: &Attempt,
         outcome: &Outcome,
-    ) -> Verdict {
+    ) -> Assessment {
         let target = attempt.route.target;
         let source = attempt.route.other_source();
         match (outcome.status, outcome.note, source) {
             (Status::Ok, ..) => {
-                self.judge_served(pending, attempt, outcome);
-                Verdict::NOTHING
+                self.handle_served(pending, attempt, outcome);
+                Assessment::NO_FAULT
             }
             (Status::NotSent | Status::Cancelled, ..) => {
                 pending.failed_targets.push(target);
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             (Status::Miss, _, None) => {
                 pending.missed = true;
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             (_, FillNote::SourceRejected | FillNote::SourceLost, Some(source)) => {
-                self.judge_failed_source(pending, attempt, outcome, source)
+                self.handle_failed_source(pending, attempt, outcome, source)
             }
             (_, FillNote::SourceMiss, _) => {
                 pending.parent_missed = true;
                 pending.missed = true;
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             (_, FillNote::OriginFailed, _) => {
-                // The parent only passed it on: no failure of its own, but what is behind it has no capacity.
+                // The parent only passed on the origin's failure, so it is not charged with it.
                 let at = source.unwrap_or(target);
                 self.adapt_limit(Resource::Endpoint(at), LoadSignal::Late);
-                Verdict::OVERLOADED
+                Assessment::OVERLOADED
             }
-            _ => self.judge_failed_target(pending, attempt, outcome),
+            _ => self.handle_failed_target(pending, attempt, outcome),
         }
     }
 
-    /// The request was served.
-    fn judge_served(&mut self, pending: &mut PendingRequest, attempt: &Attempt, outcome: &Outcome) {
+    /// Handles a served request.
+    fn handle_served(
+        &mut self,
+        pending: &mut PendingRequest,
+        attempt: &Attempt,
+        outcome: &Outcome,
+    ) {
         let sent_at = attempt.sent_at;
         let target = attempt.route.target;
         self.record_success(target, sent_at);
-        // What is served here is a good request: whoever answered it with an error is at fault.
+        // The request is valid since it was served here: endpoints that returned an error for it are at fault.
         for error in std::mem::take(&mut pending.errors) {
             self.record_failure(error.endpoint, error.sent_at, Failure::Error);
         }
-        // What came by way of the origin tells of the parent no more than that it answers. A late fill is no failure,
-        // but no sign of life either: attempts that are overdue count (`suspect_silent`).
+        // A fill through the origin only shows that the parent responds. A late fill is neither a failure nor a
+        // success of the source; overdue attempts are counted in `charge_unresponsive`.
         let in_time = outcome.latency <= pending.latency_objective();
         let source = attempt.route.other_source();
         let filled_by = match outcome.note {
@@ -187,9 +193,9 @@
         self.adapt_after_serving(target, filled_by, in_time);
     }
 
-    /// Adapts the limit of the endpoint that a served request came from. Of a source of which one slot is more than
-    /// its share a front hears too seldom to tell a jam by late answers: a few would hold its limit down long after.
-    /// What came fills caches.
+    /// Adapts the limit of the endpoint that served a request. With a quota below one slot a front sees too few
+    /// responses to detect congestion by late ones, and a few of them would keep the limit low for long: there every
+    /// response counts as in time. Late fills are not held against a source while the link is full.
     fn adapt_after_serving(
         &mut self,
         target: EndpointIndex,
@@ -197,22 +203,25 @@
         in_time: bool,
     ) {
         let fractional = |at| self.has_fractional_quota(at);
-        let well = in_time || filled_by.is_some_and(fractional);
-        if well || filled_by.is_none() || self.link_utilization() <= Some(LINK_FULL) {
+        let counts_as_in_time = in_time || filled_by.is_some_and(fractional);
+        if counts_as_in_time
+            || filled_by.is_none()
+            || self.link_utilization() <= Some(FULL_LINK_UTILIZATION)
+        {
             let served_by = Resource::Endpoint(filled_by.unwrap_or(target));
-            self.adapt_limit(served_by, LoadSignal::in_time_or_late(well));
+            self.adapt_limit(served_by, LoadSignal::from_timeliness(counts_as_in_time));
         }
     }
 
-    /// The source rejected the fill, or it was not reached, broke off or ran out of time.
-    fn judge_failed_source(
+    /// Handles a fill that the source rejected, or a source that was not reached, broke its connection or timed out.
+    fn handle_failed_source(
         &mut self,
         pending: &mut PendingRequest,
         attempt: &Attempt,
         outcome: &Outcome,
         source: EndpointIndex,
-    ) -> Verdict {
-        let timeout = self.settings.connect_timeout as f64 * CONNECT_TIMEOUT_SLACK;
+    ) -> Assessment {
+        let timeout = self.settings.connect_timeout as f64 * CONNECT_TIMEOUT_FACTOR;
         let not_reached =
             outcome.note == FillNote::SourceLost && outcome.source_wait <= timeout as Micros;
         let time_for_request = pending.objective_at.saturating_sub(attempt.sent_at);
@@ -226,58 +235,59 @@
         };
         self.adapt_limit(Resource::Endpoint(source), signal);
         if not_reached {
-            return Verdict::fault(source, Failure::Lost);
+            return Assessment::fault(source, Failure::Lost);
         }
-        Verdict {
+        Assessment {
             overloaded: true,
-            ..Verdict::fault(source, Failure::Soft)
+            ..Assessment::fault(source, Failure::Soft)
         }
     }
 
-    /// The target itself failed the attempt.
-    fn judge_failed_target(
+    /// Handles a failure of the target itself.
+    fn handle_failed_target(
         &mut self,
         pending: &mut PendingRequest,
         attempt: &Attempt,
         outcome: &Outcome,
-    ) -> Verdict {
+    ) -> Assessment {
         let target = attempt.route.target;
         pending.failed_targets.push(target);
         match outcome.status {
-            // All that one broken connection carried is one failure, not many.
-            Status::ConnectFailed | Status::Reset if outcome.shared_failure => Verdict::NOTHING,
-            Status::ConnectFailed | Status::Reset => Verdict::fault(target, Failure::Lost),
+            // A broken connection counts as one failure however many attempts it carried.
+            Status::ConnectFailed | Status::Reset if outcome.shared_failure => Assessment::NO_FAULT,
+            Status::ConnectFailed | Status::Reset => Assessment::fault(target, Failure::Lost),
             Status::Error => {
-                // Bad requests get errors from all: nothing is said of this one before another serves it.
-                pending.errors.push(ErrorAnswer {
+                // Invalid requests get errors from all endpoints: charged only once another endpoint serves the
+                // request.
+                pending.errors.push(ErrorResponse {
                     endpoint: target,
                     sent_at: attempt.sent_at,
                 });
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             Status::Timeout => {
                 let at = attempt.route.other_source().unwrap_or(target);
                 self.adapt_limit(Resource::Endpoint(at), LoadSignal::Late);
-                Verdict::NOTHING
+                Assessment::NO_FAULT
             }
             Status::Rejected => {
                 if outcome.note != FillNote::NoFillSlot {
                     self.adapt_limit(Resource::Endpoint(target), LoadSignal::Overloaded);
                 }
-                Verdict::OVERLOADED
+                Assessment::OVERLOADED
             }
-            Status::Ok | Status::Cancelled | Status::NotSent | Status::Miss => Verdict::NOTHING,
+            Status::Ok | Status::Cancelled | Status::NotSent | Status::Miss => Assessment::NO_FAULT,
         }
     }
 
-    /// Writes are few and have the highest priority: they wait after a rejection, and the retry budget is not for
-    /// them.
-    fn hold_write(&mut self, pending: &mut PendingRequest) {
-        let wait = (pending.class.latency_objective as f64 * WRITE_WAIT_FRACTION) as Micros;
-        let last_moment: Timestamp = pending.deadline.saturating_sub(MIN_TIME_LEFT);
-        let until = (self.now + wait).min(last_moment);
-        pending.hold_until = Some(until);
-        let purpose = TimerPurpose::WaitEnd(pending.request.id);
+    /// Delays a rejected write. Writes are few and have the highest priority, so they back off instead of using the
+    /// retry budget.
+    fn back_off_write(&mut self, pending: &mut PendingRequest) {
+        let wait = (pending.class.latency_objective as f64 * WRITE_BACKOFF_FRACTION) as Micros;
+        let latest: Timestamp = pending.deadline.saturating_sub(MIN_TIME_LEFT);
+        let until = (self.now + wait).min(latest);
+        pending.backoff_until = Some(until);
+        let purpose = TimerPurpose::WaitExpired(pending.request.id);
         self.set_timer(until.saturating_sub(self.now), purpose);
     }
 
@@ -285,11 +295,11 @@
         let target = attempt.route.target;
         match status {
             Status::Timeout => {
-                self.suspect_silent(target, attempt.route.other_source(), attempt.sent_at);
+                self.charge_unresponsive(target, attempt.route.other_source(), attempt.sent_at);
             }
             Status::Cancelled | Status::NotSent | Status::ConnectFailed | Status::Reset => {}
             Status::Ok | Status::Error | Status::Rejected | Status::Miss => {
-                self.endpoints[target].health.record_answer(self.now);
+                self.endpoints[target].health.record_response(self.now);
             }
         }
         if let Some(fault) = fault {
@@ -297,24 +307,24 @@
         }
     }
 
-    /// Sends the next attempt; what was rejected for lack of capacity is retried only within the retry budget.
+    /// Sends the next attempt. After a rejection for lack of capacity this is limited by the retry budget.
     fn retry_within_budget(&mut self, id: RequestId, overloaded: bool) {
         if overloaded {
-            if !self.retry_budget.allows_one() {
-                return self.give_up(id);
+            if !self.retry_budget.has_token() {
+                return self.reject_or_fail(id);
             }
-            self.retry_budget.spend();
+            self.retry_budget.withdraw();
         }
         self.next_attempt(id);
     }
 
-    /// Wakes what waits for the capacity that an attempt gave back, or for its fill.
-    fn wake_after(&mut self, attempt: &Attempt, fill: WaitTarget) {
+    /// Wakes requests that wait for the capacity that an attempt released, or for its fill.
+    fn wake_waiting_after(&mut self, attempt: &Attempt, fill: WaitTarget) {
         let source = attempt.route.other_source();
         self.wake_waiting(WaitTarget::Cache);
         self.wake_waiting(WaitTarget::Endpoint(attempt.route.target));
         self.wake_waiting(WaitTarget::Link);
-        for at in attempt.origin_behind.into_iter().chain(source) {
+        for at in attempt.upstream_origin.into_iter().chain(source) {
             self.wake_waiting(WaitTarget::Endpoint(at));
         }
         if source.is_some() {
