--- a/front/src/protocol/cache_node.rs
+++ b/front/src/protocol/cache_node.rs
@@ -66,7 +66,7 @@
         fields += &format!(",oldest={}", (fill.max_age / MICROS_PER_MS).max(1));
     }
     let modes = [
-        (fill.join, "coalesce"),
+        (fill.coalesce, "coalesce"),
         (fill.cached_only, "shallow"),
         (fill.revalidate, "freshen"),
     ];
--- a/front/src/protocol/cache_node/tests.rs
+++ b/front/src/protocol/cache_node/tests.rs
@@ -12,7 +12,7 @@
         source: Some(EndpointId(0xc41f7a)),
         rank: 2,
         max_age: 1_500_999,
-        join: true,
+        coalesce: true,
         cached_only: false,
         revalidate: true,
     };
--- a/front/src/routing/dispatch.rs
+++ b/front/src/routing/dispatch.rs
@@ -67,7 +67,7 @@
         let fill = match fill {
             Some(fill) => FillSource {
                 max_age: required.max_age,
-                join: self.deployment.settings.coalescing,
+                coalesce: self.deployment.settings.coalescing,
                 ..fill
             },
             None => FillSource::without_fill(required.max_age),
@@ -203,7 +203,7 @@
             source: Some(fill.source).filter(|source| *source != target),
             rank: fill.rank,
             max_age: fill.max_age,
-            join: fill.coalesce,
+            coalesce: fill.coalesce,
             cached_only: fill.only_cached,
             revalidate: fill.refresh,
         }
@@ -215,7 +215,7 @@
             source: None,
             rank: 0,
             max_age,
-            join: false,
+            coalesce: false,
             cached_only: false,
             revalidate: false,
         }
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -257,7 +257,7 @@
             [0x21, 0x22].contains(&to) && fill.source.is_some_and(|s| [0x31, 0x32].contains(&s.0)),
             "{fill:?}"
         );
-        assert!(!fill.join, "fills are not joined here");
+        assert!(!fill.coalesce, "fills are not joined here");
     }
     assert!(
         fetch(9, "page-bits").is_none(),
--- a/front/src/routing/types.rs
+++ b/front/src/routing/types.rs
@@ -125,7 +125,7 @@
     /// The greatest age of a copy that may be served; 0: as the request class has it.
     pub max_age: Micros,
     /// Whether it joins a fill of the same part that is under way.
-    pub join: bool,
+    pub coalesce: bool,
     /// Whether the source gives only what it has cached.
     pub cached_only: bool,
     /// Whether an ageing copy is served and fetched again behind.
--- a/front/src/server/upstream/redial/tests.rs
+++ b/front/src/server/upstream/redial/tests.rs
@@ -9,7 +9,7 @@
         source: Some(source),
         rank: 0,
         max_age: 0,
-        join: false,
+        coalesce: false,
         cached_only: false,
         revalidate: false,
     });
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -103,7 +103,7 @@
         source: Some(EndpointId(id)),
         rank: 1,
         max_age: 0,
-        join: false,
+        coalesce: false,
         cached_only: false,
         revalidate: false,
     };
