--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -33,11 +33,11 @@
     /// The identity of the list.
     pub source: u64,
     /// The revision: the number of the last watch event that is included.
-    pub number: u64,
+    pub revision: u64,
     /// When the list was current, in Unix milliseconds.
     pub at_ms: u64,
     /// The endpoints by their ids.
-    pub members: BTreeMap<u32, EndpointRecord>,
+    pub endpoints: BTreeMap<u32, EndpointRecord>,
     /// The purges that still count, in the order in which they were received.
     pub purges: Vec<RecordedPurge>,
     /// When each purge was received, in milliseconds of the monotonic clock. How long purges are kept follows from this: wall
@@ -50,13 +50,13 @@
     /// Purges that were received longer ago than `keep_ms` are dropped.
     pub fn apply(
         &mut self,
-        number: u64,
+        revision: u64,
         at_ms: u64,
         received_ms: u64,
         keep_ms: u64,
         event: &WatchEvent,
     ) {
-        self.number = number;
+        self.revision = revision;
         self.at_ms = at_ms;
         match event {
             WatchEvent::Endpoints { complete, list } => self.apply_endpoints(*complete, list),
@@ -76,13 +76,13 @@
 
     fn apply_endpoints(&mut self, complete: bool, list: &[EndpointRecord]) {
         if complete {
-            self.members.clear();
+            self.endpoints.clear();
         }
         for endpoint in list {
             if endpoint.state == EndpointState::Removed {
-                self.members.remove(&endpoint.id);
+                self.endpoints.remove(&endpoint.id);
             } else {
-                self.members.insert(endpoint.id, endpoint.clone());
+                self.endpoints.insert(endpoint.id, endpoint.clone());
             }
         }
     }
@@ -102,7 +102,7 @@
     pub fn watch_events(&self) -> Vec<WatchEvent> {
         let endpoints = WatchEvent::Endpoints {
             complete: true,
-            list: self.members.values().cloned().collect(),
+            list: self.endpoints.values().cloned().collect(),
         };
         let purges = self.purges.iter().map(|purge| WatchEvent::Purge {
             object: purge.object,
@@ -117,7 +117,10 @@
         if self.purges.len() > MAX_PURGES {
             return None;
         }
-        let mut body = format!("from {:016x} {} {}\n", self.source, self.number, self.at_ms);
+        let mut body = format!(
+            "from {:016x} {} {}\n",
+            self.source, self.revision, self.at_ms
+        );
         body += &self.endpoint_lines();
         for purge in &self.purges {
             let at_ms = purge.at_ms;
@@ -138,7 +141,7 @@
 
     /// Encodes a line for each endpoint.
     fn endpoint_lines(&self) -> String {
-        self.members.values().map(encode_endpoint).collect()
+        self.endpoints.values().map(encode_endpoint).collect()
     }
 
     /// Decodes a snapshot.
@@ -168,7 +171,7 @@
         match fields[..] {
             ["m", ref endpoint @ ..] => {
                 let endpoint = decode_endpoint(endpoint)?;
-                let replaced = self.members.insert(endpoint.id, endpoint);
+                let replaced = self.endpoints.insert(endpoint.id, endpoint);
                 replaced.is_none().then_some(())
             }
             ["o", object, at_ms] => {
@@ -195,12 +198,12 @@
 /// Decodes the first line: the identity of the list, the revision and when it was current.
 fn decode_first_line(line: &str) -> Option<Snapshot> {
     let fields: Vec<_> = line.split(' ').collect();
-    let ["from", source, number, at_ms] = fields[..] else {
+    let ["from", source, revision, at_ms] = fields[..] else {
         return None;
     };
     Some(Snapshot {
         source: u64::from_str_radix(source, 16).ok()?,
-        number: number.parse().ok()?,
+        revision: revision.parse().ok()?,
         at_ms: at_ms.parse().ok()?,
         ..Snapshot::default()
     })
--- a/front/src/protocol/snapshot/tests.rs
+++ b/front/src/protocol/snapshot/tests.rs
@@ -73,7 +73,7 @@
 fn what_is_written_is_read_and_what_is_over_is_dropped() {
     let known = known();
     assert_eq!(
-        (known.members.len(), known.purges.len()),
+        (known.endpoints.len(), known.purges.len()),
         (2, 1),
         "gone, and over"
     );
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -180,7 +180,7 @@
         let Ok(mut stream) = connected else {
             return self.bootstrap.record_failure(turn.now, peer);
         };
-        let known_revision = self.known.number;
+        let known_revision = self.known.revision;
         stream.push(outgoing(known_revision.to_be_bytes().to_vec()));
         let poll = Poll {
             peer,
@@ -223,7 +223,7 @@
         // The known list may have become newer since the peer was asked.
         let required = ListRequirements {
             source: self.known.source,
-            known_revision: poll.known_revision.max(self.known.number),
+            known_revision: poll.known_revision.max(self.known.revision),
             max_age_ms: self.lifetimes.serve_ms,
         };
         match decode_list(response, required) {
@@ -239,10 +239,10 @@
     fn record_offer(&mut self, turn: &mut Turn<'_>, peer: usize, list: Snapshot) {
         self.counters.offered += 1;
         let offer = ListOffer {
-            revision: list.number,
+            revision: list.revision,
             digest: list.digest(),
         };
-        let known_revision = self.known.number;
+        let known_revision = self.known.revision;
         let quorum = self
             .bootstrap
             .record_offer(turn.now, peer, known_revision, offer);
@@ -282,7 +282,7 @@
     /// Returns the state as operators see it.
     fn state(&self) -> Value {
         json!({
-            "last_event": self.known.number,
+            "last_event": self.known.revision,
             "known_ms_ago": wall_clock_ms().saturating_sub(self.known.at_ms),
             "served": self.clients.served(),
             "offered": self.counters.offered,
--- a/front/src/server/drivers/peers/clients.rs
+++ b/front/src/server/drivers/peers/clients.rs
@@ -92,7 +92,7 @@
     if let Some(request) = request.filter(|_| !client.responded) {
         client.responded = true;
         let client_revision = u64::from_be_bytes(request);
-        let newer = Some(known).filter(|known| known.number > client_revision);
+        let newer = Some(known).filter(|known| known.revision > client_revision);
         if let Some(text) = newer.and_then(Snapshot::encode) {
             *served += 1;
             client.stream.push(outgoing(text.into()));
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -85,7 +85,7 @@
     let list = Snapshot::decode(text).map_err(ListError::Malformed)?;
     let header = SnapshotHeader {
         source: list.source,
-        revision: list.number,
+        revision: list.revision,
         current_at_ms: list.at_ms,
     };
     check_snapshot(
@@ -104,8 +104,8 @@
     match read_file(path).and_then(|text| decode_list(&text, required)) {
         Ok(list) => {
             let age_ms = wall_clock_ms().saturating_sub(list.at_ms);
-            let event = list.number;
-            let members = list.members.len();
+            let event = list.revision;
+            let members = list.endpoints.len();
             tracing::info!(kind = "snapshot", event, members, age_ms, %at, "the list is served from disk");
             Some(list)
         }
@@ -296,7 +296,7 @@
             EndpointEffect::Current if turn.now >= self.refreshed_at + REFRESH_INTERVAL => {
                 self.known.at_ms = wall_clock_ms();
                 self.refreshed_at = turn.now;
-                self.dirty = self.known.number > 0;
+                self.dirty = self.known.revision > 0;
             }
             EndpointEffect::Adopted(list) => {
                 self.known = Snapshot::clone(list);
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -85,12 +85,12 @@
 
     /// Adopts a list that peers hold, unless the list service is connected or has already sent a list as new.
     pub(super) fn adopt_peer_list(&mut self, now: Timestamp, list: Box<Snapshot>) {
-        if self.discovery.is_connected() || list.number <= self.discovery.revision() {
+        if self.discovery.is_connected() || list.revision <= self.discovery.revision() {
             return;
         }
-        let event = list.number;
+        let event = list.revision;
         let age_ms = wall_clock_ms().saturating_sub(list.at_ms);
-        let members = list.members.len();
+        let members = list.endpoints.len();
         tracing::info!(
             kind = "list",
             event,
@@ -98,7 +98,7 @@
             members,
             "the list is taken from peers"
         );
-        self.discovery.advance_to(list.number);
+        self.discovery.advance_to(list.revision);
         // Forwarded as watch events it would count as new in the snapshot on disk; adopted, it keeps its age.
         self.forwards_watch_events = false;
         for event in list.watch_events() {
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -78,7 +78,7 @@
     if let Some(list) = found {
         events.extend(list.watch_events());
         return KnownList {
-            revision: list.number,
+            revision: list.revision,
             events,
             origin: EventSource::Stored,
             snapshot: list,
