--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
     /// The identity of the log that it follows; 0 if it follows none yet.
-    pub ledger: u64,
+    pub log_identity: u64,
     /// The number of the last purge that it has stored.
     pub last: PurgeNumber,
 }
@@ -44,9 +44,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     /// Whether the follower has to discard its log and begin anew after `base`.
-    pub anew: bool,
+    pub reset: bool,
     /// The identity of the log.
-    pub ledger: u64,
+    pub log_identity: u64,
     /// The number before the first purge that the writer still has.
     pub base: PurgeNumber,
     /// The number of the writer's last purge.
@@ -64,7 +64,7 @@
     [
         &MAGIC[..],
         &VERSION.to_le_bytes(),
-        &hello.ledger.to_le_bytes(),
+        &hello.log_identity.to_le_bytes(),
         &hello.last.to_le_bytes(),
     ]
     .concat()
@@ -87,7 +87,7 @@
     }
     Ok(little_endian(&mut cursor)
         .zip(little_endian(&mut cursor))
-        .map(|(ledger, last)| Hello { ledger, last }))
+        .map(|(log_identity, last)| Hello { log_identity, last }))
 }
 
 /// Encodes a frame.
@@ -97,13 +97,13 @@
         .iter()
         .flat_map(journal::encode_record)
         .collect();
-    let kind = if frame.anew {
+    let kind = if frame.reset {
         kind::BEGIN_ANEW
     } else {
         kind::BATCH
     };
     let mut bytes = vec![kind];
-    for number in [frame.ledger, frame.base, frame.head] {
+    for number in [frame.log_identity, frame.base, frame.head] {
         bytes.extend(number.to_le_bytes());
     }
     bytes.extend((body.len() as u32).to_le_bytes());
@@ -123,7 +123,8 @@
     let numbers = little_endian(&mut cursor)
         .zip(little_endian(&mut cursor))
         .zip(little_endian(&mut cursor));
-    let Some((((ledger, base), head), size)) = numbers.zip(cursor.array().map(u32::from_le_bytes))
+    let Some((((log_identity, base), head), size)) =
+        numbers.zip(cursor.array().map(u32::from_le_bytes))
     else {
         return Ok(None);
     };
@@ -135,8 +136,8 @@
         return Ok(None);
     };
     let frame = Frame {
-        anew: kind == kind::BEGIN_ANEW,
-        ledger,
+        reset: kind == kind::BEGIN_ANEW,
+        log_identity,
         base,
         head,
         purges: decode_purges(body)?,
--- a/front/src/protocol/follow/tests.rs
+++ b/front/src/protocol/follow/tests.rs
@@ -3,7 +3,10 @@
 
 #[test]
 fn messages_are_decoded_however_they_are_split_and_malformed_ones_are_rejected() {
-    let told = Hello { ledger: 7, last: 9 };
+    let told = Hello {
+        log_identity: 7,
+        last: 9,
+    };
     let bytes = hello(told);
     (0..HELLO_BYTES).for_each(|cut| assert_eq!(decode_hello(&bytes[..cut]).unwrap(), None));
     assert_eq!(decode_hello(&bytes).unwrap(), Some(told));
@@ -18,8 +21,8 @@
         why: "c".into(),
     };
     let sent = Frame {
-        anew: false,
-        ledger: 7,
+        reset: false,
+        log_identity: 7,
         base: 2,
         head: 10,
         purges: vec![purge.clone(), purge],
--- a/front/src/protocol/purge.rs
+++ b/front/src/protocol/purge.rs
@@ -10,12 +10,12 @@
 /// it has applied the log.
 pub fn batch(
     id: u64,
-    ledger: u64,
+    log_identity: u64,
     after: PurgeNumber,
     upto: PurgeNumber,
     purges: &[Purge],
 ) -> Outgoing<()> {
-    let fields = format!("ledger={ledger:016x},after={after},upto={upto}");
+    let fields = format!("ledger={log_identity:016x},after={after},upto={upto}");
     let body: Vec<u8> = purges.iter().flat_map(journal::encode_record).collect();
     let mut head = b"*4\r\n".to_vec();
     head.extend(bulk_strings::encode(&[
@@ -38,7 +38,7 @@
     /// The id of the command that it answers.
     pub id: u64,
     /// The identity of the purge log.
-    pub ledger: u64,
+    pub log_identity: u64,
     /// Every purge up to this number is applied.
     pub upto: PurgeNumber,
     /// Whether the cache node holds no copy at all.
@@ -56,7 +56,7 @@
     }
     let mut confirmation = Confirmation {
         id: hex16(as_text(id)?).ok_or(Unreadable("no id"))?,
-        ledger: 0,
+        log_identity: 0,
         upto: 0,
         empty: false,
     };
@@ -70,7 +70,7 @@
 /// Sets a field of a confirmation. Unknown fields are ignored.
 fn set_field(confirmation: &mut Confirmation, name: &str, value: &str) -> Result<(), Unreadable> {
     match name {
-        "ledger" => confirmation.ledger = hex16(value).ok_or(Unreadable("no ledger"))?,
+        "ledger" => confirmation.log_identity = hex16(value).ok_or(Unreadable("no ledger"))?,
         "upto" => confirmation.upto = value.parse().map_err(|_| Unreadable("no number"))?,
         "empty" => confirmation.empty = value == "1",
         _ => {}
--- a/front/src/protocol/purge/tests.rs
+++ b/front/src/protocol/purge/tests.rs
@@ -36,7 +36,7 @@
         (
             Confirmation {
                 id: 7,
-                ledger: 0xfeed,
+                log_identity: 0xfeed,
                 upto: 8,
                 empty: false
             },
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -78,7 +78,7 @@
         }
         self.reported = true;
         let report = NodeReport {
-            log: answer.ledger,
+            log: answer.log_identity,
             applied: answer.upto,
             empty: answer.empty,
         };
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -70,17 +70,17 @@
     /// begins anew.
     fn read_introduction(&mut self, log: &PurgeLog) -> io::Result<()> {
         let decoded = decode_hello(self.stream.input()).map_err(|e| invalid(e.0))?;
-        let Some(Hello { ledger, last }) = decoded else {
+        let Some(Hello { log_identity, last }) = decoded else {
             return Ok(());
         };
         self.stream.consume(HELLO_BYTES);
         let known = (log.base()..=log.last_number()).contains(&last);
-        if ledger == log.identity && known {
+        if log_identity == log.identity && known {
             self.stored = Some(last);
             return Ok(());
         }
         let begin_anew = Frame {
-            anew: true,
+            reset: true,
             ..batch_frame(log, Vec::new())
         };
         self.stream.push(outgoing(frame(&begin_anew)));
@@ -128,8 +128,8 @@
 
 fn batch_frame(log: &PurgeLog, purges: Vec<Purge>) -> Frame {
     Frame {
-        anew: false,
-        ledger: log.identity,
+        reset: false,
+        log_identity: log.identity,
         base: log.base(),
         head: log.last_number(),
         purges,
--- a/front/src/server/drivers/purges/following.rs
+++ b/front/src/server/drivers/purges/following.rs
@@ -10,7 +10,7 @@
     /// Applies frames from the writer. What follows a bad one is dropped with the connection.
     pub(super) fn apply_frames(&mut self, turn: &mut Turn<'_>, frames: Vec<Frame>) {
         for frame in frames {
-            if frame.anew {
+            if frame.reset {
                 self.begin_anew(turn, &frame);
             } else if !self.apply_batch(turn, frame) {
                 return;
@@ -28,7 +28,7 @@
             lost,
             "purges: the ledger begins anew"
         );
-        self.log = PurgeLog::after(frame.ledger, frame.base);
+        self.log = PurgeLog::after(frame.log_identity, frame.base);
         self.durable = DurablePosition::end_of(&self.log);
         if lost {
             let everything = PurgeEffect::AllPurged {
@@ -42,7 +42,7 @@
     /// Returns whether the batch was good.
     fn apply_batch(&mut self, turn: &mut Turn<'_>, frame: Frame) -> bool {
         let last_sent = frame.purges.last().map(|purge| purge.number);
-        let new = match self.append_batch(frame.ledger, frame.purges) {
+        let new = match self.append_batch(frame.log_identity, frame.purges) {
             Ok(new) => new,
             Err(BadBatch { number, cause }) => {
                 tracing::warn!(kind = "out-of-order", refused = ?cause, number, "purges: a bad batch");
@@ -59,7 +59,7 @@
             writer.owe_confirmation(number);
             writer.confirm_durable(turn.now, self.durable.number);
         }
-        if frame.ledger == self.log.identity && frame.head == self.log.last_number() {
+        if frame.log_identity == self.log.identity && frame.head == self.log.last_number() {
             turn.effects.push(Effect::Purges(PurgeEffect::Contact));
         }
         true
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -125,8 +125,8 @@
 fn batch(first: u64, last: u64) -> Vec<u8> {
     let purges = (first..=last).map(purge).collect();
     frame(&Frame {
-        anew: false,
-        ledger: LOG,
+        reset: false,
+        log_identity: LOG,
         base: 0,
         head: last,
         purges,
@@ -139,8 +139,8 @@
     let path = follower.folder.path().join("purges");
     let (mut socket, _) = follower.hello();
     let anew = Frame {
-        anew: true,
-        ledger: LOG,
+        reset: true,
+        log_identity: LOG,
         base: 0,
         head: 0,
         purges: Vec::new(),
@@ -175,7 +175,7 @@
     assert_eq!(
         hello,
         Hello {
-            ledger: LOG,
+            log_identity: LOG,
             last: 2
         }
     );
--- a/front/src/server/drivers/purges/writer_link.rs
+++ b/front/src/server/drivers/purges/writer_link.rs
@@ -145,7 +145,7 @@
         match connected {
             Ok(mut stream) => {
                 stream.push(outgoing(hello(Hello {
-                    ledger: log,
+                    log_identity: log,
                     last: durable,
                 })));
                 self.last_frame_at = now;
