--- a/front/src/protocol/admin.rs
+++ b/front/src/protocol/admin.rs
@@ -58,10 +58,10 @@
     u64::from_str_radix(digits, 16).ok().map(EndpointId)
 }
 
-/// Decodes the call that `input` holds. `None`: its line is not complete yet. `ended`: no more input will come.
-pub fn decode(input: &[u8], ended: bool) -> Result<Option<Call>, CallError> {
+/// Decodes the call that `input` holds. `None`: its line is not complete yet. `end_of_input`: no more input will come.
+pub fn decode(input: &[u8], end_of_input: bool) -> Result<Option<Call>, CallError> {
     let Some(end) = input.iter().position(|b| *b == b'\n') else {
-        return check_incomplete(input, ended).map(|()| None);
+        return check_incomplete(input, end_of_input).map(|()| None);
     };
     if end >= MAX_LINE_BYTES {
         return Err(CallError::LineTooLong);
@@ -76,11 +76,11 @@
 }
 
 /// Checks a line whose end has not been received.
-fn check_incomplete(input: &[u8], ended: bool) -> Result<(), CallError> {
+fn check_incomplete(input: &[u8], end_of_input: bool) -> Result<(), CallError> {
     if input.len() >= MAX_LINE_BYTES {
         return Err(CallError::LineTooLong);
     }
-    if ended && !input.is_empty() {
+    if end_of_input && !input.is_empty() {
         return Err(CallError::LineUnterminated);
     }
     Ok(())
--- a/front/src/protocol/bulk_strings.rs
+++ b/front/src/protocol/bulk_strings.rs
@@ -1,6 +1,6 @@
 //! Arrays of bulk strings, in the form that the Redis serialization protocol (RESP2) gives them. Cache nodes receive commands
 //! and send replies in it.
-use super::Unreadable;
+use super::DecodeError;
 
 /// The strings of a reply: an id, the reply's name, fields and an object.
 pub const REPLY_STRINGS: usize = 4;
@@ -9,7 +9,7 @@
 /// The most digits that a length may have.
 const MAX_LENGTH_DIGITS: usize = 7;
 /// Bytes of a length's line beside its digits: the marker and the line end.
-const LENGTH_LINE_OVERHEAD: usize = 3;
+const LENGTH_LINE_OVERHEAD_BYTES: usize = 3;
 const LINE_END: &[u8] = b"\r\n";
 /// Room for a typical command's strings, so that encoding one allocates once.
 const TYPICAL_COMMAND_BYTES: usize = 256;
@@ -35,12 +35,12 @@
 }
 
 /// Decodes the strings of the first reply of `input`. `None`: it is not complete yet.
-pub fn decode_reply(input: &[u8]) -> Result<Option<Reply<'_>>, Unreadable> {
+pub fn decode_reply(input: &[u8]) -> Result<Option<Reply<'_>>, DecodeError> {
     let Some(array) = decode_length(input, 0, b'*', REPLY_STRINGS)? else {
         return Ok(None);
     };
     if array.value != REPLY_STRINGS {
-        return Err(Unreadable("no answer of four strings"));
+        return Err(DecodeError("no answer of four strings"));
     }
     let mut next = array.end;
     let mut strings: [&[u8]; REPLY_STRINGS] = [b""; REPLY_STRINGS];
@@ -49,12 +49,12 @@
             return Ok(None);
         };
         let end = length.end + length.value + LINE_END.len();
-        let Some(terminated) = input.get(length.end..end) else {
+        let Some(with_line_end) = input.get(length.end..end) else {
             return Ok(None);
         };
-        *string = terminated
+        *string = with_line_end
             .strip_suffix(LINE_END)
-            .ok_or(Unreadable("string without its end"))?;
+            .ok_or(DecodeError("string without its end"))?;
         next = end;
     }
     Ok(Some(Reply {
@@ -84,22 +84,22 @@
     start: usize,
     marker: u8,
     max: usize,
-) -> Result<Option<Length>, Unreadable> {
+) -> Result<Option<Length>, DecodeError> {
     let rest = &input[start.min(input.len())..];
     if rest.first().is_some_and(|b| *b != marker) {
-        return Err(Unreadable("no array of bulk strings"));
+        return Err(DecodeError("no array of bulk strings"));
     }
-    let max_line_bytes = MAX_LENGTH_DIGITS + LENGTH_LINE_OVERHEAD;
+    let max_line_bytes = MAX_LENGTH_DIGITS + LENGTH_LINE_OVERHEAD_BYTES;
     let line_end = rest.iter().take(max_line_bytes).position(|b| *b == b'\n');
     let Some(line_end) = line_end else {
         return if rest.len() > max_line_bytes {
-            Err(Unreadable("length too long"))
+            Err(DecodeError("length too long"))
         } else {
             Ok(None)
         };
     };
     let value = parse_length(&rest[1..line_end]).filter(|value| *value <= max);
-    let value = value.ok_or(Unreadable("length out of bounds"))?;
+    let value = value.ok_or(DecodeError("length out of bounds"))?;
     let end = start + line_end + 1;
     Ok(Some(Length { value, end }))
 }
--- a/front/src/protocol/cache_node.rs
+++ b/front/src/protocol/cache_node.rs
@@ -1,6 +1,6 @@
 //! Commands to cache nodes and their replies, as arrays of bulk strings.
 use super::bulk_strings::{self, decode_reply};
-use super::Unreadable;
+use super::DecodeError;
 use crate::routing::{Fetch, FillSource, ReplyKind, TransactionId, UpstreamReply};
 use crate::transport::Outgoing;
 use cranesill::api::{EndpointId, FillNote, Micros, Timestamp};
@@ -102,7 +102,7 @@
 }
 
 /// Decodes the first reply of `input`. `None`: it is not complete yet.
-pub fn decode(input: &[u8]) -> Result<Option<DecodedReply<'_>>, Unreadable> {
+pub fn decode(input: &[u8]) -> Result<Option<DecodedReply<'_>>, DecodeError> {
     let Some(encoded) = decode_reply(input)? else {
         return Ok(None);
     };
@@ -112,7 +112,7 @@
         body: body.into(),
         ..UpstreamReply::default()
     };
-    let fields = std::str::from_utf8(fields).map_err(|_| Unreadable("fields are no text"))?;
+    let fields = std::str::from_utf8(fields).map_err(|_| DecodeError("fields are no text"))?;
     for (name, value) in fields.split(',').filter_map(|field| field.split_once('=')) {
         set_field(&mut reply, name, value);
     }
--- a/front/src/protocol/client.rs
+++ b/front/src/protocol/client.rs
@@ -3,14 +3,14 @@
 
 pub use request::{decode_request, RequestError};
 
-use super::{Cursor, Unreadable};
+use super::{Cursor, DecodeError};
 use crate::routing::Response;
 use crate::transport::Outgoing;
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
 /// The lengths that a frame may state, in bytes.
-const FRAME_LENGTHS: RangeInclusive<usize> = 5..=262_144;
+const FRAME_BYTES_RANGE: RangeInclusive<usize> = 5..=262_144;
 
 /// The longest body of a request, in bytes; upstreams read no more.
 const MAX_BODY_BYTES: usize = 48_000;
@@ -55,13 +55,13 @@
 }
 
 /// Decodes the first frame of `input`, and returns it with its length in bytes. `None`: it is not complete yet.
-pub fn decode(input: &[u8]) -> Result<Option<(Message<'_>, usize)>, Unreadable> {
+pub fn decode(input: &[u8]) -> Result<Option<(Message<'_>, usize)>, DecodeError> {
     let mut cursor = Cursor(input);
     let Some(length) = cursor.u32().map(|n| n as usize) else {
         return Ok(None);
     };
-    if !FRAME_LENGTHS.contains(&length) {
-        return Err(Unreadable("frame length out of bounds"));
+    if !FRAME_BYTES_RANGE.contains(&length) {
+        return Err(DecodeError("frame length out of bounds"));
     }
     let Some(frame) = cursor.bytes(length) else {
         return Ok(None);
@@ -70,13 +70,13 @@
     let (frame_type, stream) = cursor
         .u8()
         .zip(cursor.u32())
-        .ok_or(Unreadable("frame cut off"))?;
+        .ok_or(DecodeError("frame cut off"))?;
     let message = match frame_type {
-        frame_type::REQUEST if stream == 0 => return Err(Unreadable("request on stream 0")),
+        frame_type::REQUEST if stream == 0 => return Err(DecodeError("request on stream 0")),
         frame_type::REQUEST => Message::Request(stream, cursor.0),
         frame_type::CANCEL => Message::Cancelled(stream),
         frame_type::READINESS_REQUEST => Message::Ready(stream),
-        _ => return Err(Unreadable("unknown frame type")),
+        _ => return Err(DecodeError("unknown frame type")),
     };
     Ok(Some((message, LENGTH_BYTES + length)))
 }
--- a/front/src/protocol/client/request.rs
+++ b/front/src/protocol/client/request.rs
@@ -8,7 +8,7 @@
 /// such sizes overflows.
 const MAX_SIZE_KB: f64 = 1e9;
 /// The longest tag or idempotency key, in characters.
-const MAX_TAG_LENGTH: usize = 64;
+const MAX_TAG_BYTES: usize = 64;
 /// Groups are numbered below this.
 const MAX_GROUPS: u32 = 256;
 
@@ -29,28 +29,28 @@
     FieldNotText,
     /// `txn` is malformed.
     #[error("txn is not 16 hex digits")]
-    Transaction,
+    TransactionMalformed,
     /// `limit` is malformed.
     #[error("limit is no number")]
-    TimeLimit,
+    TimeLimitMalformed,
     /// `item` is malformed.
     #[error("item is not 16 hex digits")]
-    Object,
+    ObjectMalformed,
     /// `part` is malformed.
     #[error("part is no number")]
-    Part,
+    PartMalformed,
     /// `group` is malformed or too large.
     #[error("group is no number below 256")]
-    Group,
+    GroupMalformed,
     /// `ram` is malformed or too large.
     #[error("ram is no size in KB")]
-    Size,
+    SizeMalformed,
     /// `have` holds more than letters and digits, or is too long.
     #[error("have is no bare tag")]
-    CachedTag,
+    CachedTagMalformed,
     /// `unique` holds more than letters and digits, or is too long.
     #[error("unique is no bare key")]
-    IdempotencyKey,
+    IdempotencyKeyMalformed,
     /// The body is longer than an upstream reads.
     #[error("body too long")]
     BodyTooLong,
@@ -116,21 +116,23 @@
         match name {
             b"verb" => self.class = Some(value.to_string()),
             b"txn" => {
-                hex16(value).ok_or(RequestError::Transaction)?;
+                hex16(value).ok_or(RequestError::TransactionMalformed)?;
                 self.transaction = TransactionId::new(value);
             }
             b"limit" => {
-                self.time_limit_ms = Some(parse_number(value).ok_or(RequestError::TimeLimit)?);
+                self.time_limit_ms =
+                    Some(parse_number(value).ok_or(RequestError::TimeLimitMalformed)?);
             }
             b"item" => self.object = Some(parse_object(value)?),
-            b"part" => self.part = parse_number(value).ok_or(RequestError::Part)?,
+            b"part" => self.part = parse_number(value).ok_or(RequestError::PartMalformed)?,
             b"group" => self.group = parse_group(value)?,
-            b"ram" => self.size_kb = parse_size_kb(value).ok_or(RequestError::Size)?,
+            b"ram" => self.size_kb = parse_size_kb(value).ok_or(RequestError::SizeMalformed)?,
             b"have" => {
-                self.cached_tag = Some(parse_tag(value).ok_or(RequestError::CachedTag)?);
+                self.cached_tag = Some(parse_tag(value).ok_or(RequestError::CachedTagMalformed)?);
             }
             b"unique" => {
-                self.idempotency_key = Some(parse_tag(value).ok_or(RequestError::IdempotencyKey)?);
+                self.idempotency_key =
+                    Some(parse_tag(value).ok_or(RequestError::IdempotencyKeyMalformed)?);
             }
             _ => {}
         }
@@ -157,7 +159,7 @@
 }
 
 fn parse_object(value: &str) -> Result<ObjectKey, RequestError> {
-    let id = hex16(value).ok_or(RequestError::Object)?;
+    let id = hex16(value).ok_or(RequestError::ObjectMalformed)?;
     Ok(ObjectKey {
         text: value.into(),
         id,
@@ -167,15 +169,15 @@
 fn parse_group(value: &str) -> Result<u32, RequestError> {
     parse_number(value)
         .filter(|group| *group < MAX_GROUPS)
-        .ok_or(RequestError::Group)
+        .ok_or(RequestError::GroupMalformed)
 }
 
 /// Parses a tag or key of letters and digits alone: upstream it stands in a list of fields that commas separate, and any
 /// other character could begin a field of its own there.
 fn parse_tag(value: &str) -> Option<Rc<str>> {
-    let fits = (1..=MAX_TAG_LENGTH).contains(&value.len());
-    let is_bare = value.bytes().all(|b| b.is_ascii_alphanumeric());
-    (fits && is_bare).then(|| value.into())
+    let has_valid_length = (1..=MAX_TAG_BYTES).contains(&value.len());
+    let is_alphanumeric = value.bytes().all(|b| b.is_ascii_alphanumeric());
+    (has_valid_length && is_alphanumeric).then(|| value.into())
 }
 
 /// Parses digits alone. The standard library would accept a sign as well.
--- a/front/src/protocol/configured_events.rs
+++ b/front/src/protocol/configured_events.rs
@@ -27,21 +27,22 @@
     let events = known["events"]
         .as_array()
         .ok_or(ConfiguredEventsError::EventsMissing)?;
-    let read = |event: &Value| {
-        read_event(event, names).ok_or_else(|| ConfiguredEventsError::MalformedEvent(event.clone()))
+    let parse = |event: &Value| {
+        parse_event(event, names)
+            .ok_or_else(|| ConfiguredEventsError::MalformedEvent(event.clone()))
     };
-    let events = events.iter().map(read).collect::<Result<_, _>>()?;
+    let events = events.iter().map(parse).collect::<Result<_, _>>()?;
     Ok((revision, events))
 }
 
-fn read_event(event: &Value, names: &Names) -> Option<WatchEvent> {
+fn parse_event(event: &Value, names: &Names) -> Option<WatchEvent> {
     match event.get("purge") {
-        Some(purge) => read_purge(purge),
-        None => read_endpoints(event, names),
+        Some(purge) => parse_purge(purge),
+        None => parse_endpoints(event, names),
     }
 }
 
-fn read_purge(purge: &Value) -> Option<WatchEvent> {
+fn parse_purge(purge: &Value) -> Option<WatchEvent> {
     let object = match purge["key"].as_str() {
         Some(key) => Some(hex16(key)?),
         None => None,
@@ -61,12 +62,12 @@
     })
 }
 
-fn read_endpoints(event: &Value, names: &Names) -> Option<WatchEvent> {
+fn parse_endpoints(event: &Value, names: &Names) -> Option<WatchEvent> {
     let members = event.get("members")?;
     let list = members["instances"]
         .as_array()?
         .iter()
-        .map(|instance| read_endpoint(instance, names))
+        .map(|instance| parse_endpoint(instance, names))
         .collect::<Option<_>>()?;
     // The first event holds the complete list, whatever its mark says.
     let is_first = event["n"].as_u64() == Some(1);
@@ -77,13 +78,13 @@
     })
 }
 
-fn read_endpoint(instance: &Value, names: &Names) -> Option<EndpointRecord> {
-    let zone = index_of(&names.zones, &instance["zone"])?;
-    let kind = index_of(&names.kinds, &instance["machineType"])?;
+fn parse_endpoint(instance: &Value, names: &Names) -> Option<EndpointRecord> {
+    let zone = position_of(&names.zones, &instance["zone"])?;
+    let kind = position_of(&names.kinds, &instance["machineType"])?;
     Some(EndpointRecord {
-        id: read_id(&instance["instanceId"])?,
+        id: parse_id(&instance["instanceId"])?,
         address: instance["hostPort"].as_str()?.parse().ok()?,
-        state: read_state(&instance["lifecycle"])?,
+        state: parse_state(&instance["lifecycle"])?,
         zone: u16::try_from(zone).ok()?,
         kind: u8::try_from(kind).ok()?,
         cell: u16::try_from(instance["cell"].as_u64().unwrap_or(0)).ok()?,
@@ -92,12 +93,12 @@
     })
 }
 
-fn read_id(value: &Value) -> Option<u32> {
+fn parse_id(value: &Value) -> Option<u32> {
     let digits = value.as_str()?.strip_prefix("s-")?;
     u32::from_str_radix(digits, 16).ok()
 }
 
-fn read_state(value: &Value) -> Option<EndpointState> {
+fn parse_state(value: &Value) -> Option<EndpointState> {
     match value.as_str()? {
         "in_service" => Some(EndpointState::Ready),
         "terminating" => Some(EndpointState::Draining),
@@ -107,7 +108,7 @@
 }
 
 /// The index of a name in a list of the settings.
-fn index_of(list: &[String], name: &Value) -> Option<usize> {
+fn position_of(list: &[String], name: &Value) -> Option<usize> {
     let name = name.as_str()?;
     list.iter().position(|listed| listed == name)
 }
--- a/front/src/protocol/discovery.rs
+++ b/front/src/protocol/discovery.rs
@@ -1,11 +1,11 @@
 //! Watch events of the list service: endpoints that change, and purges. All numbers are big-endian.
-use super::{Cursor, Unreadable};
+use super::{Cursor, DecodeError};
 use cranesill::api::EndpointState;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
 
 /// The lengths that a frame may state, in bytes; the longest holds a complete list of some thousand endpoints.
-const FRAME_LENGTHS: RangeInclusive<usize> = 9..=1 << 20;
+const FRAME_BYTES_RANGE: RangeInclusive<usize> = 9..=1 << 20;
 /// Bytes of a frame's length, which does not count itself.
 const LENGTH_BYTES: usize = 4;
 /// Bytes of the record of one endpoint.
@@ -15,7 +15,7 @@
 
 /// Kinds of frames.
 mod kind {
-    pub const NOTHING_NEW: u8 = 0;
+    pub const NO_CHANGE: u8 = 0;
     pub const COMPLETE_LIST: u8 = 1;
     pub const CHANGES: u8 = 2;
     pub const OBJECT_PURGE: u8 = 3;
@@ -81,13 +81,13 @@
 }
 
 /// Decodes the first frame of `input`. `None`: it is not complete yet.
-pub fn decode(input: &[u8]) -> Result<Option<DecodedFrame>, Unreadable> {
+pub fn decode(input: &[u8]) -> Result<Option<DecodedFrame>, DecodeError> {
     let mut cursor = Cursor(input);
     let Some(length) = cursor.u32().map(|n| n as usize) else {
         return Ok(None);
     };
-    if !FRAME_LENGTHS.contains(&length) {
-        return Err(Unreadable("frame length out of bounds"));
+    if !FRAME_BYTES_RANGE.contains(&length) {
+        return Err(DecodeError("frame length out of bounds"));
     }
     let Some(frame) = cursor.bytes(length) else {
         return Ok(None);
@@ -96,7 +96,7 @@
     let (revision, kind) = cursor
         .u64()
         .zip(cursor.u8())
-        .ok_or(Unreadable("frame cut off"))?;
+        .ok_or(DecodeError("frame cut off"))?;
     Ok(Some(DecodedFrame {
         revision,
         event: decode_event(kind, cursor)?,
@@ -104,34 +104,34 @@
     }))
 }
 
-fn decode_event(kind: u8, payload: Cursor<'_>) -> Result<Option<WatchEvent>, Unreadable> {
+fn decode_event(kind: u8, payload: Cursor<'_>) -> Result<Option<WatchEvent>, DecodeError> {
     match kind {
-        kind::NOTHING_NEW => Ok(None),
+        kind::NO_CHANGE => Ok(None),
         kind::COMPLETE_LIST => decode_endpoints(payload, true).map(Some),
         kind::CHANGES => decode_endpoints(payload, false).map(Some),
         kind::OBJECT_PURGE => decode_object_purge(payload).map(Some),
         kind::GROUP_PURGE => decode_group_purge(payload).map(Some),
-        _ => Err(Unreadable("unknown kind")),
+        _ => Err(DecodeError("unknown kind")),
     }
 }
 
-fn decode_endpoints(payload: Cursor<'_>, complete: bool) -> Result<WatchEvent, Unreadable> {
+fn decode_endpoints(payload: Cursor<'_>, complete: bool) -> Result<WatchEvent, DecodeError> {
     if !payload.0.len().is_multiple_of(RECORD_BYTES) {
-        return Err(Unreadable("record cut off"));
+        return Err(DecodeError("record cut off"));
     }
     let records = payload.0.chunks(RECORD_BYTES);
     let list: Option<Vec<_>> = records.map(|bytes| decode_record(Cursor(bytes))).collect();
     Ok(WatchEvent::Endpoints {
         complete,
-        list: list.ok_or(Unreadable("unknown state"))?,
+        list: list.ok_or(DecodeError("unknown state"))?,
     })
 }
 
-fn decode_object_purge(mut payload: Cursor<'_>) -> Result<WatchEvent, Unreadable> {
+fn decode_object_purge(mut payload: Cursor<'_>) -> Result<WatchEvent, DecodeError> {
     let (object, at_ms) = payload
         .u64()
         .zip(payload.u64())
-        .ok_or(Unreadable("purge cut off"))?;
+        .ok_or(DecodeError("purge cut off"))?;
     Ok(WatchEvent::Purge {
         object: Some(object),
         group: 0,
@@ -139,11 +139,11 @@
     })
 }
 
-fn decode_group_purge(mut payload: Cursor<'_>) -> Result<WatchEvent, Unreadable> {
+fn decode_group_purge(mut payload: Cursor<'_>) -> Result<WatchEvent, DecodeError> {
     let (group, at_ms) = payload
         .u16()
         .zip(payload.u64())
-        .ok_or(Unreadable("purge cut off"))?;
+        .ok_or(DecodeError("purge cut off"))?;
     Ok(WatchEvent::Purge {
         object: None,
         group: group.into(),
--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -9,13 +9,13 @@
 //!
 //! The writer sends the next batch only once the follower has confirmed the one before, and
 //! waits for a slow follower. It sends an empty batch each second as a heartbeat; `head` tells whether the follower has everything.
-use super::{Cursor, Unreadable};
+use super::{Cursor, DecodeError};
 use cranesill_purges::journal::{self, DecodedRecord};
 use cranesill_purges::log::MAX_BATCH_PURGES;
 use cranesill_purges::{Purge, PurgeNumber};
 
 const MAGIC: &[u8; 8] = b"CRFOLLOW";
-const VERSION: u16 = 1;
+const PROTOCOL_VERSION: u16 = 1;
 /// Bytes of a follower's hello.
 pub const HELLO_BYTES: usize = 26;
 /// The most bytes that one encoded purge takes.
@@ -28,7 +28,7 @@
 /// Kinds of frames.
 mod kind {
     pub const BATCH: u8 = 0;
-    pub const BEGIN_ANEW: u8 = 1;
+    pub const RESET: u8 = 1;
 }
 
 /// What a follower sends on connecting.
@@ -63,7 +63,7 @@
 pub fn hello(hello: Hello) -> Vec<u8> {
     [
         &MAGIC[..],
-        &VERSION.to_le_bytes(),
+        &PROTOCOL_VERSION.to_le_bytes(),
         &hello.log_identity.to_le_bytes(),
         &hello.last.to_le_bytes(),
     ]
@@ -71,19 +71,19 @@
 }
 
 /// Decodes a follower's hello. `None`: it is not complete yet.
-pub fn decode_hello(input: &[u8]) -> Result<Option<Hello>, Unreadable> {
+pub fn decode_hello(input: &[u8]) -> Result<Option<Hello>, DecodeError> {
     // Another protocol is rejected by its first bytes: it may never send as many as a hello has.
     let received = input.len().min(MAGIC.len());
     if input[..received] != MAGIC[..received] {
-        return Err(Unreadable("no follower"));
+        return Err(DecodeError("no follower"));
     }
     let Some(bytes) = input.get(..HELLO_BYTES) else {
         return Ok(None);
     };
     let mut cursor = Cursor(&bytes[MAGIC.len()..]);
     let version = cursor.array().map(u16::from_le_bytes);
-    if version != Some(VERSION) {
-        return Err(Unreadable("a follower of another version"));
+    if version != Some(PROTOCOL_VERSION) {
+        return Err(DecodeError("a follower of another version"));
     }
     Ok(little_endian(&mut cursor)
         .zip(little_endian(&mut cursor))
@@ -98,7 +98,7 @@
         .flat_map(journal::encode_record)
         .collect();
     let kind = if frame.reset {
-        kind::BEGIN_ANEW
+        kind::RESET
     } else {
         kind::BATCH
     };
@@ -112,13 +112,13 @@
 }
 
 /// Decodes the first frame of `input`, and returns it with its length in bytes. `None`: it is not complete yet.
-pub fn decode_frame(input: &[u8]) -> Result<Option<(Frame, usize)>, Unreadable> {
+pub fn decode_frame(input: &[u8]) -> Result<Option<(Frame, usize)>, DecodeError> {
     let mut cursor = Cursor(input);
     let Some(kind) = cursor.u8() else {
         return Ok(None);
     };
-    if kind > kind::BEGIN_ANEW {
-        return Err(Unreadable("an unknown kind of frame"));
+    if kind > kind::RESET {
+        return Err(DecodeError("an unknown kind of frame"));
     }
     let numbers = little_endian(&mut cursor)
         .zip(little_endian(&mut cursor))
@@ -130,13 +130,13 @@
     };
     let size = size as usize;
     if size > MAX_BODY_BYTES {
-        return Err(Unreadable("a batch that is too long"));
+        return Err(DecodeError("a batch that is too long"));
     }
     let Some(body) = cursor.bytes(size) else {
         return Ok(None);
     };
     let frame = Frame {
-        reset: kind == kind::BEGIN_ANEW,
+        reset: kind == kind::RESET,
         log_identity,
         base,
         head,
@@ -145,11 +145,11 @@
     Ok(Some((frame, FRAME_HEADER_BYTES + size)))
 }
 
-fn decode_purges(mut body: &[u8]) -> Result<Vec<Purge>, Unreadable> {
+fn decode_purges(mut body: &[u8]) -> Result<Vec<Purge>, DecodeError> {
     let mut purges = Vec::new();
     while !body.is_empty() {
         let DecodedRecord::Record { purge, length } = journal::decode_record(body) else {
-            return Err(Unreadable("a batch that is not as it was written"));
+            return Err(DecodeError("a batch that is not as it was written"));
         };
         purges.push(purge);
         body = &body[length..];
--- a/front/src/protocol/handover.rs
+++ b/front/src/protocol/handover.rs
@@ -6,19 +6,21 @@
 use cranesill::api::{EndpointId, LearnedHealth, Timestamp};
 
 /// The version of these files; one of another version is treated as absent.
-const VERSION: &str = "v1";
-const KIND: &str = "learned";
+const FORMAT_VERSION: &str = "v1";
+const FILE_KIND: &str = "learned";
 /// The largest file of learned health, in bytes: some thousand endpoints.
 pub const MAX_LEARNED_BYTES: usize = 256 * 1024;
 
 /// Returns the name of the file whose presence says that the endpoint is cordoned.
 pub fn cordon_file_name(endpoint: EndpointId) -> String {
-    format!("{VERSION}.out.{}", endpoint_name(endpoint))
+    format!("{FORMAT_VERSION}.out.{}", endpoint_name(endpoint))
 }
 
 /// Returns the endpoint that a file of this name cordons; `None` if it is another file.
 pub fn cordoned_endpoint(file_name: &str) -> Option<EndpointId> {
-    let name = file_name.strip_prefix(VERSION)?.strip_prefix(".out.")?;
+    let name = file_name
+        .strip_prefix(FORMAT_VERSION)?
+        .strip_prefix(".out.")?;
     endpoint_id(name)
 }
 
@@ -28,7 +30,7 @@
     for health in endpoints {
         body += &encode_health(health);
     }
-    stored_file::encode(KIND, VERSION, &body)
+    stored_file::encode(FILE_KIND, FORMAT_VERSION, &body)
 }
 
 fn encode_health(health: &LearnedHealth) -> String {
@@ -43,7 +45,7 @@
 /// Decodes learned health, and the time up to which it was learned.
 pub fn decode_learned(text: &[u8]) -> Result<(Timestamp, Vec<LearnedHealth>), StoredFileError> {
     let (header, body) = stored_file::split(text)?;
-    stored_file::check_header(header, KIND, VERSION, body)?;
+    stored_file::check_header(header, FILE_KIND, FORMAT_VERSION, body)?;
     let mut lines = body.lines();
     let at = lines
         .next()
--- a/front/src/protocol/mod.rs
+++ b/front/src/protocol/mod.rs
@@ -14,7 +14,7 @@
 /// Why received bytes cannot be decoded. Where the next message begins is then unknown, and the connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct Unreadable(pub &'static str);
+pub struct DecodeError(pub &'static str);
 
 /// Takes fields off the front of a byte slice. Its numbers are big-endian.
 #[derive(Clone, Copy, Debug)]
--- a/front/src/protocol/purge.rs
+++ b/front/src/protocol/purge.rs
@@ -1,7 +1,7 @@
 //! Purges to cache nodes and their confirmations (`docs/protocol.md`, "Members that are purged"): in the form of other commands to cache nodes,
 //! on connections of their own.
 use super::bulk_strings::{self, decode_reply};
-use super::{hex16, Unreadable};
+use super::{hex16, DecodeError};
 use crate::transport::Outgoing;
 use cranesill_purges::{journal, Purge, PurgeNumber};
 use std::rc::Rc;
@@ -46,21 +46,21 @@
 }
 
 /// Decodes the first confirmation of `input`, and returns it with its length in bytes. `None`: it is not complete yet.
-pub fn decode(input: &[u8]) -> Result<Option<(Confirmation, usize)>, Unreadable> {
+pub fn decode(input: &[u8]) -> Result<Option<(Confirmation, usize)>, DecodeError> {
     let Some(reply) = decode_reply(input)? else {
         return Ok(None);
     };
     let [id, name, fields, _] = reply.strings;
     if name != b"DONE" {
-        return Err(Unreadable("a box that does not speak of purges"));
+        return Err(DecodeError("a box that does not speak of purges"));
     }
     let mut confirmation = Confirmation {
-        id: hex16(as_text(id)?).ok_or(Unreadable("no id"))?,
+        id: hex16(decode_utf8(id)?).ok_or(DecodeError("no id"))?,
         log_identity: 0,
         upto: 0,
         empty: false,
     };
-    let fields = as_text(fields)?;
+    let fields = decode_utf8(fields)?;
     for (name, value) in fields.split(',').filter_map(|field| field.split_once('=')) {
         set_field(&mut confirmation, name, value)?;
     }
@@ -68,18 +68,18 @@
 }
 
 /// Sets a field of a confirmation. Unknown fields are ignored.
-fn set_field(confirmation: &mut Confirmation, name: &str, value: &str) -> Result<(), Unreadable> {
+fn set_field(confirmation: &mut Confirmation, name: &str, value: &str) -> Result<(), DecodeError> {
     match name {
-        "ledger" => confirmation.log_identity = hex16(value).ok_or(Unreadable("no ledger"))?,
-        "upto" => confirmation.upto = value.parse().map_err(|_| Unreadable("no number"))?,
+        "ledger" => confirmation.log_identity = hex16(value).ok_or(DecodeError("no ledger"))?,
+        "upto" => confirmation.upto = value.parse().map_err(|_| DecodeError("no number"))?,
         "empty" => confirmation.empty = value == "1",
         _ => {}
     }
     Ok(())
 }
 
-fn as_text(bytes: &[u8]) -> Result<&str, Unreadable> {
-    std::str::from_utf8(bytes).map_err(|_| Unreadable("no text"))
+fn decode_utf8(bytes: &[u8]) -> Result<&str, DecodeError> {
+    std::str::from_utf8(bytes).map_err(|_| DecodeError("no text"))
 }
 
 #[cfg(test)]
--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -5,8 +5,8 @@
 use cranesill::api::EndpointState;
 use std::collections::BTreeMap;
 
-const VERSION: &str = "v1";
-const KIND: &str = "list";
+const FORMAT_VERSION: &str = "v1";
+const FILE_KIND: &str = "list";
 /// Fields of the header line: the program, the kind of file, the version and the checksum.
 const HEADER_FIELDS: usize = 4;
 /// The largest snapshot, in bytes: some thousand endpoints and as many purges.
@@ -46,14 +46,14 @@
 }
 
 impl Snapshot {
-    /// Applies a watch event that was received at `received_ms` of the monotonic clock, which is `at_ms` of the wall clock.
-    /// Purges that were received longer ago than `keep_ms` are dropped.
+    /// Applies a watch event that was received at `received_at_ms` of the monotonic clock, which is `at_ms` of the wall clock.
+    /// Purges that were received longer ago than `retention_ms` are dropped.
     pub fn apply(
         &mut self,
         revision: u64,
         at_ms: u64,
-        received_ms: u64,
-        keep_ms: u64,
+        received_at_ms: u64,
+        retention_ms: u64,
         event: &WatchEvent,
     ) {
         self.revision = revision;
@@ -70,8 +70,9 @@
                 at_ms: *at_ms,
             }),
         }
-        self.received_at_ms.resize(self.purges.len(), received_ms);
-        self.drop_purges(received_ms.saturating_sub(keep_ms));
+        self.received_at_ms
+            .resize(self.purges.len(), received_at_ms);
+        self.drop_purges(received_at_ms.saturating_sub(retention_ms));
     }
 
     fn apply_endpoints(&mut self, complete: bool, list: &[EndpointRecord]) {
@@ -87,10 +88,10 @@
         }
     }
 
-    /// Drops the purges that were received before `kept_since`, and the oldest of too many.
-    fn drop_purges(&mut self, kept_since: u64) {
+    /// Drops the purges that were received before `received_since_ms`, and the oldest of too many.
+    fn drop_purges(&mut self, received_since_ms: u64) {
         let received = self.received_at_ms.iter();
-        let expired = received.take_while(|at| **at < kept_since).count();
+        let expired = received.take_while(|at| **at < received_since_ms).count();
         // One more than may be written stays: by it `encode` sees that there were too many.
         let excess = self.purges.len().saturating_sub(MAX_PURGES + 1);
         let dropped = expired.max(excess);
@@ -129,7 +130,7 @@
                 None => format!("g {} {at_ms}\n", purge.group),
             };
         }
-        let text = stored_file::encode(KIND, VERSION, &body);
+        let text = stored_file::encode(FILE_KIND, FORMAT_VERSION, &body);
         Some(text).filter(|text| text.len() <= MAX_SNAPSHOT_BYTES)
     }
 
@@ -153,7 +154,7 @@
         if header.split(' ').count() != HEADER_FIELDS {
             return Err(StoredFileError::OtherKind);
         }
-        stored_file::check_header(header, KIND, VERSION, body)?;
+        stored_file::check_header(header, FILE_KIND, FORMAT_VERSION, body)?;
         let mut lines = body.lines();
         let first = lines.next().ok_or(StoredFileError::RevisionMissing)?;
         let mut snapshot = decode_first_line(first).ok_or(StoredFileError::MalformedLine)?;
