--- a/front/src/routing/accounting.rs
+++ b/front/src/routing/accounting.rs
@@ -12,7 +12,7 @@
         let id = attempt.request;
         let end = self.check_reply(now, id, outstanding.target, end);
         let status = end.status();
-        self.note_possible_run(id, outstanding.sent_at, status);
+        self.record_possible_run(id, outstanding.sent_at, status);
         let closed = match end.reply() {
             Some(reply) => self.relay(id, reply),
             None => !self.pending.contains_key(&id),
@@ -44,7 +44,7 @@
     }
 
     /// Remembers the earliest attempt that may have run: retries are recognized for a limited time after it.
-    fn note_possible_run(&mut self, id: RequestId, sent_at: Timestamp, status: Status) {
+    fn record_possible_run(&mut self, id: RequestId, sent_at: Timestamp, status: Status) {
         if status.proves_not_run() {
             return;
         }
@@ -74,7 +74,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        from: EndpointId,
+        endpoint: EndpointId,
         end: AttemptEnd,
     ) -> AttemptEnd {
         let AttemptEnd::Reply(reply) = end else {
@@ -83,7 +83,7 @@
         let Some(pending) = self.pending.get(&id) else {
             return AttemptEnd::Reply(reply);
         };
-        if pending.contradicts(&reply) {
+        if pending.is_false_not_modified(&reply) {
             return AttemptEnd::Reply(reply.into_fault());
         }
         let Some(floors) = self.floors.as_mut().filter(|_| !pending.write) else {
@@ -93,7 +93,7 @@
             Freshness::Fresh => return AttemptEnd::Reply(reply),
             Freshness::StaleUnrequested => {}
             Freshness::StaleDespiteRequest => {
-                self.commands.push_back(Command::StaleCopyServed(from));
+                self.commands.push_back(Command::StaleCopyServed(endpoint));
             }
         }
         AttemptEnd::Reply(reply.into_fault())
@@ -140,7 +140,7 @@
 
 impl PendingRequest {
     /// Whether a reply calls a copy current that is not the client's.
-    fn contradicts(&self, reply: &UpstreamReply) -> bool {
+    fn is_false_not_modified(&self, reply: &UpstreamReply) -> bool {
         let same_copy = self.request.cached_tag.as_deref() == reply.tag.as_deref();
         reply.kind == ReplyKind::NotModified && (self.write || !same_copy)
     }
--- a/front/src/routing/admission.rs
+++ b/front/src/routing/admission.rs
@@ -3,16 +3,18 @@
 use cranesill::api::{Event, Request};
 
 /// How long the decisions may still respond after the client's deadline; part of the margin that ingress leaves.
-const DECISION_GRACE: Micros = 2_000;
+const ROUTER_GRACE: Micros = 2_000;
 
 impl RequestPipeline {
     /// Hands a request to the decisions, or responds at once.
     pub(super) fn admit(&mut self, now: Timestamp, pending: PendingRequest, request: Request) {
-        let from = pending.from;
+        let reply_to = pending.reply_to;
         let transaction = pending.request.transaction;
         // Endpoints could not tell two pending requests under one identifier apart.
-        if self.by_transaction.contains_key(&transaction) || self.by_client.contains_key(&from) {
-            return self.respond(from, Some(pending.class), Response::Failed);
+        if self.by_transaction.contains_key(&transaction)
+            || self.by_reply_to.contains_key(&reply_to)
+        {
+            return self.respond(reply_to, Some(pending.class), Response::Failed);
         }
         if let Some(reason) = self.rejection_reason() {
             let line = format!(
@@ -22,14 +24,14 @@
             );
             self.commands.push_back(Command::Log(line));
             let response = Response::Rejected(self.overload_retry_after());
-            return self.respond(from, Some(pending.class), response);
+            return self.respond(reply_to, Some(pending.class), response);
         }
         let id = request.id;
-        self.by_client.insert(from, id);
+        self.by_reply_to.insert(reply_to, id);
         self.by_transaction.insert(transaction, id);
         // The decisions respond first if an attempt times out at the same time.
         self.commands.push_back(Command::SetTimer {
-            at: pending.deadline + DECISION_GRACE,
+            at: pending.deadline + ROUTER_GRACE,
             timer: Timer::RequestDeadline(id),
         });
         self.pending.insert(id, pending);
--- a/front/src/routing/clock_offset.rs
+++ b/front/src/routing/clock_offset.rs
@@ -3,7 +3,7 @@
 use cranesill::api::{Micros, Timestamp};
 
 /// The least delay within the current and the previous window counts, since clocks drift.
-const WINDOW: Micros = 60_000_000;
+const OBSERVATION_WINDOW: Micros = 60_000_000;
 
 /// The least delay observed between a timestamp and its arrival.
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
     /// Discovery reports at `now` something that happened at `at` by its clock. Only what it reports as it happens may be
     /// observed, not what was configured or stored.
     pub fn observe(&mut self, now: Timestamp, at: Timestamp) {
-        if now > self.window_start + WINDOW {
+        if now > self.window_start + OBSERVATION_WINDOW {
             // After a long silence the last window with observations stands.
             self.previous = self.current.or(self.previous);
             self.current = None;
--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -7,12 +7,12 @@
 
 impl RequestPipeline {
     /// Handles a client's request that was received completely at `now`.
-    pub fn receive_request(&mut self, now: Timestamp, from: ReplyTo, received: ClientRequest) {
+    pub fn receive_request(&mut self, now: Timestamp, reply_to: ReplyTo, received: ClientRequest) {
         let class = self.class_index(&received.class);
         let write = class.is_some_and(|class| self.deployment.settings.classes[class].write);
         // Only what runs at the origin can do without an object.
         let Some(class) = class.filter(|_| write || received.object.is_some()) else {
-            return self.respond(from, None, Response::Failed);
+            return self.respond(reply_to, None, Response::Failed);
         };
         let deadline = self.deadline(now, class, received.time_limit);
         self.last_request_id += 1;
@@ -26,7 +26,7 @@
             time_left: deadline - now,
         };
         let pending = PendingRequest {
-            from,
+            reply_to,
             request: Rc::new(received),
             deadline,
             class,
@@ -38,8 +38,8 @@
     }
 
     /// Whether an attempt of the request on this stream is outstanding.
-    pub fn has_outstanding_attempt(&self, from: ReplyTo) -> bool {
-        let Some(id) = self.by_client.get(&from) else {
+    pub fn has_outstanding_attempt(&self, reply_to: ReplyTo) -> bool {
+        let Some(id) = self.by_reply_to.get(&reply_to) else {
             return false;
         };
         let Some(pending) = self.pending.get(id) else {
@@ -55,8 +55,8 @@
     }
 
     /// Cancels the request on a stream: its client has disconnected.
-    pub fn cancel_request(&mut self, now: Timestamp, from: ReplyTo) {
-        let Some(id) = self.by_client.get(&from).copied() else {
+    pub fn cancel_request(&mut self, now: Timestamp, reply_to: ReplyTo) {
+        let Some(id) = self.by_reply_to.get(&reply_to).copied() else {
             return;
         };
         let class = self.remove_pending(id).map(|pending| pending.class);
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -27,7 +27,7 @@
 /// A request that has not had its final response.
 #[derive(Debug)]
 struct PendingRequest {
-    from: ReplyTo,
+    reply_to: ReplyTo,
     request: Rc<ClientRequest>,
     /// When the response has to leave.
     deadline: Timestamp,
@@ -68,7 +68,7 @@
     deployment: Deployment,
     capacity: CapacityLimits,
     pending: HashMap<RequestId, PendingRequest>,
-    by_client: HashMap<ReplyTo, RequestId>,
+    by_reply_to: HashMap<ReplyTo, RequestId>,
     by_transaction: HashMap<TransactionId, RequestId>,
     outstanding: HashMap<AttemptId, OutstandingAttempt>,
     /// Bytes of responses that are not delivered yet.
@@ -104,7 +104,7 @@
             deployment,
             capacity,
             pending: HashMap::new(),
-            by_client: HashMap::new(),
+            by_reply_to: HashMap::new(),
             by_transaction: HashMap::new(),
             outstanding: HashMap::new(),
             buffered_bytes: 0,
--- a/front/src/routing/purge_floors.rs
+++ b/front/src/routing/purge_floors.rs
@@ -12,9 +12,9 @@
 /// Most surrogate tags that a reply may name; one with more counts as naming none.
 const MAX_REPLY_TAGS: usize = 16;
 /// Microseconds in a millisecond.
-const MILLISECOND: Micros = 1_000;
+const MICROS_PER_MS: Micros = 1_000;
 /// Most parts in each of the two generations of [`RenewedParts`].
-const MAX_RENEWED_PARTS: usize = 32_768;
+const MAX_GENERATION_PARTS: usize = 32_768;
 
 /// How a reply compares with the purges known now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 
 impl RenewedParts {
     fn insert(&mut self, part: ObjectPart, created_at: Timestamp) {
-        if self.current.len() >= MAX_RENEWED_PARTS {
+        if self.current.len() >= MAX_GENERATION_PARTS {
             self.previous = std::mem::take(&mut self.current);
         }
         self.current.insert(part, created_at);
@@ -144,7 +144,7 @@
     /// The floor that an expired lease sets, in Unix milliseconds; 0: none.
     fn lease_floor_ms(&self, now: Timestamp) -> UnixMillis {
         let floor = match &self.lease {
-            Some(lease) => lease.floor(now, now / MILLISECOND),
+            Some(lease) => lease.floor(now, now / MICROS_PER_MS),
             None => 0,
         };
         match floor {
@@ -154,7 +154,7 @@
     }
 
     /// The earliest creation time of a copy that may answer a request, by purges after the number `after`; 0: any.
-    /// `tags` are the marks of the object's tags; `None`: they are not known.
+    /// `tags` are the hashes of the object's tags; `None`: they are not known.
     fn floor(
         &self,
         now: Timestamp,
@@ -167,7 +167,7 @@
         };
         let lease_floor = self.lease_floor_ms(now);
         if self.matcher.is_empty() {
-            return lease_floor.saturating_mul(MILLISECOND);
+            return lease_floor.saturating_mul(MICROS_PER_MS);
         }
         let key = request_key(&request.class, object.id, request.part);
         let attributes = RequestAttributes {
@@ -177,7 +177,7 @@
             key: &key,
         };
         let purge_floor = self.matcher.floor(after, &attributes);
-        purge_floor.max(lease_floor).saturating_mul(MILLISECOND)
+        purge_floor.max(lease_floor).saturating_mul(MICROS_PER_MS)
     }
 
     /// What purges require of the copy that answers a request; `None`: nothing beyond `max_age`, the limit that applies
@@ -195,7 +195,7 @@
             return None;
         }
         // An age of 0 would stand for the limit of the request class.
-        let age = now.saturating_sub(floor).max(MILLISECOND);
+        let age = now.saturating_sub(floor).max(MICROS_PER_MS);
         if max_age != 0 && age >= max_age {
             return None;
         }
@@ -221,11 +221,14 @@
             return Freshness::Fresh;
         };
         let names = named_tags(reply);
-        let marks: Option<Vec<u64>> = names
+        let hashes: Option<Vec<u64>> = names
             .as_ref()
             .map(|names| names.iter().map(|tag| tag_hash(tag)).collect());
-        let floor = self.floor(now, 0, request, marks.as_deref());
-        let created_at = reply.created_at_ms.unwrap_or(0).saturating_mul(MILLISECOND);
+        let floor = self.floor(now, 0, request, hashes.as_deref());
+        let created_at = reply
+            .created_at_ms
+            .unwrap_or(0)
+            .saturating_mul(MICROS_PER_MS);
         if floor > 0 && created_at < floor {
             return self.reject_stale(now, request, part.object, created_at);
         }
--- a/front/src/routing/relay.rs
+++ b/front/src/routing/relay.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 /// Weight of each response in the moving average of their sizes.
-const RESPONSE_BYTES_WEIGHT: f64 = 0.01;
+const RESPONSE_SIZE_SMOOTHING: f64 = 0.01;
 
 impl RequestPipeline {
     /// Relays an endpoint's reply if it is a final response. Returns whether the request is concluded, by this reply or
@@ -11,7 +11,7 @@
         match reply.kind {
             ReplyKind::Hit => {
                 let difference = reply.body.len() as f64 - self.average_response_bytes;
-                self.average_response_bytes += difference * RESPONSE_BYTES_WEIGHT;
+                self.average_response_bytes += difference * RESPONSE_SIZE_SMOOTHING;
                 self.conclude(id, Response::Served(Rc::clone(&reply.body)));
             }
             ReplyKind::NotModified => self.conclude(id, Response::NotModified),
@@ -22,8 +22,11 @@
 
     /// Sends the final response, unless the request has had one.
     pub(super) fn conclude(&mut self, id: RequestId, response: Response) {
-        if let Some(PendingRequest { from, class, .. }) = self.remove_pending(id) {
-            self.respond(from, Some(class), response);
+        if let Some(PendingRequest {
+            reply_to, class, ..
+        }) = self.remove_pending(id)
+        {
+            self.respond(reply_to, Some(class), response);
         }
     }
 
@@ -42,7 +45,7 @@
     /// Removes a request that needs no response any more, and returns it if it was pending.
     pub(super) fn remove_pending(&mut self, id: RequestId) -> Option<PendingRequest> {
         let pending = self.pending.remove(&id)?;
-        self.by_client.remove(&pending.from);
+        self.by_reply_to.remove(&pending.reply_to);
         self.by_transaction.remove(&pending.request.transaction);
         Some(pending)
     }
--- a/front/src/routing/route.rs
+++ b/front/src/routing/route.rs
@@ -8,12 +8,12 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action);
+            self.apply_action(now, action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, now: Timestamp, action: Action) {
+    fn apply_action(&mut self, now: Timestamp, action: Action) {
         match action {
             Action::Send {
                 request,
