--- a/front/src/protocol/admin/tests.rs
+++ b/front/src/protocol/admin/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn a_call_is_one_complete_line_and_anything_else_is_rejected_with_a_reason() {
-    let read = |bytes: &[u8], ended| match decode(bytes, ended) {
+fn a_call_is_one_complete_line_and_other_input_is_rejected() {
+    let decode_to_text = |bytes: &[u8], end_of_input| match decode(bytes, end_of_input) {
         Ok(call) => format!("{call:?}"),
         Err(error) => error.to_string(),
     };
-    let long = [b'x'; MAX_LINE_BYTES];
-    let all: [(&[u8], bool); 20] = [
+    let too_long = [b'x'; MAX_LINE_BYTES];
+    let inputs: [(&[u8], bool); 20] = [
         (b"", false),
         (b"", true),
         (b"heal", false),
@@ -27,17 +27,17 @@
         (b"\n", false),
         (b"health\nresume\n", false),
         (b"\xff\xfe\n", false),
-        (&long, false),
+        (&too_long, false),
     ];
-    let told: Vec<_> = all
+    let decoded: Vec<_> = inputs
         .iter()
-        .map(|(bytes, ended)| read(bytes, *ended))
+        .map(|(bytes, end_of_input)| decode_to_text(bytes, *end_of_input))
         .collect();
-    insta::assert_debug_snapshot!(told);
+    insta::assert_debug_snapshot!(decoded);
 }
 
 #[test]
-fn an_answer_is_one_line_or_ends_with_a_point() {
+fn an_answer_is_one_line_or_ends_with_a_dot_on_a_line_of_its_own() {
     assert_eq!(answer(Ok(""), None), b"+OK\n");
     assert_eq!(answer(Err("two\nlines"), None), b"-ERR two lines\n");
     assert_eq!(
--- a/front/src/protocol/cache_node/tests.rs
+++ b/front/src/protocol/cache_node/tests.rs
@@ -2,9 +2,9 @@
 use crate::routing::{FillSource, ObjectKey};
 
 #[test]
-fn a_fetch_says_what_was_asked_and_how_a_miss_is_filled() {
-    let txn = TransactionId::new("9b1f03aa5c7e2d41").unwrap();
-    let item = ObjectKey {
+fn a_fetch_command_encodes_the_request_and_the_fill_options() {
+    let transaction = TransactionId::new("9b1f03aa5c7e2d41").unwrap();
+    let object = ObjectKey {
         text: "7f3a9c21e0b4d655".into(),
         id: 0,
     };
@@ -16,10 +16,10 @@
         cached_only: false,
         revalidate: true,
     };
-    let mut ask = Fetch {
-        transaction: txn,
+    let mut command = Fetch {
+        transaction,
         class: "page-bits".into(),
-        object: Some(item),
+        object: Some(object),
         part: 3,
         deadline: 1_250_000,
         write_by: Timestamp::MAX,
@@ -29,40 +29,40 @@
         write: false,
         body: b"".as_slice().into(),
     };
-    let text = |ask: &Fetch| {
-        let out = fetch(ask, 250_000);
+    let encode = |command: &Fetch| {
+        let out = fetch(command, 250_000);
         String::from_utf8([&out.head, &out.body[..], out.tail].concat()).unwrap()
     };
-    let read = text(&ask);
-    (ask.fill, ask.cached_tag, ask.body) = (None, None, b"car".as_slice().into());
-    ask.idempotency_key = None;
-    let aborted = String::from_utf8(abort(txn).head).unwrap();
-    insta::assert_debug_snapshot!([read, text(&ask), aborted]);
+    let with_fill = encode(&command);
+    (command.fill, command.cached_tag, command.body) = (None, None, b"car".as_slice().into());
+    command.idempotency_key = None;
+    let aborted = String::from_utf8(abort(transaction).head).unwrap();
+    insta::assert_debug_snapshot!([with_fill, encode(&command), aborted]);
 }
 
 #[test]
-fn an_answer_is_read_once_its_last_byte_is_there() {
+fn a_reply_is_decoded_only_once_complete() {
     let fields = "ver=ab,born=5,tell=pulled_far,waited=12.5,meter=concurrent:7;x1:0.61;odd:x";
-    let whole = [
+    let encoded = [
         &b"*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\nHIT\r\n"[..],
         format!("${}\r\n{fields}\r\n", fields.len()).as_bytes(),
         b"$6\r\n\r\n$9\r\n\r\n*",
     ]
     .concat();
-    for cut in 0..whole.len() - 1 {
-        assert!(decode(&whole[..cut]).unwrap().is_none(), "cut at {cut}");
+    for cut in 0..encoded.len() - 1 {
+        assert!(decode(&encoded[..cut]).unwrap().is_none(), "cut at {cut}");
     }
-    let decoded = decode(&whole).unwrap().unwrap();
+    let decoded = decode(&encoded).unwrap().unwrap();
     assert_eq!(
         (decoded.id, decoded.length),
-        (&b"9b1f03aa5c7e2d41"[..], whole.len() - 1)
+        (&b"9b1f03aa5c7e2d41"[..], encoded.len() - 1)
     );
     insta::assert_debug_snapshot!(decoded.reply);
 }
 
 #[test]
-fn lengths_out_of_bounds_are_unreadable() {
-    for bad in
+fn malformed_replies_are_rejected_and_malformed_fields_are_dropped() {
+    for input in
         // An id of a thousand bytes or a fifth string would be waited for in vain.
         [
             &b"+OK\r\n"[..],
@@ -72,20 +72,20 @@
             b"*4\r\n$1000\r\n",
         ]
     {
-        assert!(decode(bad).is_err(), "{}", String::from_utf8_lossy(bad));
+        assert!(decode(input).is_err(), "{}", String::from_utf8_lossy(input));
     }
     assert!(decode(b"*4\r\n$1\r\nabc").is_err());
-    for (fields, named) in [
+    for (fields, has_identity) in [
         ("ver=a,born=5", true),
         ("ver=,born=5", false),
         ("ver=ab,born=x", false),
     ] {
         let n = fields.len();
-        let answer = format!("*4\r\n$1\r\na\r\n$3\r\nHIT\r\n${n}\r\n{fields}\r\n$0\r\n\r\n");
-        let reply = decode(answer.as_bytes()).unwrap().unwrap().reply;
+        let encoded = format!("*4\r\n$1\r\na\r\n$3\r\nHIT\r\n${n}\r\n{fields}\r\n$0\r\n\r\n");
+        let reply = decode(encoded.as_bytes()).unwrap().unwrap().reply;
         assert_eq!(
             reply.tag.is_some() && reply.created_at_ms.is_some(),
-            named,
+            has_identity,
             "{fields}"
         );
     }
--- a/front/src/protocol/client/tests.rs
+++ b/front/src/protocol/client/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_request_is_read_once_its_last_byte_is_there() {
+fn a_request_is_decoded_only_once_complete() {
     let fields = [
         ("verb", "page-bits"),
         ("txn", "9b1f03aa5c7e2d41"),
@@ -24,16 +24,16 @@
         ("ram", "412.5"),
         ("have", "4be0c1927d55a6f3"),
         ("unique", "09c73d25ce9e55c8f6f6fd00cb6a8bae"),
-        ("odd", "x"),
+        ("unknown", "x"),
     ];
-    let whole = request(&fields, b"body");
-    for cut in 0..whole.len() {
-        assert!(decode(&whole[..cut]).unwrap().is_none(), "cut at {cut}");
+    let encoded = request(&fields, b"body");
+    for cut in 0..encoded.len() {
+        assert!(decode(&encoded[..cut]).unwrap().is_none(), "cut at {cut}");
     }
-    let Some((Message::Request(7, payload), used)) = decode(&whole).unwrap() else {
+    let Some((Message::Request(7, payload), used)) = decode(&encoded).unwrap() else {
         panic!()
     };
-    assert_eq!(used, whole.len());
+    assert_eq!(used, encoded.len());
     insta::assert_debug_snapshot!(decode_request(payload));
     for cut in 0..payload.len() - 4 {
         assert!(decode_request(&payload[..cut]).is_err(), "cut at {cut}");
@@ -41,31 +41,34 @@
 }
 
 #[test]
-fn frames_out_of_bounds_are_unreadable_and_bad_fields_are_named() {
+fn frames_out_of_bounds_and_malformed_fields_are_rejected() {
     for head in [[0, 0, 0, 4], [0, 4, 0, 1], [0xff; 4]] {
         assert!(decode(&head).is_err());
     }
     assert!(decode(&[0, 0, 0, 5, 99, 0, 0, 0, 1]).is_err());
     assert!(decode(&[0, 0, 0, 5, 10, 0, 0, 0, 0]).is_err());
-    let bad = |name: &str, value: &str| {
-        let good = [
+    let error_of = |name: &str, value: &str| {
+        let fields = [
             ("verb", "v"),
             ("txn", "9b1f03aa5c7e2d41"),
             ("limit", "5"),
             (name, value),
         ];
-        decode_request(&request(&good, b"")[9..])
+        decode_request(&request(&fields, b"")[9..])
             .unwrap_err()
             .to_string()
     };
-    let told = [
-        bad("txn", "+b1f03aa5c7e2d41"),
-        bad("limit", "-1"),
-        bad("group", "256"),
-        bad("have", "a,b"),
+    let messages = [
+        error_of("txn", "+b1f03aa5c7e2d41"),
+        error_of("limit", "-1"),
+        error_of("group", "256"),
+        error_of("have", "a,b"),
     ];
     // It would become fields of its own towards a node.
-    assert_eq!(bad("unique", "a,from=s-00000001"), "unique is no bare key");
+    assert_eq!(
+        error_of("unique", "a,from=s-00000001"),
+        "unique is no bare key"
+    );
     // The standard library would take a sign; members would not read a tag or a body of any length.
     for (name, value) in [
         ("part", "+1"),
@@ -73,7 +76,7 @@
         ("part", "4294967296"),
         ("have", &"a".repeat(65)),
     ] {
-        bad(name, value);
+        error_of(name, value);
     }
     for (name, value) in [
         ("ram", ""),
@@ -83,10 +86,10 @@
         ("ram", "-1"),
         ("ram", "1000000000.5"),
     ] {
-        bad(name, value);
+        error_of(name, value);
     }
-    let good = [("verb", "v"), ("txn", "9b1f03aa5c7e2d41"), ("limit", "5")];
-    assert!(decode_request(&request(&good, &[7; 48_000])[9..]).is_ok());
-    assert!(decode_request(&request(&good, &[7; 48_001])[9..]).is_err());
-    insta::assert_debug_snapshot!(told);
+    let fields = [("verb", "v"), ("txn", "9b1f03aa5c7e2d41"), ("limit", "5")];
+    assert!(decode_request(&request(&fields, &[7; 48_000])[9..]).is_ok());
+    assert!(decode_request(&request(&fields, &[7; 48_001])[9..]).is_err());
+    insta::assert_debug_snapshot!(messages);
 }
--- a/front/src/protocol/configured_events/tests.rs
+++ b/front/src/protocol/configured_events/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn events_are_read_by_the_names_of_the_settings() {
-    let text = |list: &[&str]| list.iter().map(|s| s.to_string()).collect();
+fn events_are_read_with_the_zone_and_kind_names_of_the_settings() {
+    let strings = |list: &[&str]| list.iter().map(|s| s.to_string()).collect();
     let names = Names {
-        zones: text(&["hub", "east"]),
-        kinds: text(&["std"]),
+        zones: strings(&["hub", "east"]),
+        kinds: strings(&["std"]),
         ..Names::default()
     };
     let known = serde_json::json!({"n": 43, "events": [
@@ -15,6 +15,6 @@
         {"n": 42, "purge": {"key": "7f3a9c21e0b4d655", "at": 1_764_576_000_123u64}},
         {"n": 43, "purge": {"group": 17, "at": 1_764_576_000_480u64}}]});
     insta::assert_debug_snapshot!(read(&known, &names));
-    let odd = serde_json::json!({"n": 1, "events": [{"n": 1, "purge": {"at": 5}}]});
-    assert!(read(&odd, &names).is_err());
+    let without_target = serde_json::json!({"n": 1, "events": [{"n": 1, "purge": {"at": 5}}]});
+    assert!(read(&without_target, &names).is_err());
 }
--- a/front/src/protocol/discovery/tests.rs
+++ b/front/src/protocol/discovery/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
+fn frame(revision: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (9 + payload.len()) as u32;
     [
         &length.to_be_bytes(),
-        &number.to_be_bytes()[..],
+        &revision.to_be_bytes()[..],
         &[kind],
         payload,
     ]
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn events_are_read_once_their_last_byte_is_there() {
+fn events_are_decoded_only_once_complete() {
     let record = [
         0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x1f, 0x90, 1, 2, 1, 0, 5, 0, 0, 0x10, 0x68,
     ];
@@ -29,28 +29,29 @@
         (43, 4, group),
         (43, 0, vec![]),
     ];
-    let read: Vec<_> = frames
+    let decoded: Vec<_> = frames
         .iter()
-        .map(|(number, kind, payload)| {
-            let whole = frame(*number, *kind, payload);
-            (0..whole.len()).for_each(|cut| assert_eq!(decode(&whole[..cut]).unwrap(), None));
-            let decoded = decode(&whole).unwrap().unwrap();
-            (decoded.revision, decoded.event, decoded.length)
+        .map(|(revision, kind, payload)| {
+            let encoded = frame(*revision, *kind, payload);
+            (0..encoded.len()).for_each(|cut| assert_eq!(decode(&encoded[..cut]).unwrap(), None));
+            let frame = decode(&encoded).unwrap().unwrap();
+            (frame.revision, frame.event, frame.length)
         })
         .collect();
-    insta::assert_debug_snapshot!(read);
+    insta::assert_debug_snapshot!(decoded);
 }
 
 #[test]
-fn odd_frames_are_unreadable() {
-    let odd = [
+fn malformed_frames_are_rejected() {
+    let malformed = [
         frame(1, 1, &[0; 26]),
         frame(1, 3, &[0; 15]),
         frame(1, 9, &[]),
         vec![0, 0, 0, 8],
         vec![255; 4],
     ];
-    odd.iter()
+    malformed
+        .iter()
         .for_each(|bytes| assert!(decode(bytes).is_err(), "{bytes:?}"));
     let mut record = [0; 27];
     record[10] = 3;
--- a/front/src/protocol/handover/tests.rs
+++ b/front/src/protocol/handover/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 #[test]
-fn truncated_foreign_and_newer_files_are_distinguished_and_never_used() {
-    let of = |id: u64, down| LearnedHealth {
+fn truncated_corrupted_and_newer_files_are_rejected() {
+    let health = |id: u64, down| LearnedHealth {
         endpoint: EndpointId(id),
         started: 7,
         slow_start_at: 9,
         down,
         connection_lost: down,
     };
-    let all = vec![of(0x11, true), of(0x12, false)];
-    let text = encode_learned(5, &all);
-    assert_eq!(decode_learned(text.as_bytes()), Ok((5, all)));
+    let learned = vec![health(0x11, true), health(0x12, false)];
+    let text = encode_learned(5, &learned);
+    assert_eq!(decode_learned(text.as_bytes()), Ok((5, learned)));
     for cut in 0..text.len() {
         assert!(
             decode_learned(&text.as_bytes()[..cut]).is_err(),
@@ -24,9 +24,9 @@
         // A flipped bit in the checksum's own letter case is no other checksum.
         assert!(decode_learned(&bytes).is_err(), "byte {at}");
     }
-    let future = text.replace("v1", "v2");
+    let newer = text.replace("v1", "v2");
     assert_eq!(
-        decode_learned(future.as_bytes()),
+        decode_learned(newer.as_bytes()),
         Err(StoredFileError::OtherVersion)
     );
     assert_eq!(
--- a/front/src/protocol/purge/tests.rs
+++ b/front/src/protocol/purge/tests.rs
@@ -2,7 +2,7 @@
 use cranesill_purges::PurgeTarget;
 
 #[test]
-fn a_batch_is_encoded_for_cache_nodes_and_a_confirmation_is_decoded_once_it_is_complete() {
+fn a_batch_is_encoded_as_a_command_and_a_confirmation_is_decoded_only_once_complete() {
     let target = PurgeTarget::Tag("vitara".into());
     let purge = Purge {
         number: 8,
@@ -12,8 +12,8 @@
         who: "b".into(),
         why: "c".into(),
     };
-    let out = batch(7, 0xfeed, 7, 8, std::slice::from_ref(&purge));
-    let text = out.head.escape_ascii().to_string();
+    let command = batch(7, 0xfeed, 7, 8, std::slice::from_ref(&purge));
+    let text = command.head.escape_ascii().to_string();
     assert!(
         text.starts_with("*4\\r\\n$5\\r\\npurge\\r\\n$16\\r\\n0000000000000007"),
         "{text}"
@@ -22,17 +22,17 @@
         text.contains("ledger=000000000000feed,after=7,upto=8"),
         "{text}"
     );
-    let word =
+    let encoded =
         b"*4\r\n$16\r\n0000000000000007\r\n$4\r\nDONE\r\n$30\r\nledger=000000000000feed,upto=8\r\n$0\r\n\r\n";
-    for cut in 0..word.len() {
+    for cut in 0..encoded.len() {
         assert!(
-            decode(&word[..cut]).unwrap_or(None).is_none(),
+            decode(&encoded[..cut]).unwrap_or(None).is_none(),
             "cut at {cut}"
         );
     }
-    let (found, used) = decode(word).unwrap().unwrap();
+    let (confirmation, used) = decode(encoded).unwrap().unwrap();
     assert_eq!(
-        (found, used),
+        (confirmation, used),
         (
             Confirmation {
                 id: 7,
@@ -40,7 +40,7 @@
                 upto: 8,
                 empty: false
             },
-            word.len()
+            encoded.len()
         )
     );
     let fault = b"*4\r\n$16\r\n0000000000000007\r\n$5\r\nFAULT\r\n$1\r\n-\r\n$0\r\n\r\n";
--- a/front/src/protocol/snapshot/tests.rs
+++ b/front/src/protocol/snapshot/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn listing(id: u32, state: EndpointState) -> EndpointRecord {
+fn endpoint_record(id: u32, state: EndpointState) -> EndpointRecord {
     let address = "127.0.0.1:80".parse().unwrap();
     EndpointRecord {
         id,
@@ -14,27 +14,27 @@
     }
 }
 
-fn known() -> Snapshot {
-    let mut known = Snapshot {
+fn sample_snapshot() -> Snapshot {
+    let mut snapshot = Snapshot {
         source: 0xfeed,
         ..Snapshot::default()
     };
-    let members = vec![
-        listing(1, EndpointState::Ready),
-        listing(2, EndpointState::Draining),
-        listing(3, EndpointState::Ready),
+    let endpoints = vec![
+        endpoint_record(1, EndpointState::Ready),
+        endpoint_record(2, EndpointState::Draining),
+        endpoint_record(3, EndpointState::Ready),
     ];
-    known.apply(
+    snapshot.apply(
         4,
         900,
         900,
         45,
         &WatchEvent::Endpoints {
             complete: true,
-            list: members,
+            list: endpoints,
         },
     );
-    known.apply(
+    snapshot.apply(
         5,
         950,
         950,
@@ -45,7 +45,7 @@
             at_ms: 940,
         },
     );
-    known.apply(
+    snapshot.apply(
         6,
         960,
         960,
@@ -56,43 +56,43 @@
             at_ms: 955,
         },
     );
-    known.apply(
+    snapshot.apply(
         7,
         999,
         999,
         45,
         &WatchEvent::Endpoints {
             complete: false,
-            list: vec![listing(3, EndpointState::Removed)],
+            list: vec![endpoint_record(3, EndpointState::Removed)],
         },
     );
-    known
+    snapshot
 }
 
 #[test]
-fn what_is_written_is_read_and_what_is_over_is_dropped() {
-    let known = known();
+fn a_snapshot_round_trips_without_removed_endpoints_and_expired_purges() {
+    let snapshot = sample_snapshot();
     assert_eq!(
-        (known.endpoints.len(), known.purges.len()),
+        (snapshot.endpoints.len(), snapshot.purges.len()),
         (2, 1),
         "gone, and over"
     );
-    let text = known.encode().unwrap();
-    let read = Snapshot::decode(text.as_bytes()).unwrap();
+    let text = snapshot.encode().unwrap();
+    let decoded = Snapshot::decode(text.as_bytes()).unwrap();
     assert_eq!(
-        (read.encode(), read.digest()),
-        (Some(text.clone()), known.digest())
+        (decoded.encode(), decoded.digest()),
+        (Some(text.clone()), snapshot.digest())
     );
-    assert_eq!(known.watch_events().len(), 2);
+    assert_eq!(snapshot.watch_events().len(), 2);
     insta::assert_snapshot!(text);
 }
 
 #[test]
-fn purges_are_kept_by_when_they_were_heard_of_whatever_the_clocks_say_and_are_bounded() {
+fn purges_are_retained_by_receive_time_and_their_number_is_bounded() {
     // This clock is an hour ahead of the one that dates purges, or behind it.
     for now in [10_000_000, 2_800_000] {
-        let mut known = Snapshot::default();
-        known.apply(
+        let mut snapshot = Snapshot::default();
+        snapshot.apply(
             1,
             now,
             now,
@@ -103,7 +103,7 @@
                 at_ms: 6_400_000,
             },
         );
-        known.apply(
+        snapshot.apply(
             2,
             now + 7_000,
             now + 7_000,
@@ -115,11 +115,11 @@
             },
         );
         assert_eq!(
-            known.purges.len(),
+            snapshot.purges.len(),
             2,
             "copies from before both may still be held"
         );
-        known.apply(
+        snapshot.apply(
             3,
             now + 9_000,
             now + 9_000,
@@ -129,10 +129,10 @@
                 list: vec![],
             },
         );
-        assert_eq!(known.purges.len(), 1);
+        assert_eq!(snapshot.purges.len(), 1);
         // One that was read is kept from then on.
-        let mut read = Snapshot::decode(known.encode().unwrap().as_bytes()).unwrap();
-        read.apply(
+        let mut decoded = Snapshot::decode(snapshot.encode().unwrap().as_bytes()).unwrap();
+        decoded.apply(
             4,
             now + 20_000,
             now + 20_000,
@@ -142,11 +142,11 @@
                 list: vec![],
             },
         );
-        assert_eq!(read.purges.len(), 1);
+        assert_eq!(decoded.purges.len(), 1);
     }
-    let mut known = Snapshot::default();
+    let mut snapshot = Snapshot::default();
     for n in 0..2 * MAX_PURGES as u64 {
-        known.apply(
+        snapshot.apply(
             n,
             5,
             5,
@@ -158,19 +158,22 @@
             },
         );
     }
-    assert_eq!((known.purges.len(), known.encode()), (MAX_PURGES + 1, None));
+    assert_eq!(
+        (snapshot.purges.len(), snapshot.encode()),
+        (MAX_PURGES + 1, None)
+    );
 }
 
 #[test]
-fn cut_at_every_byte_or_changed_in_any_it_is_as_if_absent() {
-    let text = known().encode().unwrap().into_bytes();
+fn truncated_corrupted_and_oversized_snapshots_are_rejected() {
+    let text = sample_snapshot().encode().unwrap().into_bytes();
     for cut in 0..text.len() {
         assert!(Snapshot::decode(&text[..cut]).is_err(), "cut at {cut}");
-        let mut bad = text.clone();
-        bad[cut] ^= 1;
-        assert!(Snapshot::decode(&bad).is_err(), "byte {cut}");
+        let mut corrupted = text.clone();
+        corrupted[cut] ^= 1;
+        assert!(Snapshot::decode(&corrupted).is_err(), "byte {cut}");
     }
-    let whole = |body: &str| {
+    let with_header = |body: &str| {
         format!(
             "cranesill list v1 {:08x}\n{body}",
             crc32fast::hash(body.as_bytes())
@@ -184,10 +187,13 @@
         "from 1 2 3\no zz 3\n",
         "from 1 2 3\ng -1 3\n",
     ] {
-        assert!(Snapshot::decode(whole(body).as_bytes()).is_err(), "{body}");
+        assert!(
+            Snapshot::decode(with_header(body).as_bytes()).is_err(),
+            "{body}"
+        );
     }
     assert!(Snapshot::decode(&vec![b'x'; MAX_SNAPSHOT_BYTES + 1]).is_err());
-    let many = (0..=MAX_PURGES as u64)
+    let too_many = (0..=MAX_PURGES as u64)
         .map(|n| RecordedPurge {
             object: Some(n),
             group: 0,
@@ -196,8 +202,8 @@
         .collect();
     assert_eq!(
         Snapshot {
-            purges: many,
-            ..known()
+            purges: too_many,
+            ..sample_snapshot()
         }
         .encode(),
         None
@@ -205,15 +211,15 @@
 }
 
 #[test]
-fn a_step_of_the_wall_clock_drops_no_purge_and_keeps_none_for_longer() {
+fn a_step_of_the_wall_clock_does_not_change_purge_retention() {
     for step in [-3_600_000i64, -5_000, 5_000, 3_600_000] {
-        let mut known = Snapshot::default();
+        let mut snapshot = Snapshot::default();
         let wall = |ms: u64| (10_000_000 + ms).saturating_add_signed(step);
-        let none = || WatchEvent::Endpoints {
+        let no_changes = || WatchEvent::Endpoints {
             complete: false,
             list: vec![],
         };
-        known.apply(
+        snapshot.apply(
             1,
             10_000_000,
             100,
@@ -224,13 +230,13 @@
                 at_ms: 6_400_000,
             },
         );
-        known.apply(2, wall(7_000), 7_100, 8_000, &none());
+        snapshot.apply(2, wall(7_000), 7_100, 8_000, &no_changes());
         assert_eq!(
-            known.purges.len(),
+            snapshot.purges.len(),
             1,
             "{step}: copies from before it may still be held"
         );
-        known.apply(3, wall(9_000), 9_100, 8_000, &none());
-        assert_eq!(known.purges.len(), 0, "{step}");
+        snapshot.apply(3, wall(9_000), 9_100, 8_000, &no_changes());
+        assert_eq!(snapshot.purges.len(), 0, "{step}");
     }
 }
