--- a/front/src/routing/clock_offset/tests.rs
+++ b/front/src/routing/clock_offset/tests.rs
@@ -1,34 +1,44 @@
 use super::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 #[test]
-fn a_converted_timestamp_is_never_too_early_whatever_the_clock() {
+fn a_converted_timestamp_is_never_too_early() {
     // Discovery's clock starts at 1,000 s; messages take from 40 to 240 ms, after an interruption up to 8 s.
-    for clock in [0, 9 * S as i64, -9 * S as i64, 3_600 * S as i64, 450_000] {
+    for clock in [
+        0,
+        9 * SECOND as i64,
+        -9 * SECOND as i64,
+        3_600 * SECOND as i64,
+        450_000,
+    ] {
         let mut clock_offset = ClockOffset::default();
-        let here = |at: Timestamp| at.saturating_add_signed(clock);
+        let local = |at: Timestamp| at.saturating_add_signed(clock);
         for n in 0..4_000u64 {
-            let (at, late) = (
-                1_000 * S + n * S,
-                if n % 500 < 8 { 8 * S - n % 500 * S } else { 0 },
+            let (at, extra_delay) = (
+                1_000 * SECOND + n * SECOND,
+                if n % 500 < 8 {
+                    8 * SECOND - n % 500 * SECOND
+                } else {
+                    0
+                },
             );
-            let delay = 40_000 + n * 7_919 % 200_000 + late;
-            clock_offset.observe(here(at + delay), at);
-            let taken = clock_offset.to_local(at);
+            let delay = 40_000 + n * 7_919 % 200_000 + extra_delay;
+            clock_offset.observe(local(at + delay), at);
+            let converted = clock_offset.to_local(at);
             assert!(
-                taken >= here(at),
+                converted >= local(at),
                 "clock {clock}, purge {n}: taken for older than it is"
             );
             assert!(
-                taken <= here(at + delay),
+                converted <= local(at + delay),
                 "no timestamp is later than its arrival"
             );
             if n > 200 {
                 assert!(
-                    taken <= here(at + 100_000),
+                    converted <= local(at + 100_000),
                     "clock {clock}, purge {n}: {}",
-                    taken - here(at)
+                    converted - local(at)
                 );
             }
         }
@@ -36,17 +46,20 @@
 }
 
 #[test]
-fn a_clock_that_drifts_is_followed_and_silence_forgets_nothing() {
+fn drift_is_tracked_and_the_offset_survives_a_long_silence() {
     let mut clock_offset = ClockOffset::default();
     for n in 0..3_000u64 {
         // A hundredth faster, with a message each second: two windows of drift at most.
-        let (now, at) = (1_000 * S + n * S + n * 10_000, 1_000 * S + n * S);
+        let (now, at) = (
+            1_000 * SECOND + n * SECOND + n * 10_000,
+            1_000 * SECOND + n * SECOND,
+        );
         clock_offset.observe(now, at);
-        let late = (now - clock_offset.to_local(at)) as f64 / 1e6;
-        assert!(late <= 1.3, "{late} s at {n}");
+        let error_s = (now - clock_offset.to_local(at)) as f64 / 1e6;
+        assert!(error_s <= 1.3, "{error_s} s at {n}");
     }
     let before = clock_offset.max_ahead();
-    clock_offset.observe(5_000 * S, 4_960 * S);
+    clock_offset.observe(5_000 * SECOND, 4_960 * SECOND);
     assert!(
         (before..before + 1_300_000).contains(&clock_offset.max_ahead()),
         "{before} {}",
@@ -55,7 +68,7 @@
 }
 
 #[test]
-fn a_clock_that_is_behind_is_known_to_be_by_as_much_as_messages_show() {
+fn a_clock_that_is_behind_is_detected_from_the_least_delay() {
     let mut clock_offset = ClockOffset::default();
     assert_eq!(clock_offset.behind_ms(), 0, "nothing was observed");
     clock_offset.observe(10_000_000, 9_900_000);
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -2,9 +2,9 @@
 use cranesill::api::ListKind;
 use serde_json::Value;
 
-const S: Timestamp = 1_000_000;
+const SECOND: Timestamp = 1_000_000;
 
-fn pipeline(capacity: CapacityLimits) -> RequestPipeline {
+fn new_pipeline(capacity: CapacityLimits) -> RequestPipeline {
     let config: Value = serde_json::from_str(include_str!("../../examples/config.json")).unwrap();
     RequestPipeline::new(
         cranesill_settings::read(&config["settings"]).unwrap(),
@@ -14,10 +14,10 @@
 }
 
 fn client_request(n: u64) -> (ReplyTo, ClientRequest) {
-    let ask = ClientRequest {
+    let request = ClientRequest {
         class: "book-car".into(),
         transaction: TransactionId::new(&format!("{n:016x}")).unwrap(),
-        time_limit: 3 * S,
+        time_limit: 3 * SECOND,
         object: None,
         part: 0,
         group: 0,
@@ -31,17 +31,17 @@
             client: 2,
             stream: n as u32,
         },
-        ask,
+        request,
     )
 }
 
 /// An origin and nothing else: writes go there.
-fn with_origin(capacity: CapacityLimits) -> RequestPipeline {
-    let mut front = pipeline(capacity);
+fn pipeline_with_origin(capacity: CapacityLimits) -> RequestPipeline {
+    let mut pipeline = new_pipeline(capacity);
     let state = cranesill::api::EndpointState::Ready;
-    let (member, weight) = (EndpointId(0x31), 1.0);
+    let (endpoint, weight) = (EndpointId(0x31), 1.0);
     let origin = cranesill::api::EndpointEntry {
-        endpoint: member,
+        endpoint,
         kind: 2,
         zone: 0,
         cell: 0,
@@ -49,88 +49,91 @@
         started: 0,
         state,
     };
-    front.apply_endpoints(S, ListKind::Full, vec![origin], EventSource::Live);
-    front
+    pipeline.apply_endpoints(SECOND, ListKind::Full, vec![origin], EventSource::Live);
+    pipeline
 }
 
-fn commands(front: &mut RequestPipeline) -> Vec<Command> {
-    std::iter::from_fn(|| front.next_command())
+fn take_commands(pipeline: &mut RequestPipeline) -> Vec<Command> {
+    std::iter::from_fn(|| pipeline.next_command())
         .filter(|c| !matches!(c, Command::SetTimer { .. }))
         .collect()
 }
 
-fn answers(front: &mut RequestPipeline) -> Vec<Response> {
-    let answer = |c| {
+fn take_responses(pipeline: &mut RequestPipeline) -> Vec<Response> {
+    let response = |c| {
         if let Command::Respond { response, .. } = c {
             Some(response)
         } else {
             None
         }
     };
-    commands(front).into_iter().filter_map(answer).collect()
+    take_commands(pipeline)
+        .into_iter()
+        .filter_map(response)
+        .collect()
 }
 
 #[test]
-fn without_capacity_a_request_is_rejected_at_once_with_retry_after() {
+fn requests_beyond_the_buffer_limit_are_rejected_with_a_retry_after() {
     // On a calm day thousands of requests a second were rejected: for each the largest response was reserved.
-    let mut front = with_origin(CapacityLimits {
+    let mut pipeline = pipeline_with_origin(CapacityLimits {
         max_pending: 5_000,
         max_buffered_bytes: 96 << 20,
     });
     for n in 1..=1_000 {
-        let (from, ask) = client_request(n);
-        front.receive_request(S, from, ask);
+        let (from, request) = client_request(n);
+        pipeline.receive_request(SECOND, from, request);
     }
     assert!(
-        answers(&mut front).is_empty(),
+        take_responses(&mut pipeline).is_empty(),
         "there is memory for a thousand usual responses"
     );
-    front.set_buffered_bytes(96 << 20);
-    let (from, ask) = client_request(2_000);
-    front.receive_request(S, from, ask);
-    assert_eq!(answers(&mut front), [Response::Rejected(500_000)]);
+    pipeline.set_buffered_bytes(96 << 20);
+    let (from, request) = client_request(2_000);
+    pipeline.receive_request(SECOND, from, request);
+    assert_eq!(take_responses(&mut pipeline), [Response::Rejected(500_000)]);
 }
 
 #[test]
-fn a_client_that_claims_to_wait_for_weeks_is_remembered_for_no_longer_than_its_class() {
-    let mut front = with_origin(CapacityLimits {
+fn an_excessive_client_time_limit_is_capped_at_that_of_the_class() {
+    let mut pipeline = pipeline_with_origin(CapacityLimits {
         max_pending: 10,
         max_buffered_bytes: 96 << 20,
     });
     let (from, first) = client_request(1);
-    front.receive_request(
-        S,
+    pipeline.receive_request(
+        SECOND,
         from,
         ClientRequest {
             time_limit: u64::from(u32::MAX) * 1_000,
             ..first
         },
     );
-    let last = std::iter::from_fn(|| front.next_command()).filter_map(|c| match c {
+    let last = std::iter::from_fn(|| pipeline.next_command()).filter_map(|c| match c {
         Command::SetTimer {
             at,
             timer: Timer::RequestDeadline(_) | Timer::AttemptTimeout(_),
         } => Some(at),
         _ => None,
     });
-    assert!(last.max().is_some_and(|at| at <= S + 3 * S));
+    assert!(last.max().is_some_and(|at| at <= SECOND + 3 * SECOND));
 }
 
 #[test]
-fn requests_that_wait_for_capacity_are_ordered_by_the_size_that_the_client_stated() {
+fn queued_requests_are_ordered_by_the_size_that_the_client_stated() {
     // Guards against sizes that do not reach the decisions: on a calm day of a deployment whose clients state them, a
     // quarter of the priority weight was lost because every part counted as taking the same time.
-    let mut front = pipeline(CapacityLimits {
+    let mut pipeline = new_pipeline(CapacityLimits {
         max_pending: 1_000,
         max_buffered_bytes: 96 << 20,
     });
     let state = cranesill::api::EndpointState::Ready;
-    let (member, weight) = (EndpointId(1), 0.2);
-    front.apply_endpoints(
-        S,
+    let (endpoint, weight) = (EndpointId(1), 0.2);
+    pipeline.apply_endpoints(
+        SECOND,
         ListKind::Full,
         vec![cranesill::api::EndpointEntry {
-            endpoint: member,
+            endpoint,
             kind: 0,
             zone: 1,
             cell: 0,
@@ -140,23 +143,23 @@
         }],
         EventSource::Live,
     );
-    let mut video = |n: u64, size_kb: f64| {
+    let mut send_video_request = |n: u64, size_kb: f64| {
         let (from, base) = client_request(n);
-        let item = Some(ObjectKey {
+        let object = Some(ObjectKey {
             text: format!("{n:016x}").into(),
             id: n,
         });
-        front.receive_request(
-            S,
+        pipeline.receive_request(
+            SECOND,
             from,
             ClientRequest {
                 class: "car-video".into(),
-                object: item,
+                object,
                 size_kb,
                 ..base
             },
         );
-        let sent = commands(&mut front);
+        let sent = take_commands(&mut pipeline);
         sent.into_iter().find_map(|c| {
             if let Command::Send { attempt, .. } = c {
                 Some(attempt)
@@ -166,17 +169,22 @@
         })
     };
     // One slot: the first request takes it, the large one and then the small one wait for it.
-    let first = video(1, 3_000.0).expect("the cache is free");
-    assert_eq!((video(2, 60_000.0), video(3, 30.0)), (None, None));
+    let first = send_video_request(1, 3_000.0).expect("the cache is free");
+    assert_eq!(
+        (send_video_request(2, 60_000.0), send_video_request(3, 30.0)),
+        (None, None)
+    );
     let reply = UpstreamReply {
         kind: ReplyKind::Hit,
         ..UpstreamReply::default()
     };
-    front.attempt_ended(S + 400_000, first, AttemptEnd::Reply(reply));
-    let next = commands(&mut front).into_iter().find_map(|c| match c {
-        Command::Send { fetch, .. } => fetch.object.map(|item| item.id),
-        _ => None,
-    });
+    pipeline.attempt_ended(SECOND + 400_000, first, AttemptEnd::Reply(reply));
+    let next = take_commands(&mut pipeline)
+        .into_iter()
+        .find_map(|c| match c {
+            Command::Send { fetch, .. } => fetch.object.map(|object| object.id),
+            _ => None,
+        });
     assert_eq!(
         next,
         Some(3),
@@ -185,14 +193,13 @@
 }
 
 #[test]
-fn another_deployment_with_its_classes_in_another_order_and_other_kinds_is_served_by_the_same_code()
-{
+fn classes_and_kinds_are_taken_from_the_deployment_settings() {
     let config: Value =
         serde_json::from_str(include_str!("../../examples/three-hubs.json")).unwrap();
     let deployment = cranesill_settings::read(&config["settings"]).unwrap();
     let (_, known) =
         crate::protocol::configured_events::read(&config["known"], &deployment.names).unwrap();
-    let mut front = RequestPipeline::new(
+    let mut pipeline = RequestPipeline::new(
         deployment,
         1,
         CapacityLimits {
@@ -200,22 +207,22 @@
             max_buffered_bytes: 16 << 20,
         },
     );
-    for news in known {
-        let crate::protocol::discovery::WatchEvent::Endpoints { complete, list } = news else {
+    for event in known {
+        let crate::protocol::discovery::WatchEvent::Endpoints { complete, list } = event else {
             panic!()
         };
         let entry =
-            |l: &crate::protocol::discovery::EndpointRecord| cranesill::api::EndpointEntry {
-                endpoint: EndpointId(l.id.into()),
-                kind: l.kind,
-                zone: l.zone,
-                cell: l.cell,
-                weight: l.weight,
+            |record: &crate::protocol::discovery::EndpointRecord| cranesill::api::EndpointEntry {
+                endpoint: EndpointId(record.id.into()),
+                kind: record.kind,
+                zone: record.zone,
+                cell: record.cell,
+                weight: record.weight,
                 started: 0,
-                state: l.state,
+                state: record.state,
             };
-        front.apply_endpoints(
-            S,
+        pipeline.apply_endpoints(
+            SECOND,
             if complete {
                 ListKind::Full
             } else {
@@ -227,26 +234,28 @@
     }
     let mut fetch = |n: u64, class: &str| {
         let (from, base) = client_request(n);
-        let item = Some(ObjectKey {
+        let object = Some(ObjectKey {
             text: format!("{n:016x}").into(),
             id: n,
         });
-        front.receive_request(
-            S,
+        pipeline.receive_request(
+            SECOND,
             from,
             ClientRequest {
                 class: class.into(),
-                object: item,
+                object,
                 size_kb: 80.0,
                 ..base
             },
         );
-        commands(&mut front).into_iter().find_map(|c| match c {
-            Command::Send {
-                target: to, fetch, ..
-            } => Some((to.0, fetch)),
-            _ => None,
-        })
+        take_commands(&mut pipeline)
+            .into_iter()
+            .find_map(|c| match c {
+                Command::Send {
+                    target: to, fetch, ..
+                } => Some((to.0, fetch)),
+                _ => None,
+            })
     };
     let (to, note) = fetch(1, "note").expect("the first class runs at the origin");
     assert_eq!((to, note.write, note.fill.is_some()), (0x41, true, false));
@@ -266,77 +275,80 @@
 }
 
 #[test]
-fn an_attempt_end_counts_once_and_so_does_a_response() {
-    let mut front = with_origin(CapacityLimits {
+fn an_attempt_ends_once_and_a_request_gets_one_response() {
+    let mut pipeline = pipeline_with_origin(CapacityLimits {
         max_pending: 10,
         max_buffered_bytes: 96 << 20,
     });
     let (from, first) = client_request(1);
-    front.receive_request(S, from, first.clone());
+    pipeline.receive_request(SECOND, from, first.clone());
     // The endpoint could not tell two pending requests under one identifier apart.
-    front.receive_request(S, ReplyTo { stream: 9, ..from }, first);
-    let done = commands(&mut front);
+    pipeline.receive_request(SECOND, ReplyTo { stream: 9, ..from }, first);
+    let commands = take_commands(&mut pipeline);
     let [Command::Send { attempt, .. }, Command::Respond {
         response: Response::Failed,
         ..
-    }] = done[..]
+    }] = commands[..]
     else {
-        panic!("{done:?}")
+        panic!("{commands:?}")
     };
-    let reply = |word| {
+    let reply = |kind| {
         let body = b"booked".as_slice().into();
         AttemptEnd::Reply(UpstreamReply {
-            kind: word,
+            kind,
             body,
             ..UpstreamReply::default()
         })
     };
-    front.attempt_ended(2 * S, attempt, reply(ReplyKind::Hit));
-    front.attempt_ended(2 * S, attempt, reply(ReplyKind::Fault));
-    front.attempt_ended(
-        2 * S,
+    pipeline.attempt_ended(2 * SECOND, attempt, reply(ReplyKind::Hit));
+    pipeline.attempt_ended(2 * SECOND, attempt, reply(ReplyKind::Fault));
+    pipeline.attempt_ended(
+        2 * SECOND,
         attempt,
         AttemptEnd::Broken {
             duplicate_failure: false,
         },
     );
-    front.handle_timer(5 * S, Timer::RequestDeadline(attempt.request));
+    pipeline.handle_timer(5 * SECOND, Timer::RequestDeadline(attempt.request));
     assert_eq!(
-        answers(&mut front),
+        take_responses(&mut pipeline),
         [Response::Served(b"booked".as_slice().into())]
     );
-    assert_eq!(front.pending_requests(), 0);
+    assert_eq!(pipeline.pending_requests(), 0);
 }
 
 #[test]
-fn a_disconnected_client_gets_no_response_and_its_attempt_is_cancelled() {
-    let mut front = with_origin(CapacityLimits {
+fn the_attempt_of_a_disconnected_client_is_cancelled_without_a_response() {
+    let mut pipeline = pipeline_with_origin(CapacityLimits {
         max_pending: 10,
         max_buffered_bytes: 96 << 20,
     });
-    let (from, ask) = client_request(1);
-    front.receive_request(S, from, ask);
-    let Some(Command::Send { attempt, .. }) = commands(&mut front).into_iter().next() else {
+    let (from, request) = client_request(1);
+    pipeline.receive_request(SECOND, from, request);
+    let Some(Command::Send { attempt, .. }) = take_commands(&mut pipeline).into_iter().next()
+    else {
         panic!()
     };
-    front.cancel_request(2 * S, from);
-    assert!(matches!(commands(&mut front)[..], [Command::Abort(aborted)] if aborted == attempt));
-    front.attempt_ended(2 * S, attempt, AttemptEnd::Cancelled);
-    assert!(commands(&mut front).is_empty());
+    pipeline.cancel_request(2 * SECOND, from);
+    assert!(
+        matches!(take_commands(&mut pipeline)[..], [Command::Abort(aborted)] if aborted == attempt)
+    );
+    pipeline.attempt_ended(2 * SECOND, attempt, AttemptEnd::Cancelled);
+    assert!(take_commands(&mut pipeline).is_empty());
 }
 
 #[test]
-fn after_a_purge_of_everything_fetches_past_the_caches_are_bounded_and_joined_ones_cost_nothing() {
+fn cache_bypasses_are_limited_and_coalesced_after_a_group_purge() {
     use cranesill_purges::{shield::Shield, Purge, PurgeTarget};
-    let mut front = pipeline(CapacityLimits {
+    let mut pipeline = new_pipeline(CapacityLimits {
         max_pending: 10_000,
         max_buffered_bytes: 1 << 30,
     });
     let state = cranesill::api::EndpointState::Ready;
     let entry = |id, kind, zone| {
-        let (member, weight) = (EndpointId(id), 8.0);
+        let (endpoint, weight) = (EndpointId(id), 8.0);
         cranesill::api::EndpointEntry {
-            endpoint: member,
+            endpoint,
             kind,
             zone,
             cell: 0,
@@ -345,8 +357,8 @@
             state,
         }
     };
-    front.apply_endpoints(
-        S,
+    pipeline.apply_endpoints(
+        SECOND,
         ListKind::Full,
         vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)],
         EventSource::Live,
@@ -354,41 +366,41 @@
     let mut floors = PurgeFloors::new(1 << 16, 0);
     floors.add(&Purge {
         number: 1,
-        at_ms: S / 1_000,
+        at_ms: SECOND / 1_000,
         target: PurgeTarget::Group(3),
         id: "a".into(),
         who: "".into(),
         why: "".into(),
     });
-    front.floors = Some(floors);
-    front.shield = Some(Shield::new(S, 20.0));
-    let (mut sent, mut refused) = (0, 0);
+    pipeline.floors = Some(floors);
+    pipeline.shield = Some(Shield::new(SECOND, 20.0));
+    let (mut sent, mut rejected) = (0, 0);
     for n in 1..=200u64 {
-        let (from, mut ask) = client_request(n);
+        let (from, mut request) = client_request(n);
         let id = n % 100;
-        ask.class = "page-bits".into();
-        ask.group = 3;
-        ask.object = Some(ObjectKey {
+        request.class = "page-bits".into();
+        request.group = 3;
+        request.object = Some(ObjectKey {
             text: format!("{id:016x}").into(),
             id,
         });
-        front.receive_request(2 * S, from, ask);
-        for command in std::iter::from_fn(|| front.next_command()) {
+        pipeline.receive_request(2 * SECOND, from, request);
+        for command in std::iter::from_fn(|| pipeline.next_command()) {
             match command {
                 Command::Send { fetch, .. } => {
                     let fill = fetch.fill.unwrap();
                     assert!(
-                        (1_000..=S).contains(&fill.max_age),
+                        (1_000..=SECOND).contains(&fill.max_age),
                         "nothing from before the purge: {fill:?}"
                     );
                     sent += usize::from(fill.source.is_some());
                 }
                 Command::Respond {
-                    response: Response::Rejected(later),
+                    response: Response::Rejected(retry_after),
                     ..
                 } => {
-                    assert!(later > 0, "it comes with the time to retry");
-                    refused += 1;
+                    assert!(retry_after > 0, "it comes with the time to retry");
+                    rejected += 1;
                 }
                 Command::Respond { response, .. } => panic!("{response:?}"),
                 _ => {}
@@ -398,19 +410,19 @@
     // Twenty objects at most, and a second request for one of these joins the first. A rejected request gives its slot
     // back: all others would wait for capacity otherwise.
     assert!(
-        refused >= 100 && (1..=40).contains(&sent),
-        "{sent} sent, {refused} refused"
+        rejected >= 100 && (1..=40).contains(&sent),
+        "{sent} sent, {rejected} rejected"
     );
 }
 
 #[test]
-fn every_request_is_in_one_count_or_in_progress_whatever_becomes_of_it() {
-    let mut front = with_origin(CapacityLimits {
+fn every_request_is_either_pending_or_counted_once() {
+    let mut pipeline = pipeline_with_origin(CapacityLimits {
         max_pending: 40,
         max_buffered_bytes: 96 << 20,
     });
-    let (mut accepted, mut now, mut rng) = (0u64, S, 7u64);
-    let mut roll = |n: u64| {
+    let (mut accepted, mut now, mut rng) = (0u64, SECOND, 7u64);
+    let mut random = |n: u64| {
         rng = rng
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
@@ -418,47 +430,49 @@
     };
     let (mut outstanding, mut open, mut responses) = (Vec::new(), Vec::new(), [0u64; 3]);
     for n in 1..=4_000u64 {
-        now += roll(20_000);
-        match roll(8) {
+        now += random(20_000);
+        match random(8) {
             0..=2 => {
-                let (from, mut ask) = client_request(n);
-                ask.class = ["book-car", "page-bits", "no-such"][roll(3) as usize].into();
+                let (from, mut request) = client_request(n);
+                request.class = ["book-car", "page-bits", "no-such"][random(3) as usize].into();
                 // A request of an unknown class is not counted, nor is a page without an object.
-                accepted += u64::from(ask.class == "book-car");
+                accepted += u64::from(request.class == "book-car");
                 open.push(from);
-                front.receive_request(now, from, ask);
+                pipeline.receive_request(now, from, request);
             }
             3..=5 if !outstanding.is_empty() => {
-                let attempt = outstanding.swap_remove(roll(outstanding.len() as u64) as usize);
-                let reply = |word| {
+                let attempt = outstanding.swap_remove(random(outstanding.len() as u64) as usize);
+                let reply = |kind| {
                     AttemptEnd::Reply(UpstreamReply {
-                        kind: word,
+                        kind,
                         ..UpstreamReply::default()
                     })
                 };
-                let end = match roll(6) {
+                let end = match random(6) {
                     0 => reply(ReplyKind::Fault),
                     1 => AttemptEnd::Unsent {
                         duplicate_failure: false,
                     },
                     2 => AttemptEnd::Broken {
-                        duplicate_failure: roll(2) == 0,
+                        duplicate_failure: random(2) == 0,
                     },
                     3 => reply(ReplyKind::Rejected),
                     _ => reply(ReplyKind::Hit),
                 };
-                front.attempt_ended(now, attempt, end);
+                pipeline.attempt_ended(now, attempt, end);
             }
             6 if !open.is_empty() => {
-                let from = open.swap_remove(roll(open.len() as u64) as usize);
-                front.cancel_request(now, from);
+                let from = open.swap_remove(random(open.len() as u64) as usize);
+                pipeline.cancel_request(now, from);
             }
-            _ => front.reject_new_requests(roll(9) == 0),
+            _ => pipeline.reject_new_requests(random(9) == 0),
         }
-        while let Some(command) = front.next_command() {
+        while let Some(command) = pipeline.next_command() {
             match command {
                 Command::Send { attempt, .. } => outstanding.push(attempt),
-                Command::Abort(attempt) => front.attempt_ended(now, attempt, AttemptEnd::Cancelled),
+                Command::Abort(attempt) => {
+                    pipeline.attempt_ended(now, attempt, AttemptEnd::Cancelled)
+                }
                 Command::Respond {
                     response: Response::Served(_) | Response::NotModified,
                     ..
@@ -474,12 +488,18 @@
                 _ => {}
             }
         }
-        let counts: Vec<ResponseCounts> =
-            front.response_counts().map(|(_, counts)| *counts).collect();
+        let counts: Vec<ResponseCounts> = pipeline
+            .response_counts()
+            .map(|(_, counts)| *counts)
+            .collect();
         let sum = |of: fn(&ResponseCounts) -> u64| counts.iter().map(of).sum::<u64>();
         let all =
             sum(|c| c.served) + sum(|c| c.rejected) + sum(|c| c.failed) + sum(|c| c.cancelled);
-        assert_eq!(all + front.pending_requests() as u64, accepted, "after {n}");
+        assert_eq!(
+            all + pipeline.pending_requests() as u64,
+            accepted,
+            "after {n}"
+        );
         // The responses that clients get are those counted, except for requests of no class.
         assert_eq!(
             (sum(|c| c.served), sum(|c| c.rejected)),
@@ -494,18 +514,18 @@
 }
 
 #[test]
-fn discovery_on_another_machine_dates_by_a_clock_of_its_own() {
+fn the_clock_offset_is_reset_when_discovery_moves_to_another_machine() {
     // The first machine agrees with this clock. The second is 4 s behind: what it dates 4 s ago happens now.
-    let oldest = |moved: bool| {
-        let mut front = pipeline(CapacityLimits {
+    let fill_max_age = |moved: bool| {
+        let mut pipeline = new_pipeline(CapacityLimits {
             max_pending: 1_000,
             max_buffered_bytes: 96 << 20,
         });
         let state = cranesill::api::EndpointState::Ready;
         let entry = |id, kind, zone| {
-            let (member, weight) = (EndpointId(id), 8.0);
+            let (endpoint, weight) = (EndpointId(id), 8.0);
             cranesill::api::EndpointEntry {
-                endpoint: member,
+                endpoint,
                 kind,
                 zone,
                 cell: 0,
@@ -514,26 +534,26 @@
                 state,
             }
         };
-        let now = 1_000 * S;
-        front.apply_endpoints(
+        let now = 1_000 * SECOND;
+        pipeline.apply_endpoints(
             now,
             ListKind::Full,
             vec![entry(1, 0, 1), entry(2, 0, 1), entry(0x31, 2, 0)],
             EventSource::Live,
         );
-        front.apply_purge(now, None, 9, now - S / 10, EventSource::Live);
+        pipeline.apply_purge(now, None, 9, now - SECOND / 10, EventSource::Live);
         if moved {
-            front.discovery_moved();
+            pipeline.discovery_moved();
         }
-        front.apply_purge(now, None, 3, now - 4 * S, EventSource::Live);
-        let (from, mut ask) = client_request(1);
-        (ask.class, ask.group) = ("car-video".into(), 3);
-        ask.object = Some(ObjectKey {
+        pipeline.apply_purge(now, None, 3, now - 4 * SECOND, EventSource::Live);
+        let (from, mut request) = client_request(1);
+        (request.class, request.group) = ("car-video".into(), 3);
+        request.object = Some(ObjectKey {
             text: format!("{:016x}", 7).into(),
             id: 7,
         });
-        front.receive_request(now + S, from, ask);
-        let sent = std::iter::from_fn(|| front.next_command());
+        pipeline.receive_request(now + SECOND, from, request);
+        let sent = std::iter::from_fn(|| pipeline.next_command());
         let fetch = sent
             .filter_map(|c| {
                 if let Command::Send { fetch, .. } = c {
@@ -546,10 +566,10 @@
         fetch.unwrap().fill.unwrap().max_age
     };
     // Rounded down: a copy from before a purge never passes.
-    assert_eq!(oldest(true), S - 1_000);
+    assert_eq!(fill_max_age(true), SECOND - 1_000);
     assert_eq!(
-        oldest(false),
-        S + 4 * S - S / 10 - 1_000,
+        fill_max_age(false),
+        SECOND + 4 * SECOND - SECOND / 10 - 1_000,
         "the same machine: the message was late"
     );
 }
