--- a/front/src/protocol/admin.rs
+++ b/front/src/protocol/admin.rs
@@ -1,33 +1,33 @@
-//! The admin protocol on the operators' address: each connection carries one call on one line, and its answer.
+//! The admin protocol on the operators' address. Each connection carries one call, on a single line, and its answer.
 use cranesill::api::EndpointId;
 
-/// The longest line of a call, in bytes, with its line end.
+/// Maximum length of a call in bytes, including the line end.
 pub const MAX_LINE_BYTES: usize = 256;
 
-/// A call of an operator.
+/// A call from an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Asks whether this process can serve.
+    /// Queries whether this process can serve requests.
     Health,
-    /// Asks for the counters.
+    /// Queries the counters.
     Counters,
     /// Cordons an endpoint.
     Cordon(EndpointId),
-    /// Lifts an endpoint's cordon.
+    /// Uncordons an endpoint.
     Uncordon(EndpointId),
-    /// Drains the front.
+    /// Starts draining the front, until [`Call::Resume`].
     Quiesce,
     /// Accepts clients again after a drain.
     Resume,
 }
 
-/// Why a call cannot be decoded. The operator sees the text.
+/// Why a call cannot be decoded. The text is sent to the operator after `-ERR`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The line is longer than any call.
+    /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("the line is too long")]
     LineTooLong,
-    /// The connection ended before the line did.
+    /// The operator closed the connection before the end of the line.
     #[error("the line has no end")]
     LineUnterminated,
     /// More input follows the line.
@@ -36,16 +36,16 @@
     /// The line is not UTF-8.
     #[error("the line is no text")]
     NotText,
-    /// There is no call of this name.
+    /// No call has this name.
     #[error("no such call")]
     UnknownCall,
     /// The call has more arguments than it takes.
     #[error("a word too many")]
     TooManyArguments,
-    /// The call needs the id of an endpoint.
+    /// The call requires the id of an endpoint.
     #[error("ID is missing")]
     EndpointMissing,
-    /// The argument is no id of an endpoint.
+    /// The argument is not a valid endpoint id.
     #[error("ID is not s- and 8 hex digits")]
     EndpointMalformed,
 }
@@ -58,7 +58,7 @@
     u64::from_str_radix(digits, 16).ok().map(EndpointId)
 }
 
-/// Decodes the call that `input` holds. `None`: its line is not complete yet. `end_of_input`: no more input will come.
+/// Decodes the call in `input`; `None` if its line is not complete yet. `end_of_input` states that no more input follows.
 pub fn decode(input: &[u8], end_of_input: bool) -> Result<Option<Call>, CallError> {
     let Some(end) = input.iter().position(|b| *b == b'\n') else {
         return check_incomplete(input, end_of_input).map(|()| None);
@@ -66,7 +66,7 @@
     if end >= MAX_LINE_BYTES {
         return Err(CallError::LineTooLong);
     }
-    // A second call on the connection would be ignored silently.
+    // Rejected explicitly, since a second call on the same connection would be ignored without an error.
     if input.len() > end + 1 {
         return Err(CallError::SecondLine);
     }
@@ -117,7 +117,8 @@
     }
 }
 
-/// Encodes the answer to a call: a status line and, where there are `lines`, these and a last one that holds a dot.
+/// Encodes the answer to a call: a status line, followed by `lines` and a terminating line with a single dot if `lines` are
+/// given.
 pub fn answer(answer: Result<&str, &str>, lines: Option<&[String]>) -> Vec<u8> {
     let status = match answer {
         Ok("") => "+OK".into(),
@@ -135,7 +136,7 @@
     out.into_bytes()
 }
 
-/// Replaces line ends: a text that held one would begin a line of its own in the answer.
+/// Replaces line ends by spaces, so that a text cannot start another line of the answer.
 fn on_one_line(text: &str) -> String {
     text.replace(['\r', '\n'], " ")
 }
--- a/front/src/protocol/bulk_strings.rs
+++ b/front/src/protocol/bulk_strings.rs
@@ -1,20 +1,20 @@
-//! Arrays of bulk strings, in the form that the Redis serialization protocol (RESP2) gives them. Cache nodes receive commands
-//! and send replies in it.
+//! Arrays of bulk strings in the encoding of the Redis serialization protocol (RESP2), which commands to cache nodes and their
+//! replies use.
 use super::DecodeError;
 
-/// The strings of a reply: an id, the reply's name, fields and an object.
+/// Number of strings in a reply: the id, the name, the fields and the object.
 pub const REPLY_STRINGS: usize = 4;
-/// The longest of each of a reply's strings, in bytes. For the object there is room beyond the largest that is served.
+/// Maximum length of each string of a reply in bytes. The limit for objects is above the size of the largest one served.
 const MAX_STRING_BYTES: [usize; REPLY_STRINGS] = [16, 16, 4_096, 262_144];
-/// The most digits that a length may have.
+/// Maximum number of digits of a length.
 const MAX_LENGTH_DIGITS: usize = 7;
-/// Bytes of a length's line beside its digits: the marker and the line end.
+/// Bytes of a length line in addition to the digits: the marker and the line end.
 const LENGTH_LINE_OVERHEAD_BYTES: usize = 3;
 const LINE_END: &[u8] = b"\r\n";
-/// Room for a typical command's strings, so that encoding one allocates once.
+/// Initial capacity of the encoding buffer, sufficient for a typical command without reallocation.
 const TYPICAL_COMMAND_BYTES: usize = 256;
 
-/// Encodes bulk strings, without the array's header.
+/// Encodes bulk strings without the array header.
 pub fn encode(strings: &[&[u8]]) -> Vec<u8> {
     let mut out = Vec::with_capacity(TYPICAL_COMMAND_BYTES);
     for string in strings {
@@ -25,22 +25,22 @@
     out
 }
 
-/// A reply's strings, still undecoded.
+/// A reply split into its strings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reply<'a> {
-    /// The strings.
+    /// The id, the name, the fields and the object, undecoded.
     pub strings: [&'a [u8]; REPLY_STRINGS],
-    /// The length of the reply in bytes.
+    /// Length of the encoded reply in bytes.
     pub length: usize,
 }
 
-/// Decodes the strings of the first reply of `input`. `None`: it is not complete yet.
+/// Splits the first reply in `input` into its strings; `None` if it is not complete yet.
 pub fn decode_reply(input: &[u8]) -> Result<Option<Reply<'_>>, DecodeError> {
     let Some(array) = decode_length(input, 0, b'*', REPLY_STRINGS)? else {
         return Ok(None);
     };
     if array.value != REPLY_STRINGS {
-        return Err(DecodeError("no answer of four strings"));
+        return Err(DecodeError("reply is not an array of four strings"));
     }
     let mut next = array.end;
     let mut strings: [&[u8]; REPLY_STRINGS] = [b""; REPLY_STRINGS];
@@ -54,7 +54,7 @@
         };
         *string = with_line_end
             .strip_suffix(LINE_END)
-            .ok_or(DecodeError("string without its end"))?;
+            .ok_or(DecodeError("bulk string without a line end"))?;
         next = end;
     }
     Ok(Some(Reply {
@@ -63,22 +63,22 @@
     }))
 }
 
-/// Returns the id of the first reply as soon as it was received, whether or not the rest of the reply was.
+/// Returns the id of the first reply in `input`, even if the rest of that reply has not been received yet.
 pub fn first_id(input: &[u8]) -> Option<&[u8]> {
     let array = decode_length(input, 0, b'*', REPLY_STRINGS).ok()??;
     let id = decode_length(input, array.end, b'$', MAX_STRING_BYTES[0]).ok()??;
     input.get(id.end..id.end + id.value)
 }
 
-/// A length that was decoded.
+/// A decoded length line.
 #[derive(Clone, Copy, Debug)]
 struct Length {
     value: usize,
-    /// Where the bytes behind its line begin.
+    /// Offset of the first byte after the line.
     end: usize,
 }
 
-/// Decodes a line that begins with `marker` and holds a length of at most `max`. `None`: it is not complete yet.
+/// Decodes the line at `start`, which consists of `marker` and a length of at most `max`; `None` if it is not complete yet.
 fn decode_length(
     input: &[u8],
     start: usize,
@@ -87,24 +87,24 @@
 ) -> Result<Option<Length>, DecodeError> {
     let rest = &input[start.min(input.len())..];
     if rest.first().is_some_and(|b| *b != marker) {
-        return Err(DecodeError("no array of bulk strings"));
+        return Err(DecodeError("reply is not an array of bulk strings"));
     }
     let max_line_bytes = MAX_LENGTH_DIGITS + LENGTH_LINE_OVERHEAD_BYTES;
     let line_end = rest.iter().take(max_line_bytes).position(|b| *b == b'\n');
     let Some(line_end) = line_end else {
         return if rest.len() > max_line_bytes {
-            Err(DecodeError("length too long"))
+            Err(DecodeError("bulk string length has too many digits"))
         } else {
             Ok(None)
         };
     };
     let value = parse_length(&rest[1..line_end]).filter(|value| *value <= max);
-    let value = value.ok_or(DecodeError("length out of bounds"))?;
+    let value = value.ok_or(DecodeError("bulk string length malformed or out of range"))?;
     let end = start + line_end + 1;
     Ok(Some(Length { value, end }))
 }
 
-/// Parses the digits of a length and the carriage return behind them.
+/// Parses the digits of a length and the carriage return after them.
 fn parse_length(line: &[u8]) -> Option<usize> {
     let digits = line.strip_suffix(b"\r")?;
     if !digits.iter().all(u8::is_ascii_digit) {
--- a/front/src/protocol/cache_node.rs
+++ b/front/src/protocol/cache_node.rs
@@ -1,4 +1,4 @@
-//! Commands to cache nodes and their replies, as arrays of bulk strings.
+//! Commands to cache nodes and their replies, both encoded as arrays of bulk strings.
 use super::bulk_strings::{self, decode_reply};
 use super::DecodeError;
 use crate::routing::{Fetch, FillSource, ReplyKind, TransactionId, UpstreamReply};
@@ -6,17 +6,16 @@
 use cranesill::api::{EndpointId, FillNote, Micros, Timestamp};
 use std::rc::Rc;
 
-/// Returns the id of the first reply as soon as it was received, whether or not the rest of the reply was.
 pub use super::bulk_strings::first_id;
 
 const MICROS_PER_MS: u64 = 1_000;
 
-/// Returns the name of an endpoint in text: `s-` and 8 hex digits.
+/// Returns the textual form of an endpoint id: `s-` and 8 hex digits.
 pub fn endpoint_name(endpoint: EndpointId) -> String {
     format!("s-{:08x}", endpoint.0)
 }
 
-/// Encodes a `fetch` command that is sent at `now`. Its body is written behind the head without being copied.
+/// Encodes a `fetch` command that is sent at `now`. The body is shared with the request, not copied.
 pub fn fetch(fetch: &Fetch, now: Timestamp) -> Outgoing<Option<TransactionId>> {
     let mut head = b"*4\r\n".to_vec();
     head.extend(bulk_strings::encode(&[
@@ -43,7 +42,7 @@
     if let Some(fill) = &fetch.fill {
         fields += &fill_fields(fill);
     }
-    // The key lets a cache node tell a retry from another request: without it a write could take effect twice.
+    // Cache nodes detect retries by this key; without it a retried write could be executed twice.
     if let Some(key) = &fetch.idempotency_key {
         fields += &format!(",nonce={key}");
     }
@@ -61,7 +60,7 @@
     if fill.rank > 0 {
         fields += &format!(",rank={}", fill.rank);
     }
-    // 0 would ask for the default. The age is rounded down, so that no copy from before a purge passes.
+    // 0 selects the default of the class. Rounding down excludes copies created just before a purge.
     if fill.max_age > 0 {
         fields += &format!(",oldest={}", (fill.max_age / MICROS_PER_MS).max(1));
     }
@@ -78,7 +77,7 @@
     fields
 }
 
-/// Encodes an `abort` command, which cancels a `fetch`.
+/// Encodes an `abort` command, which cancels the `fetch` of the same transaction.
 pub fn abort(transaction: TransactionId) -> Outgoing<Option<TransactionId>> {
     let mut head = b"*2\r\n".to_vec();
     head.extend(bulk_strings::encode(&[b"abort", transaction.as_bytes()]));
@@ -90,18 +89,18 @@
     }
 }
 
-/// A decoded reply.
+/// A decoded reply of a cache node.
 #[derive(Debug)]
 pub struct DecodedReply<'a> {
-    /// The id of the transaction that it belongs to, as it was received.
+    /// The transaction id as received, not validated.
     pub id: &'a [u8],
-    /// The reply.
+    /// The result, the fields and the body.
     pub reply: UpstreamReply,
-    /// The length of the reply in bytes.
+    /// Length of the encoded reply in bytes.
     pub length: usize,
 }
 
-/// Decodes the first reply of `input`. `None`: it is not complete yet.
+/// Decodes the first reply in `input`; `None` if it is not complete yet.
 pub fn decode(input: &[u8]) -> Result<Option<DecodedReply<'_>>, DecodeError> {
     let Some(encoded) = decode_reply(input)? else {
         return Ok(None);
@@ -112,7 +111,8 @@
         body: body.into(),
         ..UpstreamReply::default()
     };
-    let fields = std::str::from_utf8(fields).map_err(|_| DecodeError("fields are no text"))?;
+    let fields =
+        std::str::from_utf8(fields).map_err(|_| DecodeError("reply fields are not valid UTF-8"))?;
     for (name, value) in fields.split(',').filter_map(|field| field.split_once('=')) {
         set_field(&mut reply, name, value);
     }
@@ -135,7 +135,7 @@
     }
 }
 
-/// Sets a field of a reply. Unknown fields are ignored.
+/// Sets a field of a reply. Unknown and malformed fields are ignored.
 fn set_field(reply: &mut UpstreamReply, name: &str, value: &str) {
     match name {
         "ver" => reply.tag = Some(value).filter(|tag| !tag.is_empty()).map(Into::into),
@@ -148,13 +148,13 @@
     }
 }
 
-/// Parses a decimal number of milliseconds; what is malformed or negative counts as none.
+/// Parses a decimal number of milliseconds. Malformed and negative values yield 0.
 fn parse_milliseconds(value: &str) -> Micros {
     let milliseconds = value.parse::<f64>().unwrap_or(0.0).max(0.0);
     (milliseconds * MICROS_PER_MS as f64) as Micros
 }
 
-/// Parses names and values such as `concurrent:7;cpu:0.6`. Malformed entries are left out.
+/// Parses a list of names and values such as `concurrent:7;cpu:0.6`. Malformed entries are skipped.
 fn parse_load_report(value: &str) -> Vec<(String, f32)> {
     let entries = value.split(';').filter_map(|entry| entry.split_once(':'));
     entries
@@ -162,7 +162,7 @@
         .collect()
 }
 
-/// Decodes the note that says where a copy came from. An unknown note says nothing.
+/// Decodes the note on the origin of a copy. Unknown notes yield [`FillNote::None`].
 fn fill_note(note: &str) -> FillNote {
     match note {
         "local" => FillNote::Hit,
--- a/front/src/protocol/cache_node/tests.rs
+++ b/front/src/protocol/cache_node/tests.rs
@@ -63,7 +63,7 @@
 #[test]
 fn malformed_replies_are_rejected_and_malformed_fields_are_dropped() {
     for input in
-        // An id of a thousand bytes or a fifth string would be waited for in vain.
+        // Neither an id of a thousand bytes nor a fifth string may leave the decoder waiting for more input.
         [
             &b"+OK\r\n"[..],
             b"*5\r\n",
--- a/front/src/protocol/client.rs
+++ b/front/src/protocol/client.rs
@@ -1,4 +1,5 @@
-//! Frames between clients and the front: a length, a type, a stream and a payload. All numbers are big-endian.
+//! Frames between clients and the front. A frame consists of a length, a type, a stream id and a payload; numbers are
+//! big-endian.
 mod request;
 
 pub use request::{decode_request, RequestError};
@@ -9,13 +10,13 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// The lengths that a frame may state, in bytes.
+/// Valid values of the length field of a frame, in bytes.
 const FRAME_BYTES_RANGE: RangeInclusive<usize> = 5..=262_144;
 
-/// The longest body of a request, in bytes; upstreams read no more.
+/// Maximum length of a request body in bytes, imposed by the upstream endpoints.
 const MAX_BODY_BYTES: usize = 48_000;
 
-/// Types of frames.
+/// Frame types.
 mod frame_type {
     pub const REQUEST: u8 = 10;
     pub const ANSWER: u8 = 11;
@@ -25,43 +26,43 @@
     pub const NO_MORE_REQUESTS: u8 = 30;
 }
 
-/// The first byte of an answer's payload.
+/// Status codes: the first byte of the payload of an answer.
 mod status {
     pub const SERVED: u8 = 1;
     pub const REJECTED: u8 = 2;
     pub const FAILED: u8 = 3;
 }
 
-/// Bytes of a frame's length, which does not count itself.
+/// Size of the length field in bytes. The length does not include the field itself.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of a frame's type and stream.
+/// Size of the type and stream fields in bytes.
 const TYPE_AND_STREAM_BYTES: usize = 5;
-/// The encoded list of no fields.
+/// An empty field list: a count of 0.
 const NO_FIELDS: [u8; 1] = [0];
 const MICROS_PER_MS: u64 = 1_000;
-/// The first byte of a readiness answer.
+/// The first byte of the payload of a readiness frame.
 const READY: u8 = 1;
 const NOT_READY: u8 = 2;
 
 /// A frame from a client.
 #[derive(Debug)]
 pub enum Message<'a> {
-    /// A request on a stream, with its payload for [`decode_request`].
+    /// A request: its stream and the payload to be decoded by [`decode_request`].
     Request(u32, &'a [u8]),
-    /// The client has cancelled the request on this stream.
+    /// The client cancels the request on this stream.
     Cancelled(u32),
-    /// The client asks on this stream whether the front is ready.
+    /// A readiness query, to be answered on this stream.
     Ready(u32),
 }
 
-/// Decodes the first frame of `input`, and returns it with its length in bytes. `None`: it is not complete yet.
+/// Decodes the first frame in `input` and returns it with its length in bytes; `None` if it is not complete yet.
 pub fn decode(input: &[u8]) -> Result<Option<(Message<'_>, usize)>, DecodeError> {
     let mut cursor = Cursor(input);
     let Some(length) = cursor.u32().map(|n| n as usize) else {
         return Ok(None);
     };
     if !FRAME_BYTES_RANGE.contains(&length) {
-        return Err(DecodeError("frame length out of bounds"));
+        return Err(DecodeError("client frame length out of range"));
     }
     let Some(frame) = cursor.bytes(length) else {
         return Ok(None);
@@ -70,13 +71,15 @@
     let (frame_type, stream) = cursor
         .u8()
         .zip(cursor.u32())
-        .ok_or(DecodeError("frame cut off"))?;
+        .ok_or(DecodeError("client frame truncated"))?;
     let message = match frame_type {
-        frame_type::REQUEST if stream == 0 => return Err(DecodeError("request on stream 0")),
+        frame_type::REQUEST if stream == 0 => {
+            return Err(DecodeError("client request on stream 0, which is reserved"))
+        }
         frame_type::REQUEST => Message::Request(stream, cursor.0),
         frame_type::CANCEL => Message::Cancelled(stream),
         frame_type::READINESS_REQUEST => Message::Ready(stream),
-        _ => return Err(DecodeError("unknown frame type")),
+        _ => return Err(DecodeError("unknown type of client frame")),
     };
     Ok(Some((message, LENGTH_BYTES + length)))
 }
@@ -96,7 +99,7 @@
     }
 }
 
-/// Encodes a list of one field.
+/// Encodes a field list with a single field.
 fn field(name: &str, value: &str) -> Vec<u8> {
     let mut payload = vec![1, name.len() as u8];
     payload.extend(name.bytes());
@@ -105,7 +108,8 @@
     payload
 }
 
-/// Encodes the final answer on a stream. A rejection states after how many milliseconds, rounded up, the client may retry.
+/// Encodes the final response on a stream. A rejection carries the time after which the client may retry, rounded up to
+/// milliseconds.
 pub fn answer(stream: u32, response: Response) -> Outgoing<()> {
     let no_fields = NO_FIELDS.to_vec();
     match response {
@@ -128,19 +132,19 @@
     frame(frame_type::ANSWER, stream, &payload, body)
 }
 
-/// Encodes an error that belongs to no request.
+/// Encodes a connection error: a failure on stream 0, which belongs to no request.
 pub fn error() -> Outgoing<()> {
     answer(0, Response::Failed)
 }
 
-/// Encodes whether the front is ready.
+/// Encodes the answer to a readiness query.
 pub fn ready(stream: u32, is_ready: bool) -> Outgoing<()> {
     let status = if is_ready { READY } else { NOT_READY };
     let payload = [&[status], &NO_FIELDS[..]].concat();
     frame(frame_type::READINESS, stream, &payload, Rc::default())
 }
 
-/// Encodes the notice that the connection takes no new request.
+/// Encodes the notice that no further requests are accepted on the connection.
 pub fn no_more() -> Outgoing<()> {
     frame(frame_type::NO_MORE_REQUESTS, 0, &[], Rc::default())
 }
--- a/front/src/protocol/client/request.rs
+++ b/front/src/protocol/client/request.rs
@@ -1,74 +1,73 @@
-//! The payload of a request frame: a counted list of named fields, and the body behind them.
+//! The payload of a request frame: a counted list of named fields, followed by the body.
 use super::{MAX_BODY_BYTES, MICROS_PER_MS};
 use crate::protocol::{hex16, Cursor};
 use crate::routing::{ClientRequest, ObjectKey, TransactionId};
 use std::rc::Rc;
 
-/// The largest size of an object, in KB, that a client may state. It is far above any object that is served, and no sum of
-/// such sizes overflows.
+/// Maximum object size in KB that a client may state. Sums of such sizes cannot overflow.
 const MAX_SIZE_KB: f64 = 1e9;
-/// The longest tag or idempotency key, in characters.
+/// Maximum length of a tag or idempotency key in bytes.
 const MAX_TAG_BYTES: usize = 64;
-/// Groups are numbered below this.
+/// Upper bound of group numbers, exclusive.
 const MAX_GROUPS: u32 = 256;
 
-/// Why the payload of a request cannot be used.
+/// Why a request is rejected as malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The payload is empty.
-    #[error("fields cut off")]
+    #[error("request payload is empty")]
     FieldsTruncated,
     /// The payload ends within the name of a field.
-    #[error("field name cut off")]
+    #[error("request payload ends within a field name")]
     FieldNameTruncated,
     /// The payload ends within the value of a field.
-    #[error("field value cut off")]
+    #[error("request payload ends within a field value")]
     FieldValueTruncated,
-    /// The value of a field is not UTF-8.
-    #[error("a field is no text")]
+    /// The value of a field is not valid UTF-8.
+    #[error("request field is not valid UTF-8")]
     FieldNotText,
     /// `txn` is malformed.
     #[error("txn is not 16 hex digits")]
     TransactionMalformed,
     /// `limit` is malformed.
-    #[error("limit is no number")]
+    #[error("limit is not a number")]
     TimeLimitMalformed,
     /// `item` is malformed.
     #[error("item is not 16 hex digits")]
     ObjectMalformed,
     /// `part` is malformed.
-    #[error("part is no number")]
+    #[error("part is not a number")]
     PartMalformed,
     /// `group` is malformed or too large.
-    #[error("group is no number below 256")]
+    #[error("group is not a number below {}", MAX_GROUPS)]
     GroupMalformed,
     /// `ram` is malformed or too large.
-    #[error("ram is no size in KB")]
+    #[error("ram is not a size in KB")]
     SizeMalformed,
-    /// `have` holds more than letters and digits, or is too long.
-    #[error("have is no bare tag")]
+    /// `have` is empty, too long or contains other characters than letters and digits.
+    #[error("have is not 1 to {} letters and digits", MAX_TAG_BYTES)]
     CachedTagMalformed,
-    /// `unique` holds more than letters and digits, or is too long.
-    #[error("unique is no bare key")]
+    /// `unique` is empty, too long or contains other characters than letters and digits.
+    #[error("unique is not 1 to {} letters and digits", MAX_TAG_BYTES)]
     IdempotencyKeyMalformed,
-    /// The body is longer than an upstream reads.
-    #[error("body too long")]
+    /// The body is longer than upstream endpoints accept.
+    #[error("request body is longer than {} bytes", MAX_BODY_BYTES)]
     BodyTooLong,
     /// `verb` is missing.
-    #[error("no verb")]
+    #[error("verb is missing")]
     ClassMissing,
     /// `txn` is missing.
-    #[error("no txn")]
+    #[error("txn is missing")]
     TransactionMissing,
     /// `limit` is missing.
-    #[error("no limit")]
+    #[error("limit is missing")]
     TimeLimitMissing,
-    /// The connection has as many open streams as it may have.
-    #[error("too many streams")]
+    /// The connection has reached its limit of open streams.
+    #[error("too many open streams on the connection")]
     TooManyStreams,
 }
 
-/// Decodes the payload of a request frame. Unknown fields are ignored; of a field that is repeated the last value counts.
+/// Decodes the payload of a request frame. Unknown fields are ignored; the last value of a repeated field is used.
 pub fn decode_request(payload: &[u8]) -> Result<ClientRequest, RequestError> {
     let mut cursor = Cursor(payload);
     let count = cursor.u8().ok_or(RequestError::FieldsTruncated)?;
@@ -83,7 +82,7 @@
     fields.into_request(cursor.0)
 }
 
-/// Takes one field off the payload: its name and its value.
+/// Reads the name and the value of the next field.
 fn next_field<'a>(cursor: &mut Cursor<'a>) -> Result<(&'a [u8], &'a str), RequestError> {
     let name = cursor
         .u8()
@@ -97,7 +96,7 @@
     Ok((name, value))
 }
 
-/// The fields of a request that were decoded so far.
+/// The fields decoded so far.
 #[derive(Default)]
 struct Fields {
     class: Option<String>,
@@ -172,21 +171,21 @@
         .ok_or(RequestError::GroupMalformed)
 }
 
-/// Parses a tag or key of letters and digits alone: upstream it stands in a list of fields that commas separate, and any
-/// other character could begin a field of its own there.
+/// Parses a tag or key of letters and digits. Other characters are rejected because the value is sent upstream in a
+/// comma-separated field list, where it could inject further fields.
 fn parse_tag(value: &str) -> Option<Rc<str>> {
     let has_valid_length = (1..=MAX_TAG_BYTES).contains(&value.len());
     let is_alphanumeric = value.bytes().all(|b| b.is_ascii_alphanumeric());
     (has_valid_length && is_alphanumeric).then(|| value.into())
 }
 
-/// Parses digits alone. The standard library would accept a sign as well.
+/// Parses a number without a sign, which the standard library would accept.
 fn parse_number(text: &str) -> Option<u32> {
     let digits_alone = text.bytes().all(|b| b.is_ascii_digit());
     digits_alone.then(|| text.parse().ok()).flatten()
 }
 
-/// Parses a plain decimal number of KB. The standard library would accept a sign, an exponent and infinity as well.
+/// Parses a decimal number of KB without a sign, exponent or infinity, which the standard library would accept.
 fn parse_size_kb(text: &str) -> Option<f64> {
     let is_plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let size: Option<f64> = is_plain.then(|| text.parse().ok()).flatten();
--- a/front/src/protocol/client/tests.rs
+++ b/front/src/protocol/client/tests.rs
@@ -64,12 +64,12 @@
         error_of("group", "256"),
         error_of("have", "a,b"),
     ];
-    // It would become fields of its own towards a node.
+    // A comma would inject further fields into the command to a cache node.
     assert_eq!(
         error_of("unique", "a,from=s-00000001"),
-        "unique is no bare key"
+        "unique is not 1 to 64 letters and digits"
     );
-    // The standard library would take a sign; members would not read a tag or a body of any length.
+    // The standard library would accept a sign; cache nodes limit the length of tags and bodies.
     for (name, value) in [
         ("part", "+1"),
         ("limit", ""),
--- a/front/src/protocol/configured_events.rs
+++ b/front/src/protocol/configured_events.rs
@@ -1,25 +1,25 @@
-//! The watch events that the platform's configuration gives a front for its start, as JSON.
+//! The initial watch events in the configuration, in JSON.
 use super::discovery::{EndpointRecord, WatchEvent};
 use super::hex16;
 use cranesill::api::EndpointState;
 use cranesill_settings::Names;
 use serde_json::Value;
 
-/// Why the configured events cannot be used.
+/// Why the configured events are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfiguredEventsError {
-    /// The revision is missing or no number.
-    #[error("known: no number")]
+    /// The revision is missing or not a number.
+    #[error("known: n is missing or not a number")]
     RevisionMissing,
-    /// The list of events is missing.
-    #[error("known: no events")]
+    /// The list of events is missing or not an array.
+    #[error("known: events is missing or not an array")]
     EventsMissing,
     /// An event is malformed.
-    #[error("known: unusable event {0}")]
+    #[error("known: malformed event {0}")]
     MalformedEvent(Value),
 }
 
-/// Reads the value of `known`: the revision of the endpoint list, and the events that lead to it.
+/// Reads the value of `known`: the revision of the endpoint list and the events that produce it.
 pub fn read(known: &Value, names: &Names) -> Result<(u64, Vec<WatchEvent>), ConfiguredEventsError> {
     let revision = known["n"]
         .as_u64()
@@ -69,7 +69,7 @@
         .iter()
         .map(|instance| parse_endpoint(instance, names))
         .collect::<Option<_>>()?;
-    // The first event holds the complete list, whatever its mark says.
+    // The first event always contains the complete list, even if `reset` is not set.
     let is_first = event["n"].as_u64() == Some(1);
     let is_reset = members["reset"].as_bool().unwrap_or(false);
     Some(WatchEvent::Endpoints {
@@ -107,7 +107,7 @@
     }
 }
 
-/// The index of a name in a list of the settings.
+/// Returns the index of a name in a list from the settings.
 fn position_of(list: &[String], name: &Value) -> Option<usize> {
     let name = name.as_str()?;
     list.iter().position(|listed| listed == name)
--- a/front/src/protocol/discovery.rs
+++ b/front/src/protocol/discovery.rs
@@ -1,19 +1,20 @@
-//! Watch events of the list service: endpoints that change, and purges. All numbers are big-endian.
+//! Watch events from discovery: changes of the endpoint list, and purges. Numbers are big-endian.
 use super::{Cursor, DecodeError};
 use cranesill::api::EndpointState;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
 
-/// The lengths that a frame may state, in bytes; the longest holds a complete list of some thousand endpoints.
+/// Valid values of the length field of a frame, in bytes. The upper bound allows complete lists of several thousand
+/// endpoints.
 const FRAME_BYTES_RANGE: RangeInclusive<usize> = 9..=1 << 20;
-/// Bytes of a frame's length, which does not count itself.
+/// Size of the length field in bytes. The length does not include the field itself.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the record of one endpoint.
+/// Size of an endpoint record in bytes.
 const RECORD_BYTES: usize = 27;
-/// Weights are sent in thousandths.
+/// Divisor of encoded weights, which are in thousandths.
 const WEIGHT_UNIT: f64 = 1e3;
 
-/// Kinds of frames.
+/// Frame kinds.
 mod kind {
     pub const NO_CHANGE: u8 = 0;
     pub const COMPLETE_LIST: u8 = 1;
@@ -22,44 +23,44 @@
     pub const GROUP_PURGE: u8 = 4;
 }
 
-/// An endpoint as the list service describes it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Its id, which stays the same when its address changes.
+    /// The id, which is stable across address changes.
     pub id: u32,
-    /// The address on which it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Whether it takes requests.
+    /// The state: ready, draining or removed.
     pub state: EndpointState,
-    /// The index of its zone in the settings' list of zones.
+    /// Index of the zone in the list of zones in the settings.
     pub zone: u16,
-    /// The index of its machine type in the settings' list of kinds.
+    /// Index of the machine type in the list of kinds in the settings.
     pub kind: u8,
-    /// The cell that it belongs to.
+    /// The cell to which the endpoint belongs.
     pub cell: u16,
-    /// Its share of the load, relative to other endpoints.
+    /// Share of the load relative to other endpoints.
     pub weight: f64,
-    /// When it started, in Unix milliseconds, if it joined later than the others; otherwise 0.
+    /// Start time in Unix milliseconds if the endpoint joined after the initial ones, otherwise 0.
     pub started_ms: u64,
 }
 
-/// A change that the list service announces.
+/// A change announced by discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
     /// The complete endpoint list, or the endpoints that changed.
     Endpoints {
-        /// Whether `list` is complete: endpoints that it does not name are removed.
+        /// Whether `list` is complete, so that endpoints missing from it are removed.
         complete: bool,
-        /// The endpoints.
+        /// The complete list, or the changed endpoints.
         list: Vec<EndpointRecord>,
     },
     /// An object or a group was purged.
     Purge {
-        /// The object; `None` for a whole group.
+        /// The purged object; `None` if a group was purged.
         object: Option<u64>,
-        /// The group, if no object is named.
+        /// The purged group; only meaningful if `object` is `None`.
         group: u32,
-        /// When it was purged, in Unix milliseconds.
+        /// Time of the purge in Unix milliseconds, by the clock of discovery.
         at_ms: u64,
     },
 }
@@ -67,27 +68,27 @@
 /// A decoded frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedFrame {
-    /// The revision of the list that the event leads to.
+    /// The revision of the endpoint list after the event.
     pub revision: u64,
-    /// The event; `None` if there is nothing new.
+    /// The event; `None` if the list has not changed.
     pub event: Option<WatchEvent>,
-    /// The length of the frame in bytes.
+    /// Length of the encoded frame in bytes.
     pub length: usize,
 }
 
-/// Encodes what a front sends on connecting: the revision that it knows.
+/// Encodes the hello that a front sends on connecting: the revision that it already has.
 pub fn hello(revision: u64) -> [u8; 8] {
     revision.to_be_bytes()
 }
 
-/// Decodes the first frame of `input`. `None`: it is not complete yet.
+/// Decodes the first frame in `input`; `None` if it is not complete yet.
 pub fn decode(input: &[u8]) -> Result<Option<DecodedFrame>, DecodeError> {
     let mut cursor = Cursor(input);
     let Some(length) = cursor.u32().map(|n| n as usize) else {
         return Ok(None);
     };
     if !FRAME_BYTES_RANGE.contains(&length) {
-        return Err(DecodeError("frame length out of bounds"));
+        return Err(DecodeError("discovery frame length out of range"));
     }
     let Some(frame) = cursor.bytes(length) else {
         return Ok(None);
@@ -96,7 +97,7 @@
     let (revision, kind) = cursor
         .u64()
         .zip(cursor.u8())
-        .ok_or(DecodeError("frame cut off"))?;
+        .ok_or(DecodeError("discovery frame truncated"))?;
     Ok(Some(DecodedFrame {
         revision,
         event: decode_event(kind, cursor)?,
@@ -111,19 +112,19 @@
         kind::CHANGES => decode_endpoints(payload, false).map(Some),
         kind::OBJECT_PURGE => decode_object_purge(payload).map(Some),
         kind::GROUP_PURGE => decode_group_purge(payload).map(Some),
-        _ => Err(DecodeError("unknown kind")),
+        _ => Err(DecodeError("unknown kind of discovery frame")),
     }
 }
 
 fn decode_endpoints(payload: Cursor<'_>, complete: bool) -> Result<WatchEvent, DecodeError> {
     if !payload.0.len().is_multiple_of(RECORD_BYTES) {
-        return Err(DecodeError("record cut off"));
+        return Err(DecodeError("endpoint record truncated"));
     }
     let records = payload.0.chunks(RECORD_BYTES);
     let list: Option<Vec<_>> = records.map(|bytes| decode_record(Cursor(bytes))).collect();
     Ok(WatchEvent::Endpoints {
         complete,
-        list: list.ok_or(DecodeError("unknown state"))?,
+        list: list.ok_or(DecodeError("unknown endpoint state"))?,
     })
 }
 
@@ -131,7 +132,7 @@
     let (object, at_ms) = payload
         .u64()
         .zip(payload.u64())
-        .ok_or(DecodeError("purge cut off"))?;
+        .ok_or(DecodeError("purge event truncated"))?;
     Ok(WatchEvent::Purge {
         object: Some(object),
         group: 0,
@@ -143,7 +144,7 @@
     let (group, at_ms) = payload
         .u16()
         .zip(payload.u64())
-        .ok_or(DecodeError("purge cut off"))?;
+        .ok_or(DecodeError("purge event truncated"))?;
     Ok(WatchEvent::Purge {
         object: None,
         group: group.into(),
@@ -151,7 +152,7 @@
     })
 }
 
-/// Decodes the record of an endpoint. `None`: its state is unknown. The fields are decoded in the order in which they stand.
+/// Decodes an endpoint record; `None` if the state is unknown. The order of the struct fields is the order on the wire.
 fn decode_record(mut record: Cursor<'_>) -> Option<EndpointRecord> {
     Some(EndpointRecord {
         id: record.u32()?,
--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -1,14 +1,14 @@
-//! The protocol between the writer of the purge log and its followers (`docs/protocol.md`, "Between the ledger's writer and
-//! those that follow it"). All numbers are little-endian.
+//! The protocol between the writer of the purge log and its followers, specified in `docs/protocol.md`. Numbers are
+//! little-endian.
 //!
 //! ```text
-//! follower   "CRFOLLOW" version:2 ledger:8 last:8       once; then last:8 after each batch that it has kept
-//! writer     kind:1 ledger:8 base:8 head:8 size:4 body  kind 0 a batch: records as in the ledger's file, size bytes of them
-//!                                                       kind 1 begin anew behind `base`: what was before is not known
+//! follower   "CRFOLLOW" version:2 ledger:8 last:8       once; then last:8 after each batch that was stored
+//! writer     kind:1 ledger:8 base:8 head:8 size:4 body  kind 0, batch: `size` bytes of records in the format of the journal
+//!                                                       kind 1, reset: discard the log and start after `base`
 //! ```
 //!
-//! The writer sends the next batch only once the follower has confirmed the one before, and
-//! waits for a slow follower. It sends an empty batch each second as a heartbeat; `head` tells whether the follower has everything.
+//! `ledger` identifies the log. The writer sends a batch only after the follower has confirmed the previous one. An empty
+//! batch each second serves as a heartbeat; a follower is up to date if its last purge is `head`.
 use super::{Cursor, DecodeError};
 use cranesill_purges::journal::{self, DecodedRecord};
 use cranesill_purges::log::MAX_BATCH_PURGES;
@@ -16,45 +16,46 @@
 
 const MAGIC: &[u8; 8] = b"CRFOLLOW";
 const PROTOCOL_VERSION: u16 = 1;
-/// Bytes of a follower's hello.
+/// Size of a follower's hello in bytes.
 pub const HELLO_BYTES: usize = 26;
-/// The most bytes that one encoded purge takes.
+/// Maximum size of an encoded purge in bytes.
 const MAX_RECORD_BYTES: usize = 2_100;
-/// The longest body of a frame, in bytes.
+/// Maximum size of the body of a frame in bytes.
 const MAX_BODY_BYTES: usize = MAX_BATCH_PURGES * MAX_RECORD_BYTES;
-/// Bytes of a frame before its body.
+/// Size of a frame without its body in bytes.
 const FRAME_HEADER_BYTES: usize = 29;
 
-/// Kinds of frames.
+/// Frame kinds.
 mod kind {
     pub const BATCH: u8 = 0;
     pub const RESET: u8 = 1;
 }
 
-/// What a follower sends on connecting.
+/// The first message of a follower on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
-    /// The identity of the log that it follows; 0 if it follows none yet.
+    /// The identity of the follower's log; 0 if it has none yet.
     pub log_identity: u64,
-    /// The number of the last purge that it has stored.
+    /// The number of the last purge that the follower has stored.
     pub last: PurgeNumber,
 }
 
-/// What the writer sends.
+/// A message from the writer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Whether the follower has to discard its log and begin anew after `base`.
+    /// Whether the follower must discard its log and start after `base`.
     pub reset: bool,
     /// The identity of the log.
     pub log_identity: u64,
-    /// The number before the first purge that the writer still has.
+    /// The number before the first purge in the writer's log.
     pub base: PurgeNumber,
-    /// The number of the writer's last purge.
+    /// The number of the last purge in the writer's log.
     pub head: PurgeNumber,
-    /// The purges after the last that the follower has confirmed.
+    /// The purges that follow the last one confirmed by the follower.
     pub purges: Vec<Purge>,
 }
 
+/// Reads a little-endian number.
 fn little_endian(cursor: &mut Cursor<'_>) -> Option<u64> {
     cursor.array().map(u64::from_le_bytes)
 }
@@ -70,12 +71,14 @@
     .concat()
 }
 
-/// Decodes a follower's hello. `None`: it is not complete yet.
+/// Decodes a follower's hello; `None` if it is not complete yet.
 pub fn decode_hello(input: &[u8]) -> Result<Option<Hello>, DecodeError> {
-    // Another protocol is rejected by its first bytes: it may never send as many as a hello has.
+    // A peer that speaks another protocol is rejected by its first bytes, since it may never send a complete hello.
     let received = input.len().min(MAGIC.len());
     if input[..received] != MAGIC[..received] {
-        return Err(DecodeError("no follower"));
+        return Err(DecodeError(
+            "hello of a purge log follower has the wrong magic bytes",
+        ));
     }
     let Some(bytes) = input.get(..HELLO_BYTES) else {
         return Ok(None);
@@ -83,7 +86,7 @@
     let mut cursor = Cursor(&bytes[MAGIC.len()..]);
     let version = cursor.array().map(u16::from_le_bytes);
     if version != Some(PROTOCOL_VERSION) {
-        return Err(DecodeError("a follower of another version"));
+        return Err(DecodeError("unsupported version of the purge log protocol"));
     }
     Ok(little_endian(&mut cursor)
         .zip(little_endian(&mut cursor))
@@ -111,14 +114,14 @@
     bytes
 }
 
-/// Decodes the first frame of `input`, and returns it with its length in bytes. `None`: it is not complete yet.
+/// Decodes the first frame in `input` and returns it with its length in bytes; `None` if it is not complete yet.
 pub fn decode_frame(input: &[u8]) -> Result<Option<(Frame, usize)>, DecodeError> {
     let mut cursor = Cursor(input);
     let Some(kind) = cursor.u8() else {
         return Ok(None);
     };
     if kind > kind::RESET {
-        return Err(DecodeError("an unknown kind of frame"));
+        return Err(DecodeError("unknown kind of purge log frame"));
     }
     let numbers = little_endian(&mut cursor)
         .zip(little_endian(&mut cursor))
@@ -130,7 +133,7 @@
     };
     let size = size as usize;
     if size > MAX_BODY_BYTES {
-        return Err(DecodeError("a batch that is too long"));
+        return Err(DecodeError("body of a purge log frame is too long"));
     }
     let Some(body) = cursor.bytes(size) else {
         return Ok(None);
@@ -149,7 +152,7 @@
     let mut purges = Vec::new();
     while !body.is_empty() {
         let DecodedRecord::Record { purge, length } = journal::decode_record(body) else {
-            return Err(DecodeError("a batch that is not as it was written"));
+            return Err(DecodeError("corrupt record in a purge log frame"));
         };
         purges.push(purge);
         body = &body[length..];
--- a/front/src/protocol/handover.rs
+++ b/front/src/protocol/handover.rs
@@ -1,22 +1,22 @@
-//! What the processes of one front leave for each other in a shared folder: empty files whose names carry the endpoints that
-//! are cordoned, and one file with the health that was learned of endpoints. No I/O here.
+//! The files by which the processes of one front exchange state in a shared directory: an empty file for each cordoned
+//! endpoint, named after it, and one file with the learned health of the endpoints.
 use super::admin::endpoint_id;
 use super::stored_file::{self, StoredFileError};
 use crate::protocol::cache_node::endpoint_name;
 use cranesill::api::{EndpointId, LearnedHealth, Timestamp};
 
-/// The version of these files; one of another version is treated as absent.
+/// Format version of these files. Files of other versions are ignored.
 const FORMAT_VERSION: &str = "v1";
 const FILE_KIND: &str = "learned";
-/// The largest file of learned health, in bytes: some thousand endpoints.
+/// Maximum size of a file of learned health in bytes, sufficient for several thousand endpoints.
 pub const MAX_LEARNED_BYTES: usize = 256 * 1024;
 
-/// Returns the name of the file whose presence says that the endpoint is cordoned.
+/// Returns the name of the file whose presence marks the endpoint as cordoned.
 pub fn cordon_file_name(endpoint: EndpointId) -> String {
     format!("{FORMAT_VERSION}.out.{}", endpoint_name(endpoint))
 }
 
-/// Returns the endpoint that a file of this name cordons; `None` if it is another file.
+/// Returns the endpoint that a file of this name marks as cordoned; `None` for other files.
 pub fn cordoned_endpoint(file_name: &str) -> Option<EndpointId> {
     let name = file_name
         .strip_prefix(FORMAT_VERSION)?
@@ -24,7 +24,7 @@
     endpoint_id(name)
 }
 
-/// Encodes the health that was learned up to `at`: a header with version and checksum, and a line for each endpoint.
+/// Encodes the health learned up to `at`: a header line with version and checksum, the time, and a line for each endpoint.
 pub fn encode_learned(at: Timestamp, endpoints: &[LearnedHealth]) -> String {
     let mut body = format!("at {at}\n");
     for health in endpoints {
@@ -42,7 +42,7 @@
     format!("{name} {started} {slow_start_at} {down} {connection_lost}\n")
 }
 
-/// Decodes learned health, and the time up to which it was learned.
+/// Decodes learned health, and the time at which it was recorded.
 pub fn decode_learned(text: &[u8]) -> Result<(Timestamp, Vec<LearnedHealth>), StoredFileError> {
     let (header, body) = stored_file::split(text)?;
     stored_file::check_header(header, FILE_KIND, FORMAT_VERSION, body)?;
--- a/front/src/protocol/handover/tests.rs
+++ b/front/src/protocol/handover/tests.rs
@@ -21,7 +21,6 @@
     for at in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
         bytes[at] ^= 1;
-        // A flipped bit in the checksum's own letter case is no other checksum.
         assert!(decode_learned(&bytes).is_err(), "byte {at}");
     }
     let newer = text.replace("v1", "v2");
--- a/front/src/protocol/mod.rs
+++ b/front/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! Codecs of the wire protocols and of the files that the front writes. They turn bytes into messages and back, and do no I/O.
+//! Codecs for the wire protocols and for the files that the front writes. They convert between bytes and messages and do
+//! no I/O.
 pub mod admin;
 pub mod bulk_strings;
 pub mod cache_node;
@@ -11,12 +12,13 @@
 pub mod snapshot;
 pub mod stored_file;
 
-/// Why received bytes cannot be decoded. Where the next message begins is then unknown, and the connection is closed.
+/// Why received bytes cannot be decoded. The start of the next message is unknown after such an error, so the connection
+/// has to be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct DecodeError(pub &'static str);
 
-/// Takes fields off the front of a byte slice. Its numbers are big-endian.
+/// Reads consecutive fields from a byte slice. Numbers are big-endian.
 #[derive(Clone, Copy, Debug)]
 struct Cursor<'a>(&'a [u8]);
 
--- a/front/src/protocol/purge.rs
+++ b/front/src/protocol/purge.rs
@@ -1,13 +1,13 @@
-//! Purges to cache nodes and their confirmations (`docs/protocol.md`, "Members that are purged"): in the form of other commands to cache nodes,
-//! on connections of their own.
+//! Purges sent to cache nodes and their confirmations, specified in `docs/protocol.md`. They are encoded like other commands
+//! to cache nodes, but use separate connections.
 use super::bulk_strings::{self, decode_reply};
 use super::{hex16, DecodeError};
 use crate::transport::Outgoing;
 use cranesill_purges::{journal, Purge, PurgeNumber};
 use std::rc::Rc;
 
-/// Encodes a batch for a cache node: the purges of a log after one number up to another. An empty batch asks the node how far
-/// it has applied the log.
+/// Encodes a batch for a cache node: the purges of a log after the number `after`, up to `upto`. An empty batch queries the
+/// number up to which the node has applied the log.
 pub fn batch(
     id: u64,
     log_identity: u64,
@@ -35,27 +35,29 @@
 /// A cache node's confirmation that it has applied purges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmation {
-    /// The id of the command that it answers.
+    /// The id of the confirmed command.
     pub id: u64,
     /// The identity of the purge log.
     pub log_identity: u64,
-    /// Every purge up to this number is applied.
+    /// The number up to which all purges have been applied.
     pub upto: PurgeNumber,
-    /// Whether the cache node holds no copy at all.
+    /// Whether the cache node has no cached copies.
     pub empty: bool,
 }
 
-/// Decodes the first confirmation of `input`, and returns it with its length in bytes. `None`: it is not complete yet.
+/// Decodes the first confirmation in `input` and returns it with its length in bytes; `None` if it is not complete yet.
 pub fn decode(input: &[u8]) -> Result<Option<(Confirmation, usize)>, DecodeError> {
     let Some(reply) = decode_reply(input)? else {
         return Ok(None);
     };
     let [id, name, fields, _] = reply.strings;
     if name != b"DONE" {
-        return Err(DecodeError("a box that does not speak of purges"));
+        return Err(DecodeError("reply to a purge command is not DONE"));
     }
     let mut confirmation = Confirmation {
-        id: hex16(decode_utf8(id)?).ok_or(DecodeError("no id"))?,
+        id: hex16(decode_utf8(id)?).ok_or(DecodeError(
+            "confirmation of a purge: id is not 16 hex digits",
+        ))?,
         log_identity: 0,
         upto: 0,
         empty: false,
@@ -70,8 +72,16 @@
 /// Sets a field of a confirmation. Unknown fields are ignored.
 fn set_field(confirmation: &mut Confirmation, name: &str, value: &str) -> Result<(), DecodeError> {
     match name {
-        "ledger" => confirmation.log_identity = hex16(value).ok_or(DecodeError("no ledger"))?,
-        "upto" => confirmation.upto = value.parse().map_err(|_| DecodeError("no number"))?,
+        "ledger" => {
+            confirmation.log_identity = hex16(value).ok_or(DecodeError(
+                "confirmation of a purge: ledger is not 16 hex digits",
+            ))?
+        }
+        "upto" => {
+            confirmation.upto = value
+                .parse()
+                .map_err(|_| DecodeError("confirmation of a purge: upto is not a number"))?
+        }
         "empty" => confirmation.empty = value == "1",
         _ => {}
     }
@@ -79,7 +89,8 @@
 }
 
 fn decode_utf8(bytes: &[u8]) -> Result<&str, DecodeError> {
-    std::str::from_utf8(bytes).map_err(|_| DecodeError("no text"))
+    std::str::from_utf8(bytes)
+        .map_err(|_| DecodeError("confirmation of a purge is not valid UTF-8"))
 }
 
 #[cfg(test)]
--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as a front last knew it, in the form in which it is stored on disk and sent to peers: the header of a
-//! stored file, a line for each endpoint and a line for each purge that still counts. No I/O here.
+//! Snapshots of the endpoint list, which are stored on disk and sent to peers. The text format consists of the header of a
+//! stored file, a line for each endpoint and a line for each retained purge.
 use super::discovery::{EndpointRecord, WatchEvent};
 use super::stored_file::{self, StoredFileError};
 use cranesill::api::EndpointState;
@@ -7,47 +7,47 @@
 
 const FORMAT_VERSION: &str = "v1";
 const FILE_KIND: &str = "list";
-/// Fields of the header line: the program, the kind of file, the version and the checksum.
+/// Number of fields in the header line: the program, the kind of file, the version and the checksum.
 const HEADER_FIELDS: usize = 4;
-/// The largest snapshot, in bytes: some thousand endpoints and as many purges.
+/// Maximum size of an encoded snapshot in bytes, sufficient for several thousand endpoints and as many purges.
 pub const MAX_SNAPSHOT_BYTES: usize = 2 << 20;
-/// The most purges that a snapshot may hold; one with more must not be served from.
+/// Maximum number of purges in a snapshot. With more, the oldest would be missing and the snapshot is not encoded.
 const MAX_PURGES: usize = 10_000;
-/// Weights are written in thousandths.
+/// Factor of encoded weights, which are in thousandths.
 const WEIGHT_UNIT: f64 = 1e3;
 
-/// A purge that still counts.
+/// A purge that is still within the retention period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordedPurge {
-    /// The object; `None` for a whole group.
+    /// The purged object; `None` if a group was purged.
     pub object: Option<u64>,
-    /// The group, if no object is named.
+    /// The purged group; only meaningful if `object` is `None`.
     pub group: u32,
-    /// When it was purged, in Unix milliseconds.
+    /// Time of the purge in Unix milliseconds, by the clock of discovery.
     pub at_ms: u64,
 }
 
 /// The endpoint list at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The identity of the list.
+    /// The identity of the endpoint list.
     pub source: u64,
-    /// The revision: the number of the last watch event that is included.
+    /// The number of the last watch event that was applied.
     pub revision: u64,
-    /// When the list was current, in Unix milliseconds.
+    /// The time at which the list was last known to be current, in Unix milliseconds.
     pub at_ms: u64,
-    /// The endpoints by their ids.
+    /// The endpoints by id.
     pub endpoints: BTreeMap<u32, EndpointRecord>,
-    /// The purges that still count, in the order in which they were received.
+    /// The retained purges, in the order received.
     pub purges: Vec<RecordedPurge>,
-    /// When each purge was received, in milliseconds of the monotonic clock. How long purges are kept follows from this: wall
-    /// clocks may differ, and may be set at any time.
+    /// Receive time of each purge, in milliseconds of the monotonic clock. The retention of purges is based on it because
+    /// wall clocks may differ and may be adjusted.
     pub received_at_ms: Vec<u64>,
 }
 
 impl Snapshot {
-    /// Applies a watch event that was received at `received_at_ms` of the monotonic clock, which is `at_ms` of the wall clock.
-    /// Purges that were received longer ago than `retention_ms` are dropped.
+    /// Applies a watch event that was received at `received_at_ms` by the monotonic clock and at `at_ms` by the wall clock.
+    /// Purges that were received more than `retention_ms` ago are dropped.
     pub fn apply(
         &mut self,
         revision: u64,
@@ -88,18 +88,18 @@
         }
     }
 
-    /// Drops the purges that were received before `received_since_ms`, and the oldest of too many.
+    /// Drops the purges received before `received_since_ms`, and the oldest ones in excess of the limit.
     fn drop_purges(&mut self, received_since_ms: u64) {
         let received = self.received_at_ms.iter();
         let expired = received.take_while(|at| **at < received_since_ms).count();
-        // One more than may be written stays: by it `encode` sees that there were too many.
+        // One purge above the limit is retained, by which `encode` detects that purges were dropped.
         let excess = self.purges.len().saturating_sub(MAX_PURGES + 1);
         let dropped = expired.max(excess);
         self.purges.drain(..dropped);
         self.received_at_ms.drain(..dropped);
     }
 
-    /// Returns the watch events that lead a front that starts to this list.
+    /// Returns the watch events that reproduce this snapshot in a front that starts.
     pub fn watch_events(&self) -> Vec<WatchEvent> {
         let endpoints = WatchEvent::Endpoints {
             complete: true,
@@ -113,7 +113,7 @@
         std::iter::once(endpoints).chain(purges).collect()
     }
 
-    /// Encodes the snapshot. `None`: it is too large to be used.
+    /// Encodes the snapshot; `None` if it exceeds the limits on purges or bytes.
     pub fn encode(&self) -> Option<String> {
         if self.purges.len() > MAX_PURGES {
             return None;
@@ -134,18 +134,18 @@
         Some(text).filter(|text| text.len() <= MAX_SNAPSHOT_BYTES)
     }
 
-    /// Returns a digest by which two lists of the same revision are distinguished. It leaves purges out: which of them still
-    /// count depends on the time.
+    /// Returns a digest that distinguishes lists of the same revision. It excludes purges, since their retention depends on the
+    /// time.
     pub fn digest(&self) -> u64 {
         crc32fast::hash(self.endpoint_lines().as_bytes()).into()
     }
 
-    /// Encodes a line for each endpoint.
+    /// Encodes one line per endpoint.
     fn endpoint_lines(&self) -> String {
         self.endpoints.values().map(encode_endpoint).collect()
     }
 
-    /// Decodes a snapshot.
+    /// Decodes a snapshot from its text format.
     pub fn decode(text: &[u8]) -> Result<Self, StoredFileError> {
         if text.len() > MAX_SNAPSHOT_BYTES {
             return Err(StoredFileError::TooLong);
@@ -166,7 +166,7 @@
         Ok(snapshot)
     }
 
-    /// Decodes a line behind the first one. `None`: it is malformed, or names an endpoint a second time.
+    /// Decodes a line after the first one; `None` if it is malformed or repeats an endpoint.
     fn decode_line(&mut self, line: &str) -> Option<()> {
         let fields: Vec<_> = line.split(' ').collect();
         match fields[..] {
@@ -196,7 +196,7 @@
     }
 }
 
-/// Decodes the first line: the identity of the list, the revision and when it was current.
+/// Decodes the first line of the body: the identity of the list, the revision and the time at which it was current.
 fn decode_first_line(line: &str) -> Option<Snapshot> {
     let fields: Vec<_> = line.split(' ').collect();
     let ["from", source, revision, at_ms] = fields[..] else {
--- a/front/src/protocol/snapshot/tests.rs
+++ b/front/src/protocol/snapshot/tests.rs
@@ -75,7 +75,7 @@
     assert_eq!(
         (snapshot.endpoints.len(), snapshot.purges.len()),
         (2, 1),
-        "gone, and over"
+        "the removed endpoint and the expired purge must be dropped"
     );
     let text = snapshot.encode().unwrap();
     let decoded = Snapshot::decode(text.as_bytes()).unwrap();
@@ -89,7 +89,7 @@
 
 #[test]
 fn purges_are_retained_by_receive_time_and_their_number_is_bounded() {
-    // This clock is an hour ahead of the one that dates purges, or behind it.
+    // The wall clock is an hour ahead of the clock that timestamps purges, or an hour behind it.
     for now in [10_000_000, 2_800_000] {
         let mut snapshot = Snapshot::default();
         snapshot.apply(
@@ -117,7 +117,7 @@
         assert_eq!(
             snapshot.purges.len(),
             2,
-            "copies from before both may still be held"
+            "caches may still hold copies from before both purges"
         );
         snapshot.apply(
             3,
@@ -130,7 +130,7 @@
             },
         );
         assert_eq!(snapshot.purges.len(), 1);
-        // One that was read is kept from then on.
+        // The retention of a decoded purge starts when the first event is applied.
         let mut decoded = Snapshot::decode(snapshot.encode().unwrap().as_bytes()).unwrap();
         decoded.apply(
             4,
@@ -234,9 +234,9 @@
         assert_eq!(
             snapshot.purges.len(),
             1,
-            "{step}: copies from before it may still be held"
+            "step of {step} ms: caches may still hold copies from before the purge"
         );
         snapshot.apply(3, wall(9_000), 9_100, 8_000, &no_changes());
-        assert_eq!(snapshot.purges.len(), 0, "{step}");
+        assert_eq!(snapshot.purges.len(), 0, "step of {step} ms");
     }
 }
--- a/front/src/protocol/stored_file.rs
+++ b/front/src/protocol/stored_file.rs
@@ -1,41 +1,41 @@
-//! The header line that the front's own text files begin with: `cranesill KIND VERSION CHECKSUM`, where the checksum is the
-//! CRC-32 of everything behind the line, in hexadecimal.
+//! The header line of text files written by the front: `cranesill KIND VERSION CHECKSUM`. The checksum is the CRC-32 of
+//! everything after the line, in hexadecimal.
 
 const PROGRAM: &str = "cranesill";
 
-/// Why a file that the front wrote cannot be used. It is then treated as absent.
+/// Why a stored file is rejected. Callers treat such a file as absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoredFileError {
-    /// The file is larger than any that is written.
-    #[error("it is too long")]
+    /// The file is larger than the maximum for its kind.
+    #[error("too long")]
     TooLong,
-    /// The file is not UTF-8.
-    #[error("it is no text")]
+    /// The file is not valid UTF-8.
+    #[error("not valid UTF-8")]
     NotText,
     /// The file has no complete header line.
-    #[error("it has no head")]
+    #[error("no header line")]
     HeaderMissing,
-    /// The header names another kind of file.
-    #[error("it is of something else")]
+    /// The header does not name the program, or names another kind of file.
+    #[error("wrong kind of file in the header")]
     OtherKind,
     /// The file was written by another version of the format.
-    #[error("it is of another version")]
+    #[error("unsupported format version")]
     OtherVersion,
-    /// The checksum does not fit the body: the file was cut off or changed.
-    #[error("its checksum is wrong")]
+    /// The checksum does not match the body: the file was truncated or modified.
+    #[error("checksum mismatch: truncated or modified")]
     Checksum,
-    /// The file does not state when it was written.
-    #[error("it has no time")]
+    /// The file contains no time of writing.
+    #[error("no time of writing")]
     TimeMissing,
-    /// The file does not state its revision.
-    #[error("it has no number")]
+    /// The file contains no revision.
+    #[error("no revision")]
     RevisionMissing,
     /// A line of the body is malformed.
-    #[error("a line can't be read")]
+    #[error("malformed line")]
     MalformedLine,
 }
 
-/// Writes a file of this kind and version: the header line and the body.
+/// Encodes a file of this kind and version: the header line and the body.
 pub fn encode(kind: &str, version: &str, body: &str) -> String {
     let checksum = crc32fast::hash(body.as_bytes());
     format!("{PROGRAM} {kind} {version} {checksum:08x}\n{body}")
@@ -47,7 +47,7 @@
     text.split_once('\n').ok_or(StoredFileError::HeaderMissing)
 }
 
-/// Checks that a header line is of this kind and version and that its checksum fits the body.
+/// Checks that a header line has this kind and version and that its checksum matches the body.
 pub fn check_header(
     header: &str,
     kind: &str,
