--- a/front/src/routing/accounting.rs
+++ b/front/src/routing/accounting.rs
@@ -1,9 +1,9 @@
-//! Accounting: the end of each attempt is reported to the decisions, exactly once.
+//! Accounting: reports the end of each attempt to the router exactly once.
 use super::*;
 use cranesill::api::{Event, FillNote, LoadReport, Outcome, Status};
 
 impl RequestPipeline {
-    /// Handles the end of an attempt; a second end of the same one is ignored.
+    /// Handles the end of an attempt. Repeated ends of the same attempt are ignored.
     pub fn attempt_ended(&mut self, now: Timestamp, attempt: AttemptId, end: AttemptEnd) {
         let Some(outstanding) = self.outstanding.remove(&attempt) else {
             return;
@@ -32,6 +32,7 @@
         self.handle_event(now, Event::Outcome(outcome));
     }
 
+    /// Releases the bypass of an attempt that has ended.
     fn release_bypass(&mut self, bypass: Option<ObjectPart>) {
         let Some(part) = bypass else { return };
         let Some(attempts) = self.bypasses.get_mut(&part) else {
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Remembers the earliest attempt that may have run: retries are recognized for a limited time after it.
+    /// Records the send time of the first attempt that may have been executed. Cache nodes detect retries only within a
+    /// limited time after it.
     fn record_possible_run(&mut self, id: RequestId, sent_at: Timestamp, status: Status) {
         if status.proves_not_run() {
             return;
@@ -54,7 +56,7 @@
         }
     }
 
-    /// The endpoint's load, if it sent a report that the settings can read.
+    /// Reads the load report of a reply; `None` if it is missing or does not match the layout in the settings.
     fn read_load_report(&self, reply: &UpstreamReply) -> Option<LoadReport> {
         if reply.load_report.is_empty() {
             return None;
@@ -68,8 +70,8 @@
         self.deployment.layout.read(&values)
     }
 
-    /// Turns a reply that must not be relayed into a fault, whatever the endpoint claims: one from a copy older than a
-    /// purge, or one that calls a copy current that the client does not have.
+    /// Turns a reply that must not be relayed into a fault: one from a copy older than a purge, or a "not modified" reply for
+    /// a copy that the client does not have.
     fn check_reply(
         &mut self,
         now: Timestamp,
@@ -99,7 +101,7 @@
         AttemptEnd::Reply(reply.into_fault())
     }
 
-    /// An attempt has timed out: it is cancelled at the endpoint, and its end is reported.
+    /// Handles the timeout of an attempt: cancels it at the endpoint and reports its end.
     pub(super) fn time_out(&mut self, now: Timestamp, attempt: AttemptId) {
         if self.outstanding.contains_key(&attempt) {
             self.commands.push_back(Command::Abort(attempt));
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Responds to all pending requests, since the front stops. Only those that cannot have run are rejected, so that
-    /// retrying them is safe.
+    /// Responds to all pending requests at shutdown. Requests that cannot have been executed are rejected, which tells the
+    /// client that a retry is safe; all others fail.
     pub fn conclude_all(&mut self, now: Timestamp) {
         let mut ids: Vec<_> = self.pending.keys().copied().collect();
         ids.sort_unstable();
@@ -123,13 +125,14 @@
         }
     }
 
+    /// Returns whether an attempt of the request may have been executed.
     fn may_have_run(&self, id: RequestId) -> bool {
         let pending = self.pending.get(&id);
         let ran = pending.is_some_and(|pending| pending.first_possible_run.is_some());
         ran || self.outstanding.keys().any(|out| out.request == id)
     }
 
-    /// The client's deadline has passed: the request gets a response whatever the decisions wait for.
+    /// Handles the deadline of a request: fails it, even if the router still waits for an attempt.
     pub(super) fn deadline_passed(&mut self, now: Timestamp, id: RequestId) {
         if self.pending.contains_key(&id) {
             self.conclude(id, Response::Failed);
@@ -139,7 +142,7 @@
 }
 
 impl PendingRequest {
-    /// Whether a reply calls a copy current that is not the client's.
+    /// Returns whether a reply reports "not modified" for a copy that the client does not have.
     fn is_false_not_modified(&self, reply: &UpstreamReply) -> bool {
         let same_copy = self.request.cached_tag.as_deref() == reply.tag.as_deref();
         reply.kind == ReplyKind::NotModified && (self.write || !same_copy)
--- a/front/src/routing/admission.rs
+++ b/front/src/routing/admission.rs
@@ -1,16 +1,16 @@
-//! Admission: a front accepts no more requests than its memory can hold.
+//! Admission: rejects requests that would exceed the memory limits of the front.
 use super::*;
 use cranesill::api::{Event, Request};
 
-/// How long the decisions may still respond after the client's deadline; part of the margin that ingress leaves.
+/// Time that the router has to respond after the deadline of a request. It is part of the response margin of ingress.
 const ROUTER_GRACE: Micros = 2_000;
 
 impl RequestPipeline {
-    /// Hands a request to the decisions, or responds at once.
+    /// Passes a request to the router, or rejects or fails it at once.
     pub(super) fn admit(&mut self, now: Timestamp, pending: PendingRequest, request: Request) {
         let reply_to = pending.reply_to;
         let transaction = pending.request.transaction;
-        // Endpoints could not tell two pending requests under one identifier apart.
+        // Upstream replies are matched by transaction id, which therefore has to be unique among pending requests.
         if self.by_transaction.contains_key(&transaction)
             || self.by_reply_to.contains_key(&reply_to)
         {
@@ -18,7 +18,7 @@
         }
         if let Some(reason) = self.rejection_reason() {
             let line = format!(
-                "{reason}: {} requests open, {} bytes held",
+                "request rejected: {reason}: {} requests pending, {} bytes buffered",
                 self.pending.len(),
                 self.buffered_bytes
             );
@@ -29,7 +29,7 @@
         let id = request.id;
         self.by_reply_to.insert(reply_to, id);
         self.by_transaction.insert(transaction, id);
-        // The decisions respond first if an attempt times out at the same time.
+        // The grace lets the router respond first if an attempt times out at the deadline.
         self.commands.push_back(Command::SetTimer {
             at: pending.deadline + ROUTER_GRACE,
             timer: Timer::RequestDeadline(id),
@@ -38,16 +38,16 @@
         self.handle_event(now, Event::Request(request));
     }
 
-    /// Why no further request is admitted now; `None` if one is.
+    /// Returns why a new request has to be rejected; `None` if it can be admitted.
     fn rejection_reason(&self) -> Option<&'static str> {
         if self.rejecting {
-            return Some("closed");
+            return Some("not accepting requests");
         }
-        // Each pending request will come to hold a response. Reserving the largest one for each would reject requests
-        // that there is memory for; larger responses are guarded against by not reading from endpoints.
+        // Memory is reserved for a response of average size to each pending request; reserving the maximum size would reject
+        // far too many. Larger responses are handled by backpressure: reading from endpoints is paused.
         let expected = (self.pending.len() as f64 * self.average_response_bytes) as usize;
         let full = self.pending.len() >= self.capacity.max_pending
             || self.buffered_bytes + expected > self.capacity.max_buffered_bytes;
-        full.then_some("no room")
+        full.then_some("capacity limit reached")
     }
 }
--- a/front/src/routing/clock_offset/tests.rs
+++ b/front/src/routing/clock_offset/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_converted_timestamp_is_never_too_early() {
-    // Discovery's clock starts at 1,000 s; messages take from 40 to 240 ms, after an interruption up to 8 s.
+    // Timestamps start at 1,000 s. Messages are delayed by 40 to 240 ms, and by up to 8 s more after an outage.
     for clock in [
         0,
         9 * SECOND as i64,
@@ -28,11 +28,11 @@
             let converted = clock_offset.to_local(at);
             assert!(
                 converted >= local(at),
-                "clock {clock}, purge {n}: taken for older than it is"
+                "clock {clock}, purge {n}: converted timestamp is too early"
             );
             assert!(
                 converted <= local(at + delay),
-                "no timestamp is later than its arrival"
+                "clock {clock}, purge {n}: converted timestamp is later than its arrival"
             );
             if n > 200 {
                 assert!(
@@ -49,7 +49,7 @@
 fn drift_is_tracked_and_the_offset_survives_a_long_silence() {
     let mut clock_offset = ClockOffset::default();
     for n in 0..3_000u64 {
-        // A hundredth faster, with a message each second: two windows of drift at most.
+        // The local clock is 1 % fast and a message arrives each second: the error is at most the drift of two windows.
         let (now, at) = (
             1_000 * SECOND + n * SECOND + n * 10_000,
             1_000 * SECOND + n * SECOND,
@@ -72,7 +72,11 @@
     let mut clock_offset = ClockOffset::default();
     assert_eq!(clock_offset.behind_ms(), 0, "nothing was observed");
     clock_offset.observe(10_000_000, 9_900_000);
-    assert_eq!(clock_offset.behind_ms(), 0, "late news, or a clock ahead");
+    assert_eq!(
+        clock_offset.behind_ms(),
+        0,
+        "a delayed message, or a clock that is ahead"
+    );
     clock_offset.observe(10_000_000, 3_610_000_000 - 200_000);
     assert_eq!(clock_offset.behind_ms(), 3_599_800);
 }
--- a/front/src/routing/dispatch.rs
+++ b/front/src/routing/dispatch.rs
@@ -1,17 +1,17 @@
-//! Dispatch: an attempt that was decided becomes a fetch from an endpoint.
+//! Dispatch: turns the attempts that the router decides on into fetches from endpoints.
 use super::*;
 use cranesill::api::{Fill, Idempotency};
 
-/// How an attempt is filled, once the purges known now are taken into account.
+/// The fill of an attempt, adjusted to the purges that are currently known.
 struct FillPlan {
     fill: Option<FillSource>,
-    /// The part that is fetched past the caches because purges require a newer copy than they have.
+    /// The part for which the caches are bypassed, if a purge requires a newer copy than they have.
     bypass: Option<ObjectPart>,
 }
 
 impl RequestPipeline {
-    /// Sends an attempt, which is given up at `timeout_at` or at the client's deadline, whichever is first. Attempts are
-    /// numbered in the order sent.
+    /// Sends an attempt that times out at `timeout_at` or at the deadline of the request, whichever is earlier. The attempts of
+    /// a request are numbered in the order sent.
     pub(super) fn dispatch(
         &mut self,
         now: Timestamp,
@@ -20,7 +20,7 @@
         timeout_at: Option<Timestamp>,
         fill: Option<Fill>,
     ) {
-        // The decisions learn of a final response before they decide again, so the request is pending here.
+        // Not expected: the router is notified of a final response before it makes further decisions.
         let Some(pending) = self.pending.get(&request) else {
             return;
         };
@@ -50,7 +50,7 @@
         self.send_fetch(attempt, target, timeout_at, plan.fill);
     }
 
-    /// Applies the purges known now, not those known when the request was received: purges arrive while requests wait.
+    /// Adjusts a fill to the purges that are currently known, which may have arrived while the request was queued.
     fn plan_fill(
         &self,
         now: Timestamp,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Whether a part may be fetched past the caches now; the error tells when to retry. A part that is being fetched
-    /// already is joined, and costs nothing more.
+    /// Checks whether a fetch of a part may bypass the caches; the error is the retry-after. A part that is already being
+    /// fetched is admitted at no cost, since the fetches are coalesced.
     fn admit_bypass(
         &mut self,
         now: Timestamp,
@@ -103,7 +103,7 @@
         Err(shield.retry_after(priority).min(max_retry_after))
     }
 
-    /// Priority weight of a class relative to the highest one, from 0 to 1.
+    /// Returns the priority weight of a class relative to the highest one, from 0 to 1.
     fn relative_priority(&self, class: usize) -> Option<f64> {
         let classes = &self.deployment.settings.classes;
         let highest = classes
@@ -113,8 +113,8 @@
         Some(classes.get(class)?.priority_weight / highest.max(f64::MIN_POSITIVE))
     }
 
-    /// Rejects a request whose fetch would overload the main store. The decisions reserve a slot for the attempt until
-    /// they learn of its end, so it is sent and ended.
+    /// Rejects a request whose fetch would overload the origin. The attempt is recorded and ended at once because the router
+    /// holds a slot for it until its end is reported.
     fn reject_bypass(
         &mut self,
         now: Timestamp,
@@ -175,8 +175,8 @@
         });
     }
 
-    /// The latest time to write a retry: one that was decided within the window in which nodes recognize retries may
-    /// wait for its connection until after it.
+    /// Returns the latest time to start writing an attempt. A retry must be written within the window in which cache nodes
+    /// detect retries, which may end while the attempt waits for a connection.
     fn write_by(&self, pending: &PendingRequest) -> Timestamp {
         let class = self.deployment.settings.classes.get(pending.class);
         let idempotency = class.map(|class| class.idempotency);
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Cancels an attempt if it is outstanding; its end is reported as soon as that is done.
+    /// Cancels an attempt if it is outstanding. The server reports its end once it is cancelled.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
         if self.outstanding.contains_key(&attempt) {
             self.commands.push_back(Command::Abort(attempt));
@@ -197,7 +197,7 @@
 }
 
 impl FillSource {
-    /// The fill that was decided for `target`, which as its own source does not fill.
+    /// Creates the fill for `target`. An endpoint that is its own source does not fill.
     fn new(fill: Fill, target: EndpointId) -> Self {
         FillSource {
             source: Some(fill.source).filter(|source| *source != target),
@@ -209,7 +209,7 @@
         }
     }
 
-    /// No fill, only a limit on the copy's age.
+    /// Creates a limit on the age of the copy, without a fill.
     fn without_fill(max_age: Micros) -> Self {
         FillSource {
             source: None,
--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -1,16 +1,16 @@
-//! Ingress: a client's request becomes a request of the decisions.
+//! Ingress: converts clients' requests into requests to the router.
 use super::*;
 use cranesill::api::{Event, ObjectId, Request};
 
-/// The response leaves this long before the client stops waiting, so that it arrives in time.
+/// Time between sending a response and the time limit of the client, so that the response arrives in time.
 const RESPONSE_MARGIN: Micros = 10_000;
 
 impl RequestPipeline {
-    /// Handles a client's request that was received completely at `now`.
+    /// Handles a client's request whose last byte was received at `now`.
     pub fn receive_request(&mut self, now: Timestamp, reply_to: ReplyTo, received: ClientRequest) {
         let class = self.class_index(&received.class);
         let write = class.is_some_and(|class| self.deployment.settings.classes[class].write);
-        // Only what runs at the origin can do without an object.
+        // Only requests that are executed by the origin may lack an object.
         let Some(class) = class.filter(|_| write || received.object.is_some()) else {
             return self.respond(reply_to, None, Response::Failed);
         };
@@ -37,7 +37,7 @@
         self.admit(now, pending, request);
     }
 
-    /// Whether an attempt of the request on this stream is outstanding.
+    /// Returns whether an attempt of the request on this stream is outstanding.
     pub fn has_outstanding_attempt(&self, reply_to: ReplyTo) -> bool {
         let Some(id) = self.by_reply_to.get(&reply_to) else {
             return false;
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Cancels the request on a stream: its client has disconnected.
+    /// Cancels the request on a stream after its client has disconnected or cancelled it.
     pub fn cancel_request(&mut self, now: Timestamp, reply_to: ReplyTo) {
         let Some(id) = self.by_reply_to.get(&reply_to).copied() else {
             return;
@@ -71,8 +71,8 @@
         names.position(|class| class == name)
     }
 
-    /// When the response has to leave. A client that claims to wait for weeks is held to the limit of its class, since
-    /// its deadlines would be remembered for as long.
+    /// Returns the latest time to send the response. The client's time limit is capped at that of the class, because timers
+    /// are held until they expire.
     fn deadline(&self, now: Timestamp, class: usize, time_limit: Micros) -> Timestamp {
         let class_limit = match self.deployment.limits.waits[class] {
             0 => Micros::MAX,
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -1,6 +1,5 @@
-//! The stages that every request passes: ingress, admission, route, dispatch, relay, accounting. Requests and replies go
-//! in, commands come out; wire formats and sockets stay outside, so that a second client protocol would pass through
-//! the same decisions and rules.
+//! The request pipeline. Every request passes the stages ingress, admission, route, dispatch, relay and accounting. The input
+//! consists of requests, replies and events, the output of commands. The pipeline is independent of wire formats and sockets.
 mod accounting;
 mod admission;
 mod clock_offset;
@@ -24,44 +23,44 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A request that has not had its final response.
+/// A request without a final response.
 #[derive(Debug)]
 struct PendingRequest {
     reply_to: ReplyTo,
     request: Rc<ClientRequest>,
-    /// When the response has to leave.
+    /// The latest time to send the response.
     deadline: Timestamp,
-    /// The index of its class in the settings.
+    /// Index of the request class in the settings.
     class: usize,
-    /// Whether its class runs at the origin and leaves no copy.
+    /// Whether requests of the class are executed by the origin and are not cached.
     write: bool,
     attempts_sent: u16,
-    /// When the first attempt was sent that may have run.
+    /// Send time of the first attempt that may have been executed.
     first_possible_run: Option<Timestamp>,
 }
 
-/// An attempt that has not ended.
+/// An attempt without a reported end.
 #[derive(Debug)]
 struct OutstandingAttempt {
     sent_at: Timestamp,
     target: EndpointId,
-    /// The part that it fetches past the caches, since purges require a newer copy than they have.
+    /// The part for which the attempt bypasses the caches, if a purge requires a newer copy than they have.
     bypass: Option<ObjectPart>,
 }
 
-/// Capacity of one front beyond the limits in the settings.
+/// Memory limits of one front.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLimits {
-    /// Requests that may be pending at once.
+    /// Maximum number of pending requests.
     pub max_pending: usize,
-    /// Bytes of responses that may be in memory at once.
+    /// Maximum number of buffered response bytes.
     pub max_buffered_bytes: usize,
 }
 
-/// The assumed size of a response before the first one.
+/// Initial value of the moving average of response sizes, in bytes.
 const INITIAL_RESPONSE_BYTES: f64 = 32_768.0;
 
-/// The stages and the state that they share.
+/// The pipeline stages and their shared state. Routing decisions are made by a [`Router`].
 #[derive(Debug)]
 pub struct RequestPipeline {
     router: Router,
@@ -71,30 +70,30 @@
     by_reply_to: HashMap<ReplyTo, RequestId>,
     by_transaction: HashMap<TransactionId, RequestId>,
     outstanding: HashMap<AttemptId, OutstandingAttempt>,
-    /// Bytes of responses that are not delivered yet.
+    /// Bytes in the buffers of connections, as last reported by the server.
     buffered_bytes: usize,
-    /// Moving average of the responses' sizes.
+    /// Moving average of response sizes.
     average_response_bytes: f64,
     last_request_id: u64,
-    /// Final responses, by class.
+    /// Final responses by class.
     counts: Vec<ResponseCounts>,
-    /// Whether every new request is rejected.
+    /// Whether all new requests are rejected.
     rejecting: bool,
-    /// The offset between this clock and discovery's.
+    /// Offset between the local clock and the clock of discovery.
     pub clock_offset: ClockOffset,
-    /// Reused between events.
+    /// Buffer for the actions of an event, reused to avoid allocations.
     actions: Vec<Action>,
     commands: VecDeque<Command>,
-    /// The age limits that purges set, if the daemon's own purges are on.
+    /// Purge floors, if the purge log is enabled.
     pub floors: Option<PurgeFloors>,
-    /// Limits what purges send past the caches.
+    /// Limits the rate of fetches that bypass the caches because of purges.
     pub shield: Option<Shield>,
-    /// Parts that are being fetched past the caches, with the number of attempts that fetch them.
+    /// Parts whose fetches currently bypass the caches, with the number of attempts for each.
     bypasses: HashMap<ObjectPart, u32>,
 }
 
 impl RequestPipeline {
-    /// A pipeline that knows no endpoint yet. `seed` is that of the decisions' random numbers.
+    /// Creates a pipeline without endpoints. `seed` initializes the random numbers of the router.
     pub fn new(deployment: Deployment, seed: u64, capacity: CapacityLimits) -> Self {
         RequestPipeline {
             router: Router::new(deployment.settings.clone(), seed),
@@ -118,38 +117,38 @@
         }
     }
 
-    /// The next command, in the order decided.
+    /// Takes the next command. Commands must be run in this order.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// The number of requests that have not had a final response.
+    /// Returns the number of requests without a final response.
     pub fn pending_requests(&self) -> usize {
         self.pending.len()
     }
 
-    /// Sets the number of bytes that connections buffer, beside what the pending requests may come to.
+    /// Sets the number of bytes in the buffers of connections, which count against the memory limit at admission.
     pub fn set_buffered_bytes(&mut self, bytes: usize) {
         self.buffered_bytes = bytes;
     }
 
-    /// Rejects every new request from now on, or admits them again.
+    /// Sets whether all new requests are rejected.
     pub fn reject_new_requests(&mut self, rejecting: bool) {
         self.rejecting = rejecting;
     }
 
-    /// The final responses so far, by the name of the class.
+    /// Returns the counts of final responses by class name.
     pub fn response_counts(&self) -> impl Iterator<Item = (&str, &ResponseCounts)> {
         let names = self.deployment.names.classes.iter();
         names.map(String::as_str).zip(&self.counts)
     }
 
-    /// Whether the decisions avoid an endpoint now.
+    /// Returns whether the router currently avoids an endpoint.
     pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
         self.router.is_unavailable(endpoint)
     }
 
-    /// When a client may retry that was rejected because the front itself is overloaded.
+    /// Returns the retry-after of requests that are rejected because this front is overloaded.
     fn overload_retry_after(&self) -> Micros {
         self.deployment.settings.max_retry_after
     }
--- a/front/src/routing/purge_floors.rs
+++ b/front/src/routing/purge_floors.rs
@@ -1,5 +1,5 @@
-//! Purge floors: the oldest creation time that a copy may have to answer a request, by the purges that this front knows.
-//! They are applied when an attempt is sent and again to its reply, since purges arrive while requests wait.
+//! Purge floors: the earliest creation time of a copy that may answer a request, given the purges that this front has received.
+//! They are applied when an attempt is sent and again to its reply, since purges may arrive in between.
 use super::{ClientRequest, ObjectPart, ReplyKind, UpstreamReply};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::lease::Lease;
@@ -9,34 +9,34 @@
 use cranesill_purges::{request_key, Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use std::collections::HashMap;
 
-/// Most surrogate tags that a reply may name; one with more counts as naming none.
+/// Maximum number of surrogate tags in a reply. The tags of a reply with more are treated as unknown.
 const MAX_REPLY_TAGS: usize = 16;
-/// Microseconds in a millisecond.
 const MICROS_PER_MS: Micros = 1_000;
-/// Most parts in each of the two generations of [`RenewedParts`].
+/// Maximum number of parts in each of the two generations of [`RenewedParts`].
 const MAX_GENERATION_PARTS: usize = 32_768;
 
-/// How a reply compares with the purges known now.
+/// The result of checking a reply against the purge floors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// The copy is new enough.
+    /// The copy is not older than its floor.
     Fresh,
-    /// The copy is older than a purge that was not known to concern it when the attempt was sent.
+    /// The copy is older than its floor, but the attempt did not request a newer one: the purge was not known to match it.
     StaleUnrequested,
-    /// The copy is older than a purge that was known to concern it: the endpoint ignored the age limit.
+    /// The copy is older than its floor although the attempt requested a newer one: the endpoint ignored the age limit.
     StaleDespiteRequest,
 }
 
-/// What purges require of the copy that answers a request.
+/// The requirement that purges place on the copy that answers a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessRequirement {
-    /// The greatest age that is allowed.
+    /// Maximum age of the copy.
     pub max_age: Micros,
-    /// Whether a copy that is new enough was seen already, so that caches need not be bypassed.
+    /// Whether a copy that meets the requirement has been served before, so that caches need not be bypassed.
     pub renewed: bool,
 }
 
-/// The creation times of the copies seen last of parts under a floor. A full generation replaces the one before.
+/// Creation times of the last served copies of parts with a floor. Bounded by two generations: a full current generation
+/// replaces the previous one.
 #[derive(Debug, Default)]
 struct RenewedParts {
     current: HashMap<ObjectPart, Timestamp>,
@@ -57,28 +57,28 @@
     }
 }
 
-/// The purges that this front knows.
+/// The purges that this front has received, and the floors that follow from them.
 #[derive(Debug)]
 pub struct PurgeFloors {
     matcher: PurgeMatcher,
     index: TagIndex,
-    /// Milliseconds by which the clocks of those who date copies may be ahead.
+    /// Maximum clock skew of the machines that timestamp copies, in milliseconds.
     skew_ms: UnixMillis,
-    /// All cache nodes have applied every purge up to this number: requests need not ask for it any more, but replies
-    /// are still checked against it.
+    /// The number up to which all cache nodes have confirmed purges. Requests no longer need floors for these purges, but
+    /// replies are still checked against them.
     pub confirmed: PurgeNumber,
     renewed: RenewedParts,
-    /// The lease on the purge log, where this front follows a writer.
+    /// The lease on the purge log, if this front follows a writer.
     pub lease: Option<Lease>,
-    /// Replies that were rejected as stale.
+    /// Number of replies rejected as stale.
     pub stale_replies: u64,
-    /// Those of them whose endpoint had been asked for a newer copy.
+    /// Number of stale replies whose attempt had requested a newer copy.
     pub stale_despite_request: u64,
 }
 
 impl PurgeFloors {
-    /// Floors without a purge. The index of the objects' tags takes `index_bytes`; clocks of those who date copies may
-    /// be ahead by `skew_ms` milliseconds.
+    /// Creates floors without purges. The index of the tags of objects uses `index_bytes` of memory; `skew_ms` is the maximum
+    /// clock skew of the machines that timestamp copies, in milliseconds.
     pub fn new(index_bytes: usize, skew_ms: UnixMillis) -> Self {
         PurgeFloors {
             renewed: RenewedParts::default(),
@@ -97,33 +97,33 @@
         self.matcher.add(purge, self.skew_ms);
     }
 
-    /// Counts everything as purged up to a time.
+    /// Treats all copies created up to a time as purged.
     pub fn add_all(&mut self, at: UnixMillis) {
         self.matcher.add_all(at.saturating_add(self.skew_ms));
     }
 
-    /// Forgets purges from before `horizon`: no endpoint has a copy from before it any more.
+    /// Removes purges from before `horizon`. No endpoint may hold a copy that is older.
     pub fn expire(&mut self, horizon: UnixMillis) {
         self.matcher.expire(horizon);
     }
 
-    /// Patterns to compile on a worker thread, once there are enough new ones.
+    /// Takes a job that compiles patterns on a worker thread, if there are enough new ones.
     pub fn take_compile_job(&mut self) -> Option<CompileJob> {
         self.matcher.take_compile_job()
     }
 
-    /// Installs patterns that were compiled.
+    /// Installs compiled patterns.
     pub fn install(&mut self, set: Result<PatternSet, CompileError>) {
         self.matcher.install(set);
     }
 
-    /// Live purges: of objects, groups, tags and patterns.
+    /// Returns the numbers of live purges of objects, groups, tags and patterns.
     pub fn counts(&self) -> [usize; 4] {
         let live = self.matcher.live_purges();
         [live.objects, live.groups, live.tags, live.patterns]
     }
 
-    /// The number of indexed objects, and how many of them a purge of this target would concern, where that is known.
+    /// Returns the number of indexed objects, and how many of them a purge of this target would match, if that is known.
     pub fn count_matches(&self, target: &PurgeTarget) -> (usize, Option<usize>) {
         match target {
             PurgeTarget::Tag(tag) => {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The floor that an expired lease sets, in Unix milliseconds; 0: none.
+    /// Returns the floor set by an expired lease, in Unix milliseconds; 0 if there is none.
     fn lease_floor_ms(&self, now: Timestamp) -> UnixMillis {
         let floor = match &self.lease {
             Some(lease) => lease.floor(now, now / MICROS_PER_MS),
@@ -153,8 +153,8 @@
         }
     }
 
-    /// The earliest creation time of a copy that may answer a request, by purges after the number `after`; 0: any.
-    /// `tags` are the hashes of the object's tags; `None`: they are not known.
+    /// Returns the earliest creation time of a copy that may answer a request, given the purges after the number `after`; 0 if
+    /// any copy may. `tags` are the hashes of the object's tags, `None` if they are unknown.
     fn floor(
         &self,
         now: Timestamp,
@@ -180,8 +180,8 @@
         purge_floor.max(lease_floor).saturating_mul(MICROS_PER_MS)
     }
 
-    /// What purges require of the copy that answers a request; `None`: nothing beyond `max_age`, the limit that applies
-    /// anyway (0: that of the request class).
+    /// Returns the requirement on the copy that answers a request; `None` if purges require no more than `max_age`, the limit
+    /// that applies in any case (0: the default of the request class).
     pub fn requirement(
         &self,
         now: Timestamp,
@@ -194,7 +194,7 @@
         if floor == 0 {
             return None;
         }
-        // An age of 0 would stand for the limit of the request class.
+        // A maximum age of 0 would select the default of the request class.
         let age = now.saturating_sub(floor).max(MICROS_PER_MS);
         if max_age != 0 && age >= max_age {
             return None;
@@ -206,8 +206,8 @@
         })
     }
 
-    /// Checks a reply that its endpoint calls good, by the tags that the reply itself names: an older version of the
-    /// object may carry others than the indexed ones. A reply that names none has unknown tags.
+    /// Checks a successful reply against the floors, using the tags in the reply: an older version of the object may have had
+    /// other tags than the indexed ones. The tags are unknown if the reply has none.
     pub fn check_reply(
         &mut self,
         now: Timestamp,
@@ -242,6 +242,7 @@
         Freshness::Fresh
     }
 
+    /// Counts a stale reply, and determines whether the endpoint or the tag index is at fault.
     fn reject_stale(
         &mut self,
         now: Timestamp,
@@ -255,13 +256,13 @@
             self.stale_despite_request += 1;
             return Freshness::StaleDespiteRequest;
         }
-        // The endpoint kept the age limit, which was too mild: the indexed tags are wrong.
+        // The endpoint obeyed the age limit, which was too high because the indexed tags are outdated.
         self.index.forget(object);
         Freshness::StaleUnrequested
     }
 }
 
-/// The surrogate tags that a reply names; `None` if it names none or too many.
+/// Returns the surrogate tags of a reply; `None` if it has none or too many.
 fn named_tags(reply: &UpstreamReply) -> Option<Vec<&str>> {
     let tags = reply.tags.as_ref()?.split(';');
     let tags: Vec<&str> = tags
--- a/front/src/routing/relay.rs
+++ b/front/src/routing/relay.rs
@@ -1,12 +1,12 @@
-//! Relay: the final response goes to the client, exactly once.
+//! Relay: sends exactly one final response to each request.
 use super::*;
 
-/// Weight of each response in the moving average of their sizes.
+/// Weight of a new response in the moving average of response sizes.
 const RESPONSE_SIZE_SMOOTHING: f64 = 0.01;
 
 impl RequestPipeline {
-    /// Relays an endpoint's reply if it is a final response. Returns whether the request is concluded, by this reply or
-    /// before.
+    /// Relays an endpoint's reply if it is a final response. Returns whether the request has had its final response, now or
+    /// earlier.
     pub(super) fn relay(&mut self, id: RequestId, reply: &UpstreamReply) -> bool {
         match reply.kind {
             ReplyKind::Hit => {
@@ -20,7 +20,7 @@
         !self.pending.contains_key(&id)
     }
 
-    /// Sends the final response, unless the request has had one.
+    /// Sends the final response to a request that is still pending.
     pub(super) fn conclude(&mut self, id: RequestId, response: Response) {
         if let Some(PendingRequest {
             reply_to, class, ..
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends and counts a final response; all of them pass here. A request of no known class is not counted.
+    /// Sends and counts a final response. Requests of unknown classes are not counted.
     pub(super) fn respond(&mut self, to: ReplyTo, class: Option<usize>, response: Response) {
         if let Some(counts) = class.and_then(|class| self.counts.get_mut(class)) {
             match response {
@@ -42,7 +42,7 @@
         self.commands.push_back(Command::Respond { to, response });
     }
 
-    /// Removes a request that needs no response any more, and returns it if it was pending.
+    /// Removes a request and its index entries, and returns it if it was pending.
     pub(super) fn remove_pending(&mut self, id: RequestId) -> Option<PendingRequest> {
         let pending = self.pending.remove(&id)?;
         self.by_reply_to.remove(&pending.reply_to);
--- a/front/src/routing/route.rs
+++ b/front/src/routing/route.rs
@@ -1,9 +1,9 @@
-//! Route: events go to the decisions, and the actions that they return are carried out.
+//! Route: passes events to the router and executes the actions that it returns.
 use super::*;
 use cranesill::api::{EndpointEntry, Event, LearnedHealth, ListKind, ObjectId};
 
 impl RequestPipeline {
-    /// Hands an event to the decisions and carries out their actions.
+    /// Passes an event to the router and executes its actions.
     pub(super) fn handle_event(&mut self, now: Timestamp, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
@@ -31,13 +31,13 @@
                 at: now + delay,
                 timer: Timer::Policy(token),
             }),
-            // Discovery pushes changes without being asked.
+            // Discovery pushes changes without a subscription.
             Action::Subscribe => {}
             Action::Log(line) => self.commands.push_back(Command::Log(line)),
         }
     }
 
-    /// Applies the endpoint list, or changes of it.
+    /// Applies the complete endpoint list or changes to it.
     pub fn apply_endpoints(
         &mut self,
         now: Timestamp,
@@ -56,8 +56,8 @@
         self.handle_event(now, Event::Endpoints(kind, entries));
     }
 
-    /// Applies a purge made `at` by discovery's clock, of one object or of a whole group. No copy from before it may be
-    /// taken for a newer one, so a purge whose time cannot be converted to this clock counts as made now.
+    /// Applies a purge of an object or a group, timestamped `at` by the clock of discovery. A timestamp that cannot be
+    /// converted to the local clock is replaced by `now`, so that no older copy is accepted.
     pub fn apply_purge(
         &mut self,
         now: Timestamp,
@@ -84,27 +84,27 @@
         );
     }
 
-    /// Discovery moves to another machine, whose clock was never compared with this one.
+    /// Resets the clock offset: discovery moves to another machine, which has another clock.
     pub fn discovery_moved(&mut self) {
         self.clock_offset = ClockOffset::default();
     }
 
-    /// An operator cordons an endpoint, or ends that.
+    /// Cordons or uncordons an endpoint.
     pub fn set_cordoned(&mut self, now: Timestamp, endpoint: EndpointId, cordoned: bool) {
         self.handle_event(now, Event::Cordon { endpoint, cordoned });
     }
 
-    /// What the decisions have learned of the endpoints' health, for the next process.
+    /// Returns the learned health of the endpoints, which is handed over to the next process.
     pub fn learned_health(&self) -> Vec<LearnedHealth> {
         self.router.learned_health()
     }
 
-    /// Restores what an earlier process has learned of the endpoints' health.
+    /// Restores the health of endpoints that an earlier process has learned.
     pub fn restore_learned_health(&mut self, now: Timestamp, learned: Vec<LearnedHealth>) {
         self.handle_event(now, Event::LearnedHealth(learned));
     }
 
-    /// Sets how many cache nodes can be connected at once, and after what time without traffic a connection is closed.
+    /// Sets the maximum number of connected cache nodes and the idle timeout of connections.
     pub fn set_connection_limits(
         &mut self,
         now: Timestamp,
@@ -124,7 +124,7 @@
         self.capacity = capacity;
     }
 
-    /// Handles a timer that a [`Command::SetTimer`] asked for.
+    /// Handles the expiry of a timer that was set by [`Command::SetTimer`].
     pub fn handle_timer(&mut self, now: Timestamp, timer: Timer) {
         match timer {
             Timer::Policy(token) => self.handle_event(now, Event::Timer(token)),
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -35,7 +35,7 @@
     )
 }
 
-/// An origin and nothing else: writes go there.
+/// Creates a pipeline whose only endpoint is an origin, to which writes are sent.
 fn pipeline_with_origin(capacity: CapacityLimits) -> RequestPipeline {
     let mut pipeline = new_pipeline(capacity);
     let state = cranesill::api::EndpointState::Ready;
@@ -75,7 +75,7 @@
 
 #[test]
 fn requests_beyond_the_buffer_limit_are_rejected_with_a_retry_after() {
-    // On a calm day thousands of requests a second were rejected: for each the largest response was reserved.
+    // Guards against reserving the maximum response size for each pending request, which rejects far too many.
     let mut pipeline = pipeline_with_origin(CapacityLimits {
         max_pending: 5_000,
         max_buffered_bytes: 96 << 20,
@@ -86,7 +86,7 @@
     }
     assert!(
         take_responses(&mut pipeline).is_empty(),
-        "there is memory for a thousand usual responses"
+        "a thousand responses of average size fit into the memory limit"
     );
     pipeline.set_buffered_bytes(96 << 20);
     let (from, request) = client_request(2_000);
@@ -121,8 +121,7 @@
 
 #[test]
 fn queued_requests_are_ordered_by_the_size_that_the_client_stated() {
-    // Guards against sizes that do not reach the decisions: on a calm day of a deployment whose clients state them, a
-    // quarter of the priority weight was lost because every part counted as taking the same time.
+    // Guards against stated sizes not being passed to the router, which would then treat all parts as equally expensive.
     let mut pipeline = new_pipeline(CapacityLimits {
         max_pending: 1_000,
         max_buffered_bytes: 96 << 20,
@@ -168,8 +167,8 @@
             }
         })
     };
-    // One slot: the first request takes it, the large one and then the small one wait for it.
-    let first = send_video_request(1, 3_000.0).expect("the cache is free");
+    // There is one slot: the first request takes it, then the large one and the small one are queued.
+    let first = send_video_request(1, 3_000.0).expect("the only slot is free");
     assert_eq!(
         (send_video_request(2, 60_000.0), send_video_request(3, 30.0)),
         (None, None)
@@ -188,7 +187,7 @@
     assert_eq!(
         next,
         Some(3),
-        "the highest priority weight for its sending time goes first"
+        "the request with the highest priority weight per transfer time is sent first"
     );
 }
 
@@ -257,20 +256,20 @@
                 _ => None,
             })
     };
-    let (to, note) = fetch(1, "note").expect("the first class runs at the origin");
+    let (to, note) = fetch(1, "note").expect("the first class is executed by the origin");
     assert_eq!((to, note.write, note.fill.is_some()), (0x41, true, false));
     for (n, class) in (2..).zip(["cover", "clip"]) {
         let (to, read) = fetch(n, class).expect(class);
-        let fill = read.fill.expect("a miss is filled");
+        let fill = read.fill.expect("a read has fill instructions");
         assert!(
             [0x21, 0x22].contains(&to) && fill.source.is_some_and(|s| [0x31, 0x32].contains(&s.0)),
             "{fill:?}"
         );
-        assert!(!fill.coalesce, "fills are not joined here");
+        assert!(!fill.coalesce, "coalescing is disabled in this deployment");
     }
     assert!(
         fetch(9, "page-bits").is_none(),
-        "a class of another deployment is none here"
+        "a class of another deployment must be unknown"
     );
 }
 
@@ -282,7 +281,7 @@
     });
     let (from, first) = client_request(1);
     pipeline.receive_request(SECOND, from, first.clone());
-    // The endpoint could not tell two pending requests under one identifier apart.
+    // Transaction ids must be unique among pending requests.
     pipeline.receive_request(SECOND, ReplyTo { stream: 9, ..from }, first);
     let commands = take_commands(&mut pipeline);
     let [Command::Send { attempt, .. }, Command::Respond {
@@ -391,7 +390,7 @@
                     let fill = fetch.fill.unwrap();
                     assert!(
                         (1_000..=SECOND).contains(&fill.max_age),
-                        "nothing from before the purge: {fill:?}"
+                        "copies from before the purge must be excluded: {fill:?}"
                     );
                     sent += usize::from(fill.source.is_some());
                 }
@@ -399,7 +398,7 @@
                     response: Response::Rejected(retry_after),
                     ..
                 } => {
-                    assert!(retry_after > 0, "it comes with the time to retry");
+                    assert!(retry_after > 0, "a rejection must carry a retry-after");
                     rejected += 1;
                 }
                 Command::Respond { response, .. } => panic!("{response:?}"),
@@ -407,8 +406,8 @@
             }
         }
     }
-    // Twenty objects at most, and a second request for one of these joins the first. A rejected request gives its slot
-    // back: all others would wait for capacity otherwise.
+    // At most twenty objects are fetched, and a second request for one of them is coalesced with the first. Rejected requests
+    // must release their slots; otherwise the remaining requests would be queued.
     assert!(
         rejected >= 100 && (1..=40).contains(&sent),
         "{sent} sent, {rejected} rejected"
@@ -435,7 +434,7 @@
             0..=2 => {
                 let (from, mut request) = client_request(n);
                 request.class = ["book-car", "page-bits", "no-such"][random(3) as usize].into();
-                // A request of an unknown class is not counted, nor is a page without an object.
+                // Requests of unknown classes and reads without an object are not counted.
                 accepted += u64::from(request.class == "book-car");
                 open.push(from);
                 pipeline.receive_request(now, from, request);
@@ -500,7 +499,7 @@
             accepted,
             "after {n}"
         );
-        // The responses that clients get are those counted, except for requests of no class.
+        // All responses to clients are counted, except those to requests of unknown classes.
         assert_eq!(
             (sum(|c| c.served), sum(|c| c.rejected)),
             (responses[0], responses[1])
@@ -509,13 +508,14 @@
     }
     assert!(
         responses.iter().all(|n| *n > 50),
-        "each kind of response must occur: {responses:?}"
+        "each kind of response must occur more than 50 times: {responses:?}"
     );
 }
 
 #[test]
 fn the_clock_offset_is_reset_when_discovery_moves_to_another_machine() {
-    // The first machine agrees with this clock. The second is 4 s behind: what it dates 4 s ago happens now.
+    // The clock of the first machine agrees with the local one. That of the second is 4 s behind, so that its timestamps
+    // appear 4 s old.
     let fill_max_age = |moved: bool| {
         let mut pipeline = new_pipeline(CapacityLimits {
             max_pending: 1_000,
@@ -565,11 +565,11 @@
             .next();
         fetch.unwrap().fill.unwrap().max_age
     };
-    // Rounded down: a copy from before a purge never passes.
+    // The maximum age is rounded down, so that no copy from before the purge is accepted.
     assert_eq!(fill_max_age(true), SECOND - 1_000);
     assert_eq!(
         fill_max_age(false),
         SECOND + 4 * SECOND - SECOND / 10 - 1_000,
-        "the same machine: the message was late"
+        "on the same machine the message was delayed"
     );
 }
--- a/front/src/routing/types.rs
+++ b/front/src/routing/types.rs
@@ -1,18 +1,18 @@
-//! Types that the stages share with the protocols and the server.
+//! Types shared by the pipeline stages, the protocol codecs and the server.
 use cranesill::api::{EndpointId, FillNote, Micros, RequestId, Status, Timestamp};
 use std::rc::Rc;
 
-/// The identifier that a client gives a request: 16 hex digits, forwarded as received.
+/// The identifier that a client assigns to a request: 16 hex digits, forwarded as received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TransactionId([u8; 16]);
 
 impl TransactionId {
-    /// Makes an identifier from its 16 digits; `None` if the length differs.
+    /// Creates an identifier from its 16 digits; `None` if the length differs.
     pub fn new(text: &str) -> Option<Self> {
         text.as_bytes().try_into().ok().map(TransactionId)
     }
 
-    /// The digits.
+    /// Returns the digits.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
@@ -21,48 +21,48 @@
 /// The key of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectKey {
-    /// The hex digits as received: nodes get them in the same spelling.
+    /// The hex digits as received; cache nodes get them in the same spelling.
     pub text: Rc<str>,
-    /// The number that the digits stand for.
+    /// The numeric value of the digits.
     pub id: u64,
 }
 
-/// One part of an object: the unit that caches store.
+/// A part of an object, which is the unit of caching.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ObjectPart {
-    /// The object's number.
+    /// The numeric key of the object.
     pub object: u64,
-    /// The part's number within the object.
+    /// The number of the part within the object.
     pub part: u32,
 }
 
-/// A request as a client sent it.
+/// A decoded request from a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The name of its request class.
+    /// The name of the request class.
     pub class: String,
-    /// The client's identifier of the request.
+    /// The identifier assigned by the client.
     pub transaction: TransactionId,
-    /// How long the client waits for the response.
+    /// The time for which the client waits for the response.
     pub time_limit: Micros,
-    /// The requested object; classes that run at the origin do without.
+    /// The requested object. Optional for classes that are executed by the origin.
     pub object: Option<ObjectKey>,
     /// The requested part of the object.
     pub part: u32,
-    /// The group that the object belongs to.
+    /// The group of the object.
     pub group: u32,
-    /// Size of the part in KB, as the decisions count it; 0 if the client does not state it.
+    /// Size of the part in KB as stated by the client, used by the router; 0 if unknown.
     pub size_kb: f64,
-    /// The tag of the copy that the client has cached.
+    /// The tag of the client's cached copy.
     pub cached_tag: Option<Rc<str>>,
-    /// The key by which nodes recognize retries of the request, where its class has one.
+    /// The key by which cache nodes detect retries, if the class uses idempotency keys.
     pub idempotency_key: Option<Rc<str>>,
-    /// The payload, forwarded as received.
+    /// The body, forwarded as received.
     pub body: Rc<[u8]>,
 }
 
 impl ClientRequest {
-    /// The requested part, if the request names an object.
+    /// Returns the requested part if the request names an object.
     pub fn object_part(&self) -> Option<ObjectPart> {
         self.object.as_ref().map(|object| ObjectPart {
             object: object.id,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Where a response goes.
+/// The destination of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReplyTo {
     /// The poller key of the client's connection.
@@ -87,13 +87,13 @@
     Served(Rc<[u8]>),
     /// The client's cached copy is current.
     NotModified,
-    /// The request did not run and may be retried after this duration.
+    /// The request was not executed and may be retried after this duration.
     Rejected(Micros),
-    /// The request failed and may have run.
+    /// The request failed and may have been executed.
     Failed,
 }
 
-/// Final responses of one request class.
+/// Counts of final responses to requests of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseCounts {
     /// Requests that were served.
@@ -102,40 +102,40 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests whose client disconnected before the response.
+    /// Requests that were cancelled by the client or whose client disconnected before the response.
     pub cancelled: u64,
 }
 
-/// One attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The number of the attempt, from 0 in the order sent.
+    /// The number of the attempt, starting from 0 in the order sent.
     pub number: u16,
 }
 
-/// How a cache node fills a miss.
+/// Instructions to a cache node on filling a miss and on serving cached copies.
 #[derive(Clone, Copy, Debug)]
 pub struct FillSource {
-    /// The endpoint that it fetches from; `None` if it does not fill.
+    /// The endpoint to fill from; `None` to disable filling.
     pub source: Option<EndpointId>,
-    /// How long the copy is kept: 0 not at all, 1 to 3 with growing preference.
+    /// Retention preference of the copy: 0 to not cache it, 1 to 3 in ascending order.
     pub rank: u8,
-    /// The greatest age of a copy that may be served; 0: as the request class has it.
+    /// Maximum age of the copy; 0 selects the default of the request class.
     pub max_age: Micros,
-    /// Whether it joins a fill of the same part that is under way.
+    /// Whether to coalesce with a fill of the same part that is in progress.
     pub coalesce: bool,
-    /// Whether the source gives only what it has cached.
+    /// Whether the source may only serve cached copies.
     pub cached_only: bool,
-    /// Whether an ageing copy is served and fetched again behind.
+    /// Whether to serve an ageing copy while revalidating it in the background.
     pub revalidate: bool,
 }
 
-/// A request to an upstream endpoint.
+/// A fetch from an upstream endpoint.
 #[derive(Clone, Debug)]
 pub struct Fetch {
-    /// The client's identifier of the request.
+    /// The identifier assigned by the client.
     pub transaction: TransactionId,
     /// The name of the request class.
     pub class: Rc<str>,
@@ -143,38 +143,38 @@
     pub object: Option<ObjectKey>,
     /// The requested part of the object.
     pub part: u32,
-    /// When the front gives the attempt up.
+    /// The time at which the attempt times out.
     pub deadline: Timestamp,
-    /// The latest time at which its first byte is written: after that, nodes no longer recognize a retry.
+    /// The latest time to start writing the fetch, after which cache nodes would no longer detect a retry.
     pub write_by: Timestamp,
-    /// How a miss is filled; `None`: the endpoint decides.
+    /// Instructions for filling a miss; `None` to leave it to the endpoint.
     pub fill: Option<FillSource>,
-    /// The tag of the copy that the client has cached.
+    /// The tag of the client's cached copy.
     pub cached_tag: Option<Rc<str>>,
-    /// Forwarded as received.
+    /// The idempotency key, forwarded as received.
     pub idempotency_key: Option<Rc<str>>,
-    /// Whether it runs at the origin and leaves no copy.
+    /// Whether the request is executed by the origin and not cached.
     pub write: bool,
-    /// The payload, forwarded as received.
+    /// The body, forwarded as received.
     pub body: Rc<[u8]>,
 }
 
-/// The result that an upstream endpoint reports first.
+/// The result in the reply of an upstream endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplyKind {
-    /// Content follows.
+    /// The endpoint serves the content.
     Hit,
     /// The client's cached copy is current.
     NotModified,
-    /// The endpoint has no copy and did not fill.
+    /// The endpoint has no copy and did not fill the miss.
     Miss,
     /// The endpoint shed the request.
     Rejected,
     /// The endpoint failed.
     Fault,
-    /// The deadline had passed when the endpoint came to it.
+    /// The deadline had passed before the endpoint processed the request.
     DeadlineExceeded,
-    /// Nothing that a fetch may be answered with.
+    /// An unknown result, or one that is not valid for a fetch.
     #[default]
     Other,
 }
@@ -182,32 +182,32 @@
 /// The reply of an upstream endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamReply {
-    /// The result.
+    /// The result of the fetch.
     pub kind: ReplyKind,
     /// The content.
     pub body: Rc<[u8]>,
-    /// Where the content came from.
+    /// The origin of the content, or the reason for a failed fill.
     pub fill_note: FillNote,
-    /// Time until the fill source's first byte or its failure; 0 if it was not reported.
+    /// Time until the first byte from the fill source or its failure; 0 if not reported.
     pub queueing_time: Micros,
     /// The tag of the copy.
     pub tag: Option<Box<str>>,
-    /// When the origin created the copy, in Unix milliseconds.
+    /// Creation time of the copy at the origin, in Unix milliseconds.
     pub created_at_ms: Option<u64>,
-    /// Surrogate tags of the object, separated by semicolons, if the endpoint names them (`docs/protocol.md`).
+    /// Surrogate tags of the object, separated by semicolons, if the endpoint reports them.
     pub tags: Option<Box<str>>,
-    /// The endpoint's load report: names and values.
+    /// The load report of the endpoint: names and values.
     pub load_report: Vec<(String, f32)>,
 }
 
 impl UpstreamReply {
-    /// Whether it claims to serve a copy without identifying it, which no correct endpoint does.
+    /// Returns whether the reply serves a copy without its tag or creation time, which violates the protocol.
     pub fn lacks_identity(&self) -> bool {
         matches!(self.kind, ReplyKind::Hit | ReplyKind::NotModified)
             && !(self.tag.is_some() && self.created_at_ms.is_some())
     }
 
-    /// The same reply counted as an error of the endpoint.
+    /// Turns the reply into an error of the endpoint.
     pub(super) fn into_fault(self) -> Self {
         UpstreamReply {
             kind: ReplyKind::Fault,
@@ -215,14 +215,14 @@
         }
     }
 
-    /// The result in the terms of the decisions.
+    /// Converts the result to a status for the router.
     fn status(&self) -> Status {
         match self.kind {
             ReplyKind::Hit | ReplyKind::NotModified => Status::Ok,
             ReplyKind::Miss => Status::Miss,
             ReplyKind::Rejected => Status::Rejected,
             ReplyKind::DeadlineExceeded => Status::NotSent,
-            // A reply that does not belong to a fetch counts as an error, since the fetch may have run.
+            // An unknown result counts as an error, since the request may have been executed.
             ReplyKind::Fault | ReplyKind::Other => Status::Error,
         }
     }
@@ -231,32 +231,32 @@
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub enum AttemptEnd {
-    /// With a reply.
+    /// The endpoint replied.
     Reply(UpstreamReply),
-    /// It was never written completely: connecting failed, or the connection broke before.
+    /// The attempt was not written completely because connecting failed or the connection broke.
     Unsent {
-        /// Whether another attempt on the same connection has reported this failure already.
+        /// Whether another attempt on the same connection has already reported this failure.
         duplicate_failure: bool,
     },
-    /// There was no connection to send it on, which says nothing about the endpoint.
+    /// No connection was available. This does not indicate a failure of the endpoint.
     NoConnection,
     /// The connection broke after the attempt was written completely.
     Broken {
-        /// Whether another attempt on the same connection has reported this failure already.
+        /// Whether another attempt on the same connection has already reported this failure.
         duplicate_failure: bool,
     },
-    /// The front cancelled it.
+    /// The front cancelled the attempt.
     Cancelled,
-    /// It timed out.
+    /// The attempt timed out.
     TimedOut,
 }
 
 impl AttemptEnd {
-    /// The result in the terms of the decisions.
+    /// Converts the end to a status for the router.
     pub(super) fn status(&self) -> Status {
         match self {
             AttemptEnd::Reply(reply) => reply.status(),
-            // The endpoint cannot have run what was not written completely.
+            // An attempt that was not written completely cannot have been executed.
             AttemptEnd::Unsent { .. } => Status::ConnectFailed,
             AttemptEnd::NoConnection => Status::NotSent,
             AttemptEnd::Broken { .. } => Status::Reset,
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Whether another attempt on the same connection has reported this failure already.
+    /// Returns whether another attempt on the same connection has already reported this failure.
     pub(super) fn is_duplicate_failure(&self) -> bool {
         match self {
             AttemptEnd::Unsent { duplicate_failure } | AttemptEnd::Broken { duplicate_failure } => {
@@ -275,7 +275,7 @@
         }
     }
 
-    /// The endpoint's reply, if there was one.
+    /// Returns the reply of the endpoint, if there was one.
     pub(super) fn reply(&self) -> Option<&UpstreamReply> {
         match self {
             AttemptEnd::Reply(reply) => Some(reply),
@@ -284,58 +284,58 @@
     }
 }
 
-/// A timer of the stages.
+/// A timer of the pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A timer of the decisions, with their token.
+    /// A timer of the router, with its token.
     Policy(u64),
-    /// The time-out of an attempt.
+    /// The timeout of an attempt.
     AttemptTimeout(AttemptId),
-    /// The client stops waiting for its response.
+    /// The deadline of a request.
     RequestDeadline(RequestId),
 }
 
-/// What the server has to do for the stages.
+/// A command from the pipeline to the server.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Send an attempt.
     Send {
         /// The attempt.
         attempt: AttemptId,
-        /// The endpoint.
+        /// The endpoint to which the attempt is sent.
         target: EndpointId,
-        /// What is sent.
+        /// The fetch to send.
         fetch: Fetch,
     },
     /// Cancel an attempt that was sent.
     Abort(AttemptId),
     /// Send a client its final response.
     Respond {
-        /// The client.
+        /// The client and the stream.
         to: ReplyTo,
         /// The response.
         response: Response,
     },
-    /// Call [`handle_timer`](super::RequestPipeline::handle_timer) at a given time.
+    /// Call [`handle_timer`](super::RequestPipeline::handle_timer) when the timer expires.
     SetTimer {
-        /// When.
+        /// The expiry time.
         at: Timestamp,
-        /// With which timer.
+        /// The timer to pass.
         timer: Timer,
     },
-    /// An endpoint served a copy that is older than the request allowed.
+    /// Report that an endpoint served a copy older than the requested maximum age.
     StaleCopyServed(EndpointId),
     /// Write a line to the log.
     Log(String),
 }
 
-/// Where events about endpoints and purges come from, which tells how far their timestamps can be trusted.
+/// The source of endpoint and purge events, which determines how far their timestamps are trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
-    /// Discovery sends it now.
+    /// Received from discovery as it happened.
     Live,
-    /// The configuration contained it.
+    /// Contained in the configuration.
     Configuration,
-    /// It was read from disk or from another front: dated by a clock that was never compared with this one.
+    /// Read from disk or received from a peer: timestamped by a clock with an unknown offset.
     Stored,
 }
