--- a/front/src/protocol/snapshot/tests.rs
+++ b/front/src/protocol/snapshot/tests.rs
@@ -89,7 +89,7 @@
 
 #[test]
 fn purges_are_retained_by_receive_time_and_their_number_is_bounded() {
-    // The wall clock is an hour ahead of the clock that timestamps purges, or an hour behind it.
+    // The local clocks are an hour ahead of the clock that timestamps purges, or an hour behind it.
     for now in [10_000_000, 2_800_000] {
         let mut snapshot = Snapshot::default();
         snapshot.apply(
