--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -1,62 +1,62 @@
-//! The endpoint list as a front last knew it, in the form in which it is stored on disk and sent to peers: the header of a
-//! stored file, a line for each endpoint and a line for each purge that still counts. No I/O here.
+//! Snapshots of the endpoint list, which are stored on disk and sent to peers. The text format consists of the header of a
+//! stored file, a line for each endpoint and a line for each retained purge.
 use super::discovery::{EndpointRecord, WatchEvent};
 use super::stored_file::{self, StoredFileError};
 use cranesill::api::EndpointState;
 use std::collections::BTreeMap;
 
-const VERSION: &str = "v1";
-const KIND: &str = "list";
-/// Fields of the header line: the program, the kind of file, the version and the checksum.
+const FORMAT_VERSION: &str = "v1";
+const FILE_KIND: &str = "list";
+/// Number of fields in the header line: the program, the kind of file, the version and the checksum.
 const HEADER_FIELDS: usize = 4;
-/// The largest snapshot, in bytes: some thousand endpoints and as many purges.
+/// Maximum size of an encoded snapshot in bytes, sufficient for several thousand endpoints and as many purges.
 pub const MAX_SNAPSHOT_BYTES: usize = 2 << 20;
-/// The most purges that a snapshot may hold; one with more must not be served from.
+/// Maximum number of purges in a snapshot. With more, the oldest would be missing and the snapshot is not encoded.
 const MAX_PURGES: usize = 10_000;
-/// Weights are written in thousandths.
+/// Factor of encoded weights, which are in thousandths.
 const WEIGHT_UNIT: f64 = 1e3;
 
-/// A purge that still counts.
+/// A purge that is still within the retention period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordedPurge {
-    /// The object; `None` for a whole group.
+    /// The purged object; `None` if a group was purged.
     pub object: Option<u64>,
-    /// The group, if no object is named.
+    /// The purged group; only meaningful if `object` is `None`.
     pub group: u32,
-    /// When it was purged, in Unix milliseconds.
+    /// Time of the purge in Unix milliseconds, by the clock of discovery.
     pub at_ms: u64,
 }
 
 /// The endpoint list at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The identity of the list.
+    /// The identity of the endpoint list.
     pub source: u64,
-    /// The revision: the number of the last watch event that is included.
-    pub number: u64,
-    /// When the list was current, in Unix milliseconds.
+    /// The number of the last watch event that was applied.
+    pub revision: u64,
+    /// The time at which the list was last known to be current, in Unix milliseconds.
     pub at_ms: u64,
-    /// The endpoints by their ids.
-    pub members: BTreeMap<u32, EndpointRecord>,
-    /// The purges that still count, in the order in which they were received.
+    /// The endpoints by id.
+    pub endpoints: BTreeMap<u32, EndpointRecord>,
+    /// The retained purges, in the order received.
     pub purges: Vec<RecordedPurge>,
-    /// When each purge was received, in milliseconds of the monotonic clock. How long purges are kept follows from this: wall
-    /// clocks may differ, and may be set at any time.
+    /// Receive time of each purge, in milliseconds of the monotonic clock. The retention of purges is based on it because
+    /// wall clocks may differ and may be adjusted.
     pub received_at_ms: Vec<u64>,
 }
 
 impl Snapshot {
-    /// Applies a watch event that was received at `received_ms` of the monotonic clock, which is `at_ms` of the wall clock.
-    /// Purges that were received longer ago than `keep_ms` are dropped.
+    /// Applies a watch event that was received at `received_at_ms` by the monotonic clock and at `at_ms` by the wall clock.
+    /// Purges that were received more than `retention_ms` ago are dropped.
     pub fn apply(
         &mut self,
-        number: u64,
+        revision: u64,
         at_ms: u64,
-        received_ms: u64,
-        keep_ms: u64,
+        received_at_ms: u64,
+        retention_ms: u64,
         event: &WatchEvent,
     ) {
-        self.number = number;
+        self.revision = revision;
         self.at_ms = at_ms;
         match event {
             WatchEvent::Endpoints { complete, list } => self.apply_endpoints(*complete, list),
@@ -70,39 +70,40 @@
                 at_ms: *at_ms,
             }),
         }
-        self.received_at_ms.resize(self.purges.len(), received_ms);
-        self.drop_purges(received_ms.saturating_sub(keep_ms));
+        self.received_at_ms
+            .resize(self.purges.len(), received_at_ms);
+        self.drop_purges(received_at_ms.saturating_sub(retention_ms));
     }
 
     fn apply_endpoints(&mut self, complete: bool, list: &[EndpointRecord]) {
         if complete {
-            self.members.clear();
+            self.endpoints.clear();
         }
         for endpoint in list {
             if endpoint.state == EndpointState::Removed {
-                self.members.remove(&endpoint.id);
+                self.endpoints.remove(&endpoint.id);
             } else {
-                self.members.insert(endpoint.id, endpoint.clone());
+                self.endpoints.insert(endpoint.id, endpoint.clone());
             }
         }
     }
 
-    /// Drops the purges that were received before `kept_since`, and the oldest of too many.
-    fn drop_purges(&mut self, kept_since: u64) {
+    /// Drops the purges received before `received_since_ms`, and the oldest ones in excess of the limit.
+    fn drop_purges(&mut self, received_since_ms: u64) {
         let received = self.received_at_ms.iter();
-        let expired = received.take_while(|at| **at < kept_since).count();
-        // One more than may be written stays: by it `encode` sees that there were too many.
+        let expired = received.take_while(|at| **at < received_since_ms).count();
+        // One purge above the limit is retained, by which `encode` detects that purges were dropped.
         let excess = self.purges.len().saturating_sub(MAX_PURGES + 1);
         let dropped = expired.max(excess);
         self.purges.drain(..dropped);
         self.received_at_ms.drain(..dropped);
     }
 
-    /// Returns the watch events that lead a front that starts to this list.
+    /// Returns the watch events that reproduce this snapshot in a front that starts.
     pub fn watch_events(&self) -> Vec<WatchEvent> {
         let endpoints = WatchEvent::Endpoints {
             complete: true,
-            list: self.members.values().cloned().collect(),
+            list: self.endpoints.values().cloned().collect(),
         };
         let purges = self.purges.iter().map(|purge| WatchEvent::Purge {
             object: purge.object,
@@ -112,12 +113,15 @@
         std::iter::once(endpoints).chain(purges).collect()
     }
 
-    /// Encodes the snapshot. `None`: it is too large to be used.
+    /// Encodes the snapshot; `None` if it exceeds the limits on purges or bytes.
     pub fn encode(&self) -> Option<String> {
         if self.purges.len() > MAX_PURGES {
             return None;
         }
-        let mut body = format!("from {:016x} {} {}\n", self.source, self.number, self.at_ms);
+        let mut body = format!(
+            "from {:016x} {} {}\n",
+            self.source, self.revision, self.at_ms
+        );
         body += &self.endpoint_lines();
         for purge in &self.purges {
             let at_ms = purge.at_ms;
@@ -126,22 +130,22 @@
                 None => format!("g {} {at_ms}\n", purge.group),
             };
         }
-        let text = stored_file::encode(KIND, VERSION, &body);
+        let text = stored_file::encode(FILE_KIND, FORMAT_VERSION, &body);
         Some(text).filter(|text| text.len() <= MAX_SNAPSHOT_BYTES)
     }
 
-    /// Returns a digest by which two lists of the same revision are distinguished. It leaves purges out: which of them still
-    /// count depends on the time.
+    /// Returns a digest that distinguishes lists of the same revision. It excludes purges, since their retention depends on the
+    /// time.
     pub fn digest(&self) -> u64 {
         crc32fast::hash(self.endpoint_lines().as_bytes()).into()
     }
 
-    /// Encodes a line for each endpoint.
+    /// Encodes one line per endpoint.
     fn endpoint_lines(&self) -> String {
-        self.members.values().map(encode_endpoint).collect()
+        self.endpoints.values().map(encode_endpoint).collect()
     }
 
-    /// Decodes a snapshot.
+    /// Decodes a snapshot from its text format.
     pub fn decode(text: &[u8]) -> Result<Self, StoredFileError> {
         if text.len() > MAX_SNAPSHOT_BYTES {
             return Err(StoredFileError::TooLong);
@@ -150,7 +154,7 @@
         if header.split(' ').count() != HEADER_FIELDS {
             return Err(StoredFileError::OtherKind);
         }
-        stored_file::check_header(header, KIND, VERSION, body)?;
+        stored_file::check_header(header, FILE_KIND, FORMAT_VERSION, body)?;
         let mut lines = body.lines();
         let first = lines.next().ok_or(StoredFileError::RevisionMissing)?;
         let mut snapshot = decode_first_line(first).ok_or(StoredFileError::MalformedLine)?;
@@ -162,13 +166,13 @@
         Ok(snapshot)
     }
 
-    /// Decodes a line behind the first one. `None`: it is malformed, or names an endpoint a second time.
+    /// Decodes a line after the first one; `None` if it is malformed or repeats an endpoint.
     fn decode_line(&mut self, line: &str) -> Option<()> {
         let fields: Vec<_> = line.split(' ').collect();
         match fields[..] {
             ["m", ref endpoint @ ..] => {
                 let endpoint = decode_endpoint(endpoint)?;
-                let replaced = self.members.insert(endpoint.id, endpoint);
+                let replaced = self.endpoints.insert(endpoint.id, endpoint);
                 replaced.is_none().then_some(())
             }
             ["o", object, at_ms] => {
@@ -192,15 +196,15 @@
     }
 }
 
-/// Decodes the first line: the identity of the list, the revision and when it was current.
+/// Decodes the first line of the body: the identity of the list, the revision and the time at which it was current.
 fn decode_first_line(line: &str) -> Option<Snapshot> {
     let fields: Vec<_> = line.split(' ').collect();
-    let ["from", source, number, at_ms] = fields[..] else {
+    let ["from", source, revision, at_ms] = fields[..] else {
         return None;
     };
     Some(Snapshot {
         source: u64::from_str_radix(source, 16).ok()?,
-        number: number.parse().ok()?,
+        revision: revision.parse().ok()?,
         at_ms: at_ms.parse().ok()?,
         ..Snapshot::default()
     })
