--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_cordoned_endpoint_is_neither_target_nor_source_whatever_the_list_says() {
+fn a_cordoned_endpoint_is_never_target_or_source_after_list_changes() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn one_uncordon_undoes_two_cordons_and_begins_a_slow_start() {
+fn one_uncordon_reverts_repeated_cordons_and_starts_a_slow_start() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_uncordoned_endpoint_is_judged_by_its_answers_from_then_on() {
+fn outcomes_from_before_an_uncordon_do_not_affect_health() {
     let mut harness = RouterHarness::new(
         settings(),
         vec![entry(10, CACHE), entry(20, PARENT), entry(30, ORIGIN)],
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn with_all_of_a_kind_cordoned_requests_use_the_rest_or_are_answered_at_once() {
+fn with_all_endpoints_of_a_kind_cordoned_requests_bypass_it_or_are_answered_immediately() {
     let direct = Settings {
         pass_through: true,
         ..settings()
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn the_next_process_suspects_what_was_down_and_keeps_the_slow_start_of_what_was_uncordoned() {
+fn learned_health_carries_down_states_and_slow_starts_to_the_next_process() {
     let endpoints = || {
         vec![
             entry(10, CACHE),
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_burst_after_uncordoning_skips_the_endpoint_in_slow_start() {
+fn a_burst_after_an_uncordon_stays_within_the_slow_start_budget() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn the_rules_hold_whatever_the_deployment_is_like() {
+fn invariants_hold_in_random_deployments() {
     let (mut served, mut sent) = (0, 0);
     for seed in 0..SEEDS {
         let (violations, ok, attempts) = play(seed);
@@ -321,7 +321,7 @@
 
 /// Product code and the deploy file know no operator and no site: whatever they do follows from settings and lists.
 #[test]
-fn no_product_code_names_an_operator_or_a_site() {
+fn product_code_contains_no_operator_or_site_names() {
     let names = [
         "himal",
         "kinfolk",
--- a/tests/fill_sources.rs
+++ b/tests/fill_sources.rs
@@ -4,8 +4,7 @@
 use cranesill::api::*;
 
 #[test]
-fn after_a_purge_of_all_copies_parents_are_first_asked_for_cached_copies_and_the_origin_keeps_its_limit(
-) {
+fn fills_after_a_purge_of_all_copies_check_parents_first_and_stay_within_the_origins_limit() {
     // Days on which all copies go void: what filled by way of the origin took the places of parents for seconds
     // before a tenth of the answers of any one router was late.
     let mut harness = RouterHarness::new(
@@ -59,8 +58,7 @@
 }
 
 #[test]
-fn without_coalescing_large_parts_are_first_asked_for_at_the_parent_and_keep_to_the_origins_limit()
-{
+fn large_fills_without_coalescing_check_parents_first_and_stay_within_the_origins_limit() {
     // A calm day of three hundred fronts: after a purge all fetched the same few large objects from the origin, each for
     // itself; none of these fetches ended in time, nothing was kept, and so it went on for as long as they were wanted.
     let by_origin = |joins: bool, size_kb: f64| {
@@ -117,7 +115,7 @@
 }
 
 #[test]
-fn an_idle_origin_gets_what_the_last_parent_has_no_capacity_for() {
+fn an_idle_origin_gets_fills_that_exceed_the_last_parents_capacity() {
     // A hub was lost: once the list said so, the parent that was left had room for a third of a fill of each front,
     // and 1,700 requests a second were refused beside an origin that was idle.
     let mut endpoints = default_endpoints();
@@ -150,7 +148,7 @@
 }
 
 #[test]
-fn one_of_many_fronts_does_not_cut_the_limit_of_a_source_for_late_answers() {
+fn one_of_many_fronts_does_not_cut_the_limit_of_a_source_for_late_responses() {
     // Each of a hundred fronts hears of a source once a second: a few late answers kept it from sending there for ten
     // seconds after the source was quick again.
     let many = Settings {
--- a/tests/fleet_simulation.rs
+++ b/tests/fleet_simulation.rs
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_cache_that_dies_costs_the_fleet_a_few_attempts_each_and_its_probes_are_few() {
+fn a_stopped_cache_costs_each_front_a_few_attempts_and_probes() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(seed);
         fleet.play(5 * S, &[]);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_cache_in_slow_start_gets_no_more_from_all_fronts_than_it_can_bear() {
+fn all_fronts_together_do_not_overload_a_cache_in_slow_start() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(seed);
         fleet.play(3 * S, &[]);
@@ -282,8 +282,7 @@
 const FLEETS: [(u32, f64); 3] = [(1, 480.0), (ROUTERS, USUAL_RATE), (400, 1.2)];
 
 #[test]
-fn the_budget_of_a_slow_start_binds_with_one_front_and_with_hundreds_that_share_less_than_a_request(
-) {
+fn fleets_of_any_size_stay_within_the_slow_start_budget() {
     for (routers, rate) in FLEETS {
         let mut fleet = Fleet::of(routers, rate, 7);
         fleet.play(3 * S, &[]);
@@ -296,7 +295,7 @@
 }
 
 #[test]
-fn a_repeated_list_during_a_slow_start_gives_no_second_budget() {
+fn a_repeated_list_during_a_slow_start_does_not_reset_the_budget() {
     for (routers, rate) in FLEETS {
         let mut fleet = Fleet::of(routers, rate, 8);
         fleet.play(3 * S, &[]);
--- a/tests/health_and_placement.rs
+++ b/tests/health_and_placement.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn first_example_four_attempts_take_a_single_endpoint_down() {
+fn four_failed_attempts_take_the_only_cache_down() {
     let mut harness = single();
     assert_eq!(fail_all(&mut harness, 1), 4);
     assert!(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn second_example_a_request_moves_to_the_next_parent_and_the_right_one_is_charged() {
+fn a_request_moves_to_the_next_parent_and_the_failed_one_is_charged() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let object = object_of(20);
     let mut sources = Vec::new();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_suspect_endpoint_gets_two_probes_and_a_late_success_is_none() {
+fn a_suspect_endpoint_gets_two_probes_and_an_older_attempt_is_not_a_probe() {
     let mut harness = single();
     let old = harness.send_request(new_request(90, 6)).remove(0);
     let mut first = harness.send_request(new_request(1, 5));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_fill_skips_a_down_parent_and_the_origin_serves_when_none_is_left() {
+fn fills_skip_down_parents_and_use_the_origin_when_none_is_left() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let object = object_of(20);
     for id in 1..=8 {
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_restart_is_recognized_by_its_start_time_and_forgets_the_old_health() {
+fn a_new_start_time_resets_the_health_of_an_endpoint() {
     let mut harness = single();
     fail_all(&mut harness, 1);
     assert_eq!(harness.send_request(new_request(2, 5)).len(), 0);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn odd_settings_have_sane_answers() {
+fn missing_endpoint_kinds_and_invalid_events_are_handled() {
     // An empty list, an origin only, no parents, one cache.
     let mut empty = RouterHarness::new(settings(), Vec::new());
     assert!(empty.send_request(new_request(1, 5)).is_empty() && empty.answers.len() == 1);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn removed_endpoints_are_forgotten_and_other_zones_are_never_kept() {
+fn state_does_not_grow_with_removed_endpoints_or_other_zones() {
     // State stays bounded: replaced machines come under new ids, hundreds in one delta.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let empty = format!("{:?}", harness.router).len();
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn rejections_for_lack_of_capacity_make_no_retry_storm() {
+fn rejections_for_lack_of_capacity_cause_no_retry_storm() {
     // i23556e: each refusal was tried up to eight times, twenty attempts a request.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=200 {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_fault_that_hits_all_alike_takes_none_down() {
+fn a_fault_common_to_all_parents_takes_none_down() {
     // ia8f6a2: fills of all parents timed out behind a slow origin, and all went DOWN.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=60 {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_parent_that_alone_is_slow_goes_down() {
+fn the_only_slow_parent_goes_down() {
     // i4761b2: a parent that answered late but inside the time-out never counted up.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=40 {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn where_fills_are_many_a_cache_is_first_asked_for_a_cached_copy() {
+fn caches_are_checked_for_a_copy_before_filling_from_a_loaded_source() {
     // ia8f6a2: fills that waited took the places of hits.
     let mut harness = RouterHarness::new(settings(), tight());
     let out = crowd(&mut harness, 1..400);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn two_fills_of_one_part_do_not_run_at_once_under_pressure() {
+fn a_second_miss_of_a_part_coalesces_with_the_first_fill_or_waits_for_it() {
     for joins in [false, true] {
         let mut with = settings();
         with.coalescing = joins;
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_rejected_write_waits_and_keeps_its_deadline() {
+fn a_rejected_write_backs_off_and_is_answered_by_its_deadline() {
     // i219619: writes burnt their attempts in milliseconds; snapshot 6ee6ecee lost one whose timer came late.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let write = Request {
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn stale_copies_are_asked_for_before_waiting() {
+fn a_stale_copy_is_requested_before_waiting_for_a_source() {
     let mut with_grace = settings();
     with_grace.classes[0] = Class {
         freshness_lifetime: 20 * S,
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_stalled_attempt_moves_where_hedging_is_not_allowed() {
+fn a_stalled_attempt_is_cancelled_and_moves_where_hedging_is_not_allowed() {
     // id98574: a cache lost some requests and served the others, so it was neither silent nor failing.
     let mut single = settings();
     single.hedging = false;
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_silent_cache_goes_down_when_others_answer_and_its_requests_move() {
+fn an_unresponsive_cache_goes_down_while_others_respond_and_its_requests_move() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=200 {
         for attempt in harness.live().into_iter().filter(|s| s.target != 10) {
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_silent_cache_goes_down_also_where_one_request_at_a_time_is_asked() {
+fn unresponsive_caches_go_down_with_one_request_in_flight_at_a_time() {
     // Seen with processes: half of a front's caches were behind links that passed nothing, and 16 requests in a minute
     // were served. Nobody else is heard while the one request is out.
     let mut single = settings();
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn the_origin_takes_what_a_down_parent_leaves_without_capacity() {
+fn the_origin_gets_fills_that_exceed_the_capacity_of_the_remaining_parent() {
     // iee772e: the other parent had no room for two shares of fills, and the origin was calm.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..200 {
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn a_parent_in_slow_start_gets_no_more_than_its_budget_and_a_hit_gives_it_back() {
+fn a_parent_in_slow_start_stays_within_its_budget_and_hits_return_their_charge() {
     let mut endpoints = default_endpoints();
     endpoints[3].started = 100 * S;
     endpoints[4].started = 100 * S;
@@ -414,7 +414,7 @@
 }
 
 #[test]
-fn one_healthy_endpoint_among_many_failing_ones_takes_none_down() {
+fn many_failing_parents_beside_a_healthy_one_do_not_go_down() {
     // i702365, i04dc8e: with many parents one that was not late was always found, and the rest went DOWN.
     let mut endpoints = default_endpoints();
     endpoints.extend((22..28).map(|id| entry(id, PARENT)));
@@ -450,7 +450,7 @@
 }
 
 #[test]
-fn fills_wait_when_the_link_into_the_zone_is_full_and_no_source_is_blamed() {
+fn fills_wait_for_a_full_link_and_no_endpoint_goes_down() {
     // valle-central big-1: after a flush every cache filled at a sixth of the pace, and all was late.
     for (link, many) in [(0.5, true), (6.0, false)] {
         let mut harness = RouterHarness::new(settings(), default_endpoints());
@@ -481,7 +481,7 @@
 }
 
 #[test]
-fn hundreds_of_fronts_keep_within_the_slow_start_budget_of_a_parent() {
+fn hundreds_of_fronts_stay_within_the_slow_start_budget_of_a_parent() {
     // reservas-cr big-1 (5d6f453f and before): each router might overdraw the budget by one request.
     for routers in [3u64, 30, 300] {
         let mut with = settings();
@@ -542,7 +542,7 @@
 }
 
 #[test]
-fn while_the_origin_is_slow_parents_are_asked_for_cached_copies_and_stay_up() {
+fn parents_are_asked_for_cached_copies_and_stay_up_while_the_origin_is_slow() {
     // valle-central rough-2: what waited for a slow origin took all places at the parents.
     let mut harness = RouterHarness::new(settings(), tight());
     let mut held_only = 0;
@@ -588,7 +588,7 @@
 }
 
 #[test]
-fn any_id_of_a_request_works_with_timers() {
+fn timers_work_with_any_request_id() {
     // Tokens once held the id shifted by eight bits, and lost its top.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let id = u64::MAX - 5;
@@ -636,7 +636,7 @@
 }
 
 #[test]
-fn repeated_requests_are_cached_at_a_higher_rank_than_one_offs() {
+fn parts_requested_repeatedly_are_cached_at_a_higher_rank() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let rank = |sent: &[Sent]| sent[0].fill.unwrap().rank;
     // At first it can't tell one from the other, and must not make light of what is kept already.
@@ -664,7 +664,7 @@
 }
 
 #[test]
-fn waves_of_draining_caches_and_a_restart_of_all_overload_no_cache_in_slow_start() {
+fn rolling_replacement_and_a_mass_restart_overload_no_cache_in_slow_start() {
     // preempt and mass_restart: nothing goes to what drains, and what is new gets its budget and no more.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let mut id = 0;
@@ -723,7 +723,7 @@
 }
 
 #[test]
-fn a_few_late_answers_among_many_cut_no_limit() {
+fn a_few_late_responses_among_many_cut_no_limit() {
     // A calm day on sockets: sizes vary widely and are not told, so some answers are always late; with
     // hundreds of answers a second each pause had one, and every limit shrank to a tenth of the full pace.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
@@ -740,7 +740,7 @@
 }
 
 #[test]
-fn a_source_that_is_lost_now_and_then_keeps_the_room_of_its_parent() {
+fn occasional_broken_fills_do_not_reduce_the_fills_of_a_parent() {
     // A calm day on sockets: one fill in a thousand broke off, each cut the parent's limit to what it held,
     // and requests waited for room at parents that had all of it.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
@@ -764,7 +764,7 @@
 }
 
 #[test]
-fn late_answers_alone_leave_a_cache_its_full_share() {
+fn late_responses_alone_leave_a_cache_its_full_quota() {
     // A day with pauses: a good part of the answers was late, caches were held to a third of what goes there
     // at full pace, and requests were given up while they waited for room.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
@@ -780,7 +780,7 @@
 }
 
 #[test]
-fn requests_that_all_endpoints_answer_with_errors_take_none_down() {
+fn requests_that_get_errors_from_all_endpoints_take_none_down() {
     // Bad clients' requests, answered with an error by whoever got them, took all caches DOWN.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=40 {
@@ -819,7 +819,7 @@
 }
 
 #[test]
-fn all_attempts_on_one_broken_connection_are_one_failure() {
+fn attempts_on_one_broken_connection_count_as_one_failure() {
     // One spoilt answer broke a connection with four attempts on it, and its parent went DOWN.
     for (along, down) in [(true, 0), (false, 1)] {
         let mut harness = RouterHarness::new(settings(), default_endpoints());
@@ -838,7 +838,7 @@
 }
 
 #[test]
-fn an_attempt_without_a_connection_goes_elsewhere_and_takes_none_down() {
+fn an_attempt_that_was_not_sent_moves_and_takes_no_endpoint_down() {
     // Descriptors were used up: each attempt counted as a lost one, six of a request in a row.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=20 {
@@ -853,7 +853,7 @@
 }
 
 #[test]
-fn a_request_of_which_nothing_was_sent_is_rejected_at_half_its_time() {
+fn a_request_without_an_attempt_is_rejected_at_half_its_time() {
     // Requests waited for room till an answer could no longer be in time, which was past half of their time.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let mut held = crowd(&mut harness, 1..2000);
@@ -879,7 +879,7 @@
 }
 
 #[test]
-fn the_link_is_full_where_a_fill_is_slower_than_a_client_and_a_look_is_for_want_of_room() {
+fn the_link_is_full_only_when_fills_are_slower_than_clients() {
     // A report of twice what fits, while fills still outran the clients, cut the link's limit again and again: two
     // thirds of requests looked first and then waited for a link that was half empty.
     for (told, calm) in [(2.0, true), (4.0, false)] {
@@ -911,7 +911,7 @@
 }
 
 #[test]
-fn what_missed_does_not_wait_behind_attempts_that_only_name_a_source() {
+fn a_miss_does_not_wait_for_attempts_that_may_not_fill() {
     // A front that served its zone alone held misses back while the link was half empty: hits had its places.
     let mut harness = RouterHarness::new(
         Settings {
@@ -940,7 +940,7 @@
 }
 
 #[test]
-fn where_no_cache_has_capacity_requests_pass_through_to_a_parent_that_has_some() {
+fn requests_bypass_full_caches_where_pass_through_is_allowed() {
     // Two of a zone's three caches were gone: requests waited for the third to half their time, parents idle.
     for direct in [true, false] {
         let mut small = default_endpoints();
@@ -968,7 +968,7 @@
 }
 
 #[test]
-fn a_clock_that_is_ahead_takes_no_endpoint_in_slow_start_for_a_warm_one() {
+fn a_clock_that_is_ahead_does_not_shorten_a_slow_start() {
     // Starts are dated by the list service's clock; a front half a minute ahead held no cold cache back.
     let admitted = |ahead: Micros, started: Option<Micros>| {
         let mut harness = RouterHarness::new(settings(), Vec::new());
@@ -1016,7 +1016,7 @@
 }
 
 #[test]
-fn a_clock_that_is_behind_ends_a_slow_start_in_time() {
+fn a_clock_that_is_behind_does_not_lengthen_a_slow_start() {
     // By a clock an hour behind a cold cache had an hour of slow start before it, at its least.
     let admitted = |ahead_of_us: Micros, waits: Micros| {
         let mut harness = RouterHarness::new(settings(), Vec::new());
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_rules_hold_under_random_events_with_every_setting_that_matters() {
+fn invariants_hold_under_random_events_with_all_combinations_of_settings() {
     let keyed = Idempotency::Keyed {
         scope: KeyScope::All,
         window: 2 * S,
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn each_check_fails_on_a_broken_stream() {
+fn the_checker_detects_each_kind_of_violation() {
     let t = 100 * S;
     let assert_violation = |checker: &Checker, what: &str| {
         assert!(
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -28,7 +28,8 @@
 }
 
 #[test]
-fn a_landing_passes_over_the_tests_named_and_fails_on_a_fourth_an_unknown_or_another_form() {
+fn the_script_exempts_listed_tests_and_fails_on_a_fourth_line_an_unknown_test_or_a_malformed_line()
+{
     let line = |name: &str| format!("{name} | a reset is told late | issue 30\n");
     assert_eq!(passed_over(""), Some(vec![]));
     let three = ["stories::one", "three", "four"].map(line).concat();
--- a/tests/large_requests.rs
+++ b/tests/large_requests.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_largest_requests_of_a_class_get_their_share_on_quiet_and_other_days() {
+fn the_largest_requests_of_a_class_are_served_about_as_often_as_the_others() {
     let group = KeyScope::All;
     for (day, least) in [
         (Day::Quiet, 2.0 / 3.0),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_router_keeps_to_as_many_caches_as_it_can_hold_connections_to() {
+fn a_front_uses_no_more_caches_than_its_connection_limit() {
     // Beside one router a cache has room for one request, beside 900 for a small part of one of each.
     for (routers, weight) in [(1, 1.0), (900, 2.0)] {
         let mut harness = harness(3_200, routers, weight);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn while_connections_are_to_be_had_an_object_goes_to_its_own_cache() {
+fn below_the_connection_limit_objects_go_to_their_first_cache() {
     let (mut free, mut bound) = (harness(80, 1, 40.0), harness(80, 1, 40.0));
     bound.notify(Event::Connections {
         max: 100,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn caches_that_are_no_longer_used_make_room_for_others() {
+fn idle_caches_are_replaced_in_the_connection_set() {
     let mut harness = harness(3_200, 1, 1.0);
     harness.notify(Event::Connections {
         max: 10,
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_cache_that_leaves_is_no_longer_kept_to() {
+fn a_draining_cache_leaves_the_connection_set() {
     let mut harness = harness(3_200, 1, 1.0);
     harness.notify(Event::Connections {
         max: 10,
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn sixteen_times_the_caches_cost_little_more_for_each_request_and_each_change() {
+fn processor_time_per_event_grows_little_with_the_number_of_caches() {
     let (usual, large) = (cost(200), cost(3_200));
     for (usual, large) in usual.into_iter().zip(large) {
         assert!(
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn caches_that_just_started_are_not_pushed_over_by_routers_that_keep_to_some() {
+fn fronts_with_full_connection_sets_do_not_overload_caches_in_slow_start() {
     const ROUTERS: u32 = 60;
     const CACHES: u64 = 100;
     const WEIGHT: f64 = 2.0;
