--- a/tests/common/checker.rs
+++ b/tests/common/checker.rs
@@ -1,20 +1,35 @@
-//! The checker of the five rules.
+//! Checker of the invariants of the decision module:
+//!
+//! - Every request gets exactly one answer, by its deadline.
+//! - No request runs more often than its class allows. A request that may have run is only rejected if it is safe to
+//!   repeat.
+//! - Nothing is sent to endpoints that are cordoned, draining or removed.
+//! - During the propagation time of a purge, no copy from before it is accepted.
+//! - Endpoints in slow start are not overloaded.
 use super::{CACHE, MS, PARENT};
 use cranesill::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Time after its deadline by which a request must be answered.
+const DEADLINE_SLACK: Micros = 8 * MS;
+/// Transfer time of a request in the tests.
+const TRANSFER_TIME_US: f64 = 300_000.0;
+
+/// A request that arrived. It stays recorded after it is closed.
 struct OpenRequest {
     class: usize,
     object: ObjectId,
     group: u32,
     deadline: Timestamp,
     attempts: Vec<AttemptRecord>,
+    /// Whether the client has its answer or has disconnected.
     closed: bool,
 }
 
 struct AttemptRecord {
     sent_at: Timestamp,
     in_flight: bool,
+    /// `None` while in flight.
     status: Option<Status>,
 }
 
@@ -36,7 +51,7 @@
     transfer_time_us: f64,
 }
 
-/// Checks a stream of events and actions against the five rules.
+/// Checks a stream of events and actions against the invariants.
 pub struct Checker {
     settings: Settings,
     open: BTreeMap<RequestId, OpenRequest>,
@@ -69,15 +84,18 @@
         self.open[&id].deadline
     }
 
-    /// Every request whose deadline and slack have passed is closed.
+    /// Checks that every request past its deadline is closed.
     pub fn check_overdue(&mut self, now: Timestamp) {
         let overdue: Vec<_> = self
             .open
             .iter()
-            .filter(|(_, o)| !o.closed && o.deadline + 8 * MS < now)
+            .filter(|(_, o)| !o.closed && o.deadline + DEADLINE_SLACK < now)
             .collect();
-        self.violations
-            .extend(overdue.iter().map(|(id, _)| format!("lost: {id:?}")));
+        self.violations.extend(
+            overdue
+                .iter()
+                .map(|(id, _)| format!("not answered by its deadline: {id:?}")),
+        );
     }
 
     pub fn observe_event(&mut self, now: Timestamp, event: &Event) {
@@ -89,7 +107,7 @@
                         .for_each(|m| m.state = EndpointState::Removed);
                 }
                 for entry in entries {
-                    // What was sent before this start was known did not go to this process as far as can be told.
+                    // Requests sent before the new start time was known count towards the previous process.
                     if self
                         .endpoints
                         .get(&entry.endpoint)
@@ -113,13 +131,21 @@
                 self.open.insert(request.id, open);
             }
             Event::Outcome(o) => {
-                let open = self.open.get_mut(&o.request).expect("known");
+                let open = self
+                    .open
+                    .get_mut(&o.request)
+                    .expect("outcome of a request that arrived");
                 let attempt = &mut open.attempts[usize::from(o.attempt)];
                 attempt.in_flight = false;
                 attempt.status = Some(o.status);
                 open.closed |= o.closed;
             }
-            Event::Cancelled(id) => self.open.get_mut(id).expect("known").closed = true,
+            Event::Cancelled(id) => {
+                self.open
+                    .get_mut(id)
+                    .expect("cancellation of a request that arrived")
+                    .closed = true
+            }
             Event::Cordon {
                 endpoint: id,
                 cordoned: true,
@@ -128,7 +154,7 @@
                 endpoint: id,
                 cordoned: false,
             } => {
-                // It was restarted meanwhile, whatever the list says of it.
+                // An uncordoned endpoint has been restarted, whatever start time the list contains.
                 let restarted = self
                     .cordoned
                     .remove(id)
@@ -136,7 +162,7 @@
                     .flatten();
                 if let Some(endpoint) = restarted {
                     endpoint.started = now;
-                    // What went to the process before it was taken out did not go to this one.
+                    // Requests sent before the cordon went to the previous process.
                     self.slow_start_sends.retain(|sent| sent.endpoint != *id);
                 }
             }
@@ -160,10 +186,12 @@
             Action::Reject(id, _) | Action::Fail(id) => {
                 let is_rejection = matches!(action, Action::Reject(..));
                 let Some(open) = self.open.get_mut(id) else {
-                    return self.violations.push(format!("answer for unknown {id:?}"));
+                    return self
+                        .violations
+                        .push(format!("answer to an unknown request: {id:?}"));
                 };
                 if open.closed {
-                    self.violations.push(format!("second answer: {id:?}"));
+                    self.violations.push(format!("answered twice: {id:?}"));
                 }
                 let may_have_run = open.attempts.iter().any(AttemptRecord::may_have_run);
                 let idempotency = self
@@ -181,7 +209,7 @@
                 );
                 if is_rejection && may_have_run && !is_repeatable {
                     self.violations
-                        .push(format!("refused what may have run: {id:?}"));
+                        .push(format!("rejected although it may have run: {id:?}"));
                 }
                 open.closed = true;
             }
@@ -197,15 +225,18 @@
         fill: Option<Fill>,
     ) {
         let Some(open) = self.open.get_mut(&id) else {
-            return self.violations.push(format!("attempt for unknown {id:?}"));
+            return self
+                .violations
+                .push(format!("attempt of an unknown request: {id:?}"));
         };
         if open.closed {
             self.violations
-                .push(format!("attempt after the answer: {id:?}"));
+                .push(format!("attempt of a closed request: {id:?}"));
         }
         let has_attempt_in_flight = open.attempts.iter().any(|attempt| attempt.in_flight);
         if has_attempt_in_flight && !self.settings.hedging {
-            self.violations.push(format!("two at once: {id:?}"));
+            self.violations
+                .push(format!("two attempts in flight without hedging: {id:?}"));
         }
         let first_that_may_have_run = open.attempts.iter().find(|attempt| attempt.may_have_run());
         match (
@@ -220,7 +251,7 @@
                 },
                 Some(first),
             ) if now < first.sent_at + window => {}
-            _ => self.violations.push(format!("effect twice: {id:?}")),
+            _ => self.violations.push(format!("may run twice: {id:?}")),
         }
         open.attempts.push(AttemptRecord {
             sent_at: now,
@@ -238,7 +269,7 @@
         if let (Some(purged_at), Some(fill), false) = (purged_at, fill, write) {
             if fill.max_age == 0 || now - fill.max_age.min(now) < purged_at && now > purged_at {
                 self.violations.push(format!(
-                    "purged copy: {id:?} takes copies of age {}",
+                    "accepts a purged copy: {id:?} with a maximum age of {} us",
                     fill.max_age
                 ));
             }
@@ -251,16 +282,20 @@
         .flatten()
         {
             if self.cordoned.contains(&at) {
-                self.violations.push(format!("out by hand: {at:?}"));
+                self.violations
+                    .push(format!("sent to a cordoned endpoint: {at:?}"));
             }
             match self.endpoints.get(&at) {
                 Some(m) if m.state == EndpointState::Ready => self.check_slow_start(now, at),
-                _ => self.violations.push(format!("drained: {at:?}")),
+                _ => self
+                    .violations
+                    .push(format!("sent to an endpoint that is not ready: {at:?}")),
             }
         }
     }
 
-    /// All of the tests' cacheable requests take 300 ms to send; fills are counted as if each reached its source.
+    /// Checks the load that was sent to an endpoint in slow start within the overload window. Every fill counts as if it
+    /// reached its source.
     fn check_slow_start(&mut self, now: Timestamp, at: EndpointId) {
         let endpoint = &self.endpoints[&at];
         let limits = match endpoint.kind {
@@ -278,7 +313,7 @@
         self.slow_start_sends.push(SlowStartSend {
             endpoint: at,
             sent_at: now,
-            transfer_time_us: 300_000.0,
+            transfer_time_us: TRANSFER_TIME_US,
         });
         let load: f64 = self
             .slow_start_sends
@@ -287,7 +322,9 @@
             .map(|sent| sent.transfer_time_us)
             .sum();
         if load > limits.overload_multiple * capacity * window as f64 {
-            self.violations.push(format!("pushed over: {at:?}"));
+            self.violations.push(format!(
+                "overloaded in slow start: {at:?}, {load} us of transfers"
+            ));
         }
     }
 }
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -1,9 +1,9 @@
-//! The harness round one router: sends it events, fires its timers and keeps what it does.
+//! Harness for one router: passes events to it, expires its timers and records its actions.
 use super::{Checker, MS, S};
 use cranesill::{api::*, Router};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt that the router has sent.
+/// An attempt that the router sent.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
     pub request: RequestId,
@@ -15,17 +15,18 @@
     pub in_flight: bool,
 }
 
-/// One router with all that it was told and did; every action is checked against the rules.
+/// A router with its attempts, timers, answers and log lines. Every action is checked against the invariants.
 pub struct RouterHarness {
     pub router: Router,
     pub now: Timestamp,
     pub sent: Vec<SentAttempt>,
+    /// Expiry time, token and insertion number.
     pub timers: BTreeSet<(Timestamp, u64, usize)>,
     pub log: Vec<String>,
     pub answers: BTreeMap<RequestId, Action>,
     pub checker: Checker,
     pub actions: Vec<Action>,
-    /// Attempts end along with others.
+    /// Whether attempts that end are reported as failed together with another one on the same connection.
     pub shared_failure: bool,
 }
 
@@ -46,7 +47,7 @@
         harness
     }
 
-    /// Tells the router an event and returns the attempts that it answers with.
+    /// Passes an event to the router and returns the attempts that it sends in response.
     pub fn notify(&mut self, event: Event) -> Vec<SentAttempt> {
         self.checker.observe_event(self.now, &event);
         let mut actions = Vec::new();
@@ -93,7 +94,7 @@
         self.notify(Event::Request(request))
     }
 
-    /// Ends an attempt and returns the attempts that this leads to.
+    /// Ends an attempt and returns the attempts that the router sends in response.
     pub fn end_attempt(
         &mut self,
         sent: &SentAttempt,
@@ -104,7 +105,7 @@
         self.end_attempt_with_report(sent, status, note, source_wait, None)
     }
 
-    /// The same, with a load report.
+    /// Ends an attempt with a load report and returns the attempts that the router sends in response.
     pub fn end_attempt_with_report(
         &mut self,
         sent: &SentAttempt,
@@ -117,8 +118,8 @@
             .sent
             .iter_mut()
             .filter(|s| s.request == sent.request && s.number == sent.number);
-        let attempt = matching.next().expect("was sent");
-        assert!(attempt.in_flight, "ended twice");
+        let attempt = matching.next().expect("the attempt was sent");
+        assert!(attempt.in_flight, "attempt ended twice: {attempt:?}");
         attempt.in_flight = false;
         let latency = self.now - attempt.at;
         let was_closed = self.checker.is_closed(sent.request);
@@ -142,7 +143,8 @@
         self.end_attempt(sent, Status::Ok, FillNote::Hit, 0);
     }
 
-    /// Moves the clock, firing the timers that fall due and ending attempts whose client has given up.
+    /// Advances the clock, expiring the timers that are due and timing out attempts at the deadlines of their requests.
+    /// Returns the attempts that were sent.
     pub fn advance(&mut self, span: Micros) -> Vec<SentAttempt> {
         let end = self.now + span;
         let first_new = self.sent.len();
@@ -160,7 +162,7 @@
                 }
                 (_, Some(t)) => {
                     self.timers.remove(&t);
-                    // A timer may come a little late.
+                    // Timers may expire up to 2 ms late.
                     self.now = self.now.max(t.0 + 2 * MS);
                     self.notify(Event::Timer(t.1));
                 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! What the tests share: settings, a harness round one router, and the checker of the five rules.
-//! There is no model of servers here: tests say how each attempt ends.
-#![allow(dead_code, unused_imports)] // Each test file uses a part of it.
+//! Shared parts of the tests: settings, a harness for one router, and a checker of the invariants.
+//!
+//! Servers are not simulated: each test determines how an attempt ends.
+#![allow(dead_code, unused_imports)] // Each test file uses some of the items.
 mod checker;
 mod harness;
 
@@ -15,7 +16,7 @@
 pub const PARENT: u8 = 1;
 pub const ORIGIN: u8 = 2;
 
-/// A class whose requests of 300 KB take 300 ms to send.
+/// A request class. With [`settings`], a response of 300 KB takes 300 ms to transfer.
 pub fn class(idempotency: Idempotency, write: bool) -> Class {
     Class {
         latency_objective: 500 * MS,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Caches 10, 11, 12, parents 20, 21 and origin 30, all warm.
+/// Caches 10, 11 and 12, parents 20 and 21, and origin 30, none of them in slow start.
 pub fn default_endpoints() -> Vec<EndpointEntry> {
     [
         (10, CACHE),
@@ -103,10 +104,12 @@
         time_left: 4 * S,
     }
 }
-/// A small generator of repeatable numbers.
+
+/// A deterministic pseudo-random number generator.
 pub struct Rng(pub u64);
 
 impl Rng {
+    /// A number from 0 to `n - 1`.
     pub fn below(&mut self, n: u64) -> u64 {
         self.0 = self
             .0
--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -1,9 +1,9 @@
-//! Endpoints that operators take out: whatever the list says meanwhile, and whatever was planned before.
+//! Cordoned and uncordoned endpoints: routing, slow start, and health state before and after.
 mod common;
 use common::*;
 use cranesill::api::*;
 
-/// Endpoints that a hundred requests for different objects name.
+/// Targets and sources of the attempts of a hundred requests for different objects.
 fn endpoints_used(harness: &mut RouterHarness, from: u64) -> std::collections::BTreeSet<u64> {
     let mut endpoints = std::collections::BTreeSet::new();
     for id in from..from + 100 {
@@ -28,7 +28,7 @@
         cordoned: true,
     });
     assert_eq!(endpoints_used(&mut harness, 1), [11, 12, 21].into());
-    // It leaves the list and returns, alone and with the whole list.
+    // The cordon outlasts removal from the list and a return by a delta or a full list.
     let removed = EndpointEntry {
         state: EndpointState::Removed,
         ..entry(10, CACHE)
@@ -62,10 +62,10 @@
         cordoned: false,
     });
     assert!(!harness.router.is_unavailable(EndpointId(10)));
-    // The checker holds it to the limits of one that started now.
+    // The checker applies the slow-start limits of an endpoint that started now.
     assert!(
         endpoints_used(&mut harness, 1).contains(&10),
-        "it is used again within two seconds"
+        "the uncordoned cache must get requests within two seconds"
     );
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
@@ -82,7 +82,10 @@
             next = harness.end_attempt(&sent, Status::ConnectFailed, FillNote::None, 0);
         }
     }
-    assert!(harness.router.is_unavailable(EndpointId(10)), "it is DOWN");
+    assert!(
+        harness.router.is_unavailable(EndpointId(10)),
+        "cache 10 must be DOWN after the failed attempts"
+    );
     let sent = harness.attempts_in_flight();
     harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
@@ -94,9 +97,9 @@
     });
     assert!(
         !harness.router.is_unavailable(EndpointId(10)),
-        "not DOWN by what its old process did"
+        "failures from before the cordon must not keep the cache DOWN"
     );
-    // What was sent to the old one fails now: that says nothing of the new one either.
+    // Attempts sent to the previous process fail after the restart.
     for sent in sent {
         harness.end_attempt(&sent, Status::Reset, FillNote::None, 0);
     }
@@ -118,7 +121,7 @@
     });
     assert!(
         endpoints_used(&mut harness, 1).contains(&30),
-        "without parents the origin fills"
+        "without parents, caches must fill from the origin"
     );
     [10, 11, 12].into_iter().for_each(|id| {
         drop(harness.notify(Event::Cordon {
@@ -129,7 +132,7 @@
     assert_eq!(
         endpoints_used(&mut harness, 1_001),
         [30].into(),
-        "without caches requests go straight to the origin"
+        "without caches, requests must go to the origin"
     );
     harness.notify(Event::Cordon {
         endpoint: EndpointId(30),
@@ -138,9 +141,9 @@
     assert!(endpoints_used(&mut harness, 2_001).is_empty());
     assert!(
         harness.answers.contains_key(&RequestId(2_001)),
-        "with nothing left they are refused at once"
+        "without usable endpoints, requests must be answered immediately"
     );
-    // Requests that wait for a endpoint that is taken out are not left waiting.
+    // Requests that wait for an endpoint are answered when it is cordoned.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let ids: Vec<u64> = (1..=400).collect();
     ids.iter()
@@ -153,12 +156,15 @@
     });
     let sent: std::collections::BTreeSet<_> = harness.sent.iter().map(|s| s.request.0).collect();
     let unsent = ids.iter().filter(|id| !sent.contains(id));
-    assert!(unsent.clone().count() > 0, "some wait");
+    assert!(
+        unsent.clone().count() > 0,
+        "some requests must wait for capacity"
+    );
     assert!(
         unsent
             .clone()
             .all(|id| harness.answers.contains_key(&RequestId(*id))),
-        "and are answered"
+        "waiting requests must be answered"
     );
 }
 
@@ -192,7 +198,7 @@
         *learned
             .iter()
             .find(|one| one.endpoint.0 == id)
-            .expect("learned")
+            .expect("learned health of the endpoint")
     };
     assert!(
         learned_of(10).down
@@ -203,18 +209,22 @@
     let mut new = RouterHarness::new(settings(), endpoints());
     new.now = old.now;
     new.notify(Event::LearnedHealth(learned.clone()));
-    // SUSPECT: it is probed by one request and its further try, not by all.
+    // A SUSPECT endpoint gets at most two probes at once.
     let to_10: Vec<_> = (1..=40)
         .flat_map(|id| new.send_request(new_request(id, id)))
         .filter(|sent| sent.target == 10)
         .collect();
-    assert!((1..=2).contains(&to_10.len()), "{} probes", to_10.len());
+    assert!(
+        (1..=2).contains(&to_10.len()),
+        "{} probes of a SUSPECT cache",
+        to_10.len()
+    );
     new.end_attempt(&to_10[0], Status::ConnectFailed, FillNote::None, 0);
     assert!(
         new.router.is_unavailable(EndpointId(10)),
-        "one failure is enough"
+        "one failed probe must make the cache unavailable"
     );
-    // Of a endpoint that has started anew since, it says nothing.
+    // Learned health does not apply to an endpoint with another start time.
     let mut new = RouterHarness::new(settings(), endpoints());
     let restarted = EndpointEntry {
         started: new.now - S,
@@ -243,7 +253,7 @@
         endpoint: EndpointId(10),
         cordoned: false,
     });
-    // Answered at once, so that nothing but its coldness holds them back.
+    // Responses are immediate, so only the slow-start budget limits the requests to the cache.
     for id in 1..=400 {
         for sent in harness.send_request(new_request(id, id)) {
             harness.serve(&sent);
@@ -252,7 +262,7 @@
     }
     assert!(
         harness.sent.iter().any(|sent| sent.target == 10),
-        "it gets its share of what it can do"
+        "the cache in slow start must get some requests"
     );
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,19 +1,22 @@
-//! The rules under deployments of any shape: some hundreds of settings and lists are made from seeds, inside what the
-//! protocol page allows, and one router of each is driven by scripted peers on a virtual clock.
+//! Checks the invariants of the decision module in deployments generated from seeds, each with one router, scripted
+//! endpoints and a virtual clock.
 mod common;
 use common::*;
 use cranesill::api::*;
 
+/// Number of generated deployments.
 const SEEDS: u64 = 300;
+/// Number of random events per deployment.
 const STEPS: u64 = 700;
 
-/// The endpoints of a deployment and what is told to its router.
+/// Settings of a router and the endpoints that its list contains.
 struct Deployment {
     settings: Settings,
     endpoints: Vec<EndpointEntry>,
 }
 
-/// One to six hubs, one to eight locations of unequal size, one to six classes, with and without all that is optional.
+/// Generates a deployment: one to six zones with parents, one to eight zones with caches, one to six classes, and a
+/// random choice of optional features.
 fn deployment(seed: u64) -> Deployment {
     let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let (parent_zones, cache_zones) = (1 + rng.below(6), 1 + rng.below(8));
@@ -21,7 +24,7 @@
     let classes = (0..1 + rng.below(6)).map(|_| {
         let idempotency = match rng.below(6) {
             0 => Idempotency::NotIdempotent,
-            // Windows shorter than any deadline, and longer.
+            // The windows may be shorter or longer than the deadline.
             1 => Idempotency::Keyed {
                 scope: KeyScope::Zone,
                 window: rng.below(5_000) * MS,
@@ -79,7 +82,7 @@
         fronts_by_zone,
         front_index: 0,
         classes,
-        // Which number a kind has is the deployment's own choice; the tests' checker knows these.
+        // Deployments number their kinds freely; the checker requires these.
         parent_kind: parents.then_some(PARENT),
         origin_kind: origin.then_some(ORIGIN),
         client_kb_per_s: 1000.0,
@@ -129,7 +132,7 @@
     }
 }
 
-/// An end that the settings allow, for what was asked.
+/// A random outcome of an attempt, with or without a source.
 fn random_outcome(rng: &mut Rng, has_source: bool) -> (Status, FillNote) {
     use Status::*;
     match rng.below(24) {
@@ -152,7 +155,7 @@
     }
 }
 
-/// Plays one deployment; what was violations, and how many requests were served and attempts sent.
+/// Runs one deployment. Returns the violations, the number of requests served and the number of attempts sent.
 fn run(seed: u64) -> (Vec<String>, usize, usize) {
     let Deployment {
         settings,
@@ -176,7 +179,7 @@
                 request.class = rng.below(classes) as u16;
                 request.group = rng.below(4) as u32;
                 request.part = rng.below(3) as u32;
-                // The checker counts cold work as 300 ms each, so sizes that are told are of that mean at most.
+                // The checker counts every request to an endpoint in slow start as 300 ms of transfer time.
                 request.size_kb = if sizes_known { 300.0 } else { 0.0 };
                 request.time_left = 20 * MS + rng.below(4_000) * MS;
                 harness.send_request(request);
@@ -233,7 +236,7 @@
             }
         }
     }
-    // All are answered once their time is up, whatever became of their attempts.
+    // Longer than any deadline: every request must have been answered.
     harness.advance(6 * S);
     harness.checker.check_overdue(harness.now);
     for sent in &harness.sent {
@@ -245,16 +248,17 @@
         };
         match kind(sent.target) {
             Some((CACHE, at)) if at == zone => {}
-            Some((CACHE, _)) => violations.push(format!("a cache of another location: {sent:?}")),
-            _ if !pass_through => {
-                violations.push(format!("straight to a parent or the origin: {sent:?}"))
+            Some((CACHE, _)) => {
+                violations.push(format!("sent to a cache of another zone: {sent:?}"))
             }
+            _ if !pass_through => violations.push(format!(
+                "bypasses the caches without pass-through: {sent:?}"
+            )),
             _ => {}
         }
-        // A source is a parent, the origin or the target itself: caches of other locations only where that is allowed,
-        // and it is never made use of.
+        // Valid sources are parents, the origin and the target itself.
         match sent.source.filter(|s| *s != sent.target).and_then(kind) {
-            Some((CACHE, _)) => violations.push(format!("filled from a cache: {sent:?}")),
+            Some((CACHE, _)) => violations.push(format!("filled from another cache: {sent:?}")),
             _ if u32::from(sent.number) >= max_attempts => {
                 violations.push(format!("more than {max_attempts} attempts: {sent:?}"))
             }
@@ -273,18 +277,18 @@
         let first = violations.iter().take(3).collect::<Vec<_>>();
         assert!(
             violations.is_empty(),
-            "seed {seed}: {} breaches, first {first:#?}",
+            "seed {seed}: {} violations, the first: {first:#?}",
             violations.len()
         );
         (served, sent) = (served + ok, sent + attempts);
     }
     assert!(
         served > 10_000 && sent > 50_000,
-        "the peers must do something: {served} served, {sent} sent"
+        "too few requests to check the invariants: {served} served, {sent} attempts"
     );
 }
 
-/// Files below a folder of the project, but for those that are no part of what ships.
+/// Matching files below a folder of the project, without folders of tests, examples and documentation.
 fn shipped_files(folder: &str, matches: impl Fn(&str) -> bool) -> Vec<std::path::PathBuf> {
     let mut files = Vec::new();
     let mut folders = vec![std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join(folder)];
@@ -307,12 +311,12 @@
     files
 }
 
-/// What operators call their classes, kinds, zones and sites, from the files of the variants and of the examples.
+/// Names of classes, kinds, zones and sites in the deployments below deploy/sites.
 fn deployment_names() -> Vec<String> {
     let mut names = Vec::new();
     for file in shipped_files("deploy/sites", |name| name.ends_with(".toml")) {
         let text = std::fs::read_to_string(file).unwrap();
-        // Behind the troubles come the simulator's own words.
+        // The faults and what follows them belong to the simulator.
         let site = text.split("[[trouble").next().unwrap();
         for line in site
             .lines()
@@ -324,6 +328,7 @@
     names
 }
 
+/// Names of operators and sites in deployments that are not part of the project.
 const OPERATOR_AND_SITE_NAMES: [&str; 19] = [
     "himal",
     "kinfolk",
@@ -346,7 +351,7 @@
     "quay-papers",
 ];
 
-/// Product code and the deploy file know no operator and no site: whatever they do follows from settings and lists.
+/// Behaviour must follow from settings and endpoint lists, not from the names of a particular deployment.
 #[test]
 fn product_code_contains_no_operator_or_site_names() {
     let deployment_names = deployment_names();
@@ -361,20 +366,24 @@
     assert_eq!(deploy.len(), 3);
     for file in product.iter().chain(&deploy) {
         let text = std::fs::read_to_string(file).unwrap().to_lowercase();
-        // Tests stand in files of their own: all of this one ships.
+        // Test modules are in separate files, which are not searched.
         assert!(
             !text.contains("mod tests {"),
-            "{} has tests of its own",
+            "{} contains a test module",
             file.display()
         );
         for name in &OPERATOR_AND_SITE_NAMES {
-            assert!(!text.contains(name), "{} names {name}", file.display());
+            assert!(
+                !text.contains(name),
+                "{} contains the name {name}",
+                file.display()
+            );
         }
-        // Some of theirs are words of every day: as a text of their own they would be a name.
+        // These may be common words, so only string literals that equal them count.
         for name in &deployment_names {
             assert!(
                 !text.contains(&format!("\"{name}\"")),
-                "{} names {name}",
+                "{} contains the name {name}",
                 file.display()
             );
         }
--- a/tests/fill_sources.rs
+++ b/tests/fill_sources.rs
@@ -1,12 +1,12 @@
-//! What many routers do together, and what one of many learns too late. No bench is needed.
+//! Choice of the source of a fill where one of many fronts learns too late about the load of parents and the origin.
 mod common;
 use common::*;
 use cranesill::api::*;
 
 #[test]
 fn fills_after_a_purge_of_all_copies_check_parents_first_and_stay_within_the_origins_limit() {
-    // Days on which all copies go void: what filled by way of the origin took the places of parents for seconds
-    // before a tenth of the answers of any one router was late.
+    // Guards against fills from the origin that hold all slots of the parents before a front detects that the origin is
+    // slow.
     let mut harness = RouterHarness::new(
         Settings {
             coalescing: true,
@@ -27,7 +27,7 @@
         let first = harness.send_request(purged(id));
         harness.serve(&first[0]);
     }
-    // Nothing is known of the origin but that it will be asked for all: it is as quick as ever.
+    // The origin is not yet late, but every fill will have to go through to it.
     let only_cached = |sent: &SentAttempt| sent.fill.is_some_and(|fill| fill.only_cached);
     let mut origin_fills = 0;
     for id in 100..200 {
@@ -36,7 +36,7 @@
         };
         assert!(
             only_cached(&first),
-            "a parent is not made to fetch before it is known to lack the object"
+            "a parent must first be asked for a cached copy: {first:?}"
         );
         origin_fills += harness
             .end_attempt(&first, Status::Miss, FillNote::SourceMiss, 0)
@@ -44,23 +44,23 @@
             .filter(|s| !only_cached(s))
             .count();
     }
-    // Three times its weight: what the origin is taken to carry at first.
+    // The initial limit of the origin is three times its weight.
     assert!(
         (1..=60).contains(&origin_fills),
-        "{origin_fills} fetches of the origin at once"
+        "{origin_fills} fills from the origin in flight"
     );
     let other = harness.send_request(new_request(300, 300));
     assert!(
         other.iter().all(|sent| !only_cached(sent)),
-        "what was not purged is filled as ever"
+        "fills of objects that were not purged must not be restricted"
     );
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
 fn large_fills_without_coalescing_check_parents_first_and_stay_within_the_origins_limit() {
-    // A calm day of three hundred fronts: after a purge all fetched the same few large objects from the origin, each for
-    // itself; none of these fetches ended in time, nothing was kept, and so it went on for as long as they were wanted.
+    // Guards against many fronts that fetch the same large objects from the origin at once after a purge, so that no
+    // fill ends in time and nothing is cached.
     let count_checks_and_fills = |coalescing: bool, size_kb: f64| {
         let mut harness = RouterHarness::new(
             Settings {
@@ -70,7 +70,7 @@
             },
             default_endpoints(),
         );
-        // The mean of the class is learnt first.
+        // Establishes the mean transfer time of the class.
         for id in 1..=40 {
             harness
                 .send_request(new_request(id, id))
@@ -103,21 +103,21 @@
     let (parent_checks, origin_fills) = count_checks_and_fills(false, 900.0);
     assert!(
         parent_checks >= 50 && (1..=60).contains(&origin_fills),
-        "{parent_checks} asked for what is held, {origin_fills} fetched"
+        "{parent_checks} requests for cached copies, {origin_fills} fills from the origin"
     );
     let (parent_checks, _) = count_checks_and_fills(false, 30.0);
     assert!(
         parent_checks <= 20,
-        "what is small is fetched at once as ever, but where no room is left: {parent_checks}"
+        "small parts must be filled without a check while the parents have capacity: {parent_checks} checks"
     );
     let (parent_checks, _) = count_checks_and_fills(true, 900.0);
-    assert_eq!(parent_checks, 0, "fills that join each other need no look");
+    assert_eq!(parent_checks, 0, "fills that coalesce need no check");
 }
 
 #[test]
 fn an_idle_origin_gets_fills_that_exceed_the_last_parents_capacity() {
-    // A hub was lost: once the list said so, the parent that was left had room for a third of a fill of each front,
-    // and 1,700 requests a second were refused beside an origin that was idle.
+    // Guards against rejections while the origin is idle: the last parent has capacity for less than one fill of each
+    // front.
     let mut endpoints = default_endpoints();
     endpoints.remove(4);
     endpoints[3].weight = 0.3;
@@ -149,8 +149,8 @@
 
 #[test]
 fn one_of_many_fronts_does_not_cut_the_limit_of_a_source_for_late_responses() {
-    // Each of a hundred fronts hears of a source once a second: a few late answers kept it from sending there for ten
-    // seconds after the source was quick again.
+    // Guards against a few late responses that stop a front from using a source for many seconds: each of a hundred
+    // fronts gets few responses from it.
     let many = Settings {
         fronts: 100,
         coalescing: true,
@@ -174,6 +174,10 @@
     let first = harness.send_request(new_request(31, 31)).remove(0);
     let next = harness.end_attempt(&first, Status::Miss, FillNote::SourceMiss, 0);
     let next: Vec<_> = next.iter().map(|sent| sent.source).collect();
-    assert_eq!(next, [Some(20)], "the parent has room for what missed");
+    assert_eq!(
+        next,
+        [Some(20)],
+        "the parent must have capacity for the miss"
+    );
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
--- a/tests/fleet_simulation.rs
+++ b/tests/fleet_simulation.rs
@@ -1,25 +1,26 @@
-//! Dozens of routers side by side on one virtual clock, counted over all of them: what one does by itself is small.
+//! Simulation of many fronts on one virtual clock. Checks limits on the total load that they send to an endpoint.
 mod common;
 use common::*;
 use cranesill::api::*;
 use std::collections::VecDeque;
 
 const FRONTS: u32 = 48;
+/// Time by which the simulation advances at once.
 const STEP: u64 = 10 * MS;
-/// How long a endpoint takes for an answer.
+/// Response time of an endpoint.
 const RESPONSE_TIME: u64 = 60 * MS;
 const CACHES: u64 = 12;
-/// Requests a second of a router of the usual fleet.
+/// Requests per second to each front of the default fleet.
 const DEFAULT_RATE_PER_S: f64 = 10.0;
 
-/// Many routers of one location, their shared endpoints, and what was sent to whom.
+/// The fronts of one zone, which share all endpoints.
 struct Fleet {
     harnesses: Vec<RouterHarness>,
-    /// Attempts that are out: when they end, by whom.
+    /// Attempts in flight: when they end, the index of the front, and the attempt.
     in_flight: VecDeque<(Timestamp, usize, SentAttempt)>,
-    /// Every attempt, with the endpoint that it was for.
+    /// All attempts: when they were sent, the index of the front, and the target.
     sent: Vec<(Timestamp, usize, u64)>,
-    /// Requests that each router is asked in a step.
+    /// Mean number of requests to each front per step.
     requests_per_step: f64,
     rng: Rng,
     next_id: u64,
@@ -38,7 +39,7 @@
         Fleet::with_load(FRONTS, DEFAULT_RATE_PER_S, seed)
     }
 
-    /// So many routers, each of which is asked so often a second.
+    /// A fleet of `fronts` fronts, each of which gets `rate` requests per second.
     fn with_load(fronts: u32, rate: f64, seed: u64) -> Self {
         let harnesses = (0..fronts).map(|number| {
             let fronts_by_zone = vec![0, 0, fronts];
@@ -66,7 +67,7 @@
         }
     }
 
-    /// All routers are told of endpoints.
+    /// Passes a change of the endpoint list to all fronts.
     fn notify(&mut self, kind: ListKind, endpoints: &[EndpointEntry]) {
         for n in 0..self.harnesses.len() {
             let sent = self.harnesses[n].notify(Event::Endpoints(kind, endpoints.to_vec()));
@@ -74,13 +75,13 @@
         }
     }
 
-    /// How often a router is asked in this step.
+    /// Random number of requests to a front in this step.
     fn requests_in_step(&mut self) -> u64 {
         let chance = (self.requests_per_step.fract() * 10_000.0) as u64;
         self.requests_per_step as u64 + u64::from(self.rng.below(10_000) < chance)
     }
 
-    /// Plays on for a time; `dead` answers no connection.
+    /// Continues the simulation for `span`. The `unreachable` endpoints refuse connections.
     fn run(&mut self, span: Micros, unreachable: &[u64]) {
         let until = self.now + span;
         while self.now < until {
@@ -100,7 +101,10 @@
                 .front()
                 .is_some_and(|ending| ending.0 <= self.now)
             {
-                let (_, n, sent) = self.in_flight.pop_front().expect("seen");
+                let (_, n, sent) = self
+                    .in_flight
+                    .pop_front()
+                    .expect("an attempt that has ended");
                 let is_same_in_flight = |s: &SentAttempt| {
                     s.request == sent.request && s.number == sent.number && s.in_flight
                 };
@@ -135,7 +139,7 @@
     fn record_sent(&mut self, n: usize, sent: Vec<SentAttempt>, unreachable: &[u64]) {
         for sent in sent {
             self.sent.push((self.now, n, sent.target));
-            // Nobody listens there: that is told at once.
+            // A refused connection fails immediately.
             let duration = if unreachable.contains(&sent.target) {
                 STEP
             } else {
@@ -162,13 +166,17 @@
         let mut fleet = Fleet::new(seed);
         fleet.run(5 * S, &[]);
         let before = fleet.sent_to(10, fleet.now - 4 * S, fleet.now);
-        assert!(before > 50, "it has its part of the work: {before}");
+        assert!(
+            before > 50,
+            "the cache must get requests before it stops: {before}"
+        );
         let stopped_at = fleet.now;
         fleet.run(30 * S, &[10]);
-        // Each router that is asked for what belongs there learns it by four failures; a tenth more may be on its way.
+        // Each front detects the failure after four failed attempts, with 10% more in flight, and sends up to three
+        // probes.
         let detection_attempts = fleet.sent_to(10, stopped_at, stopped_at + 20 * S);
         let max_attempts = FRONTS as usize * 4 * 11 / 10;
-        // From then on one probe and one more at a time in each router, each 5 s.
+        // Afterwards each front sends at most two probes per fail window of 5 s.
         let probes = fleet.sent_to(10, stopped_at + 20 * S, stopped_at + 30 * S);
         assert!(
             detection_attempts <= max_attempts + 3 * FRONTS as usize,
@@ -178,13 +186,13 @@
             probes <= 4 * FRONTS as usize,
             "seed {seed}: {probes} probes in 10 s"
         );
-        // It answers again: all go back to it.
+        // All fronts use the cache again after its restart.
         let restarted_at = fleet.now;
         fleet.run(12 * S, &[]);
         let after = fleet.sent_to(10, restarted_at + 8 * S, restarted_at + 12 * S);
         assert!(
             after * 2 > before,
-            "seed {seed}: {after} in 4 s, {before} before"
+            "seed {seed}: {after} requests in 4 s after the restart, {before} before the stop"
         );
     }
 }
@@ -219,7 +227,7 @@
                 .filter(|other| (*at..at + window).contains(other))
                 .count();
             max_sent = max_sent.max(sent);
-            // What it can do at the window's begin, in requests of 300 ms.
+            // Capacity at the start of the window, in requests with a transfer time of 300 ms.
             let age = (at - started) as f64 / limits.warm_up as f64;
             let capacity = cold.weight
                 * (limits.initial_capacity_fraction
@@ -227,14 +235,18 @@
             let max_requests = limits.overload_multiple * capacity * window as f64 / 300_000.0;
             assert!(
                 sent as f64 <= max_requests,
-                "seed {seed}: {sent} in {window} us at age {age:.2}, {max_requests:.1} at most"
+                "seed {seed}: {sent} requests in {window} us at {age:.2} of the warm-up, limit {max_requests:.1}"
             );
         }
-        assert!(max_sent > 0, "seed {seed}: nothing was sent to it");
+        assert!(
+            max_sent > 0,
+            "seed {seed}: no requests to the cache in slow start"
+        );
     }
 }
 
-/// The cache that returns cold in the tests of the budget, of a tenth of the others' size, so that its budget binds.
+/// The cache that restarts in the tests of the slow-start budget. Its weight is a tenth of the others', so that the
+/// budget limits its load.
 const RESTARTED_CACHE: u64 = 11;
 
 fn restarted_cache(started: Timestamp) -> EndpointEntry {
@@ -245,8 +257,9 @@
     }
 }
 
-/// Requests of mean work that a cache bears which started at that time, in the span that begins now: what the settings allow it
-/// then, and what chance adds to that.
+/// Maximum number of requests with a transfer time of 300 ms to the cache that started at `started`, in the overload
+/// window that begins at `now`: the number that the settings allow, plus two or three standard deviations for random
+/// arrivals.
 fn max_requests_in_window(started: Timestamp, now: Timestamp) -> f64 {
     let settings = settings();
     let limits = settings.cache_slow_start;
@@ -262,7 +275,7 @@
     }
 }
 
-/// Checks each span of a ramp against the budget. Returns the requests in the fullest one.
+/// Checks each overload window of a slow start against the budget. Returns the largest number of requests in a window.
 fn assert_within_budget(
     fleet: &Fleet,
     started: Timestamp,
@@ -285,13 +298,13 @@
         let age_ms = (at - started) / MS;
         assert!(
             sent as f64 <= max_requests,
-            "{context}: {sent} in a span {age_ms} ms after the start, {max_requests:.1} at most"
+            "{context}: {sent} requests in the window {age_ms} ms after the start, limit {max_requests:.1}"
         );
     }
     max_sent
 }
 
-/// Fleets of one, of some and of hundreds, with the same load over all.
+/// Number of fronts and requests per second to each; the total is 480 requests per second.
 const FLEETS: [(u32, f64); 3] = [(1, 480.0), (FRONTS, DEFAULT_RATE_PER_S), (400, 1.2)];
 
 #[test]
@@ -304,7 +317,10 @@
         fleet.run(12 * S, &[]);
         let max_sent =
             assert_within_budget(&fleet, started, fleet.now, &format!("{fronts} fronts"));
-        assert!(max_sent > 0, "{fronts} fronts: nothing was sent to it");
+        assert!(
+            max_sent > 0,
+            "{fronts} fronts: no requests to the cache in slow start"
+        );
     }
 }
 
@@ -317,7 +333,7 @@
         fleet.notify(ListKind::Delta, &[restarted_cache(started)]);
         for _ in 0..8 {
             fleet.run(S, &[]);
-            // As after a reload: another service tells all of it.
+            // A full list is received, as after a reload.
             let mut all = endpoints();
             all.retain(|entry| entry.endpoint != EndpointId(RESTARTED_CACHE));
             all.push(restarted_cache(started));
@@ -348,6 +364,9 @@
         fleet.notify(ListKind::Delta, &[restarted_cache(second)]);
         fleet.run(12 * S, &[]);
         let max_sent = assert_within_budget(&fleet, second, fleet.now, &context);
-        assert!(max_sent > 0, "{context}: nothing was sent to it");
+        assert!(
+            max_sent > 0,
+            "{context}: no requests to the cache in slow start"
+        );
     }
 }
--- a/tests/health_and_placement.rs
+++ b/tests/health_and_placement.rs
@@ -1,19 +1,19 @@
-//! The mechanism step by step, with the two worked examples of its source as cases.
+//! Health states, failure charging, placement by object and part, and unusual settings and events.
 mod common;
 use common::*;
 use cranesill::api::*;
 
-/// An object whose fills the first parent in hash order is `parent` for.
+/// An object that has `parent` first in the rendezvous order of its parents.
 fn object_with_first_parent(parent: u64) -> u64 {
     (1..)
         .find(|object| {
             let mut harness = RouterHarness::new(settings(), default_endpoints());
             harness.send_request(new_request(1, *object))[0].source == Some(parent)
         })
-        .expect("some object")
+        .expect("an object with this parent first")
 }
 
-/// One request whose only cache is gone for good: the attempts until it is answered.
+/// A router with one cache, one parent and the origin.
 fn single_cache() -> RouterHarness {
     RouterHarness::new(
         settings(),
@@ -21,6 +21,7 @@
     )
 }
 
+/// Sends a request whose attempts all fail to connect, and returns their number.
 fn attempts_until_answered(harness: &mut RouterHarness, id: u64) -> usize {
     let mut attempts = 0;
     let mut next = harness.send_request(new_request(id, 5));
@@ -40,11 +41,11 @@
         "{:?}",
         harness.log
     );
-    // Within the window: zero attempts, an answer at once.
+    // Within the fail window, requests are answered without an attempt.
     harness.advance(4 * S);
     assert_eq!(attempts_until_answered(&mut harness, 2), 0);
     assert!(harness.answers.contains_key(&RequestId(2)));
-    // After it a probe; its failure returns the endpoint to DOWN for a full window.
+    // One probe follows, and its failure starts another fail window.
     harness.advance(2 * S);
     assert_eq!(attempts_until_answered(&mut harness, 3), 1);
     harness.advance(4 * S);
@@ -73,7 +74,7 @@
     assert_eq!(sources, [20, 20, 20, 21]);
     assert!(
         harness.log.is_empty(),
-        "three failures are not yet DOWN: {:?}",
+        "three failures must not take the parent DOWN: {:?}",
         harness.log
     );
     let attempt = harness.send_request(new_request(2, object)).remove(0);
@@ -100,7 +101,7 @@
         first = harness.end_attempt(&first[0].clone(), Status::Reset, FillNote::None, 0);
     }
     assert!(harness.log.last().unwrap().contains("DOWN"));
-    // Sent before the endpoint went DOWN, served after it: proves nothing.
+    // A success of an attempt that was sent before the endpoint went DOWN is not a probe.
     harness.end_attempt(&older, Status::Ok, FillNote::Hit, 0);
     assert_eq!(harness.send_request(new_request(2, 5)).len(), 0);
     harness.advance(6 * S);
@@ -127,7 +128,7 @@
     assert_eq!(
         harness.log.len(),
         2,
-        "both parents are DOWN: {:?}",
+        "both parents must be DOWN: {:?}",
         harness.log
     );
     assert_eq!(
@@ -171,7 +172,7 @@
 
 #[test]
 fn missing_endpoint_kinds_and_invalid_events_are_handled() {
-    // An empty list, an origin only, no parents, one cache.
+    // Endpoint lists that are empty, contain only the origin, or contain no parents.
     let mut empty = RouterHarness::new(settings(), Vec::new());
     assert!(empty.send_request(new_request(1, 5)).is_empty() && empty.answers.len() == 1);
     let mut with_pass_through = settings();
@@ -189,7 +190,8 @@
         })
         .remove(0);
     assert_eq!((attempt.target, attempt.source), (10, Some(30)));
-    // A class that is not in the settings is refused, an unknown timer or outcome ignored.
+    // Requests of an unknown class are answered immediately, and unknown timers ignored. A failed list causes a new
+    // subscription.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     harness.send_request(Request {
         class: 9,
@@ -201,7 +203,7 @@
         .notify(Event::Endpoints(ListKind::Failed, Vec::new()))
         .is_empty());
     assert_eq!(harness.actions.last(), Some(&Action::Subscribe));
-    // Where changes must be asked for, that is done once, with the first news of the list.
+    // Where a subscription is required, it is made once, with the first list.
     let mut subscribing = settings();
     subscribing.must_subscribe = true;
     let mut subscribed = RouterHarness::new(subscribing, default_endpoints());
@@ -211,7 +213,7 @@
 
 #[test]
 fn state_does_not_grow_with_removed_endpoints_or_other_zones() {
-    // State stays bounded: replaced machines come under new ids, hundreds in one delta.
+    // Replaced endpoints have new ids, with hundreds in one delta.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let initial_size = format!("{:?}", harness.router).len();
     for round in 0..50u64 {
@@ -234,7 +236,7 @@
     let final_size = format!("{:?}", harness.router).len();
     assert!(
         final_size < initial_size * 6,
-        "{final_size} against {initial_size}: places are used again"
+        "state grew from {initial_size} to {final_size} bytes of debug output"
     );
     assert!([10, 11, 12].contains(&harness.send_request(new_request(1, 5))[0].target));
 }
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -1,15 +1,15 @@
-//! One small case for each failure found with the bench, by the names in docs/incidents/README.md.
+//! Regression tests: a small case for each failure found under load. `docs/incidents/README.md` describes them.
 mod common;
 use common::*;
 use cranesill::api::*;
 
-/// Asks once for each object of the range and returns the attempts that are sent at once.
+/// Sends one request for each object of the range and returns the attempts that are sent immediately.
 fn send_requests(harness: &mut RouterHarness, ids: std::ops::Range<u64>) -> Vec<SentAttempt> {
     ids.flat_map(|id| harness.send_request(new_request(id, id)))
         .collect()
 }
 
-/// The usual endpoints with parents that have room for few.
+/// The default endpoints with parents of low weight.
 fn endpoints_with_small_parents() -> Vec<EndpointEntry> {
     let mut endpoints = default_endpoints();
     endpoints[3..5]
@@ -20,7 +20,7 @@
 
 #[test]
 fn rejections_for_lack_of_capacity_cause_no_retry_storm() {
-    // i23556e: each refusal was tried up to eight times, twenty attempts a request.
+    // Guards against retrying every rejection, which multiplies the load.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=200 {
         let mut next = harness.send_request(new_request(id, id));
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_fault_common_to_all_parents_takes_none_down() {
-    // ia8f6a2: fills of all parents timed out behind a slow origin, and all went DOWN.
+    // Guards against a slow origin taking all parents DOWN.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=60 {
         if let Some(attempt) = harness.send_request(new_request(id, id)).first().cloned() {
@@ -53,7 +53,7 @@
 
 #[test]
 fn the_only_slow_parent_goes_down() {
-    // i4761b2: a parent that answered late but inside the time-out never counted up.
+    // Guards against a parent that stays UP although its responses are late, because they arrive before the timeout.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=40 {
         harness.send_request(new_request(id, id));
@@ -85,7 +85,7 @@
 
 #[test]
 fn caches_are_checked_for_a_copy_before_filling_from_a_loaded_source() {
-    // ia8f6a2: fills that waited took the places of hits.
+    // Guards against waiting fills that take the slots of hits.
     let mut harness = RouterHarness::new(settings(), endpoints_with_small_parents());
     let sent = send_requests(&mut harness, 1..400);
     let cache_checks: Vec<_> = sent.iter().filter(|s| s.source == Some(s.target)).collect();
@@ -95,10 +95,10 @@
         .count();
     assert!(
         !cache_checks.is_empty() && fills > 0 && fills < 150,
-        "{} looks, {fills} fills",
+        "{} checks of caches, {fills} fills",
         cache_checks.len()
     );
-    // A miss waits for room at its source, and is refused when an answer can no longer be in time.
+    // A miss waits for capacity at its source until a response can no longer be in time.
     let missed = (*cache_checks[0]).clone();
     harness.end_attempt(&missed, Status::Miss, FillNote::None, 0);
     harness.advance(2 * S);
@@ -111,7 +111,7 @@
         let mut fill_settings = settings();
         fill_settings.coalescing = coalescing;
         let mut harness = RouterHarness::new(fill_settings, endpoints_with_small_parents());
-        // As many as make the sources tight and leave room at the caches.
+        // Enough requests to use up the capacity of the sources but not of the caches.
         let mut id = 0;
         let mut cache_check = None;
         while cache_check.is_none() && id < 400 {
@@ -121,14 +121,14 @@
                 .into_iter()
                 .find(|s| s.source == Some(s.target));
         }
-        let first = cache_check.expect("the sources grow tight");
+        let first = cache_check.expect("an attempt that only checks the cache");
         let second = harness.send_request(new_request(1000, id)).remove(0);
         assert_eq!(
             second.source,
             Some(second.target),
-            "the twin looks first too"
+            "the second request must check the cache first too"
         );
-        // The sources have room again.
+        // Frees capacity at the sources.
         harness
             .attempts_in_flight()
             .iter()
@@ -138,10 +138,10 @@
         let fill = harness.end_attempt(&first, Status::Miss, FillNote::None, 0);
         assert!(
             fill[0].source.is_some_and(|from| from >= 20),
-            "the first miss is filled: {fill:?}"
+            "the first miss must be filled from another source: {fill:?}"
         );
         let second_next = harness.end_attempt(&second, Status::Miss, FillNote::None, 0);
-        // Where caches can join a fill the twin does, else it waits for the copy and is sent then.
+        // With coalescing the second miss is sent at once; without it, it waits for the end of the fill.
         assert_eq!(
             second_next.iter().filter(|s| s.request.0 == 1000).count(),
             usize::from(coalescing),
@@ -156,7 +156,7 @@
 
 #[test]
 fn a_cache_without_capacity_is_skipped() {
-    // i80753b: more videos than one cache could send, while its neighbours had room.
+    // Guards against waiting for one overloaded cache while others have capacity.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let first = harness.send_request(new_request(1, 5)).remove(0);
     harness.serve(&first);
@@ -167,12 +167,15 @@
             .filter(|s| s.target == first.target)
             .count()
     };
-    // A refusal cuts the limit of the cache to what it holds, less a little.
+    // A rejection cuts the limit of the cache to slightly below its requests in flight.
     for id in 2..10 {
         let more = harness.send_request(new_request(id, 5)).remove(0);
         assert_eq!(more.target, first.target);
     }
-    let last = harness.attempts_in_flight().pop().expect("they are out");
+    let last = harness
+        .attempts_in_flight()
+        .pop()
+        .expect("an attempt in flight");
     harness.end_attempt(&last, Status::Rejected, FillNote::None, 0);
     assert!(in_flight_at_first(&harness) > 6);
     let next = harness.send_request(new_request(20, 5)).remove(0);
@@ -181,7 +184,8 @@
 
 #[test]
 fn a_rejected_write_backs_off_and_is_answered_by_its_deadline() {
-    // i219619: writes burnt their attempts in milliseconds; snapshot 6ee6ecee lost one whose timer came late.
+    // Guards against writes that use up their attempts within milliseconds, and against a write that is never answered
+    // because its timer expires late.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let write = Request {
         class: 1,
@@ -196,7 +200,7 @@
             harness
                 .end_attempt(&attempt, Status::Rejected, FillNote::SourceRejected, 0)
                 .is_empty(),
-            "no retry at once"
+            "a rejected write must back off"
         );
         next = harness.advance(60 * MS);
     }
@@ -217,7 +221,7 @@
         ..class(Idempotency::Idempotent, false)
     };
     let mut harness = RouterHarness::new(with_grace, endpoints_with_small_parents());
-    // Misses take the places at the sources until one finds none.
+    // Misses use up the capacity of the sources.
     for id in 1..400 {
         for cache_check in harness
             .send_request(new_request(id, id))
@@ -233,12 +237,12 @@
             }
         }
     }
-    panic!("no request asked for a copy past its fresh time");
+    panic!("no request accepted a copy past its freshness lifetime");
 }
 
 #[test]
 fn a_stalled_attempt_is_cancelled_and_moves_where_hedging_is_not_allowed() {
-    // id98574: a cache lost some requests and served the others, so it was neither silent nor failing.
+    // Guards against waiting for a cache that drops some requests but serves others, and therefore stays UP.
     let mut single = settings();
     single.hedging = false;
     single.parent_kind = None;
@@ -293,8 +297,8 @@
 
 #[test]
 fn unresponsive_caches_go_down_with_one_request_in_flight_at_a_time() {
-    // Seen with processes: half of a front's caches were behind links that passed nothing, and 16 requests in a minute
-    // were served. Nobody else is heard while the one request is out.
+    // Guards against unresponsive caches that stay UP because no other cache responds while a single request is in
+    // flight.
     let mut single = settings();
     single.hedging = false;
     let mut endpoints = default_endpoints();
@@ -321,11 +325,11 @@
     let down = harness.log.iter().filter(|l| l.contains("DOWN")).count();
     assert!(
         down >= 3,
-        "{down} DOWN, {timeouts} waited in vain: {:?}",
+        "{down} caches DOWN, {timeouts} requests timed out: {:?}",
         harness.log
     );
-    assert!(timeouts < 60, "{timeouts} of 540 requests waited in vain");
-    // Where all fall silent at once that says nothing of any.
+    assert!(timeouts < 60, "{timeouts} of 540 requests timed out");
+    // When all endpoints stop responding at once, none goes DOWN.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=20 {
         let sent = harness.send_request(new_request(id, id));
@@ -345,7 +349,7 @@
 
 #[test]
 fn the_origin_gets_fills_that_exceed_the_capacity_of_the_remaining_parent() {
-    // iee772e: the other parent had no room for two shares of fills, and the origin was calm.
+    // Guards against requests that wait for the remaining parent while the origin has capacity.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..200 {
         let mut next = harness.send_request(new_request(id, id));
@@ -381,7 +385,7 @@
     };
     assert!(
         to(30) > 0 && to(21) > to(30),
-        "{} to the origin, {} to the parent",
+        "{} fills from the origin, {} from the remaining parent",
         to(30),
         to(21)
     );
@@ -424,7 +428,7 @@
 
 #[test]
 fn many_failing_parents_beside_a_healthy_one_do_not_go_down() {
-    // i702365, i04dc8e: with many parents one that was not late was always found, and the rest went DOWN.
+    // Guards against one healthy peer sufficing to charge the failures of all others to them.
     let mut endpoints = default_endpoints();
     endpoints.extend((22..28).map(|id| entry(id, PARENT)));
     let mut harness = RouterHarness::new(settings(), endpoints);
@@ -448,7 +452,7 @@
     assert_eq!(harness.log, Vec::<String>::new());
 }
 
-/// Ends an attempt with a report of how full the link into the zone is.
+/// Ends an attempt with a load report that contains the utilization of the link into the zone.
 fn end_attempt_with_link_report(
     harness: &mut RouterHarness,
     sent: &SentAttempt,
@@ -465,7 +469,7 @@
 
 #[test]
 fn fills_wait_for_a_full_link_and_no_endpoint_goes_down() {
-    // valle-central big-1: after a flush every cache filled at a sixth of the pace, and all was late.
+    // Guards against fills that overload the link after a purge of all copies, so that all responses are late.
     for (utilization, expects_most_fills) in [(0.5, true), (6.0, false)] {
         let mut harness = RouterHarness::new(settings(), default_endpoints());
         for id in 1..=1000 {
@@ -521,7 +525,7 @@
 
 #[test]
 fn hundreds_of_fronts_stay_within_the_slow_start_budget_of_a_parent() {
-    // reservas-cr big-1 (5d6f453f and before): each router might overdraw the budget by one request.
+    // Guards against hundreds of fronts that each exceed their share of the budget by one request.
     for fronts in [3u64, 30, 300] {
         let mut fleet_settings = settings();
         fleet_settings.fronts = fronts as u32;
@@ -545,7 +549,7 @@
         let mut sent: Vec<Timestamp> = Vec::new();
         for step in 0..200 {
             for (n, harness) in fleet.iter_mut().enumerate() {
-                // All want the parent at once, again and again; fills take half a second each.
+                // Every front sends a request in each step; a fill takes half a second.
                 harness.advance(20 * MS);
                 for done in harness
                     .attempts_in_flight()
@@ -563,7 +567,8 @@
                 sent.extend(new.iter().filter(|a| a.source == Some(20)).map(|_| now));
             }
         }
-        // Weight 20, a fifth of it at the start, falls over at 2 times: counted in any two seconds.
+        // Load relative to the overload threshold in any window of two seconds: weight 20, an initial capacity fraction
+        // of 0.2 and an overload multiple of 2.
         let peak_load = sent.iter().map(|t| {
             let in_window = sent
                 .iter()
@@ -575,14 +580,14 @@
         let peak_load = peak_load.fold(0.0, f64::max);
         assert!(
             peak_load > 0.1 && peak_load < 1.0,
-            "{fronts} fronts: {peak_load} of what pushes it over"
+            "{fronts} fronts: peak load {peak_load} of the overload threshold"
         );
     }
 }
 
 #[test]
 fn parents_are_asked_for_cached_copies_and_stay_up_while_the_origin_is_slow() {
-    // valle-central rough-2: what waited for a slow origin took all places at the parents.
+    // Guards against fills from a slow origin that hold all slots of the parents.
     let mut harness = RouterHarness::new(settings(), endpoints_with_small_parents());
     let mut cached_checks = 0;
     for id in 1..=400 {
@@ -621,7 +626,7 @@
         .count();
     assert!(
         cached_checks > 50 && filled_through > 0,
-        "{cached_checks} asked for what they hold, {filled_through} through"
+        "{cached_checks} requests for cached copies, {filled_through} fills through parents"
     );
     assert!(
         !harness.log.iter().any(|l| l.contains("Parent")),
@@ -633,7 +638,7 @@
 
 #[test]
 fn timers_work_with_any_request_id() {
-    // Tokens once held the id shifted by eight bits, and lost its top.
+    // Guards against timer tokens that lose the upper bits of the request id.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let id = u64::MAX - 5;
     let write = Request {
@@ -651,8 +656,8 @@
 
 #[test]
 fn a_request_waits_for_capacity_at_any_cache() {
-    // costa-pacifico rough-1: requests waited for the cache that hung, while others had room.
-    // Whichever cache gets room, its own or the other, the one that waits goes there.
+    // Guards against requests that wait for an unresponsive cache while others have capacity: a waiting request goes to
+    // whichever cache has capacity first.
     for freed in [10, 11] {
         let mut harness = RouterHarness::new(
             settings(),
@@ -670,7 +675,7 @@
             .attempts_in_flight()
             .into_iter()
             .find(|a| a.target == freed)
-            .expect("both are in use");
+            .expect("an attempt in flight at the cache");
         let resumed = harness.end_attempt(&done, Status::Ok, FillNote::Hit, 0);
         assert!(
             resumed.len() == 1 && resumed[0].request.0 == id && resumed[0].target == freed,
@@ -683,7 +688,7 @@
 fn parts_requested_repeatedly_are_cached_at_a_higher_rank() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let rank = |sent: &[SentAttempt]| sent[0].fill.unwrap().rank;
-    // At first it can't tell one from the other, and must not make light of what is kept already.
+    // A front that has just started cannot tell which parts are requested repeatedly, and must not rank them low.
     assert_eq!(rank(&harness.send_request(new_request(9, 9))), 2);
     harness.advance(11 * S);
     assert_eq!(rank(&harness.send_request(new_request(1, 5))), 1);
@@ -695,7 +700,7 @@
         ),
         (2, 1)
     );
-    // Another part is another copy, and what was long ago does not count.
+    // Each part counts separately, and only recent requests count.
     assert_eq!(
         rank(&harness.send_request(Request {
             part: 1,
@@ -709,7 +714,7 @@
 
 #[test]
 fn rolling_replacement_and_a_mass_restart_overload_no_cache_in_slow_start() {
-    // preempt and mass_restart: nothing goes to what drains, and what is new gets its budget and no more.
+    // The checker detects requests to draining caches and loads above the slow-start limits.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let mut id = 0;
     let mut run = |harness: &mut RouterHarness, span: Micros| {
@@ -757,7 +762,7 @@
     }
     assert!(
         harness.sent.iter().any(|a| a.target == 13),
-        "the first replacement is used"
+        "the first replacement must get requests"
     );
     let now = harness.now;
     let all = [12, 13, 14].map(|id| EndpointEntry {
@@ -775,8 +780,8 @@
 
 #[test]
 fn a_few_late_responses_among_many_cut_no_limit() {
-    // A calm day on sockets: sizes vary widely and are not told, so some answers are always late; with
-    // hundreds of answers a second each pause had one, and every limit shrank to a tenth of the full pace.
+    // Guards against limits that shrink under normal conditions, where sizes are unknown and some responses are always
+    // late.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=20 {
         let sent = send_requests(&mut harness, round * 100..round * 100 + 30);
@@ -792,8 +797,7 @@
 
 #[test]
 fn occasional_broken_fills_do_not_reduce_the_fills_of_a_parent() {
-    // A calm day on sockets: one fill in a thousand broke off, each cut the parent's limit to what it held,
-    // and requests waited for room at parents that had all of it.
+    // Guards against single broken fills that cut the limit of a parent, so that requests wait for an idle parent.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=20 {
         let sent = send_requests(&mut harness, round * 100..round * 100 + 30);
@@ -810,14 +814,14 @@
         .iter()
         .filter(|s| s.source != Some(s.target))
         .count();
-    assert!(fills >= 40, "{fills} fills at once");
+    assert!(fills >= 40, "{fills} fills in flight");
     assert_eq!(harness.log, Vec::<String>::new());
 }
 
 #[test]
 fn late_responses_alone_leave_a_cache_its_full_quota() {
-    // A day with pauses: a good part of the answers was late, caches were held to a third of what goes there
-    // at full pace, and requests were given up while they waited for room.
+    // Guards against late responses that cut the limit of a cache below its full quota, so that waiting requests are
+    // rejected.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=30 {
         let sent = send_requests(&mut harness, round * 100..round * 100 + 10);
@@ -827,12 +831,12 @@
         }
     }
     let sent = send_requests(&mut harness, 5_000..5_060).len();
-    assert!(sent >= 36, "{sent} of three times twenty at once");
+    assert!(sent >= 36, "{sent} of 60 requests sent immediately");
 }
 
 #[test]
 fn requests_that_get_errors_from_all_endpoints_take_none_down() {
-    // Bad clients' requests, answered with an error by whoever got them, took all caches DOWN.
+    // Guards against invalid requests of clients that take all caches DOWN.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=40 {
         let mut next = harness.send_request(new_request(id, id));
@@ -846,7 +850,7 @@
         "{:?}",
         harness.log
     );
-    // One that answers with an error what another serves is at fault.
+    // An endpoint that returns an error for a request that another one serves is charged with a failure.
     for id in 101..=120 {
         let first = harness.send_request(new_request(id, id)).remove(0);
         let is_faulty = |attempt: &SentAttempt| attempt.target == 10;
@@ -871,7 +875,7 @@
 
 #[test]
 fn attempts_on_one_broken_connection_count_as_one_failure() {
-    // One spoilt answer broke a connection with four attempts on it, and its parent went DOWN.
+    // Guards against one broken connection with four attempts that takes its endpoint DOWN.
     for (shared, down) in [(true, 0), (false, 1)] {
         let mut harness = RouterHarness::new(settings(), default_endpoints());
         let first = harness.send_request(new_request(1, 5)).remove(0);
@@ -891,7 +895,7 @@
 
 #[test]
 fn an_attempt_that_was_not_sent_moves_and_takes_no_endpoint_down() {
-    // Descriptors were used up: each attempt counted as a lost one, six of a request in a row.
+    // Guards against charging endpoints for attempts that were not sent, such as when file descriptors are exhausted.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=20 {
         let first = harness.send_request(new_request(id, id)).remove(0);
@@ -906,7 +910,7 @@
 
 #[test]
 fn a_request_without_an_attempt_is_rejected_at_half_its_time() {
-    // Requests waited for room till an answer could no longer be in time, which was past half of their time.
+    // Guards against rejections that leave the client too little time to retry elsewhere.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let mut sent = send_requests(&mut harness, 1..2000);
     let short = Request {
@@ -917,7 +921,7 @@
     sent.extend(harness.send_request(short));
     assert!(
         sent.iter().all(|s| s.request.0 != 5000),
-        "there is no room left"
+        "all capacity must be in use"
     );
     let arrived_at = harness.now;
     while !harness.answers.contains_key(&RequestId(5000)) {
@@ -925,15 +929,15 @@
     }
     assert!(
         harness.now <= arrived_at + 310 * MS,
-        "after {} us",
+        "answered only after {} us",
         harness.now - arrived_at
     );
 }
 
 #[test]
 fn the_link_is_full_only_when_fills_are_slower_than_clients() {
-    // A report of twice what fits, while fills still outran the clients, cut the link's limit again and again: two
-    // thirds of requests looked first and then waited for a link that was half empty.
+    // Guards against a link limit that is cut although fills are still faster than clients, so that requests wait for a
+    // link with capacity.
     for (utilization, link_has_capacity) in [(2.0, true), (4.0, false)] {
         let mut harness = RouterHarness::new(settings(), default_endpoints());
         let mut cache_checks = 0;
@@ -957,14 +961,14 @@
         assert_eq!(
             cache_checks == 0 && harness.answers.is_empty(),
             link_has_capacity,
-            "{cache_checks} looks at {utilization}"
+            "{cache_checks} checks of caches at link utilization {utilization}"
         );
     }
 }
 
 #[test]
 fn a_miss_does_not_wait_for_attempts_that_may_not_fill() {
-    // A front that served its zone alone held misses back while the link was half empty: hits had its places.
+    // Guards against misses that wait for a half-empty link because attempts that may fill, but hit, hold its slots.
     let mut harness = RouterHarness::new(
         Settings {
             link_kb_per_s: 4_000.0,
@@ -978,22 +982,22 @@
     });
     let first = harness.send_request(new_request(1, 1)).remove(0);
     harness.end_attempt_with_report(&first, Status::Ok, FillNote::Hit, 0, report);
-    // Twelve transfers of the link are this router's; more attempts than that name a source.
+    // The initial limit of the link is 12 transfers; more attempts than that name a source.
     let sent = send_requests(&mut harness, 2..20);
     assert!(
         sent.iter().all(|s| s.source != Some(s.target)),
-        "none had to look"
+        "no attempt may only check the cache"
     );
     let next = harness.end_attempt(&sent[0], Status::Rejected, FillNote::SourceMiss, 0);
     assert!(
         next.iter().any(|s| s.request == sent[0].request),
-        "it goes on at once: {next:?}"
+        "the miss must be sent again immediately: {next:?}"
     );
 }
 
 #[test]
 fn requests_bypass_full_caches_where_pass_through_is_allowed() {
-    // Two of a zone's three caches were gone: requests waited for the third to half their time, parents idle.
+    // Guards against requests that wait for the last caches of a zone while the parents are idle.
     for pass_through in [true, false] {
         let mut small = default_endpoints();
         small[..3].iter_mut().for_each(|cache| cache.weight = 2.0);
@@ -1021,7 +1025,8 @@
 
 #[test]
 fn a_clock_that_is_ahead_does_not_shorten_a_slow_start() {
-    // Starts are dated by the list service's clock; a front half a minute ahead held no cold cache back.
+    // Start times are on the discovery clock. Guards against sending full load to a cache in slow start because the
+    // clock of the front is ahead.
     let admitted = |ahead: Micros, started: Option<Micros>| {
         let mut harness = RouterHarness::new(settings(), Vec::new());
         harness.notify(Event::ClockAhead(ahead));
@@ -1045,10 +1050,10 @@
     let (cold, warm) = (admitted(0, Some(MS)), admitted(0, None));
     assert!(
         cold > 0 && cold * 2 < warm,
-        "{cold} at a cold cache, {warm} at a warm one"
+        "{cold} requests to a cache in slow start, {warm} to a warm one"
     );
     assert_eq!(admitted(30 * S, Some(30 * S + MS)), cold);
-    // A restart that operators make dates itself by this clock.
+    // The start of a slow start after an uncordon is converted to the discovery clock.
     let mut harness = RouterHarness::new(settings(), vec![entry(10, CACHE), entry(30, ORIGIN)]);
     harness.notify(Event::ClockAhead(60 * S));
     harness.notify(Event::Cordon {
@@ -1064,13 +1069,13 @@
     harness.advance(30 * S);
     assert!(
         send_requests(&mut harness, 300..500).len() > cold,
-        "it is warm in time"
+        "the cache must get more requests after the warm-up"
     );
 }
 
 #[test]
 fn a_clock_that_is_behind_does_not_lengthen_a_slow_start() {
-    // By a clock an hour behind a cold cache had an hour of slow start before it, at its least.
+    // Guards against a slow start that lasts an hour longer because the clock of the front is an hour behind.
     let admitted = |ahead_of_us: Micros, waits: Micros| {
         let mut harness = RouterHarness::new(settings(), Vec::new());
         let started = harness.now + ahead_of_us;
@@ -1081,11 +1086,15 @@
         send_requests(&mut harness, 1..200).len()
     };
     for behind in [5 * S, 3_600 * S] {
-        assert_eq!(admitted(behind, S), admitted(0, S), "it is as cold");
+        assert_eq!(
+            admitted(behind, S),
+            admitted(0, S),
+            "the same load must be admitted at the start"
+        );
         assert_eq!(
             admitted(behind, 30 * S),
             admitted(0, 30 * S),
-            "it is as warm"
+            "the same load must be admitted after the warm-up"
         );
     }
     assert!(admitted(0, 30 * S) > 2 * admitted(0, S));
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The five rules as invariants under random events, and the proof that each check can fail.
+//! Checks the invariants of the decision module under random events, and that the checker detects each violation.
 mod common;
 use common::*;
 use cranesill::api::*;
@@ -133,7 +133,7 @@
     }
     assert!(
         attempts > 30_000,
-        "the events must lead to work: {attempts}"
+        "too few attempts to check the invariants: {attempts}"
     );
 }
 
@@ -142,7 +142,7 @@
     assert_eq!(run(settings(), 3).actions, run(settings(), 3).actions);
 }
 
-/// A checker that knows the usual endpoints and one open request of the class.
+/// A checker that has observed the default endpoints and the arrival of one request of a class.
 fn checker_with_request(class: u16) -> Checker {
     let mut checker = Checker::new(settings());
     checker.observe_event(
@@ -204,20 +204,20 @@
     };
     let mut c = checker_with_request(0);
     c.check_overdue(t + 5 * S);
-    assert_violation(&c, "lost");
+    assert_violation(&c, "not answered by its deadline");
     let mut c = checker_with_request(0);
     c.observe_action(t, &Action::Reject(RequestId(1), 0));
     c.observe_action(t, &Action::Fail(RequestId(1)));
-    assert_violation(&c, "second answer");
+    assert_violation(&c, "answered twice");
     c.observe_action(t, &attempt(10, 20, 0));
-    assert_violation(&c, "after the answer");
+    assert_violation(&c, "attempt of a closed request");
     let mut c = checker_with_request(1);
     c.observe_action(t, &attempt(10, 30, 0));
     c.observe_event(t, &outcome(Status::Reset));
     c.observe_action(t, &attempt(11, 30, 0));
-    assert_violation(&c, "effect twice");
+    assert_violation(&c, "may run twice");
     c.observe_action(t, &Action::Reject(RequestId(1), 0));
-    assert_violation(&c, "may have run");
+    assert_violation(&c, "rejected although it may have run");
     let mut c = checker_with_request(0);
     let drain = EndpointEntry {
         state: EndpointState::Draining,
@@ -225,7 +225,7 @@
     };
     c.observe_event(t, &Event::Endpoints(ListKind::Delta, vec![drain]));
     c.observe_action(t, &attempt(10, 20, 0));
-    assert_violation(&c, "drained");
+    assert_violation(&c, "sent to an endpoint that is not ready");
     let mut c = checker_with_request(0);
     c.observe_event(
         t,
@@ -235,7 +235,7 @@
         },
     );
     c.observe_action(t, &attempt(10, 20, 0));
-    assert_violation(&c, "out by hand");
+    assert_violation(&c, "sent to a cordoned endpoint");
     let mut c = checker_with_request(0);
     c.observe_event(
         t,
@@ -246,7 +246,7 @@
         },
     );
     c.observe_action(t, &attempt(10, 20, 200 * MS));
-    assert_violation(&c, "purged copy");
+    assert_violation(&c, "accepts a purged copy");
     let mut c = checker_with_request(0);
     c.observe_event(
         t,
@@ -261,5 +261,5 @@
     for _ in 0..60 {
         c.observe_action(t, &attempt(10, 20, 0));
     }
-    assert_violation(&c, "pushed over");
+    assert_violation(&c, "overloaded in slow start");
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,9 +1,10 @@
-//! KNOWN-RED.txt passes over exactly the tests that it names, and names three at most.
+//! Checks that `.ci/known-red` exempts exactly the tests listed in KNOWN-RED.txt, of which there are three at most.
 use std::process::Command;
 
-const LIST: &str = "stories::one: test\nstories::two: test\nthree: test\nfour: test\nagain: test\nagain: test\n\n6 tests, 0 benchmarks\n";
+/// Output of `cargo test -- --list`.
+const LIST: &str = "module::one: test\nmodule::two: test\nthree: test\nfour: test\nagain: test\nagain: test\n\n6 tests, 0 benchmarks\n";
 
-/// The names that a landing would pass over; `None`: it fails.
+/// Names of the tests that the script exempts; `None`: the script fails.
 fn exempt_tests(lines: &str) -> Option<Vec<String>> {
     let folder =
         std::env::temp_dir().join(format!("known-red-{}-{}", std::process::id(), lines.len()));
@@ -30,24 +31,24 @@
 #[test]
 fn the_script_exempts_listed_tests_and_fails_on_a_fourth_line_an_unknown_test_or_a_malformed_line()
 {
-    let line = |name: &str| format!("{name} | a reset is told late | issue 30\n");
+    let line = |name: &str| format!("{name} | resets are reported late | issue 30\n");
     assert_eq!(exempt_tests(""), Some(vec![]));
-    let three = ["stories::one", "three", "four"].map(line).concat();
+    let three = ["module::one", "three", "four"].map(line).concat();
     assert_eq!(
         exempt_tests(&three).unwrap(),
-        ["stories::one", "three", "four"]
+        ["module::one", "three", "four"]
     );
     assert_eq!(
         exempt_tests(three.trim_end()).unwrap().len(),
         3,
-        "the last line needs no end"
+        "the last line needs no line feed"
     );
     assert_eq!(
-        exempt_tests(&(three.clone() + &line("stories::two"))),
+        exempt_tests(&(three.clone() + &line("module::two"))),
         None,
-        "a fourth"
+        "a fourth line must be an error"
     );
-    for name in ["one", "stories", "five", "again", "thre.", ""] {
+    for name in ["one", "module", "five", "again", "thre.", ""] {
         assert_eq!(exempt_tests(&line(name)), None, "{name}");
     }
     for text in [
--- a/tests/large_requests.rs
+++ b/tests/large_requests.rs
@@ -1,24 +1,25 @@
-//! The largest requests of a class are answered about as often as its others: on a quiet day at least two thirds of the class's
-//! share, on other days half. Clients don't tell sizes; how long an answer takes shows them only once it is there.
+//! Checks that large requests of a class are served about as often as the others: under normal conditions at least two
+//! thirds as often as the whole class, under faults half as often. In most runs the router does not know sizes.
 mod common;
 use common::*;
 use cranesill::api::*;
 
+/// Time by which the simulation advances at once.
 const STEP: u64 = 10 * MS;
-/// How long a client waits.
+/// Time after which a client disconnects.
 const CLIENT_TIMEOUT: u64 = 2_500 * MS;
 
-/// How the day is.
+/// Faults during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Conditions {
     Normal,
-    /// One attempt in twelve meets a connection that comes up late, some break under requests, and one cache in three takes twice as long.
+    /// One connection in twelve is established late, some break, and one cache of three takes twice as long.
     Faults,
-    /// A cache in three loses four requests of ten.
+    /// One cache of three does not respond to four requests of ten.
     Loss,
 }
 
-/// Requests asked and answered in time, by size: the largest tenth, the next fifth, the others.
+/// Number of requests sent and served in time, by size: the largest tenth, the next fifth, the others.
 fn run(
     seed: u64,
     conditions: Conditions,
@@ -39,7 +40,7 @@
     let mut harness = RouterHarness::new(settings, default_endpoints());
     let (mut rng, mut counts, mut sizes) =
         (Rng(seed), [(0, 0); 3], std::collections::BTreeMap::new());
-    // When attempts end, and how.
+    // Attempts in flight with the time and status of their end.
     let mut pending_ends: Vec<(Timestamp, SentAttempt, Status)> = Vec::new();
     let (mut last_id, mut actions_seen) = (0, 0);
     for _ in 0..60 * S / STEP {
@@ -88,7 +89,7 @@
                 };
                 pending_ends.push((harness.now + duration, sent, status));
             }
-            // What is called off ends at once.
+            // Cancelled attempts end immediately.
             let cancelled = harness.actions[actions_seen..].iter().enumerate();
             let cancelled = cancelled.filter_map(|(i, action)| match action {
                 Action::Cancel(id, number) => Some((actions_seen + i + 1, *id, *number)),
@@ -159,11 +160,11 @@
                 let shares = counts.map(share);
                 assert!(
                     total.0 > 1_000 && share(total) > 0.5,
-                    "{conditions:?} seed {seed}: {counts:?}"
+                    "{conditions:?}, seed {seed}: {counts:?}"
                 );
                 assert!(
                     shares[..2].iter().all(|s| *s >= min_ratio * share(total)),
-                    "{conditions:?} seed {seed}, sizes told: {sizes_known}, {idempotency:?}: {shares:.2?} of {:.2}",
+                    "{conditions:?}, seed {seed}, sizes known: {sizes_known}, {idempotency:?}: {shares:.2?} of {:.2}",
                     share(total)
                 );
             }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,14 +1,14 @@
-//! Fleets with many more caches than one router can hold connections to: what it needs does not grow with them.
+//! Zones with many more caches than a front has connections: connection use, processor time and slow start.
 mod common;
 use common::*;
 use cranesill::api::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A connection that carries nothing is closed after this long.
+/// Time without requests after which a connection is closed.
 const IDLE_TIMEOUT: Micros = 7_500 * MS;
 
-/// One router of so many, with caches of this weight, two parents and the origin.
+/// One of `fronts` routers, with caches of weight `weight`, two parents and the origin.
 fn harness(caches: u64, fronts: u32, weight: f64) -> RouterHarness {
     let caches = (1_000..1_000 + caches).map(|id| EndpointEntry {
         weight,
@@ -28,7 +28,7 @@
     RouterHarness::new(fleet, caches.chain(others).collect())
 }
 
-/// Asks for an object and has the attempt served after a while; the cache that it went to.
+/// Sends a request for an object, which is served after 2 ms. Returns the cache that it was sent to.
 fn serve_request(harness: &mut RouterHarness, id: u64, object: u64) -> u64 {
     let sent = harness.send_request(new_request(id, object));
     assert_eq!(sent.len(), 1, "{:?}", harness.answers);
@@ -37,9 +37,9 @@
     sent[0].target
 }
 
-/// Processor time that this thread has used.
+/// Processor time used by this thread.
 fn thread_cpu_time() -> Duration {
-    // The system counts it when the thread gives way.
+    // The kernel updates the counter when the thread yields.
     std::thread::yield_now();
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap();
     Duration::from_nanos(text.split_whitespace().next().unwrap().parse().unwrap())
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_front_uses_no_more_caches_than_its_connection_limit() {
-    // Beside one router a cache has room for one request, beside 900 for a small part of one of each.
+    // The quota of a cache is one request for a single front, and a small fraction of one request for each of 900.
     for (fronts, weight) in [(1, 1.0), (900, 2.0)] {
         let mut harness = harness(3_200, fronts, weight);
         harness.notify(Event::Connections {
@@ -130,7 +130,7 @@
     );
 }
 
-/// Processor time of requests and of changes of the list beside so many caches.
+/// Processor time of requests and of endpoint list changes with `caches` caches.
 fn processor_time(caches: u64) -> [Duration; 2] {
     const OBJECTS: u64 = 100;
     const ROUNDS: u64 = 60;
@@ -193,7 +193,7 @@
     for (small, large) in small.into_iter().zip(large) {
         assert!(
             large < 5 * small,
-            "{small:?} beside 200 caches, {large:?} beside 3,200"
+            "processor time {small:?} with 200 caches, {large:?} with 3,200"
         );
     }
 }
@@ -205,7 +205,7 @@
     const WEIGHT: f64 = 2.0;
     const STEP: Micros = 10 * MS;
     let started = harness(1, 1, 1.0).now;
-    // Six in ten are new.
+    // Six of ten caches are in slow start.
     let listed = |id| EndpointEntry {
         weight: WEIGHT,
         started: if id % 10 < 6 { started } else { 0 },
@@ -275,14 +275,14 @@
                 .count();
             assert!(
                 in_window as f64 <= bound,
-                "{in_window} calls at {id} within the span, {bound} can be borne"
+                "{in_window} requests to cache {id} in an overload window, limit {bound}"
             );
         }
     }
     let warm = sent.iter().filter(|(target, _)| target % 10 >= 6).count();
     assert!(
         sent.len() > 10_000 && warm < sent.len(),
-        "{warm} of {}",
+        "{warm} of {} requests went to warm caches",
         sent.len()
     );
 }
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -1,7 +1,7 @@
-//! The decision module stays what its documentation says: free of I/O and clocks, in files that can be read at a sitting.
+//! Checks that the decision module stays free of I/O and clocks, and its files short.
 use std::path::{Path, PathBuf};
 
-/// What a file of the decision module must not use: input, output, clocks, threads and randomness.
+/// Paths and keywords that the decision module must not use: I/O, clocks, threads, randomness and unsafe code.
 const FORBIDDEN: [&str; 10] = [
     "std::fs",
     "std::io",
@@ -14,7 +14,9 @@
     "rand::",
     "unsafe",
 ];
+/// Maximum number of lines of a file.
 const MAX_LINES: usize = 420;
+/// Maximum number of characters of a line.
 const MAX_WIDTH: usize = 120;
 
 fn source_files(folder: &Path) -> Vec<PathBuf> {
@@ -52,7 +54,7 @@
         assert_eq!(wide, None, "{}", path.display());
         assert!(
             text.starts_with("//!"),
-            "{} has no documentation",
+            "{} has no module documentation",
             path.display()
         );
     }
@@ -66,7 +68,7 @@
         .lines()
         .find_map(|line| line.strip_prefix("policy = ["))
         .and_then(|rest| rest.split(']').next())
-        .expect("a list of policy files");
+        .expect("a list of policy files in deploy/balancer.toml");
     let mut listed: Vec<PathBuf> = list
         .split(", ")
         .map(|name| root.join(name.trim_matches('"')))
