--- a/tests/common/checker.rs
+++ b/tests/common/checker.rs
@@ -16,7 +16,7 @@
 const TRANSFER_TIME_US: f64 = 300_000.0;
 
 /// A request that arrived. It stays recorded after it is closed.
-struct OpenRequest {
+struct RequestRecord {
     class: usize,
     object: ObjectId,
     group: u32,
@@ -54,7 +54,7 @@
 /// Checks a stream of events and actions against the invariants.
 pub struct Checker {
     settings: Settings,
-    open: BTreeMap<RequestId, OpenRequest>,
+    requests: BTreeMap<RequestId, RequestRecord>,
     endpoints: BTreeMap<EndpointId, EndpointEntry>,
     purges: Vec<Purge>,
     slow_start_sends: Vec<SlowStartSend>,
@@ -64,10 +64,10 @@
 
 impl Checker {
     pub fn new(settings: Settings) -> Self {
-        let (open, endpoints, cordoned) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
+        let (requests, endpoints, cordoned) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
         Checker {
             settings,
-            open,
+            requests,
             endpoints,
             cordoned,
             purges: Vec::new(),
@@ -77,19 +77,19 @@
     }
 
     pub fn is_closed(&self, id: RequestId) -> bool {
-        self.open.get(&id).is_none_or(|o| o.closed)
+        self.requests.get(&id).is_none_or(|record| record.closed)
     }
 
     pub fn deadline(&self, id: RequestId) -> Timestamp {
-        self.open[&id].deadline
+        self.requests[&id].deadline
     }
 
     /// Checks that every request past its deadline is closed.
     pub fn check_overdue(&mut self, now: Timestamp) {
         let overdue: Vec<_> = self
-            .open
+            .requests
             .iter()
-            .filter(|(_, o)| !o.closed && o.deadline + DEADLINE_SLACK < now)
+            .filter(|(_, record)| !record.closed && record.deadline + DEADLINE_SLACK < now)
             .collect();
         self.violations.extend(
             overdue
@@ -104,7 +104,7 @@
                 if *kind == ListKind::Full {
                     self.endpoints
                         .values_mut()
-                        .for_each(|m| m.state = EndpointState::Removed);
+                        .for_each(|endpoint| endpoint.state = EndpointState::Removed);
                 }
                 for entry in entries {
                     // Requests sent before the new start time was known count towards the previous process.
@@ -120,7 +120,7 @@
                 }
             }
             Event::Request(request) => {
-                let open = OpenRequest {
+                let record = RequestRecord {
                     class: usize::from(request.class),
                     object: request.object,
                     group: request.group,
@@ -128,20 +128,20 @@
                     attempts: Vec::new(),
                     closed: false,
                 };
-                self.open.insert(request.id, open);
+                self.requests.insert(request.id, record);
             }
-            Event::Outcome(o) => {
-                let open = self
-                    .open
-                    .get_mut(&o.request)
+            Event::Outcome(outcome) => {
+                let record = self
+                    .requests
+                    .get_mut(&outcome.request)
                     .expect("outcome of a request that arrived");
-                let attempt = &mut open.attempts[usize::from(o.attempt)];
+                let attempt = &mut record.attempts[usize::from(outcome.attempt)];
                 attempt.in_flight = false;
-                attempt.status = Some(o.status);
-                open.closed |= o.closed;
+                attempt.status = Some(outcome.status);
+                record.closed |= outcome.closed;
             }
             Event::Cancelled(id) => {
-                self.open
+                self.requests
                     .get_mut(id)
                     .expect("cancellation of a request that arrived")
                     .closed = true
@@ -185,19 +185,19 @@
             } => self.observe_attempt(now, *request, *target, *fill),
             Action::Reject(id, _) | Action::Fail(id) => {
                 let is_rejection = matches!(action, Action::Reject(..));
-                let Some(open) = self.open.get_mut(id) else {
+                let Some(record) = self.requests.get_mut(id) else {
                     return self
                         .violations
                         .push(format!("answer to an unknown request: {id:?}"));
                 };
-                if open.closed {
+                if record.closed {
                     self.violations.push(format!("answered twice: {id:?}"));
                 }
-                let may_have_run = open.attempts.iter().any(AttemptRecord::may_have_run);
+                let may_have_run = record.attempts.iter().any(AttemptRecord::may_have_run);
                 let idempotency = self
                     .settings
                     .classes
-                    .get(open.class)
+                    .get(record.class)
                     .map_or(Idempotency::NotIdempotent, |c| c.idempotency);
                 let is_repeatable = matches!(
                     idempotency,
@@ -211,7 +211,7 @@
                     self.violations
                         .push(format!("rejected although it may have run: {id:?}"));
                 }
-                open.closed = true;
+                record.closed = true;
             }
             _ => {}
         }
@@ -224,23 +224,26 @@
         target: EndpointId,
         fill: Option<Fill>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(record) = self.requests.get_mut(&id) else {
             return self
                 .violations
                 .push(format!("attempt of an unknown request: {id:?}"));
         };
-        if open.closed {
+        if record.closed {
             self.violations
                 .push(format!("attempt of a closed request: {id:?}"));
         }
-        let has_attempt_in_flight = open.attempts.iter().any(|attempt| attempt.in_flight);
+        let has_attempt_in_flight = record.attempts.iter().any(|attempt| attempt.in_flight);
         if has_attempt_in_flight && !self.settings.hedging {
             self.violations
                 .push(format!("two attempts in flight without hedging: {id:?}"));
         }
-        let first_that_may_have_run = open.attempts.iter().find(|attempt| attempt.may_have_run());
+        let first_that_may_have_run = record
+            .attempts
+            .iter()
+            .find(|attempt| attempt.may_have_run());
         match (
-            self.settings.classes[open.class].idempotency,
+            self.settings.classes[record.class].idempotency,
             first_that_may_have_run,
         ) {
             (Idempotency::Idempotent, _) | (_, None) => {}
@@ -253,16 +256,16 @@
             ) if now < first.sent_at + window => {}
             _ => self.violations.push(format!("may run twice: {id:?}")),
         }
-        open.attempts.push(AttemptRecord {
+        record.attempts.push(AttemptRecord {
             sent_at: now,
             in_flight: true,
             status: None,
         });
-        let write = self.settings.classes[open.class].write;
+        let write = self.settings.classes[record.class].write;
         let purges = self.purges.iter().filter(|purge| {
-            let is_purged = purge
-                .object
-                .map_or(purge.group == open.group, |object| object == open.object);
+            let is_purged = purge.object.map_or(purge.group == record.group, |object| {
+                object == record.object
+            });
             is_purged && now < purge.purged_at + self.settings.purge_propagation
         });
         let purged_at = purges.map(|purge| purge.purged_at).max();
@@ -286,7 +289,9 @@
                     .push(format!("sent to a cordoned endpoint: {at:?}"));
             }
             match self.endpoints.get(&at) {
-                Some(m) if m.state == EndpointState::Ready => self.check_slow_start(now, at),
+                Some(endpoint) if endpoint.state == EndpointState::Ready => {
+                    self.check_slow_start(now, at)
+                }
                 _ => self
                     .violations
                     .push(format!("sent to an endpoint that is not ready: {at:?}")),
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -11,7 +11,7 @@
     pub target: u64,
     pub source: Option<u64>,
     pub fill: Option<Fill>,
-    pub at: Timestamp,
+    pub sent_at: Timestamp,
     pub in_flight: bool,
 }
 
@@ -65,14 +65,14 @@
                 } => {
                     let number = self.sent.iter().filter(|s| s.request == request).count() as u16;
                     let source = fill.map(|f| f.source.0);
-                    let (target, at) = (target.0, self.now);
+                    let (target, sent_at) = (target.0, self.now);
                     self.sent.push(SentAttempt {
                         request,
                         number,
                         target,
                         source,
                         fill,
-                        at,
+                        sent_at,
                         in_flight: true,
                     });
                 }
@@ -121,7 +121,7 @@
         let attempt = matching.next().expect("the attempt was sent");
         assert!(attempt.in_flight, "attempt ended twice: {attempt:?}");
         attempt.in_flight = false;
-        let latency = self.now - attempt.at;
+        let latency = self.now - attempt.sent_at;
         let was_closed = self.checker.is_closed(sent.request);
         let (request, attempt) = (sent.request, sent.number);
         let closed = was_closed || status == Status::Ok;
@@ -150,7 +150,8 @@
         let first_new = self.sent.len();
         loop {
             let in_flight = self.sent.iter().filter(|s| s.in_flight);
-            let due = in_flight.map(|s| (self.checker.deadline(s.request).max(s.at), s.clone()));
+            let due =
+                in_flight.map(|s| (self.checker.deadline(s.request).max(s.sent_at), s.clone()));
             let due = due
                 .min_by_key(|(at, s)| (*at, s.request, s.number))
                 .filter(|(at, _)| *at <= end);
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -185,9 +185,9 @@
                 harness.send_request(request);
             }
             5..=8 => {
-                let live = harness.attempts_in_flight();
-                if !live.is_empty() {
-                    let attempt = live[rng.below(live.len() as u64) as usize].clone();
+                let in_flight = harness.attempts_in_flight();
+                if !in_flight.is_empty() {
+                    let attempt = in_flight[rng.below(in_flight.len() as u64) as usize].clone();
                     let has_source = attempt.source.is_some_and(|s| s != attempt.target);
                     let (status, note) = random_outcome(&mut rng, has_source);
                     served += usize::from(status == Status::Ok);
--- a/tests/fill_sources.rs
+++ b/tests/fill_sources.rs
@@ -151,7 +151,7 @@
 fn one_of_many_fronts_does_not_cut_the_limit_of_a_source_for_late_responses() {
     // Guards against a few late responses that stop a front from using a source for many seconds: each of a hundred
     // fronts gets few responses from it.
-    let many = Settings {
+    let many_fronts = Settings {
         fronts: 100,
         coalescing: true,
         pass_through: true,
@@ -159,7 +159,7 @@
     };
     let mut endpoints = default_endpoints();
     endpoints.remove(4);
-    let mut harness = RouterHarness::new(many, endpoints);
+    let mut harness = RouterHarness::new(many_fronts, endpoints);
     for id in 1..=30 {
         let sent = harness.send_request(new_request(id, id)).remove(0);
         harness.advance(1500 * MS);
--- a/tests/fleet_simulation.rs
+++ b/tests/fleet_simulation.rs
@@ -41,16 +41,16 @@
 
     /// A fleet of `fronts` fronts, each of which gets `rate` requests per second.
     fn with_load(fronts: u32, rate: f64, seed: u64) -> Self {
-        let harnesses = (0..fronts).map(|number| {
+        let harnesses = (0..fronts).map(|front_index| {
             let fronts_by_zone = vec![0, 0, fronts];
-            let fleet = Settings {
+            let fleet_settings = Settings {
                 fronts,
                 fronts_by_zone,
-                front_index: number,
+                front_index,
                 hedging: false,
                 ..settings()
             };
-            RouterHarness::new(fleet, endpoints())
+            RouterHarness::new(fleet_settings, endpoints())
         });
         let harnesses: Vec<_> = harnesses.collect();
         let now = harnesses[0].now;
@@ -203,13 +203,13 @@
         let mut fleet = Fleet::new(seed);
         fleet.run(3 * S, &[]);
         let started = fleet.now;
-        let cold = EndpointEntry {
+        let restarted = EndpointEntry {
             started,
             weight: 2.0,
             ..entry(11, CACHE)
         };
         for harness in &mut fleet.harnesses {
-            harness.notify(Event::Endpoints(ListKind::Delta, vec![cold.clone()]));
+            harness.notify(Event::Endpoints(ListKind::Delta, vec![restarted.clone()]));
         }
         fleet.run(22 * S, &[]);
         let settings = settings();
@@ -229,7 +229,7 @@
             max_sent = max_sent.max(sent);
             // Capacity at the start of the window, in requests with a transfer time of 300 ms.
             let age = (at - started) as f64 / limits.warm_up as f64;
-            let capacity = cold.weight
+            let capacity = restarted.weight
                 * (limits.initial_capacity_fraction
                     + (1.0 - limits.initial_capacity_fraction) * age);
             let max_requests = limits.overload_multiple * capacity * window as f64 / 300_000.0;
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -61,7 +61,7 @@
     for round in 1..=30 {
         harness.advance(100 * MS);
         for attempt in harness.attempts_in_flight() {
-            let late = harness.now > attempt.at + 2 * S;
+            let late = harness.now > attempt.sent_at + 2 * S;
             match attempt.source {
                 Some(20) if !late => {}
                 Some(_) => _ = harness.end_attempt(&attempt, Status::Ok, FillNote::Filled, 0),
@@ -270,7 +270,7 @@
             .into_iter()
             .filter(|s| s.target != 10)
         {
-            if harness.now > attempt.at + 200 * MS {
+            if harness.now > attempt.sent_at + 200 * MS {
                 harness.serve(&attempt);
             }
         }
@@ -493,7 +493,7 @@
             for attempt in harness
                 .attempts_in_flight()
                 .into_iter()
-                .filter(|a| a.at < due)
+                .filter(|a| a.sent_at < due)
             {
                 end_attempt_with_link_report(
                     &mut harness,
@@ -536,10 +536,10 @@
             endpoints.remove(4);
             endpoints
         };
-        let new_harness = |number| {
+        let new_harness = |front_index| {
             RouterHarness::new(
                 Settings {
-                    front_index: number as u32,
+                    front_index: front_index as u32,
                     ..fleet_settings.clone()
                 },
                 endpoints(),
@@ -554,7 +554,7 @@
                 for done in harness
                     .attempts_in_flight()
                     .into_iter()
-                    .filter(|a| a.at + 500 * MS < start + step * 20 * MS)
+                    .filter(|a| a.sent_at + 500 * MS < start + step * 20 * MS)
                 {
                     harness.end_attempt(&done, Status::Ok, FillNote::Filled, 0);
                 }
@@ -610,7 +610,7 @@
         for late in harness
             .attempts_in_flight()
             .into_iter()
-            .filter(|a| a.at < due)
+            .filter(|a| a.sent_at < due)
         {
             harness.end_attempt(&late, Status::Ok, FillNote::FilledByOrigin, 0);
         }
@@ -727,7 +727,7 @@
             for done in harness
                 .attempts_in_flight()
                 .into_iter()
-                .filter(|a| a.at < due)
+                .filter(|a| a.sent_at < due)
             {
                 let is_cache_check = done.source == Some(done.target);
                 let (status, note) = if is_cache_check {
@@ -774,7 +774,7 @@
     assert!(harness
         .sent
         .iter()
-        .any(|a| a.at > now && a.source.is_some()));
+        .any(|a| a.sent_at > now && a.source.is_some()));
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
@@ -948,7 +948,7 @@
             let due: Vec<_> = harness
                 .attempts_in_flight()
                 .into_iter()
-                .filter(|s| s.at + 500 * MS < harness.now)
+                .filter(|s| s.sent_at + 500 * MS < harness.now)
                 .collect();
             for late in due {
                 let report = Some(LoadReport {
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -37,9 +37,9 @@
                 harness.send_request(request);
             }
             6..=8 => {
-                let live = harness.attempts_in_flight();
-                if !live.is_empty() {
-                    let attempt = live[rng.below(live.len() as u64) as usize].clone();
+                let in_flight = harness.attempts_in_flight();
+                if !in_flight.is_empty() {
+                    let attempt = in_flight[rng.below(in_flight.len() as u64) as usize].clone();
                     let has_source = attempt.source.is_some_and(|s| s != attempt.target);
                     let (status, note) = random_outcome(&mut rng, has_source);
                     let source_wait = rng.below(2000) * MS;
@@ -77,8 +77,8 @@
                 });
             }
             _ => {
-                let live = harness.attempts_in_flight();
-                let open: Vec<_> = live
+                let in_flight = harness.attempts_in_flight();
+                let open: Vec<_> = in_flight
                     .iter()
                     .filter(|s| !harness.checker.is_closed(s.request))
                     .collect();
--- a/tests/large_requests.rs
+++ b/tests/large_requests.rs
@@ -38,7 +38,7 @@
     };
     let connect_timeout = settings.connect_timeout;
     let mut harness = RouterHarness::new(settings, default_endpoints());
-    let (mut rng, mut counts, mut sizes) =
+    let (mut rng, mut counts, mut transfers) =
         (Rng(seed), [(0, 0); 3], std::collections::BTreeMap::new());
     // Attempts in flight with the time and status of their end.
     let mut pending_ends: Vec<(Timestamp, SentAttempt, Status)> = Vec::new();
@@ -52,7 +52,7 @@
                 1 | 2 => (1, 400 * MS + rng.below(200 * MS)),
                 _ => (2, 30 * MS + rng.below(120 * MS)),
             };
-            sizes.insert(RequestId(last_id), (size_group, transfer_time));
+            transfers.insert(RequestId(last_id), (size_group, transfer_time));
             counts[size_group].0 += 1;
             let size_kb = if sizes_known {
                 transfer_time as f64 / 1_000.0
@@ -67,7 +67,7 @@
         }
         loop {
             for sent in newly_sent.drain(..) {
-                let transfer_time = sizes[&sent.request].1;
+                let transfer_time = transfers[&sent.request].1;
                 let is_faulty = sent.target == 10;
                 let connect_delay = if conditions == Conditions::Faults && rng.below(12) == 0 {
                     rng.below(1_500 * MS)
@@ -100,11 +100,11 @@
             let (sent, status) = match (cancelled, due) {
                 (Some((seen, id, number)), _) => {
                     actions_seen = seen;
-                    let live = harness
+                    let in_flight = harness
                         .attempts_in_flight()
                         .into_iter()
                         .find(|s| s.request == id && s.number == number);
-                    let Some(sent) = live else { continue };
+                    let Some(sent) = in_flight else { continue };
                     (sent, Status::Cancelled)
                 }
                 (None, Some(i)) => {
@@ -121,14 +121,14 @@
                 continue;
             }
             if status == Status::Ok && !harness.checker.is_closed(sent.request) {
-                counts[sizes[&sent.request].0].1 += 1;
+                counts[transfers[&sent.request].0].1 += 1;
             }
             newly_sent = harness.end_attempt(&sent, status, FillNote::Hit, 0);
         }
         actions_seen = harness.actions.len();
         harness
             .sent
-            .retain(|s| s.in_flight || harness.now < s.at + 10 * S);
+            .retain(|s| s.in_flight || harness.now < s.sent_at + 10 * S);
     }
     assert_eq!(harness.checker.violations, Vec::<String>::new());
     counts
@@ -152,20 +152,20 @@
         ] {
             for (seed, sizes_known) in [(1, false), (2, false), (3, true)] {
                 let counts = run(seed, conditions, sizes_known, idempotency);
-                let share =
+                let served_ratio =
                     |(requests, served): (u32, u32)| f64::from(served) / f64::from(requests.max(1));
                 let total = counts
                     .iter()
                     .fold((0, 0), |sum, c| (sum.0 + c.0, sum.1 + c.1));
-                let shares = counts.map(share);
+                let served_ratios = counts.map(served_ratio);
                 assert!(
-                    total.0 > 1_000 && share(total) > 0.5,
+                    total.0 > 1_000 && served_ratio(total) > 0.5,
                     "{conditions:?}, seed {seed}: {counts:?}"
                 );
                 assert!(
-                    shares[..2].iter().all(|s| *s >= min_ratio * share(total)),
-                    "{conditions:?}, seed {seed}, sizes known: {sizes_known}, {idempotency:?}: {shares:.2?} of {:.2}",
-                    share(total)
+                    served_ratios[..2].iter().all(|s| *s >= min_ratio * served_ratio(total)),
+                    "{conditions:?}, seed {seed}, sizes known: {sizes_known}, {idempotency:?}: {served_ratios:.2?} of {:.2}",
+                    served_ratio(total)
                 );
             }
         }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -19,13 +19,13 @@
         weight: 1_000.0 * f64::from(fronts),
         ..entry(id, kind)
     });
-    let fleet = Settings {
+    let fleet_settings = Settings {
         fronts,
         fronts_by_zone: vec![0, 0, fronts],
         coalescing: true,
         ..settings()
     };
-    RouterHarness::new(fleet, caches.chain(others).collect())
+    RouterHarness::new(fleet_settings, caches.chain(others).collect())
 }
 
 /// Sends a request for an object, which is served after 2 ms. Returns the cache that it was sent to.
@@ -216,16 +216,16 @@
             .map(listed)
             .chain([entry(20, PARENT), entry(30, ORIGIN)])
     };
-    let fleet = Settings {
+    let fleet_settings = Settings {
         fronts: FRONTS,
         fronts_by_zone: vec![0, 0, FRONTS],
         ..settings()
     };
-    let new_harness = |number| {
+    let new_harness = |front_index| {
         RouterHarness::new(
             Settings {
-                front_index: number,
-                ..fleet.clone()
+                front_index,
+                ..fleet_settings.clone()
             },
             endpoints().collect(),
         )
@@ -246,7 +246,7 @@
             }
             if rng.below(10) < 3 {
                 let new = harness.send_request(new_request(id, rng.below(5_000)));
-                sent.extend(new.iter().map(|s| (s.target, s.at)));
+                sent.extend(new.iter().map(|s| (s.target, s.sent_at)));
             }
         }
     }
