--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -20,7 +20,7 @@
     pub router: Router,
     pub now: Timestamp,
     pub sent: Vec<SentAttempt>,
-    /// Expiry time, token and insertion number.
+    /// Expiry time, token and a number that distinguishes equal entries.
     pub timers: BTreeSet<(Timestamp, u64, usize)>,
     pub log: Vec<String>,
     pub answers: BTreeMap<RequestId, Action>,
--- a/tests/health_and_placement.rs
+++ b/tests/health_and_placement.rs
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn state_does_not_grow_with_removed_endpoints_or_other_zones() {
+fn state_stays_bounded_with_removed_endpoints_and_other_zones() {
     // Replaced endpoints have new ids, with hundreds in one delta.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let initial_size = format!("{:?}", harness.router).len();
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -243,10 +243,10 @@
 #[test]
 fn a_stalled_attempt_is_cancelled_and_moves_where_hedging_is_not_allowed() {
     // Guards against waiting for a cache that drops some requests but serves others, and therefore stays UP.
-    let mut single = settings();
-    single.hedging = false;
-    single.parent_kind = None;
-    let mut harness = RouterHarness::new(single, vec![entry(10, CACHE), entry(11, CACHE)]);
+    let mut without_hedging = settings();
+    without_hedging.hedging = false;
+    without_hedging.parent_kind = None;
+    let mut harness = RouterHarness::new(without_hedging, vec![entry(10, CACHE), entry(11, CACHE)]);
     let stalled = harness.send_request(new_request(1, 5)).remove(0);
     harness.advance(900 * MS);
     assert!(
@@ -299,20 +299,20 @@
 fn unresponsive_caches_go_down_with_one_request_in_flight_at_a_time() {
     // Guards against unresponsive caches that stay UP because no other cache responds while a single request is in
     // flight.
-    let mut single = settings();
-    single.hedging = false;
+    let mut without_hedging = settings();
+    without_hedging.hedging = false;
     let mut endpoints = default_endpoints();
     endpoints.extend((13..16).map(|id| entry(id, CACHE)));
-    let mut harness = RouterHarness::new(single, endpoints);
+    let mut harness = RouterHarness::new(without_hedging, endpoints);
     let mut timeouts = 0;
     for id in 1..=600 {
         let mut next = harness.send_request(new_request(id, id % 50));
         while let Some(attempt) = next.first().cloned() {
-            let silent = (10..13).contains(&attempt.target) && id > 60;
-            harness.advance(if silent { 1_500 * MS } else { 10 * MS });
+            let is_unresponsive = (10..13).contains(&attempt.target) && id > 60;
+            harness.advance(if is_unresponsive { 1_500 * MS } else { 10 * MS });
             let cancel = Action::Cancel(attempt.request, attempt.number);
             next.clear();
-            if !silent {
+            if !is_unresponsive {
                 harness.serve(&attempt);
             } else if harness.actions.contains(&cancel) {
                 next = harness.end_attempt(&attempt, Status::Cancelled, FillNote::None, 0);
@@ -376,7 +376,7 @@
             }
         }
     }
-    let to = |source: u64| {
+    let fills_from = |source: u64| {
         harness
             .sent
             .iter()
@@ -384,10 +384,10 @@
             .count()
     };
     assert!(
-        to(30) > 0 && to(21) > to(30),
+        fills_from(30) > 0 && fills_from(21) > fills_from(30),
         "{} fills from the origin, {} from the remaining parent",
-        to(30),
-        to(21)
+        fills_from(30),
+        fills_from(21)
     );
 }
 
@@ -399,7 +399,11 @@
     let mut harness = RouterHarness::new(settings(), endpoints);
     let sent = send_requests(&mut harness, 1..60);
     let to_parents = |sent: &[SentAttempt]| sent.iter().filter(|s| s.source == Some(20)).count();
-    assert!(to_parents(&sent) <= 2, "{}", to_parents(&sent));
+    assert!(
+        to_parents(&sent) <= 2,
+        "{} fills from a parent in slow start",
+        to_parents(&sent)
+    );
     let (mut without_hits, mut with_hits) = (0, 0);
     for (hit, sum, first_id) in [
         (false, &mut without_hits, 100),
@@ -428,7 +432,7 @@
 
 #[test]
 fn many_failing_parents_beside_a_healthy_one_do_not_go_down() {
-    // Guards against one healthy peer sufficing to charge the failures of all others to them.
+    // Guards against one healthy parent being enough to take all failing ones DOWN.
     let mut endpoints = default_endpoints();
     endpoints.extend((22..28).map(|id| entry(id, PARENT)));
     let mut harness = RouterHarness::new(settings(), endpoints);
@@ -650,8 +654,8 @@
     assert!(harness
         .end_attempt(&first, Status::Rejected, FillNote::SourceRejected, 0)
         .is_empty());
-    let again = harness.advance(200 * MS);
-    assert_eq!(again[0].request, RequestId(id));
+    let retry = harness.advance(200 * MS);
+    assert_eq!(retry[0].request, RequestId(id));
 }
 
 #[test]
@@ -888,8 +892,8 @@
         more.iter().for_each(|attempt| {
             drop(harness.end_attempt(attempt, Status::Reset, FillNote::None, 0))
         });
-        let lost = harness.log.iter().filter(|l| l.contains("DOWN")).count();
-        assert_eq!(lost, down, "{:?}", harness.log);
+        let down_count = harness.log.iter().filter(|l| l.contains("DOWN")).count();
+        assert_eq!(down_count, down, "{:?}", harness.log);
     }
 }
 
@@ -1016,7 +1020,7 @@
         assert_eq!(
             (parents > 0, sent.len() == 59),
             (pass_through, pass_through),
-            "{parents} of {}",
+            "{parents} of {} attempts sent to parents",
             sent.len()
         );
         assert_eq!(harness.checker.violations, Vec::<String>::new());
@@ -1076,13 +1080,13 @@
 #[test]
 fn a_clock_that_is_behind_does_not_lengthen_a_slow_start() {
     // Guards against a slow start that lasts an hour longer because the clock of the front is an hour behind.
-    let admitted = |ahead_of_us: Micros, waits: Micros| {
+    let admitted = |start_offset: Micros, wait: Micros| {
         let mut harness = RouterHarness::new(settings(), Vec::new());
-        let started = harness.now + ahead_of_us;
+        let started = harness.now + start_offset;
         let started_entries =
             [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
         harness.notify(Event::Endpoints(ListKind::Full, started_entries.to_vec()));
-        harness.advance(waits);
+        harness.advance(wait);
         send_requests(&mut harness, 1..200).len()
     };
     for behind in [5 * S, 3_600 * S] {
