--- a/front/src/server/drivers/certs/challenges.rs
+++ b/front/src/server/drivers/certs/challenges.rs
@@ -1,7 +1,7 @@
 //! Answers http-01 challenges (RFC 8555, section 8.3) on a listener of their own.
 use super::settings::CertsError;
 use crate::server::drivers::Turn;
-use crate::transport::{at_start, listen, Registered, RestingListener};
+use crate::transport::{at_start, listen, BackoffListener, Registered};
 use cranesill::api::{Micros, Timestamp};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -29,7 +29,7 @@
 }
 
 struct Listener {
-    socket: RestingListener<TcpListener>,
+    socket: BackoffListener<TcpListener>,
     key: usize,
 }
 
@@ -174,7 +174,7 @@
     let address = listener.local_addr().map_err(listen_error)?;
     tracing::info!(at = %address, "answering challenges");
     let listener = turn.reactor.watch(listener, key, false);
-    let socket = RestingListener::new(listener.map_err(listen_error)?);
+    let socket = BackoffListener::new(listener.map_err(listen_error)?);
     Ok(Listener { socket, key })
 }
 
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -1,6 +1,6 @@
 //! The control socket: operators send commands, one JSON object a line, and get one line back for each.
 use super::{AdminEffect, Driver, Effect, Turn};
-use crate::transport::{at_start, Registered, RestingListener};
+use crate::transport::{at_start, BackoffListener, Registered};
 use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
@@ -38,7 +38,7 @@
 
 /// The control socket.
 pub struct Control {
-    listener: RestingListener<UnixListener>,
+    listener: BackoffListener<UnixListener>,
     listener_key: usize,
     path: PathBuf,
     operators: HashMap<usize, Operator>,
@@ -131,7 +131,7 @@
         let listener = listener.map_err(SocketError::Unwatched)?;
         tracing::info!(path = %path.display(), "control socket");
         Ok(Control {
-            listener: RestingListener::new(listener),
+            listener: BackoffListener::new(listener),
             listener_key,
             path: path.to_path_buf(),
             operators: HashMap::new(),
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -8,7 +8,7 @@
 use super::snapshot::{decode_list, wall_clock_ms, ListRequirements};
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::snapshot::{Snapshot, MAX_SNAPSHOT_BYTES};
-use crate::transport::{at_start, dial, listen, Outgoing, RestingListener, Stream};
+use crate::transport::{at_start, dial, listen, BackoffListener, Outgoing, Stream};
 use clients::Clients;
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
@@ -89,7 +89,7 @@
 
 /// The driver that exchanges the endpoint list with peers.
 pub struct Peers {
-    listener: RestingListener<TcpListener>,
+    listener: BackoffListener<TcpListener>,
     listener_key: usize,
     peers: Vec<SocketAddr>,
     bootstrap: PeerBootstrap,
@@ -153,7 +153,7 @@
         let interval = settings.every_ms * 1_000;
         let bootstrap = PeerBootstrap::new(turn.now, peers.len(), settings.agree, interval, seed);
         Ok(Peers {
-            listener: RestingListener::new(listener),
+            listener: BackoffListener::new(listener),
             listener_key,
             peers,
             bootstrap,
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -3,7 +3,7 @@
 use super::start::StartError;
 use crate::protocol::follow::{decode_hello, frame, Frame, Hello, HELLO_BYTES};
 use crate::server::drivers::Turn;
-use crate::transport::{at_start, listen, Registered, RestingListener, Stream};
+use crate::transport::{at_start, listen, BackoffListener, Registered, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::log::PurgeLog;
 use cranesill_purges::{Purge, PurgeNumber};
@@ -139,7 +139,7 @@
 /// The followers of this front.
 #[derive(Debug)]
 pub(super) struct Followers {
-    listener: RestingListener<TcpListener>,
+    listener: BackoffListener<TcpListener>,
     listener_key: usize,
     /// By the poller keys of their connections.
     followers: HashMap<usize, Follower>,
@@ -162,7 +162,7 @@
             }
         })?;
         Ok(Followers {
-            listener: RestingListener::new(listener),
+            listener: BackoffListener::new(listener),
             listener_key,
             followers: HashMap::new(),
             scratch: vec![0; READ_BUFFER_BYTES],
--- a/front/src/transport/resting_listener.rs
+++ b/front/src/transport/backoff_listener.rs
@@ -36,16 +36,16 @@
 
 /// A listener that rests after a failed `accept`.
 #[derive(Debug)]
-pub struct RestingListener<L: Accept> {
+pub struct BackoffListener<L: Accept> {
     listener: Registered<L>,
     /// When it is watched again; `None` while it does not rest.
     resumes_at: Option<Timestamp>,
 }
 
-impl<L: Accept> RestingListener<L> {
+impl<L: Accept> BackoffListener<L> {
     /// A listener that is watched for reading.
     pub fn new(listener: Registered<L>) -> Self {
-        RestingListener {
+        BackoffListener {
             listener,
             resumes_at: None,
         }
--- a/front/src/transport/resting_listener/tests.rs
+++ b/front/src/transport/backoff_listener/tests.rs
@@ -39,7 +39,7 @@
     reactor: &Reactor,
     failures: usize,
     errno: i32,
-) -> (RestingListener<Failing>, TcpStream) {
+) -> (BackoffListener<Failing>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -50,7 +50,7 @@
         errno,
     };
     let registered = reactor.watch(failing, KEY, false).unwrap();
-    (RestingListener::new(registered), client)
+    (BackoffListener::new(registered), client)
 }
 
 fn is_reported(reactor: &mut Reactor) -> bool {
