--- a/front/src/server/drivers/certs/challenges.rs
+++ b/front/src/server/drivers/certs/challenges.rs
@@ -1,7 +1,7 @@
 //! Answers http-01 challenges (RFC 8555, section 8.3) on a listener of their own.
 use super::settings::CertsError;
 use crate::server::drivers::Turn;
-use crate::transport::{at_start, listen, BackoffListener, Registered};
+use crate::transport::{listen, retry_on_shortage, BackoffListener, Registered};
 use cranesill::api::{Micros, Timestamp};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -170,7 +170,7 @@
         cause,
     };
     let key = turn.key();
-    let listener = at_start(|| listen(configured)).map_err(listen_error)?;
+    let listener = retry_on_shortage(|| listen(configured)).map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
     tracing::info!(at = %address, "answering challenges");
     let listener = turn.reactor.watch(listener, key, false);
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -1,6 +1,6 @@
 //! The control socket: operators send commands, one JSON object a line, and get one line back for each.
 use super::{AdminEffect, Driver, Effect, Turn};
-use crate::transport::{at_start, BackoffListener, Registered};
+use crate::transport::{retry_on_shortage, BackoffListener, Registered};
 use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
@@ -92,7 +92,7 @@
 
 /// Makes the socket: with mode 0600 before anybody can connect, and in the place of one that nobody listens on.
 fn bind(path: &Path) -> Result<UnixListener, SocketError> {
-    if at_start(|| UnixStream::connect(path)).is_ok() {
+    if retry_on_shortage(|| UnixStream::connect(path)).is_ok() {
         return Err(SocketError::InUse(path.to_path_buf()));
     }
     let metadata = std::fs::symlink_metadata(path);
@@ -109,7 +109,7 @@
 fn bind_aside(path: &Path) -> io::Result<UnixListener> {
     let aside = path.with_extension(format!("{}.tmp", std::process::id()));
     let _ = std::fs::remove_file(&aside);
-    let listener = at_start(|| UnixListener::bind(&aside))?;
+    let listener = retry_on_shortage(|| UnixListener::bind(&aside))?;
     let made = std::fs::set_permissions(&aside, std::fs::Permissions::from_mode(0o600))
         .and_then(|()| std::fs::rename(&aside, path))
         .and_then(|()| listener.set_nonblocking(true));
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -4,7 +4,7 @@
 use crate::protocol::admin::{answer, decode, Call, CallError, MAX_LINE_BYTES};
 use crate::protocol::cache_node::endpoint_name;
 use crate::server::acceptor::{AcceptBackoff, Next};
-use crate::transport::{at_start, listen, used_up, AcceptFault, Registered};
+use crate::transport::{descriptors_exhausted, listen, retry_on_shortage, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -75,7 +75,7 @@
             acceptor: AcceptBackoff::default(),
             retry_at: None,
         };
-        match at_start(|| ops.listen(turn)) {
+        match retry_on_shortage(|| ops.listen(turn)) {
             Err(error) if beside && error.kind() == io::ErrorKind::AddrInUse => {
                 tracing::warn!(kind = "ops", %at, "address for operators is taken: tried for until it is free");
                 ops.retry_at = Some(turn.now + RETRY_INTERVAL);
@@ -124,7 +124,7 @@
     fn accept_failed(&mut self, turn: &mut Turn<'_>, error: &io::Error) -> bool {
         let fault = AcceptFault::of(error);
         // Out of descriptors: a silent caller gives its own up.
-        if fault == AcceptFault::Descriptors && used_up() && self.free_slot(turn) {
+        if fault == AcceptFault::Descriptors && descriptors_exhausted() && self.free_slot(turn) {
             return true;
         }
         if self.acceptor.failed(turn.now, fault) == Next::Retry {
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -8,7 +8,7 @@
 use super::snapshot::{decode_list, wall_clock_ms, ListRequirements};
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::snapshot::{Snapshot, MAX_SNAPSHOT_BYTES};
-use crate::transport::{at_start, dial, listen, BackoffListener, Outgoing, Stream};
+use crate::transport::{dial, listen, retry_on_shortage, BackoffListener, Outgoing, Stream};
 use clients::Clients;
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
@@ -146,7 +146,7 @@
         let address = parse_address("listen", &settings.listen)?;
         let peers = other_peers(settings, address)?;
         let listener_key = turn.key();
-        let listener = at_start(|| listen(address))
+        let listener = retry_on_shortage(|| listen(address))
             .and_then(|l| turn.reactor.watch(l, listener_key, false))
             .map_err(|cause| PeersError::Listen { address, cause })?;
         tracing::info!(at = %address, peers = peers.len(), "the list is served to peers");
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -3,7 +3,7 @@
 use super::start::StartError;
 use crate::protocol::follow::{decode_hello, frame, Frame, Hello, HELLO_BYTES};
 use crate::server::drivers::Turn;
-use crate::transport::{at_start, listen, BackoffListener, Registered, Stream};
+use crate::transport::{listen, retry_on_shortage, BackoffListener, Registered, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::log::PurgeLog;
 use cranesill_purges::{Purge, PurgeNumber};
@@ -174,7 +174,7 @@
         address: SocketAddr,
         key: usize,
     ) -> io::Result<Registered<TcpListener>> {
-        let listener = at_start(|| listen(address))?;
+        let listener = retry_on_shortage(|| listen(address))?;
         let local = listener.local_addr()?;
         tracing::info!(at = %local, "purges: serving the ledger");
         turn.reactor.watch(listener, key, false)
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -7,7 +7,7 @@
 use super::certificate_table::ALPN_BINARY;
 use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
 use crate::server::acceptor::{AcceptBackoff, Next};
-use crate::transport::{at_start, listen, AcceptFault, Registered};
+use crate::transport::{listen, retry_on_shortage, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::{Daemon, Tls as Settings};
 use cranesill_limits::{CpuShare, Slots};
@@ -106,7 +106,7 @@
             cause,
         };
         let listener_key = turn.key();
-        let listener = at_start(|| listen(configured)).map_err(listen_error)?;
+        let listener = retry_on_shortage(|| listen(configured)).map_err(listen_error)?;
         let address = listener.local_addr().map_err(listen_error)?;
         let listener = turn
             .reactor
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -22,7 +22,9 @@
 use crate::server::signals;
 use crate::server::startup::{call_schedule, known_list, snapshot_path, Startup};
 use crate::server::upstream::CacheNodes;
-use crate::transport::{at_start, inherited, listen, Clock, Deadlines, Reactor, Registered};
+use crate::transport::{
+    inherited, listen, retry_on_shortage, Clock, Deadlines, Reactor, Registered,
+};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Daemon;
 use signal_hook::consts::{SIGHUP, SIGTERM};
@@ -53,20 +55,22 @@
         inherited: Option<TcpListener>,
     ) -> Result<Self, ServerError> {
         let log = Log::install(&settings.log);
-        let reactor = at_start(Reactor::new).map_err(ServerError::Poller)?;
+        let reactor = retry_on_shortage(Reactor::new).map_err(ServerError::Poller)?;
         let listener = match inherited {
             Some(listener) => listener,
-            None => at_start(|| listen(config.listen)).map_err(|source| ServerError::Listen {
-                address: config.listen,
-                source,
+            None => retry_on_shortage(|| listen(config.listen)).map_err(|source| {
+                ServerError::Listen {
+                    address: config.listen,
+                    source,
+                }
             })?,
         };
         let listener = reactor
             .watch(listener, LISTENER_KEY, false)
             .map_err(ServerError::Poller)?;
-        let sigterm = at_start(|| signals::watch(&reactor, SIGTERM, SIGTERM_KEY));
+        let sigterm = retry_on_shortage(|| signals::watch(&reactor, SIGTERM, SIGTERM_KEY));
         let sigterm = sigterm.map_err(ServerError::Signals)?;
-        let sighup = at_start(|| signals::watch(&reactor, SIGHUP, SIGHUP_KEY));
+        let sighup = retry_on_shortage(|| signals::watch(&reactor, SIGHUP, SIGHUP_KEY));
         let sighup = sighup.map_err(ServerError::Signals)?;
         Ok(Sources {
             log,
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -4,7 +4,7 @@
 use crate::routing::Response;
 use crate::server::acceptor::Next;
 use crate::server::downstream::ClientEvent;
-use crate::transport::{used_up, AcceptFault, Registered};
+use crate::transport::{descriptors_exhausted, AcceptFault, Registered};
 use cranesill::api::Timestamp;
 use std::io;
 use std::net::TcpStream;
@@ -71,7 +71,7 @@
     /// whole system has had none for long. A shortage that passes costs nobody a connection.
     fn free_descriptor(&mut self, now: Timestamp, error: &io::Error) {
         let lacking = AcceptFault::of(error) == AcceptFault::Descriptors;
-        if lacking && (used_up() || self.accept_backoff.is_lasting(now)) {
+        if lacking && (descriptors_exhausted() || self.accept_backoff.is_lasting(now)) {
             self.clients.evict_idle(now);
         }
     }
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -2,7 +2,7 @@
 use super::timers::Timer;
 use super::Server;
 use crate::server::handover::Handover;
-use crate::transport::at_start;
+use crate::transport::retry_on_shortage;
 use cranesill::api::{Micros, Timestamp};
 use std::io;
 use std::path::PathBuf;
@@ -76,7 +76,7 @@
     let found = directory
         .ok_or_else(|| io::Error::other("TMPDIR is not set"))
         .map(PathBuf::from);
-    let opened = found.and_then(|directory| at_start(|| Handover::new(&directory)));
+    let opened = found.and_then(|directory| retry_on_shortage(|| Handover::new(&directory)));
     if let Err(error) = &opened {
         tracing::warn!(kind = "upgrade", %error, "nothing is shared with another process: it accepts clients as well");
     }
--- a/front/src/transport/descriptors.rs
+++ b/front/src/transport/descriptors.rs
@@ -24,6 +24,6 @@
 
 /// Whether every number that this process may open is in use. Numbers are given out from the lowest on, so that the answer
 /// is found at the first look unless there is a real lack.
-pub fn used_up() -> bool {
+pub fn descriptors_exhausted() -> bool {
     limit().is_some_and(|limit| (0..limit).rev().all(is_open))
 }
--- a/front/src/transport/at_start.rs
+++ b/front/src/transport/shortage_retry.rs
@@ -10,7 +10,7 @@
 
 /// Makes a call, again and again within a bound while it fails for lack of descriptors, buffers or memory. Any other error
 /// is returned at once.
-pub fn at_start<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_on_shortage<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let deadline = Instant::now() + MAX_RETRY_TIME;
     loop {
         match call() {
--- a/front/src/transport/workers.rs
+++ b/front/src/transport/workers.rs
@@ -1,6 +1,6 @@
 //! Worker threads for blocking calls. The event loop hands work over and goes on. Results come back through a queue, and a
 //! byte on a socket wakes the poller.
-use super::{at_start, Reactor, Registered};
+use super::{retry_on_shortage, Reactor, Registered};
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -24,7 +24,7 @@
 impl<R: Send + 'static> Workers<R> {
     /// Creates workers without a thread. The poller reports `key` as readable once there are results.
     pub fn new(reactor: &Reactor, key: usize) -> io::Result<Self> {
-        let (woken, waker) = at_start(UnixStream::pair)?;
+        let (woken, waker) = retry_on_shortage(UnixStream::pair)?;
         woken.set_nonblocking(true)?;
         waker.set_nonblocking(true)?;
         let (sender, results) = channel();
