--- a/front/src/server/acceptor.rs
+++ b/front/src/server/acceptor.rs
@@ -14,11 +14,11 @@
 
 /// What to do after a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum AcceptRetry {
     /// Accept again at once.
-    Retry,
+    Now,
     /// Rest until then.
-    Rest(Timestamp),
+    At(Timestamp),
 }
 
 /// State of a listener whose calls to `accept` may fail.
@@ -40,7 +40,7 @@
     }
 
     /// Whether the listener rests now.
-    pub fn is_resting(&self) -> bool {
+    pub fn is_paused(&self) -> bool {
         self.resting
     }
 
@@ -65,15 +65,15 @@
     }
 
     /// Notes that a call failed. Returns when to make the next.
-    pub fn failed(&mut self, now: Timestamp, fault: AcceptFault) -> Next {
+    pub fn failed(&mut self, now: Timestamp, fault: AcceptFault) -> AcceptRetry {
         self.failing_since.get_or_insert(now);
         self.failures_in_turn += 1;
         if fault == AcceptFault::Connection && self.failures_in_turn < MAX_FAILURES_IN_TURN {
-            return Next::Retry;
+            return AcceptRetry::Now;
         }
         self.rest = (self.rest * 2).clamp(MIN_REST, MAX_REST);
         self.resting = true;
-        Next::Rest(now + self.rest)
+        AcceptRetry::At(now + self.rest)
     }
 
     /// Whether a shortage has lasted so long that it does not seem to pass by itself.
--- a/front/src/server/acceptor/tests.rs
+++ b/front/src/server/acceptor/tests.rs
@@ -7,11 +7,11 @@
     let mut rests = Vec::new();
     for _ in 0..5 {
         acceptor.begin_turn();
-        let Next::Rest(until) = acceptor.failed(now, AcceptFault::Other) else {
+        let AcceptRetry::At(until) = acceptor.failed(now, AcceptFault::Other) else {
             panic!("no rest")
         };
         rests.push(until - now);
-        assert!(acceptor.is_resting());
+        assert!(acceptor.is_paused());
         now = until;
         acceptor.resume();
     }
@@ -19,7 +19,7 @@
     acceptor.accepted(now);
     assert_eq!(
         acceptor.failed(now, AcceptFault::Other),
-        Next::Rest(now + MIN_REST)
+        AcceptRetry::At(now + MIN_REST)
     );
 }
 
@@ -28,11 +28,14 @@
     let mut acceptor = AcceptBackoff::default();
     acceptor.begin_turn();
     for _ in 1..MAX_FAILURES_IN_TURN {
-        assert_eq!(acceptor.failed(0, AcceptFault::Connection), Next::Retry);
+        assert_eq!(
+            acceptor.failed(0, AcceptFault::Connection),
+            AcceptRetry::Now
+        );
     }
     assert_eq!(
         acceptor.failed(0, AcceptFault::Connection),
-        Next::Rest(MIN_REST)
+        AcceptRetry::At(MIN_REST)
     );
 }
 
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -3,7 +3,7 @@
 use super::{AdminEffect, Driver, Effect, Turn};
 use crate::protocol::admin::{answer, decode, Call, CallError, MAX_LINE_BYTES};
 use crate::protocol::cache_node::endpoint_name;
-use crate::server::acceptor::{AcceptBackoff, Next};
+use crate::server::acceptor::{AcceptBackoff, AcceptRetry};
 use crate::transport::{descriptors_exhausted, listen, retry_on_shortage, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
 use serde_json::{json, Value};
@@ -127,7 +127,7 @@
         if fault == AcceptFault::Descriptors && descriptors_exhausted() && self.free_slot(turn) {
             return true;
         }
-        if self.acceptor.failed(turn.now, fault) == Next::Retry {
+        if self.acceptor.failed(turn.now, fault) == AcceptRetry::Now {
             return true;
         }
         tracing::warn!(kind = "ops", %error, "no operator can be heard for now");
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -6,7 +6,7 @@
 
 use super::certificate_table::ALPN_BINARY;
 use super::{AdminEffect, Driver, Effect, TlsEffect, Turn};
-use crate::server::acceptor::{AcceptBackoff, Next};
+use crate::server::acceptor::{AcceptBackoff, AcceptRetry};
 use crate::transport::{listen, retry_on_shortage, AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::{Daemon, Tls as Settings};
@@ -168,8 +168,8 @@
                     return self.accept_backoff.emptied();
                 }
                 Err(e) => match self.accept_backoff.failed(turn.now, AcceptFault::of(&e)) {
-                    Next::Retry => {}
-                    Next::Rest(until) => {
+                    AcceptRetry::Now => {}
+                    AcceptRetry::At(until) => {
                         tracing::warn!(error = %e, "TLS accept");
                         self.accept_resumes_at = until;
                         return self.watch_listener(false);
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -2,7 +2,7 @@
 use super::timers::Timer;
 use super::Server;
 use crate::routing::Response;
-use crate::server::acceptor::Next;
+use crate::server::acceptor::AcceptRetry;
 use crate::server::downstream::ClientEvent;
 use crate::transport::{descriptors_exhausted, AcceptFault, Registered};
 use cranesill::api::Timestamp;
@@ -16,7 +16,7 @@
     /// Watches the clients' listener or stops watching it. It is not watched while another process accepts, nor for a moment
     /// after a failed call.
     pub(super) fn watch_listener(&mut self, on: bool) {
-        let on = on && !self.another_process_accepts() && !self.accept_backoff.is_resting();
+        let on = on && !self.another_process_accepts() && !self.accept_backoff.is_paused();
         // The listener is watched for as long as the program runs: this can't fail.
         let _ = self.listener.rewatch(on, false);
     }
@@ -35,8 +35,8 @@
                     return self.accept_backoff.emptied();
                 }
                 Err(error) => match self.accept_backoff.failed(now, AcceptFault::of(&error)) {
-                    Next::Retry => {}
-                    Next::Rest(until) => return self.rest_listener(now, until, &error),
+                    AcceptRetry::Now => {}
+                    AcceptRetry::At(until) => return self.rest_listener(now, until, &error),
                 },
             }
         }
