--- a/front/src/server/discovery.rs
+++ b/front/src/server/discovery.rs
@@ -199,7 +199,7 @@
             let Some((_, stream)) = &mut self.stream else {
                 break;
             };
-            match stream.fill(&mut self.scratch)? {
+            match stream.read_input(&mut self.scratch)? {
                 None => break,
                 Some(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Some(_) => {}
--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -185,7 +185,7 @@
             if round > 0 && !connection.wants_input(now) {
                 return false;
             }
-            match connection.stream.fill(&mut self.scratch) {
+            match connection.stream.read_input(&mut self.scratch) {
                 Ok(Some(n)) if n > 0 => {}
                 Ok(None) => return false,
                 Ok(Some(_)) if connection.half_close() => {
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -203,7 +203,7 @@
             poll.stream.flush(|()| {})?;
             poll.stream.rewatch(true)?;
         }
-        while let Some(n) = poll.stream.fill(&mut self.read_buffer)? {
+        while let Some(n) = poll.stream.read_input(&mut self.read_buffer)? {
             if n == 0 {
                 return Ok(Progress::Complete);
             }
--- a/front/src/server/drivers/peers/clients.rs
+++ b/front/src/server/drivers/peers/clients.rs
@@ -83,7 +83,7 @@
     read_buffer: &mut [u8],
     served: &mut u64,
 ) -> io::Result<()> {
-    while let Some(n) = client.stream.fill(read_buffer)? {
+    while let Some(n) = client.stream.read_input(read_buffer)? {
         if n == 0 || client.stream.input().len() > REQUEST_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -233,7 +233,7 @@
         }
         connection.stream.flush(|()| {})?;
         connection.stream.rewatch(true)?;
-        while let Some(received) = connection.stream.fill(&mut self.scratch)? {
+        while let Some(received) = connection.stream.read_input(&mut self.scratch)? {
             if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -221,7 +221,7 @@
             return Ok(());
         };
         follower.stream.flush(|()| {})?;
-        while let Some(received) = follower.stream.fill(&mut self.scratch)? {
+        while let Some(received) = follower.stream.read_input(&mut self.scratch)? {
             if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
--- a/front/src/server/drivers/purges/writer_link.rs
+++ b/front/src/server/drivers/purges/writer_link.rs
@@ -80,7 +80,7 @@
         }
         stream.flush(|()| {})?;
         // One read a turn: a writer that sends a lot does not keep the loop to itself.
-        if let Some(received) = stream.fill(&mut self.scratch)? {
+        if let Some(received) = stream.read_input(&mut self.scratch)? {
             if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -38,7 +38,7 @@
             let Some(connection) = self.connections.get_mut(&key) else {
                 break;
             };
-            match connection.stream.fill(&mut self.scratch)? {
+            match connection.stream.read_input(&mut self.scratch)? {
                 None => break,
                 Some(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Some(_) => {
--- a/front/src/transport/stream.rs
+++ b/front/src/transport/stream.rs
@@ -117,10 +117,10 @@
 
     /// Reads once by way of `scratch`, which connections share, so that each keeps no more than its unconsumed input. Returns the
     /// number of bytes, 0 at the end of the peer's data, and `None` if there is nothing to read now.
-    pub fn fill(&mut self, scratch: &mut [u8]) -> io::Result<Option<usize>> {
+    pub fn read_input(&mut self, scratch: &mut [u8]) -> io::Result<Option<usize>> {
         if let Some(tls) = &mut self.tls {
             self.input.drain(..std::mem::take(&mut self.consumed));
-            return tls.fill(&self.socket, scratch, &mut self.input);
+            return tls.read_input(&self.socket, scratch, &mut self.input);
         }
         match self.socket.read(scratch) {
             Ok(n) => {
--- a/front/src/transport/stream/tests.rs
+++ b/front/src/transport/stream/tests.rs
@@ -9,7 +9,7 @@
     let mut stream: Stream<()> = Stream::new(&Reactor::new().unwrap(), socket, 1, false).unwrap();
     peer.write_all(&[7; 100_000]).unwrap();
     while stream.input().len() < 100_000 {
-        stream.fill(&mut [0; 16_384]).unwrap();
+        stream.read_input(&mut [0; 16_384]).unwrap();
     }
     stream.consume(99_999);
     assert_eq!(stream.input(), [7]);
--- a/front/src/transport/stream/tls.rs
+++ b/front/src/transport/stream/tls.rs
@@ -14,7 +14,7 @@
 impl Tls {
     /// Reads once, and moves all that this could decrypt to `input`: the poller would not report what stayed behind. The library
     /// bounds how much one read decrypts.
-    pub(super) fn fill(
+    pub(super) fn read_input(
         &mut self,
         mut socket: &TcpStream,
         scratch: &mut [u8],
