--- a/front/src/server/cli.rs
+++ b/front/src/server/cli.rs
@@ -1,9 +1,9 @@
 //! The command line: what the program is asked to do.
-use super::config::{settings, Config};
+use super::config::{load_settings, Config};
 use super::ctl::{self, Ctl};
 use super::error::{CommandError, ConfigErrors};
 use super::event_loop::Server;
-use super::signals::Early;
+use super::signals::StartupSignals;
 use bpaf::{construct, long, positional, OptionParser, Parser};
 use cranesill_daemon::Daemon;
 use std::path::PathBuf;
@@ -105,20 +105,20 @@
 /// Serves until SIGTERM. Returns all errors that can be found, one a line for the operator.
 fn serve(options: Serve) -> Result<(), Vec<CommandError>> {
     // Before anything is read: a signal that comes while the program starts would end it by the system's own way.
-    let early = Early::new().map_err(|e| vec![CommandError::Signals(e)])?;
+    let startup_signals = StartupSignals::new().map_err(|e| vec![CommandError::Signals(e)])?;
     let mut config = Config::load(&options.config).map_err(command_errors)?;
     let settings = match &options.settings {
-        Some(file) => settings(file).map_err(command_errors)?,
+        Some(file) => load_settings(file).map_err(command_errors)?,
         None => Daemon::default(),
     };
     apply_options(&mut config, &options)?;
     config
-        .reserve(&settings)
+        .reserve_descriptors(&settings)
         .map_err(|e| vec![CommandError::Config(e)])?;
     let server = Server::new(config, settings, options.settings);
     let server = server.map_err(|e| vec![CommandError::Server(e)])?;
-    early
-        .raise_again()
+    startup_signals
+        .re_raise()
         .map_err(|e| vec![CommandError::Signals(e)])?;
     server.run().map_err(|e| vec![CommandError::Server(e)])
 }
@@ -155,10 +155,10 @@
         return Err(vec![CommandError::NothingToCheck]);
     }
     let config = config.map(|file| Config::load(&file));
-    let settings = settings_file.map(|file| settings(&file));
+    let settings = settings_file.map(|file| load_settings(&file));
     let mut errors = Vec::new();
     if let (Some(Ok(config)), Some(Ok(settings))) = (&config, &settings) {
-        let reserved = config.clone().reserve(settings);
+        let reserved = config.clone().reserve_descriptors(settings);
         errors.extend(reserved.err().map(CommandError::Config));
     }
     match config {
@@ -197,8 +197,8 @@
 
 /// Runs the command that the command line asks for.
 pub fn run() -> ExitCode {
-    let done = match options().run() {
-        Command::Serve(asked) => serve(asked),
+    let result = match options().run() {
+        Command::Serve(options) => serve(options),
         Command::Check { config, settings } => check(config, settings),
         Command::Schema => {
             // A value of JSON can always be written as text.
@@ -214,7 +214,7 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(errors) => {
             for error in errors {
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -27,7 +27,7 @@
     /// Seed of the front's random choices.
     pub seed: u64,
     /// The address of the list service.
-    pub feed: SocketAddr,
+    pub list_service: SocketAddr,
     /// The limit on open descriptors.
     pub sockets: usize,
     /// Descriptors that subsystems take from those of clients.
@@ -43,15 +43,15 @@
     /// The descriptor of the clients' listening socket, where the platform hands it over.
     pub accept_fd: Option<i32>,
     /// Whether two processes of this front share its limits now.
-    pub halved: bool,
+    pub limits_shared: bool,
 }
 
 impl Config {
     /// Reads the file. All errors that can be found are returned.
     pub fn load(file: &Path) -> Result<Self, ConfigErrors> {
         let text = std::fs::read(file).map_err(|source| ConfigError::unreadable(file, source))?;
-        let value: Value =
-            serde_json::from_slice(&text).map_err(|source| ConfigError::no_json(file, source))?;
+        let value: Value = serde_json::from_slice(&text)
+            .map_err(|source| ConfigError::invalid_json(file, source))?;
         Self::read(file, &value).map_err(|faults| {
             let error = |fault| ConfigError::invalid(file, fault);
             faults.into_iter().map(error).collect()
@@ -60,19 +60,19 @@
 
     fn read(file: &Path, value: &Value) -> Result<Self, Vec<ConfigFault>> {
         let mut faults = Vec::new();
-        let listen = noted(address(value, "listen"), &mut faults);
-        let seed = noted(seed(value), &mut faults);
-        let feed = noted(address(value, "feed"), &mut faults);
-        let ops = noted(optional_address(value, "ops"), &mut faults);
-        let sockets = noted(limit(value, "sockets", MIN_SOCKETS), &mut faults);
-        let memory_mb = noted(limit(value, "memory_mb", MIN_MEMORY_MB), &mut faults);
+        let listen = ok_or_record(address(value, "listen"), &mut faults);
+        let seed = ok_or_record(seed(value), &mut faults);
+        let list_service = ok_or_record(address(value, "feed"), &mut faults);
+        let ops = ok_or_record(optional_address(value, "ops"), &mut faults);
+        let sockets = ok_or_record(limit(value, "sockets", MIN_SOCKETS), &mut faults);
+        let memory_mb = ok_or_record(limit(value, "memory_mb", MIN_MEMORY_MB), &mut faults);
         let deployment = cranesill_settings::read(&value["settings"])
             .map_err(|e| ConfigFault::Deployment(e.to_string()));
-        let deployment = noted(deployment, &mut faults);
+        let deployment = ok_or_record(deployment, &mut faults);
         let known = deployment.as_ref().and_then(|deployment| {
             let known = configured_events::read(&value["known"], &deployment.names);
             let known = known.map_err(ConfigFault::from);
-            noted(known, &mut faults)
+            ok_or_record(known, &mut faults)
         });
         let config = || {
             Some(Config {
@@ -80,7 +80,7 @@
                 name: value["name"].as_str().unwrap_or("front").to_string(),
                 listen: listen?,
                 seed: seed?,
-                feed: feed?,
+                list_service: list_service?,
                 sockets: sockets? as usize,
                 reserved: 0,
                 memory: memory_mb? as usize * (1 << 20),
@@ -88,14 +88,14 @@
                 deployment: deployment?,
                 ops: ops?,
                 accept_fd: None,
-                halved: false,
+                limits_shared: false,
             })
         };
         config().ok_or(faults)
     }
 
     fn processes(&self) -> usize {
-        1 + usize::from(self.halved)
+        1 + usize::from(self.limits_shared)
     }
 
     /// Returns how many clients may be connected at once.
@@ -104,7 +104,7 @@
     }
 
     /// Takes the descriptors of subsystems that the settings switch on from those of clients.
-    pub fn reserve(&mut self, settings: &Daemon) -> Result<(), ConfigError> {
+    pub fn reserve_descriptors(&mut self, settings: &Daemon) -> Result<(), ConfigError> {
         let subsystems = subsystem_descriptors(settings);
         let ops = self.ops.map_or(0, |_| super::drivers::ops::MAX_CALLERS + 1);
         self.reserved = subsystems + ops;
@@ -126,7 +126,7 @@
     }
 
     /// Returns the capacity for requests: half of the memory; the rest is for input, the program and the allocator.
-    pub fn room(&self) -> CapacityLimits {
+    pub fn capacity_limits(&self) -> CapacityLimits {
         CapacityLimits {
             max_pending: self.deployment.limits.open,
             max_buffered_bytes: self.memory / 2 / self.processes(),
@@ -145,7 +145,7 @@
             "{} listens on {}, hears {} from event {}: {} classes, {} sockets, {} MB",
             self.name,
             self.listen,
-            self.feed,
+            self.list_service,
             self.known.0,
             self.deployment.names.classes.len(),
             self.sockets,
@@ -181,7 +181,7 @@
 
 fn address(value: &Value, key: &'static str) -> Result<SocketAddr, ConfigFault> {
     let text = value[key].as_str().ok_or(ConfigFault::Missing(key))?;
-    text.parse().map_err(|_| ConfigFault::NoAddress {
+    text.parse().map_err(|_| ConfigFault::InvalidAddress {
         key,
         text: text.into(),
     })
@@ -209,12 +209,12 @@
 }
 
 /// Returns what could be read; what could not is added to the faults.
-fn noted<T>(result: Result<T, ConfigFault>, faults: &mut Vec<ConfigFault>) -> Option<T> {
+fn ok_or_record<T>(result: Result<T, ConfigFault>, faults: &mut Vec<ConfigFault>) -> Option<T> {
     result.map_err(|fault| faults.push(fault)).ok()
 }
 
 /// Reads the daemon's own settings. All errors that can be found are returned.
-pub fn settings(file: &Path) -> Result<Daemon, ConfigErrors> {
+pub fn load_settings(file: &Path) -> Result<Daemon, ConfigErrors> {
     let text = std::fs::read(file).map_err(|source| ConfigError::unreadable(file, source))?;
     let settings = cranesill_daemon::read(&text).map_err(|faults| {
         let error = |fault| ConfigError::invalid_settings(file, fault);
--- a/front/src/server/ctl.rs
+++ b/front/src/server/ctl.rs
@@ -7,8 +7,8 @@
 mod output;
 
 use super::error::CtlError;
-use client::At;
-use output::{table, verdict};
+use client::DaemonSocket;
+use output::{table, worst_exit_code};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -18,39 +18,39 @@
 
 /// What the daemon is asked to do.
 #[derive(Clone, Debug)]
-enum Verb {
+enum Operation {
     /// A command by name, with `name=value` pairs.
-    Word(String, Vec<String>),
-    List,
-    Show(String),
-    Renew(String),
-    Revoke(String, Option<u8>),
-    Import(PathBuf, PathBuf),
-    RollKey,
+    Command(String, Vec<String>),
+    ListCertificates,
+    ShowCertificate(String),
+    RenewCertificate(String),
+    RevokeCertificate(String, Option<u8>),
+    ImportCertificate(PathBuf, PathBuf),
+    RollAccountKey,
     Purge {
-        what: (&'static str, String),
+        target: (&'static str, String),
         id: Option<String>,
-        why: Option<String>,
+        reason: Option<String>,
         all: bool,
         wait: Option<u64>,
-        dry: bool,
+        dry_run: bool,
     },
-    Purges(Option<u64>),
-    Boxes,
+    ListPurges(Option<u64>),
+    ListCacheNodes,
 }
 
 /// An operator's command, and the daemon that it is for.
 #[derive(Clone, Debug)]
 pub struct Ctl {
-    at: At,
+    daemon: DaemonSocket,
     json: bool,
-    verb: Verb,
+    operation: Operation,
 }
 
 /// Exit code where no such certificate or purge exists.
 const NOT_FOUND: u8 = 3;
 /// How the daemon's answer begins where the settings name no certificate.
-const NO_CERTIFICATES: &str = "no certificate is configured";
+const NO_CERTIFICATE_PREFIX: &str = "no certificate is configured";
 
 /// `a=1` and `b=x` as an object; a value that reads as JSON is that, any other is text.
 fn fields(pairs: &[String]) -> Result<Value, CtlError> {
@@ -58,7 +58,7 @@
     for pair in pairs {
         let (name, value) = pair
             .split_once('=')
-            .ok_or_else(|| CtlError::NotAField(pair.clone()))?;
+            .ok_or_else(|| CtlError::InvalidField(pair.clone()))?;
         let value = serde_json::from_str(value).unwrap_or_else(|_| value.into());
         object.insert(name.into(), value);
     }
@@ -66,38 +66,40 @@
 }
 
 /// Returns the command that the daemon is sent, and its arguments.
-fn command(verb: &Verb) -> Result<(&str, Value), CtlError> {
+fn command(operation: &Operation) -> Result<(&str, Value), CtlError> {
     let read = |file: &Path| std::fs::read_to_string(file).map_err(|e| CtlError::io(file, e));
-    Ok(match verb {
-        Verb::Word(name, pairs) => (name, fields(pairs)?),
-        Verb::List => ("certs", json!({"name": ""})),
-        Verb::Show(name) => ("certs", json!({"name": name})),
-        Verb::Renew(name) => ("certs-renew", json!({"name": name})),
-        Verb::Revoke(name, reason) => ("certs-revoke", json!({"name": name, "reason": reason})),
-        Verb::Import(key, chain) => {
+    Ok(match operation {
+        Operation::Command(name, pairs) => (name, fields(pairs)?),
+        Operation::ListCertificates => ("certs", json!({"name": ""})),
+        Operation::ShowCertificate(name) => ("certs", json!({"name": name})),
+        Operation::RenewCertificate(name) => ("certs-renew", json!({"name": name})),
+        Operation::RevokeCertificate(name, reason) => {
+            ("certs-revoke", json!({"name": name, "reason": reason}))
+        }
+        Operation::ImportCertificate(key, chain) => {
             let arguments = json!({"key": read(key)?, "chain": read(chain)?});
             ("certs-import", arguments)
         }
-        Verb::RollKey => ("certs-roll-key", Value::Null),
-        Verb::Boxes => ("purge-boxes", Value::Null),
-        Verb::Purges(number) => ("purges", json!({"number": number})),
-        Verb::Purge {
-            what: (name, value),
-            dry: true,
+        Operation::RollAccountKey => ("certs-roll-key", Value::Null),
+        Operation::ListCacheNodes => ("purge-boxes", Value::Null),
+        Operation::ListPurges(number) => ("purges", json!({"number": number})),
+        Operation::Purge {
+            target: (name, value),
+            dry_run: true,
             ..
         } => ("purge-dry", json!({*name: value})),
-        Verb::Purge {
-            what: (name, value),
+        Operation::Purge {
+            target: (name, value),
             id,
-            why,
+            reason,
             all,
             wait,
             ..
         } => {
             let who = std::env::var("USER").unwrap_or_else(|_| "operator".into());
             let id = id.clone().unwrap_or_else(unique_id);
-            let arguments =
-                json!({*name: value, "id": id, "who": who, "why": why, "all": all, "wait_s": wait});
+            let arguments = json!({*name: value, "id": id, "who": who, "why": reason, "all": all,
+                    "wait_s": wait});
             ("purge", arguments)
         }
     })
@@ -112,38 +114,42 @@
 
 /// Sends the command and prints the answer. Returns the exit code.
 fn execute(ctl: &Ctl) -> Result<u8, CtlError> {
-    let (name, arguments) = command(&ctl.verb)?;
-    let answer = ctl.at.ask(name, &arguments)?;
-    match &ctl.verb {
-        Verb::List => return Ok(print_certificates(&answer, None, ctl.json)),
-        Verb::Show(name) => return Ok(print_certificates(&answer, Some(name), ctl.json)),
-        Verb::Purges(Some(_)) if answer["purges"].as_array().is_none_or(Vec::is_empty) => {
+    let (name, arguments) = command(&ctl.operation)?;
+    let response = ctl.daemon.send(name, &arguments)?;
+    match &ctl.operation {
+        Operation::ListCertificates => return Ok(print_certificates(&response, None, ctl.json)),
+        Operation::ShowCertificate(name) => {
+            return Ok(print_certificates(&response, Some(name), ctl.json))
+        }
+        Operation::ListPurges(Some(_))
+            if response["purges"].as_array().is_none_or(Vec::is_empty) =>
+        {
             eprintln!("cranesill: no such purge, or it is over");
             return Ok(NOT_FOUND);
         }
         _ => {}
     }
-    match answer.as_str().filter(|_| !ctl.json) {
+    match response.as_str().filter(|_| !ctl.json) {
         Some(text) => println!("{text}"),
-        None => println!("{answer:#}"),
+        None => println!("{response:#}"),
     }
     Ok(0)
 }
 
 /// Prints all certificates, or the one for `name`. Returns the exit code.
-fn print_certificates(answer: &Value, name: Option<&str>, json: bool) -> u8 {
-    let rows = answer["certificates"].as_array();
+fn print_certificates(response: &Value, name: Option<&str>, json: bool) -> u8 {
+    let rows = response["certificates"].as_array();
     let rows = rows.cloned().unwrap_or_default();
     match (name, rows.first()) {
         (Some(name), None) if !name.is_empty() => {
             eprintln!("cranesill: no certificate for {name}");
             return NOT_FOUND;
         }
-        _ if json => println!("{answer:#}"),
+        _ if json => println!("{response:#}"),
         (Some(_), Some(row)) => println!("{row:#}"),
         _ => println!("{}", table(&rows)),
     }
-    verdict(&rows)
+    worst_exit_code(&rows)
 }
 
 /// Sends an operator's command to the daemon and prints its answer.
@@ -152,8 +158,10 @@
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             eprintln!("cranesill: {error}");
-            let not_found =
-                matches!(&error, CtlError::Rejected(text) if text.starts_with(NO_CERTIFICATES));
+            let not_found = matches!(
+                &error,
+                CtlError::Rejected(text) if text.starts_with(NO_CERTIFICATE_PREFIX)
+            );
             if not_found {
                 ExitCode::from(NOT_FOUND)
             } else {
--- a/front/src/server/ctl/output.rs
+++ b/front/src/server/ctl/output.rs
@@ -2,7 +2,7 @@
 use serde_json::Value;
 
 /// A certificate with less than this share of its lifetime left, in hundredths, needs attention.
-const SOON_PERCENT: i64 = 15;
+const MIN_LIFETIME_LEFT_PERCENT: i64 = 15;
 /// Exit code of a certificate that ends soon, is missing or lacks names.
 const NEEDS_ATTENTION: u8 = 4;
 /// Exit code of a certificate that has expired.
@@ -75,7 +75,7 @@
 }
 
 /// Returns the exit code that sums certificates up: that of the worst one.
-pub(super) fn verdict(rows: &[Value]) -> u8 {
+pub(super) fn worst_exit_code(rows: &[Value]) -> u8 {
     rows.iter().map(exit_code).max().unwrap_or(0)
 }
 
@@ -86,7 +86,9 @@
         .map_or(0, |(not_after, not_before)| not_after - not_before);
     match (row["certificate"].as_str(), row["left_s"].as_i64()) {
         (Some("EXPIRED"), _) => EXPIRED,
-        (Some("good"), Some(left)) if left * 100 >= lifetime * SOON_PERCENT && is_complete(row) => {
+        (Some("good"), Some(left))
+            if left * 100 >= lifetime * MIN_LIFETIME_LEFT_PERCENT && is_complete(row) =>
+        {
             0
         }
         _ => NEEDS_ATTENTION,
--- a/front/src/server/ctl/tests.rs
+++ b/front/src/server/ctl/tests.rs
@@ -7,14 +7,17 @@
                "not_after": 1_000_000, "order": "later", "next_s": 7_300, "covers": covers, "refused": []})
     };
     let good = row("a.example", "good", 900_000, &["a.example"]);
-    let soon = row("b.example", "good", 100_000, &["b.example"]);
-    let part = row("d.example", "good", 900_000, &["x.example"]);
-    let mut over = row("c.example", "EXPIRED", -90, &["c.example"]);
-    over["why"] = json!({"cause": "rate-limited", "text": "too many"});
-    let all = [good, soon, part, over];
-    assert_eq!([1, 2, 3, 4].map(|n| verdict(&all[..n])), [0, 4, 4, 5]);
-    assert_eq!(verdict(&[json!({"certificate": "missing"})]), 4);
-    insta::assert_snapshot!(table(&all));
+    let ends_soon = row("b.example", "good", 100_000, &["b.example"]);
+    let incomplete = row("d.example", "good", 900_000, &["x.example"]);
+    let mut expired = row("c.example", "EXPIRED", -90, &["c.example"]);
+    expired["why"] = json!({"cause": "rate-limited", "text": "too many"});
+    let rows = [good, ends_soon, incomplete, expired];
+    assert_eq!(
+        [1, 2, 3, 4].map(|n| worst_exit_code(&rows[..n])),
+        [0, 4, 4, 5]
+    );
+    assert_eq!(worst_exit_code(&[json!({"certificate": "missing"})]), 4);
+    insta::assert_snapshot!(table(&rows));
 }
 
 #[test]
--- a/front/src/server/discovery.rs
+++ b/front/src/server/discovery.rs
@@ -11,7 +11,7 @@
 const MAX_SILENCE: Micros = 2_500_000;
 /// A service whose revision is older than the one known here for this long has begun to count anew; one that is only behind
 /// catches up by then.
-const MAX_BEHIND: Micros = 3_000_000;
+const MAX_REVISION_LAG: Micros = 3_000_000;
 /// Bytes that one read takes at most.
 const MAX_READ_BYTES: usize = 16 * 1024;
 /// Reads in one turn: a service that sends without end keeps neither timers nor clients waiting.
@@ -46,7 +46,7 @@
     /// When the connection is given up if nothing is received, or tried again.
     pub deadline: Timestamp,
     /// How often a connection was begun.
-    pub calls_made: u64,
+    pub connections_begun: u64,
 }
 
 impl Discovery {
@@ -68,13 +68,13 @@
             calls,
             outage: None,
             deadline,
-            calls_made: 0,
+            connections_begun: 0,
             behind_since: None,
         }
     }
 
     /// Returns since when the service cannot be reached; `None` while it can.
-    pub fn lost_at(&self) -> Option<Timestamp> {
+    pub fn unreachable_since(&self) -> Option<Timestamp> {
         self.outage.map(|outage| outage.since)
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Whether this is the poller key of the connection.
-    pub fn has(&self, key: usize) -> bool {
+    pub fn has_connection(&self, key: usize) -> bool {
         self.stream.as_ref().is_some_and(|s| s.0 == key)
     }
 
@@ -100,7 +100,7 @@
 
     /// Connects to this address from now on, at once, and asks for what is newer than the known revision. Returns whether the
     /// address has changed.
-    pub fn move_to(&mut self, now: Timestamp, address: SocketAddr) -> bool {
+    pub fn reconnect_to(&mut self, now: Timestamp, address: SocketAddr) -> bool {
         self.stream = None;
         self.deadline = now;
         std::mem::replace(&mut self.address, address) != address
@@ -109,7 +109,7 @@
     /// Handles the deadline: connects, or gives up a connection that was silent for too long and connects again later.
     pub fn poll(&mut self, now: Timestamp, reactor: &Reactor, key: usize) {
         if self.stream.is_some() {
-            self.end_call(
+            self.end_connection(
                 now,
                 if self.established {
                     CallEnd::Silent
@@ -122,14 +122,14 @@
             }
         }
         self.deadline = self.calls.start_call(now);
-        self.calls_made += 1;
+        self.connections_begun += 1;
         self.behind_since = None;
         match dial(self.address).and_then(|s| Stream::new(reactor, s, key, true)) {
             Ok(stream) => {
                 self.stream = Some((key, stream));
                 self.established = false;
             }
-            Err(_) => return self.end_call(now, CallEnd::Refused),
+            Err(_) => return self.end_connection(now, CallEnd::Refused),
         }
         let head = hello(self.revision).to_vec();
         if let Some((_, stream)) = &mut self.stream {
@@ -144,9 +144,9 @@
 
     /// Handles a connection that can be read or written. Returns new watch events.
     pub fn ready(&mut self, now: Timestamp) -> Vec<WatchEvent> {
-        let mut news = Vec::new();
-        if let Err(e) = self.read(now, &mut news) {
-            self.end_call(
+        let mut events = Vec::new();
+        if let Err(e) = self.read(now, &mut events) {
+            self.end_connection(
                 now,
                 match e.kind() {
                     io::ErrorKind::ConnectionRefused => CallEnd::Refused,
@@ -155,11 +155,11 @@
                 },
             );
         }
-        news
+        events
     }
 
     /// Notes that a connection has ended, or could not be established.
-    fn end_call(&mut self, now: Timestamp, end: CallEnd) {
+    fn end_connection(&mut self, now: Timestamp, end: CallEnd) {
         self.stream = None;
         self.deadline = self.calls.end_call(now, end);
         let outage = self.outage.get_or_insert(Outage {
@@ -247,7 +247,7 @@
         let is_behind = number < self.revision && !has_event && self.calls.has_budget();
         self.behind_since = is_behind.then(|| self.behind_since.unwrap_or(now));
         let behind_since = self.behind_since;
-        if behind_since.is_none_or(|since| now < since + MAX_BEHIND) {
+        if behind_since.is_none_or(|since| now < since + MAX_REVISION_LAG) {
             return Ok(());
         }
         tracing::warn!(
--- a/front/src/server/discovery/tests.rs
+++ b/front/src/server/discovery/tests.rs
@@ -5,7 +5,7 @@
 fn a_feed_that_stops_in_the_middle_of_an_event_is_given_up() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut reactor = Reactor::new().unwrap();
-    let mut feed = Discovery::new(
+    let mut discovery = Discovery::new(
         0,
         listener.local_addr().unwrap(),
         7,
@@ -20,20 +20,23 @@
         ),
         false,
     );
-    assert!(feed.deadline <= 200_000);
-    feed.poll(0, &reactor, 5);
+    assert!(discovery.deadline <= 200_000);
+    discovery.poll(0, &reactor, 5);
     assert!(
-        feed.deadline <= 1_000_000,
+        discovery.deadline <= 1_000_000,
         "a connection that never comes up is given up soon"
     );
-    let (mut peer, _) = listener.accept().unwrap();
+    let (mut service, _) = listener.accept().unwrap();
     let mut hello = [0; 8];
-    while feed.deadline <= 1_000_000 {
+    while discovery.deadline <= 1_000_000 {
         reactor.wait(0, Some(1_000_000)).unwrap();
-        feed.ready(0);
+        discovery.ready(0);
     }
-    peer.read_exact(&mut hello).unwrap();
-    assert_eq!((u64::from_be_bytes(hello), feed.deadline), (7, MAX_SILENCE));
+    service.read_exact(&mut hello).unwrap();
+    assert_eq!(
+        (u64::from_be_bytes(hello), discovery.deadline),
+        (7, MAX_SILENCE)
+    );
     // A whole frame is a sign of life, what comes of the next one is not.
     let empty = [&[0, 0, 0, 9][..], &7u64.to_be_bytes(), &[0]].concat();
     for (now, bytes) in [
@@ -41,9 +44,9 @@
         (2_000_000, &empty[..5]),
         (3_000_000, &empty[5..9]),
     ] {
-        peer.write_all(bytes).unwrap();
+        service.write_all(bytes).unwrap();
         reactor.wait(0, Some(20_000_000)).unwrap();
-        assert!(feed.ready(now).is_empty());
-        assert_eq!(feed.deadline, 1_000_000 + MAX_SILENCE);
+        assert!(discovery.ready(now).is_empty());
+        assert_eq!(discovery.deadline, 1_000_000 + MAX_SILENCE);
     }
 }
--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -82,31 +82,34 @@
 
     /// Whether a request has come in part, or is held back until its client is known to be there.
     pub fn has_partial_requests(&self) -> bool {
-        let begun =
+        let is_partial =
             |c: &Connection| c.state == ConnectionState::Open && !c.stream.input().is_empty();
-        !self.unconfirmed.is_empty() || self.connections.values().any(begun)
+        !self.unconfirmed.is_empty() || self.connections.values().any(is_partial)
     }
 
-    /// Returns the next deadline, at which [`Clients::due`] is to be called.
-    pub fn next(&self) -> Option<Timestamp> {
+    /// Returns the next deadline, at which [`Clients::poll`] is to be called.
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         let read_at = self.paused.front().map(|(at, _)| *at);
-        read_at.into_iter().chain(self.unconfirmed.next()).min()
+        read_at
+            .into_iter()
+            .chain(self.unconfirmed.next_deadline())
+            .min()
     }
 
     /// Resumes paused reading, and returns requests that are held back no longer.
-    pub fn due(&mut self, now: Timestamp) -> Vec<ClientEvent> {
+    pub fn poll(&mut self, now: Timestamp) -> Vec<ClientEvent> {
         while let Some((_, key)) = self.paused.front().copied().filter(|(at, _)| *at <= now) {
             self.paused.pop_front();
             self.flush(now, key);
         }
         let confirmed = std::iter::from_fn(|| self.unconfirmed.take(now));
         confirmed
-            .map(|(from, ask)| ClientEvent::Request(from, ask))
+            .map(|(from, request)| ClientEvent::Request(from, request))
             .collect()
     }
 
     /// Whether this is a client's connection.
-    pub fn has(&self, key: usize) -> bool {
+    pub fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
@@ -134,7 +137,7 @@
         key: usize,
     ) {
         // Nothing is asked before the handshake is complete.
-        self.insert(now, Stream::secured(socket, connection), key, 0);
+        self.insert(now, Stream::with_tls(socket, connection), key, 0);
         self.flush(now, key);
     }
 
@@ -164,7 +167,7 @@
         if half_closed {
             events = self.hold_back(now, events);
         }
-        self.note_pause(now, key, paused_before);
+        self.schedule_resume(now, key, paused_before);
         events
     }
 
@@ -230,7 +233,7 @@
         let mut others = Vec::new();
         for event in events {
             match event {
-                ClientEvent::Request(from, ask) => self.unconfirmed.hold(now, from, ask),
+                ClientEvent::Request(from, request) => self.unconfirmed.hold(now, from, request),
                 other => others.push(other),
             }
         }
@@ -238,23 +241,23 @@
     }
 
     /// Notes when a client is read again whose reading was paused since `before`.
-    fn note_pause(&mut self, now: Timestamp, key: usize, before: Option<Timestamp>) {
-        let rested_at = self
+    fn schedule_resume(&mut self, now: Timestamp, key: usize, before: Option<Timestamp>) {
+        let paused_at = self
             .connections
             .get(&key)
             .and_then(|client| client.paused_at);
-        if rested_at.is_some() && rested_at != before {
+        if paused_at.is_some() && paused_at != before {
             self.paused.push_back((now + READ_PAUSE_WITH_REQUESTS, key));
         }
     }
 
     /// Gives a stream its final answer.
-    pub fn answer(&mut self, now: Timestamp, to: ReplyTo, answer: Response) {
+    pub fn respond(&mut self, now: Timestamp, to: ReplyTo, response: Response) {
         let Some(client) = self.connections.get_mut(&to.client) else {
             return;
         };
         if client.open_streams.remove(&to.stream) {
-            client.stream.push(client::answer(to.stream, answer));
+            client.stream.push(client::answer(to.stream, response));
             self.flush(now, to.client);
         }
     }
@@ -273,12 +276,12 @@
         let done = client.open_streams.is_empty() && client.stream.flushed();
         if client.state == ConnectionState::Draining && done {
             // Everything is written: the client closes the connection now, or a sweep does.
-            client.stream.finish();
-            client.state = ConnectionState::Shut(now + CLOSE_TIMEOUT);
+            client.stream.shutdown_write();
+            client.state = ConnectionState::WriteClosed(now + CLOSE_TIMEOUT);
         }
-        let over = client.state == ConnectionState::HalfClosed && done;
+        let is_finished = client.state == ConnectionState::HalfClosed && done;
         let reads = client.wants_input(now);
-        if over || written.and_then(|()| client.stream.rewatch(reads)).is_err() {
+        if is_finished || written.and_then(|()| client.stream.rewatch(reads)).is_err() {
             let disconnected = self.disconnect(key);
             self.disconnected.extend(disconnected);
         }
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -10,7 +10,7 @@
 const MAX_STREAMS: usize = 32;
 /// Answers that a client has not read at which reading from it stops: small frames at full speed would else pile up
 /// answers without end.
-const MAX_UNREAD_ANSWERS: usize = 2 * MAX_STREAMS;
+const MAX_UNREAD_RESPONSES: usize = 2 * MAX_STREAMS;
 /// While draining, a connection that carried nothing for this long is closed: what its client sent before it was notified
 /// has come by then.
 pub(super) const MIN_DRAINING_IDLE: Micros = 200_000;
@@ -42,7 +42,7 @@
     /// Nothing more is taken in; what is owed is written.
     Draining,
     /// This side is shut; the connection is closed at this time at the latest.
-    Shut(Timestamp),
+    WriteClosed(Timestamp),
 }
 
 /// A connection of a client.
@@ -68,21 +68,21 @@
 impl Connection {
     /// Whether a draining connection can be closed: nothing is open, begun or, most likely, on its way. A request that
     /// crosses the close in the moment after is sent again by its client.
-    pub(super) fn is_free(&self, now: Timestamp) -> bool {
-        let over = |notified_at: Timestamp| {
+    pub(super) fn is_closable(&self, now: Timestamp) -> bool {
+        let grace_is_over = |notified_at: Timestamp| {
             let idle_since = notified_at.max(self.active_at);
             now > notified_at + MAX_DRAINING_TIME || now > idle_since + MIN_DRAINING_IDLE
         };
         let idle =
             self.open_streams.is_empty() && self.stream.flushed() && self.stream.input().is_empty();
-        idle && self.notified_at.is_some_and(over)
+        idle && self.notified_at.is_some_and(grace_is_over)
     }
 
     /// Whether the connection is to be read from.
     pub(super) fn wants_input(&self, now: Timestamp) -> bool {
         self.state != ConnectionState::HalfClosed
             && !self.is_paused(now)
-            && self.stream.unsent_messages() < MAX_UNREAD_ANSWERS
+            && self.stream.unsent_messages() < MAX_UNREAD_RESPONSES
     }
 
     /// Whether reading is paused after a bad request.
@@ -99,8 +99,8 @@
     /// cancels (type 12) or is not there. The frame that is sent shows which: where nobody is, the system answers with a
     /// reset.
     pub(super) fn half_close(&mut self) -> bool {
-        let owed = !self.open_streams.is_empty() || !self.stream.flushed();
-        if !owed
+        let has_pending_responses = !self.open_streams.is_empty() || !self.stream.flushed();
+        if !has_pending_responses
             || !matches!(
                 self.state,
                 ConnectionState::Open | ConnectionState::Draining
--- a/front/src/server/downstream/eviction.rs
+++ b/front/src/server/downstream/eviction.rs
@@ -4,14 +4,14 @@
 use cranesill::api::{Micros, Timestamp};
 
 /// An idle connection is closed after this long: clients close theirs far earlier.
-pub(super) const MAX_IDLE: Micros = 10_000_000;
+pub(super) const IDLE_TIMEOUT: Micros = 10_000_000;
 /// A client that reads nothing of what is written for this long is taken for dead.
-const MAX_STALL: Micros = 10_000_000;
+const STALL_TIMEOUT: Micros = 10_000_000;
 /// The same while clients use up the memory for buffers: others wait for them then.
-const MAX_STALL_UNDER_PRESSURE: Micros = 1_000_000;
+const STALL_TIMEOUT_UNDER_PRESSURE: Micros = 1_000_000;
 /// The first frame on a connection, and each that is begun, has to be complete after this long. Guards against clients that
 /// take up connections and send nothing, or never end a frame.
-const MAX_FRAME_TIME: Micros = 1_500_000;
+const FRAME_TIMEOUT: Micros = 1_500_000;
 /// After this long without input no request is taken to be on its way: the connection may be closed for lack of
 /// descriptors.
 const MIN_EVICTABLE_IDLE: Micros = 1_000_000;
@@ -26,13 +26,13 @@
         max_buffered: usize,
     ) -> Vec<ClientEvent> {
         // By what was buffered before anything is closed.
-        let max_stall = if self.buffered_bytes > pressure {
-            MAX_STALL_UNDER_PRESSURE
+        let stall_timeout = if self.buffered_bytes > pressure {
+            STALL_TIMEOUT_UNDER_PRESSURE
         } else {
-            MAX_STALL
+            STALL_TIMEOUT
         };
         self.drain_idle(now);
-        let mut disconnected = self.close_stale(now, max_stall);
+        let mut disconnected = self.close_stale(now, stall_timeout);
         while self.buffered_bytes > max_buffered {
             let most = self
                 .connections
@@ -55,13 +55,13 @@
             };
             let was_open = connection.state == ConnectionState::Open;
             let expected_since = connection.incomplete_since;
-            if was_open && expected_since.is_some_and(|since| now > since + MAX_FRAME_TIME) {
+            if was_open && expected_since.is_some_and(|since| now > since + FRAME_TIMEOUT) {
                 connection.reject_input();
             }
-            let idle = now > connection.active_at + MAX_IDLE
+            let idle = now > connection.active_at + IDLE_TIMEOUT
                 && connection.open_streams.is_empty()
                 && connection.stream.flushed();
-            if was_open && (idle || closes_idle && connection.is_free(now)) {
+            if was_open && (idle || closes_idle && connection.is_closable(now)) {
                 connection.begin_draining();
             }
             self.flush(now, key);
@@ -69,9 +69,10 @@
     }
 
     /// Closes connections whose clients read nothing or do not close their side.
-    fn close_stale(&mut self, now: Timestamp, max_stall: Micros) -> Vec<ClientEvent> {
-        let is_stalled = |c: &Connection| !c.stream.flushed() && now > c.active_at + max_stall;
-        let is_overdue = |c: &Connection| matches!(c.state, ConnectionState::Shut(at) if now > at);
+    fn close_stale(&mut self, now: Timestamp, stall_timeout: Micros) -> Vec<ClientEvent> {
+        let is_stalled = |c: &Connection| !c.stream.flushed() && now > c.active_at + stall_timeout;
+        let is_overdue =
+            |c: &Connection| matches!(c.state, ConnectionState::WriteClosed(at) if now > at);
         let stale: Vec<_> = self
             .connections
             .iter()
@@ -97,7 +98,11 @@
             .map(|(key, c)| (c.incomplete_since.is_none(), c.active_at, *key))
             .collect();
         idle.sort_unstable();
-        let unread = |key: &usize| self.connections.get(key).is_some_and(|c| c.stream.unread());
+        let unread = |key: &usize| {
+            self.connections
+                .get(key)
+                .is_some_and(|c| c.stream.has_unread_input())
+        };
         let key = idle
             .into_iter()
             .map(|(.., key)| key)
@@ -115,7 +120,7 @@
         let oldest = self
             .connections
             .iter()
-            .filter(|(_, c)| evictable(c) && !c.stream.unread());
+            .filter(|(_, c)| evictable(c) && !c.stream.has_unread_input());
         let key = oldest
             .min_by_key(|(key, c)| (c.active_at, **key))
             .map(|(key, _)| *key);
--- a/front/src/server/downstream/unconfirmed.rs
+++ b/front/src/server/downstream/unconfirmed.rs
@@ -16,9 +16,9 @@
 
 impl Unconfirmed {
     /// Holds a request back. The wait counts against the time that its client gives it.
-    pub fn hold(&mut self, now: Timestamp, from: ReplyTo, mut ask: ClientRequest) {
-        ask.time_limit = ask.time_limit.saturating_sub(RESET_WAIT);
-        self.0.push_back((now + RESET_WAIT, from, ask));
+    pub fn hold(&mut self, now: Timestamp, from: ReplyTo, mut request: ClientRequest) {
+        request.time_limit = request.time_limit.saturating_sub(RESET_WAIT);
+        self.0.push_back((now + RESET_WAIT, from, request));
     }
 
     /// Drops the requests of a client that has closed its connection.
@@ -27,14 +27,14 @@
     }
 
     /// Returns when the next request is forwarded.
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.0.front().map(|(at, ..)| *at)
     }
 
     /// Takes out a request whose client has not disconnected in time.
     pub fn take(&mut self, now: Timestamp) -> Option<(ReplyTo, ClientRequest)> {
-        self.next().filter(|at| *at <= now)?;
-        self.0.pop_front().map(|(_, from, ask)| (from, ask))
+        self.next_deadline().filter(|at| *at <= now)?;
+        self.0.pop_front().map(|(_, from, request)| (from, request))
     }
 
     /// Whether no request is held back.
--- a/front/src/server/drain.rs
+++ b/front/src/server/drain.rs
@@ -7,13 +7,13 @@
 /// The platform kills a process no earlier than the longest time of a class after SIGTERM, of which no more than this counts.
 const MAX_COUNTED_WAIT: Micros = 3_000_000;
 /// Time between the longest time of a class and the kill.
-const KILL_AFTER: Micros = 700_000;
+const KILL_DELAY: Micros = 700_000;
 /// The process ends by itself this much before the kill.
 const END_MARGIN: Micros = 100_000;
 /// How long clients have to read their answers and to close their connections.
 const MAX_CLOSING_TIME: Micros = 200_000;
 /// While another process takes over, connections stay open for their clients until this much before the longest time.
-const HAND_OVER_MARGIN: Micros = 200_000;
+const HANDOVER_MARGIN: Micros = 200_000;
 
 /// How far a shutdown has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -21,7 +21,7 @@
     /// Requests are still taken.
     Serving,
     /// New requests are refused, open ones are answered.
-    Refusing,
+    Rejecting,
     /// Requests that are still open are answered as given up; connections are closed once clients have read their answers.
     Closing,
     /// The process ends, whatever is unfinished.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     /// When new requests are refused.
-    refuse_at: Timestamp,
+    reject_at: Timestamp,
     /// When connections are closed, whatever is unfinished.
     close_at: Timestamp,
     /// When the process ends at the latest.
@@ -46,7 +46,7 @@
 impl Drain {
     /// Begins the shutdown. `waits` holds the longest time of each class, 0 where there is none; `beside` says that another
     /// process has taken the clients' socket over.
-    pub fn new(now: Timestamp, waits: &[Micros], beside: bool) -> Self {
+    pub fn new(now: Timestamp, waits: &[Micros], handed_over: bool) -> Self {
         let longest = waits
             .iter()
             .copied()
@@ -54,17 +54,17 @@
             .filter(|w| *w > 0)
             .unwrap_or(MAX_COUNTED_WAIT)
             .min(MAX_COUNTED_WAIT);
-        let end_at = now + longest + KILL_AFTER - END_MARGIN;
+        let end_at = now + longest + KILL_DELAY - END_MARGIN;
         let close_at = end_at - MAX_CLOSING_TIME;
-        let refuse_at = (now + MAX_SERVING_TIME).min(close_at);
-        let linger_until = now + longest.saturating_sub(HAND_OVER_MARGIN);
-        let linger_until = if beside {
-            linger_until.clamp(refuse_at, close_at)
+        let reject_at = (now + MAX_SERVING_TIME).min(close_at);
+        let linger_until = now + longest.saturating_sub(HANDOVER_MARGIN);
+        let linger_until = if handed_over {
+            linger_until.clamp(reject_at, close_at)
         } else {
-            refuse_at
+            reject_at
         };
         Drain {
-            refuse_at,
+            reject_at,
             close_at,
             end_at,
             linger_until,
@@ -75,7 +75,7 @@
     /// Returns the times at which a stage may begin.
     pub fn deadlines(&self) -> [Timestamp; 4] {
         [
-            self.refuse_at,
+            self.reject_at,
             self.linger_until,
             self.close_at,
             self.end_at,
@@ -89,7 +89,7 @@
             Some(since) if now >= since + MAX_CLOSING_TIME => Stage::Ended,
             Some(_) => Stage::Closing,
             None if now >= self.close_at => Stage::Closing,
-            None if now >= self.refuse_at => Stage::Refusing,
+            None if now >= self.reject_at => Stage::Rejecting,
             None => Stage::Serving,
         }
     }
@@ -103,7 +103,7 @@
         has_clients: bool,
     ) -> Option<Timestamp> {
         let lingers = now < self.linger_until && has_clients;
-        let is_finished = self.stage(now) == Stage::Refusing && !has_unfinished && !lingers;
+        let is_finished = self.stage(now) == Stage::Rejecting && !has_unfinished && !lingers;
         let is_due = self.stage(now) >= Stage::Closing || is_finished;
         if self.closing_since.is_some() || !is_due {
             return None;
--- a/front/src/server/drain/tests.rs
+++ b/front/src/server/drain/tests.rs
@@ -10,7 +10,7 @@
         &[0],
         &[],
     ] {
-        for beside in [false, true] {
+        for handed_over in [false, true] {
             let longest = waits
                 .iter()
                 .copied()
@@ -18,10 +18,10 @@
                 .filter(|w| *w > 0)
                 .unwrap_or(3_000_000)
                 .min(3_000_000);
-            let mut drain = Drain::new(7, waits, beside);
+            let mut drain = Drain::new(7, waits, handed_over);
             assert!(drain.end_at < 7 + longest + 700_000);
             // What was taken is given up, and its client has time to read that.
-            assert!(drain.refuse_at <= drain.close_at && drain.close_at + 200_000 <= drain.end_at);
+            assert!(drain.reject_at <= drain.close_at && drain.close_at + 200_000 <= drain.end_at);
             assert!(drain.deadlines().iter().all(|at| *at <= drain.end_at));
             let at = drain.close_at;
             assert_eq!(drain.begin_closing(at, true, true), Some(drain.end_at));
@@ -35,7 +35,7 @@
     let mut alone = Drain::new(0, &[5_000_000], false);
     assert_eq!(
         (alone.stage(999_999), alone.stage(1_000_000)),
-        (Stage::Serving, Stage::Refusing)
+        (Stage::Serving, Stage::Rejecting)
     );
     assert_eq!(
         alone.begin_closing(999_999, false, true),
@@ -53,12 +53,12 @@
         (alone.stage(1_399_999), alone.stage(1_400_000)),
         (Stage::Closing, Stage::Ended)
     );
-    let mut beside = Drain::new(0, &[5_000_000], true);
-    assert_eq!(beside.begin_closing(2_799_999, false, true), None);
+    let mut handed_over = Drain::new(0, &[5_000_000], true);
+    assert_eq!(handed_over.begin_closing(2_799_999, false, true), None);
     assert_eq!(
-        beside.clone().begin_closing(1_000_000, false, false),
+        handed_over.clone().begin_closing(1_000_000, false, false),
         Some(1_200_000),
         "all have gone"
     );
-    assert!(beside.begin_closing(2_800_000, false, true).is_some());
+    assert!(handed_over.begin_closing(2_800_000, false, true).is_some());
 }
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -17,7 +17,7 @@
     Missing(&'static str),
     /// A value is no socket address.
     #[error("{key}: no address: {text}")]
-    NoAddress {
+    InvalidAddress {
         /// The key of the value.
         key: &'static str,
         /// What stands there.
@@ -61,7 +61,7 @@
     },
     /// The file is no JSON.
     #[error("{}: {source}", file.display())]
-    NoJson {
+    InvalidJson {
         /// The file.
         file: PathBuf,
         /// Where it is malformed.
@@ -106,9 +106,9 @@
     }
 
     /// The file is no JSON.
-    pub fn no_json(file: &Path, source: serde_json::Error) -> Self {
+    pub fn invalid_json(file: &Path, source: serde_json::Error) -> Self {
         let file = file.to_path_buf();
-        ConfigError::NoJson { file, source }
+        ConfigError::InvalidJson { file, source }
     }
 
     /// A value in the file cannot be used.
@@ -287,10 +287,10 @@
     },
     /// The daemon closed the connection, or sent no JSON.
     #[error("{}: no answer", .0.display())]
-    NoAnswer(PathBuf),
+    NoResponse(PathBuf),
     /// An argument is no pair of a name and a value.
     #[error("{0}: not FIELD=VALUE")]
-    NotAField(String),
+    InvalidField(String),
     /// The daemon rejects the command, with this text.
     #[error("{0}")]
     Rejected(String),
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -92,7 +92,7 @@
     /// Counts the known objects that a purge would match, without purging them.
     fn count_purge_matches(&self, arguments: &Value) -> Result<Value, AdminError> {
         let target = parse_target(arguments).map_err(AdminError::PurgeTarget)?;
-        let floors = self.front.floors.as_ref();
+        let floors = self.pipeline.floors.as_ref();
         let floors = floors.ok_or(AdminError::PurgesDisabled)?;
         let (known, matched) = floors.count_matches(&target);
         Ok(json!({"known_objects": known, "matched": matched}))
@@ -104,13 +104,13 @@
         let mut state = self
             .startup
             .state(in_use, self.upstream.reached_endpoints());
-        let lost_at = self.discovery.lost_at();
+        let unreachable_since = self.discovery.unreachable_since();
         let revision = self.discovery.revision();
-        let next_call_at = lost_at.map(|_| self.discovery.deadline);
+        let next_call_at = unreachable_since.map(|_| self.discovery.deadline);
         state["list"] = json!({
             "last_event": revision,
-            "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
-            "calls": self.discovery.calls_made,
+            "unheard_for_ms": unreachable_since.map(|since| now.saturating_sub(since) / 1_000),
+            "calls": self.discovery.connections_begun,
             "next_call_in_ms": next_call_at.map(|at| at.saturating_sub(now) / 1_000),
         });
         state
@@ -119,7 +119,7 @@
     /// The state of the whole front.
     fn status(&self, now: Timestamp) -> Value {
         let cordoned: Vec<_> = self.cordoned.iter().map(|id| endpoint_name(*id)).collect();
-        let lost_at = self.discovery.lost_at();
+        let unreachable_since = self.discovery.unreachable_since();
         let revision = self.discovery.revision();
         json!({
             "name": self.config.name,
@@ -128,14 +128,14 @@
             "leaving": self.shutdown.is_some(),
             "quiesced": self.quiesced_at.is_some(),
             "accepts_clients": !self.another_process_accepts(),
-            "limits_shared": self.config.halved,
+            "limits_shared": self.config.limits_shared,
             "out_by_hand": cordoned,
             "list": {
                 "last_event": revision,
-                "clock_ahead_ms": self.front.clock_offset.offset_ms(),
-                "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
+                "clock_ahead_ms": self.pipeline.clock_offset.offset_ms(),
+                "unheard_for_ms": unreachable_since.map(|since| now.saturating_sub(since) / 1_000),
             },
-            "open_requests": self.front.pending_requests(),
+            "open_requests": self.pipeline.pending_requests(),
             "clients": self.clients.len(),
             "clients_most": self.config.max_clients(),
             "held_bytes": self.clients.buffered_bytes() + self.upstream.buffered_bytes(),
@@ -147,10 +147,10 @@
 
     /// The state of purges; null where the settings do not switch them on.
     fn purge_status(&self) -> Value {
-        let Some(floors) = &self.front.floors else {
+        let Some(floors) = &self.pipeline.floors else {
             return Value::Null;
         };
-        let shield = self.front.shield.as_ref();
+        let shield = self.pipeline.shield.as_ref();
         json!({
             "live_objects_groups_tags_patterns": floors.counts(),
             "answers_refused": floors.stale_replies,
@@ -167,16 +167,19 @@
         let mut put = |name: String, count: u64| {
             all.insert(format!("edge_relay.{name}"), count.into());
         };
-        for (class, counts) in self.front.response_counts() {
+        for (class, counts) in self.pipeline.response_counts() {
             put(format!("handled.{class}.passed"), counts.served);
             put(format!("handled.{class}.dropped"), counts.rejected);
             put(format!("handled.{class}.bad_gateway"), counts.failed);
         }
         let known = self.upstream.listed().count() + self.startup.waiting();
         let skipped = self.upstream.listed();
-        let skipped = skipped.filter(|id| self.front.is_avoided(*id)).count();
+        let skipped = skipped.filter(|id| self.pipeline.is_avoided(*id)).count();
         put("upstream_tries".into(), self.upstream.attempts_written);
-        put("in_progress".into(), self.front.pending_requests() as u64);
+        put(
+            "in_progress".into(),
+            self.pipeline.pending_requests() as u64,
+        );
         put("known_cache_nodes".into(), known as u64);
         put("skipped_cache_nodes".into(), skipped as u64);
         all.into()
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -2,7 +2,7 @@
 use super::admin::ADMIN_COMMANDS;
 use super::takeover::open_handover;
 use super::timers::{Timer, SWEEP_INTERVAL};
-use super::{RunningDriver, Server, FIRST_CONNECTION_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
+use super::{RunningDriver, Server, LAST_RESERVED_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::RequestPipeline;
 use crate::server::acceptor::AcceptBackoff;
@@ -21,7 +21,7 @@
 use crate::server::log::Log;
 use crate::server::signals;
 use crate::server::startup::{call_schedule, known_list, snapshot_path, Startup};
-use crate::server::upstream::CacheNodes;
+use crate::server::upstream::UpstreamConnections;
 use crate::transport::{
     inherited, listen, retry_on_shortage, Clock, Deadlines, Reactor, Registered,
 };
@@ -121,8 +121,8 @@
             .map_err(ServerError::Listener)?;
         tracing::info!(name = server.config.name, %at, "listening");
         server
-            .front
-            .set_connection_limits(now, server.upstream.reach());
+            .pipeline
+            .set_connection_limits(now, server.upstream.cache_node_limits());
         server.start_drivers(now, known.snapshot)?;
         for event in known.events {
             server.apply_watch_event(now, event, known.origin);
@@ -158,15 +158,19 @@
         let has_peers = startup.is_some_and(|s| s.peers.is_some());
         let schedule = call_schedule(now, &config, startup);
         Server {
-            front: RequestPipeline::new(config.deployment.clone(), config.seed, config.room()),
+            pipeline: RequestPipeline::new(
+                config.deployment.clone(),
+                config.seed,
+                config.capacity_limits(),
+            ),
             clients: Clients::new(),
-            upstream: CacheNodes::new(
+            upstream: UpstreamConnections::new(
                 config.max_upstream_connections(),
                 limits.streams,
                 limits.idle,
                 max_wait(&config),
             ),
-            discovery: Discovery::new(now, config.feed, revision, schedule, has_peers),
+            discovery: Discovery::new(now, config.list_service, revision, schedule, has_peers),
             startup: Startup::new(now, &config, startup),
             timers: Deadlines::new(),
             handover: config.accept_fd.and_then(|_| open_handover()),
@@ -181,7 +185,7 @@
             effects: Vec::new(),
             admin_slot: 0,
             disconnected: Vec::new(),
-            last_key: FIRST_CONNECTION_KEY,
+            last_key: LAST_RESERVED_KEY,
             started_at: now,
             log: sources.log,
             config,
@@ -198,8 +202,8 @@
     /// Starts the subsystems that the settings switch on. The control socket comes last: it lists the others' commands.
     fn start_drivers(&mut self, now: Timestamp, list: Snapshot) -> Result<(), ServerError> {
         if let Some(at) = self.config.ops {
-            let beside = self.config.accept_fd.is_some();
-            self.start_driver(now, |turn| Ok(Box::new(Ops::new(turn, at, beside)?)))?;
+            let has_handover = self.config.accept_fd.is_some();
+            self.start_driver(now, |turn| Ok(Box::new(Ops::new(turn, at, has_handover)?)))?;
             self.admin_slot = self.drivers.len();
         }
         let settings = self.settings.clone();
@@ -227,7 +231,7 @@
                 Ok(Box::new(Control::new(turn, &control.path, help)?))
             })?;
         }
-        self.carry_out_effects(now);
+        self.deliver_effects(now);
         Ok(())
     }
 
@@ -265,7 +269,7 @@
         make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, Box<dyn Error>>,
     ) -> Result<(), ServerError> {
         let mut keys = PollerKeys::new(self.drivers.len() + 1);
-        let behind_ms = self.front.clock_offset.behind_ms();
+        let behind_ms = self.pipeline.clock_offset.behind_ms();
         let mut turn = Turn {
             now,
             behind_ms,
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -36,7 +36,7 @@
                 }
                 Err(error) => match self.accept_backoff.failed(now, AcceptFault::of(&error)) {
                     AcceptRetry::Now => {}
-                    AcceptRetry::At(until) => return self.rest_listener(now, until, &error),
+                    AcceptRetry::At(until) => return self.pause_listener(now, until, &error),
                 },
             }
         }
@@ -60,7 +60,7 @@
     }
 
     /// Stops accepting after a failed call; it is tried again at `until`.
-    fn rest_listener(&mut self, now: Timestamp, until: Timestamp, error: &io::Error) {
+    fn pause_listener(&mut self, now: Timestamp, until: Timestamp, error: &io::Error) {
         tracing::warn!(%error, "accept");
         self.free_descriptor(now, error);
         self.watch_listener(false);
@@ -70,8 +70,8 @@
     /// Closes an idle client if `accept` failed for a lasting lack of descriptors: this process has used up its own, or the
     /// whole system has had none for long. A shortage that passes costs nobody a connection.
     fn free_descriptor(&mut self, now: Timestamp, error: &io::Error) {
-        let lacking = AcceptFault::of(error) == AcceptFault::Descriptors;
-        if lacking && (descriptors_exhausted() || self.accept_backoff.is_lasting(now)) {
+        let out_of_descriptors = AcceptFault::of(error) == AcceptFault::Descriptors;
+        if out_of_descriptors && (descriptors_exhausted() || self.accept_backoff.is_lasting(now)) {
             self.clients.evict_idle(now);
         }
     }
@@ -117,14 +117,14 @@
     pub(super) fn handle_client_events(&mut self, now: Timestamp, events: Vec<ClientEvent>) {
         for event in events {
             let buffered = self.clients.buffered_bytes() + self.upstream.buffered_bytes();
-            self.front.set_buffered_bytes(buffered);
+            self.pipeline.set_buffered_bytes(buffered);
             match event {
                 ClientEvent::Request(from, request) => {
-                    self.front.receive_request(now, from, request)
+                    self.pipeline.receive_request(now, from, request)
                 }
                 ClientEvent::BadRequest(from, error) => {
                     tracing::info!(%error, "bad request");
-                    self.clients.answer(now, from, Response::Failed);
+                    self.clients.respond(now, from, Response::Failed);
                 }
                 ClientEvent::Disconnected(from) => {
                     self.disconnected.push(from);
@@ -139,9 +139,9 @@
     /// cancelled first: they would be given what the others free, and be forwarded for nobody.
     pub(super) fn cancel_disconnected(&mut self, now: Timestamp) {
         let mut disconnected = std::mem::take(&mut self.disconnected);
-        disconnected.sort_by_cached_key(|from| self.front.has_outstanding_attempt(*from));
+        disconnected.sort_by_cached_key(|from| self.pipeline.has_outstanding_attempt(*from));
         for from in disconnected {
-            self.front.cancel_request(now, from);
+            self.pipeline.cancel_request(now, from);
             self.run_commands(now, Vec::new());
         }
     }
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -23,7 +23,7 @@
         let id = endpoint_id(text).ok_or(AdminError::EndpointMalformed)?;
         let known = self.upstream.listed().any(|listed| listed == id)
             || self.startup.is_waiting(id)
-            || self.front.is_avoided(id);
+            || self.pipeline.is_avoided(id);
         if !known {
             return Err(AdminError::EndpointUnknown(text.into()));
         }
@@ -61,7 +61,7 @@
             out = cordoned,
             "cache node by hand"
         );
-        self.front.set_cordoned(now, id, cordoned);
+        self.pipeline.set_cordoned(now, id, cordoned);
         let mut ends = Vec::new();
         if cordoned {
             self.upstream.exclude(id, &mut ends);
--- a/front/src/server/event_loop/dispatch.rs
+++ b/front/src/server/event_loop/dispatch.rs
@@ -19,10 +19,10 @@
         ends: &mut Ends,
     ) {
         let redial_before = self.upstream.redial_due();
-        let begun = self
+        let connection_key = self
             .upstream
             .send(now, &self.reactor, key, target, fetch, ends);
-        if let Some(key) = begun {
+        if let Some(key) = connection_key {
             let timeout_at = now + self.config.deployment.settings.connect_timeout;
             self.timers.add(timeout_at, Timer::ConnectTimeout(key));
         }
@@ -36,14 +36,14 @@
     pub(super) fn run_commands(&mut self, now: Timestamp, mut ends: Ends) {
         loop {
             for (attempt, end) in std::mem::take(&mut ends) {
-                self.front.attempt_ended(now, attempt, end);
+                self.pipeline.attempt_ended(now, attempt, end);
             }
             for event in self.clients.take_disconnected() {
                 if let ClientEvent::Disconnected(from) = event {
-                    self.front.cancel_request(now, from);
+                    self.pipeline.cancel_request(now, from);
                 }
             }
-            let Some(command) = self.front.next_command() else {
+            let Some(command) = self.pipeline.next_command() else {
                 return;
             };
             self.run_command(now, command, &mut ends);
@@ -63,7 +63,7 @@
                 self.upstream.abort(now, attempt, ends);
                 ends.insert(0, (attempt, AttemptEnd::Cancelled));
             }
-            Command::Respond { to, response } => self.clients.answer(now, to, response),
+            Command::Respond { to, response } => self.clients.respond(now, to, response),
             Command::SetTimer { at, timer } => self.timers.add(at, Timer::Routing(timer)),
             Command::StaleCopyServed(endpoint) => {
                 let endpoint = endpoint.0;
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -5,7 +5,7 @@
 use crate::server::drivers::{
     AdminEffect, Driver, Effect, EndpointEffect, PurgeEffect, TlsEffect, Turn,
 };
-use crate::server::floors;
+use crate::server::purge_effects;
 use cranesill::api::{Micros, Timestamp};
 use serde_json::Value;
 
@@ -18,7 +18,7 @@
         &mut self,
         now: Timestamp,
         slot: usize,
-        act: impl FnOnce(&mut dyn Driver, &mut Turn<'_>),
+        call: impl FnOnce(&mut dyn Driver, &mut Turn<'_>),
     ) {
         let index = slot.checked_sub(1);
         let Some(running) = index.and_then(|index| self.drivers.get_mut(index)) else {
@@ -26,32 +26,32 @@
         };
         let mut turn = Turn {
             now,
-            behind_ms: self.front.clock_offset.behind_ms(),
+            behind_ms: self.pipeline.clock_offset.behind_ms(),
             reactor: &self.reactor,
             effects: &mut self.effects,
             keys: &mut running.keys,
         };
-        act(running.driver.as_mut(), &mut turn);
+        call(running.driver.as_mut(), &mut turn);
     }
 
     /// Carries out messages of subsystems, and those that they bring about in turn, until there are none.
-    pub(super) fn carry_out_effects(&mut self, now: Timestamp) {
+    pub(super) fn deliver_effects(&mut self, now: Timestamp) {
         while !self.effects.is_empty() {
             for effect in std::mem::take(&mut self.effects) {
-                self.carry_out(now, effect);
+                self.deliver(now, effect);
             }
         }
     }
 
     /// Carries out a message that concerns the front itself, or passes it to all drivers.
-    fn carry_out(&mut self, now: Timestamp, effect: Effect) {
+    fn deliver(&mut self, now: Timestamp, effect: Effect) {
         match effect {
             Effect::Tls(TlsEffect::Client { socket, connection }) => {
                 self.add_tls_client(now, socket, *connection);
             }
             Effect::Endpoints(EndpointEffect::Offered(list)) => self.adopt_peer_list(now, list),
             Effect::Purges(message) if !matches!(message, PurgeEffect::Compile(_)) => {
-                let follow_up = floors::take(&mut self.front, now, message);
+                let follow_up = purge_effects::apply(&mut self.pipeline, now, message);
                 self.effects.extend(follow_up);
             }
             Effect::Admin(AdminEffect::Command {
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -34,7 +34,7 @@
                 event: event.clone(),
             };
             self.effects.push(Effect::Endpoints(message));
-            self.carry_out_effects(now);
+            self.deliver_effects(now);
         }
         match event {
             WatchEvent::Endpoints { complete, list } => {
@@ -48,7 +48,7 @@
                 at_ms,
             } => {
                 let purged_at = at_ms.saturating_mul(1_000);
-                self.front
+                self.pipeline
                     .apply_purge(now, object, group, purged_at, origin);
             }
         }
@@ -66,12 +66,12 @@
             complete,
         };
         self.effects.push(Effect::Endpoints(message));
-        self.carry_out_effects(now);
+        self.deliver_effects(now);
     }
 
     /// Logs once that this clock is far from the list service's, until it is near again.
     fn check_clock_skew(&mut self) {
-        let skew_ms = self.front.clock_offset.offset_ms();
+        let skew_ms = self.pipeline.clock_offset.offset_ms();
         let skew_ms = skew_ms.filter(|ms| ms.abs() > MAX_CLOCK_SKEW_MS);
         if let Some(ahead_ms) = skew_ms.filter(|_| !self.clock_skew_logged) {
             tracing::warn!(
@@ -107,7 +107,7 @@
         self.forwards_watch_events = true;
         self.effects
             .push(Effect::Endpoints(EndpointEffect::Adopted(list)));
-        self.carry_out_effects(now);
+        self.deliver_effects(now);
     }
 
     /// Applies what the list says of endpoints. Where it is `complete`, endpoints that it does not name are removed.
@@ -136,15 +136,15 @@
         } else {
             ListKind::Delta
         };
-        self.front.apply_endpoints(now, kind, entries, origin);
+        self.pipeline.apply_endpoints(now, kind, entries, origin);
         let mut ends = Vec::new();
         let not_ready = not_ready.into_iter().map(|(_, endpoint)| endpoint);
         for endpoint in not_ready.chain(removed) {
             self.upstream.exclude(endpoint, &mut ends);
         }
         self.run_commands(now, ends);
-        if self.startup.connects_ahead() {
-            self.connect_ahead(now, ready.into_iter().map(|(_, endpoint)| endpoint));
+        if self.startup.preconnects() {
+            self.preconnect(now, ready.into_iter().map(|(_, endpoint)| endpoint));
         }
         if let Some(at) = self.startup.next_deadline() {
             self.timers.add(at, Timer::SlowStart);
@@ -156,19 +156,16 @@
         let listed: HashSet<_> = entries.iter().map(|entry| entry.endpoint).collect();
         let mut removed: Vec<_> = self.upstream.listed().collect();
         removed.retain(|id| !listed.contains(id));
-        self.upstream.keep_only(&listed);
+        self.upstream.retain_listed(&listed);
         removed
     }
 
     /// Connects to endpoints before the first request needs them.
-    fn connect_ahead(&mut self, now: Timestamp, endpoints: impl Iterator<Item = EndpointId>) {
+    fn preconnect(&mut self, now: Timestamp, endpoints: impl Iterator<Item = EndpointId>) {
         let timeout_at = now + self.config.deployment.settings.connect_timeout;
         for endpoint in endpoints {
             let key = self.next_key();
-            if self
-                .upstream
-                .connect_ahead(now, &self.reactor, key, endpoint)
-            {
+            if self.upstream.preconnect(now, &self.reactor, key, endpoint) {
                 self.timers.add(timeout_at, Timer::ConnectTimeout(key));
             }
         }
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -23,7 +23,7 @@
 use crate::server::log::Log;
 use crate::server::signals;
 use crate::server::startup::Startup;
-use crate::server::upstream::CacheNodes;
+use crate::server::upstream::UpstreamConnections;
 use crate::transport::{Clock, Deadlines, Reactor, ReadyEvent, Registered};
 use cranesill::api::{EndpointId, Timestamp};
 use cranesill_daemon::Daemon;
@@ -38,7 +38,7 @@
 const SIGTERM_KEY: usize = 1;
 const SIGHUP_KEY: usize = 2;
 /// The last key before those of connections.
-const FIRST_CONNECTION_KEY: usize = 3;
+const LAST_RESERVED_KEY: usize = 3;
 
 /// The order in which the sources of one turn are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -78,9 +78,9 @@
     /// Readable once SIGHUP has come.
     sighup: Registered<UnixStream>,
     timers: Deadlines<Timer>,
-    front: RequestPipeline,
+    pipeline: RequestPipeline,
     clients: Clients,
-    upstream: CacheNodes,
+    upstream: UpstreamConnections,
     discovery: Discovery,
     startup: Startup,
     /// Whether watch events are passed to drivers.
@@ -128,11 +128,12 @@
         while let Some(timer) = self.timers.take(now) {
             self.handle_timer(now, timer);
         }
-        let client_events = self.clients.due(now);
+        let client_events = self.clients.poll(now);
         self.handle_client_events(now, client_events);
         self.run_due_drivers(now);
-        let pauses = self.clients.buffered_bytes() > self.config.room().max_buffered_bytes;
-        self.upstream.pause(now, pauses);
+        let pauses =
+            self.clients.buffered_bytes() > self.config.capacity_limits().max_buffered_bytes;
+        self.upstream.set_paused(now, pauses);
         Ok(self.advance_shutdown(now))
     }
 
@@ -141,7 +142,7 @@
             .drivers
             .iter()
             .filter_map(|running| running.driver.next());
-        let own = [self.timers.next(), self.clients.next()];
+        let own = [self.timers.next(), self.clients.next_deadline()];
         drivers.chain(own.into_iter().flatten()).min()
     }
 
@@ -164,8 +165,8 @@
             slot if slot > 0 && slot == self.admin_slot => Rank::Admin,
             slot if slot > 0 => Rank::Driver(slot),
             _ if key == LISTENER_KEY => Rank::Listener,
-            _ if self.discovery.has(key) => Rank::Discovery,
-            _ if self.upstream.has(key) => Rank::Upstream,
+            _ if self.discovery.has_connection(key) => Rank::Discovery,
+            _ if self.upstream.has_connection(key) => Rank::Upstream,
             _ => Rank::Clients,
         }
     }
@@ -178,7 +179,7 @@
                 }
             });
         }
-        self.carry_out_effects(now);
+        self.deliver_effects(now);
     }
 
     fn next_key(&mut self) -> usize {
@@ -203,15 +204,17 @@
                 self.with_driver(now, slot_of(key), |driver, turn| {
                     driver.ready(turn, key, readable, writable)
                 });
-                self.carry_out_effects(now);
+                self.deliver_effects(now);
             }
-            _ if self.discovery.has(key) => self.read_discovery(now),
-            _ if self.upstream.has(key) => {
+            _ if self.discovery.has_connection(key) => self.read_discovery(now),
+            _ if self.upstream.has_connection(key) => {
                 let mut ends = Vec::new();
                 self.upstream.ready(now, key, readable, &mut ends);
                 self.run_commands(now, ends);
             }
-            _ if self.clients.has(key) => self.serve_client(now, key, readable, writable),
+            _ if self.clients.has_connection(key) => {
+                self.serve_client(now, key, readable, writable)
+            }
             _ => {}
         }
     }
--- a/front/src/server/event_loop/reload.rs
+++ b/front/src/server/event_loop/reload.rs
@@ -21,9 +21,9 @@
                 return tracing::warn!(error, "the configuration stays as it was");
             }
         };
-        tracing::info!(feed = %new.feed, "SIGHUP: configuration read");
-        if self.discovery.move_to(now, new.feed) {
-            self.front.discovery_moved();
+        tracing::info!(feed = %new.list_service, "SIGHUP: configuration read");
+        if self.discovery.reconnect_to(now, new.list_service) {
+            self.pipeline.discovery_moved();
         }
         self.timers.add(now, Timer::Discovery);
     }
@@ -32,7 +32,7 @@
         let Some(file) = &self.settings_file else {
             return;
         };
-        let new = match crate::server::config::settings(file) {
+        let new = match crate::server::config::load_settings(file) {
             Ok(new) => new,
             Err(errors) => {
                 let error = errors.to_string();
@@ -44,7 +44,7 @@
         for slot in 1..=self.drivers.len() {
             self.with_driver(now, slot, |driver, turn| driver.reload(turn, &new));
         }
-        self.carry_out_effects(now);
+        self.deliver_effects(now);
         if !changes.restart.is_empty() {
             let paths = changes.restart.join(" ");
             tracing::warn!(paths, "settings that need a restart");
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -22,7 +22,7 @@
         self.shutdown = Some(drain);
         self.clients.drain(now, self.config.accept_fd.is_some());
         self.watch_listener(true);
-        let learned = self.front.learned_health();
+        let learned = self.pipeline.learned_health();
         if let Some(handover) = &mut self.handover {
             handover.hand_over(now, &learned);
             self.share_limits(now, true);
@@ -38,21 +38,21 @@
             return;
         };
         let stage = drain.stage(now);
-        if stage >= Stage::Refusing {
-            self.front.reject_new_requests(true);
+        if stage >= Stage::Rejecting {
+            self.pipeline.reject_new_requests(true);
             for running in &mut self.drivers {
                 running.driver.drain();
             }
         }
         if stage >= Stage::Closing {
-            self.front.conclude_all(now);
+            self.pipeline.conclude_all(now);
         }
     }
 
     /// Shuts connections once nothing is owed on them, if a shutdown has begun. Returns whether the process can end.
     pub(super) fn advance_shutdown(&mut self, now: Timestamp) -> bool {
         // A request whose last byte comes after the end of its connection would be lost.
-        let has_unfinished = self.front.pending_requests() > 0
+        let has_unfinished = self.pipeline.pending_requests() > 0
             || !self.clients.is_flushed()
             || self.clients.has_partial_requests();
         let has_clients = self.clients.len() > 0;
@@ -85,7 +85,7 @@
         // An operator may have resumed and quiesced it again since the timer was set.
         let quiesced_at = self.quiesced_at;
         if quiesced_at.is_some_and(|since| now >= since + QUIESCE_GRACE) {
-            self.front.reject_new_requests(true);
+            self.pipeline.reject_new_requests(true);
         }
     }
 
@@ -97,7 +97,7 @@
         if self.quiesced_at.take().is_some() {
             tracing::info!(kind = "quiesce", "takes clients again");
             self.clients.resume();
-            self.front.reject_new_requests(false);
+            self.pipeline.reject_new_requests(false);
         }
         Ok("takes clients")
     }
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -36,30 +36,31 @@
             return;
         }
         let accepts = handover.try_accept();
-        let is_alone = handover.is_alone();
+        let is_only_process = handover.is_only_process();
         if accepts && !self.accepts_clients {
             let learned = handover.take_learned(now);
             tracing::info!(kind = "upgrade", learned = learned.len(), "accepts clients");
-            self.front.restore_learned_health(now, learned);
+            self.pipeline.restore_learned_health(now, learned);
         }
         self.accepts_clients = accepts;
-        self.share_limits(now, !is_alone);
+        self.share_limits(now, !is_only_process);
         self.watch_listener(true);
-        if !accepts || !is_alone {
+        if !accepts || !is_only_process {
             self.timers
                 .add(now + TAKEOVER_POLL_INTERVAL, Timer::TakeoverPoll);
         }
     }
 
     /// Shares the limits with another process of this front, or uses all of them again.
-    pub(super) fn share_limits(&mut self, now: Timestamp, halved: bool) {
-        if std::mem::replace(&mut self.config.halved, halved) != halved {
-            self.upstream.limit(
+    pub(super) fn share_limits(&mut self, now: Timestamp, shared: bool) {
+        if std::mem::replace(&mut self.config.limits_shared, shared) != shared {
+            self.upstream.set_limits(
                 self.config.max_upstream_connections(),
                 self.shutdown.map(|_| HANDOVER_UPSTREAM_IDLE),
             );
-            self.front.set_connection_limits(now, self.upstream.reach());
-            self.front.set_capacity(self.config.room());
+            self.pipeline
+                .set_connection_limits(now, self.upstream.cache_node_limits());
+            self.pipeline.set_capacity(self.config.capacity_limits());
         }
     }
 
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -45,7 +45,7 @@
     pub(super) fn handle_timer(&mut self, now: Timestamp, timer: Timer) {
         let mut ends = Vec::new();
         match timer {
-            Timer::Routing(wake) => self.front.handle_timer(now, wake),
+            Timer::Routing(wake) => self.pipeline.handle_timer(now, wake),
             Timer::ConnectTimeout(key) => self.upstream.fail_unestablished(key, &mut ends),
             Timer::WriteDeadline(attempt) => self.upstream.withdraw(attempt, &mut ends),
             Timer::Discovery => self.poll_discovery(now),
@@ -60,7 +60,7 @@
             Timer::CordonPoll => self.poll_cordons(now),
             Timer::CordonConfirmation(id) => {
                 self.effects.push(Effect::response(id, Ok("out".into())));
-                self.carry_out_effects(now);
+                self.deliver_effects(now);
             }
             Timer::AcceptRetry => {
                 self.accept_backoff.resume();
@@ -84,11 +84,11 @@
 
     /// Closes dead and idle connections and checks what has no timer of its own.
     fn sweep(&mut self, now: Timestamp, ends: &mut Ends) {
-        let max_buffered = self.config.room().max_buffered_bytes;
+        let max_buffered = self.config.capacity_limits().max_buffered_bytes;
         let events = self
             .clients
             .sweep(now, max_buffered, self.config.max_client_buffers());
-        self.log.sweep();
+        self.log.report_suppressed();
         self.check_purge_contact(now);
         self.handle_client_events(now, events);
         self.cancel_disconnected(now);
@@ -97,7 +97,7 @@
         if self.discovery.is_connected() && self.forwards_watch_events {
             self.effects
                 .push(Effect::Endpoints(EndpointEffect::Current));
-            self.carry_out_effects(now);
+            self.deliver_effects(now);
         }
         self.watch_listener(true);
         self.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
@@ -105,7 +105,7 @@
 
     /// Logs when the contact with the writer of the purge log is lost.
     fn check_purge_contact(&mut self, now: Timestamp) {
-        let floors = self.front.floors.as_mut();
+        let floors = self.pipeline.floors.as_mut();
         let lease = floors.and_then(|floors| floors.lease.as_mut());
         if lease.is_some_and(|lease| lease.report_expiry(now)) {
             tracing::warn!(kind = "contact-lost", "purges: no contact with the ledger");
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -23,7 +23,7 @@
 /// into use.
 const MAX_FILES: usize = 4 * MAX_CORDONS;
 /// Files with unknown names that are logged.
-const MAX_FOREIGN_LOGGED: usize = 4;
+const MAX_UNKNOWN_FILES_LOGGED: usize = 4;
 
 /// Names of the other files in the directory.
 const OWN_FILES: [&str; 3] = ["accept", "alive", "learned"];
@@ -52,7 +52,7 @@
     }
 
     /// Takes the lock if no other process holds it. Returns whether this process holds it.
-    fn take(&mut self) -> bool {
+    fn try_acquire(&mut self) -> bool {
         if !self.is_held {
             self.is_held = match self.file.try_lock() {
                 Ok(()) => true,
@@ -71,10 +71,10 @@
 /// The shared directory and the locks in it.
 #[derive(Debug)]
 pub struct Handover {
-    folder: PathBuf,
+    directory: PathBuf,
     accept: Lock,
     alive: Lock,
-    foreign_files: usize,
+    unknown_files: usize,
     /// Whether it was logged that the directory can't be read.
     unreadable_logged: bool,
 }
@@ -82,51 +82,51 @@
 impl Handover {
     /// Opens the directory in `parent`; it is made if need be.
     pub fn new(parent: &Path) -> io::Result<Self> {
-        let folder = parent.join("cranesill");
-        match fs::DirBuilder::new().mode(0o700).create(&folder) {
+        let directory = parent.join("cranesill");
+        match fs::DirBuilder::new().mode(0o700).create(&directory) {
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(e),
             _ => {}
         }
-        let accept = Lock::new(&folder.join("accept"))?;
-        let alive = Lock::new(&folder.join("alive"))?;
+        let accept = Lock::new(&directory.join("accept"))?;
+        let alive = Lock::new(&directory.join("alive"))?;
         Ok(Handover {
-            folder,
+            directory,
             accept,
             alive,
-            foreign_files: 0,
+            unknown_files: 0,
             unreadable_logged: false,
         })
     }
 
     /// Takes over accepting clients if no other process does. Returns whether this process accepts.
     pub fn try_accept(&mut self) -> bool {
-        self.accept.take()
+        self.accept.try_acquire()
     }
 
     /// Whether no earlier process of this front is left.
-    pub fn is_alone(&mut self) -> bool {
-        self.alive.take()
+    pub fn is_only_process(&mut self) -> bool {
+        self.alive.try_acquire()
     }
 
     /// Leaves accepting to another process, with the health that this one has learned.
-    pub fn hand_over(&mut self, now: Timestamp, members: &[LearnedHealth]) {
+    pub fn hand_over(&mut self, now: Timestamp, learned: &[LearnedHealth]) {
         if !self.accept.is_held {
             return;
         }
-        let aside = self
-            .folder
+        let temporary = self
+            .directory
             .join(format!("learned.{}.tmp", std::process::id()));
-        let text = encode_learned(now, members);
+        let text = encode_learned(now, learned);
         let text = if text.len() <= MAX_LEARNED_BYTES {
             text
         } else {
             encode_learned(now, &[])
         };
-        let written =
-            fs::write(&aside, text).and_then(|()| fs::rename(&aside, self.folder.join("learned")));
+        let written = fs::write(&temporary, text)
+            .and_then(|()| fs::rename(&temporary, self.directory.join("learned")));
         if let Err(error) = written {
             // Best effort: what is half written is of no use to anybody.
-            let _ = fs::remove_file(&aside);
+            let _ = fs::remove_file(&temporary);
             tracing::warn!(kind = "upgrade", %error, "what was learned is not handed over");
         }
         if let Err(error) = self.accept.file.unlock() {
@@ -137,7 +137,7 @@
 
     /// Takes the health that an earlier process has learned recently. It is read once.
     pub fn take_learned(&self, now: Timestamp) -> Vec<LearnedHealth> {
-        let path = self.folder.join("learned");
+        let path = self.directory.join("learned");
         let mut text = Vec::new();
         let opened = File::options()
             .read(true)
@@ -154,7 +154,7 @@
             Ok(_) => drop(fs::remove_file(&path)),
         }
         match decode_learned(&text) {
-            Ok((at, members)) if at <= now && now <= at + MAX_LEARNED_AGE => members,
+            Ok((at, learned)) if at <= now && now <= at + MAX_LEARNED_AGE => learned,
             Ok(_) => {
                 tracing::info!(kind = "upgrade", "what was learned is too old");
                 Vec::new()
@@ -168,7 +168,7 @@
 
     /// Cordons an endpoint for all processes of this front, or lifts its cordon.
     pub fn set_cordon(&self, endpoint: EndpointId, cordoned: bool) -> io::Result<()> {
-        let path = self.folder.join(cordon_file_name(endpoint));
+        let path = self.directory.join(cordon_file_name(endpoint));
         if cordoned {
             return File::create(path).map(drop);
         }
@@ -191,8 +191,8 @@
 
     fn read_cordons(&mut self) -> io::Result<BTreeSet<EndpointId>> {
         let mut cordons = BTreeSet::new();
-        let mut foreign = 0;
-        for (n, entry) in fs::read_dir(&self.folder)?.enumerate() {
+        let mut unknown = 0;
+        for (n, entry) in fs::read_dir(&self.directory)?.enumerate() {
             if n >= MAX_FILES {
                 return Err(io::Error::other("too many files"));
             }
@@ -202,14 +202,14 @@
                 Some(endpoint) => drop(cordons.insert(endpoint)),
                 None if OWN_FILES.contains(&&*name) || name.ends_with(".tmp") => {}
                 None => {
-                    foreign += 1;
-                    if foreign > self.foreign_files && foreign <= MAX_FOREIGN_LOGGED {
+                    unknown += 1;
+                    if unknown > self.unknown_files && unknown <= MAX_UNKNOWN_FILES_LOGGED {
                         tracing::warn!(kind = "upgrade", file = %name, "a file of no meaning here");
                     }
                 }
             }
         }
-        self.foreign_files = self.foreign_files.max(foreign);
+        self.unknown_files = self.unknown_files.max(unknown);
         Ok(cordons)
     }
 }
--- a/front/src/server/log.rs
+++ b/front/src/server/log.rs
@@ -15,7 +15,7 @@
 /// Lines a second at most. Guards the CPU against storms of events.
 const MAX_LINES_PER_SECOND: u32 = 50;
 /// Lines below warnings a second at most: warnings and errors are not lost among them.
-const MAX_NOTES_PER_SECOND: u32 = 35;
+const MAX_INFO_LINES_PER_SECOND: u32 = 35;
 /// Kinds of suppressed lines that are counted separately.
 const MAX_SUPPRESSED_KINDS: usize = 32;
 /// Characters of a line at most.
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 struct Limiter {
     second: u64,
-    notes: u32,
+    info_lines: u32,
     warnings: u32,
     suppressed: BTreeMap<String, u64>,
 }
@@ -35,15 +35,15 @@
     fn admit(&mut self, second: u64, is_warning: bool, kind: &str) -> bool {
         if second != self.second {
             self.second = second;
-            self.notes = 0;
+            self.info_lines = 0;
             self.warnings = 0;
         }
-        let all = self.notes + self.warnings;
-        let admitted =
-            all < MAX_LINES_PER_SECOND && (is_warning || self.notes < MAX_NOTES_PER_SECOND);
+        let all = self.info_lines + self.warnings;
+        let admitted = all < MAX_LINES_PER_SECOND
+            && (is_warning || self.info_lines < MAX_INFO_LINES_PER_SECOND);
         match (admitted, is_warning) {
             (true, true) => self.warnings += 1,
-            (true, false) => self.notes += 1,
+            (true, false) => self.info_lines += 1,
             (false, _) => self.count_suppressed(kind),
         }
         admitted
@@ -58,8 +58,8 @@
 
     /// Takes out how many lines were suppressed in an earlier second, by kind.
     fn take_suppressed(&mut self, second: u64) -> Option<BTreeMap<String, u64>> {
-        let over = second != self.second && !self.suppressed.is_empty();
-        over.then(|| std::mem::take(&mut self.suppressed))
+        let is_past = second != self.second && !self.suppressed.is_empty();
+        is_past.then(|| std::mem::take(&mut self.suppressed))
     }
 }
 
@@ -70,14 +70,14 @@
 }
 
 /// Writes the events of `tracing` as lines.
-struct Lines(Arc<Writer>);
+struct LineLayer(Arc<Writer>);
 
 /// Collects an event's fields.
 #[derive(Default)]
 struct Fields {
     message: String,
     kind: Option<String>,
-    rest: Vec<(&'static str, String)>,
+    others: Vec<(&'static str, String)>,
 }
 
 impl Fields {
@@ -86,9 +86,9 @@
             "message" => self.message = value,
             "kind" => {
                 self.kind = Some(value.clone());
-                self.rest.push(("kind", value));
+                self.others.push(("kind", value));
             }
-            name => self.rest.push((name, value)),
+            name => self.others.push((name, value)),
         }
     }
 }
@@ -201,7 +201,7 @@
     }
 }
 
-impl<S: Subscriber> Layer<S> for Lines {
+impl<S: Subscriber> Layer<S> for LineLayer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let mut fields = Fields::default();
         event.record(&mut fields);
@@ -218,7 +218,7 @@
             self.0.write(
                 &level.to_string().to_lowercase(),
                 &fields.message,
-                &fields.rest,
+                &fields.others,
             );
         }
     }
@@ -250,7 +250,7 @@
         let (filter, level) = reload::Layer::new(filter(settings.level));
         let subscriber = Registry::default()
             .with(filter)
-            .with(Lines(Arc::clone(&writer)));
+            .with(LineLayer(Arc::clone(&writer)));
         // A second one in the same process, as in tests, leaves the first in place.
         let _ = tracing::subscriber::set_global_default(subscriber);
         Log { writer, level }
@@ -266,7 +266,7 @@
     }
 
     /// Logs what was suppressed, also where no further line comes.
-    pub fn sweep(&self) {
+    pub fn report_suppressed(&self) {
         self.writer.report_suppressed();
     }
 }
--- a/front/src/server/log/tests.rs
+++ b/front/src/server/log/tests.rs
@@ -3,12 +3,12 @@
 #[test]
 fn warnings_are_not_lost_among_notes_and_what_is_left_out_is_counted_by_kind() {
     let mut limiter = Limiter::default();
-    let notes = (0..100).filter(|_| limiter.admit(7, false, "note")).count();
-    let alarms = (0..100).filter(|_| limiter.admit(7, true, "broke")).count();
-    assert_eq!((notes, alarms), (35, 15));
+    let info_lines = (0..100).filter(|_| limiter.admit(7, false, "note")).count();
+    let warnings = (0..100).filter(|_| limiter.admit(7, true, "broke")).count();
+    assert_eq!((info_lines, warnings), (35, 15));
     assert_eq!(limiter.take_suppressed(7), None, "the second is not over");
-    let told = limiter.take_suppressed(8).unwrap();
-    assert_eq!((told["note"], told["broke"]), (65, 85));
+    let suppressed = limiter.take_suppressed(8).unwrap();
+    assert_eq!((suppressed["note"], suppressed["broke"]), (65, 85));
     assert_eq!(limiter.take_suppressed(9), None);
     assert!(limiter.admit(8, false, "note"));
     // Kinds are bounded too.
@@ -16,9 +16,9 @@
         .filter(|i| limiter.admit(9, false, &i.to_string()))
         .count();
     assert_eq!(written, 35);
-    let told = limiter.take_suppressed(10).unwrap();
-    assert!(told.len() <= MAX_SUPPRESSED_KINDS + 1);
-    assert_eq!(told.values().sum::<u64>(), 965);
+    let suppressed = limiter.take_suppressed(10).unwrap();
+    assert!(suppressed.len() <= MAX_SUPPRESSED_KINDS + 1);
+    assert_eq!(suppressed.values().sum::<u64>(), 965);
 }
 
 #[test]
--- a/front/src/server/signals.rs
+++ b/front/src/server/signals.rs
@@ -7,26 +7,27 @@
 use std::sync::Arc;
 
 /// Catches signals while the process starts. It takes no descriptor: one that the platform hands over may have any number.
-pub struct Early([(i32, Arc<AtomicBool>); 2]);
+pub struct StartupSignals([(i32, Arc<AtomicBool>); 2]);
 
-impl Early {
+impl StartupSignals {
     /// Catches SIGTERM and SIGHUP, which end the process otherwise.
     pub fn new() -> io::Result<Self> {
-        let early = Early([SIGTERM, SIGHUP].map(|signal| (signal, Arc::default())));
-        for (signal, came) in &early.0 {
-            signal_hook::flag::register(*signal, Arc::clone(came))?;
+        let signals = StartupSignals([SIGTERM, SIGHUP].map(|signal| (signal, Arc::default())));
+        for (signal, received) in &signals.0 {
+            signal_hook::flag::register(*signal, Arc::clone(received))?;
         }
-        Ok(early)
+        Ok(signals)
     }
 
     /// Raises the signals that came before again, for whoever watches them now. One that comes meanwhile may be raised twice,
     /// which has the same effect as once.
-    pub fn raise_again(self) -> io::Result<()> {
-        let came = self
+    pub fn re_raise(self) -> io::Result<()> {
+        let received = self
             .0
             .iter()
-            .filter(|(_, came)| came.load(Ordering::Relaxed));
-        came.into_iter()
+            .filter(|(_, received)| received.load(Ordering::Relaxed));
+        received
+            .into_iter()
             .try_for_each(|(signal, _)| signal_hook::low_level::raise(*signal))
     }
 }
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -21,11 +21,11 @@
         max_wait: startup.wait_most_ms * 1_000,
         urgent_period: startup.haste_ms * 1_000,
     });
-    CallSchedule::new(now, position(config), config.seed, budget)
+    CallSchedule::new(now, fleet_position(config), config.seed, budget)
 }
 
 /// The front's place in its fleet.
-fn position(config: &Config) -> FleetPosition {
+fn fleet_position(config: &Config) -> FleetPosition {
     let settings = &config.deployment.settings;
     FleetPosition {
         number: settings.front_index,
@@ -43,14 +43,14 @@
 }
 
 /// Identifies the list that a front follows.
-fn source(config: &Config, settings: Option<&Settings>) -> u64 {
+fn list_identity(config: &Config, settings: Option<&Settings>) -> u64 {
     // Records refer to places in these lists.
     let names = &config.deployment.names;
     let named = settings
         .and_then(|s| s.list.clone())
-        .unwrap_or_else(|| config.feed.to_string());
-    let of = format!("{named} {:?} {:?}", names.zones, names.kinds);
-    crc32fast::hash(of.as_bytes()).into()
+        .unwrap_or_else(|| config.list_service.to_string());
+    let identity = format!("{named} {:?} {:?}", names.zones, names.kinds);
+    crc32fast::hash(identity.as_bytes()).into()
 }
 
 /// The endpoint list that a front begins with.
@@ -68,7 +68,7 @@
 /// Returns the list of the configuration, or the one on disk if that is newer.
 pub fn known_list(config: &mut Config, settings: Option<&Settings>) -> KnownList {
     let (revision, mut events) = std::mem::take(&mut config.known);
-    let source = source(config, settings);
+    let source = list_identity(config, settings);
     let required = ListRequirements {
         source,
         known_revision: revision,
@@ -105,9 +105,9 @@
 pub struct Startup {
     /// Endpoints that are listed and not in use yet.
     slow_start: Option<SlowStart<EndpointRecord>>,
-    ready: Option<Readiness>,
+    readiness: Option<Readiness>,
     /// Why the front was not ready when that was last logged.
-    waits: Option<NotReady>,
+    not_ready: Option<NotReady>,
     zone: u16,
     origin: Option<u8>,
 }
@@ -118,22 +118,22 @@
         // One process that takes the place of another is no cold fleet: its clients are there already.
         let settings = settings.filter(|_| config.accept_fd.is_none());
         let slow_start = settings.and_then(|s| {
-            let most = s.ramp_most_ms * 1_000;
+            let max_ramp = s.ramp_most_ms * 1_000;
             s.handshakes_per_s
-                .map(|per_s| SlowStart::new(position(config), per_s.into(), most))
+                .map(|per_s| SlowStart::new(fleet_position(config), per_s.into(), max_ramp))
         });
-        let ready = settings.map(|settings| {
+        let readiness = settings.map(|settings| {
             let policy = ReadinessPolicy {
                 min_percent: settings.ready_percent,
                 max_wait: settings.ready_most_ms * 1_000,
                 spread: settings.ready_spread_ms * 1_000,
             };
-            Readiness::new(now, position(config), policy)
+            Readiness::new(now, fleet_position(config), policy)
         });
         Startup {
             slow_start,
-            ready,
-            waits: None,
+            readiness,
+            not_ready: None,
             zone: config.deployment.settings.zone,
             origin: config.deployment.settings.origin_kind,
         }
@@ -178,7 +178,7 @@
     }
 
     /// Whether endpoints are connected to before a request needs them.
-    pub fn connects_ahead(&self) -> bool {
+    pub fn preconnects(&self) -> bool {
         self.slow_start.is_some()
     }
 
@@ -197,26 +197,28 @@
     /// Returns whether the front is ready with so many endpoints in use and connected. Logs changes.
     pub fn check_readiness(&mut self, now: Timestamp, used: usize, reached: usize) -> bool {
         let waiting = self.waiting();
-        let Some(ready) = &mut self.ready else {
+        let Some(readiness) = &mut self.readiness else {
             return true;
         };
-        let waits = ready.check(now, used + waiting, reached).err();
-        let kind = |waits: &Option<NotReady>| waits.as_ref().map(std::mem::discriminant);
-        if kind(&waits) != kind(&self.waits) {
-            match &waits {
-                Some(waits) => tracing::info!(kind = "startup", %waits, "not ready"),
+        let not_ready = readiness.check(now, used + waiting, reached).err();
+        let kind = |not_ready: &Option<NotReady>| not_ready.as_ref().map(std::mem::discriminant);
+        if kind(&not_ready) != kind(&self.not_ready) {
+            match &not_ready {
+                Some(not_ready) => {
+                    tracing::info!(kind = "startup", waits = %not_ready, "not ready")
+                }
                 None => tracing::info!(kind = "startup", members = used, reached, waiting, "ready"),
             }
         }
-        self.waits = waits;
-        self.waits.is_none()
+        self.not_ready = not_ready;
+        self.not_ready.is_none()
     }
 
     /// Returns the state as operators see it.
     pub fn state(&self, used: usize, reached: usize) -> Value {
         json!({
             "members_used": used, "members_reached": reached, "members_waiting": self.waiting(),
-            "ready": self.waits.is_none(), "waits_for": self.waits.map(|waits| waits.to_string()),
+            "ready": self.not_ready.is_none(), "waits_for": self.not_ready.map(|not_ready| not_ready.to_string()),
         })
     }
 }
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -19,7 +19,7 @@
 /// Bytes that one read takes at most.
 const MAX_READ_BYTES: usize = 64 * 1024;
 /// An incomplete answer of which nothing more comes for this long ends its connection.
-const MAX_PARTIAL_ANSWER_TIME: Micros = 500_000;
+const PARTIAL_RESPONSE_TIMEOUT: Micros = 500_000;
 
 /// Where an attempt is to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 
 /// All upstream connections. Each belongs to an endpoint by its id, since an address may come to be another endpoint's.
 #[derive(Debug)]
-pub struct CacheNodes {
+pub struct UpstreamConnections {
     connections: HashMap<usize, Connection>,
     /// The connections to each endpoint.
     by_endpoint: HashMap<EndpointId, Vec<usize>>,
@@ -51,7 +51,7 @@
     max_streams: usize,
     max_idle: Micros,
     /// An answer that is begun is complete after this long, or no client waits for it any more.
-    max_answer_time: Micros,
+    max_response_time: Micros,
     /// Attempts that were written completely.
     pub attempts_written: u64,
     /// Bytes buffered on all connections.
@@ -61,16 +61,16 @@
     scratch: Vec<u8>,
 }
 
-impl CacheNodes {
+impl UpstreamConnections {
     /// Has no connections yet. An endpoint closes connections that are idle for `max_idle`; each carries up to `max_streams`
     /// attempts.
     pub fn new(
         max_connections: usize,
         max_streams: usize,
         max_idle: Micros,
-        max_answer_time: Micros,
+        max_response_time: Micros,
     ) -> Self {
-        CacheNodes {
+        UpstreamConnections {
             connections: HashMap::new(),
             by_endpoint: HashMap::new(),
             listed: HashMap::new(),
@@ -79,7 +79,7 @@
             max_connections,
             max_streams,
             attempts_written: 0,
-            max_answer_time,
+            max_response_time,
             max_idle: (max_idle as f64 * IDLE_FRACTION) as Micros,
             buffered_bytes: 0,
             paused: false,
@@ -88,13 +88,13 @@
     }
 
     /// Changes the limits on connections, and on how long one may be idle.
-    pub fn limit(&mut self, max_connections: usize, idle: Option<Micros>) {
+    pub fn set_limits(&mut self, max_connections: usize, idle: Option<Micros>) {
         self.max_connections = max_connections;
         self.max_idle = idle.unwrap_or(self.max_idle);
     }
 
     /// Returns how many cache nodes can be connected at once, and how long an idle connection stays open.
-    pub fn reach(&self) -> (usize, Micros) {
+    pub fn cache_node_limits(&self) -> (usize, Micros) {
         (
             (self.max_connections as f64 * CACHE_NODE_FRACTION) as usize,
             self.max_idle,
@@ -102,7 +102,7 @@
     }
 
     /// Whether this is the poller key of an upstream connection.
-    pub fn has(&self, key: usize) -> bool {
+    pub fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Pauses or resumes reading. Guards the memory limit: what endpoints send faster than clients read it stays with them.
-    pub fn pause(&mut self, now: Timestamp, paused: bool) {
+    pub fn set_paused(&mut self, now: Timestamp, paused: bool) {
         if self.paused != paused {
             self.paused = paused;
             // It can only fail for a socket that is not watched.
@@ -148,7 +148,7 @@
     }
 
     /// Removes the endpoints that a complete list does not name.
-    pub fn keep_only(&mut self, listed: &HashSet<EndpointId>) {
+    pub fn retain_listed(&mut self, listed: &HashSet<EndpointId>) {
         self.listed.retain(|member, _| listed.contains(member));
         self.connections
             .values_mut()
@@ -206,9 +206,9 @@
         if self.paused || connection.stream.input().is_empty() {
             return false;
         }
-        let is_silent = now > connection.received_at + MAX_PARTIAL_ANSWER_TIME;
+        let is_silent = now > connection.received_at + PARTIAL_RESPONSE_TIMEOUT;
         let partial_since = connection.partial_since;
-        is_silent || partial_since.is_some_and(|since| now > since + self.max_answer_time)
+        is_silent || partial_since.is_some_and(|since| now > since + self.max_response_time)
     }
 }
 
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -7,14 +7,14 @@
 use std::io;
 
 /// For how long, or up to twice that, a connection remembers an id that it carried: answers to it may still come.
-const RECENT_ID_TIME: Micros = 10_000_000;
+const RECENT_ID_RETENTION: Micros = 10_000_000;
 /// Unexpected answers that a connection may bring beyond two for each id that it carried: one late and one repeated. More
 /// of them end it, or they would come for ever.
-const MAX_UNEXPECTED_ANSWERS: usize = 16;
+const MAX_UNEXPECTED_RESPONSES: usize = 16;
 
 /// An attempt on a connection.
 #[derive(Debug)]
-pub(super) struct Sent {
+pub(super) struct OpenAttempt {
     pub(super) attempt: AttemptId,
     /// When it was put on the connection.
     pub(super) sent_at: Timestamp,
@@ -30,7 +30,7 @@
     pub(super) fetch: Option<Box<Fetch>>,
 }
 
-impl Sent {
+impl OpenAttempt {
     /// Notes that it is written; the request need not be kept.
     pub(super) fn set_written(&mut self) {
         self.written = true;
@@ -48,7 +48,7 @@
     /// Whether it gets no further attempts.
     pub(super) retired: bool,
     /// Attempts that are not answered yet, by the id of their request.
-    pub(super) open_attempts: HashMap<TransactionId, Sent>,
+    pub(super) open_attempts: HashMap<TransactionId, OpenAttempt>,
     /// Ids that may still be answered here.
     pub(super) recent_ids: RecentIds,
     /// When something was last sent or answered.
@@ -60,7 +60,7 @@
     /// For how long attempts waited here that were cancelled, since something was received.
     pub(super) silent_wait: Micros,
     /// Answers to no open attempt.
-    pub(super) unexpected_answers: usize,
+    pub(super) unexpected_responses: usize,
 }
 
 impl Connection {
@@ -81,7 +81,7 @@
             received_at: now,
             partial_since: None,
             silent_wait: 0,
-            unexpected_answers: 0,
+            unexpected_responses: 0,
         }
     }
 
@@ -91,10 +91,10 @@
     }
 
     /// Counts an answer to no open attempt. Too many are an error.
-    pub(super) fn count_unexpected_answer(&mut self) -> io::Result<()> {
-        self.unexpected_answers += 1;
-        let limit = MAX_UNEXPECTED_ANSWERS + 2 * self.recent_ids.len();
-        if self.unexpected_answers > limit {
+    pub(super) fn count_unexpected_response(&mut self) -> io::Result<()> {
+        self.unexpected_responses += 1;
+        let limit = MAX_UNEXPECTED_RESPONSES + 2 * self.recent_ids.len();
+        if self.unexpected_responses > limit {
             return Err(io::ErrorKind::InvalidData.into());
         }
         Ok(())
@@ -103,7 +103,7 @@
     /// Whether an attempt under this id may be sent here, where each connection carries up to `streams`.
     pub(super) fn accepts(&self, txn: &TransactionId, streams: usize) -> bool {
         !self.retired
-            && !self.recent_ids.has(txn)
+            && !self.recent_ids.contains(txn)
             && self.open_attempts.len() < streams
             && !self.is_blocked()
     }
@@ -111,13 +111,13 @@
     /// Whether the rest of an answer to a cancelled attempt has still to come, with everything else behind it.
     pub(super) fn is_blocked(&self) -> bool {
         let input = self.stream.input();
-        let whose = || {
+        let first_id = || {
             cache_node::first_id(input)
                 .and_then(|id| TransactionId::new(std::str::from_utf8(id).ok()?))
         };
         !input.is_empty()
             && (self.open_attempts.is_empty()
-                || whose().is_some_and(|txn| !self.open_attempts.contains_key(&txn)))
+                || first_id().is_some_and(|txn| !self.open_attempts.contains_key(&txn)))
     }
 }
 
@@ -127,12 +127,12 @@
 pub(super) struct RecentIds {
     new: HashSet<TransactionId>,
     old: HashSet<TransactionId>,
-    since: Timestamp,
+    rotated_at: Timestamp,
 }
 
 impl RecentIds {
     /// Whether the connection carried this id recently.
-    pub(super) fn has(&self, txn: &TransactionId) -> bool {
+    pub(super) fn contains(&self, txn: &TransactionId) -> bool {
         self.new.contains(txn) || self.old.contains(txn)
     }
 
@@ -143,9 +143,9 @@
 
     /// Adds an id, and forgets those that are too old.
     pub(super) fn add(&mut self, now: Timestamp, txn: TransactionId) {
-        if now > self.since + RECENT_ID_TIME {
+        if now > self.rotated_at + RECENT_ID_RETENTION {
             self.old = std::mem::take(&mut self.new);
-            self.since = now;
+            self.rotated_at = now;
         }
         self.new.insert(txn);
     }
--- a/front/src/server/upstream/placement.rs
+++ b/front/src/server/upstream/placement.rs
@@ -1,6 +1,6 @@
 //! Chooses or begins a connection for an attempt.
-use super::connection::{Connection, Sent};
-use super::{CacheNodes, Ends, Target};
+use super::connection::{Connection, OpenAttempt};
+use super::{Ends, Target, UpstreamConnections};
 use crate::protocol::cache_node;
 use crate::routing::{AttemptEnd, Fetch, TransactionId};
 use crate::transport::{dial, is_local, Reactor, Stream};
@@ -8,15 +8,15 @@
 use std::io;
 
 /// With this many attempts open a connection counts as busy and another is begun: a large answer blocks what is behind it.
-const MAX_CALM_STREAMS: usize = 1;
+const MIN_BUSY_STREAMS: usize = 1;
 
 /// What came of a new connection that an attempt might need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NewConnection {
+enum ConnectResult {
     /// None was needed, or there is no capacity for one.
-    NotBegun,
+    NotAttempted,
     /// It was begun.
-    Begun,
+    Started,
     /// The endpoint refused it.
     Refused,
     /// This machine could not begin it, which says nothing of the endpoint.
@@ -25,7 +25,7 @@
     Failed,
 }
 
-impl CacheNodes {
+impl UpstreamConnections {
     /// Sends an attempt on a connection; `key` is for a new one. Returns the key if a connection was begun.
     pub fn send(
         &mut self,
@@ -38,16 +38,16 @@
     ) -> Option<usize> {
         let endpoint = target.endpoint;
         let chosen = self.choose_live(now, endpoint, &fetch.transaction, ends);
-        let new = self.begin_if_needed(now, reactor, key, endpoint, chosen);
-        let may_wait = new == NewConnection::LocalFailure && chosen.is_none();
-        if may_wait && self.redials.may_wait(now, endpoint) {
+        let new = self.connect_if_needed(now, reactor, key, endpoint, chosen);
+        let may_retry = new == ConnectResult::LocalFailure && chosen.is_none();
+        if may_retry && self.redials.record_failure(now, endpoint) {
             self.redials.wait(now, target, fetch);
             return None;
         }
-        let begun = (new == NewConnection::Begun).then_some(key);
-        match begun.or(chosen) {
-            Some(key) => self.put(now, key, target, fetch, ends),
-            None if new == NewConnection::Refused => {
+        let started = (new == ConnectResult::Started).then_some(key);
+        match started.or(chosen) {
+            Some(key) => self.enqueue(now, key, target, fetch, ends),
+            None if new == ConnectResult::Refused => {
                 ends.push((
                     target.attempt,
                     AttemptEnd::Unsent {
@@ -57,45 +57,45 @@
             }
             None => ends.push((target.attempt, AttemptEnd::NoConnection)),
         }
-        begun
+        started
     }
 
     /// Begins a connection if none was chosen, or if the chosen one is busy and the endpoint may have another.
-    fn begin_if_needed(
+    fn connect_if_needed(
         &mut self,
         now: Timestamp,
         reactor: &Reactor,
         key: usize,
         endpoint: EndpointId,
         chosen: Option<usize>,
-    ) -> NewConnection {
+    ) -> ConnectResult {
         let open_attempts = |key| {
             let connection: Option<&Connection> = self.connections.get(&key);
             connection.map_or(0, |connection| connection.open_attempts.len())
         };
-        let is_calm = chosen.is_some_and(|key| open_attempts(key) < MAX_CALM_STREAMS);
+        let chosen_is_free = chosen.is_some_and(|key| open_attempts(key) < MIN_BUSY_STREAMS);
         let max_per_endpoint = (self.max_connections / self.listed.len().max(1)).max(2);
-        if is_calm || self.usable_connections(endpoint) >= max_per_endpoint {
-            return NewConnection::NotBegun;
+        if chosen_is_free || self.usable_connections(endpoint) >= max_per_endpoint {
+            return ConnectResult::NotAttempted;
         }
         let Some((address, _)) = self.listed.get(&endpoint).copied() else {
-            return NewConnection::NotBegun;
+            return ConnectResult::NotAttempted;
         };
         // One that would only be the second to an endpoint closes none to another.
         let has_capacity = self.connections.len() < self.max_connections
-            || chosen.is_none() && self.free_connection();
+            || chosen.is_none() && self.ensure_capacity();
         if !has_capacity {
-            return NewConnection::NotBegun;
+            return ConnectResult::NotAttempted;
         }
         match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
             Ok(stream) => {
-                self.redials.dialled(endpoint);
+                self.redials.record_success(endpoint);
                 self.insert(now, key, endpoint, stream);
-                NewConnection::Begun
+                ConnectResult::Started
             }
-            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => NewConnection::Refused,
-            Err(e) if is_local(&e) => NewConnection::LocalFailure,
-            Err(_) => NewConnection::Failed,
+            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => ConnectResult::Refused,
+            Err(e) if is_local(&e) => ConnectResult::LocalFailure,
+            Err(_) => ConnectResult::Failed,
         }
     }
 
@@ -120,12 +120,19 @@
     }
 
     /// Puts an attempt on a connection, and writes what can be written of it.
-    fn put(&mut self, now: Timestamp, key: usize, target: Target, fetch: &Fetch, ends: &mut Ends) {
+    fn enqueue(
+        &mut self,
+        now: Timestamp,
+        key: usize,
+        target: Target,
+        fetch: &Fetch,
+        ends: &mut Ends,
+    ) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return ends.push((target.attempt, AttemptEnd::NoConnection));
         };
         connection.recent_ids.add(now, fetch.transaction);
-        let sent = Sent {
+        let sent = OpenAttempt {
             attempt: target.attempt,
             sent_at: now,
             is_write: fetch.write,
@@ -189,7 +196,7 @@
 
     /// Closes the connection that was idle for longest if there is no capacity for one more. Guards against requests that
     /// find no connection while others are idle. Returns whether there is capacity.
-    fn free_connection(&mut self) -> bool {
+    fn ensure_capacity(&mut self) -> bool {
         if self.connections.len() < self.max_connections {
             return true;
         }
@@ -208,7 +215,7 @@
 
     /// Begins a connection to an endpoint that has none, before a request needs it. Returns whether one was begun; one that
     /// cannot be begun now is begun for the first request.
-    pub fn connect_ahead(
+    pub fn preconnect(
         &mut self,
         now: Timestamp,
         reactor: &Reactor,
@@ -223,7 +230,7 @@
             return false;
         };
         let stream = dial(address).and_then(|socket| Stream::new(reactor, socket, key, true));
-        let begun = stream.map(|stream| self.insert(now, key, endpoint, stream));
-        begun.is_ok()
+        let started = stream.map(|stream| self.insert(now, key, endpoint, stream));
+        started.is_ok()
     }
 }
--- a/front/src/server/upstream/redial.rs
+++ b/front/src/server/upstream/redial.rs
@@ -8,9 +8,9 @@
 /// Pause between two retries.
 const RETRY_INTERVAL: Micros = 5_000;
 /// Requests for an endpoint that could not be connected to for this long go elsewhere at once.
-const MAX_WAIT: Micros = 250_000;
+const MAX_FAILING_TIME: Micros = 250_000;
 /// After this long without a failure the next one counts as the first.
-const FORGOTTEN: Micros = 100_000;
+const FAILURE_RESET_INTERVAL: Micros = 100_000;
 
 #[derive(Debug)]
 struct Waiting {
@@ -20,7 +20,7 @@
 
 /// Since when connecting to an endpoint fails, and when it failed last.
 #[derive(Clone, Copy, Debug)]
-struct Failing {
+struct FailurePeriod {
     since: Timestamp,
     last: Timestamp,
 }
@@ -29,27 +29,27 @@
 #[derive(Debug, Default)]
 pub struct Redials {
     waiting: BTreeMap<AttemptId, Waiting>,
-    failing: HashMap<EndpointId, Failing>,
+    failing: HashMap<EndpointId, FailurePeriod>,
     /// When the next retry is due.
     due: Option<Timestamp>,
 }
 
 impl Redials {
     /// Notes that a connection to this endpoint was begun.
-    pub fn dialled(&mut self, to: EndpointId) {
-        self.failing.remove(&to);
+    pub fn record_success(&mut self, endpoint: EndpointId) {
+        self.failing.remove(&endpoint);
     }
 
     /// Notes that a connection to this endpoint could not be begun. Returns whether an attempt may wait for a retry.
-    pub fn may_wait(&mut self, now: Timestamp, to: EndpointId) -> bool {
+    pub fn record_failure(&mut self, now: Timestamp, endpoint: EndpointId) -> bool {
         self.failing
-            .retain(|_, failing| now <= failing.last + FORGOTTEN);
-        let failing = self.failing.entry(to).or_insert(Failing {
+            .retain(|_, failing| now <= failing.last + FAILURE_RESET_INTERVAL);
+        let failing = self.failing.entry(endpoint).or_insert(FailurePeriod {
             since: now,
             last: now,
         });
         failing.last = now;
-        now < failing.since + MAX_WAIT
+        now < failing.since + MAX_FAILING_TIME
     }
 
     /// Holds an attempt until the next retry.
@@ -76,11 +76,11 @@
         self.due = None;
         let (late, waiting): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.waiting)
             .into_iter()
-            .partition(|(_, one)| one.target.write_deadline < now);
+            .partition(|(_, waiting)| waiting.target.write_deadline < now);
         self.waiting = late;
         waiting
             .into_values()
-            .map(|one| (one.target, one.fetch))
+            .map(|waiting| (waiting.target, waiting.fetch))
             .collect()
     }
 
--- a/front/src/server/upstream/redial/tests.rs
+++ b/front/src/server/upstream/redial/tests.rs
@@ -2,7 +2,7 @@
 use crate::routing::{FillSource, TransactionId};
 use cranesill::api::RequestId;
 
-const NODE: EndpointId = EndpointId(1);
+const ENDPOINT: EndpointId = EndpointId(1);
 
 fn fetch(source: Option<EndpointId>) -> Fetch {
     let fill = source.map(|source| FillSource {
@@ -42,7 +42,7 @@
         0,
         Target {
             attempt: attempt(1),
-            endpoint: NODE,
+            endpoint: ENDPOINT,
             write_deadline: 400_000,
         },
         &fetch(None),
@@ -51,7 +51,7 @@
         1_000,
         Target {
             attempt: attempt(2),
-            endpoint: NODE,
+            endpoint: ENDPOINT,
             write_deadline: 500_000,
         },
         &fetch(None),
@@ -68,12 +68,12 @@
         [
             Target {
                 attempt: attempt(1),
-                endpoint: NODE,
+                endpoint: ENDPOINT,
                 write_deadline: 400_000
             },
             Target {
                 attempt: attempt(2),
-                endpoint: NODE,
+                endpoint: ENDPOINT,
                 write_deadline: 500_000
             }
         ]
@@ -88,7 +88,7 @@
         0,
         Target {
             attempt: attempt(1),
-            endpoint: NODE,
+            endpoint: ENDPOINT,
             write_deadline: 400_000,
         },
         &fetch(None),
@@ -97,7 +97,7 @@
         0,
         Target {
             attempt: attempt(2),
-            endpoint: NODE,
+            endpoint: ENDPOINT,
             write_deadline: 400_000,
         },
         &fetch(Some(EndpointId(2))),
@@ -106,7 +106,7 @@
         0,
         Target {
             attempt: attempt(3),
-            endpoint: NODE,
+            endpoint: ENDPOINT,
             write_deadline: 400_000,
         },
         &fetch(None),
@@ -119,13 +119,15 @@
 #[test]
 fn a_node_that_can_not_be_dialled_for_long_is_not_waited_for_until_it_was_left_alone() {
     let mut redials = Redials::default();
-    let tries = (0..MAX_WAIT / 50_000).map(|n| n * 50_000);
-    assert!(tries.into_iter().all(|now| redials.may_wait(now, NODE)));
-    assert!(!redials.may_wait(MAX_WAIT, NODE));
+    let tries = (0..MAX_FAILING_TIME / 50_000).map(|n| n * 50_000);
+    assert!(tries
+        .into_iter()
+        .all(|now| redials.record_failure(now, ENDPOINT)));
+    assert!(!redials.record_failure(MAX_FAILING_TIME, ENDPOINT));
     assert!(
-        redials.may_wait(MAX_WAIT + FORGOTTEN + 1, NODE),
+        redials.record_failure(MAX_FAILING_TIME + FAILURE_RESET_INTERVAL + 1, ENDPOINT),
         "a shortage long after is another one"
     );
-    redials.dialled(NODE);
-    assert!(redials.may_wait(MAX_WAIT + FORGOTTEN + 2, NODE));
+    redials.record_success(ENDPOINT);
+    assert!(redials.record_failure(MAX_FAILING_TIME + FAILURE_RESET_INTERVAL + 2, ENDPOINT));
 }
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -1,5 +1,5 @@
 //! Reading from and writing to upstream connections, and their end.
-use super::{CacheNodes, Ends};
+use super::{Ends, UpstreamConnections};
 use crate::protocol::cache_node::{self, DecodedReply};
 use crate::routing::{AttemptEnd, TransactionId};
 use cranesill::api::Timestamp;
@@ -8,7 +8,7 @@
 /// Reads of one connection in one turn: a node that sends without end keeps neither timers nor the feed waiting.
 const MAX_READS_PER_TURN: usize = 4;
 
-impl CacheNodes {
+impl UpstreamConnections {
     /// Handles a connection that can be read or written.
     pub fn ready(&mut self, now: Timestamp, key: usize, readable: bool, ends: &mut Ends) {
         let Some(connection) = self.connections.get_mut(&key) else {
@@ -23,7 +23,7 @@
                 return;
             }
             connection.received_at = now;
-            self.withdraw_late(now, key, ends);
+            self.withdraw_overdue(now, key, ends);
         }
         self.update_time_left(now, key);
         self.flush(now, key, ends);
@@ -46,7 +46,7 @@
                     connection.silent_wait = 0;
                 }
             }
-            self.take_answers(now, key, ends)?;
+            self.take_responses(now, key, ends)?;
             // One read is made even while paused: the end of a connection is reported though it is not watched, and would be
             // reported again and again.
             if self.paused {
@@ -57,7 +57,7 @@
     }
 
     /// Takes complete answers off what was read.
-    fn take_answers(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
+    fn take_responses(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
         let Some(connection) = self.connections.get_mut(&key) else {
             return Ok(());
         };
@@ -77,7 +77,7 @@
                 connection.idle_since = now;
             } else {
                 // The attempt was cancelled, or nothing was asked under this id: the answer is dropped.
-                connection.count_unexpected_answer()?;
+                connection.count_unexpected_response()?;
             }
             connection.stream.consume(length);
             connection.partial_since = None;
@@ -100,7 +100,7 @@
         connection.idle_since = now;
         let open_attempts = &mut connection.open_attempts;
         let attempts_written = &mut self.attempts_written;
-        let done = |tag: Option<TransactionId>| {
+        let on_written = |tag: Option<TransactionId>| {
             *attempts_written += u64::from(tag.is_some());
             if let Some(sent) = tag.and_then(|txn| open_attempts.get_mut(&txn)) {
                 sent.set_written();
@@ -108,7 +108,7 @@
         };
         let flushed = connection
             .stream
-            .flush(done)
+            .flush(on_written)
             .and_then(|()| connection.stream.rewatch(!self.paused));
         connection.stream.update_total(&mut self.buffered_bytes);
         if let Err(e) = flushed {
@@ -122,7 +122,7 @@
             return;
         };
         let open = &connection.open_attempts;
-        connection.stream.rewrite(|tag| {
+        connection.stream.rewrite_heads(|tag| {
             let fetch = open.get(tag.as_ref()?)?.fetch.as_ref()?;
             Some(cache_node::fetch(fetch, now).head)
         });
--- a/front/src/server/upstream/withdrawal.rs
+++ b/front/src/server/upstream/withdrawal.rs
@@ -1,5 +1,5 @@
 //! Attempts that are cancelled, or not written any more because something changed while they waited.
-use super::{CacheNodes, Ends};
+use super::{Ends, UpstreamConnections};
 use crate::protocol::cache_node;
 use crate::routing::{AttemptEnd, AttemptId};
 use cranesill::api::{EndpointId, Micros, Timestamp};
@@ -7,7 +7,7 @@
 /// A connection on which cancelled attempts waited for this long in all, and nothing was received, gets no further ones.
 const MAX_SILENT_WAIT: Micros = 1_000_000;
 
-impl CacheNodes {
+impl UpstreamConnections {
     /// Cancels an attempt at its endpoint.
     pub fn abort(&mut self, now: Timestamp, attempt: AttemptId, ends: &mut Ends) {
         self.redials.remove(attempt);
@@ -26,7 +26,7 @@
             .map(|sent| now.saturating_sub(sent.sent_at));
         connection.silent_wait += silent_wait.unwrap_or(0);
         connection.retired |= connection.silent_wait > MAX_SILENT_WAIT;
-        if connection.stream.take_back(|tag| *tag == Some(txn)) {
+        if connection.stream.remove_unsent(|tag| *tag == Some(txn)) {
             return;
         }
         connection.stream.push(cache_node::abort(txn));
@@ -55,7 +55,7 @@
 
     /// Withdraws attempts on a connection that is established only now, if their deadline for writing has passed. Guards
     /// against a late turn of the loop, in which the connection comes before the timers.
-    pub(super) fn withdraw_late(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
+    pub(super) fn withdraw_overdue(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
         let Some(connection) = self.connections.get(&key) else {
             return;
         };
@@ -104,7 +104,7 @@
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        if connection.stream.take_back(|tag| *tag == Some(txn)) {
+        if connection.stream.remove_unsent(|tag| *tag == Some(txn)) {
             connection.open_attempts.remove(&txn);
             self.by_attempt.remove(&attempt);
             ends.push((attempt, end));
--- a/front/src/transport/deadlines.rs
+++ b/front/src/transport/deadlines.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub struct Deadlines<T> {
     heap: BinaryHeap<Reverse<(Timestamp, u64, T)>>,
-    last: u64,
+    last_sequence: u64,
 }
 
 impl<T: Ord> Deadlines<T> {
@@ -16,14 +16,14 @@
     pub fn new() -> Self {
         Deadlines {
             heap: BinaryHeap::new(),
-            last: 0,
+            last_sequence: 0,
         }
     }
 
     /// Adds an entry that is due at `at`.
-    pub fn add(&mut self, at: Timestamp, what: T) {
-        self.last += 1;
-        self.heap.push(Reverse((at, self.last, what)));
+    pub fn add(&mut self, at: Timestamp, entry: T) {
+        self.last_sequence += 1;
+        self.heap.push(Reverse((at, self.last_sequence, entry)));
     }
 
     /// Returns the earliest timestamp at which an entry is due.
@@ -34,7 +34,7 @@
     /// Takes an entry that is due by `now`: the earliest first, and of equal ones the one that was added first.
     pub fn take(&mut self, now: Timestamp) -> Option<T> {
         self.next().filter(|at| *at <= now)?;
-        self.heap.pop().map(|Reverse((_, _, what))| what)
+        self.heap.pop().map(|Reverse((_, _, entry))| entry)
     }
 }
 
--- a/front/src/transport/descriptors.rs
+++ b/front/src/transport/descriptors.rs
@@ -1,7 +1,7 @@
 //! Whether this process has used up its descriptors.
 
 /// No process that this program is meant for may open more files than this; above it the check is not made.
-const MAX_CHECKED: u64 = 65_536;
+const MAX_CHECKED_LIMIT: u64 = 65_536;
 
 /// The number of descriptors that this process may have open.
 #[allow(unsafe_code)]
@@ -12,7 +12,7 @@
     };
     // SAFETY: the call writes to the structure that it is given, and to nothing else.
     let found = unsafe { libc::getrlimit(libc::RLIMIT_NOFILE, &raw mut limit) };
-    let checked = found == 0 && limit.rlim_cur <= MAX_CHECKED;
+    let checked = found == 0 && limit.rlim_cur <= MAX_CHECKED_LIMIT;
     checked.then_some(limit.rlim_cur as i32)
 }
 
--- a/front/src/transport/faults.rs
+++ b/front/src/transport/faults.rs
@@ -13,7 +13,7 @@
 }
 
 /// Errors that a new connection had before it was accepted.
-const OF_ONE_CONNECTION: [i32; 13] = [
+const CONNECTION_ERRORS: [i32; 13] = [
     libc::ECONNABORTED,
     libc::ECONNRESET,
     libc::EPROTO,
@@ -30,7 +30,7 @@
 ];
 
 /// Errors by which `socket`, `bind` or a poller call fails while the machine is short of something.
-const SHORTAGES: [i32; 5] = [
+const SHORTAGE_ERRORS: [i32; 5] = [
     libc::EMFILE,
     libc::ENFILE,
     libc::ENOBUFS,
@@ -39,7 +39,7 @@
 ];
 
 /// Errors by which `connect` fails at once for reasons of this machine alone.
-const UNCONNECTABLE: [i32; 4] = [
+const LOCAL_CONNECT_ERRORS: [i32; 4] = [
     libc::EADDRNOTAVAIL,
     libc::ENETUNREACH,
     libc::ENETDOWN,
@@ -51,7 +51,7 @@
     pub fn of(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(libc::EMFILE | libc::ENFILE) => AcceptFault::Descriptors,
-            Some(code) if OF_ONE_CONNECTION.contains(&code) => AcceptFault::Connection,
+            Some(code) if CONNECTION_ERRORS.contains(&code) => AcceptFault::Connection,
             _ => AcceptFault::Other,
         }
     }
@@ -61,7 +61,7 @@
 pub fn is_shortage(error: &io::Error) -> bool {
     error
         .raw_os_error()
-        .is_some_and(|code| SHORTAGES.contains(&code))
+        .is_some_and(|code| SHORTAGE_ERRORS.contains(&code))
 }
 
 /// Whether a connection could not even be begun for a reason of this machine: it says nothing of the other side.
@@ -69,7 +69,7 @@
     is_shortage(error)
         || error
             .raw_os_error()
-            .is_some_and(|code| UNCONNECTABLE.contains(&code))
+            .is_some_and(|code| LOCAL_CONNECT_ERRORS.contains(&code))
 }
 
 #[cfg(test)]
--- a/front/src/transport/faults/tests.rs
+++ b/front/src/transport/faults/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn fault(code: i32) -> io::Error {
+fn os_error(code: i32) -> io::Error {
     io::Error::from_raw_os_error(code)
 }
 
 #[test]
 fn errors_of_accept_are_told_apart() {
-    let of_one = [
+    let connection_errors = [
         libc::ECONNABORTED,
         libc::EPROTO,
         libc::ENETDOWN,
@@ -14,22 +14,26 @@
         libc::ETIMEDOUT,
         libc::ENONET,
     ];
-    for code in of_one {
+    for code in connection_errors {
         assert_eq!(
-            AcceptFault::of(&fault(code)),
+            AcceptFault::of(&os_error(code)),
             AcceptFault::Connection,
             "{code}"
         );
     }
     for code in [libc::EMFILE, libc::ENFILE] {
         assert_eq!(
-            AcceptFault::of(&fault(code)),
+            AcceptFault::of(&os_error(code)),
             AcceptFault::Descriptors,
             "{code}"
         );
     }
     for code in [libc::ENOBUFS, libc::ENOMEM, libc::EINVAL] {
-        assert_eq!(AcceptFault::of(&fault(code)), AcceptFault::Other, "{code}");
+        assert_eq!(
+            AcceptFault::of(&os_error(code)),
+            AcceptFault::Other,
+            "{code}"
+        );
     }
 }
 
@@ -42,10 +46,10 @@
         libc::EACCES,
         libc::EINVAL,
     ] {
-        assert!(!is_local(&fault(code)), "{code}");
+        assert!(!is_local(&os_error(code)), "{code}");
     }
     for code in [libc::EADDRNOTAVAIL, libc::EADDRINUSE, libc::EACCES] {
-        assert!(!is_shortage(&fault(code)), "{code}");
+        assert!(!is_shortage(&os_error(code)), "{code}");
     }
-    assert!(is_local(&fault(libc::EADDRNOTAVAIL)) && is_shortage(&fault(libc::ENOBUFS)));
+    assert!(is_local(&os_error(libc::EADDRNOTAVAIL)) && is_shortage(&os_error(libc::ENOBUFS)));
 }
--- a/front/src/transport/shortage_retry.rs
+++ b/front/src/transport/shortage_retry.rs
@@ -4,14 +4,14 @@
 use std::time::{Duration, Instant};
 
 /// For how long a call of the start is repeated while the machine is short of something.
-const MAX_RETRY_TIME: Duration = Duration::from_secs(5);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two attempts. Nothing is served yet, so that waiting here holds nobody up.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Makes a call, again and again within a bound while it fails for lack of descriptors, buffers or memory. Any other error
 /// is returned at once.
 pub fn retry_on_shortage<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let deadline = Instant::now() + MAX_RETRY_TIME;
+    let deadline = Instant::now() + RETRY_TIMEOUT;
     loop {
         match call() {
             Err(error) if is_shortage(&error) && Instant::now() < deadline => {
--- a/front/src/transport/stream.rs
+++ b/front/src/transport/stream.rs
@@ -10,7 +10,7 @@
 use tls::Tls;
 
 /// The most capacity for input, in bytes, that an idle connection keeps.
-const MAX_IDLE_CAPACITY: usize = 4 * 1024;
+const MAX_IDLE_CAPACITY_BYTES: usize = 4 * 1024;
 /// The most slices that one gathered write takes.
 const MAX_SLICES: usize = 48;
 /// A message to be written. Its parts are not copied: they go out in one gathered write.
@@ -70,14 +70,14 @@
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
         let socket = reactor.watch(socket, key, connecting)?;
-        let mut stream = Self::on(socket, None);
+        let mut stream = Self::from_socket(socket, None);
         stream.interest.write = connecting;
         Ok(stream)
     }
 
     /// Creates the stream of a connection whose TLS handshake is complete. It is watched for reading.
-    pub fn secured(socket: Registered<TcpStream>, connection: ServerConnection) -> Self {
-        Self::on(
+    pub fn with_tls(socket: Registered<TcpStream>, connection: ServerConnection) -> Self {
+        Self::from_socket(
             socket,
             Some(Box::new(Tls {
                 connection,
@@ -86,7 +86,7 @@
         )
     }
 
-    fn on(socket: Registered<TcpStream>, tls: Option<Box<Tls>>) -> Self {
+    fn from_socket(socket: Registered<TcpStream>, tls: Option<Box<Tls>>) -> Self {
         Stream {
             socket,
             input: Vec::new(),
@@ -141,7 +141,7 @@
     }
 
     /// Whether the system has received input that was not read yet.
-    pub fn unread(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         matches!(self.socket.peek(&mut [0; 1]), Ok(n) if n > 0)
     }
 
@@ -157,7 +157,7 @@
             self.consumed = 0;
             self.input.clear();
             // Otherwise hundreds of connections would each keep room for their largest message, beyond the memory limit.
-            self.input.shrink_to(MAX_IDLE_CAPACITY);
+            self.input.shrink_to(MAX_IDLE_CAPACITY_BYTES);
         }
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Replaces the head of each message that is not begun by what `head` returns for its tag; `None` leaves it as it is.
-    pub fn rewrite(&mut self, head: impl Fn(&T) -> Option<Vec<u8>>) {
+    pub fn rewrite_heads(&mut self, head: impl Fn(&T) -> Option<Vec<u8>>) {
         let begun = usize::from(self.written > 0);
         for out in self.output.iter_mut().skip(begun) {
             let Some(new) = head(&out.tag) else { continue };
@@ -210,9 +210,13 @@
     }
 
     /// Removes a message that is not begun. Returns false if it was begun or written, or was never queued.
-    pub fn take_back(&mut self, is_it: impl Fn(&T) -> bool) -> bool {
+    pub fn remove_unsent(&mut self, matches_tag: impl Fn(&T) -> bool) -> bool {
         let begun = usize::from(self.written > 0);
-        let found = self.output.iter().skip(begun).position(|o| is_it(&o.tag));
+        let found = self
+            .output
+            .iter()
+            .skip(begun)
+            .position(|o| matches_tag(&o.tag));
         let out = found.and_then(|i| self.output.remove(begun + i));
         self.output_len -= out.as_ref().map_or(0, Outgoing::len);
         out.is_some()
@@ -256,7 +260,7 @@
 
     /// Removes the messages that are written completely.
     fn remove_written(&mut self, done: &mut impl FnMut(T)) {
-        while self.begun_message_is_written() {
+        while self.first_message_is_written() {
             let Some(message) = self.output.pop_front() else {
                 return;
             };
@@ -267,7 +271,7 @@
         }
     }
 
-    fn begun_message_is_written(&self) -> bool {
+    fn first_message_is_written(&self) -> bool {
         let first = self.output.front();
         first.is_some_and(|message| message.len() <= self.written)
     }
@@ -284,7 +288,7 @@
     }
 
     /// Announces to the peer that nothing more will be written.
-    pub fn finish(&mut self) {
+    pub fn shutdown_write(&mut self) {
         if let Some(tls) = &mut self.tls {
             tls.connection.send_close_notify();
             // If it does not fit now, the peer has stopped reading and would not see it.
--- a/front/src/transport/stream/tests.rs
+++ b/front/src/transport/stream/tests.rs
@@ -14,5 +14,5 @@
     stream.consume(99_999);
     assert_eq!(stream.input(), [7]);
     stream.consume(1);
-    assert!(stream.input.capacity() <= MAX_IDLE_CAPACITY);
+    assert!(stream.input.capacity() <= MAX_IDLE_CAPACITY_BYTES);
 }
