--- a/front/src/server/acceptor/tests.rs
+++ b/front/src/server/acceptor/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn rests_grow_up_to_a_bound_and_begin_anew_after_an_accepted_connection() {
+fn pauses_double_up_to_a_maximum_and_reset_after_an_accepted_connection() {
     let mut backoff = AcceptBackoff::default();
     let mut now = 0;
     let mut pauses = Vec::new();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_connection_that_is_gone_is_passed_over_but_not_without_end() {
+fn aborted_connections_are_retried_at_once_up_to_a_limit() {
     let mut backoff = AcceptBackoff::default();
     backoff.begin_turn();
     for _ in 1..MAX_FAILURES_IN_TURN {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_wait_of_a_connection_counts_from_the_first_failure_until_the_queue_was_empty() {
+fn accept_delay_counts_from_the_first_failure_until_the_queue_is_empty() {
     let mut backoff = AcceptBackoff::default();
     assert_eq!(backoff.accepted(1_000_000), 0);
     backoff.failed(1_000_000, AcceptFault::Other);
--- a/front/src/server/cli/tests.rs
+++ b/front/src/server/cli/tests.rs
@@ -1,4 +1,4 @@
 #[test]
-fn the_command_line_is_sound() {
+fn command_line_definition_is_consistent() {
     super::options().check_invariants(false);
 }
--- a/front/src/server/ctl/tests.rs
+++ b/front/src/server/ctl/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_table_shows_what_needs_a_look_and_the_exit_code_says_it() {
+fn certificate_table_and_exit_code_show_certificates_that_need_attention() {
     let row = |name: &str, state: &str, left: i64, covers: &[&str]| {
         json!({"name": name, "names": [name], "certificate": state, "left_s": left, "not_before": 0,
                "not_after": 1_000_000, "order": "later", "next_s": 7_300, "covers": covers, "refused": []})
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn fields_are_json_where_they_can_be() {
+fn field_values_are_parsed_as_json_with_text_as_fallback() {
     let found = fields(&["a=1".into(), "b=x=y".into(), "c=[2]".into()]).unwrap();
     assert_eq!(found, json!({"a": 1, "b": "x=y", "c": [2]}));
     assert!(fields(&["plain".into()]).is_err());
--- a/front/src/server/discovery/tests.rs
+++ b/front/src/server/discovery/tests.rs
@@ -2,7 +2,7 @@
 use std::io::{Read, Write};
 
 #[test]
-fn a_feed_that_stops_in_the_middle_of_an_event_is_given_up() {
+fn only_complete_frames_extend_the_silence_deadline() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut reactor = Reactor::new().unwrap();
     let mut discovery = Discovery::new(
--- a/front/src/server/downstream/tests.rs
+++ b/front/src/server/downstream/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn connections_that_never_said_anything_make_room_before_idle_ones() {
+fn connections_without_a_complete_frame_are_evicted_before_idle_ones() {
     let mut harness = Harness::new();
     let established = harness.client(0, 1);
     harness.send_and_read(1, &established, 1, &READY);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_connection_that_carries_nothing_is_closed_whatever_is_done_for_others() {
+fn sweeps_close_idle_connections_that_have_nothing_to_write() {
     // Each sweep took what had nothing to write for what had written something.
     let mut harness = Harness::new();
     let idle = harness.client(0, 1);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_client_that_sends_what_can_not_be_taken_in_rests_and_its_end_is_still_seen() {
+fn reading_pauses_after_a_bad_request_and_a_disconnection_is_still_detected() {
     let mut harness = Harness::new();
     let client = harness.client(0, 1);
     let bad = [0, 0, 0, 6, 10, 0, 0, 0, 1, 0];
@@ -125,7 +125,7 @@
 const REQUEST: &[u8] = b"\x00\x00\x00\x2d\x0a\x00\x00\x00\x01\x03\x04verb\x00\x01x\x03txn\x00\x109b1f03aa5c7e2d41\x05limit\x00\x011";
 
 #[test]
-fn a_client_with_an_open_request_rests_for_less_than_it_may_take_to_hear_that_it_cancels() {
+fn reading_pauses_only_briefly_while_a_request_is_open_so_that_its_cancellation_is_read() {
     let mut harness = Harness::new();
     let client = harness.client(0, 1);
     assert!(matches!(
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_comes_with_the_end_of_its_client_waits_until_that_has_shown_whether_it_is_there() {
+fn requests_received_with_a_half_close_wait_for_a_possible_reset() {
     for closes in [true, false] {
         let mut harness = Harness::new();
         let client = harness.client(0, 1);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn an_emptied_front_closes_what_is_free_and_answers_what_is_open_first() {
+fn draining_closes_idle_connections_and_answers_open_requests_first() {
     let mut harness = Harness::new();
     let (idle, busy, active) = (
         harness.client(0, 1),
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn what_has_come_and_is_not_read_yet_keeps_a_connection_from_making_room() {
+fn connections_with_unread_input_are_not_evicted() {
     let mut harness = Harness::new();
     let (mut pending, idle) = (harness.client(0, 1), harness.client(5, 2));
     harness.send_and_read(1, &pending, 1, &READY);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn who_asks_and_takes_it_back_in_one_turn_is_not_heard_of() {
+fn a_request_cancelled_in_the_same_read_is_not_reported() {
     let mut harness = Harness::new();
     let client = harness.client(0, 1);
     let cancelled = |stream: u8| [0, 0, 0, 5, 12, 0, 0, 0, stream];
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_client_that_takes_nothing_is_not_read_from_without_end() {
+fn reading_stops_while_a_client_leaves_too_many_responses_unread() {
     let mut harness = Harness::new();
     let client = harness.client(0, 1);
     let request = |stream: u8| [0, 0, 0, 6, 10, 0, 0, 0, stream, 0];
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn who_comes_while_the_program_ends_is_answered_before_the_connection_is_shut() {
+fn a_request_received_during_shutdown_is_answered_before_the_connection_closes() {
     let mut harness = Harness::new();
     harness.clients.close_all(0);
     let mut client = harness.client(1, 1);
--- a/front/src/server/drain/tests.rs
+++ b/front/src/server/drain/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_process_ends_by_itself_before_it_is_killed_whatever_the_classes_are() {
+fn shutdown_ends_before_the_kill_for_any_class_wait() {
     for waits in [
         &[5_000_000, 2_500_000][..],
         &[1_500_000],
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn it_parts_once_nothing_is_owed_and_lets_clients_that_have_another_process_go_by_themselves() {
+fn closing_starts_once_nothing_is_pending_and_later_after_a_handover() {
     let mut alone = Drain::new(0, &[5_000_000], false);
     assert_eq!(
         (alone.stage(999_999), alone.stage(1_000_000)),
--- a/front/src/server/handover/tests.rs
+++ b/front/src/server/handover/tests.rs
@@ -3,7 +3,7 @@
 const ENDPOINT: EndpointId = EndpointId(0x00c4_1f7a);
 
 #[test]
-fn one_process_accepts_and_the_next_one_when_it_lets_go_or_dies() {
+fn the_next_process_accepts_after_a_handover_or_the_end_of_the_earlier_process() {
     let directory = tempfile::tempdir().unwrap();
     let mut processes: Vec<_> = (0..3)
         .map(|_| Handover::new(directory.path()).unwrap())
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_was_learned_is_read_once_and_while_it_is_fresh() {
+fn learned_health_is_read_once_and_only_while_recent() {
     let directory = tempfile::tempdir().unwrap();
     let mut earlier = Handover::new(directory.path()).unwrap();
     let later = Handover::new(directory.path()).unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_hand_over_that_can_not_be_written_leaves_nothing_behind_and_the_next_process_accepts() {
+fn a_failed_write_of_learned_health_leaves_no_file_and_releases_the_lock() {
     let directory = tempfile::tempdir().unwrap();
     let (mut earlier, mut later) = (
         Handover::new(directory.path()).unwrap(),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn members_out_by_hand_are_seen_by_all_and_what_is_foreign_is_passed_over() {
+fn cordons_are_shared_between_processes_and_unknown_files_are_ignored() {
     let directory = tempfile::tempdir().unwrap();
     let (earlier, mut later) = (
         Handover::new(directory.path()).unwrap(),
--- a/front/src/server/log/tests.rs
+++ b/front/src/server/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn warnings_are_not_lost_among_notes_and_what_is_left_out_is_counted_by_kind() {
+fn warnings_have_reserved_lines_and_suppressed_lines_are_counted_by_kind() {
     let mut limiter = Limiter::default();
     let info_lines = (0..100).filter(|_| limiter.admit(7, false, "note")).count();
     let warnings = (0..100).filter(|_| limiter.admit(7, true, "broke")).count();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_line_is_one_line_whatever_stands_in_its_fields() {
+fn a_log_line_stays_on_one_line_for_any_field_value() {
     let fields = [
         ("error", "a\n\"b\" c".to_string()),
         ("member", "s-1".into()),
--- a/front/src/server/upstream/redial/tests.rs
+++ b/front/src/server/upstream/redial/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn all_that_wait_try_again_together_and_keep_their_deadlines() {
+fn waiting_attempts_are_retried_together_and_keep_their_deadlines() {
     let mut redials = Redials::default();
     redials.wait(
         0,
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn who_was_called_off_or_whose_node_is_left_out_is_not_tried_again() {
+fn cancelled_and_excluded_attempts_are_not_retried() {
     let mut redials = Redials::default();
     redials.wait(
         0,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_node_that_can_not_be_dialled_for_long_is_not_waited_for_until_it_was_left_alone() {
+fn attempts_do_not_wait_for_an_endpoint_that_failed_too_long_until_its_failures_are_forgotten() {
     let mut redials = Redials::default();
     let tries = (0..MAX_FAILING_TIME / 50_000).map(|n| n * 50_000);
     assert!(tries
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_one_connection_carried_ends_as_one_failure_and_others_along_with_it() {
+fn attempts_on_a_failed_connection_count_as_one_failure_and_duplicates() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut upstream = upstream(1, &listener);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_goes_to_no_member_that_was_left_out_meanwhile() {
+fn unwritten_attempts_are_withdrawn_when_their_endpoint_or_source_is_excluded() {
     // Connections may take 400 ms to come up, and the rule on drains leaves 250 on one deployment, 500 on another.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_connection_on_which_an_answer_never_came_gets_no_other_request() {
+fn a_connection_without_a_response_for_too_long_gets_no_further_attempts() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut upstream = upstream(9, &listener);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn where_clients_wait_for_less_than_silence_takes_to_tell_several_of_them_tell_it() {
+fn silent_waits_of_cancelled_attempts_add_up_until_the_connection_is_retired() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut upstream = upstream(9, &listener);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_on_and_on_is_broken_off_once_nobody_can_wait_for_it() {
+fn a_response_that_never_completes_is_aborted_after_the_longest_client_wait() {
     use std::io::Write;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn by_what_is_written_no_two_attempts_of_a_request_are_out_on_however_many_connections() {
+fn at_most_one_attempt_of_a_request_is_outstanding_for_any_number_of_connections() {
     for max_connections in [2, 4, 12, 40] {
         let outstanding: usize = (0..20)
             .map(|seed| run_random_operations(seed * 41 + max_connections as u64, max_connections))
@@ -450,8 +450,7 @@
 }
 
 #[test]
-fn where_all_connections_are_made_one_to_another_node_takes_the_place_of_the_one_idle_for_longest()
-{
+fn at_the_connection_limit_a_new_endpoint_replaces_the_longest_idle_connection() {
     let listeners: Vec<_> = (0..4)
         .map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap())
         .collect();
@@ -517,7 +516,7 @@
 }
 
 #[test]
-fn what_waits_for_its_connection_tells_the_time_that_is_left_when_it_is_written() {
+fn the_time_left_is_computed_when_the_request_is_written() {
     use std::io::Read;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
--- a/front/src/transport/backoff_listener/tests.rs
+++ b/front/src/transport/backoff_listener/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn after_a_shortage_the_listener_is_not_reported_until_its_rest_is_over() {
+fn after_a_shortage_the_listener_is_not_reported_until_its_pause_ends() {
     for errno in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         let mut reactor = Reactor::new().unwrap();
         let (mut listener, _client) = failing(&reactor, 1, errno);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn connections_that_are_gone_already_cost_no_rest_unless_there_are_many() {
+fn aborted_connections_cause_a_pause_only_above_a_limit() {
     let mut reactor = Reactor::new().unwrap();
     let (mut listener, _client) = failing(&reactor, MAX_FAILURES - 1, libc::ECONNABORTED);
     assert!(listener.accept(100).is_some() && listener.resumes_at().is_none());
--- a/front/src/transport/deadlines/tests.rs
+++ b/front/src/transport/deadlines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_due_comes_in_order_and_once() {
+fn due_entries_are_returned_once_and_in_order() {
     let mut queue = Deadlines::new();
     [(5, 'c'), (3, 'z'), (3, 'a'), (9, 'd')]
         .into_iter()
--- a/front/src/transport/faults/tests.rs
+++ b/front/src/transport/faults/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn errors_of_accept_are_told_apart() {
+fn accept_errors_are_classified() {
     let connection_errors = [
         libc::ECONNABORTED,
         libc::EPROTO,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_refused_connection_and_a_wrong_address_are_no_faults_of_this_machine_that_pass() {
+fn refused_connections_and_wrong_addresses_are_neither_local_failures_nor_shortages() {
     for code in [
         libc::ECONNREFUSED,
         libc::EHOSTUNREACH,
--- a/front/src/transport/stream/tests.rs
+++ b/front/src/transport/stream/tests.rs
@@ -2,7 +2,7 @@
 use crate::transport::listen;
 
 #[test]
-fn consumed_input_leaves_no_capacity_behind() {
+fn consuming_all_input_releases_its_buffer() {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let socket = listener.accept().unwrap().0;
--- a/front/src/transport/workers/tests.rs
+++ b/front/src/transport/workers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn results_wake_the_poller_and_what_is_in_order_stays_so() {
+fn results_wake_the_poller_and_ordered_work_keeps_its_order() {
     let mut reactor = Reactor::new().unwrap();
     let mut workers = Workers::new(&reactor, 9).unwrap();
     (0..50).for_each(|i| workers.in_order(move || i).unwrap());
