--- a/front/src/transport/backoff_listener.rs
+++ b/front/src/transport/backoff_listener.rs
@@ -1,5 +1,5 @@
-//! A subsystem's listener. When `accept` fails it is not watched for a moment: the connection that waits would make the
-//! poller report the listener again and again, and the loop would spin.
+//! A listener that pauses after a failed `accept`. The level-triggered poller would otherwise report the pending connection
+//! continuously, and the event loop would spin.
 use super::{AcceptFault, Registered};
 use cranesill::api::{Micros, Timestamp};
 use std::io;
@@ -9,14 +9,14 @@
 
 /// Pause after a failed `accept`.
 const RETRY_INTERVAL: Micros = 50_000;
-/// Connections that may be gone before they were accepted, in one call; then the listener rests as well.
+/// Consecutive connection errors in one call to [`BackoffListener::accept`] after which the listener pauses as well.
 const MAX_FAILURES: usize = 8;
 
-/// A listening socket.
+/// A listening socket, abstracted for tests.
 pub trait Accept: AsFd {
-    /// What it accepts.
+    /// The type of an accepted connection.
     type Connection;
-    /// Accepts a connection, without waiting for one.
+    /// Accepts a pending connection without blocking.
     fn accept_one(&self) -> io::Result<Self::Connection>;
 }
 
@@ -34,16 +34,16 @@
     }
 }
 
-/// A listener that rests after a failed `accept`.
+/// A registered listener that pauses after a failed `accept`.
 #[derive(Debug)]
 pub struct BackoffListener<L: Accept> {
     listener: Registered<L>,
-    /// When it is watched again; `None` while it does not rest.
+    /// When the pause ends; `None` while not paused.
     resumes_at: Option<Timestamp>,
 }
 
 impl<L: Accept> BackoffListener<L> {
-    /// A listener that is watched for reading.
+    /// Wraps a listener that is registered for readability.
     pub fn new(listener: Registered<L>) -> Self {
         BackoffListener {
             listener,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// The socket.
+    /// Returns the listening socket.
     pub fn get(&self) -> &L {
         &self.listener
     }
 
-    /// Accepts a connection; `None` if there is none, or the listener rests from now on.
+    /// Accepts a connection. Returns `None` if none is pending or `accept` failed, in which case the listener pauses.
     pub fn accept(&mut self, now: Timestamp) -> Option<L::Connection> {
         for _ in 0..MAX_FAILURES {
             match self.listener.accept_one() {
@@ -71,19 +71,19 @@
         None
     }
 
-    /// Watches the listener or stops watching it. A rest is not cut short.
+    /// Enables or disables polling of the listener. A pause is not shortened.
     pub fn set_watched(&self, watched: bool) {
         let watched = watched && self.resumes_at.is_none();
-        // It can only fail for a listener that is not registered.
+        // Fails only for a listener that is not registered.
         let _ = self.listener.rewatch(watched, false);
     }
 
-    /// When the rest ends; `None` while it does not rest.
+    /// Returns when the pause ends, or `None` while not paused.
     pub fn resumes_at(&self) -> Option<Timestamp> {
         self.resumes_at
     }
 
-    /// Ends the rest if its time has come.
+    /// Ends the pause if it is over by `now`.
     pub fn resume_if_due(&mut self, now: Timestamp) {
         if self.resumes_at.is_some_and(|at| at <= now) {
             self.resumes_at = None;
--- a/front/src/transport/backoff_listener/tests.rs
+++ b/front/src/transport/backoff_listener/tests.rs
@@ -5,7 +5,7 @@
 
 const KEY: usize = 7;
 
-/// A listener of which so many calls fail with an error.
+/// A listener whose next `failures` calls to `accept` fail with `errno`.
 struct Failing {
     listener: TcpListener,
     failures: Cell<usize>,
@@ -65,7 +65,10 @@
         let (mut listener, _client) = failing(&reactor, 1, errno);
         assert!(is_reported(&mut reactor));
         assert!(listener.accept(100).is_none());
-        assert!(!is_reported(&mut reactor), "the loop would spin");
+        assert!(
+            !is_reported(&mut reactor),
+            "the listener is reported while it pauses"
+        );
         let resumes_at = listener.resumes_at().unwrap();
         assert_eq!(resumes_at, 100 + RETRY_INTERVAL);
         listener.set_watched(true);
--- a/front/src/transport/clock.rs
+++ b/front/src/transport/clock.rs
@@ -1,9 +1,9 @@
-//! The one clock of the program.
+//! The process-wide clock.
 use cranesill::api::{Micros, Timestamp};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Microseconds since the Unix epoch, read once at the start and carried on by the monotonic clock: timestamps
-/// of watch events can be compared with it, and it never goes back.
+/// Microseconds since the Unix epoch: the wall clock is read once at startup and advanced by the monotonic clock. Its timestamps
+/// are comparable with those of watch events and never decrease.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     epoch: Micros,
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    /// Creates a clock that begins at the system's time.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/front/src/transport/deadlines.rs
+++ b/front/src/transport/deadlines.rs
@@ -1,18 +1,19 @@
-//! Timestamps at which something is due.
+//! A priority queue of timers.
 use cranesill::api::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A queue of entries that are due at a timestamp. Entries are never removed early: whoever takes one checks whether it still
-/// applies.
+/// Entries ordered by the timestamp at which they are due. Entries cannot be cancelled: the caller checks whether an entry that
+/// it takes still applies.
 #[derive(Debug)]
 pub struct Deadlines<T> {
+    /// Timestamp, sequence number and entry; the sequence number keeps entries with equal timestamps in insertion order.
     heap: BinaryHeap<Reverse<(Timestamp, u64, T)>>,
     last_sequence: u64,
 }
 
 impl<T: Ord> Deadlines<T> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Deadlines {
             heap: BinaryHeap::new(),
@@ -31,7 +32,8 @@
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Takes an entry that is due by `now`: the earliest first, and of equal ones the one that was added first.
+    /// Removes and returns the earliest entry that is due by `now`. Entries with equal timestamps are returned in the order in
+    /// which they were added.
     pub fn take(&mut self, now: Timestamp) -> Option<T> {
         self.next().filter(|at| *at <= now)?;
         self.heap.pop().map(|Reverse((_, _, entry))| entry)
--- a/front/src/transport/faults.rs
+++ b/front/src/transport/faults.rs
@@ -1,18 +1,18 @@
-//! Which errors of system calls on sockets pass by themselves, and what a failed accept says of the listener.
+//! Classification of socket errors: temporary shortages, local connect failures, and failures of `accept`.
 use std::io;
 
-/// What a failed call to `accept` means for the connections that still wait in the system's queue.
+/// Cause of a failed `accept`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFault {
-    /// That one connection is gone; the next one may be fine (accept(2), "Error handling").
+    /// A single pending connection failed; the next `accept` may succeed (accept(2), "Error handling").
     Connection,
-    /// The process or the system has no descriptor left.
+    /// The process or the system has no free descriptor.
     Descriptors,
-    /// Anything else, such as a lack of memory.
+    /// Any other cause, such as a lack of memory.
     Other,
 }
 
-/// Errors that a new connection had before it was accepted.
+/// Errors of `accept` that concern only the connection being accepted.
 const CONNECTION_ERRORS: [i32; 13] = [
     libc::ECONNABORTED,
     libc::ECONNRESET,
@@ -29,7 +29,7 @@
     libc::EINTR,
 ];
 
-/// Errors by which `socket`, `bind` or a poller call fails while the machine is short of something.
+/// Errors of socket and poller calls that indicate a temporary lack of resources, or an interrupted call.
 const SHORTAGE_ERRORS: [i32; 5] = [
     libc::EMFILE,
     libc::ENFILE,
@@ -38,7 +38,7 @@
     libc::EINTR,
 ];
 
-/// Errors by which `connect` fails at once for reasons of this machine alone.
+/// Errors of `connect` caused by this host rather than by the peer.
 const LOCAL_CONNECT_ERRORS: [i32; 4] = [
     libc::EADDRNOTAVAIL,
     libc::ENETUNREACH,
@@ -47,7 +47,7 @@
 ];
 
 impl AcceptFault {
-    /// What this error of `accept` means.
+    /// Classifies an error returned by `accept`.
     pub fn of(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(libc::EMFILE | libc::ENFILE) => AcceptFault::Descriptors,
@@ -57,14 +57,14 @@
     }
 }
 
-/// Whether the machine was short of descriptors, buffers or memory: the same call may succeed a moment later.
+/// Whether the call failed for lack of descriptors, buffers or memory, or was interrupted, and may succeed if repeated.
 pub fn is_shortage(error: &io::Error) -> bool {
     error
         .raw_os_error()
         .is_some_and(|code| SHORTAGE_ERRORS.contains(&code))
 }
 
-/// Whether a connection could not even be begun for a reason of this machine: it says nothing of the other side.
+/// Whether `connect` failed because of this host, which gives no information about the peer.
 pub fn is_local(error: &io::Error) -> bool {
     is_shortage(error)
         || error
--- a/front/src/transport/mod.rs
+++ b/front/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, clock and deadlines. Nothing here knows what the bytes mean.
+//! Transport: poller, sockets, buffered connections, timers, clock and worker threads. Independent of any protocol.
 mod backoff_listener;
 mod clock;
 mod deadlines;
--- a/front/src/transport/reactor.rs
+++ b/front/src/transport/reactor.rs
@@ -1,4 +1,4 @@
-//! The poller and the sources that it watches.
+//! The poller and its registered event sources.
 use cranesill::api::Timestamp;
 use polling::{Event, Events, PollMode, Poller};
 use std::io;
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Waits for sockets, level-triggered.
+/// A level-triggered poller.
 pub struct Reactor {
     poller: Rc<Poller>,
     events: Events,
 }
 
-/// A watched source that the poller reports as ready.
+/// Readiness of a registered source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadyEvent {
-    /// The key under which the source is watched.
+    /// The poller key of the source.
     pub key: usize,
     /// Whether a read would not block.
     pub readable: bool,
@@ -24,7 +24,7 @@
     pub writable: bool,
 }
 
-/// A source that is watched for as long as this lives.
+/// A source registered with the poller; dropping it removes the registration.
 #[derive(Debug)]
 pub struct Registered<S: AsFd> {
     source: S,
@@ -33,7 +33,7 @@
 }
 
 impl Reactor {
-    /// Creates a reactor that watches nothing yet.
+    /// Creates a reactor without registered sources.
     pub fn new() -> io::Result<Self> {
         Ok(Reactor {
             poller: Rc::new(Poller::new()?),
@@ -41,16 +41,16 @@
         })
     }
 
+    /// Registers `source` under `key` for readability and, if `write` is set, for writability.
     #[allow(unsafe_code)]
-    /// Watches `source` under `key` for reading and, if `write` is set, for writing.
     pub fn watch<S: AsFd + AsRawFd>(
         &self,
         source: S,
         key: usize,
         write: bool,
     ) -> io::Result<Registered<S>> {
-        // SAFETY: a source has to leave the poller before it is closed. `Registered` owns it from here on and
-        // takes it out when it is dropped, which is before its field `source` is.
+        // SAFETY: a source must be removed from the poller before it is closed. `Registered` owns the source and removes it in
+        // its `drop`, which runs before the field `source` is dropped.
         unsafe {
             self.poller
                 .add_with_mode(&source, Event::new(key, true, write), PollMode::Level)?
@@ -62,8 +62,8 @@
         })
     }
 
-    /// Waits until a source is ready, a signal comes or `deadline` has passed, and returns the sources that are ready.
-    /// Without a deadline it waits as long as it takes.
+    /// Waits until a source is ready, a signal arrives or `deadline` has passed, and returns the ready sources. Without a deadline
+    /// the wait is unlimited.
     pub fn wait(
         &mut self,
         now: Timestamp,
@@ -90,7 +90,7 @@
 }
 
 impl<S: AsFd> Registered<S> {
-    /// Changes whether it is watched for reading and for writing.
+    /// Changes the readiness events that the source is registered for.
     pub fn rewatch(&self, read: bool, write: bool) -> io::Result<()> {
         self.poller.modify_with_mode(
             &self.source,
@@ -99,7 +99,7 @@
         )
     }
 
-    /// Watches it under another key from now on, for reading.
+    /// Registers the source under a new key, for readability only.
     pub fn rekey(&mut self, key: usize) -> io::Result<()> {
         self.key = key;
         self.rewatch(true, false)
@@ -108,7 +108,7 @@
 
 impl<S: AsFd> Drop for Registered<S> {
     fn drop(&mut self) {
-        // It can only fail for a source that is not watched.
+        // Fails only for a source that is not registered.
         let _ = self.poller.delete(&self.source);
     }
 }
--- a/front/src/transport/socket.rs
+++ b/front/src/transport/socket.rs
@@ -1,18 +1,19 @@
-//! Sockets: connecting, listening, and listeners that were inherited.
+//! Creation of TCP sockets: non-blocking connect, listen, and inherited listeners.
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Errors by which `connect` reports a connection that is being established, or is established already.
+/// Errors of `connect` that mean the connection is in progress or already established.
 const CONNECT_IN_PROGRESS: [i32; 3] = [libc::EINPROGRESS, libc::EALREADY, libc::EISCONN];
-/// The most connections that the system holds ready for `accept`.
+/// Length of the accept queue.
 const BACKLOG: i32 = 1024;
 
-/// Begins to connect to an address. The connection is established once the socket is writable.
+/// Starts a non-blocking connect. The connection is established once the socket is writable.
 pub fn dial(to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
-    // What was interrupted may go on or not (connect(2)): a second call begins it or says that it is under way.
+    // An interrupted connect may or may not continue in the background (connect(2)). A second call starts it, or fails with one of
+    // `CONNECT_IN_PROGRESS`.
     let connected = loop {
         match socket.connect(&to.into()) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -31,7 +32,7 @@
     }
 }
 
-/// Listens on an address, even if connections of an earlier listener on it are still being closed.
+/// Listens on an address with SO_REUSEADDR, so that connections of an earlier listener in TIME_WAIT do not prevent it.
 pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -41,33 +42,33 @@
     Ok(socket.into())
 }
 
-/// Why a descriptor that this program inherited is no listener that it can use.
+/// Why an inherited descriptor cannot be used as the listener.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedSocketError {
-    /// No descriptor of this number was open when the program began.
+    /// The descriptor was not open when the program started.
     #[error("it is not open")]
     NotOpen,
-    /// The descriptor is something else than a listening TCP socket.
-    #[error("no listening TCP socket")]
+    /// The descriptor is not a listening TCP socket.
+    #[error("not a listening TCP socket")]
     NotListening,
     /// A system call on the descriptor failed.
-    #[error("no listening TCP socket: {0}")]
+    #[error("not a usable listening TCP socket: {0}")]
     System(#[from] io::Error),
 }
 
-/// Descriptors below this are standard input, output and error.
+/// Lower descriptors are standard input, output and error.
 const FIRST_INHERITABLE: i32 = 3;
 
-/// Takes over a listening TCP socket that was open under this number when the program began. Other processes that have it
-/// open accept from it too: each connection goes to one of them.
+/// Adopts a listening TCP socket that was open as `descriptor` when the program started. Other processes may hold the same
+/// socket; each connection is then accepted by one of them.
 #[allow(unsafe_code)]
 pub fn inherited(descriptor: i32) -> Result<TcpListener, InheritedSocketError> {
-    // A number that is not open would be given to whatever is opened next.
-    // SAFETY: the call takes numbers alone, and tells whether this one is open.
+    // A descriptor that is not open now could be assigned to a file opened later.
+    // SAFETY: `fcntl` with F_GETFD takes no pointers and has no effect on the descriptor.
     if descriptor < FIRST_INHERITABLE || unsafe { libc::fcntl(descriptor, libc::F_GETFD) } < 0 {
         return Err(InheritedSocketError::NotOpen);
     }
-    // SAFETY: it is open, nothing of this program has opened it, and who started the program has given it away.
+    // SAFETY: the descriptor is open, this program has not opened it, and its ownership was passed by the parent process.
     let socket = unsafe { <Socket as std::os::fd::FromRawFd>::from_raw_fd(descriptor) };
     if !is_tcp_listener(&socket)? {
         return Err(InheritedSocketError::NotListening);
--- a/front/src/transport/stream.rs
+++ b/front/src/transport/stream.rs
@@ -1,4 +1,4 @@
-//! A connection with its buffers.
+//! Buffered, non-blocking connections.
 mod tls;
 
 use super::{Reactor, Registered};
@@ -9,20 +9,21 @@
 use std::rc::Rc;
 use tls::Tls;
 
-/// The most capacity for input, in bytes, that an idle connection keeps.
+/// Capacity of the input buffer that a connection retains while it has no unconsumed input.
 const MAX_IDLE_CAPACITY_BYTES: usize = 4 * 1024;
-/// The most slices that one gathered write takes.
+/// Slices passed to one vectored write.
 const MAX_SLICES: usize = 48;
-/// A message to be written. Its parts are not copied: they go out in one gathered write.
+
+/// A message to be written. Its parts are not copied but passed to one vectored write.
 #[derive(Debug)]
 pub struct Outgoing<T> {
-    /// Returned to the caller once the message is written completely.
+    /// Passed to the callback of [`Stream::flush`] once the message is written completely.
     pub tag: T,
-    /// The head, which belongs to this message alone.
+    /// The head, owned by this message.
     pub head: Vec<u8>,
     /// The body, which may be shared with other messages.
     pub body: Rc<[u8]>,
-    /// What follows the body.
+    /// Bytes that follow the body.
     pub tail: &'static [u8],
 }
 
@@ -36,31 +37,33 @@
     }
 }
 
-/// The events that a socket is watched for.
+/// The readiness events that a socket is registered for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Interest {
     read: bool,
     write: bool,
 }
 
-/// A connection with the input that is not consumed yet and the output that is not written yet.
+/// A connection with a buffer of unconsumed input and a queue of unwritten messages.
 #[derive(Debug)]
 pub struct Stream<T> {
     socket: Registered<TcpStream>,
     input: Vec<u8>,
+    /// Bytes at the start of `input` that are already consumed.
     consumed: usize,
     output: VecDeque<Outgoing<T>>,
-    /// Bytes of the first message of `output` that are written.
+    /// Bytes of the first message in `output` that are already written.
     written: usize,
+    /// Total length of the messages in `output`.
     output_len: usize,
-    /// The bytes that a total over connections counts for this one.
+    /// The value of `buffered_bytes` that a total over connections currently includes.
     counted: usize,
     interest: Interest,
     tls: Option<Box<Tls>>,
 }
 
 impl<T> Stream<T> {
-    /// Creates the stream of a connection that was accepted or, if `connecting`, is being established.
+    /// Creates the stream of an accepted connection or, if `connecting`, of one that is being established.
     pub fn new(
         reactor: &Reactor,
         socket: TcpStream,
@@ -75,7 +78,7 @@
         Ok(stream)
     }
 
-    /// Creates the stream of a connection whose TLS handshake is complete. It is watched for reading.
+    /// Creates the stream of a connection whose TLS handshake is complete. `socket` must be registered for readability.
     pub fn with_tls(socket: Registered<TcpStream>, connection: ServerConnection) -> Self {
         Self::from_socket(
             socket,
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Returns whether a connection that was being established is established; an error if that failed.
+    /// Whether the connection is established; an error if connecting failed.
     pub fn connected(&self) -> io::Result<bool> {
         if let Some(error) = self.socket.take_error()? {
             return Err(error);
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Reads once by way of `scratch`, which connections share, so that each keeps no more than its unconsumed input. Returns the
-    /// number of bytes, 0 at the end of the peer's data, and `None` if there is nothing to read now.
+    /// Reads once, through `scratch`, a buffer that connections share so that each stores only its unconsumed input. Returns the
+    /// number of bytes read, 0 at the end of the stream, and `None` if the read would block.
     pub fn read_input(&mut self, scratch: &mut [u8]) -> io::Result<Option<usize>> {
         if let Some(tls) = &mut self.tls {
             self.input.drain(..std::mem::take(&mut self.consumed));
@@ -140,12 +143,12 @@
         }
     }
 
-    /// Whether the system has received input that was not read yet.
+    /// Whether the socket has received input that is not read yet.
     pub fn has_unread_input(&self) -> bool {
         matches!(self.socket.peek(&mut [0; 1]), Ok(n) if n > 0)
     }
 
-    /// The input that is not consumed yet.
+    /// Returns the unconsumed input.
     pub fn input(&self) -> &[u8] {
         &self.input[self.consumed..]
     }
@@ -156,35 +159,35 @@
         if self.consumed == self.input.len() {
             self.consumed = 0;
             self.input.clear();
-            // Otherwise hundreds of connections would each keep room for their largest message, beyond the memory limit.
+            // Otherwise each connection would retain the capacity of its largest message, which could exceed the memory limit.
             self.input.shrink_to(MAX_IDLE_CAPACITY_BYTES);
         }
     }
 
-    /// Returns the bytes that this connection buffers: input not consumed and output not written.
+    /// Returns the number of buffered bytes: unconsumed input and unwritten output.
     pub fn buffered_bytes(&self) -> usize {
         self.input.len() - self.consumed
             + self.output_len
             + self.tls.as_ref().map_or(0, |tls| tls.unsent_bytes)
     }
 
-    /// Brings a total over connections up to date with what this one holds.
+    /// Updates a total over connections with the current `buffered_bytes` of this one.
     pub fn update_total(&mut self, total: &mut usize) {
         let buffered = self.buffered_bytes();
         *total = *total - std::mem::replace(&mut self.counted, buffered) + buffered;
     }
 
-    /// Takes this connection out of a total over connections.
+    /// Subtracts this connection from a total over connections.
     pub fn remove_from_total(&mut self, total: &mut usize) {
         *total -= std::mem::take(&mut self.counted);
     }
 
-    /// Returns the number of messages that are not written completely.
+    /// Returns the number of messages that are not completely written.
     pub fn unsent_messages(&self) -> usize {
         self.output.len()
     }
 
-    /// Whether nothing is left to be written.
+    /// Whether all output is written.
     pub fn flushed(&self) -> bool {
         self.output.is_empty()
             && self
@@ -193,13 +196,14 @@
                 .is_none_or(|tls| !tls.connection.wants_write())
     }
 
-    /// Queues a message.
+    /// Appends a message to the output queue.
     pub fn push(&mut self, out: Outgoing<T>) {
         self.output_len += out.len();
         self.output.push_back(out);
     }
 
-    /// Replaces the head of each message that is not begun by what `head` returns for its tag; `None` leaves it as it is.
+    /// Replaces the head of each message of which nothing is written yet with the result of `head` for its tag; `None` leaves the
+    /// head unchanged.
     pub fn rewrite_heads(&mut self, head: impl Fn(&T) -> Option<Vec<u8>>) {
         let begun = usize::from(self.written > 0);
         for out in self.output.iter_mut().skip(begun) {
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Removes a message that is not begun. Returns false if it was begun or written, or was never queued.
+    /// Removes a message of which nothing is written yet. Returns false if part of it is written or if it is not queued.
     pub fn remove_unsent(&mut self, matches_tag: impl Fn(&T) -> bool) -> bool {
         let begun = usize::from(self.written > 0);
         let found = self
@@ -222,12 +226,12 @@
         out.is_some()
     }
 
-    /// Writes what can be written; `done` receives the tag of each message that is written completely.
+    /// Writes as much as the socket accepts; `done` receives the tag of each message that is completely written.
     pub fn flush(&mut self, mut done: impl FnMut(T)) -> io::Result<()> {
         while !self.flushed() {
             match self.write_once() {
                 Ok(0) if self.tls.is_some() && self.output.is_empty() => break,
-                // The library was full and has room again.
+                // The TLS buffer was full and has been written to the socket: continue with the output queue.
                 Ok(0) if self.tls.is_some() => continue,
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => self.written += n,
@@ -240,7 +244,7 @@
         Ok(())
     }
 
-    /// Writes messages once, as many as one gathered write takes, and returns the number of bytes that were taken.
+    /// Makes one vectored write over the queued messages and returns the number of bytes accepted.
     fn write_once(&mut self) -> io::Result<usize> {
         let parts = self.output.iter().flat_map(Outgoing::parts);
         let mut skip = self.written;
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Removes the messages that are written completely.
+    /// Removes the messages that are completely written.
     fn remove_written(&mut self, done: &mut impl FnMut(T)) {
         while self.first_message_is_written() {
             let Some(message) = self.output.pop_front() else {
@@ -276,7 +280,7 @@
         first.is_some_and(|message| message.len() <= self.written)
     }
 
-    /// Watches the socket for reading if `read` is set, and for writing while output is left.
+    /// Registers the socket for readability if `read` is set, and for writability while output is pending.
     pub fn rewatch(&mut self, read: bool) -> io::Result<()> {
         let write = !self.flushed();
         let interest = Interest { read, write };
@@ -287,14 +291,14 @@
         Ok(())
     }
 
-    /// Announces to the peer that nothing more will be written.
+    /// Closes the write side of the connection, after a TLS close_notify where TLS is used.
     pub fn shutdown_write(&mut self) {
         if let Some(tls) = &mut self.tls {
             tls.connection.send_close_notify();
-            // If it does not fit now, the peer has stopped reading and would not see it.
+            // Best effort: if the socket buffer is full, the peer has stopped reading.
             let _ = tls.connection.write_tls(&mut &*self.socket);
         }
-        // It fails only if the connection is closed already.
+        // Fails only if the connection is already closed.
         let _ = self.socket.shutdown(std::net::Shutdown::Write);
     }
 }
--- a/front/src/transport/stream/tls.rs
+++ b/front/src/transport/stream/tls.rs
@@ -1,19 +1,19 @@
-//! TLS between a stream and its socket.
+//! TLS layer between a stream and its socket.
 use rustls::ServerConnection;
 use std::io::{self, IoSlice, Read, Write};
 use std::net::TcpStream;
 
-/// The TLS session between a stream and its socket.
+/// The TLS session of a stream.
 #[derive(Debug)]
 pub(super) struct Tls {
     pub(super) connection: ServerConnection,
-    /// Bytes of output that the session has taken and, as far as can be told, not yet written to the socket.
+    /// Estimate of the output bytes that the session has accepted and not yet written to the socket.
     pub(super) unsent_bytes: usize,
 }
 
 impl Tls {
-    /// Reads once, and moves all that this could decrypt to `input`: the poller would not report what stayed behind. The library
-    /// bounds how much one read decrypts.
+    /// Reads once from the socket and appends all data that this decrypts to `input`: the poller does not report data that stays
+    /// in the session. rustls bounds the amount decrypted per read.
     pub(super) fn read_input(
         &mut self,
         mut socket: &TcpStream,
@@ -37,7 +37,7 @@
                 Err(e) => return Err(e),
             }
             if let Err(e) = self.connection.process_new_packets() {
-                // Sends the alert that tells the peer why; best effort.
+                // Best effort: sends the TLS alert with the reason.
                 let _ = self.connection.write_tls(&mut socket);
                 return Err(io::Error::new(io::ErrorKind::InvalidData, e));
             }
@@ -47,7 +47,7 @@
         Ok(if got > 0 || ended { Some(got) } else { None })
     }
 
-    /// Moves decrypted bytes to the input. Returns whether the peer has announced the end of its data.
+    /// Moves decrypted bytes to `input`. Returns whether the peer has closed its write side.
     fn decrypt(&mut self, scratch: &mut [u8], input: &mut Vec<u8>) -> io::Result<bool> {
         loop {
             match self.connection.reader().read(scratch) {
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Encrypts as much as the library takes and writes what the socket takes. An error of kind `WouldBlock` means that neither
-    /// took anything.
+    /// Encrypts as much as the session accepts and writes as much as the socket accepts. An error of kind `WouldBlock` means that
+    /// neither accepted anything.
     pub(super) fn write(
         &mut self,
         mut socket: &TcpStream,
--- a/front/src/transport/workers.rs
+++ b/front/src/transport/workers.rs
@@ -1,28 +1,30 @@
-//! Worker threads for blocking calls. The event loop hands work over and goes on. Results come back through a queue, and a
-//! byte on a socket wakes the poller.
+//! Worker threads for blocking calls. Results are returned to the event loop through a queue; a byte on a socket wakes the
+//! poller.
 use super::{retry_on_shortage, Reactor, Registered};
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-/// The stack of a thread: handshakes and parsers need little.
+/// Stack size of a worker thread, sufficient for TLS handshakes and parsers.
 const STACK_BYTES: usize = 512 * 1024;
 
 type Work<R> = Box<dyn FnOnce() -> R + Send>;
 
-/// Runs work on threads of its own, either concurrently or in order.
+/// Runs work on separate threads, either concurrently or in order.
 pub struct Workers<R: Send + 'static> {
+    /// Readable while results may be queued.
     woken: Registered<UnixStream>,
+    /// The other end of `woken`, written to by the threads.
     waker: Arc<UnixStream>,
     sender: Sender<R>,
     results: Receiver<R>,
-    /// The queue of the thread for work in order, which is started with the first such work.
+    /// The queue of the thread that runs work in order; the thread is started on first use.
     ordered: Option<Sender<Work<R>>>,
 }
 
 impl<R: Send + 'static> Workers<R> {
-    /// Creates workers without a thread. The poller reports `key` as readable once there are results.
+    /// Creates workers without any thread. The poller reports `key` as readable once results are queued.
     pub fn new(reactor: &Reactor, key: usize) -> io::Result<Self> {
         let (woken, waker) = retry_on_shortage(UnixStream::pair)?;
         woken.set_nonblocking(true)?;
@@ -37,7 +39,7 @@
         })
     }
 
-    /// Runs work on a new thread. The caller limits how many there are.
+    /// Runs work on a new thread. The caller limits the number of threads.
     pub fn run(&self, work: impl FnOnce() -> R + Send + 'static) -> io::Result<()> {
         let sender = self.sender.clone();
         let waker = Arc::clone(&self.waker);
@@ -49,7 +51,7 @@
             .map(drop)
     }
 
-    /// Runs work after all earlier work that was given here.
+    /// Runs work on the ordered thread, after all work passed to earlier calls.
     pub fn in_order(&mut self, work: impl FnOnce() -> R + Send + 'static) -> io::Result<()> {
         let ordered = match &self.ordered {
             Some(ordered) => ordered,
@@ -70,10 +72,10 @@
         };
         ordered
             .send(Box::new(work))
-            .map_err(|_| io::Error::other("the thread is gone"))
+            .map_err(|_| io::Error::other("the worker thread has ended"))
     }
 
-    /// Takes the results that have come since the last call.
+    /// Returns the results queued since the last call.
     pub fn results(&mut self) -> Vec<R> {
         let mut bytes = [0; 64];
         while matches!((&*self.woken).read(&mut bytes), Ok(n) if n > 0) {}
@@ -82,7 +84,7 @@
 }
 
 fn complete<R>(sender: &Sender<R>, waker: &UnixStream, result: R) {
-    // The queue is closed once the loop has ended. If the socket is full, the poller is woken already.
+    // Sending fails only after the event loop has ended. If the socket buffer is full, a wake-up is already pending.
     if sender.send(result).is_ok() {
         let _ = (&*waker).write(&[1]);
     }
