--- a/front/src/main.rs
+++ b/front/src/main.rs
@@ -1,5 +1,5 @@
-//! The front: takes clients' requests on sockets and sends them to caches, parents and the origin as the
-//! decisions of `cranesill` say.
+//! The front: receives clients' requests on sockets and routes them to caches, parents and the origin. The routing decisions
+//! are made by the `cranesill` library.
 #![deny(unsafe_code)]
 mod protocol;
 mod routing;
--- a/front/src/server/acceptor.rs
+++ b/front/src/server/acceptor.rs
@@ -1,55 +1,57 @@
-//! Backoff of a listener whose `accept` fails, and how long a new connection may have waited meanwhile. No I/O and no clock.
+//! Backoff after failed calls to `accept`, and an estimate of how long accepted connections waited in the accept queue because of
+//! them. No I/O and no clock.
 use crate::transport::AcceptFault;
 use cranesill::api::{Micros, Timestamp};
 
-/// Failed calls in one turn after which the listener rests: it would take up the whole loop.
+/// Failed calls in one turn of the event loop after which the listener pauses, so that it does not monopolize the loop.
 const MAX_FAILURES_IN_TURN: usize = 8;
-/// The first rest of the listener, and the longest: each is twice as long as the one before.
+/// The first and the longest pause; consecutive pauses double.
 const MIN_PAUSE: Micros = 5_000;
 const MAX_PAUSE: Micros = 20_000;
-/// A shortage of the whole system counts as lasting after this long.
+/// A system-wide shortage of descriptors counts as lasting after this time.
 const LASTING_SHORTAGE: Micros = 1_000_000;
-/// Part of the wait in the system's queue that is not charged to requests: they may have come at its end.
+/// Part of the time in the accept queue that is not deducted from the time limit of requests: they may have arrived late in it.
 const UNCHARGED_DELAY: Micros = 50_000;
 
-/// What to do after a failed call.
+/// When to repeat a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptRetry {
-    /// Accept again at once.
+    /// Immediately.
     Now,
-    /// Rest until then.
+    /// At this time; the listener is not polled until then.
     At(Timestamp),
 }
 
 /// State of a listener whose calls to `accept` may fail.
 #[derive(Debug, Default)]
 pub struct AcceptBackoff {
-    /// Since when connections may wait in the system's queue because a call failed.
+    /// When calls started to fail; connections may have been in the accept queue since then.
     failing_since: Option<Timestamp>,
-    /// Whether the listener is not to be watched.
+    /// Whether the listener must not be polled.
     paused: bool,
-    /// How long the last rest was; 0 if the last call did not fail.
+    /// Length of the last pause; 0 if the last call succeeded.
     pause: Micros,
+    /// Failed calls in the current turn of the event loop.
     failures_in_turn: usize,
 }
 
 impl AcceptBackoff {
-    /// Begins a turn of the loop.
+    /// Starts a turn of the event loop.
     pub fn begin_turn(&mut self) {
         self.failures_in_turn = 0;
     }
 
-    /// Whether the listener rests now.
+    /// Whether the listener is paused.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
 
-    /// Ends the rest.
+    /// Ends the pause.
     pub fn resume(&mut self) {
         self.paused = false;
     }
 
-    /// Notes that a connection was accepted. Returns how long it may have been in the system's queue because of failures before.
+    /// Records an accepted connection. Returns how long it may have been in the accept queue because of earlier failures.
     pub fn accepted(&mut self, now: Timestamp) -> Micros {
         self.pause = 0;
         let waited = self
@@ -58,13 +60,13 @@
         waited.saturating_sub(UNCHARGED_DELAY)
     }
 
-    /// Notes that the system's queue is empty.
+    /// Records that the accept queue is empty.
     pub fn emptied(&mut self) {
         self.failing_since = None;
         self.pause = 0;
     }
 
-    /// Notes that a call failed. Returns when to make the next.
+    /// Records a failed call. Returns when to repeat it.
     pub fn failed(&mut self, now: Timestamp, fault: AcceptFault) -> AcceptRetry {
         self.failing_since.get_or_insert(now);
         self.failures_in_turn += 1;
@@ -76,7 +78,7 @@
         AcceptRetry::At(now + self.pause)
     }
 
-    /// Whether a shortage has lasted so long that it does not seem to pass by itself.
+    /// Whether calls have been failing for so long that the shortage is unlikely to end by itself.
     pub fn is_lasting(&self, now: Timestamp) -> bool {
         self.failing_since
             .is_some_and(|since| now >= since + LASTING_SHORTAGE)
--- a/front/src/server/acceptor/tests.rs
+++ b/front/src/server/acceptor/tests.rs
@@ -8,7 +8,7 @@
     for _ in 0..5 {
         backoff.begin_turn();
         let AcceptRetry::At(until) = backoff.failed(now, AcceptFault::Other) else {
-            panic!("no rest")
+            panic!("no pause")
         };
         pauses.push(until - now);
         assert!(backoff.is_paused());
@@ -46,7 +46,7 @@
     assert_eq!(
         backoff.accepted(1_300_000),
         300_000 - UNCHARGED_DELAY,
-        "the next one may have waited as long"
+        "a second connection may have waited as long"
     );
     assert!(!backoff.is_lasting(1_300_000) && backoff.is_lasting(2_000_000));
     backoff.emptied();
--- a/front/src/server/cli.rs
+++ b/front/src/server/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what the program is asked to do.
+//! The command line interface.
 use super::config::{load_settings, Config};
 use super::ctl::{self, Ctl};
 use super::error::{CommandError, ConfigErrors};
@@ -21,7 +21,7 @@
     Version,
 }
 
-/// What a front is started with.
+/// Options of `cranesill serve`.
 #[derive(Clone, Debug)]
 struct Serve {
     settings: Option<PathBuf>,
@@ -47,22 +47,22 @@
     let purges = ctl::purges().map(Command::Ctl);
     construct!([serve, check, schema, ctl, certs, purge, purges, version])
         .to_options()
-        .descr("A front for caches that fill from parents and an origin")
+        .descr("Request router in front of caches, parent caches and an origin")
 }
 
-/// The configuration's file, by option or position.
+/// The configuration file, as an option or a positional argument.
 fn config_file() -> impl Parser<PathBuf> {
     let option = long("config")
-        .help("The configuration")
+        .help("Configuration file")
         .env("RELAY_CONFIG")
         .argument::<PathBuf>("FILE");
-    let given = positional::<PathBuf>("FILE").help("The configuration");
+    let given = positional::<PathBuf>("FILE").help("Configuration file");
     construct!([given, option])
 }
 
 fn settings_file() -> impl Parser<Option<PathBuf>> {
     long("settings")
-        .help("The daemon's own settings")
+        .help("Settings file of the daemon")
         .argument::<PathBuf>("FILE")
         .optional()
 }
@@ -71,12 +71,12 @@
     let settings = settings_file();
     let config = config_file();
     let ops = long("ops")
-        .help("Where operators call, if not as the configuration says")
+        .help("Address for operators' commands; overrides the configuration")
         .env("RELAY_OPS")
         .argument::<String>("ADDRESS")
         .optional();
     let accept_fd = long("accept-fd")
-        .help("The clients' listening socket, inherited under this number")
+        .help("Inherited file descriptor of the listening socket for clients")
         .env("RELAY_ACCEPT_FD")
         .argument::<String>("N")
         .optional();
@@ -98,13 +98,13 @@
     construct!(settings, config)
         .map(|(settings, config)| Command::Check { config, settings })
         .to_options()
-        .descr("Read configuration and settings and say what is wrong with them")
+        .descr("Validate configuration and settings and list all errors")
         .command("check")
 }
 
-/// Serves until SIGTERM. Returns all errors that can be found, one a line for the operator.
+/// Serves until SIGTERM. Returns all errors found in the configuration and the settings.
 fn serve(options: Serve) -> Result<(), Vec<CommandError>> {
-    // Before anything is read: a signal that comes while the program starts would end it by the system's own way.
+    // First of all, because the default action of SIGTERM and SIGHUP would end the process during startup.
     let startup_signals = StartupSignals::new().map_err(|e| vec![CommandError::Signals(e)])?;
     let mut config = Config::load(&options.config).map_err(command_errors)?;
     let settings = match &options.settings {
@@ -123,7 +123,7 @@
     server.run().map_err(|e| vec![CommandError::Server(e)])
 }
 
-/// Puts what the command line or the environment says in the place of what the configuration says.
+/// Overrides the configuration with options of the command line or the environment.
 fn apply_options(config: &mut Config, options: &Serve) -> Result<(), Vec<CommandError>> {
     let mut errors = Vec::new();
     if let Some(text) = &options.ops {
@@ -149,7 +149,7 @@
     errors.into_iter().map(CommandError::Config).collect()
 }
 
-/// Reads both files as far as they are named; the errors of both are returned.
+/// Validates the given files and returns the errors of both.
 fn check(config: Option<PathBuf>, settings_file: Option<PathBuf>) -> Result<(), Vec<CommandError>> {
     if config.is_none() && settings_file.is_none() {
         return Err(vec![CommandError::NothingToCheck]);
@@ -178,7 +178,7 @@
     }
 }
 
-/// Names the subsystems that the settings switch on.
+/// Lists the subsystems that the settings enable.
 fn enabled_subsystems(settings: &Daemon) -> String {
     let subsystems = [
         ("control", settings.control.is_some()),
@@ -190,18 +190,18 @@
     let enabled = subsystems.into_iter().filter(|(_, enabled)| *enabled);
     let names: Vec<_> = enabled.map(|(name, _)| name).collect();
     if names.is_empty() {
-        return "everything is off".into();
+        return "no subsystem is enabled".into();
     }
     names.join(", ")
 }
 
-/// Runs the command that the command line asks for.
+/// Parses the command line and runs the command. Returns the exit code of the process.
 pub fn run() -> ExitCode {
     let result = match options().run() {
         Command::Serve(options) => serve(options),
         Command::Check { config, settings } => check(config, settings),
         Command::Schema => {
-            // A value of JSON can always be written as text.
+            // Serialization of a JSON value cannot fail.
             println!(
                 "{}",
                 serde_json::to_string_pretty(&cranesill_daemon::schema()).unwrap_or_default()
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration of one front, and the limits that follow from it.
+//! Configuration of one front, as provided by the platform, and the resource limits derived from it.
 use super::error::{ConfigError, ConfigErrors, ConfigFault};
 use crate::protocol::configured_events;
 use crate::protocol::discovery::WatchEvent;
@@ -9,45 +9,45 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The least limits with which a front can serve.
+/// Minimum limits with which a front can serve.
 const MIN_SOCKETS: u64 = 96;
 const MIN_MEMORY_MB: u64 = 16;
-/// Descriptors of the purge log itself: files, the listener, and the connection to the writer.
+/// Descriptors of the purge log apart from followers and cache nodes: files, the listener, and the connection to the writer.
 const PURGE_LOG_DESCRIPTORS: usize = 6;
 
-/// What the platform configures for a front.
+/// Configuration of a front.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The file that this was read from; a reload reads it again.
+    /// The file that the configuration was read from; a reload reads it again.
     pub file: PathBuf,
-    /// The front's name.
+    /// The name of the front; `front` if the configuration has none.
     pub name: String,
-    /// Where clients connect.
+    /// The address that the front listens on for clients.
     pub listen: SocketAddr,
-    /// Seed of the front's random choices.
+    /// Seed of the pseudo-random number generators.
     pub seed: u64,
     /// The address of the list service.
     pub list_service: SocketAddr,
-    /// The limit on open descriptors.
+    /// The maximum number of open descriptors.
     pub sockets: usize,
-    /// Descriptors that subsystems take from those of clients.
+    /// Descriptors reserved for subsystems, deducted from the share of clients.
     pub reserved: usize,
-    /// The limit on memory, in bytes.
+    /// The memory limit in bytes.
     pub memory: usize,
-    /// The revision of the endpoint list that is known at the start, and the events that lead to it.
+    /// The revision of the endpoint list known at startup, and the events that lead to it.
     pub known: (u64, Vec<WatchEvent>),
-    /// Rules and limits of the deployment.
+    /// Classes, limits and policy settings of the deployment.
     pub deployment: Deployment,
-    /// Where operators of the platform connect, if anywhere.
+    /// The address for operators' commands; `None` if there is none.
     pub ops: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform hands it over.
+    /// The inherited descriptor of the listening socket for clients, if the platform provides one.
     pub accept_fd: Option<i32>,
-    /// Whether two processes of this front share its limits now.
+    /// Whether the limits are currently shared with a second process of this front, each using half of them.
     pub limits_shared: bool,
 }
 
 impl Config {
-    /// Reads the file. All errors that can be found are returned.
+    /// Reads the file. Returns all errors found in it.
     pub fn load(file: &Path) -> Result<Self, ConfigErrors> {
         let text = std::fs::read(file).map_err(|source| ConfigError::unreadable(file, source))?;
         let value: Value = serde_json::from_slice(&text)
@@ -98,12 +98,13 @@
         1 + usize::from(self.limits_shared)
     }
 
-    /// Returns how many clients may be connected at once.
+    /// Returns the maximum number of concurrent client connections.
     pub fn max_clients(&self) -> usize {
         (self.sockets / 2).saturating_sub(self.reserved) / self.processes()
     }
 
-    /// Takes the descriptors of subsystems that the settings switch on from those of clients.
+    /// Reserves descriptors for the subsystems that `settings` enable, at the expense of client connections. Fails if these would
+    /// take more than a quarter of all descriptors.
     pub fn reserve_descriptors(&mut self, settings: &Daemon) -> Result<(), ConfigError> {
         let subsystems = subsystem_descriptors(settings);
         let ops = self.ops.map_or(0, |_| super::drivers::ops::MAX_CALLERS + 1);
@@ -119,13 +120,14 @@
         Ok(())
     }
 
-    /// Returns how many upstream connections may be open at once. The remaining descriptors are for the list service, the
-    /// poller and files.
+    /// Returns the maximum number of upstream connections. The remaining descriptors are for the list service, the poller and
+    /// files.
     pub fn max_upstream_connections(&self) -> usize {
         self.sockets * 3 / 8 / self.processes()
     }
 
-    /// Returns the capacity for requests: half of the memory; the rest is for input, the program and the allocator.
+    /// Returns the capacity for requests, which may use half of the memory; the rest is left to input buffers, the program and the
+    /// allocator.
     pub fn capacity_limits(&self) -> CapacityLimits {
         CapacityLimits {
             max_pending: self.deployment.limits.open,
@@ -133,16 +135,16 @@
         }
     }
 
-    /// Returns the bytes buffered for clients above which those that take up most are disconnected. Reading from upstream
-    /// stops long before.
+    /// Returns the number of bytes buffered for clients above which the clients with the largest buffers are disconnected. Reading
+    /// from upstream pauses at a lower limit.
     pub fn max_client_buffers(&self) -> usize {
         self.memory * 5 / 8 / self.processes()
     }
 
-    /// Returns one line that sums the configuration up.
+    /// Returns a one-line summary of the configuration.
     pub fn summary(&self) -> String {
         format!(
-            "{} listens on {}, hears {} from event {}: {} classes, {} sockets, {} MB",
+            "{} listens on {}, list service {} from revision {}: {} classes, {} sockets, {} MB",
             self.name,
             self.listen,
             self.list_service,
@@ -154,7 +156,7 @@
     }
 }
 
-/// Descriptors that the subsystems use at most.
+/// Returns the maximum number of descriptors used by the enabled subsystems.
 fn subsystem_descriptors(settings: &Daemon) -> usize {
     let tls = settings.tls.as_ref();
     let tls = tls.map_or(0, |tls| tls.handshakes_most + 1);
@@ -208,12 +210,12 @@
     u64::from_str_radix(text, 16).map_err(|_| ConfigFault::SeedMalformed(text.into()))
 }
 
-/// Returns what could be read; what could not is added to the faults.
+/// Returns the value, or adds the fault to `faults`.
 fn ok_or_record<T>(result: Result<T, ConfigFault>, faults: &mut Vec<ConfigFault>) -> Option<T> {
     result.map_err(|fault| faults.push(fault)).ok()
 }
 
-/// Reads the daemon's own settings. All errors that can be found are returned.
+/// Reads the settings of the daemon. Returns all errors found in the file.
 pub fn load_settings(file: &Path) -> Result<Daemon, ConfigErrors> {
     let text = std::fs::read(file).map_err(|source| ConfigError::unreadable(file, source))?;
     let settings = cranesill_daemon::read(&text).map_err(|faults| {
--- a/front/src/server/ctl.rs
+++ b/front/src/server/ctl.rs
@@ -1,7 +1,7 @@
-//! The operators' end of the control socket: `cranesill ctl …` and `cranesill certs …`.
+//! Client of the control socket: the commands `ctl`, `certs`, `purge` and `purges`.
 //!
-//! Exit codes: 0 done; 1 it can't be done, or the daemon can't be reached; 2 a bad command line; 3 no such
-//! certificate; 4 one will end soon, is missing or not complete; 5 one HAS EXPIRED.
+//! Exit codes: 0 success; 1 the command failed or the daemon is not reachable; 2 invalid command line; 3 no such certificate or
+//! purge; 4 a certificate expires soon, is missing or does not cover all names; 5 a certificate has expired.
 mod client;
 mod options;
 mod output;
@@ -16,10 +16,10 @@
 
 pub use options::{certs, ctl, purge, purges};
 
-/// What the daemon is asked to do.
+/// An operation requested from the daemon.
 #[derive(Clone, Debug)]
 enum Operation {
-    /// A command by name, with `name=value` pairs.
+    /// Any command by name, with `name=value` arguments.
     Command(String, Vec<String>),
     ListCertificates,
     ShowCertificate(String),
@@ -39,7 +39,7 @@
     ListCacheNodes,
 }
 
-/// An operator's command, and the daemon that it is for.
+/// A parsed operator command.
 #[derive(Clone, Debug)]
 pub struct Ctl {
     daemon: DaemonSocket,
@@ -47,12 +47,12 @@
     operation: Operation,
 }
 
-/// Exit code where no such certificate or purge exists.
+/// Exit code if the certificate or purge does not exist.
 const NOT_FOUND: u8 = 3;
-/// How the daemon's answer begins where the settings name no certificate.
+/// Start of the daemon's error if no certificate is configured under a name.
 const NO_CERTIFICATE_PREFIX: &str = "no certificate is configured";
 
-/// `a=1` and `b=x` as an object; a value that reads as JSON is that, any other is text.
+/// Converts `name=value` pairs to an object. Values that are not valid JSON become strings.
 fn fields(pairs: &[String]) -> Result<Value, CtlError> {
     let mut object = serde_json::Map::new();
     for pair in pairs {
@@ -65,7 +65,7 @@
     Ok(object.into())
 }
 
-/// Returns the command that the daemon is sent, and its arguments.
+/// Returns the name and the arguments of the command to send.
 fn command(operation: &Operation) -> Result<(&str, Value), CtlError> {
     let read = |file: &Path| std::fs::read_to_string(file).map_err(|e| CtlError::io(file, e));
     Ok(match operation {
@@ -105,14 +105,14 @@
     })
 }
 
-/// An id for a purge that names none: no other purge is taken for the same by chance.
+/// Generates an id for a purge that was given none.
 fn unique_id() -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let nanoseconds = now.unwrap_or_default().as_nanos();
     format!("{nanoseconds}-{}", std::process::id())
 }
 
-/// Sends the command and prints the answer. Returns the exit code.
+/// Sends the command and prints the response. Returns the exit code.
 fn execute(ctl: &Ctl) -> Result<u8, CtlError> {
     let (name, arguments) = command(&ctl.operation)?;
     let response = ctl.daemon.send(name, &arguments)?;
@@ -124,7 +124,7 @@
         Operation::ListPurges(Some(_))
             if response["purges"].as_array().is_none_or(Vec::is_empty) =>
         {
-            eprintln!("cranesill: no such purge, or it is over");
+            eprintln!("cranesill: no such purge, or it has expired");
             return Ok(NOT_FOUND);
         }
         _ => {}
@@ -136,7 +136,7 @@
     Ok(0)
 }
 
-/// Prints all certificates, or the one for `name`. Returns the exit code.
+/// Prints all certificates, or only the one for `name`. Returns the exit code.
 fn print_certificates(response: &Value, name: Option<&str>, json: bool) -> u8 {
     let rows = response["certificates"].as_array();
     let rows = rows.cloned().unwrap_or_default();
@@ -152,7 +152,7 @@
     worst_exit_code(&rows)
 }
 
-/// Sends an operator's command to the daemon and prints its answer.
+/// Sends an operator's command to the daemon and prints the response or the error. Returns the exit code of the process.
 pub fn run(ctl: Ctl) -> ExitCode {
     match execute(&ctl) {
         Ok(code) => ExitCode::from(code),
--- a/front/src/server/ctl/client.rs
+++ b/front/src/server/ctl/client.rs
@@ -1,4 +1,4 @@
-//! The connection to a running daemon's control socket.
+//! Connection to the control socket of a running daemon.
 use crate::server::config;
 use crate::server::error::CtlError;
 use serde_json::{json, Value};
@@ -7,18 +7,18 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The daemon answers within this time or is taken for stuck; it does not wait for certificate orders.
+/// Read timeout of a response. The daemon responds to certificate commands without waiting for the order to complete.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(130);
 
-/// Bytes of an answer at most.
+/// Maximum size of a response.
 const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-/// Where the daemon's control socket is: at a path, or where settings say.
+/// Location of the control socket, given as a path or through a settings file.
 #[derive(Clone, Debug)]
 pub(super) struct DaemonSocket {
-    /// The path of the socket.
+    /// The path of the socket; takes precedence over `settings`.
     pub(super) socket: Option<PathBuf>,
-    /// A settings file that names the path.
+    /// The settings file of the daemon, which contains the path.
     pub(super) settings: Option<PathBuf>,
 }
 
@@ -34,7 +34,7 @@
         Ok(control.path)
     }
 
-    /// Sends a command to the daemon and waits for its result.
+    /// Sends a command to the daemon and waits for the result.
     pub(super) fn send(&self, command: &str, arguments: &Value) -> Result<Value, CtlError> {
         let path = self.path()?;
         let response = exchange(&path, command, arguments).map_err(|e| CtlError::io(&path, e))?;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Writes a command to the socket and reads the line that answers it.
+/// Sends one command line and reads one response line.
 fn exchange(path: &Path, command: &str, arguments: &Value) -> io::Result<String> {
     let mut socket = UnixStream::connect(path)?;
     socket.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
--- a/front/src/server/ctl/options.rs
+++ b/front/src/server/ctl/options.rs
@@ -1,16 +1,16 @@
-//! The options and arguments of operators' commands.
+//! Command line options of operator commands.
 use super::{Ctl, DaemonSocket, Operation};
 use bpaf::{construct, long, positional, Parser};
 use std::path::PathBuf;
 
 fn daemon() -> impl Parser<DaemonSocket> {
     let socket = long("socket")
-        .help("The daemon's control socket")
+        .help("Control socket of the daemon")
         .env("CRANESILL_SOCKET")
         .argument::<PathBuf>("PATH")
         .optional();
     let settings = long("settings")
-        .help("Settings that name the control socket")
+        .help("Settings file that contains the path of the control socket")
         .argument::<PathBuf>("FILE")
         .optional();
     construct!(DaemonSocket { socket, settings })
@@ -24,7 +24,7 @@
 pub fn ctl() -> impl Parser<Ctl> {
     let daemon = daemon();
     let json = json_out();
-    let command = positional::<String>("WORD").help("What to ask; `help` lists all");
+    let command = positional::<String>("WORD").help("Command to run; `help` lists all commands");
     let fields = positional::<String>("FIELD=VALUE").many();
     let operation =
         construct!(command, fields).map(|(command, fields)| Operation::Command(command, fields));
@@ -34,29 +34,29 @@
         operation
     })
     .to_options()
-    .descr("ClientRequest a running daemon")
+    .descr("Send a command to a running daemon")
     .command("ctl")
 }
 
 /// `cranesill certs`.
 pub fn certs() -> impl Parser<Ctl> {
-    let name = || positional::<String>("NAME").help("One of the certificate's names");
+    let name = || positional::<String>("NAME").help("Any of the names of the certificate");
     let list = bpaf::pure(Operation::ListCertificates)
         .to_options()
-        .descr("How all certificates stand")
+        .descr("Show the status of all certificates")
         .command("list");
     let show = name()
         .map(Operation::ShowCertificate)
         .to_options()
-        .descr("How one certificate stands")
+        .descr("Show the status of one certificate")
         .command("show");
     let renew = name()
         .map(Operation::RenewCertificate)
         .to_options()
-        .descr("Order a certificate now")
+        .descr("Order a certificate immediately")
         .command("renew");
     let reason = long("reason")
-        .help("By number (RFC 5280, 5.3.1): 1 key lost")
+        .help("Reason code (RFC 5280, 5.3.1), e.g. 1 for a key compromise")
         .argument::<u8>("N")
         .optional();
     let of_name = name();
@@ -64,23 +64,23 @@
         .map(|(reason, name)| Operation::RevokeCertificate(name, reason));
     let revoke = revoke
         .to_options()
-        .descr("Revoke a certificate and order another")
+        .descr("Revoke a certificate and order a replacement")
         .command("revoke");
     let key = long("key")
         .help("Private key in PEM")
         .argument::<PathBuf>("FILE");
     let chain = long("chain")
-        .help("Certificates in PEM, leaf first")
+        .help("Certificate chain in PEM, leaf first")
         .argument::<PathBuf>("FILE");
     let import =
         construct!(key, chain).map(|(key, chain)| Operation::ImportCertificate(key, chain));
     let import = import
         .to_options()
-        .descr("Serve a certificate from elsewhere")
+        .descr("Import and serve an externally issued certificate")
         .command("import");
     let roll = bpaf::pure(Operation::RollAccountKey)
         .to_options()
-        .descr("Give the account another key");
+        .descr("Replace the key of the ACME account");
     let roll = roll.command("roll-key");
     let operation = construct!([list, show, renew, revoke, import, roll]);
     let daemon = daemon();
@@ -91,7 +91,7 @@
         operation
     })
     .to_options()
-    .descr("Certificates of a running daemon")
+    .descr("Manage the certificates of a running daemon")
     .command("certs")
 }
 
@@ -103,30 +103,30 @@
             .argument::<String>("WHAT")
             .map(move |value| (name, value))
     };
-    let object = target("object", "An object: 16 hex digits");
-    let group = target("group", "A group: 0 to 255");
-    let tag = target("tag", "All objects that carry a tag");
-    let pattern = target("pattern", "All keys CLASS/ITEM/PART that a glob matches");
+    let object = target("object", "Object id: 16 hex digits");
+    let group = target("group", "Group number: 0 to 255");
+    let tag = target("tag", "All objects with this tag");
+    let pattern = target("pattern", "All keys CLASS/ITEM/PART that match this glob");
     let target = construct!([object, group, tag, pattern]);
     let id = long("id")
-        .help("The same id again is the same purge")
+        .help("Idempotency key: a repeated id does not create another purge")
         .argument::<String>("ID")
         .optional();
     let reason = long("why")
-        .help("For whoever looks later")
+        .help("Reason of the purge, shown with it later")
         .argument::<String>("TEXT")
         .optional();
     let all = long("all")
-        .help("A pattern that matches everything is meant to")
+        .help("Allow a pattern that matches everything")
         .switch();
     let dry_run = long("dry-run")
-        .help("Tell how many known objects match")
+        .help("Only count the known objects that match")
         .switch();
     let wait = long("wait")
-        .help("Wait until all boxes have confirmed it")
+        .help("Wait up to 60 s until all cache nodes have confirmed the purge")
         .req_flag(60u64);
     let wait_s = long("wait-s")
-        .help("The same, for so many seconds at most")
+        .help("Like --wait, for at most S seconds")
         .argument::<u64>("S");
     let wait = construct!([wait, wait_s]).optional();
     let daemon = daemon();
@@ -145,7 +145,7 @@
         operation
     })
     .to_options()
-    .descr("Purge copies")
+    .descr("Purge cached objects")
     .command("purge")
 }
 
@@ -153,13 +153,13 @@
 pub fn purges() -> impl Parser<Ctl> {
     let list = bpaf::pure(Operation::ListPurges(None))
         .to_options()
-        .descr("The ledger, latest first")
+        .descr("List the purge log, latest first")
         .command("list");
     let number = positional::<u64>("N").map(|n| Operation::ListPurges(Some(n)));
-    let show = number.to_options().descr("One purge").command("show");
+    let show = number.to_options().descr("Show one purge").command("show");
     let boxes = bpaf::pure(Operation::ListCacheNodes)
         .to_options()
-        .descr("What each box has confirmed")
+        .descr("Show which purges each cache node has confirmed")
         .command("boxes");
     let operation = construct!([list, show, boxes]);
     let daemon = daemon();
@@ -170,6 +170,6 @@
         operation
     })
     .to_options()
-    .descr("Purges of a running daemon")
+    .descr("Inspect the purges of a running daemon")
     .command("purges")
 }
--- a/front/src/server/ctl/output.rs
+++ b/front/src/server/ctl/output.rs
@@ -1,14 +1,14 @@
-//! How certificates are shown to operators, as a table and as an exit code.
+//! Output of the status of certificates: a table and an exit code.
 use serde_json::Value;
 
-/// A certificate with less than this share of its lifetime left, in hundredths, needs attention.
+/// A certificate with less than this percentage of its lifetime left needs attention.
 const MIN_LIFETIME_LEFT_PERCENT: i64 = 15;
-/// Exit code of a certificate that ends soon, is missing or lacks names.
+/// Exit code for a certificate that expires soon, is missing or does not cover all names.
 const NEEDS_ATTENTION: u8 = 4;
-/// Exit code of a certificate that has expired.
+/// Exit code for an expired certificate.
 const EXPIRED: u8 = 5;
 
-/// A duration as people say it.
+/// Formats a duration in its largest suitable unit.
 fn duration(seconds: i64) -> String {
     let s = seconds.unsigned_abs();
     match s {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Shows certificates as a table.
+/// Formats certificates as a table.
 pub(super) fn table(rows: &[Value]) -> String {
     let header = ["NAME", "CERTIFICATE", "ENDS", "ORDER", "WHY"].map(String::from);
     let lines: Vec<_> = std::iter::once(header)
@@ -41,7 +41,7 @@
     lines.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// The cells of one certificate's line.
+/// Returns the cells of the row for one certificate.
 fn cells(row: &Value) -> [String; 5] {
     let text = |field: &str| row[field].as_str().unwrap_or("").to_string();
     let ends = match row["left_s"].as_i64() {
@@ -56,7 +56,7 @@
     [text("name"), text("certificate"), ends, order, reason(row)]
 }
 
-/// Why a certificate is not as it should be, and which of its names are refused.
+/// Formats the last error of a certificate and the names that the authority refuses.
 fn reason(row: &Value) -> String {
     let why = match &row["why"] {
         Value::Null => "-".to_string(),
@@ -74,7 +74,7 @@
     format!("refused: {}; {why}", refused.join(" "))
 }
 
-/// Returns the exit code that sums certificates up: that of the worst one.
+/// Returns the highest exit code of all certificates.
 pub(super) fn worst_exit_code(rows: &[Value]) -> u8 {
     rows.iter().map(exit_code).max().unwrap_or(0)
 }
@@ -95,7 +95,7 @@
     }
 }
 
-/// Whether a certificate covers all the names that it should.
+/// Whether a certificate covers all configured names.
 fn is_complete(row: &Value) -> bool {
     let covered = row["covers"].as_array().cloned().unwrap_or_default();
     let names = row["names"].as_array().cloned().unwrap_or_default();
--- a/front/src/server/drain.rs
+++ b/front/src/server/drain.rs
@@ -1,51 +1,51 @@
-//! The stages of a graceful shutdown after SIGTERM: when a process stops taking requests, when it gives up open ones, when it
-//! ends. No I/O and no clock; all deadlines follow from how long the classes' requests may take.
+//! The stages of a graceful shutdown after SIGTERM: when new requests are rejected, when open ones are failed, and when the
+//! process exits. No I/O and no clock; all deadlines are derived from the request timeouts of the classes.
 use cranesill::api::{Micros, Timestamp};
 
-/// Requests are taken for this long after SIGTERM: clients are notified one after another.
+/// New requests are accepted for this long after SIGTERM, until clients have processed the notification.
 const MAX_SERVING_TIME: Micros = 1_000_000;
-/// The platform kills a process no earlier than the longest time of a class after SIGTERM, of which no more than this counts.
+/// Upper limit on the longest class timeout that counts towards the time until the platform kills the process.
 const MAX_COUNTED_WAIT: Micros = 3_000_000;
-/// Time between the longest time of a class and the kill.
+/// Time between the longest class timeout and the kill by the platform.
 const KILL_DELAY: Micros = 700_000;
-/// The process ends by itself this much before the kill.
+/// The process exits this long before the platform kills it.
 const END_MARGIN: Micros = 100_000;
-/// How long clients have to read their answers and to close their connections.
+/// Time that clients have to read their responses and close their connections.
 const MAX_CLOSING_TIME: Micros = 200_000;
-/// While another process takes over, connections stay open for their clients until this much before the longest time.
+/// After a handover to another process, connections stay open for their clients until this long before the longest class timeout.
 const HANDOVER_MARGIN: Micros = 200_000;
 
-/// How far a shutdown has come.
+/// Stages of a shutdown, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Requests are still taken.
+    /// New requests are accepted.
     Serving,
-    /// New requests are refused, open ones are answered.
+    /// New requests are rejected; open ones are completed.
     Rejecting,
-    /// Requests that are still open are answered as given up; connections are closed once clients have read their answers.
+    /// Open requests are failed; connections are closed once clients have read their responses.
     Closing,
-    /// The process ends, whatever is unfinished.
+    /// The process exits, even with unfinished work.
     Ended,
 }
 
 /// The deadlines of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
-    /// When new requests are refused.
+    /// When new requests are rejected.
     reject_at: Timestamp,
-    /// When connections are closed, whatever is unfinished.
+    /// When connections are closed even if requests are unfinished.
     close_at: Timestamp,
-    /// When the process ends at the latest.
+    /// The latest time at which the process exits.
     end_at: Timestamp,
-    /// Until when clients may keep connections without an open request.
+    /// Until when connections without an open request may stay open.
     linger_until: Timestamp,
-    /// When connections began to be closed.
+    /// When closing of connections started.
     closing_since: Option<Timestamp>,
 }
 
 impl Drain {
-    /// Begins the shutdown. `waits` holds the longest time of each class, 0 where there is none; `beside` says that another
-    /// process has taken the clients' socket over.
+    /// Calculates the deadlines. `waits` contains the request timeout of each class, 0 where there is none; `handed_over` is set if
+    /// another process accepts clients.
     pub fn new(now: Timestamp, waits: &[Micros], handed_over: bool) -> Self {
         let longest = waits
             .iter()
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the times at which a stage may begin.
+    /// Returns the times at which the stage may change.
     pub fn deadlines(&self) -> [Timestamp; 4] {
         [
             self.reject_at,
@@ -82,7 +82,7 @@
         ]
     }
 
-    /// Returns how far the shutdown has come.
+    /// Returns the current stage.
     pub fn stage(&self, now: Timestamp) -> Stage {
         match self.closing_since {
             _ if now >= self.end_at => Stage::Ended,
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Begins to close connections if it is time: once nothing is unfinished and clients were given the time to leave by
-    /// themselves, or at the deadline. Returns when the shutdown ends at the latest, if closing begins now.
+    /// Starts closing connections once no work is unfinished and clients had time to leave, or at the deadline. If closing starts
+    /// now, returns the latest time at which the shutdown ends.
     pub fn begin_closing(
         &mut self,
         now: Timestamp,
--- a/front/src/server/drain/tests.rs
+++ b/front/src/server/drain/tests.rs
@@ -20,7 +20,7 @@
                 .min(3_000_000);
             let mut drain = Drain::new(7, waits, handed_over);
             assert!(drain.end_at < 7 + longest + 700_000);
-            // What was taken is given up, and its client has time to read that.
+            // Clients have time to read the failures of open requests.
             assert!(drain.reject_at <= drain.close_at && drain.close_at + 200_000 <= drain.end_at);
             assert!(drain.deadlines().iter().all(|at| *at <= drain.end_at));
             let at = drain.close_at;
@@ -40,15 +40,19 @@
     assert_eq!(
         alone.begin_closing(999_999, false, true),
         None,
-        "requests are still taken"
+        "requests are still accepted"
     );
     assert_eq!(
         alone.begin_closing(1_000_000, true, true),
         None,
-        "something is owed"
+        "a request is unfinished"
     );
     assert_eq!(alone.begin_closing(1_200_000, false, true), Some(1_400_000));
-    assert_eq!(alone.begin_closing(1_200_001, false, true), None, "once");
+    assert_eq!(
+        alone.begin_closing(1_200_001, false, true),
+        None,
+        "closing starts only once"
+    );
     assert_eq!(
         (alone.stage(1_399_999), alone.stage(1_400_000)),
         (Stage::Closing, Stage::Ended)
@@ -58,7 +62,7 @@
     assert_eq!(
         handed_over.clone().begin_closing(1_000_000, false, false),
         Some(1_200_000),
-        "all have gone"
+        "all clients have disconnected"
     );
     assert!(handed_over.begin_closing(2_800_000, false, true).is_some());
 }
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong when a front starts, runs, or carries out an operator's command.
+//! Errors of startup, configuration, operation, and operators' commands.
 use super::drivers::certs::CertsError;
 use super::drivers::purges::TargetError;
 use crate::protocol::configured_events::ConfiguredEventsError;
@@ -9,41 +9,41 @@
 use std::os::fd::RawFd;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with one value of a configuration or of the settings. The texts are what the operator sees.
+/// A fault of one value in a configuration or settings file. The texts are shown to the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFault {
-    /// A value is missing.
+    /// A required value is missing.
     #[error("{0}: missing")]
     Missing(&'static str),
-    /// A value is no socket address.
+    /// A value is not a socket address.
     #[error("{key}: no address: {text}")]
     InvalidAddress {
         /// The key of the value.
         key: &'static str,
-        /// What stands there.
+        /// The value as it was read.
         text: String,
     },
     /// A limit is missing.
     #[error("limits.{0}: missing")]
     LimitMissing(&'static str),
-    /// A limit is too low to serve with.
-    #[error("limits.{key}: under {minimum}")]
+    /// A limit is below the minimum that a front needs.
+    #[error("limits.{key}: below the minimum of {minimum}")]
     LimitTooLow {
         /// The key of the limit.
         key: &'static str,
-        /// The least that is possible.
+        /// The minimum value.
         minimum: u64,
     },
-    /// The seed is no hexadecimal number.
-    #[error("seed: not hex: {0}")]
+    /// The seed is not a hexadecimal number.
+    #[error("seed: not a hexadecimal number: {0}")]
     SeedMalformed(String),
-    /// The rules of the deployment cannot be used.
+    /// The settings of the deployment are invalid.
     #[error("{0}")]
     Deployment(String),
-    /// The endpoint list that is known at the start cannot be used.
+    /// The endpoint list known at startup is invalid.
     #[error(transparent)]
     Known(#[from] ConfiguredEventsError),
-    /// The settings of certificates cannot be used.
+    /// The settings of certificates are invalid.
     #[error(transparent)]
     Certificates(#[from] CertsError),
 }
@@ -56,75 +56,75 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// What the system says.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The file is no JSON.
+    /// The file is not valid JSON.
     #[error("{}: {source}", file.display())]
     InvalidJson {
         /// The file.
         file: PathBuf,
-        /// Where it is malformed.
+        /// The syntax error and its position.
         source: serde_json::Error,
     },
-    /// A value cannot be used.
+    /// A value is invalid.
     #[error("{}: $.{fault}", file.display())]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// The value and what is wrong with it.
+        /// The key of the value and its fault.
         fault: ConfigFault,
     },
-    /// A setting cannot be used.
+    /// A setting is invalid.
     #[error("{}: {fault}", file.display())]
     InvalidSettings {
         /// The file.
         file: PathBuf,
-        /// The setting and what is wrong with it.
+        /// The path of the setting and its fault.
         fault: cranesill_daemon::Fault,
     },
-    /// Subsystems would take too many of the descriptors.
+    /// The enabled subsystems would need too many descriptors.
     #[error(
-        "$.tls.handshakes_most: control, tls, certs, purges and peers would take {needed} descriptors, and {limit} of {sockets} \
-         are for them"
+        "$.tls.handshakes_most: control, tls, certs, purges and peers need {needed} descriptors, but at most {limit} of {sockets} \
+         are available to them"
     )]
     TooManyDescriptors {
-        /// What the subsystems need.
+        /// The number of descriptors that the subsystems need.
         needed: usize,
-        /// What they may have.
+        /// The maximum number of descriptors for subsystems.
         limit: usize,
-        /// The limit of the whole front.
+        /// The descriptor limit of the front.
         sockets: usize,
     },
 }
 
 impl ConfigError {
-    /// The file cannot be read.
+    /// Creates an error for a file that cannot be read.
     pub fn unreadable(file: &Path, source: io::Error) -> Self {
         let file = file.to_path_buf();
         ConfigError::Unreadable { file, source }
     }
 
-    /// The file is no JSON.
+    /// Creates an error for a file that is not valid JSON.
     pub fn invalid_json(file: &Path, source: serde_json::Error) -> Self {
         let file = file.to_path_buf();
         ConfigError::InvalidJson { file, source }
     }
 
-    /// A value in the file cannot be used.
+    /// Creates an error for an invalid value in the file.
     pub fn invalid(file: &Path, fault: ConfigFault) -> Self {
         let file = file.to_path_buf();
         ConfigError::Invalid { file, fault }
     }
 
-    /// A setting in the file cannot be used.
+    /// Creates an error for an invalid setting in the file.
     pub fn invalid_settings(file: &Path, fault: cranesill_daemon::Fault) -> Self {
         let file = file.to_path_buf();
         ConfigError::InvalidSettings { file, fault }
     }
 }
 
-/// All that is wrong with a file; at least one error.
+/// All errors of a file; never empty.
 #[derive(Debug)]
 pub struct ConfigErrors(Vec<ConfigError>);
 
@@ -161,143 +161,143 @@
     }
 }
 
-/// Why a command of the command line fails.
+/// Errors of the command line interface.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// Signals cannot be caught.
-    #[error("signals: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// A file cannot be used.
+    /// A configuration or settings file is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address for operators is malformed.
-    #[error("RELAY_OPS: no address: {0}")]
+    /// The address for operators' commands is malformed.
+    #[error("RELAY_OPS: not a socket address: {0}")]
     OpsAddress(String),
-    /// The descriptor of the clients' socket is no number.
-    #[error("RELAY_ACCEPT_FD: {0}: no number")]
+    /// The descriptor of the inherited listening socket is not a number.
+    #[error("RELAY_ACCEPT_FD: {0}: not a number")]
     AcceptDescriptor(String),
-    /// There is nothing to check.
-    #[error("neither a configuration nor settings are named")]
+    /// `check` was called without a file.
+    #[error("nothing to check: give a configuration file, a settings file or both")]
     NothingToCheck,
-    /// The server cannot start or go on.
+    /// The server failed.
     #[error(transparent)]
     Server(#[from] ServerError),
 }
 
-/// Why a server cannot start or cannot go on.
+/// Errors that end the server, during startup or operation.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
-    /// The clients' listening socket that the platform handed over cannot be used.
+    /// The listening socket inherited from the platform cannot be used.
     #[error("RELAY_ACCEPT_FD: {descriptor}: {reason}")]
     InheritedSocket {
-        /// The number under which it was inherited.
+        /// The inherited descriptor.
         descriptor: RawFd,
-        /// Why it is no listening socket.
+        /// Why the descriptor cannot be used.
         reason: InheritedSocketError,
     },
-    /// The clients' address cannot be listened on.
-    #[error("{address}: {source}")]
+    /// Listening on the address for clients failed.
+    #[error("{address}: cannot listen: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The poller cannot be made, cannot watch a socket, or fails to wait.
+    /// Creating the poller, registering a socket or waiting for events failed.
     #[error("poller: {0}")]
     Poller(#[source] io::Error),
-    /// Signals cannot be caught.
-    #[error("signals: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The address of the listening socket cannot be read.
-    #[error("listener: {0}")]
+    /// The local address of the listening socket cannot be read.
+    #[error("cannot read the address of the listening socket: {0}")]
     Listener(#[source] io::Error),
-    /// A subsystem that the settings switch on cannot start; the text names the setting.
+    /// An enabled subsystem failed to start; the text contains the name of the setting.
     #[error("{0}")]
     Subsystem(#[source] Box<dyn std::error::Error>),
 }
 
-/// Why an operator's command is rejected. The texts are what the operator sees.
+/// Why an operator's command is rejected. The texts are shown to the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminError {
-    /// The process shuts down.
+    /// The process is shutting down.
     #[error("leaving")]
     ShuttingDown,
-    /// An operator has drained this front.
+    /// The front is drained by the command `quiesce`.
     #[error("quiesced")]
     Quiesced,
-    /// A process that shuts down cannot accept clients again.
+    /// `resume` was sent to a process that is shutting down.
     #[error("leaving: another process takes over")]
     ReplacedByAnotherProcess,
-    /// The log level is unknown.
+    /// The log level is missing or unknown.
     #[error("level: {0}")]
     LogLevel(#[source] serde_json::Error),
-    /// The arguments do not say what to purge.
+    /// The target of a purge is missing or malformed.
     #[error(transparent)]
     PurgeTarget(#[from] TargetError),
-    /// The settings do not switch purges on.
-    #[error("purges are off")]
+    /// The settings do not enable purges.
+    #[error("purges are not enabled")]
     PurgesDisabled,
-    /// The command needs an endpoint.
+    /// The argument `node` is missing.
     #[error("node: missing")]
     EndpointMissing,
-    /// The endpoint's id is malformed.
-    #[error("node: not s- and 8 hex digits")]
+    /// The endpoint id in the argument `node` is malformed.
+    #[error("node: expected s- and 8 hex digits")]
     EndpointMalformed,
-    /// The endpoint is not and was not listed.
+    /// The endpoint was never listed.
     #[error("{0}: unknown")]
     EndpointUnknown(String),
-    /// No more endpoints can be cordoned at once.
-    #[error("{endpoint}: {limit} are out by hand already")]
+    /// The maximum number of endpoints is already cordoned.
+    #[error("{endpoint}: not cordoned: the maximum of {limit} endpoints is already cordoned")]
     TooManyCordons {
-        /// The endpoint's id as the operator gave it.
+        /// The endpoint id as given by the operator.
         endpoint: String,
-        /// How many can be cordoned at once.
+        /// The maximum number of cordoned endpoints.
         limit: usize,
     },
-    /// The cordon cannot be shared with other processes of this front.
-    #[error("{endpoint}: it can't be kept: {source}")]
+    /// The cordon cannot be stored for the other processes of this front.
+    #[error("{endpoint}: cannot store the cordon: {source}")]
     CordonNotStored {
-        /// The endpoint's id as the operator gave it.
+        /// The endpoint id as given by the operator.
         endpoint: String,
-        /// What the system says.
+        /// The error of the system call.
         source: io::Error,
     },
 }
 
-/// Why an operator's command to a running daemon fails on the operator's side, or what the daemon answers.
+/// Errors of the commands that use the control socket of a running daemon.
 #[derive(Debug, thiserror::Error)]
 pub enum CtlError {
-    /// It is not known where the daemon listens.
-    #[error("neither --socket nor --settings is given")]
+    /// The path of the control socket was not given.
+    #[error("no control socket: give --socket or --settings")]
     NoSocket,
-    /// The settings that should name the socket cannot be used.
+    /// The settings file that contains the path of the socket is invalid.
     #[error(transparent)]
     Settings(#[from] ConfigErrors),
-    /// The settings switch no control socket on.
+    /// The settings enable no control socket.
     #[error("{}: $.control: missing", .0.display())]
     ControlDisabled(PathBuf),
-    /// A file or the socket cannot be read or written.
+    /// Reading or writing a file or the socket failed.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file or socket.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The daemon closed the connection, or sent no JSON.
-    #[error("{}: no answer", .0.display())]
+    /// The daemon closed the connection or sent an invalid response.
+    #[error("{}: no valid response from the daemon", .0.display())]
     NoResponse(PathBuf),
-    /// An argument is no pair of a name and a value.
-    #[error("{0}: not FIELD=VALUE")]
+    /// An argument is not of the form `name=value`.
+    #[error("{0}: expected FIELD=VALUE")]
     InvalidField(String),
-    /// The daemon rejects the command, with this text.
+    /// The daemon rejected the command with this error.
     #[error("{0}")]
     Rejected(String),
 }
 
 impl CtlError {
-    /// The file or socket at `path` cannot be read or written.
+    /// Creates an error for a file or socket that cannot be read or written.
     pub fn io(path: &Path, source: io::Error) -> Self {
         let path = path.to_path_buf();
         CtlError::Io { path, source }
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -1,10 +1,11 @@
-//! Handover of the clients' socket from one process of a front to the next: two locks and a few small files in the directory
-//! that the platform gives to both.
+//! Handover of the listening socket for clients between two processes of a front, through lock files and small data files in a
+//! directory shared by both.
 //!
-//! The process that accepts clients holds the lock `accept`; a process without an earlier one beside it holds `alive`. The
-//! system releases a lock when its process ends, however it ends: that alone distinguishes a dead process from a live one.
+//! The process that accepts clients holds the lock `accept`; a process that is not waiting for an earlier one to end holds `alive`.
+//! The operating system releases the locks of a process that ends for any reason, so a lock that is not held proves that its
+//! process has ended.
 //!
-//! The files are tiny and in memory, so they are read and written on the loop: no call waits for a disk or another process.
+//! The files are small and on an in-memory file system, so the event loop reads and writes them directly.
 use crate::protocol::handover::{
     cordon_file_name, cordoned_endpoint, decode_learned, encode_learned, MAX_LEARNED_BYTES,
 };
@@ -15,20 +16,20 @@
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// Learned health that is older than this is not used.
+/// Learned health older than this is ignored.
 const MAX_LEARNED_AGE: Micros = 10_000_000;
-/// Endpoints that can be cordoned at once.
+/// Maximum number of cordoned endpoints.
 pub const MAX_CORDONS: usize = 1_024;
-/// Files in the directory that are read at most. With more, cordons stay as they are: one that is passed over would come back
-/// into use.
+/// Maximum number of files in the directory. With more of them cordons stay unchanged, because ignoring a cordon would return
+/// its endpoint to service.
 const MAX_FILES: usize = 4 * MAX_CORDONS;
-/// Files with unknown names that are logged.
+/// Maximum number of files with unknown names that are logged.
 const MAX_UNKNOWN_FILES_LOGGED: usize = 4;
 
-/// Names of the other files in the directory.
+/// Names of the files other than cordons.
 const OWN_FILES: [&str; 3] = ["accept", "alive", "learned"];
 
-/// A file lock that a process holds or waits for.
+/// A file lock.
 #[derive(Debug)]
 struct Lock {
     file: File,
@@ -37,7 +38,7 @@
 
 impl Lock {
     fn new(path: &Path) -> io::Result<Self> {
-        // Not blocking: what somebody else put there may be a pipe that nobody reads.
+        // O_NONBLOCK: opening must not block if the path is a FIFO without a reader.
         let mut options = File::options();
         options
             .create(true)
@@ -51,15 +52,15 @@
         })
     }
 
-    /// Takes the lock if no other process holds it. Returns whether this process holds it.
+    /// Acquires the lock unless another process holds it. Returns whether this process holds it.
     fn try_acquire(&mut self) -> bool {
         if !self.is_held {
             self.is_held = match self.file.try_lock() {
                 Ok(()) => true,
                 Err(TryLockError::WouldBlock) => false,
-                // A file system without locks: better two that accept than none.
+                // On a file system without locks two processes that accept are better than none.
                 Err(TryLockError::Error(error)) => {
-                    tracing::warn!(kind = "upgrade", %error, "no locks: taken for free");
+                    tracing::warn!(kind = "upgrade", %error, "file lock not available: assuming that no other process holds it");
                     true
                 }
             };
@@ -68,19 +69,20 @@
     }
 }
 
-/// The shared directory and the locks in it.
+/// The shared directory and its locks.
 #[derive(Debug)]
 pub struct Handover {
     directory: PathBuf,
     accept: Lock,
     alive: Lock,
+    /// The largest number of files with unknown names seen so far.
     unknown_files: usize,
-    /// Whether it was logged that the directory can't be read.
+    /// Whether the failure to read the directory has been logged.
     unreadable_logged: bool,
 }
 
 impl Handover {
-    /// Opens the directory in `parent`; it is made if need be.
+    /// Opens the directory `cranesill` in `parent`, which is created if it does not exist.
     pub fn new(parent: &Path) -> io::Result<Self> {
         let directory = parent.join("cranesill");
         match fs::DirBuilder::new().mode(0o700).create(&directory) {
@@ -98,17 +100,17 @@
         })
     }
 
-    /// Takes over accepting clients if no other process does. Returns whether this process accepts.
+    /// Acquires the right to accept clients unless another process has it. Returns whether this process accepts.
     pub fn try_accept(&mut self) -> bool {
         self.accept.try_acquire()
     }
 
-    /// Whether no earlier process of this front is left.
+    /// Whether all earlier processes of this front have ended.
     pub fn is_only_process(&mut self) -> bool {
         self.alive.try_acquire()
     }
 
-    /// Leaves accepting to another process, with the health that this one has learned.
+    /// Writes the learned health and releases the right to accept clients to another process.
     pub fn hand_over(&mut self, now: Timestamp, learned: &[LearnedHealth]) {
         if !self.accept.is_held {
             return;
@@ -125,17 +127,17 @@
         let written = fs::write(&temporary, text)
             .and_then(|()| fs::rename(&temporary, self.directory.join("learned")));
         if let Err(error) = written {
-            // Best effort: what is half written is of no use to anybody.
+            // Best effort: a partially written file is useless.
             let _ = fs::remove_file(&temporary);
-            tracing::warn!(kind = "upgrade", %error, "what was learned is not handed over");
+            tracing::warn!(kind = "upgrade", %error, "cannot write learned health: the next process starts without it");
         }
         if let Err(error) = self.accept.file.unlock() {
-            tracing::warn!(kind = "upgrade", %error, "the next process accepts only once this one has ended");
+            tracing::warn!(kind = "upgrade", %error, "cannot release the accept lock: the next process accepts only after this one has ended");
         }
         self.accept.is_held = false;
     }
 
-    /// Takes the health that an earlier process has learned recently. It is read once.
+    /// Reads and removes the health learned by an earlier process. Returns nothing if it is too old or not readable.
     pub fn take_learned(&self, now: Timestamp) -> Vec<LearnedHealth> {
         let path = self.directory.join("learned");
         let mut text = Vec::new();
@@ -148,7 +150,7 @@
         match found {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Vec::new(),
             Err(error) => {
-                tracing::warn!(kind = "upgrade", %error, "what was learned can't be read");
+                tracing::warn!(kind = "upgrade", %error, "cannot read learned health: starting without it");
                 return Vec::new();
             }
             Ok(_) => drop(fs::remove_file(&path)),
@@ -156,17 +158,17 @@
         match decode_learned(&text) {
             Ok((at, learned)) if at <= now && now <= at + MAX_LEARNED_AGE => learned,
             Ok(_) => {
-                tracing::info!(kind = "upgrade", "what was learned is too old");
+                tracing::info!(kind = "upgrade", "learned health is too old: ignored");
                 Vec::new()
             }
             Err(error) => {
-                tracing::warn!(kind = "upgrade", %error, "what was learned is left aside");
+                tracing::warn!(kind = "upgrade", %error, "learned health is malformed: ignored");
                 Vec::new()
             }
         }
     }
 
-    /// Cordons an endpoint for all processes of this front, or lifts its cordon.
+    /// Stores or removes the cordon of an endpoint for all processes of this front.
     pub fn set_cordon(&self, endpoint: EndpointId, cordoned: bool) -> io::Result<()> {
         let path = self.directory.join(cordon_file_name(endpoint));
         if cordoned {
@@ -178,12 +180,12 @@
         }
     }
 
-    /// Reads which endpoints are cordoned; `None` where that can't be read, and all stay as they are.
+    /// Returns the cordoned endpoints, or `None` if the directory cannot be read, in which case cordons must stay unchanged.
     pub fn cordons(&mut self) -> Option<BTreeSet<EndpointId>> {
         let found = self.read_cordons();
-        // It is read ten times a second: one line in the log is enough.
+        // The directory is polled ten times a second, so the error is logged only once until a read succeeds.
         if let Some(error) = found.as_ref().err().filter(|_| !self.unreadable_logged) {
-            tracing::warn!(kind = "by-hand", %error, "what is shared can't be read: calls to another process are missed");
+            tracing::warn!(kind = "by-hand", %error, "cannot read the shared directory: cordons set in another process are not applied");
         }
         self.unreadable_logged = found.is_err();
         found.ok()
@@ -194,7 +196,7 @@
         let mut unknown = 0;
         for (n, entry) in fs::read_dir(&self.directory)?.enumerate() {
             if n >= MAX_FILES {
-                return Err(io::Error::other("too many files"));
+                return Err(io::Error::other(format!("more than {MAX_FILES} files")));
             }
             let name = entry?.file_name();
             let name = name.to_string_lossy();
@@ -204,7 +206,7 @@
                 None => {
                     unknown += 1;
                     if unknown > self.unknown_files && unknown <= MAX_UNKNOWN_FILES_LOGGED {
-                        tracing::warn!(kind = "upgrade", file = %name, "a file of no meaning here");
+                        tracing::warn!(kind = "upgrade", file = %name, "unknown file in the shared directory: ignored");
                     }
                 }
             }
--- a/front/src/server/handover/tests.rs
+++ b/front/src/server/handover/tests.rs
@@ -12,8 +12,11 @@
     assert!(!processes[1].try_accept() && !processes[2].try_accept());
     processes[0].hand_over(5, &[]);
     assert!(processes[1].try_accept() && !processes[2].try_accept() && !processes[0].try_accept());
-    assert!(!processes[1].is_only_process(), "the first one still lives");
-    // Dropped, as the system drops the files of a process that was killed.
+    assert!(
+        !processes[1].is_only_process(),
+        "the first process is still running"
+    );
+    // Dropping closes the files, as the system does when a process is killed.
     processes.remove(0);
     assert!(processes[0].is_only_process());
     processes.remove(0);
@@ -44,7 +47,7 @@
         later.take_learned(5 + MAX_LEARNED_AGE + 1).is_empty(),
         "too old"
     );
-    // Torn, or of the future: as if absent.
+    // Truncated files and files of a later format are ignored.
     for text in [
         "cranesill learned v1 00000000\nat 5\n",
         "cranesill learned v2 00000000\n",
@@ -64,7 +67,7 @@
         Handover::new(directory.path()).unwrap(),
     );
     assert!(earlier.try_accept());
-    // Nothing can take the place of a folder.
+    // A file cannot be renamed over a directory.
     fs::create_dir_all(directory.path().join("cranesill/learned/held")).unwrap();
     earlier.hand_over(5, &[]);
     let names = fs::read_dir(directory.path().join("cranesill"))
@@ -91,13 +94,13 @@
     later.set_cordon(ENDPOINT, false).unwrap();
     later.set_cordon(ENDPOINT, false).unwrap();
     assert_eq!(later.cordons(), Some(BTreeSet::new()));
-    // Nor do so many that not all are looked at.
+    // Cordons are not read if there are too many files.
     later.set_cordon(ENDPOINT, true).unwrap();
     assert_eq!(later.cordons(), Some([ENDPOINT].into()));
     (0..MAX_FILES)
         .for_each(|n| fs::write(directory.path().join(format!("cranesill/x{n}")), "").unwrap());
     assert_eq!(later.cordons(), None);
-    // What can't be read says nothing: nobody comes back by it.
+    // A directory that cannot be read lifts no cordon.
     fs::rename(
         directory.path().join("cranesill"),
         directory.path().join("aside"),
--- a/front/src/server/log.rs
+++ b/front/src/server/log.rs
@@ -1,4 +1,4 @@
-//! The log: events of `tracing` as lines on standard error, in text or JSON, limited per second.
+//! The log: writes `tracing` events to standard error as text or JSON lines, with a rate limit.
 use cranesill_daemon::{Format, Level, Log as Settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,16 +12,16 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::{reload, Layer, Registry};
 
-/// Lines a second at most. Guards the CPU against storms of events.
+/// Maximum number of lines per second, a limit on the CPU time spent on logging.
 const MAX_LINES_PER_SECOND: u32 = 50;
-/// Lines below warnings a second at most: warnings and errors are not lost among them.
+/// Maximum number of lines below the level WARN per second; the remaining lines are reserved for warnings and errors.
 const MAX_INFO_LINES_PER_SECOND: u32 = 35;
-/// Kinds of suppressed lines that are counted separately.
+/// Maximum number of kinds for which suppressed lines are counted separately.
 const MAX_SUPPRESSED_KINDS: usize = 32;
-/// Characters of a line at most.
+/// Maximum length of a line or of a JSON value, in characters.
 const MAX_LINE_CHARACTERS: usize = 4_000;
 
-/// Decides which lines are written. Without a clock: seconds are passed in.
+/// Rate limiter. The current second is passed in by the caller.
 #[derive(Debug, Default)]
 struct Limiter {
     second: u64,
@@ -31,7 +31,7 @@
 }
 
 impl Limiter {
-    /// Returns whether a line of this kind is written now; otherwise it is counted.
+    /// Returns whether a line of this kind may be written now; otherwise it is counted as suppressed.
     fn admit(&mut self, second: u64, is_warning: bool, kind: &str) -> bool {
         if second != self.second {
             self.second = second;
@@ -56,7 +56,7 @@
         *self.suppressed.entry(kind.into()).or_default() += 1;
     }
 
-    /// Takes out how many lines were suppressed in an earlier second, by kind.
+    /// Removes and returns the counts of lines suppressed in an earlier second, by kind.
     fn take_suppressed(&mut self, second: u64) -> Option<BTreeMap<String, u64>> {
         let is_past = second != self.second && !self.suppressed.is_empty();
         is_past.then(|| std::mem::take(&mut self.suppressed))
@@ -69,10 +69,10 @@
     limiter: Mutex<Limiter>,
 }
 
-/// Writes the events of `tracing` as lines.
+/// The `tracing` layer that formats and writes events.
 struct LineLayer(Arc<Writer>);
 
-/// Collects an event's fields.
+/// The fields of an event.
 #[derive(Default)]
 struct Fields {
     message: String,
@@ -103,7 +103,7 @@
     }
 }
 
-/// The Unix time in seconds and the microseconds beyond.
+/// Returns the Unix time as seconds and microseconds.
 fn now() -> (u64, u32) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -111,7 +111,7 @@
     (now.as_secs(), now.subsec_micros())
 }
 
-/// Formats one line; `level` is in lower case. What could break a line is escaped.
+/// Formats one line; `level` is in lower case. Line breaks and control characters are escaped.
 fn line(
     json: bool,
     time: (u64, u32),
@@ -156,7 +156,7 @@
     let mut line = format!("{second}.{micros:06} {level} {message}");
     for (name, value) in fields {
         let needs_quotes = |c: char| c.is_control() || " \"=".contains(c);
-        // Writing into a string can't fail.
+        // Writing to a string cannot fail.
         let _ = if value.is_empty() || value.chars().any(needs_quotes) {
             write!(line, " {name}={value:?}")
         } else {
@@ -178,7 +178,7 @@
             message,
             fields,
         );
-        // There is nowhere else to report a log that can't be written.
+        // A failure to write the log cannot be reported anywhere else.
         let _ = std::io::stderr().lock().write_all(text.as_bytes());
     }
 
@@ -196,7 +196,7 @@
                 .map(|(kind, n)| format!("{kind}:{n}"))
                 .collect();
             fields.push(("kinds", kinds.join(",")));
-            self.write("warn", "lines left out", &fields);
+            self.write("warn", "log lines suppressed by the rate limit", &fields);
         }
     }
 }
@@ -234,14 +234,14 @@
     }
 }
 
-/// The log of this process.
+/// Handle to the installed log, for changes of its settings.
 pub struct Log {
     writer: Arc<Writer>,
     level: reload::Handle<LevelFilter, Registry>,
 }
 
 impl Log {
-    /// Installs the log for the process. Only the first call in a process has an effect.
+    /// Installs the global `tracing` subscriber. Only the first call in a process has an effect.
     pub fn install(settings: &Settings) -> Self {
         let writer = Arc::new(Writer::default());
         writer
@@ -251,21 +251,21 @@
         let subscriber = Registry::default()
             .with(filter)
             .with(LineLayer(Arc::clone(&writer)));
-        // A second one in the same process, as in tests, leaves the first in place.
+        // Fails if a subscriber is already installed, as in tests that start several servers.
         let _ = tracing::subscriber::set_global_default(subscriber);
         Log { writer, level }
     }
 
-    /// Changes format and level.
+    /// Applies new settings of format and level.
     pub fn set(&self, settings: &Settings) {
         self.writer
             .json
             .store(settings.format == Format::Json, Ordering::Relaxed);
-        // It can only fail once the subscriber is gone.
+        // Fails only if the subscriber has been dropped.
         let _ = self.level.modify(|level| *level = filter(settings.level));
     }
 
-    /// Logs what was suppressed, also where no further line comes.
+    /// Logs the number of suppressed lines even if no further event is logged.
     pub fn report_suppressed(&self) {
         self.writer.report_suppressed();
     }
--- a/front/src/server/log/tests.rs
+++ b/front/src/server/log/tests.rs
@@ -6,12 +6,12 @@
     let info_lines = (0..100).filter(|_| limiter.admit(7, false, "note")).count();
     let warnings = (0..100).filter(|_| limiter.admit(7, true, "broke")).count();
     assert_eq!((info_lines, warnings), (35, 15));
-    assert_eq!(limiter.take_suppressed(7), None, "the second is not over");
+    assert_eq!(limiter.take_suppressed(7), None, "the second has not ended");
     let suppressed = limiter.take_suppressed(8).unwrap();
     assert_eq!((suppressed["note"], suppressed["broke"]), (65, 85));
     assert_eq!(limiter.take_suppressed(9), None);
     assert!(limiter.admit(8, false, "note"));
-    // Kinds are bounded too.
+    // The number of kinds is limited.
     let written = (0..1_000)
         .filter(|i| limiter.admit(9, false, &i.to_string()))
         .count();
--- a/front/src/server/mod.rs
+++ b/front/src/server/mod.rs
@@ -1,8 +1,8 @@
-//! The server: command line, configuration, log, the event loop, and a driver for each subsystem that it runs.
+//! The server: command line, configuration, log, event loop, and the drivers of optional subsystems.
 //!
-//! `event_loop` waits for sockets, signals and timers and hands each on: `downstream` holds the connections of clients,
-//! `upstream` those to cache nodes, parents and the origin, `discovery` the one to the list service, and `drivers` the
-//! subsystems that the daemon's own settings switch on.
+//! `event_loop` waits for sockets, signals and timers and dispatches their events: to `downstream` (connections from clients),
+//! `upstream` (connections to cache nodes, parents and the origin), `discovery` (the connection to the list service) and `drivers`
+//! (subsystems enabled by the daemon's settings).
 mod acceptor;
 mod cli;
 mod config;
--- a/front/src/server/purge_effects.rs
+++ b/front/src/server/purge_effects.rs
@@ -1,4 +1,4 @@
-//! Applies messages of the purge log to the routing, which refuses answers older than a purge.
+//! Applies messages of the purge log to the routing, which rejects responses older than a purge.
 use super::drivers::{Effect, PurgeEffect};
 use crate::routing::{PurgeFloors, RequestPipeline};
 use cranesill::api::Timestamp;
@@ -6,7 +6,7 @@
 use cranesill_purges::lease::{Lease, WhenExpired};
 use cranesill_purges::shield::Shield;
 
-/// Applies a message of the purge log to the routing. Returns the message that follows from it, if any.
+/// Applies a message of the purge log to the routing. Returns a follow-up message, if any.
 pub fn apply(
     pipeline: &mut RequestPipeline,
     now: Timestamp,
@@ -43,19 +43,19 @@
             floors.install(*set);
             return pending_compile(floors);
         }
-        // The driver of purges carries it out.
+        // Handled by the driver of purges.
         PurgeEffect::Compile(_) => {}
     }
     None
 }
 
-/// Patterns that are to be compiled, if there are new ones.
+/// Returns the message that requests compilation of new patterns, if there are any.
 fn pending_compile(floors: &mut PurgeFloors) -> Option<Effect> {
     let patterns = floors.take_compile_job()?;
     Some(Effect::Purges(PurgeEffect::Compile(patterns)))
 }
 
-/// Switches purges on.
+/// Enables purges, with the lease and the shield as the settings require.
 fn enable(
     pipeline: &mut RequestPipeline,
     now: Timestamp,
@@ -78,7 +78,7 @@
     pipeline.shield = shield_rate.map(|per_s| Shield::new(now, per_s.into()));
 }
 
-/// Notes that the writer of the purge log was in contact and that all it has is here.
+/// Renews the lease of the purge log after contact with its writer.
 fn renew_lease(pipeline: &mut RequestPipeline, now: Timestamp) {
     let floors = pipeline.floors.as_mut();
     let lease = floors.and_then(|floors| floors.lease.as_mut());
--- a/front/src/server/signals.rs
+++ b/front/src/server/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: a socket that becomes readable when one comes, and those that come while the process starts.
+//! Signal handling: signals as readable sockets on the event loop, and signals received during startup.
 use crate::transport::{Reactor, Registered};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::io;
@@ -6,11 +6,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Catches signals while the process starts. It takes no descriptor: one that the platform hands over may have any number.
+/// Records signals received during startup. Opens no descriptor, since it could be assigned the number of an inherited socket that
+/// was not passed.
 pub struct StartupSignals([(i32, Arc<AtomicBool>); 2]);
 
 impl StartupSignals {
-    /// Catches SIGTERM and SIGHUP, which end the process otherwise.
+    /// Installs handlers for SIGTERM and SIGHUP, which would otherwise end the process.
     pub fn new() -> io::Result<Self> {
         let signals = StartupSignals([SIGTERM, SIGHUP].map(|signal| (signal, Arc::default())));
         for (signal, received) in &signals.0 {
@@ -19,7 +20,7 @@
         Ok(signals)
     }
 
-    /// Raises the signals that came before again, for whoever watches them now. One that comes meanwhile may be raised twice,
+    /// Raises the recorded signals again, for the handlers installed since. A signal that arrives meanwhile may be raised twice,
     /// which has the same effect as once.
     pub fn re_raise(self) -> io::Result<()> {
         let received = self
@@ -32,7 +33,7 @@
     }
 }
 
-/// Watches a socket under `key` that becomes readable when the signal comes.
+/// Registers a socket under `key` that becomes readable when the signal is received.
 pub fn watch(reactor: &Reactor, signal: i32, key: usize) -> io::Result<Registered<UnixStream>> {
     let (read, write) = UnixStream::pair()?;
     read.set_nonblocking(true)?;
@@ -40,7 +41,7 @@
     reactor.watch(read, key, false)
 }
 
-/// Makes the socket of a signal unreadable until the signal comes again.
+/// Drains the socket of a signal, so that it is not readable until the next signal.
 pub fn clear(signal: &Registered<UnixStream>) {
     let mut bytes = [0; 16];
     while matches!(io::Read::read(&mut &**signal, &mut bytes), Ok(n) if n > 0) {}
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! Start of a front: the endpoint list that it begins with, slow start of endpoints, and readiness. The decisions are made by
+//! Startup of a front: the initial endpoint list, slow start of endpoints, and readiness. The decisions are made by
 //! `cranesill_startup`.
 use super::config::Config;
 use super::drivers::snapshot::{file_path, load, wall_clock_ms, ListRequirements};
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
-/// Makes the schedule of connections to the list service.
+/// Creates the schedule of connections to the list service.
 pub fn call_schedule(now: Timestamp, config: &Config, settings: Option<&Settings>) -> CallSchedule {
     let budget = settings.map(|startup| CallBudget {
         calls_per_s: startup.calls_per_s.into(),
@@ -24,7 +24,7 @@
     CallSchedule::new(now, fleet_position(config), config.seed, budget)
 }
 
-/// The front's place in its fleet.
+/// Returns the index of the front and the size of its fleet.
 fn fleet_position(config: &Config) -> FleetPosition {
     let settings = &config.deployment.settings;
     FleetPosition {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns where the endpoint list is kept on disk; `None` where it is not.
+/// Returns the path of the snapshot of the endpoint list; `None` if the list is not stored on disk.
 pub fn snapshot_path(config: &Config, settings: Option<&Settings>) -> Option<PathBuf> {
     let folder = settings
         .filter(|_| config.accept_fd.is_none())?
@@ -42,9 +42,9 @@
     Some(file_path(folder, &config.name))
 }
 
-/// Identifies the list that a front follows.
+/// Returns a hash that identifies the endpoint list of this front.
 fn list_identity(config: &Config, settings: Option<&Settings>) -> u64 {
-    // Records refer to places in these lists.
+    // Records refer to zones and kinds by their index in these lists.
     let names = &config.deployment.names;
     let named = settings
         .and_then(|s| s.list.clone())
@@ -53,19 +53,19 @@
     crc32fast::hash(identity.as_bytes()).into()
 }
 
-/// The endpoint list that a front begins with.
+/// The endpoint list known at startup.
 pub struct KnownList {
     /// The revision of the list.
     pub revision: u64,
     /// The events that lead to it.
     pub events: Vec<WatchEvent>,
-    /// Where the list comes from.
+    /// Whether the list comes from the configuration or from disk.
     pub origin: EventSource,
-    /// The list as it is kept on disk from then on. One that was read there keeps its age.
+    /// The initial snapshot. If it was read from disk it keeps its age.
     pub snapshot: Snapshot,
 }
 
-/// Returns the list of the configuration, or the one on disk if that is newer.
+/// Returns the endpoint list of the configuration, or the snapshot on disk if that is newer.
 pub fn known_list(config: &mut Config, settings: Option<&Settings>) -> KnownList {
     let (revision, mut events) = std::mem::take(&mut config.known);
     let source = list_identity(config, settings);
@@ -91,7 +91,7 @@
     for event in &events {
         list.apply(revision, wall_clock_ms(), 0, u64::MAX, event);
     }
-    // Purges that were known at the start are kept from the first watch event on.
+    // The retention of purges known at startup begins with the first watch event.
     list.received_at_ms.clear();
     KnownList {
         revision,
@@ -101,21 +101,23 @@
     }
 }
 
-/// Slow start and readiness, as far as the settings switch them on.
+/// Slow start and readiness, as far as the settings enable them.
 pub struct Startup {
-    /// Endpoints that are listed and not in use yet.
+    /// Slow start of listed endpoints; `None` if disabled.
     slow_start: Option<SlowStart<EndpointRecord>>,
     readiness: Option<Readiness>,
-    /// Why the front was not ready when that was last logged.
+    /// Why the front was not ready at the last check; `None` if it was.
     not_ready: Option<NotReady>,
+    /// The zone of the front.
     zone: u16,
+    /// The kind of origin endpoints, which are used without slow start.
     origin: Option<u8>,
 }
 
 impl Startup {
-    /// A front that starts now.
+    /// Creates the state of a front that starts at `now`.
     pub fn new(now: Timestamp, config: &Config, settings: Option<&Settings>) -> Self {
-        // One process that takes the place of another is no cold fleet: its clients are there already.
+        // A process that replaces another one of the same front already has clients, so it starts without delays.
         let settings = settings.filter(|_| config.accept_fd.is_none());
         let slow_start = settings.and_then(|s| {
             let max_ramp = s.ramp_most_ms * 1_000;
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Takes listed endpoints in, and returns those that come into use now.
+    /// Adds listed endpoints to slow start and returns those that can be used immediately.
     pub fn stagger(
         &mut self,
         now: Timestamp,
@@ -165,36 +167,36 @@
         slow_start.update(now, complete, list.into_iter().map(endpoint).collect())
     }
 
-    /// Takes out the endpoints that come into use by now.
+    /// Returns the endpoints whose slow start wait is over by `now`.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<EndpointRecord> {
         self.slow_start
             .as_mut()
             .map_or_else(Vec::new, |slow_start| slow_start.poll(now))
     }
 
-    /// Returns when the next endpoint comes into use.
+    /// Returns when the next endpoint becomes usable.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.slow_start.as_ref().and_then(SlowStart::next_deadline)
     }
 
-    /// Whether endpoints are connected to before a request needs them.
+    /// Whether connections to endpoints are opened before a request needs them.
     pub fn preconnects(&self) -> bool {
         self.slow_start.is_some()
     }
 
-    /// Whether an endpoint is listed and not in use yet.
+    /// Whether an endpoint is listed and waits in slow start.
     pub fn is_waiting(&self, member: EndpointId) -> bool {
         self.slow_start
             .as_ref()
             .is_some_and(|slow_start| slow_start.is_waiting(member.0))
     }
 
-    /// Returns how many endpoints are listed and not in use yet.
+    /// Returns the number of endpoints that wait in slow start.
     pub fn waiting(&self) -> usize {
         self.slow_start.as_ref().map_or(0, SlowStart::waiting)
     }
 
-    /// Returns whether the front is ready with so many endpoints in use and connected. Logs changes.
+    /// Returns whether the front is ready with `used` endpoints in use, `reached` of them connected. Logs changes.
     pub fn check_readiness(&mut self, now: Timestamp, used: usize, reached: usize) -> bool {
         let waiting = self.waiting();
         let Some(readiness) = &mut self.readiness else {
@@ -214,7 +216,7 @@
         self.not_ready.is_none()
     }
 
-    /// Returns the state as operators see it.
+    /// Returns the state reported to operators.
     pub fn state(&self, used: usize, reached: usize) -> Value {
         json!({
             "members_used": used, "members_reached": reached, "members_waiting": self.waiting(),
