--- a/front/src/server/discovery.rs
+++ b/front/src/server/discovery.rs
@@ -7,50 +7,50 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The service sends an empty frame each second: without a complete one for this long the connection is dead.
+/// Timeout for a complete frame. The service sends at least an empty one per second.
 const MAX_SILENCE: Micros = 2_500_000;
-/// A service whose revision is older than the one known here for this long has begun to count anew; one that is only behind
-/// catches up by then.
+/// A service that reports an older revision than the known one for this time has restarted its numbering; one that only lags
+/// behind catches up sooner.
 const MAX_REVISION_LAG: Micros = 3_000_000;
-/// Bytes that one read takes at most.
+/// Size of the read buffer.
 const MAX_READ_BYTES: usize = 16 * 1024;
-/// Reads in one turn: a service that sends without end keeps neither timers nor clients waiting.
+/// Maximum number of reads in one turn of the event loop, so that a stream of events does not delay timers and clients.
 const MAX_READS_PER_TURN: usize = 8;
 
-/// A time in which the list service cannot be reached.
+/// A period in which the list service is not reachable.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     since: Timestamp,
-    /// Whether it was logged: a single lost connection is nothing to wake anybody for.
+    /// Whether the outage has been logged. A single lost connection is not logged.
     logged: bool,
 }
 
-/// Follows the endpoint list from the revision that is known.
+/// The client of the list service.
 #[derive(Debug)]
 pub struct Discovery {
     address: SocketAddr,
-    /// The revision of the endpoint list that is known here.
+    /// The known revision of the endpoint list.
     revision: u64,
-    /// Where reads go first.
+    /// The read buffer.
     scratch: Vec<u8>,
-    /// The connection, if there is one, and its poller key.
+    /// The poller key and the stream of the current connection.
     stream: Option<(usize, Stream<()>)>,
     /// Whether the connection is established.
     established: bool,
-    /// Decides when to connect: all fronts share one service.
+    /// Schedules connections so that the fronts of a fleet do not overload the service.
     calls: CallSchedule,
-    /// Set while the service cannot be reached.
+    /// The current outage, if any.
     outage: Option<Outage>,
-    /// Since when the service reports an older revision than the one known here.
+    /// Since when the service reports an older revision than the known one.
     behind_since: Option<Timestamp>,
-    /// When the connection is given up if nothing is received, or tried again.
+    /// When the current connection times out or, without one, when the next connection is started.
     pub deadline: Timestamp,
-    /// How often a connection was begun.
+    /// The number of connections started.
     pub connections_begun: u64,
 }
 
 impl Discovery {
-    /// Begins without a connection; the first is due at the deadline.
+    /// Creates a client without a connection; the first one is started at `deadline`.
     pub fn new(
         now: Timestamp,
         address: SocketAddr,
@@ -73,40 +73,40 @@
         }
     }
 
-    /// Returns since when the service cannot be reached; `None` while it can.
+    /// Returns since when the service is not reachable; `None` while it is.
     pub fn unreachable_since(&self) -> Option<Timestamp> {
         self.outage.map(|outage| outage.since)
     }
 
-    /// Returns the revision of the endpoint list that is known here.
+    /// Returns the known revision of the endpoint list.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether the service is connected and has sent something on this connection.
+    /// Whether the connection is established and a frame was received on it.
     pub fn is_connected(&self) -> bool {
         self.established && self.outage.is_none() && self.calls.has_received()
     }
 
-    /// Whether this is the poller key of the connection.
+    /// Whether `key` is the poller key of the connection.
     pub fn has_connection(&self, key: usize) -> bool {
         self.stream.as_ref().is_some_and(|s| s.0 == key)
     }
 
-    /// Skips the events up to this revision: a list of peers stands for them.
+    /// Skips the events up to this revision, after a list of that revision was adopted from peers.
     pub fn advance_to(&mut self, number: u64) {
         self.revision = self.revision.max(number);
     }
 
-    /// Connects to this address from now on, at once, and asks for what is newer than the known revision. Returns whether the
-    /// address has changed.
+    /// Closes the connection and reconnects immediately, to this address, from the known revision. Returns whether the address has
+    /// changed.
     pub fn reconnect_to(&mut self, now: Timestamp, address: SocketAddr) -> bool {
         self.stream = None;
         self.deadline = now;
         std::mem::replace(&mut self.address, address) != address
     }
 
-    /// Handles the deadline: connects, or gives up a connection that was silent for too long and connects again later.
+    /// Handles the deadline: closes a connection that timed out, and starts the next one when it is due.
     pub fn poll(&mut self, now: Timestamp, reactor: &Reactor, key: usize) {
         if self.stream.is_some() {
             self.end_connection(
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Handles a connection that can be read or written. Returns new watch events.
+    /// Handles readiness of the connection. Returns new watch events.
     pub fn ready(&mut self, now: Timestamp) -> Vec<WatchEvent> {
         let mut events = Vec::new();
         if let Err(e) = self.read(now, &mut events) {
@@ -158,7 +158,7 @@
         events
     }
 
-    /// Notes that a connection has ended, or could not be established.
+    /// Records that the connection has ended or could not be established, and schedules the next one.
     fn end_connection(&mut self, now: Timestamp, end: CallEnd) {
         self.stream = None;
         self.deadline = self.calls.end_call(now, end);
@@ -169,11 +169,11 @@
         if !outage.logged && self.calls.is_failing() {
             outage.logged = true;
             let again_ms = (self.deadline - now) / 1_000;
-            tracing::warn!(kind = "list", ?end, again_ms, at = %self.address, "the list service fails: what is known stands");
+            tracing::warn!(kind = "list", ?end, again_ms, at = %self.address, "the list service is not reachable: the last known endpoint list stays in use");
         }
     }
 
-    /// Writes the request once the connection is established. Returns whether it is.
+    /// Sends the initial request once the connection is established. Returns whether it is established.
     fn establish(&mut self, now: Timestamp) -> io::Result<bool> {
         let Some((_, stream)) = &mut self.stream else {
             return Ok(false);
@@ -190,7 +190,7 @@
         Ok(true)
     }
 
-    /// Reads watch events until there are none or it is the others' turn.
+    /// Reads watch events until there are no more or the limit per turn is reached.
     fn read(&mut self, now: Timestamp, events: &mut Vec<WatchEvent>) -> io::Result<()> {
         if !self.establish(now)? {
             return Ok(());
@@ -207,7 +207,7 @@
             while let Some((revision, event)) = self.take_frame()? {
                 self.record_frame(now);
                 self.check_revision(now, revision, event.is_some())?;
-                // After a reconnect events may come again.
+                // Events may be repeated after a reconnect.
                 if let Some(event) = event.filter(|_| revision > self.revision) {
                     self.revision = revision;
                     events.push(event);
@@ -217,7 +217,7 @@
         Ok(())
     }
 
-    /// Takes a complete frame off the input: a revision and, unless there is nothing new, the event that leads to it.
+    /// Removes a complete frame from the input. Returns its revision and, unless the frame is empty, its event.
     fn take_frame(&mut self) -> io::Result<Option<(u64, Option<WatchEvent>)>> {
         let Some((_, stream)) = &mut self.stream else {
             return Ok(None);
@@ -230,19 +230,23 @@
         Ok(Some((frame.revision, frame.event)))
     }
 
-    /// Notes that the service is there. Only a complete frame shows it: a service may stop in the middle of one.
+    /// Records that the service is alive. Only complete frames count, because a service may stop in the middle of a frame.
     fn record_frame(&mut self, now: Timestamp) {
         self.deadline = now + MAX_SILENCE;
         self.calls.record_message(now);
         let outage = self.outage.take();
         if let Some(outage) = outage.filter(|outage| outage.logged) {
             let lost_ms = now.saturating_sub(outage.since) / 1_000;
-            tracing::info!(kind = "list", lost_ms, "the list service is heard again");
+            tracing::info!(
+                kind = "list",
+                lost_ms,
+                "the list service is reachable again"
+            );
         }
     }
 
-    /// Fails if the service has been behind the revision that is known here for so long that it must have begun to count anew.
-    /// The next connection asks for the complete list then.
+    /// Fails if the service has reported an older revision for so long that it must have restarted its numbering. The next
+    /// connection then requests the complete list.
     fn check_revision(&mut self, now: Timestamp, number: u64, has_event: bool) -> io::Result<()> {
         let is_behind = number < self.revision && !has_event && self.calls.has_budget();
         self.behind_since = is_behind.then(|| self.behind_since.unwrap_or(now));
@@ -254,7 +258,7 @@
             kind = "list",
             number,
             held = self.revision,
-            "the list service counts anew: all is asked for"
+            "the list service restarted its revision numbers: reconnecting for the complete list"
         );
         self.revision = 0;
         Err(io::ErrorKind::UnexpectedEof.into())
--- a/front/src/server/discovery/tests.rs
+++ b/front/src/server/discovery/tests.rs
@@ -24,7 +24,7 @@
     discovery.poll(0, &reactor, 5);
     assert!(
         discovery.deadline <= 1_000_000,
-        "a connection that never comes up is given up soon"
+        "a connection that is not established times out early"
     );
     let (mut service, _) = listener.accept().unwrap();
     let mut hello = [0; 8];
@@ -37,7 +37,7 @@
         (u64::from_be_bytes(hello), discovery.deadline),
         (7, MAX_SILENCE)
     );
-    // A whole frame is a sign of life, what comes of the next one is not.
+    // A complete frame extends the deadline, a partial one does not.
     let empty = [&[0, 0, 0, 9][..], &7u64.to_be_bytes(), &[0]].concat();
     for (now, bytes) in [
         (1_000_000, &empty[..]),
--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -1,4 +1,4 @@
-//! Downstream: the connections of clients.
+//! Downstream: connections from clients.
 mod connection;
 mod eviction;
 mod lifecycle;
@@ -15,49 +15,49 @@
 use std::net::TcpStream;
 use unconfirmed::Unconfirmed;
 
-/// A connection on which all is said is closed after this long, whether or not its client closes it.
+/// A connection whose write side was closed is closed after this time even if its client does not close it.
 const CLOSE_TIMEOUT: Micros = 500_000;
-/// Bytes that one read takes at most, and reads of one connection in one turn: no client keeps the loop to itself.
+/// Limits on one read, and on the reads of one connection in one turn of the event loop, so that no client monopolizes the loop.
 const MAX_READ_BYTES: usize = 16 * 1024;
 const MAX_READS_PER_TURN: usize = 2;
 
-/// What came from a client.
+/// An event of a client connection.
 #[derive(Debug)]
 pub enum ClientEvent {
-    /// A request to be routed.
+    /// A well-formed request.
     Request(ReplyTo, ClientRequest),
-    /// A malformed request, with what is wrong with it.
+    /// A malformed request and its error.
     BadRequest(ReplyTo, RequestError),
-    /// The client of a request has cancelled it or is disconnected: it needs no answer.
+    /// The client has cancelled the request or disconnected: no response is needed.
     Disconnected(ReplyTo),
 }
 
-/// All connections of clients.
+/// All client connections.
 #[derive(Debug, Default)]
 pub struct Clients {
     connections: HashMap<usize, Connection>,
-    /// Clients are asked to open no new requests.
+    /// Whether clients are asked to send no new requests.
     draining: bool,
-    /// Whether clients that check readiness get a yes; while draining they get a no all the same.
+    /// Whether readiness checks of clients succeed. They always fail while draining.
     pub ready: bool,
-    /// Connections are closed as soon as they are idle.
+    /// Whether connections are closed as soon as they are idle.
     closes_idle: bool,
-    /// The process ends: all connections are closed once nothing is owed on them.
+    /// Whether all connections are closed once their responses are written, because the process is exiting.
     closes_all: bool,
-    /// Bytes read and not taken, and written and not sent, on all connections.
+    /// Bytes of unconsumed input and unwritten output on all connections.
     buffered_bytes: usize,
-    /// Requests on connections that broke while they were written to.
+    /// Events for the requests of connections that failed during a write.
     disconnected: Vec<ClientEvent>,
-    /// Connections with open requests whose reading is paused, by when it is resumed.
+    /// Connections with open requests whose reading is paused, with the time at which it resumes.
     paused: VecDeque<(Timestamp, usize)>,
-    /// Requests whose clients may have closed their connections already.
+    /// Requests whose clients may already have closed their connections.
     unconfirmed: Unconfirmed,
-    /// Where reads go first.
+    /// Read buffer shared by all connections.
     scratch: Vec<u8>,
 }
 
 impl Clients {
-    /// No connections yet.
+    /// Creates a set without connections.
     pub fn new() -> Self {
         Clients {
             scratch: vec![0; MAX_READ_BYTES],
@@ -75,19 +75,19 @@
         self.buffered_bytes
     }
 
-    /// Whether all answers are written.
+    /// Whether all responses are written.
     pub fn is_flushed(&self) -> bool {
         self.connections.values().all(|c| c.stream.flushed())
     }
 
-    /// Whether a request has come in part, or is held back until its client is known to be there.
+    /// Whether a request is partially received, or held back until its client is known to be connected.
     pub fn has_partial_requests(&self) -> bool {
         let is_partial =
             |c: &Connection| c.state == ConnectionState::Open && !c.stream.input().is_empty();
         !self.unconfirmed.is_empty() || self.connections.values().any(is_partial)
     }
 
-    /// Returns the next deadline, at which [`Clients::poll`] is to be called.
+    /// Returns the time at which [`Clients::poll`] must be called.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let read_at = self.paused.front().map(|(at, _)| *at);
         read_at
@@ -96,7 +96,7 @@
             .min()
     }
 
-    /// Resumes paused reading, and returns requests that are held back no longer.
+    /// Resumes reading from connections whose pause is over, and returns requests that are no longer held back.
     pub fn poll(&mut self, now: Timestamp) -> Vec<ClientEvent> {
         while let Some((_, key)) = self.paused.front().copied().filter(|(at, _)| *at <= now) {
             self.paused.pop_front();
@@ -108,13 +108,13 @@
             .collect()
     }
 
-    /// Whether this is a client's connection.
+    /// Whether `key` is the poller key of a client connection.
     pub fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// Adds a connection that was accepted. It may have been in the system's queue for `accept_delay`, and its first
-    /// requests with it.
+    /// Adds an accepted connection, which may have been in the accept queue for `accept_delay`. The delay is deducted from the time
+    /// limits of its first requests.
     pub fn add(
         &mut self,
         now: Timestamp,
@@ -136,7 +136,7 @@
         connection: ServerConnection,
         key: usize,
     ) {
-        // Nothing is asked before the handshake is complete.
+        // Requests cannot arrive before the handshake is complete, so there is no accept delay.
         self.insert(now, Stream::with_tls(socket, connection), key, 0);
         self.flush(now, key);
     }
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Reads what has come on a connection.
+    /// Reads from a connection and returns its events.
     pub fn read(&mut self, now: Timestamp, key: usize) -> Vec<ClientEvent> {
         let paused_before = self.paused_at(key);
         let mut events = Vec::new();
@@ -176,15 +176,15 @@
         connection.and_then(|connection| connection.paused_at)
     }
 
-    /// Reads until there is nothing more or it is the others' turn. Returns whether the client has ended its side and is
-    /// still owed answers.
+    /// Reads until there is no more input or the limit per turn is reached. Returns whether the client has closed its write side
+    /// while responses are pending.
     fn read_frames(&mut self, now: Timestamp, key: usize, events: &mut Vec<ClientEvent>) -> bool {
         for round in 0..MAX_READS_PER_TURN {
             let Some(connection) = self.connections.get_mut(&key) else {
                 return false;
             };
-            // The first read is made even while reading is paused: the end of a connection is reported whether it is watched
-            // or not, and would be reported again and again.
+            // The first read is made even while reading is paused: the poller reports the end of a connection regardless of its
+            // registered interest, and would report it again in each turn.
             if round > 0 && !connection.wants_input(now) {
                 return false;
             }
@@ -205,7 +205,7 @@
         false
     }
 
-    /// Takes the frames off what was read, or drops it where the connection takes nothing more.
+    /// Processes the frames received, or discards the input if the connection accepts no more requests.
     fn take_input(&mut self, now: Timestamp, key: usize, events: &mut Vec<ClientEvent>) {
         let ready = self.ready && !self.draining;
         let closes_all = self.closes_all;
@@ -219,16 +219,16 @@
         }
         connection.active_at = now;
         connection.receive(now, key, ready, events);
-        // What comes later was not there when the connection was accepted.
+        // Later input was not in the accept queue.
         connection.accept_delay = 0;
         if closes_all && !connection.open_streams.is_empty() {
-            // It came while the process ends: the requests are answered, and nothing more is taken in.
+            // Received while the process is exiting: these requests are answered, further input is discarded.
             connection.begin_draining();
         }
         self.flush(now, key);
     }
 
-    /// Holds back requests whose client may have closed its connection. Returns the other events.
+    /// Holds back requests whose client may have closed its connection. Returns the remaining events.
     fn hold_back(&mut self, now: Timestamp, events: Vec<ClientEvent>) -> Vec<ClientEvent> {
         let mut others = Vec::new();
         for event in events {
@@ -240,7 +240,7 @@
         others
     }
 
-    /// Notes when a client is read again whose reading was paused since `before`.
+    /// Schedules the end of the pause if reading was paused since `before` was determined.
     fn schedule_resume(&mut self, now: Timestamp, key: usize, before: Option<Timestamp>) {
         let paused_at = self
             .connections
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Gives a stream its final answer.
+    /// Sends the final response of a stream.
     pub fn respond(&mut self, now: Timestamp, to: ReplyTo, response: Response) {
         let Some(client) = self.connections.get_mut(&to.client) else {
             return;
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Writes what can be written.
+    /// Writes as much pending output as possible, and updates the state of the connection.
     pub fn flush(&mut self, now: Timestamp, key: usize) {
         let Some(client) = self.connections.get_mut(&key) else {
             return;
@@ -275,7 +275,7 @@
         client.stream.update_total(&mut self.buffered_bytes);
         let done = client.open_streams.is_empty() && client.stream.flushed();
         if client.state == ConnectionState::Draining && done {
-            // Everything is written: the client closes the connection now, or a sweep does.
+            // All output is written: the client closes the connection, or a sweep does after the timeout.
             client.stream.shutdown_write();
             client.state = ConnectionState::WriteClosed(now + CLOSE_TIMEOUT);
         }
@@ -287,12 +287,12 @@
         }
     }
 
-    /// Takes out the requests on connections that broke while they were written to.
+    /// Removes and returns the events for the requests of connections that failed during a write.
     pub fn take_disconnected(&mut self) -> Vec<ClientEvent> {
         std::mem::take(&mut self.disconnected)
     }
 
-    /// Closes a connection and returns its open requests as disconnected.
+    /// Closes a connection and returns a `Disconnected` event for each of its open requests.
     fn disconnect(&mut self, key: usize) -> Vec<ClientEvent> {
         let Some(mut client) = self.connections.remove(&key) else {
             return Vec::new();
@@ -312,8 +312,7 @@
     }
 }
 
-/// Takes out requests whose clients have disconnected since, both the request and the disconnection: they would be
-/// forwarded for nobody.
+/// Removes requests that are already cancelled, together with the events of their cancellation, so that they are not forwarded.
 fn cancel_unforwarded(events: &mut Vec<ClientEvent>) {
     let disconnected: HashSet<_> = events
         .iter()
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its state, and the frames that come on it.
+//! A client connection: its state and the processing of received frames.
 use super::ClientEvent;
 use crate::protocol::client::{self, Message, RequestError};
 use crate::routing::{ClientRequest, ReplyTo};
@@ -6,68 +6,65 @@
 use cranesill::api::{Micros, Timestamp};
 use std::collections::HashSet;
 
-/// Requests open at once on one connection.
+/// Maximum number of open requests on a connection.
 const MAX_STREAMS: usize = 32;
-/// Answers that a client has not read at which reading from it stops: small frames at full speed would else pile up
-/// answers without end.
+/// Reading from a client stops at this number of unwritten responses; otherwise a client that does not read could make the queue
+/// grow without limit.
 const MAX_UNREAD_RESPONSES: usize = 2 * MAX_STREAMS;
-/// While draining, a connection that carried nothing for this long is closed: what its client sent before it was notified
-/// has come by then.
+/// While draining, a connection is closed after this idle time, within which requests sent before the notification arrive.
 pub(super) const MIN_DRAINING_IDLE: Micros = 200_000;
-/// The connection of a client that goes on sending requests after it was notified is closed after this long, as soon as
-/// none is open.
+/// A connection whose client continues to send requests after the notification is closed after this time, once none is open.
 pub(super) const MAX_DRAINING_TIME: Micros = 1_500_000;
-/// How long reading is paused after a bad request: clients with good ones come first, however fast the other goes on.
+/// Pause of reading after a malformed request, so that a client that sends many of them does not delay others.
 pub(super) const READ_PAUSE: Micros = 100_000;
-/// The same where requests of it are open: it may cancel them, and nothing may be begun for it 0.1 s after that.
+/// The same while requests are open. It is shorter because no attempt may be started 0.1 s after the client cancelled a request.
 pub(super) const READ_PAUSE_WITH_REQUESTS: Micros = 25_000;
 
-/// The state of a connection. Each event has one answer in each state:
+/// The state of a connection, with its transitions:
 ///
-/// | state | bytes come | its client ends its side | all is answered and written |
+/// | state | input received | client closes its write side | all responses written |
 /// | --- | --- | --- | --- |
-/// | `Open` | taken in | `HalfClosed`, or closed where nothing is owed | stays, until it was idle for long: then `Draining` |
-/// | `HalfClosed` | none can | | closed: nothing unread is left |
-/// | `Draining` | dropped | `HalfClosed` | this side is shut: `Shut` |
-/// | `Shut` | dropped | closed | closed at that moment, whether or not its client ends it |
+/// | `Open` | processed | `HalfClosed`, or closed if no response is pending | unchanged; `Draining` after the idle timeout |
+/// | `HalfClosed` | not possible | | closed |
+/// | `Draining` | discarded | `HalfClosed` | write side closed: `WriteClosed` |
+/// | `WriteClosed` | discarded | closed | closed at the given time, even if the client does not close it |
 ///
-/// A reset ends it in each state. Bytes are dropped rather than left: a close over unread ones resets the connection, and
-/// answers on their way go with it. They are never taken in: whoever sent them could get no answer.
+/// A reset closes the connection in every state. Input is discarded rather than left unread, because closing a socket with unread
+/// input resets the connection and loses responses in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// Requests are taken.
+    /// Requests are accepted.
     Open,
-    /// The client has ended its side and is still owed answers.
+    /// The client has closed its write side while responses are pending.
     HalfClosed,
-    /// Nothing more is taken in; what is owed is written.
+    /// No more requests are accepted; pending responses are written.
     Draining,
-    /// This side is shut; the connection is closed at this time at the latest.
+    /// The write side is closed; the connection is closed at this time at the latest.
     WriteClosed(Timestamp),
 }
 
-/// A connection of a client.
+/// A client connection.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) stream: Stream<()>,
-    /// Streams whose requests are not answered yet.
+    /// Streams whose response is not queued yet.
     pub(super) open_streams: HashSet<u32>,
-    /// What events mean here now.
     pub(super) state: ConnectionState,
-    /// When something was last read, or written out of the buffer.
+    /// When data was last received or written.
     pub(super) active_at: Timestamp,
-    /// Since when a frame is expected: the first, or the rest of one that is begun.
+    /// Since when a frame is incomplete, or since when the first frame is expected; `None` between frames.
     pub(super) incomplete_since: Option<Timestamp>,
-    /// When reading was paused after a bad request.
+    /// When reading was paused after a malformed request.
     pub(super) paused_at: Option<Timestamp>,
-    /// When the client was asked to open no new requests here.
+    /// When the client was asked to send no new requests on this connection.
     pub(super) notified_at: Option<Timestamp>,
-    /// How long its first requests may have been in the system's queue before the connection was accepted.
+    /// How long the first requests may have been in the accept queue.
     pub(super) accept_delay: Micros,
 }
 
 impl Connection {
-    /// Whether a draining connection can be closed: nothing is open, begun or, most likely, on its way. A request that
-    /// crosses the close in the moment after is sent again by its client.
+    /// Whether a draining connection can be closed: no request is open, partially received or likely to be in transit. A client
+    /// whose request crosses the close sends it again on another connection.
     pub(super) fn is_closable(&self, now: Timestamp) -> bool {
         let grace_is_over = |notified_at: Timestamp| {
             let idle_since = notified_at.max(self.active_at);
@@ -78,14 +75,14 @@
         idle && self.notified_at.is_some_and(grace_is_over)
     }
 
-    /// Whether the connection is to be read from.
+    /// Whether the connection should be read from.
     pub(super) fn wants_input(&self, now: Timestamp) -> bool {
         self.state != ConnectionState::HalfClosed
             && !self.is_paused(now)
             && self.stream.unsent_messages() < MAX_UNREAD_RESPONSES
     }
 
-    /// Whether reading is paused after a bad request.
+    /// Whether reading is paused after a malformed request.
     pub(super) fn is_paused(&self, now: Timestamp) -> bool {
         let pause = if self.open_streams.is_empty() {
             READ_PAUSE
@@ -95,9 +92,9 @@
         self.paused_at.is_some_and(|since| now < since + pause)
     }
 
-    /// The client has ended its side. Returns whether it is owed something all the same: a client that no longer waits
-    /// cancels (type 12) or is not there. The frame that is sent shows which: where nobody is, the system answers with a
-    /// reset.
+    /// Handles the end of the client's write side. Returns whether responses are pending, in which case the connection stays open:
+    /// a client that no longer waits cancels its requests (type 12) or has closed the socket. The frame sent here distinguishes the
+    /// two, since a closed socket responds to it with a reset.
     pub(super) fn half_close(&mut self) -> bool {
         let has_pending_responses = !self.open_streams.is_empty() || !self.stream.flushed();
         if !has_pending_responses
@@ -115,7 +112,7 @@
         true
     }
 
-    /// Takes nothing more in; open requests are answered.
+    /// Accepts no more requests; open ones are still answered.
     pub(super) fn begin_draining(&mut self) {
         if self.state == ConnectionState::Open {
             self.stream.consume(self.stream.input().len());
@@ -123,7 +120,7 @@
         }
     }
 
-    /// Takes complete frames off the input.
+    /// Processes all complete frames of the input.
     pub(super) fn receive(
         &mut self,
         now: Timestamp,
@@ -140,14 +137,14 @@
                         incomplete.then(|| self.incomplete_since.unwrap_or(now));
                     return;
                 }
-                // Where the next frame begins is unknown: requests that were taken are answered, nothing more is read.
+                // The start of the next frame is unknown: accepted requests are answered, further input is discarded.
                 Err(_) => return self.reject_input(),
             };
             match message {
                 Message::Request(stream, payload) => {
                     let from = reply_to(key, stream);
                     let request = client::decode_request(payload);
-                    // Streams are new on their connection; an answer could else be taken for another's.
+                    // A stream id must not be open already: the response could be matched to the wrong request.
                     if !self.open_streams.insert(stream) {
                         return self.reject_input();
                     }
@@ -165,8 +162,8 @@
         }
     }
 
-    /// Checks a request against the limit on streams, and charges it the time that it waited before the connection was
-    /// accepted. After a bad one reading is paused.
+    /// Checks a request against the limit on streams and deducts the accept delay from its time limit. A malformed request pauses
+    /// reading.
     fn accept_request(
         &mut self,
         now: Timestamp,
@@ -197,7 +194,7 @@
         }
     }
 
-    /// Reports malformed input to the client; nothing more is taken in.
+    /// Reports malformed input to the client and accepts no more requests.
     pub(super) fn reject_input(&mut self) {
         self.stream.push(client::error());
         self.begin_draining();
--- a/front/src/server/downstream/eviction.rs
+++ b/front/src/server/downstream/eviction.rs
@@ -1,31 +1,30 @@
-//! Closes connections that are dead, idle, or in the way of others.
+//! Closes connections that are dead, idle, or needed for other clients.
 use super::connection::{Connection, ConnectionState};
 use super::{ClientEvent, Clients};
 use cranesill::api::{Micros, Timestamp};
 
-/// An idle connection is closed after this long: clients close theirs far earlier.
+/// Idle connections are closed after this time. Clients normally close them much earlier.
 pub(super) const IDLE_TIMEOUT: Micros = 10_000_000;
-/// A client that reads nothing of what is written for this long is taken for dead.
+/// A client that reads none of the pending output for this time is disconnected.
 const STALL_TIMEOUT: Micros = 10_000_000;
-/// The same while clients use up the memory for buffers: others wait for them then.
+/// The same while so much is buffered that reading from upstream is paused.
 const STALL_TIMEOUT_UNDER_PRESSURE: Micros = 1_000_000;
-/// The first frame on a connection, and each that is begun, has to be complete after this long. Guards against clients that
-/// take up connections and send nothing, or never end a frame.
+/// Time limit for receiving a complete frame, from its first byte or, for the first frame, from the start of the connection.
+/// Disconnects clients that occupy connections without sending requests.
 const FRAME_TIMEOUT: Micros = 1_500_000;
-/// After this long without input no request is taken to be on its way: the connection may be closed for lack of
-/// descriptors.
+/// A connection without input for this time may be closed for lack of descriptors, since no request is likely to be in transit.
 const MIN_EVICTABLE_IDLE: Micros = 1_000_000;
 
 impl Clients {
-    /// Closes connections that are dead or idle. While more than `max_buffered` bytes are buffered, those that buffer most
-    /// are closed too; above `pressure`, clients that read nothing are given less time. Returns requests that need no answer.
+    /// Closes dead and idle connections, and the ones with the largest buffers while more than `max_buffered` bytes are buffered.
+    /// Above `pressure` buffered bytes, clients that do not read are disconnected earlier. Returns the events of closed connections.
     pub fn sweep(
         &mut self,
         now: Timestamp,
         pressure: usize,
         max_buffered: usize,
     ) -> Vec<ClientEvent> {
-        // By what was buffered before anything is closed.
+        // Determined before any connection is closed.
         let stall_timeout = if self.buffered_bytes > pressure {
             STALL_TIMEOUT_UNDER_PRESSURE
         } else {
@@ -45,7 +44,8 @@
         disconnected
     }
 
-    /// Ends input where a frame is overdue, and drains connections that are idle. Paused reading is resumed on the way.
+    /// Rejects further input on connections with an overdue frame, drains idle connections, and resumes reading where a pause is
+    /// over.
     fn drain_idle(&mut self, now: Timestamp) {
         let keys: Vec<_> = self.connections.keys().copied().collect();
         for key in keys {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Closes connections whose clients read nothing or do not close their side.
+    /// Closes connections whose clients do not read, or do not close a connection after its write side was closed.
     fn close_stale(&mut self, now: Timestamp, stall_timeout: Micros) -> Vec<ClientEvent> {
         let is_stalled = |c: &Connection| !c.stream.flushed() && now > c.active_at + stall_timeout;
         let is_overdue =
@@ -87,8 +87,8 @@
         keys.flat_map(|key| self.disconnect(key)).collect()
     }
 
-    /// Closes a connection without a request: one that never sent a complete frame before the one that was idle for longest.
-    /// A connection with unread input, most likely a request, is not idle. Returns whether one was closed.
+    /// Closes a connection without open requests, preferably one that never sent a complete frame, then the one idle for longest.
+    /// Connections with unread input, probably a request, are skipped. Returns whether a connection was closed.
     pub fn evict(&mut self) -> bool {
         let free = self
             .connections
@@ -110,8 +110,7 @@
         key.map(|key| self.disconnect(key)).is_some()
     }
 
-    /// Closes the connection that was idle for longest, if it was for so long that no request is on its way there. Returns
-    /// whether one was closed.
+    /// Closes the connection idle for longest, if that is at least [`MIN_EVICTABLE_IDLE`]. Returns whether a connection was closed.
     pub fn evict_idle(&mut self, now: Timestamp) -> bool {
         let idle = |c: &Connection| {
             c.open_streams.is_empty() && c.stream.flushed() && c.stream.input().is_empty()
--- a/front/src/server/downstream/lifecycle.rs
+++ b/front/src/server/downstream/lifecycle.rs
@@ -1,10 +1,10 @@
-//! Graceful shutdown of clients' connections, of all at once.
+//! Draining and closing of all client connections.
 use super::Clients;
 use crate::protocol::client;
 use cranesill::api::Timestamp;
 
 impl Clients {
-    /// Takes no more requests and closes all connections once nothing is owed on them: the process ends.
+    /// Accepts no more requests and closes each connection once its responses are written. Called when the process exits.
     pub fn close_all(&mut self, now: Timestamp) {
         self.closes_all = true;
         let keys: Vec<_> = self.connections.keys().copied().collect();
@@ -21,7 +21,7 @@
         self.closes_all
     }
 
-    /// Asks all clients to open no new requests. With `close_idle`, connections are closed as they become idle.
+    /// Asks all clients to send no new requests. With `close_idle`, connections are closed as they become idle.
     pub fn drain(&mut self, now: Timestamp, close_idle: bool) {
         self.draining = true;
         self.closes_idle |= close_idle;
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Ends the draining. A connection whose client was notified is closed all the same.
+    /// Ends draining. Connections whose clients were notified are still closed.
     pub fn resume(&mut self) {
         self.draining = false;
     }
 
-    /// Asks a client, once, to open no new requests on its connection.
+    /// Asks a client, once per connection, to send no new requests on it.
     pub(super) fn notify_draining(&mut self, now: Timestamp, key: usize) {
         let connection = self.connections.get_mut(&key);
         if let Some(connection) = connection.filter(|c| c.notified_at.is_none()) {
--- a/front/src/server/downstream/tests.rs
+++ b/front/src/server/downstream/tests.rs
@@ -36,7 +36,7 @@
         socket
     }
 
-    /// Writes, and reads that as the loop would.
+    /// Sends bytes to the front and reads them as the event loop would.
     fn send_and_read(
         &mut self,
         now: Timestamp,
@@ -45,13 +45,16 @@
         bytes: &[u8],
     ) -> Vec<ClientEvent> {
         socket.write_all(bytes).unwrap();
-        assert!(self.becomes_readable(20_000_000), "something came");
+        assert!(
+            self.becomes_readable(20_000_000),
+            "the connection is readable"
+        );
         self.clients.read(now, key)
     }
 
-    /// Whether there is something to read before that long has passed.
+    /// Whether the poller reports a readable connection within `until` µs.
     fn becomes_readable(&mut self, until: Timestamp) -> bool {
-        // It may be told first that something can be written.
+        // Writability may be reported first.
         (0..3).any(|_| {
             self.reactor
                 .wait(0, Some(until))
@@ -74,7 +77,7 @@
 
 #[test]
 fn sweeps_close_idle_connections_that_have_nothing_to_write() {
-    // Each sweep took what had nothing to write for what had written something.
+    // Guards against a sweep that counts as activity on a connection with nothing to write.
     let mut harness = Harness::new();
     let idle = harness.client(0, 1);
     harness.send_and_read(1, &idle, 1, &READY);
@@ -101,27 +104,24 @@
         [ClientEvent::BadRequest(..)]
     ));
     (&client).write_all(&READY).unwrap();
-    assert!(
-        !harness.becomes_readable(20_000),
-        "nothing is read from it for now"
-    );
+    assert!(!harness.becomes_readable(20_000), "reading is paused");
     harness
         .clients
         .sweep(READ_PAUSE + 1, usize::MAX, usize::MAX);
     assert!(harness.becomes_readable(20_000_000));
-    // An end that is told while nothing is watched for would be told for ever.
+    // The end of a connection is reported even while reading is paused, and must be handled.
     let client = harness.client(0, 2);
     harness.send_and_read(1, &client, 2, &bad);
     drop(client);
     assert!(harness.becomes_readable(20_000_000));
     harness.clients.read(2, 2);
-    // It is owed an answer: whether it is there shows by what the system says to a frame.
+    // A response is pending: the reset sent in response to the next frame shows that the client has disconnected.
     assert!(harness.becomes_readable(20_000_000));
     harness.clients.read(3, 2);
     assert!(!harness.clients.has_connection(2));
 }
 
-/// A request that can be taken in.
+/// A well-formed request.
 const REQUEST: &[u8] = b"\x00\x00\x00\x2d\x0a\x00\x00\x00\x01\x03\x04verb\x00\x01x\x03txn\x00\x109b1f03aa5c7e2d41\x05limit\x00\x011";
 
 #[test]
@@ -138,11 +138,8 @@
     };
     harness.clients.respond(2, from, Response::Failed);
     (&client).write_all(&[0, 0, 0, 5, 12, 0, 0, 0, 1]).unwrap();
-    assert!(
-        !harness.becomes_readable(20_000),
-        "nothing is read from it for now"
-    );
-    let read_at = harness.clients.next_deadline().expect("it is read again");
+    assert!(!harness.becomes_readable(20_000), "reading is paused");
+    let read_at = harness.clients.next_deadline().expect("reading resumes");
     assert!(read_at < 50_000, "{read_at}");
     harness.clients.poll(read_at);
     assert!(harness.becomes_readable(20_000_000));
@@ -163,7 +160,10 @@
         let kept = (!closes).then_some(client);
         assert!(harness.becomes_readable(20_000_000));
         assert!(harness.clients.read(1, 1).is_empty() && harness.clients.has_partial_requests());
-        let at = harness.clients.next_deadline().expect("it is held back");
+        let at = harness
+            .clients
+            .next_deadline()
+            .expect("the request is held back");
         assert!(harness.clients.poll(at - 1).is_empty());
         if closes {
             assert!(harness.becomes_readable(20_000_000), "a reset");
@@ -190,7 +190,7 @@
     );
     harness.send_and_read(1, &idle, 1, &READY);
     harness.send_and_read(1, &active, 3, &READY);
-    // A request that can't be used is one all the same: it is owed an answer.
+    // A malformed request is answered as well.
     let request = [0, 0, 0, 6, 10, 0, 0, 0, 1, 0];
     let events = harness.send_and_read(1, &busy, 2, &request);
     let [ClientEvent::BadRequest(from, _)] = events[..] else {
@@ -204,14 +204,14 @@
         [1, 2, 3]
             .iter()
             .all(|key| harness.clients.connections[key].state == ConnectionState::Open),
-        "what was on its way comes first"
+        "requests in transit may still arrive"
     );
     harness.send_and_read(MIN_DRAINING_IDLE, &active, 3, &READY);
     sweep(&mut harness, MIN_DRAINING_IDLE + 10);
     let closes =
         |harness: &Harness, key| harness.clients.connections[&key].state != ConnectionState::Open;
     assert!(closes(&harness, 1) && !closes(&harness, 2) && !closes(&harness, 3));
-    // It takes clients again: who was told to go goes, and who comes now stays.
+    // After resuming, notified clients are still disconnected and new ones stay connected.
     harness.clients.resume();
     let _new = harness.client(MIN_DRAINING_IDLE + 20, 4);
     harness.send_and_read(MIN_DRAINING_IDLE + 20, &_new, 4, &READY);
@@ -220,10 +220,10 @@
         .respond(MIN_DRAINING_IDLE + 30, from, Response::Failed);
     harness.send_and_read(MAX_DRAINING_TIME, &active, 3, &READY);
     sweep(&mut harness, MAX_DRAINING_TIME + 10);
-    assert!(closes(&harness, 2), "answered, it is free");
+    assert!(closes(&harness, 2), "closed once its request is answered");
     assert!(
         closes(&harness, 3),
-        "one that goes on asking is closed in the end"
+        "a connection that stays active is closed after the maximum time"
     );
     sweep(&mut harness, MAX_DRAINING_TIME + 2 * CLOSE_TIMEOUT);
     assert!(
@@ -246,7 +246,7 @@
         harness.clients.evict()
             && harness.clients.has_connection(1)
             && !harness.clients.has_connection(2),
-        "the one that was idle for longer has asked"
+        "the connection idle for longer has unread input"
     );
     assert!(!harness.clients.evict() && harness.clients.has_connection(1));
 }
@@ -259,7 +259,7 @@
     assert!(harness
         .send_and_read(1, &client, 1, &[REQUEST, &cancelled(1)].concat())
         .is_empty());
-    // What was heard of in a turn before is called off.
+    // A request reported by an earlier read is cancelled.
     let mut other = REQUEST.to_vec();
     other[8] = 2;
     assert!(matches!(
@@ -292,7 +292,7 @@
     (&client).write_all(&READY).unwrap();
     assert!(
         !harness.becomes_readable(20_000),
-        "it has to take some first"
+        "reading stops until responses are read"
     );
 }
 
@@ -312,7 +312,10 @@
         .unwrap();
     let mut received = Vec::new();
     std::io::Read::read_to_end(&mut client, &mut received).unwrap();
-    assert_eq!(received[4], 11, "an answer and then the end: {received:?}");
-    // What comes after that is nobody's any more.
+    assert_eq!(
+        received[4], 11,
+        "a response, then the end of the stream: {received:?}"
+    );
+    // Later requests are discarded.
     assert!(harness.send_and_read(4, &client, 1, request).is_empty());
 }
--- a/front/src/server/downstream/unconfirmed.rs
+++ b/front/src/server/downstream/unconfirmed.rs
@@ -1,37 +1,36 @@
-//! Requests that came together with the end of their client's side of the connection.
+//! Requests received together with the end of the client's write side.
 //!
-//! Such a client may have closed its connection long ago: while the front was busy or its listener rested, the request and the
-//! end arrived before either was read. Whether it still waits shows by the system's answer to the next frame: a reset where it
-//! does not. The request is held back until the reset can have come.
+//! The client of such a request may have closed its socket, for example while the connection was in the accept queue. A closed
+//! socket responds to the next frame with a reset, so the request is held back until a reset would have arrived.
 use crate::routing::{ClientRequest, ReplyTo};
 use cranesill::api::{Micros, Timestamp};
 use std::collections::VecDeque;
 
-/// How long a reset takes at most to come back from a client that has closed its connection.
+/// Maximum time until the reset of a closed client socket arrives.
 pub const RESET_WAIT: Micros = 40_000;
 
-/// The requests that are held back, in the order of their time.
+/// Held-back requests in the order in which they become due.
 #[derive(Debug, Default)]
 pub struct Unconfirmed(VecDeque<(Timestamp, ReplyTo, ClientRequest)>);
 
 impl Unconfirmed {
-    /// Holds a request back. The wait counts against the time that its client gives it.
+    /// Holds a request back. The delay is deducted from its time limit.
     pub fn hold(&mut self, now: Timestamp, from: ReplyTo, mut request: ClientRequest) {
         request.time_limit = request.time_limit.saturating_sub(RESET_WAIT);
         self.0.push_back((now + RESET_WAIT, from, request));
     }
 
-    /// Drops the requests of a client that has closed its connection.
+    /// Removes the requests of a disconnected client.
     pub fn drop_client(&mut self, client: usize) {
         self.0.retain(|(_, from, _)| from.client != client);
     }
 
-    /// Returns when the next request is forwarded.
+    /// Returns when the next request becomes due.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.0.front().map(|(at, ..)| *at)
     }
 
-    /// Takes out a request whose client has not disconnected in time.
+    /// Removes and returns a request that is due, i.e. whose client did not disconnect in time.
     pub fn take(&mut self, now: Timestamp) -> Option<(ReplyTo, ClientRequest)> {
         self.next_deadline().filter(|at| *at <= now)?;
         self.0.pop_front().map(|(_, from, request)| (from, request))
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstream: the connections to cache nodes, parents and the origin.
+//! Upstream: connections to cache nodes, parents and the origin.
 mod connection;
 mod placement;
 mod redial;
@@ -11,48 +11,51 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Fraction of the endpoints' idle time after which a connection is closed here: a request must not cross their close.
+/// Fraction of the endpoints' idle timeout after which the front closes an idle connection, so that no request crosses a close by
+/// the endpoint.
 const IDLE_FRACTION: f64 = 0.5;
-/// Fraction of the connections that first ones to cache nodes may take up; the rest is for parents, the origin, and second
-/// ones to busy endpoints.
+/// Fraction of the connections available for one connection per cache node; the rest is for parents, the origin, and additional
+/// connections to busy endpoints.
 const CACHE_NODE_FRACTION: f64 = 0.75;
-/// Bytes that one read takes at most.
+/// Size of the read buffer.
 const MAX_READ_BYTES: usize = 64 * 1024;
-/// An incomplete answer of which nothing more comes for this long ends its connection.
+/// A connection is closed if an incomplete response makes no progress for this time.
 const PARTIAL_RESPONSE_TIMEOUT: Micros = 500_000;
 
-/// Where an attempt is to be sent.
+/// An attempt and where to send it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The attempt.
+    /// The attempt's id.
     pub attempt: AttemptId,
-    /// The endpoint that it is for.
+    /// The endpoint that the attempt is sent to.
     pub endpoint: EndpointId,
-    /// The attempt is withdrawn if it is not begun to be written by then.
+    /// The attempt is withdrawn if none of it is written by then.
     pub write_deadline: Timestamp,
 }
 
-/// Attempts that ended, each with how it ended.
+/// Ended attempts and their results.
 pub type Ends = Vec<(AttemptId, AttemptEnd)>;
 
-/// All upstream connections. Each belongs to an endpoint by its id, since an address may come to be another endpoint's.
+/// All upstream connections. They are assigned to endpoints by id, because an address may be reused by another endpoint.
 #[derive(Debug)]
 pub struct UpstreamConnections {
     connections: HashMap<usize, Connection>,
-    /// The connections to each endpoint.
+    /// The poller keys of the connections to each endpoint.
     by_endpoint: HashMap<EndpointId, Vec<usize>>,
-    /// Where each listed endpoint listens, and when it started.
+    /// The address and the start time of each listed endpoint.
     listed: HashMap<EndpointId, (SocketAddr, Timestamp)>,
-    /// The connection of each open attempt, and the id that it has there.
+    /// The poller key and the transaction of each open attempt.
     by_attempt: HashMap<AttemptId, (usize, TransactionId)>,
-    /// Attempts for which this machine could not begin a connection.
+    /// Attempts waiting for a retry because this host could not start a connection.
     redials: Redials,
     max_connections: usize,
+    /// Maximum number of open attempts on a connection.
     max_streams: usize,
+    /// Idle connections are closed after this time.
     max_idle: Micros,
-    /// An answer that is begun is complete after this long, or no client waits for it any more.
+    /// Time limit for receiving a response, the longest time that any client waits.
     max_response_time: Micros,
-    /// Attempts that were written completely.
+    /// The number of attempts written completely.
     pub attempts_written: u64,
     /// Bytes buffered on all connections.
     buffered_bytes: usize,
@@ -62,8 +65,7 @@
 }
 
 impl UpstreamConnections {
-    /// Has no connections yet. An endpoint closes connections that are idle for `max_idle`; each carries up to `max_streams`
-    /// attempts.
+    /// Creates a set without connections. `max_idle` is the time after which endpoints close idle connections.
     pub fn new(
         max_connections: usize,
         max_streams: usize,
@@ -87,13 +89,13 @@
         }
     }
 
-    /// Changes the limits on connections, and on how long one may be idle.
+    /// Changes the limit on connections and, if given, the idle time after which they are closed.
     pub fn set_limits(&mut self, max_connections: usize, idle: Option<Micros>) {
         self.max_connections = max_connections;
         self.max_idle = idle.unwrap_or(self.max_idle);
     }
 
-    /// Returns how many cache nodes can be connected at once, and how long an idle connection stays open.
+    /// Returns the maximum number of cache nodes connected at the same time, and how long idle connections stay open.
     pub fn cache_node_limits(&self) -> (usize, Micros) {
         (
             (self.max_connections as f64 * CACHE_NODE_FRACTION) as usize,
@@ -101,7 +103,7 @@
         )
     }
 
-    /// Whether this is the poller key of an upstream connection.
+    /// Whether `key` is the poller key of an upstream connection.
     pub fn has_connection(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
@@ -116,11 +118,11 @@
         self.buffered_bytes
     }
 
-    /// Pauses or resumes reading. Guards the memory limit: what endpoints send faster than clients read it stays with them.
+    /// Pauses or resumes reading from all endpoints. Pausing keeps responses that clients read too slowly out of memory.
     pub fn set_paused(&mut self, now: Timestamp, paused: bool) {
         if self.paused != paused {
             self.paused = paused;
-            // It can only fail for a socket that is not watched.
+            // Fails only for a socket that is not registered.
             for connection in self.connections.values_mut().filter(|l| l.established) {
                 drop(connection.stream.rewatch(!paused));
                 connection.received_at = connection.received_at.max(now);
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Notes where an endpoint listens. Connections to an earlier process of it get no further attempts.
+    /// Adds, updates or removes a listed endpoint. Connections to an earlier process of the endpoint get no further attempts.
     pub fn update_endpoint(&mut self, entry: &EndpointEntry, address: SocketAddr) {
         let now = Some((address, entry.started));
         let before = if entry.state == EndpointState::Removed {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Removes the endpoints that a complete list does not name.
+    /// Removes all endpoints that are not in `listed`.
     pub fn retain_listed(&mut self, listed: &HashSet<EndpointId>) {
         self.listed.retain(|member, _| listed.contains(member));
         self.connections
@@ -156,7 +158,7 @@
             .for_each(|l| l.retired = true);
     }
 
-    /// Returns how many listed endpoints have an established connection.
+    /// Returns the number of listed endpoints with an established connection.
     pub fn reached_endpoints(&self) -> usize {
         let up = |key: &usize| {
             self.connections
@@ -169,21 +171,21 @@
             .count()
     }
 
-    /// Returns when attempts that wait for a connection are to be tried again.
+    /// Returns when waiting attempts are due for a retry; `None` while none waits.
     pub fn redial_due(&self) -> Option<Timestamp> {
         self.redials.due()
     }
 
-    /// Takes out the attempts that are to be tried again now.
+    /// Removes and returns the waiting attempts if a retry is due.
     pub fn take_redials(&mut self, now: Timestamp) -> Vec<(Target, Fetch)> {
         self.redials.take(now)
     }
 
-    /// Closes connections with an answer that is overdue, and idle ones that are old or retired.
+    /// Closes connections with an overdue response, and idle ones that are retired or have exceeded the idle time.
     pub fn sweep(&mut self, now: Timestamp, ends: &mut Ends) {
         let overdue = self.keys_where(|connection| self.is_overdue(now, connection));
         for key in overdue {
-            self.fail(key, "an answer stops short", ends);
+            self.fail(key, "response incomplete for too long", ends);
         }
         let unused = self.keys_where(|connection| {
             let is_old = now > connection.idle_since + self.max_idle;
@@ -201,7 +203,7 @@
         matching.map(|(key, _)| *key).collect()
     }
 
-    /// Whether an answer has begun on a connection and nothing more of it comes, or not all of it in time.
+    /// Whether a partially received response makes no progress or exceeds its time limit.
     fn is_overdue(&self, now: Timestamp, connection: &Connection) -> bool {
         if self.paused || connection.stream.input().is_empty() {
             return false;
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, with the attempts on it and the ids that it carried.
+//! A connection to an endpoint, with its open attempts and recently used transaction ids.
 use crate::protocol::cache_node;
 use crate::routing::{AttemptId, Fetch, TransactionId};
 use crate::transport::Stream;
@@ -6,32 +6,32 @@
 use std::collections::{HashMap, HashSet};
 use std::io;
 
-/// For how long, or up to twice that, a connection remembers an id that it carried: answers to it may still come.
+/// A connection remembers transaction ids for at least this time, and for at most twice as long, because late responses may arrive.
 const RECENT_ID_RETENTION: Micros = 10_000_000;
-/// Unexpected answers that a connection may bring beyond two for each id that it carried: one late and one repeated. More
-/// of them end it, or they would come for ever.
+/// Limit on unexpected responses on a connection, in addition to two for each recent id (one late, one duplicate). A connection
+/// that exceeds it is closed.
 const MAX_UNEXPECTED_RESPONSES: usize = 16;
 
 /// An attempt on a connection.
 #[derive(Debug)]
 pub(super) struct OpenAttempt {
     pub(super) attempt: AttemptId,
-    /// When it was put on the connection.
+    /// When the attempt was queued on the connection.
     pub(super) sent_at: Timestamp,
-    /// Whether its request changes something at the endpoint.
+    /// Whether the request is a write.
     pub(super) is_write: bool,
-    /// The endpoint that it names as the source for a fill.
+    /// The source for a fill named in the request.
     pub(super) source: Option<EndpointId>,
-    /// Whether all of it is written.
+    /// Whether the request is completely written.
     pub(super) written: bool,
-    /// Withdrawn if it is not begun to be written by then.
+    /// The attempt is withdrawn if none of it is written by then.
     pub(super) write_deadline: Timestamp,
-    /// The request, until it is written: the time left that it names is as of when it is written.
+    /// The request until it is completely written, to update its remaining time until then.
     pub(super) fetch: Option<Box<Fetch>>,
 }
 
 impl OpenAttempt {
-    /// Notes that it is written; the request need not be kept.
+    /// Marks the attempt as completely written and drops its copy of the request.
     pub(super) fn set_written(&mut self) {
         self.written = true;
         self.fetch = None;
@@ -43,28 +43,28 @@
 pub(super) struct Connection {
     pub(super) stream: Stream<Option<TransactionId>>,
     pub(super) endpoint: EndpointId,
-    /// Whether the connection is up.
+    /// Whether the TCP connection is established.
     pub(super) established: bool,
-    /// Whether it gets no further attempts.
+    /// Whether the connection gets no further attempts.
     pub(super) retired: bool,
-    /// Attempts that are not answered yet, by the id of their request.
+    /// Attempts without a response, by transaction id.
     pub(super) open_attempts: HashMap<TransactionId, OpenAttempt>,
-    /// Ids that may still be answered here.
+    /// Transaction ids recently used on this connection.
     pub(super) recent_ids: RecentIds,
-    /// When something was last sent or answered.
+    /// When an attempt was last sent, answered or cancelled.
     pub(super) idle_since: Timestamp,
-    /// When something was last received.
+    /// When data was last received.
     pub(super) received_at: Timestamp,
-    /// Since when an answer is incomplete.
+    /// Since when a response is partially received.
     pub(super) partial_since: Option<Timestamp>,
-    /// For how long attempts waited here that were cancelled, since something was received.
+    /// Total time that cancelled attempts had waited, since data was last received.
     pub(super) silent_wait: Micros,
-    /// Answers to no open attempt.
+    /// The number of responses received that match no open attempt.
     pub(super) unexpected_responses: usize,
 }
 
 impl Connection {
-    /// A connection that is being established.
+    /// Creates a connection that is being established.
     pub(super) fn new(
         now: Timestamp,
         endpoint: EndpointId,
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Whether it is established and carries no attempt.
+    /// Whether the connection is established and has no open attempt.
     pub(super) fn is_idle(&self) -> bool {
         self.established && self.open_attempts.is_empty()
     }
 
-    /// Counts an answer to no open attempt. Too many are an error.
+    /// Counts a response that matches no open attempt. Fails if there are too many.
     pub(super) fn count_unexpected_response(&mut self) -> io::Result<()> {
         self.unexpected_responses += 1;
         let limit = MAX_UNEXPECTED_RESPONSES + 2 * self.recent_ids.len();
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Whether an attempt under this id may be sent here, where each connection carries up to `streams`.
+    /// Whether an attempt with this id may be sent on this connection, given the limit `streams` on open attempts.
     pub(super) fn accepts(&self, txn: &TransactionId, streams: usize) -> bool {
         !self.retired
             && !self.recent_ids.contains(txn)
@@ -108,7 +108,7 @@
             && !self.is_blocked()
     }
 
-    /// Whether the rest of an answer to a cancelled attempt has still to come, with everything else behind it.
+    /// Whether a partially received response to a cancelled attempt delays all later responses.
     pub(super) fn is_blocked(&self) -> bool {
         let input = self.stream.input();
         let first_id = || {
@@ -121,8 +121,8 @@
     }
 }
 
-/// Ids that a connection carried recently, in two generations. Guards against an answer that comes twice, or late
-/// for an attempt that was given up: it would be taken for that of the next attempt under the same id.
+/// Recently used transaction ids, in two generations. An id is not reused on a connection, so that a duplicate or late response
+/// cannot be matched to a later attempt with the same id.
 #[derive(Debug, Default)]
 pub(super) struct RecentIds {
     new: HashSet<TransactionId>,
@@ -131,17 +131,17 @@
 }
 
 impl RecentIds {
-    /// Whether the connection carried this id recently.
+    /// Whether the connection has used this id recently.
     pub(super) fn contains(&self, txn: &TransactionId) -> bool {
         self.new.contains(txn) || self.old.contains(txn)
     }
 
-    /// Returns how many ids it carried recently.
+    /// Returns the number of remembered ids.
     pub(super) fn len(&self) -> usize {
         self.new.len() + self.old.len()
     }
 
-    /// Adds an id, and forgets those that are too old.
+    /// Adds an id and removes expired ones.
     pub(super) fn add(&mut self, now: Timestamp, txn: TransactionId) {
         if now > self.rotated_at + RECENT_ID_RETENTION {
             self.old = std::mem::take(&mut self.new);
--- a/front/src/server/upstream/placement.rs
+++ b/front/src/server/upstream/placement.rs
@@ -1,4 +1,4 @@
-//! Chooses or begins a connection for an attempt.
+//! Selects a connection for an attempt, or starts a new one.
 use super::connection::{Connection, OpenAttempt};
 use super::{Ends, Target, UpstreamConnections};
 use crate::protocol::cache_node;
@@ -7,26 +7,28 @@
 use cranesill::api::{EndpointId, Timestamp};
 use std::io;
 
-/// With this many attempts open a connection counts as busy and another is begun: a large answer blocks what is behind it.
+/// A connection with this many open attempts is busy. Another one is then started, because a large response delays all later
+/// responses on its connection.
 const MIN_BUSY_STREAMS: usize = 1;
 
-/// What came of a new connection that an attempt might need.
+/// Result of an attempt to start a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectResult {
-    /// None was needed, or there is no capacity for one.
+    /// No connection was needed, or there is no capacity for one.
     NotAttempted,
-    /// It was begun.
+    /// Connecting has started.
     Started,
-    /// The endpoint refused it.
+    /// The endpoint refused the connection.
     Refused,
-    /// This machine could not begin it, which says nothing of the endpoint.
+    /// This host could not start the connection, which gives no information about the endpoint.
     LocalFailure,
-    /// It failed in some other way.
+    /// Connecting failed for another reason.
     Failed,
 }
 
 impl UpstreamConnections {
-    /// Sends an attempt on a connection; `key` is for a new one. Returns the key if a connection was begun.
+    /// Sends an attempt on an existing connection or on a new one with the poller key `key`. Returns the key if a connection was
+    /// started.
     pub fn send(
         &mut self,
         now: Timestamp,
@@ -60,7 +62,7 @@
         started
     }
 
-    /// Begins a connection if none was chosen, or if the chosen one is busy and the endpoint may have another.
+    /// Starts a connection if none was chosen, or if the chosen one is busy and the endpoint may have another.
     fn connect_if_needed(
         &mut self,
         now: Timestamp,
@@ -81,7 +83,7 @@
         let Some((address, _)) = self.listed.get(&endpoint).copied() else {
             return ConnectResult::NotAttempted;
         };
-        // One that would only be the second to an endpoint closes none to another.
+        // An additional connection to an endpoint must not replace a connection to another endpoint.
         let has_capacity = self.connections.len() < self.max_connections
             || chosen.is_none() && self.ensure_capacity();
         if !has_capacity {
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Counts an endpoint's connections that still get attempts. Those to an earlier process of it may stay silent for long
-    /// and must not keep the new one from being reached.
+    /// Returns the number of connections of an endpoint that still get attempts. Retired connections to an earlier process of the
+    /// endpoint do not count, so that they cannot prevent connections to the new one.
     fn usable_connections(&self, endpoint: EndpointId) -> usize {
         let keys = self.by_endpoint.get(&endpoint).into_iter().flatten();
         let connections = keys.filter_map(|key| self.connections.get(key));
@@ -119,7 +121,7 @@
         self.by_endpoint.entry(endpoint).or_default().push(key);
     }
 
-    /// Puts an attempt on a connection, and writes what can be written of it.
+    /// Queues an attempt on a connection and writes as much as possible.
     fn enqueue(
         &mut self,
         now: Timestamp,
@@ -146,7 +148,7 @@
         self.by_attempt
             .insert(target.attempt, (key, fetch.transaction));
         self.flush(now, key, ends);
-        // Most are written at once and need no copy of the request.
+        // Copied only now because most requests are written immediately and need no copy.
         let connection = self.connections.get_mut(&key);
         let sent =
             connection.and_then(|connection| connection.open_attempts.get_mut(&fetch.transaction));
@@ -155,8 +157,8 @@
         }
     }
 
-    /// Chooses a connection, and reads from it first if it is idle. Guards against commands that are written into the end of
-    /// a connection: the endpoint may have closed it, which was not reported yet.
+    /// Chooses a connection and, if it is idle, reads from it first to detect that the endpoint has closed it, which the poller may
+    /// not have reported yet.
     fn choose_live(
         &mut self,
         now: Timestamp,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Chooses the connection to an endpoint that carries least, among those that may carry this id.
+    /// Chooses the connection with the fewest open attempts among those of the endpoint that accept this id.
     fn choose(&self, endpoint: EndpointId, txn: &TransactionId) -> Option<usize> {
         let keys = self.by_endpoint.get(&endpoint)?.iter();
         let connections = keys.filter_map(|key| Some((*key, self.connections.get(key)?)));
@@ -194,8 +196,8 @@
             .map(|(key, _)| key)
     }
 
-    /// Closes the connection that was idle for longest if there is no capacity for one more. Guards against requests that
-    /// find no connection while others are idle. Returns whether there is capacity.
+    /// Closes the connection idle for longest if the limit on connections is reached. Returns whether there is capacity for another
+    /// one.
     fn ensure_capacity(&mut self) -> bool {
         if self.connections.len() < self.max_connections {
             return true;
@@ -213,8 +215,8 @@
         self.connections.len() < self.max_connections
     }
 
-    /// Begins a connection to an endpoint that has none, before a request needs it. Returns whether one was begun; one that
-    /// cannot be begun now is begun for the first request.
+    /// Starts a connection to an endpoint that has none, before a request needs it. Returns whether one was started; after a failure
+    /// the first request starts one.
     pub fn preconnect(
         &mut self,
         now: Timestamp,
--- a/front/src/server/upstream/redial.rs
+++ b/front/src/server/upstream/redial.rs
@@ -1,31 +1,32 @@
-//! Attempts for which this machine could not begin a connection: they are retried after a short pause. Such a failure says
-//! nothing of the endpoint, and nothing of the request was written. No I/O and no clock.
+//! Attempts for which this host could not start a connection, retried after a short delay. Such a failure gives no information about
+//! the endpoint, and no part of the request was written. No I/O and no clock.
 use super::Target;
 use crate::routing::{AttemptId, Fetch};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// Pause between two retries.
+/// Delay until the waiting attempts are retried.
 const RETRY_INTERVAL: Micros = 5_000;
-/// Requests for an endpoint that could not be connected to for this long go elsewhere at once.
+/// If connecting to an endpoint has failed for this time, further attempts fail immediately so that requests use other endpoints.
 const MAX_FAILING_TIME: Micros = 250_000;
-/// After this long without a failure the next one counts as the first.
+/// A failure period ends after this time without a failure.
 const FAILURE_RESET_INTERVAL: Micros = 100_000;
 
+/// An attempt that waits for a retry.
 #[derive(Debug)]
 struct Waiting {
     target: Target,
     fetch: Fetch,
 }
 
-/// Since when connecting to an endpoint fails, and when it failed last.
+/// The first and the last failure of a period in which connecting to an endpoint fails.
 #[derive(Clone, Copy, Debug)]
 struct FailurePeriod {
     since: Timestamp,
     last: Timestamp,
 }
 
-/// The attempts that wait for a retry.
+/// All attempts that wait for a retry.
 #[derive(Debug, Default)]
 pub struct Redials {
     waiting: BTreeMap<AttemptId, Waiting>,
@@ -35,12 +36,12 @@
 }
 
 impl Redials {
-    /// Notes that a connection to this endpoint was begun.
+    /// Records that a connection to this endpoint was started.
     pub fn record_success(&mut self, endpoint: EndpointId) {
         self.failing.remove(&endpoint);
     }
 
-    /// Notes that a connection to this endpoint could not be begun. Returns whether an attempt may wait for a retry.
+    /// Records that a connection to this endpoint could not be started. Returns whether an attempt may wait for a retry.
     pub fn record_failure(&mut self, now: Timestamp, endpoint: EndpointId) -> bool {
         self.failing
             .retain(|_, failing| now <= failing.last + FAILURE_RESET_INTERVAL);
@@ -52,7 +53,7 @@
         now < failing.since + MAX_FAILING_TIME
     }
 
-    /// Holds an attempt until the next retry.
+    /// Adds an attempt that waits for the next retry.
     pub fn wait(&mut self, now: Timestamp, target: Target, fetch: &Fetch) {
         let waiting = Waiting {
             target,
@@ -62,13 +63,13 @@
         self.due.get_or_insert(now + RETRY_INTERVAL);
     }
 
-    /// Returns when the next retry is due; `None` while nothing waits.
+    /// Returns when the next retry is due; `None` while no attempt waits.
     pub fn due(&self) -> Option<Timestamp> {
         self.due
     }
 
-    /// Takes out all attempts if the retry is due; they are held again where it fails. Those whose deadline has passed are left
-    /// to be withdrawn.
+    /// Removes and returns all waiting attempts if the retry is due; the caller adds them again if it fails. Attempts whose write
+    /// deadline has passed are left to be withdrawn.
     pub fn take(&mut self, now: Timestamp) -> Vec<(Target, Fetch)> {
         if self.due.is_none_or(|due| now < due) {
             return Vec::new();
@@ -84,12 +85,12 @@
             .collect()
     }
 
-    /// Takes an attempt out. Returns whether it was held.
+    /// Removes an attempt. Returns whether it was waiting.
     pub fn remove(&mut self, attempt: AttemptId) -> bool {
         self.waiting.remove(&attempt).is_some()
     }
 
-    /// Takes out the attempts that are for this endpoint or name it as the source for a fill.
+    /// Removes and returns the attempts that are for this endpoint or name it as the source for a fill.
     pub fn exclude(&mut self, endpoint: EndpointId) -> Vec<AttemptId> {
         let source = |fetch: &Fetch| fetch.fill.and_then(|fill| fill.source);
         let concerns = |waiting: &Waiting| {
--- a/front/src/server/upstream/redial/tests.rs
+++ b/front/src/server/upstream/redial/tests.rs
@@ -126,7 +126,7 @@
     assert!(!redials.record_failure(MAX_FAILING_TIME, ENDPOINT));
     assert!(
         redials.record_failure(MAX_FAILING_TIME + FAILURE_RESET_INTERVAL + 1, ENDPOINT),
-        "a shortage long after is another one"
+        "a later failure starts a new period"
     );
     redials.record_success(ENDPOINT);
     assert!(redials.record_failure(MAX_FAILING_TIME + FAILURE_RESET_INTERVAL + 2, ENDPOINT));
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -21,7 +21,7 @@
 
 const ENDPOINT: EndpointId = EndpointId(1);
 
-/// One member behind a listener, and up to so many connections.
+/// One endpoint behind `listener`, with a limit on connections.
 fn upstream(max_connections: usize, listener: &std::net::TcpListener) -> UpstreamConnections {
     let mut upstream = UpstreamConnections::new(max_connections, 100, 15_000_000, 5_000_000);
     let state = EndpointState::Ready;
@@ -64,7 +64,7 @@
             &mut ends,
         );
     }
-    // The same id can't go out twice there, and there is no other connection to be had.
+    // The id cannot be used twice on a connection, and the limit allows no other connection.
     upstream.send(
         0,
         &reactor,
@@ -95,7 +95,7 @@
 
 #[test]
 fn unwritten_attempts_are_withdrawn_when_their_endpoint_or_source_is_excluded() {
-    // Connections may take 400 ms to come up, and the rule on drains leaves 250 on one deployment, 500 on another.
+    // Guards against attempts written to a draining endpoint because connecting took longer than the drain grace period.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut upstream = upstream(9, &listener);
@@ -132,7 +132,7 @@
     );
     upstream.exclude(ENDPOINT, &mut ends);
     assert_eq!(ends.len(), 3);
-    // The connections come up now: nothing is written on them.
+    // The connections are established now; nothing may be written on them.
     for key in 1..=3 {
         reactor.wait(0, Some(100_000)).unwrap();
         upstream.ready(0, key, false, &mut ends);
@@ -156,7 +156,7 @@
         started.is_some()
     };
     assert!(starts_connection(0, 1, 10_000));
-    // Given up soon it says nothing; after long silence the connection is of no further use.
+    // A short wait does not retire the connection, a long one does.
     assert!(!starts_connection(20_000, 2, 2_000_000));
     assert!(starts_connection(3_000_000, 3, 10_000));
 }
@@ -210,7 +210,7 @@
     );
     node.write_all(head.as_bytes()).unwrap();
     let mut now = 0;
-    // A few bytes come four times a second; those who ask wait for 5 s.
+    // Four bytes arrive every 250 ms; the longest client wait is 5 s.
     while upstream.has_connection(1) && now < 60_000_000 {
         now += 250_000;
         node.write_all(b"more").unwrap();
@@ -230,18 +230,18 @@
     );
 }
 
-/// A node's end of one connection: what came on it, and what is open there by that.
+/// The endpoint's side of a connection, with the attempts open there according to the commands received.
 struct RemoteEnd {
     socket: std::net::TcpStream,
     bytes: Vec<u8>,
     open: HashSet<u64>,
-    /// It reads nothing for now.
+    /// Whether reading is suspended.
     frozen: bool,
     is_closed: bool,
 }
 
 impl RemoteEnd {
-    /// Takes in all that was written so far.
+    /// Reads and processes all commands received so far.
     fn read(&mut self) {
         use std::io::Read;
         let mut chunk = vec![0; 1 << 16];
@@ -253,7 +253,7 @@
                 Err(_) => self.is_closed = true,
             }
         }
-        // A command of strings, each behind a line with its length.
+        // A command is an array of bulk strings, each preceded by a line with its length.
         let line = |at: usize| {
             let end = at
                 + self
@@ -281,11 +281,11 @@
         let mut open = self.open.clone();
         while let Some((parts, next)) = complete_command(done) {
             let txn = u64::from_str_radix(std::str::from_utf8(&parts[1]).unwrap(), 16).unwrap();
-            // What is given up may have been answered meanwhile.
+            // A cancelled attempt may already have been answered.
             if parts[0] == b"abort" {
                 open.remove(&txn);
             } else {
-                assert!(open.insert(txn), "{txn:x} came twice on a connection");
+                assert!(open.insert(txn), "{txn:x} was sent twice on a connection");
             }
             done = next;
         }
@@ -294,7 +294,8 @@
     }
 }
 
-/// By random numbers: what is sent, given up, answered, reset, withdrawn and left out in any order, on so many connections.
+/// Sends, cancels, answers, resets, withdraws and excludes attempts in random order on up to `max_connections` connections. Returns
+/// how often an attempt was outstanding.
 fn run_random_operations(seed: u64, max_connections: usize) -> usize {
     let listeners: Vec<_> = (0..2)
         .map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap())
@@ -428,7 +429,7 @@
             let most = usize::from(wanted.contains_key(&request));
             assert!(
                 out <= most,
-                "seed {seed}, {max_connections} connections: {request} is out {out} times, {most} wanted"
+                "seed {seed}, {max_connections} connections: request {request} has {out} outstanding attempts, at most {most} allowed"
             );
             outstanding += out;
         }
@@ -444,7 +445,7 @@
             .sum();
         assert!(
             outstanding > 1_000,
-            "{outstanding}: too little was out to tell anything"
+            "only {outstanding} outstanding attempts observed: the test is not meaningful"
         );
     }
 }
@@ -469,7 +470,7 @@
         };
         upstream.update_endpoint(&entry, listener.local_addr().unwrap());
     }
-    // The second and the third carry nothing any more, the third for longer; the first still does.
+    // The second and the third connection become idle, the third one first; the first keeps an open attempt.
     for n in 1..=3 {
         let target = Target {
             attempt: attempt(n),
@@ -499,7 +500,7 @@
     let mut kept: Vec<_> = upstream.connections.keys().copied().collect();
     kept.sort_unstable();
     assert_eq!((kept, ends.len()), (vec![1, 2, 4], 0));
-    // A second one to a node that has one closes none.
+    // A second connection to an endpoint does not close another one.
     upstream.send(
         4_000,
         &reactor,
@@ -547,6 +548,6 @@
     let held = upstream.buffered_bytes();
     assert_eq!(
         held, 0,
-        "the sum over connections is right after the head was written anew"
+        "the total over connections is correct after the head was rewritten"
     );
 }
--- a/front/src/server/upstream/transfer.rs
+++ b/front/src/server/upstream/transfer.rs
@@ -1,15 +1,16 @@
-//! Reading from and writing to upstream connections, and their end.
+//! Reading from, writing to and closing upstream connections.
 use super::{Ends, UpstreamConnections};
 use crate::protocol::cache_node::{self, DecodedReply};
 use crate::routing::{AttemptEnd, TransactionId};
 use cranesill::api::Timestamp;
 use std::io;
 
-/// Reads of one connection in one turn: a node that sends without end keeps neither timers nor the feed waiting.
+/// Maximum number of reads of one connection in one turn of the event loop, so that an endpoint that sends continuously delays
+/// neither timers nor discovery.
 const MAX_READS_PER_TURN: usize = 4;
 
 impl UpstreamConnections {
-    /// Handles a connection that can be read or written.
+    /// Handles readiness of a connection.
     pub fn ready(&mut self, now: Timestamp, key: usize, readable: bool, ends: &mut Ends) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Reads until there is nothing more, it is the others' turn, or reading is paused.
+    /// Reads until there is no more input, the limit per turn is reached, or reading is paused.
     pub(super) fn read(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
         for _ in 0..MAX_READS_PER_TURN {
             let Some(connection) = self.connections.get_mut(&key) else {
@@ -47,8 +48,8 @@
                 }
             }
             self.take_responses(now, key, ends)?;
-            // One read is made even while paused: the end of a connection is reported though it is not watched, and would be
-            // reported again and again.
+            // One read is made even while reading is paused: the poller reports the end of a connection regardless of its registered
+            // interest, and would report it again in each turn.
             if self.paused {
                 break;
             }
@@ -56,7 +57,7 @@
         Ok(())
     }
 
-    /// Takes complete answers off what was read.
+    /// Processes all complete responses of the input.
     fn take_responses(&mut self, now: Timestamp, key: usize, ends: &mut Ends) -> io::Result<()> {
         let Some(connection) = self.connections.get_mut(&key) else {
             return Ok(());
@@ -66,7 +67,8 @@
         {
             let txn = std::str::from_utf8(id).ok().and_then(TransactionId::new);
             let open = txn.and_then(|txn| connection.open_attempts.get(&txn));
-            // Guards against passing on what no endpoint made: all that is served but a write names its copy.
+            // Every served response except that of a write identifies its copy. One that does not was not produced by a correct
+            // endpoint and must not reach a client.
             if open.is_some_and(|sent| !sent.is_write) && reply.lacks_identity() {
                 return Err(malformed());
             }
@@ -76,7 +78,7 @@
                 ends.push((sent.attempt, AttemptEnd::Reply(reply)));
                 connection.idle_since = now;
             } else {
-                // The attempt was cancelled, or nothing was asked under this id: the answer is dropped.
+                // The attempt was cancelled, or the id was never used: the response is discarded.
                 connection.count_unexpected_response()?;
             }
             connection.stream.consume(length);
@@ -88,7 +90,7 @@
         Ok(())
     }
 
-    /// Writes what can be written.
+    /// Writes as much pending output as possible.
     pub(super) fn flush(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
         let Some(connection) = self
             .connections
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Rewrites the time left in requests of which nothing is written: it counts from when they are written.
+    /// Updates the remaining time in requests of which nothing is written yet.
     pub(super) fn update_time_left(&mut self, now: Timestamp, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
@@ -128,18 +130,18 @@
         });
     }
 
-    /// Fails a connection that is not established in time.
+    /// Closes a connection that is not established when its connect timeout expires.
     pub fn fail_unestablished(&mut self, key: usize, ends: &mut Ends) {
         if self
             .connections
             .get(&key)
             .is_some_and(|connection| !connection.established)
         {
-            self.fail(key, "not up in time", ends);
+            self.fail(key, "connect timeout", ends);
         }
     }
 
-    /// Closes a connection and ends all attempts that are open on it.
+    /// Closes a connection and ends its open attempts. The first of them reports the failure, the others are marked as duplicates.
     pub(super) fn fail(&mut self, key: usize, error: &str, ends: &mut Ends) {
         let Some(mut connection) = self.connections.remove(&key) else {
             return;
--- a/front/src/server/upstream/withdrawal.rs
+++ b/front/src/server/upstream/withdrawal.rs
@@ -1,14 +1,14 @@
-//! Attempts that are cancelled, or not written any more because something changed while they waited.
+//! Cancellation of attempts, and withdrawal of attempts that are not written yet.
 use super::{Ends, UpstreamConnections};
 use crate::protocol::cache_node;
 use crate::routing::{AttemptEnd, AttemptId};
 use cranesill::api::{EndpointId, Micros, Timestamp};
 
-/// A connection on which cancelled attempts waited for this long in all, and nothing was received, gets no further ones.
+/// A connection is retired when cancelled attempts have waited for this time in total without any data received.
 const MAX_SILENT_WAIT: Micros = 1_000_000;
 
 impl UpstreamConnections {
-    /// Cancels an attempt at its endpoint.
+    /// Cancels an attempt; an endpoint that may have received it is notified.
     pub fn abort(&mut self, now: Timestamp, attempt: AttemptId, ends: &mut Ends) {
         self.redials.remove(attempt);
         let Some((key, txn)) = self.by_attempt.remove(&attempt) else {
@@ -19,8 +19,8 @@
         };
         let sent = connection.open_attempts.remove(&txn);
         connection.idle_since = now;
-        // A connection on which an answer never comes is of no further use, open as it may be. Where clients wait for less than
-        // that takes to see, it takes more than one of them.
+        // Detects connections that are open but never respond. The waits are added up because a single client may wait for less
+        // than the limit.
         let silent_wait = sent
             .filter(|sent| connection.received_at <= sent.sent_at)
             .map(|sent| now.saturating_sub(sent.sent_at));
@@ -31,15 +31,15 @@
         }
         connection.stream.push(cache_node::abort(txn));
         self.flush(now, key, ends);
-        // Guards the rule that no two attempts of a request are out: a cancellation that can't be written yet has no effect, the
-        // end of the connection has.
+        // At most one attempt of a request may be outstanding. A cancellation that cannot be written yet has no effect, but closing
+        // the connection has.
         let connection = self.connections.get(&key);
         if connection.is_some_and(|connection| !connection.stream.flushed()) {
             self.fail(key, "blocked", ends);
         }
     }
 
-    /// Withdraws an attempt of which nothing is written: what was decided a while ago may contradict what is known since.
+    /// Withdraws an attempt if none of it is written by its write deadline, since the decision to send it may be outdated.
     pub fn withdraw(&mut self, attempt: AttemptId, ends: &mut Ends) {
         if self.redials.remove(attempt) {
             return ends.push((attempt, AttemptEnd::NoConnection));
@@ -53,8 +53,8 @@
         );
     }
 
-    /// Withdraws attempts on a connection that is established only now, if their deadline for writing has passed. Guards
-    /// against a late turn of the loop, in which the connection comes before the timers.
+    /// Withdraws attempts on a newly established connection whose write deadline has passed. In a delayed turn of the event loop the
+    /// connection is handled before the timers of these deadlines.
     pub(super) fn withdraw_overdue(&mut self, now: Timestamp, key: usize, ends: &mut Ends) {
         let Some(connection) = self.connections.get(&key) else {
             return;
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Withdraws what waits to be written to an endpoint that drains, was removed or cordoned, and what names it as the source
-    /// for a fill. Guards the rule on drains: a connection may be established later than new work is allowed there. The ends
-    /// count against no endpoint.
+    /// Withdraws unwritten attempts for an endpoint that is draining, removed or cordoned, and those that name it as the source for
+    /// a fill. Their connections may be established after the endpoint stops accepting new work. The results count against no
+    /// endpoint.
     pub fn exclude(&mut self, endpoint: EndpointId, ends: &mut Ends) {
         let mut excluded = Vec::new();
         for connection in self.connections.values() {
@@ -91,7 +91,7 @@
         ends.extend(waiting.map(|attempt| (attempt, AttemptEnd::NoConnection)));
     }
 
-    /// Takes an attempt back with this end, if nothing of it is written.
+    /// Withdraws an attempt with this result if none of it is written.
     pub(super) fn withdraw_unwritten(
         &mut self,
         attempt: AttemptId,
