--- a/front/src/server/acceptor.rs
+++ b/front/src/server/acceptor.rs
@@ -22,7 +22,7 @@
     At(Timestamp),
 }
 
-/// State of a listener whose calls to `accept` may fail.
+/// Backoff state of a listener.
 #[derive(Debug, Default)]
 pub struct AcceptBackoff {
     /// When calls started to fail; connections may have been in the accept queue since then.
--- a/front/src/server/ctl/options.rs
+++ b/front/src/server/ctl/options.rs
@@ -20,7 +20,7 @@
     long("json").help("Print JSON").switch()
 }
 
-/// `cranesill ctl`.
+/// Parses the command `ctl`.
 pub fn ctl() -> impl Parser<Ctl> {
     let daemon = daemon();
     let json = json_out();
@@ -38,7 +38,7 @@
     .command("ctl")
 }
 
-/// `cranesill certs`.
+/// Parses the command `certs`.
 pub fn certs() -> impl Parser<Ctl> {
     let name = || positional::<String>("NAME").help("Any of the names of the certificate");
     let list = bpaf::pure(Operation::ListCertificates)
@@ -95,7 +95,7 @@
     .command("certs")
 }
 
-/// `cranesill purge`.
+/// Parses the command `purge`.
 pub fn purge() -> impl Parser<Ctl> {
     let target = |name: &'static str, help: &'static str| {
         long(name)
@@ -149,7 +149,7 @@
     .command("purge")
 }
 
-/// `cranesill purges`.
+/// Parses the command `purges`.
 pub fn purges() -> impl Parser<Ctl> {
     let list = bpaf::pure(Operation::ListPurges(None))
         .to_options()
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -54,7 +54,7 @@
     /// The file cannot be read.
     #[error("{}: {source}", file.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
         /// The error of the system call.
         source: io::Error,
@@ -62,7 +62,7 @@
     /// The file is not valid JSON.
     #[error("{}: {source}", file.display())]
     InvalidJson {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
         /// The syntax error and its position.
         source: serde_json::Error,
@@ -70,7 +70,7 @@
     /// A value is invalid.
     #[error("{}: $.{fault}", file.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
         /// The key of the value and its fault.
         fault: ConfigFault,
@@ -78,7 +78,7 @@
     /// A setting is invalid.
     #[error("{}: {fault}", file.display())]
     InvalidSettings {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
         /// The path of the setting and its fault.
         fault: cranesill_daemon::Fault,
@@ -280,7 +280,7 @@
     /// Reading or writing a file or the socket failed.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file or socket.
+        /// The path of the file or socket.
         path: PathBuf,
         /// The error of the system call.
         source: io::Error,
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of operators that concern the front itself.
+//! Operator commands that are handled by the front itself rather than by a driver.
 use super::Server;
 use crate::protocol::cache_node::endpoint_name;
 use crate::server::drivers::purges::parse_target;
@@ -7,43 +7,40 @@
 use cranesill_daemon::Level;
 use serde_json::{json, Value};
 
-/// The commands of operators that the front itself carries out, each with its line of help.
+/// The operator commands handled by the front itself, each with its help text.
 pub(super) const ADMIN_COMMANDS: [(&str, &str); 11] = [
-    ("health", "whether it can serve"),
-    ("counters", "the figures"),
+    ("health", "check whether the front serves clients"),
+    ("counters", "show the counters of requests and connections"),
     (
         "cordon",
-        "{node}: take a cache, a parent or the origin out, by hand",
+        "{node}: take a cache, a parent or the origin out of service",
     ),
-    ("uncordon", "{node}: it may serve again"),
-    ("quiesce", "empty the front of clients"),
-    ("resume", "take clients again"),
+    ("uncordon", "{node}: return a cordoned endpoint to service"),
+    ("quiesce", "drain the front of clients"),
+    ("resume", "accept clients again after quiesce"),
     (
         "purge-dry",
-        "{object | group | tag | pattern}: how many known objects match",
+        "{object | group | tag | pattern}: count the known objects that match",
     ),
-    ("status", "how the front stands"),
+    ("status", "show the state of the front"),
     (
         "startup",
-        "whether it is ready, what it waits for, and the calls on the list service",
-    ),
-    (
-        "log",
-        "{level}: change the log's level until the next reload",
+        "show readiness, what it waits for, and the connections to the list service",
     ),
+    ("log", "{level}: change the log level until the next reload"),
     (
         "reload",
-        "read configuration and settings again, as SIGHUP does",
+        "reload configuration and settings, as SIGHUP does",
     ),
 ];
 
-/// Whether the front itself carries out the command.
+/// Whether the front itself handles the command.
 pub(super) fn is_admin_command(name: &str) -> bool {
     ADMIN_COMMANDS.iter().any(|(command, _)| *command == name)
 }
 
 impl Server {
-    /// Carries out an operator's command; `name` is one of [`ADMIN_COMMANDS`].
+    /// Runs an operator command; `name` is one of [`ADMIN_COMMANDS`].
     pub(super) fn run_admin_command(
         &mut self,
         now: Timestamp,
@@ -62,7 +59,7 @@
             "startup" => Ok(self.startup_state(now)),
             "reload" => {
                 self.reload(now);
-                Ok("read again; the log tells what was taken over".into())
+                Ok("reloaded; see the log for the settings that were applied".into())
             }
             _ => Ok(self.status(now)),
         }
@@ -78,7 +75,7 @@
         Ok("serving".into())
     }
 
-    /// Changes the level of the log until the next reload.
+    /// Changes the log level until the next reload.
     fn set_log_level(&mut self, arguments: &Value) -> Result<Value, AdminError> {
         let level: Level =
             serde_json::from_value(arguments["level"].clone()).map_err(AdminError::LogLevel)?;
@@ -86,7 +83,7 @@
             level,
             ..self.settings.log.clone()
         });
-        Ok(json!(format!("level is {level:?}").to_lowercase()))
+        Ok(json!(format!("log level set to {level:?}").to_lowercase()))
     }
 
     /// Counts the known objects that a purge would match, without purging them.
@@ -98,7 +95,7 @@
         Ok(json!({"known_objects": known, "matched": matched}))
     }
 
-    /// The state of the start: readiness, and calls to the list service.
+    /// Returns the state of startup: readiness, and the connections to the list service.
     fn startup_state(&self, now: Timestamp) -> Value {
         let in_use = self.upstream.listed().count();
         let mut state = self
@@ -116,7 +113,7 @@
         state
     }
 
-    /// The state of the whole front.
+    /// Returns the state of the front.
     fn status(&self, now: Timestamp) -> Value {
         let cordoned: Vec<_> = self.cordoned.iter().map(|id| endpoint_name(*id)).collect();
         let unreachable_since = self.discovery.unreachable_since();
@@ -145,7 +142,7 @@
         })
     }
 
-    /// The state of purges; null where the settings do not switch them on.
+    /// Returns the state of purges; null if they are not enabled.
     fn purge_status(&self) -> Value {
         let Some(floors) = &self.pipeline.floors else {
             return Value::Null;
@@ -161,7 +158,7 @@
         })
     }
 
-    /// The counters that the platform reads, by the names that it gives them.
+    /// Returns the counters under the names that the platform defines for them.
     fn counters(&self) -> Value {
         let mut all = serde_json::Map::new();
         let mut put = |name: String, count: u64| {
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -1,4 +1,4 @@
-//! Builds a server from its configuration and starts the subsystems that the settings switch on.
+//! Construction of a server from its configuration, including the drivers of enabled subsystems.
 use super::admin::ADMIN_COMMANDS;
 use super::takeover::open_handover;
 use super::timers::{Timer, SWEEP_INTERVAL};
@@ -34,10 +34,10 @@
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
 
-/// Nobody waits for an answer longer than this where the settings name no time.
+/// Longest time that a client waits for a response if the settings define none.
 const DEFAULT_MAX_WAIT: Micros = 3_000_000;
 
-/// What a server watches and writes to from the start.
+/// The log, the clock and the event sources that a server has from the start.
 struct Sources {
     log: Log,
     clock: Clock,
@@ -48,7 +48,7 @@
 }
 
 impl Sources {
-    /// Installs the log, and watches signals and the clients' listener, which is `inherited` where the platform hands it over.
+    /// Installs the log and registers the signals and the listener for clients, which is created unless `inherited`.
     fn open(
         config: &Config,
         settings: &Daemon,
@@ -83,7 +83,7 @@
     }
 }
 
-/// The clients' listening socket that the platform handed over, if it did.
+/// Returns the listening socket inherited from the platform, if the configuration names one.
 fn inherited_listener(config: &Config) -> Result<Option<TcpListener>, ServerError> {
     let Some(descriptor) = config.accept_fd else {
         return Ok(None);
@@ -94,7 +94,7 @@
         .map_err(|reason| ServerError::InheritedSocket { descriptor, reason })
 }
 
-/// The longest time that a client waits for an answer, by the settings of the classes.
+/// Returns the longest time that a client waits for a response, according to the settings of the classes.
 fn max_wait(config: &Config) -> Micros {
     let waits = config.deployment.limits.waits.iter().copied();
     let longest = waits.max().filter(|wait| *wait > 0);
@@ -102,14 +102,14 @@
 }
 
 impl Server {
-    /// Starts a front: it listens, starts the subsystems that `settings` switch on, and applies the endpoint list that the
-    /// configuration or a snapshot on disk knows. `settings_file` is where the settings came from, for reloads.
+    /// Creates a server: opens the listener, starts the subsystems that `settings` enable, and applies the endpoint list from the
+    /// configuration or a snapshot on disk. `settings_file` is the file that a reload reads.
     pub fn new(
         mut config: Config,
         settings: Daemon,
         settings_file: Option<PathBuf>,
     ) -> Result<Self, ServerError> {
-        // First of all: what is opened before could get the number of a socket that nobody handed over.
+        // Before any descriptor is opened, which could be assigned the number of an inherited socket that was not passed.
         let inherited = inherited_listener(&config)?;
         let sources = Sources::open(&config, &settings, inherited)?;
         let known = known_list(&mut config, settings.startup.as_ref());
@@ -144,7 +144,7 @@
         startup.is_some_and(|s| s.snapshots.is_some() || s.peers.is_some())
     }
 
-    /// Puts the parts of a server together; `revision` is that of the endpoint list that is known.
+    /// Assembles the parts of a server; `revision` is the known revision of the endpoint list.
     fn assemble(
         config: Config,
         settings: Daemon,
@@ -199,7 +199,8 @@
         }
     }
 
-    /// Starts the subsystems that the settings switch on. The control socket comes last: it lists the others' commands.
+    /// Starts the subsystems that the settings enable. The control socket is started last because its help lists the commands of all
+    /// other drivers.
     fn start_drivers(&mut self, now: Timestamp, list: Snapshot) -> Result<(), ServerError> {
         if let Some(at) = self.config.ops {
             let has_handover = self.config.accept_fd.is_some();
@@ -235,7 +236,7 @@
         Ok(())
     }
 
-    /// Starts what keeps the endpoint list for a later start: for peers, and on disk.
+    /// Starts the drivers that provide the endpoint list to peers and store it on disk.
     fn start_list_drivers(
         &mut self,
         now: Timestamp,
@@ -262,7 +263,7 @@
         Ok(())
     }
 
-    /// Starts one driver and gives it the next slot.
+    /// Starts a driver in the next slot.
     fn start_driver(
         &mut self,
         now: Timestamp,
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -1,4 +1,4 @@
-//! Accepts clients and hands their requests and disconnections to the routing.
+//! Accepts clients and passes their requests and disconnections to the routing.
 use super::timers::Timer;
 use super::Server;
 use crate::routing::Response;
@@ -9,22 +9,22 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Connections accepted in one turn at most: those that are there already are served between.
+/// Maximum number of connections accepted in one turn of the event loop, so that established connections are served in between.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 impl Server {
-    /// Watches the clients' listener or stops watching it. It is not watched while another process accepts, nor for a moment
-    /// after a failed call.
+    /// Enables or disables polling of the listener for clients. It stays disabled while another process accepts and during the pause
+    /// after a failed `accept`.
     pub(super) fn watch_listener(&mut self, on: bool) {
         let on = on && !self.another_process_accepts() && !self.accept_backoff.is_paused();
-        // The listener is watched for as long as the program runs: this can't fail.
+        // Fails only for a listener that is not registered.
         let _ = self.listener.rewatch(on, false);
     }
 
-    /// Accepts the clients that wait to connect.
+    /// Accepts pending connections.
     pub(super) fn accept_clients(&mut self, now: Timestamp) {
         self.accept_backoff.begin_turn();
-        // The event may be older than the handover of the socket to another process.
+        // The readiness event may precede the handover of the socket to another process.
         if self.another_process_accepts() {
             return;
         }
@@ -50,25 +50,25 @@
         let waited = self.accept_backoff.accepted(now);
         let added = self.clients.add(now, &self.reactor, socket, key, waited);
         if let Err(error) = added {
-            tracing::warn!(%error, "client lost");
+            tracing::warn!(%error, "cannot register an accepted client: connection closed");
         }
     }
 
-    /// Whether one more client may connect, if need be in place of one without a request. Guards the limit on descriptors.
+    /// Whether another client may connect. At the limit on clients, a connection without a request is closed to make this possible.
     fn has_client_slot(&mut self) -> bool {
         self.clients.len() < self.config.max_clients() || self.clients.evict()
     }
 
-    /// Stops accepting after a failed call; it is tried again at `until`.
+    /// Stops polling the listener until `until` after a failed `accept`.
     fn pause_listener(&mut self, now: Timestamp, until: Timestamp, error: &io::Error) {
-        tracing::warn!(%error, "accept");
+        tracing::warn!(%error, "accept failed: retrying after a pause");
         self.free_descriptor(now, error);
         self.watch_listener(false);
         self.timers.add(until, Timer::AcceptRetry);
     }
 
-    /// Closes an idle client if `accept` failed for a lasting lack of descriptors: this process has used up its own, or the
-    /// whole system has had none for long. A shortage that passes costs nobody a connection.
+    /// Closes an idle client if `accept` failed for lack of descriptors and this process has none left, or the system-wide shortage
+    /// is lasting. A short system-wide shortage closes no connection.
     fn free_descriptor(&mut self, now: Timestamp, error: &io::Error) {
         let out_of_descriptors = AcceptFault::of(error) == AcceptFault::Descriptors;
         if out_of_descriptors && (descriptors_exhausted() || self.accept_backoff.is_lasting(now)) {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Adds a client whose TLS handshake is complete. Its first requests may have come with the end of the handshake.
+    /// Adds a client whose TLS handshake is complete. Its first requests may have been received together with the end of the
+    /// handshake.
     pub(super) fn add_tls_client(
         &mut self,
         now: Timestamp,
@@ -88,7 +89,7 @@
         }
         let key = self.next_key();
         if let Err(error) = socket.rekey(key) {
-            return tracing::warn!(%error, "client lost");
+            return tracing::warn!(%error, "cannot register a TLS client: connection closed");
         }
         self.clients.add_tls(now, socket, connection, key);
         let events = self.clients.read(now, key);
@@ -96,7 +97,7 @@
         self.cancel_disconnected(now);
     }
 
-    /// Writes to and reads from a client's connection, as far as the poller reported it.
+    /// Writes to and reads from a client connection, according to its reported readiness.
     pub(super) fn serve_client(
         &mut self,
         now: Timestamp,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Routes clients' requests. Disconnections are only noted, for [`Server::cancel_disconnected`].
+    /// Passes requests to the routing. Disconnections are collected for [`Server::cancel_disconnected`].
     pub(super) fn handle_client_events(&mut self, now: Timestamp, events: Vec<ClientEvent>) {
         for event in events {
             let buffered = self.clients.buffered_bytes() + self.upstream.buffered_bytes();
@@ -123,7 +124,7 @@
                     self.pipeline.receive_request(now, from, request)
                 }
                 ClientEvent::BadRequest(from, error) => {
-                    tracing::info!(%error, "bad request");
+                    tracing::info!(%error, "bad request: answered as failed");
                     self.clients.respond(now, from, Response::Failed);
                 }
                 ClientEvent::Disconnected(from) => {
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Cancels the requests of clients that have disconnected, all of a turn together. Those that wait for capacity are
-    /// cancelled first: they would be given what the others free, and be forwarded for nobody.
+    /// Cancels the requests of all clients that disconnected in this turn. Requests without an outstanding attempt are cancelled
+    /// first; otherwise they could be sent with the capacity that the others free.
     pub(super) fn cancel_disconnected(&mut self, now: Timestamp) {
         let mut disconnected = std::mem::take(&mut self.disconnected);
         disconnected.sort_by_cached_key(|from| self.pipeline.has_outstanding_attempt(*from));
--- a/front/src/server/event_loop/cordon.rs
+++ b/front/src/server/event_loop/cordon.rs
@@ -1,4 +1,4 @@
-//! Takes endpoints out of service and back at an operator's request, also one made to another process of this front.
+//! Cordons: endpoints taken out of service by operators, synchronized between the processes of this front.
 use super::timers::Timer;
 use super::Server;
 use crate::protocol::admin::endpoint_id;
@@ -8,11 +8,11 @@
 use cranesill::api::{EndpointId, Micros, Timestamp};
 use serde_json::Value;
 
-/// Interval at which cordons that another process of this front was asked for are looked up.
+/// Interval at which cordons set in another process of this front are read.
 const CORDON_POLL_INTERVAL: Micros = 100_000;
 
 impl Server {
-    /// Cordons an endpoint or lifts its cordon, as an operator asks. The endpoint has to be or have been listed.
+    /// Sets or lifts the cordon of an endpoint on an operator's command. The endpoint must be listed or have been listed.
     pub(super) fn change_cordon(
         &mut self,
         now: Timestamp,
@@ -45,7 +45,7 @@
         Ok(if cordoned { "out" } else { "may serve" }.into())
     }
 
-    /// Takes an endpoint out of service or back, if that changes anything.
+    /// Applies a change of the cordon of an endpoint; does nothing if it is already in that state.
     fn apply_cordon(&mut self, now: Timestamp, id: EndpointId, cordoned: bool) {
         let changed = if cordoned {
             self.cordoned.insert(id)
@@ -59,7 +59,7 @@
             kind = "by-hand",
             member = endpoint_name(id),
             out = cordoned,
-            "cache node by hand"
+            "cordon changed"
         );
         self.pipeline.set_cordoned(now, id, cordoned);
         let mut ends = Vec::new();
@@ -69,7 +69,7 @@
         self.run_commands(now, ends);
     }
 
-    /// Applies cordons that another process of this front was asked for.
+    /// Applies cordons set or lifted in another process of this front.
     pub(super) fn poll_cordons(&mut self, now: Timestamp) {
         let Some(handover) = &mut self.handover else {
             return;
--- a/front/src/server/event_loop/dispatch.rs
+++ b/front/src/server/event_loop/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries out the routing's commands until there are none.
+//! Executes the commands of the routing.
 use super::timers::Timer;
 use super::Server;
 use crate::routing::{AttemptEnd, AttemptId, Command, Fetch};
@@ -8,8 +8,8 @@
 use cranesill::api::{EndpointId, Timestamp};
 
 impl Server {
-    /// Sends an attempt on a connection to its endpoint, or sets a timer for when that is tried again. `key` is for a new
-    /// connection.
+    /// Sends an attempt on a connection to its endpoint, and sets the timers for a connect timeout or a retry. `key` is the poller
+    /// key for a new connection.
     pub(super) fn send_attempt(
         &mut self,
         now: Timestamp,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Reports ends of attempts to the routing and carries out its commands until there are none.
+    /// Reports ended attempts to the routing and executes its commands until there are none left.
     pub(super) fn run_commands(&mut self, now: Timestamp, mut ends: Ends) {
         loop {
             for (attempt, end) in std::mem::take(&mut ends) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Sends an attempt that is withdrawn unless it is begun to be written in time.
+    /// Sends an attempt and sets its write deadline.
     fn begin_attempt(
         &mut self,
         now: Timestamp,
@@ -85,8 +85,8 @@
     ) {
         let key = self.next_key();
         let connect_timeout = self.config.deployment.settings.connect_timeout;
-        // A purge that comes meanwhile leaves no more than the grace to what was decided before it; a retry goes out in its
-        // window or not at all.
+        // Bounded by the purge grace period, since a purge may invalidate the decision, and by the window in which endpoints
+        // recognize a retry.
         let write_deadline = (now + connect_timeout)
             .min(now + self.config.deployment.limits.purge_grace)
             .min(fetch.write_by)
--- a/front/src/server/event_loop/effects.rs
+++ b/front/src/server/event_loop/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out effects: what a subsystem brings about for others.
+//! Delivery of the messages (effects) that subsystems send to each other.
 use super::admin::is_admin_command;
 use super::timers::Timer;
 use super::Server;
@@ -9,11 +9,11 @@
 use cranesill::api::{Micros, Timestamp};
 use serde_json::Value;
 
-/// A cordon is confirmed after this long, when any other process of this front has polled and applied it.
+/// Delay of the response to a `cordon` command, within which any other process of this front has read and applied the cordon.
 const CORDON_CONFIRMATION_DELAY: Micros = 250_000;
 
 impl Server {
-    /// Calls a driver with what it may use in this turn of the loop.
+    /// Calls the driver in `slot` with the context of this turn; does nothing if the slot is empty.
     pub(super) fn with_driver(
         &mut self,
         now: Timestamp,
@@ -34,7 +34,7 @@
         call(running.driver.as_mut(), &mut turn);
     }
 
-    /// Carries out messages of subsystems, and those that they bring about in turn, until there are none.
+    /// Delivers pending messages, and messages sent in response, until there are none left.
     pub(super) fn deliver_effects(&mut self, now: Timestamp) {
         while !self.effects.is_empty() {
             for effect in std::mem::take(&mut self.effects) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Carries out a message that concerns the front itself, or passes it to all drivers.
+    /// Handles a message to the front itself, or passes it to all drivers.
     fn deliver(&mut self, now: Timestamp, effect: Effect) {
         match effect {
             Effect::Tls(TlsEffect::Client { socket, connection }) => {
@@ -72,7 +72,7 @@
     fn answer_admin_command(&mut self, now: Timestamp, id: u64, name: &str, arguments: &Value) {
         let result = self.run_admin_command(now, name, arguments);
         if name == "cordon" && result.is_ok() && self.handover.is_some() {
-            // Another process of this front has to apply it before the operator is told that it holds.
+            // Another process of this front must have applied the cordon before it is confirmed to the operator.
             let confirmed_at = now + CORDON_CONFIRMATION_DELAY;
             return self.timers.add(confirmed_at, Timer::CordonConfirmation(id));
         }
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies watch events of the endpoint list and lists that peers hold.
+//! Applies watch events of the endpoint list, and lists received from peers.
 use super::timers::Timer;
 use super::Server;
 use crate::protocol::discovery::{EndpointRecord, WatchEvent};
@@ -9,11 +9,11 @@
 use cranesill::api::{EndpointEntry, EndpointId, EndpointState, ListKind, Timestamp};
 use std::collections::HashSet;
 
-/// A clock skew against the list service beyond which a warning is logged.
+/// Clock skew relative to the list service above which a warning is logged.
 const MAX_CLOCK_SKEW_MS: i64 = 5_000;
 
 impl Server {
-    /// Reads watch events from the connection to the list service and applies them.
+    /// Reads watch events from the list service and applies them.
     pub(super) fn read_discovery(&mut self, now: Timestamp) {
         for event in self.discovery.ready(now) {
             self.apply_watch_event(now, event, EventSource::Live);
@@ -21,7 +21,7 @@
         self.timers.add(self.discovery.deadline, Timer::Discovery);
     }
 
-    /// Applies a watch event: endpoints that change, or a purge.
+    /// Applies a watch event: changed endpoints, or a purge.
     pub(super) fn apply_watch_event(
         &mut self,
         now: Timestamp,
@@ -56,7 +56,7 @@
         self.run_commands(now, Vec::new());
     }
 
-    /// Tells the drivers which endpoints are listed.
+    /// Notifies the drivers of listed endpoints.
     fn announce_endpoints(&mut self, now: Timestamp, list: &[EndpointRecord], complete: bool) {
         if self.drivers.is_empty() {
             return;
@@ -69,7 +69,7 @@
         self.deliver_effects(now);
     }
 
-    /// Logs once that this clock is far from the list service's, until it is near again.
+    /// Logs a warning when the clock skew exceeds its limit, once until it is below the limit again.
     fn check_clock_skew(&mut self) {
         let skew_ms = self.pipeline.clock_offset.offset_ms();
         let skew_ms = skew_ms.filter(|ms| ms.abs() > MAX_CLOCK_SKEW_MS);
@@ -83,7 +83,7 @@
         self.clock_skew_logged = skew_ms.is_some();
     }
 
-    /// Adopts a list that peers hold, unless the list service is connected or has already sent a list as new.
+    /// Adopts a list received from peers, unless the list service is connected or the list is not newer than the known one.
     pub(super) fn adopt_peer_list(&mut self, now: Timestamp, list: Box<Snapshot>) {
         if self.discovery.is_connected() || list.number <= self.discovery.revision() {
             return;
@@ -99,7 +99,7 @@
             "the list is taken from peers"
         );
         self.discovery.advance_to(list.number);
-        // Forwarded as watch events it would count as new in the snapshot on disk; adopted, it keeps its age.
+        // Not forwarded as watch events, which would reset its age in the snapshot on disk.
         self.forwards_watch_events = false;
         for event in list.watch_events() {
             self.apply_watch_event(now, event, EventSource::Stored);
@@ -110,7 +110,7 @@
         self.deliver_effects(now);
     }
 
-    /// Applies what the list says of endpoints. Where it is `complete`, endpoints that it does not name are removed.
+    /// Applies listed endpoints. If the list is `complete`, all other endpoints are removed.
     pub(super) fn update_endpoints(
         &mut self,
         now: Timestamp,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Forgets the addresses of endpoints that a complete list does not name, and returns these endpoints.
+    /// Removes and returns the endpoints that a complete list does not contain.
     fn remove_unlisted(&mut self, entries: &[EndpointEntry]) -> Vec<EndpointId> {
         let listed: HashSet<_> = entries.iter().map(|entry| entry.endpoint).collect();
         let mut removed: Vec<_> = self.upstream.listed().collect();
@@ -160,7 +160,7 @@
         removed
     }
 
-    /// Connects to endpoints before the first request needs them.
+    /// Starts connections to endpoints before the first request needs them.
     fn preconnect(&mut self, now: Timestamp, endpoints: impl Iterator<Item = EndpointId>) {
         let timeout_at = now + self.config.deployment.settings.connect_timeout;
         for endpoint in endpoints {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Checks whether enough endpoints are reached for this front to report itself ready.
+    /// Updates the readiness reported to clients.
     pub(super) fn update_readiness(&mut self, now: Timestamp) {
         let in_use = self.upstream.listed().count();
         let reached = self.upstream.reached_endpoints();
--- a/front/src/server/event_loop/mod.rs
+++ b/front/src/server/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop of a front: it waits for sockets, signals and timers, and hands each on to the module that knows it.
+//! The event loop of a front: waits for sockets, signals and timers, and dispatches their events.
 mod admin;
 mod assembly;
 mod clients;
@@ -33,49 +33,49 @@
 use std::path::PathBuf;
 use timers::Timer;
 
-/// Poller keys of the sources that are there from the start.
+/// Poller keys of the sources registered at startup.
 const LISTENER_KEY: usize = 0;
 const SIGTERM_KEY: usize = 1;
 const SIGHUP_KEY: usize = 2;
-/// The last key before those of connections.
+/// Connections get the keys above this one.
 const LAST_RESERVED_KEY: usize = 3;
 
-/// The order in which the sources of one turn are handled.
+/// The order in which ready sources are handled in one turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
-    /// First: what the list service says applies to all that is sent in the same turn.
+    /// First, because watch events apply to all attempts sent in the same turn.
     Discovery,
-    /// Operators' commands are answered whatever the load.
+    /// Operators' commands are answered regardless of the load.
     Admin,
     Clients,
-    /// After all that is read from clients: capacity that an answer frees must not go to a client that has left.
+    /// After clients, because capacity freed by a response must not be used for a client that has disconnected.
     Upstream,
     /// Other subsystems, by slot.
     Driver(usize),
-    /// Last: connections of which nothing was read yet may be closed to make room for new ones.
+    /// Last, because accepting may evict connections, which must be read first.
     Listener,
 }
 
-/// A subsystem that the settings switch on.
+/// The driver of an enabled subsystem, with its poller keys.
 struct RunningDriver {
     driver: Box<dyn Driver>,
     keys: PollerKeys,
 }
 
-/// A front: the event loop and everything that runs on it.
+/// A front: the event loop and its state.
 pub struct Server {
     config: Config,
-    /// The daemon's own settings.
+    /// The settings of the daemon.
     settings: Daemon,
-    /// Where the settings were read from, if from anywhere.
+    /// The settings file; `None` if the defaults are used.
     settings_file: Option<PathBuf>,
     log: Log,
     clock: Clock,
     reactor: Reactor,
     listener: Registered<TcpListener>,
-    /// Readable once SIGTERM has come.
+    /// Readable after SIGTERM.
     sigterm: Registered<UnixStream>,
-    /// Readable once SIGHUP has come.
+    /// Readable after SIGHUP.
     sighup: Registered<UnixStream>,
     timers: Deadlines<Timer>,
     pipeline: RequestPipeline,
@@ -83,42 +83,42 @@
     upstream: UpstreamConnections,
     discovery: Discovery,
     startup: Startup,
-    /// Whether watch events are passed to drivers.
+    /// Whether watch events are forwarded to drivers.
     forwards_watch_events: bool,
-    /// Whether it was logged that this clock is far from the list service's.
+    /// Whether the current clock skew has been logged.
     clock_skew_logged: bool,
-    /// The poller key that was given out last.
+    /// The last poller key assigned to a connection.
     last_key: usize,
-    /// The graceful shutdown, once SIGTERM has come.
+    /// The graceful shutdown; `None` before SIGTERM.
     shutdown: Option<Drain>,
-    /// What is shared with other processes of this front, where the platform starts a new one beside the old.
+    /// The state shared with other processes of this front; `None` if the platform does not support handover.
     handover: Option<Handover>,
-    /// Whether it is this process that accepts clients.
+    /// Whether this process accepts clients.
     accepts_clients: bool,
     accept_backoff: AcceptBackoff,
-    /// Endpoints that operators have taken out of service.
+    /// Endpoints taken out of service by operators.
     cordoned: BTreeSet<EndpointId>,
-    /// When an operator drained this front; `None` while it accepts traffic.
+    /// When an operator drained this front with `quiesce`; `None` while it accepts clients.
     quiesced_at: Option<Timestamp>,
-    /// The slot of the driver that answers operators of the platform; 0 where there is none.
+    /// The slot of the driver for the platform's operators; 0 if there is none.
     admin_slot: usize,
-    /// Subsystems that the settings switch on, in the order of their slots.
+    /// The drivers of enabled subsystems, in the order of their slots.
     drivers: Vec<RunningDriver>,
-    /// Messages of subsystems that are not carried out yet.
+    /// Messages between subsystems that are not delivered yet.
     effects: Vec<Effect>,
-    /// Requests whose clients have disconnected in this turn.
+    /// Requests whose clients have disconnected or cancelled in this turn.
     disconnected: Vec<ReplyTo>,
     started_at: Timestamp,
 }
 
 impl Server {
-    /// Serves until a graceful shutdown is complete.
+    /// Runs the event loop until a graceful shutdown is complete.
     pub fn run(mut self) -> Result<(), ServerError> {
         while !self.run_turn()? {}
         Ok(())
     }
 
-    /// Waits for something to do and does it. Returns whether the process can end.
+    /// Waits for events and handles them. Returns whether the process can exit.
     fn run_turn(&mut self) -> Result<bool, ServerError> {
         let deadline = self.next_deadline();
         let events = self.reactor.wait(self.clock.now(), deadline);
@@ -146,8 +146,8 @@
         drivers.chain(own.into_iter().flatten()).min()
     }
 
-    /// Handles what the poller reported, in the order of [`Rank`]. Requests of clients that disconnected are cancelled before
-    /// anything is read from upstream.
+    /// Handles readiness events in the order of [`Rank`]. Requests of disconnected clients are cancelled before any upstream
+    /// connection is read.
     fn handle_events(&mut self, now: Timestamp, mut events: Vec<ReadyEvent>) {
         events.sort_by_cached_key(|event| self.rank(event.key));
         let clients_end = events.partition_point(|event| self.rank(event.key) < Rank::Upstream);
--- a/front/src/server/event_loop/reload.rs
+++ b/front/src/server/event_loop/reload.rs
@@ -1,4 +1,4 @@
-//! Reads configuration and settings again after SIGHUP or an operator's command.
+//! Reload of configuration and settings on SIGHUP or an operator command.
 use super::timers::Timer;
 use super::Server;
 use crate::server::config::Config;
@@ -6,8 +6,8 @@
 use cranesill_daemon::{changes, Certs, Daemon, Tls};
 
 impl Server {
-    /// Reads configuration and settings again. A file that cannot be used changes nothing. Of the configuration only the
-    /// address of the list service is applied, of the settings all that can change in service.
+    /// Reloads configuration and settings. An invalid file changes nothing. Of the configuration only the address of the list service
+    /// is applied, of the settings everything that does not require a restart.
     pub(super) fn reload(&mut self, now: Timestamp) {
         self.reload_config(now);
         self.reload_settings(now);
@@ -18,7 +18,7 @@
             Ok(new) => new,
             Err(errors) => {
                 let error = errors.to_string();
-                return tracing::warn!(error, "the configuration stays as it was");
+                return tracing::warn!(error, "cannot reload: the configuration stays as it was");
             }
         };
         tracing::info!(feed = %new.list_service, "SIGHUP: configuration read");
@@ -36,7 +36,7 @@
             Ok(new) => new,
             Err(errors) => {
                 let error = errors.to_string();
-                return tracing::warn!(error, "the settings stay as they were");
+                return tracing::warn!(error, "cannot reload: the settings stay as they were");
             }
         };
         let changes = changes(&self.settings, &new);
@@ -47,9 +47,12 @@
         self.deliver_effects(now);
         if !changes.restart.is_empty() {
             let paths = changes.restart.join(" ");
-            tracing::warn!(paths, "settings that need a restart");
+            tracing::warn!(paths, "changed settings need a restart: not applied");
         }
-        tracing::info!(paths = changes.taken.join(" "), "settings taken over");
+        tracing::info!(
+            paths = changes.taken.join(" "),
+            "settings reloaded, changes taken over"
+        );
         let running = std::mem::replace(&mut self.settings, new);
         if !changes.restart.is_empty() {
             keep_until_restart(&mut self.settings, running);
@@ -57,7 +60,7 @@
     }
 }
 
-/// Puts back the settings that take a restart to change, so that the next reload is compared with what runs.
+/// Restores the running values of settings that require a restart, so that the next reload is compared with them.
 fn keep_until_restart(settings: &mut Daemon, running: Daemon) {
     settings.control = running.control;
     settings.tls = match (settings.tls.take(), running.tls) {
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! Empties the front: for good after SIGTERM, or until an operator resumes it.
+//! Graceful shutdown after SIGTERM, and draining of the front by an operator.
 use super::timers::Timer;
 use super::Server;
 use crate::server::drain::{Drain, Stage};
@@ -6,17 +6,18 @@
 use crate::server::signals;
 use cranesill::api::{Micros, Timestamp};
 
-/// How long a quiesced front still takes requests on open connections before it refuses them.
+/// Time for which a quiesced front still accepts requests on open connections.
 const QUIESCE_GRACE: Micros = 1_500_000;
 
 impl Server {
-    /// Begins the graceful shutdown after SIGTERM: clients are notified, and requests that were taken are still answered.
+    /// Starts the graceful shutdown after SIGTERM: clients are notified, and the right to accept clients is handed over to another
+    /// process. Accepted requests are still answered.
     pub(super) fn begin_shutdown(&mut self, now: Timestamp) {
         signals::clear(&self.sigterm);
         if self.shutdown.is_some() {
             return;
         }
-        tracing::info!("SIGTERM: leaving");
+        tracing::info!("SIGTERM: leaving, graceful shutdown started");
         let waits = &self.config.deployment.limits.waits;
         let drain = Drain::new(now, waits, self.handover.is_some());
         self.shutdown = Some(drain);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Does what the stage of the shutdown asks for that has been reached.
+    /// Performs the actions of the current shutdown stage.
     pub(super) fn enter_shutdown_stage(&mut self, now: Timestamp) {
         let Some(drain) = &self.shutdown else {
             return;
@@ -49,9 +50,9 @@
         }
     }
 
-    /// Shuts connections once nothing is owed on them, if a shutdown has begun. Returns whether the process can end.
+    /// Advances a shutdown: starts closing connections when the schedule allows it. Returns whether the process can exit.
     pub(super) fn advance_shutdown(&mut self, now: Timestamp) -> bool {
-        // A request whose last byte comes after the end of its connection would be lost.
+        // Partially received requests count as unfinished: closing their connections would lose them.
         let has_unfinished = self.pipeline.pending_requests() > 0
             || !self.clients.is_flushed()
             || self.clients.has_partial_requests();
@@ -67,8 +68,7 @@
         drain.stage(now) == Stage::Ended || all_closed
     }
 
-    /// Drains this front until an operator resumes it: clients are asked to go elsewhere, and requests that were taken are
-    /// answered.
+    /// Drains this front until an operator resumes it: clients are asked to send no new requests, accepted requests are answered.
     pub(super) fn quiesce(&mut self, now: Timestamp) -> &'static str {
         if self.quiesced_at.is_none() {
             tracing::info!(kind = "quiesce", clients = self.clients.len(), "quiesced");
@@ -80,9 +80,9 @@
         "quiesced"
     }
 
-    /// Refuses new requests once a quiesced front has served for its grace period.
+    /// Rejects new requests after the grace period of a quiesced front.
     pub(super) fn end_quiesce_grace(&mut self, now: Timestamp) {
-        // An operator may have resumed and quiesced it again since the timer was set.
+        // The front may have been resumed and quiesced again since the timer was set.
         let quiesced_at = self.quiesced_at;
         if quiesced_at.is_some_and(|since| now >= since + QUIESCE_GRACE) {
             self.pipeline.reject_new_requests(true);
@@ -95,7 +95,7 @@
             return Err(AdminError::ReplacedByAnotherProcess);
         }
         if self.quiesced_at.take().is_some() {
-            tracing::info!(kind = "quiesce", "takes clients again");
+            tracing::info!(kind = "quiesce", "resumed: takes clients again");
             self.clients.resume();
             self.pipeline.reject_new_requests(false);
         }
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes the clients' socket over from an earlier process of this front and leaves it to a later one.
+//! Takeover of the listening socket for clients from an earlier process of this front.
 use super::timers::Timer;
 use super::Server;
 use crate::server::handover::Handover;
@@ -7,27 +7,27 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Interval at which a process looks whether another has left the clients' socket to it, or has ended.
+/// Interval at which a process checks whether an earlier one has handed over the socket or has ended.
 const TAKEOVER_POLL_INTERVAL: Micros = 10_000;
 
-/// A process that has left the clients' socket to another closes upstream connections that are idle for this long.
+/// Idle timeout of upstream connections in a process that has handed over the socket and shares the limits with its successor.
 const HANDOVER_UPSTREAM_IDLE: Micros = 500_000;
 
 impl Server {
-    /// Looks for another process of this front when this one starts.
+    /// Determines at startup whether another process of this front accepts clients.
     pub(super) fn begin_takeover(&mut self, now: Timestamp) {
-        // Accepting is taken over by the first look, if no other process accepts.
+        // If no other process accepts, the first poll acquires the right to accept.
         self.accepts_clients = self.handover.is_none();
         self.poll_takeover(now);
         if !self.accepts_clients {
             tracing::info!(
                 kind = "upgrade",
-                "waits for another process to leave the clients' socket"
+                "waits for another process to hand over the listening socket"
             );
         }
     }
 
-    /// Accepts clients once no other process of this front does, and uses all of its limits once none is left.
+    /// Starts accepting clients once no other process of this front does, and stops sharing the limits once the earlier one has ended.
     pub(super) fn poll_takeover(&mut self, now: Timestamp) {
         let Some(handover) = &mut self.handover else {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Shares the limits with another process of this front, or uses all of them again.
+    /// Sets whether the limits are shared with another process of this front, and applies the resulting limits.
     pub(super) fn share_limits(&mut self, now: Timestamp, shared: bool) {
         if std::mem::replace(&mut self.config.limits_shared, shared) != shared {
             self.upstream.set_limits(
@@ -64,14 +64,13 @@
         }
     }
 
-    /// Whether another process accepts on the clients' socket now.
+    /// Whether clients are accepted by another process.
     pub(super) fn another_process_accepts(&self) -> bool {
         !self.accepts_clients || self.config.accept_fd.is_some() && self.shutdown.is_some()
     }
 }
 
-/// Opens the directory that the platform shares between the processes of this front. Without it a new process serves all
-/// the same.
+/// Opens the directory shared by the processes of this front. Without it this process serves without coordination.
 pub(super) fn open_handover() -> Option<Handover> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty());
     let found = directory
@@ -79,7 +78,7 @@
         .map(PathBuf::from);
     let opened = found.and_then(|directory| retry_on_shortage(|| Handover::new(&directory)));
     if let Err(error) = &opened {
-        tracing::warn!(kind = "upgrade", %error, "nothing is shared with another process: it accepts clients as well");
+        tracing::warn!(kind = "upgrade", %error, "cannot open the shared directory: other processes of this front accept clients at the same time");
     }
     opened.ok()
 }
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -1,47 +1,46 @@
-//! The kinds of timer that the loop sets, and what is done when one expires. Timers are not cancelled: whoever handles one
-//! checks whether it still matters.
+//! Timers of the event loop and their handlers. Timers are not cancelled: each handler checks whether its timer still applies.
 use super::Server;
 use crate::routing::{AttemptId, EventSource, Timer as RoutingTimer};
 use crate::server::drivers::{Effect, EndpointEffect};
 use crate::server::upstream::Ends;
 use cranesill::api::{Micros, Timestamp};
 
-/// Interval between two sweeps over all connections.
+/// Interval of the periodic checks.
 pub(super) const SWEEP_INTERVAL: Micros = 250_000;
 
-/// A timer of the loop, by what is to be done when it expires.
+/// Timers of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The routing asked to be woken.
+    /// A timer set by the routing.
     Routing(RoutingTimer),
-    /// The upstream connection under this poller key fails if it is not established.
+    /// The connect timeout of the upstream connection with this poller key.
     ConnectTimeout(usize),
-    /// The attempt is withdrawn if no byte of it has been written.
+    /// The time at which the attempt is withdrawn if none of it is written.
     WriteDeadline(AttemptId),
-    /// The connection to the list service is given up, or tried again.
+    /// The connection to the list service may have timed out, or is due to be started.
     Discovery,
-    /// Connections, logs and readiness are checked.
+    /// The periodic checks of connections, log and readiness are due.
     Sweep,
-    /// A stage of the graceful shutdown may have been reached.
+    /// The stage of the graceful shutdown may have changed.
     ShutdownStage,
-    /// A quiesced front no longer takes requests.
+    /// The grace period of a quiesced front is over.
     QuiesceGrace,
-    /// Endpoints that wait in slow start come into use.
+    /// Endpoints in slow start may become usable.
     SlowStart,
-    /// An earlier process of this front may have left the clients' socket.
+    /// The state of an earlier process of this front is polled.
     TakeoverPoll,
-    /// Another process of this front may have been asked for cordons.
+    /// The cordons set in another process of this front are polled.
     CordonPoll,
-    /// The cordon that was asked for by the command with this id is confirmed.
+    /// The `cordon` command with this id is confirmed to the operator.
     CordonConfirmation(u64),
-    /// The clients' listener is tried again after a failed `accept`.
+    /// The pause after a failed `accept` is over.
     AcceptRetry,
-    /// Upstream connections that this machine failed to begin are tried again.
+    /// Attempts for which this host could not start a connection are retried.
     Redial,
 }
 
 impl Server {
-    /// Does what is due when a timer expires.
+    /// Handles an expired timer.
     pub(super) fn handle_timer(&mut self, now: Timestamp, timer: Timer) {
         let mut ends = Vec::new();
         match timer {
@@ -72,7 +71,7 @@
         self.run_commands(now, ends);
     }
 
-    /// Gives up a silent connection to the list service, or connects, unless the deadline has moved since the timer was set.
+    /// Closes a silent connection to the list service or starts a new one, unless the deadline has moved since the timer was set.
     fn poll_discovery(&mut self, now: Timestamp) {
         if now < self.discovery.deadline {
             return;
@@ -82,7 +81,7 @@
         self.timers.add(self.discovery.deadline, Timer::Discovery);
     }
 
-    /// Closes dead and idle connections and checks what has no timer of its own.
+    /// Runs the periodic checks: closes dead and idle connections, and updates state that has no timer of its own.
     fn sweep(&mut self, now: Timestamp, ends: &mut Ends) {
         let max_buffered = self.config.capacity_limits().max_buffered_bytes;
         let events = self
@@ -103,16 +102,19 @@
         self.timers.add(now + SWEEP_INTERVAL, Timer::Sweep);
     }
 
-    /// Logs when the contact with the writer of the purge log is lost.
+    /// Logs a warning once when the lease of the purge log expires for lack of contact with its writer.
     fn check_purge_contact(&mut self, now: Timestamp) {
         let floors = self.pipeline.floors.as_mut();
         let lease = floors.and_then(|floors| floors.lease.as_mut());
         if lease.is_some_and(|lease| lease.report_expiry(now)) {
-            tracing::warn!(kind = "contact-lost", "purges: no contact with the ledger");
+            tracing::warn!(
+                kind = "contact-lost",
+                "purges: lease expired without contact with the writer of the purge log"
+            );
         }
     }
 
-    /// Sends attempts again for which this machine failed to begin a connection.
+    /// Retries attempts for which this host could not start a connection.
     fn redial(&mut self, now: Timestamp, ends: &mut Ends) {
         for (target, fetch) in self.upstream.take_redials(now) {
             let key = self.next_key();
--- a/front/src/transport/clock.rs
+++ b/front/src/transport/clock.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Returns the current timestamp.
+    /// Returns the current time in microseconds since the Unix epoch.
     pub fn now(&self) -> Timestamp {
         self.epoch + self.start.elapsed().as_micros() as Micros
     }
