--- a/front/src/server/downstream/eviction.rs
+++ b/front/src/server/downstream/eviction.rs
@@ -81,7 +81,10 @@
             .collect();
         let clients = stale.iter().filter(|(_, stalled)| *stalled).count();
         if clients > 0 {
-            tracing::info!(clients, "clients given up that take nothing");
+            tracing::info!(
+                clients,
+                "disconnected clients that do not read their responses"
+            );
         }
         let keys = stale.into_iter().map(|(key, _)| key);
         keys.flat_map(|key| self.disconnect(key)).collect()
--- a/front/src/server/purge_effects.rs
+++ b/front/src/server/purge_effects.rs
@@ -83,6 +83,6 @@
     let floors = pipeline.floors.as_mut();
     let lease = floors.and_then(|floors| floors.lease.as_mut());
     if lease.is_some_and(|lease| lease.renew(now, now / 1_000)) {
-        tracing::info!("purges: contact with the ledger again");
+        tracing::info!("purges: contact with the writer of the purge log restored");
     }
 }
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -506,7 +506,10 @@
     );
     // The writer is back with its file: the same ledger goes on.
     let _again = writer.start();
-    until(&stage.log, "contact with the ledger again");
+    until(
+        &stage.log,
+        "contact with the writer of the purge log restored",
+    );
     assert_eq!(writer.number(&["purge", "--group", "3"]), 602);
     caught_up(&strict, 602);
     // A follower that restarts goes on from its file, and nothing counts as purged that was not.
--- a/front/tests/stories.rs
+++ b/front/tests/stories.rs
@@ -398,7 +398,10 @@
             .unwrap()
             .starts_with(&format!("type 11 stream {id}")));
     }
-    until(&stage.log, "given up that take nothing");
+    until(
+        &stage.log,
+        "disconnected clients that do not read their responses",
+    );
     let taken = slow
         .iter_mut()
         .map(|client| std::iter::from_fn(|| client.hear()).take(32).count());
