--- a/front/src/server/downstream/eviction.rs
+++ b/front/src/server/downstream/eviction.rs
@@ -33,12 +33,12 @@
         self.drain_idle(now);
         let mut disconnected = self.close_stale(now, stall_timeout);
         while self.buffered_bytes > max_buffered {
-            let most = self
+            let largest = self
                 .connections
                 .iter()
                 .max_by_key(|(key, connection)| (connection.stream.buffered_bytes(), **key))
                 .map(|(key, _)| *key);
-            let Some(key) = most else { break };
+            let Some(key) = largest else { break };
             disconnected.extend(self.disconnect(key));
         }
         disconnected
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -204,7 +204,7 @@
         source: io::Error,
     },
     /// Creating the poller, registering a socket or waiting for events failed.
-    #[error("poller: {0}")]
+    #[error("event poller failed: {0}")]
     Poller(#[source] io::Error),
     /// Signal handlers cannot be installed.
     #[error("cannot install signal handlers: {0}")]
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -27,7 +27,7 @@
 const MAX_UNKNOWN_FILES_LOGGED: usize = 4;
 
 /// Names of the files other than cordons.
-const OWN_FILES: [&str; 3] = ["accept", "alive", "learned"];
+const KNOWN_FILES: [&str; 3] = ["accept", "alive", "learned"];
 
 /// A file lock.
 #[derive(Debug)]
@@ -202,7 +202,7 @@
             let name = name.to_string_lossy();
             match cordoned_endpoint(&name) {
                 Some(endpoint) => drop(cordons.insert(endpoint)),
-                None if OWN_FILES.contains(&&*name) || name.ends_with(".tmp") => {}
+                None if KNOWN_FILES.contains(&&*name) || name.ends_with(".tmp") => {}
                 None => {
                     unknown += 1;
                     if unknown > self.unknown_files && unknown <= MAX_UNKNOWN_FILES_LOGGED {
--- a/front/src/server/handover/tests.rs
+++ b/front/src/server/handover/tests.rs
@@ -47,7 +47,7 @@
         later.take_learned(5 + MAX_LEARNED_AGE + 1).is_empty(),
         "too old"
     );
-    // Truncated files and files of a later format are ignored.
+    // Damaged files and files of a later format are ignored.
     for text in [
         "cranesill learned v1 00000000\nat 5\n",
         "cranesill learned v2 00000000\n",
