--- a/front/src/server/ctl/options.rs
+++ b/front/src/server/ctl/options.rs
@@ -1,156 +1,175 @@
-//! The options and arguments of operators' commands.
-use super::{At, Ctl, Verb};
+//! Command line options of operator commands.
+use super::{Ctl, DaemonSocket, Operation};
 use bpaf::{construct, long, positional, Parser};
 use std::path::PathBuf;
 
-fn at() -> impl Parser<At> {
+fn daemon() -> impl Parser<DaemonSocket> {
     let socket = long("socket")
-        .help("The daemon's control socket")
+        .help("Control socket of the daemon")
         .env("CRANESILL_SOCKET")
         .argument::<PathBuf>("PATH")
         .optional();
     let settings = long("settings")
-        .help("Settings that name the control socket")
+        .help("Settings file that contains the path of the control socket")
         .argument::<PathBuf>("FILE")
         .optional();
-    construct!(At { socket, settings })
+    construct!(DaemonSocket { socket, settings })
 }
 
 fn json_out() -> impl Parser<bool> {
     long("json").help("Print JSON").switch()
 }
 
-/// `cranesill ctl`.
+/// Parses the command `ctl`.
 pub fn ctl() -> impl Parser<Ctl> {
-    let at = at();
+    let daemon = daemon();
     let json = json_out();
-    let word = positional::<String>("WORD").help("What to ask; `help` lists all");
+    let command = positional::<String>("WORD").help("Command to run; `help` lists all commands");
     let fields = positional::<String>("FIELD=VALUE").many();
-    let verb = construct!(word, fields).map(|(word, fields)| Verb::Word(word, fields));
-    construct!(Ctl { at, json, verb })
-        .to_options()
-        .descr("ClientRequest a running daemon")
-        .command("ctl")
+    let operation =
+        construct!(command, fields).map(|(command, fields)| Operation::Command(command, fields));
+    construct!(Ctl {
+        daemon,
+        json,
+        operation
+    })
+    .to_options()
+    .descr("Send a command to a running daemon")
+    .command("ctl")
 }
 
-/// `cranesill certs`.
+/// Parses the command `certs`.
 pub fn certs() -> impl Parser<Ctl> {
-    let name = || positional::<String>("NAME").help("One of the certificate's names");
-    let list = bpaf::pure(Verb::List)
+    let name = || positional::<String>("NAME").help("Any of the names of the certificate");
+    let list = bpaf::pure(Operation::ListCertificates)
         .to_options()
-        .descr("How all certificates stand")
+        .descr("Show the status of all certificates")
         .command("list");
     let show = name()
-        .map(Verb::Show)
+        .map(Operation::ShowCertificate)
         .to_options()
-        .descr("How one certificate stands")
+        .descr("Show the status of one certificate")
         .command("show");
     let renew = name()
-        .map(Verb::Renew)
+        .map(Operation::RenewCertificate)
         .to_options()
-        .descr("Order a certificate now")
+        .descr("Order a certificate immediately")
         .command("renew");
     let reason = long("reason")
-        .help("By number (RFC 5280, 5.3.1): 1 key lost")
+        .help("Reason code (RFC 5280, 5.3.1), e.g. 1 for a key compromise")
         .argument::<u8>("N")
         .optional();
-    let of = name();
-    let revoke = construct!(reason, of).map(|(reason, name)| Verb::Revoke(name, reason));
+    let of_name = name();
+    let revoke = construct!(reason, of_name)
+        .map(|(reason, name)| Operation::RevokeCertificate(name, reason));
     let revoke = revoke
         .to_options()
-        .descr("Revoke a certificate and order another")
+        .descr("Revoke a certificate and order a replacement")
         .command("revoke");
     let key = long("key")
         .help("Private key in PEM")
         .argument::<PathBuf>("FILE");
     let chain = long("chain")
-        .help("Certificates in PEM, leaf first")
+        .help("Certificate chain in PEM, leaf first")
         .argument::<PathBuf>("FILE");
-    let import = construct!(key, chain).map(|(key, chain)| Verb::Import(key, chain));
+    let import =
+        construct!(key, chain).map(|(key, chain)| Operation::ImportCertificate(key, chain));
     let import = import
         .to_options()
-        .descr("Serve a certificate from elsewhere")
+        .descr("Import and serve an externally issued certificate")
         .command("import");
-    let roll = bpaf::pure(Verb::RollKey)
+    let roll = bpaf::pure(Operation::RollAccountKey)
         .to_options()
-        .descr("Give the account another key");
+        .descr("Replace the key of the ACME account");
     let roll = roll.command("roll-key");
-    let verb = construct!([list, show, renew, revoke, import, roll]);
-    let at = at();
+    let operation = construct!([list, show, renew, revoke, import, roll]);
+    let daemon = daemon();
     let json = json_out();
-    construct!(Ctl { at, json, verb })
-        .to_options()
-        .descr("Certificates of a running daemon")
-        .command("certs")
+    construct!(Ctl {
+        daemon,
+        json,
+        operation
+    })
+    .to_options()
+    .descr("Manage the certificates of a running daemon")
+    .command("certs")
 }
 
-/// `cranesill purge`.
+/// Parses the command `purge`.
 pub fn purge() -> impl Parser<Ctl> {
-    let of = |name: &'static str, help: &'static str| {
+    let target = |name: &'static str, help: &'static str| {
         long(name)
             .help(help)
             .argument::<String>("WHAT")
             .map(move |value| (name, value))
     };
-    let object = of("object", "An object: 16 hex digits");
-    let group = of("group", "A group: 0 to 255");
-    let tag = of("tag", "All objects that carry a tag");
-    let pattern = of("pattern", "All keys CLASS/ITEM/PART that a glob matches");
-    let what = construct!([object, group, tag, pattern]);
+    let object = target("object", "Object id: 16 hex digits");
+    let group = target("group", "Group number: 0 to 255");
+    let tag = target("tag", "All objects with this tag");
+    let pattern = target("pattern", "All keys CLASS/ITEM/PART that match this glob");
+    let target = construct!([object, group, tag, pattern]);
     let id = long("id")
-        .help("The same id again is the same purge")
+        .help("Idempotency key: a repeated id does not create another purge")
         .argument::<String>("ID")
         .optional();
-    let why = long("why")
-        .help("For whoever looks later")
+    let reason = long("why")
+        .help("Reason of the purge, shown with it later")
         .argument::<String>("TEXT")
         .optional();
     let all = long("all")
-        .help("A pattern that matches everything is meant to")
+        .help("Allow a pattern that matches everything")
         .switch();
-    let dry = long("dry-run")
-        .help("Tell how many known objects match")
+    let dry_run = long("dry-run")
+        .help("Only count the known objects that match")
         .switch();
     let wait = long("wait")
-        .help("Wait until all boxes have confirmed it")
+        .help("Wait up to 60 s until all cache nodes have confirmed the purge")
         .req_flag(60u64);
     let wait_s = long("wait-s")
-        .help("The same, for so many seconds at most")
+        .help("Like --wait, for at most S seconds")
         .argument::<u64>("S");
     let wait = construct!([wait, wait_s]).optional();
-    let at = at();
+    let daemon = daemon();
     let json = json_out();
-    let verb = construct!(Verb::Purge {
-        what,
+    let operation = construct!(Operation::Purge {
+        target,
         id,
-        why,
+        reason,
         all,
         wait,
-        dry
+        dry_run
     });
-    construct!(Ctl { at, json, verb })
-        .to_options()
-        .descr("Purge copies")
-        .command("purge")
+    construct!(Ctl {
+        daemon,
+        json,
+        operation
+    })
+    .to_options()
+    .descr("Purge cached objects")
+    .command("purge")
 }
 
-/// `cranesill purges`.
+/// Parses the command `purges`.
 pub fn purges() -> impl Parser<Ctl> {
-    let list = bpaf::pure(Verb::Purges(None))
+    let list = bpaf::pure(Operation::ListPurges(None))
         .to_options()
-        .descr("The ledger, latest first")
+        .descr("List the purge log, latest first")
         .command("list");
-    let number = positional::<u64>("N").map(|n| Verb::Purges(Some(n)));
-    let show = number.to_options().descr("One purge").command("show");
-    let boxes = bpaf::pure(Verb::Boxes)
+    let number = positional::<u64>("N").map(|n| Operation::ListPurges(Some(n)));
+    let show = number.to_options().descr("Show one purge").command("show");
+    let boxes = bpaf::pure(Operation::ListCacheNodes)
         .to_options()
-        .descr("What each box has confirmed")
+        .descr("Show which purges each cache node has confirmed")
         .command("boxes");
-    let verb = construct!([list, show, boxes]);
-    let at = at();
+    let operation = construct!([list, show, boxes]);
+    let daemon = daemon();
     let json = json_out();
-    construct!(Ctl { at, json, verb })
-        .to_options()
-        .descr("Purges of a running daemon")
-        .command("purges")
+    construct!(Ctl {
+        daemon,
+        json,
+        operation
+    })
+    .to_options()
+    .descr("Inspect the purges of a running daemon")
+    .command("purges")
 }
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -8,7 +8,7 @@
 use super::snapshot::{decode_list, wall_clock_ms, ListRequirements};
 use super::{AdminEffect, Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::snapshot::{Snapshot, MAX_SNAPSHOT_BYTES};
-use crate::transport::{at_start, dial, listen, Outgoing, RestingListener, Stream};
+use crate::transport::{dial, listen, retry_on_shortage, BackoffListener, Outgoing, Stream};
 use clients::Clients;
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Peers as Settings;
@@ -89,7 +89,7 @@
 
 /// The driver that exchanges the endpoint list with peers.
 pub struct Peers {
-    listener: RestingListener<TcpListener>,
+    listener: BackoffListener<TcpListener>,
     listener_key: usize,
     peers: Vec<SocketAddr>,
     bootstrap: PeerBootstrap,
@@ -146,14 +146,14 @@
         let address = parse_address("listen", &settings.listen)?;
         let peers = other_peers(settings, address)?;
         let listener_key = turn.key();
-        let listener = at_start(|| listen(address))
+        let listener = retry_on_shortage(|| listen(address))
             .and_then(|l| turn.reactor.watch(l, listener_key, false))
             .map_err(|cause| PeersError::Listen { address, cause })?;
         tracing::info!(at = %address, peers = peers.len(), "the list is served to peers");
         let interval = settings.every_ms * 1_000;
         let bootstrap = PeerBootstrap::new(turn.now, peers.len(), settings.agree, interval, seed);
         Ok(Peers {
-            listener: RestingListener::new(listener),
+            listener: BackoffListener::new(listener),
             listener_key,
             peers,
             bootstrap,
@@ -203,7 +203,7 @@
             poll.stream.flush(|()| {})?;
             poll.stream.rewatch(true)?;
         }
-        while let Some(n) = poll.stream.fill(&mut self.read_buffer)? {
+        while let Some(n) = poll.stream.read_input(&mut self.read_buffer)? {
             if n == 0 {
                 return Ok(Progress::Complete);
             }
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -3,7 +3,7 @@
 use super::start::StartError;
 use crate::protocol::follow::{decode_hello, frame, Frame, Hello, HELLO_BYTES};
 use crate::server::drivers::Turn;
-use crate::transport::{at_start, listen, Registered, RestingListener, Stream};
+use crate::transport::{listen, retry_on_shortage, BackoffListener, Registered, Stream};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::log::PurgeLog;
 use cranesill_purges::{Purge, PurgeNumber};
@@ -139,7 +139,7 @@
 /// The followers of this front.
 #[derive(Debug)]
 pub(super) struct Followers {
-    listener: RestingListener<TcpListener>,
+    listener: BackoffListener<TcpListener>,
     listener_key: usize,
     /// By the poller keys of their connections.
     followers: HashMap<usize, Follower>,
@@ -162,7 +162,7 @@
             }
         })?;
         Ok(Followers {
-            listener: RestingListener::new(listener),
+            listener: BackoffListener::new(listener),
             listener_key,
             followers: HashMap::new(),
             scratch: vec![0; READ_BUFFER_BYTES],
@@ -174,7 +174,7 @@
         address: SocketAddr,
         key: usize,
     ) -> io::Result<Registered<TcpListener>> {
-        let listener = at_start(|| listen(address))?;
+        let listener = retry_on_shortage(|| listen(address))?;
         let local = listener.local_addr()?;
         tracing::info!(at = %local, "purges: serving the ledger");
         turn.reactor.watch(listener, key, false)
@@ -221,7 +221,7 @@
             return Ok(());
         };
         follower.stream.flush(|()| {})?;
-        while let Some(received) = follower.stream.fill(&mut self.scratch)? {
+        while let Some(received) = follower.stream.read_input(&mut self.scratch)? {
             if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -1,8 +1,8 @@
-//! Builds a server from its configuration and starts the subsystems that the settings switch on.
+//! Construction of a server from its configuration, including the drivers of enabled subsystems.
 use super::admin::ADMIN_COMMANDS;
 use super::takeover::open_handover;
 use super::timers::{Timer, SWEEP_INTERVAL};
-use super::{RunningDriver, Server, FIRST_CONNECTION_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
+use super::{RunningDriver, Server, LAST_RESERVED_KEY, LISTENER_KEY, SIGHUP_KEY, SIGTERM_KEY};
 use crate::protocol::snapshot::Snapshot;
 use crate::routing::RequestPipeline;
 use crate::server::acceptor::AcceptBackoff;
@@ -21,8 +21,10 @@
 use crate::server::log::Log;
 use crate::server::signals;
 use crate::server::startup::{call_schedule, known_list, snapshot_path, Startup};
-use crate::server::upstream::CacheNodes;
-use crate::transport::{at_start, inherited, listen, Clock, Deadlines, Reactor, Registered};
+use crate::server::upstream::UpstreamConnections;
+use crate::transport::{
+    inherited, listen, retry_on_shortage, Clock, Deadlines, Reactor, Registered,
+};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_daemon::Daemon;
 use signal_hook::consts::{SIGHUP, SIGTERM};
@@ -32,10 +34,10 @@
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
 
-/// Nobody waits for an answer longer than this where the settings name no time.
+/// Longest time that a client waits for a response if the settings define none.
 const DEFAULT_MAX_WAIT: Micros = 3_000_000;
 
-/// What a server watches and writes to from the start.
+/// The log, the clock and the event sources that a server has from the start.
 struct Sources {
     log: Log,
     clock: Clock,
@@ -46,27 +48,29 @@
 }
 
 impl Sources {
-    /// Installs the log, and watches signals and the clients' listener, which is `inherited` where the platform hands it over.
+    /// Installs the log and registers the signals and the listener for clients, which is created unless `inherited`.
     fn open(
         config: &Config,
         settings: &Daemon,
         inherited: Option<TcpListener>,
     ) -> Result<Self, ServerError> {
         let log = Log::install(&settings.log);
-        let reactor = at_start(Reactor::new).map_err(ServerError::Poller)?;
+        let reactor = retry_on_shortage(Reactor::new).map_err(ServerError::Poller)?;
         let listener = match inherited {
             Some(listener) => listener,
-            None => at_start(|| listen(config.listen)).map_err(|source| ServerError::Listen {
-                address: config.listen,
-                source,
+            None => retry_on_shortage(|| listen(config.listen)).map_err(|source| {
+                ServerError::Listen {
+                    address: config.listen,
+                    source,
+                }
             })?,
         };
         let listener = reactor
             .watch(listener, LISTENER_KEY, false)
             .map_err(ServerError::Poller)?;
-        let sigterm = at_start(|| signals::watch(&reactor, SIGTERM, SIGTERM_KEY));
+        let sigterm = retry_on_shortage(|| signals::watch(&reactor, SIGTERM, SIGTERM_KEY));
         let sigterm = sigterm.map_err(ServerError::Signals)?;
-        let sighup = at_start(|| signals::watch(&reactor, SIGHUP, SIGHUP_KEY));
+        let sighup = retry_on_shortage(|| signals::watch(&reactor, SIGHUP, SIGHUP_KEY));
         let sighup = sighup.map_err(ServerError::Signals)?;
         Ok(Sources {
             log,
@@ -79,7 +83,7 @@
     }
 }
 
-/// The clients' listening socket that the platform handed over, if it did.
+/// Returns the listening socket inherited from the platform, if the configuration names one.
 fn inherited_listener(config: &Config) -> Result<Option<TcpListener>, ServerError> {
     let Some(descriptor) = config.accept_fd else {
         return Ok(None);
@@ -90,7 +94,7 @@
         .map_err(|reason| ServerError::InheritedSocket { descriptor, reason })
 }
 
-/// The longest time that a client waits for an answer, by the settings of the classes.
+/// Returns the longest time that a client waits for a response, according to the settings of the classes.
 fn max_wait(config: &Config) -> Micros {
     let waits = config.deployment.limits.waits.iter().copied();
     let longest = waits.max().filter(|wait| *wait > 0);
@@ -98,14 +102,14 @@
 }
 
 impl Server {
-    /// Starts a front: it listens, starts the subsystems that `settings` switch on, and applies the endpoint list that the
-    /// configuration or a snapshot on disk knows. `settings_file` is where the settings came from, for reloads.
+    /// Creates a server: opens the listener, starts the subsystems that `settings` enable, and applies the endpoint list from the
+    /// configuration or a snapshot on disk. `settings_file` is the file that a reload reads.
     pub fn new(
         mut config: Config,
         settings: Daemon,
         settings_file: Option<PathBuf>,
     ) -> Result<Self, ServerError> {
-        // First of all: what is opened before could get the number of a socket that nobody handed over.
+        // Before any descriptor is opened, which could be assigned the number of an inherited socket that was not passed.
         let inherited = inherited_listener(&config)?;
         let sources = Sources::open(&config, &settings, inherited)?;
         let known = known_list(&mut config, settings.startup.as_ref());
@@ -117,8 +121,8 @@
             .map_err(ServerError::Listener)?;
         tracing::info!(name = server.config.name, %at, "listening");
         server
-            .front
-            .set_connection_limits(now, server.upstream.reach());
+            .pipeline
+            .set_connection_limits(now, server.upstream.cache_node_limits());
         server.start_drivers(now, known.snapshot)?;
         for event in known.events {
             server.apply_watch_event(now, event, known.origin);
@@ -140,7 +144,7 @@
         startup.is_some_and(|s| s.snapshots.is_some() || s.peers.is_some())
     }
 
-    /// Puts the parts of a server together; `revision` is that of the endpoint list that is known.
+    /// Assembles the parts of a server; `revision` is the known revision of the endpoint list.
     fn assemble(
         config: Config,
         settings: Daemon,
@@ -154,15 +158,19 @@
         let has_peers = startup.is_some_and(|s| s.peers.is_some());
         let schedule = call_schedule(now, &config, startup);
         Server {
-            front: RequestPipeline::new(config.deployment.clone(), config.seed, config.room()),
+            pipeline: RequestPipeline::new(
+                config.deployment.clone(),
+                config.seed,
+                config.capacity_limits(),
+            ),
             clients: Clients::new(),
-            upstream: CacheNodes::new(
+            upstream: UpstreamConnections::new(
                 config.max_upstream_connections(),
                 limits.streams,
                 limits.idle,
                 max_wait(&config),
             ),
-            discovery: Discovery::new(now, config.feed, revision, schedule, has_peers),
+            discovery: Discovery::new(now, config.list_service, revision, schedule, has_peers),
             startup: Startup::new(now, &config, startup),
             timers: Deadlines::new(),
             handover: config.accept_fd.and_then(|_| open_handover()),
@@ -177,7 +185,7 @@
             effects: Vec::new(),
             admin_slot: 0,
             disconnected: Vec::new(),
-            last_key: FIRST_CONNECTION_KEY,
+            last_key: LAST_RESERVED_KEY,
             started_at: now,
             log: sources.log,
             config,
@@ -191,11 +199,12 @@
         }
     }
 
-    /// Starts the subsystems that the settings switch on. The control socket comes last: it lists the others' commands.
+    /// Starts the subsystems that the settings enable. The control socket is started last because its help lists the commands of all
+    /// other drivers.
     fn start_drivers(&mut self, now: Timestamp, list: Snapshot) -> Result<(), ServerError> {
         if let Some(at) = self.config.ops {
-            let beside = self.config.accept_fd.is_some();
-            self.start_driver(now, |turn| Ok(Box::new(Ops::new(turn, at, beside)?)))?;
+            let has_handover = self.config.accept_fd.is_some();
+            self.start_driver(now, |turn| Ok(Box::new(Ops::new(turn, at, has_handover)?)))?;
             self.admin_slot = self.drivers.len();
         }
         let settings = self.settings.clone();
@@ -223,11 +232,11 @@
                 Ok(Box::new(Control::new(turn, &control.path, help)?))
             })?;
         }
-        self.carry_out_effects(now);
+        self.deliver_effects(now);
         Ok(())
     }
 
-    /// Starts what keeps the endpoint list for a later start: for peers, and on disk.
+    /// Starts the drivers that provide the endpoint list to peers and store it on disk.
     fn start_list_drivers(
         &mut self,
         now: Timestamp,
@@ -254,14 +263,14 @@
         Ok(())
     }
 
-    /// Starts one driver and gives it the next slot.
+    /// Starts a driver in the next slot.
     fn start_driver(
         &mut self,
         now: Timestamp,
         make: impl FnOnce(&mut Turn<'_>) -> Result<Box<dyn Driver>, Box<dyn Error>>,
     ) -> Result<(), ServerError> {
         let mut keys = PollerKeys::new(self.drivers.len() + 1);
-        let behind_ms = self.front.clock_offset.behind_ms();
+        let behind_ms = self.pipeline.clock_offset.behind_ms();
         let mut turn = Turn {
             now,
             behind_ms,
--- a/front/src/server/event_loop/takeover.rs
+++ b/front/src/server/event_loop/takeover.rs
@@ -1,33 +1,33 @@
-//! Takes the clients' socket over from an earlier process of this front and leaves it to a later one.
+//! Takeover of the listening socket for clients from an earlier process of this front.
 use super::timers::Timer;
 use super::Server;
 use crate::server::handover::Handover;
-use crate::transport::at_start;
+use crate::transport::retry_on_shortage;
 use cranesill::api::{Micros, Timestamp};
 use std::io;
 use std::path::PathBuf;
 
-/// Interval at which a process looks whether another has left the clients' socket to it, or has ended.
+/// Interval at which a process checks whether an earlier one has handed over the socket or has ended.
 const TAKEOVER_POLL_INTERVAL: Micros = 10_000;
 
-/// A process that has left the clients' socket to another closes upstream connections that are idle for this long.
+/// Idle timeout of upstream connections in a process that has handed over the socket and shares the limits with its successor.
 const HANDOVER_UPSTREAM_IDLE: Micros = 500_000;
 
 impl Server {
-    /// Looks for another process of this front when this one starts.
+    /// Determines at startup whether another process of this front accepts clients.
     pub(super) fn begin_takeover(&mut self, now: Timestamp) {
-        // Accepting is taken over by the first look, if no other process accepts.
+        // If no other process accepts, the first poll acquires the right to accept.
         self.accepts_clients = self.handover.is_none();
         self.poll_takeover(now);
         if !self.accepts_clients {
             tracing::info!(
                 kind = "upgrade",
-                "waits for another process to leave the clients' socket"
+                "waits for another process to hand over the listening socket"
             );
         }
     }
 
-    /// Accepts clients once no other process of this front does, and uses all of its limits once none is left.
+    /// Starts accepting clients once no other process of this front does, and stops sharing the limits once the earlier one has ended.
     pub(super) fn poll_takeover(&mut self, now: Timestamp) {
         let Some(handover) = &mut self.handover else {
             return;
@@ -36,49 +36,49 @@
             return;
         }
         let accepts = handover.try_accept();
-        let is_alone = handover.is_alone();
+        let is_only_process = handover.is_only_process();
         if accepts && !self.accepts_clients {
             let learned = handover.take_learned(now);
             tracing::info!(kind = "upgrade", learned = learned.len(), "accepts clients");
-            self.front.restore_learned_health(now, learned);
+            self.pipeline.restore_learned_health(now, learned);
         }
         self.accepts_clients = accepts;
-        self.share_limits(now, !is_alone);
+        self.share_limits(now, !is_only_process);
         self.watch_listener(true);
-        if !accepts || !is_alone {
+        if !accepts || !is_only_process {
             self.timers
                 .add(now + TAKEOVER_POLL_INTERVAL, Timer::TakeoverPoll);
         }
     }
 
-    /// Shares the limits with another process of this front, or uses all of them again.
-    pub(super) fn share_limits(&mut self, now: Timestamp, halved: bool) {
-        if std::mem::replace(&mut self.config.halved, halved) != halved {
-            self.upstream.limit(
+    /// Sets whether the limits are shared with another process of this front, and applies the resulting limits.
+    pub(super) fn share_limits(&mut self, now: Timestamp, shared: bool) {
+        if std::mem::replace(&mut self.config.limits_shared, shared) != shared {
+            self.upstream.set_limits(
                 self.config.max_upstream_connections(),
                 self.shutdown.map(|_| HANDOVER_UPSTREAM_IDLE),
             );
-            self.front.set_connection_limits(now, self.upstream.reach());
-            self.front.set_capacity(self.config.room());
+            self.pipeline
+                .set_connection_limits(now, self.upstream.cache_node_limits());
+            self.pipeline.set_capacity(self.config.capacity_limits());
         }
     }
 
-    /// Whether another process accepts on the clients' socket now.
+    /// Whether clients are accepted by another process.
     pub(super) fn another_process_accepts(&self) -> bool {
         !self.accepts_clients || self.config.accept_fd.is_some() && self.shutdown.is_some()
     }
 }
 
-/// Opens the directory that the platform shares between the processes of this front. Without it a new process serves all
-/// the same.
+/// Opens the directory shared by the processes of this front. Without it this process serves without coordination.
 pub(super) fn open_handover() -> Option<Handover> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty());
     let found = directory
         .ok_or_else(|| io::Error::other("TMPDIR is not set"))
         .map(PathBuf::from);
-    let opened = found.and_then(|directory| at_start(|| Handover::new(&directory)));
+    let opened = found.and_then(|directory| retry_on_shortage(|| Handover::new(&directory)));
     if let Err(error) = &opened {
-        tracing::warn!(kind = "upgrade", %error, "nothing is shared with another process: it accepts clients as well");
+        tracing::warn!(kind = "upgrade", %error, "cannot open the shared directory: other processes of this front accept clients at the same time");
     }
     opened.ok()
 }
--- a/front/src/transport/deadlines.rs
+++ b/front/src/transport/deadlines.rs
@@ -1,29 +1,30 @@
-//! Timestamps at which something is due.
+//! A priority queue of timers.
 use cranesill::api::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A queue of entries that are due at a timestamp. Entries are never removed early: whoever takes one checks whether it still
-/// applies.
+/// Entries ordered by the timestamp at which they are due. Entries cannot be cancelled: the caller checks whether an entry that
+/// it takes still applies.
 #[derive(Debug)]
 pub struct Deadlines<T> {
+    /// Timestamp, sequence number and entry; the sequence number keeps entries with equal timestamps in insertion order.
     heap: BinaryHeap<Reverse<(Timestamp, u64, T)>>,
-    last: u64,
+    last_sequence: u64,
 }
 
 impl<T: Ord> Deadlines<T> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Deadlines {
             heap: BinaryHeap::new(),
-            last: 0,
+            last_sequence: 0,
         }
     }
 
     /// Adds an entry that is due at `at`.
-    pub fn add(&mut self, at: Timestamp, what: T) {
-        self.last += 1;
-        self.heap.push(Reverse((at, self.last, what)));
+    pub fn add(&mut self, at: Timestamp, entry: T) {
+        self.last_sequence += 1;
+        self.heap.push(Reverse((at, self.last_sequence, entry)));
     }
 
     /// Returns the earliest timestamp at which an entry is due.
@@ -31,10 +32,11 @@
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Takes an entry that is due by `now`: the earliest first, and of equal ones the one that was added first.
+    /// Removes and returns the earliest entry that is due by `now`. Entries with equal timestamps are returned in the order in
+    /// which they were added.
     pub fn take(&mut self, now: Timestamp) -> Option<T> {
         self.next().filter(|at| *at <= now)?;
-        self.heap.pop().map(|Reverse((_, _, what))| what)
+        self.heap.pop().map(|Reverse((_, _, entry))| entry)
     }
 }
 
