--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -74,7 +74,7 @@
     /// When the response has to leave. A client that claims to wait for weeks is held to the limit of its class, since
     /// its deadlines would be remembered for as long.
     fn deadline(&self, now: Timestamp, class: usize, time_limit: Micros) -> Timestamp {
-        let class_limit = match self.deployment.limits.waits[class] {
+        let class_limit = match self.deployment.limits.client_timeouts[class] {
             0 => Micros::MAX,
             limit => limit,
         };
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -128,7 +128,7 @@
     /// Returns the capacity for requests: half of the memory; the rest is for input, the program and the allocator.
     pub fn room(&self) -> CapacityLimits {
         CapacityLimits {
-            max_pending: self.deployment.limits.open,
+            max_pending: self.deployment.limits.max_open_requests,
             max_buffered_bytes: self.memory / 2 / self.processes(),
         }
     }
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -92,7 +92,7 @@
 
 /// The longest time that a client waits for an answer, by the settings of the classes.
 fn max_wait(config: &Config) -> Micros {
-    let waits = config.deployment.limits.waits.iter().copied();
+    let waits = config.deployment.limits.client_timeouts.iter().copied();
     let longest = waits.max().filter(|wait| *wait > 0);
     longest.unwrap_or(DEFAULT_MAX_WAIT)
 }
@@ -158,8 +158,8 @@
             clients: Clients::new(),
             upstream: CacheNodes::new(
                 config.max_upstream_connections(),
-                limits.streams,
-                limits.idle,
+                limits.streams_per_connection,
+                limits.idle_timeout,
                 max_wait(&config),
             ),
             discovery: Discovery::new(now, config.feed, revision, schedule, has_peers),
--- a/front/src/server/event_loop/shutdown.rs
+++ b/front/src/server/event_loop/shutdown.rs
@@ -17,7 +17,7 @@
             return;
         }
         tracing::info!("SIGTERM: leaving");
-        let waits = &self.config.deployment.limits.waits;
+        let waits = &self.config.deployment.limits.client_timeouts;
         let drain = Drain::new(now, waits, self.handover.is_some());
         self.shutdown = Some(drain);
         self.clients.drain(now, self.config.accept_fd.is_some());
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -56,15 +56,15 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Cache nodes close connections that were idle for this long.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Attempts that one connection carries at once.
-    pub streams: usize,
+    pub streams_per_connection: usize,
     /// What was decided before a purge may be sent for this long after the purge was announced.
     pub purge_grace: Micros,
     /// Requests that an instance may have open.
-    pub open: usize,
+    pub max_open_requests: usize,
     /// How long a client waits at most, over all its retries; by class.
-    pub waits: Vec<Micros>,
+    pub client_timeouts: Vec<Micros>,
 }
 
 /// The settings, as far as any part of the project uses them.
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -142,14 +142,14 @@
     let purge_grace = duration(&v["familyInfo"], "purgeGrace");
     let classes = list(v, "classes").iter();
     Limits {
-        idle: at_least_one("connIdle", DEFAULT_IDLE_US) as Micros,
+        idle_timeout: at_least_one("connIdle", DEFAULT_IDLE_US) as Micros,
         purge_grace: if purge_grace > 0 {
             purge_grace
         } else {
             UNLIMITED
         },
-        streams: at_least_one("streamsPerConn", DEFAULT_STREAMS) as usize,
-        open: at_least_one("openCap", DEFAULT_OPEN_REQUESTS) as usize,
-        waits: classes.map(|class| duration(class, "deadline")).collect(),
+        streams_per_connection: at_least_one("streamsPerConn", DEFAULT_STREAMS) as usize,
+        max_open_requests: at_least_one("openCap", DEFAULT_OPEN_REQUESTS) as usize,
+        client_timeouts: classes.map(|class| duration(class, "deadline")).collect(),
     }
 }
