--- a/daemon/src/diff.rs
+++ b/daemon/src/diff.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Taken over in service.
-    pub taken: Vec<String>,
+    pub applied: Vec<String>,
     /// As they were until a restart.
-    pub restart: Vec<String>,
+    pub needs_restart: Vec<String>,
 }
 
 /// Compares two files. Paths are without `$.`, in order; a section that comes or goes is one path.
@@ -40,8 +40,11 @@
         LIVE.iter()
             .any(|l| path == l || path.starts_with(&format!("{l}.")))
     };
-    let (taken, restart) = found.into_iter().partition(live);
-    Changes { taken, restart }
+    let (applied, needs_restart) = found.into_iter().partition(live);
+    Changes {
+        applied,
+        needs_restart,
+    }
 }
 
 fn walk(path: String, old: &Value, new: &Value, found: &mut BTreeSet<String>) {
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -96,6 +96,6 @@
     new.tls.as_mut().unwrap().handshakes_most = 7;
     new.certs = Some(Certs::default());
     let told = changes(&old, &new);
-    assert_eq!(told.taken, ["log.level", "tls.handshakes_most"]);
-    assert_eq!(told.restart, ["certs", "control.path"]);
+    assert_eq!(told.applied, ["log.level", "tls.handshakes_most"]);
+    assert_eq!(told.needs_restart, ["certs", "control.path"]);
 }
--- a/front/src/server/event_loop/reload.rs
+++ b/front/src/server/event_loop/reload.rs
@@ -45,13 +45,13 @@
             self.with_driver(now, slot, |driver, turn| driver.reload(turn, &new));
         }
         self.carry_out_effects(now);
-        if !changes.restart.is_empty() {
-            let paths = changes.restart.join(" ");
+        if !changes.needs_restart.is_empty() {
+            let paths = changes.needs_restart.join(" ");
             tracing::warn!(paths, "settings that need a restart");
         }
-        tracing::info!(paths = changes.taken.join(" "), "settings taken over");
+        tracing::info!(paths = changes.applied.join(" "), "settings taken over");
         let running = std::mem::replace(&mut self.settings, new);
-        if !changes.restart.is_empty() {
+        if !changes.needs_restart.is_empty() {
             keep_until_restart(&mut self.settings, running);
         }
     }
