--- a/daemon/src/check.rs
+++ b/daemon/src/check.rs
@@ -1,4 +1,5 @@
-//! Reads the file and finds its faults: by the schema first, then what no schema can say, section by section.
+//! Reads and validates the settings file: against the schema first, then section by section for what a schema cannot
+//! express.
 use crate::types::{Certs, Challenge, Daemon, Purges, Startup, Tls};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -6,20 +7,20 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Bytes that the file may have.
+/// Maximum size of the settings file.
 pub const FILE_MOST: usize = 4 << 20;
-/// Faults that are told at most.
+/// Maximum number of schema faults that are reported.
 const FAULTS_MOST: usize = 100;
-/// Bytes of a host name and of one label of it (RFC 1035, section 2.3.4).
+/// Maximum length of a host name (RFC 1035, section 2.3.4).
 const NAME_MOST: usize = 253;
 const LABEL_MOST: usize = 63;
 
-/// What is wrong, and where.
+/// An invalid value in the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// JSON path, as in `$.tls.listen`.
+    /// JSON path of the value, such as `$.tls.listen`.
     pub path: String,
-    /// What is wrong there.
+    /// The violated constraint, as shown to the operator.
     pub what: String,
 }
 
@@ -29,7 +30,10 @@
     }
 }
 
-/// Reads a settings file. All faults that can be found are, in the order of their paths.
+/// Reads a settings file.
+///
+/// # Errors
+/// Returns all faults of the file, sorted by path.
 pub fn read(text: &[u8]) -> Result<Daemon, Vec<Fault>> {
     let whole = |what: String| {
         vec![Fault {
@@ -74,14 +78,14 @@
     Err(faults)
 }
 
-/// A section that can be read by itself; one that can't has its faults told by the schema.
+/// Parses one section. `None` if it is missing or invalid; the schema reports the faults of an invalid one.
 fn section<T: DeserializeOwned>(value: &Value, name: &str) -> Option<T> {
     value
         .get(name)
         .and_then(|v| serde_json::from_value(v.clone()).ok())
 }
 
-/// `/certs/certificates/0` as `$.certs.certificates[0]`.
+/// Converts a JSON pointer such as `/certs/certificates/0` to a path such as `$.certs.certificates[0]`.
 fn dotted(pointer: &str) -> String {
     let steps = pointer
         .split('/')
@@ -97,7 +101,7 @@
     if text.parse::<SocketAddr>().is_err() {
         faults.push(Fault {
             path: path.into(),
-            what: format!("no address and port: {text}"),
+            what: format!("not an IP address with a port: {text}"),
         });
     }
 }
@@ -109,48 +113,48 @@
         for (j, name) in certificate.names.iter().enumerate() {
             let path = format!("$.certs.certificates[{i}].names[{j}]");
             if let Err(why) = host(name) {
-                fault(path.clone(), format!("no name: {why}"));
+                fault(path.clone(), format!("not a host name: {why}"));
             }
             if let Some(first) = seen.insert(name.to_ascii_lowercase(), path.clone()) {
-                fault(path, format!("named twice, first at {first}"));
+                fault(path, format!("duplicate host name, first used at {first}"));
             }
         }
     }
     if !certs.fronts.is_empty() && certs.fronts.len() > 1_000 {
-        fault("$.certs.fronts".into(), "more than 1000".into());
+        fault("$.certs.fronts".into(), "more than 1000 fronts".into());
     }
     if let Some(authority) = &certs.authority {
         let url = &authority.directory_url;
         if !url.starts_with("https://") || url.len() <= "https://".len() {
             fault(
                 "$.certs.authority.directory_url".into(),
-                format!("not https: {url}"),
+                format!("not an https URL: {url}"),
             );
         }
         for (i, contact) in authority.contacts.iter().enumerate() {
             if !contact.starts_with("mailto:") {
                 fault(
                     format!("$.certs.authority.contacts[{i}]"),
-                    "does not begin with mailto:".into(),
+                    "not a mailto: address".into(),
                 );
             }
         }
         if !authority.terms_agreed {
             fault(
                 "$.certs.authority.terms_agreed".into(),
-                "no account is made without it".into(),
+                "must be true: without agreement to the terms no account is created".into(),
             );
         }
         if authority.challenge == Challenge::Http && certs.http_listen.is_none() {
             fault(
                 "$.certs.http_listen".into(),
-                "missing, and the challenge is http-01".into(),
+                "missing: the challenge http-01 needs it".into(),
             );
         }
         if authority.challenge == Challenge::TlsAlpn && !tls {
             fault(
                 "$.tls".into(),
-                "missing, and the challenge is tls-alpn-01".into(),
+                "missing: the challenge tls-alpn-01 needs it".into(),
             );
         }
     }
@@ -177,16 +181,16 @@
     only_writer("$.purges.boxes", purges.boxes.is_some());
 }
 
-/// Whether a name is one that a certificate for a host may carry (RFC 1123, section 2.1).
+/// Checks that a name is a host name (RFC 1123, section 2.1) that an ACME challenge can validate.
 fn host(name: &str) -> Result<(), &'static str> {
     if name.is_empty() || name.len() > NAME_MOST {
-        return Err("empty or too long");
+        return Err("empty or longer than 253 bytes");
     }
     if name.parse::<std::net::IpAddr>().is_ok() {
-        return Err("an address");
+        return Err("an IP address");
     }
     if name.contains('*') {
-        return Err("a wildcard can't be shown by http-01 or tls-alpn-01");
+        return Err("http-01 and tls-alpn-01 cannot validate a wildcard");
     }
     let label = |l: &str| {
         let fits =
@@ -196,5 +200,5 @@
     name.split('.')
         .all(label)
         .then_some(())
-        .ok_or("a label that no host has")
+        .ok_or("an invalid label")
 }
--- a/daemon/src/diff.rs
+++ b/daemon/src/diff.rs
@@ -1,9 +1,9 @@
-//! What a reload takes over and what it can't.
+//! Compares two settings files: which changes a reload applies, and which need a restart.
 use crate::types::Daemon;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What changes in service; all else needs a restart.
+/// Settings that a reload applies, with all below them. Any other change needs a restart.
 const LIVE: [&str; 14] = [
     "log",
     "tls.handshakes_most",
@@ -21,18 +21,18 @@
     "certs.orders_at_once",
 ];
 
-/// Paths of values that differ between two files.
+/// Paths of the values that differ between two files, such as `tls.core_percent`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Taken over in service.
+    /// Paths of changes that a reload applies.
     pub applied: Vec<String>,
-    /// As they were until a restart.
+    /// Paths of changes that take effect after a restart.
     pub needs_restart: Vec<String>,
 }
 
-/// Compares two files. Paths are without `$.`, in order; a section that comes or goes is one path.
+/// Compares two files. The paths are sorted and have no `$.` prefix; a section that is added or removed is one path.
 pub fn changes(old: &Daemon, new: &Daemon) -> Changes {
-    // All types serialize to objects: nothing in them can fail.
+    // The types serialize to plain objects, which cannot fail.
     let value = |d: &Daemon| serde_json::to_value(d).unwrap_or_default();
     let mut found = BTreeSet::new();
     walk(String::new(), &value(old), &value(new), &mut found);
@@ -47,6 +47,7 @@
     }
 }
 
+/// Adds the paths below `path` at which the values differ.
 fn walk(path: String, old: &Value, new: &Value, found: &mut BTreeSet<String>) {
     match (old, new) {
         (Value::Object(a), Value::Object(b)) => {
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon's own settings: one JSON file, given by `cranesill serve --settings FILE`. Everything that it can
-//! switch on is off without it.
+//! The daemon's settings: a JSON file that is passed by `cranesill serve --settings FILE`. Without it every subsystem that
+//! it can enable is off.
 //!
-//! Units stand in the names: `_ms` and `_s` are spans, `_bytes` sizes, `_percent` shares of a hundred. Unknown
-//! keys are refused. [`read`] finds all faults of a file, not only the first, each with its JSON path.
+//! Keys end in their unit: `_ms` and `_s` for durations, `_bytes` for sizes, `_percent` for percentages. Unknown keys are
+//! rejected. [`read`] reports all faults of a file, each with its JSON path.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -14,14 +14,14 @@
 pub use diff::{changes, Changes};
 pub use types::*;
 
-/// The JSON Schema of the file, as `cranesill schema` prints it.
+/// Returns the JSON Schema of the settings file, as printed by `cranesill schema`.
 pub fn schema() -> serde_json::Value {
     let mut schema = schemars::schema_for!(Daemon).to_value();
     plain(&mut schema);
     schema
 }
 
-/// Alternatives that are nothing but words become a list of words: a fault then names those that would do.
+/// Replaces each `oneOf` of constants by an `enum`, so that a validation error lists the allowed values.
 fn plain(schema: &mut serde_json::Value) {
     let words = schema
         .get("oneOf")
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -52,17 +52,17 @@
             "{path} in {told:#?}"
         );
     }
-    // What a schema can't say is found where the section itself can be read.
+    // The checks beyond the schema run for each section that can be parsed.
     let told = paths(
         r#"{"tls": {"listen": "nowhere"}, "surplus": 1,
                 "certs": {"certificates": [{"names": ["a.example", "-b.example"]}, {"names": ["A.example"]}],
                           "authority": {"directory_url": "http://ca.example/dir", "roots_file": "r", "challenge": "http-01"}}}"#,
     );
     for path in [
-        "$.tls.listen: no address",
-        "$.certs.certificates[0].names[1]: no name",
-        "$.certs.certificates[1].names[0]: named twice",
-        "$.certs.authority.directory_url: not https",
+        "$.tls.listen: not an IP address",
+        "$.certs.certificates[0].names[1]: not a host name",
+        "$.certs.certificates[1].names[0]: duplicate host name",
+        "$.certs.authority.directory_url: not an https URL",
         "$.certs.http_listen: missing",
         "$: ",
     ] {
@@ -81,7 +81,7 @@
     assert!(read(&vec![b' '; check::FILE_MOST + 1]).unwrap_err()[0]
         .what
         .contains("more than"));
-    // Deep nesting must not take the stack.
+    // Deep nesting must not overflow the stack.
     assert!(read("[".repeat(100_000).as_bytes()).is_err());
 }
 
--- a/daemon/src/types.rs
+++ b/daemon/src/types.rs
@@ -1,97 +1,98 @@
-//! What the file may hold.
+//! Types of the settings file. Their doc comments are the descriptions in its JSON Schema.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// The whole file.
+/// Settings of the daemon.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Daemon {
-    /// The log on standard error.
+    /// Log on standard error.
     pub log: Log,
-    /// The control socket for operators; absent: none.
+    /// Control socket for operators. If absent, there is none.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Control")]
     pub control: Option<Control>,
-    /// The TLS listener; absent: none.
+    /// TLS listener. If absent, there is none.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Tls")]
     pub tls: Option<Tls>,
-    /// Certificates; absent: none are kept, and a TLS listener has none to serve.
+    /// Certificates. If absent, none are managed, and the TLS listener has none to serve.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Certs")]
     pub certs: Option<Certs>,
-    /// Purges by operators; absent: none but the platform's own.
+    /// Purges by operators. If absent, only the purges of the platform are applied.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Purges")]
     pub purges: Option<Purges>,
-    /// The cold start: calls on the list service; absent: it is called anew five times a second for as long as it fails.
+    /// Startup without a current endpoint list. If absent, a list service that fails is called five times per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Startup")]
     pub startup: Option<Startup>,
 }
 
-/// The cold start.
+/// Startup: calls to the list service, slow start of new endpoints, readiness, and other sources of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Startup {
-    /// Calls a second that all fronts together make at a list service that fails.
+    /// Calls per second that all fronts together make to a list service that fails.
     #[schemars(range(min = 1, max = 10_000))]
     pub calls_per_s: u32,
-    /// A front never waits longer than this between two calls, whatever its share.
+    /// Maximum interval between two calls of one front, whatever its quota.
     #[schemars(range(min = 1_000, max = 600_000))]
     pub wait_most_ms: u64,
-    /// For so long after the last word of the service it is called twice a second: what was missed can still be heeded.
+    /// Time after the last message of the list service in which it is called twice per second, so that events missed in a
+    /// short outage are still applied in time.
     #[schemars(range(min = 0, max = 60_000))]
     pub haste_ms: u64,
-    /// So many of all fronts together begin to use a member in a second that is new to them; absent: all at once, and
-    /// connections are begun when something is first asked.
+    /// Number of fronts per second, in the whole fleet, that begin to use a new endpoint. If absent, all fronts use it at
+    /// once, and connect to it for the first request.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "u32", range(min = 1, max = 100_000))]
     pub handshakes_per_s: Option<u32>,
-    /// By then all fronts use a new member, whatever the budget.
+    /// Time after which all fronts use a new endpoint, whatever `handshakes_per_s` is.
     #[schemars(range(min = 0, max = 600_000))]
     pub ramp_most_ms: u64,
-    /// A front says that it is ready once so many in a hundred of the members have a connection that is up.
+    /// Percentage of the endpoints with an open connection from which on a front is ready.
     #[schemars(range(min = 0, max = 100))]
     pub ready_percent: u32,
-    /// So long after its start it says so with fewer, if it has a list.
+    /// Time after the start at which a front with an endpoint list is ready even with fewer connections.
     #[schemars(range(min = 0, max = 600_000))]
     pub ready_most_ms: u64,
-    /// The yes of a whole fleet is spread over this.
+    /// Time over which the fronts of a fleet become ready one after the other.
     #[schemars(range(min = 0, max = 600_000))]
     pub ready_spread_ms: u64,
-    /// A folder in which the list is kept, in a file by the front's name; absent: it is not.
+    /// Directory in which the endpoint list is kept, in a file named after the front. If absent, it is not kept.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "PathBuf")]
     pub snapshots: Option<PathBuf>,
-    /// A list on disk that is older than this is not served from.
+    /// Maximum age of a list on disk or from a peer that is used to serve requests.
     #[schemars(range(min = 1, max = 86_400))]
     pub serve_snapshot_s: u64,
-    /// A name of the list, the same for all that follow it; absent: the address of the list service.
+    /// Name of the endpoint list, the same for all fronts that use it. If absent, the address of the list service.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "String")]
     pub list: Option<String>,
-    /// The list from one another while the service is not heard; absent: off.
+    /// Exchange of the endpoint list with peers while the list service is silent. If absent, it is off.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Peers")]
     pub peers: Option<Peers>,
 }
 
-/// Fronts that hold the same list.
+/// Exchange of the endpoint list between fronts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Address and port at which others ask this front.
+    /// Address and port on which this front serves its list to peers.
     pub listen: String,
-    /// Where others are asked; this front's own address among them is passed over.
+    /// Addresses and ports of the peers. This front's own address is ignored.
     #[schemars(length(max = 2_000))]
     pub ask: Vec<String>,
-    /// A list is taken once so many offer the same.
+    /// Number of peers that have to offer the same list before it is adopted.
     #[serde(default = "two")]
     #[schemars(range(min = 1, max = 3))]
     pub agree: usize,
-    /// Pause between two rounds, in each of which three are asked.
+    /// Interval between two rounds, in each of which three peers are polled.
     #[serde(default = "two_seconds")]
     #[schemars(range(min = 100, max = 600_000))]
     pub every_ms: u64,
@@ -128,50 +129,50 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Purges {
-    /// The file that holds the ledger; absent: it is kept in memory, and each start takes everything for purged that
-    /// members may hold.
+    /// Journal of the purge log. If absent, the log is kept in memory, and each start purges everything that endpoints may
+    /// have cached.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "PathBuf")]
     pub file: Option<PathBuf>,
-    /// No member holds a copy that is older than this.
+    /// Maximum age of a copy at any endpoint. Older purges are removed from the log.
     #[schemars(range(min = 1, max = 2_592_000))]
     pub horizon_s: u64,
-    /// By so much the clocks of those who date copies may be ahead.
+    /// Maximum time by which the clocks that timestamp copies may be ahead.
     #[schemars(range(min = 0, max = 60_000))]
     pub skew_ms: u64,
-    /// Address and port on which the ledger is served to fronts that follow; absent: it is not.
+    /// Address and port on which the purge log is served to followers. If absent, it is not served.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "String")]
     pub serve: Option<String>,
-    /// The ledger of another front is followed; absent: this front writes its own.
+    /// Writer whose purge log this front follows. If absent, this front writes its own log.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Follow")]
     pub follow: Option<Follow>,
-    /// Boxes are sent purges; absent: none is.
+    /// Cache nodes that are sent purges. If absent, none are.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Boxes")]
     pub boxes: Option<Boxes>,
-    /// Fetches a second that purges may send past the caches; the last part of it is kept for what is worth most.
-    /// Absent: there is no bound.
+    /// Maximum number of fetches per second that bypass the caches because of purges. Part of it is reserved for requests
+    /// of high priority. If absent, there is no limit.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "u32", range(min = 1, max = 1_000_000))]
     pub shield_per_s: Option<u32>,
-    /// Memory for the tags of objects.
+    /// Maximum memory of the index of object tags.
     #[schemars(range(min = 4_096, max = 1_073_741_824))]
     pub index_bytes: usize,
 }
 
-/// The ledger of another front.
+/// Following the purge log of another front.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Follow {
-    /// Where its writer serves it: address and port.
+    /// Address and port on which the writer serves its log.
     pub address: String,
-    /// Contact counts as lost after this long without a word of the writer.
+    /// Duration of the follower's lease, which each contact with the writer renews.
     #[serde(default = "lease_ms")]
     #[schemars(range(min = 1_000, max = 3_600_000))]
     pub lease_ms: u64,
-    /// What is done without contact.
+    /// Behavior once the lease has expired.
     #[serde(default)]
     pub without_contact: WithoutContact,
 }
@@ -180,29 +181,29 @@
     5_000
 }
 
-/// What is done without contact to the writer of the ledger.
+/// Behavior of a follower whose lease has expired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum WithoutContact {
-    /// Nothing is served that is older than the lease.
+    /// Copies older than the lease duration are not served.
     #[default]
     Strict,
-    /// It goes on, and counts the answers that stood under the doubt.
+    /// All copies are served, and the responses that could not be verified are counted.
     Available,
 }
 
-/// Boxes that are sent purges.
+/// Cache nodes that are sent purges.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Boxes {
-    /// Kinds of members that speak of purges, as the platform's settings name them.
+    /// Kinds of endpoints that support the purge protocol, by their names in the platform's settings.
     #[schemars(length(min = 1))]
     pub kinds: Vec<String>,
-    /// Purges a second that go out to all boxes together.
+    /// Maximum number of purges per second that are sent to all cache nodes together.
     #[serde(default = "per_s")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub per_s: u32,
-    /// Connections to boxes at once; descriptors for them come out of those of clients.
+    /// Maximum number of connections to cache nodes. They reduce the number of descriptors for clients.
     #[serde(default = "connections_most")]
     #[schemars(range(min = 1, max = 4096))]
     pub connections_most: usize,
@@ -231,71 +232,71 @@
     }
 }
 
-/// The log.
+/// Log output.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// How a line looks.
+    /// Format of a line.
     pub format: Format,
-    /// The least level that is written.
+    /// Lowest level that is written.
     pub level: Level,
 }
 
-/// How a line of the log looks.
+/// Formats of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// Words and `name=value`.
+    /// Text with `name=value` fields.
     #[default]
     Text,
-    /// One JSON object.
+    /// A JSON object.
     Json,
 }
 
-/// Levels of the log.
+/// Log levels, the most severe first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Something is lost or will be.
+    /// Data or service is lost, or will be.
     Error,
-    /// Something needs a look.
+    /// A condition that an operator should look into.
     Warn,
-    /// What an operator wants to know.
+    /// Normal events of interest to operators.
     #[default]
     Info,
-    /// What a developer wants to know.
+    /// Details of interest to developers.
     Debug,
-    /// Everything.
+    /// All details.
     Trace,
 }
 
-/// The control socket.
+/// Control socket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Path of the Unix domain socket; it is made with mode 0600.
+    /// Path of the Unix domain socket, which is created with mode 0600.
     pub path: PathBuf,
 }
 
-/// The TLS listener.
+/// TLS listener.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
     /// Address and port to listen on.
     pub listen: String,
-    /// Handshakes under way at once; a new one beyond that displaces the oldest.
+    /// Maximum number of concurrent handshakes; a further one displaces the oldest.
     #[serde(default = "handshakes_most")]
     #[schemars(range(min = 1, max = 4096))]
     pub handshakes_most: usize,
-    /// A handshake has to be complete after this long.
+    /// Timeout of a handshake.
     #[serde(default = "handshake_ms")]
     #[schemars(range(min = 100, max = 2999))]
     pub handshake_ms: u64,
-    /// Share of the core that handshakes may take.
+    /// Maximum share of one CPU core that handshakes may use.
     #[serde(default = "core_percent")]
     #[schemars(range(min = 1, max = 100))]
     pub core_percent: u32,
-    /// What becomes of handshakes once a certificate has expired.
+    /// Handling of expired certificates.
     #[serde(default)]
     pub expired: Expired,
 }
@@ -312,59 +313,59 @@
     25
 }
 
-/// What becomes of handshakes once a certificate has expired.
+/// Handling of handshakes whose certificate has expired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Expired {
-    /// It is served, with an error in the log each minute.
+    /// The expired certificate is served, and an error is logged every minute.
     #[default]
     Serve,
-    /// The handshake is refused by the alert `certificate_expired`.
+    /// The handshake is rejected with the alert `certificate_expired`.
     Refuse,
 }
 
-/// Certificates.
+/// Certificate management.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Certs {
-    /// The folder that holds keys, certificates, the account and orders under way; absent: all is kept in memory
-    /// alone and obtained anew at each start.
+    /// Directory of keys, certificates, the account and pending orders. If absent, all are kept in memory only, and are
+    /// obtained again at each start.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "PathBuf")]
     pub directory: Option<PathBuf>,
-    /// The certificates that are served, each for names that belong together.
+    /// Certificates to serve.
     pub certificates: Vec<Certificate>,
-    /// The authority that issues them; absent: what is imported or lies in the folder is served
-    /// for the names above, and nothing is renewed.
+    /// Authority that issues the certificates. If absent, imported and stored certificates are served for the names above,
+    /// and none are renewed.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Authority")]
     pub authority: Option<Authority>,
-    /// Address and port that answers http-01 challenges.
+    /// Address and port on which http-01 challenges are answered.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "String")]
     pub http_listen: Option<String>,
-    /// All fronts that serve these names, this one included: they take turns at renewing.
+    /// Names of all fronts that serve these certificates, including this one. They renew in order of their rank.
     pub fronts: Vec<String>,
-    /// How long a front waits for the one before it in rank.
+    /// Time that a front waits for the renewal by the front of the rank before it.
     #[schemars(range(min = 1, max = 604_800))]
     pub takeover_s: u64,
-    /// Share of a lifetime after which a certificate is renewed, where the authority names no window.
+    /// Percentage of a certificate's lifetime after which it is renewed if the authority suggests no renewal window.
     #[schemars(range(min = 10, max = 95))]
     pub renew_percent: u32,
-    /// Up to this share of the lifetime is taken off, the same after each start, so that not all come due at
-    /// once.
+    /// Maximum percentage of the lifetime by which a renewal is moved forward, so that renewals are spread. It is the same
+    /// after each start.
     #[schemars(range(min = 0, max = 20))]
     pub jitter_percent: u32,
-    /// A warning is written from this share of the lifetime on.
+    /// Percentage of the lifetime after which an outstanding renewal is logged as a warning.
     #[schemars(range(min = 10, max = 100))]
     pub warn_percent: u32,
-    /// Orders that may be begun within a window.
+    /// Maximum number of orders that are started within one window.
     #[schemars(range(min = 1, max = 100_000))]
     pub orders_most: usize,
-    /// The window.
+    /// Length of the window for `orders_most`.
     #[schemars(range(min = 1, max = 2_592_000))]
     pub order_window_s: u64,
-    /// Orders under way at once.
+    /// Maximum number of concurrent orders.
     #[schemars(range(min = 1, max = 16))]
     pub orders_at_once: usize,
 }
@@ -388,11 +389,12 @@
     }
 }
 
-/// One certificate.
+/// A certificate to serve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Certificate {
-    /// Host names; the first names the certificate in the log, on the command line and in the folder.
+    /// Host names that the certificate covers. The first identifies it in the log, on the command line and in the
+    /// directory.
     #[schemars(length(min = 1, max = 100))]
     pub names: Vec<String>,
 }
@@ -401,27 +403,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Authority {
-    /// URL of its directory, `https` always. Nothing is sent to any other host or port.
+    /// URL of the authority's directory, with the scheme `https`. Requests are sent to this host and port only.
     pub directory_url: String,
-    /// File with the roots, in PEM, against which its TLS is verified.
+    /// PEM file of the root certificates by which the authority's TLS certificate is verified.
     pub roots_file: PathBuf,
-    /// `mailto:` addresses for the account.
+    /// Contacts of the account, as `mailto:` addresses.
     #[serde(default)]
     pub contacts: Vec<String>,
-    /// Whether its terms of service are agreed to; without that no account is made.
+    /// Agreement to the authority's terms of service, without which no account is created.
     #[serde(default)]
     pub terms_agreed: bool,
-    /// The account with which the authority binds this one (RFC 8555, section 7.3.4).
+    /// External account to which the account is bound (RFC 8555, section 7.3.4).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "ExternalAccount")]
     pub external_account: Option<ExternalAccount>,
-    /// How control of a name is shown.
+    /// Challenge type by which control of a name is proven.
     pub challenge: Challenge,
-    /// One answer of the authority has to be whole after this long.
+    /// Timeout of a request to the authority.
     #[serde(default = "answer_ms")]
     #[schemars(range(min = 100, max = 120_000))]
     pub answer_ms: u64,
-    /// One answer of the authority is at most this large.
+    /// Maximum size of a response of the authority.
     #[serde(default = "answer_bytes")]
     #[schemars(range(min = 4_096, max = 1_048_576))]
     pub answer_bytes: usize,
@@ -439,19 +441,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ExternalAccount {
-    /// Its key's id.
+    /// Identifier of the account's key.
     pub key_id: String,
-    /// File with its HMAC key in base64url; mode 0600.
+    /// File with the account's HMAC key in base64url, which should have mode 0600.
     pub key_file: PathBuf,
 }
 
-/// How control of a name is shown.
+/// Challenge types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub enum Challenge {
-    /// RFC 8555, section 8.3: answered on `http_listen`.
+    /// http-01 (RFC 8555, section 8.3), answered on `http_listen`.
     #[serde(rename = "http-01")]
     Http,
-    /// RFC 8737: answered on the TLS listener.
+    /// tls-alpn-01 (RFC 8737), answered on the TLS listener.
     #[serde(rename = "tls-alpn-01")]
     TlsAlpn,
 }
--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -1,13 +1,13 @@
-//! Checks settings before they are read: each fault is reported with its path.
+//! Validates settings before they are read, and reports each fault with its path.
 //!
-//! A missing key is no fault, since the wire leaves out what has its default; a value of another kind, or out of
-//! bounds, would silently be read as 0.
+//! A missing key is valid, since the sender omits keys that have their default. A value of the wrong type or out of
+//! range is rejected here because the reader would silently take it as 0.
 use crate::error::{Problem, SettingsFault};
 use serde_json::Value;
 
-/// Greatest duration: an hour in microseconds.
+/// One hour.
 const MAX_DURATION: f64 = 3.6e9;
-/// Numbers, each with the greatest value that is allowed; none is negative.
+/// JSON pointers of numbers, each with its maximum. The minimum is 0.
 const NUMBERS: [(&str, f64); 20] = [
     ("/zone", 65_535.0),
     ("/index", 1e6),
@@ -44,8 +44,9 @@
     "/policyLimits/mayDuplicate",
     "/policyLimits/retryAfter",
 ];
-/// Indexes into the list of kinds, or -1.
+/// JSON pointers of indexes into the list of kinds; -1 means none.
 const KINDS: [&str; 2] = ["/familyInfo/upperKind", "/familyInfo/rootKind"];
+/// JSON pointers of arrays, each with the type of its entries.
 const LISTS: [(&str, Expected); 10] = [
     ("/classes", Expected::Object),
     ("/zones", Expected::Text),
@@ -58,22 +59,22 @@
     ("/familyInfo/feedKbPerS", Expected::Number(1e12)),
     ("/familyInfo/attachedTo", Expected::Number(65_535.0)),
 ];
-/// Lists by class.
+/// Keys in `familyInfo` of arrays with one entry per class.
 const CLASS_LISTS: [&str; 3] = ["classWrite", "classFresh", "usableAfter"];
 const SEMANTICS: [&str; 3] = ["pure", "token", "side_effect"];
 const KEY_SCOPES: [&str; 3] = ["all", "zone", "cell"];
 const DISCOVERY: [&str; 2] = ["automatic", "subscribe"];
-/// Characters of an unknown word that are reported.
+/// Longest excerpt of an invalid value in an error message.
 const MAX_REPORTED_CHARS: usize = 40;
 const MAX_LIST_ENTRIES: usize = 65_536;
 
-/// The kind of value that is expected.
+/// The expected type of a value.
 #[derive(Clone, Copy)]
 enum Expected {
     Object,
     Text,
     Boolean,
-    /// From 0 to this.
+    /// A number from 0 to this maximum.
     Number(f64),
 }
 
@@ -92,7 +93,7 @@
     }
 }
 
-/// All that is wrong with settings.
+/// Returns all faults of the settings.
 pub fn faults(settings: &Value) -> Vec<SettingsFault> {
     let mut check = Check::default();
     for (pointer, max) in NUMBERS {
@@ -123,12 +124,12 @@
     settings["classes"].as_array().into_iter().flatten()
 }
 
-/// The value at a JSON pointer; `null` is missing.
+/// Returns the value at a JSON pointer, or `None` if it is missing or `null`.
 fn present<'a>(value: &'a Value, pointer: &str) -> Option<&'a Value> {
     value.pointer(pointer).filter(|found| !found.is_null())
 }
 
-/// The path that stands for a JSON pointer in reports.
+/// Converts a JSON pointer to the dotted path used in error messages.
 fn path(base: &str, pointer: &str) -> String {
     format!("{base}{}", pointer.replace('/', "."))
 }
@@ -140,7 +141,7 @@
         .map(Vec::len)
 }
 
-/// The faults that were found so far.
+/// Collects faults.
 #[derive(Default)]
 struct Check {
     faults: Vec<SettingsFault>,
--- a/settings/src/check/tests.rs
+++ b/settings/src/check/tests.rs
@@ -42,7 +42,7 @@
     }
     let text = told.join("\n");
     for place in [
-        "settings.zone: 7: not a place",
+        "settings.zone: 7: not an index into settings.zones",
         "settings.classes[2].aim: not a number",
         "settings.classes[0]: not",
     ] {
@@ -57,7 +57,7 @@
 
 #[test]
 fn whatever_the_settings_are_reading_them_ends() {
-    // Every value of a good example is replaced by odd ones, one at a time.
+    // Replaces each value of valid settings in turn by values of other types and ranges.
     fn paths(v: &Value, at: &str, all: &mut Vec<String>) {
         all.push(at.to_string());
         match v {
@@ -88,7 +88,7 @@
         for value in &odd {
             let mut settings = good();
             *settings.pointer_mut(&path).unwrap() = value.clone();
-            // It may be good or not; it must not panic, nor be read in spite of a fault.
+            // Some replacements are valid; those with a fault must be rejected.
             let read = crate::read(&settings);
             assert!(
                 read.is_err() || faults(&settings).is_empty(),
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,7 +1,7 @@
-//! What can be wrong with a deployment's settings.
+//! Errors in a deployment's settings.
 use thiserror::Error;
 
-/// Why settings cannot be read.
+/// Settings that cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The text is not JSON.
@@ -10,7 +10,7 @@
     /// The JSON value is not an object.
     #[error("settings: not an object")]
     NotAnObject,
-    /// All faults of the values.
+    /// Values that are invalid, at least one.
     #[error("{}", join(.0))]
     Invalid(Vec<SettingsFault>),
 }
@@ -20,66 +20,66 @@
     lines.join("; ")
 }
 
-/// A fault with the path of the value.
+/// An invalid value and its path.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("{path}: {problem}")]
 pub struct SettingsFault {
-    /// Where the value is, as in `settings.classes[2].aim`.
+    /// Path of the value, such as `settings.classes[2].aim`.
     pub path: String,
-    /// What is wrong with it.
+    /// The violated constraint.
     pub problem: Problem,
 }
 
-/// What is wrong with a value.
+/// The constraint that a value violates.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum Problem {
     /// An object is expected.
     #[error("not an object")]
     NotAnObject,
     /// A string is expected.
-    #[error("not a text")]
+    #[error("not a string")]
     NotAText,
     /// A boolean is expected.
-    #[error("not true or false")]
+    #[error("not a boolean")]
     NotABoolean,
     /// A number is expected.
     #[error("not a number")]
     NotANumber,
-    /// The number is out of bounds.
-    #[error("{value:?}: not from 0 to {max}")]
+    /// The number is out of range.
+    #[error("{value:?}: out of range from 0 to {max}")]
     OutOfRange {
-        /// The number.
+        /// The number in the settings.
         value: f64,
-        /// The greatest that is allowed.
+        /// The greatest allowed number.
         max: f64,
     },
-    /// A list is expected.
-    #[error("not a list")]
+    /// An array is expected.
+    #[error("not an array")]
     NotAList,
-    /// The list is too long.
-    #[error("over {max} entries")]
+    /// The array is too long.
+    #[error("more than {max} entries")]
     TooManyEntries {
-        /// The greatest length that is allowed.
+        /// The greatest allowed length.
         max: usize,
     },
     /// An index into the list of kinds, or -1, is expected.
-    #[error("not the place of a kind, or -1 for none")]
+    #[error("not an index into settings.kinds, nor -1 for none")]
     NotAKind,
-    /// The word is none of those that are known.
+    /// The string is not one of the allowed ones.
     #[error("{word}: none of {}", known.join(", "))]
     UnknownWord {
-        /// The value as JSON, abbreviated.
+        /// The beginning of the value as JSON.
         word: String,
-        /// The words that are known.
+        /// The allowed strings.
         known: &'static [&'static str],
     },
     /// The zone of the front is not in the list of zones.
-    #[error("{zone}: not a place in settings.zones")]
+    #[error("{zone}: not an index into settings.zones")]
     NoSuchZone {
         /// The value as JSON.
         zone: String,
     },
-    /// A list by class has more entries than there are classes.
+    /// An array with one entry per class has more entries than there are classes.
     #[error("more entries than settings.classes")]
     MoreThanClasses,
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads a deployment's settings: the JSON object that an instance gets from the simulator and a front from its
-//! configuration.
+//! Reads a deployment's settings: a JSON object that the simulator sends to an instance, and that a front reads from its
+//! configuration file.
 //!
-//! Unknown keys are ignored; a missing key gets the wire's default; a value of the wrong kind or out of bounds is an
-//! error that names its path.
+//! Unknown keys are ignored, and a missing key takes its default. A value of the wrong type or out of range is an error
+//! that contains its path.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -16,7 +16,7 @@
 use cranesill::api::{LoadReport, Micros, Settings};
 use serde_json::Value;
 
-/// Which of the values of a load report is which figure.
+/// Positions of the metrics in a load report. A metric without a position is not reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportLayout {
     in_flight: Option<usize>,
@@ -24,7 +24,8 @@
 }
 
 impl ReportLayout {
-    /// Names the values of a report. Those that are missing, negative or not a number are left out.
+    /// Reads the metrics of a load report; `None` if it has no values. A metric that is missing, negative or not finite
+    /// is `None`.
     pub fn read(&self, values: &[f32]) -> Option<LoadReport> {
         let value = |index: Option<usize>| index.and_then(|index| values.get(index));
         let figure = |index| {
@@ -39,59 +40,59 @@
     }
 }
 
-/// Names that stand on sockets where the simulator's wire has numbers: each list is in the wire's order.
+/// Names for the indexes that the simulator's protocol uses. The socket protocols carry these names instead.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Request classes.
+    /// Request classes, by index.
     pub classes: Vec<String>,
-    /// Zones.
+    /// Zones, by index.
     pub zones: Vec<String>,
-    /// Kinds of endpoints.
+    /// Kinds of endpoints, by index.
     pub kinds: Vec<String>,
-    /// Values of a load report.
+    /// Fields of a load report, by position.
     pub report: Vec<String>,
 }
 
-/// Limits of connections and open requests.
+/// Limits on connections and requests.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Cache nodes close connections that were idle for this long.
+    /// Idle time after which cache nodes close a connection.
     pub idle_timeout: Micros,
-    /// Attempts that one connection carries at once.
+    /// Maximum number of concurrent attempts on one connection.
     pub streams_per_connection: usize,
-    /// What was decided before a purge may be sent for this long after the purge was announced.
+    /// Time after the announcement of a purge in which attempts decided before the purge may still be sent.
     pub purge_grace: Micros,
-    /// Requests that an instance may have open.
+    /// Maximum number of pending requests of one instance.
     pub max_open_requests: usize,
-    /// How long a client waits at most, over all its retries; by class.
+    /// Time that a client waits for a response over all its retries, by class.
     pub client_timeouts: Vec<Micros>,
 }
 
-/// The settings, as far as any part of the project uses them.
+/// The settings of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// For the decisions.
+    /// Input of the decision logic.
     pub settings: Settings,
-    /// Which of the values of a load report is which figure.
+    /// Positions of the metrics in a load report.
     pub layout: ReportLayout,
-    /// Names for what is an index in the decisions.
+    /// Names of the indexes that the decision logic uses.
     pub names: Names,
-    /// For connections and open requests.
+    /// Limits on connections and requests.
     pub limits: Limits,
 }
 
 /// Parses the JSON text of the settings.
 ///
 /// # Errors
-/// Text that is not JSON, and whatever [`read()`] rejects.
+/// Returns an error if the text is not JSON, or if [`read()`] rejects its value.
 pub fn parse(text: &[u8]) -> Result<Deployment, SettingsError> {
     read(&serde_json::from_slice(text)?)
 }
 
-/// Reads settings that are parsed already.
+/// Reads the settings from a JSON value.
 ///
 /// # Errors
-/// A value that is not an object, or all faults of its values.
+/// Returns an error if the value is not an object, or one with all invalid values.
 pub fn read(settings: &Value) -> Result<Deployment, SettingsError> {
     if !settings.is_object() {
         return Err(SettingsError::NotAnObject);
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -1,17 +1,17 @@
-//! Reads settings that were checked.
+//! Reads validated settings. Values of the wrong type have been rejected by [`crate::check`].
 use crate::json::{duration, flag, kind, list, number, text, texts};
 use crate::{Deployment, Limits, Names, ReportLayout};
 use cranesill::api::{Class, Idempotency, KeyScope, Micros, Settings, SlowStartLimits};
 use serde_json::Value;
 
-/// Idle time after which cache nodes close connections, where it is not given.
+/// Idle timeout of connections if the settings have none.
 const DEFAULT_IDLE_US: f64 = 15e6;
 const DEFAULT_STREAMS: f64 = 1.0;
 const DEFAULT_OPEN_REQUESTS: f64 = 20_000.0;
-/// Nothing that was decided before a purge is too old, where no time is given.
+/// Purge grace if the settings have none: attempts decided before a purge may be sent at any time.
 const UNLIMITED: Micros = Micros::MAX / 2;
 
-/// The deployment that the settings describe.
+/// Reads the deployment that the settings describe.
 pub fn deployment(v: &Value) -> Deployment {
     Deployment {
         settings: settings(v),
