--- a/daemon/src/check.rs
+++ b/daemon/src/check.rs
@@ -8,12 +8,13 @@
 use std::net::SocketAddr;
 
 /// Maximum size of the settings file.
-pub const FILE_MOST: usize = 4 << 20;
+pub const MAX_FILE_BYTES: usize = 4 << 20;
 /// Maximum number of schema faults that are reported.
-const FAULTS_MOST: usize = 100;
+const MAX_SCHEMA_FAULTS: usize = 100;
 /// Maximum length of a host name (RFC 1035, section 2.3.4).
-const NAME_MOST: usize = 253;
-const LABEL_MOST: usize = 63;
+const MAX_NAME_BYTES: usize = 253;
+/// Maximum length of a label of a host name.
+const MAX_LABEL_BYTES: usize = 63;
 
 /// An invalid value in the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -21,12 +22,12 @@
     /// JSON path of the value, such as `$.tls.listen`.
     pub path: String,
     /// The violated constraint, as shown to the operator.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path, self.what)
+        write!(f, "{}: {}", self.path, self.message)
     }
 }
 
@@ -35,43 +36,46 @@
 /// # Errors
 /// Returns all faults of the file, sorted by path.
 pub fn read(text: &[u8]) -> Result<Daemon, Vec<Fault>> {
-    let whole = |what: String| {
+    let file_fault = |message: String| {
         vec![Fault {
             path: "$".into(),
-            what,
+            message,
         }]
     };
-    if text.len() > FILE_MOST {
-        return Err(whole(format!("more than {FILE_MOST} bytes")));
+    if text.len() > MAX_FILE_BYTES {
+        return Err(file_fault(format!("more than {MAX_FILE_BYTES} bytes")));
     }
-    let value: Value = serde_json::from_slice(text).map_err(|e| whole(e.to_string()))?;
-    let schema = jsonschema::validator_for(&crate::schema()).map_err(|e| whole(e.to_string()))?;
+    let value: Value = serde_json::from_slice(text).map_err(|e| file_fault(e.to_string()))?;
+    let schema =
+        jsonschema::validator_for(&crate::schema()).map_err(|e| file_fault(e.to_string()))?;
     let mut faults: Vec<_> = schema
         .iter_errors(&value)
-        .take(FAULTS_MOST)
+        .take(MAX_SCHEMA_FAULTS)
         .map(|e| Fault {
-            path: dotted(&e.instance_path().to_string()),
-            what: e.to_string(),
+            path: json_path(&e.instance_path().to_string()),
+            message: e.to_string(),
         })
         .collect();
-    let certs: Option<Certs> = section(&value, "certs");
-    if let Some(tls) = section::<Tls>(&value, "tls") {
-        address(&tls.listen, "$.tls.listen", &mut faults);
+    let certs: Option<Certs> = parse_section(&value, "certs");
+    if let Some(tls) = parse_section::<Tls>(&value, "tls") {
+        check_address(&tls.listen, "$.tls.listen", &mut faults);
     }
     if let Some(certs) = &certs {
         check_certs(certs, value.get("tls").is_some(), &mut faults);
     }
-    if let Some(peers) = section::<Startup>(&value, "startup").and_then(|startup| startup.peers) {
-        address(&peers.listen, "$.startup.peers.listen", &mut faults);
-        for (n, at) in peers.ask.iter().enumerate() {
-            address(at, &format!("$.startup.peers.ask[{n}]"), &mut faults);
+    if let Some(peers) =
+        parse_section::<Startup>(&value, "startup").and_then(|startup| startup.peers)
+    {
+        check_address(&peers.listen, "$.startup.peers.listen", &mut faults);
+        for (n, address) in peers.ask.iter().enumerate() {
+            check_address(address, &format!("$.startup.peers.ask[{n}]"), &mut faults);
         }
     }
-    if let Some(purges) = section::<Purges>(&value, "purges") {
+    if let Some(purges) = parse_section::<Purges>(&value, "purges") {
         check_purges(&purges, &mut faults);
     }
     if faults.is_empty() {
-        return serde_json::from_value(value).map_err(|e| whole(e.to_string()));
+        return serde_json::from_value(value).map_err(|e| file_fault(e.to_string()));
     }
     faults.sort();
     faults.dedup();
@@ -79,41 +83,41 @@
 }
 
 /// Parses one section. `None` if it is missing or invalid; the schema reports the faults of an invalid one.
-fn section<T: DeserializeOwned>(value: &Value, name: &str) -> Option<T> {
+fn parse_section<T: DeserializeOwned>(value: &Value, name: &str) -> Option<T> {
     value
         .get(name)
         .and_then(|v| serde_json::from_value(v.clone()).ok())
 }
 
 /// Converts a JSON pointer such as `/certs/certificates/0` to a path such as `$.certs.certificates[0]`.
-fn dotted(pointer: &str) -> String {
+fn json_path(pointer: &str) -> String {
     let steps = pointer
         .split('/')
         .skip(1)
         .map(|step| match step.parse::<usize>() {
-            Ok(at) => format!("[{at}]"),
+            Ok(index) => format!("[{index}]"),
             Err(_) => format!(".{}", step.replace("~1", "/").replace("~0", "~")),
         });
     std::iter::once("$".to_string()).chain(steps).collect()
 }
 
-fn address(text: &str, path: &str, faults: &mut Vec<Fault>) {
+fn check_address(text: &str, path: &str, faults: &mut Vec<Fault>) {
     if text.parse::<SocketAddr>().is_err() {
         faults.push(Fault {
             path: path.into(),
-            what: format!("not an IP address with a port: {text}"),
+            message: format!("not an IP address with a port: {text}"),
         });
     }
 }
 
 fn check_certs(certs: &Certs, tls: bool, faults: &mut Vec<Fault>) {
-    let mut fault = |path: String, what: String| faults.push(Fault { path, what });
+    let mut fault = |path: String, message: String| faults.push(Fault { path, message });
     let mut seen = HashMap::new();
     for (i, certificate) in certs.certificates.iter().enumerate() {
         for (j, name) in certificate.names.iter().enumerate() {
             let path = format!("$.certs.certificates[{i}].names[{j}]");
-            if let Err(why) = host(name) {
-                fault(path.clone(), format!("not a host name: {why}"));
+            if let Err(reason) = check_host_name(name) {
+                fault(path.clone(), format!("not a host name: {reason}"));
             }
             if let Some(first) = seen.insert(name.to_ascii_lowercase(), path.clone()) {
                 fault(path, format!("duplicate host name, first used at {first}"));
@@ -159,31 +163,32 @@
         }
     }
     if let Some(listen) = &certs.http_listen {
-        address(listen, "$.certs.http_listen", faults);
+        check_address(listen, "$.certs.http_listen", faults);
     }
 }
 
 fn check_purges(purges: &Purges, faults: &mut Vec<Fault>) {
     if let Some(serve) = &purges.serve {
-        address(serve, "$.purges.serve", faults);
+        check_address(serve, "$.purges.serve", faults);
     }
     let Some(follow) = &purges.follow else { return };
-    address(&follow.address, "$.purges.follow.address", faults);
-    let mut only_writer = |path: &str, on: bool| {
-        if on {
+    check_address(&follow.address, "$.purges.follow.address", faults);
+    let mut reject_on_follower = |path: &str, present: bool| {
+        if present {
             faults.push(Fault {
                 path: path.into(),
-                what: "only the writer does that, and this front follows".into(),
+                message: "not allowed together with $.purges.follow: only the writer does this"
+                    .into(),
             });
         }
     };
-    only_writer("$.purges.serve", purges.serve.is_some());
-    only_writer("$.purges.boxes", purges.boxes.is_some());
+    reject_on_follower("$.purges.serve", purges.serve.is_some());
+    reject_on_follower("$.purges.boxes", purges.boxes.is_some());
 }
 
 /// Checks that a name is a host name (RFC 1123, section 2.1) that an ACME challenge can validate.
-fn host(name: &str) -> Result<(), &'static str> {
-    if name.is_empty() || name.len() > NAME_MOST {
+fn check_host_name(name: &str) -> Result<(), &'static str> {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES {
         return Err("empty or longer than 253 bytes");
     }
     if name.parse::<std::net::IpAddr>().is_ok() {
@@ -192,13 +197,13 @@
     if name.contains('*') {
         return Err("http-01 and tls-alpn-01 cannot validate a wildcard");
     }
-    let label = |l: &str| {
+    let is_label = |l: &str| {
         let fits =
-            !l.is_empty() && l.len() <= LABEL_MOST && !l.starts_with('-') && !l.ends_with('-');
+            !l.is_empty() && l.len() <= MAX_LABEL_BYTES && !l.starts_with('-') && !l.ends_with('-');
         fits && l.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     };
     name.split('.')
-        .all(label)
+        .all(is_label)
         .then_some(())
         .ok_or("an invalid label")
 }
--- a/daemon/src/diff.rs
+++ b/daemon/src/diff.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 /// Settings that a reload applies, with all below them. Any other change needs a restart.
-const LIVE: [&str; 14] = [
+const RELOADABLE: [&str; 14] = [
     "log",
     "tls.handshakes_most",
     "tls.handshake_ms",
@@ -34,13 +34,14 @@
 pub fn changes(old: &Daemon, new: &Daemon) -> Changes {
     // The types serialize to plain objects, which cannot fail.
     let value = |d: &Daemon| serde_json::to_value(d).unwrap_or_default();
-    let mut found = BTreeSet::new();
-    walk(String::new(), &value(old), &value(new), &mut found);
-    let live = |path: &String| {
-        LIVE.iter()
-            .any(|l| path == l || path.starts_with(&format!("{l}.")))
+    let mut paths = BTreeSet::new();
+    collect_differences(String::new(), &value(old), &value(new), &mut paths);
+    let reloadable = |path: &String| {
+        RELOADABLE
+            .iter()
+            .any(|key| path == key || path.starts_with(&format!("{key}.")))
     };
-    let (applied, needs_restart) = found.into_iter().partition(live);
+    let (applied, needs_restart) = paths.into_iter().partition(reloadable);
     Changes {
         applied,
         needs_restart,
@@ -48,7 +49,7 @@
 }
 
 /// Adds the paths below `path` at which the values differ.
-fn walk(path: String, old: &Value, new: &Value, found: &mut BTreeSet<String>) {
+fn collect_differences(path: String, old: &Value, new: &Value, paths: &mut BTreeSet<String>) {
     match (old, new) {
         (Value::Object(a), Value::Object(b)) => {
             for key in a.keys().chain(b.keys()) {
@@ -57,15 +58,15 @@
                 } else {
                     format!("{path}.{key}")
                 };
-                walk(
+                collect_differences(
                     path,
                     a.get(key).unwrap_or(&Value::Null),
                     b.get(key).unwrap_or(&Value::Null),
-                    found,
+                    paths,
                 );
             }
         }
         _ if old == new => {}
-        _ => drop(found.insert(path)),
+        _ => drop(paths.insert(path)),
     }
 }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -17,28 +17,31 @@
 /// Returns the JSON Schema of the settings file, as printed by `cranesill schema`.
 pub fn schema() -> serde_json::Value {
     let mut schema = schemars::schema_for!(Daemon).to_value();
-    plain(&mut schema);
+    merge_constants(&mut schema);
     schema
 }
 
 /// Replaces each `oneOf` of constants by an `enum`, so that a validation error lists the allowed values.
-fn plain(schema: &mut serde_json::Value) {
-    let words = schema
+fn merge_constants(schema: &mut serde_json::Value) {
+    let constants = schema
         .get("oneOf")
         .and_then(|v| v.as_array())
-        .and_then(|all| {
-            let word = |s: &serde_json::Value| s.get("const").cloned();
-            all.iter().map(word).collect::<Option<Vec<_>>>()
+        .and_then(|alternatives| {
+            let constant = |s: &serde_json::Value| s.get("const").cloned();
+            alternatives
+                .iter()
+                .map(constant)
+                .collect::<Option<Vec<_>>>()
         });
     match schema {
         serde_json::Value::Object(object) => {
-            if let Some(words) = words {
+            if let Some(constants) = constants {
                 object.remove("oneOf");
-                object.insert("enum".into(), words.into());
+                object.insert("enum".into(), constants.into());
             }
-            object.values_mut().for_each(plain);
+            object.values_mut().for_each(merge_constants);
         }
-        serde_json::Value::Array(all) => all.iter_mut().for_each(plain),
+        serde_json::Value::Array(entries) => entries.iter_mut().for_each(merge_constants),
         _ => {}
     }
 }
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn paths(text: &str) -> Vec<String> {
+fn fault_lines(text: &str) -> Vec<String> {
     read(text.as_bytes())
         .unwrap_err()
         .into_iter()
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_schema_that_is_committed_is_the_one_of_the_types() {
+fn the_committed_schema_matches_the_types() {
     let committed: serde_json::Value =
         serde_json::from_str(include_str!("../../docs/daemon.schema.json")).unwrap();
     assert_eq!(
@@ -20,23 +20,23 @@
 }
 
 #[test]
-fn the_example_has_everything_off() {
+fn the_example_enables_no_subsystem() {
     let example = read(include_bytes!("../../deploy/daemon.json")).unwrap();
     assert!(example.control.is_none() && example.tls.is_none() && example.certs.is_none());
     assert_eq!(read(b"{}").unwrap(), Daemon::default());
 }
 
 #[test]
-fn all_faults_are_named_each_with_its_path() {
-    let told = paths(
+fn all_faults_are_reported_with_their_paths() {
+    let lines = fault_lines(
         r#"{"log": {"level": "loud", "colour": 1},
                 "tls": {"listen": "nowhere", "handshakes_most": 0, "handshake_ms": 5000},
                 "certs": {"certificates": [{"names": ["a.example", "-b.example"]}, {"names": []}],
                           "order_window_s": -1}}"#,
     );
     assert!(
-        told.iter().any(|line| line.contains(r#""warn""#)),
-        "the words that would do: {told:#?}"
+        lines.iter().any(|line| line.contains(r#""warn""#)),
+        "the allowed levels are listed: {lines:#?}"
     );
     for path in [
         "$.log.level:",
@@ -48,12 +48,12 @@
         "$.certs.order_window_s:",
     ] {
         assert!(
-            told.iter().any(|line| line.starts_with(path)),
-            "{path} in {told:#?}"
+            lines.iter().any(|line| line.starts_with(path)),
+            "{path} in {lines:#?}"
         );
     }
     // The checks beyond the schema run for each section that can be parsed.
-    let told = paths(
+    let lines = fault_lines(
         r#"{"tls": {"listen": "nowhere"}, "surplus": 1,
                 "certs": {"certificates": [{"names": ["a.example", "-b.example"]}, {"names": ["A.example"]}],
                           "authority": {"directory_url": "http://ca.example/dir", "roots_file": "r", "challenge": "http-01"}}}"#,
@@ -67,26 +67,26 @@
         "$: ",
     ] {
         assert!(
-            told.iter().any(|line| line.starts_with(path)),
-            "{path} in {told:#?}"
+            lines.iter().any(|line| line.starts_with(path)),
+            "{path} in {lines:#?}"
         );
     }
 }
 
 #[test]
-fn a_text_that_is_no_json_is_one_fault_with_its_place() {
-    assert_eq!(paths("{\"log\": ").len(), 1);
-    assert!(paths("{\"log\": ")[0].contains("line 1"));
+fn malformed_json_is_one_fault_with_its_position() {
+    assert_eq!(fault_lines("{\"log\": ").len(), 1);
+    assert!(fault_lines("{\"log\": ")[0].contains("line 1"));
     assert!(read(&[0xff, 0xfe]).is_err());
-    assert!(read(&vec![b' '; check::FILE_MOST + 1]).unwrap_err()[0]
-        .what
+    assert!(read(&vec![b' '; check::MAX_FILE_BYTES + 1]).unwrap_err()[0]
+        .message
         .contains("more than"));
     // Deep nesting must not overflow the stack.
     assert!(read("[".repeat(100_000).as_bytes()).is_err());
 }
 
 #[test]
-fn a_reload_tells_what_it_takes_over_and_what_needs_a_restart() {
+fn changes_are_split_into_reloadable_ones_and_those_that_need_a_restart() {
     let old =
         read(br#"{"control": {"path": "/run/a"}, "tls": {"listen": "127.0.0.1:1"}}"#).unwrap();
     let mut new = old.clone();
@@ -95,7 +95,7 @@
     new.control.as_mut().unwrap().path = "/run/b".into();
     new.tls.as_mut().unwrap().handshakes_most = 7;
     new.certs = Some(Certs::default());
-    let told = changes(&old, &new);
-    assert_eq!(told.applied, ["log.level", "tls.handshakes_most"]);
-    assert_eq!(told.needs_restart, ["certs", "control.path"]);
+    let changes = changes(&old, &new);
+    assert_eq!(changes.applied, ["log.level", "tls.handshakes_most"]);
+    assert_eq!(changes.needs_restart, ["certs", "control.path"]);
 }
--- a/daemon/src/types.rs
+++ b/daemon/src/types.rs
@@ -89,20 +89,20 @@
     #[schemars(length(max = 2_000))]
     pub ask: Vec<String>,
     /// Number of peers that have to offer the same list before it is adopted.
-    #[serde(default = "two")]
+    #[serde(default = "default_agree")]
     #[schemars(range(min = 1, max = 3))]
     pub agree: usize,
     /// Interval between two rounds, in each of which three peers are polled.
-    #[serde(default = "two_seconds")]
+    #[serde(default = "default_every_ms")]
     #[schemars(range(min = 100, max = 600_000))]
     pub every_ms: u64,
 }
 
-fn two() -> usize {
+fn default_agree() -> usize {
     2
 }
 
-fn two_seconds() -> u64 {
+fn default_every_ms() -> u64 {
     2_000
 }
 
@@ -169,7 +169,7 @@
     /// Address and port on which the writer serves its log.
     pub address: String,
     /// Duration of the follower's lease, which each contact with the writer renews.
-    #[serde(default = "lease_ms")]
+    #[serde(default = "default_lease_ms")]
     #[schemars(range(min = 1_000, max = 3_600_000))]
     pub lease_ms: u64,
     /// Behavior once the lease has expired.
@@ -177,7 +177,7 @@
     pub without_contact: WithoutContact,
 }
 
-fn lease_ms() -> u64 {
+fn default_lease_ms() -> u64 {
     5_000
 }
 
@@ -200,20 +200,20 @@
     #[schemars(length(min = 1))]
     pub kinds: Vec<String>,
     /// Maximum number of purges per second that are sent to all cache nodes together.
-    #[serde(default = "per_s")]
+    #[serde(default = "default_per_s")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub per_s: u32,
     /// Maximum number of connections to cache nodes. They reduce the number of descriptors for clients.
-    #[serde(default = "connections_most")]
+    #[serde(default = "default_connections_most")]
     #[schemars(range(min = 1, max = 4096))]
     pub connections_most: usize,
 }
 
-fn per_s() -> u32 {
+fn default_per_s() -> u32 {
     20_000
 }
 
-fn connections_most() -> usize {
+fn default_connections_most() -> usize {
     64
 }
 
@@ -285,15 +285,15 @@
     /// Address and port to listen on.
     pub listen: String,
     /// Maximum number of concurrent handshakes; a further one displaces the oldest.
-    #[serde(default = "handshakes_most")]
+    #[serde(default = "default_handshakes_most")]
     #[schemars(range(min = 1, max = 4096))]
     pub handshakes_most: usize,
     /// Timeout of a handshake.
-    #[serde(default = "handshake_ms")]
+    #[serde(default = "default_handshake_ms")]
     #[schemars(range(min = 100, max = 2999))]
     pub handshake_ms: u64,
     /// Maximum share of one CPU core that handshakes may use.
-    #[serde(default = "core_percent")]
+    #[serde(default = "default_core_percent")]
     #[schemars(range(min = 1, max = 100))]
     pub core_percent: u32,
     /// Handling of expired certificates.
@@ -301,15 +301,15 @@
     pub expired: Expired,
 }
 
-fn handshakes_most() -> usize {
+fn default_handshakes_most() -> usize {
     64
 }
 
-fn handshake_ms() -> u64 {
+fn default_handshake_ms() -> u64 {
     2_500
 }
 
-fn core_percent() -> u32 {
+fn default_core_percent() -> u32 {
     25
 }
 
@@ -420,20 +420,20 @@
     /// Challenge type by which control of a name is proven.
     pub challenge: Challenge,
     /// Timeout of a request to the authority.
-    #[serde(default = "answer_ms")]
+    #[serde(default = "default_answer_ms")]
     #[schemars(range(min = 100, max = 120_000))]
     pub answer_ms: u64,
     /// Maximum size of a response of the authority.
-    #[serde(default = "answer_bytes")]
+    #[serde(default = "default_answer_bytes")]
     #[schemars(range(min = 4_096, max = 1_048_576))]
     pub answer_bytes: usize,
 }
 
-fn answer_ms() -> u64 {
+fn default_answer_ms() -> u64 {
     20_000
 }
 
-fn answer_bytes() -> usize {
+fn default_answer_bytes() -> usize {
     131_072
 }
 
--- a/settings/src/check/tests.rs
+++ b/settings/src/check/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use serde_json::json;
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     let config = include_str!("../../../front/examples/config.json");
     serde_json::from_str::<Value>(config).unwrap()["settings"].clone()
 }
 
 #[test]
-fn what_is_missing_is_no_fault_and_what_is_of_another_kind_names_its_place() {
-    assert_eq!(faults(&good()), Vec::<SettingsFault>::new());
+fn missing_keys_are_valid_and_invalid_values_are_reported_with_their_path() {
+    assert_eq!(faults(&valid_settings()), Vec::<SettingsFault>::new());
     assert_eq!(faults(&json!({})), Vec::<SettingsFault>::new());
     let cases = [
         ("/zone", json!(7)),
@@ -29,34 +29,35 @@
         ("/report/fields", json!([1])),
         ("/discovery", json!("dns")),
     ];
-    let mut told = Vec::new();
+    let mut messages = Vec::new();
     for (path, value) in cases {
-        let mut settings = good();
+        let mut settings = valid_settings();
         *settings.pointer_mut(path).unwrap() = value;
         let faults = faults(&settings);
         assert!(!faults.is_empty(), "{path}");
         let error = crate::read(&settings).expect_err(path);
         let lines: Vec<String> = faults.iter().map(SettingsFault::to_string).collect();
         assert_eq!(error.to_string(), lines.join("; "));
-        told.push(error.to_string());
+        messages.push(error.to_string());
     }
-    let text = told.join("\n");
-    for place in [
+    let text = messages.join("\n");
+    for expected in [
         "settings.zone: 7: not an index into settings.zones",
         "settings.classes[2].aim: not a number",
         "settings.classes[0]: not",
     ] {
-        assert!(text.contains(place), "{place} in\n{text}");
+        assert!(text.contains(expected), "{expected} in\n{text}");
     }
     assert!(
-        told.iter()
+        messages
+            .iter()
             .all(|line| line.starts_with("settings.") && line.len() < 200),
         "{text}"
     );
 }
 
 #[test]
-fn whatever_the_settings_are_reading_them_ends() {
+fn reading_altered_settings_does_not_panic_and_never_accepts_a_fault() {
     // Replaces each value of valid settings in turn by values of other types and ranges.
     fn paths(v: &Value, at: &str, all: &mut Vec<String>) {
         all.push(at.to_string());
@@ -72,9 +73,9 @@
         }
     }
     let mut all = Vec::new();
-    paths(&good(), "", &mut all);
+    paths(&valid_settings(), "", &mut all);
     assert!(all.len() > 100);
-    let odd = [
+    let replacements = [
         json!(null),
         json!(-1),
         json!(1e308),
@@ -85,8 +86,8 @@
         json!(true),
     ];
     for path in all {
-        for value in &odd {
-            let mut settings = good();
+        for value in &replacements {
+            let mut settings = valid_settings();
             *settings.pointer_mut(&path).unwrap() = value.clone();
             // Some replacements are valid; those with a fault must be rejected.
             let read = crate::read(&settings);
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -38,7 +38,7 @@
     NotAnObject,
     /// A string is expected.
     #[error("not a string")]
-    NotAText,
+    NotAString,
     /// A boolean is expected.
     #[error("not a boolean")]
     NotABoolean,
@@ -55,7 +55,7 @@
     },
     /// An array is expected.
     #[error("not an array")]
-    NotAList,
+    NotAnArray,
     /// The array is too long.
     #[error("more than {max} entries")]
     TooManyEntries {
@@ -64,14 +64,14 @@
     },
     /// An index into the list of kinds, or -1, is expected.
     #[error("not an index into settings.kinds, nor -1 for none")]
-    NotAKind,
+    NotAKindIndex,
     /// The string is not one of the allowed ones.
-    #[error("{word}: none of {}", known.join(", "))]
-    UnknownWord {
+    #[error("{excerpt}: expected one of {}", allowed.join(", "))]
+    NotAllowed {
         /// The beginning of the value as JSON.
-        word: String,
+        excerpt: String,
         /// The allowed strings.
-        known: &'static [&'static str],
+        allowed: &'static [&'static str],
     },
     /// The zone of the front is not in the list of zones.
     #[error("{zone}: not an index into settings.zones")]
--- a/settings/src/json.rs
+++ b/settings/src/json.rs
@@ -25,16 +25,16 @@
 }
 
 /// Returns the entries of an array; the default is an empty array.
-pub fn list<'a>(object: &'a Value, key: &str) -> &'a [Value] {
+pub fn array<'a>(object: &'a Value, key: &str) -> &'a [Value] {
     object[key].as_array().map_or(&[], Vec::as_slice)
 }
 
 /// Returns the strings of an array; an entry of another type yields an empty string.
-pub fn texts(object: &Value, key: &str) -> Vec<String> {
-    list(object, key).iter().map(text).collect()
+pub fn strings(object: &Value, key: &str) -> Vec<String> {
+    array(object, key).iter().map(string).collect()
 }
 
 /// Returns a string; the default is an empty string.
-pub fn text(value: &Value) -> String {
+pub fn string(value: &Value) -> String {
     value.as_str().unwrap_or_default().to_string()
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -28,14 +28,14 @@
     /// is `None`.
     pub fn read(&self, values: &[f32]) -> Option<LoadReport> {
         let value = |index: Option<usize>| index.and_then(|index| values.get(index));
-        let figure = |index| {
+        let metric = |index| {
             value(index)
                 .map(|value| f64::from(*value))
                 .filter(|value| value.is_finite() && *value >= 0.0)
         };
         (!values.is_empty()).then(|| LoadReport {
-            in_flight: figure(self.in_flight),
-            link: figure(self.link),
+            in_flight: metric(self.in_flight),
+            link: metric(self.link),
         })
     }
 }
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -1,5 +1,5 @@
 //! Reads validated settings. Values of the wrong type have been rejected by [`crate::check`].
-use crate::json::{duration, flag, kind, list, number, text, texts};
+use crate::json::{array, duration, flag, kind, number, string, strings};
 use crate::{Deployment, Limits, Names, ReportLayout};
 use cranesill::api::{Class, Idempotency, KeyScope, Micros, Settings, SlowStartLimits};
 use serde_json::Value;
@@ -12,17 +12,17 @@
 const UNLIMITED: Micros = Micros::MAX / 2;
 
 /// Reads the deployment that the settings describe.
-pub fn deployment(v: &Value) -> Deployment {
+pub fn deployment(root: &Value) -> Deployment {
     Deployment {
-        settings: settings(v),
-        layout: report_layout(&v["report"]),
-        names: names(v),
-        limits: limits(v),
+        settings: settings(root),
+        layout: report_layout(&root["report"]),
+        names: names(root),
+        limits: limits(root),
     }
 }
 
 fn report_layout(report: &Value) -> ReportLayout {
-    let fields = list(report, "fields");
+    let fields = array(report, "fields");
     let position = |name: &str| fields.iter().position(|field| field.as_str() == Some(name));
     ReportLayout {
         in_flight: position("concurrent"),
@@ -30,17 +30,17 @@
     }
 }
 
-fn settings(v: &Value) -> Settings {
-    let family = &v["familyInfo"];
-    let limits = &v["policyLimits"];
-    let rules = &v["rules"];
-    let zone = number(v, "zone") as u16;
+fn settings(root: &Value) -> Settings {
+    let family = &root["familyInfo"];
+    let limits = &root["policyLimits"];
+    let rules = &root["rules"];
+    let zone = number(root, "zone") as u16;
     Settings {
         zone,
         fronts_by_zone: fronts_by_zone(family),
-        fronts: number(v, "nInstances") as u32,
-        front_index: number(v, "index") as u32,
-        classes: classes(v),
+        fronts: number(root, "nInstances") as u32,
+        front_index: number(root, "index") as u32,
+        classes: classes(root),
         parent_kind: kind(family, "upperKind"),
         origin_kind: kind(family, "rootKind"),
         client_kb_per_s: number(family, "clientKbPerS"),
@@ -62,7 +62,7 @@
         } else {
             0
         },
-        must_subscribe: v["discovery"].as_str() == Some("subscribe"),
+        must_subscribe: root["discovery"].as_str() == Some("subscribe"),
     }
 }
 
@@ -83,25 +83,26 @@
 }
 
 fn fronts_by_zone(family: &Value) -> Vec<u32> {
-    let seats = list(family, "seatsByZone").iter();
-    seats
-        .map(|seats| seats.as_u64().unwrap_or(0) as u32)
+    let counts = array(family, "seatsByZone").iter();
+    counts
+        .map(|count| count.as_u64().unwrap_or(0) as u32)
         .collect()
 }
 
-fn classes(v: &Value) -> Vec<Class> {
-    let family = &v["familyInfo"];
-    let all = list(v, "classes").iter().enumerate();
-    all.map(|(index, class)| Class {
-        latency_objective: duration(class, "aim"),
-        objective_stretch: number(class, "aimStretch"),
-        priority_weight: number(class, "gain"),
-        idempotency: idempotency(class),
-        write: family["classWrite"][index].as_bool().unwrap_or(false),
-        freshness_lifetime: family["classFresh"][index].as_f64().unwrap_or(0.0) as Micros,
-        grace: family["usableAfter"][index].as_f64().unwrap_or(0.0) as Micros,
-    })
-    .collect()
+fn classes(root: &Value) -> Vec<Class> {
+    let family = &root["familyInfo"];
+    let classes = array(root, "classes").iter().enumerate();
+    classes
+        .map(|(index, class)| Class {
+            latency_objective: duration(class, "aim"),
+            objective_stretch: number(class, "aimStretch"),
+            priority_weight: number(class, "gain"),
+            idempotency: idempotency(class),
+            write: family["classWrite"][index].as_bool().unwrap_or(false),
+            freshness_lifetime: family["classFresh"][index].as_f64().unwrap_or(0.0) as Micros,
+            grace: family["usableAfter"][index].as_f64().unwrap_or(0.0) as Micros,
+        })
+        .collect()
 }
 
 fn idempotency(class: &Value) -> Idempotency {
@@ -119,28 +120,28 @@
     }
 }
 
-fn names(v: &Value) -> Names {
-    let classes = list(v, "classes").iter();
+fn names(root: &Value) -> Names {
+    let classes = array(root, "classes").iter();
     Names {
-        classes: classes.map(|class| text(&class["name"])).collect(),
-        zones: texts(v, "zones"),
-        kinds: texts(v, "kinds"),
-        report: texts(&v["report"], "fields"),
+        classes: classes.map(|class| string(&class["name"])).collect(),
+        zones: strings(root, "zones"),
+        kinds: strings(root, "kinds"),
+        report: strings(&root["report"], "fields"),
     }
 }
 
-fn limits(v: &Value) -> Limits {
-    let limits = &v["policyLimits"];
+fn limits(root: &Value) -> Limits {
+    let limits = &root["policyLimits"];
     let at_least_one = |key: &str, default: f64| {
-        let given = number(limits, key);
-        if given >= 1.0 {
-            given
+        let value = number(limits, key);
+        if value >= 1.0 {
+            value
         } else {
             default
         }
     };
-    let purge_grace = duration(&v["familyInfo"], "purgeGrace");
-    let classes = list(v, "classes").iter();
+    let purge_grace = duration(&root["familyInfo"], "purgeGrace");
+    let classes = array(root, "classes").iter();
     Limits {
         idle_timeout: at_least_one("connIdle", DEFAULT_IDLE_US) as Micros,
         purge_grace: if purge_grace > 0 {
