--- a/front/src/server/drivers/certificate_table.rs
+++ b/front/src/server/drivers/certificate_table.rs
@@ -1,4 +1,4 @@
-//! Which certificate is served in a TLS handshake, by the host name that the client asks for.
+//! The certificates that TLS handshakes serve, by the host name in the client's SNI extension.
 use cranesill_certs::{Identity, Wall};
 use rustls::crypto::CryptoProvider;
 use rustls::server::{NoServerSessionStorage, ProducesTickets, ResolvesServerCert};
@@ -7,28 +7,28 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Name of the binary protocol in ALPN (RFC 7301); a private one.
+/// ALPN protocol name (RFC 7301) of the binary client protocol. It is not registered with IANA.
 pub const ALPN_BINARY: &[u8] = b"cranesill/1";
-/// Name of the ACME challenge protocol in ALPN (RFC 8737, section 6.2).
+/// ALPN protocol name of ACME challenges (RFC 8737, section 6.2).
 pub const ALPN_ACME: &[u8] = b"acme-tls/1";
 /// A certificate that is served.
 #[derive(Clone)]
 pub struct ServedCertificate {
-    /// The configuration of handshakes with this certificate.
+    /// TLS configuration that presents this certificate.
     pub config: Arc<ServerConfig>,
-    /// The last second, in Unix time, at which the certificate is valid.
+    /// Unix time of the last second at which the certificate is valid.
     pub not_after: Wall,
 }
 
-/// The certificates that are served, by host name.
+/// The certificates to serve, by host name.
 #[derive(Default)]
 pub struct CertificateTable {
     by_name: HashMap<String, ServedCertificate>,
-    /// For clients that send no host name.
+    /// The certificate for clients without SNI.
     default: Option<ServedCertificate>,
 }
 
-/// The certificate that answers a TLS-ALPN challenge for a name (RFC 8737, section 3).
+/// A certificate that answers a tls-alpn-01 challenge (RFC 8737, section 3).
 pub struct ChallengeCertificate(Arc<ServerConfig>);
 
 /// Resolves to the same certificate for every client.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns the configuration of handshakes with one certificate and one protocol.
+/// Builds a TLS configuration with one certificate and one ALPN protocol.
 fn server_config(
     key: &Arc<CertifiedKey>,
     protocol: &[u8],
@@ -53,7 +53,7 @@
         .with_no_client_auth()
         .with_cert_resolver(Arc::new(FixedCertificate(Arc::clone(key))));
     config.alpn_protocols = vec![protocol.to_vec()];
-    // Sessions are resumed by tickets alone, so that clients that are not connected take no memory.
+    // Tickets only: a session cache would use memory for clients that are not connected.
     config.session_storage = Arc::new(NoServerSessionStorage {});
     if let Some(tickets) = tickets {
         config.ticketer = tickets;
@@ -63,32 +63,33 @@
 }
 
 impl ChallengeCertificate {
-    /// Serves `key`, which was made for a challenge.
+    /// Builds the TLS configuration that presents `key`.
     pub fn new(key: &Arc<CertifiedKey>) -> Result<Self, rustls::Error> {
         server_config(key, ALPN_ACME, None).map(ChallengeCertificate)
     }
 
-    /// Returns the configuration of handshakes that ask for the challenge.
+    /// Returns the TLS configuration of handshakes that validate the challenge.
     pub fn config(&self) -> Arc<ServerConfig> {
         Arc::clone(&self.0)
     }
 }
 
-/// The identities of one configured certificate in order of preference, and the session tickets issued with them.
+/// The identities of one configured certificate in order of preference, and the key of their session tickets.
 struct CertificateGroup {
     served: Vec<(Identity, ServedCertificate)>,
     tickets: Arc<dyn ProducesTickets>,
 }
 
-/// Builds the table from the identities of each configured certificate. Session tickets stay valid across a renewal, since
-/// the identity that they stand for does, and end with a key that must not be trusted any more.
+/// Builds the table from the identities of each configured certificate. Session tickets stay valid across renewals, and are
+/// invalidated together with a private key that is no longer trusted.
 #[derive(Default)]
 pub struct CertificateTableBuilder {
     groups: BTreeMap<String, CertificateGroup>,
 }
 
 impl CertificateTableBuilder {
-    /// Replaces the identities of the certificate `id`; none removes it. With `fresh_tickets` earlier session tickets end.
+    /// Replaces the identities of the certificate `id`, or removes it if there are none. `fresh_tickets` invalidates earlier
+    /// session tickets.
     pub fn set(
         &mut self,
         id: &str,
@@ -118,11 +119,11 @@
         Ok(())
     }
 
-    /// Returns the table as of now. Clients that send no host name get the certificate `default`, or else the first.
+    /// Builds the current table. Clients without SNI are served the certificate `default`, or else the first one.
     pub fn build(&self, default: Option<&str>) -> Arc<CertificateTable> {
         let mut table = CertificateTable::default();
         for group in self.groups.values() {
-            // In reverse order: of the identities that cover a name the first one is to remain.
+            // In reverse order, so that the first identity that covers a name takes precedence.
             for (identity, served) in group.served.iter().rev() {
                 for name in &identity.names {
                     table.by_name.insert(name.clone(), served.clone());
@@ -140,17 +141,17 @@
 }
 
 impl CertificateTable {
-    /// Returns how many host names it has.
+    /// Returns the number of host names.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there is a certificate for clients that send no host name.
+    /// Whether there is a certificate for clients without SNI.
     pub fn has_default(&self) -> bool {
         self.default.is_some()
     }
 
-    /// Returns the certificate for a host name, be it one for a wildcard, or the default one if there is no name.
+    /// Returns the certificate for a host name, by an exact or a wildcard match, or the default one without a name.
     pub fn find(&self, name: Option<&str>) -> Option<&ServedCertificate> {
         let Some(name) = name else {
             return self.default.as_ref();
--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -1,5 +1,5 @@
-//! Drives the ACME client of `cranesill_certs`: runs its exchanges, keys and files on worker threads, answers challenges, and
-//! hands certificates to the TLS listener.
+//! Driver of the ACME client in `cranesill_certs`: performs its HTTPS requests, key generation and file access on worker
+//! threads, answers challenges, and passes certificates to the TLS listener.
 mod actions;
 mod challenges;
 mod operators;
@@ -21,43 +21,43 @@
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Descriptors that this driver may use beside one for each order: clients of challenges, the listener, files, the wake-up of
-/// the poller, and exchanges for operators and renewal information.
+/// File descriptors that this driver may use in addition to one per order: challenge clients, the listener, files, the
+/// waker of the poller, and requests for operators' commands and renewal information.
 pub const DESCRIPTORS: usize = challenges::MAX_CLIENTS + 16;
 
-/// What a worker thread has done.
+/// The result of a job on a worker thread.
 enum WorkResult {
-    /// The event that reports it to the client.
+    /// An event for the ACME client.
     Event(Event),
-    /// The certificate that answers a TLS-ALPN challenge.
+    /// The certificate for a tls-alpn-01 challenge.
     ChallengeCertificate {
-        /// The client's task.
+        /// Task of the ACME client.
         task: u64,
-        /// The host name.
+        /// Host name to validate.
         name: String,
-        /// The certificate, or why there is none.
+        /// The certificate with its key, or the cause of the failure.
         result: Result<Arc<CertifiedKey>, String>,
     },
 }
 
-/// The driver of certificates.
+/// The driver that obtains, renews and stores certificates.
 pub struct Certs {
     client: Client,
     workers: Workers<WorkResult>,
     workers_key: usize,
-    /// Where certificates are kept; `None`: in memory alone.
+    /// Storage of certificates; `None` if they are kept in memory only.
     folder: Option<Arc<Mutex<Folder>>>,
-    /// How the authority is reached, if there is one.
+    /// Connection settings for the authority, if one is configured.
     transport: Option<Transport>,
     challenges: Challenges,
     certificate_table: CertificateTableBuilder,
-    /// The id of the certificate for clients that send no host name.
+    /// Identifier of the certificate for clients without SNI.
     default_certificate: Option<String>,
     front_name: String,
     next_tick: Timestamp,
 }
 
-/// The time on both clocks.
+/// Returns the time of the monotonic and of the wall clock.
 fn time_now(now: Timestamp) -> Moment {
     let wall = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -66,7 +66,7 @@
     Moment { now, wall }
 }
 
-/// Opens the folder of certificates and reads it. A failure is logged: the front starts without the stored certificates.
+/// Opens the directory of certificates and loads its contents. On failure the front starts without stored certificates.
 fn open_folder(path: &Path, front_name: &str) -> Option<(Folder, Loaded)> {
     let opened = Folder::open(path.to_path_buf(), front_name).map_err(|e| e.to_string());
     let read = opened.and_then(|mut folder| {
@@ -75,13 +75,14 @@
     });
     if let Err(error) = &read {
         let path = path.display();
-        tracing::error!(%path, error, "no folder for certificates: all is kept in memory");
+        tracing::error!(%path, error, "cannot open the certificate directory; certificates are kept in memory only");
     }
     read.ok()
 }
 
 impl Certs {
-    /// Reads the folder of certificates and begins to manage them. Only faults of the settings are errors.
+    /// Loads stored certificates and starts to manage them. A storage failure is logged; only invalid settings and failures
+    /// to set up sockets or threads are errors.
     pub fn new(
         turn: &mut Turn<'_>,
         settings: &Settings,
@@ -114,7 +115,7 @@
         Ok(certs)
     }
 
-    /// Passes an event to the ACME client and carries out the actions that follow.
+    /// Passes an event to the ACME client and carries out the resulting actions.
     fn handle(&mut self, turn: &mut Turn<'_>, event: Event) {
         let time = time_now(turn.now);
         let mut actions = Vec::new();
--- a/front/src/server/drivers/certs/actions.rs
+++ b/front/src/server/drivers/certs/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the ACME client's actions. What may block runs on a worker thread.
+//! Carries out the actions of the ACME client. Blocking work runs on a worker thread.
 use super::{Certs, WorkResult};
 use crate::server::drivers::certificate_table::ChallengeCertificate;
 use crate::server::drivers::{Effect, TlsEffect, Turn};
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 impl Certs {
-    /// Carries out an action.
+    /// Carries out an action. Its result is passed to the ACME client as an event.
     pub(super) fn carry_out(&mut self, turn: &mut Turn<'_>, action: Action) {
         let event = match action {
             Action::Ask(task, request) => self.send_request(task, request),
@@ -34,13 +34,13 @@
                 None
             }
         };
-        // If no thread could be started, the task fails as it does by other causes, and is retried.
+        // A task whose thread could not be started is retried like any other failed task.
         if let Some(event) = event {
             self.handle(turn, event);
         }
     }
 
-    /// Sends a request to the authority. Returns the event of a failure to start.
+    /// Sends a request to the authority. Returns an event if the worker thread could not be started.
     fn send_request(&mut self, task: u64, request: Ask) -> Option<Event> {
         let transport = self.transport.as_ref()?;
         let config = Arc::clone(&transport.config);
@@ -55,7 +55,7 @@
             .map(|error| Event::Answered(task, Err(thread_error(&error))))
     }
 
-    /// Generates a key. Returns the event of a failure to start.
+    /// Generates a key. Returns an event if the worker thread could not be started.
     fn make_key(&mut self, task: u64, key: Key) -> Option<Event> {
         let is_account = matches!(key, Key::Account);
         let failure = move |why| match is_account {
@@ -72,14 +72,17 @@
         started.err().map(|error| failure(thread_error(&error)))
     }
 
-    /// Writes to the folder, after everything that was to be written before. Returns the event of a failure to start.
+    /// Writes to the certificate directory, after all earlier writes. Returns an event if the worker thread could not be
+    /// started.
     fn save(&mut self, task: u64, content: Save) -> Option<Event> {
         let folder = self.folder.clone();
         let started = self.workers.in_order(move || {
             let result = match folder.as_ref().map(|folder| folder.lock()) {
                 None => Ok(()),
                 Some(Ok(mut folder)) => disk::save(&mut *folder, &content),
-                Some(Err(_)) => Err("the folder's writer has failed".into()),
+                Some(Err(_)) => {
+                    Err("certificate directory unusable after a panic in an earlier write".into())
+                }
             };
             WorkResult::Event(Event::Done(task, result))
         });
@@ -88,7 +91,7 @@
             .map(|error| Event::Done(task, Err(thread_error(&error))))
     }
 
-    /// Reads a certificate from the folder again. Returns the event of a failure to start.
+    /// Reads a certificate from the directory again. Returns an event if the worker thread could not be started.
     fn reread(&mut self, task: u64, id: String) -> Option<Event> {
         let folder = self.folder.clone();
         let started = self.workers.in_order(move || {
@@ -101,7 +104,7 @@
         started.err().map(|_| Event::Reread(task, None))
     }
 
-    /// Answers a challenge from now on. Returns the event of its result, if that is known at once.
+    /// Starts to answer a challenge. Returns the result as an event if it is known immediately.
     fn publish(&mut self, task: u64, challenge: Challenge) -> Option<Event> {
         match challenge.way {
             Way::Http => {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Serves the certificate that was made for a TLS-ALPN challenge.
+    /// Serves the certificate that was generated for a tls-alpn-01 challenge.
     pub(super) fn publish_certificate(
         &mut self,
         turn: &mut Turn<'_>,
@@ -154,18 +157,18 @@
         None
     }
 
-    /// Serves the identities for the certificate `id`; with `fresh_tickets` earlier sessions cannot be resumed.
+    /// Serves the identities for the certificate `id`. With `fresh_tickets` earlier sessions cannot be resumed.
     fn serve(&mut self, id: &str, identities: &[Identity], fresh_tickets: bool) -> Option<Event> {
         let result = self.certificate_table.set(id, identities, fresh_tickets);
         if let Err(error) = result {
-            tracing::error!(name = id, %error, "a certificate can't be served");
+            tracing::error!(name = id, %error, "cannot use certificate for TLS; an earlier one stays in service");
         }
         None
     }
 }
 
 fn thread_error(error: &io::Error) -> String {
-    format!("no thread: {error}")
+    format!("cannot start a worker thread: {error}")
 }
 
 fn log(note: &Note) {
--- a/front/src/server/drivers/certs/challenges.rs
+++ b/front/src/server/drivers/certs/challenges.rs
@@ -1,4 +1,4 @@
-//! Answers http-01 challenges (RFC 8555, section 8.3) on a listener of their own.
+//! HTTP listener that answers http-01 challenges (RFC 8555, section 8.3).
 use super::settings::CertsError;
 use crate::server::drivers::Turn;
 use crate::transport::{at_start, listen, Registered, RestingListener};
@@ -7,20 +7,21 @@
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// Clients at once; a further one displaces the oldest.
+/// Maximum number of connected clients; a further one displaces the oldest.
 pub(super) const MAX_CLIENTS: usize = 16;
-/// A client is not displaced before this long. In a flood the newer ones wait in the system's queue.
+/// Time for which a client is protected from being displaced. Under a flood of connections, newer ones wait in the accept
+/// queue.
 const MIN_CLIENT_DURATION: Micros = 250_000;
-/// Connections accepted in one turn.
+/// Maximum number of connections accepted per turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
 const MAX_REQUEST_BYTES: usize = 4 * 1024;
-/// A client that takes longer is disconnected.
+/// Time from accept after which a client is disconnected.
 const CLIENT_TIMEOUT: Micros = 5_000_000;
 const READ_BUFFER_BYTES: usize = 1024;
 const MAX_HEADERS: usize = 32;
 const PATH_PREFIX: &str = "/.well-known/acme-challenge/";
 
-/// A connection of an authority, or of somebody else, that asks for a challenge.
+/// The connection of a client, which may be any host that reaches the port.
 struct Client {
     socket: Registered<TcpStream>,
     request: Vec<u8>,
@@ -33,19 +34,19 @@
     key: usize,
 }
 
-/// The open challenges and the clients that ask for them.
+/// The open challenges, and the clients that request them.
 #[derive(Default)]
 pub(super) struct Challenges {
     listener: Option<Listener>,
     clients: HashMap<usize, Client>,
-    /// No client may be displaced yet, so that the listener is not watched.
+    /// All slots are taken and no client may be displaced yet, so the listener is not watched.
     full: bool,
-    /// Key authorizations by their tokens.
+    /// Key authorizations by token.
     authorizations: HashMap<String, String>,
 }
 
 impl Challenges {
-    /// Listens at `address`; without one nothing is answered.
+    /// Listens on `address`. Without one there is no listener.
     pub(super) fn new(turn: &mut Turn<'_>, address: Option<&str>) -> Result<Self, CertsError> {
         let listener = address.map(|text| open(turn, text)).transpose()?;
         Ok(Challenges {
@@ -54,17 +55,17 @@
         })
     }
 
-    /// Answers for a token with a key authorization from now on.
+    /// Serves a key authorization under its token.
     pub(super) fn publish(&mut self, token: String, authorization: String) {
         self.authorizations.insert(token, authorization);
     }
 
-    /// Answers for a token no more.
+    /// Stops serving the key authorization of a token.
     pub(super) fn withdraw(&mut self, token: &str) {
         self.authorizations.remove(token);
     }
 
-    /// A socket is ready.
+    /// Handles a ready listener or client.
     pub(super) fn ready(&mut self, turn: &mut Turn<'_>, key: usize) {
         if self.listener.as_ref().is_some_and(|l| l.key == key) {
             return self.accept(turn);
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Disconnects the oldest client if there are as many as may be. Returns whether a new one may be accepted.
+    /// Disconnects the oldest client if all slots are taken. Returns whether a new one may be accepted.
     fn reserve_slot(&mut self, now: Timestamp) -> bool {
         if self.clients.len() < MAX_CLIENTS {
             return true;
@@ -109,7 +110,7 @@
         true
     }
 
-    /// Accepts nothing until a client may be displaced.
+    /// Stops accepting until a client may be displaced.
     fn pause(&mut self) {
         if let Some(listener) = &self.listener {
             listener.socket.set_watched(false);
@@ -140,14 +141,14 @@
         }
         self.clients.retain(|_, client| client.deadline > now);
         if std::mem::take(&mut self.full) {
-            // If there is still no slot, the next call of `accept` pauses it again.
+            // If there is still no free slot, the next call of `accept` pauses the listener again.
             if let Some(listener) = &self.listener {
                 listener.socket.set_watched(true);
             }
         }
     }
 
-    /// Returns when [`Challenges::due`] is to be called next.
+    /// Returns the time at which [`Challenges::due`] has to be called next.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         let deadlines = self.clients.values().map(|client| client.deadline);
         let client = deadlines.min().map(|deadline| match self.full {
@@ -172,14 +173,14 @@
     let key = turn.key();
     let listener = at_start(|| listen(configured)).map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
-    tracing::info!(at = %address, "answering challenges");
+    tracing::info!(at = %address, "listening for http-01 challenges");
     let listener = turn.reactor.watch(listener, key, false);
     let socket = RestingListener::new(listener.map_err(listen_error)?);
     Ok(Listener { socket, key })
 }
 
-/// Reads the request and writes the response. An error means that the connection is to be closed, be it because the response
-/// is written.
+/// Reads the request and writes the response. An error means that the connection is to be closed, also after the response is
+/// complete.
 fn advance(client: &mut Client, authorizations: &HashMap<String, String>) -> io::Result<()> {
     let mut buffer = [0; READ_BUFFER_BYTES];
     while client.response.is_empty() {
@@ -207,7 +208,7 @@
     Err(io::ErrorKind::UnexpectedEof.into())
 }
 
-/// Returns the response to a request; `None` while the request is not complete.
+/// Returns the response to a request, or `None` while the request is incomplete.
 fn respond(request: &[u8], authorizations: &HashMap<String, String>) -> Option<Vec<u8>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/front/src/server/drivers/certs/operators.rs
+++ b/front/src/server/drivers/certs/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' commands about certificates.
+//! Operators' commands that concern certificates.
 use super::{time_now, Certs};
 use crate::server::drivers::{Effect, Turn};
 use cranesill_certs::planner::Row;
@@ -9,19 +9,19 @@
 pub(super) const COMMANDS: [(&str, &str); 5] = [
     (
         "certs",
-        "certificates: how each stands, and the authority; {name}: one",
+        "state of all certificates and of the authority; {name}: of one",
     ),
-    ("certs-renew", "{name}: order it now"),
+    ("certs-renew", "{name}: renew the certificate now"),
     (
         "certs-revoke",
-        "{name, reason}: revoke it and order another",
+        "{name, reason}: revoke the certificate and order a new one",
     ),
     ("certs-import", "{key, chain}: serve these, both in PEM"),
-    ("certs-roll-key", "give the account another key"),
+    ("certs-roll-key", "replace the key of the ACME account"),
 ];
 
 impl Certs {
-    /// Carries out a command. Those that take an exchange with the authority are answered later.
+    /// Carries out a command. One that needs a request to the authority is answered when that is complete.
     pub(super) fn handle_command(
         &mut self,
         turn: &mut Turn<'_>,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the state of the authority, and of the certificates that cover `name` or of all if that is empty.
+    /// Returns the state of the authority and of the certificates that cover `name`, or of all if `name` is empty.
     fn state(&self, turn: &Turn<'_>, name: &str) -> Value {
         let time = time_now(turn.now);
         let rows: Vec<_> = self
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns the state of one certificate at a Unix time in seconds.
+/// Returns the state of one certificate at the given Unix time.
 fn row_state(row: &Row, served: Option<&Identity>, wall_clock_s: u64) -> Value {
     let state = match served {
         None => "missing",
--- a/front/src/server/drivers/certs/settings.rs
+++ b/front/src/server/drivers/certs/settings.rs
@@ -1,4 +1,4 @@
-//! What the settings of certificates mean to the ACME client, with the files that they name.
+//! Converts the certificate settings, and the files that they refer to, to the configuration of the ACME client.
 use cranesill_certs::exchange::roots;
 use cranesill_certs::jose::from_base64url;
 use cranesill_certs::order::Way;
@@ -14,64 +14,65 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why certificates cannot be managed. The texts are what the operator sees; they begin with the path in the settings.
+/// Failure to set up certificate management. Its text is shown to operators and begins with the path in the settings.
 #[derive(Debug, Error)]
 pub enum CertsError {
-    /// The roots that the authority is verified by cannot be used.
+    /// The root certificates for the authority cannot be used.
     #[error("certs.authority.roots_file: {0}")]
     Roots(String),
-    /// The key of the external account cannot be read.
-    #[error("certs.authority.external_account.key_file: {}: {cause}", file.display())]
+    /// The key file of the external account cannot be read.
+    #[error("certs.authority.external_account.key_file: cannot read {}: {cause}", file.display())]
     ExternalKeyUnreadable {
-        /// The file.
+        /// Path of the key file.
         file: PathBuf,
-        /// What the system says.
+        /// Error of the read.
         cause: io::Error,
     },
-    /// The key of the external account is empty or no base64url.
-    #[error("certs.authority.external_account.key_file: {}: no base64url", .0.display())]
+    /// The key of the external account is empty or not base64url.
+    #[error("certs.authority.external_account.key_file: {}: not a key in base64url", .0.display())]
     ExternalKeyMalformed(PathBuf),
-    /// The worker threads could not be set up.
-    #[error("certs: {0}")]
+    /// The worker pool could not be created.
+    #[error("certs: cannot create the worker pool: {0}")]
     Workers(#[source] io::Error),
-    /// The address for http-01 challenges is not valid.
+    /// The address for http-01 challenges is invalid.
     #[error("certs.http_listen: {address}: {cause}")]
     ListenAddress {
-        /// The address in the settings.
+        /// Address in the settings.
         address: String,
-        /// Why it is not valid.
+        /// Error of the parser.
         cause: AddrParseError,
     },
-    /// The address for http-01 challenges cannot be listened on.
-    #[error("certs.http_listen: {address}: {cause}")]
+    /// The listener for http-01 challenges could not be opened.
+    #[error("certs.http_listen: cannot listen on {address}: {cause}")]
     Listen {
-        /// The address in the settings.
+        /// Address in the settings.
         address: String,
-        /// What the system says.
+        /// Error of the system call.
         cause: io::Error,
     },
 }
 
-/// How requests to the authority are sent.
+/// Parameters of HTTPS requests to the authority.
 pub(super) struct Transport {
-    /// How its certificate is verified.
+    /// TLS configuration with the authority's root certificates.
     pub(super) config: Arc<ClientConfig>,
-    /// A request that takes longer has failed.
+    /// Timeout of a request.
     pub(super) timeout: Duration,
-    /// A longer response is rejected.
+    /// Maximum size of a response.
     pub(super) max_response_bytes: usize,
 }
 
 /// The authority that issues certificates.
 pub(super) struct Authority {
-    /// What the ACME client needs to know.
+    /// Settings of the ACME client.
     pub(super) client: cranesill_certs::Settings,
-    /// How it is reached.
+    /// Parameters of requests.
     pub(super) transport: Transport,
 }
 
 impl Authority {
-    /// Returns the authority in the settings, if they name one. Reads the files of roots and of an external account's key.
+    /// Returns the authority in the settings, if there is one. Reads the files of its root certificates and of the external
+    /// account's key.
     pub(super) fn from_settings(settings: &Settings) -> Result<Option<Self>, CertsError> {
         let Some(authority) = &settings.authority else {
             return Ok(None);
@@ -99,7 +100,7 @@
     }
 }
 
-/// Returns the id and the key of an external account.
+/// Reads the identifier and the key of an external account.
 fn external_account(external: &ExternalAccount) -> Result<(String, Vec<u8>), CertsError> {
     let file = &external.key_file;
     let text =
@@ -113,12 +114,12 @@
     Ok((external.key_id.clone(), key))
 }
 
-/// Checks that the files that the settings name can be used.
+/// Checks that the files in the settings can be used.
 pub fn check(settings: &Settings) -> Result<(), CertsError> {
     Authority::from_settings(settings).map(drop)
 }
 
-/// Returns the planner's limits.
+/// Returns the renewal rule and the order limits.
 pub(super) fn plan(settings: &Settings) -> Plan {
     Plan {
         rule: Rule {
@@ -132,7 +133,7 @@
     }
 }
 
-/// Returns the order in which the fronts of a shared folder renew a certificate.
+/// Returns the ranking by which fronts that share a directory renew certificates.
 pub(super) fn ranking(settings: &Settings, front_name: &str) -> Box<Ranked> {
     Box::new(Ranked {
         me: front_name.into(),
@@ -148,7 +149,7 @@
     Event::Configure(plan(settings), ranking(settings, front_name), names)
 }
 
-/// Returns the id of the certificate for clients that send no host name: the first name of the first one.
+/// Returns the identifier of the certificate for clients without SNI: the first name of the first certificate.
 pub(super) fn default_certificate(settings: &Settings) -> Option<String> {
     let first = settings.certificates.first()?;
     first.names.first().map(|name| name.to_ascii_lowercase())
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -1,4 +1,4 @@
-//! The control socket: operators send commands, one JSON object a line, and get one line back for each.
+//! Control socket for operators. Each command is a JSON object on one line, and is answered by one line.
 use super::{AdminEffect, Driver, Effect, Turn};
 use crate::transport::{at_start, Registered, RestingListener};
 use cranesill::api::{Micros, Timestamp};
@@ -9,88 +9,88 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// Operators connected at once; any more are disconnected.
+/// Maximum number of connected operators; further ones are disconnected.
 pub const MAX_OPERATORS: usize = 8;
-/// Bytes of a command, and of input that is not taken yet.
+/// Maximum size of the unprocessed input of one operator, and so of a command.
 const MAX_LINE_BYTES: usize = 512 * 1024;
-/// Bytes of answers that an operator has not read.
+/// Maximum size of the responses that one operator has not read.
 const MAX_OUTPUT_BYTES: usize = 8 << 20;
-/// Commands of one operator that are not answered yet.
+/// Maximum number of unanswered commands of one operator.
 const MAX_OPEN_COMMANDS: usize = 8;
-/// An operator that neither sends nor reads anything for this long is disconnected.
+/// Time without input or output after which an operator is disconnected.
 const MAX_IDLE: Micros = 60_000_000;
-/// Bytes that one read takes at most.
+/// Maximum size of one read.
 const MAX_READ_BYTES: usize = 16 * 1024;
 
 /// Characters of an unknown command that are repeated to the operator.
 const MAX_QUOTED_CHARACTERS: usize = 60;
 
-/// The connection of an operator.
+/// Connection of an operator.
 struct Operator {
     socket: Registered<UnixStream>,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Commands that are not answered yet.
+    /// Number of unanswered commands.
     open_commands: usize,
-    /// When something was last read or written.
+    /// Time of the last read or write.
     active_at: Timestamp,
 }
 
-/// The control socket.
+/// The driver of the control socket.
 pub struct Control {
     listener: RestingListener<UnixListener>,
     listener_key: usize,
     path: PathBuf,
     operators: HashMap<usize, Operator>,
-    /// Which operator, by poller key, waits for the answer to which command.
+    /// Poller key of the operator, by the id of an unanswered command.
     waiting: BTreeMap<u64, usize>,
     last_id: u64,
     help: BTreeMap<&'static str, &'static str>,
     sweep_at: Timestamp,
 }
 
-/// Why the control socket cannot be made.
+/// Failure to open the control socket.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketError {
-    /// The socket cannot be made or listened on.
-    #[error("control.path: {}: {source}", path.display())]
+    /// The socket cannot be created.
+    #[error("control.path: cannot create a socket at {}: {source}", path.display())]
     Io {
-        /// Where it should be.
+        /// Path in the settings.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// Another process listens there.
-    #[error("control.path: {}: another daemon listens there", .0.display())]
+    /// Another process listens on the path.
+    #[error("control.path: {}: another daemon listens on this socket", .0.display())]
     InUse(PathBuf),
-    /// There is something else, which is not displaced.
-    #[error("control.path: {}: it is no socket", .0.display())]
+    /// The path exists and is not a socket. It is not replaced.
+    #[error("control.path: {}: exists and is not a socket", .0.display())]
     NoSocket(PathBuf),
-    /// The socket cannot be watched.
-    #[error("control.path: {0}")]
+    /// The socket cannot be added to the poller.
+    #[error("control.path: cannot watch the socket: {0}")]
     Unwatched(#[source] io::Error),
 }
 
-/// What an operator asks for.
+/// A decoded line of an operator.
 enum Request {
-    /// The list of commands.
+    /// Requests the list of commands.
     Help,
-    /// A command that a subsystem carries out.
+    /// A command for a subsystem.
     Command { name: String, arguments: Value },
 }
 
-/// What is wrong with an operator's line.
+/// A line that is not a valid command. The text is sent to the operator.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
-    #[error("no JSON object: {0}")]
+    #[error("not JSON: {0}")]
     NoJson(#[source] serde_json::Error),
-    #[error("no field `word`")]
+    #[error("field `word` is missing or not a string")]
     NoName,
-    #[error("no such word: {0:?}; `help` lists them")]
+    #[error("unknown command {0:?}; `help` lists all commands")]
     Unknown(String),
 }
 
-/// Makes the socket: with mode 0600 before anybody can connect, and in the place of one that nobody listens on.
+/// Creates the socket, with mode 0600 before anyone can connect. A stale socket at the path is replaced.
 fn bind(path: &Path) -> Result<UnixListener, SocketError> {
     if at_start(|| UnixStream::connect(path)).is_ok() {
         return Err(SocketError::InUse(path.to_path_buf()));
@@ -105,7 +105,7 @@
     })
 }
 
-/// Makes the socket under another name and renames it, so that it is never there with another mode.
+/// Creates the socket under a temporary name and renames it, so that it never exists at `path` with another mode.
 fn bind_aside(path: &Path) -> io::Result<UnixListener> {
     let aside = path.with_extension(format!("{}.tmp", std::process::id()));
     let _ = std::fs::remove_file(&aside);
@@ -120,7 +120,7 @@
 }
 
 impl Control {
-    /// Listens at `path`; `help` holds the commands of all drivers and of the front.
+    /// Listens on `path`. `help` contains the commands of all drivers and of the front, each with its help text.
     pub fn new(
         turn: &mut Turn<'_>,
         path: &Path,
@@ -129,7 +129,7 @@
         let listener_key = turn.key();
         let listener = turn.reactor.watch(bind(path)?, listener_key, false);
         let listener = listener.map_err(SocketError::Unwatched)?;
-        tracing::info!(path = %path.display(), "control socket");
+        tracing::info!(path = %path.display(), "listening on the control socket");
         Ok(Control {
             listener: RestingListener::new(listener),
             listener_key,
@@ -142,7 +142,7 @@
         })
     }
 
-    /// Accepts the operators that wait to connect.
+    /// Accepts all pending connections.
     fn accept(&mut self, turn: &mut Turn<'_>) {
         while let Some(socket) = self.listener.accept(turn.now) {
             if self.operators.len() >= MAX_OPERATORS || socket.set_nonblocking(true).is_err() {
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    /// Takes complete lines off the input, as far as more commands may be open.
+    /// Processes complete lines of the input until too many commands are unanswered.
     fn take_commands(&mut self, turn: &mut Turn<'_>, key: usize) {
         while let Some(operator) = self.operators.get_mut(&key) {
             if operator.open_commands >= MAX_OPEN_COMMANDS {
@@ -219,7 +219,7 @@
         self.watch(key);
     }
 
-    /// Reads one line of an operator.
+    /// Decodes one line of an operator.
     fn decode(&self, line: &[u8]) -> Result<Request, RequestError> {
         let value: Value = serde_json::from_slice(line).map_err(RequestError::NoJson)?;
         let name = value["word"].as_str().ok_or(RequestError::NoName)?;
@@ -236,7 +236,7 @@
         })
     }
 
-    /// Writes the answer of a command to its operator.
+    /// Sends the result of a command to its operator.
     fn answer(&mut self, now: Timestamp, id: u64, result: Result<Value, String>) {
         let Some(key) = self.waiting.remove(&id) else {
             return;
@@ -279,14 +279,14 @@
 
     fn watch(&mut self, key: usize) {
         if let Some(operator) = self.operators.get(&key) {
-            // Not read from while its commands wait: it can't fill the memory.
+            // Reading pauses while too many commands are unanswered, which bounds the memory of the input.
             let reads = operator.open_commands < MAX_OPEN_COMMANDS;
-            // It can only fail for a source that is not watched.
+            // Fails only for a socket that is not watched.
             let _ = operator.socket.rewatch(reads, !operator.output.is_empty());
         }
     }
 
-    /// Writes answers and reads commands, as far as the poller reported it.
+    /// Writes responses and reads commands, as far as the socket is ready.
     fn transfer(
         &mut self,
         turn: &mut Turn<'_>,
@@ -303,7 +303,7 @@
         Ok(())
     }
 
-    /// Disconnects an operator; answers to its commands are dropped.
+    /// Disconnects an operator. Responses to its commands are dropped.
     fn drop(&mut self, key: usize) {
         self.operators.remove(&key);
         self.waiting.retain(|_, k| *k != key);
@@ -327,7 +327,7 @@
         self.listener.resume_if_due(turn.now);
         let is_over = |operator: &Operator| {
             let is_inactive = turn.now > operator.active_at + MAX_IDLE;
-            // One that waits for the result of a command may be silent, one that does not read its answers may not.
+            // An operator that waits for a result has nothing to send; one that does not read its responses times out.
             let may_be_silent = operator.open_commands > 0 && operator.output.is_empty();
             is_inactive && !may_be_silent
         };
@@ -353,7 +353,7 @@
         {
             let key = self.waiting.get(number).copied();
             self.answer(turn.now, *number, answer.clone());
-            // A command may have waited for this one.
+            // A further command may have waited for this one to be answered.
             key.into_iter()
                 .for_each(|key| self.take_commands(turn, key));
         }
@@ -362,7 +362,6 @@
 
 impl Drop for Control {
     fn drop(&mut self) {
-        // Only one's own: another daemon may have taken the place since.
         let mine = self.listener.get().local_addr().is_ok();
         if mine {
             let _ = std::fs::remove_file(&self.path);
--- a/front/src/server/drivers/control/tests.rs
+++ b/front/src/server/drivers/control/tests.rs
@@ -24,7 +24,8 @@
             effects: &mut effects,
             keys: &mut keys,
         };
-        let control = Control::new(&mut turn, &path, [("status", "how it stands")].into()).unwrap();
+        let control =
+            Control::new(&mut turn, &path, [("status", "state of the front")].into()).unwrap();
         Stage {
             reactor,
             effects,
@@ -38,7 +39,7 @@
         UnixStream::connect(&self.control.path).unwrap()
     }
 
-    /// Lets the loop turn until nothing more comes.
+    /// Handles events until none are reported.
     fn turn(&mut self, now: Timestamp) {
         while let Ok(events) = self.reactor.wait(0, Some(1_000)) {
             if events.is_empty() {
@@ -74,13 +75,16 @@
     let file = stage._folder.path().join("file");
     std::fs::write(&file, "x").unwrap();
     assert!(
-        bind(&file).unwrap_err().to_string().contains("no socket"),
-        "nothing of somebody else's is displaced"
+        bind(&file)
+            .unwrap_err()
+            .to_string()
+            .contains("not a socket"),
+        "a file is not replaced"
     );
-    // What a killed daemon left behind is displaced.
+    // The socket of a killed daemon is replaced.
     let old = stage._folder.path().join("old.sock");
     drop(UnixListener::bind(&old).unwrap());
-    // Another test that starts a process may hold a copy of the socket between its fork and its exec.
+    // A process that another test starts may hold a copy of the socket between its fork and exec.
     let until = std::time::Instant::now() + std::time::Duration::from_secs(20);
     while let Err(why) = bind(&old) {
         assert!(std::time::Instant::now() < until, "{why}");
@@ -96,7 +100,7 @@
         .unwrap();
     stage.turn(1);
     let mut lines = BufReader::new(odd.try_clone().unwrap()).lines();
-    for text in ["no such word", "no field `word`", "no JSON object"] {
+    for text in ["unknown command", "field `word` is missing", "not JSON"] {
         assert!(lines.next().unwrap().unwrap().contains(text));
     }
     odd.write_all(b"tus\"}\n").unwrap();
@@ -104,7 +108,7 @@
     assert!(
         matches!(&stage.effects[..], [Effect::Admin(AdminEffect::Command { id: 4, name: word, arguments: Value::Null })] if word == "status")
     );
-    // One that never ends its line is closed, and room for operators is bounded.
+    // A line without end is rejected, and the number of operators is limited.
     let mut endless = stage.operator();
     endless.set_nonblocking(true).unwrap();
     let mut sent = 0;
@@ -113,12 +117,12 @@
         endless.write(&[b'x'; 8_192])
     } {
         sent += n;
-        assert!(sent < 2 * MAX_LINE_BYTES, "it is closed by then");
+        assert!(sent < 2 * MAX_LINE_BYTES, "disconnected by then");
     }
     let _many: Vec<_> = (0..40).map(|_| stage.operator()).collect();
     stage.turn(4);
     assert!(stage.control.operators.len() <= MAX_OPERATORS);
-    // The first is still served.
+    // The first operator is still served.
     let mut effects = Vec::new();
     let mut turn = Turn {
         now: 5,
@@ -141,7 +145,7 @@
     stage.control.due(&mut turn);
     assert!(
         stage.control.operators.is_empty(),
-        "who says nothing is closed in the end"
+        "an idle operator is disconnected"
     );
 }
 
@@ -164,5 +168,5 @@
     stage
         .control
         .handle_effect(&mut turn, &Effect::response(1, Ok(Value::Null)));
-    assert_eq!(effects.len(), 1, "the next one takes its place");
+    assert_eq!(effects.len(), 1, "the next command follows a response");
 }
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -1,4 +1,4 @@
-//! Messages from one subsystem to the others, grouped by the subsystem that they concern.
+//! Messages between subsystems, grouped by the subsystem that they concern.
 use super::certificate_table::{CertificateTable, ChallengeCertificate};
 use crate::protocol::discovery::WatchEvent;
 use crate::protocol::snapshot::Snapshot;
@@ -10,20 +10,20 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// A message of one subsystem to others. The event loop carries it out itself or passes it to every driver.
+/// A message of one subsystem to the others. The event loop handles it itself or passes it to every driver.
 pub enum Effect {
-    /// Concerns operators' commands.
+    /// Messages about operators' commands.
     Admin(AdminEffect),
-    /// Concerns the endpoint list and its endpoints.
+    /// Messages about the endpoint list.
     Endpoints(EndpointEffect),
-    /// Concerns TLS connections and certificates.
+    /// Messages about TLS connections and certificates.
     Tls(TlsEffect),
-    /// Concerns the log of purges.
+    /// Messages about the purge log.
     Purges(PurgeEffect),
 }
 
 impl Effect {
-    /// The result of the operator's command `id`; an error is the text that the operator sees.
+    /// Creates the response to the command `id`. An error is the text that the operator sees.
     pub fn response(id: u64, result: Result<Value, String>) -> Self {
         Effect::Admin(AdminEffect::Response { id, result })
     }
@@ -31,114 +31,114 @@
 
 /// Messages about operators' commands.
 pub enum AdminEffect {
-    /// An operator has sent a command.
+    /// An operator sent a command.
     Command {
-        /// Identifies the command in its response; no two open commands share it.
+        /// Identifies the command in its response; unique among open commands.
         id: u64,
-        /// The command, as [`Driver::commands`](super::Driver::commands) lists it.
+        /// Name of the command, as listed by [`Driver::commands`](super::Driver::commands).
         name: String,
-        /// Its arguments, as an object; null where there are none.
+        /// Arguments as a JSON object, or null if there are none.
         arguments: Value,
     },
-    /// A command has been carried out or rejected.
+    /// A command was carried out or rejected.
     Response {
-        /// Of the command.
+        /// Id of the command.
         id: u64,
-        /// What the operator is shown.
+        /// The value or the error text that the operator sees.
         result: Result<Value, String>,
     },
 }
 
-/// An endpoint as the list names it.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointAddress {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub id: u64,
-    /// The place of its kind in the configuration's list of kinds.
+    /// Index of its kind in the configuration's list of kinds.
     pub kind: u8,
-    /// Where it listens; `None` once it was removed.
+    /// Its socket address; `None` if it was removed from the list.
     pub address: Option<SocketAddr>,
 }
 
 /// Messages about the endpoint list.
 pub enum EndpointEffect {
-    /// Endpoints were listed or removed.
+    /// Endpoints were added, changed or removed.
     Listed {
-        /// The endpoints concerned.
+        /// The affected endpoints.
         endpoints: Vec<EndpointAddress>,
-        /// Whether these are all that there are: any other is removed.
+        /// Whether `endpoints` is the complete list, so that all others are removed.
         complete: bool,
     },
-    /// The list service has sent a watch event.
+    /// The list service sent a watch event.
     WatchEvent {
-        /// The revision of the list that the event leads to.
+        /// Revision of the list after the event.
         revision: u64,
         /// The event.
         event: WatchEvent,
     },
-    /// The list service has confirmed that there is nothing new.
+    /// The list service confirmed that the list is current.
     Current,
-    /// Enough peers offer this list for it to be adopted.
+    /// Enough peers offered this list for it to be adopted.
     Offered(Box<Snapshot>),
-    /// A peer's list was adopted. It counts as old as it was when the peer sent it.
+    /// A peer's list was adopted. It keeps the time at which it was last known to be current.
     Adopted(Box<Snapshot>),
-    /// An endpoint served an object older than a purge that it had been sent.
+    /// An endpoint served a copy from before a purge that it had been sent.
     ServedPurged {
-        /// The endpoint's id.
+        /// Id of the endpoint.
         endpoint: u64,
     },
 }
 
 /// Messages about TLS connections and certificates.
 pub enum TlsEffect {
-    /// A handshake is complete: the connection is a client's.
+    /// A client completed its handshake.
     Client {
-        /// The client's socket.
+        /// Socket of the client.
         socket: Registered<TcpStream>,
         /// The TLS connection on it.
         connection: Box<ServerConnection>,
     },
-    /// The certificates to be served from now on.
+    /// Replaces the certificates to serve.
     Certificates(Arc<CertificateTable>),
-    /// An ACME challenge of type tls-alpn-01 (RFC 8737) begins or ends.
+    /// A tls-alpn-01 challenge (RFC 8737) was opened or closed.
     Challenge {
-        /// The host name.
+        /// Host name to validate.
         name: String,
-        /// What answers the challenge; `None` once it has ended.
+        /// Certificate that answers the challenge; `None` if it was closed.
         certificate: Option<Arc<ChallengeCertificate>>,
     },
 }
 
-/// Messages about the log of purges.
+/// Messages about the purge log.
 pub enum PurgeEffect {
-    /// Purges are enforced from now on.
+    /// Enables the enforcement of purges.
     Enabled {
-        /// The settings of purges.
+        /// Settings of the purge log.
         settings: cranesill_daemon::Purges,
-        /// Everything may have been purged up to this time. `None` if all purges are known.
+        /// Time up to which purges may be unknown, so that all older copies count as purged. `None` if all are known.
         purged_up_to: Option<UnixMillis>,
     },
-    /// Everything may have been purged up to this time.
+    /// Purges may be unknown, so that all copies from before a time count as purged.
     AllPurged {
-        /// The time.
+        /// The time up to which purges may be unknown.
         up_to: UnixMillis,
     },
-    /// The writer of the log was in contact, and all that it has is here.
+    /// The writer sent a frame after which this follower has its complete log. Renews the lease.
     Contact,
-    /// Purges that take effect now.
+    /// Adds purges, which take effect immediately.
     Purged(Vec<Purge>),
-    /// All cache nodes have carried out the purges up to this number.
+    /// All cache nodes confirmed the purges up to a number.
     Confirmed {
-        /// The number of the last one.
+        /// Number of the last confirmed purge.
         up_to: PurgeNumber,
     },
-    /// No cache node has a copy from before this time, so older purges no longer matter.
+    /// Purges before a time have expired, since no cache node has a copy that old.
     Expired {
-        /// The time.
+        /// The time before which purges have expired.
         horizon: UnixMillis,
     },
-    /// Patterns that are to be compiled.
+    /// Requests that patterns are compiled.
     Compile(CompileJob),
-    /// Patterns that were compiled, or why they could not be.
+    /// The compiled patterns, or the error of the compilation.
     Compiled(Box<Result<PatternSet, CompileError>>),
 }
--- a/front/src/server/drivers/mod.rs
+++ b/front/src/server/drivers/mod.rs
@@ -1,6 +1,6 @@
-//! The interface between the event loop and its subsystems. A driver has a range of poller keys of its own, one next
-//! deadline, and effects by which it sends messages to the others. A subsystem is added by a file here and a line in
-//! `event_loop/assembly.rs`; its messages are a group of their own in `effect.rs`.
+//! Drivers: the subsystems that run on the event loop. Each has its own range of poller keys and one next deadline, and
+//! sends messages to the others as effects. To add one, implement [`Driver`] in a module here, start it in
+//! `event_loop/assembly.rs`, and add its messages to `effect.rs`.
 mod certificate_table;
 pub mod certs;
 pub mod control;
@@ -17,19 +17,19 @@
 use cranesill::api::Timestamp;
 use cranesill_daemon::Daemon;
 
-/// Lower bits of a poller key; those above them are the slot of its driver.
+/// Number of low bits of a poller key that identify a source; the bits above are the slot of its driver.
 const SLOT_BITS: u32 = 40;
 
-/// The poller keys of one driver. No other driver has any of them, and none is given twice.
+/// Allocates the poller keys of one driver. Keys are unique among all drivers and never reused.
 #[derive(Debug)]
 pub struct PollerKeys {
-    /// The driver's slot: the upper part of its keys.
+    /// Slot of the driver, the upper part of its keys.
     slot: usize,
     last: usize,
 }
 
 impl PollerKeys {
-    /// The keys of the driver in `slot`. Slots count from 1.
+    /// Creates the allocator of the driver in `slot`. Slots count from 1.
     pub fn new(slot: usize) -> Self {
         PollerKeys { slot, last: 0 }
     }
@@ -40,49 +40,48 @@
     }
 }
 
-/// What a driver may use while the loop calls it. A turn of the loop gives each driver that has something to do one of
-/// these; it ends with the call, so nothing of it can be kept.
+/// Context of one call of a driver within a turn of the event loop.
 pub struct Turn<'a> {
-    /// When the turn began; it does not advance within the turn.
+    /// Time at which the turn began. It does not advance within the turn.
     pub now: Timestamp,
-    /// By how many milliseconds this machine's clock is behind that of the list service, as far as that is known.
+    /// Time by which this machine's clock is behind that of the list service; 0 if unknown.
     pub behind_ms: u64,
-    /// Watches sockets for the driver.
+    /// Poller for the driver's sockets.
     pub reactor: &'a Reactor,
-    /// Messages to other subsystems, carried out after the call.
+    /// Messages to other subsystems, delivered after the call.
     pub effects: &'a mut Vec<Effect>,
-    /// The driver's poller keys.
+    /// Allocator of the driver's poller keys.
     pub keys: &'a mut PollerKeys,
 }
 
 impl Turn<'_> {
-    /// Returns a poller key that no other source has had.
+    /// Returns an unused poller key.
     pub fn key(&mut self) -> usize {
         self.keys.take_next()
     }
 }
 
-/// Returns the slot of the driver to which a poller key belongs; 0 stands for the front itself.
+/// Returns the slot of the driver to which a poller key belongs; 0 for the front itself.
 pub fn slot_of(key: usize) -> usize {
     key >> SLOT_BITS
 }
 
 /// A subsystem on the event loop. No call may block.
 pub trait Driver {
-    /// A source can be read or written.
+    /// Handles a source that is ready to be read or written.
     fn ready(&mut self, turn: &mut Turn<'_>, key: usize, readable: bool, writable: bool);
-    /// The deadline that [`Driver::next`] returned has passed.
+    /// Called once the deadline returned by [`Driver::next`] has passed.
     fn due(&mut self, turn: &mut Turn<'_>);
     /// Returns the driver's next deadline, if it has one.
     fn next(&self) -> Option<Timestamp>;
-    /// Another subsystem has sent a message; most concern other drivers and are ignored.
+    /// Handles a message of another subsystem. A driver ignores those that do not concern it.
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect);
-    /// Returns the operators' commands that this driver carries out, each with a line of help.
+    /// Returns the operators' commands that this driver carries out, each with its help text.
     fn commands(&self) -> Vec<(&'static str, &'static str)> {
         Vec::new()
     }
-    /// The settings were read again.
+    /// Applies reloaded settings.
     fn reload(&mut self, _turn: &mut Turn<'_>, _settings: &Daemon) {}
-    /// The process shuts down after SIGTERM: nothing new is begun.
+    /// Called when the process shuts down after SIGTERM. The driver accepts no further connections.
     fn drain(&mut self) {}
 }
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -1,5 +1,5 @@
-//! The second address, on which the platform's operators call: one line a connection, an answer, and a close. A call stands
-//! for a command, the same that the control socket takes.
+//! Listener for the platform's operators (setting `ops`). A connection carries one call on one line and its response, and is
+//! then closed. Each call maps to a command of the control socket.
 use super::{AdminEffect, Driver, Effect, Turn};
 use crate::protocol::admin::{answer, decode, Call, CallError, MAX_LINE_BYTES};
 use crate::protocol::cache_node::endpoint_name;
@@ -11,59 +11,59 @@
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Callers connected at once: some send nothing and remain, and must not keep out one with a call.
+/// Maximum number of connected callers. Callers that send nothing must not block one that sends a call.
 pub const MAX_CALLERS: usize = 24;
-/// While all slots are taken, a caller that was silent for this long gives its own up: a call comes with its connection, give
-/// or take a round trip.
+/// Time without a call after which a caller may be displaced if all slots are taken. A call normally follows its connection
+/// within a round trip.
 const MIN_SILENT_TIME: Micros = 20_000;
-/// Pause before `accept` or `listen` is tried again after a failure.
+/// Time between attempts of `accept` or `listen` after a failure.
 const RETRY_INTERVAL: Micros = 100_000;
-/// A caller is disconnected after this long in any case.
+/// Time from accept after which a caller is disconnected.
 const MAX_CONNECTED_TIME: Micros = 5_000_000;
-/// A caller with its answer is disconnected after this long if it does not close by itself.
+/// Time after the response in which the caller may close the connection itself.
 const CLOSE_TIMEOUT: Micros = 500_000;
 
 /// Reads of one caller in one turn.
 const MAX_READS_PER_TURN: usize = 2;
 
-/// The connection of an operator.
+/// Connection of an operator.
 struct Caller {
     socket: Registered<TcpStream>,
     input: Vec<u8>,
     output: Vec<u8>,
     connected_at: Timestamp,
-    /// Whether its call was taken; what it sends after that is dropped.
+    /// Whether its call was received. Further input is discarded.
     has_called: bool,
-    /// When it is disconnected, once its answer is written.
+    /// Time at which it is disconnected, once the response is written.
     closes_at: Option<Timestamp>,
 }
 
-/// The second address cannot be listened on.
+/// Failure to listen on the address for operators.
 #[derive(Debug, thiserror::Error)]
-#[error("ops: {address}: {source}")]
+#[error("ops: cannot listen on {address}: {source}")]
 pub struct ListenError {
     address: SocketAddr,
     source: io::Error,
 }
 
-/// The second address and the callers there.
+/// The driver of the listener for operators.
 pub struct Ops {
     at: SocketAddr,
-    /// `None` while another process has the address.
+    /// `None` while the address is in use by another process.
     listener: Option<Registered<TcpListener>>,
     listener_key: usize,
     callers: BTreeMap<usize, Caller>,
-    /// Whether the listener rests until there is a slot for a caller.
+    /// Whether accepting is paused until a slot is free or the retry is due.
     resting: bool,
     acceptor: AcceptBackoff,
-    /// When the listener is tried again after a failure.
+    /// Time of the next attempt of `accept` or `listen` after a failure.
     retry_at: Option<Timestamp>,
 }
 
 impl Ops {
-    /// Listens for operators. Where another process of this front may live (`beside`) that may still have the address, as may
-    /// for a moment any connection of the machine that was given the same port: clients are served all the same, and the
-    /// address is retried until it is free. Otherwise that is an error.
+    /// Listens for operators on `address`. During a handover (`handover`) another process of this front, or an outgoing
+    /// connection that was assigned the same port, may still use the address: then the front starts without the listener and
+    /// retries until the address is free. Otherwise an address in use is an error.
     pub fn new(turn: &mut Turn<'_>, at: SocketAddr, beside: bool) -> Result<Self, ListenError> {
         let listener_key = turn.key();
         let mut ops = Ops {
@@ -92,12 +92,12 @@
         let listener = turn
             .reactor
             .watch(listen(self.at)?, self.listener_key, false)?;
-        tracing::info!(at = %listener.local_addr()?, "operators call here");
+        tracing::info!(at = %listener.local_addr()?, "listening for operators");
         self.listener = Some(listener);
         Ok(())
     }
 
-    /// Accepts callers until there are none, or no slot or descriptor for them.
+    /// Accepts callers until none are pending, or no slot or descriptor is free.
     fn accept(&mut self, turn: &mut Turn<'_>) {
         self.acceptor.begin_turn();
         loop {
@@ -119,24 +119,24 @@
         }
     }
 
-    /// Handles a failed call. Returns whether another is worth making now; otherwise the listener rests, or it would be
-    /// reported again at once and without end.
+    /// Handles a failed `accept`. Returns whether to call it again now; otherwise the listener is paused, since the poller
+    /// would report it continuously.
     fn accept_failed(&mut self, turn: &mut Turn<'_>, error: &io::Error) -> bool {
         let fault = AcceptFault::of(error);
-        // Out of descriptors: a silent caller gives its own up.
+        // Out of descriptors: disconnecting a silent caller frees one.
         if fault == AcceptFault::Descriptors && used_up() && self.free_slot(turn) {
             return true;
         }
         if self.acceptor.failed(turn.now, fault) == Next::Retry {
             return true;
         }
-        tracing::warn!(kind = "ops", %error, "no operator can be heard for now");
+        tracing::warn!(kind = "ops", %error, "cannot accept a connection of an operator; retrying");
         self.retry_at = Some(turn.now + RETRY_INTERVAL);
         self.set_resting(true);
         false
     }
 
-    /// Adds a caller. Its call may have come already.
+    /// Adds a caller, and reads its call if that has arrived.
     fn add(&mut self, turn: &mut Turn<'_>, socket: TcpStream) {
         let key = turn.key();
         if socket.set_nonblocking(true).is_err() {
@@ -157,7 +157,6 @@
         self.serve(turn, key);
     }
 
-    /// It can only fail for a socket that is not watched.
     fn set_resting(&mut self, resting: bool) {
         if self.resting == resting {
             return;
@@ -168,8 +167,8 @@
         }
     }
 
-    /// Disconnects the caller that least needs its slot: one with its answer, or else the one that was silent for longest. Keys
-    /// are given out in the order of arrival. Returns whether there is a slot.
+    /// Disconnects the oldest caller that has its response, or else the oldest that has sent no call within the grace period.
+    /// Keys increase in the order of arrival. Returns whether a slot is free.
     fn free_slot(&mut self, turn: &mut Turn<'_>) -> bool {
         let done = self
             .callers
@@ -186,7 +185,7 @@
         let Some(key) = done.or_else(silent) else {
             return false;
         };
-        // Its call may have come by now.
+        // Its call may have arrived in the meantime.
         self.serve(turn, key);
         if self
             .callers
@@ -209,7 +208,7 @@
             (Ok(Some(Ok(call))), _) => {
                 caller.has_called = true;
                 let (name, arguments) = command(call);
-                // The key is the number: no other driver gives it out.
+                // Poller keys are unique among all drivers, so the key identifies the command.
                 let id = key as u64;
                 let name = name.into();
                 turn.effects.push(Effect::Admin(AdminEffect::Command {
@@ -219,7 +218,7 @@
                 }));
             }
             (Ok(Some(Err(error))), _) => {
-                tracing::info!(kind = "ops", %error, "bad call");
+                tracing::info!(kind = "ops", %error, "rejected an invalid call of an operator");
                 self.answer(turn.now, key, answer(Err(&error.to_string()), None));
             }
             (Ok(None), _) => {}
@@ -239,7 +238,8 @@
 }
 
 impl Caller {
-    /// Reads what has come. Returns the call once it is complete; an error means that the caller is disconnected.
+    /// Reads the available input. Returns the call once it is complete. An error means that the caller has to be
+    /// disconnected.
     fn read(&mut self) -> io::Result<Option<Result<Call, CallError>>> {
         let ended = self.fill()?;
         if self.has_called {
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Reads into the input; what comes after the call is dropped. Returns whether the caller has ended its side.
+    /// Reads into the input buffer and discards what follows the call. Returns whether the caller has shut down its side.
     fn fill(&mut self) -> io::Result<bool> {
         let mut chunk = [0; MAX_LINE_BYTES];
         for _ in 0..MAX_READS_PER_TURN {
@@ -273,7 +273,7 @@
         Ok(false)
     }
 
-    /// A caller that has its answer may end its side; then it is disconnected.
+    /// Disconnects a caller that has its response and has shut down its side.
     fn read_after_call(&mut self, ended: bool) -> io::Result<()> {
         if !ended {
             return Ok(());
@@ -281,11 +281,11 @@
         if self.output.is_empty() && self.closes_at.is_some() {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        // Watched for reading, the end would be reported again and again.
+        // Watched for reading, the end of the stream would be reported continuously.
         self.socket.rewatch(false, !self.output.is_empty())
     }
 
-    /// Writes the answer, and shuts this side once it is written.
+    /// Writes the response, and shuts down this side once it is complete.
     fn write(&mut self, now: Timestamp) -> io::Result<()> {
         if self.output.is_empty() {
             return Ok(());
@@ -301,15 +301,14 @@
                 Err(e) => return Err(e),
             }
         }
-        // Closed at once, what it sent beyond its call would make the system reset the connection, and the answer with
-        // it.
+        // Closing now would reset the connection if the caller had sent more than its call, and could lose the response.
         self.socket.shutdown(std::net::Shutdown::Write)?;
         self.closes_at = Some(now + CLOSE_TIMEOUT);
         self.socket.rewatch(true, false)
     }
 }
 
-/// The operators' command that a call stands for, and its arguments.
+/// Converts a call to a command and its arguments.
 fn command(call: Call) -> (&'static str, Value) {
     match call {
         Call::Health => ("health", Value::Null),
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -1,6 +1,6 @@
-//! Exchanges the endpoint list with peers. A front serves its list to the fronts that ask for it, and polls a few peers while
-//! the list service is silent. A request is the last revision that the client knows, 8 bytes big-endian. The response is the
-//! list in the form in which it is kept on disk, or nothing if there is no newer one; then the connection is closed.
+//! Exchanges the endpoint list with peers. A front serves its list to other fronts, and polls a few of them while the list
+//! service is silent. A request is the client's current revision in 8 bytes, big-endian. The response is the list in its
+//! on-disk format, or empty if the server has no newer one. The server then closes the connection.
 mod clients;
 
 pub use clients::MAX_CLIENTS;
@@ -20,70 +20,70 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// An exchange that takes longer is abandoned on either end, so that a peer that sends byte by byte holds no slot.
+/// Timeout of an exchange at either end, so that a slow peer does not occupy a slot.
 const EXCHANGE_TIMEOUT: Micros = 1_500_000;
-/// Peers are polled once the list service was silent for this long.
+/// Silence of the list service after which peers are polled.
 const SERVICE_TIMEOUT: Micros = 1_000_000;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// A request is the last revision that the client knows.
+/// Size of a request, which consists of a revision.
 const REQUEST_BYTES: usize = size_of::<u64>();
 
-/// Why the list cannot be exchanged with peers. The texts are what the operator sees.
+/// Failure to set up the exchange with peers. Its text is shown to operators.
 #[derive(Debug, Error)]
 pub enum PeersError {
-    /// An address in the settings is not valid.
+    /// An address in the settings is invalid.
     #[error("startup.peers.{key}: {address}: {cause}")]
     Address {
-        /// The key of the setting.
+        /// Key of the setting.
         key: &'static str,
-        /// What stands there.
+        /// Value of the setting.
         address: String,
-        /// Why it is not valid.
+        /// Error of the parser.
         cause: AddrParseError,
     },
-    /// The address for peers cannot be listened on.
-    #[error("startup.peers.listen: {address}: {cause}")]
+    /// The listener for peers could not be opened.
+    #[error("startup.peers.listen: cannot listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// Address in the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the system call.
         cause: io::Error,
     },
 }
 
-/// For how long lists and the purges in them may be used.
+/// Lifetimes of endpoint lists and of the purges in them.
 #[derive(Clone, Copy, Debug)]
 pub struct ListLifetimes {
-    /// Purges are kept for this many milliseconds.
+    /// Time for which purges are kept, in milliseconds.
     pub purge_ms: u64,
-    /// A list may be served from up to this age in milliseconds.
+    /// Maximum age of a list that is used to serve requests, in milliseconds.
     pub serve_ms: u64,
 }
 
-/// A connection to a peer that is asked for its list.
+/// A connection over which a peer is polled.
 struct Poll {
     peer: usize,
     stream: Stream<()>,
     deadline: Timestamp,
-    /// The last revision that was known when the peer was asked.
+    /// Revision of this front's list when the peer was polled.
     known_revision: u64,
 }
 
-/// How far the response of a peer has arrived.
+/// Whether the response of a peer is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Pending,
     Complete,
 }
 
-/// Figures for operators.
+/// Counters for operators.
 #[derive(Default)]
 struct Counters {
     /// Usable lists received from peers.
     offered: u64,
     /// Lists adopted from peers.
     adopted: u64,
-    /// Polls that failed or brought an unusable list.
+    /// Polls that failed or returned an unusable list.
     failed: u64,
 }
 
@@ -98,12 +98,12 @@
     clients: Clients,
     polls: HashMap<usize, Poll>,
     read_buffer: Vec<u8>,
-    /// When the list service last sent something.
+    /// Time of the last message of the list service.
     service_seen_at: Option<Timestamp>,
     counters: Counters,
 }
 
-/// Returns the address under `key` of the settings.
+/// Parses the address in the setting `key`.
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, PeersError> {
     text.parse().map_err(|cause| PeersError::Address {
         key,
@@ -112,7 +112,7 @@
     })
 }
 
-/// Returns the addresses of the other fronts: all in the settings except this front's own.
+/// Returns the addresses of the peers in the settings, without this front's own.
 fn other_peers(settings: &Settings, own: SocketAddr) -> Result<Vec<SocketAddr>, PeersError> {
     let mut peers = Vec::new();
     for text in &settings.ask {
@@ -124,7 +124,7 @@
     Ok(peers)
 }
 
-/// Bytes to send, as the stream takes them.
+/// Wraps bytes for sending on a stream.
 fn outgoing(bytes: Vec<u8>) -> Outgoing<()> {
     Outgoing {
         tag: (),
@@ -135,7 +135,7 @@
 }
 
 impl Peers {
-    /// Opens the socket for peers. `known` is the list that the front begins with.
+    /// Opens the listener for peers. `known` is the front's initial list.
     pub fn new(
         turn: &mut Turn<'_>,
         settings: &Settings,
@@ -149,7 +149,7 @@
         let listener = at_start(|| listen(address))
             .and_then(|l| turn.reactor.watch(l, listener_key, false))
             .map_err(|cause| PeersError::Listen { address, cause })?;
-        tracing::info!(at = %address, peers = peers.len(), "the list is served to peers");
+        tracing::info!(at = %address, peers = peers.len(), "serving the endpoint list to peers");
         let interval = settings.every_ms * 1_000;
         let bootstrap = PeerBootstrap::new(turn.now, peers.len(), settings.agree, interval, seed);
         Ok(Peers {
@@ -191,7 +191,7 @@
         self.polls.insert(key, poll);
     }
 
-    /// Reads from and writes to a peer that is polled.
+    /// Reads from and writes to a peer that is being polled.
     fn advance_poll(&mut self, key: usize) -> io::Result<Progress> {
         let Some(poll) = self.polls.get_mut(&key) else {
             return Ok(Progress::Pending);
@@ -220,7 +220,7 @@
         if response.is_empty() {
             return self.bootstrap.record_no_update(peer);
         }
-        // The known list may have become newer since the peer was asked.
+        // This front's list may have been updated since the peer was polled.
         let required = ListRequirements {
             source: self.known.source,
             known_revision: poll.known_revision.max(self.known.number),
@@ -230,7 +230,7 @@
             Ok(list) => self.record_offer(turn, peer, list),
             Err(error) => {
                 let at = self.peers[peer];
-                tracing::info!(kind = "peer", why = %error, %at, "a peer's list is left aside");
+                tracing::info!(kind = "peer", why = %error, %at, "endpoint list of a peer rejected");
                 self.record_failure(turn.now, peer);
             }
         }
@@ -257,7 +257,7 @@
         self.bootstrap.record_failure(now, peer);
     }
 
-    /// Disconnects clients and peers whose exchange takes too long.
+    /// Closes connections to clients and peers whose exchange has timed out.
     fn close_expired(&mut self, now: Timestamp) {
         self.clients.close_expired(now);
         let expired: Vec<_> = self
@@ -273,13 +273,13 @@
         }
     }
 
-    /// Whether the list service was silent for so long that peers are polled.
+    /// Whether the list service has been silent for long enough to poll peers.
     fn service_is_silent(&self, now: Timestamp) -> bool {
         self.service_seen_at
             .is_none_or(|at| now >= at + SERVICE_TIMEOUT)
     }
 
-    /// Returns the state as operators see it.
+    /// Returns the state for operators.
     fn state(&self) -> Value {
         json!({
             "last_event": self.known.number,
@@ -322,7 +322,7 @@
         if now < self.bootstrap.next_round() {
             return;
         }
-        // Rounds are counted while the service is in contact, too; nobody is polled then.
+        // Rounds continue while the list service is in contact, but no peer is polled.
         let chosen = self.bootstrap.start_round(now);
         if self.service_is_silent(now) {
             for peer in chosen {
@@ -371,7 +371,7 @@
     fn commands(&self) -> Vec<(&'static str, &'static str)> {
         vec![(
             "peers",
-            "the list from one another: served, offered, taken, and how old it is",
+            "exchange of the endpoint list with peers: lists served, offered and adopted, and age of the list",
         )]
     }
 }
--- a/front/src/server/drivers/peers/clients.rs
+++ b/front/src/server/drivers/peers/clients.rs
@@ -1,4 +1,4 @@
-//! Connections from peers that ask for the endpoint list.
+//! Connections of peers that request the endpoint list.
 use super::{outgoing, EXCHANGE_TIMEOUT, REQUEST_BYTES};
 use crate::protocol::snapshot::Snapshot;
 use crate::server::drivers::Turn;
@@ -8,7 +8,7 @@
 use std::io;
 use std::net::TcpStream;
 
-/// How many clients are served at once; a further one is disconnected.
+/// Maximum number of connected clients; further ones are disconnected.
 pub const MAX_CLIENTS: usize = 16;
 
 struct Client {
@@ -17,7 +17,7 @@
     responded: bool,
 }
 
-/// The peers that are being served, by their poller keys.
+/// The peers that are being served.
 #[derive(Default)]
 pub(super) struct Clients {
     connections: HashMap<usize, Client>,
@@ -25,7 +25,7 @@
 }
 
 impl Clients {
-    /// Serves an accepted connection, or closes it if there are [`MAX_CLIENTS`] already.
+    /// Adds an accepted connection, or closes it if there are [`MAX_CLIENTS`] already.
     pub(super) fn admit(&mut self, turn: &mut Turn<'_>, socket: TcpStream) {
         if self.connections.len() >= MAX_CLIENTS {
             return;
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Whether the poller key is that of a client.
+    /// Whether a poller key belongs to a client.
     pub(super) fn contains(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// Returns how many lists were sent.
+    /// Returns the number of lists that were sent.
     pub(super) fn served(&self) -> u64 {
         self.served
     }
 
-    /// Reads from and writes to a client, and closes the connection once the exchange is complete or the client misbehaves.
+    /// Reads from and writes to a client. Closes the connection once the exchange is complete or has failed.
     pub(super) fn advance(&mut self, key: usize, known: &Snapshot, read_buffer: &mut [u8]) {
         let Some(client) = self.connections.get_mut(&key) else {
             return;
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Closes the connections whose exchange takes too long.
+    /// Closes the connections whose exchange has timed out.
     pub(super) fn close_expired(&mut self, now: Timestamp) {
         self.connections.retain(|_, client| client.deadline > now);
     }
 
-    /// Returns when the next connection expires.
+    /// Returns the time at which the next exchange times out.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         self.connections
             .values()
@@ -75,8 +75,8 @@
     }
 }
 
-/// Reads the request and writes the response. An error means that the connection is to be closed, be it because the exchange
-/// is complete.
+/// Reads the request and writes the response. An error means that the connection is to be closed, also after a complete
+/// exchange.
 fn exchange(
     client: &mut Client,
     known: &Snapshot,
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -1,5 +1,5 @@
-//! Connections over which cache nodes are sent purges: one to each node, beside those of requests. What is sent when is
-//! decided in [`cranesill_purges::replication`].
+//! Sends purges to cache nodes over one dedicated connection per node. [`cranesill_purges::replication`] decides what is
+//! sent when.
 use crate::protocol::{cache_node, purge};
 use crate::server::drivers::{EndpointAddress, Turn};
 use crate::transport::{dial, Stream};
@@ -12,13 +12,12 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A connection whose node has not reported its state after this long has failed.
+/// Time after connecting in which a node has to report its state.
 const REPORT_TIMEOUT: Micros = 2_000_000;
-/// A connection with a batch that is not confirmed after this long is closed: it could stay open and silent for ever.
+/// Time after sending a batch in which the node has to confirm it.
 const CONFIRM_TIMEOUT: Micros = 4_000_000;
-/// Backoff after the first failure; it doubles with each further one.
+/// Backoff after the first failure. It doubles with each further one.
 const INITIAL_BACKOFF: Micros = 200_000;
-/// Longest backoff.
 const MAX_BACKOFF: Micros = 10_000_000;
 const READ_BUFFER_BYTES: usize = 4 * 1024;
 
@@ -27,9 +26,9 @@
 struct Connection {
     node: NodeId,
     stream: Stream<()>,
-    /// The id of the last command.
+    /// Id of the last command.
     command: u64,
-    /// When the last command was sent, or answered.
+    /// Time at which the last command was sent or answered.
     last_progress_at: Timestamp,
     /// Whether the node has reported its state.
     reported: bool,
@@ -48,7 +47,7 @@
 }
 
 impl Connection {
-    /// The next answer to the last command, if one has arrived. A repeated answer, or one to no command, is dropped.
+    /// Returns the next answer to the last command, if one has arrived. Answers to other commands are dropped.
     fn next_answer(&mut self, now: Timestamp) -> io::Result<Option<purge::Confirmation>> {
         loop {
             let decoded = purge::decode(self.stream.input()).map_err(|e| io::Error::other(e.0))?;
@@ -64,7 +63,7 @@
         }
     }
 
-    /// The first answer reports the node's state, further ones confirm batches.
+    /// Applies an answer. The first one reports the node's state, later ones confirm batches.
     fn apply_answer(
         &mut self,
         answer: purge::Confirmation,
@@ -93,10 +92,10 @@
 #[derive(Debug)]
 struct Node {
     address: SocketAddr,
-    /// The poller key of its connection.
+    /// Poller key of its connection.
     connection: Option<usize>,
     connect_at: Timestamp,
-    /// Failures since the last report.
+    /// Failures since the node last reported its state.
     failures: u32,
 }
 
@@ -112,7 +111,7 @@
 #[derive(Debug)]
 pub(super) struct CacheNodeLinks {
     replication: Replication,
-    /// Positions of the kinds of endpoints that are sent purges.
+    /// Indexes of the kinds of endpoints that are sent purges.
     kinds: Vec<u8>,
     nodes: BTreeMap<NodeId, Node>,
     /// By poller key.
@@ -120,12 +119,12 @@
     max_connections: usize,
     last_command: u64,
     scratch: Vec<u8>,
-    /// What all nodes had confirmed when that was asked last.
+    /// Last number that [`CacheNodeLinks::take_confirmation`] reported as confirmed by all nodes.
     confirmed: PurgeNumber,
 }
 
 impl CacheNodeLinks {
-    /// Links without nodes. Endpoints of the given kinds are sent purges, at most `purges_per_s` a second together.
+    /// Creates the links, without nodes. Endpoints of the given kinds are sent purges, at most `purges_per_s` in total.
     pub(super) fn new(
         now: Timestamp,
         log: &PurgeLog,
@@ -145,7 +144,7 @@
         }
     }
 
-    /// Applies the endpoint list (`full`) or changes of it: ids, kinds and addresses (`None`: removed).
+    /// Applies the complete endpoint list (`full`), or changes of it. An endpoint without an address is removed.
     pub(super) fn apply_endpoints(
         &mut self,
         now: Timestamp,
@@ -178,7 +177,7 @@
         if known.as_ref().is_some_and(|node| node.address == address) {
             return;
         }
-        // Another address is another process, which has to report its state.
+        // A process at a new address has to report its state first.
         if let Some(key) = known.and_then(|node| node.connection.take()) {
             self.connections.remove(&key);
         }
@@ -200,24 +199,24 @@
         self.replication.remove_node(id);
     }
 
-    /// Whether a poller key is that of a connection.
+    /// Whether a poller key belongs to a connection.
     pub(super) fn has(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// A node served a copy that it had confirmed to be purged.
+    /// Handles a node that served a copy after it had confirmed its purge.
     pub(super) fn stale_copy_served(&mut self, now: Timestamp, id: NodeId) {
         if self.replication.confirmed_by(id) > 0 {
             tracing::warn!(
                 kind = "lied",
                 member = cache_node::endpoint_name(EndpointId(id)),
-                "purges: a box served what it had purged"
+                "purges: cache node served a copy that it had confirmed as purged"
             );
             self.replication.stale_copy_served(now, id);
         }
     }
 
-    /// Handles a ready connection. `head` is the last number of the log.
+    /// Handles a ready connection. `head` is the last number in the log.
     pub(super) fn ready(&mut self, now: Timestamp, key: usize, head: PurgeNumber) {
         if let Err(error) = self.read(now, key, head) {
             self.disconnect(now, key, &error.to_string());
@@ -261,12 +260,12 @@
                 kind = "box-lost",
                 member = cache_node::endpoint_name(EndpointId(id)),
                 error = why,
-                "purges: no connection to a box"
+                "purges: connection to cache node lost; reconnecting with backoff"
             );
         }
     }
 
-    /// Closes connections that are overdue, connects and sends what is due.
+    /// Closes overdue connections, opens new ones, and sends the batches that are due.
     pub(super) fn send_due(&mut self, turn: &mut Turn<'_>, log: &PurgeLog) {
         let now = turn.now;
         self.disconnect_overdue(now);
@@ -284,7 +283,7 @@
         let overdue = connections.filter(|(_, connection)| connection.is_overdue(now));
         let overdue: Vec<usize> = overdue.map(|(key, _)| *key).collect();
         for key in overdue {
-            self.disconnect(now, key, "it says nothing");
+            self.disconnect(now, key, "no answer within the timeout");
         }
     }
 
@@ -301,7 +300,7 @@
         }
     }
 
-    /// Connects to a node, and asks for its state by an empty batch.
+    /// Connects to a node, and sends an empty batch to request its state.
     fn connect(&mut self, turn: &mut Turn<'_>, id: NodeId, log: &PurgeLog) {
         let key = turn.key();
         self.last_command += 1;
@@ -352,7 +351,7 @@
         }
     }
 
-    /// When something is due without another event. `head` is the last number of the log.
+    /// Returns the time at which [`CacheNodeLinks::send_due`] has to be called next. `head` is the last number in the log.
     pub(super) fn next_due(&self, now: Timestamp, head: PurgeNumber) -> Option<Timestamp> {
         let full = self.connections.len() >= self.max_connections;
         let unconnected = self
@@ -362,7 +361,7 @@
         let connect = unconnected.map(|node| node.connect_at).min();
         let connections = self.connections.values();
         let awaiting = connections.filter(|connection| connection.awaiting_answer);
-        // The shorter of the two time-outs: a check that comes early does nothing.
+        // The shorter of the two timeouts: a check that is too early has no effect.
         let check = awaiting
             .map(|connection| connection.last_progress_at + REPORT_TIMEOUT + 1)
             .min();
@@ -372,19 +371,19 @@
             .min()
     }
 
-    /// The number that all nodes have confirmed, if it has changed since the last call.
+    /// Returns the last number that all nodes have confirmed, if it has changed since the last call.
     pub(super) fn take_confirmation(&mut self) -> Option<PurgeNumber> {
         let confirmed = self.confirmed();
         let before = std::mem::replace(&mut self.confirmed, confirmed);
         (before != confirmed).then_some(confirmed)
     }
 
-    /// The number that all nodes have confirmed; 0 if there are none.
+    /// Returns the last number that all nodes have confirmed; 0 if there are no nodes.
     pub(super) fn confirmed(&self) -> PurgeNumber {
         self.replication.confirmed_by_all().unwrap_or(0)
     }
 
-    /// The names of the nodes that have not confirmed a number.
+    /// Returns the names of the nodes that have not confirmed a number.
     pub(super) fn unconfirmed(&self, number: PurgeNumber) -> Vec<String> {
         let nodes = self.replication.unconfirmed(number).into_iter();
         nodes
@@ -392,7 +391,7 @@
             .collect()
     }
 
-    /// The status of each node, as operators see it.
+    /// Returns the status of each node, for operators.
     pub(super) fn rows(&self) -> Vec<Value> {
         let row = |node: NodeStatus| {
             json!({"box": cache_node::endpoint_name(EndpointId(node.id)), "confirmed": node.confirmed,
--- a/front/src/server/drivers/purges/commands.rs
+++ b/front/src/server/drivers/purges/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators: purging, and showing the log and the cache nodes.
+//! Operators' commands that purge, and that show the purge log and the cache nodes.
 use super::{purge_date, Purges};
 use crate::server::drivers::{Effect, PurgeEffect, Turn};
 use cranesill::api::{Micros, Timestamp};
@@ -7,44 +7,44 @@
 use serde_json::{json, Value};
 use thiserror::Error;
 
-/// Most commands that wait to be made durable.
+/// Maximum number of purge commands that wait to be made durable.
 const MAX_QUEUED_COMMANDS: usize = 1_024;
-/// Most purges that one command shows.
+/// Maximum number of purges in a response.
 const MAX_ROWS: usize = 1_000;
-/// Longest time that an operator may wait for the cache nodes, in seconds.
+/// Maximum time that an operator may wait for the cache nodes.
 const MAX_WAIT_S: u64 = 120;
 const SECOND: Micros = 1_000_000;
-/// Groups are numbered below this.
+/// Number of groups; their ids start at 0.
 const GROUPS: u32 = 256;
 
-/// Why a purge target is not valid.
+/// An invalid purge target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TargetError {
-    /// None of the targets is given, or several.
-    #[error("exactly one of object, group, tag, pattern")]
+    /// No target, or several.
+    #[error("exactly one of object, group, tag and pattern is required")]
     NotOne,
-    /// The object is not valid.
+    /// The object id is malformed.
     #[error("object: not 16 hex digits")]
     Object,
-    /// The group is not valid.
-    #[error("group: no number below 256")]
+    /// The group id is malformed or out of range.
+    #[error("group: not a number below 256")]
     Group,
 }
 
-/// Why a command of an operator failed.
+/// Failure of an operator's command. Its text is sent to the operator.
 #[derive(Debug, Error)]
 pub(super) enum OperatorError {
     #[error(transparent)]
     Target(#[from] TargetError),
     #[error(transparent)]
     Rejected(#[from] CommandError),
-    #[error("this front follows the ledger at {writer}: purge at its writer")]
+    #[error("this front follows the purge log of {writer}; send the purge to that front")]
     NotTheWriter { writer: String },
     #[error("too many wait to be kept")]
     QueueFull,
-    #[error("the ledger can't be kept: {0}")]
+    #[error("cannot write the purge journal: {0}")]
     JournalFailed(String),
-    /// The purge may be in the journal, or not.
+    /// It is unknown whether the purge is in the journal.
     #[error(
         "it counts here until a restart, and could not be kept: {0}; repeat it with the same id"
     )]
@@ -54,18 +54,18 @@
         number: PurgeNumber,
         nodes: Vec<String>,
     },
-    #[error("no box is sent purges")]
+    #[error("purges.boxes is not set: no cache node is sent purges")]
     NoCacheNodes,
 }
 
-/// Who gave a command, and for how long they wait for the cache nodes to confirm it.
+/// A command that has to be answered, and how long its operator waits for the cache nodes to confirm it.
 #[derive(Clone, Copy)]
 pub(super) struct Operator {
     id: u64,
     waits_until: Option<Timestamp>,
 }
 
-/// A command that waits to be made durable.
+/// A purge command that waits to be made durable.
 pub(super) struct QueuedCommand {
     operator: Operator,
     command: Command,
@@ -77,7 +77,7 @@
     purge: Purge,
 }
 
-/// An operator who waits until all cache nodes have confirmed a purge.
+/// A response that waits until all cache nodes have confirmed a purge.
 pub(super) struct ConfirmationWait {
     operator: u64,
     pub(super) until: Timestamp,
@@ -90,7 +90,7 @@
 }
 
 impl Purges {
-    /// Handles a command of an operator; those of other subsystems are ignored.
+    /// Handles an operator's command. Commands of other subsystems are ignored.
     pub(super) fn handle_command(
         &mut self,
         turn: &mut Turn<'_>,
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// Makes the next command durable, unless another one is being made so.
+    /// Starts to make the next queued purge durable, unless another write is pending.
     pub(super) fn process_queue(&mut self, turn: &mut Turn<'_>) {
         while self.appending.is_none() {
             let Some(QueuedCommand { operator, command }) = self.queue.pop_front() else {
@@ -173,12 +173,12 @@
         }
     }
 
-    /// A purge is durable, and takes effect.
+    /// Applies a purge that is durable.
     pub(super) fn purge_appended(&mut self, turn: &mut Turn<'_>, appended: AppendingPurge) {
         let AppendingPurge { operator, purge } = appended;
         let number = purge.number;
         tracing::info!(number, what = ?purge.target, who = %purge.who, why = %purge.why, "purge");
-        // It was prepared as the next one, and nothing was appended since.
+        // Cannot fail: the purge was prepared as the next one, and none was appended since.
         let _ = self.log.append(self.log.identity, purge.clone());
         turn.effects
             .push(Effect::Purges(PurgeEffect::Purged(vec![purge])));
@@ -186,15 +186,15 @@
         self.answer_purge(turn, operator, number, shown);
     }
 
-    /// A purge could not be made durable. It takes effect on this front all the same, since it may be in the journal; its
-    /// operator is told that it may not last.
+    /// Handles a purge that could not be made durable. It still takes effect on this front, since it may be in the journal,
+    /// and its operator gets an error.
     pub(super) fn purge_not_durable(
         &mut self,
         turn: &mut Turn<'_>,
         failed: AppendingPurge,
         cause: &str,
     ) {
-        // Without a number it counts whatever the cache nodes confirm.
+        // Number 0: no confirmation of the cache nodes covers this purge.
         let purge = Purge {
             number: 0,
             ..failed.purge
@@ -205,7 +205,7 @@
         answer(turn, failed.operator.id, Err(error));
     }
 
-    /// Answers an operator at once, or later if they wait for the cache nodes.
+    /// Responds to a purge command now, or once the cache nodes have confirmed it if the operator waits for that.
     fn answer_purge(
         &mut self,
         turn: &mut Turn<'_>,
@@ -224,7 +224,7 @@
         self.serve_peers(turn);
     }
 
-    /// Answers operators who wait for the cache nodes, if all have confirmed or the time is up.
+    /// Responds to operators who wait for the cache nodes, once all have confirmed or the wait has timed out.
     pub(super) fn answer_confirmation_waits(&mut self, turn: &mut Turn<'_>) {
         let Some(nodes) = &self.cache_nodes else {
             return;
@@ -263,6 +263,7 @@
     }
 }
 
+/// The representation of a purge in responses.
 fn row(purge: &Purge) -> Value {
     let target = match &purge.target {
         PurgeTarget::Object(object) => json!({"object": format!("{object:016x}")}),
@@ -274,7 +275,7 @@
            "why": purge.why})
 }
 
-/// The purge target that a command names.
+/// Parses the purge target in the arguments of a command.
 pub fn parse_target(args: &Value) -> Result<PurgeTarget, TargetError> {
     let names = ["object", "group", "tag", "pattern"];
     let mut given = names.into_iter().filter(|name| !args[*name].is_null());
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -1,4 +1,4 @@
-//! The writer's end of the purge log: it serves the log to the fronts that follow.
+//! Writer side of purge log replication: serves the log to followers.
 use super::outgoing;
 use super::start::StartError;
 use crate::protocol::follow::{decode_hello, frame, Frame, Hello, HELLO_BYTES};
@@ -11,22 +11,23 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Most followers at once; further ones are closed.
+/// Maximum number of connected followers; further ones are disconnected.
 pub const MAX_FOLLOWERS: usize = 32;
-/// A follower that does not introduce itself, or takes nothing, for this long is closed.
+/// Time in which a follower has to send its hello, or make progress on a batch.
 const SILENCE_TIMEOUT: Micros = 5_000_000;
-/// An empty batch is sent as a heartbeat after this long without another.
+/// Time without a batch after which an empty one is sent as a heartbeat.
 const HEARTBEAT_INTERVAL: Micros = 500_000;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Length of a confirmation.
+/// Size of a confirmation, which consists of a purge number.
 const CONFIRMATION_BYTES: usize = 8;
 
+/// The connection of a follower.
 #[derive(Debug)]
 struct Follower {
     stream: Stream<()>,
-    /// The number up to which it has stored the log; `None` until it has introduced itself.
+    /// Number of the last purge that it has stored; `None` until its hello was received.
     stored: Option<PurgeNumber>,
-    /// The last number of the batch that it has not confirmed.
+    /// Last number of the batch that it has not confirmed yet.
     in_flight: Option<PurgeNumber>,
     last_progress_at: Timestamp,
     heartbeat_at: Timestamp,
@@ -48,7 +49,7 @@
         waiting && now > self.last_progress_at + SILENCE_TIMEOUT
     }
 
-    /// The number after which it is sent the next batch; `None` while it cannot be sent one.
+    /// Returns the number after which the next batch begins; `None` while no batch can be sent.
     fn ready_after(&self) -> Option<PurgeNumber> {
         self.stored
             .filter(|_| self.in_flight.is_none() && self.stream.flushed())
@@ -66,8 +67,8 @@
         self.stream.rewatch(true)
     }
 
-    /// Reads the introduction, if it is complete. A follower of another log, or with numbers that this one does not have,
-    /// begins anew.
+    /// Reads the hello, if it is complete. A follower of another log, or with a position that this log does not have, is told
+    /// to reset its log.
     fn read_introduction(&mut self, log: &PurgeLog) -> io::Result<()> {
         let decoded = decode_hello(self.stream.input()).map_err(|e| invalid(e.0))?;
         let Some(Hello { ledger, last }) = decoded else {
@@ -93,14 +94,14 @@
             let number = u64::from_le_bytes(*bytes);
             self.stream.consume(CONFIRMATION_BYTES);
             if self.in_flight.take() != Some(number) {
-                return Err(invalid("a follower confirms what it was not sent"));
+                return Err(invalid("follower confirmed a purge that it was not sent"));
             }
             self.stored = Some(number);
         }
         Ok(())
     }
 
-    /// Sends a batch, or an empty one as a heartbeat. Returns whether the connection works.
+    /// Sends a batch, or a heartbeat, if one is due. Returns `false` if the connection has to be closed.
     fn send_if_due(&mut self, now: Timestamp, log: &PurgeLog) -> bool {
         let Some(after) = self.ready_after() else {
             return true;
@@ -109,7 +110,7 @@
             return true;
         }
         let Some(purges) = log.batch_after(after) else {
-            // Its next purges were compacted meanwhile: it has to introduce itself again.
+            // The next purges were compacted: after a reconnect the follower is told to reset its log.
             return false;
         };
         self.in_flight = purges.last().map(|purge| purge.number);
@@ -141,13 +142,13 @@
 pub(super) struct Followers {
     listener: RestingListener<TcpListener>,
     listener_key: usize,
-    /// By the poller keys of their connections.
+    /// By the poller key of their connection.
     followers: HashMap<usize, Follower>,
     scratch: Vec<u8>,
 }
 
 impl Followers {
-    /// Listens for followers.
+    /// Opens the listener for followers.
     pub(super) fn new(turn: &mut Turn<'_>, address: &str) -> Result<Self, StartError> {
         let socket_address: SocketAddr =
             address.parse().map_err(|cause| StartError::ServeAddress {
@@ -176,16 +177,16 @@
     ) -> io::Result<Registered<TcpListener>> {
         let listener = at_start(|| listen(address))?;
         let local = listener.local_addr()?;
-        tracing::info!(at = %local, "purges: serving the ledger");
+        tracing::info!(at = %local, "purges: serving the purge log to followers");
         turn.reactor.watch(listener, key, false)
     }
 
-    /// Whether a poller key is that of the listener or of a follower.
+    /// Whether a poller key belongs to the listener or to a follower.
     pub(super) fn has(&self, key: usize) -> bool {
         key == self.listener_key || self.followers.contains_key(&key)
     }
 
-    /// The number of followers that have introduced themselves.
+    /// Returns the number of followers whose hello was received.
     pub(super) fn known(&self) -> usize {
         let followers = self.followers.values();
         followers
@@ -200,7 +201,7 @@
         }
         if let Err(error) = self.read(turn.now, key, log) {
             self.followers.remove(&key);
-            tracing::info!(kind = "follower-lost", %error, "purges: a follower has gone");
+            tracing::info!(kind = "follower-lost", %error, "purges: connection to a follower closed");
         }
     }
 
@@ -234,13 +235,13 @@
             }
             follower.read_confirmations()?;
             if follower.stream.input().len() > HELLO_BYTES {
-                return Err(invalid("a follower says too much"));
+                return Err(invalid("follower sent more than its confirmations"));
             }
         }
         follower.stream.rewatch(true)
     }
 
-    /// Sends followers what is due, and closes those that are silent or fail.
+    /// Sends batches and heartbeats that are due, and closes connections that have failed or timed out.
     pub(super) fn send_due(&mut self, now: Timestamp, log: &PurgeLog) {
         self.listener.resume_if_due(now);
         self.followers.retain(|_, follower| {
@@ -249,7 +250,7 @@
         });
     }
 
-    /// When something is due without another event.
+    /// Returns the time at which [`Followers::send_due`] has to be called next.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         let followers = self.followers.values().map(Follower::next_due);
         followers.chain(self.listener.resumes_at()).min()
--- a/front/src/server/drivers/purges/following.rs
+++ b/front/src/server/drivers/purges/following.rs
@@ -1,4 +1,4 @@
-//! The purge log of a follower: what its writer sends takes effect at once, and is confirmed once it is durable.
+//! Follower side of purge log replication. Purges from the writer take effect immediately, and are confirmed once durable.
 use super::journal_writer::DurablePosition;
 use super::{purge_date, Purges};
 use crate::protocol::follow::Frame;
@@ -7,7 +7,7 @@
 use cranesill_purges::{Purge, PurgeNumber};
 
 impl Purges {
-    /// Applies frames from the writer. What follows a bad one is dropped with the connection.
+    /// Applies frames from the writer. After an invalid frame the connection is closed and the remaining ones are dropped.
     pub(super) fn apply_frames(&mut self, turn: &mut Turn<'_>, frames: Vec<Frame>) {
         for frame in frames {
             if frame.anew {
@@ -18,15 +18,15 @@
         }
     }
 
-    /// Replaces the log by an empty one. Purges that the writer has compacted are older than any copy; purges of another
-    /// log are not known to the writer, so everything counts as purged.
+    /// Replaces the log by an empty one. Purges that the writer has compacted are older than any copy. If this front has
+    /// purges that the writer may not know, all copies count as purged.
     fn begin_anew(&mut self, turn: &mut Turn<'_>, frame: &Frame) {
         let lost = self.log.last_number() > 0;
         tracing::warn!(
             kind = "anew",
             base = frame.base,
             lost,
-            "purges: the ledger begins anew"
+            "purges: the writer reset the purge log"
         );
         self.log = PurgeLog::after(frame.ledger, frame.base);
         self.durable = DurablePosition::end_of(&self.log);
@@ -39,14 +39,14 @@
         self.rewrite_journal(turn);
     }
 
-    /// Returns whether the batch was good.
+    /// Applies a batch. Returns `false` if it is invalid and the connection was closed.
     fn apply_batch(&mut self, turn: &mut Turn<'_>, frame: Frame) -> bool {
         let last_sent = frame.purges.last().map(|purge| purge.number);
         let new = match self.append_batch(frame.ledger, frame.purges) {
             Ok(new) => new,
             Err(BadBatch { number, cause }) => {
-                tracing::warn!(kind = "out-of-order", refused = ?cause, number, "purges: a bad batch");
-                self.disconnect_writer(turn, "it sent what does not follow");
+                tracing::warn!(kind = "out-of-order", refused = ?cause, number, "purges: invalid batch from the writer");
+                self.disconnect_writer(turn, "the writer sent an invalid batch");
                 return false;
             }
         };
@@ -65,7 +65,7 @@
         true
     }
 
-    /// Appends a batch to the log, and returns the purges that are new.
+    /// Appends a batch to the log. Returns the purges that it did not have.
     fn append_batch(&mut self, log: u64, purges: Vec<Purge>) -> Result<Vec<Purge>, BadBatch> {
         let mut new = Vec::new();
         for purge in purges {
@@ -79,7 +79,7 @@
         Ok(new)
     }
 
-    /// Makes purges durable that were appended to the log.
+    /// Starts to make appended purges durable.
     fn store_batch(&mut self, turn: &mut Turn<'_>, purges: Vec<Purge>) {
         let durable = DurablePosition::end_of(&self.log);
         if self.journal.file().is_none() {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The journal is durable up to a position: the writer gets the confirmation that it waits for.
+    /// Records that the journal is durable up to a position, and confirms that to the writer.
     pub(super) fn advance_durable(&mut self, turn: &mut Turn<'_>, written: DurablePosition) {
         self.durable.advance(written);
         if let Some(writer) = &mut self.writer {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Closes the connection to the writer, so that it sends again what is not durable here.
+    /// Closes the connection to the writer. After a reconnect it sends the purges again that are not durable here.
     pub(super) fn disconnect_writer(&mut self, turn: &mut Turn<'_>, why: &str) {
         if let Some(writer) = &mut self.writer {
             writer.disconnect(turn.now, why);
@@ -107,7 +107,7 @@
     }
 }
 
-/// A purge of a batch that the log rejected.
+/// A batch with a purge that the log rejected.
 struct BadBatch {
     number: PurgeNumber,
     cause: AppendError,
--- a/front/src/server/drivers/purges/journal_writer.rs
+++ b/front/src/server/drivers/purges/journal_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the purge log's journal on a worker thread, since syncing a file may block.
+//! Writes the journal of the purge log on a worker thread, since syncing a file blocks.
 use crate::transport::{Reactor, Workers};
 use cranesill_purges::journal::{self, GuardedFile, JournalFile};
 use cranesill_purges::log::PurgeLog;
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex};
 use thiserror::Error;
 
-/// Largest journal that is read.
+/// Maximum size of a journal.
 const MAX_JOURNAL_BYTES: u64 = 1 << 30;
-/// Permissions of the journal: its owner may read and write it.
+/// File mode of the journal.
 const JOURNAL_MODE: u32 = 0o600;
 
 /// The journal on disk.
@@ -23,7 +23,7 @@
 }
 
 impl DiskFile {
-    /// The journal at a path; nothing is opened yet.
+    /// Refers to the journal at a path, without opening it.
     pub(super) fn new(path: PathBuf) -> Self {
         DiskFile {
             path,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Up to which purge of which log the journal is durable.
+/// A position in a purge log up to which its journal is durable.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DurablePosition {
     pub(super) log: u64,
@@ -97,7 +97,7 @@
 }
 
 impl DurablePosition {
-    /// The end of a log.
+    /// Returns the end of a log.
     pub(super) fn end_of(log: &PurgeLog) -> Self {
         DurablePosition {
             log: log.identity,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The start of a log, of which nothing is durable.
+    /// Returns the position before the first purge of a log.
     pub(super) fn start_of(log: &PurgeLog) -> Self {
         DurablePosition {
             log: log.identity,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Includes what was written since; a write of another log is ignored.
+    /// Advances the position to that of a completed write. A write of another log is ignored.
     pub(super) fn advance(&mut self, written: DurablePosition) {
         if self.log == written.log {
             self.number = self.number.max(written.number);
@@ -121,45 +121,46 @@
     }
 }
 
-/// Why a write failed.
+/// Failure of a write.
 #[derive(Debug, Error)]
 pub(super) enum WriteError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// An earlier write panicked, and left the file in an unknown state.
-    #[error("its writer has failed")]
+    /// An earlier write panicked and left the file in an unknown state.
+    #[error("journal unusable after a panic in an earlier write")]
     WriterPanicked,
 }
 
 type WriteResult = Result<(), WriteError>;
 
-/// Work that a worker thread has completed.
+/// A completed job of a worker thread.
 pub(super) enum Completed {
-    /// A purge of an operator was appended.
+    /// Appending an operator's purge.
     PurgeAppended(WriteResult),
-    /// A batch from the writer was appended.
+    /// Appending a batch from the writer.
     BatchAppended {
         durable: DurablePosition,
         result: WriteResult,
     },
-    /// The journal was rewritten.
+    /// Rewriting the journal.
     Rewritten {
         durable: DurablePosition,
         result: WriteResult,
     },
+    /// Compiling patterns.
     PatternsCompiled(Result<PatternSet, CompileError>),
 }
 
 type SharedFile = Arc<Mutex<GuardedFile<DiskFile>>>;
 
-/// Hands work to the worker threads. Writes are done in the order given.
+/// Passes jobs to worker threads. Writes are performed in order.
 pub(super) struct JournalWriter {
     file: Option<SharedFile>,
     workers: Workers<Completed>,
 }
 
 impl JournalWriter {
-    /// A writer without a journal. `key` becomes readable when work is completed.
+    /// Creates a writer without a journal. The poller reports `key` when a job is completed.
     pub(super) fn new(reactor: &Reactor, key: usize) -> io::Result<Self> {
         Ok(JournalWriter {
             file: None,
@@ -167,23 +168,23 @@
         })
     }
 
-    /// Sets the journal to write.
+    /// Sets the journal.
     pub(super) fn set_file(&mut self, file: Option<GuardedFile<DiskFile>>) {
         self.file = file.map(|file| Arc::new(Mutex::new(file)));
     }
 
-    /// The journal, if the settings name one.
+    /// Returns the journal, if the settings specify one.
     pub(super) fn file(&self) -> Option<&SharedFile> {
         self.file.as_ref()
     }
 
-    /// Appends a purge of an operator.
+    /// Starts to append an operator's purge.
     pub(super) fn append(&mut self, purge: Purge) -> io::Result<()> {
         let write = move |file: &mut GuardedFile<DiskFile>| journal::append_purge(file, &purge);
         self.write(write, Completed::PurgeAppended)
     }
 
-    /// Appends purges that came from the writer, after which the journal is durable up to `durable`.
+    /// Starts to append a batch from the writer, after which the journal is durable up to `durable`.
     pub(super) fn append_batch(
         &mut self,
         durable: DurablePosition,
@@ -196,7 +197,7 @@
         })
     }
 
-    /// Rewrites the journal.
+    /// Starts to rewrite the journal.
     pub(super) fn rewrite(&mut self, log: PurgeLog) -> io::Result<()> {
         let durable = DurablePosition::end_of(&log);
         let write = move |file: &mut GuardedFile<DiskFile>| journal::rewrite(file, &log);
@@ -222,13 +223,13 @@
         })
     }
 
-    /// Compiles patterns, beside the writes.
+    /// Starts to compile patterns, concurrently with writes.
     pub(super) fn compile(&self, job: CompileJob) -> io::Result<()> {
         let work = move || Completed::PatternsCompiled(compile_patterns(job));
         self.workers.run(work)
     }
 
-    /// The work that was completed since the last call.
+    /// Returns the jobs that were completed since the last call.
     pub(super) fn completed(&mut self) -> Vec<Completed> {
         self.workers.results()
     }
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -1,5 +1,5 @@
-//! Drives the purge log: commands of operators come in, purges go to the journal, to followers, to the cache nodes and to
-//! the front's own purge floors. A purge takes effect once it is durable; its operator is answered then.
+//! Driver of the purge log. Purges by operators are written to the journal, and sent to followers, to cache nodes and to the
+//! front's own purge floors. A purge takes effect, and its operator is answered, once it is durable.
 mod cache_nodes;
 mod commands;
 mod followers;
@@ -27,56 +27,56 @@
 use std::rc::Rc;
 use writer_link::WriterLink;
 
-/// Time between two removals of purges that are older than any copy.
+/// Interval at which purges that are older than any copy are removed.
 const SWEEP_INTERVAL: Micros = 10_000_000;
 
-/// The driver.
+/// The driver of the purge log.
 pub struct Purges {
     log: PurgeLog,
     journal: JournalWriter,
-    /// The poller key of completed work.
+    /// Poller key of the journal's worker threads.
     journal_key: usize,
-    /// What a restart would find in the journal. A follower confirms no more than this to its writer.
+    /// Position up to which the journal is durable. A follower confirms no later one to its writer.
     durable: DurablePosition,
-    /// Why the last write failed: nothing is accepted until the journal is rewritten.
+    /// Error of the last write. While it is set no purge is accepted; a rewrite of the journal clears it.
     journal_failure: Option<String>,
     settings: Settings,
     queue: VecDeque<QueuedCommand>,
     appending: Option<AppendingPurge>,
-    /// The cache nodes that are sent purges, if the settings say so.
+    /// Links to cache nodes, if purges are sent to them.
     cache_nodes: Option<CacheNodeLinks>,
-    /// The followers of this front, if it is a writer.
+    /// Followers of this front, if it serves its log.
     followers: Option<Followers>,
-    /// The writer that this front follows.
+    /// Link to the writer, if this front is a follower.
     writer: Option<WriterLink>,
     confirmation_waits: Vec<ConfirmationWait>,
     next_sweep: Timestamp,
     now: Timestamp,
 }
 
-/// Unix milliseconds by the event loop's clock, which runs on from the start of the process whatever becomes of the wall
-/// clock: with one that is set forward, purges would be removed too early.
+/// Returns Unix milliseconds by the event loop's clock. Unlike the wall clock it has no steps after the start, of which one
+/// forward would remove purges too early.
 fn unix_ms(now: Timestamp) -> UnixMillis {
     now / 1_000
 }
 
-/// The date of a purge that is accepted now. A clock that is behind would date it too early and let older copies pass, so
-/// the offset that discovery has shown is added.
+/// Returns the timestamp of a purge that is accepted now. It includes the clock offset to the list service: a timestamp that
+/// is too early would let purged copies pass.
 fn purge_date(turn: &Turn<'_>) -> UnixMillis {
     unix_ms(turn.now) + turn.behind_ms
 }
 
-/// No endpoint has a copy from before this time.
+/// Returns the time before which no endpoint has a copy.
 fn horizon(now: Timestamp, settings: &Settings) -> UnixMillis {
     unix_ms(now).saturating_sub(settings.horizon_s * 1_000)
 }
 
-/// Switches the purge floors on, with the purges that may still concern a copy.
+/// Enables the purge floors, with the purges that may still apply to a copy.
 fn announce(turn: &mut Turn<'_>, settings: &Settings, log: &PurgeLog, journal: &JournalWriter) {
     let horizon = horizon(turn.now, settings);
     let live = log.iter().filter(|purge| purge.at_ms >= horizon);
     let live: Vec<Purge> = live.cloned().collect();
-    // Without a journal nothing is known of earlier purges.
+    // Without a journal, earlier purges are unknown.
     let unknown = journal.file().is_none();
     let last = log.last_number();
     tracing::info!(last, live = live.len(), unknown, "purges");
@@ -89,7 +89,7 @@
     turn.effects.push(Effect::Purges(PurgeEffect::Purged(live)));
 }
 
-/// Bytes to send, as the stream takes them.
+/// Wraps bytes for sending on a stream.
 fn outgoing(bytes: Vec<u8>) -> Outgoing<()> {
     Outgoing {
         tag: (),
@@ -100,8 +100,8 @@
 }
 
 impl Purges {
-    /// Loads the log before the first request is received, and opens the sockets. `platform_kinds` are the kinds of
-    /// endpoints, in the order of their positions.
+    /// Loads the log and opens the sockets. Called before the first request is accepted. `platform_kinds` are the names of
+    /// the kinds of endpoints, by index.
     pub fn new(
         turn: &mut Turn<'_>,
         settings: &Settings,
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Sends followers, the writer and cache nodes what is due, and answers operators who wait for the latter.
+    /// Sends what is due to followers, the writer and cache nodes, and responds to operators who wait for cache nodes.
     fn serve_peers(&mut self, turn: &mut Turn<'_>) {
         if let Some(followers) = &mut self.followers {
             followers.send_due(turn.now, &self.log);
@@ -185,7 +185,7 @@
             Completed::BatchAppended {
                 result: Err(error), ..
             } => {
-                self.disconnect_writer(turn, "what it sent can't be kept");
+                self.disconnect_writer(turn, "cannot write its purges to the journal");
                 self.journal_failed(turn, &error.to_string());
             }
             Completed::Rewritten {
@@ -194,7 +194,7 @@
             } => {
                 self.advance_durable(turn, durable);
                 if self.journal_failure.take().is_some() {
-                    tracing::info!("purges: the ledger can be kept again");
+                    tracing::info!("purges: the journal is writable again");
                 }
             }
             Completed::Rewritten {
@@ -207,12 +207,12 @@
         }
     }
 
-    /// A write failed: what the journal contains is not known until it is rewritten.
+    /// Handles a failed write. The contents of the journal are unknown until it is rewritten.
     fn journal_failed(&mut self, turn: &mut Turn<'_>, cause: &str) {
         tracing::error!(
             kind = "not-kept",
             error = cause,
-            "purges: the ledger can't be kept"
+            "purges: cannot write the journal; rejecting purges until it is rewritten"
         );
         self.journal_failure = Some(cause.into());
         if let Some(failed) = self.appending.take() {
@@ -221,18 +221,18 @@
         self.process_queue(turn);
     }
 
-    /// Rewriting failed. That is logged once, since each sweep tries again.
+    /// Handles a failed rewrite. Each sweep retries, so only the first failure in a row is logged.
     fn rewrite_failed(&mut self, cause: &str) {
         if self.journal_failure.replace(cause.into()).is_none() {
             tracing::error!(
                 kind = "not-kept",
                 error = cause,
-                "purges: the ledger can't be kept"
+                "purges: cannot rewrite the journal; retrying"
             );
         }
     }
 
-    /// Rewrites the journal, without what was compacted or what a failed write left behind.
+    /// Starts to rewrite the journal, which drops compacted purges and the remains of failed writes.
     fn rewrite_journal(&mut self, turn: &mut Turn<'_>) {
         if self.journal.file().is_none() {
             return;
@@ -247,7 +247,7 @@
         let horizon = horizon(turn.now, &self.settings);
         turn.effects
             .push(Effect::Purges(PurgeEffect::Expired { horizon }));
-        // A purge that is being appended could be lost by a rewrite.
+        // A rewrite could lose a purge that is being appended.
         if self.appending.is_some() {
             return;
         }
@@ -342,10 +342,13 @@
         vec![
             (
                 "purge",
-                "{object | group | tag | pattern, id, who, why, all}: purge these",
+                "{object | group | tag | pattern, id, who, why, all}: purge the matching objects",
             ),
-            ("purge-boxes", "how each box stands"),
-            ("purges", "the ledger, latest first; {number}: one"),
+            (
+                "purge-boxes",
+                "state of each cache node that is sent purges",
+            ),
+            ("purges", "the purge log, latest first; {number}: one purge"),
         ]
     }
 }
--- a/front/src/server/drivers/purges/start.rs
+++ b/front/src/server/drivers/purges/start.rs
@@ -1,4 +1,4 @@
-//! Loads the purge log at the start. Whatever cannot be read counts as purged.
+//! Loads the purge log at the start. If purges may be lost, all copies count as purged.
 use super::journal_writer::{DiskFile, DurablePosition};
 use super::unix_ms;
 use cranesill::api::Timestamp;
@@ -11,66 +11,66 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Bits of the log's identity below those of the process id.
+/// Number of low bits of a log's identity that hold the time; the process id is above.
 const IDENTITY_TIME_BITS: u32 = 44;
 
-/// Why purges cannot be switched on.
+/// Failure to start the purge log. Its text is shown to operators.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The settings name a kind of endpoint that the platform does not have.
-    #[error("purges.boxes.kinds: the platform has no kind {0}")]
+    /// The settings refer to a kind of endpoint that the platform does not have.
+    #[error("purges.boxes.kinds: {0} is not a kind in the platform's settings")]
     UnknownKind(String),
-    /// The worker threads could not be set up.
-    #[error("purges: {0}")]
+    /// The worker pool could not be created.
+    #[error("purges: cannot create the worker pool: {0}")]
     Workers(#[source] io::Error),
     /// The journal could not be read or written.
     #[error("purges.file: {}: {cause}", path.display())]
     Journal {
-        /// The journal.
+        /// Path of the journal.
         path: PathBuf,
-        /// What failed.
+        /// Error of the file operation.
         cause: io::Error,
     },
-    /// The journal has a format that this version does not know.
-    #[error("purges.file: {}: from a newer version of this program", .0.display())]
+    /// The journal has a format that this version does not support.
+    #[error("purges.file: {}: written by a newer version of this program", .0.display())]
     NewerJournal(PathBuf),
-    /// The address for followers is not valid.
+    /// The address for followers is invalid.
     #[error("purges.serve: {address}: {cause}")]
     ServeAddress {
-        /// The address in the settings.
+        /// Address in the settings.
         address: String,
-        /// Why it is not valid.
+        /// Error of the parser.
         cause: AddrParseError,
     },
-    /// The socket for followers could not be opened.
-    #[error("purges.serve: {address}: {cause}")]
+    /// The listener for followers could not be opened.
+    #[error("purges.serve: cannot listen on {address}: {cause}")]
     Serve {
-        /// The address in the settings.
+        /// Address in the settings.
         address: String,
-        /// What failed.
+        /// Error of the system call.
         cause: io::Error,
     },
-    /// The writer's address is not valid.
+    /// The address of the writer is invalid.
     #[error("purges.follow.address: {address}: {cause}")]
     FollowAddress {
-        /// The address in the settings.
+        /// Address in the settings.
         address: String,
-        /// Why it is not valid.
+        /// Error of the parser.
         cause: AddrParseError,
     },
 }
 
-/// The log as it was found at the start.
+/// The purge log at the start.
 pub(super) struct LoadedLog {
     pub(super) log: PurgeLog,
-    /// The journal, if the settings name one.
+    /// The journal, if the settings specify one.
     pub(super) file: Option<GuardedFile<DiskFile>>,
-    /// Why the journal could not be rewritten, where it has to be.
+    /// Error of the rewrite, if the journal had to be rewritten and that failed.
     pub(super) journal_failure: Option<String>,
 }
 
 impl LoadedLog {
-    /// Up to where the journal is durable: nowhere if it has to be rewritten first.
+    /// Returns the position up to which the journal is durable: the start if it has to be rewritten first.
     pub(super) fn durable(&self) -> DurablePosition {
         match &self.journal_failure {
             Some(_) => DurablePosition::start_of(&self.log),
@@ -79,7 +79,7 @@
     }
 }
 
-/// Loads the log that the settings name, or begins one.
+/// Loads the log from the journal in the settings, or creates an empty one.
 pub(super) fn load(now: Timestamp, settings: &Settings) -> Result<LoadedLog, StartError> {
     let identity = unix_ms(now) ^ (u64::from(std::process::id()) << IDENTITY_TIME_BITS);
     let Some(path) = &settings.file else {
@@ -96,7 +96,7 @@
     let mut file = GuardedFile::new(DiskFile::new(path.clone()));
     let (log, intact) = match journal::open(&mut file).map_err(failed)? {
         OpenedJournal::Missing => {
-            // A lost disk looks the same as a first start.
+            // A lost disk cannot be told from a first start.
             let mut log = PurgeLog::new(identity);
             purge_everything(now, &mut log, "the file was missing");
             (log, false)
@@ -128,12 +128,12 @@
         tracing::warn!(
             kind = "torn",
             bytes,
-            "purges: a write was cut off, nobody was told of it"
+            "purges: discarded an incomplete record at the end of the journal; it was never acknowledged"
         );
     }
 }
 
-/// Begins a new log with the purges before the damage, and moves the damaged file away.
+/// Creates a new log with the purges before the damage, and renames the damaged file.
 fn replace_damaged(
     now: Timestamp,
     identity: u64,
@@ -145,13 +145,13 @@
         kind = "damaged",
         at = offset,
         path = %path.display(),
-        "purges: the file is damaged, everything counts as purged"
+        "purges: the journal is damaged; it is renamed, and all copies count as purged"
     );
-    // A number must not mean two purges, so what follows is another log.
+    // The numbers of lost purges must not be reused in the same log, so this is a new log.
     let mut log = PurgeLog::new(identity);
     for purge in damaged.iter().flat_map(PurgeLog::iter) {
         let number = log.last_number() + 1;
-        // It is the next one of this log, so it cannot be rejected.
+        // Cannot fail: it has the next number.
         let _ = log.append(
             identity,
             Purge {
@@ -161,14 +161,13 @@
         );
     }
     purge_everything(now, &mut log, "the file was damaged");
-    // Moved rather than copied: a full disk has no space for a copy. If the process ends here, the missing file counts
-    // as everything purged as well.
+    // Renamed since a full disk has no space for a copy. If the process ends here, the next start finds no journal, and
+    // purges everything as well.
     std::fs::rename(path, path.with_extension("damaged"))?;
     Ok(log)
 }
 
-/// Appends a purge of everything, since earlier purges are not known. As an ordinary purge it is stored and reaches the
-/// cache nodes.
+/// Appends a purge of everything, since earlier purges may be lost. Like any purge it is stored and sent to cache nodes.
 fn purge_everything(now: Timestamp, log: &mut PurgeLog, why: &str) {
     let identity = log.identity;
     let purge = Purge {
@@ -179,12 +178,12 @@
         who: "cranesill".into(),
         why: why.into(),
     };
-    // It is the next one of this log, so it cannot be rejected.
+    // Cannot fail: it has the next number.
     let _ = log.append(identity, purge);
 }
 
-/// Rewrites the journal. A disk that is full or fails for a while does not prevent the start: the failure is returned,
-/// and the next sweep tries again. Any other error, such as a wrong path, does prevent it.
+/// Rewrites the journal. If the disk is full or has an I/O error, the start continues: the error is returned as text, and the
+/// next sweep retries. Any other error, such as an invalid path, prevents the start.
 fn rewrite(file: &mut GuardedFile<DiskFile>, log: &PurgeLog) -> io::Result<Option<String>> {
     let Err(error) = journal::rewrite(file, log) else {
         return Ok(None);
@@ -196,11 +195,11 @@
     if !full && error.raw_os_error() != Some(libc::EIO) {
         return Err(error);
     }
-    tracing::error!(kind = "not-kept", %error, "purges: the ledger can't be kept");
+    tracing::error!(kind = "not-kept", %error, "purges: cannot rewrite the journal; rejecting purges until a retry succeeds");
     Ok(Some(error.to_string()))
 }
 
-/// The positions, in the platform's list, of the kinds of endpoints that are sent purges.
+/// Returns the indexes, in the platform's list, of the kinds of endpoints that are sent purges.
 pub(super) fn cache_node_kinds(
     settings: &Settings,
     platform_kinds: &[String],
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -1,4 +1,4 @@
-//! The driver with a scripted writer and a file that fails.
+//! Tests of the driver with a scripted writer and failing files.
 use super::journal_writer::DiskFile;
 use super::*;
 use crate::protocol::follow::{decode_hello, frame, Frame, Hello, HELLO_BYTES};
@@ -13,10 +13,10 @@
 
 const LOG: u64 = 0xfeed;
 const SECOND: Timestamp = 1_000_000;
-/// Guards against hanging; nothing is concluded from it.
+/// Limit for waits; no result depends on its length.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A follower with its poller, and the listener of its writer.
+/// A follower, its poller, and the listener of its writer.
 struct TestFollower {
     reactor: Reactor,
     purges: Purges,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Accepts the follower's next connection, with its introduction.
+    /// Accepts the follower's next connection and reads its hello.
     fn hello(&mut self) -> (TcpStream, Hello) {
         let writer = self.writer.try_clone().unwrap();
         writer.set_nonblocking(true).unwrap();
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Whether the follower sends nothing for a while.
+    /// Whether the follower sends nothing for 200 ms.
     fn is_silent(&mut self, socket: &mut TcpStream) -> bool {
         let over = Instant::now() + Duration::from_millis(200);
         self.until(|_| (Instant::now() > over).then_some(()));
@@ -121,7 +121,7 @@
     }
 }
 
-/// Purges from one number to another; a heartbeat if that is none.
+/// A batch of the purges `first` to `last`; a heartbeat if the range is empty.
 fn batch(first: u64, last: u64) -> Vec<u8> {
     let purges = (first..=last).map(purge).collect();
     frame(&Frame {
@@ -148,7 +148,7 @@
     socket.write_all(&frame(&anew)).unwrap();
     socket.write_all(&batch(1, 2)).unwrap();
     assert_eq!(u64::from_le_bytes(follower.read_exactly(&mut socket)), 2);
-    // From now on nothing can be appended, and the journal cannot be rewritten.
+    // Appending to the journal and rewriting it fail from now on.
     let aside = path.with_extension("tmp");
     std::fs::create_dir(&aside).unwrap();
     let kept = std::fs::read(&path).unwrap();
@@ -168,7 +168,7 @@
     socket.write_all(&batch(3, 3)).unwrap();
     follower.until(|purges| purges.journal_failure.clone());
     assert_eq!(std::fs::read(&path).unwrap(), kept);
-    // It takes effect here, and nothing is confirmed to the writer that a restart would not find.
+    // The purge takes effect, and is not confirmed to the writer since a restart would lose it.
     assert_eq!(follower.purges.log.last_number(), 3);
     follower.now += 2 * SECOND;
     let (mut socket, hello) = follower.hello();
@@ -181,7 +181,7 @@
     );
     socket.write_all(&batch(3, 3)).unwrap();
     assert!(follower.is_silent(&mut socket));
-    // The disk works again: the journal is rewritten, and what the writer waits for is confirmed.
+    // The disk works again: the journal is rewritten, and the pending purge is confirmed.
     std::fs::remove_dir(&aside).unwrap();
     for _ in 0..=SWEEP_INTERVAL / SECOND {
         follower.now += SECOND;
@@ -204,7 +204,7 @@
 
 #[test]
 fn a_disk_that_is_full_at_the_start_ends_no_start_and_is_written_once_it_is_well() {
-    // A torn file, one that is missing, and one that is damaged; each has to be rewritten.
+    // A truncated, a missing and a damaged journal, each of which has to be rewritten.
     let mut whole = Memory::default();
     journal::rewrite(&mut whole, &PurgeLog::new(LOG)).unwrap();
     journal::append_purge(&mut whole, &purge(1)).unwrap();
@@ -236,7 +236,7 @@
     }
 }
 
-/// A file in memory.
+/// A journal in memory.
 #[derive(Default)]
 struct Memory(Vec<u8>);
 
--- a/front/src/server/drivers/purges/writer_link.rs
+++ b/front/src/server/drivers/purges/writer_link.rs
@@ -1,4 +1,4 @@
-//! A follower's connection to the writer of the purge log, which also renews the lease.
+//! Follower's connection to the writer of the purge log.
 use super::outgoing;
 use super::start::StartError;
 use crate::protocol::follow::{decode_frame, hello, Frame, Hello};
@@ -9,11 +9,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Backoff after the first failure; it doubles with each further one.
+/// Backoff after the first failure. It doubles with each further one.
 const INITIAL_BACKOFF: Micros = 200_000;
-/// Longest backoff.
 const MAX_BACKOFF: Micros = 5_000_000;
-/// Without a complete frame for this long the follower connects again.
+/// Time without a complete frame after which the connection is closed.
 const FRAME_TIMEOUT: Micros = 2_500_000;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
@@ -28,18 +27,18 @@
 pub(super) struct WriterLink {
     address: SocketAddr,
     connection: Option<Connection>,
-    /// When the last complete frame arrived, or the connection was begun.
+    /// Time at which the last complete frame arrived, or the connection was started.
     last_frame_at: Timestamp,
     connect_at: Timestamp,
     /// Failures since the last complete frame.
     failures: u32,
-    /// The last purge that arrived on this connection and is not confirmed.
+    /// Last purge that arrived on this connection and is not confirmed yet.
     unconfirmed: Option<PurgeNumber>,
     scratch: Vec<u8>,
 }
 
 impl WriterLink {
-    /// A link that is not connected yet.
+    /// Creates a link that is not connected yet.
     pub(super) fn new(now: Timestamp, address: &str) -> Result<Self, StartError> {
         let address = address.parse().map_err(|cause| StartError::FollowAddress {
             address: address.into(),
@@ -56,13 +55,13 @@
         })
     }
 
-    /// Whether a poller key is that of this connection.
+    /// Whether a poller key belongs to this connection.
     pub(super) fn has(&self, key: usize) -> bool {
         let connection = self.connection.as_ref();
         connection.is_some_and(|connection| connection.key == key)
     }
 
-    /// Reads the frames that arrived. A failure closes the connection; frames read before it are returned.
+    /// Reads the frames that have arrived. A failure closes the connection; frames before it are still returned.
     pub(super) fn read_frames(&mut self, now: Timestamp) -> Vec<Frame> {
         let mut frames = Vec::new();
         if let Err(error) = self.read(now, &mut frames) {
@@ -79,7 +78,7 @@
             return Ok(());
         }
         stream.flush(|()| {})?;
-        // One read a turn: a writer that sends a lot does not keep the loop to itself.
+        // One read per turn, so that a writer with many purges does not block the event loop.
         if let Some(received) = stream.fill(&mut self.scratch)? {
             if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -98,24 +97,24 @@
         stream.rewatch(true)
     }
 
-    /// Closes the connection, since it failed or what arrived cannot be used, and connects again after a backoff.
+    /// Closes a connection that has failed or sent invalid data. It is reopened after a backoff.
     pub(super) fn disconnect(&mut self, now: Timestamp, why: &str) {
         if self.connection.take().is_some() || self.failures == 0 {
             tracing::info!(kind = "writer-lost", writer = %self.address, error = why, "purges: no connection to the writer");
         }
-        // The writer accepts no confirmation of what it has not sent on the same connection.
+        // The writer rejects a confirmation of a batch that it has not sent on the same connection.
         self.unconfirmed = None;
         self.failures += 1;
         let backoff = INITIAL_BACKOFF << (self.failures - 1).min(8);
         self.connect_at = now + backoff.min(MAX_BACKOFF);
     }
 
-    /// Owes the writer a confirmation of everything up to a number, once it is durable.
+    /// Schedules a confirmation of all purges up to a number for when they are durable.
     pub(super) fn owe_confirmation(&mut self, number: PurgeNumber) {
         self.unconfirmed = Some(number);
     }
 
-    /// Confirms what the writer waits for, if it is durable now.
+    /// Sends the scheduled confirmation if its purges are durable.
     pub(super) fn confirm_durable(&mut self, now: Timestamp, durable: PurgeNumber) {
         let Some(number) = self.unconfirmed.filter(|number| *number <= durable) else {
             return;
@@ -130,11 +129,11 @@
         }
     }
 
-    /// Connects if that is due, and tells the writer which log is durable here, and up to which number.
+    /// Connects if that is due, and sends a hello with the identity of the log and its last durable number.
     pub(super) fn connect_if_due(&mut self, turn: &mut Turn<'_>, log: u64, durable: PurgeNumber) {
         let now = turn.now;
         if self.connection.is_some() && now > self.last_frame_at + FRAME_TIMEOUT {
-            self.disconnect(now, "it says nothing");
+            self.disconnect(now, "no frame within the timeout");
         }
         if self.connection.is_some() || now < self.connect_at {
             return;
@@ -155,7 +154,7 @@
         }
     }
 
-    /// When something is due without another event.
+    /// Returns the time at which [`WriterLink::connect_if_due`] has to be called next.
     pub(super) fn next_due(&self) -> Timestamp {
         match self.connection {
             Some(_) => self.last_frame_at + FRAME_TIMEOUT + 1,
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -1,5 +1,5 @@
-//! Keeps the endpoint list on disk. A front that starts again serves from it while the list service cannot be reached, and
-//! asks the service only for what changed since. A worker thread writes the list to a temporary file and renames that.
+//! Stores snapshots of the endpoint list on disk. After a restart a front serves from the snapshot while the list service is
+//! unreachable, and requests only later changes. A worker thread writes to a temporary file and renames it.
 use super::{Driver, Effect, EndpointEffect, Turn};
 use crate::protocol::discovery::WatchEvent;
 use crate::protocol::snapshot::{Snapshot, MAX_SNAPSHOT_BYTES};
@@ -14,55 +14,55 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// How many files of the folder are searched for temporary files of killed processes.
+/// Maximum number of files in the directory that are checked for being temporary files of killed processes.
 const MAX_SCANNED_FILES: usize = 10_000;
-/// Least time between two writes.
+/// Minimum interval between two writes.
 const WRITE_INTERVAL: Micros = 1_000_000;
-/// While nothing changes the list is written this often, with the time at which it was last known to be current. That time is
-/// of the wall clock, since another process compares it; after a step of the wall clock the next of these writes corrects it.
+/// Interval of writes while the list does not change. They update the time at which the list was last known to be current,
+/// which is wall clock time since another process reads it, and correct it after a step of the wall clock.
 const REFRESH_INTERVAL: Micros = 20_000_000;
-/// Purges are kept this much longer than endpoints may hold older copies.
+/// Time for which purges are kept beyond the time in which endpoints may hold older copies.
 const PURGE_MARGIN_MS: u64 = 2_000;
 
-/// Why snapshots cannot be kept.
+/// Failure to set up the storage of snapshots.
 #[derive(Debug, Error)]
 pub enum SnapshotsError {
-    /// The thread that writes could not be set up.
-    #[error("startup.snapshots: {0}")]
+    /// The worker pool could not be created.
+    #[error("startup.snapshots: cannot create the worker pool: {0}")]
     Workers(#[source] io::Error),
 }
 
-/// Why a list from disk or from a peer is not used.
+/// Reason to reject a list from disk or from a peer.
 #[derive(Debug, Error)]
 pub enum ListError {
     /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// The text is no list.
+    /// The text is not an encoded list.
     #[error("{0}")]
     Malformed(StoredFileError),
-    /// The list is too old, not newer than the known one, or another service's.
+    /// The list is too old, not newer than the known one, or from another source.
     #[error(transparent)]
     Rejected(#[from] SnapshotRejected),
 }
 
-/// What a list must satisfy to be used.
+/// Conditions under which a list is accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct ListRequirements {
-    /// Identifies the list that this front follows.
+    /// Source that the list must be from.
     pub source: u64,
-    /// The revision that this front knows; the list must be newer.
+    /// Current revision of this front; the list must be newer.
     pub known_revision: u64,
-    /// The list may be up to this many milliseconds old.
+    /// Maximum age of the list in milliseconds.
     pub max_age_ms: u64,
 }
 
-/// Returns for how many milliseconds purges are kept where endpoints may hold older copies for `propagation`.
+/// Returns the time for which purges are kept, in milliseconds, if endpoints may hold purged copies for `propagation`.
 pub fn purge_retention_ms(propagation: Micros) -> u64 {
     propagation / 1_000 + PURGE_MARGIN_MS
 }
 
-/// The wall clock as Unix time in milliseconds.
+/// Returns the wall clock time as Unix time in milliseconds.
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -70,7 +70,7 @@
         .as_millis() as u64
 }
 
-/// Returns the file in which the front `name` keeps its list.
+/// Returns the path of the snapshot of the front `name`.
 pub fn file_path(folder: &Path, name: &str) -> PathBuf {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     let name: String = name
@@ -80,7 +80,7 @@
     folder.join(format!("{name}.list"))
 }
 
-/// Decodes a list and checks that it may be used.
+/// Decodes a list and checks that it meets the requirements.
 pub fn decode_list(text: &[u8], required: ListRequirements) -> Result<Snapshot, ListError> {
     let list = Snapshot::decode(text).map_err(ListError::Malformed)?;
     let header = SnapshotHeader {
@@ -98,7 +98,7 @@
     Ok(list)
 }
 
-/// Reads the list on disk if it exists and may be used. Logs whether and why.
+/// Loads the list from disk if the file exists and meets the requirements. The outcome is logged.
 pub fn load(path: &Path, required: ListRequirements) -> Option<Snapshot> {
     let at = path.display();
     match read_file(path).and_then(|text| decode_list(&text, required)) {
@@ -106,20 +106,20 @@
             let age_ms = wall_clock_ms().saturating_sub(list.at_ms);
             let event = list.number;
             let members = list.members.len();
-            tracing::info!(kind = "snapshot", event, members, age_ms, %at, "the list is served from disk");
+            tracing::info!(kind = "snapshot", event, members, age_ms, %at, "endpoint list loaded from disk");
             Some(list)
         }
         Err(ListError::Unreadable(error)) if error.kind() == io::ErrorKind::NotFound => None,
         Err(error) => {
-            tracing::info!(kind = "snapshot", why = %error, %at, "the list on disk is left aside");
+            tracing::info!(kind = "snapshot", why = %error, %at, "endpoint list on disk rejected");
             None
         }
     }
 }
 
-/// Reads the file as far as a list may reach, and one byte beyond, by which one that is too long is seen.
+/// Reads the file up to one byte beyond the maximum size, so that a larger file is detected.
 fn read_file(path: &Path) -> Result<Vec<u8>, ListError> {
-    // Not blocking: the file may be a pipe that nobody writes to.
+    // Opening a pipe without a writer must not block.
     let file = File::options()
         .read(true)
         .custom_flags(libc::O_NONBLOCK)
@@ -139,10 +139,10 @@
         .unwrap_or(Path::new("."));
     let written = File::create(&temporary).and_then(|mut file| {
         file.write_all(text.as_bytes())?;
-        // Before the rename: the name must not refer to data that the disk does not have yet.
+        // Synced before the rename, so that the name never refers to data that is not on disk.
         file.sync_data()?;
         fs::rename(&temporary, path)?;
-        // The new name is durable once the folder is synced.
+        // The rename is durable once the directory is synced.
         File::open(folder)?.sync_all()
     });
     if written.is_err() {
@@ -151,13 +151,13 @@
     written
 }
 
-/// The file to which this process writes before it renames it.
+/// Returns the path of the temporary file of this process.
 fn temporary_path(path: &Path) -> PathBuf {
     path.with_extension(format!("{}.tmp", std::process::id()))
 }
 
-/// Removes the temporary files of processes of this front that were killed during a write. If one of them is alive and
-/// writes now, its write fails and it writes again.
+/// Removes the temporary files of killed processes of this front. If the file of a live process is removed, its write fails
+/// and is retried.
 fn remove_temporary_files(path: &Path) {
     let stem = path.file_stem().and_then(|stem| stem.to_str());
     let Some((folder, stem)) = path.parent().zip(stem) else {
@@ -169,7 +169,7 @@
             .and_then(|rest| rest.strip_prefix('.')?.strip_suffix(".tmp"));
         middle.is_some_and(|pid| !pid.is_empty() && pid.bytes().all(|b| b.is_ascii_digit()))
     };
-    // Best effort: a folder that cannot be read is logged when the list is written.
+    // Best effort: problems with the directory are logged when the list is written.
     let files = fs::read_dir(folder).into_iter().flatten().flatten();
     for file in files.take(MAX_SCANNED_FILES) {
         if file.file_name().to_str().is_some_and(is_temporary) {
@@ -178,25 +178,24 @@
     }
 }
 
-/// The driver that keeps the endpoint list on disk.
+/// The driver that stores the endpoint list on disk.
 pub struct Snapshots {
     path: PathBuf,
     known: Snapshot,
     purge_retention_ms: u64,
     workers: Workers<io::Result<()>>,
-    /// The list has changed since the last write began.
+    /// Whether the list has changed since the last write was started.
     dirty: bool,
     writing: bool,
     next_write_at: Timestamp,
-    /// The last write failed, which is logged once.
+    /// Whether the last write failed. Only the first failure in a row is logged.
     failing: bool,
-    /// When the list was last confirmed as current and marked for a write.
+    /// Time at which the list was last known to be current and marked as dirty.
     refreshed_at: Timestamp,
 }
 
 impl Snapshots {
-    /// Keeps the list `known`, and what it becomes, in the file `path`. Endpoints may hold purged copies for
-    /// `purge_propagation`.
+    /// Stores the list `known`, and its later versions, at `path`. Endpoints may hold purged copies for `purge_propagation`.
     pub fn new(
         turn: &mut Turn<'_>,
         path: PathBuf,
@@ -238,14 +237,14 @@
         if let Err(error) = &result {
             self.dirty = true;
             if !self.failing {
-                tracing::warn!(kind = "snapshot", %error, at = %self.path.display(), "the list can't be kept on disk");
+                tracing::warn!(kind = "snapshot", %error, at = %self.path.display(), "cannot write the endpoint list to disk; retrying");
             }
         }
         self.failing = result.is_err();
     }
 
-    /// The list has outgrown what may be written. The older one on disk stays usable: the next start takes longer, since it
-    /// asks for all changes since.
+    /// Logs that the list exceeds the maximum size. The older one on disk stays usable; a start from it has to request more
+    /// changes.
     fn report_too_large(&mut self) {
         if self.failing {
             return;
@@ -254,7 +253,7 @@
         tracing::warn!(
             kind = "snapshot",
             purges = self.known.purges.len(),
-            "the list is too large for the disk"
+            "endpoint list too large to store; the older one on disk is kept"
         );
     }
 }
--- a/front/src/server/drivers/snapshot/tests.rs
+++ b/front/src/server/drivers/snapshot/tests.rs
@@ -19,7 +19,7 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("n1.list");
     replace_file(&path, "before").unwrap();
-    // A disk that is full.
+    // Writes to the temporary file fail as on a full disk.
     std::os::unix::fs::symlink("/dev/full", temporary_path(&path)).unwrap();
     assert_eq!(
         replace_file(&path, "after").unwrap_err().kind(),
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -1,5 +1,5 @@
-//! The TLS listener. Handshakes run on the event loop, bounded in number, in duration and in their share of the CPU, and
-//! after everything that open connections need. A connection whose handshake is complete is a client's like any other.
+//! TLS listener. Handshakes run on the event loop with limits on their number, duration and CPU share, and after the work of
+//! established connections. A connection whose handshake is complete is passed on as a client's.
 mod failure_log;
 mod handshake;
 mod selection;
@@ -23,36 +23,36 @@
 use std::time::Instant;
 use thiserror::Error;
 
-/// CPU time of handshakes in one turn, after which open connections come first again.
+/// Maximum CPU time of handshakes per turn of the event loop, so that they do not delay established connections.
 const MAX_CPU_PER_TURN: Micros = 2_000;
-/// Connections accepted in one turn.
+/// Maximum number of connections accepted per turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
-/// A handshake keeps its slot for at least this long before a newer one may displace it. In a flood the newer ones wait in the
-/// system's queue.
+/// Time for which a handshake is protected from being displaced. Under a flood of connections, newer ones wait in the accept
+/// queue.
 const MIN_SLOT_DURATION: Micros = 250_000;
 
-/// Why the TLS listener cannot start. The texts are what the operator sees.
+/// Failure to start the TLS listener. Its text is shown to operators.
 #[derive(Debug, Error)]
 pub enum TlsError {
-    /// The address is not valid.
+    /// The address is invalid.
     #[error("tls.listen: {address}: {cause}")]
     Address {
-        /// The address in the settings.
+        /// Address in the settings.
         address: String,
-        /// Why it is not valid.
+        /// Error of the parser.
         cause: AddrParseError,
     },
-    /// The address cannot be listened on.
-    #[error("tls.listen: {address}: {cause}")]
+    /// The listener could not be opened.
+    #[error("tls.listen: cannot listen on {address}: {cause}")]
     Listen {
-        /// The address in the settings.
+        /// Address in the settings.
         address: String,
-        /// What the system says.
+        /// Error of the system call.
         cause: io::Error,
     },
 }
 
-/// Figures for operators.
+/// Counters for operators.
 #[derive(Default)]
 struct Counters {
     accepted: u64,
@@ -60,7 +60,7 @@
     resumed: u64,
     displaced: u64,
     timed_out: u64,
-    /// By the label of the error.
+    /// By label of the error.
     failed: BTreeMap<&'static str, u64>,
     cpu_us: u64,
 }
@@ -82,19 +82,19 @@
     selector: CertificateSelector,
     slots: Slots,
     cpu_share: CpuShare,
-    /// Oldest first.
+    /// Handshakes in the order of admission.
     admitted: VecDeque<Admitted>,
     handshakes: HashMap<usize, Handshake>,
     counters: Counters,
     failure_log: FailureLog,
     accept_backoff: AcceptBackoff,
-    /// After a failed call nothing is accepted before this timestamp.
+    /// Time before which nothing is accepted, after a failed `accept`.
     accept_resumes_at: Timestamp,
     draining: bool,
 }
 
 impl Tls {
-    /// Opens the listening socket.
+    /// Opens the listener.
     pub fn new(turn: &mut Turn<'_>, settings: Settings) -> Result<Self, TlsError> {
         let configured: SocketAddr =
             settings.listen.parse().map_err(|cause| TlsError::Address {
@@ -137,7 +137,7 @@
         })
     }
 
-    /// Whether a slot is free or may be taken from the oldest handshake.
+    /// Whether a slot is free, or the oldest handshake may be displaced.
     fn has_slot(&mut self, now: Timestamp) -> bool {
         while let Some(oldest) = self.admitted.front() {
             if self.handshakes.contains_key(&oldest.key) {
@@ -150,7 +150,7 @@
         free || oldest.is_none_or(|oldest| now >= oldest.at + MIN_SLOT_DURATION)
     }
 
-    /// Whether a connection may be accepted: there is a slot, and the CPU share leaves no handshake waiting.
+    /// Whether a connection may be accepted: a slot is available, and no handshake waits because the CPU share is used up.
     fn may_accept(&mut self, now: Timestamp) -> bool {
         self.has_slot(now) && (!self.slots.has_ready() || self.cpu_share.may_start(now))
     }
@@ -159,7 +159,7 @@
         self.accept_backoff.begin_turn();
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if !self.may_accept(turn.now) {
-                // Other connections wait in the system's queue.
+                // Further connections wait in the accept queue.
                 return self.watch_listener(false);
             }
             match self.listener.accept() {
@@ -170,7 +170,7 @@
                 Err(e) => match self.accept_backoff.failed(turn.now, AcceptFault::of(&e)) {
                     Next::Retry => {}
                     Next::Rest(until) => {
-                        tracing::warn!(error = %e, "TLS accept");
+                        tracing::warn!(error = %e, "cannot accept a TLS connection; retrying");
                         self.accept_resumes_at = until;
                         return self.watch_listener(false);
                     }
@@ -179,9 +179,9 @@
         }
     }
 
-    /// Begins the handshake on an accepted connection, if need be in the slot of an older one.
+    /// Starts the handshake on an accepted connection, and displaces an older one if all slots are taken.
     fn admit(&mut self, turn: &mut Turn<'_>, socket: TcpStream) {
-        // No request is sent before the handshake is complete, so the time in the system's queue is charged to none.
+        // No request is sent before the handshake is complete, so the time in the accept queue delays none.
         self.accept_backoff.accepted(turn.now);
         let key = turn.key();
         let ready = socket
@@ -202,7 +202,7 @@
     fn watch_listener(&mut self, accepting: bool) {
         if self.accepting != accepting {
             self.accepting = accepting;
-            // It can only fail for a listener that is not watched, and this one is as long as the program runs.
+            // Fails only for a socket that is not watched.
             let _ = self.listener.rewatch(accepting, false);
         }
     }
@@ -221,7 +221,7 @@
             };
             let elapsed = started_at.elapsed().as_micros() as Micros;
             self.counters.cpu_us += elapsed;
-            // At least one microsecond each, so that the loop ends.
+            // At least one microsecond each, so that the loop terminates.
             let charged = elapsed.max(1);
             self.cpu_share.charge(charged);
             spent += charged;
@@ -261,14 +261,14 @@
         if connection.handshake_kind() == Some(HandshakeKind::Resumed) {
             self.counters.resumed += 1;
         }
-        // A connection that checked an ACME challenge ends here.
+        // A connection that validated an ACME challenge is closed here.
         if connection.alpn_protocol() == Some(ALPN_BINARY) {
             let client = TlsEffect::Client { socket, connection };
             turn.effects.push(Effect::Tls(client));
         }
     }
 
-    /// Ends the handshakes that take too long.
+    /// Closes the handshakes that have timed out.
     fn close_expired(&mut self, now: Timestamp) {
         for key in self.slots.take_expired(now) {
             self.counters.timed_out += 1;
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Returns when the listener may be watched again; `None` while it is watched or for good.
+    /// Returns the time at which the listener may be watched again; `None` while it is watched, or if the process shuts down.
     fn next_accept(&self) -> Option<Timestamp> {
         if self.accepting || self.draining {
             return None;
@@ -292,7 +292,7 @@
         Some(slot_at.max(cpu_at).max(self.accept_resumes_at))
     }
 
-    /// Returns the state as operators see it.
+    /// Returns the state for operators.
     fn state(&self) -> Value {
         let counters = &self.counters;
         json!({
@@ -318,7 +318,7 @@
         }
         self.slots.mark_ready(key);
         if let Some(handshake) = self.handshakes.get(&key) {
-            // While it waits for its turn the poller would report it again and again.
+            // The poller would report it continuously until it is advanced.
             handshake.unwatch();
         }
     }
@@ -365,7 +365,7 @@
     fn commands(&self) -> Vec<(&'static str, &'static str)> {
         vec![(
             "tls",
-            "the TLS listener: handshakes under way, complete, failed by cause",
+            "state of the TLS listener: handshakes in progress, complete, and failed by cause",
         )]
     }
 
@@ -373,7 +373,7 @@
         let Some(new) = &settings.tls else {
             return;
         };
-        // The socket stays open, so the address stays.
+        // The address only changes with a restart, since the socket stays open.
         let listen = std::mem::take(&mut self.settings.listen);
         self.settings = Settings {
             listen,
--- a/front/src/server/drivers/tls/failure_log.rs
+++ b/front/src/server/drivers/tls/failure_log.rs
@@ -1,14 +1,14 @@
-//! Sums failed handshakes up for the log, so that a flood of them does not flood the log.
+//! Rate limit for log lines about failed handshakes. Each line sums up the failures since the last one.
 use cranesill::api::{Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// Least time between two log lines.
+/// Minimum interval between two log lines.
 const LOG_INTERVAL: Micros = 1_000_000;
 
-/// Failures that are not logged yet.
+/// Handshake failures that are not logged yet.
 #[derive(Default)]
 pub(super) struct FailureLog {
-    /// How many, by label.
+    /// Number of failures by label.
     unlogged: BTreeMap<&'static str, u64>,
     next_log_at: Timestamp,
 }
@@ -19,7 +19,7 @@
         *self.unlogged.entry(label).or_default() += 1;
     }
 
-    /// Logs the failures since the last line, unless that is too recent.
+    /// Logs the failures since the last line if the minimum interval has passed.
     pub(super) fn log_if_due(&mut self, now: Timestamp) {
         if now < self.next_log_at || self.unlogged.is_empty() {
             return;
@@ -34,7 +34,7 @@
         self.next_log_at = now + LOG_INTERVAL;
     }
 
-    /// Returns when the next line is due.
+    /// Returns the time at which the next line is due.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         (!self.unlogged.is_empty()).then_some(self.next_log_at)
     }
--- a/front/src/server/drivers/tls/handshake.rs
+++ b/front/src/server/drivers/tls/handshake.rs
@@ -1,4 +1,4 @@
-//! One TLS handshake: reads, writes and its two phases. No decision about time or the number of handshakes is made here.
+//! A TLS handshake: its input and output, and its two phases. Limits on time and number are enforced by the listener.
 use super::selection::{CertificateSelector, SelectionError};
 use crate::transport::Registered;
 use rustls::server::Acceptor;
@@ -6,30 +6,30 @@
 use std::io::{self, Write};
 use std::net::TcpStream;
 
-/// Bytes that a client may send before its handshake is complete.
+/// Maximum number of bytes that a client may send before its handshake is complete.
 const MAX_HANDSHAKE_BYTES: usize = 64 * 1024;
 
-/// Why a handshake failed.
+/// Failure of a handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HandshakeError {
     /// The client closed the connection.
     Closed,
-    /// The connection failed.
+    /// A read or write failed.
     Broken,
-    /// The client sent more than a handshake may take.
+    /// The client sent more than [`MAX_HANDSHAKE_BYTES`].
     TooLong,
-    /// What the client sent is no TLS.
+    /// The first message is not a valid ClientHello.
     Malformed,
-    /// Client and server have no version or cipher suite in common.
+    /// Client and server have no protocol version or cipher suite in common.
     NoAgreement,
-    /// There is no certificate for what the client asks for.
+    /// There is no certificate for the client.
     Selection(SelectionError),
-    /// A later message of the client is invalid, or the client rejects the server's.
+    /// A later message of the client is invalid, or the client rejected the handshake by an alert.
     Rejected,
 }
 
 impl HandshakeError {
-    /// The name under which operators see it.
+    /// Returns the name of the error in counters and in the log.
     pub(super) fn label(self) -> &'static str {
         match self {
             HandshakeError::Closed => "closed",
@@ -43,23 +43,23 @@
     }
 }
 
-/// How far a handshake is.
+/// State of a handshake after an advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// It waits for the socket.
+    /// Waits for the socket.
     Pending,
-    /// It is complete.
+    /// The handshake is complete.
     Complete,
 }
 
 enum Phase {
-    /// Until the client's first message is complete; by it the certificate is selected.
+    /// Receiving the ClientHello, by which the certificate is selected.
     ClientHello(Box<Acceptor>),
     /// The rest of the handshake.
     Negotiation(Box<ServerConnection>),
 }
 
-/// What a read from the socket brought.
+/// Outcome of a read from the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Arrival {
     Bytes,
@@ -74,7 +74,7 @@
 }
 
 impl Handshake {
-    /// Begins a handshake on an accepted connection.
+    /// Creates the handshake of an accepted connection.
     pub(super) fn new(socket: Registered<TcpStream>) -> Self {
         Handshake {
             socket,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Goes on until the socket would block or the handshake ends.
+    /// Advances the handshake until the socket would block or the handshake ends.
     pub(super) fn advance(
         &mut self,
         selector: &CertificateSelector,
@@ -96,7 +96,7 @@
             match &mut self.phase {
                 Phase::ClientHello(acceptor) => {
                     if let Some(connection) = accept(acceptor, &self.socket, selector)? {
-                        // Also when nothing more has arrived: the next pass writes the answer.
+                        // Continue even without further input: the next pass writes the response.
                         self.phase = Phase::Negotiation(Box::new(connection));
                         continue;
                     }
@@ -134,23 +134,23 @@
         }
     }
 
-    /// Watches the socket for what the handshake waits for.
+    /// Watches the socket for reading, and for writing if output is pending.
     pub(super) fn watch(&self) {
         let writes = match &self.phase {
             Phase::ClientHello(_) => false,
             Phase::Negotiation(connection) => connection.wants_write(),
         };
-        // It can only fail for a socket that is not watched.
+        // Fails only for a socket that is not watched.
         let _ = self.socket.rewatch(true, writes);
     }
 
     /// Stops watching the socket until [`Handshake::watch`] is called.
     pub(super) fn unwatch(&self) {
-        // It can only fail for a socket that is not watched.
+        // Fails only for a socket that is not watched.
         let _ = self.socket.rewatch(false, false);
     }
 
-    /// Returns the socket and the TLS connection on it; `None` before the certificate was selected.
+    /// Returns the socket and the TLS connection on it; `None` before the ClientHello was processed.
     pub(super) fn into_connection(self) -> Option<(Registered<TcpStream>, Box<ServerConnection>)> {
         match self.phase {
             Phase::ClientHello(_) => None,
@@ -159,8 +159,8 @@
     }
 }
 
-/// Returns the connection once the client's first message is complete. On failure the client is sent an alert, as far as the
-/// socket takes it at once.
+/// Returns the TLS connection once the ClientHello is complete. On failure an alert is sent on a best-effort basis, without
+/// waiting for the socket.
 fn accept(
     acceptor: &mut Acceptor,
     mut socket: &TcpStream,
@@ -190,14 +190,14 @@
     }
 }
 
-/// Processes what was read, and writes the answer, which after a failure is an alert.
+/// Processes received records and writes the response, which is an alert after a failure.
 fn negotiate(connection: &mut ServerConnection, socket: &TcpStream) -> Result<(), HandshakeError> {
     let processed = connection.process_new_packets().map(drop);
     write_records(connection, socket)?;
     processed.map_err(|_| HandshakeError::Rejected)
 }
 
-/// Writes until nothing is left or the socket would block.
+/// Writes pending records until none are left or the socket would block.
 fn write_records(
     connection: &mut ServerConnection,
     mut socket: &TcpStream,
--- a/front/src/server/drivers/tls/selection.rs
+++ b/front/src/server/drivers/tls/selection.rs
@@ -1,4 +1,4 @@
-//! Selects the certificate of a handshake by the client's first message.
+//! Selects the certificate of a handshake by the ClientHello.
 use crate::server::drivers::certificate_table::{
     CertificateTable, ChallengeCertificate, ALPN_ACME, ALPN_BINARY,
 };
@@ -9,29 +9,29 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Alerts (RFC 8446, section 6; RFC 6066, section 3; RFC 7301, section 3.2).
+// Alert descriptions (RFC 8446, section 6; RFC 6066, section 3; RFC 7301, section 3.2).
 const ALERT_CERTIFICATE_EXPIRED: u8 = 45;
 const ALERT_INTERNAL_ERROR: u8 = 80;
 const ALERT_UNRECOGNIZED_NAME: u8 = 112;
 const ALERT_NO_APPLICATION_PROTOCOL: u8 = 120;
 
-/// Why there is no certificate for a client.
+/// Failure to select a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SelectionError {
-    /// No ACME challenge is open for the name.
+    /// The client requests an ACME challenge, and none is open for the name.
     NoChallenge,
-    /// The client offers no protocol that is served.
+    /// The client offers no supported ALPN protocol.
     NoProtocol,
-    /// There is no certificate at all.
+    /// There are no certificates.
     NoCertificate,
     /// No certificate covers the name.
     UnknownName,
-    /// The certificate has expired, and the settings forbid to serve it.
+    /// The certificate has expired, and the settings do not allow it to be served.
     Expired,
 }
 
 impl SelectionError {
-    /// The name under which operators see it.
+    /// Returns the name of the error in counters and in the log.
     pub(super) fn label(self) -> &'static str {
         match self {
             SelectionError::NoChallenge => "no-challenge",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The record that tells the client, with one fatal alert (RFC 8446, section 5.1). It is written before there are keys.
+    /// Returns an unencrypted TLS record with the fatal alert for this error (RFC 8446, section 5.1).
     pub(super) fn alert_record(self) -> [u8; 7] {
         let alert = match self {
             SelectionError::NoChallenge | SelectionError::UnknownName => ALERT_UNRECOGNIZED_NAME,
@@ -54,18 +54,18 @@
     }
 }
 
-/// The certificates that handshakes may use.
+/// The certificates that are available to handshakes.
 pub(super) struct CertificateSelector {
-    /// The certificates for clients.
+    /// Certificates for clients.
     pub(super) table: Arc<CertificateTable>,
-    /// The certificates of open ACME challenges, by host name.
+    /// Certificates of open ACME challenges, by host name.
     pub(super) challenges: HashMap<String, Arc<ChallengeCertificate>>,
-    /// What to do with an expired certificate.
+    /// Handling of expired certificates.
     pub(super) expired: Expired,
 }
 
 impl CertificateSelector {
-    /// Returns the configuration of the handshake that begins with this message.
+    /// Returns the TLS configuration for a ClientHello.
     pub(super) fn select(
         &self,
         hello: &ClientHello<'_>,
@@ -100,7 +100,7 @@
         .is_some_and(|mut offered| offered.any(|name| name == protocol))
 }
 
-/// The wall clock, by which certificates expire.
+/// Returns the Unix time, by which certificates expire.
 fn unix_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/front/tests/common/desk.rs
+++ b/front/tests/common/desk.rs
@@ -16,7 +16,7 @@
 }
 
 pub fn ops_of(log: &Receiver<String>) -> SocketAddr {
-    field(&until(log, "operators call here"), "at")
+    field(&until(log, "listening for operators"), "at")
         .parse()
         .unwrap()
 }
--- a/front/tests/daily.rs
+++ b/front/tests/daily.rs
@@ -41,7 +41,7 @@
     assert!(!stage
         .log
         .try_iter()
-        .any(|line| line.contains("operators call here")));
+        .any(|line| line.contains("listening for operators")));
 }
 
 #[test]
@@ -298,7 +298,7 @@
     let mut config = held.config.clone();
     config["ops"] = at.to_string().into();
     let mut new = held.begin(&config);
-    until(&new.log, "address for operators is taken");
+    until(&new.log, "address for operators is in use");
     until(&new.log, "waits for another process");
     assert_eq!(call(at, "health"), "+OK serving\n", "the old one answers");
     old.signal("-TERM");
@@ -307,7 +307,7 @@
     client.ask(1, "page-bits", "20000", &[], b"");
     assert!(client.hear().unwrap().contains("bytes"));
     assert!(old.front.wait().unwrap().success());
-    until(&new.log, "operators call here");
+    until(&new.log, "listening for operators");
     assert_eq!(
         figures(at)["handled.page-bits.passed"],
         1,
--- a/front/tests/machines.rs
+++ b/front/tests/machines.rs
@@ -125,7 +125,7 @@
         for front in 0..5 {
             let log = stage.fleet.log(front);
             assert!(
-                log.matches("the list is served from disk").count() > round,
+                log.matches("endpoint list loaded from disk").count() > round,
                 "{log}"
             );
         }
@@ -179,8 +179,13 @@
     let second = stage.list(2, State::Draining);
     stage.history.until("all are told", 5, told(second));
     stage.served("answers while disks fail", 600);
-    let warnings =
-        |stage: &Stage, front: usize| stage.fleet.log(front).matches("be kept on disk").count();
+    let warnings = |stage: &Stage, front: usize| {
+        stage
+            .fleet
+            .log(front)
+            .matches("cannot write the endpoint list to disk")
+            .count()
+    };
     until("the slow disk has it", || {
         [3, 4]
             .iter()
@@ -489,7 +494,8 @@
         let mut stage = with_ledger(0, 28);
         purge(&stage, "before").unwrap();
         stage.fleet.machines[0].disk(full, unsynced);
-        assert!(purge(&stage, "first").is_err_and(|why| why.contains("could not be kept")));
+        assert!(purge(&stage, "first")
+            .is_err_and(|why| why.contains("could not be written to the journal")));
         assert!(purge(&stage, "second").is_err());
         stage.fleet.machines[0].disk(false, false);
         // A sync that succeeds now says nothing of what was written before the one that failed.
--- a/front/tests/partial.rs
+++ b/front/tests/partial.rs
@@ -342,7 +342,7 @@
             stage
                 .fleet
                 .log(front)
-                .contains("the list on disk is left aside"),
+                .contains("endpoint list on disk rejected"),
             "{}",
             stage.fleet.log(front)
         );
@@ -408,7 +408,7 @@
     let served = |stage: &Stage, front: usize| {
         let log = stage.fleet.log(front);
         (
-            log.matches("is served from disk").count(),
+            log.matches("endpoint list loaded from disk").count(),
             log.matches("older than may be served from").count(),
         )
     };
@@ -452,7 +452,11 @@
     stage.served("answers all the same", 300);
     for front in 0..2 {
         assert_eq!(
-            stage.fleet.log(front).matches("be kept on disk").count(),
+            stage
+                .fleet
+                .log(front)
+                .matches("cannot write the endpoint list to disk")
+                .count(),
             1,
             "{}",
             stage.fleet.log(front)
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -477,7 +477,10 @@
     caught_up(&strict, 600);
     caught_up(&open, 600);
     let (code, text) = strict.run(&["purge", "--group", "1"]);
-    assert!(code == 1 && text.contains("purge at its writer"), "{text}");
+    assert!(
+        code == 1 && text.contains("send the purge to that front"),
+        "{text}"
+    );
     // A purge at the writer counts at a follower well within half a second.
     writer.hold(CAR, 3_000, Some("vitara"));
     assert_eq!(writer.number(&["purge", "--tag", "vitara"]), 601);
