--- a/front/src/server/drivers/certificate_table.rs
+++ b/front/src/server/drivers/certificate_table.rs
@@ -11,6 +11,7 @@
 pub const ALPN_BINARY: &[u8] = b"cranesill/1";
 /// ALPN protocol name of ACME challenges (RFC 8737, section 6.2).
 pub const ALPN_ACME: &[u8] = b"acme-tls/1";
+
 /// A certificate that is served.
 #[derive(Clone)]
 pub struct ServedCertificate {
--- a/front/src/server/drivers/certs/actions.rs
+++ b/front/src/server/drivers/certs/actions.rs
@@ -58,15 +58,15 @@
     /// Generates a key. Returns an event if the worker thread could not be started.
     fn make_key(&mut self, task: u64, key: Key) -> Option<Event> {
         let is_account = matches!(key, Key::Account);
-        let failure = move |why| match is_account {
-            true => Event::AccountKey(task, Err(why)),
-            false => Event::Key(task, Err(why)),
+        let failure = move |error| match is_account {
+            true => Event::AccountKey(task, Err(error)),
+            false => Event::Key(task, Err(error)),
         };
         let started = self.workers.run(move || {
             WorkResult::Event(match make_key(&key) {
                 Ok(Made::Order(pem, request)) => Event::Key(task, Ok((pem, request))),
                 Ok(Made::Account(key)) => Event::AccountKey(task, Ok(key)),
-                Err(why) => failure(why),
+                Err(error) => failure(error),
             })
         });
         started.err().map(|error| failure(thread_error(&error)))
--- a/front/src/server/drivers/certs/operators.rs
+++ b/front/src/server/drivers/certs/operators.rs
@@ -16,7 +16,10 @@
         "certs-revoke",
         "{name, reason}: revoke the certificate and order a new one",
     ),
-    ("certs-import", "{key, chain}: serve these, both in PEM"),
+    (
+        "certs-import",
+        "{key, chain}: serve this key and chain, both in PEM",
+    ),
     ("certs-roll-key", "replace the key of the ACME account"),
 ];
 
@@ -44,7 +47,7 @@
             }
             "certs-import" => match Identity::join(text("key"), text("chain")) {
                 Ok(identity) => self.handle(turn, Event::Import(id, Box::new(identity))),
-                Err(why) => turn.effects.push(Effect::response(id, Err(why))),
+                Err(error) => turn.effects.push(Effect::response(id, Err(error))),
             },
             "certs-roll-key" => self.handle(turn, Event::RollKey(id)),
             _ => {}
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -18,11 +18,10 @@
 /// Maximum number of unanswered commands of one operator.
 const MAX_OPEN_COMMANDS: usize = 8;
 /// Time without input or output after which an operator is disconnected.
-const MAX_IDLE: Micros = 60_000_000;
+const IDLE_TIMEOUT: Micros = 60_000_000;
 /// Maximum size of one read.
 const MAX_READ_BYTES: usize = 16 * 1024;
-
-/// Characters of an unknown command that are repeated to the operator.
+/// Longest excerpt of an unknown command in an error message.
 const MAX_QUOTED_CHARACTERS: usize = 60;
 
 /// Connection of an operator.
@@ -65,10 +64,10 @@
     InUse(PathBuf),
     /// The path exists and is not a socket. It is not replaced.
     #[error("control.path: {}: exists and is not a socket", .0.display())]
-    NoSocket(PathBuf),
+    NotASocket(PathBuf),
     /// The socket cannot be added to the poller.
     #[error("control.path: cannot watch the socket: {0}")]
-    Unwatched(#[source] io::Error),
+    Watch(#[source] io::Error),
 }
 
 /// A decoded line of an operator.
@@ -83,11 +82,11 @@
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error("not JSON: {0}")]
-    NoJson(#[source] serde_json::Error),
+    NotJson(#[source] serde_json::Error),
     #[error("field `word` is missing or not a string")]
-    NoName,
+    MissingName,
     #[error("unknown command {0:?}; `help` lists all commands")]
-    Unknown(String),
+    UnknownCommand(String),
 }
 
 /// Creates the socket, with mode 0600 before anyone can connect. A stale socket at the path is replaced.
@@ -97,26 +96,26 @@
     }
     let metadata = std::fs::symlink_metadata(path);
     if metadata.is_ok_and(|metadata| !metadata.file_type().is_socket()) {
-        return Err(SocketError::NoSocket(path.to_path_buf()));
+        return Err(SocketError::NotASocket(path.to_path_buf()));
     }
-    bind_aside(path).map_err(|source| SocketError::Io {
+    bind_and_rename(path).map_err(|source| SocketError::Io {
         path: path.to_path_buf(),
         source,
     })
 }
 
 /// Creates the socket under a temporary name and renames it, so that it never exists at `path` with another mode.
-fn bind_aside(path: &Path) -> io::Result<UnixListener> {
-    let aside = path.with_extension(format!("{}.tmp", std::process::id()));
-    let _ = std::fs::remove_file(&aside);
-    let listener = at_start(|| UnixListener::bind(&aside))?;
-    let made = std::fs::set_permissions(&aside, std::fs::Permissions::from_mode(0o600))
-        .and_then(|()| std::fs::rename(&aside, path))
+fn bind_and_rename(path: &Path) -> io::Result<UnixListener> {
+    let temporary = path.with_extension(format!("{}.tmp", std::process::id()));
+    let _ = std::fs::remove_file(&temporary);
+    let listener = at_start(|| UnixListener::bind(&temporary))?;
+    let prepared = std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(0o600))
+        .and_then(|()| std::fs::rename(&temporary, path))
         .and_then(|()| listener.set_nonblocking(true));
-    if made.is_err() {
-        let _ = std::fs::remove_file(&aside);
+    if prepared.is_err() {
+        let _ = std::fs::remove_file(&temporary);
     }
-    made.map(|()| listener)
+    prepared.map(|()| listener)
 }
 
 impl Control {
@@ -128,7 +127,7 @@
     ) -> Result<Self, SocketError> {
         let listener_key = turn.key();
         let listener = turn.reactor.watch(bind(path)?, listener_key, false);
-        let listener = listener.map_err(SocketError::Unwatched)?;
+        let listener = listener.map_err(SocketError::Watch)?;
         tracing::info!(path = %path.display(), "listening on the control socket");
         Ok(Control {
             listener: RestingListener::new(listener),
@@ -138,7 +137,7 @@
             waiting: BTreeMap::new(),
             last_id: 0,
             help,
-            sweep_at: turn.now + MAX_IDLE / 4,
+            sweep_at: turn.now + IDLE_TIMEOUT / 4,
         })
     }
 
@@ -185,12 +184,12 @@
         if operator.input.len() > MAX_LINE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        self.take_commands(turn, key);
+        self.process_input(turn, key);
         Ok(())
     }
 
     /// Processes complete lines of the input until too many commands are unanswered.
-    fn take_commands(&mut self, turn: &mut Turn<'_>, key: usize) {
+    fn process_input(&mut self, turn: &mut Turn<'_>, key: usize) {
         while let Some(operator) = self.operators.get_mut(&key) {
             if operator.open_commands >= MAX_OPEN_COMMANDS {
                 break;
@@ -221,14 +220,14 @@
 
     /// Decodes one line of an operator.
     fn decode(&self, line: &[u8]) -> Result<Request, RequestError> {
-        let value: Value = serde_json::from_slice(line).map_err(RequestError::NoJson)?;
-        let name = value["word"].as_str().ok_or(RequestError::NoName)?;
+        let value: Value = serde_json::from_slice(line).map_err(RequestError::NotJson)?;
+        let name = value["word"].as_str().ok_or(RequestError::MissingName)?;
         if name == "help" {
             return Ok(Request::Help);
         }
         if !self.help.contains_key(name) {
             let name = name.chars().take(MAX_QUOTED_CHARACTERS).collect();
-            return Err(RequestError::Unknown(name));
+            return Err(RequestError::UnknownCommand(name));
         }
         Ok(Request::Command {
             name: name.to_string(),
@@ -246,14 +245,14 @@
         };
         let answer = match result {
             Ok(value) => json!({"ok": value}),
-            Err(why) => json!({"error": why}),
+            Err(error) => json!({"error": error}),
         };
         operator.open_commands -= 1;
         operator
             .output
             .extend(answer.to_string().bytes().chain([b'\n']));
         if operator.output.len() > MAX_OUTPUT_BYTES || self.write(now, key).is_err() {
-            self.drop(key);
+            self.disconnect(key);
         }
     }
 
@@ -304,7 +303,7 @@
     }
 
     /// Disconnects an operator. Responses to its commands are dropped.
-    fn drop(&mut self, key: usize) {
+    fn disconnect(&mut self, key: usize) {
         self.operators.remove(&key);
         self.waiting.retain(|_, k| *k != key);
     }
@@ -316,28 +315,28 @@
             return self.accept(turn);
         }
         if self.transfer(turn, key, readable, writable).is_err() {
-            return self.drop(key);
+            return self.disconnect(key);
         }
         if writable {
-            self.take_commands(turn, key);
+            self.process_input(turn, key);
         }
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
         self.listener.resume_if_due(turn.now);
-        let is_over = |operator: &Operator| {
-            let is_inactive = turn.now > operator.active_at + MAX_IDLE;
+        let is_idle = |operator: &Operator| {
+            let timed_out = turn.now > operator.active_at + IDLE_TIMEOUT;
             // An operator that waits for a result has nothing to send; one that does not read its responses times out.
-            let may_be_silent = operator.open_commands > 0 && operator.output.is_empty();
-            is_inactive && !may_be_silent
+            let awaits_result = operator.open_commands > 0 && operator.output.is_empty();
+            timed_out && !awaits_result
         };
         let operators = self.operators.iter();
-        let over = operators.filter(|(_, operator)| is_over(operator));
-        let over: Vec<_> = over.map(|(key, _)| *key).collect();
-        for key in over {
-            self.drop(key);
+        let idle = operators.filter(|(_, operator)| is_idle(operator));
+        let idle: Vec<_> = idle.map(|(key, _)| *key).collect();
+        for key in idle {
+            self.disconnect(key);
         }
-        self.sweep_at = turn.now + MAX_IDLE / 4;
+        self.sweep_at = turn.now + IDLE_TIMEOUT / 4;
     }
 
     fn next(&self) -> Option<Timestamp> {
@@ -346,24 +345,20 @@
     }
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
-        if let Effect::Admin(AdminEffect::Response {
-            id: number,
-            result: answer,
-        }) = effect
-        {
-            let key = self.waiting.get(number).copied();
-            self.answer(turn.now, *number, answer.clone());
+        if let Effect::Admin(AdminEffect::Response { id, result }) = effect {
+            let key = self.waiting.get(id).copied();
+            self.answer(turn.now, *id, result.clone());
             // A further command may have waited for this one to be answered.
             key.into_iter()
-                .for_each(|key| self.take_commands(turn, key));
+                .for_each(|key| self.process_input(turn, key));
         }
     }
 }
 
 impl Drop for Control {
     fn drop(&mut self) {
-        let mine = self.listener.get().local_addr().is_ok();
-        if mine {
+        let is_listening = self.listener.get().local_addr().is_ok();
+        if is_listening {
             let _ = std::fs::remove_file(&self.path);
         }
     }
--- a/front/src/server/drivers/control/tests.rs
+++ b/front/src/server/drivers/control/tests.rs
@@ -3,7 +3,7 @@
 use crate::transport::Reactor;
 use std::io::{BufRead, BufReader};
 
-struct Stage {
+struct TestControl {
     reactor: Reactor,
     effects: Vec<Effect>,
     keys: PollerKeys,
@@ -11,7 +11,7 @@
     _folder: tempfile::TempDir,
 }
 
-impl Stage {
+impl TestControl {
     fn new() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let (reactor, mut effects, mut keys) =
@@ -26,7 +26,7 @@
         };
         let control =
             Control::new(&mut turn, &path, [("status", "state of the front")].into()).unwrap();
-        Stage {
+        TestControl {
             reactor,
             effects,
             keys,
@@ -40,7 +40,7 @@
     }
 
     /// Handles events until none are reported.
-    fn turn(&mut self, now: Timestamp) {
+    fn process_events(&mut self, now: Timestamp) {
         while let Ok(events) = self.reactor.wait(0, Some(1_000)) {
             if events.is_empty() {
                 return;
@@ -61,18 +61,18 @@
 }
 
 #[test]
-fn the_socket_is_0600_and_a_second_daemon_is_refused() {
-    let stage = Stage::new();
-    let mode = std::fs::metadata(&stage.control.path)
+fn the_socket_has_mode_0600_and_replaces_only_a_stale_socket() {
+    let fixture = TestControl::new();
+    let mode = std::fs::metadata(&fixture.control.path)
         .unwrap()
         .permissions()
         .mode();
     assert_eq!(mode & 0o777, 0o600);
-    assert!(bind(&stage.control.path)
+    assert!(bind(&fixture.control.path)
         .unwrap_err()
         .to_string()
         .contains("another daemon"));
-    let file = stage._folder.path().join("file");
+    let file = fixture._folder.path().join("file");
     std::fs::write(&file, "x").unwrap();
     assert!(
         bind(&file)
@@ -82,90 +82,91 @@
         "a file is not replaced"
     );
     // The socket of a killed daemon is replaced.
-    let old = stage._folder.path().join("old.sock");
-    drop(UnixListener::bind(&old).unwrap());
+    let stale = fixture._folder.path().join("stale.sock");
+    drop(UnixListener::bind(&stale).unwrap());
     // A process that another test starts may hold a copy of the socket between its fork and exec.
-    let until = std::time::Instant::now() + std::time::Duration::from_secs(20);
-    while let Err(why) = bind(&old) {
-        assert!(std::time::Instant::now() < until, "{why}");
+    let deadline = std::time::Instant::now() + std::time::Duration::from_secs(20);
+    while let Err(error) = bind(&stale) {
+        assert!(std::time::Instant::now() < deadline, "{error}");
         std::thread::yield_now();
     }
 }
 
 #[test]
-fn odd_slow_and_endless_operators_hurt_nobody() {
-    let mut stage = Stage::new();
-    let mut odd = stage.operator();
-    odd.write_all(b"{\"word\":\"nothing\"}\n[1]\n\xff\n{\"word\":\"sta")
+fn malformed_endless_and_excess_operators_do_not_affect_others() {
+    let mut fixture = TestControl::new();
+    let mut malformed = fixture.operator();
+    malformed
+        .write_all(b"{\"word\":\"nothing\"}\n[1]\n\xff\n{\"word\":\"sta")
         .unwrap();
-    stage.turn(1);
-    let mut lines = BufReader::new(odd.try_clone().unwrap()).lines();
+    fixture.process_events(1);
+    let mut lines = BufReader::new(malformed.try_clone().unwrap()).lines();
     for text in ["unknown command", "field `word` is missing", "not JSON"] {
         assert!(lines.next().unwrap().unwrap().contains(text));
     }
-    odd.write_all(b"tus\"}\n").unwrap();
-    stage.turn(2);
+    malformed.write_all(b"tus\"}\n").unwrap();
+    fixture.process_events(2);
     assert!(
-        matches!(&stage.effects[..], [Effect::Admin(AdminEffect::Command { id: 4, name: word, arguments: Value::Null })] if word == "status")
+        matches!(&fixture.effects[..], [Effect::Admin(AdminEffect::Command { id: 4, name, arguments: Value::Null })] if name == "status")
     );
     // A line without end is rejected, and the number of operators is limited.
-    let mut endless = stage.operator();
+    let mut endless = fixture.operator();
     endless.set_nonblocking(true).unwrap();
     let mut sent = 0;
     while let Ok(n) = {
-        stage.turn(3);
+        fixture.process_events(3);
         endless.write(&[b'x'; 8_192])
     } {
         sent += n;
         assert!(sent < 2 * MAX_LINE_BYTES, "disconnected by then");
     }
-    let _many: Vec<_> = (0..40).map(|_| stage.operator()).collect();
-    stage.turn(4);
-    assert!(stage.control.operators.len() <= MAX_OPERATORS);
+    let _many: Vec<_> = (0..40).map(|_| fixture.operator()).collect();
+    fixture.process_events(4);
+    assert!(fixture.control.operators.len() <= MAX_OPERATORS);
     // The first operator is still served.
     let mut effects = Vec::new();
     let mut turn = Turn {
         now: 5,
         behind_ms: 0,
-        reactor: &stage.reactor,
+        reactor: &fixture.reactor,
         effects: &mut effects,
-        keys: &mut stage.keys,
+        keys: &mut fixture.keys,
     };
-    stage
+    fixture
         .control
         .handle_effect(&mut turn, &Effect::response(4, Ok(json!({"a": 1}))));
     assert_eq!(lines.next().unwrap().unwrap(), r#"{"ok":{"a":1}}"#);
     let mut turn = Turn {
-        now: MAX_IDLE + 6,
+        now: IDLE_TIMEOUT + 6,
         behind_ms: 0,
-        reactor: &stage.reactor,
+        reactor: &fixture.reactor,
         effects: &mut effects,
-        keys: &mut stage.keys,
+        keys: &mut fixture.keys,
     };
-    stage.control.due(&mut turn);
+    fixture.control.due(&mut turn);
     assert!(
-        stage.control.operators.is_empty(),
+        fixture.control.operators.is_empty(),
         "an idle operator is disconnected"
     );
 }
 
 #[test]
-fn an_operator_has_so_many_words_open_and_no_more() {
-    let mut stage = Stage::new();
-    let mut one = stage.operator();
+fn the_unanswered_commands_of_one_operator_are_limited() {
+    let mut fixture = TestControl::new();
+    let mut one = fixture.operator();
     one.write_all("{\"word\":\"status\"}\n".repeat(20).as_bytes())
         .unwrap();
-    stage.turn(1);
-    assert_eq!(stage.effects.len(), MAX_OPEN_COMMANDS);
+    fixture.process_events(1);
+    assert_eq!(fixture.effects.len(), MAX_OPEN_COMMANDS);
     let mut effects = Vec::new();
     let mut turn = Turn {
         now: 2,
         behind_ms: 0,
-        reactor: &stage.reactor,
+        reactor: &fixture.reactor,
         effects: &mut effects,
-        keys: &mut stage.keys,
+        keys: &mut fixture.keys,
     };
-    stage
+    fixture
         .control
         .handle_effect(&mut turn, &Effect::response(1, Ok(Value::Null)));
     assert_eq!(effects.len(), 1, "the next command follows a response");
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -15,15 +15,14 @@
 pub const MAX_CALLERS: usize = 24;
 /// Time without a call after which a caller may be displaced if all slots are taken. A call normally follows its connection
 /// within a round trip.
-const MIN_SILENT_TIME: Micros = 20_000;
+const CALL_GRACE: Micros = 20_000;
 /// Time between attempts of `accept` or `listen` after a failure.
 const RETRY_INTERVAL: Micros = 100_000;
 /// Time from accept after which a caller is disconnected.
-const MAX_CONNECTED_TIME: Micros = 5_000_000;
+const CALLER_TIMEOUT: Micros = 5_000_000;
 /// Time after the response in which the caller may close the connection itself.
 const CLOSE_TIMEOUT: Micros = 500_000;
-
-/// Reads of one caller in one turn.
+/// Maximum number of reads from one caller per turn of the event loop.
 const MAX_READS_PER_TURN: usize = 2;
 
 /// Connection of an operator.
@@ -48,13 +47,13 @@
 
 /// The driver of the listener for operators.
 pub struct Ops {
-    at: SocketAddr,
+    address: SocketAddr,
     /// `None` while the address is in use by another process.
     listener: Option<Registered<TcpListener>>,
     listener_key: usize,
     callers: BTreeMap<usize, Caller>,
     /// Whether accepting is paused until a slot is free or the retry is due.
-    resting: bool,
+    paused: bool,
     acceptor: AcceptBackoff,
     /// Time of the next attempt of `accept` or `listen` after a failure.
     retry_at: Option<Timestamp>,
@@ -64,26 +63,27 @@
     /// Listens for operators on `address`. During a handover (`handover`) another process of this front, or an outgoing
     /// connection that was assigned the same port, may still use the address: then the front starts without the listener and
     /// retries until the address is free. Otherwise an address in use is an error.
-    pub fn new(turn: &mut Turn<'_>, at: SocketAddr, beside: bool) -> Result<Self, ListenError> {
+    pub fn new(
+        turn: &mut Turn<'_>,
+        address: SocketAddr,
+        handover: bool,
+    ) -> Result<Self, ListenError> {
         let listener_key = turn.key();
         let mut ops = Ops {
-            at,
+            address,
             listener: None,
             listener_key,
             callers: BTreeMap::new(),
-            resting: false,
+            paused: false,
             acceptor: AcceptBackoff::default(),
             retry_at: None,
         };
         match at_start(|| ops.listen(turn)) {
-            Err(error) if beside && error.kind() == io::ErrorKind::AddrInUse => {
-                tracing::warn!(kind = "ops", %at, "address for operators is taken: tried for until it is free");
+            Err(error) if handover && error.kind() == io::ErrorKind::AddrInUse => {
+                tracing::warn!(kind = "ops", at = %address, "address for operators is in use; retrying until it is free");
                 ops.retry_at = Some(turn.now + RETRY_INTERVAL);
             }
-            listens => listens.map_err(|source| ListenError {
-                address: at,
-                source,
-            })?,
+            result => result.map_err(|source| ListenError { address, source })?,
         }
         Ok(ops)
     }
@@ -91,7 +91,7 @@
     fn listen(&mut self, turn: &mut Turn<'_>) -> io::Result<()> {
         let listener = turn
             .reactor
-            .watch(listen(self.at)?, self.listener_key, false)?;
+            .watch(listen(self.address)?, self.listener_key, false)?;
         tracing::info!(at = %listener.local_addr()?, "listening for operators");
         self.listener = Some(listener);
         Ok(())
@@ -102,14 +102,14 @@
         self.acceptor.begin_turn();
         loop {
             if self.callers.len() >= MAX_CALLERS && !self.free_slot(turn) {
-                return self.set_resting(true);
+                return self.set_paused(true);
             }
             let Some(listener) = &self.listener else {
                 return;
             };
             match listener.accept() {
                 Ok((socket, _)) => self.add(turn, socket),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.set_resting(false),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return self.set_paused(false),
                 Err(error) => {
                     if !self.accept_failed(turn, &error) {
                         return;
@@ -132,7 +132,7 @@
         }
         tracing::warn!(kind = "ops", %error, "cannot accept a connection of an operator; retrying");
         self.retry_at = Some(turn.now + RETRY_INTERVAL);
-        self.set_resting(true);
+        self.set_paused(true);
         false
     }
 
@@ -157,13 +157,14 @@
         self.serve(turn, key);
     }
 
-    fn set_resting(&mut self, resting: bool) {
-        if self.resting == resting {
+    fn set_paused(&mut self, paused: bool) {
+        if self.paused == paused {
             return;
         }
-        self.resting = resting;
+        self.paused = paused;
         if let Some(listener) = &self.listener {
-            let _ = listener.rewatch(!resting, false);
+            // Fails only for a socket that is not watched.
+            let _ = listener.rewatch(!paused, false);
         }
     }
 
@@ -176,10 +177,10 @@
             .find(|(_, c)| c.closes_at.is_some())
             .map(|(key, _)| *key);
         let silent = || {
-            let old = |c: &Caller| !c.has_called && turn.now >= c.connected_at + MIN_SILENT_TIME;
+            let is_silent = |c: &Caller| !c.has_called && turn.now >= c.connected_at + CALL_GRACE;
             self.callers
                 .iter()
-                .find(|(_, c)| old(c))
+                .find(|(_, c)| is_silent(c))
                 .map(|(key, _)| *key)
         };
         let Some(key) = done.or_else(silent) else {
@@ -202,8 +203,8 @@
             return;
         };
         let call = caller.read();
-        let over = caller.write(turn.now);
-        match (call, over) {
+        let written = caller.write(turn.now);
+        match (call, written) {
             (Err(_), _) | (_, Err(_)) => drop(self.callers.remove(&key)),
             (Ok(Some(Ok(call))), _) => {
                 caller.has_called = true;
@@ -330,62 +331,59 @@
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        let over =
-            |c: &Caller| turn.now >= c.closes_at.unwrap_or(c.connected_at + MAX_CONNECTED_TIME);
-        let over: Vec<_> = self
+        let expired =
+            |c: &Caller| turn.now >= c.closes_at.unwrap_or(c.connected_at + CALLER_TIMEOUT);
+        let expired: Vec<_> = self
             .callers
             .iter()
-            .filter(|(_, c)| over(c))
+            .filter(|(_, c)| expired(c))
             .map(|(key, _)| *key)
             .collect();
-        over.into_iter()
+        expired
+            .into_iter()
             .for_each(|key| drop(self.callers.remove(&key)));
-        if self.listener.is_none() && self.retry_at.is_some_and(|at| turn.now >= at) {
+        if self.listener.is_none() && self.retry_at.is_some_and(|time| turn.now >= time) {
             self.retry_at = self
                 .listen(turn)
                 .is_err()
                 .then_some(turn.now + RETRY_INTERVAL);
         }
-        if self.resting {
+        if self.paused {
             self.retry_at = None;
             self.accept(turn);
         }
     }
 
     fn next(&self) -> Option<Timestamp> {
-        let waits = |c: &Caller| {
-            if self.resting && !c.has_called {
-                MIN_SILENT_TIME
+        let timeout = |c: &Caller| {
+            if self.paused && !c.has_called {
+                CALL_GRACE
             } else {
-                MAX_CONNECTED_TIME
+                CALLER_TIMEOUT
             }
         };
         self.callers
             .values()
-            .map(|c| c.closes_at.unwrap_or(c.connected_at + waits(c)))
+            .map(|c| c.closes_at.unwrap_or(c.connected_at + timeout(c)))
             .chain(self.retry_at)
             .min()
     }
 
     fn handle_effect(&mut self, turn: &mut Turn<'_>, effect: &Effect) {
-        let Effect::Admin(AdminEffect::Response {
-            id: number,
-            result: found,
-        }) = effect
-        else {
+        let Effect::Admin(AdminEffect::Response { id, result }) = effect else {
             return;
         };
-        let key = *number as usize;
-        let text = match found {
-            Ok(Value::Object(figures)) => {
-                let lines: Vec<_> = figures
+        let key = *id as usize;
+        let text = match result {
+            Ok(Value::Object(counters)) => {
+                let lines: Vec<_> = counters
                     .iter()
-                    .map(|(name, n)| format!("{name}={n}"))
+                    .map(|(name, count)| format!("{name}={count}"))
                     .collect();
                 answer(Ok(""), Some(&lines))
             }
             Ok(value) => answer(Ok(value.as_str().unwrap_or_default()), None),
-            Err(why) => answer(Err(why), None),
+            Err(error) => answer(Err(error), None),
         };
         self.answer(turn.now, key, text);
     }
--- a/front/src/server/drivers/peers/clients.rs
+++ b/front/src/server/drivers/peers/clients.rs
@@ -20,6 +20,7 @@
 /// The peers that are being served.
 #[derive(Default)]
 pub(super) struct Clients {
+    /// By poller key.
     connections: HashMap<usize, Client>,
     served: u64,
 }
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -118,9 +118,9 @@
     connections: HashMap<usize, Connection>,
     max_connections: usize,
     last_command: u64,
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
     /// Last number that [`CacheNodeLinks::take_confirmation`] reported as confirmed by all nodes.
-    confirmed: PurgeNumber,
+    reported_confirmed: PurgeNumber,
 }
 
 impl CacheNodeLinks {
@@ -139,8 +139,8 @@
             connections: HashMap::new(),
             max_connections,
             last_command: 0,
-            scratch: vec![0; READ_BUFFER_BYTES],
-            confirmed: 0,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            reported_confirmed: 0,
         }
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Whether a poller key belongs to a connection.
-    pub(super) fn has(&self, key: usize) -> bool {
+    pub(super) fn owns_key(&self, key: usize) -> bool {
         self.connections.contains_key(&key)
     }
 
@@ -232,7 +232,7 @@
         }
         connection.stream.flush(|()| {})?;
         connection.stream.rewatch(true)?;
-        while let Some(received) = connection.stream.fill(&mut self.scratch)? {
+        while let Some(received) = connection.stream.fill(&mut self.read_buffer)? {
             if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
@@ -244,7 +244,7 @@
         Ok(())
     }
 
-    fn disconnect(&mut self, now: Timestamp, key: usize, why: &str) {
+    fn disconnect(&mut self, now: Timestamp, key: usize, reason: &str) {
         let Some(connection) = self.connections.remove(&key) else {
             return;
         };
@@ -259,7 +259,7 @@
             tracing::info!(
                 kind = "box-lost",
                 member = cache_node::endpoint_name(EndpointId(id)),
-                error = why,
+                error = reason,
                 "purges: connection to cache node lost; reconnecting with backoff"
             );
         }
@@ -374,7 +374,7 @@
     /// Returns the last number that all nodes have confirmed, if it has changed since the last call.
     pub(super) fn take_confirmation(&mut self) -> Option<PurgeNumber> {
         let confirmed = self.confirmed();
-        let before = std::mem::replace(&mut self.confirmed, confirmed);
+        let before = std::mem::replace(&mut self.reported_confirmed, confirmed);
         (before != confirmed).then_some(confirmed)
     }
 
--- a/front/src/server/drivers/purges/commands.rs
+++ b/front/src/server/drivers/purges/commands.rs
@@ -1,5 +1,5 @@
 //! Operators' commands that purge, and that show the purge log and the cache nodes.
-use super::{purge_date, Purges};
+use super::{purge_timestamp, Purges};
 use crate::server::drivers::{Effect, PurgeEffect, Turn};
 use cranesill::api::{Micros, Timestamp};
 use cranesill_purges::log::{Command, CommandError, Prepared};
@@ -15,14 +15,14 @@
 const MAX_WAIT_S: u64 = 120;
 const SECOND: Micros = 1_000_000;
 /// Number of groups; their ids start at 0.
-const GROUPS: u32 = 256;
+const GROUP_COUNT: u32 = 256;
 
 /// An invalid purge target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TargetError {
     /// No target, or several.
     #[error("exactly one of object, group, tag and pattern is required")]
-    NotOne,
+    NotExactlyOne,
     /// The object id is malformed.
     #[error("object: not 16 hex digits")]
     Object,
@@ -40,13 +40,17 @@
     Rejected(#[from] CommandError),
     #[error("this front follows the purge log of {writer}; send the purge to that front")]
     NotTheWriter { writer: String },
-    #[error("too many wait to be kept")]
+    #[error(
+        "{} purges are already waiting to be written to the journal",
+        MAX_QUEUED_COMMANDS
+    )]
     QueueFull,
     #[error("cannot write the purge journal: {0}")]
     JournalFailed(String),
     /// It is unknown whether the purge is in the journal.
     #[error(
-        "it counts here until a restart, and could not be kept: {0}; repeat it with the same id"
+        "the purge could not be written to the journal: {0}; it applies on this front until a restart; retry it with the \
+         same id"
     )]
     NotDurable(String),
     #[error("purge {number} is not confirmed by {}", nodes.join(" "))]
@@ -60,33 +64,33 @@
 
 /// A command that has to be answered, and how long its operator waits for the cache nodes to confirm it.
 #[derive(Clone, Copy)]
-pub(super) struct Operator {
-    id: u64,
+pub(super) struct PendingResponse {
+    command_id: u64,
     waits_until: Option<Timestamp>,
 }
 
 /// A purge command that waits to be made durable.
 pub(super) struct QueuedCommand {
-    operator: Operator,
+    pending: PendingResponse,
     command: Command,
 }
 
 /// A purge that is being made durable.
 pub(super) struct AppendingPurge {
-    operator: Operator,
+    pending: PendingResponse,
     purge: Purge,
 }
 
 /// A response that waits until all cache nodes have confirmed a purge.
 pub(super) struct ConfirmationWait {
-    operator: u64,
+    command_id: u64,
     pub(super) until: Timestamp,
     number: PurgeNumber,
 }
 
-fn answer(turn: &mut Turn<'_>, operator: u64, result: Result<Value, OperatorError>) {
+fn respond(turn: &mut Turn<'_>, command_id: u64, result: Result<Value, OperatorError>) {
     let result = result.map_err(|error| error.to_string());
-    turn.effects.push(Effect::response(operator, result));
+    turn.effects.push(Effect::response(command_id, result));
 }
 
 impl Purges {
@@ -94,17 +98,17 @@
     pub(super) fn handle_command(
         &mut self,
         turn: &mut Turn<'_>,
-        operator: u64,
+        command_id: u64,
         name: &str,
         args: &Value,
     ) {
         match name {
-            "purge" => match self.queue_purge(turn.now, operator, args) {
+            "purge" => match self.queue_purge(turn.now, command_id, args) {
                 Ok(()) => self.process_queue(turn),
-                Err(error) => answer(turn, operator, Err(error)),
+                Err(error) => respond(turn, command_id, Err(error)),
             },
-            "purge-boxes" => answer(turn, operator, self.show_cache_nodes()),
-            "purges" => answer(turn, operator, Ok(self.show_log(args))),
+            "purge-boxes" => respond(turn, command_id, self.show_cache_nodes()),
+            "purges" => respond(turn, command_id, Ok(self.show_log(args))),
             _ => {}
         }
     }
@@ -112,7 +116,7 @@
     fn queue_purge(
         &mut self,
         now: Timestamp,
-        operator: u64,
+        command_id: u64,
         args: &Value,
     ) -> Result<(), OperatorError> {
         if self.writer.is_some() {
@@ -132,32 +136,32 @@
             return Err(OperatorError::QueueFull);
         }
         let wait_s = args["wait_s"].as_u64();
-        let operator = Operator {
-            id: operator,
+        let pending = PendingResponse {
+            command_id,
             waits_until: wait_s.map(|seconds| now + seconds.min(MAX_WAIT_S) * SECOND),
         };
-        self.queue.push_back(QueuedCommand { operator, command });
+        self.queue.push_back(QueuedCommand { pending, command });
         Ok(())
     }
 
     /// Starts to make the next queued purge durable, unless another write is pending.
     pub(super) fn process_queue(&mut self, turn: &mut Turn<'_>) {
         while self.appending.is_none() {
-            let Some(QueuedCommand { operator, command }) = self.queue.pop_front() else {
+            let Some(QueuedCommand { pending, command }) = self.queue.pop_front() else {
                 return;
             };
             if let Some(cause) = &self.journal_failure {
                 let error = OperatorError::JournalFailed(cause.clone());
-                answer(turn, operator.id, Err(error));
+                respond(turn, pending.command_id, Err(error));
                 continue;
             }
-            match self.log.prepare(purge_date(turn), &command) {
+            match self.log.prepare(purge_timestamp(turn), &command) {
                 Ok(Prepared::Duplicate(number)) => {
-                    let shown = json!({"number": number, "repeated": true});
-                    self.answer_purge(turn, operator, number, shown);
+                    let response = json!({"number": number, "repeated": true});
+                    self.respond_to_purge(turn, pending, number, response);
                 }
-                Ok(Prepared::New(purge)) => self.append(turn, AppendingPurge { operator, purge }),
-                Err(error) => answer(turn, operator.id, Err(error.into())),
+                Ok(Prepared::New(purge)) => self.append(turn, AppendingPurge { pending, purge }),
+                Err(error) => respond(turn, pending.command_id, Err(error.into())),
             }
         }
     }
@@ -175,15 +179,15 @@
 
     /// Applies a purge that is durable.
     pub(super) fn purge_appended(&mut self, turn: &mut Turn<'_>, appended: AppendingPurge) {
-        let AppendingPurge { operator, purge } = appended;
+        let AppendingPurge { pending, purge } = appended;
         let number = purge.number;
         tracing::info!(number, what = ?purge.target, who = %purge.who, why = %purge.why, "purge");
         // Cannot fail: the purge was prepared as the next one, and none was appended since.
         let _ = self.log.append(self.log.identity, purge.clone());
         turn.effects
             .push(Effect::Purges(PurgeEffect::Purged(vec![purge])));
-        let shown = json!({"number": number, "repeated": false});
-        self.answer_purge(turn, operator, number, shown);
+        let response = json!({"number": number, "repeated": false});
+        self.respond_to_purge(turn, pending, number, response);
     }
 
     /// Handles a purge that could not be made durable. It still takes effect on this front, since it may be in the journal,
@@ -202,30 +206,30 @@
         turn.effects
             .push(Effect::Purges(PurgeEffect::Purged(vec![purge])));
         let error = OperatorError::NotDurable(cause.into());
-        answer(turn, failed.operator.id, Err(error));
+        respond(turn, failed.pending.command_id, Err(error));
     }
 
     /// Responds to a purge command now, or once the cache nodes have confirmed it if the operator waits for that.
-    fn answer_purge(
+    fn respond_to_purge(
         &mut self,
         turn: &mut Turn<'_>,
-        operator: Operator,
+        pending: PendingResponse,
         number: PurgeNumber,
-        shown: Value,
+        response: Value,
     ) {
-        match operator.waits_until.filter(|_| self.cache_nodes.is_some()) {
+        match pending.waits_until.filter(|_| self.cache_nodes.is_some()) {
             Some(until) => self.confirmation_waits.push(ConfirmationWait {
-                operator: operator.id,
+                command_id: pending.command_id,
                 until,
                 number,
             }),
-            None => answer(turn, operator.id, Ok(shown)),
+            None => respond(turn, pending.command_id, Ok(response)),
         }
-        self.serve_peers(turn);
+        self.advance_links(turn);
     }
 
     /// Responds to operators who wait for the cache nodes, once all have confirmed or the wait has timed out.
-    pub(super) fn answer_confirmation_waits(&mut self, turn: &mut Turn<'_>) {
+    pub(super) fn check_confirmation_waits(&mut self, turn: &mut Turn<'_>) {
         let Some(nodes) = &self.cache_nodes else {
             return;
         };
@@ -240,7 +244,7 @@
                 }),
                 false => return true,
             };
-            answer(turn, wait.operator, result);
+            respond(turn, wait.command_id, result);
             false
         });
     }
@@ -253,18 +257,24 @@
 
     fn show_log(&self, args: &Value) -> Value {
         let rows: Vec<Value> = match args["number"].as_u64() {
-            Some(number) => self.log.get(number).into_iter().map(row).collect(),
-            None => self.log.iter().rev().take(MAX_ROWS).map(row).collect(),
+            Some(number) => self.log.get(number).into_iter().map(purge_row).collect(),
+            None => self
+                .log
+                .iter()
+                .rev()
+                .take(MAX_ROWS)
+                .map(purge_row)
+                .collect(),
         };
         let followers = self.followers.as_ref();
         json!({"last": self.log.last_number(), "held_after": self.log.base(),
                "ledger": format!("{:016x}", self.log.identity), "not_kept": self.journal_failure,
-               "followers": followers.map(|followers| followers.known()), "purges": rows})
+               "followers": followers.map(|followers| followers.connected()), "purges": rows})
     }
 }
 
 /// The representation of a purge in responses.
-fn row(purge: &Purge) -> Value {
+fn purge_row(purge: &Purge) -> Value {
     let target = match &purge.target {
         PurgeTarget::Object(object) => json!({"object": format!("{object:016x}")}),
         PurgeTarget::Group(group) => json!({"group": group}),
@@ -280,7 +290,7 @@
     let names = ["object", "group", "tag", "pattern"];
     let mut given = names.into_iter().filter(|name| !args[*name].is_null());
     let (Some(name), None) = (given.next(), given.next()) else {
-        return Err(TargetError::NotOne);
+        return Err(TargetError::NotExactlyOne);
     };
     let value = &args[name];
     let text = value
@@ -304,5 +314,5 @@
 
 fn parse_group(text: &str) -> Option<PurgeTarget> {
     let number: u32 = text.parse().ok()?;
-    (number < GROUPS).then_some(PurgeTarget::Group(number))
+    (number < GROUP_COUNT).then_some(PurgeTarget::Group(number))
 }
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -44,9 +44,9 @@
         }
     }
 
-    fn is_silent(&self, now: Timestamp) -> bool {
-        let waiting = self.stored.is_none() || self.in_flight.is_some() || !self.stream.flushed();
-        waiting && now > self.last_progress_at + SILENCE_TIMEOUT
+    fn has_timed_out(&self, now: Timestamp) -> bool {
+        let awaited = self.stored.is_none() || self.in_flight.is_some() || !self.stream.flushed();
+        awaited && now > self.last_progress_at + SILENCE_TIMEOUT
     }
 
     /// Returns the number after which the next batch begins; `None` while no batch can be sent.
@@ -69,22 +69,22 @@
 
     /// Reads the hello, if it is complete. A follower of another log, or with a position that this log does not have, is told
     /// to reset its log.
-    fn read_introduction(&mut self, log: &PurgeLog) -> io::Result<()> {
+    fn read_hello(&mut self, log: &PurgeLog) -> io::Result<()> {
         let decoded = decode_hello(self.stream.input()).map_err(|e| invalid(e.0))?;
         let Some(Hello { ledger, last }) = decoded else {
             return Ok(());
         };
         self.stream.consume(HELLO_BYTES);
-        let known = (log.base()..=log.last_number()).contains(&last);
-        if ledger == log.identity && known {
+        let has_position = (log.base()..=log.last_number()).contains(&last);
+        if ledger == log.identity && has_position {
             self.stored = Some(last);
             return Ok(());
         }
-        let begin_anew = Frame {
+        let reset = Frame {
             anew: true,
             ..batch_frame(log, Vec::new())
         };
-        self.stream.push(outgoing(frame(&begin_anew)));
+        self.stream.push(outgoing(frame(&reset)));
         self.stored = Some(log.base());
         Ok(())
     }
@@ -123,8 +123,8 @@
     }
 }
 
-fn invalid(why: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why)
+fn invalid(message: &'static str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
 fn batch_frame(log: &PurgeLog, purges: Vec<Purge>) -> Frame {
@@ -144,7 +144,7 @@
     listener_key: usize,
     /// By the poller key of their connection.
     followers: HashMap<usize, Follower>,
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 impl Followers {
@@ -166,7 +166,7 @@
             listener: RestingListener::new(listener),
             listener_key,
             followers: HashMap::new(),
-            scratch: vec![0; READ_BUFFER_BYTES],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
         })
     }
 
@@ -182,12 +182,12 @@
     }
 
     /// Whether a poller key belongs to the listener or to a follower.
-    pub(super) fn has(&self, key: usize) -> bool {
+    pub(super) fn owns_key(&self, key: usize) -> bool {
         key == self.listener_key || self.followers.contains_key(&key)
     }
 
     /// Returns the number of followers whose hello was received.
-    pub(super) fn known(&self) -> usize {
+    pub(super) fn connected(&self) -> usize {
         let followers = self.followers.values();
         followers
             .filter(|follower| follower.stored.is_some())
@@ -222,13 +222,13 @@
             return Ok(());
         };
         follower.stream.flush(|()| {})?;
-        while let Some(received) = follower.stream.fill(&mut self.scratch)? {
+        while let Some(received) = follower.stream.fill(&mut self.read_buffer)? {
             if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             follower.last_progress_at = now;
             if follower.stored.is_none() {
-                follower.read_introduction(log)?;
+                follower.read_hello(log)?;
             }
             if follower.stored.is_none() {
                 continue;
@@ -245,8 +245,8 @@
     pub(super) fn send_due(&mut self, now: Timestamp, log: &PurgeLog) {
         self.listener.resume_if_due(now);
         self.followers.retain(|_, follower| {
-            let silent = follower.is_silent(now);
-            follower.send_if_due(now, log) && !silent
+            let timed_out = follower.has_timed_out(now);
+            follower.send_if_due(now, log) && !timed_out
         });
     }
 
--- a/front/src/server/drivers/purges/following.rs
+++ b/front/src/server/drivers/purges/following.rs
@@ -1,6 +1,6 @@
 //! Follower side of purge log replication. Purges from the writer take effect immediately, and are confirmed once durable.
 use super::journal_writer::DurablePosition;
-use super::{purge_date, Purges};
+use super::{purge_timestamp, Purges};
 use crate::protocol::follow::Frame;
 use crate::server::drivers::{Effect, PurgeEffect, Turn};
 use cranesill_purges::log::{AppendError, Appended, PurgeLog};
@@ -11,7 +11,7 @@
     pub(super) fn apply_frames(&mut self, turn: &mut Turn<'_>, frames: Vec<Frame>) {
         for frame in frames {
             if frame.anew {
-                self.begin_anew(turn, &frame);
+                self.reset_log(turn, &frame);
             } else if !self.apply_batch(turn, frame) {
                 return;
             }
@@ -20,7 +20,7 @@
 
     /// Replaces the log by an empty one. Purges that the writer has compacted are older than any copy. If this front has
     /// purges that the writer may not know, all copies count as purged.
-    fn begin_anew(&mut self, turn: &mut Turn<'_>, frame: &Frame) {
+    fn reset_log(&mut self, turn: &mut Turn<'_>, frame: &Frame) {
         let lost = self.log.last_number() > 0;
         tracing::warn!(
             kind = "anew",
@@ -32,7 +32,7 @@
         self.durable = DurablePosition::end_of(&self.log);
         if lost {
             let everything = PurgeEffect::AllPurged {
-                up_to: purge_date(turn),
+                up_to: purge_timestamp(turn),
             };
             turn.effects.push(Effect::Purges(everything));
         }
@@ -56,7 +56,7 @@
             self.store_batch(turn, new);
         }
         if let (Some(number), Some(writer)) = (last_sent, &mut self.writer) {
-            writer.owe_confirmation(number);
+            writer.confirm_when_durable(number);
             writer.confirm_durable(turn.now, self.durable.number);
         }
         if frame.ledger == self.log.identity && frame.head == self.log.last_number() {
@@ -100,9 +100,9 @@
     }
 
     /// Closes the connection to the writer. After a reconnect it sends the purges again that are not durable here.
-    pub(super) fn disconnect_writer(&mut self, turn: &mut Turn<'_>, why: &str) {
+    pub(super) fn disconnect_writer(&mut self, turn: &mut Turn<'_>, reason: &str) {
         if let Some(writer) = &mut self.writer {
-            writer.disconnect(turn.now, why);
+            writer.disconnect(turn.now, reason);
         }
     }
 }
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -62,7 +62,7 @@
 
 /// Returns the timestamp of a purge that is accepted now. It includes the clock offset to the list service: a timestamp that
 /// is too early would let purged copies pass.
-fn purge_date(turn: &Turn<'_>) -> UnixMillis {
+fn purge_timestamp(turn: &Turn<'_>) -> UnixMillis {
     unix_ms(turn.now) + turn.behind_ms
 }
 
@@ -72,7 +72,12 @@
 }
 
 /// Enables the purge floors, with the purges that may still apply to a copy.
-fn announce(turn: &mut Turn<'_>, settings: &Settings, log: &PurgeLog, journal: &JournalWriter) {
+fn enable_floors(
+    turn: &mut Turn<'_>,
+    settings: &Settings,
+    log: &PurgeLog,
+    journal: &JournalWriter,
+) {
     let horizon = horizon(turn.now, settings);
     let live = log.iter().filter(|purge| purge.at_ms >= horizon);
     let live: Vec<Purge> = live.cloned().collect();
@@ -115,7 +120,7 @@
         let durable = loaded.durable();
         let log = loaded.log;
         journal.set_file(loaded.file);
-        announce(turn, settings, &log, &journal);
+        enable_floors(turn, settings, &log, &journal);
         let cache_nodes = settings.boxes.as_ref().map(|nodes| {
             let rate = nodes.per_s.into();
             CacheNodeLinks::new(turn.now, &log, kinds, rate, nodes.connections_most)
@@ -147,7 +152,7 @@
     }
 
     /// Sends what is due to followers, the writer and cache nodes, and responds to operators who wait for cache nodes.
-    fn serve_peers(&mut self, turn: &mut Turn<'_>) {
+    fn advance_links(&mut self, turn: &mut Turn<'_>) {
         if let Some(followers) = &mut self.followers {
             followers.send_due(turn.now, &self.log);
         }
@@ -166,7 +171,7 @@
             turn.effects
                 .push(Effect::Purges(PurgeEffect::Confirmed { up_to: number }));
         }
-        self.answer_confirmation_waits(turn);
+        self.check_confirmation_waits(turn);
     }
 
     fn handle_completed(&mut self, turn: &mut Turn<'_>, completed: Completed) {
@@ -271,15 +276,19 @@
 impl Driver for Purges {
     fn ready(&mut self, turn: &mut Turn<'_>, key: usize, _: bool, _: bool) {
         let head: PurgeNumber = self.log.last_number();
-        if let Some(nodes) = self.cache_nodes.as_mut().filter(|nodes| nodes.has(key)) {
+        if let Some(nodes) = self
+            .cache_nodes
+            .as_mut()
+            .filter(|nodes| nodes.owns_key(key))
+        {
             nodes.ready(turn.now, key, head);
-            return self.serve_peers(turn);
+            return self.advance_links(turn);
         }
-        if let Some(followers) = self.followers.as_mut().filter(|all| all.has(key)) {
+        if let Some(followers) = self.followers.as_mut().filter(|all| all.owns_key(key)) {
             followers.ready(turn, key, &self.log);
-            return self.serve_peers(turn);
+            return self.advance_links(turn);
         }
-        if let Some(writer) = self.writer.as_mut().filter(|writer| writer.has(key)) {
+        if let Some(writer) = self.writer.as_mut().filter(|writer| writer.owns_key(key)) {
             let frames = writer.read_frames(turn.now);
             return self.apply_frames(turn, frames);
         }
@@ -291,7 +300,7 @@
     }
 
     fn due(&mut self, turn: &mut Turn<'_>) {
-        self.serve_peers(turn);
+        self.advance_links(turn);
         self.now = turn.now;
         if turn.now >= self.next_sweep {
             self.next_sweep = turn.now + SWEEP_INTERVAL;
@@ -321,7 +330,7 @@
             }) => {
                 if let Some(nodes) = &mut self.cache_nodes {
                     nodes.apply_endpoints(turn.now, endpoints, *complete);
-                    self.serve_peers(turn);
+                    self.advance_links(turn);
                 }
             }
             Effect::Endpoints(EndpointEffect::ServedPurged { endpoint }) => {
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -28,10 +28,10 @@
 
 impl TestFollower {
     fn new() -> Self {
-        TestFollower::within(tempfile::tempdir().unwrap())
+        TestFollower::with_folder(tempfile::tempdir().unwrap())
     }
 
-    fn within(folder: tempfile::TempDir) -> Self {
+    fn with_folder(folder: tempfile::TempDir) -> Self {
         let writer = TcpListener::bind("127.0.0.1:0").unwrap();
         let follow =
             json!({"address": writer.local_addr().unwrap().to_string(), "lease_ms": 1_000});
@@ -58,8 +58,8 @@
     }
 
     /// Runs the driver until a condition holds.
-    fn until<T>(&mut self, mut holds: impl FnMut(&Purges) -> Option<T>) -> T {
-        let guard = Instant::now() + TEST_TIMEOUT;
+    fn until<T>(&mut self, mut condition: impl FnMut(&Purges) -> Option<T>) -> T {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let events = self.reactor.wait(0, Some(1_000)).unwrap();
             let mut effects = Vec::new();
@@ -75,10 +75,10 @@
                     .ready(&mut turn, event.key, event.readable, event.writable);
             }
             self.purges.due(&mut turn);
-            if let Some(found) = holds(&self.purges) {
-                return found;
+            if let Some(value) = condition(&self.purges) {
+                return value;
             }
-            assert!(Instant::now() < guard, "never came");
+            assert!(Instant::now() < deadline, "condition not met in time");
         }
     }
 
@@ -102,8 +102,8 @@
 
     /// Whether the follower sends nothing for 200 ms.
     fn is_silent(&mut self, socket: &mut TcpStream) -> bool {
-        let over = Instant::now() + Duration::from_millis(200);
-        self.until(|_| (Instant::now() > over).then_some(()));
+        let end = Instant::now() + Duration::from_millis(200);
+        self.until(|_| (Instant::now() > end).then_some(()));
         socket.set_nonblocking(true).unwrap();
         matches!(socket.read(&mut [0; 1]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -134,24 +134,24 @@
 }
 
 #[test]
-fn a_follower_confirms_and_claims_only_what_is_durable_and_recovers_once_its_disk_is_well() {
+fn a_follower_confirms_only_durable_purges_and_recovers_from_a_disk_failure() {
     let mut follower = TestFollower::new();
     let path = follower.folder.path().join("purges");
     let (mut socket, _) = follower.hello();
-    let anew = Frame {
+    let reset = Frame {
         anew: true,
         ledger: LOG,
         base: 0,
         head: 0,
         purges: Vec::new(),
     };
-    socket.write_all(&frame(&anew)).unwrap();
+    socket.write_all(&frame(&reset)).unwrap();
     socket.write_all(&batch(1, 2)).unwrap();
     assert_eq!(u64::from_le_bytes(follower.read_exactly(&mut socket)), 2);
     // Appending to the journal and rewriting it fail from now on.
-    let aside = path.with_extension("tmp");
-    std::fs::create_dir(&aside).unwrap();
-    let kept = std::fs::read(&path).unwrap();
+    let temporary = path.with_extension("tmp");
+    std::fs::create_dir(&temporary).unwrap();
+    let stored = std::fs::read(&path).unwrap();
     let full = std::fs::OpenOptions::new()
         .append(true)
         .open("/dev/full")
@@ -167,7 +167,7 @@
         .append_handle = Some(full);
     socket.write_all(&batch(3, 3)).unwrap();
     follower.until(|purges| purges.journal_failure.clone());
-    assert_eq!(std::fs::read(&path).unwrap(), kept);
+    assert_eq!(std::fs::read(&path).unwrap(), stored);
     // The purge takes effect, and is not confirmed to the writer since a restart would lose it.
     assert_eq!(follower.purges.log.last_number(), 3);
     follower.now += 2 * SECOND;
@@ -182,7 +182,7 @@
     socket.write_all(&batch(3, 3)).unwrap();
     assert!(follower.is_silent(&mut socket));
     // The disk works again: the journal is rewritten, and the pending purge is confirmed.
-    std::fs::remove_dir(&aside).unwrap();
+    std::fs::remove_dir(&temporary).unwrap();
     for _ in 0..=SWEEP_INTERVAL / SECOND {
         follower.now += SECOND;
         socket.write_all(&batch(4, 3)).unwrap();
@@ -190,49 +190,41 @@
     }
     assert_eq!(u64::from_le_bytes(follower.read_exactly(&mut socket)), 3);
     let mut file = DiskFile::new(path.clone());
-    let OpenedJournal::Complete {
-        log: ledger,
-        torn_bytes: torn,
-    } = journal::open(&mut file).unwrap()
-    else {
+    let OpenedJournal::Complete { log, torn_bytes } = journal::open(&mut file).unwrap() else {
         panic!()
     };
-    assert_eq!((ledger.last_number(), torn), (3, 0));
+    assert_eq!((log.last_number(), torn_bytes), (3, 0));
     socket.write_all(&batch(4, 4)).unwrap();
     assert_eq!(u64::from_le_bytes(follower.read_exactly(&mut socket)), 4);
 }
 
 #[test]
-fn a_disk_that_is_full_at_the_start_ends_no_start_and_is_written_once_it_is_well() {
+fn a_full_disk_does_not_prevent_the_start_and_the_journal_is_rewritten_later() {
     // A truncated, a missing and a damaged journal, each of which has to be rewritten.
-    let mut whole = Memory::default();
-    journal::rewrite(&mut whole, &PurgeLog::new(LOG)).unwrap();
-    journal::append_purge(&mut whole, &purge(1)).unwrap();
-    let torn = whole.0[..whole.0.len() - 1].to_vec();
-    let mut damaged = whole.0.clone();
+    let mut intact = Memory::default();
+    journal::rewrite(&mut intact, &PurgeLog::new(LOG)).unwrap();
+    journal::append_purge(&mut intact, &purge(1)).unwrap();
+    let truncated = intact.0[..intact.0.len() - 1].to_vec();
+    let mut damaged = intact.0.clone();
     damaged[30] ^= 1;
-    for found in [Some(torn), None, Some(damaged)] {
+    for stored in [Some(truncated), None, Some(damaged)] {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("purges");
-        found
+        stored
             .iter()
             .for_each(|bytes| std::fs::write(&path, bytes).unwrap());
-        let aside = path.with_extension("tmp");
-        std::os::unix::fs::symlink("/dev/full", &aside).unwrap();
-        let mut follower = TestFollower::within(folder);
-        assert!(follower.purges.journal_failure.is_some(), "{found:?}");
-        std::fs::remove_file(&aside).unwrap();
+        let temporary = path.with_extension("tmp");
+        std::os::unix::fs::symlink("/dev/full", &temporary).unwrap();
+        let mut follower = TestFollower::with_folder(folder);
+        assert!(follower.purges.journal_failure.is_some(), "{stored:?}");
+        std::fs::remove_file(&temporary).unwrap();
         follower.now += SWEEP_INTERVAL;
         follower.until(|purges| purges.journal_failure.is_none().then_some(()));
         let mut file = DiskFile::new(path);
-        let OpenedJournal::Complete {
-            log: ledger,
-            torn_bytes: torn,
-        } = journal::open(&mut file).unwrap()
-        else {
+        let OpenedJournal::Complete { log, torn_bytes } = journal::open(&mut file).unwrap() else {
             panic!()
         };
-        assert_eq!((&ledger, torn), (&follower.purges.log, 0));
+        assert_eq!((&log, torn_bytes), (&follower.purges.log, 0));
     }
 }
 
--- a/front/src/server/drivers/purges/writer_link.rs
+++ b/front/src/server/drivers/purges/writer_link.rs
@@ -34,7 +34,7 @@
     failures: u32,
     /// Last purge that arrived on this connection and is not confirmed yet.
     unconfirmed: Option<PurgeNumber>,
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 impl WriterLink {
@@ -51,12 +51,12 @@
             connect_at: now,
             failures: 0,
             unconfirmed: None,
-            scratch: vec![0; READ_BUFFER_BYTES],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
         })
     }
 
     /// Whether a poller key belongs to this connection.
-    pub(super) fn has(&self, key: usize) -> bool {
+    pub(super) fn owns_key(&self, key: usize) -> bool {
         let connection = self.connection.as_ref();
         connection.is_some_and(|connection| connection.key == key)
     }
@@ -79,7 +79,7 @@
         }
         stream.flush(|()| {})?;
         // One read per turn, so that a writer with many purges does not block the event loop.
-        if let Some(received) = stream.fill(&mut self.scratch)? {
+        if let Some(received) = stream.fill(&mut self.read_buffer)? {
             if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
@@ -98,9 +98,9 @@
     }
 
     /// Closes a connection that has failed or sent invalid data. It is reopened after a backoff.
-    pub(super) fn disconnect(&mut self, now: Timestamp, why: &str) {
+    pub(super) fn disconnect(&mut self, now: Timestamp, reason: &str) {
         if self.connection.take().is_some() || self.failures == 0 {
-            tracing::info!(kind = "writer-lost", writer = %self.address, error = why, "purges: no connection to the writer");
+            tracing::info!(kind = "writer-lost", writer = %self.address, error = reason, "purges: connection to the writer lost; reconnecting with backoff");
         }
         // The writer rejects a confirmation of a batch that it has not sent on the same connection.
         self.unconfirmed = None;
@@ -110,7 +110,7 @@
     }
 
     /// Schedules a confirmation of all purges up to a number for when they are durable.
-    pub(super) fn owe_confirmation(&mut self, number: PurgeNumber) {
+    pub(super) fn confirm_when_durable(&mut self, number: PurgeNumber) {
         self.unconfirmed = Some(number);
     }
 
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -72,10 +72,10 @@
 
 /// Returns the path of the snapshot of the front `name`.
 pub fn file_path(folder: &Path, name: &str) -> PathBuf {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     let name: String = name
         .bytes()
-        .map(|b| if plain(b) { char::from(b) } else { '_' })
+        .map(|b| if allowed(b) { char::from(b) } else { '_' })
         .collect();
     folder.join(format!("{name}.list"))
 }
--- a/front/src/server/drivers/snapshot/tests.rs
+++ b/front/src/server/drivers/snapshot/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_a_killed_process_left_half_written_is_taken_away_and_nothing_else() {
+fn only_temporary_files_of_the_same_front_are_removed() {
     let folder = tempfile::tempdir().unwrap();
     let at = |name: &str| folder.path().join(name);
     let others = ["n1.list", "n10.77.tmp", "n1.notes.tmp", "n1..tmp", "n1.tmp"];
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_write_that_fails_leaves_the_snapshot_before_it_and_nothing_half_written() {
+fn a_failed_write_keeps_the_earlier_snapshot_and_leaves_no_temporary_file() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("n1.list");
     replace_file(&path, "before").unwrap();
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -67,7 +67,7 @@
 
 /// A handshake that was given a slot. It may have ended since.
 struct Admitted {
-    at: Timestamp,
+    admitted_at: Timestamp,
     key: usize,
 }
 
@@ -147,7 +147,7 @@
         }
         let free = self.slots.len() < self.settings.handshakes_most;
         let oldest = self.admitted.front();
-        free || oldest.is_none_or(|oldest| now >= oldest.at + MIN_SLOT_DURATION)
+        free || oldest.is_none_or(|oldest| now >= oldest.admitted_at + MIN_SLOT_DURATION)
     }
 
     /// Whether a connection may be accepted: a slot is available, and no handshake waits because the CPU share is used up.
@@ -195,7 +195,10 @@
             self.counters.displaced += 1;
             self.handshakes.remove(&displaced);
         }
-        self.admitted.push_back(Admitted { at: turn.now, key });
+        self.admitted.push_back(Admitted {
+            admitted_at: turn.now,
+            key,
+        });
         self.handshakes.insert(key, Handshake::new(socket));
     }
 
@@ -287,7 +290,7 @@
             .admitted
             .front()
             .filter(|oldest| full && self.handshakes.contains_key(&oldest.key))
-            .map_or(0, |oldest| oldest.at + MIN_SLOT_DURATION);
+            .map_or(0, |oldest| oldest.admitted_at + MIN_SLOT_DURATION);
         let cpu_at = self.cpu_share.next_start();
         Some(slot_at.max(cpu_at).max(self.accept_resumes_at))
     }
@@ -326,8 +329,8 @@
     fn due(&mut self, turn: &mut Turn<'_>) {
         self.close_expired(turn.now);
         self.advance_ready(turn);
-        let paused = self.accepting || self.draining || turn.now < self.accept_resumes_at;
-        if !paused && self.has_slot(turn.now) && self.cpu_share.may_start(turn.now) {
+        let unchanged = self.accepting || self.draining || turn.now < self.accept_resumes_at;
+        if !unchanged && self.has_slot(turn.now) && self.cpu_share.may_start(turn.now) {
             self.watch_listener(true);
         }
         self.failure_log.log_if_due(turn.now);
--- a/front/src/server/drivers/tls/handshake.rs
+++ b/front/src/server/drivers/tls/handshake.rs
@@ -15,7 +15,7 @@
     /// The client closed the connection.
     Closed,
     /// A read or write failed.
-    Broken,
+    ConnectionFailed,
     /// The client sent more than [`MAX_HANDSHAKE_BYTES`].
     TooLong,
     /// The first message is not a valid ClientHello.
@@ -33,7 +33,7 @@
     pub(super) fn label(self) -> &'static str {
         match self {
             HandshakeError::Closed => "closed",
-            HandshakeError::Broken => "broken",
+            HandshakeError::ConnectionFailed => "broken",
             HandshakeError::TooLong => "too-long",
             HandshakeError::Malformed => "garbage",
             HandshakeError::NoAgreement => "no-agreement",
@@ -61,7 +61,7 @@
 
 /// Outcome of a read from the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Arrival {
+enum ReadOutcome {
     Bytes,
     WouldBlock,
 }
@@ -89,7 +89,7 @@
         selector: &CertificateSelector,
     ) -> Result<Progress, HandshakeError> {
         loop {
-            let arrival = self.read()?;
+            let outcome = self.read()?;
             if self.bytes_read > MAX_HANDSHAKE_BYTES {
                 return Err(HandshakeError::TooLong);
             }
@@ -108,13 +108,13 @@
                     }
                 }
             }
-            if arrival == Arrival::WouldBlock {
+            if outcome == ReadOutcome::WouldBlock {
                 return Ok(Progress::Pending);
             }
         }
     }
 
-    fn read(&mut self) -> Result<Arrival, HandshakeError> {
+    fn read(&mut self) -> Result<ReadOutcome, HandshakeError> {
         let mut socket: &TcpStream = &self.socket;
         loop {
             let read = match &mut self.phase {
@@ -125,11 +125,13 @@
                 Ok(0) => return Err(HandshakeError::Closed),
                 Ok(n) => {
                     self.bytes_read += n;
-                    return Ok(Arrival::Bytes);
+                    return Ok(ReadOutcome::Bytes);
+                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    return Ok(ReadOutcome::WouldBlock)
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Arrival::WouldBlock),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Err(HandshakeError::Broken),
+                Err(_) => return Err(HandshakeError::ConnectionFailed),
             }
         }
     }
@@ -207,7 +209,7 @@
             Ok(n) if n > 0 => {}
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            _ => return Err(HandshakeError::Broken),
+            _ => return Err(HandshakeError::ConnectionFailed),
         }
     }
     Ok(())
