--- a/front/src/server/drivers/certs/challenges.rs
+++ b/front/src/server/drivers/certs/challenges.rs
@@ -15,7 +15,7 @@
 /// Maximum number of connections accepted per turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
 const MAX_REQUEST_BYTES: usize = 4 * 1024;
-/// Time from accept after which a client is disconnected.
+/// Time after accepting a client at which it is disconnected.
 const CLIENT_TIMEOUT: Micros = 5_000_000;
 const READ_BUFFER_BYTES: usize = 1024;
 const MAX_HEADERS: usize = 32;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Disconnects clients that take too long, and lets the listener go on.
+    /// Disconnects clients that have timed out, and resumes a paused listener.
     pub(super) fn due(&mut self, now: Timestamp) {
         if let Some(listener) = &mut self.listener {
             listener.socket.resume_if_due(now);
@@ -173,7 +173,7 @@
     let key = turn.key();
     let listener = at_start(|| listen(configured)).map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
-    tracing::info!(at = %address, "listening for http-01 challenges");
+    tracing::info!(at = %address, "http-01 challenge listener open");
     let listener = turn.reactor.watch(listener, key, false);
     let socket = RestingListener::new(listener.map_err(listen_error)?);
     Ok(Listener { socket, key })
--- a/front/src/server/drivers/control.rs
+++ b/front/src/server/drivers/control.rs
@@ -128,7 +128,7 @@
         let listener_key = turn.key();
         let listener = turn.reactor.watch(bind(path)?, listener_key, false);
         let listener = listener.map_err(SocketError::Watch)?;
-        tracing::info!(path = %path.display(), "listening on the control socket");
+        tracing::info!(path = %path.display(), "control socket open");
         Ok(Control {
             listener: RestingListener::new(listener),
             listener_key,
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -18,7 +18,7 @@
 const CALL_GRACE: Micros = 20_000;
 /// Time between attempts of `accept` or `listen` after a failure.
 const RETRY_INTERVAL: Micros = 100_000;
-/// Time from accept after which a caller is disconnected.
+/// Time after accepting a caller at which it is disconnected.
 const CALLER_TIMEOUT: Micros = 5_000_000;
 /// Time after the response in which the caller may close the connection itself.
 const CLOSE_TIMEOUT: Micros = 500_000;
@@ -92,7 +92,7 @@
         let listener = turn
             .reactor
             .watch(listen(self.address)?, self.listener_key, false)?;
-        tracing::info!(at = %listener.local_addr()?, "listening for operators");
+        tracing::info!(at = %listener.local_addr()?, "operator listener open");
         self.listener = Some(listener);
         Ok(())
     }
--- a/front/src/server/drivers/purges/commands.rs
+++ b/front/src/server/drivers/purges/commands.rs
@@ -181,7 +181,7 @@
     pub(super) fn purge_appended(&mut self, turn: &mut Turn<'_>, appended: AppendingPurge) {
         let AppendingPurge { pending, purge } = appended;
         let number = purge.number;
-        tracing::info!(number, what = ?purge.target, who = %purge.who, why = %purge.why, "purge");
+        tracing::info!(number, what = ?purge.target, who = %purge.who, why = %purge.why, "purges: purge accepted");
         // Cannot fail: the purge was prepared as the next one, and none was appended since.
         let _ = self.log.append(self.log.identity, purge.clone());
         turn.effects
--- a/front/src/server/drivers/purges/following.rs
+++ b/front/src/server/drivers/purges/following.rs
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Replaces the log by an empty one. Purges that the writer has compacted are older than any copy. If this front has
-    /// purges that the writer may not know, all copies count as purged.
+    /// Replaces the log by an empty one. Purges that the writer has compacted are older than any copy. If the replaced log
+    /// had purges, the writer may lack some of them, so all copies count as purged.
     fn reset_log(&mut self, turn: &mut Turn<'_>, frame: &Frame) {
         let lost = self.log.last_number() > 0;
         tracing::warn!(
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -84,7 +84,7 @@
     // Without a journal, earlier purges are unknown.
     let unknown = journal.file().is_none();
     let last = log.last_number();
-    tracing::info!(last, live = live.len(), unknown, "purges");
+    tracing::info!(last, live = live.len(), unknown, "purges: log loaded");
     let purged_up_to = unknown.then(|| unix_ms(turn.now));
     let enabled = PurgeEffect::Enabled {
         settings: settings.clone(),
@@ -217,7 +217,7 @@
         tracing::error!(
             kind = "not-kept",
             error = cause,
-            "purges: cannot write the journal; rejecting purges until it is rewritten"
+            "purges: cannot write the journal; it will be rewritten"
         );
         self.journal_failure = Some(cause.into());
         if let Some(failed) = self.appending.take() {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Starts to rewrite the journal, which drops compacted purges and the remains of failed writes.
+    /// Starts to rewrite the journal, which drops compacted purges and partial records of failed writes.
     fn rewrite_journal(&mut self, turn: &mut Turn<'_>) {
         if self.journal.file().is_none() {
             return;
--- a/front/src/server/drivers/purges/start.rs
+++ b/front/src/server/drivers/purges/start.rs
@@ -195,7 +195,7 @@
     if !full && error.raw_os_error() != Some(libc::EIO) {
         return Err(error);
     }
-    tracing::error!(kind = "not-kept", %error, "purges: cannot rewrite the journal; rejecting purges until a retry succeeds");
+    tracing::error!(kind = "not-kept", %error, "purges: cannot rewrite the journal; retrying");
     Ok(Some(error.to_string()))
 }
 
--- a/front/tests/common/desk.rs
+++ b/front/tests/common/desk.rs
@@ -16,7 +16,7 @@
 }
 
 pub fn ops_of(log: &Receiver<String>) -> SocketAddr {
-    field(&until(log, "listening for operators"), "at")
+    field(&until(log, "operator listener open"), "at")
         .parse()
         .unwrap()
 }
--- a/front/tests/daily.rs
+++ b/front/tests/daily.rs
@@ -41,7 +41,7 @@
     assert!(!stage
         .log
         .try_iter()
-        .any(|line| line.contains("listening for operators")));
+        .any(|line| line.contains("operator listener open")));
 }
 
 #[test]
@@ -307,7 +307,7 @@
     client.ask(1, "page-bits", "20000", &[], b"");
     assert!(client.hear().unwrap().contains("bytes"));
     assert!(old.front.wait().unwrap().success());
-    until(&new.log, "listening for operators");
+    until(&new.log, "operator listener open");
     assert_eq!(
         figures(at)["handled.page-bits.passed"],
         1,
