--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -93,7 +93,7 @@
     listener_key: usize,
     peers: Vec<SocketAddr>,
     bootstrap: PeerBootstrap,
-    known: Snapshot,
+    list: Snapshot,
     lifetimes: ListLifetimes,
     clients: Clients,
     polls: HashMap<usize, Poll>,
@@ -135,11 +135,11 @@
 }
 
 impl Peers {
-    /// Opens the listener for peers. `known` is the front's initial list.
+    /// Opens the listener for peers. `list` is the front's initial list.
     pub fn new(
         turn: &mut Turn<'_>,
         settings: &Settings,
-        known: Snapshot,
+        list: Snapshot,
         seed: u64,
         lifetimes: ListLifetimes,
     ) -> Result<Self, PeersError> {
@@ -157,7 +157,7 @@
             listener_key,
             peers,
             bootstrap,
-            known,
+            list,
             lifetimes,
             clients: Clients::default(),
             polls: HashMap::new(),
@@ -180,7 +180,7 @@
         let Ok(mut stream) = connected else {
             return self.bootstrap.record_failure(turn.now, peer);
         };
-        let known_revision = self.known.number;
+        let known_revision = self.list.number;
         stream.push(outgoing(known_revision.to_be_bytes().to_vec()));
         let poll = Poll {
             peer,
@@ -222,8 +222,8 @@
         }
         // This front's list may have been updated since the peer was polled.
         let required = ListRequirements {
-            source: self.known.source,
-            known_revision: poll.known_revision.max(self.known.number),
+            source: self.list.source,
+            known_revision: poll.known_revision.max(self.list.number),
             max_age_ms: self.lifetimes.serve_ms,
         };
         match decode_list(response, required) {
@@ -242,7 +242,7 @@
             revision: list.number,
             digest: list.digest(),
         };
-        let known_revision = self.known.number;
+        let known_revision = self.list.number;
         let quorum = self
             .bootstrap
             .record_offer(turn.now, peer, known_revision, offer);
@@ -282,8 +282,8 @@
     /// Returns the state for operators.
     fn state(&self) -> Value {
         json!({
-            "last_event": self.known.number,
-            "known_ms_ago": wall_clock_ms().saturating_sub(self.known.at_ms),
+            "last_event": self.list.number,
+            "known_ms_ago": wall_clock_ms().saturating_sub(self.list.at_ms),
             "served": self.clients.served(),
             "offered": self.counters.offered,
             "taken": self.counters.adopted,
@@ -298,9 +298,7 @@
             return self.accept(turn);
         }
         if self.clients.contains(key) {
-            return self
-                .clients
-                .advance(key, &self.known, &mut self.read_buffer);
+            return self.clients.advance(key, &self.list, &mut self.read_buffer);
         }
         let progress = self.advance_poll(key);
         if matches!(progress, Ok(Progress::Pending)) {
@@ -345,7 +343,7 @@
             Effect::Endpoints(EndpointEffect::WatchEvent { revision, event }) => {
                 self.service_seen_at = Some(turn.now);
                 let purge_ms = self.lifetimes.purge_ms;
-                self.known.apply(
+                self.list.apply(
                     *revision,
                     wall_clock_ms(),
                     turn.now / 1_000,
@@ -355,11 +353,11 @@
             }
             Effect::Endpoints(EndpointEffect::Current) => {
                 self.service_seen_at = Some(turn.now);
-                self.known.at_ms = wall_clock_ms();
+                self.list.at_ms = wall_clock_ms();
             }
             Effect::Endpoints(EndpointEffect::Adopted(list)) => {
                 self.counters.adopted += 1;
-                self.known = Snapshot::clone(list);
+                self.list = Snapshot::clone(list);
             }
             Effect::Admin(AdminEffect::Command { id, name, .. }) if name == "peers" => {
                 turn.effects.push(Effect::response(*id, Ok(self.state())));
--- a/front/src/server/drivers/peers/clients.rs
+++ b/front/src/server/drivers/peers/clients.rs
@@ -53,11 +53,11 @@
     }
 
     /// Reads from and writes to a client. Closes the connection once the exchange is complete or has failed.
-    pub(super) fn advance(&mut self, key: usize, known: &Snapshot, read_buffer: &mut [u8]) {
+    pub(super) fn advance(&mut self, key: usize, list: &Snapshot, read_buffer: &mut [u8]) {
         let Some(client) = self.connections.get_mut(&key) else {
             return;
         };
-        if exchange(client, known, read_buffer, &mut self.served).is_err() {
+        if exchange(client, list, read_buffer, &mut self.served).is_err() {
             self.connections.remove(&key);
         }
     }
@@ -80,7 +80,7 @@
 /// exchange.
 fn exchange(
     client: &mut Client,
-    known: &Snapshot,
+    list: &Snapshot,
     read_buffer: &mut [u8],
     served: &mut u64,
 ) -> io::Result<()> {
@@ -93,7 +93,7 @@
     if let Some(request) = request.filter(|_| !client.responded) {
         client.responded = true;
         let client_revision = u64::from_be_bytes(request);
-        let newer = Some(known).filter(|known| known.number > client_revision);
+        let newer = Some(list).filter(|list| list.number > client_revision);
         if let Some(text) = newer.and_then(Snapshot::encode) {
             *served += 1;
             client.stream.push(outgoing(text.into()));
--- a/front/src/server/drivers/purges/tests.rs
+++ b/front/src/server/drivers/purges/tests.rs
@@ -93,10 +93,10 @@
 
     fn read_exactly<const N: usize>(&mut self, socket: &mut TcpStream) -> [u8; N] {
         socket.set_nonblocking(true).unwrap();
-        let (mut all, mut at) = ([0; N], 0);
+        let (mut buffer, mut filled) = ([0; N], 0);
         self.until(|_| {
-            at += socket.read(&mut all[at..]).unwrap_or(0);
-            (at == N).then_some(all)
+            filled += socket.read(&mut buffer[filled..]).unwrap_or(0);
+            (filled == N).then_some(buffer)
         })
     }
 
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -18,8 +18,8 @@
 const MAX_SCANNED_FILES: usize = 10_000;
 /// Minimum interval between two writes.
 const WRITE_INTERVAL: Micros = 1_000_000;
-/// Interval of writes while the list does not change. They update the time at which the list was last known to be current,
-/// which is wall clock time since another process reads it, and correct it after a step of the wall clock.
+/// Interval of writes while the list does not change. They update the time at which the list was last known to be current.
+/// It is wall clock time since another process reads it, and these writes also correct it after a step of the wall clock.
 const REFRESH_INTERVAL: Micros = 20_000_000;
 /// Time for which purges are kept beyond the time in which endpoints may hold older copies.
 const PURGE_MARGIN_MS: u64 = 2_000;
@@ -181,7 +181,7 @@
 /// The driver that stores the endpoint list on disk.
 pub struct Snapshots {
     path: PathBuf,
-    known: Snapshot,
+    list: Snapshot,
     purge_retention_ms: u64,
     workers: Workers<io::Result<()>>,
     /// Whether the list has changed since the last write was started.
@@ -195,11 +195,11 @@
 }
 
 impl Snapshots {
-    /// Stores the list `known`, and its later versions, at `path`. Endpoints may hold purged copies for `purge_propagation`.
+    /// Stores `list`, and its later versions, at `path`. Endpoints may hold purged copies for `purge_propagation`.
     pub fn new(
         turn: &mut Turn<'_>,
         path: PathBuf,
-        known: Snapshot,
+        list: Snapshot,
         purge_propagation: Micros,
     ) -> Result<Self, SnapshotsError> {
         let key = turn.key();
@@ -207,7 +207,7 @@
         remove_temporary_files(&path);
         Ok(Snapshots {
             path,
-            known,
+            list,
             purge_retention_ms: purge_retention_ms(purge_propagation),
             workers,
             dirty: false,
@@ -220,7 +220,7 @@
 
     fn apply_watch_event(&mut self, now: Timestamp, revision: u64, event: &WatchEvent) {
         let received_at_ms = now / 1_000;
-        self.known.apply(
+        self.list.apply(
             revision,
             wall_clock_ms(),
             received_at_ms,
@@ -252,7 +252,7 @@
         self.failing = true;
         tracing::warn!(
             kind = "snapshot",
-            purges = self.known.purges.len(),
+            purges = self.list.purges.len(),
             "endpoint list too large to store; the older one on disk is kept"
         );
     }
@@ -270,7 +270,7 @@
             return;
         }
         self.dirty = false;
-        let Some(text) = self.known.encode() else {
+        let Some(text) = self.list.encode() else {
             return self.report_too_large();
         };
         let path = self.path.clone();
@@ -293,12 +293,12 @@
                 self.apply_watch_event(turn.now, *revision, event);
             }
             EndpointEffect::Current if turn.now >= self.refreshed_at + REFRESH_INTERVAL => {
-                self.known.at_ms = wall_clock_ms();
+                self.list.at_ms = wall_clock_ms();
                 self.refreshed_at = turn.now;
-                self.dirty = self.known.number > 0;
+                self.dirty = self.list.number > 0;
             }
             EndpointEffect::Adopted(list) => {
-                self.known = Snapshot::clone(list);
+                self.list = Snapshot::clone(list);
                 self.dirty = true;
             }
             _ => {}
--- a/front/src/server/drivers/snapshot/tests.rs
+++ b/front/src/server/drivers/snapshot/tests.rs
@@ -3,15 +3,15 @@
 #[test]
 fn only_temporary_files_of_the_same_front_are_removed() {
     let folder = tempfile::tempdir().unwrap();
-    let at = |name: &str| folder.path().join(name);
+    let path = |name: &str| folder.path().join(name);
     let others = ["n1.list", "n10.77.tmp", "n1.notes.tmp", "n1..tmp", "n1.tmp"];
     others
         .iter()
         .chain(&["n1.77.tmp", "n1.4194304.tmp"])
-        .for_each(|name| fs::write(at(name), "half").unwrap());
-    remove_temporary_files(&at("n1.list"));
-    assert!(others.iter().all(|name| at(name).exists()));
-    assert!(!at("n1.77.tmp").exists() && !at("n1.4194304.tmp").exists());
+        .for_each(|name| fs::write(path(name), "partial").unwrap());
+    remove_temporary_files(&path("n1.list"));
+    assert!(others.iter().all(|name| path(name).exists()));
+    assert!(!path("n1.77.tmp").exists() && !path("n1.4194304.tmp").exists());
 }
 
 #[test]
--- a/settings/src/check/tests.rs
+++ b/settings/src/check/tests.rs
@@ -59,22 +59,22 @@
 #[test]
 fn reading_altered_settings_does_not_panic_and_never_accepts_a_fault() {
     // Replaces each value of valid settings in turn by values of other types and ranges.
-    fn paths(v: &Value, at: &str, all: &mut Vec<String>) {
-        all.push(at.to_string());
-        match v {
+    fn paths(value: &Value, base: &str, found: &mut Vec<String>) {
+        found.push(base.to_string());
+        match value {
             Value::Object(map) => map
                 .iter()
-                .for_each(|(k, v)| paths(v, &format!("{at}/{k}"), all)),
+                .for_each(|(k, v)| paths(v, &format!("{base}/{k}"), found)),
             Value::Array(list) => list
                 .iter()
                 .enumerate()
-                .for_each(|(i, v)| paths(v, &format!("{at}/{i}"), all)),
+                .for_each(|(i, v)| paths(v, &format!("{base}/{i}"), found)),
             _ => {}
         }
     }
-    let mut all = Vec::new();
-    paths(&valid_settings(), "", &mut all);
-    assert!(all.len() > 100);
+    let mut pointers = Vec::new();
+    paths(&valid_settings(), "", &mut pointers);
+    assert!(pointers.len() > 100);
     let replacements = [
         json!(null),
         json!(-1),
@@ -85,7 +85,7 @@
         json!([[1]]),
         json!(true),
     ];
-    for path in all {
+    for path in pointers {
         for value in &replacements {
             let mut settings = valid_settings();
             *settings.pointer_mut(&path).unwrap() = value.clone();
