--- a/src/policy/cache_choice.rs
+++ b/src/policy/cache_choice.rs
@@ -1,5 +1,6 @@
-//! Choice of the cache for a request: the first in rendezvous order that will do. An order is walked only as far as
-//! needed: in a large fleet no decision iterates over all endpoints.
+//! Choice of the cache for a request: the first suitable one in the rendezvous order of the object.
+//!
+//! Orders are evaluated lazily, so that in a large fleet no decision iterates over all endpoints.
 use super::endpoint::{Endpoint, EndpointIndex, Role};
 use super::placement::Order;
 use super::rendezvous_hash::mix;
@@ -7,41 +8,41 @@
 use super::router::Router;
 use crate::api::Request;
 
-/// Requests at a cache over its full capacity, as if all fronts of the zone had as many in flight as this one, from
-/// which an object spills over to the next cache with half of that.
-const SPILL_LOAD: f64 = 1.8;
-/// Requests that this front has in flight at least where it spills over.
+/// Estimated load of a cache, as requests of all fronts of the zone over its weight, above which an object spills over
+/// to the next cache with less than half that load.
+const MIN_SPILL_LOAD: f64 = 1.8;
+/// Minimum number of requests that this front has in flight at a cache before it spills over.
 const MIN_SPILL_IN_FLIGHT: u32 = 3;
-/// Utilization of the link from which nothing spills over: each cache more is a fill more.
+/// Link utilization from which objects do not spill over, since each additional cache means an additional fill.
 const MAX_SPILL_LINK_UTILIZATION: f64 = 1.0;
 
-/// How well a cache would do for a request; what is better is greater.
+/// Suitability of a cache for a request, ordered from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Fitness {
-    /// It has not failed the request.
-    untried: bool,
+struct Suitability {
+    /// Whether the cache has not yet failed this request.
+    has_not_failed: bool,
     has_capacity: bool,
 }
 
-impl Fitness {
-    const BEST: Fitness = Fitness {
-        untried: true,
+impl Suitability {
+    const BEST: Suitability = Suitability {
+        has_not_failed: true,
         has_capacity: true,
     };
 }
 
-/// A cache that was found in an order.
+/// A suitable cache found in an order.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     cache: EndpointIndex,
-    fitness: Fitness,
-    /// Position in the order after it.
+    suitability: Suitability,
+    /// Position in the order after the cache.
     next_position: usize,
 }
 
 impl Router {
-    /// What the rendezvous order of an object goes by. Caches keep each part of an object by itself, so there the
-    /// part is hashed too: a popular object would otherwise rest on one cache alone.
+    /// Key of the rendezvous order of an object. Caches store the parts of an object separately, so the part is
+    /// included for them: otherwise one cache would carry all load of a popular object.
     fn placement_key(role: Role, request: &Request) -> u64 {
         let part = match role {
             Role::Cache => u64::from(request.part),
@@ -50,21 +51,21 @@
         mix(request.object.0, part)
     }
 
-    /// The ready endpoints of a role in rendezvous order of the object.
+    /// The ready endpoints of a role, in rendezvous order of the object.
     pub(super) fn order(&mut self, role: Role, request: &Request) -> Order {
         let key = Self::placement_key(role, request);
         self.endpoints.ranking_mut(role).order(key)
     }
 
-    /// The ready caches that connections are kept to, in rendezvous order of the object.
-    fn order_of_connected(&self, request: &Request) -> Order {
+    /// The ready caches in the connection set, in rendezvous order of the object.
+    fn connected_order(&self, request: &Request) -> Order {
         let connected = self.connections.endpoints();
         let ready = connected.filter(|at| self.endpoints.is_ready(*at));
         let candidates = ready.map(|at| {
             let listed = &self.endpoints[at].listed;
             (listed.endpoint, listed.weight, at)
         });
-        Order::among(Self::placement_key(Role::Cache, request), candidates)
+        Order::from_endpoints(Self::placement_key(Role::Cache, request), candidates)
     }
 
     /// The endpoint at a position in an order.
@@ -77,14 +78,16 @@
         order.get(self.endpoints.ranking(role), position)
     }
 
-    /// The cache for a request: the first in rendezvous order that will do. While there are connections to as many
-    /// caches as can be, the first among those, unless none of them has capacity.
+    /// The cache for a request: the first suitable one in rendezvous order. While the connection set is full, caches
+    /// in the set are preferred unless none of them has capacity.
     pub(super) fn cache_for(&mut self, pending: &PendingRequest) -> Option<EndpointIndex> {
         self.refill_slow_start_budgets(Role::Cache, pending.is_idempotent());
         if self.connections.is_full() {
-            let order = self.order_of_connected(&pending.request);
+            let order = self.connected_order(&pending.request);
             let found = self.first_cache(pending, order);
-            if let Some((cache, _)) = found.filter(|(_, fitness)| *fitness == Fitness::BEST) {
+            if let Some((cache, _)) =
+                found.filter(|(_, suitability)| *suitability == Suitability::BEST)
+            {
                 return Some(cache);
             }
         }
@@ -92,42 +95,47 @@
         self.first_cache(pending, order).map(|(cache, _)| cache)
     }
 
-    /// The first cache in an order that is selectable, has not failed the request (while there is another) and that
-    /// slow start allows; one without capacity is skipped while another has some.
+    /// The first cache in an order that is selectable and that slow start allows. Caches that failed the request, or
+    /// have no capacity, are skipped as long as there is a better one.
     fn first_cache(
         &mut self,
         pending: &PendingRequest,
         mut order: Order,
-    ) -> Option<(EndpointIndex, Fitness)> {
+    ) -> Option<(EndpointIndex, Suitability)> {
         let mut best: Option<Candidate> = None;
         let mut position = 0;
         while let Some(cache) = self.ranked(Role::Cache, &mut order, position) {
             position += 1;
-            let Some(fitness) = self.fitness(pending, cache) else {
+            let Some(suitability) = self.suitability(pending, cache) else {
                 continue;
             };
-            if best.is_none_or(|best| fitness > best.fitness) {
+            if best.is_none_or(|best| suitability > best.suitability) {
                 best = Some(Candidate {
                     cache,
-                    fitness,
+                    suitability,
                     next_position: position,
                 });
             }
-            if fitness == Fitness::BEST {
+            if suitability == Suitability::BEST {
                 break;
             }
         }
         let best = best?;
         let spilled = self.spill_over(pending, best, order);
-        Some((spilled.unwrap_or(best.cache), best.fitness))
+        Some((spilled.unwrap_or(best.cache), best.suitability))
     }
 
-    /// How well a cache would do for a request; `None`: not at all. Only idempotent requests probe a SUSPECT one.
-    fn fitness(&mut self, pending: &PendingRequest, cache: EndpointIndex) -> Option<Fitness> {
-        let fits =
+    /// Suitability of a cache for a request; `None` if the request may not go there. Only idempotent requests probe a
+    /// SUSPECT cache.
+    fn suitability(
+        &mut self,
+        pending: &PendingRequest,
+        cache: EndpointIndex,
+    ) -> Option<Suitability> {
+        let is_suitable =
             self.is_healthy_for(cache, pending.is_idempotent()) && self.slow_start_allows(cache);
-        fits.then(|| Fitness {
-            untried: !pending.failed_targets.contains(&cache),
+        is_suitable.then(|| Suitability {
+            has_not_failed: !pending.failed_targets.contains(&cache),
             has_capacity: self.cache_has_capacity(cache),
         })
     }
@@ -140,8 +148,8 @@
         concurrency.has_scaled_capacity(self.now, factor)
     }
 
-    /// The next cache in the order for an object that the first one has too many requests for: one as fit, with half
-    /// of its load.
+    /// The next cache in the order with the same suitability and less than half the load, if the first cache is
+    /// overloaded and the link has capacity for another fill.
     fn spill_over(
         &mut self,
         pending: &PendingRequest,
@@ -149,9 +157,9 @@
         mut order: Order,
     ) -> Option<EndpointIndex> {
         let fronts = self.fronts_sharing(Role::Cache);
-        let load = load_of_all_fronts(&self.endpoints[first.cache], fronts);
+        let load = estimated_load(&self.endpoints[first.cache], fronts);
         let in_flight = self.endpoints[first.cache].concurrency.in_flight;
-        if load <= SPILL_LOAD || in_flight < MIN_SPILL_IN_FLIGHT {
+        if load <= MIN_SPILL_LOAD || in_flight < MIN_SPILL_IN_FLIGHT {
             return None;
         }
         let utilization = self.link_utilization();
@@ -161,8 +169,10 @@
         let mut position = first.next_position;
         while let Some(cache) = self.ranked(Role::Cache, &mut order, position) {
             position += 1;
-            let other_load = load_of_all_fronts(&self.endpoints[cache], fronts);
-            if other_load < load / 2.0 && self.fitness(pending, cache) == Some(first.fitness) {
+            let other_load = estimated_load(&self.endpoints[cache], fronts);
+            if other_load < load / 2.0
+                && self.suitability(pending, cache) == Some(first.suitability)
+            {
                 return Some(cache);
             }
         }
@@ -170,7 +180,8 @@
     }
 }
 
-/// Requests at a cache over its full capacity, if each of so many fronts had as many in flight as this one.
-fn load_of_all_fronts(cache: &Endpoint, fronts: u32) -> f64 {
+/// Estimated load of a cache, in requests over its weight, assuming that each of `fronts` fronts has as many requests
+/// in flight there as this one.
+fn estimated_load(cache: &Endpoint, fronts: u32) -> f64 {
     f64::from(cache.concurrency.in_flight * fronts) / cache.listed.weight
 }
--- a/src/policy/failure_detection.rs
+++ b/src/policy/failure_detection.rs
@@ -1,62 +1,67 @@
-//! Passive failure detection: which endpoint a failed attempt is charged to, and what follows from it.
+//! Passive failure detection: which endpoint is charged with a failed attempt, and the consequences.
 use super::endpoint::{EndpointIndex, Role};
 use super::health::{DownCause, Failure, HealthState};
 use super::router::Router;
 use crate::api::{Action, Timestamp};
 
 impl Router {
-    /// Whether requests may go to an endpoint as far as its health goes; only what `may_probe` goes to a SUSPECT one.
+    /// Whether the health of an endpoint admits a request; a SUSPECT one admits only requests that `may_probe`.
     pub(super) fn is_healthy_for(&self, at: EndpointIndex, may_probe: bool) -> bool {
         let health = &self.endpoints[at].health;
-        let trusted = may_probe || health.state(self.now) == HealthState::Up;
-        trusted && health.is_selectable(self.now)
+        let acceptable = may_probe || health.state(self.now) == HealthState::Up;
+        acceptable && health.is_selectable(self.now)
     }
 
-    /// Whether an endpoint is SUSPECT.
     pub(super) fn is_suspect(&self, at: EndpointIndex) -> bool {
         self.endpoints[at].health.state(self.now) == HealthState::Suspect
     }
 
-    /// Charges a failure to the endpoint that has been silent since `sent_at`: the target, or else the source.
-    pub(super) fn suspect_silent(
+    /// Charges a failure to the endpoint that has not responded since `sent_at`: the target, or else the source.
+    /// Returns the endpoint charged.
+    pub(super) fn charge_unresponsive(
         &mut self,
         target: EndpointIndex,
         source: Option<EndpointIndex>,
         sent_at: Timestamp,
     ) -> Option<EndpointIndex> {
-        let silent = |at: &EndpointIndex| self.endpoints[*at].health.last_answer_at() < sent_at;
-        let suspect = Some(target).filter(silent).or(source.filter(silent))?;
+        let unresponsive =
+            |at: &EndpointIndex| self.endpoints[*at].health.last_response_at() < sent_at;
+        let suspect = Some(target)
+            .filter(unresponsive)
+            .or(source.filter(unresponsive))?;
         self.record_failure(suspect, sent_at, Failure::Soft);
         Some(suspect)
     }
 
-    /// Whether most peers (other endpoints of the role) that were heard from since `sent_at` do well. Only then a
-    /// soft failure says something of this one: a fault that hits all alike (a slow origin, a full link, an
-    /// overload) must not take them DOWN. Failures that did not count tell too.
-    fn peers_do_well(&self, at: EndpointIndex, sent_at: Timestamp) -> bool {
+    /// Whether most peers (other endpoints of the role) that responded since `sent_at`, or have failures, are healthy.
+    /// Soft failures count only then: a fault that affects all peers alike, such as a slow origin, a full link or
+    /// overload, must not take them DOWN. Failures that were not counted are included.
+    fn most_peers_healthy(&self, at: EndpointIndex, sent_at: Timestamp) -> bool {
         let peers = self.endpoints.ready(self.endpoints[at].role).iter();
-        let mut known = 0_usize;
-        let mut well = 0_usize;
+        let mut observed = 0_usize;
+        let mut healthy = 0_usize;
         for peer in peers.filter(|peer| **peer != at) {
             let health = &self.endpoints[*peer].health;
-            let does_well = health.does_well();
-            if !does_well || health.last_answer_at() >= sent_at {
-                known += 1;
-                well += usize::from(does_well);
+            let is_healthy = health.has_few_failures();
+            if !is_healthy || health.last_response_at() >= sent_at {
+                observed += 1;
+                healthy += usize::from(is_healthy);
             }
         }
-        well * 2 > known
+        healthy * 2 > observed
     }
 
-    /// Counts a failure; when a cache goes DOWN by it, idempotent requests in flight there are moved.
+    /// Counts a failure. If it takes a cache DOWN, idempotent requests in flight there are retried elsewhere.
     pub(super) fn record_failure(
         &mut self,
         at: EndpointIndex,
         sent_at: Timestamp,
         failure: Failure,
     ) {
-        let silent_since = self.endpoints[at].health.note_failure(sent_at, self.now);
-        if failure == Failure::Soft && !self.peers_do_well(at, silent_since) {
+        let unresponsive_since = self.endpoints[at]
+            .health
+            .record_failure_time(sent_at, self.now);
+        if failure == Failure::Soft && !self.most_peers_healthy(at, unresponsive_since) {
             return;
         }
         let endpoint = &mut self.endpoints[at];
@@ -70,12 +75,12 @@
             "{role:?} {id:x} DOWN after {count} failures, {failure:?}"
         )));
         if role == Role::Cache {
-            self.move_requests_from(at);
+            self.cancel_attempts_at(at);
         }
     }
 
-    /// Cancels idempotent attempts at a cache, which leads to attempts elsewhere.
-    fn move_requests_from(&mut self, cache: EndpointIndex) {
+    /// Cancels idempotent attempts at a cache; each cancellation leads to an attempt elsewhere.
+    fn cancel_attempts_at(&mut self, cache: EndpointIndex) {
         if !self.settings.cancellation {
             return;
         }
@@ -91,15 +96,15 @@
         }
     }
 
-    /// Counts a served request of an endpoint.
+    /// Counts a request that an endpoint served.
     pub(super) fn record_success(&mut self, at: EndpointIndex, sent_at: Timestamp) {
-        let started_at = self.endpoints.shared_clock(self.now);
+        let started_at = self.endpoints.discovery_time(self.now);
         let endpoint = &mut self.endpoints[at];
         let Some(cause) = endpoint.health.count_success(sent_at, self.now) else {
             return;
         };
         if cause == DownCause::ConnectionLost {
-            // No connection was made before: the process died and comes back with an empty cache.
+            // The process had stopped, so it has restarted with an empty cache.
             endpoint.restart_slow_start(self.now, started_at);
             self.warming_up.insert(at);
         }
