--- a/daemon/src/diff.rs
+++ b/daemon/src/diff.rs
@@ -1,10 +1,10 @@
-//! What a reload takes over and what it can't.
+//! Compares two settings files: which changes a reload applies, and which need a restart.
 use crate::types::Daemon;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What changes in service; all else needs a restart.
-const LIVE: [&str; 14] = [
+/// Settings that a reload applies, with all below them. Any other change needs a restart.
+const RELOADABLE: [&str; 14] = [
     "log",
     "tls.handshakes_most",
     "tls.handshake_ms",
@@ -21,30 +21,35 @@
     "certs.orders_at_once",
 ];
 
-/// Paths of values that differ between two files.
+/// Paths of the values that differ between two files, such as `tls.core_percent`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Taken over in service.
-    pub taken: Vec<String>,
-    /// As they were until a restart.
-    pub restart: Vec<String>,
+    /// Paths of changes that a reload applies.
+    pub applied: Vec<String>,
+    /// Paths of changes that take effect after a restart.
+    pub needs_restart: Vec<String>,
 }
 
-/// Compares two files. Paths are without `$.`, in order; a section that comes or goes is one path.
+/// Compares two files. The paths are sorted and have no `$.` prefix; a section that is added or removed is one path.
 pub fn changes(old: &Daemon, new: &Daemon) -> Changes {
-    // All types serialize to objects: nothing in them can fail.
+    // The types serialize to plain objects, which cannot fail.
     let value = |d: &Daemon| serde_json::to_value(d).unwrap_or_default();
-    let mut found = BTreeSet::new();
-    walk(String::new(), &value(old), &value(new), &mut found);
-    let live = |path: &String| {
-        LIVE.iter()
-            .any(|l| path == l || path.starts_with(&format!("{l}.")))
+    let mut paths = BTreeSet::new();
+    collect_differences(String::new(), &value(old), &value(new), &mut paths);
+    let reloadable = |path: &String| {
+        RELOADABLE
+            .iter()
+            .any(|key| path == key || path.starts_with(&format!("{key}.")))
     };
-    let (taken, restart) = found.into_iter().partition(live);
-    Changes { taken, restart }
+    let (applied, needs_restart) = paths.into_iter().partition(reloadable);
+    Changes {
+        applied,
+        needs_restart,
+    }
 }
 
-fn walk(path: String, old: &Value, new: &Value, found: &mut BTreeSet<String>) {
+/// Adds the paths below `path` at which the values differ.
+fn collect_differences(path: String, old: &Value, new: &Value, paths: &mut BTreeSet<String>) {
     match (old, new) {
         (Value::Object(a), Value::Object(b)) => {
             for key in a.keys().chain(b.keys()) {
@@ -53,15 +58,15 @@
                 } else {
                     format!("{path}.{key}")
                 };
-                walk(
+                collect_differences(
                     path,
                     a.get(key).unwrap_or(&Value::Null),
                     b.get(key).unwrap_or(&Value::Null),
-                    found,
+                    paths,
                 );
             }
         }
         _ if old == new => {}
-        _ => drop(found.insert(path)),
+        _ => drop(paths.insert(path)),
     }
 }
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -130,7 +130,7 @@
     /// allocator.
     pub fn capacity_limits(&self) -> CapacityLimits {
         CapacityLimits {
-            max_pending: self.deployment.limits.open,
+            max_pending: self.deployment.limits.max_open_requests,
             max_buffered_bytes: self.memory / 2 / self.processes(),
         }
     }
--- a/front/src/server/event_loop/reload.rs
+++ b/front/src/server/event_loop/reload.rs
@@ -45,16 +45,16 @@
             self.with_driver(now, slot, |driver, turn| driver.reload(turn, &new));
         }
         self.deliver_effects(now);
-        if !changes.restart.is_empty() {
-            let paths = changes.restart.join(" ");
+        if !changes.needs_restart.is_empty() {
+            let paths = changes.needs_restart.join(" ");
             tracing::warn!(paths, "changed settings need a restart: not applied");
         }
         tracing::info!(
-            paths = changes.taken.join(" "),
+            paths = changes.applied.join(" "),
             "settings reloaded, changes taken over"
         );
         let running = std::mem::replace(&mut self.settings, new);
-        if !changes.restart.is_empty() {
+        if !changes.needs_restart.is_empty() {
             keep_until_restart(&mut self.settings, running);
         }
     }
