--- a/emulator/src/nodes.rs
+++ b/emulator/src/nodes.rs
@@ -58,7 +58,7 @@
                 let mut ramp = SlowStart::new(position, per_s.into(), Timestamp::MAX);
                 let admission = Admission::Staggered(Group {
                     kind: 0,
-                    near: true,
+                    same_zone: true,
                 });
                 let list = (0..nodes)
                     .map(|node| ListedEndpoint {
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -152,7 +152,7 @@
         let admission = |l: &EndpointRecord| match l.state {
             EndpointState::Ready if Some(l.kind) != self.origin => Admission::Staggered(Group {
                 kind: l.kind,
-                near: l.zone == self.zone,
+                same_zone: l.zone == self.zone,
             }),
             EndpointState::Removed => Admission::Removed,
             _ => Admission::Immediate,
--- a/startup/src/slow_start.rs
+++ b/startup/src/slow_start.rs
@@ -13,7 +13,7 @@
     /// Their kind.
     pub kind: u8,
     /// Whether they are in the zone of this front.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// How a listed endpoint is admitted.
--- a/startup/src/slow_start/tests.rs
+++ b/startup/src/slow_start/tests.rs
@@ -2,10 +2,10 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn staggered(id: u64, kind: u8, near: bool, entry: u64) -> ListedEndpoint<u64> {
+fn staggered(id: u64, kind: u8, same_zone: bool, entry: u64) -> ListedEndpoint<u64> {
     ListedEndpoint {
         id,
-        admission: Admission::Staggered(Group { kind, near }),
+        admission: Admission::Staggered(Group { kind, same_zone }),
         entry,
     }
 }
