--- a/front/src/server/floors.rs
+++ b/front/src/server/floors.rs
@@ -3,7 +3,7 @@
 use crate::routing::{PurgeFloors, RequestPipeline};
 use cranesill::api::Timestamp;
 use cranesill_daemon::{Purges, WithoutContact};
-use cranesill_purges::lease::{Lease, WhenExpired};
+use cranesill_purges::lease::{ExpiryPolicy, Lease};
 use cranesill_purges::shield::Shield;
 
 /// Applies a message of the purge log to the routing. Returns the message that follows from it, if any.
@@ -63,11 +63,11 @@
         floors.add_all(at);
     }
     floors.lease = settings.follow.as_ref().map(|follow| {
-        let when_expired = match follow.without_contact {
-            WithoutContact::Strict => WhenExpired::Strict,
-            WithoutContact::Available => WhenExpired::Available,
+        let expiry_policy = match follow.without_contact {
+            WithoutContact::Strict => ExpiryPolicy::Strict,
+            WithoutContact::Available => ExpiryPolicy::Available,
         };
-        Lease::expired(now, now / 1_000, follow.lease_ms * 1_000, when_expired)
+        Lease::expired(now, now / 1_000, follow.lease_ms * 1_000, expiry_policy)
     });
     front.floors = Some(floors);
     let shield_rate = settings.shield_per_s;
--- a/purges/src/lease.rs
+++ b/purges/src/lease.rs
@@ -4,7 +4,7 @@
 
 /// What a front does once its lease has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenExpired {
+pub enum ExpiryPolicy {
     /// It serves no copy older than one lease duration: purges made before that had arrived, or are covered by that
     /// floor. A floor fixed at the last renewal would let a copy pass that was created after it and purged later.
     Strict,
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct Lease {
     duration: Micros,
-    when_expired: WhenExpired,
+    expiry_policy: ExpiryPolicy,
     renewed_at: Timestamp,
     /// The same by the wall clock.
     renewed_at_ms: UnixMillis,
@@ -32,11 +32,11 @@
         now: Timestamp,
         now_ms: UnixMillis,
         duration: Micros,
-        when_expired: WhenExpired,
+        expiry_policy: ExpiryPolicy,
     ) -> Self {
         Lease {
             duration,
-            when_expired,
+            expiry_policy,
             renewed_at: now,
             renewed_at_ms: now_ms,
             reported: false,
@@ -49,13 +49,13 @@
         now: Timestamp,
         now_ms: UnixMillis,
         duration: Micros,
-        when_expired: WhenExpired,
+        expiry_policy: ExpiryPolicy,
     ) -> Self {
         Lease::new(
             now.saturating_sub(duration),
             now_ms.saturating_sub(duration / 1_000),
             duration,
-            when_expired,
+            expiry_policy,
         )
     }
 
@@ -82,8 +82,8 @@
 
     /// The earliest creation time of a copy that may be served, by the clock of `now_ms`; 0: any.
     pub fn floor(&self, now: Timestamp, now_ms: UnixMillis) -> UnixMillis {
-        match self.when_expired {
-            WhenExpired::Strict if self.is_expired(now) => {
+        match self.expiry_policy {
+            ExpiryPolicy::Strict if self.is_expired(now) => {
                 let one_lease_ago = now_ms.saturating_sub(self.duration / 1_000);
                 one_lease_ago.max(self.renewed_at_ms)
             }
@@ -93,7 +93,7 @@
 
     /// Counts a reply that is served although the lease has expired.
     pub fn record_reply(&mut self, now: Timestamp) {
-        if self.when_expired == WhenExpired::Available && self.is_expired(now) {
+        if self.expiry_policy == ExpiryPolicy::Available && self.is_expired(now) {
             self.unverified_replies += 1;
         }
     }
--- a/purges/tests/simulation.rs
+++ b/purges/tests/simulation.rs
@@ -2,7 +2,7 @@
 //! older than a purge that its front had known for half a second; with the strict lease, none older than one that the log
 //! had accepted longer ago than the lease and half a second; purges reach each node in order; all are confirmed once the
 //! faults end. The absence of each guard has to be found.
-use cranesill_purges::lease::{Lease, WhenExpired};
+use cranesill_purges::lease::{ExpiryPolicy, Lease};
 use cranesill_purges::log::{Appended, Command, Prepared, PurgeLog};
 use cranesill_purges::matching::{
     compile_patterns, tag_hash, PurgeMatcher, RequestAttributes, TagIndex,
@@ -132,7 +132,7 @@
                 START_MS * 1_000,
                 START_MS,
                 LEASE_MS * 1_000,
-                WhenExpired::Strict,
+                ExpiryPolicy::Strict,
             ),
             learned_at: BTreeMap::new(),
             cut_until: 0,
