--- a/startup/src/call_budget.rs
+++ b/startup/src/call_budget.rs
@@ -9,21 +9,21 @@
 /// Wait between two calls in the urgent period (see [`CallBudget::urgent_period`]).
 const URGENT_INTERVAL: Micros = 500_000;
 /// The quota of one front is at least this, as a wait between two calls of one front.
-const MIN_QUOTA: Micros = 1_000_000;
+const MIN_CALL_INTERVAL: Micros = 1_000_000;
 /// Relative jitter of a wait, to either side.
 const JITTER: f64 = 0.25;
 /// The same once the calls of the fleet are spread evenly, which more jitter would undo.
 const SPREAD_JITTER: f64 = 0.03;
 /// The calls of a fleet that started in step are spread over this time at least, or over the quota if that is shorter.
-const MIN_SPREAD: Micros = 3_000_000;
+const MIN_SPREAD_WINDOW: Micros = 3_000_000;
 /// A connection that delivered messages over this long had worked. One that broke sooner is no reason for haste.
-const MIN_HEALTHY: Micros = 2_000_000;
+const MIN_HEALTHY_DURATION: Micros = 2_000_000;
 /// First connect timeout.
-const CONNECT_TIMEOUT: Micros = 500_000;
+const INITIAL_CONNECT_TIMEOUT: Micros = 500_000;
 /// Longest connect timeout. Once calls are rare, the timeout grows with each call that was never answered: a service
 /// that is slow to answer gets more time, not more calls.
 const MAX_CONNECT_TIMEOUT: Micros = 4_000_000;
-const CONNECT_TIMEOUT_GROWTH: u64 = 2;
+const CONNECT_TIMEOUT_FACTOR: u64 = 2;
 
 /// How a call, or the connection that it opened, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,16 +56,16 @@
 #[derive(Clone, Copy, Debug)]
 struct FrontBudget {
     /// This front's quota of the budget, as a wait between two calls.
-    quota: Micros,
+    interval: Micros,
     urgent_period: Micros,
 }
 
 impl FrontBudget {
     fn new(fronts: u32, budget: CallBudget) -> Self {
         let seconds = f64::from(fronts) / budget.calls_per_s.max(f64::MIN_POSITIVE);
-        let quota = (seconds * 1e6) as Micros;
+        let interval = (seconds * 1e6) as Micros;
         FrontBudget {
-            quota: quota.max(MIN_QUOTA).min(budget.max_wait),
+            interval: interval.max(MIN_CALL_INTERVAL).min(budget.max_wait),
             urgent_period: budget.urgent_period,
         }
     }
@@ -79,9 +79,9 @@
     /// Ends in a row, counting that of the last healthy connection.
     failures: u32,
     /// Calls in a row that were never answered while calls were rare.
-    unanswered: u32,
+    unanswered_calls: u32,
     /// This front has waited by its quota since the service was last healthy, so the calls of the fleet are spread.
-    spread: bool,
+    is_spread: bool,
     call_started_at: Timestamp,
     /// When the last complete message arrived on any connection; at first the start, whose events the configuration
     /// holds.
@@ -105,8 +105,8 @@
             budget: budget.map(|budget| FrontBudget::new(position.fronts, budget)),
             position,
             failures: 0,
-            unanswered: 0,
-            spread: false,
+            unanswered_calls: 0,
+            is_spread: false,
             call_started_at: now,
             last_message_at: now,
             first_message_at: None,
@@ -126,24 +126,26 @@
         };
         // This spreads the fleet, and a service that never answered has not broken: no quick second call.
         self.failures = 1;
-        self.spread = true;
-        let place = f64::from(self.position.number) + self.random();
+        self.is_spread = true;
+        let offset = f64::from(self.position.number) + self.random();
         now + RETRY_INTERVAL
-            + (budget.quota as f64 * place / f64::from(self.position.fronts)) as Micros
+            + (budget.interval as f64 * offset / f64::from(self.position.fronts)) as Micros
     }
 
     /// A call is made. Returns the deadline by which it must have connected.
     pub fn start_call(&mut self, now: Timestamp) -> Timestamp {
         self.call_started_at = now;
         self.first_message_at = None;
-        let quota_limit = |budget: FrontBudget| {
+        let timeout_limit = |budget: FrontBudget| {
             MAX_CONNECT_TIMEOUT
-                .min(budget.quota / 2)
-                .max(CONNECT_TIMEOUT)
+                .min(budget.interval / 2)
+                .max(INITIAL_CONNECT_TIMEOUT)
         };
-        let longest = self.budget.map_or(CONNECT_TIMEOUT, quota_limit);
-        let growth = CONNECT_TIMEOUT_GROWTH.saturating_pow(self.unanswered);
-        let timeout = CONNECT_TIMEOUT.saturating_mul(growth).min(longest);
+        let max_timeout = self.budget.map_or(INITIAL_CONNECT_TIMEOUT, timeout_limit);
+        let growth = CONNECT_TIMEOUT_FACTOR.saturating_pow(self.unanswered_calls);
+        let timeout = INITIAL_CONNECT_TIMEOUT
+            .saturating_mul(growth)
+            .min(max_timeout);
         now + (timeout as f64 * self.jitter(JITTER)) as Micros
     }
 
@@ -170,7 +172,7 @@
     /// A complete message has arrived.
     pub fn record_message(&mut self, now: Timestamp) {
         self.last_message_at = now;
-        self.unanswered = 0;
+        self.unanswered_calls = 0;
         self.first_message_at.get_or_insert(now);
     }
 
@@ -180,37 +182,36 @@
         let first_message_at = self.first_message_at.take();
         let delivered_for =
             first_message_at.map(|first| self.last_message_at.saturating_sub(first));
-        if delivered_for.is_some_and(|duration| duration >= MIN_HEALTHY) {
+        if delivered_for.is_some_and(|duration| duration >= MIN_HEALTHY_DURATION) {
             self.failures = 0;
-            self.spread = false;
+            self.is_spread = false;
         }
         let budget = self.budget.unwrap_or(FrontBudget {
-            quota: RETRY_INTERVAL,
+            interval: RETRY_INTERVAL,
             urgent_period: Micros::MAX,
         });
         let urgent_until = self.last_message_at.saturating_add(budget.urgent_period);
         let urgent = delivered_for.is_none() && now < urgent_until;
-        let rare = !urgent;
-        self.unanswered = match end {
-            CallEnd::Unanswered if rare => self.unanswered.saturating_add(1),
+        self.unanswered_calls = match end {
+            CallEnd::Unanswered if !urgent => self.unanswered_calls.saturating_add(1),
             _ => 0,
         };
         let wait = match self.failures {
             0 => RETRY_INTERVAL,
-            _ if urgent => URGENT_INTERVAL.min(budget.quota),
-            _ => budget.quota,
+            _ if urgent => URGENT_INTERVAL.min(budget.interval),
+            _ => budget.interval,
         };
         self.failures = self.failures.saturating_add(1);
-        let waited = self.unanswered_wait(now, end);
-        let at_quota = self.budget.is_some() && rare && wait >= budget.quota;
-        match at_quota {
-            true => now + self.quota_wait(wait, waited),
-            false => now + self.short_wait(wait, waited),
+        let elapsed = self.response_wait(now, end);
+        let uses_interval = self.budget.is_some() && !urgent && wait >= budget.interval;
+        match uses_interval {
+            true => now + self.interval_wait(wait, elapsed),
+            false => now + self.short_wait(wait, elapsed),
         }
     }
 
     /// Time that was spent waiting for an answer counts towards the wait before the next call.
-    fn unanswered_wait(&self, now: Timestamp, end: CallEnd) -> Micros {
+    fn response_wait(&self, now: Timestamp, end: CallEnd) -> Micros {
         match end {
             CallEnd::Unanswered | CallEnd::Silent => {
                 now.saturating_sub(self.call_started_at.max(self.last_message_at))
@@ -220,26 +221,26 @@
     }
 
     /// All fronts may have noticed the end at once, and a silence ends for all of them at once: never without a wait.
-    fn short_wait(&mut self, wait: Micros, waited: Micros) -> Micros {
+    fn short_wait(&mut self, wait: Micros, elapsed: Micros) -> Micros {
         let random = self.random();
         let jitter = 1.0 - JITTER + 2.0 * JITTER * random;
-        let left = wait as f64 * jitter - waited as f64;
-        left.max(RETRY_INTERVAL as f64 * random) as Micros
+        let remaining = wait as f64 * jitter - elapsed as f64;
+        remaining.max(RETRY_INTERVAL as f64 * random) as Micros
     }
 
-    fn quota_wait(&mut self, wait: Micros, waited: Micros) -> Micros {
+    fn interval_wait(&mut self, wait: Micros, elapsed: Micros) -> Micros {
         let wait = wait as f64;
-        let waited = waited as f64;
-        if self.spread {
-            return (wait * self.jitter(SPREAD_JITTER) - waited).max(0.0) as Micros;
+        let elapsed = elapsed as f64;
+        if self.is_spread {
+            return (wait * self.jitter(SPREAD_JITTER) - elapsed).max(0.0) as Micros;
         }
         // A fleet that started in step is spread over the whole quota, each front by its number. Where the fronts have
         // waited in vain for about as long as that, what is left of the quota would bring them close together again.
-        self.spread = true;
-        let place =
+        self.is_spread = true;
+        let offset =
             (f64::from(self.position.number) + self.random()) / f64::from(self.position.fronts);
-        let least = (wait / 2.0).max(wait.min(MIN_SPREAD as f64));
-        ((wait - waited).max(least) * place) as Micros
+        let min_window = (wait / 2.0).max(wait.min(MIN_SPREAD_WINDOW as f64));
+        ((wait - elapsed).max(min_window) * offset) as Micros
     }
 }
 
--- a/startup/src/call_budget/tests.rs
+++ b/startup/src/call_budget/tests.rs
@@ -1,11 +1,11 @@
 #[test]
-fn a_fleet_with_peers_calls_evenly_from_the_first_call_on() {
+fn calls_of_a_fleet_with_peers_are_spread_from_the_first_call() {
     let budget = CallBudget {
         calls_per_s: 10.0,
         max_wait: 600_000_000,
         urgent_period: 0,
     };
-    let mut all = Vec::new();
+    let mut calls_made = Vec::new();
     for n in 0..300 {
         let mut calls = CallSchedule::new(
             0,
@@ -18,25 +18,26 @@
         );
         let mut now = calls.first_call(0, true);
         while now < 60_000_000 {
-            all.push(now);
+            calls_made.push(now);
             calls.start_call(now);
             now = calls.end_call(now + 1_000, CallEnd::Closed);
         }
     }
     assert!(
-        (550..=660).contains(&all.len()),
+        (550..=660).contains(&calls_made.len()),
         "{} calls in a minute",
-        all.len()
+        calls_made.len()
     );
-    let second = |from: &Timestamp| {
-        all.iter()
+    let calls_within_second = |from: &Timestamp| {
+        calls_made
+            .iter()
             .filter(|at| (*from..from + 1_000_000).contains(at))
             .count()
     };
     assert!(
-        all.iter().map(second).max() <= Some(16),
+        calls_made.iter().map(calls_within_second).max() <= Some(16),
         "{:?}",
-        all.iter().map(second).max()
+        calls_made.iter().map(calls_within_second).max()
     );
 }
 
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn without_a_budget_a_front_retries_after_a_fifth_of_a_second_whatever_happens() {
+fn without_a_budget_every_failed_call_is_retried_within_250_ms() {
     // The platform expects a change to be obeyed as soon as it could have been learned.
     let mut calls = CallSchedule::new(
         0,
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn calls_are_frequent_in_the_urgent_period_and_rare_afterwards() {
+fn calls_are_frequent_in_the_urgent_period_and_use_the_budgeted_interval_afterwards() {
     let mut calls = CallSchedule::new(
         0,
         FleetPosition {
@@ -102,31 +103,31 @@
     );
     let mut now = calls.first_call(0, false);
     assert!(now <= RETRY_INTERVAL);
-    let (mut quick, mut rare) = (Vec::new(), Vec::new());
+    let (mut urgent_waits, mut later_waits) = (Vec::new(), Vec::new());
     while now < 40 * SECOND {
         calls.start_call(now);
         let next = calls.end_call(now, CallEnd::Closed);
         if now < URGENT_PERIOD {
-            quick.push(next - now)
+            urgent_waits.push(next - now)
         } else {
-            rare.push(next - now)
+            later_waits.push(next - now)
         }
         now = next;
     }
     assert!(
-        quick.iter().all(|w| *w <= 625_000) && quick.len() >= 11,
-        "{quick:?}"
+        urgent_waits.iter().all(|w| *w <= 625_000) && urgent_waits.len() >= 11,
+        "{urgent_waits:?}"
     );
     assert!(
-        rare[1..]
+        later_waits[1..]
             .iter()
             .all(|w| (5_300_000..=5_700_000).contains(w)),
-        "{rare:?}"
+        "{later_waits:?}"
     );
 }
 
 #[test]
-fn a_healthy_connection_makes_calls_frequent_again_and_a_merely_open_one_does_not() {
+fn only_a_connection_that_delivers_messages_makes_calls_frequent_again() {
     let mut calls = CallSchedule::new(
         0,
         FleetPosition {
@@ -136,12 +137,12 @@
         7,
         budget(),
     );
-    let failed = |calls: &mut CallSchedule, now: Timestamp| {
+    let fail_call = |calls: &mut CallSchedule, now: Timestamp| {
         calls.start_call(now);
         calls.end_call(now, CallEnd::Refused) - now
     };
     for n in 0..20 {
-        failed(&mut calls, n * SECOND);
+        fail_call(&mut calls, n * SECOND);
     }
     // Open for a minute without a message.
     calls.start_call(20 * SECOND);
@@ -151,15 +152,15 @@
     calls.record_message(90 * SECOND);
     assert!(calls.end_call(90 * SECOND, CallEnd::Closed) - 90 * SECOND > 5 * SECOND);
     // No message since: calls are frequent while changes since that message can still be learned in time.
-    assert!(failed(&mut calls, 95 * SECOND + SECOND / 2) <= 625_000);
-    assert!(failed(&mut calls, 98 * SECOND) > SECOND);
+    assert!(fail_call(&mut calls, 95 * SECOND + SECOND / 2) <= 625_000);
+    assert!(fail_call(&mut calls, 98 * SECOND) > SECOND);
     calls.start_call(100 * SECOND);
     (0..30).for_each(|s| calls.record_message((100 + s) * SECOND));
     assert!(calls.end_call(130 * SECOND, CallEnd::Silent) - 130 * SECOND <= 250_000);
 }
 
 #[test]
-fn a_small_fleet_never_waits_long_and_malformed_messages_count_as_any_failure() {
+fn a_small_fleet_waits_at_most_the_minimum_interval_after_any_failure() {
     let mut calls = CallSchedule::new(
         0,
         FleetPosition {
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn a_slow_service_gets_a_longer_timeout_for_each_call_and_no_more_calls() {
+fn the_connect_timeout_grows_with_unanswered_calls_without_reducing_their_rate() {
     let mut calls = CallSchedule::new(
         0,
         FleetPosition {
@@ -191,31 +192,32 @@
         3,
         budget(),
     );
-    let (mut now, mut allowed, mut made) = (0, Vec::new(), Vec::new());
+    let (mut now, mut timeouts, mut calls_made) = (0, Vec::new(), Vec::new());
     while now < 60 * SECOND {
-        made.push(now);
+        calls_made.push(now);
         let until = calls.start_call(now);
         if now >= URGENT_PERIOD + SECOND {
-            allowed.push(until - now);
+            timeouts.push(until - now);
         }
         now = calls.end_call(until, CallEnd::Unanswered);
         assert!(now >= until);
     }
     assert!(
-        allowed.windows(2).take(2).all(|w| w[1] > w[0]),
-        "{allowed:?}"
+        timeouts.windows(2).take(2).all(|w| w[1] > w[0]),
+        "{timeouts:?}"
     );
     assert!(
-        allowed.iter().all(|span| *span <= 3_500_000) && allowed[2] >= 2 * CONNECT_TIMEOUT,
-        "{allowed:?}"
+        timeouts.iter().all(|timeout| *timeout <= 3_500_000)
+            && timeouts[2] >= 2 * INITIAL_CONNECT_TIMEOUT,
+        "{timeouts:?}"
     );
     assert!(
-        made.windows(2).all(|w| w[1] - w[0] <= 5_700_000),
-        "{made:?}"
+        calls_made.windows(2).all(|w| w[1] - w[0] <= 5_700_000),
+        "{calls_made:?}"
     );
     // Time spent on unanswered calls is part of the wait: the calls are no rarer for it.
     assert!(
-        made.iter().filter(|at| **at > 12 * SECOND).count() >= 8,
-        "{made:?}"
+        calls_made.iter().filter(|at| **at > 12 * SECOND).count() >= 8,
+        "{calls_made:?}"
     );
 }
--- a/startup/src/peer_bootstrap.rs
+++ b/startup/src/peer_bootstrap.rs
@@ -6,7 +6,7 @@
 /// Peers that are asked in one round.
 const PEERS_PER_ROUND: usize = 3;
 /// An offer counts for this many rounds.
-const OFFER_ROUNDS: u64 = 5;
+const OFFER_LIFETIME_ROUNDS: u64 = 5;
 /// A peer that fails backs off for two rounds, and for twice as many each time, up to this many.
 const MAX_BACKOFF_ROUNDS: u64 = 32;
 /// Relative jitter of the interval between rounds, to either side.
@@ -69,20 +69,20 @@
     /// Starts a round, and returns the peers to ask.
     pub fn start_round(&mut self, now: Timestamp) -> Vec<usize> {
         let jitter_range = (self.interval as f64 * 2.0 * JITTER) as u64;
-        let shortest = (self.interval as f64 * (1.0 - JITTER)) as u64;
-        self.next_round = now + shortest + next_u64(&mut self.rng_state) % jitter_range.max(1);
+        let min_interval = (self.interval as f64 * (1.0 - JITTER)) as u64;
+        self.next_round = now + min_interval + next_u64(&mut self.rng_state) % jitter_range.max(1);
         let is_available = |peer: &usize| {
             self.backoffs
                 .get(peer)
                 .is_none_or(|backoff| backoff.until <= now)
         };
         let mut available: Vec<_> = (0..self.peers).filter(is_available).collect();
-        let mut chosen = Vec::new();
-        while chosen.len() < PEERS_PER_ROUND && !available.is_empty() {
-            let place = next_u64(&mut self.rng_state) as usize % available.len();
-            chosen.push(available.swap_remove(place));
+        let mut selected = Vec::new();
+        while selected.len() < PEERS_PER_ROUND && !available.is_empty() {
+            let index = next_u64(&mut self.rng_state) as usize % available.len();
+            selected.push(available.swap_remove(index));
         }
-        chosen
+        selected
     }
 
     /// A peer has no newer list.
@@ -128,17 +128,17 @@
                 offer,
             },
         );
-        let oldest = now.saturating_sub(OFFER_ROUNDS * self.interval);
-        let counts = |timed: &TimedOffer| {
+        let oldest = now.saturating_sub(OFFER_LIFETIME_ROUNDS * self.interval);
+        let is_current = |timed: &TimedOffer| {
             timed.offered_at >= oldest && timed.offer.revision > known_revision
         };
-        self.offers.retain(|_, timed| counts(timed));
-        let agreeing = self
+        self.offers.retain(|_, timed| is_current(timed));
+        let matching = self
             .offers
             .values()
             .filter(|timed| timed.offer == offer)
             .count();
-        offer.revision > known_revision && agreeing >= self.quorum
+        offer.revision > known_revision && matching >= self.quorum
     }
 }
 
--- a/startup/src/peer_bootstrap/tests.rs
+++ b/startup/src/peer_bootstrap/tests.rs
@@ -3,7 +3,7 @@
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn a_list_is_taken_only_once_a_quorum_of_peers_offers_the_same() {
+fn a_list_is_accepted_only_when_a_quorum_of_peers_offers_it() {
     let mut peers = PeerBootstrap::new(0, 5, 2, 2 * SECOND, 1);
     assert!(
         !peers.record_offer(
@@ -115,17 +115,17 @@
 }
 
 #[test]
-fn each_round_asks_a_few_peers_that_do_not_back_off_and_all_are_asked_in_time() {
+fn each_round_polls_a_few_peers_that_are_not_in_backoff_and_every_peer_is_polled_eventually() {
     let mut peers = PeerBootstrap::new(0, 40, 2, 2 * SECOND, 3);
-    let (mut now, mut seen) = (0, std::collections::BTreeSet::new());
+    let (mut now, mut seen_peers) = (0, std::collections::BTreeSet::new());
     for _ in 0..200 {
         assert!(peers.next_round() >= now && peers.next_round() <= now + 5 * SECOND / 2);
         now = peers.next_round();
-        let asked = peers.start_round(now);
-        assert_eq!(asked.len(), PEERS_PER_ROUND);
-        seen.extend(asked);
+        let polled = peers.start_round(now);
+        assert_eq!(polled.len(), PEERS_PER_ROUND);
+        seen_peers.extend(polled);
     }
-    assert_eq!(seen.len(), 40);
+    assert_eq!(seen_peers.len(), 40);
     for peer in 1..40 {
         (0..9).for_each(|_| peers.record_failure(now, peer));
     }
--- a/startup/src/readiness.rs
+++ b/startup/src/readiness.rs
@@ -26,7 +26,7 @@
         needed: usize,
     },
     /// Its turn among the fronts.
-    Turn,
+    Staggered,
 }
 
 impl fmt::Display for NotReady {
@@ -39,7 +39,7 @@
                     "connections: {connected} of {needed} members are reached"
                 )
             }
-            NotReady::Turn => write!(f, "its turn among the fronts"),
+            NotReady::Staggered => write!(f, "its turn among the fronts"),
         }
     }
 }
@@ -50,7 +50,7 @@
     policy: ReadinessPolicy,
     started_at: Timestamp,
     /// When this front's turn in the spread comes.
-    turn: Timestamp,
+    turn_at: Timestamp,
     /// The front has been ready. Lost connections do not take that back: they are a matter of health checks.
     was_ready: bool,
 }
@@ -59,11 +59,11 @@
     /// A front that starts now.
     pub fn new(now: Timestamp, position: FleetPosition, policy: ReadinessPolicy) -> Self {
         let FleetPosition { number, fronts } = position.normalized();
-        let turn = now + policy.spread / u64::from(fronts) * u64::from(number);
+        let turn_at = now + policy.spread / u64::from(fronts) * u64::from(number);
         Readiness {
             policy,
             started_at: now,
-            turn,
+            turn_at,
             was_ready: false,
         }
     }
@@ -79,14 +79,14 @@
         if listed == 0 {
             return Err(NotReady::NoEndpoints);
         }
-        let waited_enough = now >= self.started_at + self.policy.max_wait;
-        if !self.was_ready && !waited_enough {
+        let timed_out = now >= self.started_at + self.policy.max_wait;
+        if !self.was_ready && !timed_out {
             let needed = (listed * self.policy.min_percent as usize).div_ceil(100);
             if connected < needed {
                 return Err(NotReady::Connections { connected, needed });
             }
-            if now < self.turn {
-                return Err(NotReady::Turn);
+            if now < self.turn_at {
+                return Err(NotReady::Staggered);
             }
         }
         self.was_ready = true;
--- a/startup/src/readiness/tests.rs
+++ b/startup/src/readiness/tests.rs
@@ -7,8 +7,8 @@
 };
 
 #[test]
-fn a_front_is_never_ready_without_a_list_and_never_waits_for_ever() {
-    let mut ready = Readiness::new(
+fn a_front_is_never_ready_without_a_list_and_becomes_ready_after_the_maximum_wait() {
+    let mut readiness = Readiness::new(
         0,
         FleetPosition {
             number: 0,
@@ -16,31 +16,31 @@
         },
         POLICY,
     );
-    assert_eq!(ready.check(0, 0, 0), Err(NotReady::NoEndpoints));
+    assert_eq!(readiness.check(0, 0, 0), Err(NotReady::NoEndpoints));
     assert_eq!(
-        ready.check(9_000_000, 0, 0),
+        readiness.check(9_000_000, 0, 0),
         Err(NotReady::NoEndpoints),
         "waiting does not replace a list"
     );
     assert_eq!(
-        ready.check(2_999_999, 9, 4),
+        readiness.check(2_999_999, 9, 4),
         Err(NotReady::Connections {
             connected: 4,
             needed: 5
         })
     );
     assert_eq!(
-        ready.check(3_000_000, 9, 0),
+        readiness.check(3_000_000, 9, 0),
         Ok(()),
         "it has waited long enough"
     );
-    assert_eq!(ready.check(3_000_001, 9, 0), Ok(()));
+    assert_eq!(readiness.check(3_000_001, 9, 0), Ok(()));
     assert_eq!(
-        ready.check(3_000_002, 0, 0),
+        readiness.check(3_000_002, 0, 0),
         Err(NotReady::NoEndpoints),
         "the list was emptied"
     );
-    let mut ready = Readiness::new(
+    let mut readiness = Readiness::new(
         0,
         FleetPosition {
             number: 0,
@@ -49,23 +49,23 @@
         POLICY,
     );
     assert_eq!(
-        (ready.check(5, 9, 5), ready.check(6, 9, 0)),
+        (readiness.check(5, 9, 5), readiness.check(6, 9, 0)),
         (Ok(()), Ok(())),
         "connections lost later do not matter"
     );
 }
 
 #[test]
-fn the_readiness_of_a_fleet_is_spread() {
-    let yes = |number| {
-        let mut ready = Readiness::new(0, FleetPosition { number, fronts: 10 }, POLICY);
+fn fronts_become_ready_spread_over_the_configured_period() {
+    let ready_at = |number| {
+        let mut readiness = Readiness::new(0, FleetPosition { number, fronts: 10 }, POLICY);
         (0..)
             .step_by(1_000)
-            .find(|now| ready.check(*now, 4, 4).is_ok())
+            .find(|now| readiness.check(*now, 4, 4).is_ok())
             .unwrap()
     };
     assert_eq!(
-        (0..10).map(yes).collect::<Vec<_>>(),
+        (0..10).map(ready_at).collect::<Vec<_>>(),
         (0..10).map(|n| n * 100_000).collect::<Vec<_>>()
     );
 }
--- a/startup/src/slow_start.rs
+++ b/startup/src/slow_start.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Endpoints of each group that a front uses immediately, whatever the budget, so that it can serve at all.
-const IMMEDIATE_PER_GROUP: usize = 2;
+const MIN_IN_USE_PER_GROUP: usize = 2;
 
 /// Endpoints that can stand in for each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Waiting<T> {
+struct WaitingEndpoint<T> {
     due: Timestamp,
     group: Group,
     entry: T,
@@ -50,9 +50,9 @@
 pub struct SlowStart<T> {
     position: FleetPosition,
     /// Within this time all fronts use an endpoint that they learned of at the same time.
-    duration: Micros,
+    ramp_duration: Micros,
     in_use: BTreeMap<u64, Group>,
-    waiting: BTreeMap<u64, Waiting<T>>,
+    waiting: BTreeMap<u64, WaitingEndpoint<T>>,
 }
 
 fn greatest_common_divisor(a: u64, b: u64) -> u64 {
@@ -69,10 +69,10 @@
     pub fn new(position: FleetPosition, fleet_rate: f64, max_duration: Micros) -> Self {
         let position = position.normalized();
         let seconds = f64::from(position.fronts) / fleet_rate.max(f64::MIN_POSITIVE);
-        let duration = (seconds * 1e6) as Micros;
+        let ramp_duration = (seconds * 1e6) as Micros;
         SlowStart {
             position,
-            duration: duration.min(max_duration),
+            ramp_duration: ramp_duration.min(max_duration),
             in_use: BTreeMap::new(),
             waiting: BTreeMap::new(),
         }
@@ -80,16 +80,16 @@
 
     /// How long this front waits after an endpoint became known. No two fronts wait equally long for one endpoint, and
     /// each front takes the endpoints in its own order.
-    fn wait(&self, id: u64) -> Micros {
+    fn delay(&self, id: u64) -> Micros {
         let number = u64::from(self.position.number);
         let fronts = u64::from(self.position.fronts);
         let hash = mix(id);
         // A step that is coprime to the number of fronts reaches each place once.
-        let steps = (0..fronts).map(|offset| 1 + (hash % fronts + offset) % fronts);
-        let coprime = |step: &u64| greatest_common_divisor(*step, fronts) == 1;
-        let step = { steps }.find(coprime).unwrap_or(1);
-        let place = (number * step + (hash >> 32)) % fronts;
-        place * (self.duration / fronts)
+        let strides = (0..fronts).map(|offset| 1 + (hash % fronts + offset) % fronts);
+        let coprime = |stride: &u64| greatest_common_divisor(*stride, fronts) == 1;
+        let stride = { strides }.find(coprime).unwrap_or(1);
+        let slot = (number * stride + (hash >> 32)) % fronts;
+        slot * (self.ramp_duration / fronts)
     }
 
     /// Takes in a list, which is `complete` or holds changes only. Returns the entries to admit now.
@@ -117,8 +117,9 @@
                     let due = self
                         .waiting
                         .get(&id)
-                        .map_or(now + self.wait(id), |waiting| waiting.due);
-                    self.waiting.insert(id, Waiting { due, group, entry });
+                        .map_or(now + self.delay(id), |waiting| waiting.due);
+                    self.waiting
+                        .insert(id, WaitingEndpoint { due, group, entry });
                     groups.insert(group);
                 }
                 // An endpoint in use stays so: the front knows best what to do with it.
@@ -153,7 +154,7 @@
             .filter(|(_, waiting)| waiting.group == group);
         let mut by_due: Vec<_> = of_group.map(|(id, waiting)| (waiting.due, *id)).collect();
         by_due.sort_unstable();
-        by_due.truncate(IMMEDIATE_PER_GROUP.saturating_sub(in_use));
+        by_due.truncate(MIN_IN_USE_PER_GROUP.saturating_sub(in_use));
         by_due
             .into_iter()
             .filter_map(|(_, id)| self.admit(id))
