--- a/purges/examples/measure-purges.rs
+++ b/purges/examples/measure-purges.rs
@@ -6,9 +6,9 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-struct Memory(Vec<u8>);
+struct MemoryFile(Vec<u8>);
 
-impl JournalFile for Memory {
+impl JournalFile for MemoryFile {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         Ok(Some(self.0.clone()))
     }
@@ -25,7 +25,7 @@
     }
 }
 
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ')
         .nth(1)
@@ -46,10 +46,10 @@
     }
 }
 
-fn cost(matcher: &PurgeMatcher, index: &TagIndex, case: &str) {
-    let rounds = 400_000u64;
-    let (mut sum, begun) = (0u64, Instant::now());
-    for i in 0..rounds {
+fn measure_floor(matcher: &PurgeMatcher, index: &TagIndex, case: &str) {
+    let iterations = 400_000u64;
+    let (mut sum, started_at) = (0u64, Instant::now());
+    for i in 0..iterations {
         let object = i.wrapping_mul(0x9e37_79b9_7f4a_7c15) % 200_000;
         let key = request_key("page-bits", object, (i % 4) as u32);
         let request = RequestAttributes {
@@ -60,8 +60,8 @@
         };
         sum = sum.wrapping_add(matcher.floor(0, &request));
     }
-    let each = begun.elapsed().as_nanos() as f64 / rounds as f64;
-    println!("{case}: {each:.0} ns a request, its key's text included (sum {sum})");
+    let nanos_per_request = started_at.elapsed().as_nanos() as f64 / iterations as f64;
+    println!("{case}: {nanos_per_request:.0} ns a request, its key's text included (sum {sum})");
 }
 
 fn main() {
@@ -74,23 +74,23 @@
 fn measure_index() -> TagIndex {
     const MODELS: [&str; 4] = ["vitara", "swift", "alto", "dzire"];
     let mut index = TagIndex::new(4 << 20);
-    let before = resident();
-    let begun = Instant::now();
+    let before = resident_bytes();
+    let started_at = Instant::now();
     for object in 0..200_000u64 {
         index.record(object, Some(&[MODELS[object as usize % 4], "blue"]));
     }
     let known = (0..200_000).filter(|o| index.tags(*o).is_some()).count();
     println!(
         "index of 4 MiB: {known} of 200000 objects known, {:.0} ns to learn one, {} bytes grown",
-        begun.elapsed().as_nanos() as f64 / 2e5,
-        resident().saturating_sub(before)
+        started_at.elapsed().as_nanos() as f64 / 2e5,
+        resident_bytes().saturating_sub(before)
     );
     index
 }
 
 fn measure_matching(index: &TagIndex) {
     let mut matcher = PurgeMatcher::default();
-    cost(&matcher, index, "no purge");
+    measure_floor(&matcher, index, "no purge");
     for number in 1..=10_000u64 {
         let target = match number % 3 {
             0 => PurgeTarget::Object(number * 17),
@@ -99,8 +99,8 @@
         };
         matcher.add(&purge(number, target), 0);
     }
-    cost(&matcher, index, "10,000 purges");
-    let mut longest = Duration::ZERO;
+    measure_floor(&matcher, index, "10,000 purges");
+    let mut max_duration = Duration::ZERO;
     for number in 10_001..=11_000u64 {
         let pattern = match number % 3 {
             0 => format!("car-video/{number:x}*/*"),
@@ -109,26 +109,26 @@
         };
         matcher.add(&purge(number, PurgeTarget::Pattern(pattern.into())), 0);
         if let Some(job) = matcher.take_compile_job() {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let set = compile_patterns(job);
-            longest = longest.max(begun.elapsed());
+            max_duration = max_duration.max(started_at.elapsed());
             matcher.install(set);
         }
     }
-    cost(&matcher, index, "10,000 purges and 1,000 patterns");
+    measure_floor(&matcher, index, "10,000 purges and 1,000 patterns");
     println!(
         "compiling the patterns, off the loop: {} us at most; {} bytes resident",
-        longest.as_micros(),
-        resident()
+        max_duration.as_micros(),
+        resident_bytes()
     );
 }
 
 /// Fills a log of a million with its journal in memory, and reads it again.
 fn measure_journal() -> PurgeLog {
-    let before = resident();
-    let begun = Instant::now();
+    let before = resident_bytes();
+    let started_at = Instant::now();
     let mut log = PurgeLog::new(7);
-    let mut file = Memory(Vec::new());
+    let mut file = MemoryFile(Vec::new());
     journal::rewrite(&mut file, &log).unwrap();
     for n in 0..1_000_000u64 {
         let command = Command {
@@ -147,38 +147,38 @@
     println!(
         "a log of a million: {} bytes of file, {} bytes of memory, {:.0} ns to append one without the disk",
         file.0.len(),
-        resident().saturating_sub(before),
-        begun.elapsed().as_nanos() as f64 / 1e6
+        resident_bytes().saturating_sub(before),
+        started_at.elapsed().as_nanos() as f64 / 1e6
     );
     drop(log);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let Ok(OpenedJournal::Complete { log, .. }) = journal::open(&mut file) else {
         panic!()
     };
     println!(
         "reading it again: {} ms for {}",
-        begun.elapsed().as_millis(),
+        started_at.elapsed().as_millis(),
         log.last_number()
     );
     log
 }
 
 fn measure_disk(log: &PurgeLog) {
-    let folder = std::env::temp_dir().join(format!("measure-purges-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let mut file = std::fs::File::create(folder.join("ledger")).unwrap();
+    let directory = std::env::temp_dir().join(format!("measure-purges-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    let mut file = std::fs::File::create(directory.join("journal")).unwrap();
     let bytes = journal::encode_record(log.get(1).unwrap());
     let mut durations = Vec::new();
     for _ in 0..500 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         io::Write::write_all(&mut file, &bytes).unwrap();
         file.sync_data().unwrap();
-        durations.push(begun.elapsed().as_micros());
+        durations.push(started_at.elapsed().as_micros());
     }
     durations.sort_unstable();
     println!(
         "making one durable on this disk: p50 {} us, p99 {} us",
         durations[250], durations[495]
     );
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
 }
--- a/purges/src/journal.rs
+++ b/purges/src/journal.rs
@@ -17,7 +17,7 @@
 
 const MAGIC: &[u8; 8] = b"CRPURGE1";
 /// The magic without the version.
-const MAGIC_STEM: &[u8; 7] = b"CRPURGE";
+const MAGIC_PREFIX: &[u8; 7] = b"CRPURGE";
 const HEADER_BYTES: usize = 28;
 /// Where the checksum stands in the header.
 const CHECKSUM_OFFSET: usize = 24;
@@ -79,7 +79,7 @@
     };
     if !header.starts_with(MAGIC) {
         let other_version =
-            header.starts_with(MAGIC_STEM) && header[MAGIC_STEM.len()].is_ascii_digit();
+            header.starts_with(MAGIC_PREFIX) && header[MAGIC_PREFIX.len()].is_ascii_digit();
         return Err(if other_version {
             HeaderError::NewerVersion
         } else {
--- a/purges/src/journal/guarded.rs
+++ b/purges/src/journal/guarded.rs
@@ -27,7 +27,7 @@
         &mut self.file
     }
 
-    fn check(&self) -> io::Result<()> {
+    fn check_no_failure(&self) -> io::Result<()> {
         match &self.failure {
             Some(cause) => Err(io::Error::other(format!(
                 "an earlier write failed: {cause}"
@@ -36,7 +36,7 @@
         }
     }
 
-    fn remember_failure(&mut self, result: io::Result<()>) -> io::Result<()> {
+    fn record_failure(&mut self, result: io::Result<()>) -> io::Result<()> {
         if let Err(error) = &result {
             self.failure = Some(error.to_string());
         }
@@ -50,15 +50,15 @@
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.check()?;
+        self.check_no_failure()?;
         let result = self.file.append(bytes);
-        self.remember_failure(result)
+        self.record_failure(result)
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.check()?;
+        self.check_no_failure()?;
         let result = self.file.sync();
-        self.remember_failure(result)
+        self.record_failure(result)
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -66,6 +66,6 @@
         if result.is_ok() {
             self.failure = None;
         }
-        self.remember_failure(result)
+        self.record_failure(result)
     }
 }
--- a/purges/src/journal/record.rs
+++ b/purges/src/journal/record.rs
@@ -4,7 +4,7 @@
 /// Largest payload of a record.
 const MAX_PAYLOAD_BYTES: usize = 2_048;
 /// Length and checksum before the payload.
-const PREFIX_BYTES: usize = 8;
+const RECORD_HEADER_BYTES: usize = 8;
 
 const KIND_OBJECT: u8 = 0;
 const KIND_GROUP: u8 = 1;
@@ -96,7 +96,7 @@
     match decode_payload(payload) {
         Some(purge) => DecodedRecord::Record {
             purge,
-            length: PREFIX_BYTES + payload_bytes,
+            length: RECORD_HEADER_BYTES + payload_bytes,
         },
         None => DecodedRecord::Corrupt,
     }
@@ -104,22 +104,22 @@
 
 /// Decodes a payload, of which nothing may be left over.
 pub(super) fn decode_payload(payload: &[u8]) -> Option<Purge> {
-    let mut fields = Fields(payload);
+    let mut reader = PayloadReader(payload);
     let purge = Purge {
-        number: fields.u64()?,
-        at_ms: fields.u64()?,
-        target: fields.target()?,
-        id: fields.text()?.into(),
-        who: fields.text()?.into(),
-        why: fields.text()?.into(),
+        number: reader.u64()?,
+        at_ms: reader.u64()?,
+        target: reader.target()?,
+        id: reader.text()?.into(),
+        who: reader.text()?.into(),
+        why: reader.text()?.into(),
     };
-    fields.0.is_empty().then_some(purge)
+    reader.0.is_empty().then_some(purge)
 }
 
 /// The rest of a payload.
-struct Fields<'a>(&'a [u8]);
+struct PayloadReader<'a>(&'a [u8]);
 
-impl<'a> Fields<'a> {
+impl<'a> PayloadReader<'a> {
     fn bytes(&mut self, count: usize) -> Option<&'a [u8]> {
         let (field, rest) = self.0.split_at_checked(count)?;
         self.0 = rest;
--- a/purges/src/journal/tests.rs
+++ b/purges/src/journal/tests.rs
@@ -4,46 +4,46 @@
 use crate::PurgeTarget;
 
 #[derive(Default)]
-struct Memory {
-    kept: Option<Vec<u8>>,
-    live: Vec<u8>,
-    full: bool,
+struct MemoryFile {
+    durable: Option<Vec<u8>>,
+    written: Vec<u8>,
+    disk_full: bool,
     /// Whether syncs fail; unsynced bytes are lost, as the system drops pages that it could not write.
-    unsynced: bool,
+    sync_fails: bool,
 }
 
-impl JournalFile for Memory {
+impl JournalFile for MemoryFile {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
-        Ok(self.kept.clone())
+        Ok(self.durable.clone())
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.full {
+        if self.disk_full {
             // As on a full disk, a part is written.
-            self.live.extend(&bytes[..bytes.len() / 2]);
+            self.written.extend(&bytes[..bytes.len() / 2]);
             return Err(io::ErrorKind::StorageFull.into());
         }
-        self.live.extend(bytes);
+        self.written.extend(bytes);
         Ok(())
     }
     fn sync(&mut self) -> io::Result<()> {
-        if self.unsynced {
-            self.live = self.kept.clone().unwrap_or_default();
+        if self.sync_fails {
+            self.written = self.durable.clone().unwrap_or_default();
             return Err(io::Error::from_raw_os_error(5));
         }
-        self.kept = Some(self.live.clone());
+        self.durable = Some(self.written.clone());
         Ok(())
     }
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.full || self.unsynced {
+        if self.disk_full || self.sync_fails {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        (self.kept, self.live) = (Some(bytes.to_vec()), bytes.to_vec());
+        (self.durable, self.written) = (Some(bytes.to_vec()), bytes.to_vec());
         Ok(())
     }
 }
 
-fn filled(n: u64) -> (Memory, PurgeLog) {
-    let (mut file, mut log) = (Memory::default(), PurgeLog::new(0xfeed));
+fn journal_with_purges(n: u64) -> (MemoryFile, PurgeLog) {
+    let (mut file, mut log) = (MemoryFile::default(), PurgeLog::new(0xfeed));
     rewrite(&mut file, &log).unwrap();
     for i in 0..n {
         let target = match i % 4 {
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn durable_records_are_read_after_a_cut_at_any_byte_and_no_more() {
-    let (file, log) = filled(20);
-    let whole = file.kept.unwrap();
+fn a_journal_truncated_at_any_byte_yields_exactly_its_complete_records() {
+    let (file, log) = journal_with_purges(20);
+    let bytes = file.durable.unwrap();
     let ends: Vec<usize> = (0..=20)
         .map(|n| {
             HEADER_BYTES
@@ -83,10 +83,10 @@
                     .sum::<usize>()
         })
         .collect();
-    for cut in HEADER_BYTES..=whole.len() {
-        let mut file = Memory {
-            kept: Some(whole[..cut].to_vec()),
-            ..Memory::default()
+    for cut in HEADER_BYTES..=bytes.len() {
+        let mut file = MemoryFile {
+            durable: Some(bytes[..cut].to_vec()),
+            ..MemoryFile::default()
         };
         let OpenedJournal::Complete {
             log: found,
@@ -106,25 +106,25 @@
 }
 
 #[test]
-fn a_flipped_bit_is_found_wherever_it_is() {
-    let (file, log) = filled(8);
-    let whole = file.kept.unwrap();
-    for at in 0..whole.len() {
+fn a_flipped_bit_is_detected_at_every_offset() {
+    let (file, log) = journal_with_purges(8);
+    let bytes = file.durable.unwrap();
+    for at in 0..bytes.len() {
         for bit in [0, 5] {
-            let mut bytes = whole.clone();
-            bytes[at] ^= 1 << bit;
-            let mut file = Memory {
-                kept: Some(bytes),
-                ..Memory::default()
+            let mut corrupted = bytes.clone();
+            corrupted[at] ^= 1 << bit;
+            let mut file = MemoryFile {
+                durable: Some(corrupted),
+                ..MemoryFile::default()
             };
             match open(&mut file).unwrap() {
                 OpenedJournal::Damaged {
                     log: found,
-                    offset: found_at,
+                    offset: found_offset,
                 } => {
                     let found = found.map_or(0, |l| l.last_number());
                     assert!(
-                        found < log.last_number() && found_at <= at,
+                        found < log.last_number() && found_offset <= at,
                         "bit {bit} at {at}"
                     );
                 }
@@ -141,9 +141,9 @@
 }
 
 #[test]
-fn a_full_disk_leaves_earlier_records_readable() {
-    let (mut file, log) = filled(3);
-    file.full = true;
+fn records_written_before_the_disk_was_full_stay_readable() {
+    let (mut file, log) = journal_with_purges(3);
+    file.disk_full = true;
     let command = Command {
         target: PurgeTarget::Object(1),
         id: "x".into(),
@@ -155,7 +155,7 @@
         panic!()
     };
     assert!(append_purge(&mut file, &purge).is_err());
-    file.kept = Some(file.live.clone());
+    file.durable = Some(file.written.clone());
     let OpenedJournal::Complete {
         log: found,
         torn_bytes,
@@ -167,43 +167,43 @@
 }
 
 #[test]
-fn compaction_keeps_numbers_and_odd_bytes_never_panic() {
-    let (mut file, mut log) = filled(20);
+fn compaction_keeps_purge_numbers_and_corrupted_records_never_panic() {
+    let (mut file, mut log) = journal_with_purges(20);
     log.compact(15, 5_000);
     rewrite(&mut file, &log).unwrap();
     let OpenedJournal::Complete { log: found, .. } = open(&mut file).unwrap() else {
         panic!()
     };
     assert_eq!((found.base(), found.last_number()), (15, 20));
-    let mut newer = Memory {
-        kept: Some([b"CRPURGE2".to_vec(), vec![0; 40]].concat()),
-        ..Memory::default()
+    let mut newer = MemoryFile {
+        durable: Some([b"CRPURGE2".to_vec(), vec![0; 40]].concat()),
+        ..MemoryFile::default()
     };
     assert_eq!(open(&mut newer).unwrap(), OpenedJournal::NewerVersion);
     let bytes = encode_record(log.get(20).unwrap());
     let mut rng = 1u64;
     for _ in 0..50_000 {
-        let mut odd = bytes.clone();
+        let mut corrupted = bytes.clone();
         for _ in 0..3 {
             rng = rng
                 .wrapping_mul(6364136223846793005)
                 .wrapping_add(1442695040888963407);
-            let at = (rng >> 33) as usize % odd.len();
-            odd[at] = (rng >> 20) as u8;
+            let at = (rng >> 33) as usize % corrupted.len();
+            corrupted[at] = (rng >> 20) as u8;
         }
         let _ = (
-            decode_record(&odd),
-            decode_payload(&odd),
-            decode_payload(&odd[8..]),
+            decode_record(&corrupted),
+            decode_payload(&corrupted),
+            decode_payload(&corrupted[8..]),
         );
     }
 }
 
 #[test]
-fn after_a_failed_write_or_sync_nothing_counts_as_durable_until_the_journal_is_rewritten() {
-    for unsynced in [false, true] {
-        let (mut memory, mut log) = filled(3);
-        (memory.full, memory.unsynced) = (!unsynced, unsynced);
+fn appends_fail_after_a_failed_write_or_sync_until_the_journal_is_rewritten() {
+    for sync_fails in [false, true] {
+        let (mut memory, mut log) = journal_with_purges(3);
+        (memory.disk_full, memory.sync_fails) = (!sync_fails, sync_fails);
         let mut file = GuardedFile::new(memory);
         let purge = |log: &PurgeLog, id: &str| {
             let target = PurgeTarget::Object(1);
@@ -223,11 +223,11 @@
         assert!(append_purges(&mut file, std::slice::from_ref(&first)).is_err());
         log.append(0xfeed, first).unwrap();
         // The disk works again: a batch that follows would be stored behind a gap.
-        (file.file_mut().full, file.file_mut().unsynced) = (false, false);
+        (file.file_mut().disk_full, file.file_mut().sync_fails) = (false, false);
         let second = purge(&log, "y");
         assert!(
             append_purges(&mut file, std::slice::from_ref(&second)).is_err(),
-            "unsynced: {unsynced}"
+            "sync_fails: {sync_fails}"
         );
         log.append(0xfeed, second).unwrap();
         rewrite(&mut file, &log).unwrap();
--- a/purges/src/lease.rs
+++ b/purges/src/lease.rs
@@ -21,7 +21,7 @@
     /// The same by the wall clock.
     renewed_at_ms: UnixMillis,
     /// Whether the expiry was reported.
-    reported: bool,
+    expiry_reported: bool,
     /// Replies that were served after expiry without being verified.
     pub unverified_replies: u64,
 }
@@ -39,7 +39,7 @@
             expiry_policy,
             renewed_at: now,
             renewed_at_ms: now_ms,
-            reported: false,
+            expiry_reported: false,
             unverified_replies: 0,
         }
     }
@@ -63,7 +63,7 @@
     pub fn renew(&mut self, now: Timestamp, now_ms: UnixMillis) -> bool {
         self.renewed_at = self.renewed_at.max(now);
         self.renewed_at_ms = now_ms;
-        std::mem::take(&mut self.reported)
+        std::mem::take(&mut self.expiry_reported)
     }
 
     /// When the lease expires unless it is renewed.
@@ -77,15 +77,15 @@
 
     /// Whether the lease has expired and that was not reported yet; it counts as reported from now on.
     pub fn report_expiry(&mut self, now: Timestamp) -> bool {
-        self.is_expired(now) && !std::mem::replace(&mut self.reported, true)
+        self.is_expired(now) && !std::mem::replace(&mut self.expiry_reported, true)
     }
 
     /// The earliest creation time of a copy that may be served, by the clock of `now_ms`; 0: any.
     pub fn floor(&self, now: Timestamp, now_ms: UnixMillis) -> UnixMillis {
         match self.expiry_policy {
             ExpiryPolicy::Strict if self.is_expired(now) => {
-                let one_lease_ago = now_ms.saturating_sub(self.duration / 1_000);
-                one_lease_ago.max(self.renewed_at_ms)
+                let one_duration_ago = now_ms.saturating_sub(self.duration / 1_000);
+                one_duration_ago.max(self.renewed_at_ms)
             }
             _ => 0,
         }
--- a/purges/src/lease/tests.rs
+++ b/purges/src/lease/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_expiry_is_reported_once_raises_the_floor_or_is_counted_and_ends_with_a_renewal() {
+fn an_expired_lease_is_reported_once_and_raises_the_floor_or_counts_replies_until_renewed() {
     let mut strict = Lease::new(0, 1_000, 500, ExpiryPolicy::Strict);
     assert_eq!(
         (strict.floor(499, 1_000), strict.report_expiry(499)),
@@ -23,15 +23,18 @@
     assert!(strict.renew(600, 2_000));
     assert!(!strict.renew(601, 2_001));
     assert_eq!((strict.floor(700, 2_002), strict.expires_at()), (0, 1_101));
-    let fresh = Lease::expired(9_000_000, 9_000, 500_000, ExpiryPolicy::Strict);
+    let at_start = Lease::expired(9_000_000, 9_000, 500_000, ExpiryPolicy::Strict);
     assert_eq!(
-        fresh.floor(9_000_000, 9_000),
+        at_start.floor(9_000_000, 9_000),
         8_500,
         "at a start the lease has expired until it is renewed"
     );
-    let mut open = Lease::new(0, 1_000, 500, ExpiryPolicy::Available);
+    let mut available = Lease::new(0, 1_000, 500, ExpiryPolicy::Available);
     [400, 900, 901]
         .into_iter()
-        .for_each(|now| open.record_reply(now));
-    assert_eq!((open.floor(900, 1), open.unverified_replies), (0, 2));
+        .for_each(|now| available.record_reply(now));
+    assert_eq!(
+        (available.floor(900, 1), available.unverified_replies),
+        (0, 2)
+    );
 }
--- a/purges/src/log.rs
+++ b/purges/src/log.rs
@@ -145,8 +145,8 @@
     pub fn prepare(&self, now: UnixMillis, command: &Command) -> Result<Prepared, CommandError> {
         command.validate()?;
         if let Some(number) = self.by_command_id.get(&command.id) {
-            let known = self.get(*number);
-            if known.is_some_and(|purge| purge.target != command.target) {
+            let existing = self.get(*number);
+            if existing.is_some_and(|purge| purge.target != command.target) {
                 return Err(CommandError::IdInUse);
             }
             return Ok(Prepared::Duplicate(*number));
@@ -171,8 +171,8 @@
             return Err(AppendError::Foreign);
         }
         if purge.number <= self.last_number() {
-            let known = self.get(purge.number);
-            if known.is_some_and(|known| *known != purge) {
+            let existing = self.get(purge.number);
+            if existing.is_some_and(|existing| *existing != purge) {
                 return Err(AppendError::Conflict);
             }
             return Ok(Appended::AlreadyPresent);
@@ -199,8 +199,8 @@
     /// Removes purges up to number `confirmed`, which all cache nodes have applied, that are from before `horizon`: no
     /// endpoint has an older copy any more. Returns how many it removed.
     pub fn compact(&mut self, confirmed: PurgeNumber, horizon: UnixMillis) -> usize {
-        let obsolete = |purge: &&Purge| purge.number <= confirmed && purge.at_ms < horizon;
-        let count = self.purges.iter().take_while(obsolete).count();
+        let is_obsolete = |purge: &&Purge| purge.number <= confirmed && purge.at_ms < horizon;
+        let count = self.purges.iter().take_while(is_obsolete).count();
         for purge in self.purges.drain(..count) {
             self.by_command_id.remove(&purge.id);
         }
--- a/purges/src/log/tests.rs
+++ b/purges/src/log/tests.rs
@@ -10,7 +10,7 @@
     }
 }
 
-fn put(log: &mut PurgeLog, now: UnixMillis, id: &str) -> PurgeNumber {
+fn append_purge(log: &mut PurgeLog, now: UnixMillis, id: &str) -> PurgeNumber {
     let Ok(Prepared::New(purge)) = log.prepare(now, &command(id, PurgeTarget::Object(7))) else {
         panic!()
     };
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn the_same_id_is_one_purge_and_dates_never_decrease() {
+fn a_repeated_command_is_one_purge_and_timestamps_never_decrease() {
     let mut log = PurgeLog::new(9);
-    assert_eq!(put(&mut log, 500, "a"), 1);
+    assert_eq!(append_purge(&mut log, 500, "a"), 1);
     assert_eq!(
         log.prepare(600, &command("a", PurgeTarget::Object(7))),
         Ok(Prepared::Duplicate(1))
@@ -31,7 +31,7 @@
         log.prepare(600, &command("a", PurgeTarget::Object(8))),
         Err(CommandError::IdInUse)
     );
-    put(&mut log, 100, "b");
+    append_purge(&mut log, 100, "b");
     assert_eq!(
         log.get(2).unwrap().at_ms,
         500,
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn a_follower_accepts_no_gap_no_foreign_number_and_no_second_content() {
+fn a_follower_rejects_gaps_other_logs_and_conflicting_purges() {
     let mut log = PurgeLog::new(9);
-    (0..5).for_each(|i| assert!(put(&mut log, i, &i.to_string()) > 0));
+    (0..5).for_each(|i| assert!(append_purge(&mut log, i, &i.to_string()) > 0));
     let all = log.batch_after(0).unwrap();
     let mut follower = PurgeLog::new(9);
     assert_eq!(follower.append(9, all[1].clone()), Err(AppendError::Gap));
@@ -66,9 +66,9 @@
 }
 
 #[test]
-fn only_confirmed_purges_past_the_horizon_are_compacted() {
+fn only_confirmed_purges_older_than_the_horizon_are_compacted() {
     let mut log = PurgeLog::new(9);
-    (0..10).for_each(|i| assert!(put(&mut log, i * 100, &i.to_string()) > 0));
+    (0..10).for_each(|i| assert!(append_purge(&mut log, i * 100, &i.to_string()) > 0));
     assert_eq!(log.compact(0, 10_000), 0, "nobody confirmed");
     assert_eq!(log.compact(10, 0), 0, "the horizon has not passed");
     assert_eq!(log.compact(6, 401), 5);
--- a/purges/src/matching.rs
+++ b/purges/src/matching.rs
@@ -15,7 +15,7 @@
 
 /// The latest purge of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PurgeMark {
+pub struct LatestPurge {
     /// Copies created before this time are stale.
     pub at_ms: UnixMillis,
     /// The number of the purge.
--- a/purges/src/matching/pattern.rs
+++ b/purges/src/matching/pattern.rs
@@ -1,5 +1,5 @@
 //! Glob patterns over request keys: one by one, and compiled into one automaton.
-use super::PurgeMark;
+use super::LatestPurge;
 use crate::MAX_PATTERN_BYTES;
 use globset::{Glob, GlobBuilder, GlobSet, GlobSetBuilder};
 use thiserror::Error;
@@ -7,7 +7,7 @@
 /// Most wildcards in one pattern.
 const MAX_WILDCARDS: usize = 12;
 /// Keys that have nothing in common: a pattern that matches all of them is taken to match everything.
-const UNRELATED_KEYS: [&str; 3] = [
+const SAMPLE_KEYS: [&str; 3] = [
     "a/0123456789abcdef/0",
     "zz-z/fedcba9876543210/4294967295",
     "k/5a5a5a5a5a5a5a5a/7",
@@ -66,32 +66,32 @@
     let matcher = glob.compile_matcher();
     Ok(ParsedPattern {
         glob,
-        matches_everything: UNRELATED_KEYS.iter().all(|key| matcher.is_match(key)),
+        matches_everything: SAMPLE_KEYS.iter().all(|key| matcher.is_match(key)),
     })
 }
 
 /// Patterns to compile, with the latest purge of each.
-pub type CompileJob = Vec<(Box<str>, PurgeMark)>;
+pub type CompileJob = Vec<(Box<str>, LatestPurge)>;
 
 /// Patterns compiled into one automaton by [`compile_patterns`].
 #[derive(Debug)]
 pub struct PatternSet {
     globs: GlobSet,
     /// The latest purges, in the order of the globs.
-    pub(super) marks: Vec<PurgeMark>,
+    pub(super) latest_purges: Vec<LatestPurge>,
     texts: Vec<Box<str>>,
 }
 
 impl PatternSet {
     /// The patterns with their latest purges.
-    pub(super) fn patterns(&self) -> impl Iterator<Item = (&Box<str>, &PurgeMark)> {
-        self.texts.iter().zip(&self.marks)
+    pub(super) fn patterns(&self) -> impl Iterator<Item = (&Box<str>, &LatestPurge)> {
+        self.texts.iter().zip(&self.latest_purges)
     }
 
     /// The latest purges of the patterns that match a key.
-    pub(super) fn matches<'a>(&'a self, key: &str) -> impl Iterator<Item = &'a PurgeMark> {
+    pub(super) fn matches<'a>(&'a self, key: &str) -> impl Iterator<Item = &'a LatestPurge> {
         let matched = self.globs.matches(key).into_iter();
-        matched.filter_map(|index| self.marks.get(index))
+        matched.filter_map(|index| self.latest_purges.get(index))
     }
 }
 
@@ -102,10 +102,10 @@
         builder.add(parse_pattern(text)?.glob);
     }
     let globs = builder.build()?;
-    let (texts, marks) = job.into_iter().unzip();
+    let (texts, latest_purges) = job.into_iter().unzip();
     Ok(PatternSet {
         globs,
-        marks,
+        latest_purges,
         texts,
     })
 }
--- a/purges/src/matching/purge_matcher.rs
+++ b/purges/src/matching/purge_matcher.rs
@@ -1,14 +1,14 @@
 //! The live purges, ready to be matched against requests.
 use super::pattern::{parse_pattern, CompileError, CompileJob, PatternSet};
 use super::tag_index::tag_hash;
-use super::PurgeMark;
+use super::LatestPurge;
 use crate::{Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use globset::GlobMatcher;
 use std::collections::HashMap;
 use std::hash::Hash;
 
 /// Patterns that are matched one by one before they are compiled together with the others.
-pub(super) const MAX_UNCOMPILED: usize = 32;
+pub(super) const MAX_UNCOMPILED_PATTERNS: usize = 32;
 /// Most live patterns: a further one counts as matching everything.
 pub const MAX_PATTERNS: usize = 4_096;
 
@@ -17,7 +17,7 @@
 pub(super) struct Pattern {
     text: Box<str>,
     matcher: GlobMatcher,
-    mark: PurgeMark,
+    latest: LatestPurge,
 }
 
 /// What purges are matched against.
@@ -49,23 +49,27 @@
 /// Live purges.
 #[derive(Debug, Default)]
 pub struct PurgeMatcher {
-    objects: HashMap<u64, PurgeMark>,
-    groups: HashMap<u32, PurgeMark>,
-    tags: HashMap<u64, PurgeMark>,
+    objects: HashMap<u64, LatestPurge>,
+    groups: HashMap<u32, LatestPurge>,
+    tags: HashMap<u64, LatestPurge>,
     /// The latest of any tag: what concerns an object whose tags are unknown.
-    any_tag: PurgeMark,
+    any_tag: LatestPurge,
     pub(super) compiled: Option<PatternSet>,
     pub(super) uncompiled: Vec<Pattern>,
     /// The latest purge of everything.
-    all: PurgeMark,
+    all: LatestPurge,
     /// While patterns are being compiled: the greatest number among them.
     compiling: Option<PurgeNumber>,
 }
 
-/// Sets the mark of a key unless it has a later one.
-fn raise<K: Hash + Eq>(marks: &mut HashMap<K, PurgeMark>, key: K, mark: PurgeMark) {
-    let known = marks.entry(key).or_default();
-    *known = mark.max(*known);
+/// Sets the latest purge of a key unless it has a later one.
+fn update_latest<K: Hash + Eq>(
+    latest_purges: &mut HashMap<K, LatestPurge>,
+    key: K,
+    latest: LatestPurge,
+) {
+    let known = latest_purges.entry(key).or_default();
+    *known = latest.max(*known);
 }
 
 impl PurgeMatcher {
@@ -77,66 +81,68 @@
             0 => PurgeNumber::MAX,
             number => number,
         };
-        let mark = PurgeMark {
+        let latest = LatestPurge {
             at_ms: purge.at_ms.saturating_add(skew_ms),
             number,
         };
         match &purge.target {
-            PurgeTarget::Object(object) => raise(&mut self.objects, *object, mark),
-            PurgeTarget::Group(group) => raise(&mut self.groups, *group, mark),
+            PurgeTarget::Object(object) => update_latest(&mut self.objects, *object, latest),
+            PurgeTarget::Group(group) => update_latest(&mut self.groups, *group, latest),
             PurgeTarget::Tag(tag) => {
-                raise(&mut self.tags, tag_hash(tag), mark);
-                self.any_tag = mark.max(self.any_tag);
+                update_latest(&mut self.tags, tag_hash(tag), latest);
+                self.any_tag = latest.max(self.any_tag);
             }
-            PurgeTarget::Pattern(text) => self.add_pattern(text, mark),
+            PurgeTarget::Pattern(text) => self.add_pattern(text, latest),
         }
     }
 
-    fn add_pattern(&mut self, text: &str, mark: PurgeMark) {
+    fn add_pattern(&mut self, text: &str, latest: LatestPurge) {
         let parsed = match parse_pattern(text) {
-            Ok(parsed) if !parsed.matches_everything && self.patterns() < MAX_PATTERNS => parsed,
+            Ok(parsed) if !parsed.matches_everything && self.pattern_count() < MAX_PATTERNS => {
+                parsed
+            }
             _ => {
-                self.all = mark.max(self.all);
+                self.all = latest.max(self.all);
                 return;
             }
         };
         let mut uncompiled = self.uncompiled.iter_mut();
         match uncompiled.find(|pattern| &*pattern.text == text) {
-            Some(known) => known.mark = mark.max(known.mark),
+            Some(known) => known.latest = latest.max(known.latest),
             None => self.uncompiled.push(Pattern {
                 text: text.into(),
                 matcher: parsed.glob.compile_matcher(),
-                mark,
+                latest,
             }),
         }
     }
 
     /// Counts everything as purged at a time, for a front that has lost its memory. No cache node ever confirms that.
     pub fn add_all(&mut self, at_ms: UnixMillis) {
-        let mark = PurgeMark {
+        let latest = LatestPurge {
             at_ms,
             number: PurgeNumber::MAX,
         };
-        self.all = mark.max(self.all);
+        self.all = latest.max(self.all);
     }
 
     /// Patterns to compile elsewhere by [`compile_patterns`](super::compile_patterns) and to give back to
     /// [`PurgeMatcher::install`], once there are enough new ones.
     pub fn take_compile_job(&mut self) -> Option<CompileJob> {
-        if self.uncompiled.len() < MAX_UNCOMPILED || self.compiling.is_some() {
+        if self.uncompiled.len() < MAX_UNCOMPILED_PATTERNS || self.compiling.is_some() {
             return None;
         }
-        let numbers = self.uncompiled.iter().map(|pattern| pattern.mark.number);
+        let numbers = self.uncompiled.iter().map(|pattern| pattern.latest.number);
         self.compiling = numbers.max();
-        let mut marks: HashMap<Box<str>, PurgeMark> = HashMap::new();
+        let mut latest_purges: HashMap<Box<str>, LatestPurge> = HashMap::new();
         let compiled = self.compiled.iter().flat_map(PatternSet::patterns);
-        for (text, mark) in compiled {
-            raise(&mut marks, text.clone(), *mark);
+        for (text, latest) in compiled {
+            update_latest(&mut latest_purges, text.clone(), *latest);
         }
         for pattern in &self.uncompiled {
-            raise(&mut marks, pattern.text.clone(), pattern.mark);
+            update_latest(&mut latest_purges, pattern.text.clone(), pattern.latest);
         }
-        let mut job: CompileJob = marks.into_iter().collect();
+        let mut job: CompileJob = latest_purges.into_iter().collect();
         job.sort();
         Some(job)
     }
@@ -148,10 +154,10 @@
             Ok(set) => {
                 self.compiled = Some(set);
                 self.uncompiled
-                    .retain(|pattern| pattern.mark.number > compiled_up_to);
+                    .retain(|pattern| pattern.latest.number > compiled_up_to);
             }
             Err(_) => {
-                let latest = self.uncompiled.iter().map(|pattern| pattern.mark).max();
+                let latest = self.uncompiled.iter().map(|pattern| pattern.latest).max();
                 self.all = latest.unwrap_or_default().max(self.all);
                 self.uncompiled.clear();
             }
@@ -161,17 +167,17 @@
     /// The earliest creation time of a copy that may answer a request, by purges after the number `after`; 0: any.
     pub fn floor(&self, after: PurgeNumber, request: &RequestAttributes<'_>) -> UnixMillis {
         let mut floor = 0;
-        let mut apply = |mark: &PurgeMark| {
-            if mark.number > after {
-                floor = floor.max(mark.at_ms);
+        let mut apply = |latest: &LatestPurge| {
+            if latest.number > after {
+                floor = floor.max(latest.at_ms);
             }
         };
         apply(&self.all);
-        if let Some(mark) = self.objects.get(&request.object) {
-            apply(mark);
+        if let Some(latest) = self.objects.get(&request.object) {
+            apply(latest);
         }
-        if let Some(mark) = self.groups.get(&request.group) {
-            apply(mark);
+        if let Some(latest) = self.groups.get(&request.group) {
+            apply(latest);
         }
         match request.tags {
             None => apply(&self.any_tag),
@@ -189,9 +195,9 @@
     /// Raises a floor by the patterns that are not compiled. Only those that could raise it are matched.
     fn uncompiled_floor(&self, mut floor: UnixMillis, after: PurgeNumber, key: &str) -> UnixMillis {
         for pattern in &self.uncompiled {
-            let mark = pattern.mark;
-            if mark.at_ms > floor && mark.number > after && pattern.matcher.is_match(key) {
-                floor = mark.at_ms;
+            let latest = pattern.latest;
+            if latest.at_ms > floor && latest.number > after && pattern.matcher.is_match(key) {
+                floor = latest.at_ms;
             }
         }
         floor
@@ -203,8 +209,11 @@
         targets == 0 && self.uncompiled.is_empty() && self.compiled.is_none() && self.all.at_ms == 0
     }
 
-    fn patterns(&self) -> usize {
-        let compiled = self.compiled.as_ref().map_or(0, |set| set.marks.len());
+    fn pattern_count(&self) -> usize {
+        let compiled = self
+            .compiled
+            .as_ref()
+            .map_or(0, |set| set.latest_purges.len());
         self.uncompiled.len() + compiled
     }
 
@@ -214,24 +223,28 @@
             objects: self.objects.len(),
             groups: self.groups.len(),
             tags: self.tags.len(),
-            patterns: self.patterns(),
+            patterns: self.pattern_count(),
         }
     }
 
     /// Removes purges from before `horizon`: no endpoint has a copy from before it any more.
     pub fn expire(&mut self, horizon: UnixMillis) {
-        let live = |mark: &PurgeMark| mark.at_ms >= horizon;
-        self.objects.retain(|_, mark| live(mark));
-        self.groups.retain(|_, mark| live(mark));
-        self.tags.retain(|_, mark| live(mark));
-        self.uncompiled.retain(|pattern| live(&pattern.mark));
+        let live = |latest: &LatestPurge| latest.at_ms >= horizon;
+        self.objects.retain(|_, latest| live(latest));
+        self.groups.retain(|_, latest| live(latest));
+        self.tags.retain(|_, latest| live(latest));
+        self.uncompiled.retain(|pattern| live(&pattern.latest));
         // The automaton cannot give up single patterns.
-        if !self.compiled.iter().any(|set| set.marks.iter().any(live)) {
+        if !self
+            .compiled
+            .iter()
+            .any(|set| set.latest_purges.iter().any(live))
+        {
             self.compiled = None;
         }
-        for mark in [&mut self.any_tag, &mut self.all] {
-            if !live(mark) {
-                *mark = PurgeMark::default();
+        for latest in [&mut self.any_tag, &mut self.all] {
+            if !live(latest) {
+                *latest = LatestPurge::default();
             }
         }
     }
--- a/purges/src/matching/tag_index.rs
+++ b/purges/src/matching/tag_index.rs
@@ -3,7 +3,7 @@
 /// Most tags of an object that are remembered; the tags of one with more are unknown.
 const MAX_INDEXED_TAGS: usize = 4;
 /// Slots in which an object may stand; the one used longest ago is replaced.
-const WAYS: usize = 8;
+const SLOTS_PER_ROW: usize = 8;
 
 /// A 64-bit hash of a tag. Two tags with the same hash are purged together, which removes too much but never too little.
 pub fn tag_hash(tag: &str) -> u64 {
@@ -21,7 +21,7 @@
     /// One more than the number of tags; 0 if the slot is free. The tags are unknown if there are more than fit.
     count: u8,
     /// The index's clock when the slot was written.
-    used_at: u32,
+    written_at: u32,
 }
 
 impl Slot {
@@ -44,37 +44,37 @@
 pub struct TagIndex {
     pub(super) slots: Vec<Slot>,
     /// Counts the records; it may wrap around.
-    clock: u32,
+    sequence: u32,
 }
 
 impl TagIndex {
     /// An index that takes about this number of bytes.
     pub fn new(bytes: usize) -> Self {
-        let rows = (bytes / (WAYS * std::mem::size_of::<Slot>())).max(1);
+        let rows = (bytes / (SLOTS_PER_ROW * std::mem::size_of::<Slot>())).max(1);
         TagIndex {
-            slots: vec![Slot::default(); rows * WAYS],
-            clock: 0,
+            slots: vec![Slot::default(); rows * SLOTS_PER_ROW],
+            sequence: 0,
         }
     }
 
     fn row(&self, object: u64) -> std::ops::Range<usize> {
-        let rows = (self.slots.len() / WAYS) as u128;
-        let spread = object.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let row = ((u128::from(spread) * rows) >> 64) as usize * WAYS;
-        row..row + WAYS
+        let rows = (self.slots.len() / SLOTS_PER_ROW) as u128;
+        let hash = object.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let row = ((u128::from(hash) * rows) >> 64) as usize * SLOTS_PER_ROW;
+        row..row + SLOTS_PER_ROW
     }
 
     /// Records the tags that a reply named, in place of those known before. `None`: it named none, and the tags known
     /// before stay.
     pub fn record(&mut self, object: u64, tags: Option<&[&str]>) {
         let Some(tags) = tags else { return };
-        self.clock = self.clock.wrapping_add(1);
-        let clock = self.clock;
+        self.sequence = self.sequence.wrapping_add(1);
+        let sequence = self.sequence;
         let range = self.row(object);
         let row = &mut self.slots[range];
         let mut slot = Slot {
             object,
-            used_at: clock,
+            written_at: sequence,
             // One more than fit stands for unknown; an object without tags is known to have none.
             count: 1 + tags.len().min(MAX_INDEXED_TAGS + 1) as u8,
             ..Slot::default()
@@ -82,7 +82,7 @@
         for (tag, hash) in tags.iter().zip(&mut slot.tags) {
             *hash = tag_hash(tag);
         }
-        row[slot_for(row, object, clock)] = slot;
+        row[select_slot(row, object, sequence)] = slot;
     }
 
     /// Makes the tags of an object unknown: a reply was rejected for tags that were not recorded.
@@ -118,10 +118,10 @@
 }
 
 /// The slot for an object: its own, else a free one, else the one written longest ago.
-fn slot_for(row: &[Slot], object: u64, clock: u32) -> usize {
+fn select_slot(row: &[Slot], object: u64, sequence: u32) -> usize {
     let own = row.iter().position(|slot| slot.holds(object));
     let free = || row.iter().position(|slot| slot.count == 0);
-    let age = |index: &usize| clock.wrapping_sub(row[*index].used_at);
+    let age = |index: &usize| sequence.wrapping_sub(row[*index].written_at);
     let oldest = || (0..row.len()).max_by_key(age).unwrap_or(0);
     own.or_else(free).unwrap_or_else(oldest)
 }
--- a/purges/src/matching/tests.rs
+++ b/purges/src/matching/tests.rs
@@ -1,4 +1,4 @@
-use super::purge_matcher::MAX_UNCOMPILED;
+use super::purge_matcher::MAX_UNCOMPILED_PATTERNS;
 use super::*;
 use crate::{request_key, Purge, PurgeTarget};
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn unknown_tags_count_as_matched_and_known_ones_do_not() {
+fn an_object_with_unknown_tags_matches_every_tag_purge() {
     let (mut index, mut matcher) = (TagIndex::new(1 << 16), PurgeMatcher::default());
     index.record(1, Some(&["vitara", "blue"]));
     index.record(2, Some(&[]));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_index_keeps_its_size_and_replaced_objects_become_unknown() {
+fn the_index_has_a_fixed_size_and_replaced_objects_become_unknown() {
     let mut index = TagIndex::new(1 << 16);
     let before = index.slots.len();
     (0..100_000).for_each(|o| index.record(o, Some(&["t"])));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_floor_is_the_latest_match_and_ends_once_it_is_confirmed() {
+fn the_floor_is_the_latest_unconfirmed_matching_purge() {
     let mut matcher = PurgeMatcher::default();
     matcher.add(&purge(1, 100, PurgeTarget::Object(7)), 5);
     matcher.add(&purge(2, 200, PurgeTarget::Group(3)), 5);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_purge_without_a_number_counts_whatever_nodes_have_confirmed() {
+fn a_purge_without_a_number_applies_whatever_nodes_have_confirmed() {
     let mut matcher = PurgeMatcher::default();
     matcher.add(&purge(0, 400, PurgeTarget::Object(7)), 0);
     assert_eq!(matcher.floor(99, &request(7, 0, Some(&[]), "a/7/0")), 400);
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn compiled_patterns_match_as_they_did_one_by_one() {
-    let mut together = PurgeMatcher::default();
-    let mut single = PurgeMatcher::default();
+fn compiled_patterns_match_the_same_requests_as_single_patterns() {
+    let mut compiled = PurgeMatcher::default();
+    let mut uncompiled = PurgeMatcher::default();
     let mut rng = 3u64;
     for n in 1..=200 {
         rng = rng
@@ -148,15 +148,15 @@
             _ => format!("class-[{}-9]/*{:x}/?", (rng >> 40) % 9, (rng >> 44) % 16),
         };
         let purge = purge(n, n * 10, PurgeTarget::Pattern(text.into()));
-        together.add(&purge, 0);
-        single.add(&purge, 0);
-        if let Some(job) = together.take_compile_job() {
+        compiled.add(&purge, 0);
+        uncompiled.add(&purge, 0);
+        if let Some(job) = compiled.take_compile_job() {
             // Compiled at once here; the driver does it on a worker thread.
             let set = compile_patterns(job);
-            together.install(set);
+            compiled.install(set);
         }
     }
-    assert!(together.uncompiled.len() < MAX_UNCOMPILED && together.compiled.is_some());
+    assert!(compiled.uncompiled.len() < MAX_UNCOMPILED_PATTERNS && compiled.compiled.is_some());
     for object in 0..2_000u64 {
         let object = object.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let key = request_key(
@@ -165,12 +165,12 @@
             (object % 40) as u32,
         );
         let floor = |m: &PurgeMatcher| m.floor(0, &request(object, 0, Some(&[]), &key));
-        assert_eq!(floor(&together), floor(&single), "{key}");
+        assert_eq!(floor(&compiled), floor(&uncompiled), "{key}");
     }
 }
 
 #[test]
-fn more_patterns_than_are_allowed_count_as_matching_everything() {
+fn patterns_beyond_the_limit_match_everything() {
     let mut matcher = PurgeMatcher::default();
     for n in 1..=MAX_PATTERNS as u64 + 1 {
         matcher.add(
--- a/purges/src/replication.rs
+++ b/purges/src/replication.rs
@@ -5,17 +5,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A batch that is not confirmed after this long counts as lost, and its purges are sent again.
-const CONFIRM_TIMEOUT: Micros = 5_000_000;
+const CONFIRMATION_TIMEOUT: Micros = 5_000_000;
 /// Backoff after the first loss; it doubles with each further one.
 const INITIAL_BACKOFF: Micros = 100_000;
 /// Longest backoff.
 const MAX_BACKOFF: Micros = 10_000_000;
 /// A node counts as slow if its last batch took longer than this.
-const SLOW_BATCH: Micros = 1_000_000;
+const SLOW_BATCH_THRESHOLD: Micros = 1_000_000;
 /// Most batches in flight at once.
-const MAX_IN_FLIGHT: usize = 64;
+const MAX_BATCHES_IN_FLIGHT: usize = 64;
 /// Most batches in flight to slow nodes, so that they do not take all the slots.
-const MAX_SLOW_IN_FLIGHT: usize = 8;
+const MAX_SLOW_BATCHES_IN_FLIGHT: usize = 8;
 /// Shortest time between two wake-ups.
 const MIN_WAKEUP_INTERVAL: Micros = 1_000;
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -47,7 +47,7 @@
 
 /// A batch that was sent and is not confirmed yet.
 #[derive(Clone, Copy, Debug)]
-struct InFlight {
+struct BatchInFlight {
     through: PurgeNumber,
     sent_at: Timestamp,
 }
@@ -56,13 +56,13 @@
 struct NodeState {
     /// The node has applied every purge up to this number.
     confirmed: PurgeNumber,
-    in_flight: Option<InFlight>,
+    in_flight: Option<BatchInFlight>,
     connected: bool,
     slow: bool,
     /// Losses since the last confirmation.
     failures: u32,
     /// Nothing is sent before this time.
-    paused_until: Timestamp,
+    backoff_until: Timestamp,
     stale_copies: u64,
 }
 
@@ -70,23 +70,23 @@
     fn back_off(&mut self, now: Timestamp) {
         self.failures += 1;
         let backoff = INITIAL_BACKOFF << (self.failures - 1).min(10);
-        self.paused_until = now + backoff.min(MAX_BACKOFF);
+        self.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 
     fn is_overdue(&self, now: Timestamp) -> bool {
         self.in_flight
-            .is_some_and(|batch| now > batch.sent_at + CONFIRM_TIMEOUT)
+            .is_some_and(|batch| now > batch.sent_at + CONFIRMATION_TIMEOUT)
     }
 
     fn is_ready(&self, now: Timestamp) -> bool {
-        self.connected && self.in_flight.is_none() && now >= self.paused_until
+        self.connected && self.in_flight.is_none() && now >= self.backoff_until
     }
 
     /// When the node may be sent something, or its batch counts as lost.
     fn next_wakeup(&self) -> Timestamp {
         match self.in_flight {
-            Some(batch) => batch.sent_at + CONFIRM_TIMEOUT + 1,
-            None => self.paused_until,
+            Some(batch) => batch.sent_at + CONFIRMATION_TIMEOUT + 1,
+            None => self.backoff_until,
         }
     }
 }
@@ -155,13 +155,13 @@
     /// nothing to purge and starts there; a number of another log, or beyond `head`, counts as 0.
     pub fn connected(&mut self, id: NodeId, report: NodeReport, head: PurgeNumber) {
         self.end_batch(id);
-        let credible = report.log == self.identity && report.applied <= head;
+        let is_valid = report.log == self.identity && report.applied <= head;
         if let Some(state) = self.nodes.get_mut(&id) {
             state.connected = true;
-            state.paused_until = 0;
+            state.backoff_until = 0;
             state.confirmed = match report {
                 NodeReport { empty: true, .. } => head,
-                NodeReport { applied, .. } if credible => applied,
+                NodeReport { applied, .. } if is_valid => applied,
                 _ => 0,
             };
         }
@@ -187,7 +187,7 @@
         if let Some(state) = self.nodes.get_mut(&id) {
             state.confirmed = number;
             state.failures = 0;
-            state.slow = now.saturating_sub(batch.sent_at) > SLOW_BATCH;
+            state.slow = now.saturating_sub(batch.sent_at) > SLOW_BATCH_THRESHOLD;
         }
         true
     }
@@ -224,7 +224,7 @@
         self.end_overdue_batches(now);
         let mut batches = Vec::new();
         for id in self.service_order() {
-            if self.in_flight >= MAX_IN_FLIGHT || self.tokens < 1.0 {
+            if self.in_flight >= MAX_BATCHES_IN_FLIGHT || self.tokens < 1.0 {
                 break;
             }
             batches.extend(self.next_batch(now, id, base, head));
@@ -269,7 +269,7 @@
         if !state.is_ready(now) || state.confirmed >= head {
             return None;
         }
-        if state.slow && self.slow_in_flight >= MAX_SLOW_IN_FLIGHT {
+        if state.slow && self.slow_in_flight >= MAX_SLOW_BATCHES_IN_FLIGHT {
             return None;
         }
         // Compacted purges were confirmed by all nodes of their time, and are older than any copy.
@@ -277,7 +277,7 @@
         let max_purges = (self.tokens as u64).clamp(1, MAX_BATCH_PURGES as u64);
         let through = head.min(after + max_purges);
         self.tokens -= (through - after) as f64;
-        state.in_flight = Some(InFlight {
+        state.in_flight = Some(BatchInFlight {
             through,
             sent_at: now,
         });
@@ -296,9 +296,9 @@
         let states = self.nodes.values();
         let behind = states.filter(|state| state.connected && state.confirmed < head);
         let first = behind.map(NodeState::next_wakeup).min()?;
-        let missing = 1.0 - self.tokens;
-        let refill = if missing > 0.0 {
-            (missing / self.purges_per_s * MICROS_PER_SECOND) as u64 + 1
+        let missing_tokens = 1.0 - self.tokens;
+        let refill = if missing_tokens > 0.0 {
+            (missing_tokens / self.purges_per_s * MICROS_PER_SECOND) as u64 + 1
         } else {
             0
         };
--- a/purges/src/shield.rs
+++ b/purges/src/shield.rs
@@ -3,11 +3,11 @@
 use crate::{Micros, Timestamp};
 
 /// Seconds of the rate that may be saved up.
-const BURST_S: f64 = 1.0;
+const BURST_SECONDS: f64 = 1.0;
 /// Share of the burst that the lowest priority may not use.
-const RESERVED_SHARE: f64 = 0.5;
+const RESERVED_FRACTION: f64 = 0.5;
 /// Tolerance for rounding when tokens are compared.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// A token bucket with priorities. A priority is a number from 0 to 1, relative to the highest of all classes.
@@ -28,7 +28,7 @@
         let passes_per_s = passes_per_s.max(0.1);
         Shield {
             passes_per_s,
-            tokens: passes_per_s * BURST_S,
+            tokens: passes_per_s * BURST_SECONDS,
             refilled_at: now,
             passed: 0,
             rejected: 0,
@@ -39,8 +39,8 @@
     /// the burst.
     pub fn try_pass(&mut self, now: Timestamp, priority: f64) -> bool {
         self.refill(now);
-        let enough = self.tokens - 1.0 >= self.reserved(priority) - ROUNDING;
-        let passes = enough && self.tokens >= 1.0;
+        let has_tokens = self.tokens - 1.0 >= self.reserved_tokens(priority) - ROUNDING_TOLERANCE;
+        let passes = has_tokens && self.tokens >= 1.0;
         if passes {
             self.tokens -= 1.0;
             self.passed += 1;
@@ -52,24 +52,24 @@
 
     /// Time until a request of this priority may pass, if no other takes the tokens.
     pub fn retry_after(&self, priority: f64) -> Micros {
-        let needed = (self.reserved(priority) + 1.0).min(self.burst());
+        let needed = (self.reserved_tokens(priority) + 1.0).min(self.max_tokens());
         let missing = (needed - self.tokens).max(0.0);
         (missing / self.passes_per_s * MICROS_PER_SECOND).ceil() as Micros
     }
 
     fn refill(&mut self, now: Timestamp) {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_SECOND;
-        self.tokens = (self.tokens + elapsed_s * self.passes_per_s).min(self.burst());
+        self.tokens = (self.tokens + elapsed_s * self.passes_per_s).min(self.max_tokens());
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    fn burst(&self) -> f64 {
-        (self.passes_per_s * BURST_S).max(1.0)
+    fn max_tokens(&self) -> f64 {
+        (self.passes_per_s * BURST_SECONDS).max(1.0)
     }
 
     /// Tokens that a request of this priority leaves to higher ones.
-    fn reserved(&self, priority: f64) -> f64 {
-        self.burst() * RESERVED_SHARE * (1.0 - priority.clamp(0.0, 1.0))
+    fn reserved_tokens(&self, priority: f64) -> f64 {
+        self.max_tokens() * RESERVED_FRACTION * (1.0 - priority.clamp(0.0, 1.0))
     }
 }
 
--- a/purges/src/shield/tests.rs
+++ b/purges/src/shield/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn no_more_than_the_rate_passes_over_any_duration_and_high_priorities_come_first() {
+fn the_rate_is_never_exceeded_and_high_priority_requests_pass_first() {
     let mut shield = Shield::new(0, 100.0);
     let (mut high, mut low) = (0, 0);
     for step in 0..100_000u64 {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn retry_after_is_long_enough() {
+fn a_request_passes_after_its_retry_after() {
     let mut shield = Shield::new(0, 10.0);
     while shield.try_pass(0, 0.0) {}
     let wait = shield.retry_after(0.0);
--- a/purges/tests/simulation.rs
+++ b/purges/tests/simulation.rs
@@ -16,10 +16,10 @@
 const FRONTS: usize = 3;
 const NODES: u64 = 6;
 const START_MS: UnixMillis = 1_000_000;
-const GRACE_MS: UnixMillis = 500;
+const MAX_DELAY_MS: UnixMillis = 500;
 const LEASE_MS: UnixMillis = 2_000;
-const FAULTS_MS: UnixMillis = 20_000;
-const DURATION_MS: UnixMillis = 45_000;
+const FAULTS_DURATION_MS: UnixMillis = 20_000;
+const RUN_DURATION_MS: UnixMillis = 45_000;
 /// How far the origin's clock may be ahead.
 const SKEW_MS: UnixMillis = 1_500;
 
@@ -41,21 +41,21 @@
 /// The guards, each of which may be missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Guard {
-    Nothing,
+    None,
     /// Replies are relayed without being checked.
-    AnswersChecked,
+    ReplyCheck,
     /// An object whose tags are unknown counts as having none.
-    UnknownMatched,
+    UnknownTagsMatch,
     /// A reply is checked by the indexed tags, not by its own.
-    OwnTags,
+    ReplyTags,
     /// A front whose lease has expired goes on as if it knew all purges.
     LeaseExpiry,
     /// Clocks count as equal.
-    SkewAllowed,
+    SkewAllowance,
     /// A follower accepts purges whatever their numbers.
-    NumbersChecked,
+    NumberCheck,
     /// A node that lost its copies reports what it had applied before.
-    ReportBelieved,
+    AppliedNumberOnReconnect,
 }
 
 #[derive(Clone, Default)]
@@ -67,7 +67,7 @@
     applied: PurgeNumber,
     up: bool,
     /// It serves what it has, whatever age is allowed.
-    serves_stale: bool,
+    ignores_max_age: bool,
 }
 
 struct Front {
@@ -76,26 +76,26 @@
     index: TagIndex,
     lease: Lease,
     /// When each purge arrived.
-    learned_at: BTreeMap<PurgeNumber, UnixMillis>,
-    cut_until: UnixMillis,
+    received_at: BTreeMap<PurgeNumber, UnixMillis>,
+    partitioned_until: UnixMillis,
 }
 
-struct World {
+struct Simulation {
     rng: Rng,
-    without: Guard,
+    disabled: Guard,
     log: PurgeLog,
     replication: Replication,
     nodes: Vec<CacheNode>,
     fronts: Vec<Front>,
     /// On their way: batches of purges to fronts, and to boxes.
-    to_front: Vec<(UnixMillis, usize, Vec<Purge>)>,
-    to_node: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)>,
-    from_node: Vec<(UnixMillis, u64, PurgeNumber)>,
-    answers: u64,
-    refused: u64,
+    batches_to_fronts: Vec<(UnixMillis, usize, Vec<Purge>)>,
+    batches_to_nodes: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)>,
+    confirmations: Vec<(UnixMillis, u64, PurgeNumber)>,
+    served_replies: u64,
+    rejected_replies: u64,
 }
 
-fn tags_of(object: u64, version: UnixMillis) -> Vec<&'static str> {
+fn origin_tags(object: u64, version: UnixMillis) -> Vec<&'static str> {
     // Tags change with the version.
     let shift = (version / 7_000) as usize;
     (0..(object % 3) as usize)
@@ -103,7 +103,7 @@
         .collect()
 }
 
-fn concerns(purge: &Purge, object: u64, all_tags: &[&str]) -> bool {
+fn is_purged_by(purge: &Purge, object: u64, all_tags: &[&str]) -> bool {
     match &purge.target {
         PurgeTarget::Object(o) => *o == object,
         PurgeTarget::Group(g) => u64::from(*g) == object % 5,
@@ -122,8 +122,8 @@
     }
 }
 
-impl World {
-    fn new(seed: u64, without: Guard) -> Self {
+impl Simulation {
+    fn new(seed: u64, disabled: Guard) -> Self {
         let front = |_| Front {
             log: PurgeLog::new(7),
             matcher: PurgeMatcher::default(),
@@ -134,17 +134,17 @@
                 LEASE_MS * 1_000,
                 ExpiryPolicy::Strict,
             ),
-            learned_at: BTreeMap::new(),
-            cut_until: 0,
+            received_at: BTreeMap::new(),
+            partitioned_until: 0,
         };
         let mut replication = Replication::new(START_MS * 1_000, 7, 500.0);
         (1..=NODES).for_each(|id| {
             replication.add_node(id);
             replication.connected(id, report(7, 0, true), 0);
         });
-        World {
+        Simulation {
             rng: Rng(seed),
-            without,
+            disabled,
             log: PurgeLog::new(7),
             replication,
             nodes: vec![
@@ -155,11 +155,11 @@
                 NODES as usize
             ],
             fronts: (0..FRONTS).map(front).collect(),
-            to_front: vec![],
-            to_node: vec![],
-            from_node: vec![],
-            answers: 0,
-            refused: 0,
+            batches_to_fronts: vec![],
+            batches_to_nodes: vec![],
+            confirmations: vec![],
+            served_replies: 0,
+            rejected_replies: 0,
         }
     }
 
@@ -187,7 +187,7 @@
     /// The writer sends to fronts what they lack, late, twice, in disorder or not at all.
     fn replicate(&mut self, now: UnixMillis, faults: bool) {
         for i in 0..FRONTS {
-            if now < self.fronts[i].cut_until {
+            if now < self.fronts[i].partitioned_until {
                 continue;
             }
             let mut batch = self
@@ -203,20 +203,20 @@
             if faults && self.rng.one_in(8) {
                 continue;
             }
-            let late = 10 + if faults { self.rng.below(400) } else { 0 };
-            self.to_front.push((now + late, i, batch));
+            let delay = 10 + if faults { self.rng.below(400) } else { 0 };
+            self.batches_to_fronts.push((now + delay, i, batch));
         }
     }
 
-    fn arrive(&mut self, now: UnixMillis) {
-        let (due, rest) = std::mem::take(&mut self.to_front)
+    fn deliver_batches_to_fronts(&mut self, now: UnixMillis) {
+        let (due, rest) = std::mem::take(&mut self.batches_to_fronts)
             .into_iter()
             .partition(|m| m.0 <= now);
-        self.to_front = rest;
+        self.batches_to_fronts = rest;
         let due: Vec<(UnixMillis, usize, Vec<Purge>)> = due;
         for (_, i, batch) in due {
             let front = &mut self.fronts[i];
-            let skew = if self.without == Guard::SkewAllowed {
+            let skew = if self.disabled == Guard::SkewAllowance {
                 0
             } else {
                 SKEW_MS
@@ -226,14 +226,14 @@
                 match front.log.append(7, purge.clone()) {
                     Ok(Appended::New) => {
                         front.matcher.add(&purge, skew);
-                        front.learned_at.insert(number, now);
+                        front.received_at.insert(number, now);
                     }
                     Ok(Appended::AlreadyPresent) => {}
-                    Err(_) if self.without == Guard::NumbersChecked => {
+                    Err(_) if self.disabled == Guard::NumberCheck => {
                         // It takes the number for its place: what is between is never asked for.
-                        let mut jump = PurgeLog::after(7, number - 1);
-                        jump.append(7, purge).unwrap();
-                        front.log = jump;
+                        let mut log_after_gap = PurgeLog::after(7, number - 1);
+                        log_after_gap.append(7, purge).unwrap();
+                        front.log = log_after_gap;
                     }
                     Err(_) => break,
                 }
@@ -243,19 +243,19 @@
             }
             // Contact is had by a front that has all that the writer had when this was sent.
             if front.log.last_number() == self.log.last_number()
-                || self.without == Guard::NumbersChecked
+                || self.disabled == Guard::NumberCheck
             {
                 front.lease.renew(now * 1_000, now);
             }
         }
-        self.nodes_arrive(now);
+        self.deliver_to_nodes(now);
     }
 
-    fn nodes_arrive(&mut self, now: UnixMillis) {
-        let (due, rest) = std::mem::take(&mut self.to_node)
+    fn deliver_to_nodes(&mut self, now: UnixMillis) {
+        let (due, rest) = std::mem::take(&mut self.batches_to_nodes)
             .into_iter()
             .partition(|m| m.0 <= now);
-        self.to_node = rest;
+        self.batches_to_nodes = rest;
         let due: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)> = due;
         for (_, id, after, through) in due {
             let node = &mut self.nodes[id as usize - 1];
@@ -273,17 +273,17 @@
                     continue;
                 };
                 node.copies.retain(|object, (born, _)| {
-                    !concerns(purge, *object, &TAGS) || *born >= purge.at_ms + SKEW_MS
+                    !is_purged_by(purge, *object, &TAGS) || *born >= purge.at_ms + SKEW_MS
                 });
             }
             node.applied = node.applied.max(through);
-            self.from_node
+            self.confirmations
                 .push((now + 5 + self.rng.below(30), id, through));
         }
-        let (due, rest) = std::mem::take(&mut self.from_node)
+        let (due, rest) = std::mem::take(&mut self.confirmations)
             .into_iter()
             .partition(|m| m.0 <= now);
-        self.from_node = rest;
+        self.confirmations = rest;
         let due: Vec<(UnixMillis, u64, PurgeNumber)> = due;
         for (_, id, number) in due {
             if self.nodes[id as usize - 1].up {
@@ -294,7 +294,7 @@
             self.replication
                 .next_batches(now * 1_000, self.log.base(), self.log.last_number())
         {
-            self.to_node.push((
+            self.batches_to_nodes.push((
                 now + 5 + self.rng.below(60),
                 batch.node,
                 batch.after,
@@ -303,7 +303,7 @@
         }
     }
 
-    fn fault(&mut self, now: UnixMillis) {
+    fn inject_fault(&mut self, now: UnixMillis) {
         let id = 1 + self.rng.below(NODES);
         let at = id as usize - 1;
         match self.rng.below(5) {
@@ -311,28 +311,28 @@
                 // It dies, with what is out to it.
                 self.nodes[at].up = false;
                 self.nodes[at].fills.clear();
-                self.to_node.retain(|m| m.1 != id);
-                self.from_node.retain(|m| m.1 != id);
+                self.batches_to_nodes.retain(|m| m.1 != id);
+                self.confirmations.retain(|m| m.1 != id);
                 self.replication.disconnected(now * 1_000, id);
             }
             1 => self.restart(now, id),
-            2 => self.nodes[at].serves_stale = !self.nodes[at].serves_stale,
+            2 => self.nodes[at].ignores_max_age = !self.nodes[at].ignores_max_age,
             3 => {
                 let front = self.rng.below(FRONTS as u64) as usize;
-                self.fronts[front].cut_until = now + self.rng.below(6_000);
+                self.fronts[front].partitioned_until = now + self.rng.below(6_000);
             }
             _ => {
                 // A front restarts without its memory: everything may have been purged.
                 let at = self.rng.below(FRONTS as u64) as usize;
                 let front = &mut self.fronts[at];
                 (front.index, front.matcher) = (TagIndex::new(2_048), PurgeMatcher::default());
-                let held: Vec<_> = front.log.iter().cloned().collect();
-                let skew = if self.without == Guard::SkewAllowed {
+                let purges: Vec<_> = front.log.iter().cloned().collect();
+                let skew = if self.disabled == Guard::SkewAllowance {
                     0
                 } else {
                     SKEW_MS
                 };
-                held.iter().for_each(|p| front.matcher.add(p, skew));
+                purges.iter().for_each(|p| front.matcher.add(p, skew));
             }
         }
     }
@@ -349,12 +349,12 @@
             node.copies.clear();
             node.applied = self.log.last_number();
         }
-        let reported = if self.without == Guard::ReportBelieved {
+        let reported = if self.disabled == Guard::AppliedNumberOnReconnect {
             self.log.last_number()
         } else {
             node.applied
         };
-        if self.without == Guard::ReportBelieved {
+        if self.disabled == Guard::AppliedNumberOnReconnect {
             node.applied = reported;
         }
         self.replication
@@ -370,12 +370,12 @@
         );
         let at = self.rng.below(NODES) as usize;
         // The origin's clock is ahead of the others'.
-        let fresh = (now + SKEW_MS - 100, now);
+        let fresh_copy = (now + SKEW_MS - 100, now);
         let node = &mut self.nodes[at];
-        let (arrived, under_way) = std::mem::take(&mut node.fills)
+        let (arrived, pending) = std::mem::take(&mut node.fills)
             .into_iter()
             .partition(|f| f.2 <= now);
-        node.fills = under_way;
+        node.fills = pending;
         let arrived: Vec<(u64, (UnixMillis, UnixMillis), UnixMillis)> = arrived;
         arrived.into_iter().for_each(|(object, copy, _)| {
             node.copies.insert(object, copy);
@@ -384,11 +384,11 @@
             return Ok(());
         }
         let front = &mut self.fronts[i];
-        let tags = match (front.index.tags(object), self.without) {
-            (None, Guard::UnknownMatched) => Some(&[][..]),
+        let tags = match (front.index.tags(object), self.disabled) {
+            (None, Guard::UnknownTagsMatch) => Some(&[][..]),
             (tags, _) => tags,
         };
-        let lease = match self.without {
+        let lease = match self.disabled {
             Guard::LeaseExpiry => 0,
             _ => front.lease.floor(now * 1_000, now).saturating_add(
                 if now * 1_000 >= front.lease.expires_at() {
@@ -410,31 +410,31 @@
                 },
             )
             .max(lease);
-        let asked = floor;
+        let requested_floor = floor;
         let copy = match node.copies.get(&object).copied() {
-            Some(copy) if copy.0 >= floor || node.serves_stale => copy,
+            Some(copy) if copy.0 >= floor || node.ignores_max_age => copy,
             _ => {
                 // A fill, which takes its time; others may get what it brings.
-                let late = self.rng.below(300);
-                node.fills.push((object, fresh, now + late));
-                fresh
+                let delay = self.rng.below(300);
+                node.fills.push((object, fresh_copy, now + delay));
+                fresh_copy
             }
         };
         // An answer is judged by the tags that it names itself, since an older version may carry others than those
         // that are known; one that names none is unknown.
-        let names = tags_of(object, copy.1);
-        let named = !self.rng.one_in(4);
-        let marks: Vec<u64> = names.iter().map(|t| tag_hash(t)).collect();
-        let checked_by = match (named, self.without) {
-            (true, _) => Some(&marks[..]),
-            (false, Guard::UnknownMatched) => Some(&[][..]),
-            (false, Guard::OwnTags) => front.index.tags(object),
+        let tags_in_reply = origin_tags(object, copy.1);
+        let names_tags = !self.rng.one_in(4);
+        let tag_hashes: Vec<u64> = tags_in_reply.iter().map(|t| tag_hash(t)).collect();
+        let reply_tags = match (names_tags, self.disabled) {
+            (true, _) => Some(&tag_hashes[..]),
+            (false, Guard::UnknownTagsMatch) => Some(&[][..]),
+            (false, Guard::ReplyTags) => front.index.tags(object),
             (false, _) => None,
         };
-        let checked_by = if self.without == Guard::OwnTags {
+        let reply_tags = if self.disabled == Guard::ReplyTags {
             front.index.tags(object)
         } else {
-            checked_by
+            reply_tags
         };
         let floor = front
             .matcher
@@ -443,14 +443,14 @@
                 &RequestAttributes {
                     object,
                     group: (object % 5) as u32,
-                    tags: checked_by,
+                    tags: reply_tags,
                     key: &request_key("video", object, 0),
                 },
             )
             .max(lease);
-        if copy.0 < floor && self.without != Guard::AnswersChecked {
-            self.refused += 1;
-            if copy.0 < asked {
+        if copy.0 < floor && self.disabled != Guard::ReplyCheck {
+            self.rejected_replies += 1;
+            if copy.0 < requested_floor {
                 self.replication
                     .stale_copy_served(now * 1_000, at as u64 + 1);
             } else {
@@ -459,16 +459,19 @@
             }
             return Ok(());
         }
-        self.answers += 1;
-        if named {
-            front.index.record(object, Some(&names));
+        self.served_replies += 1;
+        if names_tags {
+            front.index.record(object, Some(&tags_in_reply));
         }
         // What this copy carries is known only to the origin; the checker knows.
         for purge in self.log.iter() {
-            let learned_at = front.learned_at.get(&purge.number);
-            let known = learned_at.is_some_and(|t| now > t + GRACE_MS);
-            let overdue = now > purge.at_ms + LEASE_MS + GRACE_MS;
-            if (known || overdue) && copy.1 < purge.at_ms && concerns(purge, object, &names) {
+            let received_at = front.received_at.get(&purge.number);
+            let known = received_at.is_some_and(|t| now > t + MAX_DELAY_MS);
+            let overdue = now > purge.at_ms + LEASE_MS + MAX_DELAY_MS;
+            if (known || overdue)
+                && copy.1 < purge.at_ms
+                && is_purged_by(purge, object, &tags_in_reply)
+            {
                 return Err(format!(
                     "at {now} front {i} answered object {object} from {} though purge {} of {:?} was at {} (known {known})",
                     copy.1, purge.number, purge.target, purge.at_ms
@@ -480,8 +483,8 @@
 
     fn run(&mut self) -> Result<(), String> {
         let mut now = START_MS;
-        while now < START_MS + DURATION_MS {
-            let faults = now < START_MS + FAULTS_MS;
+        while now < START_MS + RUN_DURATION_MS {
+            let faults = now < START_MS + FAULTS_DURATION_MS;
             if faults && self.rng.one_in(40) {
                 self.purge(now);
             }
@@ -489,24 +492,24 @@
                 self.replicate(now, faults);
             }
             if faults && self.rng.one_in(60) {
-                self.fault(now);
+                self.inject_fault(now);
             }
             if !faults {
-                self.fronts.iter_mut().for_each(|f| f.cut_until = 0);
+                self.fronts.iter_mut().for_each(|f| f.partitioned_until = 0);
                 (1..=NODES).for_each(|id| self.restart(now, id));
             }
-            self.arrive(now);
+            self.deliver_batches_to_fronts(now);
             if faults || self.rng.one_in(4) {
                 self.request(now)?;
             }
             now += 5;
         }
         let head = self.log.last_number();
-        for row in self.replication.statuses() {
-            if !self.nodes[row.id as usize - 1].serves_stale && row.confirmed != head {
+        for status in self.replication.statuses() {
+            if !self.nodes[status.id as usize - 1].ignores_max_age && status.confirmed != head {
                 return Err(format!(
                     "box {} has confirmed {} of {head}",
-                    row.id, row.confirmed
+                    status.id, status.confirmed
                 ));
             }
         }
@@ -519,63 +522,72 @@
     }
 }
 
-fn runs(without: Guard, seeds: std::ops::Range<u64>) -> Vec<(u64, String)> {
-    let run = |seed| World::new(seed, without).run().err().map(|e| (seed, e));
+fn find_violations(disabled: Guard, seeds: std::ops::Range<u64>) -> Vec<(u64, String)> {
+    let run = |seed| {
+        Simulation::new(seed, disabled)
+            .run()
+            .err()
+            .map(|e| (seed, e))
+    };
     seeds.filter_map(run).collect()
 }
 
 #[test]
-fn no_front_serves_a_stale_copy_over_many_seeds() {
-    let found = runs(Guard::Nothing, 0..150);
-    assert!(found.is_empty(), "{:#?}", &found[..found.len().min(3)]);
-    let mut world = World::new(1, Guard::Nothing);
-    world.run().unwrap();
+fn no_front_serves_a_stale_copy() {
+    let violations = find_violations(Guard::None, 0..150);
+    assert!(
+        violations.is_empty(),
+        "{:#?}",
+        &violations[..violations.len().min(3)]
+    );
+    let mut simulation = Simulation::new(1, Guard::None);
+    simulation.run().unwrap();
     assert!(
-        world.answers > 2_000 && world.refused > 10,
+        simulation.served_replies > 2_000 && simulation.rejected_replies > 10,
         "{} {}",
-        world.answers,
-        world.refused
+        simulation.served_replies,
+        simulation.rejected_replies
     );
-    assert!(world.log.last_number() > 50);
+    assert!(simulation.log.last_number() > 50);
 }
 
 #[test]
-fn each_guard_that_is_taken_out_is_found() {
-    for without in [
-        Guard::AnswersChecked,
-        Guard::UnknownMatched,
-        Guard::OwnTags,
+fn disabling_any_guard_causes_a_violation() {
+    for disabled in [
+        Guard::ReplyCheck,
+        Guard::UnknownTagsMatch,
+        Guard::ReplyTags,
         Guard::LeaseExpiry,
-        Guard::SkewAllowed,
-        Guard::NumbersChecked,
+        Guard::SkewAllowance,
+        Guard::NumberCheck,
     ] {
         assert!(
-            !runs(without, 0..40).is_empty(),
-            "{without:?} was not missed"
+            !find_violations(disabled, 0..40).is_empty(),
+            "{disabled:?} was not missed"
         );
     }
 }
 
 #[test]
-fn a_node_that_reports_more_than_it_applied_is_caught_by_its_replies() {
+fn reply_checks_catch_a_node_that_reports_more_purges_than_it_applied() {
     // It costs refused answers, and none that is old.
-    assert!(runs(Guard::ReportBelieved, 0..40).is_empty());
+    assert!(find_violations(Guard::AppliedNumberOnReconnect, 0..40).is_empty());
 }
 
 #[test]
-fn nodes_far_behind_get_bounded_batches_and_slow_ones_leave_slots_for_fast_ones() {
+fn batches_are_bounded_and_slow_nodes_leave_slots_for_fast_ones() {
     let mut replication = Replication::new(0, 7, 100_000.0);
     (1..=100).for_each(|id| {
         replication.add_node(id);
         replication.connected(id, report(7, 0, false), 1_000);
     });
-    let (mut now, mut without) = (0u64, Vec::<(u64, u64, PurgeNumber)>::new());
-    let mut sent = BTreeMap::<u64, PurgeNumber>::new();
+    let (mut now, mut in_flight) = (0u64, Vec::<(u64, u64, PurgeNumber)>::new());
+    let mut sent_through = BTreeMap::<u64, PurgeNumber>::new();
     while now < 60_000_000 && replication.confirmed_by_all() != Some(1_000) {
         now += 1_000;
-        let done: Vec<_> = without.iter().filter(|o| o.0 <= now).copied().collect();
-        without.retain(|o| o.0 > now);
-        for (_, id, number) in done {
+        let completed: Vec<_> = in_flight.iter().filter(|o| o.0 <= now).copied().collect();
+        in_flight.retain(|o| o.0 > now);
+        for (_, id, number) in completed {
             assert!(replication.confirmed(now, id, number));
             assert!(
                 !replication.confirmed(now, id, number),
@@ -585,21 +597,21 @@
         for batch in replication.next_batches(now, 0, 1_000) {
             assert!(batch.through - batch.after <= 256);
             assert_eq!(
-                sent.insert(batch.node, batch.through).unwrap_or(0),
+                sent_through.insert(batch.node, batch.through).unwrap_or(0),
                 batch.after,
                 "in order, none left out"
             );
             assert!(
-                !without.iter().any(|o| o.1 == batch.node),
+                !in_flight.iter().any(|o| o.1 == batch.node),
                 "never two batches out"
             );
             // Twenty boxes take two seconds for each batch.
-            let takes = if batch.node % 5 == 0 {
+            let duration = if batch.node % 5 == 0 {
                 2_000_000
             } else {
                 20_000
             };
-            without.push((now + takes, batch.node, batch.through));
+            in_flight.push((now + duration, batch.node, batch.through));
         }
         if now == 2_500_000 {
             let fast = (1..=100).filter(|id| id % 5 != 0);
--- a/purges/tests/stored_data.rs
+++ b/purges/tests/stored_data.rs
@@ -6,9 +6,9 @@
 /// Written by version 0.1.0: identity 0xfeed0123, purges 5 to 8 after base 4, one of each kind.
 const VERSION_0_1_0: &[u8] = include_bytes!("data/version-0.1.0.journal");
 
-struct Memory(Vec<u8>);
+struct MemoryFile(Vec<u8>);
 
-impl JournalFile for Memory {
+impl JournalFile for MemoryFile {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         Ok(Some(self.0.clone()))
     }
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_journal_written_by_version_0_1_0_is_read_and_written_the_same() {
-    let mut file = Memory(VERSION_0_1_0.to_vec());
+fn a_journal_of_version_0_1_0_is_read_and_rewritten_byte_for_byte() {
+    let mut file = MemoryFile(VERSION_0_1_0.to_vec());
     let OpenedJournal::Complete { log, torn_bytes } = journal::open(&mut file).unwrap() else {
         panic!("the journal is not read");
     };
@@ -51,7 +51,7 @@
         why: "new photos".into(),
     });
     assert!(log.iter().cloned().eq(expected));
-    let mut written = Memory(Vec::new());
+    let mut written = MemoryFile(Vec::new());
     journal::rewrite(&mut written, &log).unwrap();
     assert_eq!(written.0, VERSION_0_1_0);
 }
