--- a/leases/src/fencing/tests.rs
+++ b/leases/src/fencing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_older_token_is_rejected_also_after_a_restart() {
+fn an_older_token_is_rejected_before_and_after_a_restart() {
     let mut check = FencingCheck::default();
     assert_eq!((check.admit(3), check.admit(3)), (Ok(()), Ok(())));
     assert_eq!(
--- a/leases/src/holder.rs
+++ b/leases/src/holder.rs
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 
 /// A request or release that is not answered is repeated after this fraction of the usable lease duration.
-const RETRY_FRACTION: u64 = 6;
+const RETRY_DIVISOR: u64 = 6;
 /// A lease is renewed once this fraction of its usable duration has passed.
-const RENEWAL_FRACTION: u64 = 3;
+const RENEWAL_DIVISOR: u64 = 3;
 /// A front that could not do the work under a lease backs off for one lease duration for each failure in a row, up to
 /// this many.
-const MAX_BACKOFF_DURATIONS: u32 = 5;
+const MAX_BACKOFF_LEASE_DURATIONS: u32 = 5;
 /// Fronts that wait for a freed lease request it one after another: each waits this fraction of the usable lease
 /// duration for every front before it.
-const ACQUIRE_STAGGER_FRACTION: u64 = 200;
+const ACQUIRE_STAGGER_DIVISOR: u64 = 200;
 
 /// What a lease holder wants its caller to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     /// When the next request is due.
     next_request: Timestamp,
     /// The caller was told [`Action::Acquired`] and not yet [`Action::Lost`].
-    announced: bool,
+    reported_held: bool,
     /// When the last operation that was authorized will have ended.
     busy_until: Timestamp,
     /// A release that the log has not confirmed.
@@ -99,7 +99,7 @@
             return false;
         }
         self.expires_at = None;
-        std::mem::take(&mut self.announced)
+        std::mem::take(&mut self.reported_held)
     }
 
     /// The token to release now, if a release is due.
@@ -124,7 +124,7 @@
     fn begin_release(&mut self, usable_duration: Micros) -> Option<FencingToken> {
         self.expires_at.take()?;
         self.request = None;
-        self.announced = false;
+        self.reported_held = false;
         self.release = Some(Release {
             token: self.token,
             due: self.busy_until,
@@ -206,7 +206,7 @@
 
     /// What is due now: expiries, releases and requests.
     pub fn poll(&mut self, now: Timestamp) -> Vec<Action> {
-        let retry_interval = self.usable_duration() / RETRY_FRACTION;
+        let retry_interval = self.usable_duration() / RETRY_DIVISOR;
         let front = self.front;
         let mut actions = Vec::new();
         for (&lease, local) in &mut self.leases {
@@ -285,17 +285,17 @@
             .take_if(|request| request.sequence == sequence)?;
         let expires_at = request.sent_at + usable_duration;
         local.token = token;
-        local.next_request = request.sent_at + usable_duration / RENEWAL_FRACTION;
+        local.next_request = request.sent_at + usable_duration / RENEWAL_DIVISOR;
         local.expires_at = (now < expires_at).then_some(expires_at);
-        if !local.is_held() || local.announced {
+        if !local.is_held() || local.reported_held {
             return None;
         }
-        local.announced = true;
+        local.reported_held = true;
         Some(Action::Acquired(lease, token))
     }
 
     fn denied(&mut self, now: Timestamp, sequence: u64, lease: LeaseId, reason: Denial) {
-        let check_interval = self.usable_duration() / RENEWAL_FRACTION;
+        let check_interval = self.usable_duration() / RENEWAL_DIVISOR;
         let Some(local) = self.leases.get_mut(&lease) else {
             return;
         };
@@ -315,7 +315,7 @@
 
     /// Those who want a freed lease request it one after another, by their numbers.
     fn freed(&mut self, now: Timestamp, lease: LeaseId) {
-        let stagger = u64::from(self.front) * self.usable_duration() / ACQUIRE_STAGGER_FRACTION;
+        let stagger = u64::from(self.front) * self.usable_duration() / ACQUIRE_STAGGER_DIVISOR;
         if let Some(local) = self.leases.get_mut(&lease).filter(|local| !local.is_held()) {
             local.release = None;
             local.next_request = local.next_request.min(now + stagger);
@@ -329,7 +329,8 @@
         let Some(local) = self.leases.get_mut(&lease) else {
             return Vec::new();
         };
-        local.consecutive_failures = (local.consecutive_failures + 1).min(MAX_BACKOFF_DURATIONS);
+        local.consecutive_failures =
+            (local.consecutive_failures + 1).min(MAX_BACKOFF_LEASE_DURATIONS);
         local.backoff_until = now + lease_duration * u64::from(local.consecutive_failures);
         let mut actions: Vec<_> = self.begin_release(lease).into_iter().collect();
         actions.extend(self.poll(now));
--- a/leases/src/holder/tests.rs
+++ b/leases/src/holder/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_lease_counts_from_its_request_less_the_drift_and_is_checked_before_each_operation() {
+fn a_lease_expires_one_usable_duration_after_its_request_was_sent() {
     let mut holder = holder();
     assert!(holder.poll(99).is_empty() && holder.authorize(99, 0, 99).is_err());
     let (sequence, renews) = request(&mut holder, 100);
@@ -40,22 +40,26 @@
         holder.apply(400, granted(sequence, 5)),
         [Action::Acquired(0, 5)]
     );
-    let last = 100 + LEASE_DURATION - LEASE_DURATION * MAX_DRIFT_PER_MILLE / 1_000;
-    assert_eq!(holder.authorize(last - 1, 0, last), Ok(5));
+    let expires_at = 100 + LEASE_DURATION - LEASE_DURATION * MAX_DRIFT_PER_MILLE / 1_000;
+    assert_eq!(holder.authorize(expires_at - 1, 0, expires_at), Ok(5));
     assert!(
-        holder.authorize(last - 1, 0, last + 1).is_err(),
+        holder.authorize(expires_at - 1, 0, expires_at + 1).is_err(),
         "it would outlast the lease"
     );
     // A process that was stopped asks before it has polled anything.
     assert!(
-        holder.authorize(last, 0, last).is_err()
-            && holder.authorize(last + 5_000, 0, last + 5_001).is_err()
+        holder.authorize(expires_at, 0, expires_at).is_err()
+            && holder
+                .authorize(expires_at + 5_000, 0, expires_at + 5_001)
+                .is_err()
     );
-    assert!(holder.poll(last + 5_000).contains(&Action::Lost(0, 5)));
+    assert!(holder
+        .poll(expires_at + 5_000)
+        .contains(&Action::Lost(0, 5)));
 }
 
 #[test]
-fn only_the_outcome_of_the_last_request_counts_and_not_after_the_lease_duration() {
+fn only_the_outcome_of_the_last_request_counts_and_only_within_its_lease_duration() {
     let mut holder = holder();
     let (first, _) = request(&mut holder, 100);
     let (second, _) = request(&mut holder, 100 + LEASE_DURATION / 3);
@@ -73,7 +77,7 @@
 }
 
 #[test]
-fn a_release_is_proposed_once_operations_have_ended_until_it_is_confirmed_and_no_request_before() {
+fn a_release_waits_for_operations_and_is_repeated_until_confirmed_before_any_new_request() {
     let mut holder = holder();
     let (sequence, _) = request(&mut holder, 100);
     holder.apply(110, granted(sequence, 5));
--- a/leases/src/manager.rs
+++ b/leases/src/manager.rs
@@ -3,22 +3,22 @@
 use std::collections::BTreeMap;
 
 /// An expiry that may have been lost is proposed again after this fraction of a lease duration.
-const RETRY_FRACTION: u64 = 8;
+const RETRY_DIVISOR: u64 = 8;
 
 /// A grant, or its last renewal, as the leader saw it first.
 #[derive(Clone, Copy, Debug)]
-struct SeenGrant {
+struct ObservedGrant {
     token: FencingToken,
     renewals: u64,
     /// When this leader first saw the grant with this number of renewals.
-    seen_at: Timestamp,
+    observed_at: Timestamp,
 }
 
 /// Counts lease durations by the leader's own clock.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     lease_duration: Micros,
-    grants: BTreeMap<LeaseId, SeenGrant>,
+    grants: BTreeMap<LeaseId, ObservedGrant>,
     is_leader: bool,
 }
 
@@ -62,20 +62,20 @@
             self.grants.remove(&lease);
             return None;
         };
-        let current = SeenGrant {
+        let current = ObservedGrant {
             token: grant.token,
             renewals: grant.renewals,
-            seen_at: now,
+            observed_at: now,
         };
-        let seen = self.grants.entry(lease).or_insert(current);
-        if seen.token != grant.token || seen.renewals != grant.renewals {
-            *seen = current;
+        let observed = self.grants.entry(lease).or_insert(current);
+        if observed.token != grant.token || observed.renewals != grant.renewals {
+            *observed = current;
         }
-        if now < seen.seen_at + self.lease_duration {
+        if now < observed.observed_at + self.lease_duration {
             return None;
         }
         // The command may be lost on its way, so it is due again after a while.
-        seen.seen_at = now - self.lease_duration + self.lease_duration / RETRY_FRACTION;
+        observed.observed_at = now - self.lease_duration + self.lease_duration / RETRY_DIVISOR;
         Some(Command::Expire {
             lease,
             token: grant.token,
@@ -91,7 +91,7 @@
         let expiries = self
             .grants
             .values()
-            .map(|seen| seen.seen_at + self.lease_duration);
+            .map(|observed| observed.observed_at + self.lease_duration);
         expiries.min()
     }
 }
--- a/leases/src/manager/tests.rs
+++ b/leases/src/manager/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_whole_lease_duration_counts_from_the_last_renewal_and_anew_by_each_leader() {
+fn a_lease_expires_one_duration_after_its_last_renewal_or_a_leader_change() {
     let mut table = LeaseTable::new(1);
     let mut manager = LeaseManager::new(100);
     table.apply(Command::Acquire {
--- a/leases/src/state_machine.rs
+++ b/leases/src/state_machine.rs
@@ -293,9 +293,9 @@
         lease: LeaseId,
         renews: Option<FencingToken>,
     ) -> Result<Grant, Denial> {
-        let can_remember =
+        let has_capacity =
             self.last_sequences.contains_key(&front) || self.last_sequences.len() < MAX_FRONTS;
-        if !can_remember {
+        if !has_capacity {
             return Err(Denial::Unknown);
         }
         let state = self
--- a/leases/src/state_machine/tests.rs
+++ b/leases/src/state_machine/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn one_front_holds_a_lease_under_a_growing_token_and_repeated_requests_change_nothing() {
+fn one_front_holds_a_lease_under_an_increasing_token_and_repeated_requests_change_nothing() {
     let mut table = LeaseTable::new(1);
     assert_eq!(table.apply(acquire(7, 1)), granted(7, 1, 1, 0));
     assert_eq!(table.apply(acquire(8, 1)), denied(8, 1, Denial::HeldBy(7)));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn operators_transfer_or_suspend_a_lease() {
+fn operators_can_transfer_and_suspend_a_lease() {
     let mut table = LeaseTable::new(1);
     table.apply(acquire(7, 1));
     table.apply(Command::Transfer { lease: 0, to: 9 });
--- a/leases/tests/simulation.rs
+++ b/leases/tests/simulation.rs
@@ -119,7 +119,7 @@
 struct Observations {
     operations: Vec<Operation>,
     rejected: u64,
-    hand_overs: u64,
+    handovers: u64,
 }
 
 struct Simulation {
@@ -143,9 +143,9 @@
 
 /// Each front prefers another lease and starts with it.
 fn wanted(front: u32, now: Timestamp) -> Vec<(LeaseId, Timestamp)> {
-    let place = |lease: LeaseId| u64::from((front + u32::from(lease)) % FRONTS);
+    let rank = |lease: LeaseId| u64::from((front + u32::from(lease)) % FRONTS);
     (0..LEASES)
-        .map(|lease| (lease, now + place(lease) * 50 * MS))
+        .map(|lease| (lease, now + rank(lease) * 50 * MS))
         .collect()
 }
 
@@ -269,7 +269,7 @@
             };
             let granted = (0..LEASES)
                 .filter(|lease| token(&self.table, *lease) > before[usize::from(*lease)]);
-            self.observations.hand_overs += granted.count() as u64;
+            self.observations.handovers += granted.count() as u64;
             self.broadcast(outcome);
         }
     }
@@ -277,8 +277,8 @@
     fn broadcast(&mut self, outcome: Outcome) {
         for front in 0..self.fronts.len() {
             let partition = self.fronts[front].partition;
-            let cut_off = self.now < partition.until && partition.loses_outcomes;
-            if self.faulty() && (self.rng.one_in(12) || cut_off) {
+            let loses_message = self.now < partition.until && partition.loses_outcomes;
+            if self.faulty() && (self.rng.one_in(12) || loses_message) {
                 continue;
             }
             let message = self.next_message();
@@ -303,11 +303,11 @@
             return;
         }
         self.start_partition(front);
-        let here = self.fronts[front].clock.read(self.now);
+        let local_now = self.fronts[front].clock.read(self.now);
         if self.faulty() && self.rng.one_in(6_000) {
-            self.restart(front, here);
+            self.restart(front, local_now);
         }
-        let actions = self.poll_holder(front, here);
+        let actions = self.poll_holder(front, local_now);
         for action in actions {
             if let Action::Propose(command) = action {
                 self.propose(front, command);
@@ -315,7 +315,7 @@
         }
         for lease in 0..LEASES {
             if self.rng.one_in(20) {
-                self.operate(front, here, lease);
+                self.operate(front, local_now, lease);
             }
         }
     }
@@ -348,29 +348,29 @@
     }
 
     /// A killed front holds nothing when it starts again, and continues its sequence numbers.
-    fn restart(&mut self, front: usize, here: Timestamp) {
+    fn restart(&mut self, front: usize, local_now: Timestamp) {
         let state = &mut self.fronts[front];
         state.sequence += 1_000_000;
         state.holder = LeaseHolder::new(
             state.number,
             LEASE_DURATION,
             state.sequence,
-            wanted(state.number, here),
+            wanted(state.number, local_now),
         );
         state.inbox.clear();
     }
 
-    fn poll_holder(&mut self, front: usize, here: Timestamp) -> Vec<Action> {
+    fn poll_holder(&mut self, front: usize, local_now: Timestamp) -> Vec<Action> {
         let faulty = self.faulty();
         let state = &mut self.fronts[front];
         let mut actions = Vec::new();
         while let Some(outcome) = pop_arrived(&mut state.inbox, self.now) {
-            actions.extend(state.holder.apply(here, outcome));
+            actions.extend(state.holder.apply(local_now, outcome));
         }
-        actions.extend(state.holder.poll(here));
+        actions.extend(state.holder.poll(local_now));
         if faulty && self.rng.one_in(4_000) {
             let lease = self.rng.below(LEASES.into()) as LeaseId;
-            actions.extend(state.holder.record_failure(here, lease));
+            actions.extend(state.holder.record_failure(local_now, lease));
         }
         actions
     }
@@ -398,10 +398,13 @@
     }
 
     /// Starts an operation under a lease, if it is authorized. Some fronts are stopped just before it.
-    fn operate(&mut self, front: usize, here: Timestamp, lease: LeaseId) {
-        let takes = 10 * MS + self.rng.below(400 * MS);
+    fn operate(&mut self, front: usize, local_now: Timestamp, lease: LeaseId) {
+        let duration = 10 * MS + self.rng.below(400 * MS);
         let state = &mut self.fronts[front];
-        let Ok(token) = state.holder.authorize(here, lease, here + takes) else {
+        let Ok(token) = state
+            .holder
+            .authorize(local_now, lease, local_now + duration)
+        else {
             return;
         };
         state.holder.record_success(lease);
@@ -410,13 +413,13 @@
             front: state.number,
             token,
             started_at: self.now,
-            ended_at: state.clock.true_time(here + takes),
+            ended_at: state.clock.true_time(local_now + duration),
             delayed: false,
         };
         if self.now < FAULTS_END && self.rng.one_in(200) {
             let resumes_at = self.now + self.rng.below(2 * LEASE_DURATION);
             state.stopped_until = Some(resumes_at);
-            let ended_at = resumes_at + takes;
+            let ended_at = resumes_at + duration;
             let operation = Operation {
                 started_at: resumes_at,
                 ended_at,
@@ -500,37 +503,35 @@
     let recovered = operations
         .iter()
         .any(|operation| recovery.contains(&operation.started_at));
-    let lasting = operations
+    let held_at_end = operations
         .iter()
         .any(|operation| operation.started_at > RUN_END - SECOND);
-    if !recovered || !lasting {
+    if !recovered || !held_at_end {
         return Err(format!("seed {seed}: lease {lease} is not held again"));
     }
     Ok(())
 }
 
 #[test]
-fn under_any_fault_one_front_acts_at_a_time_under_growing_tokens_and_each_lease_is_held_again() {
-    let (mut hand_overs, mut rejected, mut operations) = (0, 0, 0);
+fn at_most_one_front_acts_under_a_lease_and_every_lease_recovers_from_faults() {
+    let (mut handovers, mut rejected, mut operations) = (0, 0, 0);
     for seed in 0..200 {
         // Any two clocks drift apart by less than ten in a thousand.
         let observations = Simulation::new(seed, 49).run();
         check(seed, &observations).unwrap();
-        hand_overs += observations.hand_overs;
+        handovers += observations.handovers;
         rejected += observations.rejected;
         operations += observations.operations.len();
     }
-    println!(
-        "{hand_overs} hand-overs, {operations} operations, {rejected} rejected by their token"
-    );
+    println!("{handovers} hand-overs, {operations} operations, {rejected} rejected by their token");
     assert!(
-        hand_overs > 2_000 && rejected > 20 && operations > 100_000,
-        "{hand_overs} {rejected} {operations}"
+        handovers > 2_000 && rejected > 20 && operations > 100_000,
+        "{handovers} {rejected} {operations}"
     );
 }
 
 #[test]
-fn clocks_that_drift_beyond_the_bound_break_exclusion_and_the_checker_or_the_tokens_notice() {
+fn clock_drift_beyond_the_bound_is_detected_as_a_violation() {
     // Ten times the bound: the guarantee for clocks within it does not hold for these, and the checker sees it.
     let broken = (0..60).filter(|seed| {
         let run = std::panic::catch_unwind(|| Simulation::new(*seed, 900).run());
