--- a/quorum/src/lib.rs
+++ b/quorum/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod storage;
 
 pub use error::{NodeError, ProposeError, ReceiveError};
-pub use node::{Node, OutgoingMessage, Step, ELECTION_TICKS, MAX_MESSAGE_BYTES};
+pub use node::{Node, OutgoingMessage, Step, MAX_MESSAGE_BYTES, MIN_ELECTION_TIMEOUT_TICKS};
--- a/quorum/src/node.rs
+++ b/quorum/src/node.rs
@@ -11,11 +11,11 @@
 /// Longest command, in bytes.
 const MAX_COMMAND_BYTES: usize = 1 << 12;
 /// Ticks between two heartbeats.
-const HEARTBEAT_TICKS: usize = 3;
+const HEARTBEAT_INTERVAL_TICKS: usize = 3;
 /// Shortest election timeout, in ticks: for this long a voter waits for a leader before it asks for votes.
-pub const ELECTION_TICKS: usize = 12;
+pub const MIN_ELECTION_TIMEOUT_TICKS: usize = 12;
 /// Append messages under way to one voter.
-const MAX_INFLIGHT_MESSAGES: usize = 64;
+const MAX_MESSAGES_IN_FLIGHT: usize = 64;
 
 /// A message to another voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
     pending_write: Option<PendingWrite>,
 }
 
-fn commands(entries: Vec<Entry>) -> Vec<Vec<u8>> {
+fn decode_commands(entries: Vec<Entry>) -> Vec<Vec<u8>> {
     let is_command =
         |entry: &Entry| entry.get_entry_type() == EntryType::EntryNormal && !entry.data.is_empty();
     entries
@@ -75,23 +75,26 @@
         .collect()
 }
 
-fn config(id: u64, election_timeout: usize) -> Config {
-    let election_timeout = election_timeout.clamp(ELECTION_TICKS, 2 * ELECTION_TICKS - 1);
+fn raft_config(id: u64, election_timeout: usize) -> Config {
+    let election_timeout = election_timeout.clamp(
+        MIN_ELECTION_TIMEOUT_TICKS,
+        2 * MIN_ELECTION_TIMEOUT_TICKS - 1,
+    );
     Config {
         id,
-        election_tick: ELECTION_TICKS,
-        heartbeat_tick: HEARTBEAT_TICKS,
+        election_tick: MIN_ELECTION_TIMEOUT_TICKS,
+        heartbeat_tick: HEARTBEAT_INTERVAL_TICKS,
         min_election_tick: election_timeout,
         max_election_tick: election_timeout + 1,
         max_size_per_msg: MAX_MESSAGE_BYTES as u64 / 4,
-        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        max_inflight_msgs: MAX_MESSAGES_IN_FLIGHT,
         check_quorum: true,
         pre_vote: true,
         ..Config::default()
     }
 }
 
-fn storage(voters: &[u64], log: StoredLog) -> Result<MemStorage, raft::Error> {
+fn memory_storage(voters: &[u64], log: StoredLog) -> Result<MemStorage, raft::Error> {
     let storage = MemStorage::new_with_conf_state((voters.to_vec(), Vec::new()));
     let mut core = storage.wl();
     core.append(&log.entries)?;
@@ -103,7 +106,7 @@
 }
 
 impl Node {
-    /// Starts a voter from its stored log. `election_timeout` is in ticks, from [`ELECTION_TICKS`] up to twice that, and
+    /// Starts a voter from its stored log. `election_timeout` is in ticks, from [`MIN_ELECTION_TIMEOUT_TICKS`] up to twice that, and
     /// must differ between voters, which would otherwise all ask for votes at the same time. All committed commands are
     /// delivered again.
     pub fn new(
@@ -114,8 +117,8 @@
     ) -> Result<Self, NodeError> {
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let raw = RawNode::new(
-            &config(id, election_timeout),
-            storage(voters, log)?,
+            &raft_config(id, election_timeout),
+            memory_storage(voters, log)?,
             &logger,
         )?;
         Ok(Node {
@@ -174,7 +177,7 @@
         }
         let mut ready = self.raw.ready();
         let send = OutgoingMessage::encode_all(ready.take_messages());
-        let committed = commands(ready.take_committed_entries());
+        let committed = decode_commands(ready.take_committed_entries());
         let write = self.store(&mut ready)?;
         let pending_write = PendingWrite {
             ready_number: ready.number(),
--- a/quorum/src/storage.rs
+++ b/quorum/src/storage.rs
@@ -3,14 +3,14 @@
 //! exists already replaces it and all entries behind it.
 //!
 //! A voter that lost its file must not return under its old identity: it has made promises that it no longer knows. A
-//! file is therefore created once, with the voter ([`header`]), and an empty or foreign file is rejected.
+//! file is therefore created once, with the voter ([`encode_owner`]), and an empty or foreign file is rejected.
 use protobuf::Message;
 use raft::eraftpb::{Entry, HardState};
 use thiserror::Error;
 
 /// Longest record, in bytes; checked before anything is allocated by it.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
-const RECORD_HEAD_BYTES: usize = 8;
+const RECORD_HEADER_BYTES: usize = 8;
 const KIND_ENTRY: u8 = 1;
 const KIND_STATE: u8 = 2;
 const KIND_OWNER: u8 = 3;
@@ -95,7 +95,7 @@
 }
 
 /// Encodes the first record of a new voter's file.
-pub fn header(owner: Owner) -> Vec<u8> {
+pub fn encode_owner(owner: Owner) -> Vec<u8> {
     let payload = [owner.cluster.to_le_bytes(), owner.voter.to_le_bytes()].concat();
     encode_record(KIND_OWNER, &payload)
 }
@@ -126,23 +126,23 @@
 
 /// Splits the first record off; `None` if it is torn.
 fn split_record(bytes: &[u8]) -> Result<Option<Record<'_>>, Corruption> {
-    let Some(head) = bytes.first_chunk::<RECORD_HEAD_BYTES>() else {
+    let Some(header) = bytes.first_chunk::<RECORD_HEADER_BYTES>() else {
         return Ok(None);
     };
-    let [l0, l1, l2, l3, c0, c1, c2, c3] = *head;
+    let [l0, l1, l2, l3, c0, c1, c2, c3] = *header;
     let body_length = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
     let checksum = u32::from_le_bytes([c0, c1, c2, c3]);
     if !(1..=MAX_RECORD_BYTES).contains(&body_length) {
         return Err(Corruption::Length);
     }
-    let length = RECORD_HEAD_BYTES + body_length;
-    let Some(body) = bytes.get(RECORD_HEAD_BYTES..length) else {
+    let length = RECORD_HEADER_BYTES + body_length;
+    let Some(body) = bytes.get(RECORD_HEADER_BYTES..length) else {
         return Ok(None);
     };
     if crc32fast::hash(body) != checksum {
         // The last record may be torn in its middle: a file can have its length before its bytes.
-        let is_last = bytes.len() == length;
-        return if is_last {
+        let is_last_record = bytes.len() == length;
+        return if is_last_record {
             Ok(None)
         } else {
             Err(Corruption::Checksum)
@@ -213,14 +213,14 @@
             .entries
             .first()
             .map_or(entry.index, |first| first.index);
-        let place = entry
+        let position = entry
             .index
             .checked_sub(first_index)
             .ok_or(Corruption::EntryBeforeFirst)? as usize;
-        if place > self.entries.len() {
+        if position > self.entries.len() {
             return Err(Corruption::Gap);
         }
-        self.entries.truncate(place);
+        self.entries.truncate(position);
         self.entries.push(entry);
         Ok(())
     }
--- a/quorum/src/storage/tests.rs
+++ b/quorum/src/storage/tests.rs
@@ -13,8 +13,8 @@
 };
 
 #[test]
-fn a_missing_or_foreign_file_is_rejected() {
-    let bytes = [header(OWNER), encode_entry(&entry(1, 1))].concat();
+fn a_missing_file_or_a_file_of_another_owner_is_rejected() {
+    let bytes = [encode_owner(OWNER), encode_entry(&entry(1, 1))].concat();
     assert_eq!(read(&bytes, OWNER).unwrap().entries.len(), 1);
     let reason = |bytes: &[u8], owner| read(bytes, owner).unwrap_err().reason;
     assert_eq!(reason(b"", OWNER), Corruption::NoFile);
@@ -38,50 +38,50 @@
         Corruption::NoOwner
     );
     assert_eq!(
-        reason(&[&bytes[..], &header(OWNER)].concat(), OWNER),
+        reason(&[&bytes[..], &encode_owner(OWNER)].concat(), OWNER),
         Corruption::Kind
     );
 }
 
 #[test]
-fn a_file_cut_at_every_byte_is_read_up_to_its_last_complete_record_and_damage_is_reported() {
-    let mut hard = HardState::default();
-    (hard.term, hard.vote, hard.commit) = (3, 2, 1);
-    let all = [
-        header(OWNER),
+fn a_truncated_file_is_read_up_to_its_last_complete_record_and_corruption_is_reported() {
+    let mut state = HardState::default();
+    (state.term, state.vote, state.commit) = (3, 2, 1);
+    let records = [
+        encode_owner(OWNER),
         encode_entry(&entry(1, 1)),
         encode_entry(&entry(2, 1)),
-        encode_state(&hard),
+        encode_state(&state),
         encode_entry(&entry(2, 3)),
         encode_entry(&entry(3, 3)),
     ];
-    let bytes = all.concat();
-    let ends: Vec<_> = all
+    let bytes = records.concat();
+    let ends: Vec<_> = records
         .iter()
         .scan(0, |sum, r| {
             *sum += r.len();
             Some(*sum)
         })
         .collect();
-    for cut in all[0].len()..=bytes.len() {
-        let log = read(&bytes[..cut], OWNER).unwrap();
+    for length in records[0].len()..=bytes.len() {
+        let log = read(&bytes[..length], OWNER).unwrap();
         assert_eq!(
             log.complete_bytes,
             ends.iter()
                 .copied()
-                .filter(|end| *end <= cut)
+                .filter(|end| *end <= length)
                 .max()
                 .unwrap_or(0)
         );
     }
     let log = read(&bytes, OWNER).unwrap();
     let terms: Vec<_> = log.entries.iter().map(|e| (e.index, e.term)).collect();
-    assert_eq!((terms, log.state), (vec![(1, 1), (2, 3), (3, 3)], hard));
+    assert_eq!((terms, log.state), (vec![(1, 1), (2, 3), (3, 3)], state));
     // A flipped byte is damage; in the last record it may be a torn end.
     for at in 0..bytes.len() {
-        let mut odd = bytes.clone();
-        odd[at] ^= 0x40;
-        match read(&odd, OWNER) {
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 0x40;
+        match read(&corrupted, OWNER) {
             Ok(log) => assert!(
                 log.complete_bytes < bytes.len(),
                 "a flipped byte at {at} was not noticed"
@@ -90,7 +90,7 @@
         }
     }
     let gap = [
-        header(OWNER),
+        encode_owner(OWNER),
         encode_entry(&entry(1, 1)),
         encode_entry(&entry(3, 1)),
     ]
--- a/quorum/tests/cluster.rs
+++ b/quorum/tests/cluster.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A tick is 10 ms.
-const FAULTS: u64 = 1_500;
-const END: u64 = 2_200;
+const FAULTS_END_TICK: u64 = 1_500;
+const END_TICK: u64 = 2_200;
 
 struct Rng(u64);
 
@@ -29,15 +29,15 @@
     disk: Vec<u8>,
     unsynced: Option<(Vec<u8>, u64)>,
     /// Commands that came out since its start: all that was agreed on, from the first.
-    agreed: Vec<u64>,
+    applied: Vec<u64>,
     down_until: u64,
-    stopped_until: u64,
+    paused_until: u64,
     /// Until when it is cut off, and whether from hearing and from being heard.
-    cut: (u64, bool, bool),
+    partition: (u64, bool, bool),
 }
 
 #[derive(Debug, Default)]
-struct Found {
+struct Statistics {
     acknowledged: usize,
     leaders: usize,
     kills: usize,
@@ -47,11 +47,11 @@
 /// What breaks the order that [`Step`] gives, to show that the checks see it.
 #[derive(Clone, Copy, PartialEq)]
 enum Order {
-    Kept,
+    Correct,
     /// What rests on the disk is sent before it is there.
-    SentFirst,
+    SendBeforeSync,
     /// A voter that has lost its disk votes again as the one it was.
-    EmptyVotes,
+    VoteAfterDiskLoss,
 }
 
 fn owner(voter: u64) -> Owner {
@@ -61,7 +61,7 @@
     }
 }
 
-fn play(seed: u64, voters: u64, order: Order) -> Result<Found, String> {
+fn simulate(seed: u64, voters: u64, order: Order) -> Result<Statistics, String> {
     let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let ids: Vec<u64> = (1..=voters).collect();
     let start = |id: u64, disk: &[u8], rng: &mut Rng| {
@@ -70,80 +70,82 @@
         Node::new(id, &ids, log, 12 + rng.below(12) as usize)
             .map_err(|error| format!("seed {seed}: {error}"))
     };
-    let mut all = Vec::new();
+    let mut all_voters = Vec::new();
     for id in &ids {
-        let disk = storage::header(owner(*id));
+        let disk = storage::encode_owner(owner(*id));
         let node = Some(start(*id, &disk, &mut rng)?);
-        let (unsynced, agreed) = (None, Vec::new());
-        all.push(Voter {
+        let (unsynced, applied) = (None, Vec::new());
+        all_voters.push(Voter {
             node,
             disk,
             unsynced,
-            agreed,
+            applied,
             down_until: 0,
-            stopped_until: 0,
-            cut: (0, false, false),
+            paused_until: 0,
+            partition: (0, false, false),
         });
     }
-    let mut way: BTreeMap<(u64, u64), (u64, Vec<u8>)> = BTreeMap::new();
-    // What was agreed on first, by place; commands that were told to whoever proposed them.
-    let (mut log, mut told): (Vec<u64>, BTreeSet<u64>) = Default::default();
+    let mut network: BTreeMap<(u64, u64), (u64, Vec<u8>)> = BTreeMap::new();
+    // What was agreed on first, by position; commands that were told to whoever proposed them.
+    let (mut log, mut acknowledged_commands): (Vec<u64>, BTreeSet<u64>) = Default::default();
     let mut proposed: BTreeMap<u64, u64> = BTreeMap::new();
     let mut lost_disks = 0;
-    let (mut seq, mut command, mut found, mut terms) = (0, 0, Found::default(), BTreeSet::new());
-    for now in 1..END {
-        let faulty = now < FAULTS;
-        for n in 0..all.len() {
+    let (mut sequence, mut command, mut statistics, mut terms) =
+        (0, 0, Statistics::default(), BTreeSet::new());
+    for now in 1..END_TICK {
+        let faulty = now < FAULTS_END_TICK;
+        for n in 0..all_voters.len() {
             let id = ids[n];
-            if faulty && rng.one_in(400) && all[n].node.is_some() {
+            if faulty && rng.one_in(400) && all_voters[n].node.is_some() {
                 // Killed: what was not synced is torn at any byte.
-                let voter = &mut all[n];
+                let voter = &mut all_voters[n];
                 voter.node = None;
                 if let Some((bytes, _)) = voter.unsynced.take() {
                     let kept = rng.below(bytes.len() as u64 + 1) as usize;
                     voter.disk.extend(&bytes[..kept]);
                 }
                 voter.down_until = now + rng.below(150);
-                found.kills += 1;
+                statistics.kills += 1;
                 // Its disk is gone with it: fewer than half of them in all.
                 if (lost_disks + 1) * 2 < voters && rng.one_in(6) {
                     lost_disks += 1;
                     voter.disk = Vec::new();
                 }
             }
-            let voter = &mut all[n];
+            let voter = &mut all_voters[n];
             if faulty && rng.one_in(500) {
-                voter.stopped_until = now + rng.below(100);
+                voter.paused_until = now + rng.below(100);
             }
-            if faulty && now >= voter.cut.0 && rng.one_in(400) {
-                voter.cut = (now + rng.below(200), !rng.one_in(3), !rng.one_in(3));
+            if faulty && now >= voter.partition.0 && rng.one_in(400) {
+                voter.partition = (now + rng.below(200), !rng.one_in(3), !rng.one_in(3));
             }
             if voter.node.is_none() && (now >= voter.down_until || !faulty) {
-                if voter.disk.is_empty() && order == Order::EmptyVotes {
-                    voter.disk = storage::header(owner(id));
+                if voter.disk.is_empty() && order == Order::VoteAfterDiskLoss {
+                    voter.disk = storage::encode_owner(owner(id));
                 }
                 // One without its file stays away: the others go on without it.
-                let Ok(whole) = storage::read(&voter.disk, owner(id)).map(|log| log.complete_bytes)
+                let Ok(complete_bytes) =
+                    storage::read(&voter.disk, owner(id)).map(|log| log.complete_bytes)
                 else {
                     continue;
                 };
-                voter.disk.truncate(whole);
-                voter.agreed.clear();
+                voter.disk.truncate(complete_bytes);
+                voter.applied.clear();
                 voter.node = Some(start(id, &voter.disk, &mut rng)?);
             }
-            if faulty && now < voter.stopped_until {
+            if faulty && now < voter.paused_until {
                 continue;
             }
             let Some(node) = &mut voter.node else {
                 continue;
             };
             node.tick();
-            while let Some(key) = way
+            while let Some(key) = network
                 .range((0, 0)..=(now, u64::MAX))
                 .find(|(_, (to, _))| *to == id)
                 .map(|(k, _)| *k)
             {
-                let (_, bytes) = way.remove(&key).expect("seen");
+                let (_, bytes) = network.remove(&key).expect("seen");
                 // An answer from before a restart is none of this node's.
                 let _ = node.receive(&bytes);
             }
@@ -156,13 +158,13 @@
                     }
                 }
             }
-            let mut out: Vec<OutgoingMessage> = Vec::new();
-            let mut agreed = Vec::new();
+            let mut outgoing: Vec<OutgoingMessage> = Vec::new();
+            let mut newly_committed = Vec::new();
             if voter.unsynced.as_ref().is_some_and(|u| now >= u.1) {
                 let (bytes, _) = voter.unsynced.take().expect("seen");
                 voter.disk.extend(bytes);
-                if order == Order::Kept {
-                    out.extend(node.persisted());
+                if order == Order::Correct {
+                    outgoing.extend(node.persisted());
                 }
             }
             while voter.unsynced.is_none() {
@@ -174,61 +176,66 @@
                 else {
                     break;
                 };
-                out.extend(send);
-                agreed.extend(committed);
-                if write.is_empty() || order == Order::SentFirst {
-                    out.extend(node.persisted());
+                outgoing.extend(send);
+                newly_committed.extend(committed);
+                if write.is_empty() || order == Order::SendBeforeSync {
+                    outgoing.extend(node.persisted());
                 }
                 if !write.is_empty() {
-                    let takes = if rng.one_in(30) {
+                    let sync_ticks = if rng.one_in(30) {
                         rng.below(60)
                     } else {
                         rng.below(2)
                     };
-                    voter.unsynced = Some((write, now + takes));
+                    voter.unsynced = Some((write, now + sync_ticks));
                 }
             }
-            for bytes in agreed {
+            for bytes in newly_committed {
                 let value = u64::from_le_bytes(
                     bytes
                         .try_into()
                         .map_err(|_| "a command of another length")?,
                 );
-                let place = voter.agreed.len();
-                voter.agreed.push(value);
-                match log.get(place) {
+                let position = voter.applied.len();
+                voter.applied.push(value);
+                match log.get(position) {
                     Some(first) if *first != value => {
                         return Err(format!(
-                            "seed {seed}: voter {id} has {value} at {place}, agreed was {first}"
+                            "seed {seed}: voter {id} has {value} at {position}, agreed was {first}"
                         ));
                     }
                     Some(_) => {}
                     None => log.push(value),
                 }
                 if proposed.get(&value) == Some(&id) {
-                    told.insert(value);
+                    acknowledged_commands.insert(value);
                 }
             }
-            let cut = voter.cut;
-            for OutgoingMessage { to, bytes } in out {
-                let far = all[to as usize - 1].cut;
-                let lost = now < cut.0 && cut.1 || now < far.0 && far.2 || rng.one_in(15);
+            let partition = voter.partition;
+            for OutgoingMessage { to, bytes } in outgoing {
+                let recipient_partition = all_voters[to as usize - 1].partition;
+                let lost = now < partition.0 && partition.1
+                    || now < recipient_partition.0 && recipient_partition.2
+                    || rng.one_in(15);
                 if faulty && lost {
                     continue;
                 }
                 for _ in 0..if faulty && rng.one_in(25) { 2 } else { 1 } {
-                    let held = if faulty && rng.one_in(60) {
+                    let delay_ticks = if faulty && rng.one_in(60) {
                         rng.below(400)
                     } else {
                         rng.below(4)
                     };
-                    seq += 1;
-                    way.insert((now + 1 + held, seq), (to, bytes.clone()));
+                    sequence += 1;
+                    network.insert((now + 1 + delay_ticks, sequence), (to, bytes.clone()));
                 }
             }
         }
     }
-    let missing: Vec<_> = told.iter().filter(|value| !log.contains(value)).collect();
+    let missing: Vec<_> = acknowledged_commands
+        .iter()
+        .filter(|value| !log.contains(value))
+        .collect();
     if !missing.is_empty() {
         return Err(format!(
             "seed {seed}: {missing:?} were acknowledged and are not there"
@@ -236,53 +243,57 @@
     }
     for (id, voter) in ids
         .iter()
-        .zip(&all)
+        .zip(&all_voters)
         .filter(|(_, voter)| voter.node.is_some())
     {
-        if voter.agreed.len() + 40 < log.len() {
+        if voter.applied.len() + 40 < log.len() {
             return Err(format!(
                 "seed {seed}: voter {id} is at {} of {}",
-                voter.agreed.len(),
+                voter.applied.len(),
                 log.len()
             ));
         }
-        if told
+        if acknowledged_commands
             .iter()
-            .any(|value| !voter.agreed.contains(value) && *value + 40 < command)
+            .any(|value| !voter.applied.contains(value) && *value + 40 < command)
         {
             return Err(format!(
                 "seed {seed}: voter {id} has lost what was acknowledged"
             ));
         }
     }
-    let last = told.iter().next_back().copied().unwrap_or(0);
-    if last + 60 < command || told.len() < 50 {
+    let last_acknowledged = acknowledged_commands
+        .iter()
+        .next_back()
+        .copied()
+        .unwrap_or(0);
+    if last_acknowledged + 60 < command || acknowledged_commands.len() < 50 {
         return Err(format!(
-            "seed {seed}: {} of {command} agreed on, the last {last}",
-            told.len()
+            "seed {seed}: {} of {command} agreed on, the last {last_acknowledged}",
+            acknowledged_commands.len()
         ));
     }
-    found.lost_disks = lost_disks as usize;
-    found.acknowledged = told.len();
-    found.leaders = terms
+    statistics.lost_disks = lost_disks as usize;
+    statistics.acknowledged = acknowledged_commands.len();
+    statistics.leaders = terms
         .iter()
         .map(|(id, _)| id)
         .collect::<BTreeSet<_>>()
         .len();
-    Ok(found)
+    Ok(statistics)
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_and_all_agree_whatever_fails() {
+fn voters_agree_and_no_acknowledged_command_is_lost() {
     let (mut acknowledged, mut kills, mut leaders, mut lost_disks) = (0, 0, 0, 0);
     for seed in 0..120 {
-        let found = play(seed, [3, 5][seed as usize % 2], Order::Kept).unwrap();
+        let statistics = simulate(seed, [3, 5][seed as usize % 2], Order::Correct).unwrap();
         (acknowledged, kills, leaders) = (
-            acknowledged + found.acknowledged,
-            kills + found.kills,
-            leaders + found.leaders,
+            acknowledged + statistics.acknowledged,
+            kills + statistics.kills,
+            leaders + statistics.leaders,
         );
-        lost_disks += found.lost_disks;
+        lost_disks += statistics.lost_disks;
     }
     println!(
         "{acknowledged} acknowledged, {kills} kills, {leaders} leaders, {lost_disks} disks lost"
@@ -295,19 +306,19 @@
 }
 
 #[test]
-fn what_is_sent_before_it_is_on_disk_is_found_to_lose_or_to_split() {
+fn sending_messages_before_the_sync_causes_a_violation() {
     let broken = (0..20).filter(|seed| {
-        std::panic::catch_unwind(|| play(*seed, 3, Order::SentFirst))
-            .map_or(true, |found| found.is_err())
+        std::panic::catch_unwind(|| simulate(*seed, 3, Order::SendBeforeSync))
+            .map_or(true, |result| result.is_err())
     });
     assert!(broken.count() >= 1);
 }
 
 #[test]
-fn a_voter_that_votes_again_with_an_empty_disk_is_found_to_lose_what_was_acknowledged() {
+fn voting_again_after_losing_the_disk_causes_a_violation() {
     let broken = (0..120).filter(|seed| {
-        let play = || play(*seed, 3, Order::EmptyVotes);
-        std::panic::catch_unwind(play).map_or(true, |found| found.is_err())
+        let run = || simulate(*seed, 3, Order::VoteAfterDiskLoss);
+        std::panic::catch_unwind(run).map_or(true, |result| result.is_err())
     });
     assert!(broken.count() >= 1);
 }
