--- a/limits/src/concurrency.rs
+++ b/limits/src/concurrency.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// Numbers slots in the order in which they were taken, so that a key that is used again is told apart.
-type Ticket = u64;
+type SlotId = u64;
 
 #[derive(Clone, Copy, Debug)]
 struct Slot {
     deadline: Timestamp,
-    ticket: Ticket,
+    id: SlotId,
 }
 
 /// The result of taking a slot.
@@ -26,32 +26,32 @@
 pub struct Slots {
     capacity: usize,
     /// How long a slot may be held.
-    lease: Micros,
+    timeout: Micros,
     slots: HashMap<ConnectionKey, Slot>,
-    by_age: BTreeMap<Ticket, ConnectionKey>,
+    by_age: BTreeMap<SlotId, ConnectionKey>,
     /// Connections with work to do, in the order in which they are served.
-    ready: VecDeque<(ConnectionKey, Ticket)>,
-    last_ticket: Ticket,
+    ready: VecDeque<(ConnectionKey, SlotId)>,
+    last_slot_id: SlotId,
 }
 
 impl Slots {
     /// `capacity` slots (at least one), each for `lease` microseconds.
-    pub fn new(capacity: usize, lease: Micros) -> Self {
+    pub fn new(capacity: usize, timeout: Micros) -> Self {
         Slots {
             capacity: capacity.max(1),
-            lease,
+            timeout,
             slots: HashMap::new(),
             by_age: BTreeMap::new(),
             ready: VecDeque::new(),
-            last_ticket: 0,
+            last_slot_id: 0,
         }
     }
 
     /// Changes the limits. Deadlines that were given out stand; slots beyond a smaller capacity are displaced as new
     /// connections arrive.
-    pub fn set_limits(&mut self, capacity: usize, lease: Micros) {
+    pub fn set_limits(&mut self, capacity: usize, timeout: Micros) {
         self.capacity = capacity.max(1);
-        self.lease = lease;
+        self.timeout = timeout;
     }
 
     /// The number of slots that are taken.
@@ -67,11 +67,11 @@
     /// Takes a slot for a connection.
     pub fn acquire(&mut self, now: Timestamp, key: ConnectionKey) -> Admission {
         let displaced = self.displace_oldest();
-        self.last_ticket += 1;
-        let ticket = self.last_ticket;
-        let deadline = now + self.lease;
-        self.slots.insert(key, Slot { deadline, ticket });
-        self.by_age.insert(ticket, key);
+        self.last_slot_id += 1;
+        let id = self.last_slot_id;
+        let deadline = now + self.timeout;
+        self.slots.insert(key, Slot { deadline, id });
+        self.by_age.insert(id, key);
         Admission {
             deadline,
             displaced,
@@ -95,7 +95,7 @@
         let Some(slot) = self.slots.remove(&key) else {
             return false;
         };
-        self.by_age.remove(&slot.ticket).is_some()
+        self.by_age.remove(&slot.id).is_some()
     }
 
     /// Notes that a connection has work to do. It is queued once, however often this is called.
@@ -104,18 +104,15 @@
             return;
         };
         if !self.ready.iter().any(|(queued, _)| *queued == key) {
-            self.ready.push_back((key, slot.ticket));
+            self.ready.push_back((key, slot.id));
         }
     }
 
     /// Takes the next connection with work to do off the queue, in a fair order.
     pub fn next_ready(&mut self) -> Option<ConnectionKey> {
         loop {
-            let (key, ticket) = self.ready.pop_front()?;
-            let holds_same_slot = self
-                .slots
-                .get(&key)
-                .is_some_and(|slot| slot.ticket == ticket);
+            let (key, id) = self.ready.pop_front()?;
+            let holds_same_slot = self.slots.get(&key).is_some_and(|slot| slot.id == id);
             if holds_same_slot {
                 return Some(key);
             }
--- a/limits/src/concurrency/tests.rs
+++ b/limits/src/concurrency/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn when_all_slots_are_taken_the_oldest_is_displaced_and_no_more_are_ever_held() {
+fn the_oldest_slot_is_displaced_when_all_are_taken() {
     let mut slots = Slots::new(3, 100);
     for key in 0..10 {
         let admission = slots.acquire(key as Timestamp, key);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_queue_is_fair_and_skips_a_key_whose_slot_was_released_and_taken_again() {
+fn the_ready_queue_is_fair_and_skips_keys_whose_slot_was_replaced() {
     let mut slots = Slots::new(8, 100);
     (1..=3).for_each(|key| drop(slots.acquire(0, key)));
     [2, 1, 2, 3, 9]
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_smaller_capacity_is_reached_with_the_next_arrival() {
+fn a_reduced_capacity_applies_when_the_next_slot_is_acquired() {
     let mut slots = Slots::new(8, 100);
     (1..=8).for_each(|key| drop(slots.acquire(0, key)));
     slots.set_limits(2, 50);
--- a/limits/src/cpu.rs
+++ b/limits/src/cpu.rs
@@ -2,11 +2,11 @@
 use crate::{Micros, Timestamp};
 
 /// Longest idle time whose share is saved for a burst.
-const MAX_SAVED: Micros = 100_000;
-/// Longest time between two refills that is credited. Only guards the arithmetic: far more than [`MAX_SAVED`].
-const MAX_REFILL: Micros = 10 * 60 * 1_000_000;
+const BURST_WINDOW: Micros = 100_000;
+/// Longest time between two refills that is credited. Only guards the arithmetic: far more than [`BURST_WINDOW`].
+const MAX_REFILL_INTERVAL: Micros = 10 * 60 * 1_000_000;
 /// Longest single piece of work that is charged. Only guards the arithmetic.
-const MAX_CHARGE: Micros = 60_000_000;
+const MAX_WORK_DURATION: Micros = 60_000_000;
 /// The balance counts hundredths of a microsecond, so that a percentage of a microsecond is a whole number.
 const UNITS_PER_MICROSECOND: i64 = 100;
 
@@ -32,7 +32,7 @@
     }
 
     fn max_balance(percent: u32) -> i64 {
-        MAX_SAVED as i64 * i64::from(percent)
+        BURST_WINDOW as i64 * i64::from(percent)
     }
 
     /// Changes the share. An overdrawn balance stays overdrawn.
@@ -43,7 +43,9 @@
     }
 
     fn refill(&mut self, now: Timestamp) {
-        let elapsed = now.saturating_sub(self.refilled_at).min(MAX_REFILL) as i64;
+        let elapsed = now
+            .saturating_sub(self.refilled_at)
+            .min(MAX_REFILL_INTERVAL) as i64;
         let credit = elapsed * i64::from(self.percent);
         self.refilled_at = self.refilled_at.max(now);
         self.balance = (self.balance + credit).min(Self::max_balance(self.percent));
@@ -57,7 +59,7 @@
 
     /// Charges a piece of work that took this long on the core.
     pub fn charge(&mut self, duration: Micros) {
-        let cost = duration.min(MAX_CHARGE) as i64 * UNITS_PER_MICROSECOND;
+        let cost = duration.min(MAX_WORK_DURATION) as i64 * UNITS_PER_MICROSECOND;
         self.balance = self.balance.saturating_sub(cost);
     }
 
@@ -66,8 +68,8 @@
         if self.balance > 0 {
             return self.refilled_at;
         }
-        let debt = self.balance.unsigned_abs();
-        self.refilled_at + debt / u64::from(self.percent) + 1
+        let deficit = self.balance.unsigned_abs();
+        self.refilled_at + deficit / u64::from(self.percent) + 1
     }
 }
 
--- a/limits/src/cpu/tests.rs
+++ b/limits/src/cpu/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn over_a_long_time_no_more_than_the_share_and_the_savings_are_used() {
+fn long_term_use_is_limited_to_the_share_plus_one_burst() {
     let mut share = CpuShare::new(0, 25);
-    let (mut now, mut taken, mut rng) = (0, 0u64, 9u64);
+    let (mut now, mut used, mut rng) = (0, 0u64, 9u64);
     while now < 20_000_000 {
         rng = rng
             .wrapping_mul(6364136223846793005)
@@ -11,7 +11,7 @@
         let cost = 50 + (rng >> 33) % 3_000;
         if share.may_start(now) {
             share.charge(cost);
-            taken += cost;
+            used += cost;
             now += cost;
         } else {
             assert!(share.next_start() > now, "the caller would spin");
@@ -23,23 +23,23 @@
         }
     }
     // The burst, the share, and one piece that overdraws the balance.
-    assert!(taken <= MAX_SAVED / 4 + 20_000_000 / 4 + 3_050, "{taken}");
+    assert!(used <= BURST_WINDOW / 4 + 20_000_000 / 4 + 3_050, "{used}");
     assert!(
-        taken >= 20_000_000 / 4 - 3_050,
-        "all of the share can be used: {taken}"
+        used >= 20_000_000 / 4 - 3_050,
+        "all of the share can be used: {used}"
     );
 }
 
 #[test]
-fn idle_time_saves_no_more_than_one_burst() {
+fn idle_time_accrues_at_most_one_burst() {
     let mut share = CpuShare::new(0, 50);
     assert!(share.may_start(3_600_000_000));
-    share.charge(MAX_SAVED / 2 + 1);
+    share.charge(BURST_WINDOW / 2 + 1);
     assert!(!share.may_start(3_600_000_000));
     share.set_percent(3_600_000_000, 100);
     assert!(
         !share.may_start(3_600_000_000),
-        "a debt survives a new share"
+        "a deficit survives a new share"
     );
     assert!(share.may_start(3_600_000_002));
 }
