--- a/startup/src/call_budget.rs
+++ b/startup/src/call_budget.rs
@@ -1,61 +1,61 @@
-//! When a front calls the list service again. All fronts use one service: what each does by itself is harmless, and
-//! what all do in step keeps it down.
+//! Scheduling of calls to the list service. A call is a connection attempt and the connection that it opens. All fronts
+//! share one service, so synchronized retries of the whole fleet could keep a recovering service overloaded.
 use crate::rng::next_fraction;
 use crate::{FleetPosition, Micros, Timestamp};
 
-/// Wait before the next call after a connection that had worked: one broken connection says nothing about the service.
-/// Without a budget, the wait after every call.
+/// Wait before a call that follows a healthy connection. Without a budget, the wait before every call.
 const RETRY_INTERVAL: Micros = 200_000;
-/// Wait between two calls in the urgent period (see [`CallBudget::urgent_period`]).
+/// Wait before a call in the urgent period (see [`CallBudget::urgent_period`]).
 const URGENT_INTERVAL: Micros = 500_000;
-/// The quota of one front is at least this, as a wait between two calls of one front.
+/// Lower bound of the interval between two calls of one front under a budget.
 const MIN_CALL_INTERVAL: Micros = 1_000_000;
-/// Relative jitter of a wait, to either side.
+/// Relative jitter of a wait, in both directions.
 const JITTER: f64 = 0.25;
-/// The same once the calls of the fleet are spread evenly, which more jitter would undo.
+/// Relative jitter once the calls of the fleet are spread evenly; a larger one would make them cluster again.
 const SPREAD_JITTER: f64 = 0.03;
-/// The calls of a fleet that started in step are spread over this time at least, or over the quota if that is shorter.
+/// Lower bound of the window over which synchronized calls of a fleet are spread, unless the call interval is shorter.
 const MIN_SPREAD_WINDOW: Micros = 3_000_000;
-/// A connection that delivered messages over this long had worked. One that broke sooner is no reason for haste.
+/// A connection counts as healthy if its first and last message are at least this far apart.
 const MIN_HEALTHY_DURATION: Micros = 2_000_000;
-/// First connect timeout.
+/// Connect timeout of the first call.
 const INITIAL_CONNECT_TIMEOUT: Micros = 500_000;
-/// Longest connect timeout. Once calls are rare, the timeout grows with each call that was never answered: a service
-/// that is slow to answer gets more time, not more calls.
+/// Upper bound of the connect timeout. After the urgent period, the timeout grows with each consecutive unanswered call:
+/// a slow service gets more time to answer, not more calls.
 const MAX_CONNECT_TIMEOUT: Micros = 4_000_000;
+/// Growth factor of the connect timeout for each consecutive unanswered call.
 const CONNECT_TIMEOUT_FACTOR: u64 = 2;
 
 /// How a call, or the connection that it opened, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// Nobody listens there, or no socket could be opened.
+    /// The service refused the connection, or no socket could be opened.
     Refused,
-    /// The connection did not come up in time.
+    /// The connection was not established before the connect timeout.
     Unanswered,
-    /// The connection broke or was closed.
+    /// The connection was closed or reset.
     Closed,
-    /// The connection fell silent, within a message or between two.
+    /// The service stopped sending on an established connection.
     Silent,
     /// A message could not be decoded.
     Malformed,
 }
 
-/// What all fronts together may ask of a service that fails.
+/// Limits on calls to a failing list service, for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallBudget {
     /// Calls per second of the whole fleet.
     pub calls_per_s: f64,
-    /// Longest wait of one front between two calls, whatever its quota.
+    /// Upper bound of the interval between two calls of one front. It takes precedence over `calls_per_s`.
     pub max_wait: Micros,
-    /// For this long after the last message of the service, calls are made twice a second: whatever has changed since
-    /// then is learned in time by a call before it must be obeyed. Later, nothing is gained by haste.
+    /// Calls are made twice per second for this long after the last message from the service, so that changes made
+    /// before the outage was noticed are received before they must take effect.
     pub urgent_period: Micros,
 }
 
-/// The budget of one front.
+/// One front's part of a [`CallBudget`].
 #[derive(Clone, Copy, Debug)]
 struct FrontBudget {
-    /// This front's quota of the budget, as a wait between two calls.
+    /// Interval between two calls outside the urgent period.
     interval: Micros,
     urgent_period: Micros,
 }
@@ -76,24 +76,24 @@
 pub struct CallSchedule {
     budget: Option<FrontBudget>,
     position: FleetPosition,
-    /// Ends in a row, counting that of the last healthy connection.
+    /// Consecutive calls that have ended, including the last healthy one.
     failures: u32,
-    /// Calls in a row that were never answered while calls were rare.
+    /// Consecutive unanswered calls after the urgent period.
     unanswered_calls: u32,
-    /// This front has waited by its quota since the service was last healthy, so the calls of the fleet are spread.
+    /// Whether this front's calls were spread by its fleet position since the last healthy connection.
     is_spread: bool,
     call_started_at: Timestamp,
-    /// When the last complete message arrived on any connection; at first the start, whose events the configuration
-    /// holds.
+    /// When the last complete message arrived on any connection; initially the start, whose events are part of the
+    /// configuration.
     last_message_at: Timestamp,
-    /// When the first complete message arrived on this connection.
+    /// When the first complete message arrived on the current connection.
     first_message_at: Option<Timestamp>,
     rng_state: u64,
 }
 
 impl CallSchedule {
-    /// The schedule of a front that knows everything up to `now`. Without a budget it calls again after a fifth of a
-    /// second, however often that fails.
+    /// Creates the schedule of a front whose endpoint list is current at `now`. Without a budget, calls are retried every
+    /// 200 ms regardless of the number of failures.
     pub fn new(
         now: Timestamp,
         position: FleetPosition,
@@ -118,13 +118,13 @@
         next_fraction(&mut self.rng_state)
     }
 
-    /// When a front that starts makes its first call; a whole fleet may start at once. With `has_peers` the front can
-    /// learn the list from peers meanwhile, and waits for its place in the fleet.
+    /// Returns when to make the first call. With a budget and `has_peers`, the first calls of the fleet are spread over
+    /// one call interval, because a front can get the list from peers in the meantime.
     pub fn first_call(&mut self, now: Timestamp, has_peers: bool) -> Timestamp {
         let Some(budget) = self.budget.filter(|_| has_peers) else {
             return now + (RETRY_INTERVAL as f64 * self.random()) as Micros;
         };
-        // This spreads the fleet, and a service that never answered has not broken: no quick second call.
+        // The calls are spread already, and no healthy connection was lost that would justify a quick second call.
         self.failures = 1;
         self.is_spread = true;
         let offset = f64::from(self.position.number) + self.random();
@@ -132,7 +132,7 @@
             + (budget.interval as f64 * offset / f64::from(self.position.fronts)) as Micros
     }
 
-    /// A call is made. Returns the deadline by which it must have connected.
+    /// Records the start of a call, and returns the deadline for establishing its connection.
     pub fn start_call(&mut self, now: Timestamp) -> Timestamp {
         self.call_started_at = now;
         self.first_message_at = None;
@@ -149,7 +149,7 @@
         now + (timeout as f64 * self.jitter(JITTER)) as Micros
     }
 
-    /// A factor around 1.
+    /// Returns a random factor from `1 - relative` to `1 + relative`.
     fn jitter(&mut self, relative: f64) -> f64 {
         1.0 - relative + 2.0 * relative * self.random()
     }
@@ -159,26 +159,27 @@
         self.budget.is_some()
     }
 
-    /// Whether a complete message has arrived on this connection.
+    /// Whether a complete message has arrived on the current connection.
     pub fn has_received(&self) -> bool {
         self.first_message_at.is_some()
     }
 
-    /// Whether the service is failing: more than one broken connection that was replaced at once.
+    /// Whether the service is failing: more than one consecutive call has ended. A single lost connection is not a
+    /// failure of the service.
     pub fn is_failing(&self) -> bool {
         self.failures > 1
     }
 
-    /// A complete message has arrived.
+    /// Records that a complete message has arrived.
     pub fn record_message(&mut self, now: Timestamp) {
         self.last_message_at = now;
         self.unanswered_calls = 0;
         self.first_message_at.get_or_insert(now);
     }
 
-    /// A call, or its connection, has ended. Returns when the next call is made, never before `now`.
+    /// Records the end of a call, and returns when to make the next one: at `now` or later.
     pub fn end_call(&mut self, now: Timestamp, end: CallEnd) -> Timestamp {
-        // Judged by the messages, not by how long it was open: a silent connection is not healthy.
+        // Health is measured by messages, since an open connection may be silent.
         let first_message_at = self.first_message_at.take();
         let delivered_for =
             first_message_at.map(|first| self.last_message_at.saturating_sub(first));
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Time that was spent waiting for an answer counts towards the wait before the next call.
+    /// Time spent waiting for the service, which is deducted from the wait before the next call.
     fn response_wait(&self, now: Timestamp, end: CallEnd) -> Micros {
         match end {
             CallEnd::Unanswered | CallEnd::Silent => {
@@ -220,7 +221,8 @@
         }
     }
 
-    /// All fronts may have noticed the end at once, and a silence ends for all of them at once: never without a wait.
+    /// Jittered wait outside the fleet-wide schedule. It never shrinks to 0, because all fronts may detect the same failure
+    /// at the same time.
     fn short_wait(&mut self, wait: Micros, elapsed: Micros) -> Micros {
         let random = self.random();
         let jitter = 1.0 - JITTER + 2.0 * JITTER * random;
@@ -228,14 +230,15 @@
         remaining.max(RETRY_INTERVAL as f64 * random) as Micros
     }
 
+    /// Wait for the next call on the fleet-wide schedule.
     fn interval_wait(&mut self, wait: Micros, elapsed: Micros) -> Micros {
         let wait = wait as f64;
         let elapsed = elapsed as f64;
         if self.is_spread {
             return (wait * self.jitter(SPREAD_JITTER) - elapsed).max(0.0) as Micros;
         }
-        // A fleet that started in step is spread over the whole quota, each front by its number. Where the fronts have
-        // waited in vain for about as long as that, what is left of the quota would bring them close together again.
+        // Spreads synchronized fronts over the interval by their fleet position. If they have already waited for most of
+        // the interval, the remainder would be too short a window, hence its lower bound.
         self.is_spread = true;
         let offset =
             (f64::from(self.position.number) + self.random()) / f64::from(self.position.fronts);
--- a/startup/src/call_budget/tests.rs
+++ b/startup/src/call_budget/tests.rs
@@ -1,3 +1,16 @@
+use super::*;
+
+const SECOND: Timestamp = 1_000_000;
+const URGENT_PERIOD: Micros = 7_500_000;
+
+fn budget() -> Option<CallBudget> {
+    Some(CallBudget {
+        calls_per_s: 10.0,
+        max_wait: 5_500_000,
+        urgent_period: URGENT_PERIOD,
+    })
+}
+
 #[test]
 fn calls_of_a_fleet_with_peers_are_spread_from_the_first_call() {
     let budget = CallBudget {
@@ -41,22 +54,9 @@
     );
 }
 
-use super::*;
-
-const SECOND: Timestamp = 1_000_000;
-const URGENT_PERIOD: Micros = 7_500_000;
-
-fn budget() -> Option<CallBudget> {
-    Some(CallBudget {
-        calls_per_s: 10.0,
-        max_wait: 5_500_000,
-        urgent_period: URGENT_PERIOD,
-    })
-}
-
 #[test]
 fn without_a_budget_every_failed_call_is_retried_within_250_ms() {
-    // The platform expects a change to be obeyed as soon as it could have been learned.
+    // Without a budget, fronts must receive changes as soon as the service is reachable.
     let mut calls = CallSchedule::new(
         0,
         FleetPosition {
@@ -144,14 +144,14 @@
     for n in 0..20 {
         fail_call(&mut calls, n * SECOND);
     }
-    // Open for a minute without a message.
+    // A connection that was open for a minute without a message is not healthy.
     calls.start_call(20 * SECOND);
     assert!(calls.end_call(80 * SECOND, CallEnd::Closed) - 80 * SECOND > SECOND);
-    // A message at its start: all changes up to then are known, so there is time.
+    // All changes up to that message are known, so the next call is not urgent.
     calls.start_call(90 * SECOND);
     calls.record_message(90 * SECOND);
     assert!(calls.end_call(90 * SECOND, CallEnd::Closed) - 90 * SECOND > 5 * SECOND);
-    // No message since: calls are frequent while changes since that message can still be learned in time.
+    // Calls are frequent until the urgent period after the last message has passed.
     assert!(fail_call(&mut calls, 95 * SECOND + SECOND / 2) <= 625_000);
     assert!(fail_call(&mut calls, 98 * SECOND) > SECOND);
     calls.start_call(100 * SECOND);
@@ -215,7 +215,7 @@
         calls_made.windows(2).all(|w| w[1] - w[0] <= 5_700_000),
         "{calls_made:?}"
     );
-    // Time spent on unanswered calls is part of the wait: the calls are no rarer for it.
+    // Time spent on unanswered calls counts towards the wait, so longer timeouts do not reduce the call rate.
     assert!(
         calls_made.iter().filter(|at| **at > 12 * SECOND).count() >= 8,
         "{calls_made:?}"
--- a/startup/src/lib.rs
+++ b/startup/src/lib.rs
@@ -1,8 +1,8 @@
-//! Cold start of a fleet, without I/O or a clock: when a front calls the list service, when it starts to use endpoints
-//! that are new to it, whether a list from disk or from peers may be used, and when the front reports that it is ready.
+//! Start-up of a fleet of fronts: the schedule of calls to the list service, slow start of endpoints, validation of
+//! endpoint lists from disk or from peers, and readiness.
 //!
-//! Rates are stated for the whole fleet and divided by the number of fronts, which every front knows from the settings.
-//! `docs/design/startup.md` gives the reasons and the measurements.
+//! The crate performs no I/O and reads no clock. Rates apply to the whole fleet; each front divides them by the number
+//! of fronts in its settings. See `docs/design/startup.md` for the design and the measurements.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -24,17 +24,17 @@
 /// A duration in microseconds.
 pub type Micros = u64;
 
-/// The place of a front in its fleet.
+/// The position of a front in its fleet, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetPosition {
-    /// The number of this front, from 0.
+    /// The index of this front, from 0 to one less than [`FleetPosition::fronts`].
     pub number: u32,
-    /// The number of fronts in the fleet.
+    /// The number of fronts in the fleet, at least 1.
     pub fronts: u32,
 }
 
 impl FleetPosition {
-    /// The position with a fleet of at least one front and a number within it.
+    /// Replaces an empty fleet by a fleet of one front, and reduces the index into the valid range.
     fn normalized(self) -> Self {
         let fronts = self.fronts.max(1);
         FleetPosition {
--- a/startup/src/peer_bootstrap.rs
+++ b/startup/src/peer_bootstrap.rs
@@ -1,23 +1,24 @@
-//! The list from peers: which peers a front asks while it does not hear from the list service, and whose list it takes.
+//! Bootstrap of the endpoint list from peers while the list service is unreachable: which peers are polled, and which
+//! offered list is accepted.
 use crate::rng::next_u64;
 use crate::{Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// Peers that are asked in one round.
+/// Number of peers polled per round.
 const PEERS_PER_ROUND: usize = 3;
-/// An offer counts for this many rounds.
+/// Number of rounds after which an offer expires.
 const OFFER_LIFETIME_ROUNDS: u64 = 5;
-/// A peer that fails backs off for two rounds, and for twice as many each time, up to this many.
+/// Upper bound of the backoff of a failing peer, which starts at two rounds and doubles with each failure.
 const MAX_BACKOFF_ROUNDS: u64 = 32;
-/// Relative jitter of the interval between rounds, to either side.
+/// Relative jitter of the interval between rounds, in both directions.
 const JITTER: f64 = 0.25;
 
-/// Identifies a list that a peer offers.
+/// Identifies an endpoint list offered by a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListOffer {
     /// The revision of the list: the number of its last event.
     pub revision: u64,
-    /// Tells lists of the same revision apart.
+    /// A digest of the contents, which distinguishes different lists with the same revision.
     pub digest: u64,
 }
 
@@ -33,11 +34,11 @@
     failures: u32,
 }
 
-/// The peers of one front.
+/// The bootstrap state of one front. Peers are identified by their index, from 0.
 #[derive(Clone, Debug)]
 pub struct PeerBootstrap {
     peers: usize,
-    /// This many peers must offer the same list before it is taken.
+    /// Number of peers that must offer the same list before it is accepted.
     quorum: usize,
     interval: Micros,
     next_round: Timestamp,
@@ -47,8 +48,8 @@
 }
 
 impl PeerBootstrap {
-    /// A list is taken once `quorum` of the `peers` offer the same. Rounds are `interval` apart; the first is due
-    /// immediately, before the service is called.
+    /// Creates the state for `peers` peers, of which `quorum` (at least 1) must offer the same list. Rounds are `interval`
+    /// apart on average; the first is due immediately, before the first call to the list service.
     pub fn new(now: Timestamp, peers: usize, quorum: usize, interval: Micros, seed: u64) -> Self {
         PeerBootstrap {
             peers,
@@ -61,12 +62,12 @@
         }
     }
 
-    /// When the next round is due.
+    /// Returns when the next round is due.
     pub fn next_round(&self) -> Timestamp {
         self.next_round
     }
 
-    /// Starts a round, and returns the peers to ask.
+    /// Starts a round, and returns the peers to poll: randomly selected ones that are not in backoff.
     pub fn start_round(&mut self, now: Timestamp) -> Vec<usize> {
         let jitter_range = (self.interval as f64 * 2.0 * JITTER) as u64;
         let min_interval = (self.interval as f64 * (1.0 - JITTER)) as u64;
@@ -85,13 +86,14 @@
         selected
     }
 
-    /// A peer has no newer list.
+    /// Records that a peer has no newer list. This withdraws its offer.
     pub fn record_no_update(&mut self, peer: usize) {
         self.backoffs.remove(&peer);
         self.offers.remove(&peer);
     }
 
-    /// A peer could not be reached, was too slow, or sent something that cannot be decoded or used.
+    /// Records that a peer was unreachable, timed out or sent an invalid response. This withdraws its offer and starts or
+    /// extends its backoff.
     pub fn record_failure(&mut self, now: Timestamp, peer: usize) {
         let failures = self
             .backoffs
@@ -112,7 +114,8 @@
         self.offers.remove(&peer);
     }
 
-    /// A peer offers a list to a front that knows `known_revision`. Returns whether enough peers offer the same.
+    /// Records a list offered by a peer, and returns whether a quorum offers it and it is newer than `known_revision`, the
+    /// revision that this front has.
     pub fn record_offer(
         &mut self,
         now: Timestamp,
--- a/startup/src/peer_bootstrap/tests.rs
+++ b/startup/src/peer_bootstrap/tests.rs
@@ -15,7 +15,7 @@
                 digest: 0xbad
             }
         ),
-        "a single peer"
+        "one peer is no quorum"
     );
     assert!(
         !peers.record_offer(
@@ -27,7 +27,7 @@
                 digest: 0xbad
             }
         ),
-        "the same peer again"
+        "a repeated offer of one peer is no quorum"
     );
     assert!(!peers.record_offer(
         2,
@@ -48,7 +48,7 @@
                 digest: 0xb
             }
         ),
-        "the same number of another list"
+        "the same revision with another digest"
     );
     assert!(peers.record_offer(
         4,
@@ -69,9 +69,9 @@
                 digest: 0xa
             }
         ),
-        "that revision is known"
+        "the front already has that revision"
     );
-    // An old offer does not count.
+    // Expired offers are ignored.
     let mut peers = PeerBootstrap::new(0, 5, 2, 2 * SECOND, 1);
     peers.record_offer(
         0,
@@ -91,7 +91,7 @@
             digest: 0xa
         }
     ));
-    // Neither does one that a peer withdrew, or one of a peer that failed since.
+    // Withdrawn offers and offers of peers that have failed since are ignored.
     peers.record_no_update(2);
     assert!(!peers.record_offer(
         11 * SECOND,
@@ -129,13 +129,17 @@
     for peer in 1..40 {
         (0..9).for_each(|_| peers.record_failure(now, peer));
     }
-    assert_eq!(peers.start_round(now), [0], "the others back off");
+    assert_eq!(
+        peers.start_round(now),
+        [0],
+        "the other peers are in backoff"
+    );
     assert_eq!(
         peers
             .start_round(now + 2 * SECOND * MAX_BACKOFF_ROUNDS)
             .len(),
         PEERS_PER_ROUND,
-        "no backoff lasts for ever"
+        "every backoff ends"
     );
     assert_eq!(
         PeerBootstrap::new(0, 0, 2, SECOND, 1).start_round(0),
--- a/startup/src/readiness.rs
+++ b/startup/src/readiness.rs
@@ -1,45 +1,45 @@
-//! When a front reports that it is ready.
+//! Readiness of a front: when it reports that it can serve clients.
 use crate::{FleetPosition, Micros, Timestamp};
 use std::fmt;
 
-/// What a front needs before it reports that it is ready, and when it does so with less.
+/// The conditions under which a front becomes ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadinessPolicy {
-    /// Percentage of the listed endpoints that must have a connection.
+    /// Percentage of the listed endpoints that must be connected.
     pub min_percent: u32,
-    /// After this long the front is ready with fewer, if it has a list at all.
+    /// Time after the start when the front becomes ready with fewer connections, provided that it has an endpoint list.
     pub max_wait: Micros,
-    /// The fronts of a fleet become ready spread over this time.
+    /// Period after the start over which the fronts of a fleet become ready one after another.
     pub spread: Micros,
 }
 
-/// What a front waits for.
+/// The reason why a front is not ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotReady {
-    /// It knows no endpoints.
+    /// The endpoint list is empty or was not received yet.
     NoEndpoints,
     /// Too few endpoints are connected.
     Connections {
-        /// Connected endpoints.
+        /// Number of connected endpoints.
         connected: usize,
-        /// Connected endpoints that are needed.
+        /// Number of connected endpoints required by [`ReadinessPolicy::min_percent`].
         needed: usize,
     },
-    /// Its turn among the fronts.
+    /// The front's time within [`ReadinessPolicy::spread`] has not come yet.
     Staggered,
 }
 
 impl fmt::Display for NotReady {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NotReady::NoEndpoints => write!(f, "a list of members"),
+            NotReady::NoEndpoints => write!(f, "a non-empty endpoint list"),
             NotReady::Connections { connected, needed } => {
                 write!(
                     f,
-                    "connections: {connected} of {needed} members are reached"
+                    "connections to endpoints: {connected} of {needed} required"
                 )
             }
-            NotReady::Staggered => write!(f, "its turn among the fronts"),
+            NotReady::Staggered => write!(f, "its turn in the staggered start of the fleet"),
         }
     }
 }
@@ -49,14 +49,14 @@
 pub struct Readiness {
     policy: ReadinessPolicy,
     started_at: Timestamp,
-    /// When this front's turn in the spread comes.
+    /// Earliest time at which this front becomes ready within the spread.
     turn_at: Timestamp,
-    /// The front has been ready. Lost connections do not take that back: they are a matter of health checks.
+    /// Whether the front was ready before. Connections lost later do not revoke readiness; health checks handle them.
     was_ready: bool,
 }
 
 impl Readiness {
-    /// A front that starts now.
+    /// Creates the readiness of a front that starts at `now`.
     pub fn new(now: Timestamp, position: FleetPosition, policy: ReadinessPolicy) -> Self {
         let FleetPosition { number, fronts } = position.normalized();
         let turn_at = now + policy.spread / u64::from(fronts) * u64::from(number);
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Whether the front is ready with `connected` of `listed` endpoints, or what it waits for.
+    /// Checks whether the front is ready with `connected` of `listed` endpoints, and returns the reason if it is not.
     pub fn check(
         &mut self,
         now: Timestamp,
         listed: usize,
         connected: usize,
     ) -> Result<(), NotReady> {
-        // Without a list nothing can be served, whatever was reported before.
+        // A front that has been ready also becomes unready if its list becomes empty, since it cannot serve any request.
         if listed == 0 {
             return Err(NotReady::NoEndpoints);
         }
--- a/startup/src/readiness/tests.rs
+++ b/startup/src/readiness/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(
         readiness.check(9_000_000, 0, 0),
         Err(NotReady::NoEndpoints),
-        "waiting does not replace a list"
+        "the maximum wait does not replace a list"
     );
     assert_eq!(
         readiness.check(2_999_999, 9, 4),
@@ -32,13 +32,13 @@
     assert_eq!(
         readiness.check(3_000_000, 9, 0),
         Ok(()),
-        "it has waited long enough"
+        "the maximum wait has passed"
     );
     assert_eq!(readiness.check(3_000_001, 9, 0), Ok(()));
     assert_eq!(
         readiness.check(3_000_002, 0, 0),
         Err(NotReady::NoEndpoints),
-        "the list was emptied"
+        "the list has become empty"
     );
     let mut readiness = Readiness::new(
         0,
@@ -51,7 +51,7 @@
     assert_eq!(
         (readiness.check(5, 9, 5), readiness.check(6, 9, 0)),
         (Ok(()), Ok(())),
-        "connections lost later do not matter"
+        "connections lost later do not revoke readiness"
     );
 }
 
--- a/startup/src/slow_start.rs
+++ b/startup/src/slow_start.rs
@@ -1,40 +1,40 @@
-//! When a front starts to use endpoints that are new to it. All fronts learn of an endpoint at the same time; a budget of
-//! connections over the whole fleet spreads their use of it, and each front takes the endpoints in its own order.
+//! Slow start: when a front starts to use newly listed endpoints. All fronts are notified of an endpoint at the same time,
+//! so each one delays its first use; a fleet-wide rate limits how many fronts start to use one endpoint per second.
 use crate::rng::mix;
 use crate::{FleetPosition, Micros, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Endpoints of each group that a front uses immediately, whatever the budget, so that it can serve at all.
+/// Number of endpoints in each group that a front uses without delay, so that it can serve requests from the start.
 const MIN_IN_USE_PER_GROUP: usize = 2;
 
-/// Endpoints that can stand in for each other.
+/// A group of interchangeable endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
-    /// Their kind.
+    /// The kind of the endpoints, as a number from the settings.
     pub kind: u8,
-    /// Whether they are in the zone of this front.
+    /// Whether the endpoints are in the zone of this front.
     pub same_zone: bool,
 }
 
-/// How a listed endpoint is admitted.
+/// When a listed endpoint is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Immediately: it is not to be used any more, or there is no other of its kind.
+    /// Immediately: for endpoints without an alternative, and for updates that take an endpoint out of use.
     Immediate,
-    /// Immediately, and it counts as new if it comes back.
+    /// Immediately, as the endpoint was removed from the list. If it is listed again, it is new.
     Removed,
-    /// In its turn among those of its group.
+    /// After the delay of slow start, unless the group has too few endpoints in use.
     Staggered(Group),
 }
 
-/// An endpoint as the list tells of it.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedEndpoint<T> {
-    /// Its id.
+    /// The identifier of the endpoint, which is unique within the list.
     pub id: u64,
-    /// How it is admitted.
+    /// When the endpoint is admitted.
     pub admission: Admission,
-    /// What the caller wants back once it is admitted.
+    /// The caller's data, which is returned when the endpoint is admitted.
     pub entry: T,
 }
 
@@ -45,11 +45,11 @@
     entry: T,
 }
 
-/// The endpoints that wait for their turn.
+/// The slow-start state of one front.
 #[derive(Clone, Debug)]
 pub struct SlowStart<T> {
     position: FleetPosition,
-    /// Within this time all fronts use an endpoint that they learned of at the same time.
+    /// Time within which all fronts start to use an endpoint that was listed for all of them at the same time.
     ramp_duration: Micros,
     in_use: BTreeMap<u64, Group>,
     waiting: BTreeMap<u64, WaitingEndpoint<T>>,
@@ -64,8 +64,8 @@
 }
 
 impl<T> SlowStart<T> {
-    /// `fleet_rate` fronts per second start to use an endpoint, unless that took all of them longer than
-    /// `max_duration`.
+    /// Creates the state for a fleet in which `fleet_rate` fronts per second start to use an endpoint. The rate is exceeded
+    /// if the ramp of the whole fleet would take longer than `max_duration`.
     pub fn new(position: FleetPosition, fleet_rate: f64, max_duration: Micros) -> Self {
         let position = position.normalized();
         let seconds = f64::from(position.fronts) / fleet_rate.max(f64::MIN_POSITIVE);
@@ -78,13 +78,13 @@
         }
     }
 
-    /// How long this front waits after an endpoint became known. No two fronts wait equally long for one endpoint, and
-    /// each front takes the endpoints in its own order.
+    /// Delay before this front starts to use an endpoint. For one endpoint, the delays of all fronts are distinct and
+    /// evenly spaced; the order of the endpoints differs between fronts.
     fn delay(&self, id: u64) -> Micros {
         let number = u64::from(self.position.number);
         let fronts = u64::from(self.position.fronts);
         let hash = mix(id);
-        // A step that is coprime to the number of fronts reaches each place once.
+        // A stride that is coprime to the number of fronts maps each front to a slot of its own.
         let strides = (0..fronts).map(|offset| 1 + (hash % fronts + offset) % fronts);
         let coprime = |stride: &u64| greatest_common_divisor(*stride, fronts) == 1;
         let stride = { strides }.find(coprime).unwrap_or(1);
@@ -92,7 +92,7 @@
         slot * (self.ramp_duration / fronts)
     }
 
-    /// Takes in a list, which is `complete` or holds changes only. Returns the entries to admit now.
+    /// Applies an endpoint list, which is `complete` or contains only changes. Returns the entries to admit now.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -122,7 +122,7 @@
                         .insert(id, WaitingEndpoint { due, group, entry });
                     groups.insert(group);
                 }
-                // An endpoint in use stays so: the front knows best what to do with it.
+                // Updates of endpoints in use are passed on without delay.
                 Admission::Staggered(_) => admitted.push(entry),
                 Admission::Immediate => {
                     self.waiting.remove(&id);
@@ -141,7 +141,7 @@
         admitted
     }
 
-    /// Admits the first endpoints of a group of which too few are in use.
+    /// Admits the endpoints of a group that are due first until [`MIN_IN_USE_PER_GROUP`] of them are in use.
     fn admit_immediately(&mut self, group: Group) -> Vec<T> {
         let in_use = self
             .in_use
@@ -167,7 +167,7 @@
         Some(waiting.entry)
     }
 
-    /// Admits the endpoints whose turn has come.
+    /// Admits the endpoints whose delay has passed, and returns their entries.
     pub fn poll(&mut self, now: Timestamp) -> Vec<T> {
         let due = self
             .waiting
@@ -177,17 +177,17 @@
         ids.into_iter().filter_map(|id| self.admit(id)).collect()
     }
 
-    /// When the next endpoint's turn comes.
+    /// Returns when the next endpoint is due; `None` if none is waiting.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.waiting.values().map(|waiting| waiting.due).min()
     }
 
-    /// Whether this endpoint waits for its turn.
+    /// Whether an endpoint is listed and not admitted yet.
     pub fn is_waiting(&self, id: u64) -> bool {
         self.waiting.contains_key(&id)
     }
 
-    /// How many endpoints wait for their turn.
+    /// Returns the number of endpoints that are listed and not admitted yet.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/startup/src/slow_start/tests.rs
+++ b/startup/src/slow_start/tests.rs
@@ -16,7 +16,7 @@
         .collect()
 }
 
-/// When each front of a fleet starts to use each endpoint.
+/// Returns when each front of a fleet starts to use each endpoint, as pairs of time and endpoint.
 fn fleet(fronts: u32, endpoints: u64, per_s: f64) -> Vec<(Timestamp, u64)> {
     let mut all = Vec::new();
     for number in 0..fronts {
@@ -49,7 +49,7 @@
     ] {
         let all = fleet(fronts, endpoints, per_s);
         assert_eq!(all.len(), fronts as usize * endpoints as usize);
-        // Endpoints that a front uses immediately exceed the budget; they are spread over all endpoints.
+        // The endpoints that each front uses without delay exceed the rate; fronts select different ones.
         let early = (f64::from(fronts) * MIN_IN_USE_PER_GROUP as f64 / endpoints as f64).max(2.0)
             * 3.0
             + 4.0;
@@ -71,7 +71,7 @@
                 .unwrap();
             assert!(
                 max_per_second as f64 <= per_s + early,
-                "{fronts} fronts: {max_per_second} in a second at one of {endpoints}"
+                "{fronts} fronts: {max_per_second} in one second at one of {endpoints} endpoints"
             );
         }
         let last = all.iter().map(|(at, _)| *at).max().unwrap();
@@ -110,7 +110,7 @@
         assert!(first.contains(&40));
         orders.insert(first);
     }
-    assert!(orders.len() > 50, "{} ways for 100 fronts", orders.len());
+    assert!(orders.len() > 50, "{} orders for 100 fronts", orders.len());
 }
 
 #[test]
@@ -125,7 +125,7 @@
     );
     let used_ids = slow_start.update(0, true, list(0..10));
     let waiting_ids: Vec<u64> = (0..10).filter(|m| !used_ids.contains(m)).collect();
-    // A waiting endpoint drains: that is passed on, and its turn does not come.
+    // An immediate update of a waiting endpoint is passed on and ends its wait.
     assert_eq!(
         slow_start.update(
             1,
@@ -141,11 +141,10 @@
     assert_eq!(
         slow_start.update(1, false, vec![staggered(used_ids[0], 0, true, 98)]),
         [98],
-        "it is used already"
+        "the endpoint is in use"
     );
-    // An update of a waiting endpoint replaces its entry and does not restart its wait.
     let due = slow_start.waiting[&waiting_ids[1]].due;
-    // An endpoint in use that is removed counts as new once it returns; one that only drains does not.
+    // An endpoint that was removed is new when it is listed again; one with an immediate update stays in use.
     assert_eq!(
         slow_start.update(
             1,
@@ -173,7 +172,8 @@
             staggered(used_ids[0], 0, true, 93),
         ],
     );
-    assert!(back.contains(&93), "it is used still");
+    assert!(back.contains(&93), "the endpoint is still in use");
+    // An update of a waiting endpoint replaces its entry and does not restart its delay.
     assert_eq!(
         slow_start.update(2, false, vec![staggered(waiting_ids[1], 0, true, 97)]),
         []
@@ -185,7 +185,7 @@
             && !rest.contains(&waiting_ids[0])
             && rest.len() == waiting_ids.len() - 1
     );
-    // A complete list drops what it lacks; an endpoint that returns later waits again.
+    // A complete list removes all endpoints that it does not contain.
     assert_eq!(
         slow_start.update(
             70 * SECOND,
--- a/startup/src/snapshot.rs
+++ b/startup/src/snapshot.rs
@@ -1,42 +1,42 @@
-//! Whether a list from disk or from a peer may be used.
+//! Validation of endpoint lists from disk or from peers.
 use thiserror::Error;
 
-/// Wall clocks of one machine may be set back by this much between two starts.
+/// Tolerated backward step of the wall clock between two starts.
 const MAX_CLOCK_STEP_MS: u64 = 60_000;
 
-/// What is known of a list without decoding all of it.
+/// The metadata of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotHeader {
-    /// Identifies the list: the service that it is from, and the names that its records refer to.
+    /// Identifies the list: a hash of the list service and of the names that its records refer to.
     pub source: u64,
     /// The revision of the list: the number of its last event.
     pub revision: u64,
-    /// When the list was known to be current, in Unix milliseconds.
+    /// When the list was last confirmed as current, in Unix milliseconds.
     pub current_at_ms: u64,
 }
 
-/// Why a list is not used.
+/// The reason why an endpoint list is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotRejected {
-    /// It is of another list service.
-    #[error("it is of another list")]
+    /// The list is from another list service, or refers to other names.
+    #[error("the list is from another source")]
     OtherSource,
-    /// It is no newer than what is known.
-    #[error("the configuration knows as much")]
+    /// The list is not newer than the one that the front has.
+    #[error("the list is not newer than the current one")]
     NotNewer,
-    /// It is too old.
-    #[error("it is {excess_s} s older than may be served from")]
+    /// The list exceeds the maximum age.
+    #[error("the list is {excess_s} s older than may be served from")]
     TooOld {
-        /// By how many seconds.
+        /// Seconds by which the maximum age is exceeded, rounded up.
         excess_s: u64,
     },
-    /// Its time is in the future.
-    #[error("it is of the future")]
+    /// The timestamp of the list is in the future.
+    #[error("the timestamp of the list is in the future")]
     FromFuture,
 }
 
-/// Whether a front may use a list at `now_ms` (Unix milliseconds), when it knows `known_revision` of the list `source`
-/// and may use lists up to `max_age_ms` old.
+/// Checks whether a front may use a list at `now_ms`, in Unix milliseconds. The list must be from `source`, newer than
+/// `known_revision` and at most `max_age_ms` old.
 pub fn check_snapshot(
     now_ms: u64,
     header: SnapshotHeader,
--- a/startup/src/snapshot/tests.rs
+++ b/startup/src/snapshot/tests.rs
@@ -24,7 +24,7 @@
     assert_eq!(
         check_snapshot(40_000, header, 7, 8, 5_000),
         Ok(()),
-        "a clock that was set back a little"
+        "the clock was set back by the tolerated step"
     );
     assert_eq!(
         check_snapshot(39_999, header, 7, 8, 5_000),
--- a/startup/tests/fleet.rs
+++ b/startup/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Whole fleets against one list service on a virtual clock: how often all fronts together call it.
+//! Simulates fleets of fronts and one list service on a virtual clock, and checks the rate of calls and the recovery time.
 use cranesill_startup::{CallBudget, CallEnd, CallSchedule, FleetPosition, Timestamp};
 use std::collections::BTreeSet;
 
@@ -9,18 +9,18 @@
     urgent_period: 7_500_000,
 };
 
-/// How the service answers a call.
+/// The behavior of the simulated service on a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Service {
     Refuses,
     Closes,
     Unresponsive,
     Malformed,
-    /// Serves a connection for this long.
+    /// Serves the connection for this duration.
     Serves(Timestamp),
 }
 
-/// Runs a fleet until `end`. Returns the times of all calls, and when each front was served last.
+/// Runs a fleet until `end`. Returns the times of all calls, and when each front was last served.
 fn simulate_fleet(
     fronts: u32,
     seed: u64,
@@ -66,7 +66,7 @@
     (calls_made, served)
 }
 
-/// The largest number of calls in any window, of those from `from` on.
+/// Returns the largest number of calls in any window of this length that starts at or after `from`.
 fn max_calls_in_window(calls_made: &[Timestamp], from: Timestamp, window: Timestamp) -> usize {
     let calls_made: Vec<_> = calls_made.iter().filter(|at| **at >= from).collect();
     calls_made
@@ -91,18 +91,18 @@
             Service::Malformed,
         ] {
             let (calls_made, _) = simulate_fleet(60, seed, 40 * SECOND, |_| service);
-            // In the urgent period of 7.5 s calls are frequent.
+            // Calls are frequent only in the urgent period of 7.5 s.
             let urgent_calls_per_front =
                 calls_made.iter().filter(|at| **at < 8 * SECOND).count() as f64 / 60.0;
             assert!(
                 urgent_calls_per_front <= 20.0,
-                "seed {seed}, {service:?}: {urgent_calls_per_front:.1} calls a front in 8 s"
+                "seed {seed}, {service:?}: {urgent_calls_per_front:.1} calls per front in 8 s"
             );
             let mean_per_second =
                 calls_made.iter().filter(|at| **at >= 9 * SECOND).count() as f64 / 31.0;
             assert!(
                 mean_per_second <= 16.0,
-                "seed {seed}, {service:?}: {mean_per_second:.1} a second"
+                "seed {seed}, {service:?}: {mean_per_second:.1} calls per second"
             );
             let (per_second, per_100_ms) = (
                 max_calls_in_window(&calls_made, 9 * SECOND, SECOND),
@@ -110,7 +110,7 @@
             );
             assert!(
                 per_second <= 20 && per_100_ms <= 12,
-                "seed {seed}, {service:?}: {per_second} in a second, {per_100_ms} in 100 ms"
+                "seed {seed}, {service:?}: {per_second} calls in one second, {per_100_ms} in 100 ms"
             );
         }
     }
@@ -141,7 +141,7 @@
                     .unwrap();
                 assert!(
                     last_served <= recovered_at + bound,
-                    "{fronts} fronts, {service:?}: {} s",
+                    "{fronts} fronts, {service:?}: recovery took {} s",
                     (last_served - recovered_at) as f64 / 1e6
                 );
             }
@@ -156,7 +156,7 @@
         assert_eq!(calls_made.len(), 300);
         assert!(
             max_calls_in_window(&calls_made, 0, 20_000) <= 60,
-            "seed {seed}: {} within 20 ms",
+            "seed {seed}: {} calls within 20 ms",
             max_calls_in_window(&calls_made, 0, 20_000)
         );
     }
@@ -164,8 +164,8 @@
 
 #[test]
 fn changes_during_an_outage_are_received_before_their_deadline() {
-    // A change must be obeyed 7.25 s after it: a service that returns before that is called in
-    // time for all changes since it failed.
+    // Changes must take effect within 7.25 s. If the service recovers before that, every front must reconnect in time to
+    // receive the changes made since the failure.
     for fronts in [3, 60, 300] {
         for seed in 0..20 {
             for outage_ms in [200, 1_000, 3_000, 4_000, 5_000] {
@@ -183,7 +183,7 @@
                         .unwrap();
                     assert!(
                         last_served <= failed_at + 7_300_000,
-                        "{fronts} fronts, outage {outage_ms} ms, {service:?}: {last_served}"
+                        "{fronts} fronts, outage of {outage_ms} ms, {service:?}: last front served at {last_served} us"
                     );
                 }
             }
@@ -194,11 +194,11 @@
 #[test]
 fn a_connection_lost_by_the_whole_fleet_is_replaced_immediately() {
     for seed in 0..50 {
-        // All connections worked for half a minute, then the service restarts and is back at once.
+        // The service restarts after 30 s, which closes all connections, and accepts new ones immediately.
         let (calls_made, _) =
             simulate_fleet(300, seed, 33 * SECOND, |_| Service::Serves(30 * SECOND));
         let reconnections: Vec<_> = calls_made.iter().filter(|at| **at >= 30 * SECOND).collect();
-        assert_eq!(reconnections.len(), 300, "each calls once more");
+        assert_eq!(reconnections.len(), 300, "each front reconnects once");
         assert!(calls_made.iter().all(|at| *at < 31 * SECOND));
     }
 }
@@ -217,7 +217,7 @@
             calls_made.iter().filter(|at| **at >= 10 * SECOND).count() as f64 / 50.0;
         assert!(
             mean_per_second <= 75.0,
-            "seed {seed}: {mean_per_second:.1} a second"
+            "seed {seed}: {mean_per_second:.1} calls per second"
         );
     }
 }
@@ -250,14 +250,14 @@
                     number,
                 ));
             }
-            // Twice the budget, as with processes. A fleet whose share is longer than a silence calls in what is left
-            // of the share, spread over 3 s: the service is found again in time once it returns.
+            // The bound is twice the budget. A fleet whose call interval is longer than the silence timeout spreads its
+            // calls over at least 3 s, which may exceed that.
             let spread = f64::from(fronts) / 3.0 * 1.4;
             let bound = (2.0 * budget.calls_per_s).max(spread).ceil() as usize;
             let per_second = max_calls_in_window(&calls_made, 4 * SECOND, SECOND);
             assert!(
                 per_second <= bound,
-                "{fronts} fronts, seed {seed}: {per_second} calls in a second, bound {bound}"
+                "{fronts} fronts, seed {seed}: {per_second} calls in one second, bound {bound}"
             );
         }
     }
