--- a/purges/examples/measure-purges.rs
+++ b/purges/examples/measure-purges.rs
@@ -1,4 +1,5 @@
-//! Measures matching, the purge log and its journal: `make measure-purges`. The figures are in `docs/design/purges.md`.
+//! Benchmarks purge matching, the purge log and its journal. Run with `make measure-purges`; `docs/design/purges.md` has
+//! the results.
 use cranesill_purges::journal::{self, JournalFile, OpenedJournal};
 use cranesill_purges::log::{Command, Prepared, PurgeLog};
 use cranesill_purges::matching::{compile_patterns, PurgeMatcher, RequestAttributes, TagIndex};
@@ -61,7 +62,9 @@
         sum = sum.wrapping_add(matcher.floor(0, &request));
     }
     let nanos_per_request = started_at.elapsed().as_nanos() as f64 / iterations as f64;
-    println!("{case}: {nanos_per_request:.0} ns a request, its key's text included (sum {sum})");
+    println!(
+        "{case}: {nanos_per_request:.0} ns per request, including the request key (checksum {sum})"
+    );
 }
 
 fn main() {
@@ -81,7 +84,7 @@
     }
     let known = (0..200_000).filter(|o| index.tags(*o).is_some()).count();
     println!(
-        "index of 4 MiB: {known} of 200000 objects known, {:.0} ns to learn one, {} bytes grown",
+        "tag index of 4 MiB: {known} of 200000 objects known, {:.0} ns per recorded object, {} more bytes resident",
         started_at.elapsed().as_nanos() as f64 / 2e5,
         resident_bytes().saturating_sub(before)
     );
@@ -117,13 +120,13 @@
     }
     measure_floor(&matcher, index, "10,000 purges and 1,000 patterns");
     println!(
-        "compiling the patterns, off the loop: {} us at most; {} bytes resident",
+        "compilation of the patterns on a worker thread: at most {} us; {} bytes resident",
         max_duration.as_micros(),
         resident_bytes()
     );
 }
 
-/// Fills a log of a million with its journal in memory, and reads it again.
+/// Fills a log and its in-memory journal with a million purges, and reads the journal back.
 fn measure_journal() -> PurgeLog {
     let before = resident_bytes();
     let started_at = Instant::now();
@@ -145,7 +148,7 @@
         log.append(7, purge).unwrap();
     }
     println!(
-        "a log of a million: {} bytes of file, {} bytes of memory, {:.0} ns to append one without the disk",
+        "log of a million purges: {} bytes in the journal, {} bytes resident, {:.0} ns per append without disk",
         file.0.len(),
         resident_bytes().saturating_sub(before),
         started_at.elapsed().as_nanos() as f64 / 1e6
@@ -156,7 +159,7 @@
         panic!()
     };
     println!(
-        "reading it again: {} ms for {}",
+        "reading the journal: {} ms for {} purges",
         started_at.elapsed().as_millis(),
         log.last_number()
     );
@@ -177,7 +180,7 @@
     }
     durations.sort_unstable();
     println!(
-        "making one durable on this disk: p50 {} us, p99 {} us",
+        "append and sync of one purge on this disk: p50 {} us, p99 {} us",
         durations[250], durations[495]
     );
     std::fs::remove_dir_all(&directory).unwrap();
--- a/purges/src/journal.rs
+++ b/purges/src/journal.rs
@@ -1,10 +1,12 @@
-//! The purge log in one file: a header, then records, each with its checksum. Records are appended and synced before
-//! anybody is notified of them; compaction writes a new file, syncs it and renames it into place.
+//! Storage of the purge log in one file: a header followed by records with checksums. A record is appended and synced
+//! before the purge takes effect or is sent to anyone; compaction writes a new file, syncs it and renames it into place.
+//!
+//! Numbers are little-endian, sizes are in bytes, and a text is its length in two bytes followed by UTF-8:
 //!
 //! ```text
-//! head    "CRPURGE1" identity:8 base:8 crc:4          numbers are little-endian, crc is CRC-32 of what stands before
-//! record  length:4 crc:4 payload                      crc is CRC-32 of length and payload
-//! payload number:8 at:8 kind:1 what id who why        kind 0 object:8, 1 group:4, 2 tag, 3 pattern; texts are size:2 bytes
+//! header  "CRPURGE1" identity:8 base:8 crc:4             crc is the CRC-32 of the preceding header bytes
+//! record  length:4 crc:4 payload                         crc is the CRC-32 of length and payload
+//! payload number:8 at_ms:8 kind:1 target id who why      kind 0: object:8, 1: group:4, 2: tag text, 3: pattern text
 //! ```
 mod guarded;
 mod record;
@@ -16,48 +18,49 @@
 use std::io;
 
 const MAGIC: &[u8; 8] = b"CRPURGE1";
-/// The magic without the version.
+/// The magic bytes without the version digit.
 const MAGIC_PREFIX: &[u8; 7] = b"CRPURGE";
 const HEADER_BYTES: usize = 28;
-/// Where the checksum stands in the header.
+/// Offset of the checksum in the header, in bytes.
 const CHECKSUM_OFFSET: usize = 24;
 
-/// The file operations of a journal.
+/// File operations used by the journal, implemented by the caller.
 pub trait JournalFile {
-    /// Reads all bytes; `None`: there is no file.
+    /// Reads the whole file; returns `None` if it does not exist.
     fn read(&mut self) -> io::Result<Option<Vec<u8>>>;
-    /// Appends bytes.
+    /// Appends bytes at the end of the file. They are durable only after [`JournalFile::sync`].
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Makes durable what was appended.
+    /// Makes all appended bytes durable.
     fn sync(&mut self) -> io::Result<()>;
-    /// Replaces the content, atomically and durably.
+    /// Replaces the contents atomically and durably.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// What [`open`] found.
+/// The result of reading a journal with [`open`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum OpenedJournal {
-    /// There is no file.
+    /// The file does not exist.
     Missing,
-    /// The complete log.
+    /// The file is intact, apart from a possibly incomplete last record.
     Complete {
-        /// The log.
+        /// The log with all complete records.
         log: PurgeLog,
-        /// Bytes at the end of a record that was cut off, as a killed process leaves them. Nobody was notified of it.
+        /// Length in bytes of an incomplete last record, as left behind by a process killed during a write. That purge
+        /// never took effect, since its record was not synced.
         torn_bytes: usize,
     },
-    /// The file is damaged: what follows the damage is not known.
+    /// The file is corrupted; records after the corruption are lost.
     Damaged {
-        /// The log up to the damage; `None` if that is the header.
+        /// The log up to the corrupted record; `None` if the header is corrupted.
         log: Option<PurgeLog>,
-        /// Where the damage is, in bytes.
+        /// Offset of the corrupted record in the file, in bytes.
         offset: usize,
     },
-    /// A newer version of this program wrote the file.
+    /// The file was written by a newer version of this program.
     NewerVersion,
 }
 
-/// Why the header cannot be used.
+/// The reason why the header cannot be decoded.
 enum HeaderError {
     Damaged,
     NewerVersion,
@@ -72,7 +75,7 @@
     bytes
 }
 
-/// Reads the header, and returns the empty log that it describes with the bytes of the records.
+/// Decodes the header, and returns the empty log that it describes and the bytes of the records.
 fn decode_header(bytes: &[u8]) -> Result<(PurgeLog, &[u8]), HeaderError> {
     let Some((header, records)) = bytes.split_at_checked(HEADER_BYTES) else {
         return Err(HeaderError::Damaged);
@@ -98,7 +101,7 @@
     Ok((PurgeLog::after(number(8), number(16)), records))
 }
 
-/// Reads a journal. An error is that of reading the file; damage is a result.
+/// Reads a journal. Corruption is reported in the result; an error means that the file could not be read.
 pub fn open(file: &mut dyn JournalFile) -> io::Result<OpenedJournal> {
     let Some(bytes) = file.read()? else {
         return Ok(OpenedJournal::Missing);
@@ -139,20 +142,20 @@
     }
 }
 
-/// Appends a purge, which is durable once this returns without an error. After an error the file has to be rewritten;
-/// [`GuardedFile`] ensures that.
+/// Appends a purge and syncs the file. After an error the file must be rewritten before the next append, which
+/// [`GuardedFile`] enforces.
 pub fn append_purge(file: &mut dyn JournalFile, purge: &Purge) -> io::Result<()> {
     append_purges(file, std::slice::from_ref(purge))
 }
 
-/// Appends several purges with one sync, as [`append_purge`] does one.
+/// Appends several purges with a single sync, under the conditions of [`append_purge`].
 pub fn append_purges(file: &mut dyn JournalFile, purges: &[Purge]) -> io::Result<()> {
     let bytes: Vec<u8> = purges.iter().flat_map(encode_record).collect();
     file.append(&bytes)?;
     file.sync()
 }
 
-/// Writes the whole log: at a first start, after compaction, or to remove a record that was cut off.
+/// Replaces the journal by the given log: at the first start, after compaction, or to remove an incomplete record.
 pub fn rewrite(file: &mut dyn JournalFile, log: &PurgeLog) -> io::Result<()> {
     let mut bytes = encode_header(log);
     bytes.extend(log.iter().flat_map(encode_record));
--- a/purges/src/journal/guarded.rs
+++ b/purges/src/journal/guarded.rs
@@ -1,20 +1,20 @@
-//! A journal file that accepts no append after a failure until it is rewritten.
+//! A journal file that rejects appends after a write error until it is rewritten.
 //!
-//! What a failed write left behind is not known, and the system reports a failed sync only once: a later sync that
-//! succeeds does not mean that what was written before the failure is durable.
+//! The contents after a failed write are unknown, and the operating system reports a failed sync only once: a later
+//! successful sync does not imply that data written before the failure is durable.
 use super::JournalFile;
 use std::io;
 
-/// A journal file with that rule.
+/// Wraps a journal file, and rejects appends and syncs after a write error until the file is rewritten.
 #[derive(Debug)]
 pub struct GuardedFile<F> {
     file: F,
-    /// The failure because of which nothing may be appended until [`JournalFile::replace`] has succeeded.
+    /// The last write error; cleared when [`JournalFile::replace`] succeeds.
     failure: Option<String>,
 }
 
 impl<F: JournalFile> GuardedFile<F> {
-    /// Guards a file that this process has just read or is about to create.
+    /// Wraps a file that this process has just read or is about to create.
     pub fn new(file: F) -> Self {
         GuardedFile {
             file,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The file itself.
+    /// Returns the wrapped file.
     pub fn file_mut(&mut self) -> &mut F {
         &mut self.file
     }
@@ -30,7 +30,7 @@
     fn check_no_failure(&self) -> io::Result<()> {
         match &self.failure {
             Some(cause) => Err(io::Error::other(format!(
-                "an earlier write failed: {cause}"
+                "journal rejects writes until it is rewritten, since an earlier write failed: {cause}"
             ))),
             None => Ok(()),
         }
--- a/purges/src/journal/record.rs
+++ b/purges/src/journal/record.rs
@@ -1,9 +1,9 @@
-//! Records of the journal, which also travel to followers and cache nodes.
+//! Encoding of purges as journal records, which are also used on the wire to followers and cache nodes.
 use crate::{Purge, PurgeTarget};
 
-/// Largest payload of a record.
+/// Maximum length of a record's payload, in bytes.
 const MAX_PAYLOAD_BYTES: usize = 2_048;
-/// Length and checksum before the payload.
+/// Length of the fields before the payload, in bytes: payload length and checksum.
 const RECORD_HEADER_BYTES: usize = 8;
 
 const KIND_OBJECT: u8 = 0;
@@ -11,23 +11,23 @@
 const KIND_TAG: u8 = 2;
 const KIND_PATTERN: u8 = 3;
 
-/// What stands at the front of some bytes.
+/// The result of decoding the first record of a byte sequence.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DecodedRecord {
     /// A complete record.
     Record {
-        /// The purge.
+        /// The decoded purge.
         purge: Purge,
-        /// Length of the record in bytes.
+        /// Length of the encoded record, in bytes.
         length: usize,
     },
-    /// A record whose end is missing.
+    /// The bytes end before the record is complete.
     Incomplete,
-    /// A record that is not as it was written.
+    /// The record has an invalid length, checksum or payload.
     Corrupt,
 }
 
-/// The record of a purge.
+/// Encodes a purge as a record.
 pub fn encode_record(purge: &Purge) -> Vec<u8> {
     let mut payload = Vec::with_capacity(64);
     payload.extend(purge.number.to_le_bytes());
@@ -62,7 +62,7 @@
     }
 }
 
-/// Texts are far shorter than the length field allows: they were validated before they came into the log.
+/// Encodes a text with a 16-bit length. The length cannot overflow, since texts are validated before they enter the log.
 fn encode_text(payload: &mut Vec<u8>, text: &str) {
     payload.extend((text.len() as u16).to_le_bytes());
     payload.extend(text.as_bytes());
@@ -75,7 +75,7 @@
     hasher.finalize()
 }
 
-/// Decodes the record at the front of some bytes. Nothing is allocated by a length that was not checked.
+/// Decodes the first record of a byte sequence. Lengths are validated before they are used for an allocation.
 pub fn decode_record(bytes: &[u8]) -> DecodedRecord {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else {
         return DecodedRecord::Incomplete;
@@ -102,7 +102,7 @@
     }
 }
 
-/// Decodes a payload, of which nothing may be left over.
+/// Decodes a payload; returns `None` if it is malformed or has trailing bytes.
 pub(super) fn decode_payload(payload: &[u8]) -> Option<Purge> {
     let mut reader = PayloadReader(payload);
     let purge = Purge {
@@ -116,7 +116,7 @@
     reader.0.is_empty().then_some(purge)
 }
 
-/// The rest of a payload.
+/// Reads fields from the remaining bytes of a payload.
 struct PayloadReader<'a>(&'a [u8]);
 
 impl<'a> PayloadReader<'a> {
--- a/purges/src/journal/tests.rs
+++ b/purges/src/journal/tests.rs
@@ -8,7 +8,7 @@
     durable: Option<Vec<u8>>,
     written: Vec<u8>,
     disk_full: bool,
-    /// Whether syncs fail; unsynced bytes are lost, as the system drops pages that it could not write.
+    /// Syncs fail and lose unsynced bytes, like an operating system that drops dirty pages after a write error.
     sync_fails: bool,
 }
 
@@ -18,7 +18,7 @@
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         if self.disk_full {
-            // As on a full disk, a part is written.
+            // A write to a full disk may be partial.
             self.written.extend(&bytes[..bytes.len() / 2]);
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -129,7 +129,7 @@
                     );
                 }
                 OpenedJournal::NewerVersion => assert_eq!(at, 7),
-                // A length that grew past the end looks like a record that was cut off: nobody was notified of it.
+                // A length beyond the end of the file is indistinguishable from an incomplete last record.
                 OpenedJournal::Complete {
                     log: found,
                     torn_bytes,
@@ -222,7 +222,7 @@
         let first = purge(&log, "x");
         assert!(append_purges(&mut file, std::slice::from_ref(&first)).is_err());
         log.append(0xfeed, first).unwrap();
-        // The disk works again: a batch that follows would be stored behind a gap.
+        // After the disk has recovered, an append would store a record after a gap.
         (file.file_mut().disk_full, file.file_mut().sync_fails) = (false, false);
         let second = purge(&log, "y");
         assert!(
--- a/purges/src/lease.rs
+++ b/purges/src/lease.rs
@@ -1,33 +1,33 @@
-//! The lease of a follower on the purge log: a front that has not heard from the writer for a while cannot know what was
-//! purged.
+//! A follower's lease on the purge log. Without contact to the writer, a front does not receive new purges, so the age of
+//! the copies that it serves must be limited.
 use crate::{Micros, Timestamp, UnixMillis};
 
-/// What a front does once its lease has expired.
+/// The behavior of a front whose lease has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpiryPolicy {
-    /// It serves no copy older than one lease duration: purges made before that had arrived, or are covered by that
-    /// floor. A floor fixed at the last renewal would let a copy pass that was created after it and purged later.
+    /// Rejects copies older than one lease duration. The floor moves with the clock, because a copy created after the last
+    /// renewal may have been purged since.
     Strict,
-    /// It goes on serving, and counts the replies that it could not verify.
+    /// Serves all copies, and counts replies that could not be checked against recent purges.
     Available,
 }
 
-/// A follower's lease on the purge log.
+/// A follower's lease on the purge log, which expires without contact to the writer.
 #[derive(Clone, Debug)]
 pub struct Lease {
     duration: Micros,
     expiry_policy: ExpiryPolicy,
     renewed_at: Timestamp,
-    /// The same by the wall clock.
+    /// The time of the last renewal by the wall clock.
     renewed_at_ms: UnixMillis,
-    /// Whether the expiry was reported.
+    /// Whether the current expiry was reported by [`Lease::report_expiry`].
     expiry_reported: bool,
-    /// Replies that were served after expiry without being verified.
+    /// Number of replies served after expiry under [`ExpiryPolicy::Available`].
     pub unverified_replies: u64,
 }
 
 impl Lease {
-    /// A lease that is renewed at `now`, and at `now_ms` by the wall clock.
+    /// Creates a lease renewed at `now`, which is `now_ms` by the wall clock.
     pub fn new(
         now: Timestamp,
         now_ms: UnixMillis,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A lease that has expired, as at a start.
+    /// Creates a lease that has already expired, for a front that has had no contact to the writer since its start.
     pub fn expired(
         now: Timestamp,
         now_ms: UnixMillis,
@@ -59,14 +59,14 @@
         )
     }
 
-    /// Renews the lease, since the writer was heard from. Returns whether its expiry had been reported.
+    /// Renews the lease after contact to the writer. Returns whether its expiry had been reported.
     pub fn renew(&mut self, now: Timestamp, now_ms: UnixMillis) -> bool {
         self.renewed_at = self.renewed_at.max(now);
         self.renewed_at_ms = now_ms;
         std::mem::take(&mut self.expiry_reported)
     }
 
-    /// When the lease expires unless it is renewed.
+    /// Returns when the lease expires unless it is renewed.
     pub fn expires_at(&self) -> Timestamp {
         self.renewed_at + self.duration
     }
@@ -75,12 +75,12 @@
         now >= self.expires_at()
     }
 
-    /// Whether the lease has expired and that was not reported yet; it counts as reported from now on.
+    /// Returns `true` once per expiry: on the first call after the lease has expired.
     pub fn report_expiry(&mut self, now: Timestamp) -> bool {
         self.is_expired(now) && !std::mem::replace(&mut self.expiry_reported, true)
     }
 
-    /// The earliest creation time of a copy that may be served, by the clock of `now_ms`; 0: any.
+    /// Returns the earliest creation time of a copy that may be served, by the wall clock; 0 if there is no limit.
     pub fn floor(&self, now: Timestamp, now_ms: UnixMillis) -> UnixMillis {
         match self.expiry_policy {
             ExpiryPolicy::Strict if self.is_expired(now) => {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Counts a reply that is served although the lease has expired.
+    /// Records that a reply is served, and counts it if the lease has expired.
     pub fn record_reply(&mut self, now: Timestamp) {
         if self.expiry_policy == ExpiryPolicy::Available && self.is_expired(now) {
             self.unverified_replies += 1;
--- a/purges/src/lease/tests.rs
+++ b/purges/src/lease/tests.rs
@@ -18,7 +18,7 @@
     assert_eq!(
         strict.floor(9_000_000, 10_000),
         10_000,
-        "it follows the clock"
+        "the floor moves with the clock"
     );
     assert!(strict.renew(600, 2_000));
     assert!(!strict.renew(601, 2_001));
@@ -27,7 +27,7 @@
     assert_eq!(
         at_start.floor(9_000_000, 9_000),
         8_500,
-        "at a start the lease has expired until it is renewed"
+        "a lease created as expired has its floor one duration in the past"
     );
     let mut available = Lease::new(0, 1_000, 500, ExpiryPolicy::Available);
     [400, 900, 901]
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -1,14 +1,15 @@
-//! Purges over a fleet: numbered in one ordered log, matched against requests, replicated to cache nodes in order.
+//! Cache purges for a fleet: an ordered, numbered purge log, matching against requests, and replication to cache nodes.
 //!
-//! Everything here is without I/O and clock. Purges and copies are dated in Unix milliseconds ([`UnixMillis`]), as the
-//! cache nodes' `born` is; timers use a monotonic clock in microseconds ([`Timestamp`]).
+//! The crate performs no I/O except through [`journal::JournalFile`], and reads no clock. Purges and cached copies carry
+//! wall-clock timestamps in Unix milliseconds ([`UnixMillis`]), like the field `born` of cache nodes; timers use a
+//! monotonic clock in microseconds ([`Timestamp`]).
 //!
-//! - [`log`]: numbering, repeated commands, followers, compaction.
-//! - [`journal`]: the log in one file, with checksums.
-//! - [`matching`]: which purges concern a request. What is unknown counts as matched.
-//! - [`replication`]: which cache node has confirmed what, and what it is sent next.
-//! - [`lease`]: what a front may still serve that has not heard from the writer of the log for a while.
-//! - [`shield`]: how much may be fetched past the caches after a large purge.
+//! - [`log`]: numbering of purges, deduplication of commands, batches for followers, compaction.
+//! - [`journal`]: storage of the log in a file with checksums.
+//! - [`matching`]: selection of the purges that match a request. Unknown attributes match every purge.
+//! - [`replication`]: delivery of purges to cache nodes, and their confirmations.
+//! - [`lease`]: limits on serving cached copies while the writer of the log is unreachable.
+//! - [`shield`]: rate limit on requests that bypass the caches after a large purge.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -19,53 +20,54 @@
 pub mod replication;
 pub mod shield;
 
-/// A date in Unix milliseconds.
+/// A wall-clock timestamp in Unix milliseconds.
 pub type UnixMillis = u64;
 /// A timestamp on a monotonic clock, in microseconds.
 pub type Timestamp = u64;
 /// A duration in microseconds.
 pub type Micros = u64;
-/// The number of a purge in its log, from 1 without gaps. 0 stands for the position before the first.
+/// The number of a purge in its log. Numbers start at 1 and have no gaps; 0 is the position before the first purge.
 pub type PurgeNumber = u64;
 
-/// Longest surrogate tag, in bytes.
+/// Maximum length of a surrogate tag, in bytes.
 pub const MAX_TAG_BYTES: usize = 64;
-/// Longest pattern, in bytes.
+/// Maximum length of a pattern, in bytes.
 pub const MAX_PATTERN_BYTES: usize = 200;
-/// Longest command id, and longest text that says who purges and why, in bytes.
+/// Maximum length of a command id, requester or reason, in bytes.
 pub const MAX_TEXT_BYTES: usize = 200;
 
-/// What a purge removes.
+/// The set of cached objects that a purge removes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PurgeTarget {
-    /// One object with all its parts.
+    /// One object, with all its parts.
     Object(u64),
     /// All objects of a group.
     Group(u32),
     /// All objects that carry a surrogate tag.
     Tag(Box<str>),
-    /// All requests whose [`request_key`] a glob matches.
+    /// All objects and parts whose [`request_key`] matches a glob pattern.
     Pattern(Box<str>),
 }
 
-/// A purge.
+/// An entry of the purge log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// Its number in the log.
+    /// The position in the log; 0 for a purge that is not durable and therefore has no position.
     pub number: PurgeNumber,
-    /// Copies created before this time are stale.
+    /// When the purge takes effect: copies created before this time are stale.
     pub at_ms: UnixMillis,
-    /// What it removes.
+    /// The set of objects to remove.
     pub target: PurgeTarget,
-    /// The id of the command: a command with the same id is the same purge.
+    /// The idempotency key of the command: a command with the same id is the same purge.
     pub id: Box<str>,
-    /// Who requested it.
+    /// The name of the requester, for the audit trail.
     pub who: Box<str>,
-    /// Why it was requested.
+    /// The reason for the request, for the audit trail.
     pub why: Box<str>,
 }
 
-/// The key by which patterns match a request: `CLASS/OBJECT/PART`, the object as 16 hex digits in lower case.
+/// Returns the key of a request that patterns are matched against: `CLASS/OBJECT/PART`, with the object as 16 lower-case
+/// hex digits.
 pub fn request_key(class: &str, object: u64, part: u32) -> String {
     format!("{class}/{object:016x}/{part}")
 }
--- a/purges/src/log.rs
+++ b/purges/src/log.rs
@@ -1,107 +1,107 @@
-//! The purge log: purges in order. One front writes it and others follow. Only numbers and positions are assumed of the
-//! writer, so that a replicated log can take its place.
+//! The ordered purge log. One front is the writer, which numbers purges; the others are followers, which append them in
+//! order.
 use crate::matching::{parse_pattern, PatternError};
 use crate::{Purge, PurgeNumber, PurgeTarget, UnixMillis, MAX_TAG_BYTES, MAX_TEXT_BYTES};
 use std::collections::{HashMap, VecDeque};
 use thiserror::Error;
 
-/// Most purges in one batch for a follower or a cache node.
+/// Maximum number of purges in a batch for a follower or a cache node.
 pub const MAX_BATCH_PURGES: usize = 256;
-/// Most purges in the log: further ones are rejected until some are compacted.
+/// Maximum number of purges in the log. Further commands are rejected until purges are compacted.
 pub const MAX_PURGES: usize = 4_000_000;
 
-/// A command to purge, as an operator gives it.
+/// An operator's command to purge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// What to remove.
+    /// The set of objects to remove.
     pub target: PurgeTarget,
-    /// Its id: repeating a command is one purge.
+    /// The idempotency key: commands with the same id are one purge. It must not be empty.
     pub id: Box<str>,
-    /// Who requests it.
+    /// The name of the requester, for the audit trail.
     pub who: Box<str>,
-    /// Why it is requested.
+    /// The reason for the request, for the audit trail.
     pub why: Box<str>,
-    /// Whether the operator has confirmed a pattern that matches everything.
+    /// Whether the operator has confirmed that a pattern may match everything.
     pub all: bool,
 }
 
-/// A command that was accepted.
+/// The result of a valid command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Prepared {
-    /// It is this new purge, which must be durable before anybody is notified of it.
+    /// A new purge, which must be durable before it is appended to the log and sent to others.
     New(Purge),
-    /// It repeats the purge of this number.
+    /// The command repeats the purge with this number.
     Duplicate(PurgeNumber),
 }
 
-/// Why a command was rejected.
+/// The reason why a command is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// A text of the command is too long or contains control characters.
-    #[error("id, who or why: too long, or with control characters")]
+    /// The id, requester or reason is longer than [`MAX_TEXT_BYTES`] or contains control characters.
+    #[error("id, who or why: longer than {MAX_TEXT_BYTES} bytes, or contains control characters")]
     InvalidText,
-    /// The command has no id.
-    #[error("id: empty")]
+    /// The id is empty.
+    #[error("id: must not be empty")]
     EmptyId,
-    /// The tag is empty, too long or contains control characters.
-    #[error("tag: empty, too long, or with control characters")]
+    /// The tag is empty, longer than [`MAX_TAG_BYTES`] or contains control characters.
+    #[error("tag: empty, longer than {MAX_TAG_BYTES} bytes, or contains control characters")]
     InvalidTag,
     /// The tag contains a character that separates tags on the wire.
-    #[error("tag: with a comma or semicolon")]
+    #[error("tag: must not contain a comma or semicolon")]
     TagWithSeparator,
     /// The pattern is not valid.
     #[error(transparent)]
     Pattern(#[from] PatternError),
-    /// The pattern matches everything, which the operator has not confirmed.
-    #[error("pattern: it matches everything; say so if it is meant")]
+    /// The pattern matches everything, and the operator has not confirmed that.
+    #[error("pattern: matches everything; confirm with `all` if that is intended")]
     MatchesEverything,
-    /// The id belongs to a purge of another target.
-    #[error("id: names another purge")]
+    /// The log has a purge with the same id and another target.
+    #[error("id: already used by a purge with another target")]
     IdInUse,
-    /// The log holds [`MAX_PURGES`].
-    #[error("full")]
+    /// The log contains [`MAX_PURGES`] purges.
+    #[error("purge log is full: {MAX_PURGES} purges are not compacted yet")]
     Full,
 }
 
-/// What [`PurgeLog::append`] did.
+/// The result of [`PurgeLog::append`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Appended {
-    /// The purge is the new last one.
+    /// The purge was appended.
     New,
-    /// The log had the same purge already.
+    /// The log already contains the purge, or has compacted it.
     AlreadyPresent,
 }
 
-/// Why a purge was not appended.
+/// The reason why a purge cannot be appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AppendError {
-    /// Its number is beyond the next one: those between have to come first.
-    #[error("a gap in the numbers")]
+    /// The number is greater than the next one, so that purges are missing in between.
+    #[error("purges before this one are missing")]
     Gap,
-    /// It belongs to another log.
-    #[error("a purge of another log")]
+    /// The purge belongs to a log with another identity.
+    #[error("the purge belongs to another log")]
     Foreign,
-    /// The log has another purge under its number.
-    #[error("another purge has this number")]
+    /// The log contains a different purge with the same number.
+    #[error("the log contains a different purge with the same number")]
     Conflict,
-    /// The log holds [`MAX_PURGES`].
-    #[error("the log is full")]
+    /// The log contains [`MAX_PURGES`] purges.
+    #[error("the purge log is full: {MAX_PURGES} purges are not compacted yet")]
     Full,
 }
 
-/// The purge log.
+/// The purges that are not compacted yet, in the order of their numbers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PurgeLog {
-    /// Identifies the log: numbers of another one mean nothing here.
+    /// Identifies the log. Purge numbers are only comparable within one log.
     pub identity: u64,
-    /// The number before the first purge that the log still has.
+    /// The number of the last compacted purge; 0 if there is none.
     base: PurgeNumber,
     purges: VecDeque<Purge>,
     by_command_id: HashMap<Box<str>, PurgeNumber>,
 }
 
 impl PurgeLog {
-    /// An empty log.
+    /// Creates an empty log that starts with purge 1.
     pub fn new(identity: u64) -> Self {
         PurgeLog {
             identity,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// An empty log that continues after `base`: everything up to it was compacted.
+    /// Creates an empty log whose purges up to `base` were compacted.
     pub fn after(identity: u64, base: PurgeNumber) -> Self {
         PurgeLog {
             base,
@@ -119,29 +119,30 @@
         }
     }
 
-    /// The last number; 0 if there was no purge yet.
+    /// Returns the number of the last purge, which may be compacted; 0 if there was no purge yet.
     pub fn last_number(&self) -> PurgeNumber {
         self.base + self.purges.len() as u64
     }
 
-    /// The number before the first purge that the log still has.
+    /// Returns the number of the last compacted purge; 0 if there is none.
     pub fn base(&self) -> PurgeNumber {
         self.base
     }
 
-    /// The purge of a number, unless it was compacted or is not there yet.
+    /// Returns the purge with this number; `None` if it was compacted or does not exist yet.
     pub fn get(&self, number: PurgeNumber) -> Option<&Purge> {
         let index = number.checked_sub(self.base + 1)?;
         self.purges.get(usize::try_from(index).ok()?)
     }
 
-    /// All purges that the log still has, in order.
+    /// Iterates over the purges that are not compacted, in the order of their numbers.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Purge> {
         self.purges.iter()
     }
 
-    /// Validates a command at `now`, on the writer. A new purge is not in the log yet: it is appended once it is
-    /// durable. Dates never decrease, whatever the clock does, so that the order by number is the order by date.
+    /// Validates a command on the writer, and prepares a purge that takes effect at `now`. The caller makes a new purge
+    /// durable and then appends it. Timestamps never decrease, even if the clock does, so that purges are ordered by
+    /// both number and time.
     pub fn prepare(&self, now: UnixMillis, command: &Command) -> Result<Prepared, CommandError> {
         command.validate()?;
         if let Some(number) = self.by_command_id.get(&command.id) {
@@ -165,7 +166,7 @@
         }))
     }
 
-    /// Appends a purge that is durable on the writer, or came from it.
+    /// Appends a purge that is durable on the writer, or was received from it.
     pub fn append(&mut self, identity: u64, purge: Purge) -> Result<Appended, AppendError> {
         if identity != self.identity {
             return Err(AppendError::Foreign);
@@ -188,16 +189,16 @@
         Ok(Appended::New)
     }
 
-    /// The purges after a number, as one batch. `None`: some of them were compacted, and the follower has to begin at
-    /// [`PurgeLog::base`] and count everything older as purged.
+    /// Returns up to [`MAX_BATCH_PURGES`] purges after a number; `None` if some of them were compacted. A follower must then
+    /// restart at [`PurgeLog::base`] and treat all older copies as purged.
     pub fn batch_after(&self, after: PurgeNumber) -> Option<Vec<Purge>> {
         let skipped = usize::try_from(after.checked_sub(self.base)?).ok()?;
         let batch = self.purges.iter().skip(skipped).take(MAX_BATCH_PURGES);
         Some(batch.cloned().collect())
     }
 
-    /// Removes purges up to number `confirmed`, which all cache nodes have applied, that are from before `horizon`: no
-    /// endpoint has an older copy any more. Returns how many it removed.
+    /// Removes purges up to number `confirmed`, which all cache nodes have applied, that took effect before `horizon`, the
+    /// earliest creation time of any copy that an endpoint may still have. Returns the number of removed purges.
     pub fn compact(&mut self, confirmed: PurgeNumber, horizon: UnixMillis) -> usize {
         let is_obsolete = |purge: &&Purge| purge.number <= confirmed && purge.at_ms < horizon;
         let count = self.purges.iter().take_while(is_obsolete).count();
--- a/purges/src/log/tests.rs
+++ b/purges/src/log/tests.rs
@@ -35,7 +35,7 @@
     assert_eq!(
         log.get(2).unwrap().at_ms,
         500,
-        "the clock went back, the order did not"
+        "the clock was set back, the order is kept"
     );
 }
 
@@ -55,7 +55,7 @@
     assert_eq!(
         follower.append(9, all[2].clone()),
         Ok(Appended::AlreadyPresent),
-        "a repeat is harmless"
+        "a repeated purge is accepted"
     );
     let other = Purge {
         target: PurgeTarget::Object(99),
@@ -69,14 +69,18 @@
 fn only_confirmed_purges_older_than_the_horizon_are_compacted() {
     let mut log = PurgeLog::new(9);
     (0..10).for_each(|i| assert!(append_purge(&mut log, i * 100, &i.to_string()) > 0));
-    assert_eq!(log.compact(0, 10_000), 0, "nobody confirmed");
-    assert_eq!(log.compact(10, 0), 0, "the horizon has not passed");
+    assert_eq!(log.compact(0, 10_000), 0, "no purge is confirmed");
+    assert_eq!(log.compact(10, 0), 0, "no purge is older than the horizon");
     assert_eq!(log.compact(6, 401), 5);
     assert_eq!(
         (log.base(), log.last_number(), log.get(5).is_none()),
         (5, 10, true)
     );
-    assert_eq!(log.batch_after(4), None, "it has to begin anew");
+    assert_eq!(
+        log.batch_after(4),
+        None,
+        "a follower before the base must restart"
+    );
     assert_eq!(log.batch_after(7).unwrap().len(), 3);
     assert_eq!(log.batch_after(10).unwrap(), []);
 }
--- a/purges/src/matching.rs
+++ b/purges/src/matching.rs
@@ -1,5 +1,5 @@
-//! Which purges concern a request: hash tables for objects, groups and tags, one automaton for patterns. The cost of a
-//! request does not grow with the number of purges, except for patterns that are not compiled yet.
+//! Matching of requests against purges, with hash tables for objects, groups and tags, and one automaton for patterns.
+//! The cost per request is independent of the number of purges, except for patterns that are not compiled yet.
 mod pattern;
 mod purge_matcher;
 mod tag_index;
@@ -13,12 +13,12 @@
 
 use crate::{PurgeNumber, UnixMillis};
 
-/// The latest purge of a target.
+/// The latest purge of a target. The order is by time, then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LatestPurge {
     /// Copies created before this time are stale.
     pub at_ms: UnixMillis,
-    /// The number of the purge.
+    /// The number of the purge; [`PurgeNumber::MAX`] if it is not in the log.
     pub number: PurgeNumber,
 }
 
--- a/purges/src/matching/pattern.rs
+++ b/purges/src/matching/pattern.rs
@@ -1,42 +1,42 @@
-//! Glob patterns over request keys: one by one, and compiled into one automaton.
+//! Glob patterns over request keys, as single matchers or compiled into one automaton.
 use super::LatestPurge;
 use crate::MAX_PATTERN_BYTES;
 use globset::{Glob, GlobBuilder, GlobSet, GlobSetBuilder};
 use thiserror::Error;
 
-/// Most wildcards in one pattern.
+/// Maximum number of wildcards in a pattern.
 const MAX_WILDCARDS: usize = 12;
-/// Keys that have nothing in common: a pattern that matches all of them is taken to match everything.
+/// Keys without common parts. A pattern that matches all of them is considered to match everything.
 const SAMPLE_KEYS: [&str; 3] = [
     "a/0123456789abcdef/0",
     "zz-z/fedcba9876543210/4294967295",
     "k/5a5a5a5a5a5a5a5a/7",
 ];
 
-/// Why a pattern is not valid.
+/// The reason why a pattern is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PatternError {
-    /// It is empty or longer than [`MAX_PATTERN_BYTES`].
-    #[error("pattern: empty or too long")]
+    /// The pattern is empty or longer than [`MAX_PATTERN_BYTES`].
+    #[error("pattern: empty or longer than {MAX_PATTERN_BYTES} bytes")]
     Length,
-    /// It has more wildcards than are allowed.
-    #[error("pattern: too many wildcards")]
+    /// The pattern has too many wildcards.
+    #[error("pattern: more than {MAX_WILDCARDS} wildcards")]
     TooManyWildcards,
-    /// It is no glob.
-    #[error("pattern: it can't be read")]
+    /// The pattern is not a valid glob.
+    #[error("pattern: invalid glob syntax")]
     Syntax,
 }
 
-/// Patterns could not be compiled.
+/// The reason why patterns could not be compiled.
 #[derive(Debug, Error)]
 pub enum CompileError {
-    /// One of them is not valid.
+    /// A pattern is invalid.
     #[error(transparent)]
     Pattern(#[from] PatternError),
-    /// Together they are too large for an automaton.
+    /// The automaton of all patterns would be too large.
     #[error(transparent)]
     Automaton(#[from] globset::Error),
-    /// The worker thread could not be started.
+    /// The worker thread for the compilation could not be started.
     #[error(transparent)]
     Worker(#[from] std::io::Error),
 }
@@ -44,13 +44,13 @@
 /// A valid pattern.
 #[derive(Clone, Debug)]
 pub struct ParsedPattern {
-    /// The glob over request keys.
+    /// The parsed glob, for matching against request keys.
     pub glob: Glob,
-    /// Whether it matches every key.
+    /// Whether the pattern matches every key.
     pub matches_everything: bool,
 }
 
-/// Parses a pattern.
+/// Parses and validates a pattern.
 pub fn parse_pattern(pattern: &str) -> Result<ParsedPattern, PatternError> {
     if pattern.is_empty() || pattern.len() > MAX_PATTERN_BYTES {
         return Err(PatternError::Length);
@@ -70,32 +70,32 @@
     })
 }
 
-/// Patterns to compile, with the latest purge of each.
+/// Patterns to compile with [`compile_patterns`], each with its latest purge.
 pub type CompileJob = Vec<(Box<str>, LatestPurge)>;
 
-/// Patterns compiled into one automaton by [`compile_patterns`].
+/// Patterns compiled into one automaton with [`compile_patterns`].
 #[derive(Debug)]
 pub struct PatternSet {
     globs: GlobSet,
-    /// The latest purges, in the order of the globs.
+    /// The latest purge of each pattern, in the order of the globs.
     pub(super) latest_purges: Vec<LatestPurge>,
     texts: Vec<Box<str>>,
 }
 
 impl PatternSet {
-    /// The patterns with their latest purges.
+    /// Iterates over the patterns and their latest purges.
     pub(super) fn patterns(&self) -> impl Iterator<Item = (&Box<str>, &LatestPurge)> {
         self.texts.iter().zip(&self.latest_purges)
     }
 
-    /// The latest purges of the patterns that match a key.
+    /// Iterates over the latest purges of the patterns that match a key.
     pub(super) fn matches<'a>(&'a self, key: &str) -> impl Iterator<Item = &'a LatestPurge> {
         let matched = self.globs.matches(key).into_iter();
         matched.filter_map(|index| self.latest_purges.get(index))
     }
 }
 
-/// Compiles patterns. It takes milliseconds for a thousand of them, so it must not run on the event loop.
+/// Compiles patterns. This takes milliseconds for a thousand patterns, so it must not run on the event loop.
 pub fn compile_patterns(job: CompileJob) -> Result<PatternSet, CompileError> {
     let mut builder = GlobSetBuilder::new();
     for (text, _) in &job {
--- a/purges/src/matching/purge_matcher.rs
+++ b/purges/src/matching/purge_matcher.rs
@@ -1,4 +1,4 @@
-//! The live purges, ready to be matched against requests.
+//! Lookup structures for matching requests against live purges.
 use super::pattern::{parse_pattern, CompileError, CompileJob, PatternSet};
 use super::tag_index::tag_hash;
 use super::LatestPurge;
@@ -7,12 +7,12 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Patterns that are matched one by one before they are compiled together with the others.
+/// Number of uncompiled patterns, which are matched one by one, that triggers a compilation of all patterns.
 pub(super) const MAX_UNCOMPILED_PATTERNS: usize = 32;
-/// Most live patterns: a further one counts as matching everything.
+/// Maximum number of live patterns. A purge with a further pattern matches everything.
 pub const MAX_PATTERNS: usize = 4_096;
 
-/// A pattern that is matched by itself.
+/// A pattern that is not compiled into the automaton yet.
 #[derive(Debug)]
 pub(super) struct Pattern {
     text: Box<str>,
@@ -20,49 +20,49 @@
     latest: LatestPurge,
 }
 
-/// What purges are matched against.
+/// The attributes of a request that purges are matched against.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestAttributes<'a> {
     /// The requested object.
     pub object: u64,
-    /// The object's group.
+    /// The group that the object belongs to.
     pub group: u32,
-    /// Hashes of the object's tags; `None` if they are unknown.
+    /// Hashes of the object's tags, by [`tag_hash`]; `None` if the tags are unknown.
     pub tags: Option<&'a [u64]>,
-    /// The [`request_key`](crate::request_key).
+    /// The key that patterns are matched against, by [`request_key`](crate::request_key).
     pub key: &'a str,
 }
 
-/// The numbers of live purges, by kind of target.
+/// Numbers of live purges by kind of target, for status output.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LivePurges {
-    /// Of objects.
+    /// Number of purged objects.
     pub objects: usize,
-    /// Of groups.
+    /// Number of purged groups.
     pub groups: usize,
-    /// Of tags.
+    /// Number of purged tags.
     pub tags: usize,
-    /// Of patterns.
+    /// Number of purged patterns, apart from those that match everything.
     pub patterns: usize,
 }
 
-/// Live purges.
+/// The live purges: those that may apply to a copy that an endpoint still has.
 #[derive(Debug, Default)]
 pub struct PurgeMatcher {
     objects: HashMap<u64, LatestPurge>,
     groups: HashMap<u32, LatestPurge>,
     tags: HashMap<u64, LatestPurge>,
-    /// The latest of any tag: what concerns an object whose tags are unknown.
+    /// The latest purge of any tag, which applies to objects whose tags are unknown.
     any_tag: LatestPurge,
     pub(super) compiled: Option<PatternSet>,
     pub(super) uncompiled: Vec<Pattern>,
     /// The latest purge of everything.
     all: LatestPurge,
-    /// While patterns are being compiled: the greatest number among them.
+    /// While patterns are being compiled, the greatest purge number among the new ones.
     compiling: Option<PurgeNumber>,
 }
 
-/// Sets the latest purge of a key unless it has a later one.
+/// Sets the latest purge of a key, unless a later one is known.
 fn update_latest<K: Hash + Eq>(
     latest_purges: &mut HashMap<K, LatestPurge>,
     key: K,
@@ -73,11 +73,11 @@
 }
 
 impl PurgeMatcher {
-    /// Adds a purge. Clocks of those who date copies may be ahead by `skew_ms`, so copies count as stale for that much
-    /// longer.
+    /// Adds a purge. Its time is increased by `skew_ms`, the maximum skew of the clocks that set the creation times of
+    /// copies.
     pub fn add(&mut self, purge: &Purge, skew_ms: UnixMillis) {
         let number = match purge.number {
-            // It has no place in the log, so no cache node ever confirms it.
+            // The purge is not in the log, so it is never confirmed by cache nodes.
             0 => PurgeNumber::MAX,
             number => number,
         };
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Counts everything as purged at a time, for a front that has lost its memory. No cache node ever confirms that.
+    /// Treats every object as purged at this time, for a front whose purge history is incomplete. Cache nodes never confirm
+    /// this purge.
     pub fn add_all(&mut self, at_ms: UnixMillis) {
         let latest = LatestPurge {
             at_ms,
@@ -126,8 +127,9 @@
         self.all = latest.max(self.all);
     }
 
-    /// Patterns to compile elsewhere by [`compile_patterns`](super::compile_patterns) and to give back to
-    /// [`PurgeMatcher::install`], once there are enough new ones.
+    /// Returns all patterns for a compilation, once there are enough new ones. The caller runs
+    /// [`compile_patterns`](super::compile_patterns) on a worker thread, and passes the result to
+    /// [`PurgeMatcher::install`].
     pub fn take_compile_job(&mut self) -> Option<CompileJob> {
         if self.uncompiled.len() < MAX_UNCOMPILED_PATTERNS || self.compiling.is_some() {
             return None;
@@ -147,7 +149,7 @@
         Some(job)
     }
 
-    /// Installs compiled patterns. If compiling failed, they count as matching everything.
+    /// Installs compiled patterns. If the compilation failed, the new patterns match everything from now on.
     pub fn install(&mut self, compiled: Result<PatternSet, CompileError>) {
         let compiled_up_to = self.compiling.take().unwrap_or(0);
         match compiled {
@@ -164,7 +166,8 @@
         }
     }
 
-    /// The earliest creation time of a copy that may answer a request, by purges after the number `after`; 0: any.
+    /// Returns the earliest creation time of a copy that may be served for a request, according to the purges with numbers
+    /// greater than `after`; 0 if no purge matches.
     pub fn floor(&self, after: PurgeNumber, request: &RequestAttributes<'_>) -> UnixMillis {
         let mut floor = 0;
         let mut apply = |latest: &LatestPurge| {
@@ -192,7 +195,7 @@
         self.uncompiled_floor(floor, after, request.key)
     }
 
-    /// Raises a floor by the patterns that are not compiled. Only those that could raise it are matched.
+    /// Raises a floor according to the uncompiled patterns. Patterns that cannot raise it are not evaluated.
     fn uncompiled_floor(&self, mut floor: UnixMillis, after: PurgeNumber, key: &str) -> UnixMillis {
         for pattern in &self.uncompiled {
             let latest = pattern.latest;
@@ -217,7 +220,7 @@
         self.uncompiled.len() + compiled
     }
 
-    /// The numbers of live purges.
+    /// Returns the numbers of live purges by kind of target.
     pub fn live_purges(&self) -> LivePurges {
         LivePurges {
             objects: self.objects.len(),
@@ -227,14 +230,15 @@
         }
     }
 
-    /// Removes purges from before `horizon`: no endpoint has a copy from before it any more.
+    /// Removes purges that took effect before `horizon`, the earliest creation time of any copy that an endpoint may still
+    /// have.
     pub fn expire(&mut self, horizon: UnixMillis) {
         let live = |latest: &LatestPurge| latest.at_ms >= horizon;
         self.objects.retain(|_, latest| live(latest));
         self.groups.retain(|_, latest| live(latest));
         self.tags.retain(|_, latest| live(latest));
         self.uncompiled.retain(|pattern| live(&pattern.latest));
-        // The automaton cannot give up single patterns.
+        // Single patterns cannot be removed from the automaton.
         if !self
             .compiled
             .iter()
--- a/purges/src/matching/tag_index.rs
+++ b/purges/src/matching/tag_index.rs
@@ -1,11 +1,12 @@
-//! An index from objects to their surrogate tags, in memory of fixed size.
+//! A fixed-size, set-associative index from objects to their surrogate tags.
 
-/// Most tags of an object that are remembered; the tags of one with more are unknown.
+/// Maximum number of tags stored per object. The tags of an object with more are unknown.
 const MAX_INDEXED_TAGS: usize = 4;
-/// Slots in which an object may stand; the one used longest ago is replaced.
+/// Number of slots in a row. Each object maps to one row, in which it replaces the slot written longest ago.
 const SLOTS_PER_ROW: usize = 8;
 
-/// A 64-bit hash of a tag. Two tags with the same hash are purged together, which removes too much but never too little.
+/// Returns a 64-bit hash of a tag. Tags with the same hash are purged together, so a collision removes too much but never
+/// too little.
 pub fn tag_hash(tag: &str) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325u64;
     for byte in tag.bytes() {
@@ -18,9 +19,10 @@
 pub(super) struct Slot {
     object: u64,
     tags: [u64; MAX_INDEXED_TAGS],
-    /// One more than the number of tags; 0 if the slot is free. The tags are unknown if there are more than fit.
+    /// The number of tags plus 1; 0 if the slot is free. The tags are unknown if there are more than
+    /// [`MAX_INDEXED_TAGS`].
     count: u8,
-    /// The index's clock when the slot was written.
+    /// The value of [`TagIndex::sequence`] when the slot was written.
     written_at: u32,
 }
 
@@ -33,22 +35,22 @@
 /// The result of [`TagIndex::count`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TagCounts {
-    /// Objects in the index.
+    /// Number of objects in the index.
     pub known_objects: usize,
-    /// Those of them that carry the tag.
+    /// Number of objects in the index that carry the tag.
     pub tagged_objects: usize,
 }
 
-/// The index. The tags of an object that was replaced, or never seen, are unknown.
+/// The tags of recently recorded objects. The tags of other objects are unknown.
 #[derive(Debug)]
 pub struct TagIndex {
     pub(super) slots: Vec<Slot>,
-    /// Counts the records; it may wrap around.
+    /// The number of recorded objects, modulo 2^32. Orders the slots of a row by age.
     sequence: u32,
 }
 
 impl TagIndex {
-    /// An index that takes about this number of bytes.
+    /// Creates an index that occupies about this number of bytes, and at least one row.
     pub fn new(bytes: usize) -> Self {
         let rows = (bytes / (SLOTS_PER_ROW * std::mem::size_of::<Slot>())).max(1);
         TagIndex {
@@ -64,8 +66,8 @@
         row..row + SLOTS_PER_ROW
     }
 
-    /// Records the tags that a reply named, in place of those known before. `None`: it named none, and the tags known
-    /// before stay.
+    /// Records the tags listed in a reply, which replace those recorded before. `None` means that the reply has no tag list,
+    /// and leaves the recorded tags unchanged.
     pub fn record(&mut self, object: u64, tags: Option<&[&str]>) {
         let Some(tags) = tags else { return };
         self.sequence = self.sequence.wrapping_add(1);
@@ -75,7 +77,7 @@
         let mut slot = Slot {
             object,
             written_at: sequence,
-            // One more than fit stands for unknown; an object without tags is known to have none.
+            // An object with too many tags has the count of one more than fit; one without tags has count 1.
             count: 1 + tags.len().min(MAX_INDEXED_TAGS + 1) as u8,
             ..Slot::default()
         };
@@ -85,7 +87,7 @@
         row[select_slot(row, object, sequence)] = slot;
     }
 
-    /// Makes the tags of an object unknown: a reply was rejected for tags that were not recorded.
+    /// Makes the tags of an object unknown, after a reply had tags that were not recorded.
     pub fn forget(&mut self, object: u64) {
         let row = self.row(object);
         let slots = self.slots[row].iter_mut();
@@ -94,7 +96,7 @@
             .for_each(|slot| slot.count = 0);
     }
 
-    /// The hashes of an object's tags; `None` if they are unknown.
+    /// Returns the hashes of an object's tags; `None` if the tags are unknown.
     pub fn tags(&self, object: u64) -> Option<&[u64]> {
         let mut row = self.slots[self.row(object)].iter();
         let slot = row.find(|slot| slot.holds(object))?;
@@ -102,7 +104,7 @@
         slot.tags.get(..count)
     }
 
-    /// Counts the objects in the index, and those that carry a tag. It visits all slots.
+    /// Counts the objects in the index, and those that carry a tag. The cost is linear in the size of the index.
     pub fn count(&self, tag: &str) -> TagCounts {
         let hash = tag_hash(tag);
         let known = self.slots.iter().filter(|slot| slot.count > 0);
@@ -117,7 +119,8 @@
     }
 }
 
-/// The slot for an object: its own, else a free one, else the one written longest ago.
+/// Returns the index of the slot to write for an object: its current one, else a free one, else the one written longest
+/// ago.
 fn select_slot(row: &[Slot], object: u64, sequence: u32) -> usize {
     let own = row.iter().position(|slot| slot.holds(object));
     let free = || row.iter().position(|slot| slot.count == 0);
--- a/purges/src/matching/tests.rs
+++ b/purges/src/matching/tests.rs
@@ -41,14 +41,14 @@
         )
     };
     assert_eq!([1, 2, 3, 4].map(|o| floor(&index, o)), [500, 0, 500, 500]);
-    // A new version of the object has lost the tag.
+    // A new version of the object no longer carries the tag.
     index.record(1, Some(&["blue"]));
     assert_eq!(floor(&index, 1), 0);
     index.record(1, None);
     assert_eq!(
         floor(&index, 1),
         0,
-        "a reply that names none changes nothing"
+        "a reply without a tag list leaves the index unchanged"
     );
     assert_eq!(
         index.count("blue"),
@@ -69,7 +69,7 @@
     assert!(known <= before && known > before / 2, "{known} of {before}");
     assert!(
         (99_990..100_000).all(|o| index.tags(o).is_some()),
-        "the latest are known"
+        "recently recorded objects are known"
     );
 }
 
@@ -151,7 +151,6 @@
         compiled.add(&purge, 0);
         uncompiled.add(&purge, 0);
         if let Some(job) = compiled.take_compile_job() {
-            // Compiled at once here; the driver does it on a worker thread.
             let set = compile_patterns(job);
             compiled.install(set);
         }
--- a/purges/src/replication.rs
+++ b/purges/src/replication.rs
@@ -1,51 +1,51 @@
-//! Replication of the purge log to cache nodes: which node has confirmed what, and what it is sent next. A node gets the
-//! purges in order, one batch at a time; slow nodes do not hold up fast ones, and the rate over the fleet is limited.
+//! Replication of the purge log to cache nodes. Each node receives the purges in order, one batch at a time. The number of
+//! batches in flight to slow nodes and the total rate of purges are limited.
 use crate::log::MAX_BATCH_PURGES;
 use crate::{Micros, PurgeNumber, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A batch that is not confirmed after this long counts as lost, and its purges are sent again.
+/// Time after which an unconfirmed batch is considered lost and its purges are sent again.
 const CONFIRMATION_TIMEOUT: Micros = 5_000_000;
-/// Backoff after the first loss; it doubles with each further one.
+/// Backoff after the first failure, which doubles with each consecutive failure.
 const INITIAL_BACKOFF: Micros = 100_000;
-/// Longest backoff.
+/// Upper bound of the backoff after failures.
 const MAX_BACKOFF: Micros = 10_000_000;
-/// A node counts as slow if its last batch took longer than this.
+/// A node is slow if it confirmed its last batch after more than this time.
 const SLOW_BATCH_THRESHOLD: Micros = 1_000_000;
-/// Most batches in flight at once.
+/// Maximum number of batches in flight to all nodes.
 const MAX_BATCHES_IN_FLIGHT: usize = 64;
-/// Most batches in flight to slow nodes, so that they do not take all the slots.
+/// Maximum number of batches in flight to slow nodes, which leaves slots for the others.
 const MAX_SLOW_BATCHES_IN_FLIGHT: usize = 8;
-/// Shortest time between two wake-ups.
+/// Minimum interval between two wake-ups of the caller.
 const MIN_WAKEUP_INTERVAL: Micros = 1_000;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Identifies a cache node.
+/// The identifier of a cache node, assigned by the caller.
 pub type NodeId = u64;
 
-/// Purges to send to a node.
+/// A range of purges to send to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The node.
+    /// The recipient.
     pub node: NodeId,
-    /// The number before the first purge of the batch.
+    /// The batch starts after this purge number.
     pub after: PurgeNumber,
-    /// The number of the last purge of the batch.
+    /// The batch ends with this purge number.
     pub through: PurgeNumber,
 }
 
-/// What a node reports when it is connected.
+/// The state that a node reports after it was connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeReport {
     /// The identity of the log whose purges it has applied.
     pub log: u64,
-    /// It has applied every purge up to this number.
+    /// The node has applied every purge up to this number.
     pub applied: PurgeNumber,
-    /// Whether it has no copies at all.
+    /// Whether the node's cache is empty.
     pub empty: bool,
 }
 
-/// A batch that was sent and is not confirmed yet.
+/// A batch that was sent and not confirmed yet.
 #[derive(Clone, Copy, Debug)]
 struct BatchInFlight {
     through: PurgeNumber,
@@ -59,9 +59,9 @@
     in_flight: Option<BatchInFlight>,
     connected: bool,
     slow: bool,
-    /// Losses since the last confirmation.
+    /// Consecutive failures since the last confirmation.
     failures: u32,
-    /// Nothing is sent before this time.
+    /// No batch is sent before this time.
     backoff_until: Timestamp,
     stale_copies: u64,
 }
@@ -82,7 +82,7 @@
         self.connected && self.in_flight.is_none() && now >= self.backoff_until
     }
 
-    /// When the node may be sent something, or its batch counts as lost.
+    /// Returns when the node's batch is considered lost, or when the next one may be sent.
     fn next_wakeup(&self) -> Timestamp {
         match self.in_flight {
             Some(batch) => batch.sent_at + CONFIRMATION_TIMEOUT + 1,
@@ -91,18 +91,18 @@
     }
 }
 
-/// The status of a node.
+/// The replication status of a node, for status output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// The node.
+    /// The identifier of the node.
     pub id: NodeId,
-    /// It has applied every purge up to this number.
+    /// The node has applied every purge up to this number.
     pub confirmed: PurgeNumber,
-    /// Whether it is connected.
+    /// Whether a connection to the node is established.
     pub connected: bool,
-    /// Whether its last batch took long.
+    /// Whether the node confirmed its last batch late, or not before the timeout.
     pub slow: bool,
-    /// How often it served a copy that it had confirmed to be purged.
+    /// Number of copies that the node served although it had confirmed their purge.
     pub stale_copies: u64,
 }
 
@@ -112,20 +112,20 @@
     /// The identity of the log.
     identity: u64,
     nodes: BTreeMap<NodeId, NodeState>,
-    /// The node that was sent a batch last: the next one is served first.
+    /// The node that was sent the last batch. The round-robin order continues after it.
     last_served: NodeId,
     in_flight: usize,
     slow_in_flight: usize,
-    /// Limit on the purges sent, over all nodes.
+    /// Rate limit of purges sent to all nodes.
     purges_per_s: f64,
-    /// Purges that may be sent now.
+    /// Number of purges that may be sent now.
     tokens: f64,
     refilled_at: Timestamp,
 }
 
 impl Replication {
-    /// Replication of the log `identity`, without nodes. At most `purges_per_s` purges a second are sent to all of them
-    /// together.
+    /// Creates the state for the log `identity`, without nodes. The rate limit `purges_per_s`, at least 1, applies to the
+    /// total over all nodes.
     pub fn new(now: Timestamp, identity: u64, purges_per_s: f64) -> Self {
         let purges_per_s = purges_per_s.max(1.0);
         Replication {
@@ -140,19 +140,20 @@
         }
     }
 
-    /// Adds a node, which has confirmed nothing. A node that is known already keeps its state until it is connected.
+    /// Adds a node that has not confirmed any purge. An existing node keeps its state.
     pub fn add_node(&mut self, id: NodeId) {
         self.nodes.entry(id).or_default();
     }
 
-    /// Removes a node for good.
+    /// Removes a node, whose confirmations no longer count.
     pub fn remove_node(&mut self, id: NodeId) {
         self.end_batch(id);
         self.nodes.remove(&id);
     }
 
-    /// A node was connected and has reported its state. `head` is the last number of the log. A node without copies has
-    /// nothing to purge and starts there; a number of another log, or beyond `head`, counts as 0.
+    /// Records that a node was connected and has reported its state. `head` is the last number of the log. A node with an
+    /// empty cache needs no earlier purges and starts at `head`; a reported number of another log or beyond `head` is
+    /// replaced by 0.
     pub fn connected(&mut self, id: NodeId, report: NodeReport, head: PurgeNumber) {
         self.end_batch(id);
         let is_valid = report.log == self.identity && report.applied <= head;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// The connection to a node broke, with the batch in flight on it.
+    /// Records that the connection to a node was lost, including the batch in flight on it.
     pub fn disconnected(&mut self, now: Timestamp, id: NodeId) {
         self.end_batch(id);
         if let Some(state) = self.nodes.get_mut(&id) {
@@ -176,8 +177,8 @@
         }
     }
 
-    /// A node confirms that it has applied every purge up to a number. Returns whether that is the batch in flight;
-    /// another number is ignored.
+    /// Records a node's confirmation that it has applied every purge up to a number. Returns whether this confirms the
+    /// batch in flight; any other number is ignored.
     pub fn confirmed(&mut self, now: Timestamp, id: NodeId, number: PurgeNumber) -> bool {
         let in_flight = self.nodes.get(&id).and_then(|state| state.in_flight);
         let Some(batch) = in_flight.filter(|batch| batch.through == number) else {
@@ -192,7 +193,8 @@
         true
     }
 
-    /// A node served a copy older than a purge that it had confirmed: it is sent all purges of the log again.
+    /// Records that a node served a copy older than a purge that it had confirmed. All purges of the log are sent to it
+    /// again.
     pub fn stale_copy_served(&mut self, now: Timestamp, id: NodeId) {
         self.end_batch(id);
         if let Some(state) = self.nodes.get_mut(&id) {
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Gives back the slot of a node's batch, if it has one in flight.
+    /// Releases the slot of a node's batch in flight, if any.
     fn end_batch(&mut self, id: NodeId) {
         let Some(state) = self.nodes.get_mut(&id) else {
             return;
@@ -213,7 +215,7 @@
         }
     }
 
-    /// The batches to send now. `base` is the number before the first purge of the log, `head` its last number.
+    /// Returns the batches to send now. `base` is the last compacted number of the log, `head` its last number.
     pub fn next_batches(
         &mut self,
         now: Timestamp,
@@ -251,7 +253,7 @@
         }
     }
 
-    /// All nodes, from the one after the node that was served last.
+    /// Returns all nodes in round-robin order, starting after the node that was sent the last batch.
     fn service_order(&self) -> Vec<NodeId> {
         let after = self.nodes.range(self.last_served + 1..);
         let before = self.nodes.range(..=self.last_served);
@@ -272,7 +274,7 @@
         if state.slow && self.slow_in_flight >= MAX_SLOW_BATCHES_IN_FLIGHT {
             return None;
         }
-        // Compacted purges were confirmed by all nodes of their time, and are older than any copy.
+        // Compacted purges can be skipped, since every remaining copy was created after them.
         let after = state.confirmed.max(base);
         let max_purges = (self.tokens as u64).clamp(1, MAX_BATCH_PURGES as u64);
         let through = head.min(after + max_purges);
@@ -291,7 +293,8 @@
         })
     }
 
-    /// When [`Replication::next_batches`] may return something unless another event comes first.
+    /// Returns when to call [`Replication::next_batches`] next if no other event occurs; `None` if all connected nodes have
+    /// confirmed `head`.
     pub fn next_wakeup(&self, now: Timestamp, head: PurgeNumber) -> Option<Timestamp> {
         let states = self.nodes.values();
         let behind = states.filter(|state| state.connected && state.confirmed < head);
@@ -305,24 +308,24 @@
         Some(first.max(now + refill).max(now + MIN_WAKEUP_INTERVAL))
     }
 
-    /// The number up to which a node has confirmed; 0 for an unknown one.
+    /// Returns the number up to which a node has confirmed all purges; 0 for an unknown node.
     pub fn confirmed_by(&self, id: NodeId) -> PurgeNumber {
         self.nodes.get(&id).map_or(0, |state| state.confirmed)
     }
 
-    /// The number up to which all nodes have confirmed; `None` if there are none.
+    /// Returns the number up to which all nodes have confirmed all purges; `None` if there are no nodes.
     pub fn confirmed_by_all(&self) -> Option<PurgeNumber> {
         self.nodes.values().map(|state| state.confirmed).min()
     }
 
-    /// The nodes that have not confirmed a number.
+    /// Returns the nodes that have not confirmed the purge with this number.
     pub fn unconfirmed(&self, number: PurgeNumber) -> BTreeSet<NodeId> {
         let nodes = self.nodes.iter();
         let unconfirmed = nodes.filter(|(_, state)| state.confirmed < number);
         unconfirmed.map(|(id, _)| *id).collect()
     }
 
-    /// The status of each node.
+    /// Iterates over the status of all nodes.
     pub fn statuses(&self) -> impl Iterator<Item = NodeStatus> + '_ {
         self.nodes.iter().map(|(id, state)| NodeStatus {
             id: *id,
--- a/purges/src/shield.rs
+++ b/purges/src/shield.rs
@@ -1,29 +1,29 @@
-//! The origin shield: a rate limit on fetches past the caches after a large purge, part of which is reserved for classes
-//! of higher priority.
+//! Origin shield: a rate limit on requests that bypass the caches after a large purge. Part of the burst is reserved for
+//! classes with higher priority.
 use crate::{Micros, Timestamp};
 
-/// Seconds of the rate that may be saved up.
+/// Size of the token bucket, in seconds of the rate.
 const BURST_SECONDS: f64 = 1.0;
-/// Share of the burst that the lowest priority may not use.
+/// Fraction of the bucket that is not available to the lowest priority.
 const RESERVED_FRACTION: f64 = 0.5;
-/// Tolerance for rounding when tokens are compared.
+/// Tolerance for rounding errors in token comparisons.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A token bucket with priorities. A priority is a number from 0 to 1, relative to the highest of all classes.
+/// A token bucket with priorities. A priority is a number from 0 to 1, relative to the highest priority of all classes.
 #[derive(Clone, Debug)]
 pub struct Shield {
     passes_per_s: f64,
     tokens: f64,
     refilled_at: Timestamp,
-    /// Requests that passed.
+    /// Number of admitted requests.
     pub passed: u64,
-    /// Requests that were rejected.
+    /// Number of rejected requests.
     pub rejected: u64,
 }
 
 impl Shield {
-    /// Lets `passes_per_s` requests a second pass.
+    /// Creates a shield that admits `passes_per_s` requests per second, at least 0.1.
     pub fn new(now: Timestamp, passes_per_s: f64) -> Self {
         let passes_per_s = passes_per_s.max(0.1);
         Shield {
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Whether a request may bypass the caches now. The highest priority may use all tokens, the lowest leaves half of
-    /// the burst.
+    /// Returns whether a request may bypass the caches now, and takes a token if it may. The highest priority may use all
+    /// tokens, the lowest only half of the bucket.
     pub fn try_pass(&mut self, now: Timestamp, priority: f64) -> bool {
         self.refill(now);
         let has_tokens = self.tokens - 1.0 >= self.reserved_tokens(priority) - ROUNDING_TOLERANCE;
@@ -50,7 +50,7 @@
         passes
     }
 
-    /// Time until a request of this priority may pass, if no other takes the tokens.
+    /// Returns the time until a request of this priority may pass, if no other request takes a token.
     pub fn retry_after(&self, priority: f64) -> Micros {
         let needed = (self.reserved_tokens(priority) + 1.0).min(self.max_tokens());
         let missing = (needed - self.tokens).max(0.0);
@@ -67,7 +67,7 @@
         (self.passes_per_s * BURST_SECONDS).max(1.0)
     }
 
-    /// Tokens that a request of this priority leaves to higher ones.
+    /// Number of tokens that a request of this priority must leave for higher priorities.
     fn reserved_tokens(&self, priority: f64) -> f64 {
         self.max_tokens() * RESERVED_FRACTION * (1.0 - priority.clamp(0.0, 1.0))
     }
--- a/purges/src/shield/tests.rs
+++ b/purges/src/shield/tests.rs
@@ -5,7 +5,7 @@
     let mut shield = Shield::new(0, 100.0);
     let (mut high, mut low) = (0, 0);
     for step in 0..100_000u64 {
-        // Ten seconds of requests at both priorities, as after a purge of everything.
+        // 10 s of requests: 1,000 per second at the lowest priority and 100 per second at the highest.
         let now = step * 100;
         if step % 10 == 0 {
             low += u32::from(shield.try_pass(now, 0.0));
@@ -17,7 +17,7 @@
     assert!(high + low <= 1_100, "{high} {low}");
     assert!(
         high >= 990,
-        "the highest priority gets nearly all that it asks for: {high} {low}"
+        "nearly all requests of the highest priority pass: {high} {low}"
     );
 }
 
--- a/purges/tests/simulation.rs
+++ b/purges/tests/simulation.rs
@@ -1,7 +1,6 @@
-//! Fronts, a purge log and cache nodes on one virtual clock, with faults from a seed. Checked are: no reply from a copy
-//! older than a purge that its front had known for half a second; with the strict lease, none older than one that the log
-//! had accepted longer ago than the lease and half a second; purges reach each node in order; all are confirmed once the
-//! faults end. The absence of each guard has to be found.
+//! Simulates fronts, a purge log and cache nodes on a virtual clock, with random faults from a seed. Guards against stale
+//! replies after a purge reached the front or the lease expired, purges that reach nodes out of order, purges that are
+//! never confirmed, and checks that cannot detect a disabled guard.
 use cranesill_purges::lease::{ExpiryPolicy, Lease};
 use cranesill_purges::log::{Appended, Command, Prepared, PurgeLog};
 use cranesill_purges::matching::{
@@ -20,7 +19,7 @@
 const LEASE_MS: UnixMillis = 2_000;
 const FAULTS_DURATION_MS: UnixMillis = 20_000;
 const RUN_DURATION_MS: UnixMillis = 45_000;
-/// How far the origin's clock may be ahead.
+/// Maximum time by which the origin's clock may be ahead.
 const SKEW_MS: UnixMillis = 1_500;
 
 struct Rng(u64);
@@ -38,35 +37,35 @@
     }
 }
 
-/// The guards, each of which may be missing.
+/// A guard to disable in a run, by the failure that it prevents.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Guard {
     None,
-    /// Replies are relayed without being checked.
+    /// Disabled: replies are relayed without a check of their age.
     ReplyCheck,
-    /// An object whose tags are unknown counts as having none.
+    /// Disabled: an object with unknown tags matches no tag purge.
     UnknownTagsMatch,
-    /// A reply is checked by the indexed tags, not by its own.
+    /// Disabled: a reply is checked by the indexed tags instead of its own.
     ReplyTags,
-    /// A front whose lease has expired goes on as if it knew all purges.
+    /// Disabled: an expired lease does not raise the floor.
     LeaseExpiry,
-    /// Clocks count as equal.
+    /// Disabled: purge times are not increased by the clock skew.
     SkewAllowance,
-    /// A follower accepts purges whatever their numbers.
+    /// Disabled: a follower accepts purges after a gap.
     NumberCheck,
-    /// A node that lost its copies reports what it had applied before.
+    /// Disabled: a node reports purges as applied that it has not received.
     AppliedNumberOnReconnect,
 }
 
 #[derive(Clone, Default)]
 struct CacheNode {
-    /// Copies: when the origin gave them out, by its clock, and truly.
+    /// Creation time of the copy of each object: by the origin's clock, and the true time.
     copies: BTreeMap<u64, (UnixMillis, UnixMillis)>,
-    /// Fills under way: object, given out then, arrives then.
+    /// Pending fills: object, creation times of the copy, arrival time.
     fills: Vec<(u64, (UnixMillis, UnixMillis), UnixMillis)>,
     applied: PurgeNumber,
     up: bool,
-    /// It serves what it has, whatever age is allowed.
+    /// Whether the node serves copies older than the requested maximum age.
     ignores_max_age: bool,
 }
 
@@ -75,7 +74,7 @@
     matcher: PurgeMatcher,
     index: TagIndex,
     lease: Lease,
-    /// When each purge arrived.
+    /// Time when the front received each purge.
     received_at: BTreeMap<PurgeNumber, UnixMillis>,
     partitioned_until: UnixMillis,
 }
@@ -87,16 +86,18 @@
     replication: Replication,
     nodes: Vec<CacheNode>,
     fronts: Vec<Front>,
-    /// On their way: batches of purges to fronts, and to boxes.
+    /// Batches in flight: arrival time, front, purges.
     batches_to_fronts: Vec<(UnixMillis, usize, Vec<Purge>)>,
+    /// Batches in flight: arrival time, node, range of purge numbers.
     batches_to_nodes: Vec<(UnixMillis, u64, PurgeNumber, PurgeNumber)>,
+    /// Confirmations in flight: arrival time, node, number.
     confirmations: Vec<(UnixMillis, u64, PurgeNumber)>,
     served_replies: u64,
     rejected_replies: u64,
 }
 
 fn origin_tags(object: u64, version: UnixMillis) -> Vec<&'static str> {
-    // Tags change with the version.
+    // A new version of an object has other tags.
     let shift = (version / 7_000) as usize;
     (0..(object % 3) as usize)
         .map(|i| TAGS[(object as usize + i + shift) % TAGS.len()])
@@ -170,7 +171,7 @@
             3 => PurgeTarget::Group(self.rng.below(5) as u32),
             _ => PurgeTarget::Pattern(format!("video/{:015x}*", self.rng.below(3)).into()),
         };
-        // Now and then the same command again.
+        // Ids are drawn from a small range, so that some commands are repeated.
         let id = self.rng.below(400).to_string().into();
         let command = Command {
             target,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// The writer sends to fronts what they lack, late, twice, in disorder or not at all.
+    /// Sends purges to the fronts. With faults, batches are delayed, duplicated, reordered or lost.
     fn replicate(&mut self, now: UnixMillis, faults: bool) {
         for i in 0..FRONTS {
             if now < self.fronts[i].partitioned_until {
@@ -230,7 +231,7 @@
                     }
                     Ok(Appended::AlreadyPresent) => {}
                     Err(_) if self.disabled == Guard::NumberCheck => {
-                        // It takes the number for its place: what is between is never asked for.
+                        // Skips the gap, so that the missing purges are never requested.
                         let mut log_after_gap = PurgeLog::after(7, number - 1);
                         log_after_gap.append(7, purge).unwrap();
                         front.log = log_after_gap;
@@ -241,7 +242,7 @@
             if let Some(job) = front.matcher.take_compile_job() {
                 front.matcher.install(compile_patterns(job));
             }
-            // Contact is had by a front that has all that the writer had when this was sent.
+            // Only a front with all purges of the writer renews its lease.
             if front.log.last_number() == self.log.last_number()
                 || self.disabled == Guard::NumberCheck
             {
@@ -262,10 +263,10 @@
             if !node.up {
                 continue;
             }
-            // In order: nothing may be left out between what is applied and what comes.
+            // A batch must not skip any purge after the last applied one.
             assert!(
                 after <= node.applied,
-                "box {id} was sent {after} and has {}",
+                "node {id} was sent a batch after {after}, but has applied only {}",
                 node.applied
             );
             for number in after + 1..=through {
@@ -308,7 +309,7 @@
         let at = id as usize - 1;
         match self.rng.below(5) {
             0 => {
-                // It dies, with what is out to it.
+                // The node crashes and loses all messages in flight.
                 self.nodes[at].up = false;
                 self.nodes[at].fills.clear();
                 self.batches_to_nodes.retain(|m| m.1 != id);
@@ -322,7 +323,7 @@
                 self.fronts[front].partitioned_until = now + self.rng.below(6_000);
             }
             _ => {
-                // A front restarts without its memory: everything may have been purged.
+                // A front restarts with its log, but without the tag index and the matcher.
                 let at = self.rng.below(FRONTS as u64) as usize;
                 let front = &mut self.fronts[at];
                 (front.index, front.matcher) = (TagIndex::new(2_048), PurgeMatcher::default());
@@ -337,7 +338,7 @@
         }
     }
 
-    /// A box comes back, with its old disk or with none.
+    /// Restarts a crashed node, with its disk or with an empty cache.
     fn restart(&mut self, now: UnixMillis, id: u64) {
         let node = &mut self.nodes[id as usize - 1];
         if node.up {
@@ -362,14 +363,14 @@
         let _ = now;
     }
 
-    /// A request at a front: what it was answered with is checked.
+    /// Sends a request through a front, and checks that the reply is not stale.
     fn request(&mut self, now: UnixMillis) -> Result<(), String> {
         let (i, object) = (
             self.rng.below(FRONTS as u64) as usize,
             self.rng.below(OBJECTS),
         );
         let at = self.rng.below(NODES) as usize;
-        // The origin's clock is ahead of the others'.
+        // The origin's clock is ahead of the other clocks.
         let fresh_copy = (now + SKEW_MS - 100, now);
         let node = &mut self.nodes[at];
         let (arrived, pending) = std::mem::take(&mut node.fills)
@@ -414,14 +415,14 @@
         let copy = match node.copies.get(&object).copied() {
             Some(copy) if copy.0 >= floor || node.ignores_max_age => copy,
             _ => {
-                // A fill, which takes its time; others may get what it brings.
+                // The fill is added to the cache later, and may serve other requests.
                 let delay = self.rng.below(300);
                 node.fills.push((object, fresh_copy, now + delay));
                 fresh_copy
             }
         };
-        // An answer is judged by the tags that it names itself, since an older version may carry others than those
-        // that are known; one that names none is unknown.
+        // A reply is checked by its own tags, since an older version may carry other tags than the indexed ones. A reply
+        // without a tag list has unknown tags.
         let tags_in_reply = origin_tags(object, copy.1);
         let names_tags = !self.rng.one_in(4);
         let tag_hashes: Vec<u64> = tags_in_reply.iter().map(|t| tag_hash(t)).collect();
@@ -454,7 +455,7 @@
                 self.replication
                     .stale_copy_served(now * 1_000, at as u64 + 1);
             } else {
-                // It kept to what it was asked: the question was too mild.
+                // The node respected the requested age, which was computed from outdated tags.
                 front.index.forget(object);
             }
             return Ok(());
@@ -463,7 +464,7 @@
         if names_tags {
             front.index.record(object, Some(&tags_in_reply));
         }
-        // What this copy carries is known only to the origin; the checker knows.
+        // The check uses the true tags of the copy, even if the reply does not list them.
         for purge in self.log.iter() {
             let received_at = front.received_at.get(&purge.number);
             let known = received_at.is_some_and(|t| now > t + MAX_DELAY_MS);
@@ -473,7 +474,7 @@
                 && is_purged_by(purge, object, &tags_in_reply)
             {
                 return Err(format!(
-                    "at {now} front {i} answered object {object} from {} though purge {} of {:?} was at {} (known {known})",
+                    "at {now}: front {i} served object {object} created at {} despite purge {} of {:?} at {} (received: {known})",
                     copy.1, purge.number, purge.target, purge.at_ms
                 ));
             }
@@ -508,14 +509,14 @@
         for status in self.replication.statuses() {
             if !self.nodes[status.id as usize - 1].ignores_max_age && status.confirmed != head {
                 return Err(format!(
-                    "box {} has confirmed {} of {head}",
+                    "node {} has confirmed {} of {head} purges",
                     status.id, status.confirmed
                 ));
             }
         }
         let behind = self.fronts.iter().any(|f| f.log.last_number() != head);
         if behind {
-            Err("a front never caught up".into())
+            Err("a front has not received all purges by the end of the run".into())
         } else {
             Ok(())
         }
@@ -563,14 +564,14 @@
     ] {
         assert!(
             !find_violations(disabled, 0..40).is_empty(),
-            "{disabled:?} was not missed"
+            "no violation without {disabled:?}"
         );
     }
 }
 
 #[test]
 fn reply_checks_catch_a_node_that_reports_more_purges_than_it_applied() {
-    // It costs refused answers, and none that is old.
+    // Replies are rejected, but no stale reply is served.
     assert!(find_violations(Guard::AppliedNumberOnReconnect, 0..40).is_empty());
 }
 
@@ -599,13 +600,13 @@
             assert_eq!(
                 sent_through.insert(batch.node, batch.through).unwrap_or(0),
                 batch.after,
-                "in order, none left out"
+                "batches are contiguous"
             );
             assert!(
                 !in_flight.iter().any(|o| o.1 == batch.node),
-                "never two batches out"
+                "only one batch is in flight to a node"
             );
-            // Twenty boxes take two seconds for each batch.
+            // Every fifth node takes 2 s to confirm a batch.
             let duration = if batch.node % 5 == 0 {
                 2_000_000
             } else {
@@ -617,7 +618,7 @@
             let fast = (1..=100).filter(|id| id % 5 != 0);
             assert!(
                 fast.clone().all(|id| replication.confirmed_by(id) == 1_000),
-                "the fast ones are done"
+                "all fast nodes have confirmed"
             );
         }
     }
@@ -630,7 +631,7 @@
             .collect::<Vec<_>>(),
         [3]
     );
-    // A number of another ledger is none.
+    // A number reported for another log is ignored.
     replication.connected(4, report(8, 900, false), 1_000);
     assert_eq!(replication.confirmed_by(4), 0);
     replication.remove_node(3);
--- a/purges/tests/stored_data.rs
+++ b/purges/tests/stored_data.rs
@@ -1,9 +1,9 @@
-//! A journal written by an earlier version is read by this one, and written by it byte for byte.
+//! Guards against incompatible changes of the journal format.
 use cranesill_purges::journal::{self, JournalFile, OpenedJournal};
 use cranesill_purges::{Purge, PurgeTarget};
 use std::io;
 
-/// Written by version 0.1.0: identity 0xfeed0123, purges 5 to 8 after base 4, one of each kind.
+/// A journal written by version 0.1.0 with identity 0xfeed0123, base 4 and purges 5 to 8, one of each kind.
 const VERSION_0_1_0: &[u8] = include_bytes!("data/version-0.1.0.journal");
 
 struct MemoryFile(Vec<u8>);
@@ -32,7 +32,7 @@
 fn a_journal_of_version_0_1_0_is_read_and_rewritten_byte_for_byte() {
     let mut file = MemoryFile(VERSION_0_1_0.to_vec());
     let OpenedJournal::Complete { log, torn_bytes } = journal::open(&mut file).unwrap() else {
-        panic!("the journal is not read");
+        panic!("the journal cannot be read");
     };
     assert_eq!(torn_bytes, 0);
     assert_eq!((log.identity, log.base()), (0xfeed_0123, 4));
