--- a/leases/src/fencing.rs
+++ b/leases/src/fencing.rs
@@ -1,18 +1,18 @@
-//! The check at a resource that is used under a lease.
+//! The fencing check at a resource that is protected by a lease.
 use crate::FencingToken;
 
-/// An operation was rejected because a newer grant of the lease has been seen.
+/// The error for an operation with a fencing token older than the newest one seen by the resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("fencing token {presented} is older than {newest}")]
+#[error("fencing token {presented} is stale: the resource has seen token {newest}")]
 pub struct StaleToken {
     /// The token of the operation.
     pub presented: FencingToken,
-    /// The newest token that the resource has seen.
+    /// The newest token seen by the resource.
     pub newest: FencingToken,
 }
 
-/// Remembers the newest fencing token and rejects older ones. The owner must store a newer token durably before it
-/// carries out the first operation under it, so that a restart does not admit an older one.
+/// Tracks the newest fencing token, and rejects older ones. The resource must store a newer token durably before the first
+/// operation under it, so that older tokens are rejected after a restart too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FencingCheck {
     newest: FencingToken,
@@ -20,7 +20,7 @@
 }
 
 impl FencingCheck {
-    /// Restores the check from the newest token that was stored durably.
+    /// Restores the check after a restart from the durably stored newest token.
     pub fn restore(newest: FencingToken) -> Self {
         FencingCheck {
             newest,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Admits an operation under this token, unless a newer token has been seen.
+    /// Admits an operation with this token, unless a newer token was seen.
     pub fn admit(&mut self, token: FencingToken) -> Result<(), StaleToken> {
         if token < self.newest {
             self.rejected += 1;
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// The number of operations that were rejected.
+    /// Returns the number of rejected operations.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
--- a/leases/src/holder.rs
+++ b/leases/src/holder.rs
@@ -1,83 +1,82 @@
-//! A front that acquires, renews and releases leases.
+//! The lease client of a front: acquires, renews and releases leases.
 use crate::{
     Command, Denial, FencingToken, FrontId, LeaseId, Micros, Outcome, Timestamp,
     MAX_DRIFT_PER_MILLE,
 };
 use std::collections::BTreeMap;
 
-/// A request or release that is not answered is repeated after this fraction of the usable lease duration.
+/// The retry interval of unanswered requests and releases is the usable lease duration divided by this number.
 const RETRY_DIVISOR: u64 = 6;
-/// A lease is renewed once this fraction of its usable duration has passed.
+/// The renewal interval of a held lease is its usable duration divided by this number.
 const RENEWAL_DIVISOR: u64 = 3;
-/// A front that could not do the work under a lease backs off for one lease duration for each failure in a row, up to
-/// this many.
+/// Upper bound of the backoff after consecutive failures of the work under a lease, in lease durations. The backoff is one
+/// lease duration per failure.
 const MAX_BACKOFF_LEASE_DURATIONS: u32 = 5;
-/// Fronts that wait for a freed lease request it one after another: each waits this fraction of the usable lease
-/// duration for every front before it.
+/// The delay between the requests of two fronts for a freed lease is the usable lease duration divided by this number.
 const ACQUIRE_STAGGER_DIVISOR: u64 = 200;
 
-/// What a lease holder wants its caller to do.
+/// An action for the caller of a [`LeaseHolder`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Propose a command to the replicated log.
     Propose(Command),
-    /// The lease is held from now on.
+    /// Start work under the lease: it is held under this token.
     Acquired(LeaseId, FencingToken),
-    /// The lease is not held any more: nothing may be started under this token.
+    /// Stop work under the lease: no operation may be started with this token.
     Lost(LeaseId, FencingToken),
 }
 
-/// Why an operation may not be started.
+/// The reason why an operation must not be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotAuthorized {
     /// This front does not hold the lease.
-    #[error("the lease is not held here")]
+    #[error("the lease is not held by this front")]
     NotHeld,
     /// The lease has expired by this front's clock.
     #[error("the lease has expired")]
     Expired,
     /// The operation would end after the lease expires.
-    #[error("the operation would outlast the lease")]
+    #[error("the operation would end after the lease expires")]
     OutlastsLease,
 }
 
-/// A request that awaits its outcome.
+/// A request whose outcome is pending.
 #[derive(Clone, Copy, Debug)]
 struct Request {
     sent_at: Timestamp,
     sequence: u64,
 }
 
-/// A release that is repeated until the log confirms it.
+/// A release that is proposed repeatedly until its outcome is known.
 #[derive(Clone, Copy, Debug)]
 struct Release {
     token: FencingToken,
-    /// When it is proposed next.
+    /// When the release is proposed next.
     due: Timestamp,
-    /// From then on the grant has expired anyway, and it is not repeated.
+    /// When the grant has expired, so that further retries are unnecessary.
     stop_at: Timestamp,
 }
 
-/// This front's view of one lease.
+/// The local state of one lease.
 #[derive(Clone, Debug, Default)]
 struct LocalLease {
     /// The token of the last grant.
     token: FencingToken,
-    /// When the lease expires by this front's clock; `None` if it is not held.
+    /// When the lease expires by the local clock; `None` if it is not held.
     expires_at: Option<Timestamp>,
-    /// The last request. The lease counts from when it was sent, not from when it was granted.
+    /// The last request, if its outcome is pending. The lease duration starts when it was sent, not when it was granted.
     request: Option<Request>,
-    /// When the next request is due.
+    /// When the next acquisition or renewal is due.
     next_request: Timestamp,
-    /// The caller was told [`Action::Acquired`] and not yet [`Action::Lost`].
+    /// Whether the caller received [`Action::Acquired`] without a subsequent [`Action::Lost`].
     reported_held: bool,
-    /// When the last operation that was authorized will have ended.
+    /// The latest deadline of all authorized operations.
     busy_until: Timestamp,
-    /// A release that the log has not confirmed.
+    /// The release that is not confirmed yet.
     release: Option<Release>,
-    /// How often in a row the work under the lease has failed here.
+    /// Number of consecutive failures of the work under the lease on this front.
     consecutive_failures: u32,
-    /// Nothing is requested before then.
+    /// The lease is not requested before this time.
     backoff_until: Timestamp,
 }
 
@@ -93,7 +92,7 @@
         self.expires_at.is_some()
     }
 
-    /// Notices that the lease has expired. Returns whether the caller has to be told.
+    /// Ends the lease if it has expired. Returns whether the caller has to be notified.
     fn expire(&mut self, now: Timestamp) -> bool {
         if self.expires_at.is_none_or(|expires_at| now < expires_at) {
             return false;
@@ -102,7 +101,7 @@
         std::mem::take(&mut self.reported_held)
     }
 
-    /// The token to release now, if a release is due.
+    /// Returns the token to release now, if a release is due, and schedules the next retry.
     fn poll_release(&mut self, now: Timestamp, retry_interval: Micros) -> Option<FencingToken> {
         let release = self.release.filter(|release| now >= release.due)?;
         let next = Release {
@@ -113,14 +112,14 @@
         Some(release.token)
     }
 
-    /// Whether a request is due. A lease that is being released is not requested before the release is confirmed: it
-    /// would be renewed.
+    /// Whether a request is due. A lease that is being released is not requested before the release is confirmed, since
+    /// the request would renew the current grant.
     fn wants_request(&self, now: Timestamp) -> bool {
         now >= self.next_request && now >= self.backoff_until && self.release.is_none()
     }
 
-    /// Stops using the lease, and releases it once the last authorized operation has ended. Returns the token that was
-    /// lost, if the lease was held.
+    /// Gives up a held lease, and schedules its release for the end of the last authorized operation. Returns its token;
+    /// `None` if the lease was not held.
     fn begin_release(&mut self, usable_duration: Micros) -> Option<FencingToken> {
         self.expires_at.take()?;
         self.request = None;
@@ -145,7 +144,7 @@
     }
 }
 
-/// The lease holder of one front.
+/// The lease client of one front.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     front: FrontId,
@@ -153,13 +152,14 @@
     /// The sequence number of the last request.
     sequence: u64,
     leases: BTreeMap<LeaseId, LocalLease>,
-    /// The front shuts down or is drained: nothing new is requested.
+    /// Whether the front shuts down or is drained, so that it requests no leases.
     shutting_down: bool,
 }
 
 impl LeaseHolder {
-    /// A front that wants the given leases, each from its own timestamp on: the preferred holder starts first.
-    /// `sequence` must be at least as large as any that this front has used, across restarts.
+    /// Creates the client of a front that competes for the given leases. Each is requested from its timestamp on, which is
+    /// earliest on the preferred holder. `sequence` must not be less than any sequence number that this front has used,
+    /// including before restarts.
     pub fn new(
         front: FrontId,
         lease_duration: Micros,
@@ -179,13 +179,13 @@
         }
     }
 
-    /// The part of a lease duration that a holder may use: clocks may drift.
+    /// The lease duration reduced by the tolerated clock drift.
     fn usable_duration(&self) -> Micros {
         self.lease_duration - self.lease_duration * MAX_DRIFT_PER_MILLE / 1_000
     }
 
-    /// Authorizes an operation that ends by `deadline`, and returns the fencing token to present. A process that was
-    /// stopped learns here, before it does anything, that its lease has expired.
+    /// Authorizes an operation that ends by `deadline`, and returns its fencing token. The expiry is checked on every call,
+    /// because the process may have been suspended since the last poll.
     pub fn authorize(
         &mut self,
         now: Timestamp,
@@ -204,7 +204,7 @@
         Ok(local.token)
     }
 
-    /// What is due now: expiries, releases and requests.
+    /// Returns the actions that are due: expiries, releases and requests.
     pub fn poll(&mut self, now: Timestamp) -> Vec<Action> {
         let retry_interval = self.usable_duration() / RETRY_DIVISOR;
         let front = self.front;
@@ -240,7 +240,7 @@
         actions
     }
 
-    /// Takes in the outcome of a command that the log has applied.
+    /// Processes the outcome of a command of the log, and returns the resulting actions.
     pub fn apply(&mut self, now: Timestamp, outcome: Outcome) -> Vec<Action> {
         match outcome {
             Outcome::Granted {
@@ -279,7 +279,7 @@
     ) -> Option<Action> {
         let usable_duration = self.usable_duration();
         let local = self.leases.get_mut(&lease)?;
-        // Only for the last request is it known when it was sent; an earlier one is answered too late to be sure.
+        // The outcome of an earlier request is ignored, since only the send time of the last one is stored.
         let request = local
             .request
             .take_if(|request| request.sequence == sequence)?;
@@ -307,13 +307,13 @@
             return;
         }
         local.next_request = match reason {
-            // A request that a later one overtook says nothing of the lease: it is repeated at once.
+            // This denial does not depend on the state of the lease, so the request is retried immediately.
             Denial::StaleRequest => now,
             _ => local.next_request.max(now + check_interval),
         };
     }
 
-    /// Those who want a freed lease request it one after another, by their numbers.
+    /// Schedules a request for a freed lease, staggered by the front's identifier.
     fn freed(&mut self, now: Timestamp, lease: LeaseId) {
         let stagger = u64::from(self.front) * self.usable_duration() / ACQUIRE_STAGGER_DIVISOR;
         if let Some(local) = self.leases.get_mut(&lease).filter(|local| !local.is_held()) {
@@ -322,8 +322,8 @@
         }
     }
 
-    /// The work under a lease failed on this front, for whatever reason: it releases the lease once the operations that
-    /// were authorized have ended, and backs off for longer with each failure in a row.
+    /// Records that the work under a lease failed on this front. The lease is released when all authorized operations have
+    /// ended, and is not requested again during a backoff that grows with consecutive failures.
     pub fn record_failure(&mut self, now: Timestamp, lease: LeaseId) -> Vec<Action> {
         let lease_duration = self.lease_duration;
         let Some(local) = self.leases.get_mut(&lease) else {
@@ -337,15 +337,15 @@
         actions
     }
 
-    /// The work under a lease succeeded on this front.
+    /// Records that the work under a lease succeeded on this front, which resets its backoff.
     pub fn record_success(&mut self, lease: LeaseId) {
         if let Some(local) = self.leases.get_mut(&lease) {
             local.consecutive_failures = 0;
         }
     }
 
-    /// The front shuts down or is drained: every lease is released once the operations that were authorized under it
-    /// have ended, and nothing new is requested. [`LeaseHolder::is_released`] tells when that is complete.
+    /// Releases all leases for a graceful shutdown or drain: each one when its authorized operations have ended. No leases
+    /// are requested afterwards. [`LeaseHolder::is_released`] reports completion.
     pub fn release_all(&mut self, now: Timestamp) -> Vec<Action> {
         self.shutting_down = true;
         let leases: Vec<_> = self.leases.keys().copied().collect();
@@ -357,7 +357,7 @@
         actions
     }
 
-    /// Whether no lease is held, and every release was confirmed or is no longer needed.
+    /// Whether no lease is held, and every release was confirmed or is unnecessary because the grant has expired.
     pub fn is_released(&self) -> bool {
         self.leases
             .values()
@@ -373,7 +373,7 @@
         Some(Action::Lost(lease, token))
     }
 
-    /// When [`LeaseHolder::poll`] has something to do next.
+    /// Returns when [`LeaseHolder::poll`] has to be called next.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let may_request = !self.shutting_down;
         self.leases
--- a/leases/src/holder/tests.rs
+++ b/leases/src/holder/tests.rs
@@ -6,7 +6,7 @@
     LeaseHolder::new(3, LEASE_DURATION, 0, [(0, 100)])
 }
 
-/// Polls the holder, and returns sequence and renewed token of the request that it proposes.
+/// Polls the holder, and returns the sequence number and the renewed token of the proposed request.
 fn request(holder: &mut LeaseHolder, now: Timestamp) -> (u64, Option<FencingToken>) {
     match holder.poll(now)[..] {
         [Action::Propose(Command::Acquire {
@@ -35,7 +35,7 @@
     assert!(holder.poll(99).is_empty() && holder.authorize(99, 0, 99).is_err());
     let (sequence, renews) = request(&mut holder, 100);
     assert_eq!(renews, None);
-    // The outcome arrives 300 into the lease duration.
+    // The outcome arrives 300 us after the request was sent.
     assert_eq!(
         holder.apply(400, granted(sequence, 5)),
         [Action::Acquired(0, 5)]
@@ -44,9 +44,9 @@
     assert_eq!(holder.authorize(expires_at - 1, 0, expires_at), Ok(5));
     assert!(
         holder.authorize(expires_at - 1, 0, expires_at + 1).is_err(),
-        "it would outlast the lease"
+        "the operation would end after the expiry"
     );
-    // A process that was stopped asks before it has polled anything.
+    // A resumed process must not be authorized by an expired lease, even before it polls.
     assert!(
         holder.authorize(expires_at, 0, expires_at).is_err()
             && holder
@@ -65,7 +65,7 @@
     let (second, _) = request(&mut holder, 100 + LEASE_DURATION / 3);
     assert!(
         holder.apply(500, granted(first, 5)).is_empty(),
-        "it is not known when that request was sent"
+        "only the last request counts"
     );
     assert!(holder.authorize(500, 0, 501).is_err());
     assert!(holder
@@ -98,19 +98,19 @@
     assert_eq!(
         holder.poll(600 + LEASE_DURATION / 5),
         release,
-        "it may have been lost"
+        "an unconfirmed release is repeated"
     );
     holder.apply(900, Outcome::Freed(0));
     assert!(
         holder.is_released() && holder.poll(5_000).is_empty() && holder.next_deadline().is_none()
     );
-    // After a failure the lease is requested again, after a backoff and not while it is being released.
+    // After a failure, the lease is not requested during the backoff and before its release is confirmed.
     let mut failing = LeaseHolder::new(3, LEASE_DURATION, 0, [(0, 100)]);
     let (sequence, _) = request(&mut failing, 100);
     failing.apply(110, granted(sequence, 6));
     assert_eq!(failing.authorize(120, 0, 1_080), Ok(6));
     assert_eq!(failing.record_failure(130, 0), [Action::Lost(0, 6)]);
-    // The lease and the backoff end before the operation does.
+    // The lease and the backoff end before the authorized operation.
     let mut actions = Vec::new();
     (131..1_080).for_each(|now| actions.extend(failing.poll(now)));
     assert_eq!(actions, []);
@@ -120,6 +120,6 @@
     ));
     assert!(
         failing.poll(1_135).is_empty(),
-        "not before the release is confirmed"
+        "no request before the release is confirmed"
     );
 }
--- a/leases/src/manager.rs
+++ b/leases/src/manager.rs
@@ -1,20 +1,20 @@
-//! Expiry of leases, decided on the leader of the log.
+//! Expiry of leases by the leader of the log.
 use crate::{Command, FencingToken, LeaseId, LeaseTable, Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// An expiry that may have been lost is proposed again after this fraction of a lease duration.
+/// The retry interval of expiry proposals is the lease duration divided by this number.
 const RETRY_DIVISOR: u64 = 8;
 
-/// A grant, or its last renewal, as the leader saw it first.
+/// A grant and its last renewal, as observed by the leader.
 #[derive(Clone, Copy, Debug)]
 struct ObservedGrant {
     token: FencingToken,
     renewals: u64,
-    /// When this leader first saw the grant with this number of renewals.
+    /// When this leader first observed the grant with this number of renewals.
     observed_at: Timestamp,
 }
 
-/// Counts lease durations by the leader's own clock.
+/// Measures lease durations by the leader's clock, and proposes expiries.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     lease_duration: Micros,
@@ -23,7 +23,8 @@
 }
 
 impl LeaseManager {
-    /// A manager on a replica that is not the leader. `lease_duration` is the whole duration that holders were told.
+    /// Creates the manager of a replica that is not the leader. `lease_duration` must be the duration that holders use,
+    /// without a deduction for clock drift.
     pub fn new(lease_duration: Micros) -> Self {
         LeaseManager {
             lease_duration,
@@ -32,16 +33,16 @@
         }
     }
 
-    /// This replica became the leader, or is no longer. Every lease duration starts anew: what an earlier leader had
-    /// counted is not known here.
+    /// Records whether this replica is the leader. All lease durations restart, because the time measured by the previous
+    /// leader is unknown.
     pub fn set_leader(&mut self, is_leader: bool) {
         self.grants.clear();
         self.is_leader = is_leader;
     }
 
-    /// The expiries to propose now. Must be called whenever the table has changed, this replica became the leader, or
-    /// [`LeaseManager::next_deadline`] has passed. A lease duration counts from the call that saw the grant first:
-    /// later than the grant, never before it.
+    /// Returns the expiries to propose now. Must be called when the table has changed, when this replica became the leader,
+    /// and when [`LeaseManager::next_deadline`] has passed. A lease duration starts with the first call that observes the
+    /// grant, which is never before the grant itself.
     pub fn poll(&mut self, now: Timestamp, table: &LeaseTable) -> Vec<Command> {
         if !self.is_leader {
             return Vec::new();
@@ -74,7 +75,7 @@
         if now < observed.observed_at + self.lease_duration {
             return None;
         }
-        // The command may be lost on its way, so it is due again after a while.
+        // The proposal may be lost, so it is retried.
         observed.observed_at = now - self.lease_duration + self.lease_duration / RETRY_DIVISOR;
         Some(Command::Expire {
             lease,
@@ -83,7 +84,7 @@
         })
     }
 
-    /// When the next lease expires; `None` if none can.
+    /// Returns when the next lease expires; `None` if no lease is held or this replica is not the leader.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         if !self.is_leader {
             return None;
--- a/leases/src/manager/tests.rs
+++ b/leases/src/manager/tests.rs
@@ -12,7 +12,7 @@
     });
     assert!(
         manager.poll(0, &table).is_empty() && manager.next_deadline().is_none(),
-        "it is not the leader"
+        "the replica is not the leader"
     );
 
     manager.set_leader(true);
@@ -35,7 +35,7 @@
         (Some(190), expire.clone())
     );
     assert!(manager.poll(191, &table).is_empty());
-    assert_eq!(manager.poll(203, &table), expire, "it is proposed again");
+    assert_eq!(manager.poll(203, &table), expire, "the proposal is retried");
 
     manager.set_leader(false);
     assert!(manager.poll(400, &table).is_empty());
--- a/leases/src/state_machine.rs
+++ b/leases/src/state_machine.rs
@@ -1,131 +1,130 @@
-//! The replicated state machine: which front holds which lease, under which fencing token.
+//! The replicated state machine with the holder and the fencing token of each lease.
 //!
-//! All replicas apply the same commands in the log's order and reach the same state. It knows no time: expiry is a
-//! command that the leader proposes.
+//! All replicas apply the same commands in the order of the log, and so reach the same state. The state machine does not
+//! depend on time: expiry is a command proposed by the leader.
 use crate::{FencingToken, FrontId, LeaseId, MAX_FRONTS, MAX_LEASES};
 use std::collections::BTreeMap;
 
-/// An entry of the replicated log.
+/// A command in the replicated log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// A front requests a lease that is free, or renews its own.
+    /// Requests a free lease, or renews a held one.
     Acquire {
         /// The requesting front.
         front: FrontId,
-        /// Grows with each request of a front, across restarts too. A request that arrives twice, or after a later
-        /// one, changes nothing.
+        /// The sequence number of the request, which increases with each request of a front, also across restarts.
+        /// Duplicate and reordered requests are denied.
         sequence: u64,
         /// The requested lease.
         lease: LeaseId,
-        /// The token under which the front holds the lease now; `None` if it does not hold it. A process that released
-        /// the lease, or restarted under the same name, must not find itself renewed: its earlier release may still
-        /// arrive and end that grant.
+        /// The token under which the front holds the lease; `None` if it does not hold the lease. A process that has
+        /// released the lease or was restarted must not renew the old grant, since a delayed release may still end it.
         renews: Option<FencingToken>,
     },
-    /// A front releases a lease. It does nothing more under that token.
+    /// Releases a lease. The front starts no more operations with that token.
     Release {
         /// The releasing front.
         front: FrontId,
         /// The released lease.
         lease: LeaseId,
-        /// The token under which it was held.
+        /// The token of the grant to release.
         token: FencingToken,
     },
-    /// By the leader's clock, a lease duration has passed since the grant or its last renewal.
+    /// Ends a grant, because a lease duration has passed since its last renewal by the leader's clock.
     Expire {
         /// The expired lease.
         lease: LeaseId,
-        /// The token under which it was held.
+        /// The token of the grant to end.
         token: FencingToken,
-        /// The number of renewals that the leader had seen.
+        /// The number of renewals observed by the leader. The command has no effect after a further renewal.
         renewals: u64,
     },
-    /// An operator reserves the next grant of a lease for one front.
+    /// Reserves the next grant of a lease for one front, by an operator's request.
     Transfer {
-        /// The lease.
+        /// The lease to reserve.
         lease: LeaseId,
-        /// The only front that may acquire it next.
+        /// The only front that may acquire the lease next.
         to: FrontId,
     },
-    /// An operator suspends a lease, so that nobody is granted it, or resumes it.
+    /// Suspends grants and renewals of a lease, or resumes them, by an operator's request.
     Suspend {
-        /// The lease.
+        /// The lease to suspend or resume.
         lease: LeaseId,
         /// `true` suspends, `false` resumes.
         suspended: bool,
     },
 }
 
-/// Why a lease was not granted.
+/// The reason why a lease was not granted or renewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// Another front, or another grant of the same front, holds it.
+    /// The lease is held by this front, which may be the requesting one under another grant.
     HeldBy(FrontId),
-    /// An operator reserved it for another front.
+    /// The lease is reserved for this other front.
     ReservedFor(FrontId),
-    /// An operator suspended it.
+    /// The lease is suspended.
     Suspended,
-    /// A later request of the same front was applied before.
+    /// The same or a later request of the front was applied before.
     StaleRequest,
-    /// There is no such lease, or the table cannot remember another front.
+    /// The lease does not exist, or the table has reached [`MAX_FRONTS`].
     Unknown,
 }
 
-/// The result of a command.
+/// The outcome of a command, which is sent to all fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// A lease was granted or renewed.
     Granted {
-        /// The new holder.
+        /// The holder.
         front: FrontId,
-        /// The request that was granted.
+        /// The sequence number of the granted request.
         sequence: u64,
-        /// The lease.
+        /// The granted lease.
         lease: LeaseId,
-        /// The token of the grant.
+        /// The fencing token of the grant.
         token: FencingToken,
-        /// The number of renewals of this grant.
+        /// The number of renewals of the grant.
         renewals: u64,
     },
-    /// A lease was not granted.
+    /// A lease was not granted or renewed.
     Denied {
-        /// The front that asked for it.
+        /// The requesting front.
         front: FrontId,
-        /// The request that was denied.
+        /// The sequence number of the denied request.
         sequence: u64,
-        /// The lease.
+        /// The requested lease.
         lease: LeaseId,
-        /// The reason.
+        /// The reason of the denial.
         reason: Denial,
     },
-    /// A lease has no holder any more.
+    /// A lease was released or has expired, and is free.
     Freed(LeaseId),
 }
 
 /// The current grant of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The holder.
+    /// The front that holds the lease.
     pub holder: FrontId,
-    /// The token under which it holds the lease.
+    /// The fencing token of the grant.
     pub token: FencingToken,
-    /// How often the grant was renewed.
+    /// The number of renewals since the grant.
     pub renewals: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct LeaseState {
-    /// The newest token that was issued; it never decreases.
+    /// The newest issued token, which never decreases.
     last_token: FencingToken,
     holder: Option<FrontId>,
     renewals: u64,
-    /// The only front that an operator allows to acquire the lease next.
+    /// The only front that may acquire the lease next, set by an operator.
     reserved_for: Option<FrontId>,
     suspended: bool,
 }
 
 impl LeaseState {
-    /// What an operator's command says against a grant to this front.
+    /// Returns the denial if the lease is reserved for another front.
     fn operator_denial(&self, front: FrontId) -> Option<Denial> {
         match self.reserved_for {
             Some(reserved) if reserved != front => Some(Denial::ReservedFor(reserved)),
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Grants the lease anew, or renews it.
+    /// Renews the front's current grant, or grants the lease if it is free.
     fn acquire(&mut self, front: FrontId, renews: Option<FencingToken>) -> Result<(), Denial> {
         match self.holder {
             Some(holder) if holder == front && renews == Some(self.last_token) => self.renew(front),
@@ -142,7 +141,8 @@
         }
     }
 
-    /// Operators' commands take effect between two lease durations: the holder is simply not renewed.
+    /// Renews the grant, unless the lease is reserved for another front or suspended. Operators' commands do not end a
+    /// grant; they only prevent its renewal.
     fn renew(&mut self, front: FrontId) -> Result<(), Denial> {
         if let Some(denial) = self.operator_denial(front) {
             return Err(denial);
@@ -173,12 +173,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseTable {
     leases: Vec<LeaseState>,
-    /// The sequence number of the last request of each front.
+    /// The sequence number of the last applied request of each front.
     last_sequences: BTreeMap<FrontId, u64>,
 }
 
 impl LeaseTable {
-    /// A table of `count` free leases, limited to [`MAX_LEASES`].
+    /// Creates a table of `count` free leases, but no more than [`MAX_LEASES`].
     pub fn new(count: usize) -> Self {
         LeaseTable {
             leases: vec![LeaseState::default(); count.min(MAX_LEASES)],
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The current grant of a lease; `None` if it is free or does not exist.
+    /// Returns the current grant of a lease; `None` if the lease is free or does not exist.
     pub fn grant_of(&self, lease: LeaseId) -> Option<Grant> {
         let state = self.leases.get(usize::from(lease))?;
         let holder = state.holder?;
@@ -197,22 +197,22 @@
         })
     }
 
-    /// The number of leases.
+    /// Returns the number of leases, which never changes.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether there are no leases at all.
+    /// Whether the table has no leases.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// The sequence number of the last request of a front that was applied; 0 if there was none.
+    /// Returns the sequence number of the last applied request of a front; 0 if there was none.
     pub fn last_sequence(&self, front: FrontId) -> u64 {
         self.last_sequences.get(&front).copied().unwrap_or(0)
     }
 
-    /// Applies the next command of the log. Returns its outcome, if it has one that others need to know.
+    /// Applies the next command of the log. Returns the outcome to send to the fronts, if any.
     pub fn apply(&mut self, command: Command) -> Option<Outcome> {
         match command {
             Command::Acquire {
@@ -228,7 +228,7 @@
             } => self.free_if(lease, |state| {
                 state.holder == Some(front) && state.last_token == token
             }),
-            // Protects a holder whose renewal came between the leader's check and this command.
+            // The grant may have been renewed between the leader's check and this command.
             Command::Expire {
                 lease,
                 token,
--- a/leases/src/state_machine/tests.rs
+++ b/leases/src/state_machine/tests.rs
@@ -42,9 +42,9 @@
         table.apply(renew(7, 2, Some(1))),
         denied(7, 2, Denial::StaleRequest)
     );
-    // A front that released the lease or restarted is not renewed: its old release may still be under way.
+    // A front that has released the lease or was restarted cannot renew it, since a release may be in flight.
     assert_eq!(table.apply(acquire(7, 3)), denied(7, 3, Denial::HeldBy(7)));
-    // A leader that checked before the last renewal does not end the grant.
+    // An expiry proposed before the last renewal has no effect.
     assert_eq!(
         table.apply(Command::Expire {
             lease: 0,
@@ -62,7 +62,7 @@
         Some(Outcome::Freed(0))
     );
     assert_eq!(table.apply(acquire(8, 2)), granted(8, 2, 2, 0));
-    // A delayed release of an earlier holder.
+    // A delayed release of an earlier grant has no effect.
     assert_eq!(
         table.apply(Command::Release {
             front: 7,
--- a/leases/tests/simulation.rs
+++ b/leases/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets: a log whose leader changes, clocks that drift, messages that are lost, duplicated and delayed, fronts
-//! that are stopped and killed. The verdict rests on the operations that the resource admitted.
+//! Simulates a fleet with leader changes, clock drift, lost, duplicated and delayed messages, and suspended and killed
+//! fronts. Guards against concurrent operations under a lease, decreasing tokens, and leases that stay without a holder.
 use cranesill_leases::{
     Action, Command, FencingCheck, FencingToken, LeaseHolder, LeaseId, LeaseManager, LeaseTable,
     Outcome, Timestamp,
@@ -13,11 +13,11 @@
 const FRONTS: u32 = 6;
 const LEASES: LeaseId = 4;
 const REPLICAS: usize = 3;
-/// Faults end at this point, and the run a while later.
+/// End of the random faults. The remaining time is for the recovery.
 const FAULTS_END: Timestamp = 40 * SECOND;
 const RUN_END: Timestamp = 60 * SECOND;
-/// After the faults each lease is held again within this time: the duration of a grant that nobody renews, one more
-/// that a new leader counts, and the waits of those who request it.
+/// Time after the faults within which each lease must be held again: the rest of an abandoned grant, another lease duration
+/// after a leader change, and the delay until the next request.
 const MAX_RECOVERY: Timestamp = 2 * LEASE_DURATION + LEASE_DURATION;
 
 struct Rng(u64);
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy)]
 struct Clock {
     offset: Timestamp,
-    /// In ten-thousandths.
+    /// Relative drift, in ten-thousandths.
     drift: i64,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// A front that is cut off from the log, though not from the resource.
+/// A network partition between a front and the log. The resource stays reachable.
 #[derive(Clone, Copy, Default)]
 struct Partition {
     until: Timestamp,
@@ -69,7 +69,7 @@
     loses_outcomes: bool,
 }
 
-/// Messages in order of their arrival; the number keeps those of one moment apart.
+/// Messages in order of their arrival time, with a unique number for messages that arrive at the same time.
 type Queue<T> = BTreeMap<(Timestamp, u64), T>;
 
 fn pop_arrived<T>(queue: &mut Queue<T>, now: Timestamp) -> Option<T> {
@@ -87,7 +87,7 @@
     stopped_until: Option<Timestamp>,
     partition: Partition,
     inbox: Queue<Outcome>,
-    /// The first sequence number of this incarnation.
+    /// The initial sequence number of the current incarnation.
     sequence: u64,
 }
 
@@ -99,11 +99,11 @@
     token: FencingToken,
     started_at: Timestamp,
     ended_at: Timestamp,
-    /// The front was stopped between the authorization and the operation.
+    /// Whether the front was suspended between the authorization and the operation.
     delayed: bool,
 }
 
-/// An operation that reaches the resource later.
+/// An operation of a suspended front, which reaches the resource when the front resumes.
 struct DelayedOperation {
     resumes_at: Timestamp,
     operation: Operation,
@@ -114,7 +114,7 @@
     clock: Clock,
 }
 
-/// What a run has produced.
+/// The results of a run.
 #[derive(Default)]
 struct Observations {
     operations: Vec<Operation>,
@@ -130,9 +130,9 @@
     managers: Vec<SimulatedManager>,
     table: LeaseTable,
     checks: Vec<FencingCheck>,
-    /// Proposals on their way to the leader.
+    /// Proposals in flight to the leader.
     proposals: Queue<Command>,
-    /// Commands that the leader has accepted and that are not committed yet.
+    /// Commands accepted by the leader and not committed yet.
     uncommitted: Queue<Command>,
     leader: Option<usize>,
     next_leader_change: Timestamp,
@@ -141,7 +141,7 @@
     observations: Observations,
 }
 
-/// Each front prefers another lease and starts with it.
+/// Returns the leases that a front competes for, starting with its preferred one.
 fn wanted(front: u32, now: Timestamp) -> Vec<(LeaseId, Timestamp)> {
     let rank = |lease: LeaseId| u64::from((front + u32::from(lease)) % FRONTS);
     (0..LEASES)
@@ -150,7 +150,7 @@
 }
 
 impl Simulation {
-    /// `max_drift` is how far each clock may be off, in ten-thousandths.
+    /// Creates a fleet whose clocks drift by at most `max_drift` ten-thousandths.
     fn new(seed: u64, max_drift: u64) -> Self {
         let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
         let front = |number| {
@@ -214,7 +214,7 @@
         self.last_message
     }
 
-    /// A leader is lost, or after a while without one another is elected.
+    /// Removes the leader at random times, and elects another one after a delay.
     fn change_leader(&mut self) {
         if self.now >= self.next_leader_change || !self.faulty() && self.leader.is_none() {
             match self.leader.take() {
@@ -230,7 +230,7 @@
     fn lose_leader(&mut self, leader: usize) {
         self.managers[leader].manager.set_leader(false);
         self.next_leader_change = self.now + self.rng.below(2 * SECOND);
-        // What was not committed is lost with its leader.
+        // Uncommitted commands are lost with their leader.
         self.uncommitted.clear();
     }
 
@@ -244,7 +244,7 @@
         };
     }
 
-    /// Proposals that arrive without a leader are lost.
+    /// Moves arrived proposals to the leader's log. They are lost if there is no leader.
     fn accept_proposals(&mut self) {
         while let Some(command) = pop_arrived(&mut self.proposals, self.now) {
             if self.leader.is_none() {
@@ -347,7 +347,7 @@
         }
     }
 
-    /// A killed front holds nothing when it starts again, and continues its sequence numbers.
+    /// Restarts a killed front, which holds no lease and uses higher sequence numbers than before.
     fn restart(&mut self, front: usize, local_now: Timestamp) {
         let state = &mut self.fronts[front];
         state.sequence += 1_000_000;
@@ -375,7 +375,7 @@
         actions
     }
 
-    /// A proposal may be lost, duplicated or delayed for long.
+    /// Sends a proposal, which may be lost, duplicated or delayed.
     fn propose(&mut self, front: usize, command: Command) {
         let partition = self.fronts[front].partition;
         if self.faulty() && self.now < partition.until && partition.loses_proposals {
@@ -397,7 +397,7 @@
         }
     }
 
-    /// Starts an operation under a lease, if it is authorized. Some fronts are stopped just before it.
+    /// Starts an operation under a lease if it is authorized. Some fronts are suspended after the authorization.
     fn operate(&mut self, front: usize, local_now: Timestamp, lease: LeaseId) {
         let duration = 10 * MS + self.rng.below(400 * MS);
         let state = &mut self.fronts[front];
@@ -434,7 +434,7 @@
             self.observations.operations.push(operation);
         } else {
             panic!(
-                "seed {}: an operation in time was rejected: {operation:?}",
+                "seed {}: an operation within its lease was rejected: {operation:?}",
                 self.seed
             );
         }
@@ -456,7 +456,7 @@
     }
 }
 
-/// Breaches of the guarantees in a run.
+/// Checks the invariants of all leases after a run.
 fn check(seed: u64, observations: &Observations) -> Result<(), String> {
     for lease in 0..LEASES {
         let of_lease = observations
@@ -484,7 +484,7 @@
     Ok(())
 }
 
-/// Operations that started when they were authorized never overlap with those of another front.
+/// Checks that operations that were not delayed never overlap with those of another front.
 fn check_overlaps(seed: u64, operations: &[&Operation]) -> Result<(), String> {
     let in_time: Vec<_> = operations
         .iter()
@@ -492,7 +492,9 @@
         .collect();
     for pair in in_time.windows(2) {
         if pair[0].front != pair[1].front && pair[1].started_at < pair[0].ended_at {
-            return Err(format!("seed {seed}: two fronts act at once: {pair:?}"));
+            return Err(format!(
+                "seed {seed}: concurrent operations of two fronts: {pair:?}"
+            ));
         }
     }
     Ok(())
@@ -507,7 +509,9 @@
         .iter()
         .any(|operation| operation.started_at > RUN_END - SECOND);
     if !recovered || !held_at_end {
-        return Err(format!("seed {seed}: lease {lease} is not held again"));
+        return Err(format!(
+            "seed {seed}: lease {lease} is not held after the faults"
+        ));
     }
     Ok(())
 }
@@ -516,14 +520,16 @@
 fn at_most_one_front_acts_under_a_lease_and_every_lease_recovers_from_faults() {
     let (mut handovers, mut rejected, mut operations) = (0, 0, 0);
     for seed in 0..200 {
-        // Any two clocks drift apart by less than ten in a thousand.
+        // Two clocks drift apart by at most 98 ten-thousandths, which is within the bound.
         let observations = Simulation::new(seed, 49).run();
         check(seed, &observations).unwrap();
         handovers += observations.handovers;
         rejected += observations.rejected;
         operations += observations.operations.len();
     }
-    println!("{handovers} hand-overs, {operations} operations, {rejected} rejected by their token");
+    println!(
+        "{handovers} handovers, {operations} operations, {rejected} rejected by the fencing check"
+    );
     assert!(
         handovers > 2_000 && rejected > 20 && operations > 100_000,
         "{handovers} {rejected} {operations}"
@@ -532,7 +538,7 @@
 
 #[test]
 fn clock_drift_beyond_the_bound_is_detected_as_a_violation() {
-    // Ten times the bound: the guarantee for clocks within it does not hold for these, and the checker sees it.
+    // With drift far beyond the bound, mutual exclusion fails, and the checks must detect it.
     let broken = (0..60).filter(|seed| {
         let run = std::panic::catch_unwind(|| Simulation::new(*seed, 900).run());
         run.map_or(true, |observations| check(*seed, &observations).is_err())
