--- a/quorum/src/error.rs
+++ b/quorum/src/error.rs
@@ -1,47 +1,47 @@
-//! Errors of a voter.
+//! Errors of the replicated log.
 use crate::MAX_MESSAGE_BYTES;
 use thiserror::Error;
 
-/// A voter could not be created.
+/// The error for a voter that could not be created.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// The stored log or the configuration was rejected.
-    #[error("raft: {0}")]
+    /// Raft rejected the stored log or the configuration.
+    #[error("voter could not be created: {0}")]
     Raft(#[from] raft::Error),
 }
 
-/// A message was rejected: nobody who follows the protocol sends it.
+/// The error for a rejected message, which violates the protocol.
 #[derive(Debug, Error)]
 pub enum ReceiveError {
-    /// It is longer than any message may be.
-    #[error("a message of {length} bytes, {MAX_MESSAGE_BYTES} at most")]
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("message of {length} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLong {
-        /// Its length in bytes.
+        /// The length of the message, in bytes.
         length: usize,
     },
-    /// It could not be decoded.
-    #[error("a message that cannot be decoded: {0}")]
+    /// The message could not be decoded.
+    #[error("message cannot be decoded: {0}")]
     Malformed(#[from] protobuf::ProtobufError),
-    /// It does not fit the state of this voter.
-    #[error("raft: {0}")]
+    /// The message is invalid in the current state of the voter.
+    #[error("message was rejected: {0}")]
     Raft(#[from] raft::Error),
 }
 
-/// A command was not accepted for the log.
+/// The error for a command that was not proposed.
 #[derive(Debug, Error)]
 pub enum ProposeError {
-    /// It is empty or longer than a command may be.
-    #[error("a command of {length} bytes, 1 to {max_length} allowed")]
+    /// The command is empty or too long.
+    #[error("command of {length} bytes is outside the allowed range of 1 to {max_length} bytes")]
     Length {
-        /// Its length in bytes.
+        /// The length of the command, in bytes.
         length: usize,
-        /// The longest command, in bytes.
+        /// The maximum length of a command, in bytes.
         max_length: usize,
     },
-    /// This voter is not the leader of the log.
+    /// This voter is not the leader.
     #[error("this voter is not the leader")]
     NotLeader,
-    /// The log rejected it.
-    #[error("raft: {0}")]
+    /// Raft rejected the proposal.
+    #[error("proposal was rejected: {0}")]
     Raft(#[from] raft::Error),
 }
--- a/quorum/src/lib.rs
+++ b/quorum/src/lib.rs
@@ -1,5 +1,5 @@
-//! A replicated log of a few fronts, by Raft (the crate `raft`), without I/O or a clock: the caller passes ticks and
-//! messages in, and writes and sends what comes out in the order that [`Step`] gives.
+//! A log replicated between a few fronts with Raft (the crate `raft`). The crate performs no I/O and reads no clock: the
+//! caller passes in ticks and messages, and executes each [`Step`] in the documented order.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/quorum/src/node.rs
+++ b/quorum/src/node.rs
@@ -1,4 +1,4 @@
-//! One voter of the replicated log.
+//! A voter of the replicated log.
 use crate::error::{NodeError, ProposeError, ReceiveError};
 use crate::storage::{encode_entry, encode_state, StoredLog};
 use protobuf::Message as _;
@@ -6,21 +6,21 @@
 use raft::storage::MemStorage;
 use raft::{Config, RawNode, Ready, StateRole};
 
-/// Longest message, in bytes.
+/// Maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Longest command, in bytes.
+/// Maximum length of a command, in bytes.
 const MAX_COMMAND_BYTES: usize = 1 << 12;
-/// Ticks between two heartbeats.
+/// Interval between two heartbeats of the leader, in ticks.
 const HEARTBEAT_INTERVAL_TICKS: usize = 3;
-/// Shortest election timeout, in ticks: for this long a voter waits for a leader before it asks for votes.
+/// Minimum election timeout, in ticks: the time without a leader after which a voter starts an election.
 pub const MIN_ELECTION_TIMEOUT_TICKS: usize = 12;
-/// Append messages under way to one voter.
+/// Maximum number of append messages in flight to one voter.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
 
 /// A message to another voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// The recipient.
+    /// The identifier of the recipient.
     pub to: u64,
     /// The encoded message.
     pub bytes: Vec<u8>,
@@ -39,27 +39,26 @@
     }
 }
 
-/// What is to be done, in this order: [`Step::send`] may be sent immediately; [`Step::write`] is appended to the file and
-/// synced. Only then is [`Node::persisted`] called, which returns the messages that depend on durability: votes, and
-/// answers to a leader.
+/// Work for the caller. [`Step::send`] may be sent immediately. [`Step::write`] must be appended to the file and synced
+/// before the call of [`Node::persisted`], which returns the messages that depend on its durability: votes, and responses
+/// to a leader.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Step {
-    /// Messages that do not depend on anything that is not durable yet.
+    /// Messages that do not depend on the durability of [`Step::write`].
     pub send: Vec<OutgoingMessage>,
-    /// Records to append and sync.
+    /// Encoded records to append to the file.
     pub write: Vec<u8>,
-    /// Commands that are committed, in order. All voters see the same.
+    /// Newly committed commands, in the same order on all voters.
     pub committed: Vec<Vec<u8>>,
 }
 
-/// A step whose records are not durable yet.
+/// A step whose records are not durable yet, with the messages that depend on them.
 struct PendingWrite {
     ready_number: u64,
-    /// Messages to send once they are.
     messages: Vec<Message>,
 }
 
-/// A voter.
+/// A voter of the replicated log.
 pub struct Node {
     raw: RawNode<MemStorage>,
     pending_write: Option<PendingWrite>,
@@ -106,9 +105,9 @@
 }
 
 impl Node {
-    /// Starts a voter from its stored log. `election_timeout` is in ticks, from [`MIN_ELECTION_TIMEOUT_TICKS`] up to twice that, and
-    /// must differ between voters, which would otherwise all ask for votes at the same time. All committed commands are
-    /// delivered again.
+    /// Starts a voter from its stored log. Its [`Step`]s return all committed commands again. `election_timeout` is in
+    /// ticks, from [`MIN_ELECTION_TIMEOUT_TICKS`] up to twice that, and must differ between voters to avoid simultaneous
+    /// elections.
     pub fn new(
         id: u64,
         voters: &[u64],
@@ -127,12 +126,12 @@
         })
     }
 
-    /// A tick has passed.
+    /// Advances the logical clock by one tick.
     pub fn tick(&mut self) {
         self.raw.tick();
     }
 
-    /// Takes in a message of another voter.
+    /// Processes a message from another voter.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), ReceiveError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(ReceiveError::TooLong {
@@ -149,12 +148,12 @@
         self.raw.raft.state == StateRole::Leader
     }
 
-    /// The leader as far as this voter knows; `None` if there is none.
+    /// Returns the leader known to this voter; `None` if there is none.
     pub fn leader(&self) -> Option<u64> {
         Some(self.raw.raft.leader_id).filter(|leader| *leader != raft::INVALID_ID)
     }
 
-    /// Proposes a command. It may be lost with the leader: it is committed once a [`Step`] returns it.
+    /// Proposes a command. It is committed when a [`Step`] returns it, and may be lost before if the leader changes.
     pub fn propose(&mut self, command: &[u8]) -> Result<(), ProposeError> {
         let length = command.len();
         if !(1..=MAX_COMMAND_BYTES).contains(&length) {
@@ -170,7 +169,8 @@
         Ok(())
     }
 
-    /// What is to be done next. `None` if there is nothing, or the last step is not durable yet.
+    /// Returns the next work for the caller; `None` if there is none, or if [`Node::persisted`] was not called yet for the
+    /// last step.
     pub fn step(&mut self) -> Option<Step> {
         if self.pending_write.is_some() || !self.raw.has_ready() {
             return None;
@@ -183,7 +183,7 @@
             ready_number: ready.number(),
             messages: ready.take_persisted_messages(),
         };
-        // Messages that arrive while the disk is busy extend the log behind the records that are being written.
+        // The voter continues to process messages while the records are written.
         self.raw.advance_append_async(ready);
         self.raw.advance_apply();
         self.pending_write = Some(pending_write);
@@ -194,13 +194,13 @@
         })
     }
 
-    /// Appends new entries to the log in memory, and returns the records for the file.
+    /// Appends new entries to the in-memory log, and returns the records for the file.
     fn store(&mut self, ready: &mut Ready) -> Option<Vec<u8>> {
         let entries = ready.take_entries();
         let mut records: Vec<u8> = entries.iter().flat_map(encode_entry).collect();
         let storage = self.raw.store().clone();
         let mut core = storage.wl();
-        // Raft guarantees that its own entries follow each other.
+        // Raft guarantees that the entries are contiguous, so the append cannot fail.
         core.append(&entries).ok()?;
         if let Some(state) = ready.hs() {
             records.extend(encode_state(state));
@@ -209,8 +209,8 @@
         Some(records)
     }
 
-    /// The records of the last step are durable. Returns the messages that depend on them; commands that are committed by
-    /// them come with the next step.
+    /// Records that the last step is durable, and returns the messages that depend on it. The next step contains the
+    /// commands committed as a result.
     pub fn persisted(&mut self) -> Vec<OutgoingMessage> {
         let Some(pending) = self.pending_write.take() else {
             return Vec::new();
--- a/quorum/src/storage.rs
+++ b/quorum/src/storage.rs
@@ -1,15 +1,17 @@
-//! The file format of the log: records `length:4 crc:4 kind:1 payload` with little-endian numbers, where the length counts
-//! kind and payload. The first record identifies the owner of the file. Records are only appended; an entry whose index
-//! exists already replaces it and all entries behind it.
+//! File format of the log: records `length:4 crc:4 kind:1 payload` with little-endian numbers, where the length covers kind
+//! and payload, and the CRC-32 covers the same bytes. The first record identifies the owner of the file. Records are only
+//! appended; an entry replaces any entries with the same or a higher index.
 //!
-//! A voter that lost its file must not return under its old identity: it has made promises that it no longer knows. A
-//! file is therefore created once, with the voter ([`encode_owner`]), and an empty or foreign file is rejected.
+//! A voter that lost its file must not rejoin under its old identity, because it does not know its earlier votes. A file
+//! is therefore created only once, together with the voter ([`encode_owner`]), and an empty file or a file of another
+//! owner is rejected.
 use protobuf::Message;
 use raft::eraftpb::{Entry, HardState};
 use thiserror::Error;
 
-/// Longest record, in bytes; checked before anything is allocated by it.
+/// Maximum length of kind and payload of a record, in bytes.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
+/// Length of the fields before the kind, in bytes: record length and checksum.
 const RECORD_HEADER_BYTES: usize = 8;
 const KIND_ENTRY: u8 = 1;
 const KIND_STATE: u8 = 2;
@@ -18,72 +20,72 @@
 /// The voter that a file belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Owner {
-    /// The cluster, by a random number that was drawn when it was created, so that two clusters never merge.
+    /// A random identifier drawn at the creation of the cluster, which keeps clusters apart.
     pub cluster: u64,
-    /// The voter in it.
+    /// The identifier of the voter within the cluster.
     pub voter: u64,
 }
 
-/// The contents of a file.
+/// The decoded contents of a file.
 #[derive(Debug, Default)]
 pub struct StoredLog {
-    /// The entries, in order and without a gap.
+    /// The log entries with contiguous indexes.
     pub entries: Vec<Entry>,
-    /// The last term, vote and commit index.
+    /// The last stored term, vote and commit index.
     pub state: HardState,
-    /// Bytes up to the end of the last complete record. Anything behind was torn while it was written, and is to be
-    /// truncated before the next append.
+    /// Length of the complete records, in bytes. The file must be truncated to it before the next append, which removes an
+    /// incomplete last record.
     pub complete_bytes: usize,
 }
 
-/// Why a file cannot be used. What it promised is not known, so its owner must not vote.
+/// The error for a file that cannot be used. Its voter must not vote, because its earlier votes are unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("byte {offset}: {reason}")]
+#[error("invalid record at byte {offset}: {reason}")]
 pub struct StorageError {
-    /// Offset of the bad record in the file, in bytes.
+    /// Offset of the invalid record in the file, in bytes.
     pub offset: usize,
-    /// What is wrong with it.
+    /// The reason why the record is invalid.
     pub reason: Corruption,
 }
 
-/// What is wrong with a record.
+/// The reason why a record is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Corruption {
-    /// Its length is zero or larger than [`MAX_RECORD_BYTES`].
-    #[error("a length that is never written")]
+    /// The length is 0 or greater than [`MAX_RECORD_BYTES`].
+    #[error("the record length is not in the range from 1 to {MAX_RECORD_BYTES} bytes")]
     Length,
-    /// Its checksum does not match, and it is not the last record.
-    #[error("a checksum is wrong")]
+    /// The checksum of a record other than the last one does not match.
+    #[error("the checksum does not match")]
     Checksum,
     /// The owner record cannot be decoded.
-    #[error("the owner cannot be decoded")]
+    #[error("the owner record cannot be decoded")]
     Owner,
     /// The file belongs to another cluster.
-    #[error("it is of another cluster")]
+    #[error("the file belongs to another cluster")]
     OtherCluster,
     /// The file belongs to another voter of this cluster.
-    #[error("it is of another voter")]
+    #[error("the file belongs to another voter of this cluster")]
     OtherVoter,
-    /// The first record is not the owner.
-    #[error("it does not begin with its owner")]
+    /// The first record is not an owner record.
+    #[error("the file does not start with an owner record")]
     NoOwner,
-    /// The file is missing, empty, or torn before its first record is complete.
-    #[error("there is no file of this voter")]
+    /// The file is missing or empty, or its first record is incomplete.
+    #[error("the file is missing or empty, or its first record is incomplete")]
     NoFile,
     /// An entry cannot be decoded.
-    #[error("an entry cannot be decoded")]
+    #[error("the log entry cannot be decoded")]
     Entry,
-    /// An entry precedes the first entry of the file.
-    #[error("an entry before the first")]
+    /// The index of an entry is less than that of the first entry.
+    #[error("the index of the log entry is less than that of the first entry")]
     EntryBeforeFirst,
-    /// An entry is missing before this one.
-    #[error("a gap between entries")]
+    /// The index of an entry leaves a gap after the previous entry.
+    #[error("log entries are missing before this one")]
     Gap,
     /// Term, vote and commit index cannot be decoded.
-    #[error("the state cannot be decoded")]
+    #[error("term, vote and commit index cannot be decoded")]
     State,
-    /// The record's kind is not known.
-    #[error("a record of an unknown kind")]
+    /// The kind of the record is unknown, or it is a second owner record.
+    #[error("the record has an unknown kind")]
     Kind,
 }
 
@@ -94,18 +96,18 @@
     [&length, &checksum, &body[..]].concat()
 }
 
-/// Encodes the first record of a new voter's file.
+/// Encodes the owner record, with which the file of a new voter starts.
 pub fn encode_owner(owner: Owner) -> Vec<u8> {
     let payload = [owner.cluster.to_le_bytes(), owner.voter.to_le_bytes()].concat();
     encode_record(KIND_OWNER, &payload)
 }
 
-/// Encodes a log entry.
+/// Encodes a log entry as a record.
 pub fn encode_entry(entry: &Entry) -> Vec<u8> {
     encode_record(KIND_ENTRY, &entry.write_to_bytes().unwrap_or_default())
 }
 
-/// Encodes term, vote and commit index.
+/// Encodes term, vote and commit index as a record.
 pub fn encode_state(state: &HardState) -> Vec<u8> {
     encode_record(KIND_STATE, &state.write_to_bytes().unwrap_or_default())
 }
@@ -120,11 +122,11 @@
 struct Record<'a> {
     kind: u8,
     payload: &'a [u8],
-    /// Its length in the file, in bytes.
+    /// Length of the encoded record, in bytes.
     length: usize,
 }
 
-/// Splits the first record off; `None` if it is torn.
+/// Splits off the first record. Returns `None` if it is incomplete.
 fn split_record(bytes: &[u8]) -> Result<Option<Record<'_>>, Corruption> {
     let Some(header) = bytes.first_chunk::<RECORD_HEADER_BYTES>() else {
         return Ok(None);
@@ -140,7 +142,7 @@
         return Ok(None);
     };
     if crc32fast::hash(body) != checksum {
-        // The last record may be torn in its middle: a file can have its length before its bytes.
+        // After a crash, the file may have its final length before the contents of the last record are on disk.
         let is_last_record = bytes.len() == length;
         return if is_last_record {
             Ok(None)
@@ -155,8 +157,8 @@
     }))
 }
 
-/// Decodes the file of this voter. An incomplete last record was torn by a crash and is left out; any other record that
-/// cannot be decoded is an error, and so is a file without an owner or with another one.
+/// Decodes the file of a voter, and checks its owner. An incomplete last record, as left behind by a crash, is ignored; any
+/// other invalid record is an error.
 pub fn read(bytes: &[u8], expected_owner: Owner) -> Result<StoredLog, StorageError> {
     let mut log = StoredLog::default();
     loop {
--- a/quorum/src/storage/tests.rs
+++ b/quorum/src/storage/tests.rs
@@ -77,14 +77,14 @@
     let log = read(&bytes, OWNER).unwrap();
     let terms: Vec<_> = log.entries.iter().map(|e| (e.index, e.term)).collect();
     assert_eq!((terms, log.state), (vec![(1, 1), (2, 3), (3, 3)], state));
-    // A flipped byte is damage; in the last record it may be a torn end.
+    // A flipped bit must be detected. In the last record, it may be taken for an incomplete write.
     for at in 0..bytes.len() {
         let mut corrupted = bytes.clone();
         corrupted[at] ^= 0x40;
         match read(&corrupted, OWNER) {
             Ok(log) => assert!(
                 log.complete_bytes < bytes.len(),
-                "a flipped byte at {at} was not noticed"
+                "a flipped bit at byte {at} was not detected"
             ),
             Err(error) => assert!(error.offset <= at),
         }
--- a/quorum/tests/cluster.rs
+++ b/quorum/tests/cluster.rs
@@ -1,11 +1,12 @@
-//! Whole clusters from one seed: messages late, lost, doubled and held up; voters cut off in one or both directions, stopped and
-//! killed; disks that sync late and tear what was not synced. A voter that comes back has what its disk has.
+//! Simulates clusters with random faults from a seed: delayed, lost and duplicated messages, network partitions, suspended and
+//! killed voters, slow syncs, torn writes and lost disks. Guards against diverging logs and the loss of acknowledged commands.
 use cranesill_quorum::storage::{self, Owner};
 use cranesill_quorum::{Node, OutgoingMessage, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A tick is 10 ms.
+/// Tick after which no faults are injected.
 const FAULTS_END_TICK: u64 = 1_500;
+/// Tick at which a run ends.
 const END_TICK: u64 = 2_200;
 
 struct Rng(u64);
@@ -25,14 +26,15 @@
 
 struct Voter {
     node: Option<Node>,
-    /// What is synced, and what is written and is not: since when it will be.
+    /// The synced contents of the file.
     disk: Vec<u8>,
+    /// Appended bytes that are not synced, and the tick at which their sync completes.
     unsynced: Option<(Vec<u8>, u64)>,
-    /// Commands that came out since its start: all that was agreed on, from the first.
+    /// Commands committed since the start of the voter, which delivers all of them from the first one.
     applied: Vec<u64>,
     down_until: u64,
     paused_until: u64,
-    /// Until when it is cut off, and whether from hearing and from being heard.
+    /// Tick at which the network partition ends, and whether it affects sent and received messages.
     partition: (u64, bool, bool),
 }
 
@@ -44,13 +46,13 @@
     lost_disks: usize,
 }
 
-/// What breaks the order that [`Step`] gives, to show that the checks see it.
+/// Whether a run follows the order documented for [`Step`], or violates it to verify that the checks detect that.
 #[derive(Clone, Copy, PartialEq)]
 enum Order {
     Correct,
-    /// What rests on the disk is sent before it is there.
+    /// Messages that depend on the durability of records are sent before the sync.
     SendBeforeSync,
-    /// A voter that has lost its disk votes again as the one it was.
+    /// A voter that has lost its disk rejoins under its old identity.
     VoteAfterDiskLoss,
 }
 
@@ -86,7 +88,7 @@
         });
     }
     let mut network: BTreeMap<(u64, u64), (u64, Vec<u8>)> = BTreeMap::new();
-    // What was agreed on first, by position; commands that were told to whoever proposed them.
+    // The log as committed first on any voter, and the commands acknowledged to their proposers.
     let (mut log, mut acknowledged_commands): (Vec<u64>, BTreeSet<u64>) = Default::default();
     let mut proposed: BTreeMap<u64, u64> = BTreeMap::new();
     let mut lost_disks = 0;
@@ -97,7 +99,7 @@
         for n in 0..all_voters.len() {
             let id = ids[n];
             if faulty && rng.one_in(400) && all_voters[n].node.is_some() {
-                // Killed: what was not synced is torn at any byte.
+                // The voter is killed, and unsynced data is truncated at a random byte.
                 let voter = &mut all_voters[n];
                 voter.node = None;
                 if let Some((bytes, _)) = voter.unsynced.take() {
@@ -106,7 +108,7 @@
                 }
                 voter.down_until = now + rng.below(150);
                 statistics.kills += 1;
-                // Its disk is gone with it: fewer than half of them in all.
+                // The disk may be lost as well, but only those of a minority of the voters.
                 if (lost_disks + 1) * 2 < voters && rng.one_in(6) {
                     lost_disks += 1;
                     voter.disk = Vec::new();
@@ -123,7 +125,7 @@
                 if voter.disk.is_empty() && order == Order::VoteAfterDiskLoss {
                     voter.disk = storage::encode_owner(owner(id));
                 }
-                // One without its file stays away: the others go on without it.
+                // A voter without a valid file does not rejoin.
                 let Ok(complete_bytes) =
                     storage::read(&voter.disk, owner(id)).map(|log| log.complete_bytes)
                 else {
@@ -145,8 +147,8 @@
                 .find(|(_, (to, _))| *to == id)
                 .map(|(k, _)| *k)
             {
-                let (_, bytes) = network.remove(&key).expect("seen");
-                // An answer from before a restart is none of this node's.
+                let (_, bytes) = network.remove(&key).expect("the key was found above");
+                // A response to a message sent before a restart may be rejected.
                 let _ = node.receive(&bytes);
             }
             if node.is_leader() {
@@ -161,7 +163,7 @@
             let mut outgoing: Vec<OutgoingMessage> = Vec::new();
             let mut newly_committed = Vec::new();
             if voter.unsynced.as_ref().is_some_and(|u| now >= u.1) {
-                let (bytes, _) = voter.unsynced.take().expect("seen");
+                let (bytes, _) = voter.unsynced.take().expect("unsynced was checked above");
                 voter.disk.extend(bytes);
                 if order == Order::Correct {
                     outgoing.extend(node.persisted());
@@ -201,7 +203,7 @@
                 match log.get(position) {
                     Some(first) if *first != value => {
                         return Err(format!(
-                            "seed {seed}: voter {id} has {value} at {position}, agreed was {first}"
+                            "seed {seed}: voter {id} committed {value} at {position}, but another voter committed {first}"
                         ));
                     }
                     Some(_) => {}
@@ -238,7 +240,7 @@
         .collect();
     if !missing.is_empty() {
         return Err(format!(
-            "seed {seed}: {missing:?} were acknowledged and are not there"
+            "seed {seed}: acknowledged commands {missing:?} are not in the log"
         ));
     }
     for (id, voter) in ids
@@ -248,7 +250,7 @@
     {
         if voter.applied.len() + 40 < log.len() {
             return Err(format!(
-                "seed {seed}: voter {id} is at {} of {}",
+                "seed {seed}: voter {id} has only {} of {} commands",
                 voter.applied.len(),
                 log.len()
             ));
@@ -258,7 +260,7 @@
             .any(|value| !voter.applied.contains(value) && *value + 40 < command)
         {
             return Err(format!(
-                "seed {seed}: voter {id} has lost what was acknowledged"
+                "seed {seed}: voter {id} has lost an acknowledged command"
             ));
         }
     }
@@ -269,7 +271,7 @@
         .unwrap_or(0);
     if last_acknowledged + 60 < command || acknowledged_commands.len() < 50 {
         return Err(format!(
-            "seed {seed}: {} of {command} agreed on, the last {last_acknowledged}",
+            "seed {seed}: {} of {command} commands acknowledged, the last one is {last_acknowledged}",
             acknowledged_commands.len()
         ));
     }
@@ -296,7 +298,7 @@
         lost_disks += statistics.lost_disks;
     }
     println!(
-        "{acknowledged} acknowledged, {kills} kills, {leaders} leaders, {lost_disks} disks lost"
+        "{acknowledged} commands acknowledged, {kills} kills, {leaders} leaders, {lost_disks} lost disks"
     );
     assert!(lost_disks > 50, "{lost_disks}");
     assert!(
--- a/quorum/tests/stored_data.rs
+++ b/quorum/tests/stored_data.rs
@@ -1,8 +1,8 @@
-//! A log file written by an earlier version is read by this one.
+//! Guards against incompatible changes of the log file format.
 use cranesill_quorum::storage::{self, Owner};
 use raft::eraftpb::HardState;
 
-/// Written by version 0.1.0: the owner, two entries, a state, an entry that replaces the second one, and a third.
+/// A log file written by version 0.1.0: owner, two entries, state, an entry that replaces the second one, and a third one.
 const VERSION_0_1_0: &[u8] = include_bytes!("data/version-0.1.0.log");
 const OWNER: Owner = Owner {
     cluster: 77,
