--- a/limits/src/concurrency.rs
+++ b/limits/src/concurrency.rs
@@ -1,8 +1,8 @@
-//! Slots for connections that are not yet trusted.
+//! Slots that limit the number of concurrent connections in an early phase, such as the handshake.
 use crate::{ConnectionKey, Micros, Timestamp};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Numbers slots in the order in which they were taken, so that a key that is used again is told apart.
+/// The number of a slot in the order of acquisition. Distinguishes successive slots of a reused connection key.
 type SlotId = u64;
 
 #[derive(Clone, Copy, Debug)]
@@ -11,31 +11,31 @@
     id: SlotId,
 }
 
-/// The result of taking a slot.
+/// The result of acquiring a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Admission {
-    /// When the connection has to be done with its slot.
+    /// When the slot expires.
     pub deadline: Timestamp,
-    /// Connections that lost their slots to make room, and are to be closed.
+    /// Connections that lost their slots to this one, which the caller must close.
     pub displaced: Vec<ConnectionKey>,
 }
 
-/// A bounded number of slots, each held until an absolute deadline. When all are taken, a newcomer displaces the oldest:
-/// under a flood, connections that finish quickly get through, and idle ones make room first.
+/// A bounded number of connection slots, each with an absolute deadline. If all slots are in use, a new connection displaces
+/// the oldest one, so that idle connections cannot block others during a connection flood.
 #[derive(Debug)]
 pub struct Slots {
     capacity: usize,
-    /// How long a slot may be held.
+    /// Maximum time for which a slot may be held.
     timeout: Micros,
     slots: HashMap<ConnectionKey, Slot>,
     by_age: BTreeMap<SlotId, ConnectionKey>,
-    /// Connections with work to do, in the order in which they are served.
+    /// FIFO queue of connections with pending work.
     ready: VecDeque<(ConnectionKey, SlotId)>,
     last_slot_id: SlotId,
 }
 
 impl Slots {
-    /// `capacity` slots (at least one), each for `lease` microseconds.
+    /// Creates `capacity` slots, at least one, each of which expires after `timeout`.
     pub fn new(capacity: usize, timeout: Micros) -> Self {
         Slots {
             capacity: capacity.max(1),
@@ -47,24 +47,24 @@
         }
     }
 
-    /// Changes the limits. Deadlines that were given out stand; slots beyond a smaller capacity are displaced as new
-    /// connections arrive.
+    /// Changes the limits. Existing deadlines are unchanged, and a smaller capacity takes effect when the next slot is
+    /// acquired.
     pub fn set_limits(&mut self, capacity: usize, timeout: Micros) {
         self.capacity = capacity.max(1);
         self.timeout = timeout;
     }
 
-    /// The number of slots that are taken.
+    /// Returns the number of slots in use.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether no slot is taken.
+    /// Whether no slot is in use.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Takes a slot for a connection.
+    /// Acquires a slot for a connection, displacing the oldest ones if necessary.
     pub fn acquire(&mut self, now: Timestamp, key: ConnectionKey) -> Admission {
         let displaced = self.displace_oldest();
         self.last_slot_id += 1;
@@ -90,7 +90,7 @@
         displaced
     }
 
-    /// Gives a slot back. Returns whether it was still held.
+    /// Releases the slot of a connection. Returns whether the connection held one.
     pub fn release(&mut self, key: ConnectionKey) -> bool {
         let Some(slot) = self.slots.remove(&key) else {
             return false;
@@ -98,7 +98,7 @@
         self.by_age.remove(&slot.id).is_some()
     }
 
-    /// Notes that a connection has work to do. It is queued once, however often this is called.
+    /// Adds a connection with pending work to the ready queue, unless it is queued already or holds no slot.
     pub fn mark_ready(&mut self, key: ConnectionKey) {
         let Some(slot) = self.slots.get(&key) else {
             return;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes the next connection with work to do off the queue, in a fair order.
+    /// Removes and returns the first connection in the ready queue that still holds its slot.
     pub fn next_ready(&mut self) -> Option<ConnectionKey> {
         loop {
             let (key, id) = self.ready.pop_front()?;
@@ -119,14 +119,14 @@
         }
     }
 
-    /// Whether a connection is queued.
+    /// Whether the ready queue has entries, including those of released slots.
     pub fn has_ready(&self) -> bool {
         !self.ready.is_empty()
     }
 
-    /// Takes back the slots whose deadline has passed, and returns who held them.
+    /// Releases the slots whose deadline has passed, and returns their connections in the order of acquisition.
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<ConnectionKey> {
-        // In order of arrival. A changed lease may give a later slot an earlier deadline, so all are checked.
+        // All slots are checked, because a later slot may have an earlier deadline after a change of the timeout.
         let in_order = self.by_age.values().copied();
         let expired: Vec<_> = in_order
             .filter(|key| self.slots[key].deadline <= now)
@@ -137,7 +137,7 @@
         expired
     }
 
-    /// The earliest deadline of all slots.
+    /// Returns the earliest deadline of all slots; `None` if no slot is in use.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.slots.values().map(|slot| slot.deadline).min()
     }
--- a/limits/src/concurrency/tests.rs
+++ b/limits/src/concurrency/tests.rs
@@ -33,7 +33,7 @@
     assert_eq!(
         slots.next_ready(),
         Some(3),
-        "the first slot of key 1 is not the second"
+        "the queued entry of key 1 belongs to its released slot"
     );
     assert_eq!(slots.next_ready(), None);
 }
--- a/limits/src/cpu.rs
+++ b/limits/src/cpu.rs
@@ -1,27 +1,28 @@
-//! A share of one CPU core.
+//! A limit on CPU time, as a percentage of one core.
 use crate::{Micros, Timestamp};
 
-/// Longest idle time whose share is saved for a burst.
+/// Idle time for which unused CPU time is credited. Bounds the burst after an idle period.
 const BURST_WINDOW: Micros = 100_000;
-/// Longest time between two refills that is credited. Only guards the arithmetic: far more than [`BURST_WINDOW`].
+/// Upper bound of the credited interval between two refills. Prevents an overflow; far larger than [`BURST_WINDOW`].
 const MAX_REFILL_INTERVAL: Micros = 10 * 60 * 1_000_000;
-/// Longest single piece of work that is charged. Only guards the arithmetic.
+/// Upper bound of the charged duration of one unit of work. Prevents an overflow.
 const MAX_WORK_DURATION: Micros = 60_000_000;
-/// The balance counts hundredths of a microsecond, so that a percentage of a microsecond is a whole number.
+/// Balance units per microsecond. With 100 units, a percentage of a microsecond is an integer.
 const UNITS_PER_MICROSECOND: i64 = 100;
 
-/// CPU time that one kind of work may take: a share of the time that passes, with a little saved up while it is idle.
-/// Work is charged after it is done, so one piece may overdraw the balance; no other starts until that is paid back.
+/// A limit on the CPU time of one kind of work: a percentage of elapsed time, plus a short burst after an idle period.
+/// Work is charged after its completion and may overdraw the balance; no further work starts until the balance is positive
+/// again.
 #[derive(Clone, Copy, Debug)]
 pub struct CpuShare {
     percent: u32,
-    /// Hundredths of a microsecond that may be used; negative if overdrawn.
+    /// Available CPU time in hundredths of a microsecond; negative if overdrawn.
     balance: i64,
     refilled_at: Timestamp,
 }
 
 impl CpuShare {
-    /// A share of 1 to 100 percent of a core, with a full balance.
+    /// Creates a limit of `percent` of a core, clamped to the range from 1 to 100, with a full balance.
     pub fn new(now: Timestamp, percent: u32) -> Self {
         let percent = percent.clamp(1, 100);
         CpuShare {
@@ -35,7 +36,7 @@
         BURST_WINDOW as i64 * i64::from(percent)
     }
 
-    /// Changes the share. An overdrawn balance stays overdrawn.
+    /// Changes the percentage. A negative balance is kept.
     pub fn set_percent(&mut self, now: Timestamp, percent: u32) {
         self.refill(now);
         self.percent = percent.clamp(1, 100);
@@ -51,19 +52,19 @@
         self.balance = (self.balance + credit).min(Self::max_balance(self.percent));
     }
 
-    /// Whether a piece of work may start.
+    /// Whether a unit of work may start now.
     pub fn may_start(&mut self, now: Timestamp) -> bool {
         self.refill(now);
         self.balance > 0
     }
 
-    /// Charges a piece of work that took this long on the core.
+    /// Charges the CPU time of a completed unit of work.
     pub fn charge(&mut self, duration: Micros) {
         let cost = duration.min(MAX_WORK_DURATION) as i64 * UNITS_PER_MICROSECOND;
         self.balance = self.balance.saturating_sub(cost);
     }
 
-    /// The earliest timestamp at which work may start.
+    /// Returns the earliest time at which work may start.
     pub fn next_start(&self) -> Timestamp {
         if self.balance > 0 {
             return self.refilled_at;
--- a/limits/src/cpu/tests.rs
+++ b/limits/src/cpu/tests.rs
@@ -14,7 +14,10 @@
             used += cost;
             now += cost;
         } else {
-            assert!(share.next_start() > now, "the caller would spin");
+            assert!(
+                share.next_start() > now,
+                "the returned timestamp must be in the future"
+            );
             now = share.next_start();
             assert!(
                 share.may_start(now),
@@ -22,11 +25,11 @@
             );
         }
     }
-    // The burst, the share, and one piece that overdraws the balance.
+    // The bound is the burst, the share of 20 s, and one unit of work that overdraws the balance.
     assert!(used <= BURST_WINDOW / 4 + 20_000_000 / 4 + 3_050, "{used}");
     assert!(
         used >= 20_000_000 / 4 - 3_050,
-        "all of the share can be used: {used}"
+        "the share can be used completely: {used}"
     );
 }
 
@@ -39,7 +42,7 @@
     share.set_percent(3_600_000_000, 100);
     assert!(
         !share.may_start(3_600_000_000),
-        "a deficit survives a new share"
+        "a negative balance is kept when the percentage changes"
     );
     assert!(share.may_start(3_600_000_002));
 }
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -1,4 +1,5 @@
-//! Limits that subsystems share, without I/O or a clock: timestamps are passed in, decisions come out.
+//! Resource limits shared by several subsystems: connection slots and CPU time. The crate performs no I/O and reads no
+//! clock; the caller passes in timestamps.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -12,5 +13,5 @@
 pub type Timestamp = u64;
 /// A duration in microseconds.
 pub type Micros = u64;
-/// The key under which the caller knows a connection.
+/// The caller's key of a connection.
 pub type ConnectionKey = usize;
