--- a/leases/tests/simulation.rs
+++ b/leases/tests/simulation.rs
@@ -205,7 +205,7 @@
         self.observations
     }
 
-    fn faulty(&self) -> bool {
+    fn faults_active(&self) -> bool {
         self.now < FAULTS_END
     }
 
@@ -216,13 +216,13 @@
 
     /// Removes the leader at random times, and elects another one after a delay.
     fn change_leader(&mut self) {
-        if self.now >= self.next_leader_change || !self.faulty() && self.leader.is_none() {
+        if self.now >= self.next_leader_change || !self.faults_active() && self.leader.is_none() {
             match self.leader.take() {
                 Some(leader) => self.lose_leader(leader),
                 None => self.elect_leader(),
             }
         }
-        if !self.faulty() && self.leader.is_some() {
+        if !self.faults_active() && self.leader.is_some() {
             self.next_leader_change = Timestamp::MAX;
         }
     }
@@ -238,7 +238,7 @@
         let leader = self.rng.below(REPLICAS as u64) as usize;
         self.leader = Some(leader);
         self.managers[leader].manager.set_leader(true);
-        self.next_leader_change = match self.faulty() {
+        self.next_leader_change = match self.faults_active() {
             true => self.now + SECOND + self.rng.below(12 * SECOND),
             false => Timestamp::MAX,
         };
@@ -278,7 +278,7 @@
         for front in 0..self.fronts.len() {
             let partition = self.fronts[front].partition;
             let loses_message = self.now < partition.until && partition.loses_outcomes;
-            if self.faulty() && (self.rng.one_in(12) || loses_message) {
+            if self.faults_active() && (self.rng.one_in(12) || loses_message) {
                 continue;
             }
             let message = self.next_message();
@@ -304,7 +304,7 @@
         }
         self.start_partition(front);
         let local_now = self.fronts[front].clock.read(self.now);
-        if self.faulty() && self.rng.one_in(6_000) {
+        if self.faults_active() && self.rng.one_in(6_000) {
             self.restart(front, local_now);
         }
         let actions = self.poll_holder(front, local_now);
@@ -321,14 +321,14 @@
     }
 
     fn is_stopped(&mut self, front: usize) -> bool {
-        let faulty = self.faulty();
+        let faults_active = self.faults_active();
         let state = &mut self.fronts[front];
-        if faulty && state.stopped_until.is_none() && self.rng.one_in(2_500) {
+        if faults_active && state.stopped_until.is_none() && self.rng.one_in(2_500) {
             state.stopped_until = Some(self.now + self.rng.below(3 * LEASE_DURATION));
         }
         if state
             .stopped_until
-            .is_some_and(|until| self.now < until && faulty)
+            .is_some_and(|until| self.now < until && faults_active)
         {
             return true;
         }
@@ -338,7 +338,7 @@
 
     fn start_partition(&mut self, front: usize) {
         let reachable = self.now >= self.fronts[front].partition.until;
-        if self.faulty() && reachable && self.rng.one_in(1_500) {
+        if self.faults_active() && reachable && self.rng.one_in(1_500) {
             self.fronts[front].partition = Partition {
                 until: self.now + self.rng.below(3 * LEASE_DURATION),
                 loses_proposals: !self.rng.one_in(3),
@@ -361,14 +361,14 @@
     }
 
     fn poll_holder(&mut self, front: usize, local_now: Timestamp) -> Vec<Action> {
-        let faulty = self.faulty();
+        let faults_active = self.faults_active();
         let state = &mut self.fronts[front];
         let mut actions = Vec::new();
         while let Some(outcome) = pop_arrived(&mut state.inbox, self.now) {
             actions.extend(state.holder.apply(local_now, outcome));
         }
         actions.extend(state.holder.poll(local_now));
-        if faulty && self.rng.one_in(4_000) {
+        if faults_active && self.rng.one_in(4_000) {
             let lease = self.rng.below(LEASES.into()) as LeaseId;
             actions.extend(state.holder.record_failure(local_now, lease));
         }
@@ -378,15 +378,15 @@
     /// Sends a proposal, which may be lost, duplicated or delayed.
     fn propose(&mut self, front: usize, command: Command) {
         let partition = self.fronts[front].partition;
-        if self.faulty() && self.now < partition.until && partition.loses_proposals {
+        if self.faults_active() && self.now < partition.until && partition.loses_proposals {
             return;
         }
-        let copies = match self.faulty() {
+        let copies = match self.faults_active() {
             true => [1, 1, 1, 1, 1, 1, 1, 0, 1, 2][self.rng.below(10) as usize],
             false => 1,
         };
         for _ in 0..copies {
-            let delay = if self.faulty() && self.rng.one_in(100) {
+            let delay = if self.faults_active() && self.rng.one_in(100) {
                 self.rng.below(20 * SECOND)
             } else {
                 0
@@ -459,11 +459,11 @@
 /// Checks the invariants of all leases after a run.
 fn check(seed: u64, observations: &Observations) -> Result<(), String> {
     for lease in 0..LEASES {
-        let of_lease = observations
+        let in_lease = observations
             .operations
             .iter()
             .filter(|operation| operation.lease == lease);
-        let operations: Vec<_> = of_lease.collect();
+        let operations: Vec<_> = in_lease.collect();
         check_tokens(seed, &operations)?;
         check_overlaps(seed, &operations)?;
         check_recovery(seed, lease, &operations)?;
--- a/quorum/tests/cluster.rs
+++ b/quorum/tests/cluster.rs
@@ -95,10 +95,10 @@
     let (mut sequence, mut command, mut statistics, mut terms) =
         (0, 0, Statistics::default(), BTreeSet::new());
     for now in 1..END_TICK {
-        let faulty = now < FAULTS_END_TICK;
+        let faults_active = now < FAULTS_END_TICK;
         for n in 0..all_voters.len() {
             let id = ids[n];
-            if faulty && rng.one_in(400) && all_voters[n].node.is_some() {
+            if faults_active && rng.one_in(400) && all_voters[n].node.is_some() {
                 // The voter is killed, and unsynced data is truncated at a random byte.
                 let voter = &mut all_voters[n];
                 voter.node = None;
@@ -115,13 +115,13 @@
                 }
             }
             let voter = &mut all_voters[n];
-            if faulty && rng.one_in(500) {
+            if faults_active && rng.one_in(500) {
                 voter.paused_until = now + rng.below(100);
             }
-            if faulty && now >= voter.partition.0 && rng.one_in(400) {
+            if faults_active && now >= voter.partition.0 && rng.one_in(400) {
                 voter.partition = (now + rng.below(200), !rng.one_in(3), !rng.one_in(3));
             }
-            if voter.node.is_none() && (now >= voter.down_until || !faulty) {
+            if voter.node.is_none() && (now >= voter.down_until || !faults_active) {
                 if voter.disk.is_empty() && order == Order::VoteAfterDiskLoss {
                     voter.disk = storage::encode_owner(owner(id));
                 }
@@ -135,7 +135,7 @@
                 voter.applied.clear();
                 voter.node = Some(start(id, &voter.disk, &mut rng)?);
             }
-            if faulty && now < voter.paused_until {
+            if faults_active && now < voter.paused_until {
                 continue;
             }
             let Some(node) = &mut voter.node else {
@@ -219,11 +219,15 @@
                 let lost = now < partition.0 && partition.1
                     || now < recipient_partition.0 && recipient_partition.2
                     || rng.one_in(15);
-                if faulty && lost {
+                if faults_active && lost {
                     continue;
                 }
-                for _ in 0..if faulty && rng.one_in(25) { 2 } else { 1 } {
-                    let delay_ticks = if faulty && rng.one_in(60) {
+                for _ in 0..if faults_active && rng.one_in(25) {
+                    2
+                } else {
+                    1
+                } {
+                    let delay_ticks = if faults_active && rng.one_in(60) {
                         rng.below(400)
                     } else {
                         rng.below(4)
--- a/startup/src/slow_start.rs
+++ b/startup/src/slow_start.rs
@@ -148,11 +148,11 @@
             .values()
             .filter(|other| **other == group)
             .count();
-        let of_group = self
+        let in_group = self
             .waiting
             .iter()
             .filter(|(_, waiting)| waiting.group == group);
-        let mut by_due: Vec<_> = of_group.map(|(id, waiting)| (waiting.due, *id)).collect();
+        let mut by_due: Vec<_> = in_group.map(|(id, waiting)| (waiting.due, *id)).collect();
         by_due.sort_unstable();
         by_due.truncate(MIN_IN_USE_PER_GROUP.saturating_sub(in_use));
         by_due
--- a/startup/tests/fleet.rs
+++ b/startup/tests/fleet.rs
@@ -14,8 +14,8 @@
 enum Service {
     Refuses,
     Closes,
-    Unresponsive,
-    Malformed,
+    NeverAnswers,
+    SendsMalformed,
     /// Serves the connection for this duration.
     Serves(Timestamp),
 }
@@ -48,16 +48,16 @@
     while let Some((now, n)) = due.pop_first().filter(|(now, _)| *now < end) {
         let schedule = &mut calls[n as usize];
         calls_made.push(now);
-        let until = schedule.start_call(now);
+        let connect_deadline = schedule.start_call(now);
         let next = match service(now) {
             Service::Refuses => schedule.end_call(now + 100, CallEnd::Refused),
             Service::Closes => schedule.end_call(now + 300, CallEnd::Closed),
-            Service::Unresponsive => schedule.end_call(until, CallEnd::Unanswered),
-            Service::Malformed => schedule.end_call(now + 300, CallEnd::Malformed),
-            Service::Serves(span) => {
+            Service::NeverAnswers => schedule.end_call(connect_deadline, CallEnd::Unanswered),
+            Service::SendsMalformed => schedule.end_call(now + 300, CallEnd::Malformed),
+            Service::Serves(duration) => {
                 served[n as usize] = Some(now);
-                (0..=span / SECOND).for_each(|s| schedule.record_message(now + s * SECOND));
-                schedule.end_call(now + span, CallEnd::Closed)
+                (0..=duration / SECOND).for_each(|s| schedule.record_message(now + s * SECOND));
+                schedule.end_call(now + duration, CallEnd::Closed)
             }
         };
         due.insert((next, n));
@@ -87,8 +87,8 @@
         for service in [
             Service::Refuses,
             Service::Closes,
-            Service::Unresponsive,
-            Service::Malformed,
+            Service::NeverAnswers,
+            Service::SendsMalformed,
         ] {
             let (calls_made, _) = simulate_fleet(60, seed, 40 * SECOND, |_| service);
             // Calls are frequent only in the urgent period of 7.5 s.
@@ -125,7 +125,11 @@
         (2_000, 6 * SECOND),
     ] {
         for seed in 0..20 {
-            for service in [Service::Refuses, Service::Unresponsive, Service::Malformed] {
+            for service in [
+                Service::Refuses,
+                Service::NeverAnswers,
+                Service::SendsMalformed,
+            ] {
                 let recovered_at = 20 * SECOND;
                 let (_, served) = simulate_fleet(fronts, seed, 60 * SECOND, |now| {
                     if now < recovered_at {
@@ -169,7 +173,7 @@
     for fronts in [3, 60, 300] {
         for seed in 0..20 {
             for outage_ms in [200, 1_000, 3_000, 4_000, 5_000] {
-                for service in [Service::Refuses, Service::Closes, Service::Unresponsive] {
+                for service in [Service::Refuses, Service::Closes, Service::NeverAnswers] {
                     let (failed_at, recovered_at) = (30 * SECOND, 30 * SECOND + outage_ms * 1_000);
                     let (_, served) = simulate_fleet(fronts, seed, 90 * SECOND, |now| match now {
                         _ if now < SECOND => Service::Serves(failed_at - now),
