--- a/leases/tests/simulation.rs
+++ b/leases/tests/simulation.rs
@@ -532,7 +532,7 @@
     );
     assert!(
         handovers > 2_000 && rejected > 20 && operations > 100_000,
-        "{handovers} {rejected} {operations}"
+        "{handovers} handovers, {operations} operations, {rejected} rejected"
     );
 }
 
--- a/purges/src/journal.rs
+++ b/purges/src/journal.rs
@@ -1,5 +1,5 @@
 //! Storage of the purge log in one file: a header followed by records with checksums. A record is appended and synced
-//! before the purge takes effect or is sent to anyone; compaction writes a new file, syncs it and renames it into place.
+//! before the purge is acknowledged or sent to others; compaction writes a new file, syncs it and renames it into place.
 //!
 //! Numbers are little-endian, sizes are in bytes, and a text is its length in two bytes followed by UTF-8:
 //!
@@ -46,7 +46,7 @@
         /// The log with all complete records.
         log: PurgeLog,
         /// Length in bytes of an incomplete last record, as left behind by a process killed during a write. That purge
-        /// never took effect, since its record was not synced.
+        /// was never acknowledged, since its record was not synced.
         torn_bytes: usize,
     },
     /// The file is corrupted; records after the corruption are lost.
--- a/purges/tests/simulation.rs
+++ b/purges/tests/simulation.rs
@@ -15,6 +15,7 @@
 const FRONTS: usize = 3;
 const NODES: u64 = 6;
 const START_MS: UnixMillis = 1_000_000;
+/// Time after the receipt of a purge within which stale replies are tolerated.
 const MAX_DELAY_MS: UnixMillis = 500;
 const LEASE_MS: UnixMillis = 2_000;
 const FAULTS_DURATION_MS: UnixMillis = 20_000;
@@ -37,23 +38,23 @@
     }
 }
 
-/// A guard to disable in a run, by the failure that it prevents.
+/// The guard that a run disables to verify that the checks detect its absence. Each variant is described by its effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Guard {
     None,
-    /// Disabled: replies are relayed without a check of their age.
+    /// Replies are relayed without a check of their age.
     ReplyCheck,
-    /// Disabled: an object with unknown tags matches no tag purge.
+    /// An object with unknown tags matches no tag purge.
     UnknownTagsMatch,
-    /// Disabled: a reply is checked by the indexed tags instead of its own.
+    /// A reply is checked by the indexed tags instead of its own.
     ReplyTags,
-    /// Disabled: an expired lease does not raise the floor.
+    /// An expired lease does not raise the floor.
     LeaseExpiry,
-    /// Disabled: purge times are not increased by the clock skew.
+    /// Purge times are not increased by the clock skew.
     SkewAllowance,
-    /// Disabled: a follower accepts purges after a gap.
+    /// A follower accepts purges after a gap.
     NumberCheck,
-    /// Disabled: a node reports purges as applied that it has not received.
+    /// A node reports purges as applied that it has not received.
     AppliedNumberOnReconnect,
 }
 
@@ -545,7 +546,7 @@
     simulation.run().unwrap();
     assert!(
         simulation.served_replies > 2_000 && simulation.rejected_replies > 10,
-        "{} {}",
+        "{} replies served, {} rejected",
         simulation.served_replies,
         simulation.rejected_replies
     );
--- a/quorum/tests/cluster.rs
+++ b/quorum/tests/cluster.rs
@@ -196,7 +196,7 @@
                 let value = u64::from_le_bytes(
                     bytes
                         .try_into()
-                        .map_err(|_| "a command of another length")?,
+                        .map_err(|_| "a committed command is not 8 bytes long")?,
                 );
                 let position = voter.applied.len();
                 voter.applied.push(value);
@@ -304,10 +304,10 @@
     println!(
         "{acknowledged} commands acknowledged, {kills} kills, {leaders} leaders, {lost_disks} lost disks"
     );
-    assert!(lost_disks > 50, "{lost_disks}");
+    assert!(lost_disks > 50, "only {lost_disks} lost disks");
     assert!(
         acknowledged > 20_000 && kills > 500 && leaders > 240,
-        "{acknowledged} {kills} {leaders}"
+        "{acknowledged} commands acknowledged, {kills} kills, {leaders} leaders"
     );
 }
 
--- a/startup/src/call_budget.rs
+++ b/startup/src/call_budget.rs
@@ -47,8 +47,8 @@
     pub calls_per_s: f64,
     /// Upper bound of the interval between two calls of one front. It takes precedence over `calls_per_s`.
     pub max_wait: Micros,
-    /// Calls are made twice per second for this long after the last message from the service, so that changes made
-    /// before the outage was noticed are received before they must take effect.
+    /// Calls are made twice per second for this long after the last message from the service, so that a service that
+    /// recovers within this time delivers all changes before they must take effect.
     pub urgent_period: Micros,
 }
 
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Jittered wait outside the fleet-wide schedule. It never shrinks to 0, because all fronts may detect the same failure
-    /// at the same time.
+    /// Wait for the next call outside the fleet-wide schedule. It is random even if `elapsed` exceeds `wait`, because all
+    /// fronts may detect the same failure at the same time.
     fn short_wait(&mut self, wait: Micros, elapsed: Micros) -> Micros {
         let random = self.random();
         let jitter = 1.0 - JITTER + 2.0 * JITTER * random;
--- a/startup/src/lib.rs
+++ b/startup/src/lib.rs
@@ -29,7 +29,7 @@
 pub struct FleetPosition {
     /// The index of this front, from 0 to one less than [`FleetPosition::fronts`].
     pub number: u32,
-    /// The number of fronts in the fleet, at least 1.
+    /// The number of fronts in the fleet; 0 is treated as 1.
     pub fronts: u32,
 }
 
