--- a/leases/src/manager.rs
+++ b/leases/src/manager.rs
@@ -1,29 +1,30 @@
-//! Expiry of leases, decided on the leader of the log.
+//! Expiry of leases by the leader of the log.
 use crate::{Command, FencingToken, LeaseId, LeaseTable, Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// An expiry that may have been lost is proposed again after this fraction of a lease duration.
-const RETRY_FRACTION: u64 = 8;
+/// The retry interval of expiry proposals is the lease duration divided by this number.
+const RETRY_DIVISOR: u64 = 8;
 
-/// A grant, or its last renewal, as the leader saw it first.
+/// A grant and its last renewal, as observed by the leader.
 #[derive(Clone, Copy, Debug)]
-struct SeenGrant {
+struct ObservedGrant {
     token: FencingToken,
     renewals: u64,
-    /// When this leader first saw the grant with this number of renewals.
-    seen_at: Timestamp,
+    /// When this leader first observed the grant with this number of renewals.
+    observed_at: Timestamp,
 }
 
-/// Counts lease durations by the leader's own clock.
+/// Measures lease durations by the leader's clock, and proposes expiries.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     lease_duration: Micros,
-    grants: BTreeMap<LeaseId, SeenGrant>,
+    grants: BTreeMap<LeaseId, ObservedGrant>,
     is_leader: bool,
 }
 
 impl LeaseManager {
-    /// A manager on a replica that is not the leader. `lease_duration` is the whole duration that holders were told.
+    /// Creates the manager of a replica that is not the leader. `lease_duration` must be the duration that holders use,
+    /// without a deduction for clock drift.
     pub fn new(lease_duration: Micros) -> Self {
         LeaseManager {
             lease_duration,
@@ -32,16 +33,16 @@
         }
     }
 
-    /// This replica became the leader, or is no longer. Every lease duration starts anew: what an earlier leader had
-    /// counted is not known here.
+    /// Records whether this replica is the leader. All lease durations restart, because the time measured by the previous
+    /// leader is unknown.
     pub fn set_leader(&mut self, is_leader: bool) {
         self.grants.clear();
         self.is_leader = is_leader;
     }
 
-    /// The expiries to propose now. Must be called whenever the table has changed, this replica became the leader, or
-    /// [`LeaseManager::next_deadline`] has passed. A lease duration counts from the call that saw the grant first:
-    /// later than the grant, never before it.
+    /// Returns the expiries to propose now. Must be called when the table has changed, when this replica became the leader,
+    /// and when [`LeaseManager::next_deadline`] has passed. A lease duration starts with the first call that observes the
+    /// grant, which is never before the grant itself.
     pub fn poll(&mut self, now: Timestamp, table: &LeaseTable) -> Vec<Command> {
         if !self.is_leader {
             return Vec::new();
@@ -62,20 +63,20 @@
             self.grants.remove(&lease);
             return None;
         };
-        let current = SeenGrant {
+        let current = ObservedGrant {
             token: grant.token,
             renewals: grant.renewals,
-            seen_at: now,
+            observed_at: now,
         };
-        let seen = self.grants.entry(lease).or_insert(current);
-        if seen.token != grant.token || seen.renewals != grant.renewals {
-            *seen = current;
+        let observed = self.grants.entry(lease).or_insert(current);
+        if observed.token != grant.token || observed.renewals != grant.renewals {
+            *observed = current;
         }
-        if now < seen.seen_at + self.lease_duration {
+        if now < observed.observed_at + self.lease_duration {
             return None;
         }
-        // The command may be lost on its way, so it is due again after a while.
-        seen.seen_at = now - self.lease_duration + self.lease_duration / RETRY_FRACTION;
+        // The proposal may be lost, so it is retried.
+        observed.observed_at = now - self.lease_duration + self.lease_duration / RETRY_DIVISOR;
         Some(Command::Expire {
             lease,
             token: grant.token,
@@ -83,7 +84,7 @@
         })
     }
 
-    /// When the next lease expires; `None` if none can.
+    /// Returns when the next lease expires; `None` if no lease is held or this replica is not the leader.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         if !self.is_leader {
             return None;
@@ -91,7 +92,7 @@
         let expiries = self
             .grants
             .values()
-            .map(|seen| seen.seen_at + self.lease_duration);
+            .map(|observed| observed.observed_at + self.lease_duration);
         expiries.min()
     }
 }
--- a/purges/src/matching/purge_matcher.rs
+++ b/purges/src/matching/purge_matcher.rs
@@ -1,177 +1,186 @@
-//! The live purges, ready to be matched against requests.
+//! Lookup structures for matching requests against live purges.
 use super::pattern::{parse_pattern, CompileError, CompileJob, PatternSet};
 use super::tag_index::tag_hash;
-use super::PurgeMark;
+use super::LatestPurge;
 use crate::{Purge, PurgeNumber, PurgeTarget, UnixMillis};
 use globset::GlobMatcher;
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Patterns that are matched one by one before they are compiled together with the others.
-pub(super) const MAX_UNCOMPILED: usize = 32;
-/// Most live patterns: a further one counts as matching everything.
+/// Number of uncompiled patterns, which are matched one by one, that triggers a compilation of all patterns.
+pub(super) const MAX_UNCOMPILED_PATTERNS: usize = 32;
+/// Maximum number of live patterns. A purge with a further pattern matches everything.
 pub const MAX_PATTERNS: usize = 4_096;
 
-/// A pattern that is matched by itself.
+/// A pattern that is not compiled into the automaton yet.
 #[derive(Debug)]
 pub(super) struct Pattern {
     text: Box<str>,
     matcher: GlobMatcher,
-    mark: PurgeMark,
+    latest: LatestPurge,
 }
 
-/// What purges are matched against.
+/// The attributes of a request that purges are matched against.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestAttributes<'a> {
     /// The requested object.
     pub object: u64,
-    /// The object's group.
+    /// The group that the object belongs to.
     pub group: u32,
-    /// Hashes of the object's tags; `None` if they are unknown.
+    /// Hashes of the object's tags, by [`tag_hash`]; `None` if the tags are unknown.
     pub tags: Option<&'a [u64]>,
-    /// The [`request_key`](crate::request_key).
+    /// The key that patterns are matched against, by [`request_key`](crate::request_key).
     pub key: &'a str,
 }
 
-/// The numbers of live purges, by kind of target.
+/// Numbers of live purges by kind of target, for status output.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LivePurges {
-    /// Of objects.
+    /// Number of purged objects.
     pub objects: usize,
-    /// Of groups.
+    /// Number of purged groups.
     pub groups: usize,
-    /// Of tags.
+    /// Number of purged tags.
     pub tags: usize,
-    /// Of patterns.
+    /// Number of purged patterns, apart from those that match everything.
     pub patterns: usize,
 }
 
-/// Live purges.
+/// The live purges: those that may apply to a copy that an endpoint still has.
 #[derive(Debug, Default)]
 pub struct PurgeMatcher {
-    objects: HashMap<u64, PurgeMark>,
-    groups: HashMap<u32, PurgeMark>,
-    tags: HashMap<u64, PurgeMark>,
-    /// The latest of any tag: what concerns an object whose tags are unknown.
-    any_tag: PurgeMark,
+    objects: HashMap<u64, LatestPurge>,
+    groups: HashMap<u32, LatestPurge>,
+    tags: HashMap<u64, LatestPurge>,
+    /// The latest purge of any tag, which applies to objects whose tags are unknown.
+    any_tag: LatestPurge,
     pub(super) compiled: Option<PatternSet>,
     pub(super) uncompiled: Vec<Pattern>,
     /// The latest purge of everything.
-    all: PurgeMark,
-    /// While patterns are being compiled: the greatest number among them.
+    all: LatestPurge,
+    /// While patterns are being compiled, the greatest purge number among the new ones.
     compiling: Option<PurgeNumber>,
 }
 
-/// Sets the mark of a key unless it has a later one.
-fn raise<K: Hash + Eq>(marks: &mut HashMap<K, PurgeMark>, key: K, mark: PurgeMark) {
-    let known = marks.entry(key).or_default();
-    *known = mark.max(*known);
+/// Sets the latest purge of a key, unless a later one is known.
+fn update_latest<K: Hash + Eq>(
+    latest_purges: &mut HashMap<K, LatestPurge>,
+    key: K,
+    latest: LatestPurge,
+) {
+    let known = latest_purges.entry(key).or_default();
+    *known = latest.max(*known);
 }
 
 impl PurgeMatcher {
-    /// Adds a purge. Clocks of those who date copies may be ahead by `skew_ms`, so copies count as stale for that much
-    /// longer.
+    /// Adds a purge. Its time is increased by `skew_ms`, the maximum skew of the clocks that set the creation times of
+    /// copies.
     pub fn add(&mut self, purge: &Purge, skew_ms: UnixMillis) {
         let number = match purge.number {
-            // It has no place in the log, so no cache node ever confirms it.
+            // The purge is not in the log, so it is never confirmed by cache nodes.
             0 => PurgeNumber::MAX,
             number => number,
         };
-        let mark = PurgeMark {
+        let latest = LatestPurge {
             at_ms: purge.at_ms.saturating_add(skew_ms),
             number,
         };
         match &purge.target {
-            PurgeTarget::Object(object) => raise(&mut self.objects, *object, mark),
-            PurgeTarget::Group(group) => raise(&mut self.groups, *group, mark),
+            PurgeTarget::Object(object) => update_latest(&mut self.objects, *object, latest),
+            PurgeTarget::Group(group) => update_latest(&mut self.groups, *group, latest),
             PurgeTarget::Tag(tag) => {
-                raise(&mut self.tags, tag_hash(tag), mark);
-                self.any_tag = mark.max(self.any_tag);
+                update_latest(&mut self.tags, tag_hash(tag), latest);
+                self.any_tag = latest.max(self.any_tag);
             }
-            PurgeTarget::Pattern(text) => self.add_pattern(text, mark),
+            PurgeTarget::Pattern(text) => self.add_pattern(text, latest),
         }
     }
 
-    fn add_pattern(&mut self, text: &str, mark: PurgeMark) {
+    fn add_pattern(&mut self, text: &str, latest: LatestPurge) {
         let parsed = match parse_pattern(text) {
-            Ok(parsed) if !parsed.matches_everything && self.patterns() < MAX_PATTERNS => parsed,
+            Ok(parsed) if !parsed.matches_everything && self.pattern_count() < MAX_PATTERNS => {
+                parsed
+            }
             _ => {
-                self.all = mark.max(self.all);
+                self.all = latest.max(self.all);
                 return;
             }
         };
         let mut uncompiled = self.uncompiled.iter_mut();
         match uncompiled.find(|pattern| &*pattern.text == text) {
-            Some(known) => known.mark = mark.max(known.mark),
+            Some(known) => known.latest = latest.max(known.latest),
             None => self.uncompiled.push(Pattern {
                 text: text.into(),
                 matcher: parsed.glob.compile_matcher(),
-                mark,
+                latest,
             }),
         }
     }
 
-    /// Counts everything as purged at a time, for a front that has lost its memory. No cache node ever confirms that.
+    /// Treats every object as purged at this time, for a front whose purge history is incomplete. Cache nodes never confirm
+    /// this purge.
     pub fn add_all(&mut self, at_ms: UnixMillis) {
-        let mark = PurgeMark {
+        let latest = LatestPurge {
             at_ms,
             number: PurgeNumber::MAX,
         };
-        self.all = mark.max(self.all);
+        self.all = latest.max(self.all);
     }
 
-    /// Patterns to compile elsewhere by [`compile_patterns`](super::compile_patterns) and to give back to
-    /// [`PurgeMatcher::install`], once there are enough new ones.
+    /// Returns all patterns for a compilation, once there are enough new ones. The caller runs
+    /// [`compile_patterns`](super::compile_patterns) on a worker thread, and passes the result to
+    /// [`PurgeMatcher::install`].
     pub fn take_compile_job(&mut self) -> Option<CompileJob> {
-        if self.uncompiled.len() < MAX_UNCOMPILED || self.compiling.is_some() {
+        if self.uncompiled.len() < MAX_UNCOMPILED_PATTERNS || self.compiling.is_some() {
             return None;
         }
-        let numbers = self.uncompiled.iter().map(|pattern| pattern.mark.number);
+        let numbers = self.uncompiled.iter().map(|pattern| pattern.latest.number);
         self.compiling = numbers.max();
-        let mut marks: HashMap<Box<str>, PurgeMark> = HashMap::new();
+        let mut latest_purges: HashMap<Box<str>, LatestPurge> = HashMap::new();
         let compiled = self.compiled.iter().flat_map(PatternSet::patterns);
-        for (text, mark) in compiled {
-            raise(&mut marks, text.clone(), *mark);
+        for (text, latest) in compiled {
+            update_latest(&mut latest_purges, text.clone(), *latest);
         }
         for pattern in &self.uncompiled {
-            raise(&mut marks, pattern.text.clone(), pattern.mark);
+            update_latest(&mut latest_purges, pattern.text.clone(), pattern.latest);
         }
-        let mut job: CompileJob = marks.into_iter().collect();
+        let mut job: CompileJob = latest_purges.into_iter().collect();
         job.sort();
         Some(job)
     }
 
-    /// Installs compiled patterns. If compiling failed, they count as matching everything.
+    /// Installs compiled patterns. If the compilation failed, the new patterns match everything from now on.
     pub fn install(&mut self, compiled: Result<PatternSet, CompileError>) {
         let compiled_up_to = self.compiling.take().unwrap_or(0);
         match compiled {
             Ok(set) => {
                 self.compiled = Some(set);
                 self.uncompiled
-                    .retain(|pattern| pattern.mark.number > compiled_up_to);
+                    .retain(|pattern| pattern.latest.number > compiled_up_to);
             }
             Err(_) => {
-                let latest = self.uncompiled.iter().map(|pattern| pattern.mark).max();
+                let latest = self.uncompiled.iter().map(|pattern| pattern.latest).max();
                 self.all = latest.unwrap_or_default().max(self.all);
                 self.uncompiled.clear();
             }
         }
     }
 
-    /// The earliest creation time of a copy that may answer a request, by purges after the number `after`; 0: any.
+    /// Returns the earliest creation time of a copy that may be served for a request, according to the purges with numbers
+    /// greater than `after`; 0 if no purge matches.
     pub fn floor(&self, after: PurgeNumber, request: &RequestAttributes<'_>) -> UnixMillis {
         let mut floor = 0;
-        let mut apply = |mark: &PurgeMark| {
-            if mark.number > after {
-                floor = floor.max(mark.at_ms);
+        let mut apply = |latest: &LatestPurge| {
+            if latest.number > after {
+                floor = floor.max(latest.at_ms);
             }
         };
         apply(&self.all);
-        if let Some(mark) = self.objects.get(&request.object) {
-            apply(mark);
+        if let Some(latest) = self.objects.get(&request.object) {
+            apply(latest);
         }
-        if let Some(mark) = self.groups.get(&request.group) {
-            apply(mark);
+        if let Some(latest) = self.groups.get(&request.group) {
+            apply(latest);
         }
         match request.tags {
             None => apply(&self.any_tag),
@@ -186,12 +195,12 @@
         self.uncompiled_floor(floor, after, request.key)
     }
 
-    /// Raises a floor by the patterns that are not compiled. Only those that could raise it are matched.
+    /// Raises a floor according to the uncompiled patterns. Patterns that cannot raise it are not evaluated.
     fn uncompiled_floor(&self, mut floor: UnixMillis, after: PurgeNumber, key: &str) -> UnixMillis {
         for pattern in &self.uncompiled {
-            let mark = pattern.mark;
-            if mark.at_ms > floor && mark.number > after && pattern.matcher.is_match(key) {
-                floor = mark.at_ms;
+            let latest = pattern.latest;
+            if latest.at_ms > floor && latest.number > after && pattern.matcher.is_match(key) {
+                floor = latest.at_ms;
             }
         }
         floor
@@ -203,35 +212,43 @@
         targets == 0 && self.uncompiled.is_empty() && self.compiled.is_none() && self.all.at_ms == 0
     }
 
-    fn patterns(&self) -> usize {
-        let compiled = self.compiled.as_ref().map_or(0, |set| set.marks.len());
+    fn pattern_count(&self) -> usize {
+        let compiled = self
+            .compiled
+            .as_ref()
+            .map_or(0, |set| set.latest_purges.len());
         self.uncompiled.len() + compiled
     }
 
-    /// The numbers of live purges.
+    /// Returns the numbers of live purges by kind of target.
     pub fn live_purges(&self) -> LivePurges {
         LivePurges {
             objects: self.objects.len(),
             groups: self.groups.len(),
             tags: self.tags.len(),
-            patterns: self.patterns(),
+            patterns: self.pattern_count(),
         }
     }
 
-    /// Removes purges from before `horizon`: no endpoint has a copy from before it any more.
+    /// Removes purges that took effect before `horizon`, the earliest creation time of any copy that an endpoint may still
+    /// have.
     pub fn expire(&mut self, horizon: UnixMillis) {
-        let live = |mark: &PurgeMark| mark.at_ms >= horizon;
-        self.objects.retain(|_, mark| live(mark));
-        self.groups.retain(|_, mark| live(mark));
-        self.tags.retain(|_, mark| live(mark));
-        self.uncompiled.retain(|pattern| live(&pattern.mark));
-        // The automaton cannot give up single patterns.
-        if !self.compiled.iter().any(|set| set.marks.iter().any(live)) {
+        let live = |latest: &LatestPurge| latest.at_ms >= horizon;
+        self.objects.retain(|_, latest| live(latest));
+        self.groups.retain(|_, latest| live(latest));
+        self.tags.retain(|_, latest| live(latest));
+        self.uncompiled.retain(|pattern| live(&pattern.latest));
+        // Single patterns cannot be removed from the automaton.
+        if !self
+            .compiled
+            .iter()
+            .any(|set| set.latest_purges.iter().any(live))
+        {
             self.compiled = None;
         }
-        for mark in [&mut self.any_tag, &mut self.all] {
-            if !live(mark) {
-                *mark = PurgeMark::default();
+        for latest in [&mut self.any_tag, &mut self.all] {
+            if !live(latest) {
+                *latest = LatestPurge::default();
             }
         }
     }
--- a/startup/src/peer_bootstrap/tests.rs
+++ b/startup/src/peer_bootstrap/tests.rs
@@ -3,7 +3,7 @@
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn a_list_is_taken_only_once_a_quorum_of_peers_offers_the_same() {
+fn a_list_is_accepted_only_when_a_quorum_of_peers_offers_it() {
     let mut peers = PeerBootstrap::new(0, 5, 2, 2 * SECOND, 1);
     assert!(
         !peers.record_offer(
@@ -15,7 +15,7 @@
                 digest: 0xbad
             }
         ),
-        "a single peer"
+        "one peer is no quorum"
     );
     assert!(
         !peers.record_offer(
@@ -27,7 +27,7 @@
                 digest: 0xbad
             }
         ),
-        "the same peer again"
+        "a repeated offer of one peer is no quorum"
     );
     assert!(!peers.record_offer(
         2,
@@ -48,7 +48,7 @@
                 digest: 0xb
             }
         ),
-        "the same number of another list"
+        "the same revision with another digest"
     );
     assert!(peers.record_offer(
         4,
@@ -69,9 +69,9 @@
                 digest: 0xa
             }
         ),
-        "that revision is known"
+        "the front already has that revision"
     );
-    // An old offer does not count.
+    // Expired offers are ignored.
     let mut peers = PeerBootstrap::new(0, 5, 2, 2 * SECOND, 1);
     peers.record_offer(
         0,
@@ -91,7 +91,7 @@
             digest: 0xa
         }
     ));
-    // Neither does one that a peer withdrew, or one of a peer that failed since.
+    // Withdrawn offers and offers of peers that have failed since are ignored.
     peers.record_no_update(2);
     assert!(!peers.record_offer(
         11 * SECOND,
@@ -115,27 +115,31 @@
 }
 
 #[test]
-fn each_round_asks_a_few_peers_that_do_not_back_off_and_all_are_asked_in_time() {
+fn each_round_polls_a_few_peers_that_are_not_in_backoff_and_every_peer_is_polled_eventually() {
     let mut peers = PeerBootstrap::new(0, 40, 2, 2 * SECOND, 3);
-    let (mut now, mut seen) = (0, std::collections::BTreeSet::new());
+    let (mut now, mut seen_peers) = (0, std::collections::BTreeSet::new());
     for _ in 0..200 {
         assert!(peers.next_round() >= now && peers.next_round() <= now + 5 * SECOND / 2);
         now = peers.next_round();
-        let asked = peers.start_round(now);
-        assert_eq!(asked.len(), PEERS_PER_ROUND);
-        seen.extend(asked);
+        let polled = peers.start_round(now);
+        assert_eq!(polled.len(), PEERS_PER_ROUND);
+        seen_peers.extend(polled);
     }
-    assert_eq!(seen.len(), 40);
+    assert_eq!(seen_peers.len(), 40);
     for peer in 1..40 {
         (0..9).for_each(|_| peers.record_failure(now, peer));
     }
-    assert_eq!(peers.start_round(now), [0], "the others back off");
+    assert_eq!(
+        peers.start_round(now),
+        [0],
+        "the other peers are in backoff"
+    );
     assert_eq!(
         peers
             .start_round(now + 2 * SECOND * MAX_BACKOFF_ROUNDS)
             .len(),
         PEERS_PER_ROUND,
-        "no backoff lasts for ever"
+        "every backoff ends"
     );
     assert_eq!(
         PeerBootstrap::new(0, 0, 2, SECOND, 1).start_round(0),
