--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -13,14 +13,14 @@
 use crate::error::Failure;
 use crate::identity::Identity;
 use crate::jose::AccountKey;
-use crate::messages::{Action, Event, Key, Loud, Note};
-use crate::order::{Input, Way};
-use crate::planner::{Notice, Plan, Planner, Row};
-use crate::renewal::Turns;
+use crate::messages::{Action, Event, KeyRequest, Level, LogEntry};
+use crate::order::{ChallengeType, Input};
+use crate::planner::{CertificateStatus, Notice, Planner, PlannerSettings};
+use crate::renewal::Ranking;
 use crate::retry::Cause;
 use crate::unsaved::Unsaved;
 use crate::wire::{Directory, Problem};
-use crate::{tame, Micros, Moment, Timestamp, SECOND};
+use crate::{tame, Clocks, Micros, Timestamp, SECOND};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -56,7 +56,7 @@
     /// Id and HMAC key of an external account: a secret.
     pub external: Option<(String, Vec<u8>)>,
     /// How control of names is shown.
-    pub way: Way,
+    pub challenge_type: ChallengeType,
     /// The folder may be another front's too: it is read again before an order.
     pub shared: bool,
 }
@@ -82,7 +82,11 @@
 }
 impl Client {
     /// A client for an authority, or for none: then it watches dates alone.
-    pub fn new(settings: Option<Settings>, plan: Plan, turns: Box<dyn Turns + Send>) -> Self {
+    pub fn new(
+        settings: Option<Settings>,
+        plan: PlannerSettings,
+        turns: Box<dyn Ranking + Send>,
+    ) -> Self {
         Client {
             settings,
             planner: Planner::new(plan, turns),
@@ -103,40 +107,40 @@
     }
 
     /// Takes an event in.
-    pub fn handle(&mut self, moment: Moment, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, clocks: Clocks, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Start(loaded) => self.start(moment, *loaded, out),
-            Event::Answered(task, answer) => self.answered(moment, task, answer, out),
-            Event::Key(task, key) => {
+            Event::Start(loaded) => self.start(clocks, *loaded, out),
+            Event::Response(task, answer) => self.answered(clocks, task, answer, out),
+            Event::OrderKey(task, key) => {
                 let input = match key {
                     Ok((pem, csr)) => Input::Key(pem, csr),
                     Err(why) => Input::Barred(why),
                 };
-                self.order(moment, task, input, out);
+                self.order(clocks, task, input, out);
             }
-            Event::AccountKey(task, key) => self.account_key(moment, task, key, out),
-            Event::Done(task, done) => self.done(moment, task, done, out),
-            Event::Reread(task, found) => self.reread(moment, task, found, out),
+            Event::AccountKey(task, key) => self.account_key(clocks, task, key, out),
+            Event::Done(task, done) => self.done(clocks, task, done, out),
+            Event::Reread(task, found) => self.reread(clocks, task, found, out),
             Event::Tick => {
-                self.save_again(moment.now, out);
+                self.save_again(clocks.now, out);
                 let due = self
                     .tasks
                     .iter()
-                    .filter(|(_, t)| t.wake.is_some_and(|at| at <= moment.now));
+                    .filter(|(_, t)| t.wake.is_some_and(|at| at <= clocks.now));
                 let due: Vec<_> = due.map(|(id, _)| *id).collect();
                 for task in due {
                     self.tasks
                         .get_mut(&task)
                         .into_iter()
                         .for_each(|t| t.wake = None);
-                    self.order(moment, task, Input::Time, out);
+                    self.order(clocks, task, Input::Time, out);
                 }
             }
             Event::Configure(plan, turns, certificates) => {
-                self.configure(moment, plan, turns, &certificates, out)
+                self.configure(clocks, plan, turns, &certificates, out)
             }
             Event::Renew(operator, id) => {
-                let known = self.settings.is_some() && self.planner.force(moment, &id);
+                let known = self.settings.is_some() && self.planner.force(clocks, &id);
                 let answer = if known {
                     Ok("it is ordered next".into())
                 } else {
@@ -144,8 +148,8 @@
                 };
                 out.push(Action::Reply(operator, answer));
             }
-            Event::Revoke(operator, id, reason) => self.revoke(moment, operator, &id, reason, out),
-            Event::Import(operator, identity) => self.import(moment, operator, *identity, out),
+            Event::Revoke(operator, id, reason) => self.revoke(clocks, operator, &id, reason, out),
+            Event::Import(operator, identity) => self.import(clocks, operator, *identity, out),
             Event::RollKey(operator) => {
                 if self.account.as_ref().is_none_or(|a| a.url.is_none())
                     || self.asked() >= ASKED_MOST
@@ -157,15 +161,15 @@
                         operator,
                         new: None,
                     });
-                    out.push(Action::MakeKey(task, Key::Account));
+                    out.push(Action::GenerateKey(task, KeyRequest::Account));
                 }
             }
         }
-        self.pump(moment, out);
+        self.pump(clocks, out);
     }
 
     /// The next moment at which [`Event::Tick`] is due.
-    pub fn next(&self, moment: Moment) -> Timestamp {
+    pub fn next(&self, clocks: Clocks) -> Timestamp {
         let tasks = self.tasks.values().filter_map(|t| t.wake).min();
         let setup = self
             .tasks
@@ -173,7 +177,7 @@
             .any(|t| matches!(t.kind, Kind::Setup(_)));
         let planned = self
             .planner
-            .wake(moment)
+            .wake(clocks)
             .filter(|_| self.settings.is_some() && !setup);
         let info = self
             .info
@@ -181,13 +185,13 @@
             .map(|(at, _)| *at)
             .filter(|_| self.settings.is_some());
         // Guards against a loop without rest: what could be done now was done already.
-        let least = moment.now + LOOK_LEAST;
+        let least = clocks.now + LOOK_LEAST;
         let next = [planned, info]
             .into_iter()
             .flatten()
             .map(|at| at.max(least))
             .min();
-        let most = moment.now + LOOK_EACH;
+        let most = clocks.now + LOOK_EACH;
         tasks
             .into_iter()
             .chain(next)
@@ -198,22 +202,23 @@
     }
 
     /// How each certificate stands, and what is served for it.
-    pub fn rows(&self, moment: Moment) -> Vec<(Row, Option<&Identity>)> {
-        let rows = self.planner.rows(moment).into_iter();
-        rows.map(|row| {
-            let served = self.served.get(&row.id).and_then(|all| all.first());
-            (row, served)
-        })
-        .collect()
+    pub fn statuses(&self, clocks: Clocks) -> Vec<(CertificateStatus, Option<&Identity>)> {
+        let statuses = self.planner.statuses(clocks).into_iter();
+        statuses
+            .map(|status| {
+                let served = self.served.get(&status.id).and_then(|all| all.first());
+                (status, served)
+            })
+            .collect()
     }
 
     /// For operators: the account's URL, seconds until the authority is asked again, orders in the window and how
     /// many may be, by how much the authority's clock is ahead.
-    pub fn state(&self, moment: Moment) -> serde_json::Value {
+    pub fn state(&self, clocks: Clocks) -> serde_json::Value {
         let (orders, most) = self.planner.budget();
         json!({
             "account": self.account.as_ref().and_then(|a| a.url.as_ref()),
-            "away_s": self.planner.away_until().saturating_sub(moment.now) / SECOND,
+            "away_s": self.planner.away_until().saturating_sub(clocks.now) / SECOND,
             "orders_in_window": orders,
             "orders_most": most,
             "tasks": self.tasks.len(),
@@ -271,9 +276,9 @@
     }
 }
 
-fn tell(loud: Loud, kind: &'static str, name: &str, text: &str) -> Action {
-    Action::Tell(Note {
-        loud,
+fn tell(level: Level, kind: &'static str, name: &str, text: &str) -> Action {
+    Action::Log(LogEntry {
+        level,
         kind,
         name: name.into(),
         text: text.into(),
@@ -283,7 +288,7 @@
 fn told(notice: &Notice) -> Action {
     match notice {
         Notice::Expiring { count, left, names } => tell(
-            Loud::Warn,
+            Level::Warn,
             "expiring",
             &names.join(" "),
             &format!("{count} will end, the first in {left} s"),
@@ -293,14 +298,14 @@
             since,
             names,
         } => tell(
-            Loud::Error,
+            Level::Error,
             "expired",
             &names.join(" "),
             &format!("{count} HAVE EXPIRED, the first {since} s ago"),
         ),
         Notice::NotYet { count, names } => {
             let text = format!("{count} do not hold yet: is this machine's clock right?");
-            tell(Loud::Warn, "not-yet-valid", &names.join(" "), &text)
+            tell(Level::Warn, "not-yet-valid", &names.join(" "), &text)
         }
     }
 }
--- a/certs/src/client/operators.rs
+++ b/certs/src/client/operators.rs
@@ -1,14 +1,14 @@
 //! Operators' commands: import, revoke, change of the account's key.
 use super::tasks::{By, Kind};
 use super::{tell, Client, ASKED_MOST};
-use crate::disk::Keep;
-use crate::http::Answer;
+use crate::disk::FileUpdate;
+use crate::http::Response;
 use crate::identity::Identity;
 use crate::jose::{base64url, AccountKey};
-use crate::messages::{Action, Loud, Payload};
+use crate::messages::{Action, Level, Payload};
 use crate::unsaved::Waiting;
 use crate::wire::{self};
-use crate::{tame, Moment};
+use crate::{tame, Clocks};
 use serde_json::json;
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
 
     pub(super) fn import(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         operator: u64,
         identity: Identity,
         out: &mut Vec<Action>,
@@ -42,25 +42,25 @@
             );
             return out.push(Action::Reply(operator, Err(tame(&why, 500))));
         };
-        if identity.not_after < moment.wall {
+        if identity.not_after < clocks.wall {
             return out.push(Action::Reply(operator, Err("it has expired".into())));
         }
         out.push(tell(
-            Loud::Info,
+            Level::Info,
             "imported",
             &id,
             &format!("serial {}", identity.serial),
         ));
         let text = format!("{id} is served with serial {}", identity.serial);
-        let keep = Keep::Identity(id.clone(), identity.clone());
+        let keep = FileUpdate::Identity(id.clone(), identity.clone());
         // The operator may throw the files away that were imported: the answer waits for the disk.
         self.save(keep, Some(Waiting { operator, text }), out);
-        self.take(moment, &id, identity, false, out);
+        self.take(clocks, &id, identity, false, out);
     }
 
     pub(super) fn revoke(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         operator: u64,
         id: &str,
         reason: u8,
@@ -84,7 +84,7 @@
                 let leaf = self.served[id][0].leaf();
                 let payload = json!({"certificate": base64url(leaf), "reason": reason}).to_string();
                 let url = where_to.unwrap_or_default();
-                return self.post(moment, task, &url, Payload::Text(payload), By::Account, out);
+                return self.post(clocks, task, &url, Payload::Text(payload), By::Account, out);
             }
         };
         out.push(Action::Reply(operator, Err(why)));
@@ -92,10 +92,10 @@
 
     pub(super) fn revoked(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         operator: u64,
         id: &str,
-        answer: Result<Answer, String>,
+        answer: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
         let done = match answer {
@@ -110,8 +110,8 @@
             Err(why) => Err(why),
         };
         if done.is_ok() {
-            out.push(tell(Loud::Warn, "revoked", id, "by an operator"));
-            self.planner.force(moment, id);
+            out.push(tell(Level::Warn, "revoked", id, "by an operator"));
+            self.planner.force(clocks, id);
             let all = self.served.get(id).cloned().unwrap_or_default();
             out.push(Action::Serve(id.into(), all, true));
         }
@@ -122,7 +122,7 @@
         &mut self,
         operator: u64,
         new: Option<Arc<AccountKey>>,
-        answer: Result<Answer, String>,
+        answer: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
         let done = match answer {
@@ -139,8 +139,8 @@
             (account.key, account.next_key) = (new.pem().into(), None);
             self.key = Some(new);
             let account = account.clone();
-            self.save(Keep::Account(account), None, out);
-            out.push(tell(Loud::Info, "account", "", "it has a new key"));
+            self.save(FileUpdate::Account(account), None, out);
+            out.push(tell(Level::Info, "account", "", "it has a new key"));
         }
         out.push(Action::Reply(operator, done));
     }
--- a/certs/src/client/orders.rs
+++ b/certs/src/client/orders.rs
@@ -1,18 +1,18 @@
 //! Orders under way, and what is served once one is complete.
 use super::tasks::{By, Kind, Task};
 use super::{tell, Client};
-use crate::disk::Keep;
+use crate::disk::FileUpdate;
 use crate::error::Failure;
 use crate::identity::Identity;
-use crate::messages::{Action, Challenge, Key, Loud, Payload};
-use crate::order::{Input, Order, Output, Way};
+use crate::messages::{Action, Challenge, KeyRequest, Level, Payload};
+use crate::order::{ChallengeType, Input, Order, Output};
 use crate::planner::Choice;
-use crate::renewal::Held;
+use crate::renewal::Validity;
 use crate::retry::Cause;
-use crate::Moment;
+use crate::Clocks;
 
 impl Client {
-    pub(super) fn begin(&mut self, moment: Moment, choice: Choice, out: &mut Vec<Action>) {
+    pub(super) fn begin(&mut self, clocks: Clocks, choice: Choice, out: &mut Vec<Action>) {
         let Some(settings) = self.settings.clone() else {
             return;
         };
@@ -23,7 +23,7 @@
         let pending = self.pending.get(&id).cloned();
         let (order, pem) = match pending {
             Some(pending) => (
-                Order::resumed(moment, &pending, settings.way, thumbprint),
+                Order::resumed(clocks, &pending, settings.challenge_type, thumbprint),
                 Some(pending.key.clone()),
             ),
             None => {
@@ -33,9 +33,9 @@
                 let new_order = directory.0.new_order.clone();
                 (
                     Order::new(
-                        moment,
+                        clocks,
                         choice.names,
-                        settings.way,
+                        settings.challenge_type,
                         thumbprint,
                         new_order,
                         replaces,
@@ -47,7 +47,7 @@
         let names = order.names.clone();
         let resumed = if pem.is_some() { "taken up" } else { "begun" };
         out.push(tell(
-            Loud::Info,
+            Level::Info,
             "order",
             &id,
             &format!("{resumed} for {}", names.join(" ")),
@@ -56,11 +56,11 @@
             id,
             order: Box::new(order),
         });
-        out.push(Action::MakeKey(task, Key::Order(names, pem)));
+        out.push(Action::GenerateKey(task, KeyRequest::Order(names, pem)));
     }
 
     /// Puts an input into an order and carries out what it wants.
-    pub(super) fn order(&mut self, moment: Moment, task: u64, input: Input, out: &mut Vec<Action>) {
+    pub(super) fn order(&mut self, clocks: Clocks, task: u64, input: Input, out: &mut Vec<Action>) {
         let Some(Task {
             kind: Kind::Order { id, order },
             ..
@@ -69,15 +69,20 @@
             return;
         };
         let id = id.clone();
-        match order.step(moment, input) {
-            Output::MakeKey(names) => out.push(Action::MakeKey(task, Key::Order(names, None))),
+        match order.step(clocks, input) {
+            Output::GenerateKey(names) => {
+                out.push(Action::GenerateKey(task, KeyRequest::Order(names, None)))
+            }
             Output::Post(url, payload) => {
-                self.post(moment, task, &url, Payload::Text(payload), By::Account, out);
+                self.post(clocks, task, &url, Payload::Text(payload), By::Account, out);
             }
             Output::Publish(name, token, authorization) => {
-                let way = self.settings.as_ref().map_or(Way::Http, |s| s.way);
+                let kind = self
+                    .settings
+                    .as_ref()
+                    .map_or(ChallengeType::Http, |s| s.challenge_type);
                 let challenge = Challenge {
-                    way,
+                    kind,
                     name,
                     token,
                     authorization,
@@ -88,9 +93,9 @@
                     .for_each(|t| t.shown.push(challenge.clone()));
                 out.push(Action::Publish(task, challenge));
             }
-            Output::Keep(pending) => {
+            Output::Save(pending) => {
                 self.pending.insert(id.clone(), pending.clone());
-                let keep = Keep::Pending(id, pending);
+                let keep = FileUpdate::PendingOrder(id, pending);
                 self.unsaved.supersede(&keep);
                 out.push(Action::Save(task, keep));
             }
@@ -105,28 +110,32 @@
                 self.pending.remove(&id);
                 let until = identity.not_after;
                 out.push(tell(
-                    Loud::Info,
+                    Level::Info,
                     "issued",
                     &id,
                     &format!("serial {} until {until}", identity.serial),
                 ));
-                self.save(Keep::Identity(id.clone(), (*identity).clone()), None, out);
-                self.take(moment, &id, *identity, true, out);
+                self.save(
+                    FileUpdate::Identity(id.clone(), (*identity).clone()),
+                    None,
+                    out,
+                );
+                self.take(clocks, &id, *identity, true, out);
                 self.keep_state(out);
             }
             Output::Failed(failure) => {
                 self.end(task, out);
                 if !failure.keeps_order && self.pending.remove(&id).is_some() {
-                    self.save(Keep::Forget(id.clone()), None, out);
+                    self.save(FileUpdate::RemoveOrder(id.clone()), None, out);
                 }
-                self.failed(moment, &id, &failure, out);
+                self.failed(clocks, &id, &failure, out);
             }
         }
     }
 
     pub(super) fn failed(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         id: &str,
         failure: &Failure,
         out: &mut Vec<Action>,
@@ -134,8 +143,8 @@
         if failure.cause == Cause::Unknown {
             self.account_lost();
         }
-        self.planner.failed(moment, id, failure);
-        out.push(tell(Loud::Warn, failure.cause.word(), id, &failure.text));
+        self.planner.failed(clocks, id, failure);
+        out.push(tell(Level::Warn, failure.cause.as_str(), id, &failure.text));
         self.keep_state(out);
     }
 
@@ -151,25 +160,25 @@
     /// A certificate is there: it is served at once.
     pub(super) fn take(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         id: &str,
         identity: Identity,
         ordered: bool,
         out: &mut Vec<Action>,
     ) {
-        let held = Held {
+        let held = Validity {
             not_before: identity.not_before,
             not_after: identity.not_after,
         };
         let names = identity.names.clone();
         if ordered {
-            self.planner.succeeded(moment, id, held, &names);
+            self.planner.succeeded(clocks, id, held, &names);
         } else {
-            self.planner.holds(moment, id, held, &names);
+            self.planner.set_certificate(clocks, id, held, &names);
         }
         if identity.renewal_id.is_some() {
             self.info.retain(|(_, i)| i != id);
-            self.info.insert((moment.now, id.into()));
+            self.info.insert((clocks.now, id.into()));
         }
         let wanted = self
             .planner
@@ -187,7 +196,7 @@
 
     pub(super) fn reread(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         found: Option<Box<Identity>>,
         out: &mut Vec<Action>,
@@ -202,19 +211,19 @@
         let held = self.served.get(&choice.id).and_then(|all| all.first());
         let newer = found.filter(|i| {
             let later = held.is_none_or(|h| i.not_after > h.not_after);
-            later && i.not_after > moment.wall && choice.names.iter().all(|n| i.covers(n))
+            later && i.not_after > clocks.wall && choice.names.iter().all(|n| i.covers(n))
         });
         match newer {
             Some(identity) => {
                 out.push(tell(
-                    Loud::Info,
+                    Level::Info,
                     "found",
                     &choice.id,
                     "another front has renewed it",
                 ));
-                self.take(moment, &choice.id.clone(), *identity, true, out);
+                self.take(clocks, &choice.id.clone(), *identity, true, out);
             }
-            None => self.begin(moment, choice, out),
+            None => self.begin(clocks, choice, out),
         }
     }
 }
--- a/certs/src/client/renewal_info.rs
+++ b/certs/src/client/renewal_info.rs
@@ -1,13 +1,13 @@
 //! Renewal information of the authority (RFC 9773): hints when to renew.
 use super::tasks::Kind;
 use super::{tell, Client, INFO_EACH, INFO_LEAST, INFO_MOST};
-use crate::http::Answer;
-use crate::messages::{Action, Loud};
+use crate::http::Response;
+use crate::messages::{Action, Level};
 use crate::wire::{self};
-use crate::{Moment, SECOND};
+use crate::{Clocks, SECOND};
 
 impl Client {
-    pub(super) fn ask_info(&mut self, moment: Moment, out: &mut Vec<Action>) {
+    pub(super) fn ask_info(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         let Some((_, id)) = self.info.pop_first() else {
             return;
         };
@@ -22,12 +22,12 @@
             .and_then(|i| i.renewal_id.clone());
         let Some((base, renewal)) = base.zip(renewal) else {
             // This authority tells nothing: a new directory may.
-            self.info.insert((moment.now + INFO_MOST, id));
+            self.info.insert((clocks.now + INFO_MOST, id));
             return;
         };
         let task = self.task(Kind::Info(id));
         self.get(
-            moment,
+            clocks,
             task,
             &format!("{}/{renewal}", base.trim_end_matches('/')),
             out,
@@ -36,9 +36,9 @@
 
     pub(super) fn info_told(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         id: &str,
-        answer: Result<Answer, String>,
+        answer: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
         let mut pause = INFO_EACH;
@@ -48,8 +48,8 @@
                     .retry_after
                     .map_or(pause, |s| (s * SECOND).clamp(INFO_LEAST, INFO_MOST));
                 match wire::renewal_info(&answer.body) {
-                    Ok(window) => self.planner.suggested(moment, id, window),
-                    Err(why) => out.push(tell(Loud::Warn, "bad-answer", id, &why)),
+                    Ok(window) => self.planner.suggested(clocks, id, window),
+                    Err(why) => out.push(tell(Level::Warn, "bad-answer", id, &why)),
                 }
             }
             // It is a hint: without it the rule by lifetime holds.
@@ -58,16 +58,16 @@
                     .retry_after
                     .map_or(pause, |s| (s * SECOND).clamp(INFO_EACH, INFO_MOST));
                 out.push(tell(
-                    Loud::Info,
+                    Level::Info,
                     "renewal-info",
                     id,
                     &format!("status {}", answer.status),
                 ));
             }
-            Err(why) => out.push(tell(Loud::Info, "renewal-info", id, &why)),
+            Err(why) => out.push(tell(Level::Info, "renewal-info", id, &why)),
         }
         if self.served.contains_key(id) {
-            self.info.insert((moment.now + pause, id.into()));
+            self.info.insert((clocks.now + pause, id.into()));
         }
     }
 }
--- a/certs/src/client/requests.rs
+++ b/certs/src/client/requests.rs
@@ -2,20 +2,20 @@
 use super::tasks::{By, Kind, Post, Setup, Task};
 use super::{common, fail, tell, Client, NONCES_MOST, NONCE_MOST, NONCE_TRIES, SKEW_MOST};
 use crate::error::Failure;
-use crate::http::{Answer, Method};
-use crate::messages::{Action, Ask, Loud, Payload, Sign};
+use crate::http::{Method, Response};
+use crate::messages::{Action, Level, Payload, Request, Sign};
 use crate::order::Input;
 use crate::retry::Cause;
 use crate::url::Url;
 use crate::wire::{self};
-use crate::{tame, Moment, SECOND};
+use crate::{tame, Clocks, SECOND};
 
 impl Client {
     pub(super) fn answered(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
-        answer: Result<Answer, String>,
+        answer: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
         let Some(current) = self.tasks.get_mut(&task) else {
@@ -24,12 +24,12 @@
         let nonce_only = std::mem::take(&mut current.nonce);
         if let Ok(answer) = &answer {
             if let Some(date) = answer.date {
-                let skew = date as i64 - moment.wall as i64;
+                let skew = date as i64 - clocks.wall as i64;
                 let known = self.skew.replace(skew);
                 let off = |s: i64| s.unsigned_abs() > SKEW_MOST;
                 if off(skew) && !known.is_some_and(off) {
                     let text = format!("the authority's clock is {skew} s ahead of this machine's");
-                    out.push(tell(Loud::Warn, "clock", "", &text));
+                    out.push(tell(Level::Warn, "clock", "", &text));
                 }
             }
             let sound = |n: &&String| {
@@ -57,20 +57,20 @@
                         told: answer.retry_after.map(|s| s * SECOND),
                         ..fail(Cause::Unreachable, &format!("nonce: {text}"))
                     };
-                    return self.task_failed(moment, task, failure, out);
+                    return self.task_failed(clocks, task, failure, out);
                 }
-                return self.send(moment, task, out);
+                return self.send(clocks, task, out);
             }
             if refused {
                 let post = self.tasks.get_mut(&task).and_then(|t| t.post.as_mut());
                 if let Some(post) = post.filter(|p| p.tries < NONCE_TRIES) {
                     post.tries += 1;
-                    return self.send(moment, task, out);
+                    return self.send(clocks, task, out);
                 }
             }
         } else if nonce_only {
             let why = answer.err().unwrap_or_default();
-            return self.lost(moment, task, &why, out);
+            return self.lost(clocks, task, &why, out);
         }
         let Some(Task { kind, post, .. }) = self.tasks.get_mut(&task) else {
             return;
@@ -79,20 +79,20 @@
         match kind {
             Kind::Order { .. } => {
                 let input = match answer {
-                    Ok(answer) => Input::Answer(answer),
+                    Ok(answer) => Input::Response(answer),
                     Err(why) => Input::Lost(why),
                 };
-                self.order(moment, task, input, out);
+                self.order(clocks, task, input, out);
             }
             Kind::Info(id) => {
                 let id = id.clone();
                 self.tasks.remove(&task);
-                self.info_told(moment, &id, answer, out);
+                self.info_told(clocks, &id, answer, out);
             }
             Kind::Setup(step) => {
                 let step = *step;
                 match answer {
-                    Err(why) => self.lost(moment, task, &why, out),
+                    Err(why) => self.lost(clocks, task, &why, out),
                     Ok(answer) if step == Setup::Next && answer.status < 500 => {
                         self.tasks.remove(&task);
                         self.next_told(answer.status < 300, out);
@@ -105,18 +105,18 @@
                             told,
                             ..fail(common(&problem, answer.status), &text)
                         };
-                        self.setup_failed(moment, task, &failure, out);
+                        self.setup_failed(clocks, task, &failure, out);
                     }
                     Ok(answer) if step == Setup::Directory => {
-                        self.directory_told(moment, task, &answer, out)
+                        self.directory_told(clocks, task, &answer, out)
                     }
-                    Ok(answer) => self.account_told(moment, task, answer, out),
+                    Ok(answer) => self.account_told(clocks, task, answer, out),
                 }
             }
             Kind::Revoke { operator, id } => {
                 let (operator, id) = (*operator, id.clone());
                 self.tasks.remove(&task);
-                self.revoked(moment, operator, &id, answer, out);
+                self.revoked(clocks, operator, &id, answer, out);
             }
             Kind::Roll { operator, new } => {
                 let (operator, new) = (*operator, new.clone());
@@ -128,13 +128,13 @@
     }
 
     /// Something that a task needed did not come about.
-    pub(super) fn lost(&mut self, moment: Moment, task: u64, why: &str, out: &mut Vec<Action>) {
-        self.task_failed(moment, task, fail(Cause::Unreachable, why), out);
+    pub(super) fn lost(&mut self, clocks: Clocks, task: u64, why: &str, out: &mut Vec<Action>) {
+        self.task_failed(clocks, task, fail(Cause::Unreachable, why), out);
     }
 
     pub(super) fn task_failed(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         failure: Failure,
         out: &mut Vec<Action>,
@@ -145,16 +145,16 @@
                     Cause::Unreachable => Input::Lost(failure.text),
                     _ => Input::Barred(failure.text),
                 };
-                self.order(moment, task, input, out);
+                self.order(clocks, task, input, out);
                 if let Some(told) = failure.told {
-                    self.planner.away(moment, Cause::Unreachable, Some(told));
+                    self.planner.away(clocks, Cause::Unreachable, Some(told));
                 }
             }
-            Some(Kind::Setup(_)) => self.setup_failed(moment, task, &failure, out),
+            Some(Kind::Setup(_)) => self.setup_failed(clocks, task, &failure, out),
             Some(Kind::Info(id)) => {
                 let id = id.clone();
                 self.tasks.remove(&task);
-                self.info_told(moment, &id, Err(failure.text), out);
+                self.info_told(clocks, &id, Err(failure.text), out);
             }
             Some(Kind::Revoke { operator, .. } | Kind::Roll { operator, .. }) => {
                 let operator = *operator;
@@ -179,23 +179,23 @@
         Ok(found)
     }
 
-    pub(super) fn get(&mut self, moment: Moment, task: u64, url: &str, out: &mut Vec<Action>) {
+    pub(super) fn get(&mut self, clocks: Clocks, task: u64, url: &str, out: &mut Vec<Action>) {
         match self.place(url) {
-            Ok(url) => out.push(Action::Ask(
+            Ok(url) => out.push(Action::Request(
                 task,
-                Ask {
+                Request {
                     method: Method::Get,
                     url,
                     sign: None,
                 },
             )),
-            Err(why) => self.task_failed(moment, task, fail(Cause::Unreachable, &why), out),
+            Err(why) => self.task_failed(clocks, task, fail(Cause::Unreachable, &why), out),
         }
     }
 
     pub(super) fn post(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         url: &str,
         payload: Payload,
@@ -215,16 +215,16 @@
                     .get_mut(&task)
                     .into_iter()
                     .for_each(|t| t.post = Some(post.clone()));
-                self.send(moment, task, out);
+                self.send(clocks, task, out);
             }
-            Err(why) => self.task_failed(moment, task, fail(Cause::Broken, &why), out),
+            Err(why) => self.task_failed(clocks, task, fail(Cause::Broken, &why), out),
         }
     }
 
     /// Sends the request of a task, or asks for a nonce first.
-    pub(super) fn send(&mut self, moment: Moment, task: u64, out: &mut Vec<Action>) {
+    pub(super) fn send(&mut self, clocks: Clocks, task: u64, out: &mut Vec<Action>) {
         let Some((key, (directory, _))) = self.key.clone().zip(self.directory.as_ref()) else {
-            return self.task_failed(moment, task, fail(Cause::Unknown, "no account"), out);
+            return self.task_failed(clocks, task, fail(Cause::Unknown, "no account"), out);
         };
         let Some(nonce) = self.nonces.pop() else {
             let place = self.place(&directory.new_nonce);
@@ -234,16 +234,16 @@
                         .get_mut(&task)
                         .into_iter()
                         .for_each(|t| t.nonce = true);
-                    out.push(Action::Ask(
+                    out.push(Action::Request(
                         task,
-                        Ask {
+                        Request {
                             method: Method::Head,
                             url,
                             sign: None,
                         },
                     ));
                 }
-                Err(why) => self.task_failed(moment, task, fail(Cause::Broken, &why), out),
+                Err(why) => self.task_failed(clocks, task, fail(Cause::Broken, &why), out),
             };
         };
         let account = self.account.as_ref().and_then(|a| a.url.clone());
@@ -261,9 +261,9 @@
             url: post.text,
             payload: post.payload,
         };
-        out.push(Action::Ask(
+        out.push(Action::Request(
             task,
-            Ask {
+            Request {
                 method: Method::Post,
                 url: post.url,
                 sign: Some(sign),
--- a/certs/src/client/saving.rs
+++ b/certs/src/client/saving.rs
@@ -1,34 +1,34 @@
 //! What is kept on disk, and what waits for that.
 use super::tasks::{By, Kind, Setup};
 use super::{tell, Client};
-use crate::disk::{Keep, State};
-use crate::messages::{Action, Loud, Payload};
+use crate::disk::{FileUpdate, State};
+use crate::messages::{Action, Level, Payload};
 use crate::order::Input;
 use crate::unsaved::{Ended, Waiting};
-use crate::{Moment, Timestamp};
+use crate::{Clocks, Timestamp};
 
 impl Client {
     pub(super) fn done(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         done: Result<(), String>,
         out: &mut Vec<Action>,
     ) {
-        if let Some(ended) = self.unsaved.ended(moment.now, task, done.is_ok()) {
+        if let Some(ended) = self.unsaved.ended(clocks.now, task, done.is_ok()) {
             return self.write_ended(ended, done, out);
         }
         if let Err(why) = &done {
             // Published challenges that fail are told with their order.
             let publishing = self.tasks.get(&task).is_some_and(|t| !t.shown.is_empty());
             if !publishing {
-                out.push(tell(Loud::Warn, "not-kept", "", why));
+                out.push(tell(Level::Warn, "not-kept", "", why));
             }
         }
         match self.tasks.get_mut(&task).map(|t| &mut t.kind) {
             Some(Kind::Setup(step)) => {
                 *step = Setup::Account;
-                self.post_account(moment, task, out);
+                self.post_account(clocks, task, out);
             }
             Some(Kind::Roll { new, .. }) => {
                 let url = self
@@ -39,7 +39,7 @@
                 match (new.clone(), url, account, done) {
                     (Some(new), Some(url), Some(account), Ok(())) => {
                         self.post(
-                            moment,
+                            clocks,
                             task,
                             &url,
                             Payload::KeyChange { account, new },
@@ -48,15 +48,15 @@
                         );
                     }
                     (.., Err(why)) => self.lost(
-                        moment,
+                        clocks,
                         task,
                         &format!("the new key can't be kept: {why}"),
                         out,
                     ),
-                    _ => self.lost(moment, task, "the authority changes no keys", out),
+                    _ => self.lost(clocks, task, "the authority changes no keys", out),
                 }
             }
-            Some(Kind::Order { .. }) => self.order(moment, task, Input::Done(done), out),
+            Some(Kind::Order { .. }) => self.order(clocks, task, Input::Done(done), out),
             _ => {}
         }
     }
@@ -69,7 +69,12 @@
     }
 
     /// Keeps something in the background, and again until it is durable.
-    pub(super) fn save(&mut self, what: Keep, waiting: Option<Waiting>, out: &mut Vec<Action>) {
+    pub(super) fn save(
+        &mut self,
+        what: FileUpdate,
+        waiting: Option<Waiting>,
+        out: &mut Vec<Action>,
+    ) {
         self.last += 1;
         if let Some(Waiting { operator, .. }) = self.unsaved.begin(self.last, what.clone(), waiting)
         {
@@ -85,7 +90,7 @@
     pub(super) fn save_again(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let (pending, last) = (&self.pending, &mut self.last);
         // A certificate ends the order of its name on disk: not one that was begun since.
-        let holds = |what: &Keep| matches!(what, Keep::Identity(id, _) if pending.contains_key(id));
+        let holds = |what: &FileUpdate| matches!(what, FileUpdate::Identity(id, _) if pending.contains_key(id));
         let number = || {
             *last += 1;
             *last
@@ -106,7 +111,7 @@
         out: &mut Vec<Action>,
     ) {
         if let (Err(why), 1) = (&done, ended.failures) {
-            out.push(tell(Loud::Warn, "not-kept", "", why));
+            out.push(tell(Level::Warn, "not-kept", "", why));
         }
         if let Some(Waiting { operator, text }) = ended.waiting {
             let answer = match done {
@@ -124,7 +129,7 @@
         let state = State { orders, refused };
         if state != self.saved {
             self.saved = state.clone();
-            self.save(Keep::State(state), None, out);
+            self.save(FileUpdate::State(state), None, out);
         }
     }
 }
--- a/certs/src/client/setup.rs
+++ b/certs/src/client/setup.rs
@@ -1,28 +1,28 @@
 //! What must be there before an order: the directory and the account of the authority.
 use super::tasks::{By, Kind, Setup, Task};
 use super::{fail, of, tell, told, Client, DIRECTORY_AGE, INFO_EACH};
-use crate::disk::{Account, Keep, Loaded};
+use crate::disk::{Account, FileUpdate, Loaded};
 use crate::error::Failure;
-use crate::http::Answer;
+use crate::http::Response;
 use crate::jose::AccountKey;
-use crate::messages::{Action, Key, Loud, Payload};
+use crate::messages::{Action, KeyRequest, Level, Payload};
 use crate::order::RESUME_MOST;
-use crate::planner::Plan;
-use crate::renewal::Turns;
+use crate::planner::PlannerSettings;
+use crate::renewal::Ranking;
 use crate::retry::Cause;
 use crate::wire::{self};
-use crate::{tame, Moment, SECOND};
+use crate::{tame, Clocks, SECOND};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 impl Client {
-    pub(super) fn start(&mut self, moment: Moment, loaded: Loaded, out: &mut Vec<Action>) {
+    pub(super) fn start(&mut self, clocks: Clocks, loaded: Loaded, out: &mut Vec<Action>) {
         for (file, why) in &loaded.faults {
-            out.push(tell(Loud::Warn, "file-unusable", file, why));
+            out.push(tell(Level::Warn, "file-unusable", file, why));
         }
         self.saved = loaded.state.clone();
         self.planner
-            .remember(moment, &loaded.state.orders, loaded.state.refused);
+            .remember(clocks, &loaded.state.orders, loaded.state.refused);
         let here = |a: &Account| {
             self.settings
                 .as_ref()
@@ -31,16 +31,16 @@
         if let Some(account) = loaded.account.filter(here) {
             match AccountKey::from_pem(&account.key) {
                 Ok(key) => (self.key, self.account) = (Some(Arc::new(key)), Some(account)),
-                Err(why) => out.push(tell(Loud::Warn, "file-unusable", "account.json", &why)),
+                Err(why) => out.push(tell(Level::Warn, "file-unusable", "account.json", &why)),
             }
         }
         for (id, identity) in loaded.identities {
             if self.planner.names(&id).is_some() {
-                self.take(moment, &id, identity, false, out);
+                self.take(clocks, &id, identity, false, out);
             } else {
                 // Nobody would renew it, nor tell when it ends.
                 out.push(tell(
-                    Loud::Info,
+                    Level::Info,
                     "file-unused",
                     &id,
                     "no certificate is configured under this name",
@@ -52,12 +52,12 @@
                 .planner
                 .names(&id)
                 .is_some_and(|n| pending.names.iter().all(|p| n.contains(p)));
-            let fresh = pending.began + RESUME_MOST > moment.wall && self.account.is_some();
+            let fresh = pending.began + RESUME_MOST > clocks.wall && self.account.is_some();
             if wanted && fresh {
-                self.planner.resumes(moment, &id);
+                self.planner.resumes(clocks, &id);
                 self.pending.insert(id, pending);
             } else {
-                self.save(Keep::Forget(id), None, out);
+                self.save(FileUpdate::RemoveOrder(id), None, out);
             }
         }
         self.started = true;
@@ -65,14 +65,14 @@
 
     pub(super) fn configure(
         &mut self,
-        moment: Moment,
-        plan: Plan,
-        turns: Box<dyn Turns + Send>,
+        clocks: Clocks,
+        plan: PlannerSettings,
+        turns: Box<dyn Ranking + Send>,
         certificates: &[Vec<String>],
         out: &mut Vec<Action>,
     ) {
-        self.planner.set(moment, plan, turns);
-        self.planner.want(moment, certificates);
+        self.planner.set(clocks, plan, turns);
+        self.planner.want(clocks, certificates);
         let known: BTreeSet<String> = self.planner.ids().cloned().collect();
         let gone: Vec<u64> = self
             .tasks
@@ -95,11 +95,11 @@
     }
 
     /// Begins what can be begun.
-    pub(super) fn pump(&mut self, moment: Moment, out: &mut Vec<Action>) {
+    pub(super) fn pump(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         if !self.started {
             return;
         }
-        for notice in self.planner.notices(moment) {
+        for notice in self.planner.notices(clocks) {
             out.push(told(&notice));
         }
         let Some(settings) = self.settings.clone() else {
@@ -109,22 +109,22 @@
             .tasks
             .values()
             .any(|t| matches!(t.kind, Kind::Setup(_)));
-        let wants = self.planner.wants(moment);
-        let info = self.info.first().is_some_and(|(at, _)| *at <= moment.now);
-        let away = moment.now < self.planner.away_until();
+        let wants = self.planner.wants(clocks);
+        let info = self.info.first().is_some_and(|(at, _)| *at <= clocks.now);
+        let away = clocks.now < self.planner.away_until();
         if setup || away || !(wants || info) {
             return;
         }
         let current = self
             .directory
             .as_ref()
-            .filter(|(_, at)| moment.now < at + DIRECTORY_AGE);
+            .filter(|(_, at)| clocks.now < at + DIRECTORY_AGE);
         if current.is_none() {
             let task = self.task(Kind::Setup(Setup::Directory));
-            return self.get(moment, task, &settings.directory_url, out);
+            return self.get(clocks, task, &settings.directory_url, out);
         }
         if wants && self.account.as_ref().is_none_or(|a| a.url.is_none()) {
-            return self.register(moment, out);
+            return self.register(clocks, out);
         }
         let rolling = self
             .tasks
@@ -143,7 +143,7 @@
                 .map(|(d, _)| d.new_account.clone())
                 .unwrap_or_default();
             return self.post(
-                moment,
+                clocks,
                 task,
                 &url,
                 Payload::Existing,
@@ -151,37 +151,37 @@
                 out,
             );
         }
-        while let Some(choice) = self.planner.next(moment) {
+        while let Some(choice) = self.planner.next(clocks) {
             self.keep_state(out);
             if settings.shared && !self.pending.contains_key(&choice.id) {
                 let id = choice.id.clone();
                 let task = self.task(Kind::Reread(choice));
                 out.push(Action::Reread(task, id));
             } else {
-                self.begin(moment, choice, out);
+                self.begin(clocks, choice, out);
             }
         }
         let asking = self.tasks.values().any(|t| matches!(t.kind, Kind::Info(_)));
         if info && !asking {
-            self.ask_info(moment, out);
+            self.ask_info(clocks, out);
         }
     }
 
     /// Makes an account, or finds the one that belongs to the key.
-    pub(super) fn register(&mut self, moment: Moment, out: &mut Vec<Action>) {
+    pub(super) fn register(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         match &self.key {
             None => {
                 let task = self.task(Kind::Setup(Setup::Key));
-                out.push(Action::MakeKey(task, Key::Account));
+                out.push(Action::GenerateKey(task, KeyRequest::Account));
             }
             Some(_) => {
                 let task = self.task(Kind::Setup(Setup::Account));
-                self.post_account(moment, task, out);
+                self.post_account(clocks, task, out);
             }
         }
     }
 
-    pub(super) fn post_account(&mut self, moment: Moment, task: u64, out: &mut Vec<Action>) {
+    pub(super) fn post_account(&mut self, clocks: Clocks, task: u64, out: &mut Vec<Action>) {
         let Some((settings, (directory, _))) = self.settings.clone().zip(self.directory.clone())
         else {
             return;
@@ -191,7 +191,7 @@
                 Cause::Account,
                 "the authority wants an external account, and none is configured",
             );
-            return self.setup_failed(moment, task, &failure, out);
+            return self.setup_failed(clocks, task, &failure, out);
         }
         let payload = Payload::Account {
             contacts: settings.contacts,
@@ -199,7 +199,7 @@
         };
         let Some(key) = self.key.clone() else { return };
         self.post(
-            moment,
+            clocks,
             task,
             &directory.new_account,
             payload,
@@ -210,14 +210,14 @@
 
     pub(super) fn account_key(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         key: Result<Arc<AccountKey>, String>,
         out: &mut Vec<Action>,
     ) {
         let key = match key {
             Ok(key) => key,
-            Err(why) => return self.lost(moment, task, &why, out),
+            Err(why) => return self.lost(clocks, task, &why, out),
         };
         let Some(Task { kind, .. }) = self.tasks.get_mut(&task) else {
             return;
@@ -237,7 +237,7 @@
                     url: None,
                 };
                 (self.key, self.account) = (Some(key), Some(account.clone()));
-                let keep = Keep::Account(account);
+                let keep = FileUpdate::Account(account);
                 self.unsaved.supersede(&keep);
                 out.push(Action::Save(task, keep));
             }
@@ -245,7 +245,7 @@
                 *new = Some(Arc::clone(&key));
                 if let Some(account) = &mut self.account {
                     account.next_key = Some(key.pem().into());
-                    let keep = Keep::Account(account.clone());
+                    let keep = FileUpdate::Account(account.clone());
                     self.unsaved.supersede(&keep);
                     out.push(Action::Save(task, keep));
                 }
@@ -256,9 +256,9 @@
 
     pub(super) fn directory_told(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
-        answer: &Answer,
+        answer: &Response,
         out: &mut Vec<Action>,
     ) {
         let found = wire::directory(&answer.body).and_then(|directory| {
@@ -274,9 +274,9 @@
         match found {
             Ok(directory) => {
                 self.tasks.remove(&task);
-                self.directory = Some((directory, moment.now));
+                self.directory = Some((directory, clocks.now));
             }
-            Err(why) => self.setup_failed(moment, task, &fail(Cause::Unreachable, &why), out),
+            Err(why) => self.setup_failed(clocks, task, &fail(Cause::Unreachable, &why), out),
         }
     }
 
@@ -291,57 +291,57 @@
             }
         }
         let account = account.clone();
-        self.save(Keep::Account(account), None, out);
+        self.save(FileUpdate::Account(account), None, out);
         let text = if taken {
             "it has the new key"
         } else {
             "it kept its key"
         };
-        out.push(tell(Loud::Info, "account", "", text));
+        out.push(tell(Level::Info, "account", "", text));
     }
 
     pub(super) fn account_told(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
-        answer: Answer,
+        answer: Response,
         out: &mut Vec<Action>,
     ) {
         let url = answer.location.filter(|url| self.place(url).is_ok());
         let Some((url, account)) = url.zip(self.account.as_mut()) else {
             let failure = fail(Cause::Unreachable, "an account without a URL");
-            return self.setup_failed(moment, task, &failure, out);
+            return self.setup_failed(clocks, task, &failure, out);
         };
         account.url = Some(url.clone());
         account.next_key = None;
         self.tasks.remove(&task);
         self.planner.answers();
         let account = account.clone();
-        self.save(Keep::Account(account), None, out);
-        out.push(tell(Loud::Info, "account", "", &tame(&url, 200)));
+        self.save(FileUpdate::Account(account), None, out);
+        out.push(tell(Level::Info, "account", "", &tame(&url, 200)));
     }
 
     pub(super) fn setup_failed(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         failure: &Failure,
         out: &mut Vec<Action>,
     ) {
         self.tasks.remove(&task);
-        self.planner.away(moment, failure.cause, failure.told);
+        self.planner.away(clocks, failure.cause, failure.told);
         // Hints can wait: they alone are no reason to ask again soon.
         while let Some((_, id)) = self
             .info
             .first()
-            .filter(|(at, _)| *at <= moment.now)
+            .filter(|(at, _)| *at <= clocks.now)
             .cloned()
         {
             self.info.pop_first();
-            self.info.insert((moment.now + INFO_EACH, id));
+            self.info.insert((clocks.now + INFO_EACH, id));
         }
-        let wait = self.planner.away_until().saturating_sub(moment.now) / SECOND;
+        let wait = self.planner.away_until().saturating_sub(clocks.now) / SECOND;
         let text = format!("{}; asked again in {wait} s", failure.text);
-        out.push(tell(Loud::Warn, failure.cause.word(), "", &text));
+        out.push(tell(Level::Warn, failure.cause.as_str(), "", &text));
     }
 }
--- a/certs/src/disk.rs
+++ b/certs/src/disk.rs
@@ -11,7 +11,7 @@
 //! the new one. All are 0600. The steps are those of [`Files`], so that tests stop at each of them.
 use crate::identity::Identity;
 use crate::planner::Refusal;
-use crate::{tame, Wall};
+use crate::{tame, UnixTime};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions, Permissions};
@@ -169,7 +169,7 @@
     /// Its key in PEM: a secret.
     pub key: String,
     /// When it was begun.
-    pub began: Wall,
+    pub began: UnixTime,
 }
 
 impl std::fmt::Debug for Pending {
@@ -183,7 +183,7 @@
 pub struct State {
     /// When orders were begun, as far as they count.
     #[serde(default)]
-    pub orders: Vec<Wall>,
+    pub orders: Vec<UnixTime>,
     /// Names that the authority refused.
     #[serde(default)]
     pub refused: BTreeMap<String, Refusal>,
@@ -270,21 +270,21 @@
 
 /// Something to be kept.
 #[derive(Clone, Debug)]
-pub enum Keep {
+pub enum FileUpdate {
     /// The account.
     Account(Account),
     /// The planner's memory.
     State(State),
     /// An order under way, for the certificate of that id.
-    Pending(String, Pending),
+    PendingOrder(String, Pending),
     /// An order that is over.
-    Forget(String),
+    RemoveOrder(String),
     /// A certificate; the order that it came from is over.
     Identity(String, Identity),
 }
 
 /// Keeps something, durably once this returns without an error. The error names the step that failed.
-pub fn save(files: &mut dyn Files, what: &Keep) -> Result<(), String> {
+pub fn save(files: &mut dyn Files, what: &FileUpdate) -> Result<(), String> {
     fn text<T: Serialize>(body: &T) -> Result<Vec<u8>, String> {
         serde_json::to_vec_pretty(&Versioned {
             version: VERSION,
@@ -293,11 +293,13 @@
         .map_err(|e| e.to_string())
     }
     match what {
-        Keep::Account(account) => put(files, ACCOUNT, &text(account)?),
-        Keep::State(state) => put(files, STATE, &text(state)?),
-        Keep::Pending(id, pending) => put(files, &format!("{id}.order"), &text(pending)?),
-        Keep::Forget(id) => take_away(files, &format!("{id}.order")),
-        Keep::Identity(id, identity) => {
+        FileUpdate::Account(account) => put(files, ACCOUNT, &text(account)?),
+        FileUpdate::State(state) => put(files, STATE, &text(state)?),
+        FileUpdate::PendingOrder(id, pending) => {
+            put(files, &format!("{id}.order"), &text(pending)?)
+        }
+        FileUpdate::RemoveOrder(id) => take_away(files, &format!("{id}.order")),
+        FileUpdate::Identity(id, identity) => {
             put(files, &format!("{id}.pem"), identity.bundle().as_bytes())?;
             take_away(files, &format!("{id}.order"))
         }
--- a/certs/src/exchange.rs
+++ b/certs/src/exchange.rs
@@ -1,7 +1,7 @@
 //! Carries requests out: one HTTPS exchange, blocking, until an absolute deadline. For worker threads.
-use crate::http::{request, Answer, Reader};
+use crate::http::{request as encode_request, Reader, Response};
 use crate::jose::AccountKey;
-use crate::messages::{Ask, Key};
+use crate::messages::{KeyRequest, Request};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, ServerName};
 use rustls::sign::CertifiedKey;
@@ -16,7 +16,7 @@
 const ADDRESSES_MOST: usize = 4;
 
 /// What is trusted for the TLS of the authority: the roots in a PEM file, and nothing else.
-pub fn roots(file: &Path) -> Result<Arc<ClientConfig>, String> {
+pub fn load_roots(file: &Path) -> Result<Arc<ClientConfig>, String> {
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let mut store = RootCertStore::empty();
     for root in CertificateDer::pem_file_iter(file).map_err(|e| failed(&e))? {
@@ -39,12 +39,12 @@
 /// Asks and reads the answer, of `most` bytes at most, before `deadline`. The error is one line.
 pub fn exchange(
     config: &Arc<ClientConfig>,
-    ask: &Ask,
+    ask: &Request,
     deadline: Instant,
     most: usize,
-) -> Result<Answer, String> {
+) -> Result<Response, String> {
     let body = ask.sign.as_ref().map(|sign| sign.body()).transpose()?;
-    let bytes = request(ask.method, &ask.url, body.as_deref());
+    let bytes = encode_request(ask.method, &ask.url, body.as_deref());
     let (host, port) = (ask.url.host.as_str(), ask.url.port);
     let at = |what: &str, e: &dyn std::fmt::Display| format!("{host}:{port}: {what}: {e}");
     let name = ServerName::try_from(host.to_string()).map_err(|e| at("name", &e))?;
@@ -124,8 +124,8 @@
     }
 }
 
-/// What [`make_key`] made.
-pub enum Made {
+/// What [`generate_key`] made.
+pub enum GeneratedKey {
     /// Key in PEM and signing request in DER.
     Order(String, Vec<u8>),
     /// A key for the account.
@@ -133,11 +133,13 @@
 }
 
 /// Makes a P-256 key; for an order with a signing request for its names (RFC 2986).
-pub fn make_key(key: &Key) -> Result<Made, String> {
+pub fn generate_key(key: &KeyRequest) -> Result<GeneratedKey, String> {
     let failed = |e: rcgen::Error| format!("key: {e}");
     match key {
-        Key::Account => AccountKey::generate().map(|key| Made::Account(Arc::new(key))),
-        Key::Order(names, pem) => {
+        KeyRequest::Account => {
+            AccountKey::generate().map(|key| GeneratedKey::Account(Arc::new(key)))
+        }
+        KeyRequest::Order(names, pem) => {
             let key = match pem {
                 Some(pem) => rcgen::KeyPair::from_pem(pem).map_err(failed)?,
                 None => rcgen::KeyPair::generate().map_err(failed)?,
@@ -145,14 +147,20 @@
             let mut params = rcgen::CertificateParams::new(names.clone()).map_err(failed)?;
             params.distinguished_name = rcgen::DistinguishedName::new();
             let request = params.serialize_request(&key).map_err(failed)?;
-            Ok(Made::Order(key.serialize_pem(), request.der().to_vec()))
+            Ok(GeneratedKey::Order(
+                key.serialize_pem(),
+                request.der().to_vec(),
+            ))
         }
     }
 }
 
 /// A self-signed certificate that shows control of a name (RFC 8737, section 3): it names that alone, and holds the
 /// digest of the key authorization.
-pub fn prove(name: &str, authorization: &str) -> Result<Arc<CertifiedKey>, String> {
+pub fn generate_challenge_certificate(
+    name: &str,
+    authorization: &str,
+) -> Result<Arc<CertifiedKey>, String> {
     let failed = |e: &dyn std::fmt::Display| format!("challenge: {e}");
     let key = rcgen::KeyPair::generate().map_err(|e| failed(&e))?;
     let mut params = rcgen::CertificateParams::new(vec![name.into()]).map_err(|e| failed(&e))?;
--- a/certs/src/http.rs
+++ b/certs/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as a client speaks it: one request, one answer, then the connection ends (RFC 9112). No input or
 //! output; the answer is bounded in its head and its body before anything is kept of it.
 use crate::url::Url;
-use crate::Wall;
+use crate::UnixTime;
 
 /// HTTP methods that ACME needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 
 /// What an authority answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Status code.
     pub status: u16,
     /// `Replay-Nonce` (RFC 8555, section 6.5.1).
@@ -34,7 +34,7 @@
     /// `Retry-After` in seconds from the answer on (RFC 9110, section 10.2.3).
     pub retry_after: Option<u64>,
     /// `Date`: the authority's wall clock.
-    pub date: Option<Wall>,
+    pub date: Option<UnixTime>,
     /// The body, as long as it may be at most.
     pub body: Vec<u8>,
 }
@@ -84,14 +84,14 @@
     most: usize,
     headless: bool,
     input: Vec<u8>,
-    answer: Answer,
+    answer: Response,
     body: Option<Body>,
 }
 
 impl Reader {
     /// For an answer to `method` whose body has `most` bytes at most.
     pub fn new(method: Method, most: usize) -> Self {
-        let answer = Answer::default();
+        let answer = Response::default();
         Reader {
             most,
             headless: method == Method::Head,
@@ -102,7 +102,7 @@
     }
 
     /// Takes bytes in. `Some`: the answer is whole.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Answer>, &'static str> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Response>, &'static str> {
         self.input.extend_from_slice(bytes);
         if self.body.is_none() && !self.head()? {
             return Ok(None);
@@ -112,7 +112,7 @@
     }
 
     /// The connection has ended. `Some`: that made the answer whole.
-    pub fn end(&mut self) -> Result<Option<Answer>, &'static str> {
+    pub fn end(&mut self) -> Result<Option<Response>, &'static str> {
         match self.body {
             Some(Body::Open) => {
                 self.body = Some(Body::Done);
@@ -146,10 +146,10 @@
             }
             first.transpose().map_err(|_| "a field is no text")
         };
-        let date = field("date")?.and_then(|text| moment(&text));
+        let date = field("date")?.and_then(|text| parse_http_date(&text));
         let retry_after = field("retry-after")?.and_then(|text| match text.parse::<u64>() {
             Ok(seconds) => Some(seconds),
-            Err(_) => moment(&text)
+            Err(_) => parse_http_date(&text)
                 .zip(date)
                 .map(|(at, now)| at.saturating_sub(now)),
         });
@@ -161,7 +161,7 @@
             None => None,
         };
         let coding = field("transfer-encoding")?;
-        let answer = Answer {
+        let answer = Response {
             status,
             nonce: field("replay-nonce")?,
             location: field("location")?,
@@ -279,7 +279,7 @@
     }
 }
 
-fn moment(text: &str) -> Option<Wall> {
+fn parse_http_date(text: &str) -> Option<UnixTime> {
     let at = httpdate::parse_http_date(text).ok()?;
     at.duration_since(std::time::UNIX_EPOCH)
         .ok()
--- a/certs/src/http/tests.rs
+++ b/certs/src/http/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn cut(bytes: &[u8], at: usize) -> Result<Option<Answer>, &'static str> {
+fn cut(bytes: &[u8], at: usize) -> Result<Option<Response>, &'static str> {
     let mut reader = Reader::new(Method::Get, 100);
     match reader.feed(&bytes[..at])? {
         Some(answer) => Ok(Some(answer)),
--- a/certs/src/identity.rs
+++ b/certs/src/identity.rs
@@ -1,6 +1,6 @@
 //! A certificate with its chain and its key, as it is served and kept.
 use crate::jose::base64url;
-use crate::{hash, Moment, Wall};
+use crate::{hash, Clocks, UnixTime};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::sign::CertifiedKey;
@@ -20,9 +20,9 @@
     /// Host names of the leaf, in lower case.
     pub names: Vec<String>,
     /// First second at which the leaf holds.
-    pub not_before: Wall,
+    pub not_before: UnixTime,
     /// Last second at which the leaf holds.
-    pub not_after: Wall,
+    pub not_after: UnixTime,
     /// Serial number of the leaf, in hex.
     pub serial: String,
     /// Who issued the leaf.
@@ -105,7 +105,7 @@
     }
 
     /// Puts a key and a chain together, both in PEM.
-    pub fn join(key: &str, chain: &str) -> Result<Self, String> {
+    pub fn from_key_and_chain(key: &str, chain: &str) -> Result<Self, String> {
         // A chain that brings a key of its own must not displace ours.
         let certificates =
             chain.contains("-----BEGIN CERTIFICATE-----") && !chain.contains("PRIVATE KEY-----");
@@ -126,7 +126,7 @@
     }
 
     /// Whether it holds at that second.
-    pub fn holds(&self, wall: Wall) -> bool {
+    pub fn is_valid_at(&self, wall: UnixTime) -> bool {
         (self.not_before..=self.not_after).contains(&wall)
     }
 
@@ -140,8 +140,8 @@
     }
 
     /// Seconds until it ends; negative: since it ended.
-    pub fn left(&self, moment: Moment) -> i64 {
-        self.not_after as i64 - moment.wall as i64
+    pub fn left(&self, clocks: Clocks) -> i64 {
+        self.not_after as i64 - clocks.wall as i64
     }
 
     /// A number that tells this one from others.
--- a/certs/src/identity/tests.rs
+++ b/certs/src/identity/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// A self-signed bundle for some names, from one second to another.
-fn made(names: &[&str], from: Wall, until: Wall) -> (String, String) {
+fn made(names: &[&str], from: UnixTime, until: UnixTime) -> (String, String) {
     let key = rcgen::KeyPair::generate().unwrap();
     let names: Vec<String> = names.iter().map(|n| n.to_string()).collect();
     let mut params = rcgen::CertificateParams::new(names).unwrap();
@@ -13,16 +13,21 @@
 #[test]
 fn key_and_certificate_have_to_belong_together() {
     let (key, chain) = made(&["A.example", "*.b.example"], 1_000, 2_000);
-    let found = Identity::join(&key, &chain).unwrap();
+    let found = Identity::from_key_and_chain(&key, &chain).unwrap();
     assert_eq!((found.not_before, found.not_after), (1_000, 2_000));
     assert!(found.covers("a.EXAMPLE") && found.covers("x.b.example"));
     assert!(!found.covers("b.example") && !found.covers("x.y.b.example"));
-    assert!(found.holds(1_000) && found.holds(2_000) && !found.holds(2_001) && !found.holds(999));
+    assert!(
+        found.is_valid_at(1_000)
+            && found.is_valid_at(2_000)
+            && !found.is_valid_at(2_001)
+            && !found.is_valid_at(999)
+    );
     assert!(!format!("{found:?}").contains(key.lines().nth(1).unwrap()));
     let (other, _) = made(&["a.example"], 1_000, 2_000);
-    let why = Identity::join(&other, &chain).unwrap_err();
+    let why = Identity::from_key_and_chain(&other, &chain).unwrap_err();
     assert!(why.contains("do not belong together"), "{why}");
-    assert!(Identity::join(&key, &format!("{other}{chain}")).is_err());
+    assert!(Identity::from_key_and_chain(&key, &format!("{other}{chain}")).is_err());
 }
 
 #[test]
--- a/certs/src/lib.rs
+++ b/certs/src/lib.rs
@@ -6,7 +6,7 @@
 //! HTTPS with an absolute deadline, [`disk`] writes files so that a kill leaves old or new and never half of
 //! each. Both block and belong on a worker thread.
 //!
-//! Two clocks come in with each [`Moment`]: a monotonic one for waits, and the wall clock, which may jump, for
+//! Two clocks come in with each [`Clocks`]: a monotonic one for waits, and the wall clock, which may jump, for
 //! what certificates say of themselves.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -28,28 +28,29 @@
 pub mod wire;
 
 pub use client::{Client, Settings};
+pub use disk::FileUpdate;
 pub use http::Method;
 pub use identity::Identity;
 pub use jose::AccountKey;
-pub use messages::{Action, Ask, Challenge, Event, Key, Loud, Note, Save, Sign};
+pub use messages::{Action, Challenge, Event, KeyRequest, Level, LogEntry, Request, Sign};
 
 /// A moment on a clock that never goes back, in microseconds.
 pub type Timestamp = u64;
 /// A span, in microseconds.
 pub type Micros = u64;
 /// Seconds since the Unix epoch on the wall clock, which may jump.
-pub type Wall = u64;
+pub type UnixTime = u64;
 
 /// A second.
 pub const SECOND: Micros = 1_000_000;
 
 /// Now, on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct Clocks {
     /// On the monotonic clock, in microseconds.
     pub now: Timestamp,
     /// On the wall clock, in seconds.
-    pub wall: Wall,
+    pub wall: UnixTime,
 }
 
 /// A number that is the same for the same texts on each machine and after each start (FNV-1a, finished by a mix).
--- a/certs/src/messages.rs
+++ b/certs/src/messages.rs
@@ -1,18 +1,18 @@
 //! What the client asks its driver to do, and what the driver tells it.
-use crate::disk::{Keep, Loaded};
-use crate::http::{Answer, Method};
+use crate::disk::{FileUpdate, Loaded};
+use crate::http::{Method, Response};
 use crate::identity::Identity;
 use crate::jose::{external_binding, AccountKey};
-use crate::order::Way;
-use crate::planner::Plan;
-use crate::renewal::Turns;
+use crate::order::ChallengeType;
+use crate::planner::PlannerSettings;
+use crate::renewal::Ranking;
 use crate::url::Url;
 use serde_json::json;
 use std::sync::Arc;
 
 /// A request to the authority.
 #[derive(Debug)]
-pub struct Ask {
+pub struct Request {
     /// How.
     pub method: Method,
     /// Where: always at the configured authority.
@@ -92,7 +92,7 @@
 }
 
 /// A key to be made.
-pub enum Key {
+pub enum KeyRequest {
     /// For an order: with a signing request for these names, over a key in PEM that is there already or a new one.
     Order(Vec<String>, Option<String>),
     /// For the account.
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Challenge {
     /// By which way.
-    pub way: Way,
+    pub kind: ChallengeType,
     /// The name.
     pub name: String,
     /// The token, base64url letters alone.
@@ -112,17 +112,14 @@
     pub authorization: String,
 }
 
-/// Something to be kept on disk.
-pub type Save = Keep;
-
 /// What the driver has to do. A number names the task that waits for the [`Event`] that answers; 0: none does.
 pub enum Action {
-    /// Ask the authority: [`Event::Answered`].
-    Ask(u64, Ask),
-    /// Make a key: [`Event::Key`] or [`Event::AccountKey`].
-    MakeKey(u64, Key),
+    /// Ask the authority: [`Event::Response`].
+    Request(u64, Request),
+    /// Make a key: [`Event::OrderKey`] or [`Event::AccountKey`].
+    GenerateKey(u64, KeyRequest),
     /// Keep something, after all that was to be kept before: [`Event::Done`].
-    Save(u64, Save),
+    Save(u64, FileUpdate),
     /// Show control of a name: [`Event::Done`] once it can be seen.
     Publish(u64, Challenge),
     /// Show it no longer.
@@ -135,12 +132,12 @@
     /// Tell an operator who waits for it.
     Reply(u64, Result<String, String>),
     /// Write to the log.
-    Tell(Note),
+    Log(LogEntry),
 }
 
 /// How loud a note is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Loud {
+pub enum Level {
     /// What an operator wants to know.
     Info,
     /// What needs a look.
@@ -151,9 +148,9 @@
 
 /// Something for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct LogEntry {
     /// How loud.
-    pub loud: Loud,
+    pub level: Level,
     /// What it is about: one of few words.
     pub kind: &'static str,
     /// The certificate, or several.
@@ -167,9 +164,9 @@
     /// What the folder held; first of all, once.
     Start(Box<Loaded>),
     /// The authority's answer, or why there is none.
-    Answered(u64, Result<Answer, String>),
+    Response(u64, Result<Response, String>),
     /// A key in PEM and its signing request in DER.
-    Key(u64, Result<(String, Vec<u8>), String>),
+    OrderKey(u64, Result<(String, Vec<u8>), String>),
     /// A key for the account.
     AccountKey(u64, Result<Arc<AccountKey>, String>),
     /// Something is kept or published, or why not.
@@ -179,7 +176,7 @@
     /// Time has passed.
     Tick,
     /// Other certificates, another plan.
-    Configure(Plan, Box<dyn Turns + Send>, Vec<Vec<String>>),
+    Configure(PlannerSettings, Box<dyn Ranking + Send>, Vec<Vec<String>>),
     /// An operator wants a certificate renewed now.
     Renew(u64, String),
     /// An operator wants a certificate revoked, for a reason by number (RFC 5280, section 5.3.1).
--- a/certs/src/order.rs
+++ b/certs/src/order.rs
@@ -3,11 +3,11 @@
 //! before a restart goes on like any other.
 use crate::disk::Pending;
 use crate::error::Failure;
-use crate::http::Answer;
+use crate::http::Response;
 use crate::identity::Identity;
 use crate::retry::Cause;
 use crate::wire::{self, Problem, Status};
-use crate::{tame, Micros, Moment, Timestamp, SECOND};
+use crate::{tame, Clocks, Micros, Timestamp, SECOND};
 use serde_json::json;
 
 /// An order that is not done after this long is left and looked at again later.
@@ -24,19 +24,19 @@
 
 /// How control of a name is shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum ChallengeType {
     /// `http-01` (RFC 8555, section 8.3).
     Http,
     /// `tls-alpn-01` (RFC 8737).
     TlsAlpn,
 }
 
-impl Way {
+impl ChallengeType {
     /// Its type at the authority.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Way::Http => "http-01",
-            Way::TlsAlpn => "tls-alpn-01",
+            ChallengeType::Http => "http-01",
+            ChallengeType::TlsAlpn => "tls-alpn-01",
         }
     }
 }
@@ -48,7 +48,7 @@
     /// The key that was asked for: PEM, and the signing request in DER.
     Key(String, Vec<u8>),
     /// The authority's answer.
-    Answer(Answer),
+    Response(Response),
     /// There was none.
     Lost(String),
     /// Nothing was sent: what the order wanted may not be done.
@@ -62,13 +62,13 @@
 /// What an order wants done next.
 pub enum Output {
     /// A new key and a signing request for these names.
-    MakeKey(Vec<String>),
+    GenerateKey(Vec<String>),
     /// Sent to a URL: a payload, or `""` for POST-as-GET.
     Post(String, String),
     /// Shown for a name until the order ends: token and key authorization.
     Publish(String, String, String),
     /// Kept before anything else is done.
-    Keep(Pending),
+    Save(Pending),
     /// Nothing until then.
     Sleep(Timestamp),
     /// The certificate.
@@ -81,7 +81,7 @@
 enum Step {
     Key,
     New,
-    Keep,
+    Save,
     Look,
     Authorization,
     Publish,
@@ -106,7 +106,7 @@
 pub struct Order {
     /// Names in it.
     pub names: Vec<String>,
-    way: Way,
+    challenge_type: ChallengeType,
     thumbprint: String,
     new_order: String,
     /// The certificate that this one takes the place of (RFC 9773, section 5).
@@ -127,23 +127,23 @@
 impl Order {
     /// A new order.
     pub fn new(
-        moment: Moment,
+        clocks: Clocks,
         names: Vec<String>,
-        way: Way,
+        challenge_type: ChallengeType,
         thumbprint: String,
         new_order: String,
         replaces: Option<String>,
     ) -> Self {
         Order {
             names,
-            way,
+            challenge_type,
             thumbprint,
             new_order,
             replaces,
             key: None,
             csr: Vec::new(),
             url: String::new(),
-            deadline: moment.now + ORDER_MOST,
+            deadline: clocks.now + ORDER_MOST,
             step: Step::Key,
             auths: Vec::new(),
             at: 0,
@@ -154,23 +154,28 @@
     }
 
     /// One that was begun before a restart; its key comes back by [`Input::Key`], its signing request made anew.
-    pub fn resumed(moment: Moment, pending: &Pending, way: Way, thumbprint: String) -> Self {
+    pub fn resumed(
+        clocks: Clocks,
+        pending: &Pending,
+        challenge_type: ChallengeType,
+        thumbprint: String,
+    ) -> Self {
         let mut order = Order::new(
-            moment,
+            clocks,
             pending.names.clone(),
-            way,
+            challenge_type,
             thumbprint,
             String::new(),
             None,
         );
         order.url.clone_from(&pending.url);
-        order.deadline = moment.now + AGAIN_MOST;
+        order.deadline = clocks.now + AGAIN_MOST;
         order
     }
 
     /// Goes on by one step.
-    pub fn step(&mut self, moment: Moment, input: Input) -> Output {
-        match self.advance(moment, input) {
+    pub fn step(&mut self, clocks: Clocks, input: Input) -> Output {
+        match self.advance(clocks, input) {
             Ok(output) => output,
             Err(failure) => {
                 self.step = Step::Over;
@@ -179,9 +184,9 @@
         }
     }
 
-    fn advance(&mut self, moment: Moment, input: Input) -> Result<Output, Failure> {
+    fn advance(&mut self, clocks: Clocks, input: Input) -> Result<Output, Failure> {
         let answer = match (self.step, input) {
-            (Step::Key, Input::Begin) => return Ok(Output::MakeKey(self.names.clone())),
+            (Step::Key, Input::Begin) => return Ok(Output::GenerateKey(self.names.clone())),
             (Step::Key, Input::Key(pem, csr)) => {
                 (self.key, self.csr) = (Some(pem), csr);
                 if !self.url.is_empty() {
@@ -200,7 +205,7 @@
                 return Ok(Output::Post(self.new_order.clone(), payload.to_string()));
             }
             // A folder that can't be written costs the order its restart, not the certificate.
-            (Step::Keep, Input::Done(_)) => return self.dispatch(moment, None),
+            (Step::Save, Input::Done(_)) => return self.dispatch(clocks, None),
             (Step::Publish, Input::Done(Ok(()))) => {
                 self.step = Step::Respond;
                 return Ok(Output::Post(
@@ -217,13 +222,13 @@
             }
             (Step::WaitLook, Input::Time) => return Ok(self.look()),
             (_, Input::Lost(why)) => return Err(self.broken(Cause::Unreachable, why)),
-            (_, Input::Answer(answer)) => answer,
+            (_, Input::Response(answer)) => answer,
             (_, Input::Barred(why)) => return Err(self.broken(Cause::Broken, why)),
             // Never with the input: it may hold a key.
             (step, _) => return Err(self.broken(Cause::Broken, format!("out of turn at {step:?}"))),
         };
         if answer.status >= 400 {
-            return self.turned_down(moment, &answer);
+            return self.turned_down(clocks, &answer);
         }
         if !(200..300).contains(&answer.status) {
             return Err(self.broken(Cause::Broken, format!("status {}", answer.status)));
@@ -234,10 +239,10 @@
                 let Some(url) = answer.location else {
                     return Err(self.broken(Cause::Broken, "an order without a URL".into()));
                 };
-                (self.url, self.body, self.step) = (url.clone(), Some(order), Step::Keep);
-                let (names, began) = (self.names.clone(), moment.wall);
+                (self.url, self.body, self.step) = (url.clone(), Some(order), Step::Save);
+                let (names, began) = (self.names.clone(), clocks.wall);
                 let key = self.key.clone().unwrap_or_default();
-                Ok(Output::Keep(Pending {
+                Ok(Output::Save(Pending {
                     url,
                     names,
                     key,
@@ -247,7 +252,7 @@
             Step::Look | Step::Finalize => {
                 self.body = Some(self.read(wire::order(&answer.body))?);
                 self.finalized |= self.step == Step::Finalize;
-                self.dispatch(moment, answer.retry_after)
+                self.dispatch(clocks, answer.retry_after)
             }
             Step::Authorization => {
                 let found = self.read(wire::authorization(&answer.body))?;
@@ -261,22 +266,22 @@
                 match found.status {
                     Status::Valid => {
                         auth.valid = true;
-                        self.next_auth(moment, answer.retry_after)
+                        self.next_auth(clocks, answer.retry_after)
                     }
-                    Status::Pending => self.challenge(moment, found, answer.retry_after),
+                    Status::Pending => self.challenge(clocks, found, answer.retry_after),
                     _ => Err(self.refused(&found)),
                 }
             }
-            Step::Respond => self.next_auth(moment, answer.retry_after),
+            Step::Respond => self.next_auth(clocks, answer.retry_after),
             Step::Check => {
                 let found = self.read(wire::authorization(&answer.body))?;
                 match found.status {
                     Status::Valid => {
                         self.auths[self.at].valid = true;
                         self.looks = 0;
-                        self.check(moment, None)
+                        self.check(clocks, None)
                     }
-                    Status::Pending | Status::Processing => self.check(moment, answer.retry_after),
+                    Status::Pending | Status::Processing => self.check(clocks, answer.retry_after),
                     _ => Err(self.refused(&found)),
                 }
             }
@@ -284,14 +289,14 @@
                 let chain =
                     std::str::from_utf8(&answer.body).map_err(|_| "chain: no text".to_string());
                 let key = self.key.as_deref().unwrap_or_default();
-                let identity = chain.and_then(|chain| Identity::join(key, chain));
+                let identity = chain.and_then(|chain| Identity::from_key_and_chain(key, chain));
                 let identity = identity.map_err(|why| self.useless(why))?;
                 if let Some(name) = self.names.iter().find(|n| !identity.covers(n)) {
                     return Err(self.useless(format!("the certificate lacks {name}")));
                 }
                 // By the authority's clock where it tells: this machine's may be the wrong one.
-                let now = answer.date.unwrap_or(moment.wall);
-                if !identity.holds(now) && !identity.holds(moment.wall) {
+                let now = answer.date.unwrap_or(clocks.wall);
+                if !identity.is_valid_at(now) && !identity.is_valid_at(clocks.wall) {
                     return Err(self.useless("the certificate does not hold now".into()));
                 }
                 self.step = Step::Over;
@@ -307,13 +312,13 @@
     }
 
     /// Goes on where the authority says that the order stands.
-    fn dispatch(&mut self, moment: Moment, told: Option<u64>) -> Result<Output, Failure> {
+    fn dispatch(&mut self, clocks: Clocks, told: Option<u64>) -> Result<Output, Failure> {
         let Some(body) = self.body.take() else {
             return Err(self.broken(Cause::Broken, "an order without a state".into()));
         };
         match body.status {
             Status::Pending if self.auths.iter().all(|a| a.valid) && !self.auths.is_empty() => {
-                self.sleep(moment, told, Step::WaitLook)
+                self.sleep(clocks, told, Step::WaitLook)
             }
             Status::Pending => {
                 if body.authorizations.is_empty() {
@@ -333,13 +338,13 @@
                 Ok(Output::Post(self.auths[0].url.clone(), String::new()))
             }
             // It was finalized and has not noticed yet.
-            Status::Ready if self.finalized => self.sleep(moment, told, Step::WaitLook),
+            Status::Ready if self.finalized => self.sleep(clocks, told, Step::WaitLook),
             Status::Ready => {
                 self.step = Step::Finalize;
                 let csr = crate::jose::base64url(&self.csr);
                 Ok(Output::Post(body.finalize, json!({"csr": csr}).to_string()))
             }
-            Status::Processing => self.sleep(moment, told, Step::WaitLook),
+            Status::Processing => self.sleep(clocks, told, Step::WaitLook),
             Status::Valid => {
                 let Some(url) = body.certificate else {
                     return Err(
@@ -364,16 +369,23 @@
     /// Chooses the challenge of a pending authorization.
     fn challenge(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         found: wire::Authorization,
         told: Option<u64>,
     ) -> Result<Output, Failure> {
         let name = self.auths[self.at].name.clone();
-        let Some(challenge) = found.challenges.iter().find(|c| c.kind == self.way.word()) else {
-            return Err(self.refusal(name, format!("no challenge {} is offered", self.way.word())));
+        let Some(challenge) = found
+            .challenges
+            .iter()
+            .find(|c| c.kind == self.challenge_type.as_str())
+        else {
+            return Err(self.refusal(
+                name,
+                format!("no challenge {} is offered", self.challenge_type.as_str()),
+            ));
         };
         if challenge.status == Some(Status::Valid) {
-            return self.next_auth(moment, told);
+            return self.next_auth(clocks, told);
         }
         if challenge.status == Some(Status::Invalid) {
             return Err(self.refused(&found));
@@ -392,31 +404,31 @@
         Ok(Output::Publish(name, token, authorization))
     }
 
-    fn next_auth(&mut self, moment: Moment, told: Option<u64>) -> Result<Output, Failure> {
+    fn next_auth(&mut self, clocks: Clocks, told: Option<u64>) -> Result<Output, Failure> {
         if self.at + 1 < self.auths.len() {
             self.at += 1;
             self.step = Step::Authorization;
             return Ok(Output::Post(self.auths[self.at].url.clone(), String::new()));
         }
         self.looks = 0;
-        self.check(moment, told)
+        self.check(clocks, told)
     }
 
     /// Looks at the first authorization that is not valid yet, or at the order once all are.
-    fn check(&mut self, moment: Moment, told: Option<u64>) -> Result<Output, Failure> {
+    fn check(&mut self, clocks: Clocks, told: Option<u64>) -> Result<Output, Failure> {
         match self.auths.iter().position(|a| !a.valid) {
             Some(at) => {
                 self.at = at;
-                self.sleep(moment, told, Step::WaitCheck)
+                self.sleep(clocks, told, Step::WaitCheck)
             }
             None => Ok(self.look()),
         }
     }
 
-    fn sleep(&mut self, moment: Moment, told: Option<u64>, then: Step) -> Result<Output, Failure> {
+    fn sleep(&mut self, clocks: Clocks, told: Option<u64>, then: Step) -> Result<Output, Failure> {
         let pause = (LOOK_FIRST << self.looks.min(10)).min(LOOK_MOST);
         self.looks += 1;
-        let until = moment.now + pause.max(told.unwrap_or(0).saturating_mul(SECOND));
+        let until = clocks.now + pause.max(told.unwrap_or(0).saturating_mul(SECOND));
         if until > self.deadline {
             return Err(Failure {
                 told: told.map(|s| s.saturating_mul(SECOND)),
@@ -429,10 +441,10 @@
     }
 
     /// The authority answered with an error.
-    fn turned_down(&mut self, moment: Moment, answer: &Answer) -> Result<Output, Failure> {
+    fn turned_down(&mut self, clocks: Clocks, answer: &Response) -> Result<Output, Failure> {
         let problem = wire::problem(&answer.body);
         if problem.short() == "orderNotReady" {
-            return self.sleep(moment, answer.retry_after, Step::WaitLook);
+            return self.sleep(clocks, answer.retry_after, Step::WaitLook);
         }
         let mut failure = self.problem(&problem, Some(answer));
         // An order that the authority does not know any more is made anew.
@@ -448,7 +460,7 @@
     }
 
     /// What a problem means.
-    fn problem(&self, problem: &Problem, answer: Option<&Answer>) -> Failure {
+    fn problem(&self, problem: &Problem, answer: Option<&Response>) -> Failure {
         let status = answer.map_or(0, |a| a.status);
         let cause = match problem.short() {
             "rateLimited" => Cause::Limited,
--- a/certs/src/planner.rs
+++ b/certs/src/planner.rs
@@ -2,10 +2,10 @@
 //! than so many orders in a window, and none that fails holds up others. No input or output; everything it knows
 //! is in its entries, each of which stands in exactly one queue.
 use crate::error::Failure;
-use crate::renewal::{due, Held, Rule, Turns};
+use crate::renewal::{due, Ranking, Rule, Validity};
 use crate::retry::{wait, Cause};
 use crate::wire::Window;
-use crate::{Micros, Moment, Timestamp, Wall, SECOND};
+use crate::{Clocks, Micros, Timestamp, UnixTime, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -26,17 +26,17 @@
 
 /// What the planner goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct PlannerSettings {
     /// When a certificate is due.
     pub rule: Rule,
     /// Share of the lifetime, in percent, from which on a warning is written.
     pub warn_percent: u32,
     /// Orders begun within `window` at most.
-    pub orders_most: usize,
+    pub max_orders: usize,
     /// The window, in microseconds.
-    pub window: Micros,
+    pub order_window: Micros,
     /// Orders under way at once.
-    pub at_once: usize,
+    pub max_concurrent_orders: usize,
 }
 
 /// An order to be made.
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// It is not asked for again before this second.
-    pub until: Wall,
+    pub until: UnixTime,
     /// How often in a row.
     pub failures: u32,
 }
@@ -90,11 +90,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Place {
     /// Not due: in `later`, by the second.
-    Later(Wall),
+    Later(UnixTime),
     /// Due, and waits for its turn or after a failure: in `held_back`.
     HeldBack(Timestamp),
     /// May be ordered: in `ready`, by when the old one ends.
-    Ready(Wall),
+    Ready(UnixTime),
     /// An order is under way.
     Busy,
 }
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 struct Entry {
     names: Vec<String>,
-    held: Option<Held>,
+    held: Option<Validity>,
     /// Names for which the one held stands.
     covered: BTreeSet<String>,
     window: Option<Window>,
@@ -115,7 +115,7 @@
     forced: bool,
     /// How often in a row it was renewed right after it was issued because the authority said so, and the second
     /// until which that is not done again.
-    early: (u32, Wall),
+    early: (u32, UnixTime),
     /// Its turn was waited for since it came due.
     turned: bool,
     /// An order from before a restart is taken up: it was counted then.
@@ -125,13 +125,13 @@
 
 /// How a certificate stands.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct CertificateStatus {
     /// Its first name.
     pub id: String,
     /// All its names.
     pub names: Vec<String>,
     /// The dates of the one held.
-    pub held: Option<Held>,
+    pub validity: Option<Validity>,
     /// `later`, `held-back`, `ready` or `ordering`.
     pub state: &'static str,
     /// Seconds until something is done for it, as far as that is known.
@@ -139,23 +139,23 @@
     /// Failures in a row, and the last one's cause and text.
     pub failures: u32,
     /// Why it failed last.
-    pub why: Option<(Cause, String)>,
+    pub last_failure: Option<(Cause, String)>,
     /// Those of its names that are held back.
     pub refused: Vec<String>,
 }
 
 /// The planner.
 pub struct Planner {
-    plan: Plan,
-    turns: Box<dyn Turns + Send>,
+    plan: PlannerSettings,
+    turns: Box<dyn Ranking + Send>,
     entries: BTreeMap<String, Entry>,
-    later: BTreeSet<(Wall, String)>,
+    later: BTreeSet<(UnixTime, String)>,
     held_back: BTreeSet<(Timestamp, String)>,
-    ready: BTreeSet<(Wall, String)>,
+    ready: BTreeSet<(UnixTime, String)>,
     busy: usize,
     refused: BTreeMap<String, Refusal>,
     /// Orders begun within the window, on both clocks.
-    begun: VecDeque<(Timestamp, Wall)>,
+    begun: VecDeque<(Timestamp, UnixTime)>,
     /// Nothing is ordered before this moment: the authority is away.
     away_until: Timestamp,
     away_failures: u32,
@@ -178,7 +178,7 @@
 
 impl Planner {
     /// A planner without certificates.
-    pub fn new(plan: Plan, turns: Box<dyn Turns + Send>) -> Self {
+    pub fn new(plan: PlannerSettings, turns: Box<dyn Ranking + Send>) -> Self {
         Planner {
             plan,
             turns,
@@ -200,29 +200,29 @@
     /// Takes over what was remembered over a restart.
     pub fn remember(
         &mut self,
-        moment: Moment,
-        orders: &[Wall],
+        clocks: Clocks,
+        orders: &[UnixTime],
         refused: BTreeMap<String, Refusal>,
     ) {
-        let window = self.plan.window / SECOND;
+        let window = self.plan.order_window / SECOND;
         let mut known: Vec<_> = orders
             .iter()
             .copied()
-            .filter(|w| w + window > moment.wall)
+            .filter(|w| w + window > clocks.wall)
             .collect();
         known.sort_unstable();
-        known.truncate(self.plan.orders_most);
+        known.truncate(self.plan.max_orders);
         // One that lies ahead was begun before the clock went back: it counts as begun now.
-        let age = |w: &Wall| moment.wall.saturating_sub(*w) * SECOND;
+        let age = |w: &UnixTime| clocks.wall.saturating_sub(*w) * SECOND;
         self.begun = known
             .iter()
-            .map(|w| (moment.now.saturating_sub(age(w)), *w))
+            .map(|w| (clocks.now.saturating_sub(age(w)), *w))
             .collect();
         self.refused = refused;
     }
 
     /// What has to be remembered over a restart.
-    pub fn memory(&self) -> (Vec<Wall>, BTreeMap<String, Refusal>) {
+    pub fn memory(&self) -> (Vec<UnixTime>, BTreeMap<String, Refusal>) {
         (
             self.begun.iter().map(|(_, wall)| *wall).collect(),
             self.refused.clone(),
@@ -230,15 +230,15 @@
     }
 
     /// Takes over another plan and other turns.
-    pub fn set(&mut self, moment: Moment, plan: Plan, turns: Box<dyn Turns + Send>) {
+    pub fn set(&mut self, clocks: Clocks, plan: PlannerSettings, turns: Box<dyn Ranking + Send>) {
         (self.plan, self.turns) = (plan, turns);
         let ids: Vec<_> = self.entries.keys().cloned().collect();
-        ids.iter().for_each(|id| self.schedule(moment, id));
+        ids.iter().for_each(|id| self.schedule(clocks, id));
     }
 
     /// Which certificates are wanted from now on; each by its names, the first is its id. Those not named any more
     /// are forgotten, an order under way for one of them included.
-    pub fn want(&mut self, moment: Moment, all: &[Vec<String>]) {
+    pub fn want(&mut self, clocks: Clocks, all: &[Vec<String>]) {
         let wanted: BTreeMap<String, Vec<String>> = all
             .iter()
             .filter_map(|names| {
@@ -275,7 +275,7 @@
             if entry.names != names {
                 (entry.names, entry.failures, entry.hold) = (names, 0, 0);
             }
-            self.schedule(moment, &id);
+            self.schedule(clocks, &id);
         }
     }
 
@@ -290,35 +290,41 @@
     }
 
     /// A certificate is held, from disk, by import or otherwise.
-    pub fn holds(&mut self, moment: Moment, id: &str, held: Held, covered: &[String]) {
+    pub fn set_certificate(
+        &mut self,
+        clocks: Clocks,
+        id: &str,
+        held: Validity,
+        covered: &[String],
+    ) {
         if let Some(entry) = self.entries.get_mut(id) {
             if entry.held != Some(held) {
                 (entry.window, entry.turned) = (None, false);
             }
             entry.held = Some(held);
             entry.covered = covered.iter().cloned().collect();
-            self.schedule(moment, id);
+            self.schedule(clocks, id);
         }
     }
 
     /// An order from before a restart is there to be taken up: at once, and it was counted then.
-    pub fn resumes(&mut self, moment: Moment, id: &str) {
+    pub fn resumes(&mut self, clocks: Clocks, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.resumes = true;
-            self.schedule(moment, id);
+            self.schedule(clocks, id);
         }
     }
 
     /// The authority named a window for the one held.
-    pub fn suggested(&mut self, moment: Moment, id: &str, window: Window) {
+    pub fn suggested(&mut self, clocks: Clocks, id: &str, window: Window) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.window = Some(window);
-            self.schedule(moment, id);
+            self.schedule(clocks, id);
         }
     }
 
     /// An operator wants it renewed now, whatever its dates and earlier failures. `false`: there is no such one.
-    pub fn force(&mut self, moment: Moment, id: &str) -> bool {
+    pub fn force(&mut self, clocks: Clocks, id: &str) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
         };
@@ -326,50 +332,50 @@
         let names = entry.names.clone();
         self.refused.retain(|name, _| !names.contains(name));
         self.away_until = 0;
-        self.schedule(moment, id);
+        self.schedule(clocks, id);
         true
     }
 
     /// The next order to be made, if one may be begun now. It counts from here on.
-    pub fn next(&mut self, moment: Moment) -> Option<Choice> {
-        self.advance(moment);
+    pub fn next(&mut self, clocks: Clocks) -> Option<Choice> {
+        self.advance(clocks);
         let busy_most = if self.away_failures > 0 {
             1
         } else {
-            self.plan.at_once
+            self.plan.max_concurrent_orders
         };
-        if moment.now < self.away_until || self.busy >= busy_most {
+        if clocks.now < self.away_until || self.busy >= busy_most {
             return None;
         }
         while self
             .begun
             .front()
-            .is_some_and(|(at, _)| moment.now >= at.saturating_add(self.plan.window))
+            .is_some_and(|(at, _)| clocks.now >= at.saturating_add(self.plan.order_window))
         {
             self.begun.pop_front();
         }
-        let full = self.begun.len() >= self.plan.orders_most;
+        let full = self.begun.len() >= self.plan.max_orders;
         let may = |id: &String| !full || self.entries.get(id).is_some_and(|e| e.resumes);
         // Where the window is full, only those that were counted before go on; few are.
         let (_, id) = self.ready.iter().find(|(_, id)| may(id)).cloned()?;
-        let names = self.askable(moment.wall, &id);
+        let names = self.askable(clocks.wall, &id);
         self.unqueue(&id);
         let entry = self.entries.get_mut(&id)?;
         if names.is_empty() {
             // Its names were refused since it was queued.
-            self.schedule(moment, &id);
+            self.schedule(clocks, &id);
             return None;
         }
         entry.place = Place::Busy;
         self.busy += 1;
         if !std::mem::take(&mut entry.resumes) {
-            self.begun.push_back((moment.now, moment.wall));
+            self.begun.push_back((clocks.now, clocks.wall));
         }
         Some(Choice { id, names })
     }
 
     /// An order brought a certificate.
-    pub fn succeeded(&mut self, moment: Moment, id: &str, held: Held, covered: &[String]) {
+    pub fn succeeded(&mut self, clocks: Clocks, id: &str, held: Validity, covered: &[String]) {
         self.answers();
         self.limited.clear();
         for name in covered {
@@ -383,38 +389,38 @@
         // new is old.
         let early = entry
             .held
-            .is_some_and(|old| moment.wall < old.at(EARLY_PERCENT))
+            .is_some_and(|old| clocks.wall < old.at(EARLY_PERCENT))
             && entry.window.is_some();
-        let old = due(&held, None, self.plan.rule, id) <= moment.wall;
+        let old = due(&held, None, self.plan.rule, id) <= clocks.wall;
         entry.early.0 = if (early || old) && !entry.forced {
             entry.early.0 + 1
         } else {
             0
         };
         if entry.early.0 > 0 {
-            entry.early.1 = moment.wall + wait(Cause::Refused, entry.early.0, None, id) / SECOND;
+            entry.early.1 = clocks.wall + wait(Cause::Refused, entry.early.0, None, id) / SECOND;
         }
         (entry.forced, entry.window) = (false, None);
-        if held.not_after <= moment.wall {
+        if held.not_after <= clocks.wall {
             // By this clock it has ended already. One of the two clocks is wrong; asking again at once mends neither.
             entry.failures = 1;
             entry.why = Some((
                 Cause::Broken,
                 "what was issued has ended by this machine's clock".into(),
             ));
-            entry.hold = moment.now + wait(Cause::Broken, 4, None, id);
+            entry.hold = clocks.now + wait(Cause::Broken, 4, None, id);
         }
         self.unbusy(id);
-        self.holds(moment, id, held, covered);
-        self.schedule(moment, id);
+        self.set_certificate(clocks, id, held, covered);
+        self.schedule(clocks, id);
     }
 
     /// An order failed.
-    pub fn failed(&mut self, moment: Moment, id: &str, failure: &Failure) {
+    pub fn failed(&mut self, clocks: Clocks, id: &str, failure: &Failure) {
         self.unbusy(id);
         let Failure { cause, told, .. } = *failure;
         if cause.common() {
-            self.away(moment, cause, told);
+            self.away(clocks, cause, told);
         } else {
             self.answers();
         }
@@ -423,7 +429,7 @@
                 let refusal = self.refused.entry(name.clone()).or_default();
                 refusal.failures += 1;
                 refusal.until =
-                    moment.wall + wait(Cause::Refused, refusal.failures, told, name) / SECOND;
+                    clocks.wall + wait(Cause::Refused, refusal.failures, told, name) / SECOND;
             }
         }
         let Some(entry) = self.entries.get_mut(id) else {
@@ -438,9 +444,9 @@
             entry.hold = self.away_until;
         } else if !failure.refused.is_empty() && failure.refused.len() < entry.names.len() {
             // The others go on without it at once.
-            entry.hold = moment.now;
+            entry.hold = clocks.now;
         } else {
-            entry.hold = moment.now + wait(cause, entry.failures, told, id);
+            entry.hold = clocks.now + wait(cause, entry.failures, told, id);
         }
         let hold = entry.hold;
         if cause == Cause::Limited {
@@ -450,13 +456,13 @@
                 self.away_until = self.away_until.max(hold);
             }
         }
-        self.schedule(moment, id);
+        self.schedule(clocks, id);
     }
 
     /// The authority is away as a whole, or won't talk to this account.
-    pub fn away(&mut self, moment: Moment, cause: Cause, told: Option<Micros>) {
+    pub fn away(&mut self, clocks: Clocks, cause: Cause, told: Option<Micros>) {
         self.away_failures += 1;
-        self.away_until = moment.now + wait(cause, self.away_failures, told, "authority");
+        self.away_until = clocks.now + wait(cause, self.away_failures, told, "authority");
     }
 
     /// The authority answers.
@@ -465,9 +471,9 @@
     }
 
     /// Whether something could be ordered if the authority let us: an account is worth having.
-    pub fn wants(&mut self, moment: Moment) -> bool {
-        self.advance(moment);
-        moment.now >= self.away_until && !self.ready.is_empty()
+    pub fn wants(&mut self, clocks: Clocks) -> bool {
+        self.advance(clocks);
+        clocks.now >= self.away_until && !self.ready.is_empty()
     }
 
     /// Until when the authority is left alone; 0: it is not.
@@ -476,23 +482,23 @@
     }
 
     /// The next moment at which something may have changed, by the clocks as they are.
-    pub fn wake(&self, moment: Moment) -> Option<Timestamp> {
+    pub fn wake(&self, clocks: Clocks) -> Option<Timestamp> {
         let later = self.later.first().filter(|(at, _)| *at < u64::MAX);
         let later =
-            later.map(|(at, _)| moment.now + at.saturating_sub(moment.wall).min(1 << 32) * SECOND);
+            later.map(|(at, _)| clocks.now + at.saturating_sub(clocks.wall).min(1 << 32) * SECOND);
         let held = self.held_back.first().map(|(at, _)| *at);
         let ready = (!self.ready.is_empty()).then(|| {
-            let full = self.begun.len() >= self.plan.orders_most;
+            let full = self.begun.len() >= self.plan.max_orders;
             let window = self
                 .begun
                 .front()
                 .filter(|_| full)
-                .map_or(0, |(at, _)| at + self.plan.window);
+                .map_or(0, |(at, _)| at + self.plan.order_window);
             // What waits for another to end is looked at when that ends.
             let free = if self.busy > 0 {
-                moment.now + 60 * SECOND
+                clocks.now + 60 * SECOND
             } else {
-                moment.now
+                clocks.now
             };
             self.away_until.max(window).max(free)
         });
@@ -500,12 +506,12 @@
     }
 
     /// What operators have to hear now.
-    pub fn notices(&mut self, moment: Moment) -> Vec<Notice> {
-        let (warn, error) = (moment.now >= self.warn_at, moment.now >= self.error_at);
+    pub fn notices(&mut self, clocks: Clocks) -> Vec<Notice> {
+        let (warn, error) = (clocks.now >= self.warn_at, clocks.now >= self.error_at);
         if !warn && !error {
             return Vec::new();
         }
-        let wall = moment.wall;
+        let wall = clocks.wall;
         let held = || {
             self.entries
                 .iter()
@@ -521,7 +527,7 @@
                     since: wall - first,
                     names,
                 });
-                self.error_at = moment.now + ERROR_EACH;
+                self.error_at = clocks.now + ERROR_EACH;
             }
         }
         if warn {
@@ -545,59 +551,59 @@
                 });
             }
             if !notices.is_empty() {
-                self.warn_at = moment.now + WARN_EACH;
+                self.warn_at = clocks.now + WARN_EACH;
             }
         }
         notices
     }
 
     /// How each certificate stands, in the order of their ids.
-    pub fn rows(&self, moment: Moment) -> Vec<Row> {
-        let row = |(id, e): (&String, &Entry)| {
+    pub fn statuses(&self, clocks: Clocks) -> Vec<CertificateStatus> {
+        let status = |(id, e): (&String, &Entry)| {
             let (state, next_s) = match e.place {
                 Place::Later(u64::MAX) => ("later", None),
-                Place::Later(at) => ("later", Some(at.saturating_sub(moment.wall))),
-                Place::HeldBack(at) => ("held-back", Some(at.saturating_sub(moment.now) / SECOND)),
+                Place::Later(at) => ("later", Some(at.saturating_sub(clocks.wall))),
+                Place::HeldBack(at) => ("held-back", Some(at.saturating_sub(clocks.now) / SECOND)),
                 Place::Ready(_) => (
                     "ready",
-                    Some(self.away_until.saturating_sub(moment.now) / SECOND),
+                    Some(self.away_until.saturating_sub(clocks.now) / SECOND),
                 ),
                 Place::Busy => ("ordering", None),
             };
             let refused = e
                 .names
                 .iter()
-                .filter(|n| self.held_off(n, moment.wall))
+                .filter(|n| self.held_off(n, clocks.wall))
                 .cloned()
                 .collect();
-            let (id, names, why) = (id.clone(), e.names.clone(), e.why.clone());
-            Row {
+            let (id, names, last_failure) = (id.clone(), e.names.clone(), e.why.clone());
+            CertificateStatus {
                 id,
                 names,
-                held: e.held,
+                validity: e.held,
                 state,
                 next_s,
                 failures: e.failures,
-                why,
+                last_failure,
                 refused,
             }
         };
-        self.entries.iter().map(row).collect()
+        self.entries.iter().map(status).collect()
     }
 
     /// Orders begun within the window, and how many may be.
     pub fn budget(&self) -> (usize, usize) {
-        (self.begun.len(), self.plan.orders_most)
+        (self.begun.len(), self.plan.max_orders)
     }
 
-    fn held_off(&self, name: &str, wall: Wall) -> bool {
+    fn held_off(&self, name: &str, wall: UnixTime) -> bool {
         self.refused
             .get(name)
             .is_some_and(|r| r.until > wall && r.until < wall + WAIT_MOST)
     }
 
     /// Names that an order made now would ask for.
-    fn askable(&self, wall: Wall, id: &str) -> Vec<String> {
+    fn askable(&self, wall: UnixTime, id: &str) -> Vec<String> {
         let Some(entry) = self.entries.get(id) else {
             return Vec::new();
         };
@@ -610,7 +616,7 @@
     }
 
     /// The second from which something should be ordered for a certificate.
-    fn due(&self, wall: Wall, id: &str, entry: &Entry) -> Wall {
+    fn due(&self, wall: UnixTime, id: &str, entry: &Entry) -> UnixTime {
         if entry.forced || entry.resumes {
             return 0;
         }
@@ -664,30 +670,30 @@
     }
 
     /// Puts a certificate into the queue where it belongs now.
-    fn schedule(&mut self, moment: Moment, id: &str) {
+    fn schedule(&mut self, clocks: Clocks, id: &str) {
         let Some(entry) = self.entries.get(id) else {
             return;
         };
         if entry.place == Place::Busy {
             return;
         }
-        let due = self.due(moment.wall, id, entry);
+        let due = self.due(clocks.wall, id, entry);
         self.unqueue(id);
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        entry.place = if due > moment.wall {
+        entry.place = if due > clocks.wall {
             entry.turned = false;
             Place::Later(due)
         } else {
             if !std::mem::replace(&mut entry.turned, true) {
                 let left = entry
                     .held
-                    .map_or(0, |h| h.not_after.saturating_sub(moment.wall));
-                entry.hold = entry.hold.max(moment.now + self.turns.delay(id, left));
+                    .map_or(0, |h| h.not_after.saturating_sub(clocks.wall));
+                entry.hold = entry.hold.max(clocks.now + self.turns.delay(id, left));
             }
             let urgency = entry.held.map_or(0, |h| h.not_after);
-            if entry.hold > moment.now {
+            if entry.hold > clocks.now {
                 Place::HeldBack(entry.hold)
             } else {
                 Place::Ready(urgency)
@@ -721,11 +727,11 @@
     }
 
     /// Moves what has come due.
-    fn advance(&mut self, moment: Moment) {
+    fn advance(&mut self, clocks: Clocks) {
         while let Some((_, id)) = self
             .later
             .first()
-            .filter(|(at, _)| *at <= moment.wall)
+            .filter(|(at, _)| *at <= clocks.wall)
             .cloned()
         {
             self.later.pop_first();
@@ -733,12 +739,12 @@
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|e| e.place = Place::Later(0));
-            self.schedule(moment, &id);
+            self.schedule(clocks, &id);
         }
         while let Some((_, id)) = self
             .held_back
             .first()
-            .filter(|(at, _)| *at <= moment.now)
+            .filter(|(at, _)| *at <= clocks.now)
             .cloned()
         {
             self.held_back.pop_first();
@@ -746,12 +752,12 @@
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|e| e.place = Place::HeldBack(0));
-            self.schedule(moment, &id);
+            self.schedule(clocks, &id);
         }
     }
 }
 
-fn some(found: &[(Held, &String)]) -> Vec<String> {
+fn some(found: &[(Validity, &String)]) -> Vec<String> {
     found
         .iter()
         .take(TOLD_MOST)
--- a/certs/src/renewal/tests.rs
+++ b/certs/src/renewal/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn due_is_within_the_window_and_the_same_after_each_start() {
-    let held = Held {
+    let held = Validity {
         not_before: 0,
         not_after: 90 * DAY,
     };
@@ -37,7 +37,7 @@
     };
     assert_eq!(due_of("a", Some(late)), 90 * DAY * 95 / 100);
     // Six days are as good as ninety.
-    let short = Held {
+    let short = Validity {
         not_before: 1_000,
         not_after: 1_000 + 6 * DAY,
     };
@@ -51,10 +51,10 @@
     let mut first = [0; 7];
     for name in 0..700 {
         let id = format!("x{name}.example");
-        let of = |me: &String| Ranked {
-            me: me.clone(),
+        let of = |me: &String| HashRanking {
+            front_name: me.clone(),
             fronts: fronts.clone(),
-            takeover: 3_600 * SECOND,
+            takeover_delay: 3_600 * SECOND,
         };
         let mut ranks: Vec<_> = fronts.iter().map(|f| of(f).rank(&id)).collect();
         first[ranks.iter().position(|r| *r == 0).unwrap()] += 1;
@@ -69,10 +69,10 @@
         first.iter().all(|n| (50..150).contains(n)),
         "the work is shared: {first:?}"
     );
-    let alone = Ranked {
-        me: "n1".into(),
+    let alone = HashRanking {
+        front_name: "n1".into(),
         fronts: vec![],
-        takeover: SECOND,
+        takeover_delay: SECOND,
     };
     assert_eq!(alone.delay("a", 5), 0);
 }
--- a/certs/src/retry.rs
+++ b/certs/src/retry.rs
@@ -25,7 +25,7 @@
 
 impl Cause {
     /// The field's word for it, as in logs and `cranesill certs`.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Cause::Unreachable => "authority-unreachable",
             Cause::Broken => "bad-answer",
--- a/certs/src/unsaved.rs
+++ b/certs/src/unsaved.rs
@@ -1,6 +1,6 @@
 //! What is to be kept on disk and is not durable yet. A write that failed is made again, with a pause that grows, until it
 //! succeeds or something newer takes its place: what is served from memory alone would be gone at the next start.
-use crate::disk::Keep;
+use crate::disk::FileUpdate;
 use crate::{Micros, Timestamp, SECOND};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 
 #[derive(Debug)]
 struct Write {
-    what: Keep,
+    what: FileUpdate,
     /// By which its end is known, while it is under way.
     task: u64,
     /// When it is made again after a failure.
@@ -41,18 +41,23 @@
 #[derive(Debug, Default)]
 pub struct Unsaved(BTreeMap<String, Write>);
 
-fn file(what: &Keep) -> String {
+fn file(what: &FileUpdate) -> String {
     match what {
-        Keep::Account(_) => "account".into(),
-        Keep::State(_) => "state".into(),
-        Keep::Pending(id, _) | Keep::Forget(id) => format!("{id}.order"),
-        Keep::Identity(id, _) => format!("{id}.pem"),
+        FileUpdate::Account(_) => "account".into(),
+        FileUpdate::State(_) => "state".into(),
+        FileUpdate::PendingOrder(id, _) | FileUpdate::RemoveOrder(id) => format!("{id}.order"),
+        FileUpdate::Identity(id, _) => format!("{id}.pem"),
     }
 }
 
 impl Unsaved {
     /// A write begins under a number of its own. An older one of the same file is over: returns who waited for it.
-    pub fn begin(&mut self, task: u64, what: Keep, waiting: Option<Waiting>) -> Option<Waiting> {
+    pub fn begin(
+        &mut self,
+        task: u64,
+        what: FileUpdate,
+        waiting: Option<Waiting>,
+    ) -> Option<Waiting> {
         let write = Write {
             task,
             retry_at: None,
@@ -64,7 +69,7 @@
     }
 
     /// Something newer is written by another way: an older write of the same file is over.
-    pub fn supersede(&mut self, what: &Keep) {
+    pub fn supersede(&mut self, what: &FileUpdate) {
         self.0.remove(&file(what));
     }
 
@@ -96,9 +101,9 @@
     pub fn retries(
         &mut self,
         now: Timestamp,
-        holds: impl Fn(&Keep) -> bool,
+        holds: impl Fn(&FileUpdate) -> bool,
         mut number: impl FnMut() -> u64,
-    ) -> Vec<(u64, Keep)> {
+    ) -> Vec<(u64, FileUpdate)> {
         let due = |write: &&mut Write| write.retry_at.is_some_and(|at| at <= now);
         let mut again = Vec::new();
         for write in self.0.values_mut().filter(due) {
--- a/certs/src/wire.rs
+++ b/certs/src/wire.rs
@@ -240,7 +240,7 @@
         end: String,
     }
     let info: Info = read("renewal information", body)?;
-    let moment = |text: &str| {
+    let timestamp = |text: &str| {
         let at = time::OffsetDateTime::parse(text, &Rfc3339)
             .ok()
             .map(|t| t.unix_timestamp());
@@ -248,8 +248,8 @@
             .ok_or("renewal information: no moment")
     };
     let window = Window {
-        start: moment(&info.window.start)?,
-        end: moment(&info.window.end)?,
+        start: timestamp(&info.window.start)?,
+        end: timestamp(&info.window.end)?,
     };
     (window.start < window.end)
         .then_some(window)
--- a/certs/tests/common/mod.rs
+++ b/certs/tests/common/mod.rs
@@ -2,14 +2,14 @@
 //! thing that takes time comes back as an event later on.
 #![allow(dead_code)]
 use cranesill_certs::disk::{self, Files};
-use cranesill_certs::exchange::{make_key, Made};
-use cranesill_certs::http::Answer;
-use cranesill_certs::messages::{Loud, Note};
-use cranesill_certs::order::Way;
-use cranesill_certs::planner::Plan;
-use cranesill_certs::renewal::{Ranked, Rule};
+use cranesill_certs::exchange::{generate_key, GeneratedKey};
+use cranesill_certs::http::Response;
+use cranesill_certs::messages::{Level, LogEntry};
+use cranesill_certs::order::ChallengeType;
+use cranesill_certs::planner::PlannerSettings;
+use cranesill_certs::renewal::{HashRanking, Rule};
 use cranesill_certs::{
-    Action, Challenge, Client, Event, Identity, Method, Micros, Moment, Settings, Timestamp, SECOND,
+    Action, Challenge, Client, Clocks, Event, Identity, Method, Micros, Settings, Timestamp, SECOND,
 };
 use cranesill_standins::acme::{Authority, Request};
 use std::cell::RefCell;
@@ -127,25 +127,25 @@
     }
 }
 
-pub fn plan() -> Plan {
-    Plan {
+pub fn plan() -> PlannerSettings {
+    PlannerSettings {
         rule: Rule {
             renew_percent: 67,
             jitter_percent: 5,
         },
         warn_percent: 85,
-        orders_most: 20,
-        window: 3 * HOUR * SECOND,
-        at_once: 2,
+        max_orders: 20,
+        order_window: 3 * HOUR * SECOND,
+        max_concurrent_orders: 2,
     }
 }
 
-pub fn ranked(me: &str, fronts: &[&str]) -> Ranked {
+pub fn ranked(me: &str, fronts: &[&str]) -> HashRanking {
     let fronts = fronts.iter().map(|f| f.to_string()).collect();
-    Ranked {
-        me: me.into(),
+    HashRanking {
+        front_name: me.into(),
         fronts,
-        takeover: HOUR * SECOND,
+        takeover_delay: HOUR * SECOND,
     }
 }
 
@@ -161,7 +161,7 @@
     pub disk: Option<Shared<Disk>>,
     pub shown: Vec<Challenge>,
     pub served: BTreeMap<String, Vec<Identity>>,
-    pub notes: Vec<(u64, Note)>,
+    pub notes: Vec<(u64, LogEntry)>,
     pub replies: Vec<Result<String, String>>,
     pub fresh_tickets: u32,
     events: Vec<(Timestamp, u64, Event)>,
@@ -172,7 +172,7 @@
     names: Vec<Vec<String>>,
     settings: Settings,
     me: (String, Vec<String>),
-    pub plan: Plan,
+    pub plan: PlannerSettings,
     /// Requests by the first step of their path.
     pub asked: HashMap<String, usize>,
 }
@@ -216,7 +216,7 @@
             directory_url: authority.borrow().directory(),
             contacts: vec!["mailto:ops@example.org".into()],
             external: None,
-            way: Way::Http,
+            challenge_type: ChallengeType::Http,
             shared: fronts.len() > 1,
         };
         let mut world = World {
@@ -251,7 +251,7 @@
         let mut client = Client::new(Some(self.settings.clone()), self.plan, turns());
         let mut out = Vec::new();
         client.handle(
-            self.moment(),
+            self.clocks(),
             Event::Configure(self.plan, turns(), self.names.clone()),
             &mut out,
         );
@@ -259,7 +259,7 @@
             Some(disk) => disk::load(&mut *disk.borrow_mut()).unwrap(),
             None => disk::Loaded::default(),
         };
-        client.handle(self.moment(), Event::Start(Box::new(loaded)), &mut out);
+        client.handle(self.clocks(), Event::Start(Box::new(loaded)), &mut out);
         self.client = client;
         self.carry_out(out);
     }
@@ -282,8 +282,8 @@
         START + self.now / SECOND
     }
 
-    pub fn moment(&self) -> Moment {
-        Moment {
+    pub fn clocks(&self) -> Clocks {
+        Clocks {
             now: self.now,
             wall: self.true_wall().saturating_add_signed(self.off),
         }
@@ -291,7 +291,7 @@
 
     pub fn tell(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.client.handle(self.moment(), event, &mut out);
+        self.client.handle(self.clocks(), event, &mut out);
         self.carry_out(out);
     }
 
@@ -307,14 +307,14 @@
             }
             self.actions += 1;
             match action {
-                Action::Ask(task, ask) => {
+                Action::Request(task, ask) => {
                     let answer = self.ask(&ask);
-                    self.later(EXCHANGE, Event::Answered(task, answer));
+                    self.later(EXCHANGE, Event::Response(task, answer));
                 }
-                Action::MakeKey(task, key) => {
-                    let event = match make_key(&key) {
-                        Ok(Made::Order(pem, csr)) => Event::Key(task, Ok((pem, csr))),
-                        Ok(Made::Account(key)) => Event::AccountKey(task, Ok(key)),
+                Action::GenerateKey(task, key) => {
+                    let event = match generate_key(&key) {
+                        Ok(GeneratedKey::Order(pem, csr)) => Event::OrderKey(task, Ok((pem, csr))),
+                        Ok(GeneratedKey::Account(key)) => Event::AccountKey(task, Ok(key)),
                         Err(e) => panic!("{e}"),
                     };
                     self.later(LOCAL, event);
@@ -343,7 +343,7 @@
                     self.served.insert(id, all);
                 }
                 Action::Reply(_, answer) => self.replies.push(answer),
-                Action::Tell(note) => {
+                Action::Log(note) => {
                     let at = self.true_wall();
                     self.notes.push((at, note));
                 }
@@ -351,7 +351,7 @@
         }
     }
 
-    fn ask(&mut self, ask: &cranesill_certs::Ask) -> Result<Answer, String> {
+    fn ask(&mut self, ask: &cranesill_certs::Request) -> Result<Response, String> {
         assert_eq!(ask.url.host, "ca.example", "nothing may be sent elsewhere");
         let mut authority = self.authority.borrow_mut();
         let first = ask
@@ -407,7 +407,7 @@
                 .find(|(n, _)| n.eq_ignore_ascii_case(name))
                 .map(|(_, v)| v.clone())
         };
-        Ok(Answer {
+        Ok(Response {
             status: answer.status,
             nonce: field("replay-nonce"),
             location: field("location"),
@@ -430,7 +430,7 @@
             if !holds(self) {
                 return true;
             }
-            let tick = self.client.next(self.moment()).max(self.now);
+            let tick = self.client.next(self.clocks()).max(self.now);
             assert!(tick > self.now || !ticked, "the client would spin");
             let event = self
                 .events
@@ -458,22 +458,22 @@
         self.served
             .values()
             .flatten()
-            .any(|i| i.covers(name) && i.holds(wall))
+            .any(|i| i.covers(name) && i.is_valid_at(wall))
     }
 
     pub fn loud(&self, kind: &str) -> usize {
         self.notes
             .iter()
-            .filter(|(_, n)| n.kind == kind && n.loud >= Loud::Warn)
+            .filter(|(_, n)| n.kind == kind && n.level >= Level::Warn)
             .count()
     }
 
     pub fn story(&self) -> String {
-        let line = |(at, n): &(u64, Note)| {
+        let line = |(at, n): &(u64, LogEntry)| {
             format!(
                 "{} {:?} {} {}: {}",
                 at - START,
-                n.loud,
+                n.level,
                 n.kind,
                 n.name,
                 n.text
--- a/certs/tests/exchange.rs
+++ b/certs/tests/exchange.rs
@@ -1,12 +1,12 @@
 //! Exchanges over sockets: an authority that is slow, endless, cut off or gone costs its deadline and no more.
-use cranesill_certs::exchange::{exchange, roots};
+use cranesill_certs::exchange::{exchange, load_roots};
 use cranesill_certs::url::Url;
-use cranesill_certs::{Ask, Method};
+use cranesill_certs::{Method, Request};
 use cranesill_standins::acme::{Faults, Server};
 use std::time::{Duration, Instant};
 
-fn ask(url: &str) -> Ask {
-    Ask {
+fn ask(url: &str) -> Request {
+    Request {
         method: Method::Get,
         url: Url::parse(url).unwrap(),
         sign: None,
@@ -19,7 +19,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("root.pem");
     std::fs::write(&file, server.root()).unwrap();
-    let config = roots(&file).unwrap();
+    let config = load_roots(&file).unwrap();
     let url = server.directory();
     let within = |ms: u64| {
         exchange(
@@ -94,7 +94,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("root.pem");
     std::fs::write(&file, other.root()).unwrap();
-    let config = roots(&file).unwrap();
+    let config = load_roots(&file).unwrap();
     let why = exchange(
         &config,
         &ask(&server.directory()),
@@ -108,6 +108,6 @@
         "-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n",
     ] {
         std::fs::write(&file, bad).unwrap();
-        assert!(roots(&file).is_err());
+        assert!(load_roots(&file).is_err());
     }
 }
--- a/certs/tests/hard_cases.rs
+++ b/certs/tests/hard_cases.rs
@@ -1,7 +1,7 @@
 //! What must not go wrong, on virtual clocks, against the stand-in authority's core.
 mod common;
 use common::*;
-use cranesill_certs::messages::Loud;
+use cranesill_certs::messages::Level;
 use cranesill_certs::{disk as folder, Event, SECOND};
 use cranesill_standins::acme::WrongChain;
 use std::rc::Rc;
@@ -59,7 +59,7 @@
     let errors = world
         .notes
         .iter()
-        .filter(|(_, n)| n.kind == "expired" && n.loud == Loud::Error)
+        .filter(|(_, n)| n.kind == "expired" && n.level == Level::Error)
         .count();
     assert!(
         (1_300..=1_500).contains(&errors),
@@ -404,7 +404,7 @@
         let loud = world
             .notes
             .iter()
-            .filter(|(_, n)| n.loud >= Loud::Warn)
+            .filter(|(_, n)| n.level >= Level::Warn)
             .count();
         assert!(loud > 0, "{what}: it is told");
         ca.borrow_mut().faults = Default::default();
--- a/certs/tests/planner.rs
+++ b/certs/tests/planner.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::{plan, ranked, DAY, HOUR, START};
 use cranesill_certs::error::Failure;
-use cranesill_certs::planner::{Plan, Planner};
-use cranesill_certs::renewal::{Held, Rule};
+use cranesill_certs::planner::{Planner, PlannerSettings};
+use cranesill_certs::renewal::{Rule, Validity};
 use cranesill_certs::retry::Cause;
-use cranesill_certs::{Moment, Timestamp, SECOND};
+use cranesill_certs::{Clocks, Timestamp, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
 struct Rng(u64);
@@ -39,17 +39,17 @@
 /// Plays a planner for a span against an authority that answers by random numbers; `works` says when it does at all.
 fn play(
     seed: u64,
-    plan: Plan,
+    plan: PlannerSettings,
     names: usize,
     lifetime: u64,
     span: u64,
     works: impl Fn(u64) -> bool,
-    mut check: impl FnMut(u64, &BTreeMap<String, Held>, &VecDeque<Timestamp>),
+    mut check: impl FnMut(u64, &BTreeMap<String, Validity>, &VecDeque<Timestamp>),
 ) {
     let mut rng = Rng(seed);
     let mut planner = Planner::new(plan, Box::new(ranked("n1", &["n1", "n2", "n3"])));
     let mut now = SECOND;
-    let at = |now: Timestamp| Moment {
+    let at = |now: Timestamp| Clocks {
         now,
         wall: START + now / SECOND,
     };
@@ -61,21 +61,21 @@
         Vec::<(Timestamp, String)>::new(),
     );
     while now < span * SECOND {
-        let moment = at(now);
-        while let Some(choice) = planner.next(moment) {
+        let clocks = at(now);
+        while let Some(choice) = planner.next(clocks) {
             begun.push_back(now);
             busy.push((now + (1 + rng.below(90)) * SECOND, choice.id));
         }
-        assert!(busy.len() <= plan.at_once, "seed {seed}");
-        while begun.front().is_some_and(|t| now >= t + plan.window) {
+        assert!(busy.len() <= plan.max_concurrent_orders, "seed {seed}");
+        while begun.front().is_some_and(|t| now >= t + plan.order_window) {
             begun.pop_front();
         }
         assert!(
-            begun.len() <= plan.orders_most,
+            begun.len() <= plan.max_orders,
             "seed {seed}: {} orders in a window",
             begun.len()
         );
-        check(moment.wall, &held, &begun);
+        check(clocks.wall, &held, &begun);
         let done: Vec<_> = busy
             .iter()
             .filter(|(at, _)| *at <= now)
@@ -84,23 +84,23 @@
         busy.retain(|(at, _)| *at > now);
         for id in done {
             let fate = rng.below(20);
-            if !works(moment.wall - START) {
+            if !works(clocks.wall - START) {
                 let told = (fate < 3).then_some(fate * 600);
-                planner.failed(moment, &id, &failure(Cause::Unreachable, &id, told));
+                planner.failed(clocks, &id, &failure(Cause::Unreachable, &id, told));
             } else if fate == 0 {
-                planner.failed(moment, &id, &failure(Cause::Broken, &id, None));
+                planner.failed(clocks, &id, &failure(Cause::Broken, &id, None));
             } else if fate == 1 {
                 planner.failed(
-                    moment,
+                    clocks,
                     &id,
                     &failure(Cause::Limited, &id, Some(rng.below(1_800))),
                 );
             } else {
-                let new = Held {
-                    not_before: moment.wall - 60,
-                    not_after: moment.wall + lifetime,
+                let new = Validity {
+                    not_before: clocks.wall - 60,
+                    not_after: clocks.wall + lifetime,
                 };
-                planner.succeeded(moment, &id, new, std::slice::from_ref(&id));
+                planner.succeeded(clocks, &id, new, std::slice::from_ref(&id));
                 held.insert(id, new);
             }
         }
@@ -121,9 +121,9 @@
 fn never_more_orders_than_allowed_and_all_renewed_while_the_authority_works_for_some_hours() {
     for seed in 0..60 {
         let lifetime = [6 * DAY, 10 * DAY, 90 * DAY][seed as usize % 3];
-        let plan = Plan {
-            orders_most: 40,
-            at_once: 1 + seed as usize % 4,
+        let plan = PlannerSettings {
+            max_orders: 40,
+            max_concurrent_orders: 1 + seed as usize % 4,
             ..plan()
         };
         // It works for eight hours in each tenth of a lifetime, at a time that depends on the seed.
@@ -156,8 +156,8 @@
         let mut last = 0;
         play(
             seed,
-            Plan {
-                orders_most: 500,
+            PlannerSettings {
+                max_orders: 500,
                 ..plan()
             },
             300,
@@ -184,13 +184,13 @@
         renew_percent: 67,
         jitter_percent: 20,
     };
-    let plan = Plan {
+    let plan = PlannerSettings {
         rule,
-        orders_most: 100_000,
+        max_orders: 100_000,
         ..plan()
     };
     let mut planner = Planner::new(plan, Box::new(ranked("n1", &["n1"])));
-    let at = |wall: u64| Moment {
+    let at = |wall: u64| Clocks {
         now: (wall - START + 1) * SECOND,
         wall,
     };
@@ -199,17 +199,17 @@
         at(START),
         &ids.iter().map(|id| vec![id.clone()]).collect::<Vec<_>>(),
     );
-    let held = Held {
+    let held = Validity {
         not_before: START,
         not_after: START + 90 * DAY,
     };
     ids.iter()
-        .for_each(|id| planner.holds(at(START), id, held, std::slice::from_ref(id)));
+        .for_each(|id| planner.set_certificate(at(START), id, held, std::slice::from_ref(id)));
     let (mut wall, mut renewed) = (START, 0);
     while wall < START + 62 * DAY {
         wall += 60;
         while let Some(choice) = planner.next(at(wall)) {
-            let new = Held {
+            let new = Validity {
                 not_before: wall,
                 not_after: wall + 90 * DAY,
             };
--- a/front/examples/measure-tls.rs
+++ b/front/examples/measure-tls.rs
@@ -148,9 +148,9 @@
 
     /// Gives the front a new key and certificate.
     fn import(&self) {
-        let key = cranesill_certs::Key::Order(vec![NAME.into()], None);
-        let Ok(cranesill_certs::exchange::Made::Order(key, csr)) =
-            cranesill_certs::exchange::make_key(&key)
+        let key = cranesill_certs::KeyRequest::Order(vec![NAME.into()], None);
+        let Ok(cranesill_certs::exchange::GeneratedKey::Order(key, csr)) =
+            cranesill_certs::exchange::generate_key(&key)
         else {
             panic!()
         };
--- a/front/src/server/drivers/certificate_table.rs
+++ b/front/src/server/drivers/certificate_table.rs
@@ -1,5 +1,5 @@
 //! Which certificate is served in a TLS handshake, by the host name that the client asks for.
-use cranesill_certs::{Identity, Wall};
+use cranesill_certs::{Identity, UnixTime};
 use rustls::crypto::CryptoProvider;
 use rustls::server::{NoServerSessionStorage, ProducesTickets, ResolvesServerCert};
 use rustls::sign::CertifiedKey;
@@ -17,7 +17,7 @@
     /// The configuration of handshakes with this certificate.
     pub config: Arc<ServerConfig>,
     /// The last second, in Unix time, at which the certificate is valid.
-    pub not_after: Wall,
+    pub not_after: UnixTime,
 }
 
 /// The certificates that are served, by host name.
--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -13,7 +13,7 @@
 use challenges::Challenges;
 use cranesill::api::Timestamp;
 use cranesill_certs::disk::{self, Folder, Loaded};
-use cranesill_certs::{Action, Client, Event, Moment};
+use cranesill_certs::{Action, Client, Clocks, Event};
 use cranesill_daemon::{Certs as Settings, Daemon};
 use rustls::sign::CertifiedKey;
 use settings::{configure, default_certificate, plan, ranking, Authority, Transport};
@@ -58,12 +58,12 @@
 }
 
 /// The time on both clocks.
-fn time_now(now: Timestamp) -> Moment {
+fn time_now(now: Timestamp) -> Clocks {
     let wall = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_secs();
-    Moment { now, wall }
+    Clocks { now, wall }
 }
 
 /// Opens the folder of certificates and reads it. A failure is logged: the front starts without the stored certificates.
--- a/front/src/server/drivers/certs/actions.rs
+++ b/front/src/server/drivers/certs/actions.rs
@@ -3,10 +3,12 @@
 use crate::server::drivers::certificate_table::ChallengeCertificate;
 use crate::server::drivers::{Effect, TlsEffect, Turn};
 use cranesill_certs::disk;
-use cranesill_certs::exchange::{exchange, make_key, prove, Made};
-use cranesill_certs::messages::{Ask, Loud, Note, Save};
-use cranesill_certs::order::Way;
-use cranesill_certs::{Action, Challenge, Event, Identity, Key};
+use cranesill_certs::exchange::{
+    exchange, generate_challenge_certificate, generate_key, GeneratedKey,
+};
+use cranesill_certs::messages::{Level, LogEntry, Request};
+use cranesill_certs::order::ChallengeType;
+use cranesill_certs::{Action, Challenge, Event, FileUpdate, Identity, KeyRequest};
 use rustls::sign::CertifiedKey;
 use serde_json::Value;
 use std::io;
@@ -17,8 +19,8 @@
     /// Carries out an action.
     pub(super) fn carry_out(&mut self, turn: &mut Turn<'_>, action: Action) {
         let event = match action {
-            Action::Ask(task, request) => self.send_request(task, request),
-            Action::MakeKey(task, key) => self.make_key(task, key),
+            Action::Request(task, request) => self.send_request(task, request),
+            Action::GenerateKey(task, key) => self.make_key(task, key),
             Action::Save(task, content) => self.save(task, content),
             Action::Reread(task, id) => self.reread(task, id),
             Action::Publish(task, challenge) => self.publish(task, challenge),
@@ -29,7 +31,7 @@
                 turn.effects.push(response);
                 None
             }
-            Action::Tell(note) => {
+            Action::Log(note) => {
                 log(&note);
                 None
             }
@@ -41,31 +43,31 @@
     }
 
     /// Sends a request to the authority. Returns the event of a failure to start.
-    fn send_request(&mut self, task: u64, request: Ask) -> Option<Event> {
+    fn send_request(&mut self, task: u64, request: Request) -> Option<Event> {
         let transport = self.transport.as_ref()?;
         let config = Arc::clone(&transport.config);
         let deadline = Instant::now() + transport.timeout;
         let max_response_bytes = transport.max_response_bytes;
         let started = self.workers.run(move || {
             let response = exchange(&config, &request, deadline, max_response_bytes);
-            WorkResult::Event(Event::Answered(task, response))
+            WorkResult::Event(Event::Response(task, response))
         });
         started
             .err()
-            .map(|error| Event::Answered(task, Err(thread_error(&error))))
+            .map(|error| Event::Response(task, Err(thread_error(&error))))
     }
 
     /// Generates a key. Returns the event of a failure to start.
-    fn make_key(&mut self, task: u64, key: Key) -> Option<Event> {
-        let is_account = matches!(key, Key::Account);
+    fn make_key(&mut self, task: u64, key: KeyRequest) -> Option<Event> {
+        let is_account = matches!(key, KeyRequest::Account);
         let failure = move |why| match is_account {
             true => Event::AccountKey(task, Err(why)),
-            false => Event::Key(task, Err(why)),
+            false => Event::OrderKey(task, Err(why)),
         };
         let started = self.workers.run(move || {
-            WorkResult::Event(match make_key(&key) {
-                Ok(Made::Order(pem, request)) => Event::Key(task, Ok((pem, request))),
-                Ok(Made::Account(key)) => Event::AccountKey(task, Ok(key)),
+            WorkResult::Event(match generate_key(&key) {
+                Ok(GeneratedKey::Order(pem, request)) => Event::OrderKey(task, Ok((pem, request))),
+                Ok(GeneratedKey::Account(key)) => Event::AccountKey(task, Ok(key)),
                 Err(why) => failure(why),
             })
         });
@@ -73,7 +75,7 @@
     }
 
     /// Writes to the folder, after everything that was to be written before. Returns the event of a failure to start.
-    fn save(&mut self, task: u64, content: Save) -> Option<Event> {
+    fn save(&mut self, task: u64, content: FileUpdate) -> Option<Event> {
         let folder = self.folder.clone();
         let started = self.workers.in_order(move || {
             let result = match folder.as_ref().map(|folder| folder.lock()) {
@@ -103,16 +105,19 @@
 
     /// Answers a challenge from now on. Returns the event of its result, if that is known at once.
     fn publish(&mut self, task: u64, challenge: Challenge) -> Option<Event> {
-        match challenge.way {
-            Way::Http => {
+        match challenge.kind {
+            ChallengeType::Http => {
                 self.challenges
                     .publish(challenge.token, challenge.authorization);
                 Some(Event::Done(task, Ok(())))
             }
-            Way::TlsAlpn => {
+            ChallengeType::TlsAlpn => {
                 let started = self.workers.run(move || WorkResult::ChallengeCertificate {
                     task,
-                    result: prove(&challenge.name, &challenge.authorization),
+                    result: generate_challenge_certificate(
+                        &challenge.name,
+                        &challenge.authorization,
+                    ),
                     name: challenge.name,
                 });
                 started
@@ -144,7 +149,7 @@
 
     fn withdraw(&mut self, turn: &mut Turn<'_>, challenge: Challenge) -> Option<Event> {
         self.challenges.withdraw(&challenge.token);
-        if challenge.way == Way::TlsAlpn {
+        if challenge.kind == ChallengeType::TlsAlpn {
             let withdrawn = TlsEffect::Challenge {
                 name: challenge.name,
                 certificate: None,
@@ -168,13 +173,13 @@
     format!("no thread: {error}")
 }
 
-fn log(note: &Note) {
+fn log(note: &LogEntry) {
     let kind = note.kind;
     let name = note.name.as_str();
     let text = note.text.as_str();
-    match note.loud {
-        Loud::Info => tracing::info!(kind, name, text, "certificates"),
-        Loud::Warn => tracing::warn!(kind, name, text, "certificates"),
-        Loud::Error => tracing::error!(kind, name, text, "certificates"),
+    match note.level {
+        Level::Info => tracing::info!(kind, name, text, "certificates"),
+        Level::Warn => tracing::warn!(kind, name, text, "certificates"),
+        Level::Error => tracing::error!(kind, name, text, "certificates"),
     }
 }
--- a/front/src/server/drivers/certs/operators.rs
+++ b/front/src/server/drivers/certs/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' commands about certificates.
 use super::{time_now, Certs};
 use crate::server::drivers::{Effect, Turn};
-use cranesill_certs::planner::Row;
+use cranesill_certs::planner::CertificateStatus;
 use cranesill_certs::{Event, Identity};
 use serde_json::{json, Value};
 
@@ -42,7 +42,7 @@
                 let reason = reason.and_then(|r| u8::try_from(r).ok()).unwrap_or(0);
                 self.handle(turn, Event::Revoke(id, name, reason));
             }
-            "certs-import" => match Identity::join(text("key"), text("chain")) {
+            "certs-import" => match Identity::from_key_and_chain(text("key"), text("chain")) {
                 Ok(identity) => self.handle(turn, Event::Import(id, Box::new(identity))),
                 Err(why) => turn.effects.push(Effect::response(id, Err(why))),
             },
@@ -56,7 +56,7 @@
         let time = time_now(turn.now);
         let rows: Vec<_> = self
             .client
-            .rows(time)
+            .statuses(time)
             .iter()
             .filter(|(row, _)| name.is_empty() || row.names.iter().any(|n| n == name))
             .map(|(row, served)| row_state(row, *served, time.wall))
@@ -66,15 +66,15 @@
 }
 
 /// Returns the state of one certificate at a Unix time in seconds.
-fn row_state(row: &Row, served: Option<&Identity>, wall_clock_s: u64) -> Value {
+fn row_state(row: &CertificateStatus, served: Option<&Identity>, wall_clock_s: u64) -> Value {
     let state = match served {
         None => "missing",
         Some(identity) if wall_clock_s > identity.not_after => "EXPIRED",
         Some(identity) if wall_clock_s < identity.not_before => "not-yet-valid",
         Some(_) => "good",
     };
-    let failure = row.why.as_ref();
-    let failure = failure.map(|(cause, text)| json!({"cause": cause.word(), "text": text}));
+    let failure = row.last_failure.as_ref();
+    let failure = failure.map(|(cause, text)| json!({"cause": cause.as_str(), "text": text}));
     json!({
         "name": row.id,
         "names": row.names,
--- a/front/src/server/drivers/certs/settings.rs
+++ b/front/src/server/drivers/certs/settings.rs
@@ -1,9 +1,9 @@
 //! What the settings of certificates mean to the ACME client, with the files that they name.
-use cranesill_certs::exchange::roots;
+use cranesill_certs::exchange::load_roots;
 use cranesill_certs::jose::from_base64url;
-use cranesill_certs::order::Way;
-use cranesill_certs::planner::Plan;
-use cranesill_certs::renewal::{Ranked, Rule};
+use cranesill_certs::order::ChallengeType;
+use cranesill_certs::planner::PlannerSettings;
+use cranesill_certs::renewal::{HashRanking, Rule};
 use cranesill_certs::{Event, SECOND};
 use cranesill_daemon::{Certs as Settings, Challenge, ExternalAccount};
 use rustls::ClientConfig;
@@ -76,18 +76,18 @@
         let Some(authority) = &settings.authority else {
             return Ok(None);
         };
-        let config = roots(&authority.roots_file).map_err(CertsError::Roots)?;
+        let config = load_roots(&authority.roots_file).map_err(CertsError::Roots)?;
         let external = authority.external_account.as_ref();
         let external = external.map(external_account).transpose()?;
-        let way = match authority.challenge {
-            Challenge::Http => Way::Http,
-            Challenge::TlsAlpn => Way::TlsAlpn,
+        let challenge_type = match authority.challenge {
+            Challenge::Http => ChallengeType::Http,
+            Challenge::TlsAlpn => ChallengeType::TlsAlpn,
         };
         let client = cranesill_certs::Settings {
             directory_url: authority.directory_url.clone(),
             contacts: authority.contacts.clone(),
             external,
-            way,
+            challenge_type,
             shared: settings.directory.is_some() && settings.fronts.len() > 1,
         };
         let transport = Transport {
@@ -119,25 +119,25 @@
 }
 
 /// Returns the planner's limits.
-pub(super) fn plan(settings: &Settings) -> Plan {
-    Plan {
+pub(super) fn plan(settings: &Settings) -> PlannerSettings {
+    PlannerSettings {
         rule: Rule {
             renew_percent: settings.renew_percent,
             jitter_percent: settings.jitter_percent,
         },
         warn_percent: settings.warn_percent,
-        orders_most: settings.orders_most,
-        window: settings.order_window_s * SECOND,
-        at_once: settings.orders_at_once,
+        max_orders: settings.orders_most,
+        order_window: settings.order_window_s * SECOND,
+        max_concurrent_orders: settings.orders_at_once,
     }
 }
 
 /// Returns the order in which the fronts of a shared folder renew a certificate.
-pub(super) fn ranking(settings: &Settings, front_name: &str) -> Box<Ranked> {
-    Box::new(Ranked {
-        me: front_name.into(),
+pub(super) fn ranking(settings: &Settings, front_name: &str) -> Box<HashRanking> {
+    Box::new(HashRanking {
+        front_name: front_name.into(),
         fronts: settings.fronts.clone(),
-        takeover: settings.takeover_s * SECOND,
+        takeover_delay: settings.takeover_s * SECOND,
     })
 }
 
--- a/front/tests/tls.rs
+++ b/front/tests/tls.rs
@@ -408,11 +408,11 @@
 
 /// A key and a chain for front1.example that ended in 1970.
 fn old(play: &Play, until: u64) -> (String, String) {
-    let mut made = cranesill_certs::exchange::make_key(&cranesill_certs::Key::Order(
+    let mut made = cranesill_certs::exchange::generate_key(&cranesill_certs::KeyRequest::Order(
         vec!["front1.example".into()],
         None,
     ));
-    let Ok(cranesill_certs::exchange::Made::Order(key, csr)) = made.as_mut() else {
+    let Ok(cranesill_certs::exchange::GeneratedKey::Order(key, csr)) = made.as_mut() else {
         panic!()
     };
     let (chain, _) = play
