--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -9,43 +9,43 @@
 mod setup;
 mod tasks;
 
-use crate::disk::{Account, Pending, State};
+use crate::disk::{Account, PendingOrder, State};
 use crate::error::Failure;
 use crate::identity::Identity;
 use crate::jose::AccountKey;
 use crate::messages::{Action, Event, KeyRequest, Level, LogEntry};
 use crate::order::{ChallengeType, Input};
+use crate::pending_writes::PendingWrites;
 use crate::planner::{CertificateStatus, Notice, Planner, PlannerSettings};
 use crate::renewal::Ranking;
 use crate::retry::Cause;
-use crate::unsaved::Unsaved;
 use crate::wire::{Directory, Problem};
-use crate::{tame, Clocks, Micros, Timestamp, SECOND};
+use crate::{sanitize, Clocks, Micros, Timestamp, SECOND};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use tasks::{Kind, Task};
+use tasks::{Task, TaskKind};
 
 /// Nonces that are kept, and letters of one.
-const NONCES_MOST: usize = 8;
-const NONCE_MOST: usize = 512;
+const MAX_NONCES: usize = 8;
+const MAX_NONCE_CHARS: usize = 512;
 /// A request that is refused for its nonce goes out again this often (RFC 8555, section 6.5).
-const NONCE_TRIES: u8 = 5;
+const MAX_NONCE_RETRIES: u8 = 5;
 /// A directory is asked for anew after this long.
-const DIRECTORY_AGE: Micros = 24 * 3_600 * SECOND;
+const MAX_DIRECTORY_AGE: Micros = 24 * 3_600 * SECOND;
 /// Pauses between two looks at renewal information (RFC 9773, section 4.3): without, and with a word of the
 /// authority.
-const INFO_EACH: Micros = 6 * 3_600 * SECOND;
-const INFO_LEAST: Micros = 60 * SECOND;
-const INFO_MOST: Micros = 24 * 3_600 * SECOND;
+const RENEWAL_INFO_INTERVAL: Micros = 6 * 3_600 * SECOND;
+const MIN_RENEWAL_INFO_INTERVAL: Micros = 60 * SECOND;
+const MAX_RENEWAL_INFO_INTERVAL: Micros = 24 * 3_600 * SECOND;
 /// What an operator may have under way at once.
-const ASKED_MOST: usize = 8;
+const MAX_OPERATOR_TASKS: usize = 8;
 /// The clock of this machine and the authority's may differ by this many seconds before somebody is told.
-const SKEW_MOST: u64 = 300;
+const MAX_SKEW_S: u64 = 300;
 /// The longest pause until the next look at the wall clock, which may jump.
-const LOOK_EACH: Micros = 30 * SECOND;
+const MAX_TICK_INTERVAL: Micros = 30 * SECOND;
 /// The shortest.
-const LOOK_LEAST: Micros = 50_000;
+const MIN_TICK_INTERVAL: Micros = 50_000;
 /// What the client goes by beside its certificates.
 #[derive(Clone)]
 pub struct Settings {
@@ -66,43 +66,43 @@
     settings: Option<Settings>,
     planner: Planner,
     tasks: BTreeMap<u64, Task>,
-    last: u64,
+    last_task: u64,
     directory: Option<(Directory, Timestamp)>,
     account: Option<Account>,
     key: Option<Arc<AccountKey>>,
     nonces: Vec<String>,
-    pending: BTreeMap<String, Pending>,
+    pending: BTreeMap<String, PendingOrder>,
     served: BTreeMap<String, Vec<Identity>>,
-    info: BTreeSet<(Timestamp, String)>,
+    renewal_info_queue: BTreeSet<(Timestamp, String)>,
     /// By how many seconds the authority's clock is ahead, as told last.
     skew: Option<i64>,
     started: bool,
     saved: State,
-    unsaved: Unsaved,
+    pending_writes: PendingWrites,
 }
 impl Client {
     /// A client for an authority, or for none: then it watches dates alone.
     pub fn new(
         settings: Option<Settings>,
-        plan: PlannerSettings,
-        turns: Box<dyn Ranking + Send>,
+        planner_settings: PlannerSettings,
+        ranking: Box<dyn Ranking + Send>,
     ) -> Self {
         Client {
             settings,
-            planner: Planner::new(plan, turns),
+            planner: Planner::new(planner_settings, ranking),
             tasks: BTreeMap::new(),
-            last: 0,
+            last_task: 0,
             directory: None,
             account: None,
             key: None,
             nonces: Vec::new(),
             pending: BTreeMap::new(),
             served: BTreeMap::new(),
-            info: BTreeSet::new(),
+            renewal_info_queue: BTreeSet::new(),
             skew: None,
             started: false,
             saved: State::default(),
-            unsaved: Unsaved::default(),
+            pending_writes: PendingWrites::default(),
         }
     }
 
@@ -110,19 +110,19 @@
     pub fn handle(&mut self, clocks: Clocks, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Start(loaded) => self.start(clocks, *loaded, out),
-            Event::Response(task, answer) => self.answered(clocks, task, answer, out),
+            Event::Response(task, response) => self.handle_response(clocks, task, response, out),
             Event::OrderKey(task, key) => {
                 let input = match key {
                     Ok((pem, csr)) => Input::Key(pem, csr),
-                    Err(why) => Input::Barred(why),
+                    Err(why) => Input::NotSent(why),
                 };
-                self.order(clocks, task, input, out);
+                self.step_order(clocks, task, input, out);
             }
-            Event::AccountKey(task, key) => self.account_key(clocks, task, key, out),
-            Event::Done(task, done) => self.done(clocks, task, done, out),
-            Event::Reread(task, found) => self.reread(clocks, task, found, out),
+            Event::AccountKey(task, key) => self.handle_account_key(clocks, task, key, out),
+            Event::Done(task, done) => self.handle_done(clocks, task, done, out),
+            Event::Reread(task, found) => self.handle_reread(clocks, task, found, out),
             Event::Tick => {
-                self.save_again(clocks.now, out);
+                self.retry_writes(clocks.now, out);
                 let due = self
                     .tasks
                     .iter()
@@ -133,31 +133,31 @@
                         .get_mut(&task)
                         .into_iter()
                         .for_each(|t| t.wake = None);
-                    self.order(clocks, task, Input::Time, out);
+                    self.step_order(clocks, task, Input::Timer, out);
                 }
             }
-            Event::Configure(plan, turns, certificates) => {
-                self.configure(clocks, plan, turns, &certificates, out)
+            Event::Configure(planner_settings, ranking, certificates) => {
+                self.configure(clocks, planner_settings, ranking, &certificates, out)
             }
             Event::Renew(operator, id) => {
-                let known = self.settings.is_some() && self.planner.force(clocks, &id);
-                let answer = if known {
+                let known = self.settings.is_some() && self.planner.force_renewal(clocks, &id);
+                let response = if known {
                     Ok("it is ordered next".into())
                 } else {
-                    Err(self.unknown(&id))
+                    Err(self.unknown_certificate(&id))
                 };
-                out.push(Action::Reply(operator, answer));
+                out.push(Action::Reply(operator, response));
             }
             Event::Revoke(operator, id, reason) => self.revoke(clocks, operator, &id, reason, out),
             Event::Import(operator, identity) => self.import(clocks, operator, *identity, out),
             Event::RollKey(operator) => {
                 if self.account.as_ref().is_none_or(|a| a.url.is_none())
-                    || self.asked() >= ASKED_MOST
+                    || self.operator_tasks() >= MAX_OPERATOR_TASKS
                 {
                     let why = "there is no account yet, or too much is under way";
                     out.push(Action::Reply(operator, Err(why.into())));
                 } else {
-                    let task = self.task(Kind::Roll {
+                    let task = self.add_task(TaskKind::KeyRollover {
                         operator,
                         new: None,
                     });
@@ -165,7 +165,7 @@
                 }
             }
         }
-        self.pump(clocks, out);
+        self.start_due_work(clocks, out);
     }
 
     /// The next moment at which [`Event::Tick`] is due.
@@ -174,28 +174,28 @@
         let setup = self
             .tasks
             .values()
-            .any(|t| matches!(t.kind, Kind::Setup(_)));
+            .any(|t| matches!(t.kind, TaskKind::Setup(_)));
         let planned = self
             .planner
-            .wake(clocks)
+            .next_wakeup(clocks)
             .filter(|_| self.settings.is_some() && !setup);
         let info = self
-            .info
+            .renewal_info_queue
             .first()
             .map(|(at, _)| *at)
             .filter(|_| self.settings.is_some());
         // Guards against a loop without rest: what could be done now was done already.
-        let least = clocks.now + LOOK_LEAST;
+        let least = clocks.now + MIN_TICK_INTERVAL;
         let next = [planned, info]
             .into_iter()
             .flatten()
             .map(|at| at.max(least))
             .min();
-        let most = clocks.now + LOOK_EACH;
+        let most = clocks.now + MAX_TICK_INTERVAL;
         tasks
             .into_iter()
             .chain(next)
-            .chain(self.unsaved.next())
+            .chain(self.pending_writes.next())
             .min()
             .unwrap_or(most)
             .min(most)
@@ -215,10 +215,10 @@
     /// For operators: the account's URL, seconds until the authority is asked again, orders in the window and how
     /// many may be, by how much the authority's clock is ahead.
     pub fn state(&self, clocks: Clocks) -> serde_json::Value {
-        let (orders, most) = self.planner.budget();
+        let (orders, most) = self.planner.order_counts();
         json!({
             "account": self.account.as_ref().and_then(|a| a.url.as_ref()),
-            "away_s": self.planner.away_until().saturating_sub(clocks.now) / SECOND,
+            "away_s": self.planner.paused_until().saturating_sub(clocks.now) / SECOND,
             "orders_in_window": orders,
             "orders_most": most,
             "tasks": self.tasks.len(),
@@ -231,52 +231,52 @@
         self.served.get(id).map_or(&[], |all| all)
     }
 
-    fn task(&mut self, kind: Kind) -> u64 {
-        self.last += 1;
+    fn add_task(&mut self, kind: TaskKind) -> u64 {
+        self.last_task += 1;
         self.tasks.insert(
-            self.last,
+            self.last_task,
             Task {
                 kind,
                 post: None,
-                nonce: false,
+                awaits_nonce: false,
                 wake: None,
-                shown: Vec::new(),
+                published: Vec::new(),
             },
         );
-        self.last
+        self.last_task
     }
 }
 /// The certificate that a task is for.
-fn of(kind: &Kind) -> Option<&String> {
+fn certificate_id(kind: &TaskKind) -> Option<&String> {
     match kind {
-        Kind::Order { id, .. } | Kind::Info(id) => Some(id),
-        Kind::Reread(choice) => Some(&choice.id),
+        TaskKind::Order { id, .. } | TaskKind::RenewalInfo(id) => Some(id),
+        TaskKind::Reread(planned) => Some(&planned.id),
         _ => None,
     }
 }
 
-fn fail(cause: Cause, text: &str) -> Failure {
+fn failure(cause: Cause, text: &str) -> Failure {
     Failure {
         cause,
         refused: Vec::new(),
-        told: None,
-        text: tame(text, 500),
-        keeps_order: false,
+        retry_after: None,
+        text: sanitize(text, 500),
+        resumable: false,
     }
 }
 
 /// What a problem with directory or account means.
-fn common(problem: &Problem, status: u16) -> Cause {
-    match problem.short() {
-        "rateLimited" => Cause::Limited,
+fn setup_failure_cause(problem: &Problem, status: u16) -> Cause {
+    match problem.acme_type() {
+        "rateLimited" => Cause::RateLimited,
         "serverInternal" => Cause::Unreachable,
         "" if status >= 500 || status == 429 => Cause::Unreachable,
         _ if status >= 500 => Cause::Unreachable,
-        _ => Cause::Account,
+        _ => Cause::AccountRejected,
     }
 }
 
-fn tell(level: Level, kind: &'static str, name: &str, text: &str) -> Action {
+fn log_entry(level: Level, kind: &'static str, name: &str, text: &str) -> Action {
     Action::Log(LogEntry {
         level,
         kind,
@@ -285,9 +285,9 @@
     })
 }
 
-fn told(notice: &Notice) -> Action {
+fn notice_entry(notice: &Notice) -> Action {
     match notice {
-        Notice::Expiring { count, left, names } => tell(
+        Notice::Expiring { count, left, names } => log_entry(
             Level::Warn,
             "expiring",
             &names.join(" "),
@@ -297,15 +297,15 @@
             count,
             since,
             names,
-        } => tell(
+        } => log_entry(
             Level::Error,
             "expired",
             &names.join(" "),
             &format!("{count} HAVE EXPIRED, the first {since} s ago"),
         ),
-        Notice::NotYet { count, names } => {
+        Notice::NotYetValid { count, names } => {
             let text = format!("{count} do not hold yet: is this machine's clock right?");
-            tell(Level::Warn, "not-yet-valid", &names.join(" "), &text)
+            log_entry(Level::Warn, "not-yet-valid", &names.join(" "), &text)
         }
     }
 }
--- a/certs/src/client/orders.rs
+++ b/certs/src/client/orders.rs
@@ -1,25 +1,30 @@
 //! Orders under way, and what is served once one is complete.
-use super::tasks::{By, Kind, Task};
-use super::{tell, Client};
+use super::tasks::{Signer, Task, TaskKind};
+use super::{log_entry, Client};
 use crate::disk::FileUpdate;
 use crate::error::Failure;
 use crate::identity::Identity;
 use crate::messages::{Action, Challenge, KeyRequest, Level, Payload};
 use crate::order::{ChallengeType, Input, Order, Output};
-use crate::planner::Choice;
+use crate::planner::PlannedOrder;
 use crate::renewal::Validity;
 use crate::retry::Cause;
 use crate::Clocks;
 
 impl Client {
-    pub(super) fn begin(&mut self, clocks: Clocks, choice: Choice, out: &mut Vec<Action>) {
+    pub(super) fn begin_order(
+        &mut self,
+        clocks: Clocks,
+        planned: PlannedOrder,
+        out: &mut Vec<Action>,
+    ) {
         let Some(settings) = self.settings.clone() else {
             return;
         };
         let Some((directory, key)) = self.directory.clone().zip(self.key.clone()) else {
             return;
         };
-        let (id, thumbprint) = (choice.id, key.thumbprint());
+        let (id, thumbprint) = (planned.id, key.thumbprint());
         let pending = self.pending.get(&id).cloned();
         let (order, pem) = match pending {
             Some(pending) => (
@@ -34,7 +39,7 @@
                 (
                     Order::new(
                         clocks,
-                        choice.names,
+                        planned.names,
                         settings.challenge_type,
                         thumbprint,
                         new_order,
@@ -45,14 +50,14 @@
             }
         };
         let names = order.names.clone();
-        let resumed = if pem.is_some() { "taken up" } else { "begun" };
-        out.push(tell(
+        let verb = if pem.is_some() { "taken up" } else { "begun" };
+        out.push(log_entry(
             Level::Info,
             "order",
             &id,
-            &format!("{resumed} for {}", names.join(" ")),
+            &format!("{verb} for {}", names.join(" ")),
         ));
-        let task = self.task(Kind::Order {
+        let task = self.add_task(TaskKind::Order {
             id,
             order: Box::new(order),
         });
@@ -60,9 +65,15 @@
     }
 
     /// Puts an input into an order and carries out what it wants.
-    pub(super) fn order(&mut self, clocks: Clocks, task: u64, input: Input, out: &mut Vec<Action>) {
+    pub(super) fn step_order(
+        &mut self,
+        clocks: Clocks,
+        task: u64,
+        input: Input,
+        out: &mut Vec<Action>,
+    ) {
         let Some(Task {
-            kind: Kind::Order { id, order },
+            kind: TaskKind::Order { id, order },
             ..
         }) = self.tasks.get_mut(&task)
         else {
@@ -74,7 +85,14 @@
                 out.push(Action::GenerateKey(task, KeyRequest::Order(names, None)))
             }
             Output::Post(url, payload) => {
-                self.post(clocks, task, &url, Payload::Text(payload), By::Account, out);
+                self.post(
+                    clocks,
+                    task,
+                    &url,
+                    Payload::Text(payload),
+                    Signer::Account,
+                    out,
+                );
             }
             Output::Publish(name, token, authorization) => {
                 let kind = self
@@ -90,26 +108,26 @@
                 self.tasks
                     .get_mut(&task)
                     .into_iter()
-                    .for_each(|t| t.shown.push(challenge.clone()));
+                    .for_each(|t| t.published.push(challenge.clone()));
                 out.push(Action::Publish(task, challenge));
             }
             Output::Save(pending) => {
                 self.pending.insert(id.clone(), pending.clone());
-                let keep = FileUpdate::PendingOrder(id, pending);
-                self.unsaved.supersede(&keep);
-                out.push(Action::Save(task, keep));
+                let update = FileUpdate::PendingOrder(id, pending);
+                self.pending_writes.supersede(&update);
+                out.push(Action::Save(task, update));
             }
-            Output::Sleep(until) => {
+            Output::Wait(until) => {
                 self.tasks
                     .get_mut(&task)
                     .into_iter()
                     .for_each(|t| t.wake = Some(until));
             }
             Output::Done(identity) => {
-                self.end(task, out);
+                self.end_task(task, out);
                 self.pending.remove(&id);
                 let until = identity.not_after;
-                out.push(tell(
+                out.push(log_entry(
                     Level::Info,
                     "issued",
                     &id,
@@ -120,36 +138,41 @@
                     None,
                     out,
                 );
-                self.take(clocks, &id, *identity, true, out);
-                self.keep_state(out);
+                self.install(clocks, &id, *identity, true, out);
+                self.save_state(out);
             }
             Output::Failed(failure) => {
-                self.end(task, out);
-                if !failure.keeps_order && self.pending.remove(&id).is_some() {
+                self.end_task(task, out);
+                if !failure.resumable && self.pending.remove(&id).is_some() {
                     self.save(FileUpdate::RemoveOrder(id.clone()), None, out);
                 }
-                self.failed(clocks, &id, &failure, out);
+                self.order_failed(clocks, &id, &failure, out);
             }
         }
     }
 
-    pub(super) fn failed(
+    pub(super) fn order_failed(
         &mut self,
         clocks: Clocks,
         id: &str,
         failure: &Failure,
         out: &mut Vec<Action>,
     ) {
-        if failure.cause == Cause::Unknown {
-            self.account_lost();
+        if failure.cause == Cause::AccountUnknown {
+            self.reset_account();
         }
         self.planner.failed(clocks, id, failure);
-        out.push(tell(Level::Warn, failure.cause.as_str(), id, &failure.text));
-        self.keep_state(out);
+        out.push(log_entry(
+            Level::Warn,
+            failure.cause.as_str(),
+            id,
+            &failure.text,
+        ));
+        self.save_state(out);
     }
 
     /// The authority does not know the account: it is made again under the same key.
-    pub(super) fn account_lost(&mut self) {
+    pub(super) fn reset_account(&mut self) {
         if let Some(account) = &mut self.account {
             account.url = None;
         }
@@ -158,7 +181,7 @@
     }
 
     /// A certificate is there: it is served at once.
-    pub(super) fn take(
+    pub(super) fn install(
         &mut self,
         clocks: Clocks,
         id: &str,
@@ -166,19 +189,19 @@
         ordered: bool,
         out: &mut Vec<Action>,
     ) {
-        let held = Validity {
+        let validity = Validity {
             not_before: identity.not_before,
             not_after: identity.not_after,
         };
         let names = identity.names.clone();
         if ordered {
-            self.planner.succeeded(clocks, id, held, &names);
+            self.planner.succeeded(clocks, id, validity, &names);
         } else {
-            self.planner.set_certificate(clocks, id, held, &names);
+            self.planner.set_certificate(clocks, id, validity, &names);
         }
         if identity.renewal_id.is_some() {
-            self.info.retain(|(_, i)| i != id);
-            self.info.insert((clocks.now, id.into()));
+            self.renewal_info_queue.retain(|(_, i)| i != id);
+            self.renewal_info_queue.insert((clocks.now, id.into()));
         }
         let wanted = self
             .planner
@@ -188,13 +211,15 @@
         let all = self.served.entry(id.into()).or_default();
         // An older one stays for names that it alone stands for.
         let lacks: Vec<_> = wanted.iter().filter(|n| !identity.covers(n)).collect();
-        all.retain(|old| old.mark() != identity.mark() && lacks.iter().any(|n| old.covers(n)));
+        all.retain(|old| {
+            old.content_hash() != identity.content_hash() && lacks.iter().any(|n| old.covers(n))
+        });
         all.truncate(1);
         all.insert(0, identity);
         out.push(Action::Serve(id.into(), all.clone(), false));
     }
 
-    pub(super) fn reread(
+    pub(super) fn handle_reread(
         &mut self,
         clocks: Clocks,
         task: u64,
@@ -202,28 +227,28 @@
         out: &mut Vec<Action>,
     ) {
         let Some(Task {
-            kind: Kind::Reread(choice),
+            kind: TaskKind::Reread(planned),
             ..
         }) = self.tasks.remove(&task)
         else {
             return;
         };
-        let held = self.served.get(&choice.id).and_then(|all| all.first());
+        let current = self.served.get(&planned.id).and_then(|all| all.first());
         let newer = found.filter(|i| {
-            let later = held.is_none_or(|h| i.not_after > h.not_after);
-            later && i.not_after > clocks.wall && choice.names.iter().all(|n| i.covers(n))
+            let later = current.is_none_or(|c| i.not_after > c.not_after);
+            later && i.not_after > clocks.wall && planned.names.iter().all(|n| i.covers(n))
         });
         match newer {
             Some(identity) => {
-                out.push(tell(
+                out.push(log_entry(
                     Level::Info,
                     "found",
-                    &choice.id,
+                    &planned.id,
                     "another front has renewed it",
                 ));
-                self.take(clocks, &choice.id.clone(), *identity, true, out);
+                self.install(clocks, &planned.id.clone(), *identity, true, out);
             }
-            None => self.begin(clocks, choice, out),
+            None => self.begin_order(clocks, planned, out),
         }
     }
 }
--- a/certs/src/client/renewal_info.rs
+++ b/certs/src/client/renewal_info.rs
@@ -1,14 +1,16 @@
 //! Renewal information of the authority (RFC 9773): hints when to renew.
-use super::tasks::Kind;
-use super::{tell, Client, INFO_EACH, INFO_LEAST, INFO_MOST};
+use super::tasks::TaskKind;
+use super::{
+    log_entry, Client, MAX_RENEWAL_INFO_INTERVAL, MIN_RENEWAL_INFO_INTERVAL, RENEWAL_INFO_INTERVAL,
+};
 use crate::http::Response;
 use crate::messages::{Action, Level};
-use crate::wire::{self};
+use crate::wire;
 use crate::{Clocks, SECOND};
 
 impl Client {
-    pub(super) fn ask_info(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
-        let Some((_, id)) = self.info.pop_first() else {
+    pub(super) fn request_renewal_info(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
+        let Some((_, id)) = self.renewal_info_queue.pop_first() else {
             return;
         };
         let base = self
@@ -22,10 +24,11 @@
             .and_then(|i| i.renewal_id.clone());
         let Some((base, renewal)) = base.zip(renewal) else {
             // This authority tells nothing: a new directory may.
-            self.info.insert((clocks.now + INFO_MOST, id));
+            self.renewal_info_queue
+                .insert((clocks.now + MAX_RENEWAL_INFO_INTERVAL, id));
             return;
         };
-        let task = self.task(Kind::Info(id));
+        let task = self.add_task(TaskKind::RenewalInfo(id));
         self.get(
             clocks,
             task,
@@ -34,40 +37,41 @@
         );
     }
 
-    pub(super) fn info_told(
+    pub(super) fn handle_renewal_info(
         &mut self,
         clocks: Clocks,
         id: &str,
-        answer: Result<Response, String>,
+        response: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
-        let mut pause = INFO_EACH;
-        match answer {
-            Ok(answer) if answer.status == 200 => {
-                pause = answer
-                    .retry_after
-                    .map_or(pause, |s| (s * SECOND).clamp(INFO_LEAST, INFO_MOST));
-                match wire::renewal_info(&answer.body) {
-                    Ok(window) => self.planner.suggested(clocks, id, window),
-                    Err(why) => out.push(tell(Level::Warn, "bad-answer", id, &why)),
+        let mut pause = RENEWAL_INFO_INTERVAL;
+        match response {
+            Ok(response) if response.status == 200 => {
+                pause = response.retry_after.map_or(pause, |s| {
+                    (s * SECOND).clamp(MIN_RENEWAL_INFO_INTERVAL, MAX_RENEWAL_INFO_INTERVAL)
+                });
+                match wire::renewal_info(&response.body) {
+                    Ok(window) => self.planner.set_window(clocks, id, window),
+                    Err(why) => out.push(log_entry(Level::Warn, "bad-answer", id, &why)),
                 }
             }
             // It is a hint: without it the rule by lifetime holds.
-            Ok(answer) => {
-                pause = answer
-                    .retry_after
-                    .map_or(pause, |s| (s * SECOND).clamp(INFO_EACH, INFO_MOST));
-                out.push(tell(
+            Ok(response) => {
+                pause = response.retry_after.map_or(pause, |s| {
+                    (s * SECOND).clamp(RENEWAL_INFO_INTERVAL, MAX_RENEWAL_INFO_INTERVAL)
+                });
+                out.push(log_entry(
                     Level::Info,
                     "renewal-info",
                     id,
-                    &format!("status {}", answer.status),
+                    &format!("status {}", response.status),
                 ));
             }
-            Err(why) => out.push(tell(Level::Info, "renewal-info", id, &why)),
+            Err(why) => out.push(log_entry(Level::Info, "renewal-info", id, &why)),
         }
         if self.served.contains_key(id) {
-            self.info.insert((clocks.now + pause, id.into()));
+            self.renewal_info_queue
+                .insert((clocks.now + pause, id.into()));
         }
     }
 }
--- a/certs/src/client/requests.rs
+++ b/certs/src/client/requests.rs
@@ -1,61 +1,65 @@
 //! Requests to the authority: one at a time for each task, with nonces, to the configured authority alone.
-use super::tasks::{By, Kind, Post, Setup, Task};
-use super::{common, fail, tell, Client, NONCES_MOST, NONCE_MOST, NONCE_TRIES, SKEW_MOST};
+use super::tasks::{Post, Setup, Signer, Task, TaskKind};
+use super::{
+    failure, log_entry, setup_failure_cause, Client, MAX_NONCES, MAX_NONCE_CHARS,
+    MAX_NONCE_RETRIES, MAX_SKEW_S,
+};
 use crate::error::Failure;
 use crate::http::{Method, Response};
 use crate::messages::{Action, Level, Payload, Request, Sign};
 use crate::order::Input;
 use crate::retry::Cause;
 use crate::url::Url;
-use crate::wire::{self};
-use crate::{tame, Clocks, SECOND};
+use crate::wire;
+use crate::{sanitize, Clocks, SECOND};
 
 impl Client {
-    pub(super) fn answered(
+    pub(super) fn handle_response(
         &mut self,
         clocks: Clocks,
         task: u64,
-        answer: Result<Response, String>,
+        response: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
         let Some(current) = self.tasks.get_mut(&task) else {
             return;
         };
-        let nonce_only = std::mem::take(&mut current.nonce);
-        if let Ok(answer) = &answer {
-            if let Some(date) = answer.date {
+        let for_nonce = std::mem::take(&mut current.awaits_nonce);
+        if let Ok(response) = &response {
+            if let Some(date) = response.date {
                 let skew = date as i64 - clocks.wall as i64;
                 let known = self.skew.replace(skew);
-                let off = |s: i64| s.unsigned_abs() > SKEW_MOST;
-                if off(skew) && !known.is_some_and(off) {
+                let exceeds_limit = |s: i64| s.unsigned_abs() > MAX_SKEW_S;
+                if exceeds_limit(skew) && !known.is_some_and(exceeds_limit) {
                     let text = format!("the authority's clock is {skew} s ahead of this machine's");
-                    out.push(tell(Level::Warn, "clock", "", &text));
+                    out.push(log_entry(Level::Warn, "clock", "", &text));
                 }
             }
-            let sound = |n: &&String| {
-                let letter = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-                (1..=NONCE_MOST).contains(&n.len()) && n.bytes().all(letter)
+            let is_valid = |n: &&String| {
+                let is_base64url = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+                (1..=MAX_NONCE_CHARS).contains(&n.len()) && n.bytes().all(is_base64url)
             };
-            let fresh = answer.nonce.as_ref().filter(sound).cloned();
-            let refused = answer.status == 400 && wire::problem(&answer.body).short() == "badNonce";
+            let nonce = response.nonce.as_ref().filter(is_valid).cloned();
+            let refused =
+                response.status == 400 && wire::problem(&response.body).acme_type() == "badNonce";
             if refused {
                 // The others may be as old.
                 self.nonces.clear();
             }
-            let none = fresh.is_none();
-            self.nonces.extend(fresh);
-            if self.nonces.len() > NONCES_MOST {
+            let missing = nonce.is_none();
+            self.nonces.extend(nonce);
+            if self.nonces.len() > MAX_NONCES {
                 self.nonces.remove(0);
             }
-            if nonce_only {
-                if answer.status >= 400 || none {
-                    let text = match answer.status {
+            if for_nonce {
+                if response.status >= 400 || missing {
+                    let text = match response.status {
                         200..=299 => "no nonce in the answer".to_string(),
-                        status => format!("{status} {}", wire::problem(&answer.body).line()),
+                        status => format!("{status} {}", wire::problem(&response.body).summary()),
                     };
                     let failure = Failure {
-                        told: answer.retry_after.map(|s| s * SECOND),
-                        ..fail(Cause::Unreachable, &format!("nonce: {text}"))
+                        retry_after: response.retry_after.map(|s| s * SECOND),
+                        ..failure(Cause::Unreachable, &format!("nonce: {text}"))
                     };
                     return self.task_failed(clocks, task, failure, out);
                 }
@@ -63,73 +67,79 @@
             }
             if refused {
                 let post = self.tasks.get_mut(&task).and_then(|t| t.post.as_mut());
-                if let Some(post) = post.filter(|p| p.tries < NONCE_TRIES) {
+                if let Some(post) = post.filter(|p| p.tries < MAX_NONCE_RETRIES) {
                     post.tries += 1;
                     return self.send(clocks, task, out);
                 }
             }
-        } else if nonce_only {
-            let why = answer.err().unwrap_or_default();
-            return self.lost(clocks, task, &why, out);
+        } else if for_nonce {
+            let why = response.err().unwrap_or_default();
+            return self.request_failed(clocks, task, &why, out);
         }
         let Some(Task { kind, post, .. }) = self.tasks.get_mut(&task) else {
             return;
         };
         *post = None;
         match kind {
-            Kind::Order { .. } => {
-                let input = match answer {
-                    Ok(answer) => Input::Response(answer),
-                    Err(why) => Input::Lost(why),
+            TaskKind::Order { .. } => {
+                let input = match response {
+                    Ok(response) => Input::Response(response),
+                    Err(why) => Input::NoResponse(why),
                 };
-                self.order(clocks, task, input, out);
+                self.step_order(clocks, task, input, out);
             }
-            Kind::Info(id) => {
+            TaskKind::RenewalInfo(id) => {
                 let id = id.clone();
                 self.tasks.remove(&task);
-                self.info_told(clocks, &id, answer, out);
+                self.handle_renewal_info(clocks, &id, response, out);
             }
-            Kind::Setup(step) => {
+            TaskKind::Setup(step) => {
                 let step = *step;
-                match answer {
-                    Err(why) => self.lost(clocks, task, &why, out),
-                    Ok(answer) if step == Setup::Next && answer.status < 500 => {
+                match response {
+                    Err(why) => self.request_failed(clocks, task, &why, out),
+                    Ok(response) if step == Setup::CheckNextKey && response.status < 500 => {
                         self.tasks.remove(&task);
-                        self.next_told(answer.status < 300, out);
+                        self.handle_next_key_check(response.status < 300, out);
                     }
-                    Ok(answer) if answer.status >= 300 => {
-                        let problem = wire::problem(&answer.body);
-                        let told = answer.retry_after.map(|s| s.saturating_mul(SECOND));
-                        let text = format!("{} {}", answer.status, problem.line());
+                    Ok(response) if response.status >= 300 => {
+                        let problem = wire::problem(&response.body);
+                        let retry_after = response.retry_after.map(|s| s.saturating_mul(SECOND));
+                        let text = format!("{} {}", response.status, problem.summary());
                         let failure = Failure {
-                            told,
-                            ..fail(common(&problem, answer.status), &text)
+                            retry_after,
+                            ..failure(setup_failure_cause(&problem, response.status), &text)
                         };
                         self.setup_failed(clocks, task, &failure, out);
                     }
-                    Ok(answer) if step == Setup::Directory => {
-                        self.directory_told(clocks, task, &answer, out)
+                    Ok(response) if step == Setup::Directory => {
+                        self.handle_directory(clocks, task, &response, out)
                     }
-                    Ok(answer) => self.account_told(clocks, task, answer, out),
+                    Ok(response) => self.handle_registration(clocks, task, response, out),
                 }
             }
-            Kind::Revoke { operator, id } => {
+            TaskKind::Revoke { operator, id } => {
                 let (operator, id) = (*operator, id.clone());
                 self.tasks.remove(&task);
-                self.revoked(clocks, operator, &id, answer, out);
+                self.handle_revocation(clocks, operator, &id, response, out);
             }
-            Kind::Roll { operator, new } => {
+            TaskKind::KeyRollover { operator, new } => {
                 let (operator, new) = (*operator, new.clone());
                 self.tasks.remove(&task);
-                self.rolled(operator, new, answer, out);
+                self.handle_key_rollover(operator, new, response, out);
             }
-            Kind::Reread(_) => {}
+            TaskKind::Reread(_) => {}
         }
     }
 
     /// Something that a task needed did not come about.
-    pub(super) fn lost(&mut self, clocks: Clocks, task: u64, why: &str, out: &mut Vec<Action>) {
-        self.task_failed(clocks, task, fail(Cause::Unreachable, why), out);
+    pub(super) fn request_failed(
+        &mut self,
+        clocks: Clocks,
+        task: u64,
+        why: &str,
+        out: &mut Vec<Action>,
+    ) {
+        self.task_failed(clocks, task, failure(Cause::Unreachable, why), out);
     }
 
     pub(super) fn task_failed(
@@ -140,23 +150,24 @@
         out: &mut Vec<Action>,
     ) {
         match self.tasks.get(&task).map(|t| &t.kind) {
-            Some(Kind::Order { .. }) => {
+            Some(TaskKind::Order { .. }) => {
                 let input = match failure.cause {
-                    Cause::Unreachable => Input::Lost(failure.text),
-                    _ => Input::Barred(failure.text),
+                    Cause::Unreachable => Input::NoResponse(failure.text),
+                    _ => Input::NotSent(failure.text),
                 };
-                self.order(clocks, task, input, out);
-                if let Some(told) = failure.told {
-                    self.planner.away(clocks, Cause::Unreachable, Some(told));
+                self.step_order(clocks, task, input, out);
+                if let Some(retry_after) = failure.retry_after {
+                    self.planner
+                        .pause(clocks, Cause::Unreachable, Some(retry_after));
                 }
             }
-            Some(Kind::Setup(_)) => self.setup_failed(clocks, task, &failure, out),
-            Some(Kind::Info(id)) => {
+            Some(TaskKind::Setup(_)) => self.setup_failed(clocks, task, &failure, out),
+            Some(TaskKind::RenewalInfo(id)) => {
                 let id = id.clone();
                 self.tasks.remove(&task);
-                self.info_told(clocks, &id, Err(failure.text), out);
+                self.handle_renewal_info(clocks, &id, Err(failure.text), out);
             }
-            Some(Kind::Revoke { operator, .. } | Kind::Roll { operator, .. }) => {
+            Some(TaskKind::Revoke { operator, .. } | TaskKind::KeyRollover { operator, .. }) => {
                 let operator = *operator;
                 self.tasks.remove(&task);
                 out.push(Action::Reply(operator, Err(failure.text)));
@@ -166,21 +177,22 @@
     }
 
     /// A URL of the authority; all else is refused.
-    pub(super) fn place(&self, url: &str) -> Result<Url, String> {
-        let url_of = |text: &str| Url::parse(text).map_err(|e| format!("{e}: {}", tame(text, 100)));
-        let home = self.settings.as_ref().map_or("", |s| &s.directory_url);
-        let found = url_of(url)?;
-        if !found.same_place(&url_of(home)?) {
+    pub(super) fn authority_url(&self, url: &str) -> Result<Url, String> {
+        let parse =
+            |text: &str| Url::parse(text).map_err(|e| format!("{e}: {}", sanitize(text, 100)));
+        let directory_url = self.settings.as_ref().map_or("", |s| &s.directory_url);
+        let found = parse(url)?;
+        if !found.same_host_and_port(&parse(directory_url)?) {
             return Err(format!(
                 "the authority points elsewhere: {}",
-                tame(url, 100)
+                sanitize(url, 100)
             ));
         }
         Ok(found)
     }
 
     pub(super) fn get(&mut self, clocks: Clocks, task: u64, url: &str, out: &mut Vec<Action>) {
-        match self.place(url) {
+        match self.authority_url(url) {
             Ok(url) => out.push(Action::Request(
                 task,
                 Request {
@@ -189,7 +201,7 @@
                     sign: None,
                 },
             )),
-            Err(why) => self.task_failed(clocks, task, fail(Cause::Unreachable, &why), out),
+            Err(why) => self.task_failed(clocks, task, failure(Cause::Unreachable, &why), out),
         }
     }
 
@@ -199,16 +211,16 @@
         task: u64,
         url: &str,
         payload: Payload,
-        by: By,
+        signer: Signer,
         out: &mut Vec<Action>,
     ) {
-        match self.place(url) {
-            Ok(place) => {
+        match self.authority_url(url) {
+            Ok(parsed) => {
                 let post = Post {
-                    url: place,
+                    url: parsed,
                     text: url.into(),
                     payload,
-                    by,
+                    signer,
                     tries: 0,
                 };
                 self.tasks
@@ -217,23 +229,28 @@
                     .for_each(|t| t.post = Some(post.clone()));
                 self.send(clocks, task, out);
             }
-            Err(why) => self.task_failed(clocks, task, fail(Cause::Broken, &why), out),
+            Err(why) => self.task_failed(clocks, task, failure(Cause::BadResponse, &why), out),
         }
     }
 
     /// Sends the request of a task, or asks for a nonce first.
     pub(super) fn send(&mut self, clocks: Clocks, task: u64, out: &mut Vec<Action>) {
         let Some((key, (directory, _))) = self.key.clone().zip(self.directory.as_ref()) else {
-            return self.task_failed(clocks, task, fail(Cause::Unknown, "no account"), out);
+            return self.task_failed(
+                clocks,
+                task,
+                failure(Cause::AccountUnknown, "no account"),
+                out,
+            );
         };
         let Some(nonce) = self.nonces.pop() else {
-            let place = self.place(&directory.new_nonce);
-            return match place {
+            let url = self.authority_url(&directory.new_nonce);
+            return match url {
                 Ok(url) => {
                     self.tasks
                         .get_mut(&task)
                         .into_iter()
-                        .for_each(|t| t.nonce = true);
+                        .for_each(|t| t.awaits_nonce = true);
                     out.push(Action::Request(
                         task,
                         Request {
@@ -243,16 +260,16 @@
                         },
                     ));
                 }
-                Err(why) => self.task_failed(clocks, task, fail(Cause::Broken, &why), out),
+                Err(why) => self.task_failed(clocks, task, failure(Cause::BadResponse, &why), out),
             };
         };
         let account = self.account.as_ref().and_then(|a| a.url.clone());
         let Some(post) = self.tasks.get(&task).and_then(|t| t.post.clone()) else {
             return;
         };
-        let (key, account) = match post.by {
-            By::Account => (key, account),
-            By::Key(key) => (key, None),
+        let (key, account) = match post.signer {
+            Signer::Account => (key, account),
+            Signer::Key(key) => (key, None),
         };
         let sign = Sign {
             key,
--- a/certs/src/client/setup.rs
+++ b/certs/src/client/setup.rs
@@ -1,45 +1,53 @@
 //! What must be there before an order: the directory and the account of the authority.
-use super::tasks::{By, Kind, Setup, Task};
-use super::{fail, of, tell, told, Client, DIRECTORY_AGE, INFO_EACH};
+use super::tasks::{Setup, Signer, Task, TaskKind};
+use super::{
+    certificate_id, failure, log_entry, notice_entry, Client, MAX_DIRECTORY_AGE,
+    RENEWAL_INFO_INTERVAL,
+};
 use crate::disk::{Account, FileUpdate, Loaded};
 use crate::error::Failure;
 use crate::http::Response;
 use crate::jose::AccountKey;
 use crate::messages::{Action, KeyRequest, Level, Payload};
-use crate::order::RESUME_MOST;
+use crate::order::MAX_RESUME_AGE_S;
 use crate::planner::PlannerSettings;
 use crate::renewal::Ranking;
 use crate::retry::Cause;
-use crate::wire::{self};
-use crate::{tame, Clocks, SECOND};
+use crate::wire;
+use crate::{sanitize, Clocks, SECOND};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 impl Client {
     pub(super) fn start(&mut self, clocks: Clocks, loaded: Loaded, out: &mut Vec<Action>) {
         for (file, why) in &loaded.faults {
-            out.push(tell(Level::Warn, "file-unusable", file, why));
+            out.push(log_entry(Level::Warn, "file-unusable", file, why));
         }
         self.saved = loaded.state.clone();
         self.planner
-            .remember(clocks, &loaded.state.orders, loaded.state.refused);
-        let here = |a: &Account| {
+            .restore(clocks, &loaded.state.orders, loaded.state.refused);
+        let same_authority = |a: &Account| {
             self.settings
                 .as_ref()
                 .is_some_and(|s| s.directory_url == a.directory_url)
         };
-        if let Some(account) = loaded.account.filter(here) {
+        if let Some(account) = loaded.account.filter(same_authority) {
             match AccountKey::from_pem(&account.key) {
                 Ok(key) => (self.key, self.account) = (Some(Arc::new(key)), Some(account)),
-                Err(why) => out.push(tell(Level::Warn, "file-unusable", "account.json", &why)),
+                Err(why) => out.push(log_entry(
+                    Level::Warn,
+                    "file-unusable",
+                    "account.json",
+                    &why,
+                )),
             }
         }
         for (id, identity) in loaded.identities {
             if self.planner.names(&id).is_some() {
-                self.take(clocks, &id, identity, false, out);
+                self.install(clocks, &id, identity, false, out);
             } else {
                 // Nobody would renew it, nor tell when it ends.
-                out.push(tell(
+                out.push(log_entry(
                     Level::Info,
                     "file-unused",
                     &id,
@@ -52,9 +60,10 @@
                 .planner
                 .names(&id)
                 .is_some_and(|n| pending.names.iter().all(|p| n.contains(p)));
-            let fresh = pending.began + RESUME_MOST > clocks.wall && self.account.is_some();
-            if wanted && fresh {
-                self.planner.resumes(clocks, &id);
+            let resumable =
+                pending.began + MAX_RESUME_AGE_S > clocks.wall && self.account.is_some();
+            if wanted && resumable {
+                self.planner.set_resumable(clocks, &id);
                 self.pending.insert(id, pending);
             } else {
                 self.save(FileUpdate::RemoveOrder(id), None, out);
@@ -66,21 +75,23 @@
     pub(super) fn configure(
         &mut self,
         clocks: Clocks,
-        plan: PlannerSettings,
-        turns: Box<dyn Ranking + Send>,
+        planner_settings: PlannerSettings,
+        ranking: Box<dyn Ranking + Send>,
         certificates: &[Vec<String>],
         out: &mut Vec<Action>,
     ) {
-        self.planner.set(clocks, plan, turns);
-        self.planner.want(clocks, certificates);
+        self.planner.reconfigure(clocks, planner_settings, ranking);
+        self.planner.set_wanted(clocks, certificates);
         let known: BTreeSet<String> = self.planner.ids().cloned().collect();
-        let gone: Vec<u64> = self
+        let obsolete: Vec<u64> = self
             .tasks
             .iter()
-            .filter(|(_, t)| of(&t.kind).is_some_and(|id| !known.contains(id)))
+            .filter(|(_, t)| certificate_id(&t.kind).is_some_and(|id| !known.contains(id)))
             .map(|(task, _)| *task)
             .collect();
-        gone.into_iter().for_each(|task| self.end(task, out));
+        obsolete
+            .into_iter()
+            .for_each(|task| self.end_task(task, out));
         // What is not wanted any more is not served any more; its files stay.
         let dropped: Vec<_> = self
             .served
@@ -95,12 +106,12 @@
     }
 
     /// Begins what can be begun.
-    pub(super) fn pump(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
+    pub(super) fn start_due_work(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         if !self.started {
             return;
         }
         for notice in self.planner.notices(clocks) {
-            out.push(told(&notice));
+            out.push(notice_entry(&notice));
         }
         let Some(settings) = self.settings.clone() else {
             return;
@@ -108,35 +119,38 @@
         let setup = self
             .tasks
             .values()
-            .any(|t| matches!(t.kind, Kind::Setup(_)));
-        let wants = self.planner.wants(clocks);
-        let info = self.info.first().is_some_and(|(at, _)| *at <= clocks.now);
-        let away = clocks.now < self.planner.away_until();
-        if setup || away || !(wants || info) {
+            .any(|t| matches!(t.kind, TaskKind::Setup(_)));
+        let has_ready = self.planner.has_ready(clocks);
+        let info = self
+            .renewal_info_queue
+            .first()
+            .is_some_and(|(at, _)| *at <= clocks.now);
+        let paused = clocks.now < self.planner.paused_until();
+        if setup || paused || !(has_ready || info) {
             return;
         }
         let current = self
             .directory
             .as_ref()
-            .filter(|(_, at)| clocks.now < at + DIRECTORY_AGE);
+            .filter(|(_, at)| clocks.now < at + MAX_DIRECTORY_AGE);
         if current.is_none() {
-            let task = self.task(Kind::Setup(Setup::Directory));
+            let task = self.add_task(TaskKind::Setup(Setup::Directory));
             return self.get(clocks, task, &settings.directory_url, out);
         }
-        if wants && self.account.as_ref().is_none_or(|a| a.url.is_none()) {
+        if has_ready && self.account.as_ref().is_none_or(|a| a.url.is_none()) {
             return self.register(clocks, out);
         }
-        let rolling = self
+        let rollover_in_progress = self
             .tasks
             .values()
-            .any(|t| matches!(t.kind, Kind::Roll { .. }));
+            .any(|t| matches!(t.kind, TaskKind::KeyRollover { .. }));
         let next = self
             .account
             .as_ref()
             .and_then(|a| a.next_key.as_deref())
-            .filter(|_| wants && !rolling);
+            .filter(|_| has_ready && !rollover_in_progress);
         if let Some(key) = next.and_then(|pem| AccountKey::from_pem(pem).ok()) {
-            let task = self.task(Kind::Setup(Setup::Next));
+            let task = self.add_task(TaskKind::Setup(Setup::CheckNextKey));
             let url = self
                 .directory
                 .as_ref()
@@ -147,23 +161,26 @@
                 task,
                 &url,
                 Payload::Existing,
-                By::Key(Arc::new(key)),
+                Signer::Key(Arc::new(key)),
                 out,
             );
         }
-        while let Some(choice) = self.planner.next(clocks) {
-            self.keep_state(out);
-            if settings.shared && !self.pending.contains_key(&choice.id) {
-                let id = choice.id.clone();
-                let task = self.task(Kind::Reread(choice));
+        while let Some(planned) = self.planner.next(clocks) {
+            self.save_state(out);
+            if settings.shared && !self.pending.contains_key(&planned.id) {
+                let id = planned.id.clone();
+                let task = self.add_task(TaskKind::Reread(planned));
                 out.push(Action::Reread(task, id));
             } else {
-                self.begin(clocks, choice, out);
+                self.begin_order(clocks, planned, out);
             }
         }
-        let asking = self.tasks.values().any(|t| matches!(t.kind, Kind::Info(_)));
-        if info && !asking {
-            self.ask_info(clocks, out);
+        let request_in_progress = self
+            .tasks
+            .values()
+            .any(|t| matches!(t.kind, TaskKind::RenewalInfo(_)));
+        if info && !request_in_progress {
+            self.request_renewal_info(clocks, out);
         }
     }
 
@@ -171,11 +188,11 @@
     pub(super) fn register(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         match &self.key {
             None => {
-                let task = self.task(Kind::Setup(Setup::Key));
+                let task = self.add_task(TaskKind::Setup(Setup::GenerateKey));
                 out.push(Action::GenerateKey(task, KeyRequest::Account));
             }
             Some(_) => {
-                let task = self.task(Kind::Setup(Setup::Account));
+                let task = self.add_task(TaskKind::Setup(Setup::Register));
                 self.post_account(clocks, task, out);
             }
         }
@@ -187,8 +204,8 @@
             return;
         };
         if directory.meta.external_account_required && settings.external.is_none() {
-            let failure = fail(
-                Cause::Account,
+            let failure = failure(
+                Cause::AccountRejected,
                 "the authority wants an external account, and none is configured",
             );
             return self.setup_failed(clocks, task, &failure, out);
@@ -203,12 +220,12 @@
             task,
             &directory.new_account,
             payload,
-            By::Key(key),
+            Signer::Key(key),
             out,
         );
     }
 
-    pub(super) fn account_key(
+    pub(super) fn handle_account_key(
         &mut self,
         clocks: Clocks,
         task: u64,
@@ -217,14 +234,14 @@
     ) {
         let key = match key {
             Ok(key) => key,
-            Err(why) => return self.lost(clocks, task, &why, out),
+            Err(why) => return self.request_failed(clocks, task, &why, out),
         };
         let Some(Task { kind, .. }) = self.tasks.get_mut(&task) else {
             return;
         };
         match kind {
-            Kind::Setup(step) => {
-                *step = Setup::KeepKey;
+            TaskKind::Setup(step) => {
+                *step = Setup::SaveKey;
                 let directory_url = self
                     .settings
                     .as_ref()
@@ -237,37 +254,37 @@
                     url: None,
                 };
                 (self.key, self.account) = (Some(key), Some(account.clone()));
-                let keep = FileUpdate::Account(account);
-                self.unsaved.supersede(&keep);
-                out.push(Action::Save(task, keep));
+                let update = FileUpdate::Account(account);
+                self.pending_writes.supersede(&update);
+                out.push(Action::Save(task, update));
             }
-            Kind::Roll { new, .. } => {
+            TaskKind::KeyRollover { new, .. } => {
                 *new = Some(Arc::clone(&key));
                 if let Some(account) = &mut self.account {
                     account.next_key = Some(key.pem().into());
-                    let keep = FileUpdate::Account(account.clone());
-                    self.unsaved.supersede(&keep);
-                    out.push(Action::Save(task, keep));
+                    let update = FileUpdate::Account(account.clone());
+                    self.pending_writes.supersede(&update);
+                    out.push(Action::Save(task, update));
                 }
             }
             _ => {}
         }
     }
 
-    pub(super) fn directory_told(
+    pub(super) fn handle_directory(
         &mut self,
         clocks: Clocks,
         task: u64,
-        answer: &Response,
+        response: &Response,
         out: &mut Vec<Action>,
     ) {
-        let found = wire::directory(&answer.body).and_then(|directory| {
+        let found = wire::directory(&response.body).and_then(|directory| {
             for url in [
                 &directory.new_nonce,
                 &directory.new_account,
                 &directory.new_order,
             ] {
-                self.place(url)?;
+                self.authority_url(url)?;
             }
             Ok(directory)
         });
@@ -276,12 +293,12 @@
                 self.tasks.remove(&task);
                 self.directory = Some((directory, clocks.now));
             }
-            Err(why) => self.setup_failed(clocks, task, &fail(Cause::Unreachable, &why), out),
+            Err(why) => self.setup_failed(clocks, task, &failure(Cause::Unreachable, &why), out),
         }
     }
 
     /// Whether the account has the key that was to follow.
-    pub(super) fn next_told(&mut self, taken: bool, out: &mut Vec<Action>) {
+    pub(super) fn handle_next_key_check(&mut self, taken: bool, out: &mut Vec<Action>) {
         let Some(account) = &mut self.account else {
             return;
         };
@@ -297,28 +314,30 @@
         } else {
             "it kept its key"
         };
-        out.push(tell(Level::Info, "account", "", text));
+        out.push(log_entry(Level::Info, "account", "", text));
     }
 
-    pub(super) fn account_told(
+    pub(super) fn handle_registration(
         &mut self,
         clocks: Clocks,
         task: u64,
-        answer: Response,
+        response: Response,
         out: &mut Vec<Action>,
     ) {
-        let url = answer.location.filter(|url| self.place(url).is_ok());
+        let url = response
+            .location
+            .filter(|url| self.authority_url(url).is_ok());
         let Some((url, account)) = url.zip(self.account.as_mut()) else {
-            let failure = fail(Cause::Unreachable, "an account without a URL");
+            let failure = failure(Cause::Unreachable, "an account without a URL");
             return self.setup_failed(clocks, task, &failure, out);
         };
         account.url = Some(url.clone());
         account.next_key = None;
         self.tasks.remove(&task);
-        self.planner.answers();
+        self.planner.authority_responded();
         let account = account.clone();
         self.save(FileUpdate::Account(account), None, out);
-        out.push(tell(Level::Info, "account", "", &tame(&url, 200)));
+        out.push(log_entry(Level::Info, "account", "", &sanitize(&url, 200)));
     }
 
     pub(super) fn setup_failed(
@@ -329,19 +348,21 @@
         out: &mut Vec<Action>,
     ) {
         self.tasks.remove(&task);
-        self.planner.away(clocks, failure.cause, failure.told);
+        self.planner
+            .pause(clocks, failure.cause, failure.retry_after);
         // Hints can wait: they alone are no reason to ask again soon.
         while let Some((_, id)) = self
-            .info
+            .renewal_info_queue
             .first()
             .filter(|(at, _)| *at <= clocks.now)
             .cloned()
         {
-            self.info.pop_first();
-            self.info.insert((clocks.now + INFO_EACH, id));
+            self.renewal_info_queue.pop_first();
+            self.renewal_info_queue
+                .insert((clocks.now + RENEWAL_INFO_INTERVAL, id));
         }
-        let wait = self.planner.away_until().saturating_sub(clocks.now) / SECOND;
+        let wait = self.planner.paused_until().saturating_sub(clocks.now) / SECOND;
         let text = format!("{}; asked again in {wait} s", failure.text);
-        out.push(tell(Level::Warn, failure.cause.as_str(), "", &text));
+        out.push(log_entry(Level::Warn, failure.cause.as_str(), "", &text));
     }
 }
--- a/certs/src/client/tasks.rs
+++ b/certs/src/client/tasks.rs
@@ -2,25 +2,25 @@
 use crate::jose::AccountKey;
 use crate::messages::{Challenge, Payload};
 use crate::order::Order;
-use crate::planner::Choice;
+use crate::planner::PlannedOrder;
 use crate::url::Url;
 use crate::Timestamp;
 use std::sync::Arc;
 
-pub(super) enum Kind {
+pub(super) enum TaskKind {
     Setup(Setup),
     Order {
         id: String,
         order: Box<Order>,
     },
     /// Reads the folder before an order.
-    Reread(Choice),
-    Info(String),
+    Reread(PlannedOrder),
+    RenewalInfo(String),
     Revoke {
         operator: u64,
         id: String,
     },
-    Roll {
+    KeyRollover {
         operator: u64,
         new: Option<Arc<AccountKey>>,
     },
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Setup {
     Directory,
-    Key,
-    KeepKey,
-    Account,
+    GenerateKey,
+    SaveKey,
+    Register,
     /// Asks whether the account has the key that was to follow: whoever asked for that was not told.
-    Next,
+    CheckNextKey,
 }
 
 #[derive(Clone)]
@@ -41,13 +41,13 @@
     pub(super) url: Url,
     pub(super) text: String,
     pub(super) payload: Payload,
-    pub(super) by: By,
+    pub(super) signer: Signer,
     pub(super) tries: u8,
 }
 
 /// What a request is signed with.
 #[derive(Clone)]
-pub(super) enum By {
+pub(super) enum Signer {
     /// The account, by its URL.
     Account,
     /// A key that stands in the request.
@@ -55,10 +55,10 @@
 }
 
 pub(super) struct Task {
-    pub(super) kind: Kind,
+    pub(super) kind: TaskKind,
     pub(super) post: Option<Post>,
     /// The request out is for a nonce.
-    pub(super) nonce: bool,
+    pub(super) awaits_nonce: bool,
     pub(super) wake: Option<Timestamp>,
-    pub(super) shown: Vec<Challenge>,
+    pub(super) published: Vec<Challenge>,
 }
--- a/certs/src/disk.rs
+++ b/certs/src/disk.rs
@@ -11,7 +11,7 @@
 //! the new one. All are 0600. The steps are those of [`Files`], so that tests stop at each of them.
 use crate::identity::Identity;
 use crate::planner::Refusal;
-use crate::{tame, UnixTime};
+use crate::{sanitize, UnixTime};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions, Permissions};
@@ -20,8 +20,8 @@
 use std::path::PathBuf;
 
 /// Bytes that a file may have; files that are looked at.
-const FILE_MOST: u64 = 1 << 20;
-const FILES_MOST: usize = 50_000;
+const MAX_FILE_BYTES: u64 = 1 << 20;
+const MAX_FILES: usize = 50_000;
 /// Of the files' form; a newer one is left alone.
 const VERSION: u32 = 1;
 const ACCOUNT: &str = "account.json";
@@ -44,20 +44,20 @@
     /// The files that there are.
     fn list(&mut self) -> io::Result<Vec<String>>;
     /// What is added to the names of files written aside: no other writer's.
-    fn mine(&self) -> &str;
+    fn writer_id(&self) -> &str;
 }
 
 /// A folder on disk.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    mine: String,
+    writer_id: String,
 }
 
 impl Folder {
-    /// Opens a folder, and makes it (mode 0700) if it is not there. `mine` tells this writer from others that share
+    /// Opens a folder, and makes it (mode 0700) if it is not there. `writer_id` tells this writer from others that share
     /// the folder.
-    pub fn open(path: PathBuf, mine: &str) -> io::Result<Self> {
+    pub fn open(path: PathBuf, writer_id: &str) -> io::Result<Self> {
         use std::os::unix::fs::DirBuilderExt;
         if !path.is_dir() {
             std::fs::DirBuilder::new()
@@ -65,14 +65,14 @@
                 .mode(0o700)
                 .create(&path)?;
         }
-        let letters = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
+        let safe_char = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
         Ok(Folder {
             path,
-            mine: mine.chars().map(letters).collect(),
+            writer_id: writer_id.chars().map(safe_char).collect(),
         })
     }
 
-    fn at(&self, name: &str) -> PathBuf {
+    fn file_path(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 }
@@ -84,22 +84,22 @@
             .create(true)
             .truncate(true)
             .mode(0o600)
-            .open(self.at(name))?;
+            .open(self.file_path(name))?;
         // The mode above counts for a new file alone.
         file.set_permissions(Permissions::from_mode(0o600))?;
         file.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        File::open(self.at(name))?.sync_all()
+        File::open(self.file_path(name))?.sync_all()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        std::fs::rename(self.at(from), self.at(to))
+        std::fs::rename(self.file_path(from), self.file_path(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        match std::fs::remove_file(self.at(name)) {
+        match std::fs::remove_file(self.file_path(name)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
             _ => Ok(()),
         }
@@ -110,31 +110,33 @@
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
-        let file = File::open(self.at(name))?;
+        let file = File::open(self.file_path(name))?;
         let mode = file.metadata()?.permissions().mode();
         if mode & 0o077 != 0 {
             // Best effort: a read-only folder is told of when something is written.
             let _ = file.set_permissions(Permissions::from_mode(0o600));
         }
         let mut bytes = Vec::new();
-        file.take(FILE_MOST + 1).read_to_end(&mut bytes)?;
-        if bytes.len() as u64 > FILE_MOST {
-            return Err(io::Error::other(format!("more than {FILE_MOST} bytes")));
+        file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
+        if bytes.len() as u64 > MAX_FILE_BYTES {
+            return Err(io::Error::other(format!(
+                "more than {MAX_FILE_BYTES} bytes"
+            )));
         }
         Ok(bytes)
     }
 
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
-        for entry in std::fs::read_dir(&self.path)?.take(FILES_MOST) {
+        for entry in std::fs::read_dir(&self.path)?.take(MAX_FILES) {
             names.extend(entry?.file_name().into_string());
         }
         names.sort();
         Ok(names)
     }
 
-    fn mine(&self) -> &str {
-        &self.mine
+    fn writer_id(&self) -> &str {
+        &self.writer_id
     }
 }
 
@@ -161,7 +163,7 @@
 
 /// An order under way, as it is kept.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pending {
+pub struct PendingOrder {
     /// Its URL at the authority.
     pub url: String,
     /// Names in it.
@@ -172,7 +174,7 @@
     pub began: UnixTime,
 }
 
-impl std::fmt::Debug for Pending {
+impl std::fmt::Debug for PendingOrder {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "Pending({}, {:?})", self.url, self.names)
     }
@@ -206,7 +208,7 @@
     /// Certificates, by the name of their file.
     pub identities: Vec<(String, Identity)>,
     /// Orders under way, by the name of their file.
-    pub pending: Vec<(String, Pending)>,
+    pub pending: Vec<(String, PendingOrder)>,
     /// What can't be used: the file, and why.
     pub faults: Vec<(String, String)>,
 }
@@ -218,17 +220,17 @@
     let names = files.list().map_err(|e| e.to_string())?;
     for name in names {
         if name.starts_with('.') {
-            if name.ends_with(&format!(".{}.tmp", files.mine())) {
+            if name.ends_with(&format!(".{}.tmp", files.writer_id())) {
                 let _ = files.remove(&name);
             }
             continue;
         }
         let fault = match files.read(&name) {
             Err(e) => Err(e.to_string()),
-            Ok(bytes) => take_in(&name, &bytes, &mut loaded),
+            Ok(bytes) => load_file(&name, &bytes, &mut loaded),
         };
         if let Err(why) = fault {
-            loaded.faults.push((tame(&name, 300), why));
+            loaded.faults.push((sanitize(&name, 300), why));
         }
     }
     Ok(loaded)
@@ -240,18 +242,18 @@
     Identity::from_pem(std::str::from_utf8(&bytes).ok()?).ok()
 }
 
-fn take_in(name: &str, bytes: &[u8], loaded: &mut Loaded) -> Result<(), String> {
+fn load_file(name: &str, bytes: &[u8], loaded: &mut Loaded) -> Result<(), String> {
     fn read<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, String> {
         let version = serde_json::from_slice::<Versioned<serde_json::Value>>(bytes);
         // serde's words may cite the text, which holds a key: its place is enough.
-        let place =
+        let position =
             |e: serde_json::Error| format!("damaged at line {} column {}", e.line(), e.column());
-        if version.map_err(place)?.version > VERSION {
+        if version.map_err(position)?.version > VERSION {
             return Err("from a newer version of this program: left alone".into());
         }
         serde_json::from_slice::<Versioned<T>>(bytes)
             .map(|v| v.body)
-            .map_err(place)
+            .map_err(position)
     }
     match name.rsplit_once('.') {
         _ if name == ACCOUNT => loaded.account = Some(read(bytes)?),
@@ -276,7 +278,7 @@
     /// The planner's memory.
     State(State),
     /// An order under way, for the certificate of that id.
-    PendingOrder(String, Pending),
+    PendingOrder(String, PendingOrder),
     /// An order that is over.
     RemoveOrder(String),
     /// A certificate; the order that it came from is over.
@@ -284,7 +286,7 @@
 }
 
 /// Keeps something, durably once this returns without an error. The error names the step that failed.
-pub fn save(files: &mut dyn Files, what: &FileUpdate) -> Result<(), String> {
+pub fn save(files: &mut dyn Files, update: &FileUpdate) -> Result<(), String> {
     fn text<T: Serialize>(body: &T) -> Result<Vec<u8>, String> {
         serde_json::to_vec_pretty(&Versioned {
             version: VERSION,
@@ -292,36 +294,36 @@
         })
         .map_err(|e| e.to_string())
     }
-    match what {
-        FileUpdate::Account(account) => put(files, ACCOUNT, &text(account)?),
-        FileUpdate::State(state) => put(files, STATE, &text(state)?),
+    match update {
+        FileUpdate::Account(account) => write_file(files, ACCOUNT, &text(account)?),
+        FileUpdate::State(state) => write_file(files, STATE, &text(state)?),
         FileUpdate::PendingOrder(id, pending) => {
-            put(files, &format!("{id}.order"), &text(pending)?)
+            write_file(files, &format!("{id}.order"), &text(pending)?)
         }
-        FileUpdate::RemoveOrder(id) => take_away(files, &format!("{id}.order")),
+        FileUpdate::RemoveOrder(id) => remove_file(files, &format!("{id}.order")),
         FileUpdate::Identity(id, identity) => {
-            put(files, &format!("{id}.pem"), identity.bundle().as_bytes())?;
-            take_away(files, &format!("{id}.order"))
+            write_file(files, &format!("{id}.pem"), identity.bundle().as_bytes())?;
+            remove_file(files, &format!("{id}.order"))
         }
     }
 }
 
-fn put(files: &mut dyn Files, name: &str, bytes: &[u8]) -> Result<(), String> {
-    let aside = format!(".{name}.{}.tmp", files.mine());
+fn write_file(files: &mut dyn Files, name: &str, bytes: &[u8]) -> Result<(), String> {
+    let temporary = format!(".{name}.{}.tmp", files.writer_id());
     let step = |step: &'static str| move |e: io::Error| format!("{step}: {e}");
-    let written = files.write(&aside, bytes).map_err(step("write"));
+    let written = files.write(&temporary, bytes).map_err(step("write"));
     let done = written
-        .and_then(|()| files.sync(&aside).map_err(step("sync")))
-        .and_then(|()| files.rename(&aside, name).map_err(step("rename")))
+        .and_then(|()| files.sync(&temporary).map_err(step("sync")))
+        .and_then(|()| files.rename(&temporary, name).map_err(step("rename")))
         .and_then(|()| files.sync_folder().map_err(step("sync of the folder")));
     if done.is_err() {
         // Best effort: it is taken away at the next start.
-        let _ = files.remove(&aside);
+        let _ = files.remove(&temporary);
     }
     done.map_err(|e| format!("{name}: {e}"))
 }
 
-fn take_away(files: &mut dyn Files, name: &str) -> Result<(), String> {
+fn remove_file(files: &mut dyn Files, name: &str) -> Result<(), String> {
     let done = files.remove(name).and_then(|()| files.sync_folder());
     done.map_err(|e| format!("{name}: remove: {e}"))
 }
--- a/certs/src/error.rs
+++ b/certs/src/error.rs
@@ -10,9 +10,9 @@
     /// Names that were refused.
     pub refused: Vec<String>,
     /// When the authority wants to be asked again, in microseconds from now.
-    pub told: Option<Micros>,
+    pub retry_after: Option<Micros>,
     /// One line.
     pub text: String,
     /// The order is still there and is taken up next time.
-    pub keeps_order: bool,
+    pub resumable: bool,
 }
--- a/certs/src/exchange.rs
+++ b/certs/src/exchange.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Addresses of a name that are tried.
-const ADDRESSES_MOST: usize = 4;
+const MAX_ADDRESSES: usize = 4;
 
 /// What is trusted for the TLS of the authority: the roots in a PEM file, and nothing else.
 pub fn load_roots(file: &Path) -> Result<Arc<ClientConfig>, String> {
@@ -36,26 +36,26 @@
     Ok(Arc::new(config))
 }
 
-/// Asks and reads the answer, of `most` bytes at most, before `deadline`. The error is one line.
+/// Asks and reads the answer, of `max_body_bytes` bytes at most, before `deadline`. The error is one line.
 pub fn exchange(
     config: &Arc<ClientConfig>,
-    ask: &Request,
+    request: &Request,
     deadline: Instant,
-    most: usize,
+    max_body_bytes: usize,
 ) -> Result<Response, String> {
-    let body = ask.sign.as_ref().map(|sign| sign.body()).transpose()?;
-    let bytes = encode_request(ask.method, &ask.url, body.as_deref());
-    let (host, port) = (ask.url.host.as_str(), ask.url.port);
-    let at = |what: &str, e: &dyn std::fmt::Display| format!("{host}:{port}: {what}: {e}");
-    let name = ServerName::try_from(host.to_string()).map_err(|e| at("name", &e))?;
+    let body = request.sign.as_ref().map(|sign| sign.body()).transpose()?;
+    let bytes = encode_request(request.method, &request.url, body.as_deref());
+    let (host, port) = (request.url.host.as_str(), request.url.port);
+    let error = |what: &str, e: &dyn std::fmt::Display| format!("{host}:{port}: {what}: {e}");
+    let name = ServerName::try_from(host.to_string()).map_err(|e| error("name", &e))?;
     let addresses = (host, port)
         .to_socket_addrs()
-        .map_err(|e| at("look-up", &e))?;
+        .map_err(|e| error("look-up", &e))?;
     let mut socket = Err("no address".to_string());
-    for address in addresses.take(ADDRESSES_MOST) {
-        socket = left(deadline)
+    for address in addresses.take(MAX_ADDRESSES) {
+        socket = remaining(deadline)
             .and_then(|left| TcpStream::connect_timeout(&address, left))
-            .map_err(|e| at("connect", &e));
+            .map_err(|e| error("connect", &e));
         if socket.is_ok() {
             break;
         }
@@ -63,51 +63,59 @@
     let mut socket = socket?;
     // It can only fail on a socket that is broken, which the next write tells.
     let _ = socket.set_nodelay(true);
-    let mut tls = ClientConnection::new(Arc::clone(config), name).map_err(|e| at("TLS", &e))?;
-    tls.writer().write_all(&bytes).map_err(|e| at("TLS", &e))?;
-    let mut reader = Reader::new(ask.method, most);
+    let mut tls = ClientConnection::new(Arc::clone(config), name).map_err(|e| error("TLS", &e))?;
+    tls.writer()
+        .write_all(&bytes)
+        .map_err(|e| error("TLS", &e))?;
+    let mut reader = Reader::new(request.method, max_body_bytes);
     let mut plain = [0; 4096];
     loop {
         while tls.wants_write() {
             socket
-                .set_write_timeout(Some(left(deadline).map_err(|e| at("write", &e))?))
-                .map_err(|e| at("write", &e))?;
-            tls.write_tls(&mut socket).map_err(|e| at("write", &e))?;
+                .set_write_timeout(Some(remaining(deadline).map_err(|e| error("write", &e))?))
+                .map_err(|e| error("write", &e))?;
+            tls.write_tls(&mut socket).map_err(|e| error("write", &e))?;
         }
         socket
-            .set_read_timeout(Some(left(deadline).map_err(|e| at("read", &e))?))
-            .map_err(|e| at("read", &e))?;
+            .set_read_timeout(Some(remaining(deadline).map_err(|e| error("read", &e))?))
+            .map_err(|e| error("read", &e))?;
         let n = tls
             .read_tls(&mut socket)
-            .map_err(|e| at("read", &late(e)))?;
+            .map_err(|e| error("read", &as_timeout(e)))?;
         let state = tls.process_new_packets().map_err(|e| {
             // The alert that tells why is best effort.
             let _ = tls.write_tls(&mut socket);
-            at("TLS", &e)
+            error("TLS", &e)
         })?;
-        let mut ended = n == 0;
+        let mut closed = n == 0;
         let mut readable = state.plaintext_bytes_to_read();
         while readable > 0 {
-            let got = tls.reader().read(&mut plain).map_err(|e| at("read", &e))?;
-            if let Some(answer) = reader.feed(&plain[..got]).map_err(|e| at("answer", &e))? {
-                return Ok(answer);
+            let got = tls
+                .reader()
+                .read(&mut plain)
+                .map_err(|e| error("read", &e))?;
+            if let Some(response) = reader
+                .feed(&plain[..got])
+                .map_err(|e| error("answer", &e))?
+            {
+                return Ok(response);
             }
             readable = readable.saturating_sub(got.max(1));
         }
-        ended |= state.peer_has_closed();
-        if ended {
+        closed |= state.peer_has_closed();
+        if closed {
             // Only a proper end can be the end of an answer that has no length.
             if !state.peer_has_closed() {
-                return Err(at("answer", &"the connection broke"));
+                return Err(error("answer", &"the connection broke"));
             }
-            let whole = reader.end().map_err(|e| at("answer", &e))?;
-            return whole.ok_or_else(|| at("answer", &"the answer stops short"));
+            let complete = reader.end().map_err(|e| error("answer", &e))?;
+            return complete.ok_or_else(|| error("answer", &"the answer stops short"));
         }
     }
 }
 
 /// Time until the deadline, never nothing: a socket would wait for ever.
-fn left(deadline: Instant) -> io::Result<Duration> {
+fn remaining(deadline: Instant) -> io::Result<Duration> {
     let left = deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
         return Err(io::Error::new(io::ErrorKind::TimedOut, "not done in time"));
@@ -115,7 +123,7 @@
     Ok(left)
 }
 
-fn late(e: io::Error) -> io::Error {
+fn as_timeout(e: io::Error) -> io::Error {
     match e.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => {
             io::Error::new(io::ErrorKind::TimedOut, "not done in time")
--- a/certs/src/http.rs
+++ b/certs/src/http.rs
@@ -15,12 +15,12 @@
 }
 
 /// Bytes of an answer's head, and fields in it.
-const HEAD_MOST: usize = 16 * 1024;
-const FIELDS_MOST: usize = 64;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADER_FIELDS: usize = 64;
 /// Digits of a chunk's size with its extension.
-const CHUNK_LINE_MOST: usize = 256;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// A time to come back that lies further off is taken for this.
-const RETRY_AFTER_MOST: u64 = 30 * 24 * 3_600;
+const MAX_RETRY_AFTER_S: u64 = 30 * 24 * 3_600;
 
 /// What an authority answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -41,13 +41,13 @@
 
 /// The bytes of a request.
 pub fn request(method: Method, url: &Url, body: Option<&str>) -> Vec<u8> {
-    let word = match method {
+    let name = match method {
         Method::Get => "GET",
         Method::Head => "HEAD",
         Method::Post => "POST",
     };
     let mut text = format!(
-        "{word} {} HTTP/1.1\r\nHost: {}\r\nUser-Agent: cranesill/{}\r\nAccept-Language: en\r\nConnection: close\r\n",
+        "{name} {} HTTP/1.1\r\nHost: {}\r\nUser-Agent: cranesill/{}\r\nAccept-Language: en\r\nConnection: close\r\n",
         url.path,
         url.host_field(),
         env!("CARGO_PKG_VERSION")
@@ -64,11 +64,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Body {
+enum BodyState {
     /// That many bytes are still to come.
     Length(usize),
     /// Until the connection ends.
-    Open,
+    UntilClose,
     /// The line with the size of the next chunk.
     ChunkSize,
     /// That many bytes of a chunk, then its line end.
@@ -81,22 +81,22 @@
 /// Reads one answer as its bytes come.
 #[derive(Debug)]
 pub struct Reader {
-    most: usize,
-    headless: bool,
+    max_body_bytes: usize,
+    is_head_request: bool,
     input: Vec<u8>,
-    answer: Response,
-    body: Option<Body>,
+    response: Response,
+    body: Option<BodyState>,
 }
 
 impl Reader {
-    /// For an answer to `method` whose body has `most` bytes at most.
-    pub fn new(method: Method, most: usize) -> Self {
-        let answer = Response::default();
+    /// For an answer to `method` whose body has `max_body_bytes` bytes at most.
+    pub fn new(method: Method, max_body_bytes: usize) -> Self {
+        let response = Response::default();
         Reader {
-            most,
-            headless: method == Method::Head,
+            max_body_bytes,
+            is_head_request: method == Method::Head,
             input: Vec::new(),
-            answer,
+            response,
             body: None,
         }
     }
@@ -104,30 +104,32 @@
     /// Takes bytes in. `Some`: the answer is whole.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Response>, &'static str> {
         self.input.extend_from_slice(bytes);
-        if self.body.is_none() && !self.head()? {
+        if self.body.is_none() && !self.parse_head()? {
             return Ok(None);
         }
-        while self.step()? {}
-        Ok((self.body == Some(Body::Done)).then(|| std::mem::take(&mut self.answer)))
+        while self.parse_body()? {}
+        Ok((self.body == Some(BodyState::Done)).then(|| std::mem::take(&mut self.response)))
     }
 
     /// The connection has ended. `Some`: that made the answer whole.
     pub fn end(&mut self) -> Result<Option<Response>, &'static str> {
         match self.body {
-            Some(Body::Open) => {
-                self.body = Some(Body::Done);
-                Ok(Some(std::mem::take(&mut self.answer)))
+            Some(BodyState::UntilClose) => {
+                self.body = Some(BodyState::Done);
+                Ok(Some(std::mem::take(&mut self.response)))
             }
             _ => Err("the answer stops short"),
         }
     }
 
-    fn head(&mut self) -> Result<bool, &'static str> {
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    fn parse_head(&mut self) -> Result<bool, &'static str> {
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
         let mut head = httparse::Response::new(&mut fields);
         let used = match head.parse(&self.input) {
-            Ok(httparse::Status::Complete(used)) if used <= HEAD_MOST => used,
-            Ok(httparse::Status::Partial) if self.input.len() <= HEAD_MOST => return Ok(false),
+            Ok(httparse::Status::Complete(used)) if used <= MAX_HEAD_BYTES => used,
+            Ok(httparse::Status::Partial) if self.input.len() <= MAX_HEAD_BYTES => {
+                return Ok(false)
+            }
             Ok(_) => return Err("the head is too long"),
             Err(_) => return Err("the head can't be read"),
         };
@@ -161,54 +163,54 @@
             None => None,
         };
         let coding = field("transfer-encoding")?;
-        let answer = Response {
+        let response = Response {
             status,
             nonce: field("replay-nonce")?,
             location: field("location")?,
-            retry_after: retry_after.map(|s| s.min(RETRY_AFTER_MOST)),
+            retry_after: retry_after.map(|s| s.min(MAX_RETRY_AFTER_S)),
             date,
             body: Vec::new(),
         };
         let body = match (coding, length) {
-            _ if self.headless || status == 204 || status == 304 => Body::Done,
+            _ if self.is_head_request || status == 204 || status == 304 => BodyState::Done,
             (Some(_), Some(_)) => return Err("a length and a coding at once"),
-            (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Body::ChunkSize,
+            (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => BodyState::ChunkSize,
             (Some(_), None) => return Err("an unknown coding"),
-            (None, Some(0)) => Body::Done,
-            (None, Some(length)) => Body::Length(length),
-            (None, None) => Body::Open,
+            (None, Some(0)) => BodyState::Done,
+            (None, Some(length)) => BodyState::Length(length),
+            (None, None) => BodyState::UntilClose,
         };
         if (100..200).contains(&status) {
             self.input.drain(..used);
-            return self.head();
+            return self.parse_head();
         }
-        if matches!(body, Body::Length(length) if length > self.most) {
+        if matches!(body, BodyState::Length(length) if length > self.max_body_bytes) {
             return Err("the answer is too long");
         }
-        (self.answer, self.body) = (answer, Some(body));
+        (self.response, self.body) = (response, Some(body));
         self.input.drain(..used);
         Ok(true)
     }
 
     /// Takes what it can off the input. `false`: more has to come.
-    fn step(&mut self) -> Result<bool, &'static str> {
+    fn parse_body(&mut self) -> Result<bool, &'static str> {
         match self.body {
-            None | Some(Body::Done) => Ok(false),
-            Some(Body::Length(left)) => {
-                let left = left - self.take(left)?;
-                self.body = Some(if left == 0 {
-                    Body::Done
+            None | Some(BodyState::Done) => Ok(false),
+            Some(BodyState::Length(remaining)) => {
+                let remaining = remaining - self.take(remaining)?;
+                self.body = Some(if remaining == 0 {
+                    BodyState::Done
                 } else {
-                    Body::Length(left)
+                    BodyState::Length(remaining)
                 });
                 Ok(false)
             }
-            Some(Body::Open) => {
+            Some(BodyState::UntilClose) => {
                 self.take(usize::MAX)?;
                 Ok(false)
             }
-            Some(Body::ChunkSize) => {
-                let Some(line) = self.line()? else {
+            Some(BodyState::ChunkSize) => {
+                let Some(line) = self.take_line()? else {
                     return Ok(false);
                 };
                 let size = line.split(|b| *b == b';').next().unwrap_or(&[]);
@@ -221,31 +223,31 @@
                     .and_then(|s| usize::from_str_radix(s, 16).ok())
                     .ok_or("a bad chunk")?;
                 self.body = Some(if size == 0 {
-                    Body::Trailer
+                    BodyState::Trailer
                 } else {
-                    Body::Chunk(size)
+                    BodyState::Chunk(size)
                 });
                 Ok(true)
             }
-            Some(Body::Chunk(0)) => match self.line()? {
+            Some(BodyState::Chunk(0)) => match self.take_line()? {
                 Some(line) if line.is_empty() => {
-                    self.body = Some(Body::ChunkSize);
+                    self.body = Some(BodyState::ChunkSize);
                     Ok(true)
                 }
                 Some(_) => Err("a bad chunk"),
                 None => Ok(false),
             },
-            Some(Body::Chunk(left)) => {
-                let taken = self.take(left)?;
-                self.body = Some(Body::Chunk(left - taken));
-                Ok(taken == left)
+            Some(BodyState::Chunk(remaining)) => {
+                let taken = self.take(remaining)?;
+                self.body = Some(BodyState::Chunk(remaining - taken));
+                Ok(taken == remaining)
             }
-            Some(Body::Trailer) => {
-                let Some(line) = self.line()? else {
+            Some(BodyState::Trailer) => {
+                let Some(line) = self.take_line()? else {
                     return Ok(false);
                 };
                 if line.is_empty() {
-                    self.body = Some(Body::Done);
+                    self.body = Some(BodyState::Done);
                 }
                 Ok(!line.is_empty())
             }
@@ -255,22 +257,22 @@
     /// Moves up to `n` bytes into the body.
     fn take(&mut self, n: usize) -> Result<usize, &'static str> {
         let n = n.min(self.input.len());
-        if self.answer.body.len() + n > self.most {
+        if self.response.body.len() + n > self.max_body_bytes {
             return Err("the answer is too long");
         }
-        self.answer.body.extend(self.input.drain(..n));
+        self.response.body.extend(self.input.drain(..n));
         Ok(n)
     }
 
-    fn line(&mut self) -> Result<Option<Vec<u8>>, &'static str> {
+    fn take_line(&mut self) -> Result<Option<Vec<u8>>, &'static str> {
         let Some(at) = self.input.iter().position(|b| *b == b'\n') else {
-            return if self.input.len() > CHUNK_LINE_MOST {
+            return if self.input.len() > MAX_CHUNK_LINE_BYTES {
                 Err("a bad chunk")
             } else {
                 Ok(None)
             };
         };
-        if at > CHUNK_LINE_MOST || at == 0 || self.input[at - 1] != b'\r' {
+        if at > MAX_CHUNK_LINE_BYTES || at == 0 || self.input[at - 1] != b'\r' {
             return Err("a bad chunk");
         }
         let line = self.input[..at - 1].to_vec();
--- a/certs/src/http/tests.rs
+++ b/certs/src/http/tests.rs
@@ -3,13 +3,13 @@
 fn cut(bytes: &[u8], at: usize) -> Result<Option<Response>, &'static str> {
     let mut reader = Reader::new(Method::Get, 100);
     match reader.feed(&bytes[..at])? {
-        Some(answer) => Ok(Some(answer)),
+        Some(response) => Ok(Some(response)),
         None => reader.feed(&bytes[at..]),
     }
 }
 
 #[test]
-fn an_answer_is_the_same_however_its_bytes_are_cut() {
+fn a_response_parses_the_same_however_its_bytes_are_split() {
     let texts: [&[u8]; 3] = [
         b"HTTP/1.1 200 OK\r\nReplay-Nonce: n1\r\nContent-Length: 5\r\nRetry-After: 7\r\n\r\nhello",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\nLOCATION: https://a/1\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nX: y\r\n\r\n",
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_open_answer_ends_with_its_connection_and_no_other_does() {
+fn only_a_response_without_a_length_ends_with_the_connection() {
     let mut reader = Reader::new(Method::Get, 100);
     assert_eq!(reader.feed(b"HTTP/1.1 200 OK\r\n\r\nabc").unwrap(), None);
     assert_eq!(reader.end().unwrap().unwrap().body, b"abc");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_has_no_end_or_two_of_them_is_refused() {
+fn responses_with_invalid_or_conflicting_framing_are_rejected() {
     for bad in [
         "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n".to_string(),
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n".into(),
@@ -63,7 +63,7 @@
             "1".repeat(300)
         ),
         format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(101)),
-        format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(HEAD_MOST)),
+        format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(MAX_HEAD_BYTES)),
         format!("HTTP/1.1 200 OK\r\n{}\r\n", "X: y\r\n".repeat(65)),
         "SSH-2.0-x\r\n".into(),
     ] {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn odd_bytes_never_panic_nor_grow_past_the_bound() {
+fn corrupted_bytes_neither_panic_nor_exceed_the_body_limit() {
     let text =
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
     let mut rng = 5u64;
@@ -91,8 +91,8 @@
             bytes[at] = (rng >> 20) as u8;
         }
         let mut reader = Reader::new(Method::Get, 100);
-        if let Ok(Some(answer)) = reader.feed(&bytes) {
-            assert!(answer.body.len() <= 100);
+        if let Ok(Some(response)) = reader.feed(&bytes) {
+            assert!(response.body.len() <= 100);
         }
         let _ = reader.end();
     }
--- a/certs/src/identity.rs
+++ b/certs/src/identity.rs
@@ -10,9 +10,9 @@
 use x509_parser::prelude::{FromDer, X509Certificate};
 
 /// Bytes of a bundle, certificates in a chain, names in a certificate, at most.
-pub const BUNDLE_MOST: usize = 256 * 1024;
-const CHAIN_MOST: usize = 10;
-const NAMES_MOST: usize = 200;
+pub const MAX_BUNDLE_BYTES: usize = 256 * 1024;
+const MAX_CHAIN_LENGTH: usize = 10;
+const MAX_NAMES: usize = 200;
 
 /// A certificate with its chain and the private key that belongs to it.
 #[derive(Clone)]
@@ -49,17 +49,17 @@
     /// Reads a bundle: a private key and a chain, leaf first, in PEM and in any order of the two. The error is one
     /// line: what can't be read, or that key and leaf do not belong together.
     pub fn from_pem(bundle: &str) -> Result<Self, String> {
-        if bundle.len() > BUNDLE_MOST {
-            return Err(format!("more than {BUNDLE_MOST} bytes"));
+        if bundle.len() > MAX_BUNDLE_BYTES {
+            return Err(format!("more than {MAX_BUNDLE_BYTES} bytes"));
         }
         let key =
             PrivateKeyDer::from_pem_slice(bundle.as_bytes()).map_err(|e| format!("key: {e}"))?;
         let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bundle.as_bytes())
-            .take(CHAIN_MOST + 1)
+            .take(MAX_CHAIN_LENGTH + 1)
             .collect();
         let chain = chain.map_err(|e| format!("chain: {e}"))?;
-        if chain.len() > CHAIN_MOST {
-            return Err(format!("chain: more than {CHAIN_MOST} certificates"));
+        if chain.len() > MAX_CHAIN_LENGTH {
+            return Err(format!("chain: more than {MAX_CHAIN_LENGTH} certificates"));
         }
         let leaf = chain.first().ok_or("chain: no certificate")?.clone();
         let provider = rustls::crypto::ring::default_provider();
@@ -79,7 +79,7 @@
                         GeneralName::DNSName(name) => Some(name.to_ascii_lowercase()),
                         _ => None,
                     });
-                    names.extend(dns.take(NAMES_MOST));
+                    names.extend(dns.take(MAX_NAMES));
                 }
                 ParsedExtension::AuthorityKeyIdentifier(id) => {
                     authority = id.key_identifier.as_ref().map(|k| base64url(k.0));
@@ -97,7 +97,7 @@
                 .iter()
                 .map(|b| format!("{b:02x}"))
                 .collect(),
-            issuer: crate::tame(&cert.issuer().to_string(), 200),
+            issuer: crate::sanitize(&cert.issuer().to_string(), 200),
             renewal_id: authority.map(|a| format!("{a}.{}", base64url(cert.raw_serial()))),
             bundle: bundle.into(),
             certified: Arc::new(certified),
@@ -140,12 +140,12 @@
     }
 
     /// Seconds until it ends; negative: since it ended.
-    pub fn left(&self, clocks: Clocks) -> i64 {
+    pub fn remaining_s(&self, clocks: Clocks) -> i64 {
         self.not_after as i64 - clocks.wall as i64
     }
 
     /// A number that tells this one from others.
-    pub fn mark(&self) -> u64 {
+    pub fn content_hash(&self) -> u64 {
         hash(&[&self.bundle])
     }
 }
--- a/certs/src/identity/tests.rs
+++ b/certs/src/identity/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn key_and_certificate_have_to_belong_together() {
+fn key_and_certificate_must_match() {
     let (key, chain) = made(&["A.example", "*.b.example"], 1_000, 2_000);
     let found = Identity::from_key_and_chain(&key, &chain).unwrap();
     assert_eq!((found.not_before, found.not_after), (1_000, 2_000));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn odd_bundles_are_refused_in_one_line() {
+fn malformed_bundles_are_rejected_with_a_one_line_error() {
     let (key, chain) = made(&["a.example"], 1_000, 2_000);
     let whole = format!("{key}{chain}");
     for cut in (0..whole.len()).step_by(7) {
@@ -39,6 +39,6 @@
             assert!(!e.contains('\n'));
         }
     }
-    assert!(Identity::from_pem(&format!("{key}{}", chain.repeat(CHAIN_MOST + 1))).is_err());
-    assert!(Identity::from_pem(&"x".repeat(BUNDLE_MOST + 1)).is_err());
+    assert!(Identity::from_pem(&format!("{key}{}", chain.repeat(MAX_CHAIN_LENGTH + 1))).is_err());
+    assert!(Identity::from_pem(&"x".repeat(MAX_BUNDLE_BYTES + 1)).is_err());
 }
--- a/certs/src/jose/tests.rs
+++ b/certs/src/jose/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_key_survives_its_pem_and_never_shows_in_debug() {
+fn a_key_round_trips_through_pem_and_is_not_shown_by_debug() {
     let key = AccountKey::generate().unwrap();
     let again = AccountKey::from_pem(key.pem()).unwrap();
     assert_eq!(key.jwk(), again.jwk());
--- a/certs/src/lib.rs
+++ b/certs/src/lib.rs
@@ -20,10 +20,10 @@
 pub mod jose;
 pub mod messages;
 pub mod order;
+mod pending_writes;
 pub mod planner;
 pub mod renewal;
 pub mod retry;
-mod unsaved;
 pub mod url;
 pub mod wire;
 
@@ -65,19 +65,19 @@
 }
 
 /// A share of `whole` that depends on the texts alone: 0 up to, but not, `whole`.
-pub(crate) fn share(whole: u64, parts: &[&str]) -> u64 {
+pub(crate) fn hash_below(whole: u64, parts: &[&str]) -> u64 {
     ((u128::from(whole) * u128::from(hash(parts))) >> 64) as u64
 }
 
 /// Foreign text as it may stand in a log: one line, printable, not too long.
-pub fn tame(text: &str, most: usize) -> String {
-    let mut tame: String = text
+pub fn sanitize(text: &str, most: usize) -> String {
+    let mut sanitize: String = text
         .chars()
         .take(most)
         .map(|c| if c.is_control() { ' ' } else { c })
         .collect();
     if text.chars().nth(most).is_some() {
-        tame.push('…');
+        sanitize.push('…');
     }
-    tame
+    sanitize
 }
--- a/certs/src/order.rs
+++ b/certs/src/order.rs
@@ -1,26 +1,26 @@
 //! One order, from its key to its certificate (RFC 8555, section 7.4): each [`Input`] leads to exactly one [`Output`].
 //! Where an order stands is read off the authority's answer whenever that is asked, so one that was begun
 //! before a restart goes on like any other.
-use crate::disk::Pending;
+use crate::disk::PendingOrder;
 use crate::error::Failure;
 use crate::http::Response;
 use crate::identity::Identity;
 use crate::retry::Cause;
 use crate::wire::{self, Problem, Status};
-use crate::{tame, Clocks, Micros, Timestamp, SECOND};
+use crate::{sanitize, Clocks, Micros, Timestamp, SECOND};
 use serde_json::json;
 
 /// An order that is not done after this long is left and looked at again later.
-pub const ORDER_MOST: Micros = 10 * 60 * SECOND;
+pub const ORDER_TIMEOUT: Micros = 10 * 60 * SECOND;
 /// The same for one that is taken up again: it was waited for before.
-const AGAIN_MOST: Micros = 2 * 60 * SECOND;
+const RESUMED_ORDER_TIMEOUT: Micros = 2 * 60 * SECOND;
 /// Pauses between two looks at something that is under way.
-const LOOK_FIRST: Micros = SECOND;
-const LOOK_MOST: Micros = 30 * SECOND;
+const MIN_POLL_INTERVAL: Micros = SECOND;
+const MAX_POLL_INTERVAL: Micros = 30 * SECOND;
 /// An order from before a restart that is older than this is not taken up.
-pub const RESUME_MOST: u64 = 24 * 3_600;
+pub const MAX_RESUME_AGE_S: u64 = 24 * 3_600;
 /// Letters of an error that reach the log.
-const TEXT_MOST: usize = 500;
+const MAX_TEXT_CHARS: usize = 500;
 
 /// How control of a name is shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,13 +50,13 @@
     /// The authority's answer.
     Response(Response),
     /// There was none.
-    Lost(String),
+    NoResponse(String),
     /// Nothing was sent: what the order wanted may not be done.
-    Barred(String),
+    NotSent(String),
     /// What was to be kept or published is, or not.
     Done(Result<(), String>),
     /// The moment that was waited for has come.
-    Time,
+    Timer,
 }
 
 /// What an order wants done next.
@@ -68,9 +68,9 @@
     /// Shown for a name until the order ends: token and key authorization.
     Publish(String, String, String),
     /// Kept before anything else is done.
-    Save(Pending),
+    Save(PendingOrder),
     /// Nothing until then.
-    Sleep(Timestamp),
+    Wait(Timestamp),
     /// The certificate.
     Done(Box<Identity>),
     /// It failed.
@@ -79,23 +79,23 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    Key,
-    New,
+    GenerateKey,
+    Create,
     Save,
-    Look,
+    PollOrder,
     Authorization,
     Publish,
     Respond,
-    WaitCheck,
-    Check,
+    WaitAuthorization,
+    PollAuthorization,
     Finalize,
-    WaitLook,
+    WaitOrder,
     Download,
-    Over,
+    Finished,
 }
 
 #[derive(Debug)]
-struct Auth {
+struct OrderAuthorization {
     url: String,
     name: String,
     valid: bool,
@@ -116,9 +116,9 @@
     url: String,
     deadline: Timestamp,
     step: Step,
-    auths: Vec<Auth>,
-    at: usize,
-    looks: u32,
+    authorizations: Vec<OrderAuthorization>,
+    current: usize,
+    polls: u32,
     body: Option<wire::Order>,
     /// Its signing request was taken.
     finalized: bool,
@@ -143,11 +143,11 @@
             key: None,
             csr: Vec::new(),
             url: String::new(),
-            deadline: clocks.now + ORDER_MOST,
-            step: Step::Key,
-            auths: Vec::new(),
-            at: 0,
-            looks: 0,
+            deadline: clocks.now + ORDER_TIMEOUT,
+            step: Step::GenerateKey,
+            authorizations: Vec::new(),
+            current: 0,
+            polls: 0,
             body: None,
             finalized: false,
         }
@@ -156,7 +156,7 @@
     /// One that was begun before a restart; its key comes back by [`Input::Key`], its signing request made anew.
     pub fn resumed(
         clocks: Clocks,
-        pending: &Pending,
+        pending: &PendingOrder,
         challenge_type: ChallengeType,
         thumbprint: String,
     ) -> Self {
@@ -169,7 +169,7 @@
             None,
         );
         order.url.clone_from(&pending.url);
-        order.deadline = clocks.now + AGAIN_MOST;
+        order.deadline = clocks.now + RESUMED_ORDER_TIMEOUT;
         order
     }
 
@@ -178,21 +178,23 @@
         match self.advance(clocks, input) {
             Ok(output) => output,
             Err(failure) => {
-                self.step = Step::Over;
+                self.step = Step::Finished;
                 Output::Failed(failure)
             }
         }
     }
 
     fn advance(&mut self, clocks: Clocks, input: Input) -> Result<Output, Failure> {
-        let answer = match (self.step, input) {
-            (Step::Key, Input::Begin) => return Ok(Output::GenerateKey(self.names.clone())),
-            (Step::Key, Input::Key(pem, csr)) => {
+        let response = match (self.step, input) {
+            (Step::GenerateKey, Input::Begin) => {
+                return Ok(Output::GenerateKey(self.names.clone()))
+            }
+            (Step::GenerateKey, Input::Key(pem, csr)) => {
                 (self.key, self.csr) = (Some(pem), csr);
                 if !self.url.is_empty() {
-                    return Ok(self.look());
+                    return Ok(self.poll_order());
                 }
-                self.step = Step::New;
+                self.step = Step::Create;
                 let names: Vec<_> = self
                     .names
                     .iter()
@@ -205,159 +207,186 @@
                 return Ok(Output::Post(self.new_order.clone(), payload.to_string()));
             }
             // A folder that can't be written costs the order its restart, not the certificate.
-            (Step::Save, Input::Done(_)) => return self.dispatch(clocks, None),
+            (Step::Save, Input::Done(_)) => return self.continue_order(clocks, None),
             (Step::Publish, Input::Done(Ok(()))) => {
                 self.step = Step::Respond;
                 return Ok(Output::Post(
-                    self.auths[self.at].challenge.clone(),
+                    self.authorizations[self.current].challenge.clone(),
                     "{}".into(),
                 ));
             }
             (Step::Publish, Input::Done(Err(why))) => {
-                return Err(self.broken(Cause::Broken, format!("challenge not published: {why}")));
+                return Err(self.failure(
+                    Cause::BadResponse,
+                    format!("challenge not published: {why}"),
+                ));
             }
-            (Step::WaitCheck, Input::Time) => {
-                self.step = Step::Check;
-                return Ok(Output::Post(self.auths[self.at].url.clone(), String::new()));
+            (Step::WaitAuthorization, Input::Timer) => {
+                self.step = Step::PollAuthorization;
+                return Ok(Output::Post(
+                    self.authorizations[self.current].url.clone(),
+                    String::new(),
+                ));
             }
-            (Step::WaitLook, Input::Time) => return Ok(self.look()),
-            (_, Input::Lost(why)) => return Err(self.broken(Cause::Unreachable, why)),
-            (_, Input::Response(answer)) => answer,
-            (_, Input::Barred(why)) => return Err(self.broken(Cause::Broken, why)),
+            (Step::WaitOrder, Input::Timer) => return Ok(self.poll_order()),
+            (_, Input::NoResponse(why)) => return Err(self.failure(Cause::Unreachable, why)),
+            (_, Input::Response(response)) => response,
+            (_, Input::NotSent(why)) => return Err(self.failure(Cause::BadResponse, why)),
             // Never with the input: it may hold a key.
-            (step, _) => return Err(self.broken(Cause::Broken, format!("out of turn at {step:?}"))),
+            (step, _) => {
+                return Err(self.failure(Cause::BadResponse, format!("out of turn at {step:?}")))
+            }
         };
-        if answer.status >= 400 {
-            return self.turned_down(clocks, &answer);
+        if response.status >= 400 {
+            return self.error_response(clocks, &response);
         }
-        if !(200..300).contains(&answer.status) {
-            return Err(self.broken(Cause::Broken, format!("status {}", answer.status)));
+        if !(200..300).contains(&response.status) {
+            return Err(self.failure(Cause::BadResponse, format!("status {}", response.status)));
         }
         match self.step {
-            Step::New => {
-                let order = self.read(wire::order(&answer.body))?;
-                let Some(url) = answer.location else {
-                    return Err(self.broken(Cause::Broken, "an order without a URL".into()));
+            Step::Create => {
+                let order = self.parsed(wire::order(&response.body))?;
+                let Some(url) = response.location else {
+                    return Err(self.failure(Cause::BadResponse, "an order without a URL".into()));
                 };
                 (self.url, self.body, self.step) = (url.clone(), Some(order), Step::Save);
                 let (names, began) = (self.names.clone(), clocks.wall);
                 let key = self.key.clone().unwrap_or_default();
-                Ok(Output::Save(Pending {
+                Ok(Output::Save(PendingOrder {
                     url,
                     names,
                     key,
                     began,
                 }))
             }
-            Step::Look | Step::Finalize => {
-                self.body = Some(self.read(wire::order(&answer.body))?);
+            Step::PollOrder | Step::Finalize => {
+                self.body = Some(self.parsed(wire::order(&response.body))?);
                 self.finalized |= self.step == Step::Finalize;
-                self.dispatch(clocks, answer.retry_after)
+                self.continue_order(clocks, response.retry_after)
             }
             Step::Authorization => {
-                let found = self.read(wire::authorization(&answer.body))?;
+                let found = self.parsed(wire::authorization(&response.body))?;
                 let name = found.identifier.value.to_ascii_lowercase();
                 if !self.names.contains(&name) {
-                    let name = tame(&name, 100);
-                    return Err(self.broken(Cause::Broken, format!("an authorization for {name}")));
+                    let name = sanitize(&name, 100);
+                    return Err(
+                        self.failure(Cause::BadResponse, format!("an authorization for {name}"))
+                    );
                 }
-                let auth = &mut self.auths[self.at];
+                let auth = &mut self.authorizations[self.current];
                 auth.name = name;
                 match found.status {
                     Status::Valid => {
                         auth.valid = true;
-                        self.next_auth(clocks, answer.retry_after)
+                        self.next_authorization(clocks, response.retry_after)
                     }
-                    Status::Pending => self.challenge(clocks, found, answer.retry_after),
-                    _ => Err(self.refused(&found)),
+                    Status::Pending => self.select_challenge(clocks, found, response.retry_after),
+                    _ => Err(self.authorization_failed(&found)),
                 }
             }
-            Step::Respond => self.next_auth(clocks, answer.retry_after),
-            Step::Check => {
-                let found = self.read(wire::authorization(&answer.body))?;
+            Step::Respond => self.next_authorization(clocks, response.retry_after),
+            Step::PollAuthorization => {
+                let found = self.parsed(wire::authorization(&response.body))?;
                 match found.status {
                     Status::Valid => {
-                        self.auths[self.at].valid = true;
-                        self.looks = 0;
-                        self.check(clocks, None)
+                        self.authorizations[self.current].valid = true;
+                        self.polls = 0;
+                        self.poll_authorizations(clocks, None)
                     }
-                    Status::Pending | Status::Processing => self.check(clocks, answer.retry_after),
-                    _ => Err(self.refused(&found)),
+                    Status::Pending | Status::Processing => {
+                        self.poll_authorizations(clocks, response.retry_after)
+                    }
+                    _ => Err(self.authorization_failed(&found)),
                 }
             }
             Step::Download => {
                 let chain =
-                    std::str::from_utf8(&answer.body).map_err(|_| "chain: no text".to_string());
+                    std::str::from_utf8(&response.body).map_err(|_| "chain: no text".to_string());
                 let key = self.key.as_deref().unwrap_or_default();
                 let identity = chain.and_then(|chain| Identity::from_key_and_chain(key, chain));
-                let identity = identity.map_err(|why| self.useless(why))?;
+                let identity = identity.map_err(|why| self.unusable_certificate(why))?;
                 if let Some(name) = self.names.iter().find(|n| !identity.covers(n)) {
-                    return Err(self.useless(format!("the certificate lacks {name}")));
+                    return Err(self.unusable_certificate(format!("the certificate lacks {name}")));
                 }
                 // By the authority's clock where it tells: this machine's may be the wrong one.
-                let now = answer.date.unwrap_or(clocks.wall);
+                let now = response.date.unwrap_or(clocks.wall);
                 if !identity.is_valid_at(now) && !identity.is_valid_at(clocks.wall) {
-                    return Err(self.useless("the certificate does not hold now".into()));
+                    return Err(
+                        self.unusable_certificate("the certificate does not hold now".into())
+                    );
                 }
-                self.step = Step::Over;
+                self.step = Step::Finished;
                 Ok(Output::Done(Box::new(identity)))
             }
-            step => Err(self.broken(Cause::Broken, format!("an answer at {step:?}"))),
+            step => Err(self.failure(Cause::BadResponse, format!("an answer at {step:?}"))),
         }
     }
 
-    fn look(&mut self) -> Output {
-        self.step = Step::Look;
+    fn poll_order(&mut self) -> Output {
+        self.step = Step::PollOrder;
         Output::Post(self.url.clone(), String::new())
     }
 
     /// Goes on where the authority says that the order stands.
-    fn dispatch(&mut self, clocks: Clocks, told: Option<u64>) -> Result<Output, Failure> {
+    fn continue_order(
+        &mut self,
+        clocks: Clocks,
+        retry_after: Option<u64>,
+    ) -> Result<Output, Failure> {
         let Some(body) = self.body.take() else {
-            return Err(self.broken(Cause::Broken, "an order without a state".into()));
+            return Err(self.failure(Cause::BadResponse, "an order without a state".into()));
         };
         match body.status {
-            Status::Pending if self.auths.iter().all(|a| a.valid) && !self.auths.is_empty() => {
-                self.sleep(clocks, told, Step::WaitLook)
+            Status::Pending
+                if self.authorizations.iter().all(|a| a.valid)
+                    && !self.authorizations.is_empty() =>
+            {
+                self.poll_later(clocks, retry_after, Step::WaitOrder)
             }
             Status::Pending => {
                 if body.authorizations.is_empty() {
-                    return Err(self.broken(
-                        Cause::Broken,
+                    return Err(self.failure(
+                        Cause::BadResponse,
                         "a pending order without authorizations".into(),
                     ));
                 }
-                let auth = |url| Auth {
+                let auth = |url| OrderAuthorization {
                     url,
                     name: String::new(),
                     valid: false,
                     challenge: String::new(),
                 };
-                self.auths = body.authorizations.into_iter().map(auth).collect();
-                (self.at, self.step) = (0, Step::Authorization);
-                Ok(Output::Post(self.auths[0].url.clone(), String::new()))
+                self.authorizations = body.authorizations.into_iter().map(auth).collect();
+                (self.current, self.step) = (0, Step::Authorization);
+                Ok(Output::Post(
+                    self.authorizations[0].url.clone(),
+                    String::new(),
+                ))
             }
             // It was finalized and has not noticed yet.
-            Status::Ready if self.finalized => self.sleep(clocks, told, Step::WaitLook),
+            Status::Ready if self.finalized => {
+                self.poll_later(clocks, retry_after, Step::WaitOrder)
+            }
             Status::Ready => {
                 self.step = Step::Finalize;
                 let csr = crate::jose::base64url(&self.csr);
                 Ok(Output::Post(body.finalize, json!({"csr": csr}).to_string()))
             }
-            Status::Processing => self.sleep(clocks, told, Step::WaitLook),
+            Status::Processing => self.poll_later(clocks, retry_after, Step::WaitOrder),
             Status::Valid => {
                 let Some(url) = body.certificate else {
-                    return Err(
-                        self.broken(Cause::Broken, "a valid order without a certificate".into())
-                    );
+                    return Err(self.failure(
+                        Cause::BadResponse,
+                        "a valid order without a certificate".into(),
+                    ));
                 };
                 self.step = Step::Download;
                 Ok(Output::Post(url, String::new()))
             }
             _ => {
                 let problem = body.error.unwrap_or_default();
-                let mut failure = self.problem(&problem, None);
-                failure.keeps_order = false;
+                let mut failure = self.problem_failure(&problem, None);
+                failure.resumable = false;
                 if failure.text.len() < 4 {
                     failure.text = format!("the order is {:?}", body.status).to_lowercase();
                 }
@@ -367,108 +396,126 @@
     }
 
     /// Chooses the challenge of a pending authorization.
-    fn challenge(
+    fn select_challenge(
         &mut self,
         clocks: Clocks,
         found: wire::Authorization,
-        told: Option<u64>,
+        retry_after: Option<u64>,
     ) -> Result<Output, Failure> {
-        let name = self.auths[self.at].name.clone();
+        let name = self.authorizations[self.current].name.clone();
         let Some(challenge) = found
             .challenges
             .iter()
             .find(|c| c.kind == self.challenge_type.as_str())
         else {
-            return Err(self.refusal(
+            return Err(self.refused_name(
                 name,
                 format!("no challenge {} is offered", self.challenge_type.as_str()),
             ));
         };
         if challenge.status == Some(Status::Valid) {
-            return self.next_auth(clocks, told);
+            return self.next_authorization(clocks, retry_after);
         }
         if challenge.status == Some(Status::Invalid) {
-            return Err(self.refused(&found));
+            return Err(self.authorization_failed(&found));
         }
-        if !challenge.token_is_sound() {
-            return Err(self.broken(Cause::Broken, "a challenge with a bad token".into()));
+        if !challenge.has_valid_token() {
+            return Err(self.failure(Cause::BadResponse, "a challenge with a bad token".into()));
         }
-        self.auths[self.at].challenge.clone_from(&challenge.url);
+        self.authorizations[self.current]
+            .challenge
+            .clone_from(&challenge.url);
         let authorization = format!("{}.{}", challenge.token, self.thumbprint);
         let token = challenge.token.clone();
         if challenge.status == Some(Status::Processing) {
             // From before a restart: it has to be shown again, and is told again.
-            self.auths[self.at].valid = false;
+            self.authorizations[self.current].valid = false;
         }
         self.step = Step::Publish;
         Ok(Output::Publish(name, token, authorization))
     }
 
-    fn next_auth(&mut self, clocks: Clocks, told: Option<u64>) -> Result<Output, Failure> {
-        if self.at + 1 < self.auths.len() {
-            self.at += 1;
+    fn next_authorization(
+        &mut self,
+        clocks: Clocks,
+        retry_after: Option<u64>,
+    ) -> Result<Output, Failure> {
+        if self.current + 1 < self.authorizations.len() {
+            self.current += 1;
             self.step = Step::Authorization;
-            return Ok(Output::Post(self.auths[self.at].url.clone(), String::new()));
+            return Ok(Output::Post(
+                self.authorizations[self.current].url.clone(),
+                String::new(),
+            ));
         }
-        self.looks = 0;
-        self.check(clocks, told)
+        self.polls = 0;
+        self.poll_authorizations(clocks, retry_after)
     }
 
     /// Looks at the first authorization that is not valid yet, or at the order once all are.
-    fn check(&mut self, clocks: Clocks, told: Option<u64>) -> Result<Output, Failure> {
-        match self.auths.iter().position(|a| !a.valid) {
+    fn poll_authorizations(
+        &mut self,
+        clocks: Clocks,
+        retry_after: Option<u64>,
+    ) -> Result<Output, Failure> {
+        match self.authorizations.iter().position(|a| !a.valid) {
             Some(at) => {
-                self.at = at;
-                self.sleep(clocks, told, Step::WaitCheck)
+                self.current = at;
+                self.poll_later(clocks, retry_after, Step::WaitAuthorization)
             }
-            None => Ok(self.look()),
+            None => Ok(self.poll_order()),
         }
     }
 
-    fn sleep(&mut self, clocks: Clocks, told: Option<u64>, then: Step) -> Result<Output, Failure> {
-        let pause = (LOOK_FIRST << self.looks.min(10)).min(LOOK_MOST);
-        self.looks += 1;
-        let until = clocks.now + pause.max(told.unwrap_or(0).saturating_mul(SECOND));
+    fn poll_later(
+        &mut self,
+        clocks: Clocks,
+        retry_after: Option<u64>,
+        then: Step,
+    ) -> Result<Output, Failure> {
+        let pause = (MIN_POLL_INTERVAL << self.polls.min(10)).min(MAX_POLL_INTERVAL);
+        self.polls += 1;
+        let until = clocks.now + pause.max(retry_after.unwrap_or(0).saturating_mul(SECOND));
         if until > self.deadline {
             return Err(Failure {
-                told: told.map(|s| s.saturating_mul(SECOND)),
-                keeps_order: true,
-                ..self.broken(Cause::Slow, "the authority takes its time".into())
+                retry_after: retry_after.map(|s| s.saturating_mul(SECOND)),
+                resumable: true,
+                ..self.failure(Cause::Processing, "the authority takes its time".into())
             });
         }
         self.step = then;
-        Ok(Output::Sleep(until))
+        Ok(Output::Wait(until))
     }
 
     /// The authority answered with an error.
-    fn turned_down(&mut self, clocks: Clocks, answer: &Response) -> Result<Output, Failure> {
-        let problem = wire::problem(&answer.body);
-        if problem.short() == "orderNotReady" {
-            return self.sleep(clocks, answer.retry_after, Step::WaitLook);
+    fn error_response(&mut self, clocks: Clocks, response: &Response) -> Result<Output, Failure> {
+        let problem = wire::problem(&response.body);
+        if problem.acme_type() == "orderNotReady" {
+            return self.poll_later(clocks, response.retry_after, Step::WaitOrder);
         }
-        let mut failure = self.problem(&problem, Some(answer));
+        let mut failure = self.problem_failure(&problem, Some(response));
         // An order that the authority does not know any more is made anew.
-        let lost = matches!(answer.status, 404 | 410) && self.step != Step::New;
-        failure.keeps_order = matches!(failure.cause, Cause::Unreachable | Cause::Limited)
-            && !matches!(self.step, Step::New | Step::Key)
+        let lost = matches!(response.status, 404 | 410) && self.step != Step::Create;
+        failure.resumable = matches!(failure.cause, Cause::Unreachable | Cause::RateLimited)
+            && !matches!(self.step, Step::Create | Step::GenerateKey)
             && !lost;
         if lost {
-            (failure.cause, failure.refused) = (Cause::Broken, Vec::new());
+            (failure.cause, failure.refused) = (Cause::BadResponse, Vec::new());
             failure.text = format!("the authority lost the order: {}", failure.text);
         }
         Err(failure)
     }
 
     /// What a problem means.
-    fn problem(&self, problem: &Problem, answer: Option<&Response>) -> Failure {
-        let status = answer.map_or(0, |a| a.status);
-        let cause = match problem.short() {
-            "rateLimited" => Cause::Limited,
-            "accountDoesNotExist" => Cause::Unknown,
+    fn problem_failure(&self, problem: &Problem, response: Option<&Response>) -> Failure {
+        let status = response.map_or(0, |a| a.status);
+        let cause = match problem.acme_type() {
+            "rateLimited" => Cause::RateLimited,
+            "accountDoesNotExist" => Cause::AccountUnknown,
             "externalAccountRequired"
             | "userActionRequired"
             | "invalidContact"
-            | "unsupportedContact" => Cause::Account,
+            | "unsupportedContact" => Cause::AccountRejected,
             "rejectedIdentifier"
             | "unsupportedIdentifier"
             | "caa"
@@ -481,11 +528,11 @@
             "compound" if problem.subproblems.iter().any(|s| s.identifier.is_some()) => {
                 Cause::Refused
             }
-            _ if status == 429 => Cause::Limited,
+            _ if status == 429 => Cause::RateLimited,
             _ if status >= 500 => Cause::Unreachable,
-            _ => Cause::Broken,
+            _ => Cause::BadResponse,
         };
-        let ours = |name: &String| self.names.contains(name);
+        let in_order = |name: &String| self.names.contains(name);
         let mut refused: Vec<String> = Vec::new();
         if cause == Cause::Refused {
             let subs = problem
@@ -494,7 +541,7 @@
                 .filter_map(|s| s.identifier.as_ref());
             refused = subs
                 .map(|i| i.value.to_ascii_lowercase())
-                .filter(ours)
+                .filter(in_order)
                 .collect();
             refused.sort();
             refused.dedup();
@@ -503,33 +550,33 @@
             }
         }
         let text = match status {
-            0 => problem.line(),
-            _ => format!("{status} {}", problem.line()),
+            0 => problem.summary(),
+            _ => format!("{status} {}", problem.summary()),
         };
-        let told = answer
+        let retry_after = response
             .and_then(|a| a.retry_after)
             .map(|s| s.saturating_mul(SECOND));
         Failure {
             cause,
             refused,
-            told,
-            text: tame(&text, TEXT_MOST),
-            keeps_order: false,
+            retry_after,
+            text: sanitize(&text, MAX_TEXT_CHARS),
+            resumable: false,
         }
     }
 
     /// An authorization that will not become valid.
-    fn refused(&self, found: &wire::Authorization) -> Failure {
+    fn authorization_failed(&self, found: &wire::Authorization) -> Failure {
         let error = found.challenges.iter().find_map(|c| c.error.as_ref());
         let why = error.map_or(
             format!("authorization {:?}", found.status).to_lowercase(),
-            Problem::line,
+            Problem::summary,
         );
-        let limited = error.is_some_and(|e| e.short() == "rateLimited");
-        let failure = self.refusal(self.auths[self.at].name.clone(), why);
+        let limited = error.is_some_and(|e| e.acme_type() == "rateLimited");
+        let failure = self.refused_name(self.authorizations[self.current].name.clone(), why);
         if limited {
             return Failure {
-                cause: Cause::Limited,
+                cause: Cause::RateLimited,
                 refused: Vec::new(),
                 ..failure
             };
@@ -537,8 +584,8 @@
         failure
     }
 
-    fn refusal(&self, name: String, why: String) -> Failure {
-        let text = tame(&format!("{name}: {why}"), TEXT_MOST);
+    fn refused_name(&self, name: String, why: String) -> Failure {
+        let text = sanitize(&format!("{name}: {why}"), MAX_TEXT_CHARS);
         let refused = if name.is_empty() {
             Vec::new()
         } else {
@@ -547,33 +594,33 @@
         Failure {
             cause: Cause::Refused,
             refused,
-            told: None,
+            retry_after: None,
             text,
-            keeps_order: false,
+            resumable: false,
         }
     }
 
-    fn broken(&self, cause: Cause, why: String) -> Failure {
+    fn failure(&self, cause: Cause, why: String) -> Failure {
         // Whatever became of a request, an order that has a URL is still there.
-        let keeps_order = cause == Cause::Unreachable && !self.url.is_empty();
-        let text = tame(&why, TEXT_MOST);
+        let resumable = cause == Cause::Unreachable && !self.url.is_empty();
+        let text = sanitize(&why, MAX_TEXT_CHARS);
         Failure {
             cause,
             refused: Vec::new(),
-            told: None,
+            retry_after: None,
             text,
-            keeps_order,
+            resumable,
         }
     }
 
-    fn useless(&self, why: String) -> Failure {
+    fn unusable_certificate(&self, why: String) -> Failure {
         Failure {
-            keeps_order: false,
-            ..self.broken(Cause::Broken, why)
+            resumable: false,
+            ..self.failure(Cause::BadResponse, why)
         }
     }
 
-    fn read<T>(&self, found: Result<T, String>) -> Result<T, Failure> {
-        found.map_err(|why| self.broken(Cause::Broken, why))
+    fn parsed<T>(&self, found: Result<T, String>) -> Result<T, Failure> {
+        found.map_err(|why| self.failure(Cause::BadResponse, why))
     }
 }
--- a/certs/src/unsaved.rs
+++ b/certs/src/pending_writes.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 
 /// Pause before the first retry, and the longest.
-const RETRY_FIRST: Micros = SECOND;
-const RETRY_MAX: Micros = 60 * SECOND;
+const MIN_RETRY_DELAY: Micros = SECOND;
+const MAX_RETRY_DELAY: Micros = 60 * SECOND;
 
 /// An operator who is answered once something is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct PendingReply {
     /// Who asked.
     pub operator: u64,
     /// What is answered then.
@@ -19,30 +19,30 @@
 
 #[derive(Debug)]
 struct Write {
-    what: FileUpdate,
+    update: FileUpdate,
     /// By which its end is known, while it is under way.
     task: u64,
     /// When it is made again after a failure.
     retry_at: Option<Timestamp>,
     failures: u32,
-    waiting: Option<Waiting>,
+    reply: Option<PendingReply>,
 }
 
 /// How a write ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct WriteEnd {
     /// Failures in a row: 0 if it is durable.
     pub failures: u32,
     /// Who is to be answered now.
-    pub waiting: Option<Waiting>,
+    pub reply: Option<PendingReply>,
 }
 
 /// The writes, one for each file: the newest.
 #[derive(Debug, Default)]
-pub struct Unsaved(BTreeMap<String, Write>);
+pub struct PendingWrites(BTreeMap<String, Write>);
 
-fn file(what: &FileUpdate) -> String {
-    match what {
+fn file_name(update: &FileUpdate) -> String {
+    match update {
         FileUpdate::Account(_) => "account".into(),
         FileUpdate::State(_) => "state".into(),
         FileUpdate::PendingOrder(id, _) | FileUpdate::RemoveOrder(id) => format!("{id}.order"),
@@ -50,31 +50,31 @@
     }
 }
 
-impl Unsaved {
+impl PendingWrites {
     /// A write begins under a number of its own. An older one of the same file is over: returns who waited for it.
     pub fn begin(
         &mut self,
         task: u64,
-        what: FileUpdate,
-        waiting: Option<Waiting>,
-    ) -> Option<Waiting> {
+        update: FileUpdate,
+        reply: Option<PendingReply>,
+    ) -> Option<PendingReply> {
         let write = Write {
             task,
             retry_at: None,
             failures: 0,
-            waiting,
-            what,
+            reply,
+            update,
         };
-        self.0.insert(file(&write.what), write)?.waiting
+        self.0.insert(file_name(&write.update), write)?.reply
     }
 
     /// Something newer is written by another way: an older write of the same file is over.
-    pub fn supersede(&mut self, what: &FileUpdate) {
-        self.0.remove(&file(what));
+    pub fn supersede(&mut self, update: &FileUpdate) {
+        self.0.remove(&file_name(update));
     }
 
     /// A write has ended. `None`: it is none of these, or something newer has taken its place.
-    pub fn ended(&mut self, now: Timestamp, task: u64, durable: bool) -> Option<Ended> {
+    pub fn ended(&mut self, now: Timestamp, task: u64, durable: bool) -> Option<WriteEnd> {
         let name = self
             .0
             .iter()
@@ -82,39 +82,39 @@
             .map(|(name, _)| name.clone())?;
         if durable {
             let write = self.0.remove(&name)?;
-            return Some(Ended {
+            return Some(WriteEnd {
                 failures: 0,
-                waiting: write.waiting,
+                reply: write.reply,
             });
         }
         let write = self.0.get_mut(&name)?;
         write.failures += 1;
-        let pause = RETRY_FIRST << (write.failures - 1).min(10);
-        write.retry_at = Some(now + pause.min(RETRY_MAX));
-        Some(Ended {
+        let pause = MIN_RETRY_DELAY << (write.failures - 1).min(10);
+        write.retry_at = Some(now + pause.min(MAX_RETRY_DELAY));
+        Some(WriteEnd {
             failures: write.failures,
-            waiting: write.waiting.take(),
+            reply: write.reply.take(),
         })
     }
 
-    /// What is due to be written again, each under a new number. What `holds` says has to wait stays for the next time.
+    /// What is due to be written again, each under a new number. What `is_blocked` says has to wait stays for the next time.
     pub fn retries(
         &mut self,
         now: Timestamp,
-        holds: impl Fn(&FileUpdate) -> bool,
-        mut number: impl FnMut() -> u64,
+        is_blocked: impl Fn(&FileUpdate) -> bool,
+        mut next_task: impl FnMut() -> u64,
     ) -> Vec<(u64, FileUpdate)> {
         let due = |write: &&mut Write| write.retry_at.is_some_and(|at| at <= now);
-        let mut again = Vec::new();
+        let mut retries = Vec::new();
         for write in self.0.values_mut().filter(due) {
-            if holds(&write.what) {
-                write.retry_at = Some(now + RETRY_MAX);
+            if is_blocked(&write.update) {
+                write.retry_at = Some(now + MAX_RETRY_DELAY);
                 continue;
             }
-            (write.task, write.retry_at) = (number(), None);
-            again.push((write.task, write.what.clone()));
+            (write.task, write.retry_at) = (next_task(), None);
+            retries.push((write.task, write.update.clone()));
         }
-        again
+        retries
     }
 
     /// When the next retry is due.
--- a/certs/src/planner.rs
+++ b/certs/src/planner.rs
@@ -3,7 +3,7 @@
 //! is in its entries, each of which stands in exactly one queue.
 use crate::error::Failure;
 use crate::renewal::{due, Ranking, Rule, Validity};
-use crate::retry::{wait, Cause};
+use crate::retry::{retry_delay, Cause};
 use crate::wire::Window;
 use crate::{Clocks, Micros, Timestamp, UnixTime, SECOND};
 use serde::{Deserialize, Serialize};
@@ -11,18 +11,18 @@
 
 /// From this share of its lifetime on a certificate is renewed without a name that is refused, though the old one
 /// still stands for it.
-const WITHOUT_PERCENT: u64 = 90;
+const DROP_REFUSED_PERCENT: u64 = 90;
 /// A renewal before this share of the lifetime is an early one.
 const EARLY_PERCENT: u64 = 10;
 /// No wait is longer, in seconds: a moment further ahead was set by a clock that has gone back since.
-const WAIT_MOST: u64 = 8 * 24 * 3_600;
+const MAX_WALL_WAIT_S: u64 = 8 * 24 * 3_600;
 /// Pause between two warnings of certificates that will expire, and of those that have.
-const WARN_EACH: Micros = 3_600 * SECOND;
-const ERROR_EACH: Micros = 60 * SECOND;
+const WARN_INTERVAL: Micros = 3_600 * SECOND;
+const ERROR_INTERVAL: Micros = 60 * SECOND;
 /// Names told in one notice.
-const TOLD_MOST: usize = 5;
+const MAX_NOTICE_NAMES: usize = 5;
 /// Names that are remembered as refused.
-const REFUSED_MOST: usize = 20_000;
+const MAX_REFUSED_NAMES: usize = 20_000;
 
 /// What the planner goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 
 /// An order to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Choice {
+pub struct PlannedOrder {
     /// Of the certificate: its first name.
     pub id: String,
     /// Names to be asked for.
@@ -79,7 +79,7 @@
         names: Vec<String>,
     },
     /// The wall clock is before the first second of this many: it is likely wrong.
-    NotYet {
+    NotYetValid {
         /// How many.
         count: usize,
         /// Some of them.
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum QueueState {
     /// Not due: in `later`, by the second.
     Later(UnixTime),
     /// Due, and waits for its turn or after a failure: in `held_back`.
@@ -96,31 +96,32 @@
     /// May be ordered: in `ready`, by when the old one ends.
     Ready(UnixTime),
     /// An order is under way.
-    Busy,
+    InProgress,
 }
 
 #[derive(Debug)]
 struct Entry {
     names: Vec<String>,
-    held: Option<Validity>,
+    validity: Option<Validity>,
     /// Names for which the one held stands.
     covered: BTreeSet<String>,
     window: Option<Window>,
     failures: u32,
     /// Why it failed last.
-    why: Option<(Cause, String)>,
+    last_failure: Option<(Cause, String)>,
     /// Not before this moment.
-    hold: Timestamp,
+    hold_until: Timestamp,
     /// Renewed whatever its dates say.
     forced: bool,
     /// How often in a row it was renewed right after it was issued because the authority said so, and the second
     /// until which that is not done again.
-    early: (u32, UnixTime),
+    early_renewals: u32,
+    early_hold_until: UnixTime,
     /// Its turn was waited for since it came due.
-    turned: bool,
+    delay_applied: bool,
     /// An order from before a restart is taken up: it was counted then.
-    resumes: bool,
-    place: Place,
+    resumable: bool,
+    queue_state: QueueState,
 }
 
 /// How a certificate stands.
@@ -146,23 +147,23 @@
 
 /// The planner.
 pub struct Planner {
-    plan: PlannerSettings,
-    turns: Box<dyn Ranking + Send>,
+    settings: PlannerSettings,
+    ranking: Box<dyn Ranking + Send>,
     entries: BTreeMap<String, Entry>,
     later: BTreeSet<(UnixTime, String)>,
     held_back: BTreeSet<(Timestamp, String)>,
     ready: BTreeSet<(UnixTime, String)>,
-    busy: usize,
+    in_progress: usize,
     refused: BTreeMap<String, Refusal>,
     /// Orders begun within the window, on both clocks.
-    begun: VecDeque<(Timestamp, UnixTime)>,
+    recent_orders: VecDeque<(Timestamp, UnixTime)>,
     /// Nothing is ordered before this moment: the authority is away.
-    away_until: Timestamp,
-    away_failures: u32,
+    paused_until: Timestamp,
+    pause_failures: u32,
     /// Certificates that were rate limited since the last success.
-    limited: BTreeSet<String>,
-    warn_at: Timestamp,
-    error_at: Timestamp,
+    rate_limited: BTreeSet<String>,
+    next_warning_at: Timestamp,
+    next_error_at: Timestamp,
 }
 
 impl std::fmt::Debug for Planner {
@@ -171,50 +172,50 @@
             f,
             "Planner({} certificates, {} under way)",
             self.entries.len(),
-            self.busy
+            self.in_progress
         )
     }
 }
 
 impl Planner {
     /// A planner without certificates.
-    pub fn new(plan: PlannerSettings, turns: Box<dyn Ranking + Send>) -> Self {
+    pub fn new(settings: PlannerSettings, ranking: Box<dyn Ranking + Send>) -> Self {
         Planner {
-            plan,
-            turns,
+            settings,
+            ranking,
             entries: BTreeMap::new(),
             later: BTreeSet::new(),
             held_back: BTreeSet::new(),
             ready: BTreeSet::new(),
-            busy: 0,
+            in_progress: 0,
             refused: BTreeMap::new(),
-            begun: VecDeque::new(),
-            away_until: 0,
-            away_failures: 0,
-            limited: BTreeSet::new(),
-            warn_at: 0,
-            error_at: 0,
+            recent_orders: VecDeque::new(),
+            paused_until: 0,
+            pause_failures: 0,
+            rate_limited: BTreeSet::new(),
+            next_warning_at: 0,
+            next_error_at: 0,
         }
     }
 
     /// Takes over what was remembered over a restart.
-    pub fn remember(
+    pub fn restore(
         &mut self,
         clocks: Clocks,
         orders: &[UnixTime],
         refused: BTreeMap<String, Refusal>,
     ) {
-        let window = self.plan.order_window / SECOND;
+        let window = self.settings.order_window / SECOND;
         let mut known: Vec<_> = orders
             .iter()
             .copied()
             .filter(|w| w + window > clocks.wall)
             .collect();
         known.sort_unstable();
-        known.truncate(self.plan.max_orders);
+        known.truncate(self.settings.max_orders);
         // One that lies ahead was begun before the clock went back: it counts as begun now.
         let age = |w: &UnixTime| clocks.wall.saturating_sub(*w) * SECOND;
-        self.begun = known
+        self.recent_orders = known
             .iter()
             .map(|w| (clocks.now.saturating_sub(age(w)), *w))
             .collect();
@@ -222,23 +223,28 @@
     }
 
     /// What has to be remembered over a restart.
-    pub fn memory(&self) -> (Vec<UnixTime>, BTreeMap<String, Refusal>) {
+    pub fn saved_state(&self) -> (Vec<UnixTime>, BTreeMap<String, Refusal>) {
         (
-            self.begun.iter().map(|(_, wall)| *wall).collect(),
+            self.recent_orders.iter().map(|(_, wall)| *wall).collect(),
             self.refused.clone(),
         )
     }
 
     /// Takes over another plan and other turns.
-    pub fn set(&mut self, clocks: Clocks, plan: PlannerSettings, turns: Box<dyn Ranking + Send>) {
-        (self.plan, self.turns) = (plan, turns);
+    pub fn reconfigure(
+        &mut self,
+        clocks: Clocks,
+        settings: PlannerSettings,
+        ranking: Box<dyn Ranking + Send>,
+    ) {
+        (self.settings, self.ranking) = (settings, ranking);
         let ids: Vec<_> = self.entries.keys().cloned().collect();
         ids.iter().for_each(|id| self.schedule(clocks, id));
     }
 
     /// Which certificates are wanted from now on; each by its names, the first is its id. Those not named any more
     /// are forgotten, an order under way for one of them included.
-    pub fn want(&mut self, clocks: Clocks, all: &[Vec<String>]) {
+    pub fn set_wanted(&mut self, clocks: Clocks, all: &[Vec<String>]) {
         let wanted: BTreeMap<String, Vec<String>> = all
             .iter()
             .filter_map(|names| {
@@ -246,34 +252,35 @@
                 names.first().cloned().map(|id| (id, names))
             })
             .collect();
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .entries
             .keys()
             .filter(|id| !wanted.contains_key(*id))
             .cloned()
             .collect();
-        for id in gone {
+        for id in removed {
             self.unqueue(&id);
             self.entries.remove(&id);
         }
         for (id, names) in wanted {
-            let fresh = Entry {
+            let new_entry = Entry {
                 names: names.clone(),
-                held: None,
+                validity: None,
                 covered: BTreeSet::new(),
                 window: None,
                 failures: 0,
-                why: None,
-                hold: 0,
+                last_failure: None,
+                hold_until: 0,
                 forced: false,
-                early: (0, 0),
-                turned: false,
-                resumes: false,
-                place: Place::Later(u64::MAX),
+                early_renewals: 0,
+                early_hold_until: 0,
+                delay_applied: false,
+                resumable: false,
+                queue_state: QueueState::Later(u64::MAX),
             };
-            let entry = self.entries.entry(id.clone()).or_insert(fresh);
+            let entry = self.entries.entry(id.clone()).or_insert(new_entry);
             if entry.names != names {
-                (entry.names, entry.failures, entry.hold) = (names, 0, 0);
+                (entry.names, entry.failures, entry.hold_until) = (names, 0, 0);
             }
             self.schedule(clocks, &id);
         }
@@ -294,29 +301,29 @@
         &mut self,
         clocks: Clocks,
         id: &str,
-        held: Validity,
+        validity: Validity,
         covered: &[String],
     ) {
         if let Some(entry) = self.entries.get_mut(id) {
-            if entry.held != Some(held) {
-                (entry.window, entry.turned) = (None, false);
+            if entry.validity != Some(validity) {
+                (entry.window, entry.delay_applied) = (None, false);
             }
-            entry.held = Some(held);
+            entry.validity = Some(validity);
             entry.covered = covered.iter().cloned().collect();
             self.schedule(clocks, id);
         }
     }
 
     /// An order from before a restart is there to be taken up: at once, and it was counted then.
-    pub fn resumes(&mut self, clocks: Clocks, id: &str) {
+    pub fn set_resumable(&mut self, clocks: Clocks, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.resumes = true;
+            entry.resumable = true;
             self.schedule(clocks, id);
         }
     }
 
     /// The authority named a window for the one held.
-    pub fn suggested(&mut self, clocks: Clocks, id: &str, window: Window) {
+    pub fn set_window(&mut self, clocks: Clocks, id: &str, window: Window) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.window = Some(window);
             self.schedule(clocks, id);
@@ -324,41 +331,41 @@
     }
 
     /// An operator wants it renewed now, whatever its dates and earlier failures. `false`: there is no such one.
-    pub fn force(&mut self, clocks: Clocks, id: &str) -> bool {
+    pub fn force_renewal(&mut self, clocks: Clocks, id: &str) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
         };
-        (entry.forced, entry.hold, entry.turned) = (true, 0, true);
+        (entry.forced, entry.hold_until, entry.delay_applied) = (true, 0, true);
         let names = entry.names.clone();
         self.refused.retain(|name, _| !names.contains(name));
-        self.away_until = 0;
+        self.paused_until = 0;
         self.schedule(clocks, id);
         true
     }
 
     /// The next order to be made, if one may be begun now. It counts from here on.
-    pub fn next(&mut self, clocks: Clocks) -> Option<Choice> {
-        self.advance(clocks);
-        let busy_most = if self.away_failures > 0 {
+    pub fn next(&mut self, clocks: Clocks) -> Option<PlannedOrder> {
+        self.requeue_due(clocks);
+        let max_in_progress = if self.pause_failures > 0 {
             1
         } else {
-            self.plan.max_concurrent_orders
+            self.settings.max_concurrent_orders
         };
-        if clocks.now < self.away_until || self.busy >= busy_most {
+        if clocks.now < self.paused_until || self.in_progress >= max_in_progress {
             return None;
         }
         while self
-            .begun
+            .recent_orders
             .front()
-            .is_some_and(|(at, _)| clocks.now >= at.saturating_add(self.plan.order_window))
+            .is_some_and(|(at, _)| clocks.now >= at.saturating_add(self.settings.order_window))
         {
-            self.begun.pop_front();
+            self.recent_orders.pop_front();
         }
-        let full = self.begun.len() >= self.plan.max_orders;
-        let may = |id: &String| !full || self.entries.get(id).is_some_and(|e| e.resumes);
+        let full = self.recent_orders.len() >= self.settings.max_orders;
+        let allowed = |id: &String| !full || self.entries.get(id).is_some_and(|e| e.resumable);
         // Where the window is full, only those that were counted before go on; few are.
-        let (_, id) = self.ready.iter().find(|(_, id)| may(id)).cloned()?;
-        let names = self.askable(clocks.wall, &id);
+        let (_, id) = self.ready.iter().find(|(_, id)| allowed(id)).cloned()?;
+        let names = self.orderable_names(clocks.wall, &id);
         self.unqueue(&id);
         let entry = self.entries.get_mut(&id)?;
         if names.is_empty() {
@@ -366,178 +373,187 @@
             self.schedule(clocks, &id);
             return None;
         }
-        entry.place = Place::Busy;
-        self.busy += 1;
-        if !std::mem::take(&mut entry.resumes) {
-            self.begun.push_back((clocks.now, clocks.wall));
+        entry.queue_state = QueueState::InProgress;
+        self.in_progress += 1;
+        if !std::mem::take(&mut entry.resumable) {
+            self.recent_orders.push_back((clocks.now, clocks.wall));
         }
-        Some(Choice { id, names })
+        Some(PlannedOrder { id, names })
     }
 
     /// An order brought a certificate.
-    pub fn succeeded(&mut self, clocks: Clocks, id: &str, held: Validity, covered: &[String]) {
-        self.answers();
-        self.limited.clear();
+    pub fn succeeded(&mut self, clocks: Clocks, id: &str, validity: Validity, covered: &[String]) {
+        self.authority_responded();
+        self.rate_limited.clear();
         for name in covered {
             self.refused.remove(name);
         }
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        (entry.failures, entry.why, entry.hold) = (0, None, 0);
+        (entry.failures, entry.last_failure, entry.hold_until) = (0, None, 0);
         // Guards against an authority whose windows lie in the past always, and against a clock by which what is
         // new is old.
         let early = entry
-            .held
+            .validity
             .is_some_and(|old| clocks.wall < old.at(EARLY_PERCENT))
             && entry.window.is_some();
-        let old = due(&held, None, self.plan.rule, id) <= clocks.wall;
-        entry.early.0 = if (early || old) && !entry.forced {
-            entry.early.0 + 1
+        let old = due(&validity, None, self.settings.rule, id) <= clocks.wall;
+        entry.early_renewals = if (early || old) && !entry.forced {
+            entry.early_renewals + 1
         } else {
             0
         };
-        if entry.early.0 > 0 {
-            entry.early.1 = clocks.wall + wait(Cause::Refused, entry.early.0, None, id) / SECOND;
+        if entry.early_renewals > 0 {
+            entry.early_hold_until =
+                clocks.wall + retry_delay(Cause::Refused, entry.early_renewals, None, id) / SECOND;
         }
         (entry.forced, entry.window) = (false, None);
-        if held.not_after <= clocks.wall {
+        if validity.not_after <= clocks.wall {
             // By this clock it has ended already. One of the two clocks is wrong; asking again at once mends neither.
             entry.failures = 1;
-            entry.why = Some((
-                Cause::Broken,
+            entry.last_failure = Some((
+                Cause::BadResponse,
                 "what was issued has ended by this machine's clock".into(),
             ));
-            entry.hold = clocks.now + wait(Cause::Broken, 4, None, id);
+            entry.hold_until = clocks.now + retry_delay(Cause::BadResponse, 4, None, id);
         }
-        self.unbusy(id);
-        self.set_certificate(clocks, id, held, covered);
+        self.finish_order(id);
+        self.set_certificate(clocks, id, validity, covered);
         self.schedule(clocks, id);
     }
 
     /// An order failed.
     pub fn failed(&mut self, clocks: Clocks, id: &str, failure: &Failure) {
-        self.unbusy(id);
-        let Failure { cause, told, .. } = *failure;
-        if cause.common() {
-            self.away(clocks, cause, told);
+        self.finish_order(id);
+        let Failure {
+            cause, retry_after, ..
+        } = *failure;
+        if cause.affects_all() {
+            self.pause(clocks, cause, retry_after);
         } else {
-            self.answers();
+            self.authority_responded();
         }
         for name in &failure.refused {
-            if self.refused.len() < REFUSED_MOST || self.refused.contains_key(name) {
+            if self.refused.len() < MAX_REFUSED_NAMES || self.refused.contains_key(name) {
                 let refusal = self.refused.entry(name.clone()).or_default();
                 refusal.failures += 1;
-                refusal.until =
-                    clocks.wall + wait(Cause::Refused, refusal.failures, told, name) / SECOND;
+                refusal.until = clocks.wall
+                    + retry_delay(Cause::Refused, refusal.failures, retry_after, name) / SECOND;
             }
         }
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        entry.why = Some((cause, failure.text.clone()));
+        entry.last_failure = Some((cause, failure.text.clone()));
         entry.failures += 1;
-        entry.resumes = failure.keeps_order;
-        if cause == Cause::Unknown {
+        entry.resumable = failure.resumable;
+        if cause == Cause::AccountUnknown {
             // The account is made anew; the order itself did nothing wrong.
-        } else if cause.common() {
-            entry.hold = self.away_until;
+        } else if cause.affects_all() {
+            entry.hold_until = self.paused_until;
         } else if !failure.refused.is_empty() && failure.refused.len() < entry.names.len() {
             // The others go on without it at once.
-            entry.hold = clocks.now;
+            entry.hold_until = clocks.now;
         } else {
-            entry.hold = clocks.now + wait(cause, entry.failures, told, id);
+            entry.hold_until = clocks.now + retry_delay(cause, entry.failures, retry_after, id);
         }
-        let hold = entry.hold;
-        if cause == Cause::Limited {
-            self.limited.insert(id.into());
+        let hold_until = entry.hold_until;
+        if cause == Cause::RateLimited {
+            self.rate_limited.insert(id.into());
             // One may have a limit of its own; two in a row have one in common.
-            if self.limited.len() > 1 {
-                self.away_until = self.away_until.max(hold);
+            if self.rate_limited.len() > 1 {
+                self.paused_until = self.paused_until.max(hold_until);
             }
         }
         self.schedule(clocks, id);
     }
 
     /// The authority is away as a whole, or won't talk to this account.
-    pub fn away(&mut self, clocks: Clocks, cause: Cause, told: Option<Micros>) {
-        self.away_failures += 1;
-        self.away_until = clocks.now + wait(cause, self.away_failures, told, "authority");
+    pub fn pause(&mut self, clocks: Clocks, cause: Cause, retry_after: Option<Micros>) {
+        self.pause_failures += 1;
+        self.paused_until =
+            clocks.now + retry_delay(cause, self.pause_failures, retry_after, "authority");
     }
 
     /// The authority answers.
-    pub fn answers(&mut self) {
-        self.away_failures = 0;
+    pub fn authority_responded(&mut self) {
+        self.pause_failures = 0;
     }
 
     /// Whether something could be ordered if the authority let us: an account is worth having.
-    pub fn wants(&mut self, clocks: Clocks) -> bool {
-        self.advance(clocks);
-        clocks.now >= self.away_until && !self.ready.is_empty()
+    pub fn has_ready(&mut self, clocks: Clocks) -> bool {
+        self.requeue_due(clocks);
+        clocks.now >= self.paused_until && !self.ready.is_empty()
     }
 
     /// Until when the authority is left alone; 0: it is not.
-    pub fn away_until(&self) -> Timestamp {
-        self.away_until
+    pub fn paused_until(&self) -> Timestamp {
+        self.paused_until
     }
 
     /// The next moment at which something may have changed, by the clocks as they are.
-    pub fn wake(&self, clocks: Clocks) -> Option<Timestamp> {
+    pub fn next_wakeup(&self, clocks: Clocks) -> Option<Timestamp> {
         let later = self.later.first().filter(|(at, _)| *at < u64::MAX);
         let later =
             later.map(|(at, _)| clocks.now + at.saturating_sub(clocks.wall).min(1 << 32) * SECOND);
-        let held = self.held_back.first().map(|(at, _)| *at);
+        let held_back = self.held_back.first().map(|(at, _)| *at);
         let ready = (!self.ready.is_empty()).then(|| {
-            let full = self.begun.len() >= self.plan.max_orders;
+            let full = self.recent_orders.len() >= self.settings.max_orders;
             let window = self
-                .begun
+                .recent_orders
                 .front()
                 .filter(|_| full)
-                .map_or(0, |(at, _)| at + self.plan.order_window);
+                .map_or(0, |(at, _)| at + self.settings.order_window);
             // What waits for another to end is looked at when that ends.
-            let free = if self.busy > 0 {
+            let free = if self.in_progress > 0 {
                 clocks.now + 60 * SECOND
             } else {
                 clocks.now
             };
-            self.away_until.max(window).max(free)
+            self.paused_until.max(window).max(free)
         });
-        [later, held, ready].into_iter().flatten().min()
+        [later, held_back, ready].into_iter().flatten().min()
     }
 
     /// What operators have to hear now.
     pub fn notices(&mut self, clocks: Clocks) -> Vec<Notice> {
-        let (warn, error) = (clocks.now >= self.warn_at, clocks.now >= self.error_at);
+        let (warn, error) = (
+            clocks.now >= self.next_warning_at,
+            clocks.now >= self.next_error_at,
+        );
         if !warn && !error {
             return Vec::new();
         }
         let wall = clocks.wall;
-        let held = || {
+        let certificates = || {
             self.entries
                 .iter()
-                .filter_map(|(id, e)| e.held.map(|h| (h, id)))
+                .filter_map(|(id, e)| e.validity.map(|h| (h, id)))
         };
         let mut notices = Vec::new();
         if error {
-            let ended: Vec<_> = held().filter(|(h, _)| wall > h.not_after).collect();
+            let ended: Vec<_> = certificates().filter(|(h, _)| wall > h.not_after).collect();
             if let Some(first) = ended.iter().map(|(h, _)| h.not_after).min() {
-                let (count, names) = (ended.len(), some(&ended));
+                let (count, names) = (ended.len(), notice_names(&ended));
                 notices.push(Notice::Expired {
                     count,
                     since: wall - first,
                     names,
                 });
-                self.error_at = clocks.now + ERROR_EACH;
+                self.next_error_at = clocks.now + ERROR_INTERVAL;
             }
         }
         if warn {
-            let percent = u64::from(self.plan.warn_percent);
-            let ending: Vec<_> = held()
+            let percent = u64::from(self.settings.warn_percent);
+            let ending: Vec<_> = certificates()
                 .filter(|(h, _)| wall >= h.at(percent) && wall <= h.not_after)
                 .collect();
-            let early: Vec<_> = held().filter(|(h, _)| wall < h.not_before).collect();
+            let early: Vec<_> = certificates()
+                .filter(|(h, _)| wall < h.not_before)
+                .collect();
             if let Some(first) = ending.iter().map(|(h, _)| h.not_after).min() {
-                let (count, names) = (ending.len(), some(&ending));
+                let (count, names) = (ending.len(), notice_names(&ending));
                 notices.push(Notice::Expiring {
                     count,
                     left: first - wall,
@@ -545,13 +561,13 @@
                 });
             }
             if !early.is_empty() {
-                notices.push(Notice::NotYet {
+                notices.push(Notice::NotYetValid {
                     count: early.len(),
-                    names: some(&early),
+                    names: notice_names(&early),
                 });
             }
             if !notices.is_empty() {
-                self.warn_at = clocks.now + WARN_EACH;
+                self.next_warning_at = clocks.now + WARN_INTERVAL;
             }
         }
         notices
@@ -560,27 +576,29 @@
     /// How each certificate stands, in the order of their ids.
     pub fn statuses(&self, clocks: Clocks) -> Vec<CertificateStatus> {
         let status = |(id, e): (&String, &Entry)| {
-            let (state, next_s) = match e.place {
-                Place::Later(u64::MAX) => ("later", None),
-                Place::Later(at) => ("later", Some(at.saturating_sub(clocks.wall))),
-                Place::HeldBack(at) => ("held-back", Some(at.saturating_sub(clocks.now) / SECOND)),
-                Place::Ready(_) => (
+            let (state, next_s) = match e.queue_state {
+                QueueState::Later(u64::MAX) => ("later", None),
+                QueueState::Later(at) => ("later", Some(at.saturating_sub(clocks.wall))),
+                QueueState::HeldBack(at) => {
+                    ("held-back", Some(at.saturating_sub(clocks.now) / SECOND))
+                }
+                QueueState::Ready(_) => (
                     "ready",
-                    Some(self.away_until.saturating_sub(clocks.now) / SECOND),
+                    Some(self.paused_until.saturating_sub(clocks.now) / SECOND),
                 ),
-                Place::Busy => ("ordering", None),
+                QueueState::InProgress => ("ordering", None),
             };
             let refused = e
                 .names
                 .iter()
-                .filter(|n| self.held_off(n, clocks.wall))
+                .filter(|n| self.is_held_back(n, clocks.wall))
                 .cloned()
                 .collect();
-            let (id, names, last_failure) = (id.clone(), e.names.clone(), e.why.clone());
+            let (id, names, last_failure) = (id.clone(), e.names.clone(), e.last_failure.clone());
             CertificateStatus {
                 id,
                 names,
-                validity: e.held,
+                validity: e.validity,
                 state,
                 next_s,
                 failures: e.failures,
@@ -592,75 +610,75 @@
     }
 
     /// Orders begun within the window, and how many may be.
-    pub fn budget(&self) -> (usize, usize) {
-        (self.begun.len(), self.plan.max_orders)
+    pub fn order_counts(&self) -> (usize, usize) {
+        (self.recent_orders.len(), self.settings.max_orders)
     }
 
-    fn held_off(&self, name: &str, wall: UnixTime) -> bool {
+    fn is_held_back(&self, name: &str, wall: UnixTime) -> bool {
         self.refused
             .get(name)
-            .is_some_and(|r| r.until > wall && r.until < wall + WAIT_MOST)
+            .is_some_and(|r| r.until > wall && r.until < wall + MAX_WALL_WAIT_S)
     }
 
     /// Names that an order made now would ask for.
-    fn askable(&self, wall: UnixTime, id: &str) -> Vec<String> {
+    fn orderable_names(&self, wall: UnixTime, id: &str) -> Vec<String> {
         let Some(entry) = self.entries.get(id) else {
             return Vec::new();
         };
         entry
             .names
             .iter()
-            .filter(|n| !self.held_off(n, wall))
+            .filter(|n| !self.is_held_back(n, wall))
             .cloned()
             .collect()
     }
 
     /// The second from which something should be ordered for a certificate.
     fn due(&self, wall: UnixTime, id: &str, entry: &Entry) -> UnixTime {
-        if entry.forced || entry.resumes {
+        if entry.forced || entry.resumable {
             return 0;
         }
-        let off = |name: &&String| self.held_off(name, wall);
+        let held_back = |name: &&String| self.is_held_back(name, wall);
         let until = |names: &mut dyn Iterator<Item = &String>| {
             names
                 .filter_map(|n| self.refused.get(n))
                 .map(|r| r.until)
                 .min()
         };
-        let Some(held) = entry.held else {
-            let free = entry.names.iter().any(|n| !off(&n));
+        let Some(validity) = entry.validity else {
+            let free = entry.names.iter().any(|n| !held_back(&n));
             return if free {
                 0
             } else {
                 until(&mut entry.names.iter()).unwrap_or(0)
             };
         };
-        let mut renew = due(&held, entry.window, self.plan.rule, id);
-        if entry.early.0 > 0 && entry.early.1 < wall + WAIT_MOST {
-            renew = renew.max(entry.early.1);
+        let mut renew = due(&validity, entry.window, self.settings.rule, id);
+        if entry.early_renewals > 0 && entry.early_hold_until < wall + MAX_WALL_WAIT_S {
+            renew = renew.max(entry.early_hold_until);
         }
         let missing: Vec<_> = entry
             .names
             .iter()
             .filter(|n| !entry.covered.contains(*n))
             .collect();
-        if missing.iter().any(|n| !off(n)) {
+        if missing.iter().any(|n| !held_back(n)) {
             return 0;
         }
         let complete = until(&mut missing.iter().copied()).unwrap_or(u64::MAX);
         // What the old one stands for is not given up while it holds on for long.
-        let at_stake = until(
+        let covered_until = until(
             &mut entry
                 .names
                 .iter()
                 .filter(|n| entry.covered.contains(*n))
-                .filter(off),
+                .filter(held_back),
         );
-        let renew = match at_stake {
-            Some(until) => renew.max(until.min(held.at(WITHOUT_PERCENT))),
+        let renew = match covered_until {
+            Some(until) => renew.max(until.min(validity.at(DROP_REFUSED_PERCENT))),
             None => renew,
         };
-        let free = entry.names.iter().any(|n| !off(&n));
+        let free = entry.names.iter().any(|n| !held_back(&n));
         let renew = if free {
             renew
         } else {
@@ -674,7 +692,7 @@
         let Some(entry) = self.entries.get(id) else {
             return;
         };
-        if entry.place == Place::Busy {
+        if entry.queue_state == QueueState::InProgress {
             return;
         }
         let due = self.due(clocks.wall, id, entry);
@@ -682,52 +700,58 @@
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        entry.place = if due > clocks.wall {
-            entry.turned = false;
-            Place::Later(due)
+        entry.queue_state = if due > clocks.wall {
+            entry.delay_applied = false;
+            QueueState::Later(due)
         } else {
-            if !std::mem::replace(&mut entry.turned, true) {
+            if !std::mem::replace(&mut entry.delay_applied, true) {
                 let left = entry
-                    .held
+                    .validity
                     .map_or(0, |h| h.not_after.saturating_sub(clocks.wall));
-                entry.hold = entry.hold.max(clocks.now + self.turns.delay(id, left));
+                entry.hold_until = entry
+                    .hold_until
+                    .max(clocks.now + self.ranking.delay(id, left));
             }
-            let urgency = entry.held.map_or(0, |h| h.not_after);
-            if entry.hold > clocks.now {
-                Place::HeldBack(entry.hold)
+            let urgency = entry.validity.map_or(0, |h| h.not_after);
+            if entry.hold_until > clocks.now {
+                QueueState::HeldBack(entry.hold_until)
             } else {
-                Place::Ready(urgency)
+                QueueState::Ready(urgency)
             }
         };
-        match entry.place {
-            Place::Later(at) => drop(self.later.insert((at, id.into()))),
-            Place::HeldBack(at) => drop(self.held_back.insert((at, id.into()))),
-            Place::Ready(at) => drop(self.ready.insert((at, id.into()))),
-            Place::Busy => {}
+        match entry.queue_state {
+            QueueState::Later(at) => drop(self.later.insert((at, id.into()))),
+            QueueState::HeldBack(at) => drop(self.held_back.insert((at, id.into()))),
+            QueueState::Ready(at) => drop(self.ready.insert((at, id.into()))),
+            QueueState::InProgress => {}
         }
     }
 
     fn unqueue(&mut self, id: &str) {
-        match self.entries.get(id).map(|e| e.place) {
-            Some(Place::Later(at)) => drop(self.later.remove(&(at, id.into()))),
-            Some(Place::HeldBack(at)) => drop(self.held_back.remove(&(at, id.into()))),
-            Some(Place::Ready(at)) => drop(self.ready.remove(&(at, id.into()))),
-            Some(Place::Busy) => self.busy -= 1,
+        match self.entries.get(id).map(|e| e.queue_state) {
+            Some(QueueState::Later(at)) => drop(self.later.remove(&(at, id.into()))),
+            Some(QueueState::HeldBack(at)) => drop(self.held_back.remove(&(at, id.into()))),
+            Some(QueueState::Ready(at)) => drop(self.ready.remove(&(at, id.into()))),
+            Some(QueueState::InProgress) => self.in_progress -= 1,
             None => {}
         }
     }
 
-    fn unbusy(&mut self, id: &str) {
-        if self.entries.get(id).is_some_and(|e| e.place == Place::Busy) {
-            self.busy -= 1;
+    fn finish_order(&mut self, id: &str) {
+        if self
+            .entries
+            .get(id)
+            .is_some_and(|e| e.queue_state == QueueState::InProgress)
+        {
+            self.in_progress -= 1;
             if let Some(entry) = self.entries.get_mut(id) {
-                entry.place = Place::Later(u64::MAX);
+                entry.queue_state = QueueState::Later(u64::MAX);
             }
         }
     }
 
     /// Moves what has come due.
-    fn advance(&mut self, clocks: Clocks) {
+    fn requeue_due(&mut self, clocks: Clocks) {
         while let Some((_, id)) = self
             .later
             .first()
@@ -738,7 +762,7 @@
             self.entries
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|e| e.place = Place::Later(0));
+                .for_each(|e| e.queue_state = QueueState::Later(0));
             self.schedule(clocks, &id);
         }
         while let Some((_, id)) = self
@@ -751,16 +775,16 @@
             self.entries
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|e| e.place = Place::HeldBack(0));
+                .for_each(|e| e.queue_state = QueueState::HeldBack(0));
             self.schedule(clocks, &id);
         }
     }
 }
 
-fn some(found: &[(Validity, &String)]) -> Vec<String> {
+fn notice_names(found: &[(Validity, &String)]) -> Vec<String> {
     found
         .iter()
-        .take(TOLD_MOST)
+        .take(MAX_NOTICE_NAMES)
         .map(|(_, id)| id.to_string())
         .collect()
 }
--- a/certs/src/renewal.rs
+++ b/certs/src/renewal.rs
@@ -1,11 +1,11 @@
 //! When a certificate is due, and which front's turn it is.
 use crate::wire::Window;
-use crate::{hash, share, Micros, UnixTime, SECOND};
+use crate::{hash, hash_below, Micros, UnixTime, SECOND};
 
 /// Share of a lifetime, in percent, that is never waited past, whatever window the authority names.
 const LATEST_PERCENT: u64 = 95;
 /// A front that has nothing to serve waits this long for each that stands before it.
-const FIRST_TURN: Micros = 30 * SECOND;
+const FIRST_ORDER_DELAY: Micros = 30 * SECOND;
 
 /// What is known of a certificate that is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,12 +37,12 @@
 /// 4.2), else by the rule. It depends on nothing but its arguments, so a restart changes nothing.
 pub fn due(held: &Validity, window: Option<Window>, rule: Rule, id: &str) -> UnixTime {
     let due = match window {
-        Some(window) => window.start + share(window.end - window.start, &[id, "window"]),
+        Some(window) => window.start + hash_below(window.end - window.start, &[id, "window"]),
         None => {
             let life = held.not_after.saturating_sub(held.not_before);
             let jitter = (u128::from(life) * u128::from(rule.jitter_percent) / 100) as u64;
             held.at(rule.renew_percent.into())
-                .saturating_sub(share(jitter + 1, &[id, "jitter"]))
+                .saturating_sub(hash_below(jitter + 1, &[id, "jitter"]))
         }
     };
     due.min(held.at(LATEST_PERCENT))
@@ -82,7 +82,7 @@
 impl Ranking for HashRanking {
     fn delay(&self, id: &str, left: u64) -> Micros {
         let each = match left {
-            0 => self.takeover_delay.min(FIRST_TURN),
+            0 => self.takeover_delay.min(FIRST_ORDER_DELAY),
             // All turns are over at half of what is left.
             _ => self
                 .takeover_delay
--- a/certs/src/renewal/tests.rs
+++ b/certs/src/renewal/tests.rs
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn due_is_within_the_window_and_the_same_after_each_start() {
+fn the_due_time_is_deterministic_and_within_the_window() {
     let held = Validity {
         not_before: 0,
         not_after: 90 * DAY,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn each_front_has_its_own_rank_and_all_turns_are_over_in_time() {
+fn ranks_are_unique_per_front_and_delays_are_bounded() {
     let fronts: Vec<String> = (1..=7).map(|i| format!("n{i}")).collect();
     let mut first = [0; 7];
     for name in 0..700 {
@@ -61,7 +61,9 @@
         assert!(fronts
             .iter()
             .all(|f| of(f).delay(&id, 7_000) <= 3_500 * SECOND));
-        assert!(fronts.iter().all(|f| of(f).delay(&id, 0) <= 6 * FIRST_TURN));
+        assert!(fronts
+            .iter()
+            .all(|f| of(f).delay(&id, 0) <= 6 * FIRST_ORDER_DELAY));
         ranks.sort_unstable();
         assert_eq!(ranks, (0..7).collect::<Vec<_>>());
     }
--- a/certs/src/url.rs
+++ b/certs/src/url.rs
@@ -1,7 +1,7 @@
 //! URLs of the authority: `https` and nothing else.
 
 /// Bytes that a URL may have.
-const URL_MOST: usize = 2_048;
+const MAX_URL_BYTES: usize = 2_048;
 
 /// A URL in its parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// Takes a URL apart. Refused is whatever could lead elsewhere or into another line of a request: schemes but
     /// `https`, user names, blanks, control bytes, what is not ASCII.
     pub fn parse(text: &str) -> Result<Url, &'static str> {
-        if text.len() > URL_MOST {
+        if text.len() > MAX_URL_BYTES {
             return Err("URL too long");
         }
         if !text.bytes().all(|b| b.is_ascii_graphic()) {
@@ -67,7 +67,7 @@
     }
 
     /// Whether both lead to the same host and port.
-    pub fn same_place(&self, other: &Url) -> bool {
+    pub fn same_host_and_port(&self, other: &Url) -> bool {
         (&self.host, self.port) == (&other.host, other.port)
     }
 
--- a/certs/src/url/tests.rs
+++ b/certs/src/url/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_could_lead_elsewhere_is_no_url() {
+fn urls_that_could_lead_to_another_host_are_rejected() {
     let good = Url::parse("https://CA.example:14000/acme/order/1?x=1").unwrap();
     assert_eq!(
         (good.host.as_str(), good.port, good.path.as_str()),
@@ -14,7 +14,7 @@
     );
     assert!(Url::parse("https://ca.example")
         .unwrap()
-        .same_place(&Url::parse("https://ca.example:443/x").unwrap()));
+        .same_host_and_port(&Url::parse("https://ca.example:443/x").unwrap()));
     for bad in [
         "http://ca.example/",
         "https://",
--- a/certs/src/wire.rs
+++ b/certs/src/wire.rs
@@ -1,15 +1,15 @@
 //! What an authority says, as JSON (RFC 8555, section 7.1; RFC 9773, section 4.2). The bytes were bounded when they
 //! were read; counts and texts are bounded here.
-use crate::tame;
+use crate::sanitize;
 use serde::Deserialize;
 use time::format_description::well_known::Rfc3339;
 
 /// Authorizations of an order, challenges of an authorization, subproblems of a problem, at most.
-const LIST_MOST: usize = 128;
+const MAX_LIST_LENGTH: usize = 128;
 /// Letters of a foreign text that reach the log.
-const TEXT_MOST: usize = 300;
+const MAX_TEXT_CHARS: usize = 300;
 /// Letters of a token (RFC 8555, section 8.1 wants at least 128 bits).
-const TOKEN: std::ops::RangeInclusive<usize> = 22..=256;
+const TOKEN_CHARS: std::ops::RangeInclusive<usize> = 22..=256;
 
 /// The directory (section 7.1.1).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -123,9 +123,9 @@
 
 impl Challenge {
     /// Whether its token is one: base64url letters alone, since it stands in a path (section 8.3).
-    pub fn token_is_sound(&self) -> bool {
-        let letter = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-        TOKEN.contains(&self.token.len()) && self.token.bytes().all(letter)
+    pub fn has_valid_token(&self) -> bool {
+        let is_base64url = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+        TOKEN_CHARS.contains(&self.token.len()) && self.token.bytes().all(is_base64url)
     }
 }
 
@@ -157,26 +157,26 @@
 
 impl Problem {
     /// The type without the prefix of ACME's (section 6.7), `""` where it is of another kind.
-    pub fn short(&self) -> &str {
+    pub fn acme_type(&self) -> &str {
         self.kind
             .strip_prefix("urn:ietf:params:acme:error:")
             .unwrap_or("")
     }
 
     /// One line for log and operator: type, detail and subproblems, tamed.
-    pub fn line(&self) -> String {
-        let kind = if self.short().is_empty() {
+    pub fn summary(&self) -> String {
+        let kind = if self.acme_type().is_empty() {
             &self.kind
         } else {
-            self.short()
+            self.acme_type()
         };
-        let mut line = tame(&format!("{kind}: {}", self.detail), TEXT_MOST);
+        let mut line = sanitize(&format!("{kind}: {}", self.detail), MAX_TEXT_CHARS);
         for sub in self.subproblems.iter().take(3) {
             let name = sub.identifier.as_ref().map_or("", |i| i.value.as_str());
             let kind = sub.kind.rsplit(':').next().unwrap_or("");
-            line.push_str(&tame(
+            line.push_str(&sanitize(
                 &format!("; {name}: {kind}: {}", sub.detail),
-                TEXT_MOST,
+                MAX_TEXT_CHARS,
             ));
         }
         if self.subproblems.len() > 3 {
@@ -195,35 +195,38 @@
     pub end: u64,
 }
 
-fn read<'a, T: Deserialize<'a>>(what: &str, body: &'a [u8]) -> Result<T, String> {
-    serde_json::from_slice(body).map_err(|e| format!("{what}: {}", tame(&e.to_string(), TEXT_MOST)))
+fn parse<'a, T: Deserialize<'a>>(what: &str, body: &'a [u8]) -> Result<T, String> {
+    serde_json::from_slice(body)
+        .map_err(|e| format!("{what}: {}", sanitize(&e.to_string(), MAX_TEXT_CHARS)))
 }
 
 /// Reads a directory.
 pub fn directory(body: &[u8]) -> Result<Directory, String> {
-    read("directory", body)
+    parse("directory", body)
 }
 
 /// Reads an order.
 pub fn order(body: &[u8]) -> Result<Order, String> {
-    let order: Order = read("order", body)?;
-    let fits = order.authorizations.len() <= LIST_MOST;
-    fits.then_some(order)
-        .ok_or_else(|| format!("order: more than {LIST_MOST} authorizations"))
+    let order: Order = parse("order", body)?;
+    let within_limit = order.authorizations.len() <= MAX_LIST_LENGTH;
+    within_limit
+        .then_some(order)
+        .ok_or_else(|| format!("order: more than {MAX_LIST_LENGTH} authorizations"))
 }
 
 /// Reads an authorization.
 pub fn authorization(body: &[u8]) -> Result<Authorization, String> {
-    let found: Authorization = read("authorization", body)?;
-    let fits = found.challenges.len() <= LIST_MOST;
-    fits.then_some(found)
-        .ok_or_else(|| format!("authorization: more than {LIST_MOST} challenges"))
+    let found: Authorization = parse("authorization", body)?;
+    let within_limit = found.challenges.len() <= MAX_LIST_LENGTH;
+    within_limit
+        .then_some(found)
+        .ok_or_else(|| format!("authorization: more than {MAX_LIST_LENGTH} challenges"))
 }
 
 /// Reads a problem; what is none becomes one without a type.
 pub fn problem(body: &[u8]) -> Problem {
-    let mut problem: Problem = read("problem", body).unwrap_or_default();
-    problem.subproblems.truncate(LIST_MOST);
+    let mut problem: Problem = parse("problem", body).unwrap_or_default();
+    problem.subproblems.truncate(MAX_LIST_LENGTH);
     problem
 }
 
@@ -232,14 +235,14 @@
     #[derive(Deserialize)]
     struct Info {
         #[serde(rename = "suggestedWindow")]
-        window: Micros,
+        window: Bounds,
     }
     #[derive(Deserialize)]
-    struct Micros {
+    struct Bounds {
         start: String,
         end: String,
     }
-    let info: Info = read("renewal information", body)?;
+    let info: Info = parse("renewal information", body)?;
     let timestamp = |text: &str| {
         let at = time::OffsetDateTime::parse(text, &Rfc3339)
             .ok()
--- a/certs/src/wire/tests.rs
+++ b/certs/src/wire/tests.rs
@@ -1,26 +1,26 @@
 use super::*;
 
 #[test]
-fn problems_are_told_in_one_tame_line() {
+fn a_problem_summary_is_one_sanitized_line() {
     let text =
         br#"{"type":"urn:ietf:params:acme:error:compound","detail":"a\nb\u001b[31m","status":400,
             "subproblems":[{"type":"urn:ietf:params:acme:error:caa","detail":"no","identifier":
             {"type":"dns","value":"x.example"}},{},{},{}]}"#;
     let found = problem(text);
-    assert_eq!(found.short(), "compound");
+    assert_eq!(found.acme_type(), "compound");
     assert!(
         found
-            .line()
+            .summary()
             .starts_with("compound: a b [31m; x.example: caa: no"),
         "{}",
-        found.line()
+        found.summary()
     );
-    assert!(found.line().ends_with("; and 1 more"));
+    assert!(found.summary().ends_with("; and 1 more"));
     assert_eq!(problem(b"<html>"), Problem::default());
 }
 
 #[test]
-fn windows_are_read_and_those_that_are_none_are_not() {
+fn renewal_windows_are_parsed_and_invalid_ones_rejected() {
     let info = |start: &str, end: &str| {
         renewal_info(
             format!(r#"{{"suggestedWindow":{{"start":"{start}","end":"{end}"}}}}"#).as_bytes(),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn odd_bytes_are_no_answers() {
+fn corrupted_documents_do_not_panic_and_lists_are_bounded() {
     let texts: [&[u8]; 3] = [
         br#"{"status":"pending","authorizations":["https://a/1"],"finalize":"https://a/f"}"#,
         br#"{"identifier":{"type":"dns","value":"a"},"status":"valid","challenges":[]}"#,
@@ -55,12 +55,12 @@
             order(&bytes),
             authorization(&bytes),
             directory(&bytes),
-            problem(&bytes).line(),
+            problem(&bytes).summary(),
         );
     }
     let many = format!(
         r#"{{"status":"pending","authorizations":[{}"x"]}}"#,
-        "\"x\",".repeat(LIST_MOST)
+        "\"x\",".repeat(MAX_LIST_LENGTH)
     );
     assert!(order(many.as_bytes()).is_err());
 }
--- a/certs/tests/common/mod.rs
+++ b/certs/tests/common/mod.rs
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub struct Disk {
     /// What would be there after a loss of power.
-    kept: BTreeMap<String, Vec<u8>>,
+    durable: BTreeMap<String, Vec<u8>>,
     /// What is there now: names to contents, with whether those are synced.
     live: BTreeMap<String, (Vec<u8>, bool)>,
     pub steps: usize,
@@ -46,15 +46,15 @@
     /// Power is lost: what was not synced is gone or torn.
     pub fn lose_power(&mut self) {
         self.live = self
-            .kept
+            .durable
             .iter()
             .map(|(n, b)| (n.clone(), (b.clone(), true)))
             .collect();
         self.kill_at = None;
     }
 
-    pub fn put(&mut self, name: &str, bytes: &[u8]) {
-        self.kept.insert(name.into(), bytes.to_vec());
+    pub fn insert_file(&mut self, name: &str, bytes: &[u8]) {
+        self.durable.insert(name.into(), bytes.to_vec());
         self.live.insert(name.into(), (bytes.to_vec(), true));
     }
 
@@ -106,7 +106,7 @@
                 bytes[..bytes.len() / 2].to_vec()
             }
         };
-        self.kept = self
+        self.durable = self
             .live
             .iter()
             .map(|(n, f)| (n.clone(), torn(f)))
@@ -122,12 +122,12 @@
         Ok(self.names())
     }
 
-    fn mine(&self) -> &str {
+    fn writer_id(&self) -> &str {
         "me"
     }
 }
 
-pub fn plan() -> PlannerSettings {
+pub fn planner_settings() -> PlannerSettings {
     PlannerSettings {
         rule: Rule {
             renew_percent: 67,
@@ -140,7 +140,7 @@
     }
 }
 
-pub fn ranked(me: &str, fronts: &[&str]) -> HashRanking {
+pub fn ranking(me: &str, fronts: &[&str]) -> HashRanking {
     let fronts = fronts.iter().map(|f| f.to_string()).collect();
     HashRanking {
         front_name: me.into(),
@@ -152,34 +152,34 @@
 /// The authority, seen from all fronts of a test.
 pub type Shared<T> = Rc<RefCell<T>>;
 
-pub struct World {
+pub struct Simulation {
     pub now: Timestamp,
     /// What the machine's clock shows beyond the true one, in seconds.
-    pub off: i64,
+    pub clock_offset_s: i64,
     pub client: Client,
     pub authority: Shared<Authority>,
     pub disk: Option<Shared<Disk>>,
-    pub shown: Vec<Challenge>,
+    pub published: Vec<Challenge>,
     pub served: BTreeMap<String, Vec<Identity>>,
-    pub notes: Vec<(u64, LogEntry)>,
+    pub log: Vec<(u64, LogEntry)>,
     pub replies: Vec<Result<String, String>>,
     pub fresh_tickets: u32,
     events: Vec<(Timestamp, u64, Event)>,
-    seen: u64,
+    event_count: u64,
     /// Actions carried out; at `kill_at` nothing more is.
     pub actions: usize,
     pub kill_at: Option<usize>,
     names: Vec<Vec<String>>,
     settings: Settings,
-    me: (String, Vec<String>),
-    pub plan: PlannerSettings,
+    identity: (String, Vec<String>),
+    pub planner_settings: PlannerSettings,
     /// Requests by the first step of their path.
-    pub asked: HashMap<String, usize>,
+    pub requests: HashMap<String, usize>,
 }
 
 /// How long an exchange, and anything else, takes.
-const EXCHANGE: Micros = 50_000;
-const LOCAL: Micros = 1_000;
+const EXCHANGE_TIME: Micros = 50_000;
+const LOCAL_TIME: Micros = 1_000;
 
 pub fn authority() -> Shared<Authority> {
     Rc::new(RefCell::new(Authority::new(
@@ -192,12 +192,12 @@
     Rc::default()
 }
 
-impl World {
+impl Simulation {
     pub fn new(
         authority: &Shared<Authority>,
         disk: Option<&Shared<Disk>>,
         names: &[&[&str]],
-    ) -> World {
+    ) -> Simulation {
         Self::front("n1", &["n1"], authority, disk, names)
     }
 
@@ -207,7 +207,7 @@
         authority: &Shared<Authority>,
         disk: Option<&Shared<Disk>>,
         names: &[&[&str]],
-    ) -> World {
+    ) -> Simulation {
         let names: Vec<Vec<String>> = names
             .iter()
             .map(|n| n.iter().map(|n| n.to_string()).collect())
@@ -219,40 +219,48 @@
             challenge_type: ChallengeType::Http,
             shared: fronts.len() > 1,
         };
-        let mut world = World {
+        let mut sim = Simulation {
             now: 5 * SECOND,
-            off: 0,
-            client: Client::new(Some(settings.clone()), plan(), Box::new(ranked(me, fronts))),
+            clock_offset_s: 0,
+            client: Client::new(
+                Some(settings.clone()),
+                planner_settings(),
+                Box::new(ranking(me, fronts)),
+            ),
             authority: Rc::clone(authority),
             disk: disk.cloned(),
-            shown: vec![],
+            published: vec![],
             served: BTreeMap::new(),
-            notes: vec![],
+            log: vec![],
             replies: vec![],
             fresh_tickets: 0,
             events: vec![],
-            seen: 0,
+            event_count: 0,
             actions: 0,
             kill_at: None,
             names,
             settings,
-            me: (me.into(), fronts.iter().map(|f| f.to_string()).collect()),
-            plan: plan(),
-            asked: HashMap::new(),
+            identity: (me.into(), fronts.iter().map(|f| f.to_string()).collect()),
+            planner_settings: planner_settings(),
+            requests: HashMap::new(),
         };
-        world.begin();
-        world
+        sim.begin();
+        sim
     }
 
     /// The program starts: nothing is left but the folder.
     fn begin(&mut self) {
-        let fronts: Vec<&str> = self.me.1.iter().map(String::as_str).collect();
-        let turns = || Box::new(ranked(&self.me.0, &fronts));
-        let mut client = Client::new(Some(self.settings.clone()), self.plan, turns());
+        let fronts: Vec<&str> = self.identity.1.iter().map(String::as_str).collect();
+        let new_ranking = || Box::new(ranking(&self.identity.0, &fronts));
+        let mut client = Client::new(
+            Some(self.settings.clone()),
+            self.planner_settings,
+            new_ranking(),
+        );
         let mut out = Vec::new();
         client.handle(
             self.clocks(),
-            Event::Configure(self.plan, turns(), self.names.clone()),
+            Event::Configure(self.planner_settings, new_ranking(), self.names.clone()),
             &mut out,
         );
         let loaded = match &self.disk {
@@ -268,36 +276,39 @@
         if let Some(disk) = &self.disk {
             disk.borrow_mut().lose_power();
         }
-        (self.events, self.shown, self.served) = (vec![], vec![], BTreeMap::new());
+        (self.events, self.published, self.served) = (vec![], vec![], BTreeMap::new());
         self.kill_at = None;
         self.begin();
     }
 
-    pub fn with(&mut self, change: impl Fn(&mut Settings)) {
+    pub fn restart_with(&mut self, change: impl Fn(&mut Settings)) {
         change(&mut self.settings);
         self.restart();
     }
 
-    pub fn true_wall(&self) -> u64 {
+    pub fn true_unix_time(&self) -> u64 {
         START + self.now / SECOND
     }
 
     pub fn clocks(&self) -> Clocks {
         Clocks {
             now: self.now,
-            wall: self.true_wall().saturating_add_signed(self.off),
+            wall: self
+                .true_unix_time()
+                .saturating_add_signed(self.clock_offset_s),
         }
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
         self.client.handle(self.clocks(), event, &mut out);
         self.carry_out(out);
     }
 
-    fn later(&mut self, after: Micros, event: Event) {
-        self.seen += 1;
-        self.events.push((self.now + after, self.seen, event));
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.event_count += 1;
+        self.events
+            .push((self.now + after, self.event_count, event));
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
@@ -307,9 +318,9 @@
             }
             self.actions += 1;
             match action {
-                Action::Request(task, ask) => {
-                    let answer = self.ask(&ask);
-                    self.later(EXCHANGE, Event::Response(task, answer));
+                Action::Request(task, request) => {
+                    let response = self.exchange(&request);
+                    self.schedule(EXCHANGE_TIME, Event::Response(task, response));
                 }
                 Action::GenerateKey(task, key) => {
                     let event = match generate_key(&key) {
@@ -317,44 +328,47 @@
                         Ok(GeneratedKey::Account(key)) => Event::AccountKey(task, Ok(key)),
                         Err(e) => panic!("{e}"),
                     };
-                    self.later(LOCAL, event);
+                    self.schedule(LOCAL_TIME, event);
                 }
                 Action::Save(task, what) => {
                     let done = match &self.disk {
                         Some(disk) => disk::save(&mut *disk.borrow_mut(), &what),
                         None => Ok(()),
                     };
-                    self.later(LOCAL, Event::Done(task, done));
+                    self.schedule(LOCAL_TIME, Event::Done(task, done));
                 }
                 Action::Publish(task, challenge) => {
-                    self.shown.push(challenge);
-                    self.later(LOCAL, Event::Done(task, Ok(())));
+                    self.published.push(challenge);
+                    self.schedule(LOCAL_TIME, Event::Done(task, Ok(())));
                 }
-                Action::Withdraw(challenge) => self.shown.retain(|c| *c != challenge),
+                Action::Withdraw(challenge) => self.published.retain(|c| *c != challenge),
                 Action::Reread(task, id) => {
                     let found = self
                         .disk
                         .as_ref()
                         .and_then(|d| disk::reread(&mut *d.borrow_mut(), &id));
-                    self.later(LOCAL, Event::Reread(task, found.map(Box::new)));
+                    self.schedule(LOCAL_TIME, Event::Reread(task, found.map(Box::new)));
                 }
                 Action::Serve(id, all, fresh) => {
                     self.fresh_tickets += u32::from(fresh);
                     self.served.insert(id, all);
                 }
-                Action::Reply(_, answer) => self.replies.push(answer),
+                Action::Reply(_, response) => self.replies.push(response),
                 Action::Log(note) => {
-                    let at = self.true_wall();
-                    self.notes.push((at, note));
+                    let at = self.true_unix_time();
+                    self.log.push((at, note));
                 }
             }
         }
     }
 
-    fn ask(&mut self, ask: &cranesill_certs::Request) -> Result<Response, String> {
-        assert_eq!(ask.url.host, "ca.example", "nothing may be sent elsewhere");
+    fn exchange(&mut self, request: &cranesill_certs::Request) -> Result<Response, String> {
+        assert_eq!(
+            request.url.host, "ca.example",
+            "nothing may be sent elsewhere"
+        );
         let mut authority = self.authority.borrow_mut();
-        let first = ask
+        let first = request
             .url
             .path
             .trim_matches('/')
@@ -362,16 +376,16 @@
             .next()
             .unwrap_or("")
             .to_string();
-        *self.asked.entry(first).or_default() += 1;
+        *self.requests.entry(first).or_default() += 1;
         if authority.faults.vanished {
             return Err("connection refused".into());
         }
-        let method = match ask.method {
+        let method = match request.method {
             Method::Get => "GET",
             Method::Head => "HEAD",
             Method::Post => "POST",
         };
-        let body = ask
+        let body = request
             .sign
             .as_ref()
             .map(|s| s.body().unwrap())
@@ -379,21 +393,21 @@
             .into_bytes();
         let request = Request {
             method: method.into(),
-            path: ask.url.path.clone(),
+            path: request.url.path.clone(),
             content_type: "application/jose+json".into(),
             body,
         };
         let wall = START + self.now / SECOND;
-        let answer = authority.handle(wall, &request);
+        let response = authority.handle(wall, &request);
         for check in authority.checks() {
-            let shown = self.shown.iter().any(|c| {
+            let published = self.published.iter().any(|c| {
                 c.name == check.name
                     && c.token == check.token
                     && c.authorization == check.authorization
             });
             authority.checked(
                 &check,
-                if shown {
+                if published {
                     Ok(())
                 } else {
                     Err("nothing is shown".into())
@@ -401,19 +415,19 @@
             );
         }
         let field = |name: &str| {
-            answer
+            response
                 .fields
                 .iter()
                 .find(|(n, _)| n.eq_ignore_ascii_case(name))
                 .map(|(_, v)| v.clone())
         };
         Ok(Response {
-            status: answer.status,
+            status: response.status,
             nonce: field("replay-nonce"),
             location: field("location"),
             retry_after: field("retry-after").and_then(|v| v.parse().ok()),
             date: Some(wall.saturating_add_signed(authority.clock)),
-            body: answer.body,
+            body: response.body,
         })
     }
 
@@ -423,7 +437,7 @@
     }
 
     /// Lets seconds pass for as long as something holds.
-    pub fn run_while(&mut self, seconds: u64, holds: impl Fn(&World) -> bool) -> bool {
+    pub fn run_while(&mut self, seconds: u64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let until = self.now + seconds * SECOND;
         let mut ticked = false;
         loop {
@@ -448,27 +462,27 @@
                 _ => Event::Tick,
             };
             ticked = matches!(event, Event::Tick);
-            self.tell(event);
+            self.handle(event);
         }
     }
 
     /// Whether something that holds by the true clock is served for a name.
-    pub fn good(&self, name: &str) -> bool {
-        let wall = self.true_wall();
+    pub fn has_valid(&self, name: &str) -> bool {
+        let wall = self.true_unix_time();
         self.served
             .values()
             .flatten()
             .any(|i| i.covers(name) && i.is_valid_at(wall))
     }
 
-    pub fn loud(&self, kind: &str) -> usize {
-        self.notes
+    pub fn warnings(&self, kind: &str) -> usize {
+        self.log
             .iter()
             .filter(|(_, n)| n.kind == kind && n.level >= Level::Warn)
             .count()
     }
 
-    pub fn story(&self) -> String {
+    pub fn recent_log(&self) -> String {
         let line = |(at, n): &(u64, LogEntry)| {
             format!(
                 "{} {:?} {} {}: {}",
@@ -479,7 +493,7 @@
                 n.text
             )
         };
-        self.notes
+        self.log
             .iter()
             .rev()
             .take(25)
