--- a/certs/tests/exchange.rs
+++ b/certs/tests/exchange.rs
@@ -5,7 +5,7 @@
 use cranesill_standins::acme::{Faults, Server};
 use std::time::{Duration, Instant};
 
-fn ask(url: &str) -> Request {
+fn request(url: &str) -> Request {
     Request {
         method: Method::Get,
         url: Url::parse(url).unwrap(),
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn answers_that_never_end_stop_short_or_come_by_the_byte_are_given_up_in_time() {
+fn endless_truncated_and_slow_responses_fail_within_the_deadline() {
     let server = Server::start("127.0.0.1:0".parse().unwrap(), 1, 1, 3).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("root.pem");
@@ -24,7 +24,7 @@
     let within = |ms: u64| {
         exchange(
             &config,
-            &ask(&url),
+            &request(&url),
             Instant::now() + Duration::from_millis(ms),
             100_000,
         )
@@ -74,21 +74,21 @@
     ];
     for (what, fault, word) in faults {
         server.authority().faults = fault;
-        let begun = Instant::now();
+        let recent_orders = Instant::now();
         match within(1_500) {
-            Ok(answer) => assert_eq!((what, answer.status), ("down", 503)),
+            Ok(response) => assert_eq!((what, response.status), ("down", 503)),
             Err(why) => assert!(why.contains(word) && !why.contains('\n'), "{what}: {why}"),
         }
         assert!(
-            begun.elapsed() < Duration::from_millis(2_500),
+            recent_orders.elapsed() < Duration::from_millis(2_500),
             "{what}: {:?}",
-            begun.elapsed()
+            recent_orders.elapsed()
         );
     }
 }
 
 #[test]
-fn an_authority_under_another_root_is_not_spoken_to() {
+fn no_request_is_sent_to_an_authority_with_an_untrusted_root() {
     let server = Server::start("127.0.0.1:0".parse().unwrap(), 1, 1, 3).unwrap();
     let other = cranesill_standins::acme::Issuer::new();
     let folder = tempfile::tempdir().unwrap();
@@ -97,7 +97,7 @@
     let config = load_roots(&file).unwrap();
     let why = exchange(
         &config,
-        &ask(&server.directory()),
+        &request(&server.directory()),
         Instant::now() + Duration::from_secs(10),
         1_000,
     );
--- a/certs/tests/planner.rs
+++ b/certs/tests/planner.rs
@@ -1,7 +1,7 @@
 //! Properties of the planner, over seeds: never more orders than allowed, and every name renewed in time as long as
 //! the authority works for some hours in each lifetime.
 mod common;
-use common::{plan, ranked, DAY, HOUR, START};
+use common::{planner_settings, ranking, DAY, HOUR, START};
 use cranesill_certs::error::Failure;
 use cranesill_certs::planner::{Planner, PlannerSettings};
 use cranesill_certs::renewal::{Rule, Validity};
@@ -21,7 +21,7 @@
     }
 }
 
-fn failure(cause: Cause, name: &str, told: Option<u64>) -> Failure {
+fn failure(cause: Cause, name: &str, retry_after: Option<u64>) -> Failure {
     let refused = if cause == Cause::Refused {
         vec![name.to_string()]
     } else {
@@ -30,16 +30,16 @@
     Failure {
         cause,
         refused,
-        told: told.map(|s| s * SECOND),
+        retry_after: retry_after.map(|s| s * SECOND),
         text: "played".into(),
-        keeps_order: false,
+        resumable: false,
     }
 }
 
 /// Plays a planner for a span against an authority that answers by random numbers; `works` says when it does at all.
-fn play(
+fn run_planner(
     seed: u64,
-    plan: PlannerSettings,
+    planner_settings: PlannerSettings,
     names: usize,
     lifetime: u64,
     span: u64,
@@ -47,53 +47,62 @@
     mut check: impl FnMut(u64, &BTreeMap<String, Validity>, &VecDeque<Timestamp>),
 ) {
     let mut rng = Rng(seed);
-    let mut planner = Planner::new(plan, Box::new(ranked("n1", &["n1", "n2", "n3"])));
+    let mut planner = Planner::new(
+        planner_settings,
+        Box::new(ranking("n1", &["n1", "n2", "n3"])),
+    );
     let mut now = SECOND;
     let at = |now: Timestamp| Clocks {
         now,
         wall: START + now / SECOND,
     };
     let all: Vec<_> = (0..names).map(|i| vec![format!("n{i}.example")]).collect();
-    planner.want(at(now), &all);
-    let (mut held, mut begun, mut busy) = (
+    planner.set_wanted(at(now), &all);
+    let (mut held, mut recent_orders, mut in_progress) = (
         BTreeMap::new(),
         VecDeque::new(),
         Vec::<(Timestamp, String)>::new(),
     );
     while now < span * SECOND {
         let clocks = at(now);
-        while let Some(choice) = planner.next(clocks) {
-            begun.push_back(now);
-            busy.push((now + (1 + rng.below(90)) * SECOND, choice.id));
+        while let Some(planned) = planner.next(clocks) {
+            recent_orders.push_back(now);
+            in_progress.push((now + (1 + rng.below(90)) * SECOND, planned.id));
         }
-        assert!(busy.len() <= plan.max_concurrent_orders, "seed {seed}");
-        while begun.front().is_some_and(|t| now >= t + plan.order_window) {
-            begun.pop_front();
+        assert!(
+            in_progress.len() <= planner_settings.max_concurrent_orders,
+            "seed {seed}"
+        );
+        while recent_orders
+            .front()
+            .is_some_and(|t| now >= t + planner_settings.order_window)
+        {
+            recent_orders.pop_front();
         }
         assert!(
-            begun.len() <= plan.max_orders,
+            recent_orders.len() <= planner_settings.max_orders,
             "seed {seed}: {} orders in a window",
-            begun.len()
+            recent_orders.len()
         );
-        check(clocks.wall, &held, &begun);
-        let done: Vec<_> = busy
+        check(clocks.wall, &held, &recent_orders);
+        let done: Vec<_> = in_progress
             .iter()
             .filter(|(at, _)| *at <= now)
             .map(|(_, id)| id.clone())
             .collect();
-        busy.retain(|(at, _)| *at > now);
+        in_progress.retain(|(at, _)| *at > now);
         for id in done {
-            let fate = rng.below(20);
+            let outcome = rng.below(20);
             if !works(clocks.wall - START) {
-                let told = (fate < 3).then_some(fate * 600);
-                planner.failed(clocks, &id, &failure(Cause::Unreachable, &id, told));
-            } else if fate == 0 {
-                planner.failed(clocks, &id, &failure(Cause::Broken, &id, None));
-            } else if fate == 1 {
+                let retry_after = (outcome < 3).then_some(outcome * 600);
+                planner.failed(clocks, &id, &failure(Cause::Unreachable, &id, retry_after));
+            } else if outcome == 0 {
+                planner.failed(clocks, &id, &failure(Cause::BadResponse, &id, None));
+            } else if outcome == 1 {
                 planner.failed(
                     clocks,
                     &id,
-                    &failure(Cause::Limited, &id, Some(rng.below(1_800))),
+                    &failure(Cause::RateLimited, &id, Some(rng.below(1_800))),
                 );
             } else {
                 let new = Validity {
@@ -104,8 +113,8 @@
                 held.insert(id, new);
             }
         }
-        let next = planner.wake(at(now)).unwrap_or(now + HOUR * SECOND);
-        let busy_next = busy
+        let next = planner.next_wakeup(at(now)).unwrap_or(now + HOUR * SECOND);
+        let busy_next = in_progress
             .iter()
             .map(|(at, _)| *at)
             .min()
@@ -118,22 +127,22 @@
 }
 
 #[test]
-fn never_more_orders_than_allowed_and_all_renewed_while_the_authority_works_for_some_hours() {
+fn orders_stay_within_the_limit_and_all_names_are_renewed_despite_outages() {
     for seed in 0..60 {
         let lifetime = [6 * DAY, 10 * DAY, 90 * DAY][seed as usize % 3];
-        let plan = PlannerSettings {
+        let planner_settings = PlannerSettings {
             max_orders: 40,
             max_concurrent_orders: 1 + seed as usize % 4,
-            ..plan()
+            ..planner_settings()
         };
         // It works for eight hours in each tenth of a lifetime, at a time that depends on the seed.
         let period = lifetime / 10;
         let from = (seed * 7_919) % (period - 8 * HOUR);
         let works = |t: u64| (from..from + 8 * HOUR).contains(&(t % period));
         let names = 60;
-        play(
+        run_planner(
             seed,
-            plan,
+            planner_settings,
             names,
             lifetime,
             3 * lifetime,
@@ -150,23 +159,23 @@
 }
 
 #[test]
-fn an_authority_that_never_works_is_asked_less_and_less() {
+fn orders_to_a_failing_authority_back_off() {
     for seed in 0..20 {
         let mut orders = 0;
         let mut last = 0;
-        play(
+        run_planner(
             seed,
             PlannerSettings {
                 max_orders: 500,
-                ..plan()
+                ..planner_settings()
             },
             300,
             90 * DAY,
             10 * DAY,
             |_| false,
-            |_, _, begun| {
-                if begun.back().is_some_and(|t| *t != last) {
-                    last = *begun.back().unwrap();
+            |_, _, recent_orders| {
+                if recent_orders.back().is_some_and(|t| *t != last) {
+                    last = *recent_orders.back().unwrap();
                     orders += 1;
                 }
             },
@@ -179,23 +188,23 @@
 }
 
 #[test]
-fn ten_thousand_names_are_planned_without_a_scan_over_all() {
+fn ten_thousand_names_are_renewed() {
     let rule = Rule {
         renew_percent: 67,
         jitter_percent: 20,
     };
-    let plan = PlannerSettings {
+    let planner_settings = PlannerSettings {
         rule,
         max_orders: 100_000,
-        ..plan()
+        ..planner_settings()
     };
-    let mut planner = Planner::new(plan, Box::new(ranked("n1", &["n1"])));
+    let mut planner = Planner::new(planner_settings, Box::new(ranking("n1", &["n1"])));
     let at = |wall: u64| Clocks {
         now: (wall - START + 1) * SECOND,
         wall,
     };
     let ids: Vec<_> = (0..10_000).map(|i| format!("n{i}.example")).collect();
-    planner.want(
+    planner.set_wanted(
         at(START),
         &ids.iter().map(|id| vec![id.clone()]).collect::<Vec<_>>(),
     );
@@ -208,12 +217,12 @@
     let (mut wall, mut renewed) = (START, 0);
     while wall < START + 62 * DAY {
         wall += 60;
-        while let Some(choice) = planner.next(at(wall)) {
+        while let Some(planned) = planner.next(at(wall)) {
             let new = Validity {
                 not_before: wall,
                 not_after: wall + 90 * DAY,
             };
-            planner.succeeded(at(wall), &choice.id, new, &choice.names);
+            planner.succeeded(at(wall), &planned.id, new, &planned.names);
             renewed += 1;
         }
     }
