--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -1,6 +1,6 @@
-//! The whole of ACME as one state machine: the planner chooses, the account stands behind it, orders go their way,
-//! each in a task of its own with one request out at a time. Nonces, the account and the rule that nothing is
-//! sent to any place but the configured authority are here.
+//! The ACME client as a state machine. It sets up the directory and the account, starts the orders that the planner
+//! returns, and runs each of them as a task with at most one request in flight. It also manages nonces and rejects every
+//! URL that is not on the host and port of the configured authority.
 mod operators;
 mod orders;
 mod renewal_info;
@@ -26,42 +26,44 @@
 use std::sync::Arc;
 use tasks::{Task, TaskKind};
 
-/// Nonces that are kept, and letters of one.
+/// Maximum number of unused nonces.
 const MAX_NONCES: usize = 8;
+/// Longer nonces are ignored.
 const MAX_NONCE_CHARS: usize = 512;
-/// A request that is refused for its nonce goes out again this often (RFC 8555, section 6.5).
+/// Retries of a request that was rejected because of its nonce (RFC 8555, section 6.5).
 const MAX_NONCE_RETRIES: u8 = 5;
-/// A directory is asked for anew after this long.
+/// The directory is fetched again after this time.
 const MAX_DIRECTORY_AGE: Micros = 24 * 3_600 * SECOND;
-/// Pauses between two looks at renewal information (RFC 9773, section 4.3): without, and with a word of the
-/// authority.
+/// Interval between requests for renewal information (RFC 9773, section 4.3), and the limits within which the interval
+/// requested by the authority is accepted.
 const RENEWAL_INFO_INTERVAL: Micros = 6 * 3_600 * SECOND;
 const MIN_RENEWAL_INFO_INTERVAL: Micros = 60 * SECOND;
 const MAX_RENEWAL_INFO_INTERVAL: Micros = 24 * 3_600 * SECOND;
-/// What an operator may have under way at once.
+/// Maximum number of operator commands that wait for the authority.
 const MAX_OPERATOR_TASKS: usize = 8;
-/// The clock of this machine and the authority's may differ by this many seconds before somebody is told.
+/// Difference in seconds between the clocks of this machine and of the authority above which a warning is logged.
 const MAX_SKEW_S: u64 = 300;
-/// The longest pause until the next look at the wall clock, which may jump.
+/// Maximum interval between ticks. The wall clock may jump, so it has to be checked regularly.
 const MAX_TICK_INTERVAL: Micros = 30 * SECOND;
-/// The shortest.
+/// Minimum delay until the next tick for the planner and renewal information.
 const MIN_TICK_INTERVAL: Micros = 50_000;
-/// What the client goes by beside its certificates.
+
+/// The authority and the account.
 #[derive(Clone)]
 pub struct Settings {
-    /// URL of the directory.
+    /// Directory URL of the authority.
     pub directory_url: String,
-    /// `mailto:` addresses.
+    /// Contact URLs of the account, e.g. `mailto:` addresses.
     pub contacts: Vec<String>,
-    /// Id and HMAC key of an external account: a secret.
+    /// Key id and HMAC key of an external account. The key must not be logged.
     pub external: Option<(String, Vec<u8>)>,
-    /// How control of names is shown.
+    /// Challenge type used to prove control of names.
     pub challenge_type: ChallengeType,
-    /// The folder may be another front's too: it is read again before an order.
+    /// Other fronts share the folder, so that it is checked for a renewed certificate before an order.
     pub shared: bool,
 }
 
-/// The client.
+/// The ACME client.
 pub struct Client {
     settings: Option<Settings>,
     planner: Planner,
@@ -74,14 +76,15 @@
     pending: BTreeMap<String, PendingOrder>,
     served: BTreeMap<String, Vec<Identity>>,
     renewal_info_queue: BTreeSet<(Timestamp, String)>,
-    /// By how many seconds the authority's clock is ahead, as told last.
+    /// Seconds by which the clock of the authority is ahead, from its last response.
     skew: Option<i64>,
     started: bool,
     saved: State,
     pending_writes: PendingWrites,
 }
+
 impl Client {
-    /// A client for an authority, or for none: then it watches dates alone.
+    /// Creates a client. Without `settings` it orders nothing and only reports the expiry of certificates.
     pub fn new(
         settings: Option<Settings>,
         planner_settings: PlannerSettings,
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event and appends the actions for the driver to `out`.
     pub fn handle(&mut self, clocks: Clocks, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Start(loaded) => self.start(clocks, *loaded, out),
@@ -142,7 +145,7 @@
             Event::Renew(operator, id) => {
                 let known = self.settings.is_some() && self.planner.force_renewal(clocks, &id);
                 let response = if known {
-                    Ok("it is ordered next".into())
+                    Ok(format!("{id}: renewal scheduled"))
                 } else {
                     Err(self.unknown_certificate(&id))
                 };
@@ -154,8 +157,11 @@
                 if self.account.as_ref().is_none_or(|a| a.url.is_none())
                     || self.operator_tasks() >= MAX_OPERATOR_TASKS
                 {
-                    let why = "there is no account yet, or too much is under way";
-                    out.push(Action::Reply(operator, Err(why.into())));
+                    let why = format!(
+                        "account key not changed: no account is registered yet, \
+                         or {MAX_OPERATOR_TASKS} commands are in progress"
+                    );
+                    out.push(Action::Reply(operator, Err(why)));
                 } else {
                     let task = self.add_task(TaskKind::KeyRollover {
                         operator,
@@ -168,7 +174,7 @@
         self.start_due_work(clocks, out);
     }
 
-    /// The next moment at which [`Event::Tick`] is due.
+    /// Returns the time at which [`Event::Tick`] is due.
     pub fn next(&self, clocks: Clocks) -> Timestamp {
         let tasks = self.tasks.values().filter_map(|t| t.wake).min();
         let setup = self
@@ -184,7 +190,7 @@
             .first()
             .map(|(at, _)| *at)
             .filter(|_| self.settings.is_some());
-        // Guards against a loop without rest: what could be done now was done already.
+        // Prevents a busy loop: everything that could be done now has been done.
         let least = clocks.now + MIN_TICK_INTERVAL;
         let next = [planned, info]
             .into_iter()
@@ -201,7 +207,7 @@
             .min(most)
     }
 
-    /// How each certificate stands, and what is served for it.
+    /// Returns the state of each certificate with the identity that is served.
     pub fn statuses(&self, clocks: Clocks) -> Vec<(CertificateStatus, Option<&Identity>)> {
         let statuses = self.planner.statuses(clocks).into_iter();
         statuses
@@ -212,8 +218,7 @@
             .collect()
     }
 
-    /// For operators: the account's URL, seconds until the authority is asked again, orders in the window and how
-    /// many may be, by how much the authority's clock is ahead.
+    /// Returns the state of the account and of the connection to the authority, for operators.
     pub fn state(&self, clocks: Clocks) -> serde_json::Value {
         let (orders, most) = self.planner.order_counts();
         json!({
@@ -226,7 +231,7 @@
         })
     }
 
-    /// What is served for a certificate.
+    /// Returns the identities that are served for a certificate.
     pub fn served(&self, id: &str) -> &[Identity] {
         self.served.get(id).map_or(&[], |all| all)
     }
@@ -246,7 +251,8 @@
         self.last_task
     }
 }
-/// The certificate that a task is for.
+
+/// Returns the id of the certificate that a task is for, if any.
 fn certificate_id(kind: &TaskKind) -> Option<&String> {
     match kind {
         TaskKind::Order { id, .. } | TaskKind::RenewalInfo(id) => Some(id),
@@ -265,7 +271,7 @@
     }
 }
 
-/// What a problem with directory or account means.
+/// Returns the cause for an error response during the setup of directory and account.
 fn setup_failure_cause(problem: &Problem, status: u16) -> Cause {
     match problem.acme_type() {
         "rateLimited" => Cause::RateLimited,
@@ -291,7 +297,7 @@
             Level::Warn,
             "expiring",
             &names.join(" "),
-            &format!("{count} will end, the first in {left} s"),
+            &format!("certificates about to expire: {count}, the first in {left} s"),
         ),
         Notice::Expired {
             count,
@@ -301,10 +307,11 @@
             Level::Error,
             "expired",
             &names.join(" "),
-            &format!("{count} HAVE EXPIRED, the first {since} s ago"),
+            &format!("expired certificates: {count}, the first since {since} s"),
         ),
         Notice::NotYetValid { count, names } => {
-            let text = format!("{count} do not hold yet: is this machine's clock right?");
+            let text =
+                format!("certificates not valid yet: {count}; check the clock of this machine");
             log_entry(Level::Warn, "not-yet-valid", &names.join(" "), &text)
         }
     }
--- a/certs/src/client/operators.rs
+++ b/certs/src/client/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' commands: import, revoke, change of the account's key.
+//! Operator commands: import, revocation and account key rollover.
 use super::tasks::{Signer, TaskKind};
 use super::{log_entry, Client, MAX_OPERATOR_TASKS};
 use crate::disk::FileUpdate;
@@ -13,13 +13,18 @@
 use std::sync::Arc;
 
 impl Client {
+    /// Returns the error for a certificate id that is not configured.
     pub(super) fn unknown_certificate(&self, id: &str) -> String {
         match &self.settings {
             None => "no authority is configured".into(),
-            Some(_) => format!("no certificate is configured as {}", sanitize(id, 100)),
+            Some(_) => format!(
+                "no certificate with the name {} is configured",
+                sanitize(id, 100)
+            ),
         }
     }
 
+    /// Returns the number of operator commands that wait for the authority.
     pub(super) fn operator_tasks(&self) -> usize {
         self.tasks
             .values()
@@ -42,13 +47,17 @@
         let ids: Vec<String> = self.planner.ids().cloned().collect();
         let Some(id) = ids.into_iter().find(|id| identity.covers(id)) else {
             let why = format!(
-                "none of its names ({}) is configured first in a certificate",
+                "import rejected: none of the names ({}) is the first name of a configured certificate",
                 identity.names.join(" ")
             );
             return out.push(Action::Reply(operator, Err(sanitize(&why, 500))));
         };
         if identity.not_after < clocks.wall {
-            return out.push(Action::Reply(operator, Err("it has expired".into())));
+            let why = format!(
+                "import rejected: the certificate expired at {} (Unix time)",
+                identity.not_after
+            );
+            return out.push(Action::Reply(operator, Err(why)));
         }
         out.push(log_entry(
             Level::Info,
@@ -56,9 +65,12 @@
             &id,
             &format!("serial {}", identity.serial),
         ));
-        let text = format!("{id} is served with serial {}", identity.serial);
+        let text = format!(
+            "{id}: certificate with serial {} imported and served",
+            identity.serial
+        );
         let update = FileUpdate::Identity(id.clone(), identity.clone());
-        // The operator may throw the files away that were imported: the answer waits for the disk.
+        // The operator may delete the imported files after the reply, so the reply waits for the write.
         self.save(update, Some(PendingReply { operator, text }), out);
         self.install(clocks, &id, identity, false, out);
     }
@@ -79,8 +91,10 @@
         let account = self.account.as_ref().is_some_and(|a| a.url.is_some());
         let why = match (known, revoke_url.is_some() && account) {
             (false, _) => self.unknown_certificate(id),
-            (_, false) => "the authority was not reached yet, or does not revoke".into(),
-            _ if self.operator_tasks() >= MAX_OPERATOR_TASKS => "too much is under way".into(),
+            (_, false) => format!("{id} not revoked: the authority was not reached yet or does not support revocation"),
+            _ if self.operator_tasks() >= MAX_OPERATOR_TASKS => {
+                format!("{id} not revoked: {MAX_OPERATOR_TASKS} commands are in progress already")
+            },
             _ => {
                 let task = self.add_task(TaskKind::Revoke {
                     operator,
@@ -112,19 +126,30 @@
     ) {
         let done = match response {
             Ok(response) if response.status < 300 => {
-                Ok("revoked; another is ordered now".to_string())
+                Ok(format!("{id} revoked; a new certificate is being ordered"))
             }
             Ok(response) => {
                 let problem = wire::problem(&response.body);
                 match problem.acme_type() {
-                    "alreadyRevoked" => Ok("it was revoked already; another is ordered now".into()),
-                    _ => Err(format!("{} {}", response.status, problem.summary())),
+                    "alreadyRevoked" => Ok(format!(
+                        "{id} was already revoked; a new certificate is being ordered"
+                    )),
+                    _ => Err(format!(
+                        "{id} not revoked: status {}: {}",
+                        response.status,
+                        problem.summary()
+                    )),
                 }
             }
-            Err(why) => Err(why),
+            Err(why) => Err(format!("{id} not revoked: {why}")),
         };
         if done.is_ok() {
-            out.push(log_entry(Level::Warn, "revoked", id, "by an operator"));
+            out.push(log_entry(
+                Level::Warn,
+                "revoked",
+                id,
+                "revoked by an operator; a new certificate is being ordered",
+            ));
             self.planner.force_renewal(clocks, id);
             let all = self.served.get(id).cloned().unwrap_or_default();
             out.push(Action::Serve(id.into(), all, true));
@@ -140,21 +165,23 @@
         out: &mut Vec<Action>,
     ) {
         let done = match response {
-            Ok(response) if response.status < 300 => Ok("the account has a new key".to_string()),
+            Ok(response) if response.status < 300 => Ok("account key changed".to_string()),
             Ok(response) => Err(format!(
-                "{} {}",
+                "account key not changed: status {}: {}",
                 response.status,
                 wire::problem(&response.body).summary()
             )),
-            // It may have been taken: the new key stays beside the old one, and is tried once that is not known.
-            Err(why) => Err(format!("{why}; the new key is kept beside the old one")),
+            // The request may have been received, so both keys are kept until the authority tells which one is in use.
+            Err(why) => Err(format!(
+                "account key change unconfirmed: {why}; both keys are kept and checked before the next order"
+            )),
         };
         if let (Ok(_), Some((new, account))) = (&done, new.zip(self.account.as_mut())) {
             (account.key, account.next_key) = (new.pem().into(), None);
             self.key = Some(new);
             let account = account.clone();
             self.save(FileUpdate::Account(account), None, out);
-            out.push(log_entry(Level::Info, "account", "", "it has a new key"));
+            out.push(log_entry(Level::Info, "account", "", "account key changed"));
         }
         out.push(Action::Reply(operator, done));
     }
--- a/certs/src/client/orders.rs
+++ b/certs/src/client/orders.rs
@@ -1,4 +1,4 @@
-//! Orders under way, and what is served once one is complete.
+//! Orders in progress, and the certificates that are served.
 use super::tasks::{Signer, Task, TaskKind};
 use super::{log_entry, Client};
 use crate::disk::FileUpdate;
@@ -12,6 +12,7 @@
 use crate::Clocks;
 
 impl Client {
+    /// Starts an order, or resumes a stored one.
     pub(super) fn begin_order(
         &mut self,
         clocks: Clocks,
@@ -50,12 +51,16 @@
             }
         };
         let names = order.names.clone();
-        let verb = if pem.is_some() { "taken up" } else { "begun" };
+        let state = if pem.is_some() {
+            "order resumed"
+        } else {
+            "order started"
+        };
         out.push(log_entry(
             Level::Info,
             "order",
             &id,
-            &format!("{verb} for {}", names.join(" ")),
+            &format!("{state} for {}", names.join(" ")),
         ));
         let task = self.add_task(TaskKind::Order {
             id,
@@ -64,7 +69,7 @@
         out.push(Action::GenerateKey(task, KeyRequest::Order(names, pem)));
     }
 
-    /// Puts an input into an order and carries out what it wants.
+    /// Passes an input to an order and performs its output.
     pub(super) fn step_order(
         &mut self,
         clocks: Clocks,
@@ -131,7 +136,10 @@
                     Level::Info,
                     "issued",
                     &id,
-                    &format!("serial {} until {until}", identity.serial),
+                    &format!(
+                        "issued with serial {}, valid until {until} (Unix time)",
+                        identity.serial
+                    ),
                 ));
                 self.save(
                     FileUpdate::Identity(id.clone(), (*identity).clone()),
@@ -166,21 +174,22 @@
             Level::Warn,
             failure.cause.as_str(),
             id,
-            &failure.text,
+            &format!("order failed: {}; it will be retried", failure.text),
         ));
         self.save_state(out);
     }
 
-    /// The authority does not know the account: it is made again under the same key.
+    /// Forgets the account URL because the account no longer exists at the authority. It is registered again with the same
+    /// key.
     pub(super) fn reset_account(&mut self) {
         if let Some(account) = &mut self.account {
             account.url = None;
         }
-        // Its orders went with it.
+        // The orders belong to the old account.
         self.pending.clear();
     }
 
-    /// A certificate is there: it is served at once.
+    /// Serves a new or stored certificate.
     pub(super) fn install(
         &mut self,
         clocks: Clocks,
@@ -209,7 +218,7 @@
             .map(<[String]>::to_vec)
             .unwrap_or_default();
         let all = self.served.entry(id.into()).or_default();
-        // An older one stays for names that it alone stands for.
+        // An older identity is kept if it covers wanted names that the new one does not cover.
         let lacks: Vec<_> = wanted.iter().filter(|n| !identity.covers(n)).collect();
         all.retain(|old| {
             old.content_hash() != identity.content_hash() && lacks.iter().any(|n| old.covers(n))
@@ -219,6 +228,7 @@
         out.push(Action::Serve(id.into(), all.clone(), false));
     }
 
+    /// Uses the certificate from the shared folder if it is newer and complete; otherwise starts the planned order.
     pub(super) fn handle_reread(
         &mut self,
         clocks: Clocks,
@@ -244,7 +254,7 @@
                     Level::Info,
                     "found",
                     &planned.id,
-                    "another front has renewed it",
+                    "renewed by another front; loaded from the shared folder",
                 ));
                 self.install(clocks, &planned.id.clone(), *identity, true, out);
             }
--- a/certs/src/client/renewal_info.rs
+++ b/certs/src/client/renewal_info.rs
@@ -1,4 +1,4 @@
-//! Renewal information of the authority (RFC 9773): hints when to renew.
+//! Requests for the suggested renewal windows of certificates (RFC 9773).
 use super::tasks::TaskKind;
 use super::{
     log_entry, Client, MAX_RENEWAL_INFO_INTERVAL, MIN_RENEWAL_INFO_INTERVAL, RENEWAL_INFO_INTERVAL,
@@ -23,7 +23,7 @@
             .and_then(|all| all.first())
             .and_then(|i| i.renewal_id.clone());
         let Some((base, renewal)) = base.zip(renewal) else {
-            // This authority tells nothing: a new directory may.
+            // The authority offers no renewal information. A new directory may add it.
             self.renewal_info_queue
                 .insert((clocks.now + MAX_RENEWAL_INFO_INTERVAL, id));
             return;
@@ -52,10 +52,13 @@
                 });
                 match wire::renewal_info(&response.body) {
                     Ok(window) => self.planner.set_window(clocks, id, window),
-                    Err(why) => out.push(log_entry(Level::Warn, "bad-answer", id, &why)),
+                    Err(why) => {
+                        let text = format!("{why}; the response is ignored");
+                        out.push(log_entry(Level::Warn, "bad-answer", id, &text));
+                    }
                 }
             }
-            // It is a hint: without it the rule by lifetime holds.
+            // Without a suggested window the renewal follows from the lifetime.
             Ok(response) => {
                 pause = response.retry_after.map_or(pause, |s| {
                     (s * SECOND).clamp(RENEWAL_INFO_INTERVAL, MAX_RENEWAL_INFO_INTERVAL)
@@ -64,10 +67,20 @@
                     Level::Info,
                     "renewal-info",
                     id,
-                    &format!("status {}", response.status),
+                    &format!(
+                        "no renewal information: status {}; requested again in {} s",
+                        response.status,
+                        pause / SECOND
+                    ),
                 ));
             }
-            Err(why) => out.push(log_entry(Level::Info, "renewal-info", id, &why)),
+            Err(why) => {
+                let text = format!(
+                    "no renewal information: {why}; requested again in {} s",
+                    pause / SECOND
+                );
+                out.push(log_entry(Level::Info, "renewal-info", id, &text));
+            }
         }
         if self.served.contains_key(id) {
             self.renewal_info_queue
--- a/certs/src/client/requests.rs
+++ b/certs/src/client/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the authority: one at a time for each task, with nonces, to the configured authority alone.
+//! Requests to the authority: signing with nonces, retries after nonce errors, and dispatch of responses.
 use super::tasks::{Post, Setup, Signer, Task, TaskKind};
 use super::{
     failure, log_entry, setup_failure_cause, Client, MAX_NONCES, MAX_NONCE_CHARS,
@@ -31,7 +31,8 @@
                 let known = self.skew.replace(skew);
                 let exceeds_limit = |s: i64| s.unsigned_abs() > MAX_SKEW_S;
                 if exceeds_limit(skew) && !known.is_some_and(exceeds_limit) {
-                    let text = format!("the authority's clock is {skew} s ahead of this machine's");
+                    let text = format!("clock of the authority differs by {skew} s (positive: ahead of this machine), \
+                         limit {MAX_SKEW_S} s; check the clock of this machine");
                     out.push(log_entry(Level::Warn, "clock", "", &text));
                 }
             }
@@ -43,7 +44,7 @@
             let refused =
                 response.status == 400 && wire::problem(&response.body).acme_type() == "badNonce";
             if refused {
-                // The others may be as old.
+                // The other nonces may have expired as well.
                 self.nonces.clear();
             }
             let missing = nonce.is_none();
@@ -54,12 +55,18 @@
             if for_nonce {
                 if response.status >= 400 || missing {
                     let text = match response.status {
-                        200..=299 => "no nonce in the answer".to_string(),
-                        status => format!("{status} {}", wire::problem(&response.body).summary()),
+                        200..=299 => "no nonce in the response".to_string(),
+                        status => format!(
+                            "status {status}: {}",
+                            wire::problem(&response.body).summary()
+                        ),
                     };
                     let failure = Failure {
                         retry_after: response.retry_after.map(|s| s * SECOND),
-                        ..failure(Cause::Unreachable, &format!("nonce: {text}"))
+                        ..failure(
+                            Cause::Unreachable,
+                            &format!("request for a nonce failed: {text}"),
+                        )
                     };
                     return self.task_failed(clocks, task, failure, out);
                 }
@@ -104,7 +111,7 @@
                     Ok(response) if response.status >= 300 => {
                         let problem = wire::problem(&response.body);
                         let retry_after = response.retry_after.map(|s| s.saturating_mul(SECOND));
-                        let text = format!("{} {}", response.status, problem.summary());
+                        let text = format!("status {}: {}", response.status, problem.summary());
                         let failure = Failure {
                             retry_after,
                             ..failure(setup_failure_cause(&problem, response.status), &text)
@@ -131,7 +138,7 @@
         }
     }
 
-    /// Something that a task needed did not come about.
+    /// Fails a task because a request or another operation failed without a response.
     pub(super) fn request_failed(
         &mut self,
         clocks: Clocks,
@@ -176,7 +183,7 @@
         }
     }
 
-    /// A URL of the authority; all else is refused.
+    /// Parses a URL and checks that it is on the host and port of the configured authority.
     pub(super) fn authority_url(&self, url: &str) -> Result<Url, String> {
         let parse =
             |text: &str| Url::parse(text).map_err(|e| format!("{e}: {}", sanitize(text, 100)));
@@ -184,7 +191,7 @@
         let found = parse(url)?;
         if !found.same_host_and_port(&parse(directory_url)?) {
             return Err(format!(
-                "the authority points elsewhere: {}",
+                "URL is not on the host and port of the configured authority: {}",
                 sanitize(url, 100)
             ));
         }
@@ -233,13 +240,16 @@
         }
     }
 
-    /// Sends the request of a task, or asks for a nonce first.
+    /// Sends the request of a task, or requests a nonce first if none is left.
     pub(super) fn send(&mut self, clocks: Clocks, task: u64, out: &mut Vec<Action>) {
         let Some((key, (directory, _))) = self.key.clone().zip(self.directory.as_ref()) else {
             return self.task_failed(
                 clocks,
                 task,
-                failure(Cause::AccountUnknown, "no account"),
+                failure(
+                    Cause::AccountUnknown,
+                    "no account key or directory is loaded",
+                ),
                 out,
             );
         };
--- a/certs/src/client/saving.rs
+++ b/certs/src/client/saving.rs
@@ -1,4 +1,4 @@
-//! What is kept on disk, and what waits for that.
+//! Writes to the folder, and the operations that wait for them.
 use super::tasks::{Setup, Signer, TaskKind};
 use super::{log_entry, Client};
 use crate::disk::{FileUpdate, State};
@@ -8,6 +8,7 @@
 use crate::{Clocks, Timestamp};
 
 impl Client {
+    /// Handles the result of a write or of publishing a challenge response.
     pub(super) fn handle_done(
         &mut self,
         clocks: Clocks,
@@ -19,13 +20,14 @@
             return self.handle_write_end(end, done, out);
         }
         if let Err(why) = &done {
-            // Published challenges that fail are told with their order.
+            // A challenge that could not be published is logged with the failure of its order.
             let publishing = self
                 .tasks
                 .get(&task)
                 .is_some_and(|t| !t.published.is_empty());
             if !publishing {
-                out.push(log_entry(Level::Warn, "not-kept", "", why));
+                let text = format!("cannot save: {why}");
+                out.push(log_entry(Level::Warn, "not-kept", "", &text));
             }
         }
         match self.tasks.get_mut(&task).map(|t| &mut t.kind) {
@@ -53,10 +55,15 @@
                     (.., Err(why)) => self.request_failed(
                         clocks,
                         task,
-                        &format!("the new key can't be kept: {why}"),
+                        &format!("account key not changed: the new key cannot be saved: {why}"),
+                        out,
+                    ),
+                    _ => self.request_failed(
+                        clocks,
+                        task,
+                        "account key not changed: the authority does not support it",
                         out,
                     ),
-                    _ => self.request_failed(clocks, task, "the authority changes no keys", out),
                 }
             }
             Some(TaskKind::Order { .. }) => self.step_order(clocks, task, Input::Done(done), out),
@@ -64,14 +71,14 @@
         }
     }
 
-    /// Ends a task: what it showed is shown no longer.
+    /// Removes a task and withdraws its published challenge responses.
     pub(super) fn end_task(&mut self, task: u64, out: &mut Vec<Action>) {
         if let Some(task) = self.tasks.remove(&task) {
             out.extend(task.published.into_iter().map(Action::Withdraw));
         }
     }
 
-    /// Keeps something in the background, and again until it is durable.
+    /// Writes in the background and retries until the write is durable. The reply is sent after the first attempt.
     pub(super) fn save(
         &mut self,
         update: FileUpdate,
@@ -85,16 +92,16 @@
         {
             out.push(Action::Reply(
                 operator,
-                Err("something newer has taken its place".into()),
+                Err("the write was replaced by a newer one of the same file".into()),
             ));
         }
         out.push(Action::Save(self.last_task, update));
     }
 
-    /// Writes what could not be kept again where that is due.
+    /// Retries the failed writes that are due.
     pub(super) fn retry_writes(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let (pending, last) = (&self.pending, &mut self.last_task);
-        // A certificate ends the order of its name on disk: not one that was begun since.
+        // Saving a certificate removes the stored order, which must not hit a newer order in progress.
         let is_blocked = |update: &FileUpdate| matches!(update, FileUpdate::Identity(id, _) if pending.contains_key(id));
         let next_task = || {
             *last += 1;
@@ -108,7 +115,7 @@
         );
     }
 
-    /// A write in the background has ended.
+    /// Handles the end of a background write. Only the first of several failures is logged.
     pub(super) fn handle_write_end(
         &mut self,
         end: WriteEnd,
@@ -116,19 +123,21 @@
         out: &mut Vec<Action>,
     ) {
         if let (Err(why), 1) = (&done, end.failures) {
-            out.push(log_entry(Level::Warn, "not-kept", "", why));
+            let text = format!("cannot save: {why}; the write is retried until it succeeds");
+            out.push(log_entry(Level::Warn, "not-kept", "", &text));
         }
         if let Some(PendingReply { operator, text }) = end.reply {
             let response = match done {
                 Ok(()) => Ok(text),
                 Err(why) => Err(format!(
-                    "{text}, and could not be kept yet: {why}; it is tried again"
+                    "{text}, but could not be saved yet: {why}; the write is retried"
                 )),
             };
             out.push(Action::Reply(operator, response));
         }
     }
 
+    /// Saves the state of the planner if it has changed.
     pub(super) fn save_state(&mut self, out: &mut Vec<Action>) {
         let (orders, refused) = self.planner.saved_state();
         let state = State { orders, refused };
--- a/certs/src/client/setup.rs
+++ b/certs/src/client/setup.rs
@@ -1,4 +1,4 @@
-//! What must be there before an order: the directory and the account of the authority.
+//! Startup and configuration, and the setup that orders require: the directory and the account.
 use super::tasks::{Setup, Signer, Task, TaskKind};
 use super::{
     certificate_id, failure, log_entry, notice_entry, Client, MAX_DIRECTORY_AGE,
@@ -19,9 +19,11 @@
 use std::sync::Arc;
 
 impl Client {
+    /// Takes over the content of the folder.
     pub(super) fn start(&mut self, clocks: Clocks, loaded: Loaded, out: &mut Vec<Action>) {
         for (file, why) in &loaded.faults {
-            out.push(log_entry(Level::Warn, "file-unusable", file, why));
+            let text = format!("file cannot be used: {why}");
+            out.push(log_entry(Level::Warn, "file-unusable", file, &text));
         }
         self.saved = loaded.state.clone();
         self.planner
@@ -34,24 +36,27 @@
         if let Some(account) = loaded.account.filter(same_authority) {
             match AccountKey::from_pem(&account.key) {
                 Ok(key) => (self.key, self.account) = (Some(Arc::new(key)), Some(account)),
-                Err(why) => out.push(log_entry(
-                    Level::Warn,
-                    "file-unusable",
-                    "account.json",
-                    &why,
-                )),
+                Err(why) => {
+                    let text = format!("{why}; a new account will be registered");
+                    out.push(log_entry(
+                        Level::Warn,
+                        "file-unusable",
+                        "account.json",
+                        &text,
+                    ));
+                }
             }
         }
         for (id, identity) in loaded.identities {
             if self.planner.names(&id).is_some() {
                 self.install(clocks, &id, identity, false, out);
             } else {
-                // Nobody would renew it, nor tell when it ends.
+                // It would neither be renewed nor monitored for expiry.
                 out.push(log_entry(
                     Level::Info,
                     "file-unused",
                     &id,
-                    "no certificate is configured under this name",
+                    "certificate not loaded: no certificate with this name is configured",
                 ));
             }
         }
@@ -72,6 +77,7 @@
         self.started = true;
     }
 
+    /// Applies new settings of the planner and the list of configured certificates.
     pub(super) fn configure(
         &mut self,
         clocks: Clocks,
@@ -92,7 +98,7 @@
         obsolete
             .into_iter()
             .for_each(|task| self.end_task(task, out));
-        // What is not wanted any more is not served any more; its files stay.
+        // Certificates that are no longer configured are not served, but their files are kept.
         let dropped: Vec<_> = self
             .served
             .keys()
@@ -105,7 +111,7 @@
         }
     }
 
-    /// Begins what can be begun.
+    /// Logs notices and starts the setup, orders and requests for renewal information that are due.
     pub(super) fn start_due_work(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         if !self.started {
             return;
@@ -184,7 +190,7 @@
         }
     }
 
-    /// Makes an account, or finds the one that belongs to the key.
+    /// Registers an account, or finds the existing account of the key.
     pub(super) fn register(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         match &self.key {
             None => {
@@ -206,7 +212,7 @@
         if directory.meta.external_account_required && settings.external.is_none() {
             let failure = failure(
                 Cause::AccountRejected,
-                "the authority wants an external account, and none is configured",
+                "the authority requires an external account, but none is configured",
             );
             return self.setup_failed(clocks, task, &failure, out);
         }
@@ -297,22 +303,22 @@
         }
     }
 
-    /// Whether the account has the key that was to follow.
-    pub(super) fn handle_next_key_check(&mut self, taken: bool, out: &mut Vec<Action>) {
+    /// Handles the result of the request that checks whether the authority uses the new account key.
+    pub(super) fn handle_next_key_check(&mut self, accepted: bool, out: &mut Vec<Action>) {
         let Some(account) = &mut self.account else {
             return;
         };
-        if let Some(next) = account.next_key.take().filter(|_| taken) {
+        if let Some(next) = account.next_key.take().filter(|_| accepted) {
             if let Ok(key) = AccountKey::from_pem(&next) {
                 (account.key, self.key) = (next, Some(Arc::new(key)));
             }
         }
         let account = account.clone();
         self.save(FileUpdate::Account(account), None, out);
-        let text = if taken {
-            "it has the new key"
+        let text = if accepted {
+            "the authority uses the new account key"
         } else {
-            "it kept its key"
+            "the authority uses the old account key; the new one is discarded"
         };
         out.push(log_entry(Level::Info, "account", "", text));
     }
@@ -328,7 +334,10 @@
             .location
             .filter(|url| self.authority_url(url).is_ok());
         let Some((url, account)) = url.zip(self.account.as_mut()) else {
-            let failure = failure(Cause::Unreachable, "an account without a URL");
+            let failure = failure(
+                Cause::Unreachable,
+                "the registration response has no account URL of the authority",
+            );
             return self.setup_failed(clocks, task, &failure, out);
         };
         account.url = Some(url.clone());
@@ -337,9 +346,11 @@
         self.planner.authority_responded();
         let account = account.clone();
         self.save(FileUpdate::Account(account), None, out);
-        out.push(log_entry(Level::Info, "account", "", &sanitize(&url, 200)));
+        let text = format!("account registered: {}", sanitize(&url, 200));
+        out.push(log_entry(Level::Info, "account", "", &text));
     }
 
+    /// Ends the setup and pauses until the next attempt.
     pub(super) fn setup_failed(
         &mut self,
         clocks: Clocks,
@@ -350,7 +361,7 @@
         self.tasks.remove(&task);
         self.planner
             .pause(clocks, failure.cause, failure.retry_after);
-        // Hints can wait: they alone are no reason to ask again soon.
+        // Renewal information is optional and no reason for an early request.
         while let Some((_, id)) = self
             .renewal_info_queue
             .first()
@@ -362,7 +373,10 @@
                 .insert((clocks.now + RENEWAL_INFO_INTERVAL, id));
         }
         let wait = self.planner.paused_until().saturating_sub(clocks.now) / SECOND;
-        let text = format!("{}; asked again in {wait} s", failure.text);
+        let text = format!(
+            "setup of directory or account failed: {}; next attempt in {wait} s",
+            failure.text
+        );
         out.push(log_entry(Level::Warn, failure.cause.as_str(), "", &text));
     }
 }
--- a/certs/src/client/tasks.rs
+++ b/certs/src/client/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks of the client: each has one request out at a time.
+//! Tasks of the client. Each has at most one request in flight.
 use crate::jose::AccountKey;
 use crate::messages::{Challenge, Payload};
 use crate::order::Order;
@@ -13,7 +13,7 @@
         id: String,
         order: Box<Order>,
     },
-    /// Reads the folder before an order.
+    /// Reads the shared folder before an order.
     Reread(PlannedOrder),
     RenewalInfo(String),
     Revoke {
@@ -32,33 +32,36 @@
     GenerateKey,
     SaveKey,
     Register,
-    /// Asks whether the account has the key that was to follow: whoever asked for that was not told.
+    /// Checks whether the authority uses the new account key, after a rollover without a response.
     CheckNextKey,
 }
 
 #[derive(Clone)]
 pub(super) struct Post {
     pub(super) url: Url,
+    /// The URL as received, for the signed header.
     pub(super) text: String,
     pub(super) payload: Payload,
     pub(super) signer: Signer,
     pub(super) tries: u8,
 }
 
-/// What a request is signed with.
+/// The key that signs a request.
 #[derive(Clone)]
 pub(super) enum Signer {
-    /// The account, by its URL.
+    /// The account key, identified by the account URL.
     Account,
-    /// A key that stands in the request.
+    /// A key whose public part is included in the request.
     Key(Arc<AccountKey>),
 }
 
 pub(super) struct Task {
     pub(super) kind: TaskKind,
     pub(super) post: Option<Post>,
-    /// The request out is for a nonce.
+    /// The request in flight is for a nonce; `post` is sent after it.
     pub(super) awaits_nonce: bool,
+    /// Time of the next [`Input::Timer`](crate::order::Input::Timer).
     pub(super) wake: Option<Timestamp>,
+    /// Challenge responses to withdraw when the task ends.
     pub(super) published: Vec<Challenge>,
 }
--- a/certs/src/disk.rs
+++ b/certs/src/disk.rs
@@ -1,14 +1,15 @@
-//! Keys, certificates, the account and orders under way in one folder.
+//! Storage of keys, certificates, the account and unfinished orders in one folder.
 //!
-//! | file | holds |
+//! | file | content |
 //! | --- | --- |
-//! | `account.json` | the account: its authority, key and URL |
-//! | `state.json` | orders begun lately, and names that are held back |
-//! | `NAME.pem` | key and chain of one certificate, in one file, so that they always belong together |
-//! | `NAME.order` | an order under way: its URL, its names and the key that it is for |
+//! | `account.json` | the account: directory URL, key and account URL |
+//! | `state.json` | times of recent orders, and names that the authority refused |
+//! | `NAME.pem` | private key and chain of a certificate, in one file so that they always match |
+//! | `NAME.order` | an unfinished order: its URL, names and private key |
 //!
-//! Each file is written aside, synced, renamed, and its folder synced: a kill at any moment leaves the old file or
-//! the new one. All are 0600. The steps are those of [`Files`], so that tests stop at each of them.
+//! A file is replaced by writing a temporary file, syncing it, renaming it and syncing the folder, so that a crash at any
+//! time leaves either the old or the new content. All files have mode 0600. File operations go through [`Files`], which
+//! tests replace to interrupt each step.
 use crate::identity::Identity;
 use crate::planner::Refusal;
 use crate::{sanitize, UnixTime};
@@ -19,35 +20,36 @@
 use std::os::unix::fs::{OpenOptionsExt, PermissionsExt};
 use std::path::PathBuf;
 
-/// Bytes that a file may have; files that are looked at.
+/// Larger files are not read.
 const MAX_FILE_BYTES: u64 = 1 << 20;
+/// Files of the folder beyond this number are ignored.
 const MAX_FILES: usize = 50_000;
-/// Of the files' form; a newer one is left alone.
+/// Version of the file format. Files of a newer version are neither read nor changed.
 const VERSION: u32 = 1;
 const ACCOUNT: &str = "account.json";
 const STATE: &str = "state.json";
 
-/// The steps of which all writing and reading consists. Names are those of files within the folder.
+/// The file operations on the folder. Names are relative to it.
 pub trait Files {
-    /// Makes or empties a file of mode 0600 and writes it, without syncing.
+    /// Creates or truncates a file with mode 0600 and writes it, without syncing.
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Syncs a file's bytes.
+    /// Syncs the content of a file.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Puts a file in the place of another, at once.
+    /// Atomically renames a file, replacing an existing one.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Takes a file away; one that is not there is no error.
+    /// Removes a file. A missing file is not an error.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Syncs the folder: which files there are.
+    /// Syncs the folder, so that renames and removals are durable.
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// A file's bytes.
+    /// Reads a file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// The files that there are.
+    /// Returns the names of the files.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// What is added to the names of files written aside: no other writer's.
+    /// The suffix of temporary file names, which is unique among the writers that share the folder.
     fn writer_id(&self) -> &str;
 }
 
-/// A folder on disk.
+/// A folder in the file system.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -55,8 +57,8 @@
 }
 
 impl Folder {
-    /// Opens a folder, and makes it (mode 0700) if it is not there. `writer_id` tells this writer from others that share
-    /// the folder.
+    /// Opens a folder, which is created with mode 0700 if it does not exist. `writer_id` has to be unique among the fronts
+    /// that share the folder.
     pub fn open(path: PathBuf, writer_id: &str) -> io::Result<Self> {
         use std::os::unix::fs::DirBuilderExt;
         if !path.is_dir() {
@@ -85,7 +87,7 @@
             .truncate(true)
             .mode(0o600)
             .open(self.file_path(name))?;
-        // The mode above counts for a new file alone.
+        // `mode` applies to a new file only.
         file.set_permissions(Permissions::from_mode(0o600))?;
         file.write_all(bytes)
     }
@@ -113,14 +115,14 @@
         let file = File::open(self.file_path(name))?;
         let mode = file.metadata()?.permissions().mode();
         if mode & 0o077 != 0 {
-            // Best effort: a read-only folder is told of when something is written.
+            // Best effort: a read-only folder is reported by the next write.
             let _ = file.set_permissions(Permissions::from_mode(0o600));
         }
         let mut bytes = Vec::new();
         file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
         if bytes.len() as u64 > MAX_FILE_BYTES {
             return Err(io::Error::other(format!(
-                "more than {MAX_FILE_BYTES} bytes"
+                "file exceeds {MAX_FILE_BYTES} bytes"
             )));
         }
         Ok(bytes)
@@ -140,17 +142,17 @@
     }
 }
 
-/// The account, as it is kept.
+/// The stored account.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// URL of the directory of the authority that knows it.
+    /// Directory URL of the authority at which the account is registered.
     pub directory_url: String,
-    /// Its key in PEM: a secret.
+    /// Account key in PEM. Must not be logged.
     pub key: String,
-    /// The key that is to take the place of `key`, while that is under way.
+    /// New account key in PEM during a key rollover.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next_key: Option<String>,
-    /// Its URL, once it is made.
+    /// Account URL, once the account is registered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub url: Option<String>,
 }
@@ -161,32 +163,32 @@
     }
 }
 
-/// An order under way, as it is kept.
+/// A stored order that is not finished.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingOrder {
-    /// Its URL at the authority.
+    /// Order URL at the authority.
     pub url: String,
-    /// Names in it.
+    /// Names in the order.
     pub names: Vec<String>,
-    /// Its key in PEM: a secret.
+    /// Private key of the certificate in PEM. Must not be logged.
     pub key: String,
-    /// When it was begun.
+    /// Time at which the order was created.
     pub began: UnixTime,
 }
 
 impl std::fmt::Debug for PendingOrder {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Pending({}, {:?})", self.url, self.names)
+        write!(f, "PendingOrder({}, {:?})", self.url, self.names)
     }
 }
 
-/// What the planner remembers over a restart.
+/// State of the planner that survives a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// When orders were begun, as far as they count.
+    /// Times of the orders within the order window.
     #[serde(default)]
     pub orders: Vec<UnixTime>,
-    /// Names that the authority refused.
+    /// Names that the authority refused, with the end of their backoff.
     #[serde(default)]
     pub refused: BTreeMap<String, Refusal>,
 }
@@ -198,26 +200,28 @@
     body: T,
 }
 
-/// What a folder held.
+/// The content of a folder.
 #[derive(Debug, Default)]
 pub struct Loaded {
-    /// The account.
+    /// The stored account.
     pub account: Option<Account>,
-    /// The planner's memory.
+    /// The stored state of the planner.
     pub state: State,
-    /// Certificates, by the name of their file.
+    /// Certificates with the id from the file name.
     pub identities: Vec<(String, Identity)>,
-    /// Orders under way, by the name of their file.
+    /// Unfinished orders with the id from the file name.
     pub pending: Vec<(String, PendingOrder)>,
-    /// What can't be used: the file, and why.
+    /// Files that cannot be used, with the reason.
     pub faults: Vec<(String, String)>,
 }
 
-/// Reads all that a folder holds. What can't be read is a fault and nothing more; files left behind in the midst
-/// of a write are taken away.
+/// Reads all files of a folder. Unreadable files are returned as faults. Temporary files of this writer, left by a crash,
+/// are removed.
 pub fn load(files: &mut dyn Files) -> Result<Loaded, String> {
     let mut loaded = Loaded::default();
-    let names = files.list().map_err(|e| e.to_string())?;
+    let names = files
+        .list()
+        .map_err(|e| format!("cannot list the folder: {e}"))?;
     for name in names {
         if name.starts_with('.') {
             if name.ends_with(&format!(".{}.tmp", files.writer_id())) {
@@ -236,20 +240,21 @@
     Ok(loaded)
 }
 
-/// Reads one certificate again: another front may have renewed it. `None`: there is none that can be used.
+/// Reads a certificate that another front may have renewed. Returns `None` if there is no usable file.
 pub fn reread(files: &mut dyn Files, id: &str) -> Option<Identity> {
     let bytes = files.read(&format!("{id}.pem")).ok()?;
     Identity::from_pem(std::str::from_utf8(&bytes).ok()?).ok()
 }
 
+/// Parses a file by its name and adds it to `loaded`. Files with other names are ignored.
 fn load_file(name: &str, bytes: &[u8], loaded: &mut Loaded) -> Result<(), String> {
     fn read<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, String> {
         let version = serde_json::from_slice::<Versioned<serde_json::Value>>(bytes);
-        // serde's words may cite the text, which holds a key: its place is enough.
+        // The message of serde may quote the file, which contains a key, so only the position is reported.
         let position =
             |e: serde_json::Error| format!("damaged at line {} column {}", e.line(), e.column());
         if version.map_err(position)?.version > VERSION {
-            return Err("from a newer version of this program: left alone".into());
+            return Err("written by a newer version of this program; left unchanged".into());
         }
         serde_json::from_slice::<Versioned<T>>(bytes)
             .map(|v| v.body)
@@ -260,7 +265,7 @@
         _ if name == STATE => loaded.state = read(bytes)?,
         Some((id, "order")) => loaded.pending.push((id.into(), read(bytes)?)),
         Some((id, "pem")) => {
-            let text = std::str::from_utf8(bytes).map_err(|_| "damaged: no text")?;
+            let text = std::str::from_utf8(bytes).map_err(|_| "damaged: not UTF-8")?;
             loaded
                 .identities
                 .push((id.into(), Identity::from_pem(text)?));
@@ -270,22 +275,23 @@
     Ok(())
 }
 
-/// Something to be kept.
+/// A change to a file of the folder. The strings are certificate ids.
 #[derive(Clone, Debug)]
 pub enum FileUpdate {
-    /// The account.
+    /// Saves the account.
     Account(Account),
-    /// The planner's memory.
+    /// Saves the state of the planner.
     State(State),
-    /// An order under way, for the certificate of that id.
+    /// Saves an unfinished order.
     PendingOrder(String, PendingOrder),
-    /// An order that is over.
+    /// Removes an order.
     RemoveOrder(String),
-    /// A certificate; the order that it came from is over.
+    /// Saves a certificate and removes its order.
     Identity(String, Identity),
 }
 
-/// Keeps something, durably once this returns without an error. The error names the step that failed.
+/// Carries out an update, which is durable when this function returns without an error. The error contains the file and
+/// the failed step.
 pub fn save(files: &mut dyn Files, update: &FileUpdate) -> Result<(), String> {
     fn text<T: Serialize>(body: &T) -> Result<Vec<u8>, String> {
         serde_json::to_vec_pretty(&Versioned {
@@ -308,6 +314,7 @@
     }
 }
 
+/// Atomically replaces a file.
 fn write_file(files: &mut dyn Files, name: &str, bytes: &[u8]) -> Result<(), String> {
     let temporary = format!(".{name}.{}.tmp", files.writer_id());
     let step = |step: &'static str| move |e: io::Error| format!("{step}: {e}");
@@ -315,9 +322,9 @@
     let done = written
         .and_then(|()| files.sync(&temporary).map_err(step("sync")))
         .and_then(|()| files.rename(&temporary, name).map_err(step("rename")))
-        .and_then(|()| files.sync_folder().map_err(step("sync of the folder")));
+        .and_then(|()| files.sync_folder().map_err(step("sync the folder")));
     if done.is_err() {
-        // Best effort: it is taken away at the next start.
+        // Best effort: temporary files are removed at the next start.
         let _ = files.remove(&temporary);
     }
     done.map_err(|e| format!("{name}: {e}"))
--- a/certs/src/error.rs
+++ b/certs/src/error.rs
@@ -1,18 +1,18 @@
-//! Why something did not come about.
+//! The failure of an order or of the account setup.
 use crate::retry::Cause;
 use crate::Micros;
 
-/// Why an order failed.
+/// Why an order or the account setup failed, and how it may be retried.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// By kind.
+    /// Determines the delay before the next attempt.
     pub cause: Cause,
-    /// Names that were refused.
+    /// Names for which the authority refused to issue.
     pub refused: Vec<String>,
-    /// When the authority wants to be asked again, in microseconds from now.
+    /// The delay requested by the authority (`Retry-After`), in microseconds.
     pub retry_after: Option<Micros>,
-    /// One line.
+    /// Description in one line, for logs and operators.
     pub text: String,
-    /// The order is still there and is taken up next time.
+    /// The order still exists at the authority, and the next attempt continues it.
     pub resumable: bool,
 }
--- a/certs/src/exchange.rs
+++ b/certs/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Carries requests out: one HTTPS exchange, blocking, until an absolute deadline. For worker threads.
+//! Blocking operations for worker threads: one HTTPS exchange with an absolute deadline, and key generation.
 use crate::http::{request as encode_request, Reader, Response};
 use crate::jose::AccountKey;
 use crate::messages::{KeyRequest, Request};
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Addresses of a name that are tried.
+/// Resolved addresses to which a connection is attempted.
 const MAX_ADDRESSES: usize = 4;
 
-/// What is trusted for the TLS of the authority: the roots in a PEM file, and nothing else.
+/// Returns a TLS configuration that trusts the root certificates in a PEM file and no others.
 pub fn load_roots(file: &Path) -> Result<Arc<ClientConfig>, String> {
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let mut store = RootCertStore::empty();
@@ -25,7 +25,7 @@
             .map_err(|e| failed(&e))?;
     }
     if store.is_empty() {
-        return Err(failed(&"no certificate in it"));
+        return Err(failed(&"the file contains no certificates"));
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
@@ -36,7 +36,8 @@
     Ok(Arc::new(config))
 }
 
-/// Asks and reads the answer, of `max_body_bytes` bytes at most, before `deadline`. The error is one line.
+/// Sends a request and returns the response, whose body may have up to `max_body_bytes`. Fails at `deadline` at the
+/// latest, with an error of one line.
 pub fn exchange(
     config: &Arc<ClientConfig>,
     request: &Request,
@@ -46,12 +47,14 @@
     let body = request.sign.as_ref().map(|sign| sign.body()).transpose()?;
     let bytes = encode_request(request.method, &request.url, body.as_deref());
     let (host, port) = (request.url.host.as_str(), request.url.port);
-    let error = |what: &str, e: &dyn std::fmt::Display| format!("{host}:{port}: {what}: {e}");
+    let error = |step: &str, e: &dyn std::fmt::Display| {
+        format!("request to {host}:{port} failed: {step}: {e}")
+    };
     let name = ServerName::try_from(host.to_string()).map_err(|e| error("name", &e))?;
     let addresses = (host, port)
         .to_socket_addrs()
         .map_err(|e| error("look-up", &e))?;
-    let mut socket = Err("no address".to_string());
+    let mut socket = Err(error("look-up", &"the name has no address"));
     for address in addresses.take(MAX_ADDRESSES) {
         socket = remaining(deadline)
             .and_then(|left| TcpStream::connect_timeout(&address, left))
@@ -61,7 +64,7 @@
         }
     }
     let mut socket = socket?;
-    // It can only fail on a socket that is broken, which the next write tells.
+    // A failure means a broken socket, which the next write reports.
     let _ = socket.set_nodelay(true);
     let mut tls = ClientConnection::new(Arc::clone(config), name).map_err(|e| error("TLS", &e))?;
     tls.writer()
@@ -83,7 +86,7 @@
             .read_tls(&mut socket)
             .map_err(|e| error("read", &as_timeout(e)))?;
         let state = tls.process_new_packets().map_err(|e| {
-            // The alert that tells why is best effort.
+            // Sends the TLS alert that describes the error, if possible.
             let _ = tls.write_tls(&mut socket);
             error("TLS", &e)
         })?;
@@ -104,45 +107,49 @@
         }
         closed |= state.peer_has_closed();
         if closed {
-            // Only a proper end can be the end of an answer that has no length.
+            // Without a close_notify, the end of a response without a length could be a truncation.
             if !state.peer_has_closed() {
-                return Err(error("answer", &"the connection broke"));
+                return Err(error(
+                    "answer",
+                    &"connection closed without a TLS close_notify",
+                ));
             }
             let complete = reader.end().map_err(|e| error("answer", &e))?;
-            return complete.ok_or_else(|| error("answer", &"the answer stops short"));
+            return complete.ok_or_else(|| error("answer", &"the response is truncated"));
         }
     }
 }
 
-/// Time until the deadline, never nothing: a socket would wait for ever.
+/// Returns the time until the deadline. Zero is an error because socket timeouts must not be zero.
 fn remaining(deadline: Instant) -> io::Result<Duration> {
     let left = deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
-        return Err(io::Error::new(io::ErrorKind::TimedOut, "not done in time"));
+        return Err(io::Error::new(io::ErrorKind::TimedOut, "deadline exceeded"));
     }
     Ok(left)
 }
 
+/// Maps the two error kinds of a socket timeout to one.
 fn as_timeout(e: io::Error) -> io::Error {
     match e.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => {
-            io::Error::new(io::ErrorKind::TimedOut, "not done in time")
+            io::Error::new(io::ErrorKind::TimedOut, "deadline exceeded")
         }
         _ => e,
     }
 }
 
-/// What [`generate_key`] made.
+/// The result of [`generate_key`].
 pub enum GeneratedKey {
-    /// Key in PEM and signing request in DER.
+    /// Private key in PEM, and certificate signing request in DER.
     Order(String, Vec<u8>),
-    /// A key for the account.
+    /// Account key.
     Account(Arc<AccountKey>),
 }
 
-/// Makes a P-256 key; for an order with a signing request for its names (RFC 2986).
+/// Generates a P-256 key, for an order together with a certificate signing request (RFC 2986).
 pub fn generate_key(key: &KeyRequest) -> Result<GeneratedKey, String> {
-    let failed = |e: rcgen::Error| format!("key: {e}");
+    let failed = |e: rcgen::Error| format!("cannot generate the key of an order: {e}");
     match key {
         KeyRequest::Account => {
             AccountKey::generate().map(|key| GeneratedKey::Account(Arc::new(key)))
@@ -163,13 +170,15 @@
     }
 }
 
-/// A self-signed certificate that shows control of a name (RFC 8737, section 3): it names that alone, and holds the
-/// digest of the key authorization.
+/// Generates the self-signed certificate that answers a `tls-alpn-01` challenge (RFC 8737, section 3). It contains the
+/// name and the digest of the key authorization.
 pub fn generate_challenge_certificate(
     name: &str,
     authorization: &str,
 ) -> Result<Arc<CertifiedKey>, String> {
-    let failed = |e: &dyn std::fmt::Display| format!("challenge: {e}");
+    let failed = |e: &dyn std::fmt::Display| {
+        format!("cannot generate the challenge certificate for {name}: {e}")
+    };
     let key = rcgen::KeyPair::generate().map_err(|e| failed(&e))?;
     let mut params = rcgen::CertificateParams::new(vec![name.into()]).map_err(|e| failed(&e))?;
     let digest = ring::digest::digest(&ring::digest::SHA256, authorization.as_bytes());
@@ -179,7 +188,7 @@
     let cert = params.self_signed(&key).map_err(|e| failed(&e))?;
     let der =
         rustls::pki_types::PrivateKeyDer::try_from(key.serialize_der()).map_err(|e| failed(&e))?;
-    // Not by way of the check that key and certificate fit: it knows nothing of the critical extension.
+    // `CertifiedKey::from_der` would reject the critical acmeIdentifier extension.
     let key = rustls::crypto::ring::sign::any_supported_type(&der).map_err(|e| failed(&e))?;
     Ok(Arc::new(CertifiedKey::new(vec![cert.der().clone()], key)))
 }
--- a/certs/src/http.rs
+++ b/certs/src/http.rs
@@ -1,45 +1,44 @@
-//! HTTP/1.1 as a client speaks it: one request, one answer, then the connection ends (RFC 9112). No input or
-//! output; the answer is bounded in its head and its body before anything is kept of it.
+//! HTTP/1.1 client messages (RFC 9112) without input or output: one request and one response per connection. The sizes of
+//! the response head and body are limited.
 use crate::url::Url;
 use crate::UnixTime;
 
-/// HTTP methods that ACME needs.
+/// The HTTP methods used by ACME.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// For the directory and renewal information.
+    /// Used for the directory and for renewal information.
     Get,
-    /// For nonces.
+    /// Used for nonces.
     Head,
-    /// For all else, with a signed body.
+    /// Used for all other requests, with a signed body.
     Post,
 }
 
-/// Bytes of an answer's head, and fields in it.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADER_FIELDS: usize = 64;
-/// Digits of a chunk's size with its extension.
+/// Maximum length of the line with a chunk size and its extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// A time to come back that lies further off is taken for this.
+/// Upper limit for `Retry-After`, in seconds.
 const MAX_RETRY_AFTER_S: u64 = 30 * 24 * 3_600;
 
-/// What an authority answered.
+/// An HTTP response, reduced to the fields used by ACME.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// `Replay-Nonce` (RFC 8555, section 6.5.1).
+    /// The `Replay-Nonce` field (RFC 8555, section 6.5.1).
     pub nonce: Option<String>,
-    /// `Location`.
+    /// The `Location` field.
     pub location: Option<String>,
-    /// `Retry-After` in seconds from the answer on (RFC 9110, section 10.2.3).
+    /// The `Retry-After` field (RFC 9110, section 10.2.3), in seconds from the response on.
     pub retry_after: Option<u64>,
-    /// `Date`: the authority's wall clock.
+    /// The `Date` field: the wall clock of the authority.
     pub date: Option<UnixTime>,
-    /// The body, as long as it may be at most.
+    /// The body without its transfer coding.
     pub body: Vec<u8>,
 }
 
-/// The bytes of a request.
+/// Encodes a request.
 pub fn request(method: Method, url: &Url, body: Option<&str>) -> Vec<u8> {
     let name = match method {
         Method::Get => "GET",
@@ -65,20 +64,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
-    /// That many bytes are still to come.
+    /// A body with `Content-Length`: bytes left to read.
     Length(usize),
-    /// Until the connection ends.
+    /// A body without a length, which ends with the connection.
     UntilClose,
-    /// The line with the size of the next chunk.
+    /// Expects the line with the size of the next chunk.
     ChunkSize,
-    /// That many bytes of a chunk, then its line end.
+    /// Bytes left to read of the current chunk; 0 if only its line end is left.
     Chunk(usize),
-    /// Lines after the last chunk.
+    /// Expects the trailer fields after the last chunk.
     Trailer,
     Done,
 }
 
-/// Reads one answer as its bytes come.
+/// Incremental parser for one response.
 #[derive(Debug)]
 pub struct Reader {
     max_body_bytes: usize,
@@ -89,7 +88,7 @@
 }
 
 impl Reader {
-    /// For an answer to `method` whose body has `max_body_bytes` bytes at most.
+    /// Creates a parser for the response to a request with `method`. A body of more than `max_body_bytes` is an error.
     pub fn new(method: Method, max_body_bytes: usize) -> Self {
         let response = Response::default();
         Reader {
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Takes bytes in. `Some`: the answer is whole.
+    /// Parses more bytes. Returns the response once it is complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Response>, &'static str> {
         self.input.extend_from_slice(bytes);
         if self.body.is_none() && !self.parse_head()? {
@@ -111,17 +110,18 @@
         Ok((self.body == Some(BodyState::Done)).then(|| std::mem::take(&mut self.response)))
     }
 
-    /// The connection has ended. `Some`: that made the answer whole.
+    /// Handles the end of the connection. Returns the response if it has no length; otherwise it is truncated.
     pub fn end(&mut self) -> Result<Option<Response>, &'static str> {
         match self.body {
             Some(BodyState::UntilClose) => {
                 self.body = Some(BodyState::Done);
                 Ok(Some(std::mem::take(&mut self.response)))
             }
-            _ => Err("the answer stops short"),
+            _ => Err("the response is truncated"),
         }
     }
 
+    /// Parses the head, skipping interim responses (1xx). Returns false if more input is needed.
     fn parse_head(&mut self) -> Result<bool, &'static str> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
         let mut head = httparse::Response::new(&mut fields);
@@ -130,8 +130,8 @@
             Ok(httparse::Status::Partial) if self.input.len() <= MAX_HEAD_BYTES => {
                 return Ok(false)
             }
-            Ok(_) => return Err("the head is too long"),
-            Err(_) => return Err("the head can't be read"),
+            Ok(_) => return Err("the response head is too long"),
+            Err(_) => return Err("the response head is malformed or has too many fields"),
         };
         let status = head.code.unwrap_or(0);
         let field = |name: &str| -> Result<Option<String>, &'static str> {
@@ -142,11 +142,11 @@
             let first = all
                 .next()
                 .map(|f| std::str::from_utf8(f.value).map(|v| v.trim().to_string()));
-            // Two of a kind are two opinions on where the answer ends, or which nonce holds.
+            // Repeated fields would make the end of the body, or the nonce, ambiguous.
             if all.next().is_some() {
-                return Err("a field stands twice in the head");
+                return Err("a header field occurs more than once");
             }
-            first.transpose().map_err(|_| "a field is no text")
+            first.transpose().map_err(|_| "a header field is not UTF-8")
         };
         let date = field("date")?.and_then(|text| parse_http_date(&text));
         let retry_after = field("retry-after")?.and_then(|text| match text.parse::<u64>() {
@@ -156,10 +156,11 @@
                 .map(|(at, now)| at.saturating_sub(now)),
         });
         let length = match field("content-length")? {
-            Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => {
-                Some(text.parse::<usize>().map_err(|_| "a bad length")?)
-            }
-            Some(_) => return Err("a bad length"),
+            Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => Some(
+                text.parse::<usize>()
+                    .map_err(|_| "invalid Content-Length")?,
+            ),
+            Some(_) => return Err("invalid Content-Length"),
             None => None,
         };
         let coding = field("transfer-encoding")?;
@@ -173,9 +174,11 @@
         };
         let body = match (coding, length) {
             _ if self.is_head_request || status == 204 || status == 304 => BodyState::Done,
-            (Some(_), Some(_)) => return Err("a length and a coding at once"),
+            (Some(_), Some(_)) => {
+                return Err("both Content-Length and Transfer-Encoding are present")
+            }
             (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => BodyState::ChunkSize,
-            (Some(_), None) => return Err("an unknown coding"),
+            (Some(_), None) => return Err("unknown Transfer-Encoding"),
             (None, Some(0)) => BodyState::Done,
             (None, Some(length)) => BodyState::Length(length),
             (None, None) => BodyState::UntilClose,
@@ -185,14 +188,14 @@
             return self.parse_head();
         }
         if matches!(body, BodyState::Length(length) if length > self.max_body_bytes) {
-            return Err("the answer is too long");
+            return Err("the response body is too long");
         }
         (self.response, self.body) = (response, Some(body));
         self.input.drain(..used);
         Ok(true)
     }
 
-    /// Takes what it can off the input. `false`: more has to come.
+    /// Parses the next part of the body. Returns false if more input is needed.
     fn parse_body(&mut self) -> Result<bool, &'static str> {
         match self.body {
             None | Some(BodyState::Done) => Ok(false),
@@ -221,7 +224,7 @@
                 let digits = digits.filter(|s| s.bytes().all(|b| b.is_ascii_hexdigit()));
                 let size = digits
                     .and_then(|s| usize::from_str_radix(s, 16).ok())
-                    .ok_or("a bad chunk")?;
+                    .ok_or("invalid chunk in the response body")?;
                 self.body = Some(if size == 0 {
                     BodyState::Trailer
                 } else {
@@ -234,7 +237,7 @@
                     self.body = Some(BodyState::ChunkSize);
                     Ok(true)
                 }
-                Some(_) => Err("a bad chunk"),
+                Some(_) => Err("invalid chunk in the response body"),
                 None => Ok(false),
             },
             Some(BodyState::Chunk(remaining)) => {
@@ -254,26 +257,27 @@
         }
     }
 
-    /// Moves up to `n` bytes into the body.
+    /// Moves up to `n` input bytes to the body and returns their number.
     fn take(&mut self, n: usize) -> Result<usize, &'static str> {
         let n = n.min(self.input.len());
         if self.response.body.len() + n > self.max_body_bytes {
-            return Err("the answer is too long");
+            return Err("the response body is too long");
         }
         self.response.body.extend(self.input.drain(..n));
         Ok(n)
     }
 
+    /// Removes a line that ends with CRLF from the input.
     fn take_line(&mut self) -> Result<Option<Vec<u8>>, &'static str> {
         let Some(at) = self.input.iter().position(|b| *b == b'\n') else {
             return if self.input.len() > MAX_CHUNK_LINE_BYTES {
-                Err("a bad chunk")
+                Err("invalid chunk in the response body")
             } else {
                 Ok(None)
             };
         };
         if at > MAX_CHUNK_LINE_BYTES || at == 0 || self.input[at - 1] != b'\r' {
-            return Err("a bad chunk");
+            return Err("invalid chunk in the response body");
         }
         let line = self.input[..at - 1].to_vec();
         self.input.drain(..=at);
--- a/certs/src/identity.rs
+++ b/certs/src/identity.rs
@@ -1,4 +1,4 @@
-//! A certificate with its chain and its key, as it is served and kept.
+//! A certificate with its chain and private key, as served and stored.
 use crate::jose::base64url;
 use crate::{hash, Clocks, UnixTime};
 use rustls::pki_types::pem::PemObject;
@@ -9,29 +9,29 @@
 use x509_parser::extensions::{GeneralName, ParsedExtension};
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-/// Bytes of a bundle, certificates in a chain, names in a certificate, at most.
+/// Maximum size of a bundle.
 pub const MAX_BUNDLE_BYTES: usize = 256 * 1024;
 const MAX_CHAIN_LENGTH: usize = 10;
 const MAX_NAMES: usize = 200;
 
-/// A certificate with its chain and the private key that belongs to it.
+/// A certificate with its chain and the matching private key.
 #[derive(Clone)]
 pub struct Identity {
-    /// Host names of the leaf, in lower case.
+    /// DNS names of the leaf certificate, in lower case.
     pub names: Vec<String>,
-    /// First second at which the leaf holds.
+    /// First second of the validity of the leaf.
     pub not_before: UnixTime,
-    /// Last second at which the leaf holds.
+    /// Last second of the validity of the leaf.
     pub not_after: UnixTime,
-    /// Serial number of the leaf, in hex.
+    /// Serial number of the leaf in hexadecimal.
     pub serial: String,
-    /// Who issued the leaf.
+    /// Issuer of the leaf, sanitized.
     pub issuer: String,
-    /// Its name for renewal information (RFC 9773, section 4.1), if it tells who issued it.
+    /// The identifier for renewal information (RFC 9773, section 4.1); `None` without an authority key identifier.
     pub renewal_id: Option<String>,
-    /// Key and chain in PEM: a secret.
+    /// Private key and chain in PEM. Must not be logged.
     bundle: Arc<str>,
-    /// What handshakes are made with.
+    /// Key and chain for TLS handshakes.
     pub certified: Arc<CertifiedKey>,
 }
 
@@ -46,30 +46,33 @@
 }
 
 impl Identity {
-    /// Reads a bundle: a private key and a chain, leaf first, in PEM and in any order of the two. The error is one
-    /// line: what can't be read, or that key and leaf do not belong together.
+    /// Parses a PEM bundle of a private key and a chain with the leaf first; the key may precede or follow the chain. Fails
+    /// with an error of one line if the bundle is malformed or the key does not match the leaf.
     pub fn from_pem(bundle: &str) -> Result<Self, String> {
         if bundle.len() > MAX_BUNDLE_BYTES {
-            return Err(format!("more than {MAX_BUNDLE_BYTES} bytes"));
+            return Err(format!("bundle exceeds {MAX_BUNDLE_BYTES} bytes"));
         }
-        let key =
-            PrivateKeyDer::from_pem_slice(bundle.as_bytes()).map_err(|e| format!("key: {e}"))?;
+        let key = PrivateKeyDer::from_pem_slice(bundle.as_bytes())
+            .map_err(|e| format!("private key: {e}"))?;
         let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bundle.as_bytes())
             .take(MAX_CHAIN_LENGTH + 1)
             .collect();
         let chain = chain.map_err(|e| format!("chain: {e}"))?;
         if chain.len() > MAX_CHAIN_LENGTH {
-            return Err(format!("chain: more than {MAX_CHAIN_LENGTH} certificates"));
+            return Err(format!(
+                "chain has more than {MAX_CHAIN_LENGTH} certificates"
+            ));
         }
-        let leaf = chain.first().ok_or("chain: no certificate")?.clone();
+        let leaf = chain.first().ok_or("chain has no certificates")?.clone();
         let provider = rustls::crypto::ring::default_provider();
         let certified = CertifiedKey::from_der(chain, key, &provider).map_err(|e| match e {
             rustls::Error::InconsistentKeys(_) => {
-                "key and certificate do not belong together".to_string()
+                "private key does not match the certificate".to_string()
             }
-            e => format!("key: {e}"),
+            e => format!("private key: {e}"),
         })?;
-        let (_, cert) = X509Certificate::from_der(&leaf).map_err(|e| format!("leaf: {e}"))?;
+        let (_, cert) =
+            X509Certificate::from_der(&leaf).map_err(|e| format!("leaf certificate: {e}"))?;
         let mut names = Vec::new();
         let mut authority = None;
         for extension in cert.extensions() {
@@ -104,33 +107,34 @@
         })
     }
 
-    /// Puts a key and a chain together, both in PEM.
+    /// Combines a private key and a chain, both in PEM.
     pub fn from_key_and_chain(key: &str, chain: &str) -> Result<Self, String> {
-        // A chain that brings a key of its own must not displace ours.
+        // A private key within the chain must not replace ours.
         let certificates =
             chain.contains("-----BEGIN CERTIFICATE-----") && !chain.contains("PRIVATE KEY-----");
         if !certificates {
-            return Err("chain: no certificate, or a key among them".into());
+            return Err("chain contains no certificate, or contains a private key".into());
         }
         Self::from_pem(&format!("{}\n{chain}", key.trim_end()))
     }
 
-    /// Key and chain in PEM, as they are kept: a secret.
+    /// Private key and chain in PEM, as stored. Must not be logged.
     pub fn bundle(&self) -> &str {
         &self.bundle
     }
 
-    /// The leaf in DER.
+    /// The leaf certificate in DER.
     pub fn leaf(&self) -> &[u8] {
         self.certified.cert.first().map_or(&[], |c| c.as_ref())
     }
 
-    /// Whether it holds at that second.
+    /// Whether the leaf is valid at `wall`.
     pub fn is_valid_at(&self, wall: UnixTime) -> bool {
         (self.not_before..=self.not_after).contains(&wall)
     }
 
-    /// Whether it stands for a name, by itself or by a wildcard for one label (RFC 6125, section 6.4.3).
+    /// Whether the certificate is valid for a name, either literally or by a wildcard for the first label (RFC 6125, section
+    /// 6.4.3).
     pub fn covers(&self, name: &str) -> bool {
         let name = name.to_ascii_lowercase();
         let wild = name.split_once('.').map(|(_, rest)| format!("*.{rest}"));
@@ -139,12 +143,12 @@
             .any(|n| *n == name || wild.as_ref().is_some_and(|w| n == w))
     }
 
-    /// Seconds until it ends; negative: since it ended.
+    /// Seconds until the certificate expires; negative after it has expired.
     pub fn remaining_s(&self, clocks: Clocks) -> i64 {
         self.not_after as i64 - clocks.wall as i64
     }
 
-    /// A number that tells this one from others.
+    /// Hash of the bundle, for comparing identities.
     pub fn content_hash(&self) -> u64 {
         hash(&[&self.bundle])
     }
--- a/certs/src/identity/tests.rs
+++ b/certs/src/identity/tests.rs
@@ -26,16 +26,16 @@
     assert!(!format!("{found:?}").contains(key.lines().nth(1).unwrap()));
     let (other, _) = made(&["a.example"], 1_000, 2_000);
     let why = Identity::from_key_and_chain(&other, &chain).unwrap_err();
-    assert!(why.contains("do not belong together"), "{why}");
+    assert!(why.contains("does not match"), "{why}");
     assert!(Identity::from_key_and_chain(&key, &format!("{other}{chain}")).is_err());
 }
 
 #[test]
 fn malformed_bundles_are_rejected_with_a_one_line_error() {
     let (key, chain) = made(&["a.example"], 1_000, 2_000);
-    let whole = format!("{key}{chain}");
-    for cut in (0..whole.len()).step_by(7) {
-        if let Err(e) = Identity::from_pem(&whole[..cut]) {
+    let bundle = format!("{key}{chain}");
+    for cut in (0..bundle.len()).step_by(7) {
+        if let Err(e) = Identity::from_pem(&bundle[..cut]) {
             assert!(!e.contains('\n'));
         }
     }
--- a/certs/src/jose.rs
+++ b/certs/src/jose.rs
@@ -1,5 +1,5 @@
-//! JOSE as ACME uses it: flattened JWS under ES256 (RFC 7515, RFC 7518, RFC 8555, section 6.2), thumbprints
-//! (RFC 7638), external account binding (RFC 8555, section 7.3.4).
+//! JOSE for ACME: flattened JWS with ES256 (RFC 7515, RFC 7518, RFC 8555, section 6.2), JWK thumbprints (RFC 7638) and
+//! external account binding (RFC 8555, section 7.3.4).
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use ring::rand::SystemRandom;
@@ -9,17 +9,17 @@
 use serde_json::json;
 use std::fmt;
 
-/// Bytes in base64url without padding (RFC 7515, section 2).
+/// Encodes bytes as base64url without padding (RFC 7515, section 2).
 pub fn base64url(bytes: impl AsRef<[u8]>) -> String {
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// The bytes of base64url text; `None`: it is none.
+/// Decodes base64url with or without padding. Returns `None` if the text is invalid.
 pub fn from_base64url(text: &str) -> Option<Vec<u8>> {
     URL_SAFE_NO_PAD.decode(text.trim_end_matches('=')).ok()
 }
 
-/// The key of an account: P-256.
+/// The P-256 key of an ACME account.
 pub struct AccountKey {
     pem: String,
     pair: EcdsaKeyPair,
@@ -32,13 +32,13 @@
 }
 
 impl AccountKey {
-    /// A new key. It takes some tens of microseconds.
+    /// Generates a key.
     pub fn generate() -> Result<Self, String> {
         let key = rcgen::KeyPair::generate().map_err(|e| format!("account key: {e}"))?;
         Self::from_pem(&key.serialize_pem())
     }
 
-    /// Reads a key from PEM (PKCS #8).
+    /// Parses a PKCS #8 key in PEM.
     pub fn from_pem(pem: &str) -> Result<Self, String> {
         let der = PrivateKeyDer::from_pem_slice(pem.as_bytes())
             .map_err(|e| format!("account key: {e}"))?;
@@ -52,20 +52,20 @@
         })
     }
 
-    /// The key in PEM: a secret.
+    /// The private key in PEM. Must not be logged.
     pub fn pem(&self) -> &str {
         &self.pem
     }
 
-    /// The public key as a JWK, its members in the order that a thumbprint wants (RFC 7638, section 3.2).
+    /// The public key as a JWK with its members in the order that thumbprints require (RFC 7638, section 3.2).
     pub fn jwk(&self) -> String {
-        // An uncompressed point: 4, x, y.
+        // Uncompressed point: 0x04, x, y.
         let point = self.pair.public_key().as_ref();
         let (x, y) = (base64url(&point[1..33]), base64url(&point[33..65]));
         format!(r#"{{"crv":"P-256","kty":"EC","x":"{x}","y":"{y}"}}"#)
     }
 
-    /// The thumbprint of the public key, in base64url.
+    /// The JWK thumbprint of the public key, in base64url.
     pub fn thumbprint(&self) -> String {
         base64url(ring::digest::digest(
             &ring::digest::SHA256,
@@ -73,7 +73,8 @@
         ))
     }
 
-    /// A flattened JWS over `payload` (empty: POST-as-GET, RFC 8555, section 6.3) with `header`, a JSON object.
+    /// Returns a flattened JWS of `payload` (empty for POST-as-GET, RFC 8555, section 6.3) with the protected `header`, a JSON
+    /// object.
     pub fn sign(&self, header: &str, payload: &str) -> Result<String, String> {
         let (protected, payload) = (base64url(header), base64url(payload));
         let input = format!("{protected}.{payload}");
@@ -83,7 +84,7 @@
     }
 }
 
-/// Binds an account key to an external account: a JWS under HS256 over the account's public key.
+/// Returns the binding of an account key to an external account: a JWS with HS256 over the public key.
 pub fn external_binding(key_id: &str, hmac_key: &[u8], url: &str, jwk: &str) -> serde_json::Value {
     let header = json!({"alg": "HS256", "kid": key_id, "url": url}).to_string();
     let (protected, payload) = (base64url(header), base64url(jwk));
--- a/certs/src/lib.rs
+++ b/certs/src/lib.rs
@@ -1,13 +1,12 @@
-//! Certificates by ACME (RFC 8555, RFC 8737, RFC 9773): what to order and when, how an order goes, and how keys and
-//! certificates are kept.
+//! An ACME client (RFC 8555, RFC 8737, RFC 9773): planning of renewals, processing of orders, and storage of keys and
+//! certificates.
 //!
-//! [`Client`] is the whole of it as a state machine: moments and events go in, [`Action`]s come out. It does no
-//! input or output and reads no clock. What it asks for is carried out by whoever drives it: [`exchange`] speaks
-//! HTTPS with an absolute deadline, [`disk`] writes files so that a kill leaves old or new and never half of
-//! each. Both block and belong on a worker thread.
+//! [`Client`] is a state machine without input or output: it takes [`Event`]s and returns [`Action`]s, which its driver
+//! carries out. [`exchange`] sends HTTPS requests with an absolute deadline, and [`disk`] replaces files atomically.
+//! Both block and have to run on a worker thread.
 //!
-//! Two clocks come in with each [`Clocks`]: a monotonic one for waits, and the wall clock, which may jump, for
-//! what certificates say of themselves.
+//! The client reads no clock. Each call passes [`Clocks`]: the monotonic clock is used for timers, the wall clock, which
+//! may jump, for the validity of certificates.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -34,26 +33,26 @@
 pub use jose::AccountKey;
 pub use messages::{Action, Challenge, Event, KeyRequest, Level, LogEntry, Request, Sign};
 
-/// A moment on a clock that never goes back, in microseconds.
+/// A time on the monotonic clock, in microseconds.
 pub type Timestamp = u64;
-/// A span, in microseconds.
+/// A duration in microseconds.
 pub type Micros = u64;
-/// Seconds since the Unix epoch on the wall clock, which may jump.
+/// A time on the wall clock, in seconds since the Unix epoch.
 pub type UnixTime = u64;
 
-/// A second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
-/// Now, on both clocks.
+/// The current time on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Clocks {
-    /// On the monotonic clock, in microseconds.
+    /// Monotonic clock, in microseconds.
     pub now: Timestamp,
-    /// On the wall clock, in seconds.
+    /// Wall clock, in seconds since the Unix epoch.
     pub wall: UnixTime,
 }
 
-/// A number that is the same for the same texts on each machine and after each start (FNV-1a, finished by a mix).
+/// Returns a hash (FNV-1a with a final mix) that is stable across machines and restarts.
 pub(crate) fn hash(parts: &[&str]) -> u64 {
     let mut h = 0xcbf2_9ce4_8422_2325u64;
     for byte in parts.iter().flat_map(|p| p.bytes().chain([0xff])) {
@@ -64,20 +63,20 @@
     h ^ (h >> 33)
 }
 
-/// A share of `whole` that depends on the texts alone: 0 up to, but not, `whole`.
-pub(crate) fn hash_below(whole: u64, parts: &[&str]) -> u64 {
-    ((u128::from(whole) * u128::from(hash(parts))) >> 64) as u64
+/// Returns a number in `0..limit` that depends on `limit` and `parts` alone.
+pub(crate) fn hash_below(limit: u64, parts: &[&str]) -> u64 {
+    ((u128::from(limit) * u128::from(hash(parts))) >> 64) as u64
 }
 
-/// Foreign text as it may stand in a log: one line, printable, not too long.
-pub fn sanitize(text: &str, most: usize) -> String {
-    let mut sanitize: String = text
+/// Prepares text from a peer for the log: replaces control characters by spaces and truncates it to `max_chars`.
+pub fn sanitize(text: &str, max_chars: usize) -> String {
+    let mut sanitized: String = text
         .chars()
-        .take(most)
+        .take(max_chars)
         .map(|c| if c.is_control() { ' ' } else { c })
         .collect();
-    if text.chars().nth(most).is_some() {
-        sanitize.push('…');
+    if text.chars().nth(max_chars).is_some() {
+        sanitized.push('…');
     }
-    sanitize
+    sanitized
 }
--- a/certs/src/messages.rs
+++ b/certs/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the client asks its driver to do, and what the driver tells it.
+//! The messages between the client and its driver: [`Action`]s for the driver and [`Event`]s for the client.
 use crate::disk::{FileUpdate, Loaded};
 use crate::http::{Method, Response};
 use crate::identity::Identity;
@@ -13,18 +13,18 @@
 /// A request to the authority.
 #[derive(Debug)]
 pub struct Request {
-    /// How.
+    /// HTTP method.
     pub method: Method,
-    /// Where: always at the configured authority.
+    /// URL, always on the host and port of the configured authority.
     pub url: Url,
-    /// What its body is signed over; `None`: it has none.
+    /// The body, which the driver signs by [`Sign::body`]; `None` for a request without a body.
     pub sign: Option<Sign>,
 }
 
-/// A body that is still to be signed.
+/// A request body to be signed on a worker thread.
 pub struct Sign {
     pub(crate) key: Arc<AccountKey>,
-    /// URL of the account; `None`: the public key stands in the body.
+    /// Account URL for `kid`; `None` to send the public key as `jwk`.
     pub(crate) account: Option<String>,
     pub(crate) nonce: String,
     pub(crate) url: String,
@@ -37,7 +37,7 @@
     }
 }
 
-/// What a body says.
+/// The payload of a signed request.
 #[derive(Clone)]
 pub(crate) enum Payload {
     Text(String),
@@ -53,7 +53,7 @@
 }
 
 impl Sign {
-    /// The body: a flattened JWS. It takes some tens of microseconds.
+    /// Signs the body and returns it as a flattened JWS.
     pub fn body(&self) -> Result<String, String> {
         let jwk: serde_json::Value =
             serde_json::from_str(&self.key.jwk()).map_err(|e| e.to_string())?;
@@ -76,7 +76,7 @@
                 account.to_string()
             }
             Payload::Existing => json!({"onlyReturnExisting": true}).to_string(),
-            // RFC 8555, section 7.3.5: an inner JWS by the new key, without a nonce.
+            // The inner JWS is signed with the new key and has no nonce (RFC 8555, section 7.3.5).
             Payload::KeyChange { account, new } => {
                 let new_jwk: serde_json::Value =
                     serde_json::from_str(&new.jwk()).map_err(|e| e.to_string())?;
@@ -91,98 +91,99 @@
     }
 }
 
-/// A key to be made.
+/// The key to generate.
 pub enum KeyRequest {
-    /// For an order: with a signing request for these names, over a key in PEM that is there already or a new one.
+    /// The key of an order and a certificate signing request for its names. An existing key in PEM is used if given.
     Order(Vec<String>, Option<String>),
-    /// For the account.
+    /// An account key.
     Account,
 }
 
-/// What shows control of a name.
+/// The response to a challenge, which proves control of a name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Challenge {
-    /// By which way.
+    /// Challenge type, which determines how the response is published.
     pub kind: ChallengeType,
-    /// The name.
+    /// Host name to be validated.
     pub name: String,
-    /// The token, base64url letters alone.
+    /// Challenge token; consists of base64url characters.
     pub token: String,
-    /// What has to be shown.
+    /// Key authorization (RFC 8555, section 8.1).
     pub authorization: String,
 }
 
-/// What the driver has to do. A number names the task that waits for the [`Event`] that answers; 0: none does.
+/// An operation that the driver has to carry out. The number identifies the task and is returned in the [`Event`] that
+/// reports the result.
 pub enum Action {
-    /// Ask the authority: [`Event::Response`].
+    /// Send a request to the authority and report [`Event::Response`].
     Request(u64, Request),
-    /// Make a key: [`Event::OrderKey`] or [`Event::AccountKey`].
+    /// Generate a key and report [`Event::OrderKey`] or [`Event::AccountKey`].
     GenerateKey(u64, KeyRequest),
-    /// Keep something, after all that was to be kept before: [`Event::Done`].
+    /// Update a file, after all earlier updates, and report [`Event::Done`].
     Save(u64, FileUpdate),
-    /// Show control of a name: [`Event::Done`] once it can be seen.
+    /// Publish the response to a challenge and report [`Event::Done`] once the authority can fetch it.
     Publish(u64, Challenge),
-    /// Show it no longer.
+    /// Stop publishing the response to a challenge.
     Withdraw(Challenge),
-    /// Read a certificate from the folder again: [`Event::Reread`].
+    /// Read a certificate from the folder and report [`Event::Reread`].
     Reread(u64, String),
-    /// These stand for the certificate of that id from now on, the first that covers a name for that name. `true`:
-    /// what was served before must not be resumed.
+    /// Serve these identities for the certificate with this id; for each name the first identity that covers it. If the
+    /// flag is set, TLS sessions of earlier identities must not be resumed.
     Serve(String, Vec<Identity>, bool),
-    /// Tell an operator who waits for it.
+    /// Reply to the operator command with this number.
     Reply(u64, Result<String, String>),
-    /// Write to the log.
+    /// Write a log entry.
     Log(LogEntry),
 }
 
-/// How loud a note is.
+/// The level of a log entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// What an operator wants to know.
+    /// Normal operation.
     Info,
-    /// What needs a look.
+    /// A problem that an operator should look into.
     Warn,
-    /// What hurts clients now.
+    /// A problem that affects clients now.
     Error,
 }
 
-/// Something for the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// How loud.
+    /// Log level.
     pub level: Level,
-    /// What it is about: one of few words.
+    /// Category of the entry, a fixed word that tools can filter by.
     pub kind: &'static str,
-    /// The certificate, or several.
+    /// Ids of the certificates concerned, or a file name; may be empty.
     pub name: String,
-    /// What happened.
+    /// Description in one line.
     pub text: String,
 }
 
-/// What comes to the client.
+/// An input of the client. The first number of a variant identifies the task, or the command of an operator.
 pub enum Event {
-    /// What the folder held; first of all, once.
+    /// The content of the folder at start; must be sent once.
     Start(Box<Loaded>),
-    /// The authority's answer, or why there is none.
+    /// The response of the authority, or why the request failed.
     Response(u64, Result<Response, String>),
-    /// A key in PEM and its signing request in DER.
+    /// The key of an order in PEM and its certificate signing request in DER.
     OrderKey(u64, Result<(String, Vec<u8>), String>),
-    /// A key for the account.
+    /// A generated account key.
     AccountKey(u64, Result<Arc<AccountKey>, String>),
-    /// Something is kept or published, or why not.
+    /// The result of [`Action::Save`] or [`Action::Publish`].
     Done(u64, Result<(), String>),
-    /// What the folder holds for a certificate.
+    /// The certificate found in the folder, if it is usable.
     Reread(u64, Option<Box<Identity>>),
-    /// Time has passed.
+    /// The time returned by [`Client::next`](crate::Client::next) has been reached.
     Tick,
-    /// Other certificates, another plan.
+    /// New settings of the planner, and the names of all certificates.
     Configure(PlannerSettings, Box<dyn Ranking + Send>, Vec<Vec<String>>),
-    /// An operator wants a certificate renewed now.
+    /// An operator requests the renewal of a certificate.
     Renew(u64, String),
-    /// An operator wants a certificate revoked, for a reason by number (RFC 5280, section 5.3.1).
+    /// An operator requests the revocation of a certificate, with a reason code (RFC 5280, section 5.3.1).
     Revoke(u64, String, u8),
-    /// An operator brings a certificate.
+    /// An operator imports a certificate.
     Import(u64, Box<Identity>),
-    /// An operator wants another key for the account.
+    /// An operator requests a new account key.
     RollKey(u64),
 }
--- a/certs/src/order.rs
+++ b/certs/src/order.rs
@@ -1,6 +1,5 @@
-//! One order, from its key to its certificate (RFC 8555, section 7.4): each [`Input`] leads to exactly one [`Output`].
-//! Where an order stands is read off the authority's answer whenever that is asked, so one that was begun
-//! before a restart goes on like any other.
+//! State machine of one order (RFC 8555, section 7.4). Each [`Input`] results in exactly one [`Output`]. The progress of an
+//! order is taken from the responses of the authority, so that an order from before a restart continues like any other.
 use crate::disk::PendingOrder;
 use crate::error::Failure;
 use crate::http::Response;
@@ -10,19 +9,19 @@
 use crate::{sanitize, Clocks, Micros, Timestamp, SECOND};
 use serde_json::json;
 
-/// An order that is not done after this long is left and looked at again later.
+/// An order that is not finished after this time fails and is polled again by a later attempt.
 pub const ORDER_TIMEOUT: Micros = 10 * 60 * SECOND;
-/// The same for one that is taken up again: it was waited for before.
+/// The same for a resumed order.
 const RESUMED_ORDER_TIMEOUT: Micros = 2 * 60 * SECOND;
-/// Pauses between two looks at something that is under way.
+/// Interval between polls of an order or authorization; it doubles with each poll.
 const MIN_POLL_INTERVAL: Micros = SECOND;
 const MAX_POLL_INTERVAL: Micros = 30 * SECOND;
-/// An order from before a restart that is older than this is not taken up.
+/// Orders from before a restart that are older than this are not resumed.
 pub const MAX_RESUME_AGE_S: u64 = 24 * 3_600;
-/// Letters of an error that reach the log.
+/// Maximum length of an error text.
 const MAX_TEXT_CHARS: usize = 500;
 
-/// How control of a name is shown.
+/// How control of a name is proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChallengeType {
     /// `http-01` (RFC 8555, section 8.3).
@@ -32,7 +31,7 @@
 }
 
 impl ChallengeType {
-    /// Its type at the authority.
+    /// The challenge type in ACME messages.
     pub fn as_str(self) -> &'static str {
         match self {
             ChallengeType::Http => "http-01",
@@ -41,39 +40,39 @@
     }
 }
 
-/// What comes to an order.
+/// An input of an order.
 pub enum Input {
-    /// It begins.
+    /// Starts the order.
     Begin,
-    /// The key that was asked for: PEM, and the signing request in DER.
+    /// The generated key in PEM, and the certificate signing request in DER.
     Key(String, Vec<u8>),
-    /// The authority's answer.
+    /// The response to the last request.
     Response(Response),
-    /// There was none.
+    /// The last request failed without a response.
     NoResponse(String),
-    /// Nothing was sent: what the order wanted may not be done.
+    /// The last request was not sent, or the key could not be generated.
     NotSent(String),
-    /// What was to be kept or published is, or not.
+    /// The result of [`Output::Save`] or [`Output::Publish`].
     Done(Result<(), String>),
-    /// The moment that was waited for has come.
+    /// The time of [`Output::Wait`] has been reached.
     Timer,
 }
 
-/// What an order wants done next.
+/// The next operation of an order.
 pub enum Output {
-    /// A new key and a signing request for these names.
+    /// Generate a key and a certificate signing request for these names.
     GenerateKey(Vec<String>),
-    /// Sent to a URL: a payload, or `""` for POST-as-GET.
+    /// Post a payload to a URL; an empty payload for POST-as-GET.
     Post(String, String),
-    /// Shown for a name until the order ends: token and key authorization.
+    /// Publish a challenge response until the order ends: name, token and key authorization.
     Publish(String, String, String),
-    /// Kept before anything else is done.
+    /// Save the order before it continues.
     Save(PendingOrder),
-    /// Nothing until then.
+    /// Wait until this time.
     Wait(Timestamp),
-    /// The certificate.
+    /// The certificate has been issued.
     Done(Box<Identity>),
-    /// It failed.
+    /// The order has failed.
     Failed(Failure),
 }
 
@@ -102,14 +101,14 @@
     challenge: String,
 }
 
-/// An order.
+/// An order in progress.
 pub struct Order {
-    /// Names in it.
+    /// Names in the order.
     pub names: Vec<String>,
     challenge_type: ChallengeType,
     thumbprint: String,
     new_order: String,
-    /// The certificate that this one takes the place of (RFC 9773, section 5).
+    /// Identifier of the certificate that is replaced (RFC 9773, section 5).
     replaces: Option<String>,
     key: Option<String>,
     csr: Vec<u8>,
@@ -120,12 +119,12 @@
     current: usize,
     polls: u32,
     body: Option<wire::Order>,
-    /// Its signing request was taken.
+    /// The authority has accepted the certificate signing request.
     finalized: bool,
 }
 
 impl Order {
-    /// A new order.
+    /// Creates an order.
     pub fn new(
         clocks: Clocks,
         names: Vec<String>,
@@ -153,7 +152,7 @@
         }
     }
 
-    /// One that was begun before a restart; its key comes back by [`Input::Key`], its signing request made anew.
+    /// Continues an order from before a restart. [`Input::Key`] has to contain the stored key.
     pub fn resumed(
         clocks: Clocks,
         pending: &PendingOrder,
@@ -173,7 +172,7 @@
         order
     }
 
-    /// Goes on by one step.
+    /// Handles an input.
     pub fn step(&mut self, clocks: Clocks, input: Input) -> Output {
         match self.advance(clocks, input) {
             Ok(output) => output,
@@ -206,7 +205,7 @@
                 }
                 return Ok(Output::Post(self.new_order.clone(), payload.to_string()));
             }
-            // A folder that can't be written costs the order its restart, not the certificate.
+            // An order that could not be saved continues; it only cannot be resumed after a restart.
             (Step::Save, Input::Done(_)) => return self.continue_order(clocks, None),
             (Step::Publish, Input::Done(Ok(()))) => {
                 self.step = Step::Respond;
@@ -218,7 +217,10 @@
             (Step::Publish, Input::Done(Err(why))) => {
                 return Err(self.failure(
                     Cause::BadResponse,
-                    format!("challenge not published: {why}"),
+                    format!(
+                        "challenge for {} could not be published: {why}",
+                        self.authorizations[self.current].name
+                    ),
                 ));
             }
             (Step::WaitAuthorization, Input::Timer) => {
@@ -232,22 +234,34 @@
             (_, Input::NoResponse(why)) => return Err(self.failure(Cause::Unreachable, why)),
             (_, Input::Response(response)) => response,
             (_, Input::NotSent(why)) => return Err(self.failure(Cause::BadResponse, why)),
-            // Never with the input: it may hold a key.
+            // The input is not included because it may contain a key.
             (step, _) => {
-                return Err(self.failure(Cause::BadResponse, format!("out of turn at {step:?}")))
+                return Err(self.failure(
+                    Cause::BadResponse,
+                    format!("unexpected input in step {step:?}"),
+                ))
             }
         };
         if response.status >= 400 {
             return self.error_response(clocks, &response);
         }
         if !(200..300).contains(&response.status) {
-            return Err(self.failure(Cause::BadResponse, format!("status {}", response.status)));
+            return Err(self.failure(
+                Cause::BadResponse,
+                format!(
+                    "unexpected status {} in step {:?}",
+                    response.status, self.step
+                ),
+            ));
         }
         match self.step {
             Step::Create => {
                 let order = self.parsed(wire::order(&response.body))?;
                 let Some(url) = response.location else {
-                    return Err(self.failure(Cause::BadResponse, "an order without a URL".into()));
+                    return Err(self.failure(
+                        Cause::BadResponse,
+                        "response to the new order has no Location".into(),
+                    ));
                 };
                 (self.url, self.body, self.step) = (url.clone(), Some(order), Step::Save);
                 let (names, began) = (self.names.clone(), clocks.wall);
@@ -269,9 +283,10 @@
                 let name = found.identifier.value.to_ascii_lowercase();
                 if !self.names.contains(&name) {
                     let name = sanitize(&name, 100);
-                    return Err(
-                        self.failure(Cause::BadResponse, format!("an authorization for {name}"))
-                    );
+                    return Err(self.failure(
+                        Cause::BadResponse,
+                        format!("authorization for {name}, which is not in the order"),
+                    ));
                 }
                 let auth = &mut self.authorizations[self.current];
                 auth.name = name;
@@ -300,25 +315,31 @@
                 }
             }
             Step::Download => {
-                let chain =
-                    std::str::from_utf8(&response.body).map_err(|_| "chain: no text".to_string());
+                let chain = std::str::from_utf8(&response.body)
+                    .map_err(|_| "certificate chain is not UTF-8".to_string());
                 let key = self.key.as_deref().unwrap_or_default();
                 let identity = chain.and_then(|chain| Identity::from_key_and_chain(key, chain));
                 let identity = identity.map_err(|why| self.unusable_certificate(why))?;
                 if let Some(name) = self.names.iter().find(|n| !identity.covers(n)) {
-                    return Err(self.unusable_certificate(format!("the certificate lacks {name}")));
+                    return Err(self.unusable_certificate(format!(
+                        "issued certificate does not cover {name}"
+                    )));
                 }
-                // By the authority's clock where it tells: this machine's may be the wrong one.
+                // The clock of this machine may be wrong, so the clock of the authority is tried first.
                 let now = response.date.unwrap_or(clocks.wall);
                 if !identity.is_valid_at(now) && !identity.is_valid_at(clocks.wall) {
-                    return Err(
-                        self.unusable_certificate("the certificate does not hold now".into())
-                    );
+                    return Err(self.unusable_certificate(format!(
+                        "issued certificate is not valid now, but from {} to {} (Unix time)",
+                        identity.not_before, identity.not_after
+                    )));
                 }
                 self.step = Step::Finished;
                 Ok(Output::Done(Box::new(identity)))
             }
-            step => Err(self.failure(Cause::BadResponse, format!("an answer at {step:?}"))),
+            step => Err(self.failure(
+                Cause::BadResponse,
+                format!("unexpected response in step {step:?}"),
+            )),
         }
     }
 
@@ -327,14 +348,17 @@
         Output::Post(self.url.clone(), String::new())
     }
 
-    /// Goes on where the authority says that the order stands.
+    /// Takes the next step, by the status of the order at the authority.
     fn continue_order(
         &mut self,
         clocks: Clocks,
         retry_after: Option<u64>,
     ) -> Result<Output, Failure> {
         let Some(body) = self.body.take() else {
-            return Err(self.failure(Cause::BadResponse, "an order without a state".into()));
+            return Err(self.failure(
+                Cause::BadResponse,
+                "no order object to continue with".into(),
+            ));
         };
         match body.status {
             Status::Pending
@@ -347,7 +371,7 @@
                 if body.authorizations.is_empty() {
                     return Err(self.failure(
                         Cause::BadResponse,
-                        "a pending order without authorizations".into(),
+                        "order is pending but has no authorizations".into(),
                     ));
                 }
                 let auth = |url| OrderAuthorization {
@@ -363,7 +387,7 @@
                     String::new(),
                 ))
             }
-            // It was finalized and has not noticed yet.
+            // The authority has not updated the status after the finalization yet.
             Status::Ready if self.finalized => {
                 self.poll_later(clocks, retry_after, Step::WaitOrder)
             }
@@ -377,7 +401,7 @@
                 let Some(url) = body.certificate else {
                     return Err(self.failure(
                         Cause::BadResponse,
-                        "a valid order without a certificate".into(),
+                        "order is valid but has no certificate URL".into(),
                     ));
                 };
                 self.step = Step::Download;
@@ -388,14 +412,14 @@
                 let mut failure = self.problem_failure(&problem, None);
                 failure.resumable = false;
                 if failure.text.len() < 4 {
-                    failure.text = format!("the order is {:?}", body.status).to_lowercase();
+                    failure.text = format!("order status is {:?}", body.status).to_lowercase();
                 }
                 Err(failure)
             }
         }
     }
 
-    /// Chooses the challenge of a pending authorization.
+    /// Selects the challenge of a pending authorization and publishes its response.
     fn select_challenge(
         &mut self,
         clocks: Clocks,
@@ -410,7 +434,10 @@
         else {
             return Err(self.refused_name(
                 name,
-                format!("no challenge {} is offered", self.challenge_type.as_str()),
+                format!(
+                    "the authority offers no {} challenge",
+                    self.challenge_type.as_str()
+                ),
             ));
         };
         if challenge.status == Some(Status::Valid) {
@@ -420,7 +447,10 @@
             return Err(self.authorization_failed(&found));
         }
         if !challenge.has_valid_token() {
-            return Err(self.failure(Cause::BadResponse, "a challenge with a bad token".into()));
+            return Err(self.failure(
+                Cause::BadResponse,
+                format!("challenge for {name} has an invalid token"),
+            ));
         }
         self.authorizations[self.current]
             .challenge
@@ -428,13 +458,14 @@
         let authorization = format!("{}.{}", challenge.token, self.thumbprint);
         let token = challenge.token.clone();
         if challenge.status == Some(Status::Processing) {
-            // From before a restart: it has to be shown again, and is told again.
+            // Started before a restart: the response has to be published and posted again.
             self.authorizations[self.current].valid = false;
         }
         self.step = Step::Publish;
         Ok(Output::Publish(name, token, authorization))
     }
 
+    /// Fetches the next authorization, or starts polling after the last one.
     fn next_authorization(
         &mut self,
         clocks: Clocks,
@@ -452,7 +483,7 @@
         self.poll_authorizations(clocks, retry_after)
     }
 
-    /// Looks at the first authorization that is not valid yet, or at the order once all are.
+    /// Polls the first authorization that is not valid yet, or the order once all are valid.
     fn poll_authorizations(
         &mut self,
         clocks: Clocks,
@@ -467,6 +498,7 @@
         }
     }
 
+    /// Waits for the poll interval or `retry_after` seconds, whichever is longer, unless that exceeds the deadline.
     fn poll_later(
         &mut self,
         clocks: Clocks,
@@ -480,33 +512,36 @@
             return Err(Failure {
                 retry_after: retry_after.map(|s| s.saturating_mul(SECOND)),
                 resumable: true,
-                ..self.failure(Cause::Processing, "the authority takes its time".into())
+                ..self.failure(
+                    Cause::Processing,
+                    "the authority has not finished processing in time; polled again later".into(),
+                )
             });
         }
         self.step = then;
         Ok(Output::Wait(until))
     }
 
-    /// The authority answered with an error.
+    /// Handles an error response.
     fn error_response(&mut self, clocks: Clocks, response: &Response) -> Result<Output, Failure> {
         let problem = wire::problem(&response.body);
         if problem.acme_type() == "orderNotReady" {
             return self.poll_later(clocks, response.retry_after, Step::WaitOrder);
         }
         let mut failure = self.problem_failure(&problem, Some(response));
-        // An order that the authority does not know any more is made anew.
+        // An order that no longer exists at the authority is created again.
         let lost = matches!(response.status, 404 | 410) && self.step != Step::Create;
         failure.resumable = matches!(failure.cause, Cause::Unreachable | Cause::RateLimited)
             && !matches!(self.step, Step::Create | Step::GenerateKey)
             && !lost;
         if lost {
             (failure.cause, failure.refused) = (Cause::BadResponse, Vec::new());
-            failure.text = format!("the authority lost the order: {}", failure.text);
+            failure.text = format!("order no longer exists at the authority: {}", failure.text);
         }
         Err(failure)
     }
 
-    /// What a problem means.
+    /// Returns the failure for a problem document.
     fn problem_failure(&self, problem: &Problem, response: Option<&Response>) -> Failure {
         let status = response.map_or(0, |a| a.status);
         let cause = match problem.acme_type() {
@@ -551,7 +586,7 @@
         }
         let text = match status {
             0 => problem.summary(),
-            _ => format!("{status} {}", problem.summary()),
+            _ => format!("status {status}: {}", problem.summary()),
         };
         let retry_after = response
             .and_then(|a| a.retry_after)
@@ -565,11 +600,11 @@
         }
     }
 
-    /// An authorization that will not become valid.
+    /// Returns the failure for an authorization that cannot become valid.
     fn authorization_failed(&self, found: &wire::Authorization) -> Failure {
         let error = found.challenges.iter().find_map(|c| c.error.as_ref());
         let why = error.map_or(
-            format!("authorization {:?}", found.status).to_lowercase(),
+            format!("authorization status is {:?}", found.status).to_lowercase(),
             Problem::summary,
         );
         let limited = error.is_some_and(|e| e.acme_type() == "rateLimited");
@@ -584,6 +619,7 @@
         failure
     }
 
+    /// Returns the failure for a name that the authority refused.
     fn refused_name(&self, name: String, why: String) -> Failure {
         let text = sanitize(&format!("{name}: {why}"), MAX_TEXT_CHARS);
         let refused = if name.is_empty() {
@@ -601,7 +637,7 @@
     }
 
     fn failure(&self, cause: Cause, why: String) -> Failure {
-        // Whatever became of a request, an order that has a URL is still there.
+        // An order with a URL still exists, whether or not the request was received.
         let resumable = cause == Cause::Unreachable && !self.url.is_empty();
         let text = sanitize(&why, MAX_TEXT_CHARS);
         Failure {
@@ -613,6 +649,7 @@
         }
     }
 
+    /// Returns the failure for an issued certificate that cannot be used. The order cannot be resumed.
     fn unusable_certificate(&self, why: String) -> Failure {
         Failure {
             resumable: false,
--- a/certs/src/pending_writes.rs
+++ b/certs/src/pending_writes.rs
@@ -1,43 +1,43 @@
-//! What is to be kept on disk and is not durable yet. A write that failed is made again, with a pause that grows, until it
-//! succeeds or something newer takes its place: what is served from memory alone would be gone at the next start.
+//! Writes to the folder that are not durable yet. A failed write is retried with exponential backoff until it succeeds or
+//! a newer write of the same file replaces it, because data that is only in memory is lost at a restart.
 use crate::disk::FileUpdate;
 use crate::{Micros, Timestamp, SECOND};
 use std::collections::BTreeMap;
 
-/// Pause before the first retry, and the longest.
+/// Delays between attempts of a write; the delay doubles with each failure.
 const MIN_RETRY_DELAY: Micros = SECOND;
 const MAX_RETRY_DELAY: Micros = 60 * SECOND;
 
-/// An operator who is answered once something is durable.
+/// The reply to an operator that is sent after a write has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingReply {
-    /// Who asked.
+    /// Identifies the command in [`Action::Reply`](crate::Action::Reply).
     pub operator: u64,
-    /// What is answered then.
+    /// The reply if the write succeeds.
     pub text: String,
 }
 
 #[derive(Debug)]
 struct Write {
     update: FileUpdate,
-    /// By which its end is known, while it is under way.
+    /// Task number of the current attempt.
     task: u64,
-    /// When it is made again after a failure.
+    /// Time of the next attempt; `None` while an attempt is in progress.
     retry_at: Option<Timestamp>,
     failures: u32,
     reply: Option<PendingReply>,
 }
 
-/// How a write ended.
+/// The result of one attempt.
 #[derive(Debug)]
 pub struct WriteEnd {
-    /// Failures in a row: 0 if it is durable.
+    /// Failures in a row; 0 if the write is durable.
     pub failures: u32,
-    /// Who is to be answered now.
+    /// The reply to send now.
     pub reply: Option<PendingReply>,
 }
 
-/// The writes, one for each file: the newest.
+/// The newest write of each file, by file.
 #[derive(Debug, Default)]
 pub struct PendingWrites(BTreeMap<String, Write>);
 
@@ -51,7 +51,7 @@
 }
 
 impl PendingWrites {
-    /// A write begins under a number of its own. An older one of the same file is over: returns who waited for it.
+    /// Registers a write under a new task number. Returns the pending reply of the write of the same file that it replaces.
     pub fn begin(
         &mut self,
         task: u64,
@@ -68,12 +68,12 @@
         self.0.insert(file_name(&write.update), write)?.reply
     }
 
-    /// Something newer is written by another way: an older write of the same file is over.
+    /// Drops the write of the same file because the caller writes newer data itself.
     pub fn supersede(&mut self, update: &FileUpdate) {
         self.0.remove(&file_name(update));
     }
 
-    /// A write has ended. `None`: it is none of these, or something newer has taken its place.
+    /// Handles the end of an attempt. Returns `None` if the task is not a registered write or was replaced.
     pub fn ended(&mut self, now: Timestamp, task: u64, durable: bool) -> Option<WriteEnd> {
         let name = self
             .0
@@ -97,7 +97,8 @@
         })
     }
 
-    /// What is due to be written again, each under a new number. What `is_blocked` says has to wait stays for the next time.
+    /// Returns the writes whose retry is due, each with a new task number. Writes for which `is_blocked` returns true are
+    /// postponed by [`MAX_RETRY_DELAY`].
     pub fn retries(
         &mut self,
         now: Timestamp,
@@ -117,7 +118,7 @@
         retries
     }
 
-    /// When the next retry is due.
+    /// Returns the time of the next retry.
     pub fn next(&self) -> Option<Timestamp> {
         self.0.values().filter_map(|write| write.retry_at).min()
     }
--- a/certs/src/planner.rs
+++ b/certs/src/planner.rs
@@ -1,6 +1,6 @@
-//! Which certificates are ordered, and when: over many names, one order for names that belong together, never more
-//! than so many orders in a window, and none that fails holds up others. No input or output; everything it knows
-//! is in its entries, each of which stands in exactly one queue.
+//! Decides which certificates are ordered and when. The number of orders within a time window is limited, and a failing
+//! certificate does not delay others. The planner does no input or output. Each certificate has an entry, which is in
+//! exactly one queue unless an order for it is in progress.
 use crate::error::Failure;
 use crate::renewal::{due, Ranking, Rule, Validity};
 use crate::retry::{retry_delay, Cause};
@@ -9,93 +9,92 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// From this share of its lifetime on a certificate is renewed without a name that is refused, though the old one
-/// still stands for it.
+/// Percentage of the lifetime from which a certificate is renewed without its refused names, although the old certificate
+/// still covers them.
 const DROP_REFUSED_PERCENT: u64 = 90;
-/// A renewal before this share of the lifetime is an early one.
+/// Renewals before this percentage of the lifetime count as early.
 const EARLY_PERCENT: u64 = 10;
-/// No wait is longer, in seconds: a moment further ahead was set by a clock that has gone back since.
+/// Times on the wall clock further ahead than this are ignored: they were set before the clock was moved back.
 const MAX_WALL_WAIT_S: u64 = 8 * 24 * 3_600;
-/// Pause between two warnings of certificates that will expire, and of those that have.
+/// Intervals of the notices about certificates that will expire or have expired.
 const WARN_INTERVAL: Micros = 3_600 * SECOND;
 const ERROR_INTERVAL: Micros = 60 * SECOND;
-/// Names told in one notice.
+/// Maximum number of names in a notice.
 const MAX_NOTICE_NAMES: usize = 5;
-/// Names that are remembered as refused.
 const MAX_REFUSED_NAMES: usize = 20_000;
 
-/// What the planner goes by.
+/// Settings of the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannerSettings {
-    /// When a certificate is due.
+    /// Determines when a renewal is due.
     pub rule: Rule,
-    /// Share of the lifetime, in percent, from which on a warning is written.
+    /// Percentage of the lifetime after which a warning is logged.
     pub warn_percent: u32,
-    /// Orders begun within `window` at most.
+    /// Maximum number of orders started within `order_window`.
     pub max_orders: usize,
-    /// The window, in microseconds.
+    /// Length of the window in microseconds.
     pub order_window: Micros,
-    /// Orders under way at once.
+    /// Maximum number of orders in progress.
     pub max_concurrent_orders: usize,
 }
 
-/// An order to be made.
+/// An order to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOrder {
-    /// Of the certificate: its first name.
+    /// Id of the certificate: its first name.
     pub id: String,
-    /// Names to be asked for.
+    /// Names to order; refused names are left out.
     pub names: Vec<String>,
 }
 
 /// A name that the authority refused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// It is not asked for again before this second.
+    /// The name is not ordered again before this time.
     pub until: UnixTime,
-    /// How often in a row.
+    /// Number of refusals in a row.
     pub failures: u32,
 }
 
-/// Something that an operator has to hear.
+/// A notice for operators about the validity of certificates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// So many certificates will end soon; the first in `left` seconds. Some of their names.
+    /// Certificates will expire soon.
     Expiring {
-        /// How many.
+        /// Number of certificates.
         count: usize,
-        /// Seconds until the first ends.
+        /// Seconds until the first expires.
         left: u64,
-        /// Some of them.
+        /// Ids of some of the certificates.
         names: Vec<String>,
     },
-    /// So many have ended; the first `since` seconds ago.
+    /// Certificates have expired.
     Expired {
-        /// How many.
+        /// Number of certificates.
         count: usize,
-        /// Seconds since the first ended.
+        /// Seconds since the first expired.
         since: u64,
-        /// Some of them.
+        /// Ids of some of the certificates.
         names: Vec<String>,
     },
-    /// The wall clock is before the first second of this many: it is likely wrong.
+    /// Certificates are not valid yet, most likely because the wall clock is wrong.
     NotYetValid {
-        /// How many.
+        /// Number of certificates.
         count: usize,
-        /// Some of them.
+        /// Ids of some of the certificates.
         names: Vec<String>,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueueState {
-    /// Not due: in `later`, by the second.
+    /// Not due; in the queue `later` by the due time.
     Later(UnixTime),
-    /// Due, and waits for its turn or after a failure: in `held_back`.
+    /// Due, but delayed by the ranking of fronts or after a failure; in the queue `held_back`.
     HeldBack(Timestamp),
-    /// May be ordered: in `ready`, by when the old one ends.
+    /// Can be ordered; in the queue `ready` by the expiry of the current certificate.
     Ready(UnixTime),
-    /// An order is under way.
+    /// An order is in progress; in no queue.
     InProgress,
 }
 
@@ -103,49 +102,48 @@
 struct Entry {
     names: Vec<String>,
     validity: Option<Validity>,
-    /// Names for which the one held stands.
+    /// Names that the current certificate covers.
     covered: BTreeSet<String>,
     window: Option<Window>,
     failures: u32,
-    /// Why it failed last.
     last_failure: Option<(Cause, String)>,
-    /// Not before this moment.
+    /// Not ordered before this time.
     hold_until: Timestamp,
-    /// Renewed whatever its dates say.
+    /// An operator requested the renewal.
     forced: bool,
-    /// How often in a row it was renewed right after it was issued because the authority said so, and the second
-    /// until which that is not done again.
+    /// Number of renewals in a row that the authority requested right after issuance.
     early_renewals: u32,
+    /// No further early renewal before this time.
     early_hold_until: UnixTime,
-    /// Its turn was waited for since it came due.
+    /// The delay of the ranking has been applied since the certificate became due.
     delay_applied: bool,
-    /// An order from before a restart is taken up: it was counted then.
+    /// An order exists that can be resumed. It has been counted in `recent_orders` already.
     resumable: bool,
     queue_state: QueueState,
 }
 
-/// How a certificate stands.
+/// The state of a certificate, for operators.
 #[derive(Clone, Debug)]
 pub struct CertificateStatus {
-    /// Its first name.
+    /// Id: the first name.
     pub id: String,
-    /// All its names.
+    /// All configured names.
     pub names: Vec<String>,
-    /// The dates of the one held.
+    /// Validity of the current certificate.
     pub validity: Option<Validity>,
-    /// `later`, `held-back`, `ready` or `ordering`.
+    /// Queue of the certificate: `later`, `held-back`, `ready` or `ordering`.
     pub state: &'static str,
-    /// Seconds until something is done for it, as far as that is known.
+    /// Seconds until the next action, if known.
     pub next_s: Option<u64>,
-    /// Failures in a row, and the last one's cause and text.
+    /// Number of failures in a row.
     pub failures: u32,
-    /// Why it failed last.
+    /// Cause and description of the last failure.
     pub last_failure: Option<(Cause, String)>,
-    /// Those of its names that are held back.
+    /// Names that are not ordered at present because the authority refused them.
     pub refused: Vec<String>,
 }
 
-/// The planner.
+/// Plans the orders of all certificates.
 pub struct Planner {
     settings: PlannerSettings,
     ranking: Box<dyn Ranking + Send>,
@@ -155,12 +153,12 @@
     ready: BTreeSet<(UnixTime, String)>,
     in_progress: usize,
     refused: BTreeMap<String, Refusal>,
-    /// Orders begun within the window, on both clocks.
+    /// Start times of the orders within the window, on both clocks.
     recent_orders: VecDeque<(Timestamp, UnixTime)>,
-    /// Nothing is ordered before this moment: the authority is away.
+    /// No order is started before this time, because the authority is not available.
     paused_until: Timestamp,
     pause_failures: u32,
-    /// Certificates that were rate limited since the last success.
+    /// Ids that were rate limited since the last success.
     rate_limited: BTreeSet<String>,
     next_warning_at: Timestamp,
     next_error_at: Timestamp,
@@ -178,7 +176,7 @@
 }
 
 impl Planner {
-    /// A planner without certificates.
+    /// Creates a planner without certificates.
     pub fn new(settings: PlannerSettings, ranking: Box<dyn Ranking + Send>) -> Self {
         Planner {
             settings,
@@ -198,7 +196,7 @@
         }
     }
 
-    /// Takes over what was remembered over a restart.
+    /// Restores the state saved before a restart.
     pub fn restore(
         &mut self,
         clocks: Clocks,
@@ -213,7 +211,7 @@
             .collect();
         known.sort_unstable();
         known.truncate(self.settings.max_orders);
-        // One that lies ahead was begun before the clock went back: it counts as begun now.
+        // Times in the future were recorded before the clock was moved back; they count as now.
         let age = |w: &UnixTime| clocks.wall.saturating_sub(*w) * SECOND;
         self.recent_orders = known
             .iter()
@@ -222,7 +220,7 @@
         self.refused = refused;
     }
 
-    /// What has to be remembered over a restart.
+    /// Returns the state to save for the next start.
     pub fn saved_state(&self) -> (Vec<UnixTime>, BTreeMap<String, Refusal>) {
         (
             self.recent_orders.iter().map(|(_, wall)| *wall).collect(),
@@ -230,7 +228,7 @@
         )
     }
 
-    /// Takes over another plan and other turns.
+    /// Applies new settings and a new ranking.
     pub fn reconfigure(
         &mut self,
         clocks: Clocks,
@@ -242,8 +240,8 @@
         ids.iter().for_each(|id| self.schedule(clocks, id));
     }
 
-    /// Which certificates are wanted from now on; each by its names, the first is its id. Those not named any more
-    /// are forgotten, an order under way for one of them included.
+    /// Sets the wanted certificates, each by its names, of which the first is the id. Other certificates are removed,
+    /// including orders in progress.
     pub fn set_wanted(&mut self, clocks: Clocks, all: &[Vec<String>]) {
         let wanted: BTreeMap<String, Vec<String>> = all
             .iter()
@@ -286,17 +284,17 @@
         }
     }
 
-    /// The ids of all certificates.
+    /// Returns the ids of all certificates.
     pub fn ids(&self) -> impl Iterator<Item = &String> {
         self.entries.keys()
     }
 
-    /// The names of one.
+    /// Returns the names of a certificate.
     pub fn names(&self, id: &str) -> Option<&[String]> {
         self.entries.get(id).map(|e| &e.names[..])
     }
 
-    /// A certificate is held, from disk, by import or otherwise.
+    /// Records the certificate in use, with the names that it covers.
     pub fn set_certificate(
         &mut self,
         clocks: Clocks,
@@ -314,7 +312,7 @@
         }
     }
 
-    /// An order from before a restart is there to be taken up: at once, and it was counted then.
+    /// Records that an order from before a restart can be resumed. It is due at once and not counted again.
     pub fn set_resumable(&mut self, clocks: Clocks, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.resumable = true;
@@ -322,7 +320,7 @@
         }
     }
 
-    /// The authority named a window for the one held.
+    /// Records the renewal window suggested by the authority.
     pub fn set_window(&mut self, clocks: Clocks, id: &str, window: Window) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.window = Some(window);
@@ -330,7 +328,7 @@
         }
     }
 
-    /// An operator wants it renewed now, whatever its dates and earlier failures. `false`: there is no such one.
+    /// Schedules a renewal now, regardless of validity and earlier failures. Returns false for an unknown id.
     pub fn force_renewal(&mut self, clocks: Clocks, id: &str) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
@@ -343,7 +341,7 @@
         true
     }
 
-    /// The next order to be made, if one may be begun now. It counts from here on.
+    /// Returns the next order to start, if any. It is counted as started.
     pub fn next(&mut self, clocks: Clocks) -> Option<PlannedOrder> {
         self.requeue_due(clocks);
         let max_in_progress = if self.pause_failures > 0 {
@@ -363,13 +361,13 @@
         }
         let full = self.recent_orders.len() >= self.settings.max_orders;
         let allowed = |id: &String| !full || self.entries.get(id).is_some_and(|e| e.resumable);
-        // Where the window is full, only those that were counted before go on; few are.
+        // At the limit only resumable orders can start, since they have been counted already.
         let (_, id) = self.ready.iter().find(|(_, id)| allowed(id)).cloned()?;
         let names = self.orderable_names(clocks.wall, &id);
         self.unqueue(&id);
         let entry = self.entries.get_mut(&id)?;
         if names.is_empty() {
-            // Its names were refused since it was queued.
+            // All names have been refused since the certificate was queued.
             self.schedule(clocks, &id);
             return None;
         }
@@ -381,7 +379,7 @@
         Some(PlannedOrder { id, names })
     }
 
-    /// An order brought a certificate.
+    /// Records that an order was completed.
     pub fn succeeded(&mut self, clocks: Clocks, id: &str, validity: Validity, covered: &[String]) {
         self.authority_responded();
         self.rate_limited.clear();
@@ -392,8 +390,8 @@
             return;
         };
         (entry.failures, entry.last_failure, entry.hold_until) = (0, None, 0);
-        // Guards against an authority whose windows lie in the past always, and against a clock by which what is
-        // new is old.
+        // Prevents repeated renewals if the authority always suggests windows in the past, or if a new certificate is
+        // already due by the clock of this machine.
         let early = entry
             .validity
             .is_some_and(|old| clocks.wall < old.at(EARLY_PERCENT))
@@ -410,11 +408,11 @@
         }
         (entry.forced, entry.window) = (false, None);
         if validity.not_after <= clocks.wall {
-            // By this clock it has ended already. One of the two clocks is wrong; asking again at once mends neither.
+            // One of the clocks is wrong. An immediate order would not help.
             entry.failures = 1;
             entry.last_failure = Some((
                 Cause::BadResponse,
-                "what was issued has ended by this machine's clock".into(),
+                "the issued certificate has already expired by this machine's clock".into(),
             ));
             entry.hold_until = clocks.now + retry_delay(Cause::BadResponse, 4, None, id);
         }
@@ -423,7 +421,7 @@
         self.schedule(clocks, id);
     }
 
-    /// An order failed.
+    /// Records that an order failed.
     pub fn failed(&mut self, clocks: Clocks, id: &str, failure: &Failure) {
         self.finish_order(id);
         let Failure {
@@ -449,11 +447,11 @@
         entry.failures += 1;
         entry.resumable = failure.resumable;
         if cause == Cause::AccountUnknown {
-            // The account is made anew; the order itself did nothing wrong.
+            // The account is registered again; the order is not to blame.
         } else if cause.affects_all() {
             entry.hold_until = self.paused_until;
         } else if !failure.refused.is_empty() && failure.refused.len() < entry.names.len() {
-            // The others go on without it at once.
+            // The other names are ordered at once.
             entry.hold_until = clocks.now;
         } else {
             entry.hold_until = clocks.now + retry_delay(cause, entry.failures, retry_after, id);
@@ -461,7 +459,7 @@
         let hold_until = entry.hold_until;
         if cause == Cause::RateLimited {
             self.rate_limited.insert(id.into());
-            // One may have a limit of its own; two in a row have one in common.
+            // A single certificate may have its own limit; several indicate a limit of the account.
             if self.rate_limited.len() > 1 {
                 self.paused_until = self.paused_until.max(hold_until);
             }
@@ -469,30 +467,30 @@
         self.schedule(clocks, id);
     }
 
-    /// The authority is away as a whole, or won't talk to this account.
+    /// Pauses all orders after a failure that affects all certificates.
     pub fn pause(&mut self, clocks: Clocks, cause: Cause, retry_after: Option<Micros>) {
         self.pause_failures += 1;
         self.paused_until =
             clocks.now + retry_delay(cause, self.pause_failures, retry_after, "authority");
     }
 
-    /// The authority answers.
+    /// Records that the authority is available.
     pub fn authority_responded(&mut self) {
         self.pause_failures = 0;
     }
 
-    /// Whether something could be ordered if the authority let us: an account is worth having.
+    /// Whether a certificate is ready to be ordered and orders are not paused. The order limits are not considered.
     pub fn has_ready(&mut self, clocks: Clocks) -> bool {
         self.requeue_due(clocks);
         clocks.now >= self.paused_until && !self.ready.is_empty()
     }
 
-    /// Until when the authority is left alone; 0: it is not.
+    /// The time until which orders are paused; in the past or 0 if they are not.
     pub fn paused_until(&self) -> Timestamp {
         self.paused_until
     }
 
-    /// The next moment at which something may have changed, by the clocks as they are.
+    /// Returns the next time at which a certificate may become due or an order may start.
     pub fn next_wakeup(&self, clocks: Clocks) -> Option<Timestamp> {
         let later = self.later.first().filter(|(at, _)| *at < u64::MAX);
         let later =
@@ -505,7 +503,7 @@
                 .front()
                 .filter(|_| full)
                 .map_or(0, |(at, _)| at + self.settings.order_window);
-            // What waits for another to end is looked at when that ends.
+            // The end of the order in progress wakes the planner earlier.
             let free = if self.in_progress > 0 {
                 clocks.now + 60 * SECOND
             } else {
@@ -516,7 +514,7 @@
         [later, held_back, ready].into_iter().flatten().min()
     }
 
-    /// What operators have to hear now.
+    /// Returns the notices that are due.
     pub fn notices(&mut self, clocks: Clocks) -> Vec<Notice> {
         let (warn, error) = (
             clocks.now >= self.next_warning_at,
@@ -573,7 +571,7 @@
         notices
     }
 
-    /// How each certificate stands, in the order of their ids.
+    /// Returns the state of each certificate, ordered by id.
     pub fn statuses(&self, clocks: Clocks) -> Vec<CertificateStatus> {
         let status = |(id, e): (&String, &Entry)| {
             let (state, next_s) = match e.queue_state {
@@ -609,7 +607,7 @@
         self.entries.iter().map(status).collect()
     }
 
-    /// Orders begun within the window, and how many may be.
+    /// Returns the number of orders within the window and their maximum.
     pub fn order_counts(&self) -> (usize, usize) {
         (self.recent_orders.len(), self.settings.max_orders)
     }
@@ -620,7 +618,7 @@
             .is_some_and(|r| r.until > wall && r.until < wall + MAX_WALL_WAIT_S)
     }
 
-    /// Names that an order made now would ask for.
+    /// Returns the names that an order started now would contain.
     fn orderable_names(&self, wall: UnixTime, id: &str) -> Vec<String> {
         let Some(entry) = self.entries.get(id) else {
             return Vec::new();
@@ -633,7 +631,7 @@
             .collect()
     }
 
-    /// The second from which something should be ordered for a certificate.
+    /// Returns the time from which a certificate should be ordered.
     fn due(&self, wall: UnixTime, id: &str, entry: &Entry) -> UnixTime {
         if entry.forced || entry.resumable {
             return 0;
@@ -666,7 +664,7 @@
             return 0;
         }
         let complete = until(&mut missing.iter().copied()).unwrap_or(u64::MAX);
-        // What the old one stands for is not given up while it holds on for long.
+        // Keeps refused names that the current certificate still covers until most of its lifetime has passed.
         let covered_until = until(
             &mut entry
                 .names
@@ -687,7 +685,7 @@
         renew.min(complete)
     }
 
-    /// Puts a certificate into the queue where it belongs now.
+    /// Moves a certificate to the queue for its current state.
     fn schedule(&mut self, clocks: Clocks, id: &str) {
         let Some(entry) = self.entries.get(id) else {
             return;
@@ -750,7 +748,7 @@
         }
     }
 
-    /// Moves what has come due.
+    /// Reschedules the certificates whose time in a queue has passed.
     fn requeue_due(&mut self, clocks: Clocks) {
         while let Some((_, id)) = self
             .later
--- a/certs/src/renewal.rs
+++ b/certs/src/renewal.rs
@@ -1,40 +1,40 @@
-//! When a certificate is due, and which front's turn it is.
+//! The time at which a certificate is renewed, and which of several fronts renews it.
 use crate::wire::Window;
 use crate::{hash, hash_below, Micros, UnixTime, SECOND};
 
-/// Share of a lifetime, in percent, that is never waited past, whatever window the authority names.
+/// Percentage of the lifetime at which a certificate is renewed at the latest, even if the suggested window is later.
 const LATEST_PERCENT: u64 = 95;
-/// A front that has nothing to serve waits this long for each that stands before it.
+/// Upper limit for the delay per rank while no valid certificate exists.
 const FIRST_ORDER_DELAY: Micros = 30 * SECOND;
 
-/// What is known of a certificate that is held.
+/// The validity period of a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
-    /// First second at which it holds.
+    /// First second of the period.
     pub not_before: UnixTime,
-    /// Last second at which it holds.
+    /// Last second of the period.
     pub not_after: UnixTime,
 }
 
 impl Validity {
-    /// The second at which a share of its lifetime, in percent, has passed.
+    /// Returns the time at which `percent` of the period has passed.
     pub fn at(&self, percent: u64) -> UnixTime {
         let life = self.not_after.saturating_sub(self.not_before);
         self.not_before + (u128::from(life) * u128::from(percent) / 100) as u64
     }
 }
 
-/// How renewals are spread.
+/// When a certificate is renewed without a suggested window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// Share of the lifetime, in percent, after which one is due without a window.
+    /// Percentage of the lifetime after which a renewal is due.
     pub renew_percent: u32,
-    /// Up to this share of the lifetime earlier, in percent.
+    /// Renewals are spread over this percentage of the lifetime before `renew_percent`.
     pub jitter_percent: u32,
 }
 
-/// The second from which a certificate should be renewed: a moment within the authority's window (RFC 9773, section
-/// 4.2), else by the rule. It depends on nothing but its arguments, so a restart changes nothing.
+/// Returns the time from which a certificate should be renewed: within the window suggested by the authority (RFC 9773,
+/// section 4.2), otherwise by the rule. The result is derived from the arguments alone and stays the same after a restart.
 pub fn due(held: &Validity, window: Option<Window>, rule: Rule, id: &str) -> UnixTime {
     let due = match window {
         Some(window) => window.start + hash_below(window.end - window.start, &[id, "window"]),
@@ -48,27 +48,27 @@
     due.min(held.at(LATEST_PERCENT))
 }
 
-/// Whose turn it is to renew, where several fronts serve the same names.
+/// Decides which of several fronts with the same names renews a certificate first.
 pub trait Ranking {
-    /// How long this front waits once a certificate is due. `left`: seconds from then until it ends; 0: there is
-    /// none, or it has ended.
+    /// Returns how long this front waits after a certificate has become due. `left` is the number of seconds until it
+    /// expires, or 0 if there is no valid certificate.
     fn delay(&self, id: &str, left: u64) -> Micros;
 }
 
-/// Turns by rank, without any talk: each front has a rank for each certificate by hash, and waits a span for each
-/// front before it. Who is first is another one for another certificate.
+/// Ranks fronts by a hash of certificate and front, without communication between them. A front waits for each front of
+/// higher rank, and the first rank is distributed evenly over the fronts.
 #[derive(Clone, Debug)]
 pub struct HashRanking {
-    /// This front.
+    /// Name of this front.
     pub front_name: String,
-    /// All of them.
+    /// Names of all fronts.
     pub fronts: Vec<String>,
-    /// How long one waits for the one before it.
+    /// Delay per rank.
     pub takeover_delay: Micros,
 }
 
 impl HashRanking {
-    /// Fronts that come before this one.
+    /// Returns the number of fronts that precede this one.
     pub fn rank(&self, id: &str) -> u64 {
         let mine = (hash(&[id, &self.front_name]), &self.front_name);
         let before = self
@@ -83,7 +83,7 @@
     fn delay(&self, id: &str, left: u64) -> Micros {
         let each = match left {
             0 => self.takeover_delay.min(FIRST_ORDER_DELAY),
-            // All turns are over at half of what is left.
+            // The last front starts when half of the remaining lifetime has passed.
             _ => self
                 .takeover_delay
                 .min(left.saturating_mul(SECOND / 2) / self.fronts.len().max(1) as u64),
--- a/certs/src/retry.rs
+++ b/certs/src/retry.rs
@@ -1,30 +1,30 @@
-//! How long to wait after a failure: by its cause, and by how often it came before.
+//! Delays before the next attempt, by the cause of a failure and the number of failures in a row.
 use crate::{hash_below, Micros, SECOND};
 
 const MINUTE: Micros = 60 * SECOND;
 const HOUR: Micros = 60 * MINUTE;
 
-/// Why something did not come about.
+/// The cause of a failure, which determines the retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The authority can't be reached, is too slow, or says that it is in trouble.
+    /// The authority cannot be reached, did not respond in time, or reported an internal error.
     Unreachable,
-    /// It said something that can't be used, or something went wrong with this order alone.
+    /// The response cannot be used, or another error affects this order alone.
     BadResponse,
-    /// It said that this was too much (`rateLimited`, 429).
+    /// The authority limits requests (`rateLimited`, status 429).
     RateLimited,
-    /// It won't issue for a name, or could not see that it is ours.
+    /// The authority does not issue for a name, or its validation of the name failed.
     Refused,
-    /// The account is not good enough: terms, external account, or it is barred.
+    /// The account is rejected: terms of service, missing external account, or deactivation.
     AccountRejected,
-    /// The authority does not know the account any more.
+    /// The account no longer exists at the authority.
     AccountUnknown,
-    /// The order takes its time; it is looked at again and not made anew.
+    /// The authority has not finished the order in time. The next attempt polls the same order.
     Processing,
 }
 
 impl Cause {
-    /// The field's word for it, as in logs and `cranesill certs`.
+    /// The name of the cause in logs and in the output of `cranesill certs`.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::Unreachable => "authority-unreachable",
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether it holds for all certificates and not for one alone.
+    /// Whether the cause affects all certificates.
     pub fn affects_all(self) -> bool {
         matches!(
             self,
@@ -45,8 +45,8 @@
         )
     }
 
-    /// The first wait and the longest. A name that is refused stays so until somebody mends it; an authority that
-    /// is away is back of itself.
+    /// Minimum and maximum delay. They are longer for a refused name, which an operator has to fix, than for an
+    /// unreachable authority, which usually recovers without intervention.
     fn bounds(self) -> (Micros, Micros) {
         match self {
             Cause::Unreachable => (10 * SECOND, 30 * MINUTE),
@@ -60,20 +60,20 @@
     }
 }
 
-/// A time to come back that the authority named is heeded up to this.
+/// Upper limit for a delay that the authority requests.
 pub const MAX_RETRY_AFTER: Micros = 7 * 24 * HOUR;
 
-/// How long to wait after the `failures`th failure in a row (1 up), with up to a quarter more that depends on
-/// `salt` alone, so that those that failed together do not come back together. What the authority named
-/// (`retry_after`, microseconds) is the least.
+/// Returns the delay after the given number of failures in a row (at least 1): exponential backoff plus up to a quarter
+/// of jitter derived from `salt`, which spreads the retries of orders that failed together. The delay requested by the
+/// authority (`retry_after`, microseconds) is a lower bound.
 pub fn retry_delay(cause: Cause, failures: u32, retry_after: Option<Micros>, salt: &str) -> Micros {
-    let (first, max) = cause.bounds();
-    let delay = first
+    let (min, max) = cause.bounds();
+    let delay = min
         .saturating_mul(1 << failures.saturating_sub(1).min(20))
         .min(max);
     let delay = delay + hash_below(delay / 4, &[salt, &failures.to_string()]);
     match (retry_after.map(|t| t.min(MAX_RETRY_AFTER)), cause) {
-        // Its word is all there is to a limit.
+        // The authority knows its own limit: its delay replaces the backoff.
         (Some(retry_after), Cause::RateLimited) => {
             retry_after + hash_below(retry_after / 20 + SECOND, &[salt])
         }
--- a/certs/src/url.rs
+++ b/certs/src/url.rs
@@ -1,43 +1,46 @@
-//! URLs of the authority: `https` and nothing else.
+//! Strict parser for the `https` URLs of an authority.
 
-/// Bytes that a URL may have.
 const MAX_URL_BYTES: usize = 2_048;
 
-/// A URL in its parts.
+/// A parsed `https` URL.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Url {
-    /// Host as it stands in the URL, in lower case, without brackets.
+    /// Host in lower case; an IPv6 address has no brackets.
     pub host: String,
-    /// Port; 443 where the URL names none.
+    /// Port; 443 if the URL has none.
     pub port: u16,
-    /// Path with query, beginning with `/`.
+    /// Path and query, beginning with `/`.
     pub path: String,
 }
 
 impl Url {
-    /// Takes a URL apart. Refused is whatever could lead elsewhere or into another line of a request: schemes but
-    /// `https`, user names, blanks, control bytes, what is not ASCII.
+    /// Parses a URL. Rejects everything that could change the host or inject header lines: schemes other than `https`,
+    /// user information, spaces, control characters and non-ASCII characters.
     pub fn parse(text: &str) -> Result<Url, &'static str> {
         if text.len() > MAX_URL_BYTES {
-            return Err("URL too long");
+            return Err("URL is too long");
         }
         if !text.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err("URL with bytes that no URL has");
+            return Err("URL contains characters other than printable ASCII");
         }
-        let rest = text.strip_prefix("https://").ok_or("URL is not https")?;
+        let rest = text
+            .strip_prefix("https://")
+            .ok_or("URL scheme is not https")?;
         let at = rest.find(['/', '?', '#']).unwrap_or(rest.len());
         let (authority, path) = rest.split_at(at);
         if path.contains('#') || path.starts_with('?') {
-            return Err("URL with a fragment or without a path");
+            return Err("URL has a fragment, or a query without a path");
         }
         if authority.contains(['@', '\\']) {
-            return Err("URL with a user name");
+            return Err("URL contains user information or a backslash");
         }
         let (host, port) = match authority.strip_prefix('[') {
             Some(rest) => {
-                let (host, port) = rest.split_once(']').ok_or("URL with a bad address")?;
+                let (host, port) = rest
+                    .split_once(']')
+                    .ok_or("URL has an invalid IPv6 address")?;
                 host.parse::<std::net::Ipv6Addr>()
-                    .map_err(|_| "URL with a bad address")?;
+                    .map_err(|_| "URL has an invalid IPv6 address")?;
                 (host, port)
             }
             None => authority
@@ -46,13 +49,13 @@
         };
         let port = match port.strip_prefix(':') {
             Some(digits) if digits.bytes().all(|b| b.is_ascii_digit()) => {
-                digits.parse().map_err(|_| "URL with a bad port")?
+                digits.parse().map_err(|_| "URL has an invalid port")?
             }
             None if port.is_empty() => 443,
-            _ => return Err("URL with a bad port"),
+            _ => return Err("URL has an invalid port"),
         };
         if host.is_empty() || port == 0 {
-            return Err("URL without a host");
+            return Err("URL has no host, or port 0");
         }
         let path = if path.is_empty() {
             "/".into()
@@ -66,12 +69,12 @@
         })
     }
 
-    /// Whether both lead to the same host and port.
+    /// Whether both URLs have the same host and port.
     pub fn same_host_and_port(&self, other: &Url) -> bool {
         (&self.host, self.port) == (&other.host, other.port)
     }
 
-    /// What stands in the field `Host` of a request (RFC 9110, section 7.2).
+    /// The value of the `Host` header field (RFC 9110, section 7.2).
     pub fn host_field(&self) -> String {
         let host = if self.host.contains(':') {
             format!("[{}]", self.host)
--- a/certs/src/wire.rs
+++ b/certs/src/wire.rs
@@ -1,169 +1,170 @@
-//! What an authority says, as JSON (RFC 8555, section 7.1; RFC 9773, section 4.2). The bytes were bounded when they
-//! were read; counts and texts are bounded here.
+//! JSON documents of an ACME authority (RFC 8555, section 7.1; RFC 9773, section 4.2). The size of a document is limited
+//! when it is received; the lengths of its lists and texts are limited here.
 use crate::sanitize;
 use serde::Deserialize;
 use time::format_description::well_known::Rfc3339;
 
-/// Authorizations of an order, challenges of an authorization, subproblems of a problem, at most.
+/// Maximum number of authorizations of an order, challenges of an authorization and subproblems of a problem.
 const MAX_LIST_LENGTH: usize = 128;
-/// Letters of a foreign text that reach the log.
+/// Maximum length of a text from the authority in a log line.
 const MAX_TEXT_CHARS: usize = 300;
-/// Letters of a token (RFC 8555, section 8.1 wants at least 128 bits).
+/// Length of a token. RFC 8555, section 8.1, requires at least 128 bits, which are 22 characters.
 const TOKEN_CHARS: std::ops::RangeInclusive<usize> = 22..=256;
 
-/// The directory (section 7.1.1).
+/// The directory object (RFC 8555, section 7.1.1).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Directory {
-    /// Where nonces come from.
+    /// URL for new nonces.
     pub new_nonce: String,
-    /// Where accounts are made.
+    /// URL for registering an account.
     pub new_account: String,
-    /// Where orders are made.
+    /// URL for creating an order.
     pub new_order: String,
-    /// Where certificates are revoked.
+    /// URL for revoking a certificate.
     pub revoke_cert: Option<String>,
-    /// Where account keys are changed.
+    /// URL for changing the account key.
     pub key_change: Option<String>,
-    /// Where renewal information is (RFC 9773, section 4.1).
+    /// Base URL of renewal information (RFC 9773, section 4.1).
     pub renewal_info: Option<String>,
-    /// More about the authority.
+    /// Metadata about the authority.
     #[serde(default)]
     pub meta: Meta,
 }
 
-/// More about the authority.
+/// Directory metadata (RFC 8555, section 7.1.1).
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Meta {
     /// URL of the terms of service.
     pub terms_of_service: Option<String>,
-    /// Whether accounts have to be bound to an external one.
+    /// Whether registration requires an external account binding.
     pub external_account_required: bool,
 }
 
-/// An order (section 7.1.3).
+/// An order object (RFC 8555, section 7.1.3).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Order {
-    /// Its state.
+    /// Current status.
     pub status: Status,
-    /// URLs of its authorizations.
+    /// URLs of the authorizations.
     #[serde(default)]
     pub authorizations: Vec<String>,
-    /// Where the signing request goes.
+    /// URL to which the certificate signing request is sent.
     #[serde(default)]
     pub finalize: String,
-    /// Where the certificate is, once the order is valid.
+    /// URL of the certificate, once the order is valid.
     pub certificate: Option<String>,
-    /// Why it is invalid.
+    /// Why the order is invalid.
     pub error: Option<Problem>,
 }
 
-/// States of orders, authorizations and challenges (section 7.1.6).
+/// Status of an order, authorization or challenge (RFC 8555, section 7.1.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// Something is still to be shown.
+    /// Control of a name has not been proven yet.
     Pending,
-    /// All is shown; the signing request may go.
+    /// All authorizations are valid and the order can be finalized.
     Ready,
-    /// The authority works on it.
+    /// The authority is validating or issuing.
     Processing,
-    /// Done.
+    /// Validated or issued.
     Valid,
-    /// Failed for good.
+    /// Failed; a new order is required.
     Invalid,
-    /// Given up by the client.
+    /// Deactivated by the client.
     Deactivated,
-    /// Too old.
+    /// Expired before it was used.
     Expired,
-    /// Taken back by the authority.
+    /// Revoked by the authority.
     Revoked,
 }
 
-/// An authorization (section 7.1.4).
+/// An authorization object (RFC 8555, section 7.1.4).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Authorization {
-    /// The name that it is for.
+    /// The name to be authorized.
     pub identifier: Identifier,
-    /// Its state.
+    /// Current status.
     pub status: Status,
-    /// Ways to show control.
+    /// The challenges of which one has to be answered.
     #[serde(default)]
     pub challenges: Vec<Challenge>,
 }
 
-/// A name.
+/// An identifier object: a type and a name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Identifier {
-    /// `dns` always, here.
+    /// Identifier type; this client uses `dns` only.
     #[serde(rename = "type", default)]
     pub kind: String,
-    /// The name.
+    /// The host name.
     #[serde(default)]
     pub value: String,
 }
 
-/// A way to show control of a name (section 7.1.5).
+/// A challenge object (RFC 8555, section 7.1.5).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Challenge {
-    /// Its type, as in `http-01`.
+    /// Challenge type, e.g. `http-01`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Where the authority is told that it may look.
+    /// URL to which the client posts when the authority may validate.
     pub url: String,
-    /// Its state.
+    /// Current status.
     pub status: Option<Status>,
-    /// What has to be answered with the account's thumbprint.
+    /// Token of which, with the account's thumbprint, the key authorization consists.
     #[serde(default)]
     pub token: String,
-    /// Why it failed.
+    /// Why the challenge failed.
     pub error: Option<Problem>,
 }
 
 impl Challenge {
-    /// Whether its token is one: base64url letters alone, since it stands in a path (section 8.3).
+    /// Whether the token has an allowed length and consists of base64url characters, which are safe in a path (RFC 8555,
+    /// section 8.3).
     pub fn has_valid_token(&self) -> bool {
         let is_base64url = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
         TOKEN_CHARS.contains(&self.token.len()) && self.token.bytes().all(is_base64url)
     }
 }
 
-/// A problem document (RFC 7807; section 6.7).
+/// A problem document (RFC 7807; RFC 8555, section 6.7).
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Problem {
-    /// URN of its type.
+    /// Problem type, a URN.
     #[serde(rename = "type")]
     pub kind: String,
-    /// What a human reads.
+    /// Description for humans.
     pub detail: String,
-    /// One for each name that has something to do with it (section 6.7.1).
+    /// Problems with individual names (RFC 8555, section 6.7.1).
     pub subproblems: Vec<Subproblem>,
 }
 
-/// A problem with one name.
+/// A problem with an individual name.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Subproblem {
-    /// URN of its type.
+    /// Problem type, a URN.
     #[serde(rename = "type")]
     pub kind: String,
-    /// What a human reads.
+    /// Description for humans.
     pub detail: String,
-    /// The name.
+    /// The name that caused the problem.
     pub identifier: Option<Identifier>,
 }
 
 impl Problem {
-    /// The type without the prefix of ACME's (section 6.7), `""` where it is of another kind.
+    /// The type without the ACME prefix (RFC 8555, section 6.7); empty if it is not an ACME type.
     pub fn acme_type(&self) -> &str {
         self.kind
             .strip_prefix("urn:ietf:params:acme:error:")
             .unwrap_or("")
     }
 
-    /// One line for log and operator: type, detail and subproblems, tamed.
+    /// Type, detail and the first subproblems in one sanitized line, for logs and operators.
     pub fn summary(&self) -> String {
         let kind = if self.acme_type().is_empty() {
             &self.kind
@@ -186,51 +187,55 @@
     }
 }
 
-/// When a certificate should be renewed (RFC 9773, section 4.2).
+/// The suggested renewal window of a certificate (RFC 9773, section 4.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// First second.
+    /// Start in Unix seconds.
     pub start: u64,
-    /// Last second.
+    /// End in Unix seconds.
     pub end: u64,
 }
 
 fn parse<'a, T: Deserialize<'a>>(what: &str, body: &'a [u8]) -> Result<T, String> {
-    serde_json::from_slice(body)
-        .map_err(|e| format!("{what}: {}", sanitize(&e.to_string(), MAX_TEXT_CHARS)))
+    serde_json::from_slice(body).map_err(|e| {
+        format!(
+            "malformed {what}: {}",
+            sanitize(&e.to_string(), MAX_TEXT_CHARS)
+        )
+    })
 }
 
-/// Reads a directory.
+/// Parses a directory object.
 pub fn directory(body: &[u8]) -> Result<Directory, String> {
     parse("directory", body)
 }
 
-/// Reads an order.
+/// Parses an order object.
 pub fn order(body: &[u8]) -> Result<Order, String> {
     let order: Order = parse("order", body)?;
     let within_limit = order.authorizations.len() <= MAX_LIST_LENGTH;
     within_limit
         .then_some(order)
-        .ok_or_else(|| format!("order: more than {MAX_LIST_LENGTH} authorizations"))
+        .ok_or_else(|| format!("order has more than {MAX_LIST_LENGTH} authorizations"))
 }
 
-/// Reads an authorization.
+/// Parses an authorization object.
 pub fn authorization(body: &[u8]) -> Result<Authorization, String> {
     let found: Authorization = parse("authorization", body)?;
     let within_limit = found.challenges.len() <= MAX_LIST_LENGTH;
     within_limit
         .then_some(found)
-        .ok_or_else(|| format!("authorization: more than {MAX_LIST_LENGTH} challenges"))
+        .ok_or_else(|| format!("authorization has more than {MAX_LIST_LENGTH} challenges"))
 }
 
-/// Reads a problem; what is none becomes one without a type.
+/// Parses a problem document. Anything else results in a problem without a type.
 pub fn problem(body: &[u8]) -> Problem {
     let mut problem: Problem = parse("problem", body).unwrap_or_default();
     problem.subproblems.truncate(MAX_LIST_LENGTH);
     problem
 }
 
-/// Reads renewal information.
+/// Parses a renewal information object.
 pub fn renewal_info(body: &[u8]) -> Result<Window, String> {
     #[derive(Deserialize)]
     struct Info {
@@ -248,7 +253,7 @@
             .ok()
             .map(|t| t.unix_timestamp());
         at.and_then(|s| u64::try_from(s).ok())
-            .ok_or("renewal information: no moment")
+            .ok_or("malformed renewal information: invalid timestamp")
     };
     let window = Window {
         start: timestamp(&info.window.start)?,
@@ -256,7 +261,7 @@
     };
     (window.start < window.end)
         .then_some(window)
-        .ok_or("renewal information: it ends before it starts".into())
+        .ok_or("malformed renewal information: the window ends before it starts".into())
 }
 
 #[cfg(test)]
--- a/certs/tests/client.rs
+++ b/certs/tests/client.rs
@@ -599,7 +599,7 @@
     let not_kept = |reply: &Result<String, String>| {
         reply
             .as_ref()
-            .is_err_and(|e| e.contains("could not be kept"))
+            .is_err_and(|e| e.contains("could not be saved"))
     };
     assert!(sim.replies.iter().any(not_kept), "{:?}", sim.replies);
     disk.borrow_mut().full = false;
--- a/certs/tests/exchange.rs
+++ b/certs/tests/exchange.rs
@@ -45,7 +45,7 @@
                 cut: true,
                 ..Faults::default()
             },
-            "short",
+            "truncated",
         ),
         (
             "by the byte",
@@ -53,7 +53,7 @@
                 slow_ms: 50,
                 ..Faults::default()
             },
-            "not done in time",
+            "deadline exceeded",
         ),
         (
             "vanished",
