--- a/certs/src/http/tests.rs
+++ b/certs/src/http/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn cut(bytes: &[u8], at: usize) -> Result<Option<Response>, &'static str> {
+fn parse_split(bytes: &[u8], at: usize) -> Result<Option<Response>, &'static str> {
     let mut reader = Reader::new(Method::Get, 100);
     match reader.feed(&bytes[..at])? {
         Some(response) => Ok(Some(response)),
@@ -16,12 +16,17 @@
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\nDate: Sun, 06 Nov 1994 08:49:37 GMT\r\nRetry-After: Sun, 06 Nov 1994 08:50:37 GMT\r\n\r\n",
     ];
     for text in texts {
-        let whole = cut(text, text.len()).unwrap().unwrap();
-        (0..text.len())
-            .for_each(|at| assert_eq!(cut(text, at).unwrap().unwrap(), whole, "cut at {at}"));
+        let expected = parse_split(text, text.len()).unwrap().unwrap();
+        (0..text.len()).for_each(|at| {
+            assert_eq!(
+                parse_split(text, at).unwrap().unwrap(),
+                expected,
+                "split at {at}"
+            )
+        });
     }
-    assert_eq!(cut(texts[1], 9).unwrap().unwrap().body, b"hello");
-    let last = cut(texts[2], 9).unwrap().unwrap();
+    assert_eq!(parse_split(texts[1], 9).unwrap().unwrap().body, b"hello");
+    let last = parse_split(texts[2], 9).unwrap().unwrap();
     assert_eq!((last.retry_after, last.date), (Some(60), Some(784_111_777)));
 }
 
--- a/certs/src/identity/tests.rs
+++ b/certs/src/identity/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A self-signed bundle for some names, from one second to another.
-fn made(names: &[&str], from: UnixTime, until: UnixTime) -> (String, String) {
+/// Returns the key and the self-signed certificate for some names, with the given validity.
+fn self_signed(names: &[&str], from: UnixTime, until: UnixTime) -> (String, String) {
     let key = rcgen::KeyPair::generate().unwrap();
     let names: Vec<String> = names.iter().map(|n| n.to_string()).collect();
     let mut params = rcgen::CertificateParams::new(names).unwrap();
@@ -12,7 +12,7 @@
 
 #[test]
 fn key_and_certificate_must_match() {
-    let (key, chain) = made(&["A.example", "*.b.example"], 1_000, 2_000);
+    let (key, chain) = self_signed(&["A.example", "*.b.example"], 1_000, 2_000);
     let found = Identity::from_key_and_chain(&key, &chain).unwrap();
     assert_eq!((found.not_before, found.not_after), (1_000, 2_000));
     assert!(found.covers("a.EXAMPLE") && found.covers("x.b.example"));
@@ -24,7 +24,7 @@
             && !found.is_valid_at(999)
     );
     assert!(!format!("{found:?}").contains(key.lines().nth(1).unwrap()));
-    let (other, _) = made(&["a.example"], 1_000, 2_000);
+    let (other, _) = self_signed(&["a.example"], 1_000, 2_000);
     let why = Identity::from_key_and_chain(&other, &chain).unwrap_err();
     assert!(why.contains("does not match"), "{why}");
     assert!(Identity::from_key_and_chain(&key, &format!("{other}{chain}")).is_err());
@@ -32,7 +32,7 @@
 
 #[test]
 fn malformed_bundles_are_rejected_with_a_one_line_error() {
-    let (key, chain) = made(&["a.example"], 1_000, 2_000);
+    let (key, chain) = self_signed(&["a.example"], 1_000, 2_000);
     let bundle = format!("{key}{chain}");
     for cut in (0..bundle.len()).step_by(7) {
         if let Err(e) = Identity::from_pem(&bundle[..cut]) {
--- a/certs/src/renewal/tests.rs
+++ b/certs/src/renewal/tests.rs
@@ -29,14 +29,17 @@
     }
     let spread: std::collections::HashSet<_> =
         (0..200).map(|i| due_of(&i.to_string(), None)).collect();
-    assert!(spread.len() > 190, "they must not come due at once");
-    // A window past the end is not waited for.
+    assert!(
+        spread.len() > 190,
+        "too many certificates are due at the same time"
+    );
+    // A window after the expiry is limited to the latest renewal time.
     let late = Window {
         start: 100 * DAY,
         end: 101 * DAY,
     };
     assert_eq!(due_of("a", Some(late)), 90 * DAY * 95 / 100);
-    // Six days are as good as ninety.
+    // Short lifetimes follow the same percentages.
     let short = Validity {
         not_before: 1_000,
         not_after: 1_000 + 6 * DAY,
@@ -69,7 +72,7 @@
     }
     assert!(
         first.iter().all(|n| (50..150).contains(n)),
-        "the work is shared: {first:?}"
+        "the first rank is distributed unevenly: {first:?}"
     );
     let alone = HashRanking {
         front_name: "n1".into(),
--- a/certs/src/retry/tests.rs
+++ b/certs/src/retry/tests.rs
@@ -34,7 +34,7 @@
     }
     assert!(
         retry_delay(Cause::RateLimited, 9, Some(SECOND), "a") <= 3 * SECOND,
-        "its word is all there is to a limit"
+        "a requested delay must replace the backoff"
     );
     assert_ne!(
         retry_delay(Cause::Refused, 1, None, "a"),
--- a/certs/tests/client.rs
+++ b/certs/tests/client.rs
@@ -1,4 +1,4 @@
-//! What must not go wrong, on virtual clocks, against the stand-in authority's core.
+//! Fault tests of the ACME client on virtual clocks against the simulated authority.
 mod common;
 use common::*;
 use cranesill_certs::messages::Level;
@@ -32,7 +32,7 @@
         }
         let made = ca.borrow().orders();
         let wanted = 2 * (365 * DAY).div_ceil(lifetime * 62 / 100) as usize;
-        assert!(made <= wanted + 4, "{made} orders where {wanted} do");
+        assert!(made <= wanted + 4, "{made} orders, expected about {wanted}");
         assert_eq!(
             sim.warnings("expiring") + sim.warnings("expired"),
             0,
@@ -63,22 +63,22 @@
         .count();
     assert!(
         (1_300..=1_500).contains(&errors),
-        "{errors}: one each minute since it expired"
+        "{errors} errors, expected one per minute since the expiry"
     );
     assert!(
         !sim.served["a.example"].is_empty(),
-        "the old one is still there to be served"
+        "the expired certificate is no longer served"
     );
     let requests: usize = sim.requests.values().sum();
     assert!(
         requests < 31 * 24 * 3,
-        "{:?}: the pauses grow",
+        "the delays between requests do not grow: {:?}",
         sim.requests
     );
     ca.borrow_mut().faults.vanished = false;
     assert!(
         sim.run_while(HOUR, |w| !w.has_valid("a.example")),
-        "back within the longest pause\n{}",
+        "not renewed within the maximum delay\n{}",
         sim.recent_log()
     );
 }
@@ -89,7 +89,7 @@
     let mut sim = Simulation::new(&ca, Some(&disk()), &[&["a.example"]]);
     sim.run(120);
     let first = sim.served["a.example"][0].serial.clone();
-    // Past renewal: it is renewed, and once.
+    // Clock past the renewal time: renewed once.
     sim.clock_offset_s = 70 * DAY as i64;
     sim.run(600);
     assert_ne!(
@@ -99,7 +99,7 @@
         sim.recent_log()
     );
     assert!(ca.borrow().orders() <= 2);
-    // Past expiry: what is issued seems to have ended already; asking again and again would mend nothing.
+    // Clock past the expiry of new certificates: orders must back off.
     sim.clock_offset_s = 400 * DAY as i64;
     sim.run(DAY);
     assert!(ca.borrow().orders() < 12, "{}", ca.borrow().orders());
@@ -108,7 +108,7 @@
         "{}",
         sim.recent_log()
     );
-    // Back, and an hour further.
+    // Clock moved back to one hour behind the true time.
     sim.clock_offset_s = -(HOUR as i64);
     let before = ca.borrow().orders();
     sim.run(DAY);
@@ -156,7 +156,7 @@
         sim.actions
     };
     assert!(steps > 25, "{steps}");
-    let mut anew = 0;
+    let mut extra_orders = 0;
     for step in 1..steps {
         let (ca, disk) = (authority(), disk());
         let mut sim = Simulation::new(&ca, Some(&disk), &[&["a.example", "b.example"]]);
@@ -169,17 +169,17 @@
             "killed at {step}: {}",
             sim.recent_log()
         );
-        // One more only if it was killed between the authority's answer and the write of its URL.
+        // A second order is allowed only if the process stopped before the order URL was saved.
         let made = ca.borrow().orders();
         assert!(made <= 2, "killed at {step}: {made} orders");
-        anew += made - 1;
+        extra_orders += made - 1;
         assert!(
             !disk.borrow().names().iter().any(|n| n.ends_with(".order")),
             "killed at {step}"
         );
         assert!(sim.published.is_empty());
     }
-    assert!(anew <= 2, "{anew} made anew");
+    assert!(extra_orders <= 2, "{extra_orders} additional orders");
 }
 
 #[test]
@@ -199,7 +199,7 @@
         sim.restart();
         disk.borrow_mut().kill_at = Some(step);
         sim.run_while(70 * DAY, |_| disk.borrow().steps <= step);
-        // The process dies with its disk.
+        // The process and the disk fail together.
         disk.borrow_mut().lose_power();
         let loaded = folder::load(&mut *disk.borrow_mut()).unwrap();
         assert_eq!(loaded.faults, [], "killed at {step}");
@@ -216,14 +216,14 @@
     }
     assert!(
         resumed > 5,
-        "some were killed with an order under way: {resumed}"
+        "{resumed} crashes with an order in progress, expected more"
     );
 }
 
 #[test]
 fn two_fronts_that_renew_concurrently_leave_a_consistent_folder() {
     let (ca, disk) = (authority(), disk());
-    // Each is told of itself alone.
+    // Each front ranks itself first.
     let mut one = Simulation::front("n1", &["n1", "n1"], &ca, Some(&disk), &[&["a.example"]]);
     let mut two = Simulation::front("n2", &["n2", "n2"], &ca, Some(&disk), &[&["a.example"]]);
     for _ in 0..2_000 {
@@ -258,14 +258,22 @@
         }
     };
     hour(&mut all, 9);
-    assert_eq!(ca.borrow().orders(), 1, "the others find it in the folder");
+    assert_eq!(
+        ca.borrow().orders(),
+        1,
+        "the other fronts did not use the certificate in the folder"
+    );
     assert!(all.iter().all(|w| w.has_valid("a.example")));
     let first = all
         .iter()
         .position(|w| w.log.iter().any(|(_, n)| n.kind == "issued"))
         .unwrap();
     (0..80 * 24).for_each(|_| hour(&mut all, first));
-    assert_eq!(ca.borrow().orders(), 2, "another took over, and one alone");
+    assert_eq!(
+        ca.borrow().orders(),
+        2,
+        "expected exactly one other front to take over"
+    );
     assert!(all
         .iter()
         .enumerate()
@@ -313,9 +321,9 @@
     let later = ca.borrow().orders();
     assert!(
         later - early < 30 * 5,
-        "{early} {later}: refused names are asked for once a day at most"
+        "refused names ordered too often: {early} orders before, {later} after 30 days"
     );
-    // What was refused is there soon after it is allowed.
+    // Certificates follow soon after the names are accepted.
     ca.borrow_mut().faults.refuse.clear();
     ca.borrow_mut().faults.unprovable.clear();
     sim.run(2 * DAY);
@@ -338,7 +346,7 @@
             sim.recent_log()
         );
     }
-    // The old one has ended by now; a.example goes on.
+    // The old certificate has expired; a.example has been renewed without b.example.
     sim.run(5 * DAY);
     assert!(sim.has_valid("a.example") && !sim.has_valid("b.example"));
 }
@@ -369,7 +377,7 @@
         "{}",
         sim.recent_log()
     );
-    // Without end they are a failure like others.
+    // A permanent nonce error is a failure like others.
     ca.borrow_mut().faults.bad_nonces = u32::MAX;
     sim.requests.clear();
     sim.handle(Event::Renew(1, "a.example".into()));
@@ -387,7 +395,7 @@
     type Fault = fn(&mut cranesill_standins::acme::Faults);
     let faults: [(&str, Fault); 9] = [
         ("down", |f| f.down = true),
-        ("down for an hour, it says", |f| {
+        ("down with Retry-After of an hour", |f| {
             (f.down, f.retry_after) = (true, Some(3_600))
         }),
         ("limited", |f| {
@@ -417,12 +425,12 @@
         assert_eq!(sim.served["a.example"][0].serial, serial, "{what}");
         let requests: usize = sim.requests.values().sum();
         assert!(requests < 1_500, "{what}: {requests} requests in five days");
-        let loud = sim
+        let warnings = sim
             .log
             .iter()
             .filter(|(_, n)| n.level >= Level::Warn)
             .count();
-        assert!(loud > 0, "{what}: it is told");
+        assert!(warnings > 0, "{what}: no warning was logged");
         ca.borrow_mut().faults = Default::default();
         assert!(
             sim.run_while(30 * HOUR, |w| w.served["a.example"][0].serial == serial),
@@ -445,7 +453,7 @@
     assert_eq!(
         ca.borrow().orders(),
         3,
-        "each once, and none holds up another"
+        "expected one order per certificate"
     );
     sim.restart();
     ca.borrow_mut().faults.stuck = false;
@@ -493,7 +501,7 @@
     assert!(orders.windows(4).all(|w| w[3] - w[0] <= 20), "{orders:?}");
     assert_eq!(orders[39], 200);
     assert!(all.iter().all(|n| sim.has_valid(n)));
-    // A restart forgets no order of the window.
+    // A restart must not reset the order limit.
     let (ca, disk) = (authority(), disk());
     let mut sim = Simulation::new(&ca, Some(&disk), &names);
     for _ in 0..20 {
@@ -518,7 +526,7 @@
     sim.handle(Event::Renew(1, "a.example".into()));
     sim.run(120);
     let bundle = disk.borrow().get("a.example.pem").unwrap();
-    // Key and certificate of different orders, as if somebody had copied files about.
+    // Key and certificate of different orders.
     let mut other = Simulation::new(&authority(), Some(&common::disk()), &[&["a.example"]]);
     other.run(120);
     let text = String::from_utf8(bundle.clone()).unwrap();
@@ -541,7 +549,7 @@
         assert!(sim.has_valid("a.example"), "{}", sim.recent_log());
         sim.log.clear();
     }
-    // What a newer version wrote is left alone.
+    // A file of a newer version is reported and left unchanged.
     disk.borrow_mut()
         .insert_file("state.json", br#"{"version": 99, "orders": 7}"#);
     sim.restart();
@@ -565,7 +573,7 @@
         "{}",
         sim.recent_log()
     );
-    let told = sim.warnings("not-kept");
+    let logged = sim.warnings("not-kept");
     disk.borrow_mut().full = false;
     sim.run(70);
     for file in ["a.example.pem", "account.json", "state.json"] {
@@ -575,7 +583,7 @@
             sim.recent_log()
         );
     }
-    assert_eq!(sim.warnings("not-kept"), told, "it was told before");
+    assert_eq!(sim.warnings("not-kept"), logged, "a retry was logged again");
     sim.restart();
     sim.run(HOUR);
     assert!(
@@ -594,7 +602,10 @@
     let mut sim = Simulation::new(&authority(), Some(&disk), &[&["a.example"]]);
     disk.borrow_mut().full = true;
     sim.handle(Event::Import(1, Box::new(identity.clone())));
-    assert!(sim.replies.is_empty(), "nothing is durable yet");
+    assert!(
+        sim.replies.is_empty(),
+        "confirmed before the write was durable"
+    );
     sim.run(2);
     let not_kept = |reply: &Result<String, String>| {
         reply
@@ -625,7 +636,7 @@
     sim.restart();
     assert!(
         !sim.has_valid("a.example"),
-        "what it costs: a restart begins from nothing"
+        "a restart without a folder must lose the certificate"
     );
     sim.run(120);
     assert!(sim.has_valid("a.example"));
@@ -652,13 +663,13 @@
             .count(),
         1
     );
-    // Revoked behind our back: the window says so.
+    // Revoked by the authority, which suggests a window in the past.
     ca.borrow_mut().window = Some((0, 1));
     sim.run(7 * HOUR);
     let orders = ca.borrow().orders();
     assert!(
         (4..=5).contains(&orders),
-        "at once, and not without end: {orders}"
+        "expected one or two more orders, got {orders} in total"
     );
 }
 
@@ -727,15 +738,18 @@
     let mut sim = Simulation::new(&far, Some(&disk), &[&["a.example"]]);
     sim.run(60);
     sim.handle(Event::Import(1, Box::new(identity.clone())));
-    // It is served at once, and the operator is told of that once a restart would find it.
+    // Served at once, but confirmed only after the write.
     assert!(sim.has_valid("a.example") && sim.replies.is_empty());
     sim.run(1);
     assert!(sim.replies[0].is_ok());
     sim.restart();
-    assert!(sim.has_valid("a.example"), "it was kept");
+    assert!(sim.has_valid("a.example"), "not loaded after the restart");
     sim.clock_offset_s = 200 * DAY as i64;
     sim.handle(Event::Import(1, Box::new(identity)));
-    assert!(sim.replies[1].is_err(), "an expired one is not taken");
+    assert!(
+        sim.replies[1].is_err(),
+        "an expired certificate was imported"
+    );
 }
 
 #[test]
--- a/certs/tests/common/mod.rs
+++ b/certs/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A client, an authority and a folder on virtual clocks: what the client asks for is carried out here, and each
-//! thing that takes time comes back as an event later on.
+//! Simulates the driver of an ACME client, an authority and a folder on virtual clocks. Results of actions arrive as events
+//! after a delay.
 #![allow(dead_code)]
 use cranesill_certs::disk::{self, Files};
 use cranesill_certs::exchange::{generate_key, GeneratedKey};
@@ -21,15 +21,15 @@
 pub const DAY: u64 = 24 * HOUR;
 pub const START: u64 = 1_800_000_000;
 
-/// A folder in memory that loses what was not synced, and can be killed at any of its steps.
+/// A folder in memory that loses unsynced data in a power loss, and can fail from any file operation on.
 #[derive(Default)]
 pub struct Disk {
-    /// What would be there after a loss of power.
+    /// Files after a power loss.
     durable: BTreeMap<String, Vec<u8>>,
-    /// What is there now: names to contents, with whether those are synced.
+    /// Current files: content, and whether it is synced.
     live: BTreeMap<String, (Vec<u8>, bool)>,
     pub steps: usize,
-    /// At this step it is killed: that step and all after it do nothing.
+    /// File operations after this number fail.
     pub kill_at: Option<usize>,
     pub full: bool,
 }
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Power is lost: what was not synced is gone or torn.
+    /// Simulates a power loss: unsynced files are lost or truncated.
     pub fn lose_power(&mut self) {
         self.live = self
             .durable
@@ -98,7 +98,7 @@
 
     fn sync_folder(&mut self) -> io::Result<()> {
         self.step()?;
-        // Half of what was not synced is what a loss of power leaves of it.
+        // A power loss truncates unsynced files to half of their length.
         let torn = |(bytes, synced): &(Vec<u8>, bool)| {
             if *synced {
                 bytes.clone()
@@ -149,12 +149,12 @@
     }
 }
 
-/// The authority, seen from all fronts of a test.
+/// Shared by all fronts of a test.
 pub type Shared<T> = Rc<RefCell<T>>;
 
 pub struct Simulation {
     pub now: Timestamp,
-    /// What the machine's clock shows beyond the true one, in seconds.
+    /// Offset of the wall clock from the true time.
     pub clock_offset_s: i64,
     pub client: Client,
     pub authority: Shared<Authority>,
@@ -166,18 +166,18 @@
     pub fresh_tickets: u32,
     events: Vec<(Timestamp, u64, Event)>,
     event_count: u64,
-    /// Actions carried out; at `kill_at` nothing more is.
+    /// Number of actions carried out. At `kill_at` the process stops.
     pub actions: usize,
     pub kill_at: Option<usize>,
     names: Vec<Vec<String>>,
     settings: Settings,
     identity: (String, Vec<String>),
     pub planner_settings: PlannerSettings,
-    /// Requests by the first step of their path.
+    /// Number of requests by the first path segment.
     pub requests: HashMap<String, usize>,
 }
 
-/// How long an exchange, and anything else, takes.
+/// Duration of an exchange with the authority, and of any other action.
 const EXCHANGE_TIME: Micros = 50_000;
 const LOCAL_TIME: Micros = 1_000;
 
@@ -248,7 +248,7 @@
         sim
     }
 
-    /// The program starts: nothing is left but the folder.
+    /// Starts the process: only the content of the folder is left.
     fn begin(&mut self) {
         let fronts: Vec<&str> = self.identity.1.iter().map(String::as_str).collect();
         let new_ranking = || Box::new(ranking(&self.identity.0, &fronts));
@@ -365,7 +365,7 @@
     fn exchange(&mut self, request: &cranesill_certs::Request) -> Result<Response, String> {
         assert_eq!(
             request.url.host, "ca.example",
-            "nothing may be sent elsewhere"
+            "a request was sent to another host"
         );
         let mut authority = self.authority.borrow_mut();
         let first = request
@@ -410,7 +410,7 @@
                 if published {
                     Ok(())
                 } else {
-                    Err("nothing is shown".into())
+                    Err("no challenge response is published".into())
                 },
             );
         }
@@ -431,12 +431,12 @@
         })
     }
 
-    /// Lets seconds pass.
+    /// Advances the time.
     pub fn run(&mut self, seconds: u64) {
         self.run_while(seconds, |_| true);
     }
 
-    /// Lets seconds pass for as long as something holds.
+    /// Advances the time while `holds` returns true. Returns whether it became false.
     pub fn run_while(&mut self, seconds: u64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let until = self.now + seconds * SECOND;
         let mut ticked = false;
@@ -445,7 +445,10 @@
                 return true;
             }
             let tick = self.client.next(self.clocks()).max(self.now);
-            assert!(tick > self.now || !ticked, "the client would spin");
+            assert!(
+                tick > self.now || !ticked,
+                "two ticks in a row at the same time"
+            );
             let event = self
                 .events
                 .iter()
@@ -466,7 +469,7 @@
         }
     }
 
-    /// Whether something that holds by the true clock is served for a name.
+    /// Whether a certificate that is valid by the true time is served for a name.
     pub fn has_valid(&self, name: &str) -> bool {
         let wall = self.true_unix_time();
         self.served
@@ -475,6 +478,7 @@
             .any(|i| i.covers(name) && i.is_valid_at(wall))
     }
 
+    /// Number of log entries of a kind with level `Warn` or `Error`.
     pub fn warnings(&self, kind: &str) -> usize {
         self.log
             .iter()
@@ -482,6 +486,7 @@
             .count()
     }
 
+    /// The last log entries, for assertion messages.
     pub fn recent_log(&self) -> String {
         let line = |(at, n): &(u64, LogEntry)| {
             format!(
--- a/certs/tests/exchange.rs
+++ b/certs/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges over sockets: an authority that is slow, endless, cut off or gone costs its deadline and no more.
+//! Exchanges over sockets with faulty authorities must end within the deadline.
 use cranesill_certs::exchange::{exchange, load_roots};
 use cranesill_certs::url::Url;
 use cranesill_certs::{Method, Request};
@@ -74,15 +74,15 @@
     ];
     for (what, fault, word) in faults {
         server.authority().faults = fault;
-        let recent_orders = Instant::now();
+        let started = Instant::now();
         match within(1_500) {
             Ok(response) => assert_eq!((what, response.status), ("down", 503)),
             Err(why) => assert!(why.contains(word) && !why.contains('\n'), "{what}: {why}"),
         }
         assert!(
-            recent_orders.elapsed() < Duration::from_millis(2_500),
+            started.elapsed() < Duration::from_millis(2_500),
             "{what}: {:?}",
-            recent_orders.elapsed()
+            started.elapsed()
         );
     }
 }
@@ -102,7 +102,11 @@
         1_000,
     );
     assert!(why.unwrap_err().contains("invalid peer certificate"));
-    assert_eq!(server.authority().seen.len(), 0, "nothing was said to it");
+    assert_eq!(
+        server.authority().seen.len(),
+        0,
+        "the authority received a request"
+    );
     for bad in [
         "",
         "-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n",
--- a/certs/tests/planner.rs
+++ b/certs/tests/planner.rs
@@ -1,5 +1,5 @@
-//! Properties of the planner, over seeds: never more orders than allowed, and every name renewed in time as long as
-//! the authority works for some hours in each lifetime.
+//! Randomized tests of the planner: the order limit is kept, and every name is renewed in time if the authority is available
+//! for some hours in each part of the lifetime.
 mod common;
 use common::{planner_settings, ranking, DAY, HOUR, START};
 use cranesill_certs::error::Failure;
@@ -31,19 +31,19 @@
         cause,
         refused,
         retry_after: retry_after.map(|s| s * SECOND),
-        text: "played".into(),
+        text: "simulated".into(),
         resumable: false,
     }
 }
 
-/// Plays a planner for a span against an authority that answers by random numbers; `works` says when it does at all.
+/// Runs a planner for `span` seconds against an authority with random results, which is available when `is_available` returns true.
 fn run_planner(
     seed: u64,
     planner_settings: PlannerSettings,
     names: usize,
     lifetime: u64,
     span: u64,
-    works: impl Fn(u64) -> bool,
+    is_available: impl Fn(u64) -> bool,
     mut check: impl FnMut(u64, &BTreeMap<String, Validity>, &VecDeque<Timestamp>),
 ) {
     let mut rng = Rng(seed);
@@ -93,7 +93,7 @@
         in_progress.retain(|(at, _)| *at > now);
         for id in done {
             let outcome = rng.below(20);
-            if !works(clocks.wall - START) {
+            if !is_available(clocks.wall - START) {
                 let retry_after = (outcome < 3).then_some(outcome * 600);
                 planner.failed(clocks, &id, &failure(Cause::Unreachable, &id, retry_after));
             } else if outcome == 0 {
@@ -135,10 +135,10 @@
             max_concurrent_orders: 1 + seed as usize % 4,
             ..planner_settings()
         };
-        // It works for eight hours in each tenth of a lifetime, at a time that depends on the seed.
+        // Available for eight hours in each tenth of a lifetime, at an offset that depends on the seed.
         let period = lifetime / 10;
         let from = (seed * 7_919) % (period - 8 * HOUR);
-        let works = |t: u64| (from..from + 8 * HOUR).contains(&(t % period));
+        let is_available = |t: u64| (from..from + 8 * HOUR).contains(&(t % period));
         let names = 60;
         run_planner(
             seed,
@@ -146,7 +146,7 @@
             names,
             lifetime,
             3 * lifetime,
-            works,
+            is_available,
             |wall, held, _| {
                 if wall > START + lifetime / 2 {
                     assert_eq!(held.len(), names, "seed {seed}");
