--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -69,16 +69,21 @@
     planner: Planner,
     tasks: BTreeMap<u64, Task>,
     last_task: u64,
+    /// The directory and the time at which it was fetched.
     directory: Option<(Directory, Timestamp)>,
     account: Option<Account>,
     key: Option<Arc<AccountKey>>,
     nonces: Vec<String>,
+    /// Unfinished orders by certificate id.
     pending: BTreeMap<String, PendingOrder>,
+    /// Served identities by certificate id.
     served: BTreeMap<String, Vec<Identity>>,
+    /// Certificate ids by the time of their next request for renewal information.
     renewal_info_queue: BTreeSet<(Timestamp, String)>,
     /// Seconds by which the clock of the authority is ahead, from its last response.
     skew: Option<i64>,
     started: bool,
+    /// Planner state as it was saved last.
     saved: State,
     pending_writes: PendingWrites,
 }
--- a/certs/src/client/operators.rs
+++ b/certs/src/client/operators.rs
@@ -90,7 +90,10 @@
             .and_then(|(d, _)| d.revoke_cert.clone());
         let account = self.account.as_ref().is_some_and(|a| a.url.is_some());
         let why = match (known, revoke_url.is_some() && account) {
-            (false, _) => self.unknown_certificate(id),
+            (false, _) => format!(
+                "{} not revoked: no certificate with this name is served",
+                sanitize(id, 100)
+            ),
             (_, false) => format!("{id} not revoked: the authority was not reached yet or does not support revocation"),
             _ if self.operator_tasks() >= MAX_OPERATOR_TASKS => {
                 format!("{id} not revoked: {MAX_OPERATOR_TASKS} commands are in progress already")
--- a/certs/src/disk.rs
+++ b/certs/src/disk.rs
@@ -24,7 +24,7 @@
 const MAX_FILE_BYTES: u64 = 1 << 20;
 /// Files of the folder beyond this number are ignored.
 const MAX_FILES: usize = 50_000;
-/// Version of the file format. Files of a newer version are neither read nor changed.
+/// Version of the file format. Files of a newer version are not loaded.
 const VERSION: u32 = 1;
 const ACCOUNT: &str = "account.json";
 const STATE: &str = "state.json";
@@ -254,7 +254,7 @@
         let position =
             |e: serde_json::Error| format!("damaged at line {} column {}", e.line(), e.column());
         if version.map_err(position)?.version > VERSION {
-            return Err("written by a newer version of this program; left unchanged".into());
+            return Err("written by a newer version of this program; not loaded".into());
         }
         serde_json::from_slice::<Versioned<T>>(bytes)
             .map(|v| v.body)
--- a/certs/src/exchange.rs
+++ b/certs/src/exchange.rs
@@ -1,5 +1,5 @@
 //! Blocking operations for worker threads: one HTTPS exchange with an absolute deadline, and key generation.
-use crate::http::{request as encode_request, Reader, Response};
+use crate::http::{encode_request, Reader, Response};
 use crate::jose::AccountKey;
 use crate::messages::{KeyRequest, Request};
 use rustls::pki_types::pem::PemObject;
@@ -36,8 +36,8 @@
     Ok(Arc::new(config))
 }
 
-/// Sends a request and returns the response, whose body may have up to `max_body_bytes`. Fails at `deadline` at the
-/// latest, with an error of one line.
+/// Sends a request and returns the response, whose body may have up to `max_body_bytes`. Fails with an error of one line.
+/// Connecting, writing and reading end at `deadline`; name resolution is not bounded by it.
 pub fn exchange(
     config: &Arc<ClientConfig>,
     request: &Request,
--- a/certs/src/http.rs
+++ b/certs/src/http.rs
@@ -39,7 +39,7 @@
 }
 
 /// Encodes a request.
-pub fn request(method: Method, url: &Url, body: Option<&str>) -> Vec<u8> {
+pub fn encode_request(method: Method, url: &Url, body: Option<&str>) -> Vec<u8> {
     let name = match method {
         Method::Get => "GET",
         Method::Head => "HEAD",
--- a/certs/src/planner.rs
+++ b/certs/src/planner.rs
@@ -168,7 +168,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "Planner({} certificates, {} under way)",
+            "Planner({} certificates, {} orders in progress)",
             self.entries.len(),
             self.in_progress
         )
--- a/certs/tests/client.rs
+++ b/certs/tests/client.rs
@@ -549,7 +549,7 @@
         assert!(sim.has_valid("a.example"), "{}", sim.recent_log());
         sim.log.clear();
     }
-    // A file of a newer version is reported and left unchanged.
+    // A file of a newer version is reported.
     disk.borrow_mut()
         .insert_file("state.json", br#"{"version": 99, "orders": 7}"#);
     sim.restart();
--- a/certs/tests/planner.rs
+++ b/certs/tests/planner.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// Runs a planner for `span` seconds against an authority with random results, which is available when `is_available` returns true.
+/// Runs a planner for `span` seconds against an authority with random results, which is reachable while `is_available`
+/// returns true.
 fn run_planner(
     seed: u64,
     planner_settings: PlannerSettings,
@@ -58,7 +59,7 @@
     };
     let all: Vec<_> = (0..names).map(|i| vec![format!("n{i}.example")]).collect();
     planner.set_wanted(at(now), &all);
-    let (mut held, mut recent_orders, mut in_progress) = (
+    let (mut certificates, mut recent_orders, mut in_progress) = (
         BTreeMap::new(),
         VecDeque::new(),
         Vec::<(Timestamp, String)>::new(),
@@ -84,7 +85,7 @@
             "seed {seed}: {} orders in a window",
             recent_orders.len()
         );
-        check(clocks.wall, &held, &recent_orders);
+        check(clocks.wall, &certificates, &recent_orders);
         let done: Vec<_> = in_progress
             .iter()
             .filter(|(at, _)| *at <= now)
@@ -110,18 +111,18 @@
                     not_after: clocks.wall + lifetime,
                 };
                 planner.succeeded(clocks, &id, new, std::slice::from_ref(&id));
-                held.insert(id, new);
+                certificates.insert(id, new);
             }
         }
         let next = planner.next_wakeup(at(now)).unwrap_or(now + HOUR * SECOND);
-        let busy_next = in_progress
+        let next_completion = in_progress
             .iter()
             .map(|(at, _)| *at)
             .min()
             .unwrap_or(Timestamp::MAX);
         now = next
             .max(now + SECOND / 2)
-            .min(busy_next.max(now + 1))
+            .min(next_completion.max(now + 1))
             .min(now + HOUR * SECOND);
     }
 }
@@ -147,10 +148,10 @@
             lifetime,
             3 * lifetime,
             is_available,
-            |wall, held, _| {
+            |wall, certificates, _| {
                 if wall > START + lifetime / 2 {
-                    assert_eq!(held.len(), names, "seed {seed}");
-                    let over = held.iter().find(|(_, h)| h.not_after < wall);
+                    assert_eq!(certificates.len(), names, "seed {seed}");
+                    let over = certificates.iter().find(|(_, h)| h.not_after < wall);
                     assert!(over.is_none(), "seed {seed}: {over:?} at {wall}");
                 }
             },
@@ -208,12 +209,12 @@
         at(START),
         &ids.iter().map(|id| vec![id.clone()]).collect::<Vec<_>>(),
     );
-    let held = Validity {
+    let validity = Validity {
         not_before: START,
         not_after: START + 90 * DAY,
     };
     ids.iter()
-        .for_each(|id| planner.set_certificate(at(START), id, held, std::slice::from_ref(id)));
+        .for_each(|id| planner.set_certificate(at(START), id, validity, std::slice::from_ref(id)));
     let (mut wall, mut renewed) = (START, 0);
     while wall < START + 62 * DAY {
         wall += 60;
