--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -122,7 +122,7 @@
             Event::OrderKey(task, key) => {
                 let input = match key {
                     Ok((pem, csr)) => Input::Key(pem, csr),
-                    Err(why) => Input::NotSent(why),
+                    Err(error) => Input::NotSent(error),
                 };
                 self.step_order(clocks, task, input, out);
             }
@@ -162,11 +162,11 @@
                 if self.account.as_ref().is_none_or(|a| a.url.is_none())
                     || self.operator_tasks() >= MAX_OPERATOR_TASKS
                 {
-                    let why = format!(
+                    let error = format!(
                         "account key not changed: no account is registered yet, \
                          or {MAX_OPERATOR_TASKS} commands are in progress"
                     );
-                    out.push(Action::Reply(operator, Err(why)));
+                    out.push(Action::Reply(operator, Err(error)));
                 } else {
                     let task = self.add_task(TaskKind::KeyRollover {
                         operator,
@@ -298,21 +298,25 @@
 
 fn notice_entry(notice: &Notice) -> Action {
     match notice {
-        Notice::Expiring { count, left, names } => log_entry(
+        Notice::Expiring {
+            count,
+            expires_in_s,
+            names,
+        } => log_entry(
             Level::Warn,
             "expiring",
             &names.join(" "),
-            &format!("certificates about to expire: {count}, the first in {left} s"),
+            &format!("certificates about to expire: {count}, the first in {expires_in_s} s"),
         ),
         Notice::Expired {
             count,
-            since,
+            expired_for_s,
             names,
         } => log_entry(
             Level::Error,
             "expired",
             &names.join(" "),
-            &format!("expired certificates: {count}, the first since {since} s"),
+            &format!("expired certificates: {count}, the first expired {expired_for_s} s ago"),
         ),
         Notice::NotYetValid { count, names } => {
             let text =
--- a/certs/src/client/operators.rs
+++ b/certs/src/client/operators.rs
@@ -46,18 +46,18 @@
     ) {
         let ids: Vec<String> = self.planner.ids().cloned().collect();
         let Some(id) = ids.into_iter().find(|id| identity.covers(id)) else {
-            let why = format!(
+            let error = format!(
                 "import rejected: none of the names ({}) is the first name of a configured certificate",
                 identity.names.join(" ")
             );
-            return out.push(Action::Reply(operator, Err(sanitize(&why, 500))));
+            return out.push(Action::Reply(operator, Err(sanitize(&error, 500))));
         };
         if identity.not_after < clocks.wall {
-            let why = format!(
+            let error = format!(
                 "import rejected: the certificate expired at {} (Unix time)",
                 identity.not_after
             );
-            return out.push(Action::Reply(operator, Err(why)));
+            return out.push(Action::Reply(operator, Err(error)));
         }
         out.push(log_entry(
             Level::Info,
@@ -89,7 +89,7 @@
             .as_ref()
             .and_then(|(d, _)| d.revoke_cert.clone());
         let account = self.account.as_ref().is_some_and(|a| a.url.is_some());
-        let why = match (known, revoke_url.is_some() && account) {
+        let error = match (known, revoke_url.is_some() && account) {
             (false, _) => format!(
                 "{} not revoked: no certificate with this name is served",
                 sanitize(id, 100)
@@ -116,7 +116,7 @@
                 );
             }
         };
-        out.push(Action::Reply(operator, Err(why)));
+        out.push(Action::Reply(operator, Err(error)));
     }
 
     pub(super) fn handle_revocation(
@@ -144,7 +144,7 @@
                     )),
                 }
             }
-            Err(why) => Err(format!("{id} not revoked: {why}")),
+            Err(error) => Err(format!("{id} not revoked: {error}")),
         };
         if done.is_ok() {
             out.push(log_entry(
@@ -175,8 +175,8 @@
                 wire::problem(&response.body).summary()
             )),
             // The request may have been received, so both keys are kept until the authority tells which one is in use.
-            Err(why) => Err(format!(
-                "account key change unconfirmed: {why}; both keys are kept and checked before the next order"
+            Err(error) => Err(format!(
+                "account key change unconfirmed: {error}; both keys are kept and checked before the next order"
             )),
         };
         if let (Ok(_), Some((new, account))) = (&done, new.zip(self.account.as_mut())) {
--- a/certs/src/client/renewal_info.rs
+++ b/certs/src/client/renewal_info.rs
@@ -52,8 +52,8 @@
                 });
                 match wire::renewal_info(&response.body) {
                     Ok(window) => self.planner.set_window(clocks, id, window),
-                    Err(why) => {
-                        let text = format!("{why}; the response is ignored");
+                    Err(error) => {
+                        let text = format!("{error}; the response is ignored");
                         out.push(log_entry(Level::Warn, "bad-answer", id, &text));
                     }
                 }
@@ -74,9 +74,9 @@
                     ),
                 ));
             }
-            Err(why) => {
+            Err(error) => {
                 let text = format!(
-                    "no renewal information: {why}; requested again in {} s",
+                    "no renewal information: {error}; requested again in {} s",
                     pause / SECOND
                 );
                 out.push(log_entry(Level::Info, "renewal-info", id, &text));
--- a/certs/src/client/requests.rs
+++ b/certs/src/client/requests.rs
@@ -80,8 +80,8 @@
                 }
             }
         } else if for_nonce {
-            let why = response.err().unwrap_or_default();
-            return self.request_failed(clocks, task, &why, out);
+            let error = response.err().unwrap_or_default();
+            return self.request_failed(clocks, task, &error, out);
         }
         let Some(Task { kind, post, .. }) = self.tasks.get_mut(&task) else {
             return;
@@ -91,7 +91,7 @@
             TaskKind::Order { .. } => {
                 let input = match response {
                     Ok(response) => Input::Response(response),
-                    Err(why) => Input::NoResponse(why),
+                    Err(error) => Input::NoResponse(error),
                 };
                 self.step_order(clocks, task, input, out);
             }
@@ -103,7 +103,7 @@
             TaskKind::Setup(step) => {
                 let step = *step;
                 match response {
-                    Err(why) => self.request_failed(clocks, task, &why, out),
+                    Err(error) => self.request_failed(clocks, task, &error, out),
                     Ok(response) if step == Setup::CheckNextKey && response.status < 500 => {
                         self.tasks.remove(&task);
                         self.handle_next_key_check(response.status < 300, out);
@@ -143,10 +143,10 @@
         &mut self,
         clocks: Clocks,
         task: u64,
-        why: &str,
+        error: &str,
         out: &mut Vec<Action>,
     ) {
-        self.task_failed(clocks, task, failure(Cause::Unreachable, why), out);
+        self.task_failed(clocks, task, failure(Cause::Unreachable, error), out);
     }
 
     pub(super) fn task_failed(
@@ -208,7 +208,7 @@
                     sign: None,
                 },
             )),
-            Err(why) => self.task_failed(clocks, task, failure(Cause::Unreachable, &why), out),
+            Err(error) => self.task_failed(clocks, task, failure(Cause::Unreachable, &error), out),
         }
     }
 
@@ -236,7 +236,7 @@
                     .for_each(|t| t.post = Some(post.clone()));
                 self.send(clocks, task, out);
             }
-            Err(why) => self.task_failed(clocks, task, failure(Cause::BadResponse, &why), out),
+            Err(error) => self.task_failed(clocks, task, failure(Cause::BadResponse, &error), out),
         }
     }
 
@@ -270,7 +270,9 @@
                         },
                     ));
                 }
-                Err(why) => self.task_failed(clocks, task, failure(Cause::BadResponse, &why), out),
+                Err(error) => {
+                    self.task_failed(clocks, task, failure(Cause::BadResponse, &error), out)
+                }
             };
         };
         let account = self.account.as_ref().and_then(|a| a.url.clone());
--- a/certs/src/client/saving.rs
+++ b/certs/src/client/saving.rs
@@ -19,14 +19,14 @@
         if let Some(end) = self.pending_writes.ended(clocks.now, task, done.is_ok()) {
             return self.handle_write_end(end, done, out);
         }
-        if let Err(why) = &done {
+        if let Err(error) = &done {
             // A challenge that could not be published is logged with the failure of its order.
             let publishing = self
                 .tasks
                 .get(&task)
                 .is_some_and(|t| !t.published.is_empty());
             if !publishing {
-                let text = format!("cannot save: {why}");
+                let text = format!("cannot save: {error}");
                 out.push(log_entry(Level::Warn, "not-kept", "", &text));
             }
         }
@@ -52,10 +52,10 @@
                             out,
                         );
                     }
-                    (.., Err(why)) => self.request_failed(
+                    (.., Err(error)) => self.request_failed(
                         clocks,
                         task,
-                        &format!("account key not changed: the new key cannot be saved: {why}"),
+                        &format!("account key not changed: the new key cannot be saved: {error}"),
                         out,
                     ),
                     _ => self.request_failed(
@@ -122,15 +122,15 @@
         done: Result<(), String>,
         out: &mut Vec<Action>,
     ) {
-        if let (Err(why), 1) = (&done, end.failures) {
-            let text = format!("cannot save: {why}; the write is retried until it succeeds");
+        if let (Err(error), 1) = (&done, end.failures) {
+            let text = format!("cannot save: {error}; the write is retried until it succeeds");
             out.push(log_entry(Level::Warn, "not-kept", "", &text));
         }
         if let Some(PendingReply { operator, text }) = end.reply {
             let response = match done {
                 Ok(()) => Ok(text),
-                Err(why) => Err(format!(
-                    "{text}, but could not be saved yet: {why}; the write is retried"
+                Err(error) => Err(format!(
+                    "{text}, but could not be saved yet: {error}; the write is retried"
                 )),
             };
             out.push(Action::Reply(operator, response));
--- a/certs/src/client/setup.rs
+++ b/certs/src/client/setup.rs
@@ -21,8 +21,8 @@
 impl Client {
     /// Takes over the content of the folder.
     pub(super) fn start(&mut self, clocks: Clocks, loaded: Loaded, out: &mut Vec<Action>) {
-        for (file, why) in &loaded.faults {
-            let text = format!("file cannot be used: {why}");
+        for (file, error) in &loaded.faults {
+            let text = format!("file cannot be used: {error}");
             out.push(log_entry(Level::Warn, "file-unusable", file, &text));
         }
         self.saved = loaded.state.clone();
@@ -36,8 +36,8 @@
         if let Some(account) = loaded.account.filter(same_authority) {
             match AccountKey::from_pem(&account.key) {
                 Ok(key) => (self.key, self.account) = (Some(Arc::new(key)), Some(account)),
-                Err(why) => {
-                    let text = format!("{why}; a new account will be registered");
+                Err(error) => {
+                    let text = format!("{error}; a new account will be registered");
                     out.push(log_entry(
                         Level::Warn,
                         "file-unusable",
@@ -240,7 +240,7 @@
     ) {
         let key = match key {
             Ok(key) => key,
-            Err(why) => return self.request_failed(clocks, task, &why, out),
+            Err(error) => return self.request_failed(clocks, task, &error, out),
         };
         let Some(Task { kind, .. }) = self.tasks.get_mut(&task) else {
             return;
@@ -299,7 +299,9 @@
                 self.tasks.remove(&task);
                 self.directory = Some((directory, clocks.now));
             }
-            Err(why) => self.setup_failed(clocks, task, &failure(Cause::Unreachable, &why), out),
+            Err(error) => {
+                self.setup_failed(clocks, task, &failure(Cause::Unreachable, &error), out)
+            }
         }
     }
 
--- a/certs/src/disk.rs
+++ b/certs/src/disk.rs
@@ -233,8 +233,8 @@
             Err(e) => Err(e.to_string()),
             Ok(bytes) => load_file(&name, &bytes, &mut loaded),
         };
-        if let Err(why) = fault {
-            loaded.faults.push((sanitize(&name, 300), why));
+        if let Err(error) = fault {
+            loaded.faults.push((sanitize(&name, 300), error));
         }
     }
     Ok(loaded)
--- a/certs/src/identity/tests.rs
+++ b/certs/src/identity/tests.rs
@@ -25,8 +25,8 @@
     );
     assert!(!format!("{found:?}").contains(key.lines().nth(1).unwrap()));
     let (other, _) = self_signed(&["a.example"], 1_000, 2_000);
-    let why = Identity::from_key_and_chain(&other, &chain).unwrap_err();
-    assert!(why.contains("does not match"), "{why}");
+    let error = Identity::from_key_and_chain(&other, &chain).unwrap_err();
+    assert!(error.contains("does not match"), "{error}");
     assert!(Identity::from_key_and_chain(&key, &format!("{other}{chain}")).is_err());
 }
 
--- a/certs/src/order.rs
+++ b/certs/src/order.rs
@@ -214,11 +214,11 @@
                     "{}".into(),
                 ));
             }
-            (Step::Publish, Input::Done(Err(why))) => {
+            (Step::Publish, Input::Done(Err(error))) => {
                 return Err(self.failure(
                     Cause::BadResponse,
                     format!(
-                        "challenge for {} could not be published: {why}",
+                        "challenge for {} could not be published: {error}",
                         self.authorizations[self.current].name
                     ),
                 ));
@@ -231,9 +231,9 @@
                 ));
             }
             (Step::WaitOrder, Input::Timer) => return Ok(self.poll_order()),
-            (_, Input::NoResponse(why)) => return Err(self.failure(Cause::Unreachable, why)),
+            (_, Input::NoResponse(error)) => return Err(self.failure(Cause::Unreachable, error)),
             (_, Input::Response(response)) => response,
-            (_, Input::NotSent(why)) => return Err(self.failure(Cause::BadResponse, why)),
+            (_, Input::NotSent(error)) => return Err(self.failure(Cause::BadResponse, error)),
             // The input is not included because it may contain a key.
             (step, _) => {
                 return Err(self.failure(
@@ -319,7 +319,7 @@
                     .map_err(|_| "certificate chain is not UTF-8".to_string());
                 let key = self.key.as_deref().unwrap_or_default();
                 let identity = chain.and_then(|chain| Identity::from_key_and_chain(key, chain));
-                let identity = identity.map_err(|why| self.unusable_certificate(why))?;
+                let identity = identity.map_err(|error| self.unusable_certificate(error))?;
                 if let Some(name) = self.names.iter().find(|n| !identity.covers(n)) {
                     return Err(self.unusable_certificate(format!(
                         "issued certificate does not cover {name}"
@@ -602,13 +602,13 @@
 
     /// Returns the failure for an authorization that cannot become valid.
     fn authorization_failed(&self, found: &wire::Authorization) -> Failure {
-        let error = found.challenges.iter().find_map(|c| c.error.as_ref());
-        let why = error.map_or(
+        let problem = found.challenges.iter().find_map(|c| c.error.as_ref());
+        let text = problem.map_or(
             format!("authorization status is {:?}", found.status).to_lowercase(),
             Problem::summary,
         );
-        let limited = error.is_some_and(|e| e.acme_type() == "rateLimited");
-        let failure = self.refused_name(self.authorizations[self.current].name.clone(), why);
+        let limited = problem.is_some_and(|e| e.acme_type() == "rateLimited");
+        let failure = self.refused_name(self.authorizations[self.current].name.clone(), text);
         if limited {
             return Failure {
                 cause: Cause::RateLimited,
@@ -620,8 +620,8 @@
     }
 
     /// Returns the failure for a name that the authority refused.
-    fn refused_name(&self, name: String, why: String) -> Failure {
-        let text = sanitize(&format!("{name}: {why}"), MAX_TEXT_CHARS);
+    fn refused_name(&self, name: String, error: String) -> Failure {
+        let text = sanitize(&format!("{name}: {error}"), MAX_TEXT_CHARS);
         let refused = if name.is_empty() {
             Vec::new()
         } else {
@@ -636,10 +636,10 @@
         }
     }
 
-    fn failure(&self, cause: Cause, why: String) -> Failure {
+    fn failure(&self, cause: Cause, error: String) -> Failure {
         // An order with a URL still exists, whether or not the request was received.
         let resumable = cause == Cause::Unreachable && !self.url.is_empty();
-        let text = sanitize(&why, MAX_TEXT_CHARS);
+        let text = sanitize(&error, MAX_TEXT_CHARS);
         Failure {
             cause,
             refused: Vec::new(),
@@ -650,14 +650,14 @@
     }
 
     /// Returns the failure for an issued certificate that cannot be used. The order cannot be resumed.
-    fn unusable_certificate(&self, why: String) -> Failure {
+    fn unusable_certificate(&self, error: String) -> Failure {
         Failure {
             resumable: false,
-            ..self.failure(Cause::BadResponse, why)
+            ..self.failure(Cause::BadResponse, error)
         }
     }
 
     fn parsed<T>(&self, found: Result<T, String>) -> Result<T, Failure> {
-        found.map_err(|why| self.failure(Cause::BadResponse, why))
+        found.map_err(|error| self.failure(Cause::BadResponse, error))
     }
 }
--- a/certs/src/planner.rs
+++ b/certs/src/planner.rs
@@ -64,7 +64,7 @@
         /// Number of certificates.
         count: usize,
         /// Seconds until the first expires.
-        left: u64,
+        expires_in_s: u64,
         /// Ids of some of the certificates.
         names: Vec<String>,
     },
@@ -73,7 +73,7 @@
         /// Number of certificates.
         count: usize,
         /// Seconds since the first expired.
-        since: u64,
+        expired_for_s: u64,
         /// Ids of some of the certificates.
         names: Vec<String>,
     },
@@ -536,7 +536,7 @@
                 let (count, names) = (ended.len(), notice_names(&ended));
                 notices.push(Notice::Expired {
                     count,
-                    since: wall - first,
+                    expired_for_s: wall - first,
                     names,
                 });
                 self.next_error_at = clocks.now + ERROR_INTERVAL;
@@ -554,7 +554,7 @@
                 let (count, names) = (ending.len(), notice_names(&ending));
                 notices.push(Notice::Expiring {
                     count,
-                    left: first - wall,
+                    expires_in_s: first - wall,
                     names,
                 });
             }
@@ -703,12 +703,12 @@
             QueueState::Later(due)
         } else {
             if !std::mem::replace(&mut entry.delay_applied, true) {
-                let left = entry
+                let remaining_s = entry
                     .validity
                     .map_or(0, |h| h.not_after.saturating_sub(clocks.wall));
                 entry.hold_until = entry
                     .hold_until
-                    .max(clocks.now + self.ranking.delay(id, left));
+                    .max(clocks.now + self.ranking.delay(id, remaining_s));
             }
             let urgency = entry.validity.map_or(0, |h| h.not_after);
             if entry.hold_until > clocks.now {
--- a/certs/src/renewal.rs
+++ b/certs/src/renewal.rs
@@ -19,8 +19,8 @@
 impl Validity {
     /// Returns the time at which `percent` of the period has passed.
     pub fn at(&self, percent: u64) -> UnixTime {
-        let life = self.not_after.saturating_sub(self.not_before);
-        self.not_before + (u128::from(life) * u128::from(percent) / 100) as u64
+        let lifetime = self.not_after.saturating_sub(self.not_before);
+        self.not_before + (u128::from(lifetime) * u128::from(percent) / 100) as u64
     }
 }
 
@@ -35,28 +35,29 @@
 
 /// Returns the time from which a certificate should be renewed: within the window suggested by the authority (RFC 9773,
 /// section 4.2), otherwise by the rule. The result is derived from the arguments alone and stays the same after a restart.
-pub fn due(held: &Validity, window: Option<Window>, rule: Rule, id: &str) -> UnixTime {
+pub fn due(validity: &Validity, window: Option<Window>, rule: Rule, id: &str) -> UnixTime {
     let due = match window {
         Some(window) => window.start + hash_below(window.end - window.start, &[id, "window"]),
         None => {
-            let life = held.not_after.saturating_sub(held.not_before);
-            let jitter = (u128::from(life) * u128::from(rule.jitter_percent) / 100) as u64;
-            held.at(rule.renew_percent.into())
+            let lifetime = validity.not_after.saturating_sub(validity.not_before);
+            let jitter = (u128::from(lifetime) * u128::from(rule.jitter_percent) / 100) as u64;
+            validity
+                .at(rule.renew_percent.into())
                 .saturating_sub(hash_below(jitter + 1, &[id, "jitter"]))
         }
     };
-    due.min(held.at(LATEST_PERCENT))
+    due.min(validity.at(LATEST_PERCENT))
 }
 
 /// Decides which of several fronts with the same names renews a certificate first.
 pub trait Ranking {
-    /// Returns how long this front waits after a certificate has become due. `left` is the number of seconds until it
+    /// Returns how long this front waits after a certificate has become due. `remaining_s` is the number of seconds until it
     /// expires, or 0 if there is no valid certificate.
-    fn delay(&self, id: &str, left: u64) -> Micros;
+    fn delay(&self, id: &str, remaining_s: u64) -> Micros;
 }
 
-/// Ranks fronts by a hash of certificate and front, without communication between them. A front waits for each front of
-/// higher rank, and the first rank is distributed evenly over the fronts.
+/// Ranks fronts by a hash of certificate and front, without communication between them. A front waits for each front that
+/// precedes it. The first rank is distributed evenly over the fronts.
 #[derive(Clone, Debug)]
 pub struct HashRanking {
     /// Name of this front.
@@ -70,25 +71,25 @@
 impl HashRanking {
     /// Returns the number of fronts that precede this one.
     pub fn rank(&self, id: &str) -> u64 {
-        let mine = (hash(&[id, &self.front_name]), &self.front_name);
+        let own = (hash(&[id, &self.front_name]), &self.front_name);
         let before = self
             .fronts
             .iter()
-            .filter(|f| **f != self.front_name && (hash(&[id, f]), *f) < mine);
+            .filter(|f| **f != self.front_name && (hash(&[id, f]), *f) < own);
         before.count() as u64
     }
 }
 
 impl Ranking for HashRanking {
-    fn delay(&self, id: &str, left: u64) -> Micros {
-        let each = match left {
+    fn delay(&self, id: &str, remaining_s: u64) -> Micros {
+        let delay = match remaining_s {
             0 => self.takeover_delay.min(FIRST_ORDER_DELAY),
             // The last front starts when half of the remaining lifetime has passed.
             _ => self
                 .takeover_delay
-                .min(left.saturating_mul(SECOND / 2) / self.fronts.len().max(1) as u64),
+                .min(remaining_s.saturating_mul(SECOND / 2) / self.fronts.len().max(1) as u64),
         };
-        each * self.rank(id)
+        delay * self.rank(id)
     }
 }
 
--- a/certs/src/renewal/tests.rs
+++ b/certs/src/renewal/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn the_due_time_is_deterministic_and_within_the_window() {
-    let held = Validity {
+    let validity = Validity {
         not_before: 0,
         not_after: 90 * DAY,
     };
@@ -16,7 +16,7 @@
         start: 50 * DAY,
         end: 60 * DAY,
     };
-    let due_of = |id: &str, window| due(&held, window, RULE, id);
+    let due_of = |id: &str, window| due(&validity, window, RULE, id);
     for i in 0..200 {
         let id = format!("n{i}.example");
         assert!((window.start..window.end).contains(&due_of(&id, Some(window))));
