--- a/certs/src/client/requests.rs
+++ b/certs/src/client/requests.rs
@@ -31,8 +31,10 @@
                 let known = self.skew.replace(skew);
                 let exceeds_limit = |s: i64| s.unsigned_abs() > MAX_SKEW_S;
                 if exceeds_limit(skew) && !known.is_some_and(exceeds_limit) {
-                    let text = format!("clock of the authority differs by {skew} s (positive: ahead of this machine), \
-                         limit {MAX_SKEW_S} s; check the clock of this machine");
+                    let text = format!(
+                        "clock of the authority differs by {skew} s (positive: ahead of this \
+                         machine), limit {MAX_SKEW_S} s; check the clock of this machine"
+                    );
                     out.push(log_entry(Level::Warn, "clock", "", &text));
                 }
             }
