--- a/tests/common/checker.rs
+++ b/tests/common/checker.rs
@@ -1,99 +1,151 @@
-//! The checker of the five rules.
+//! Checker of the invariants of the decision module:
+//!
+//! - Every request gets exactly one answer, by its deadline.
+//! - No request runs more often than its class allows. A request that may have run is only rejected if it is safe to
+//!   repeat.
+//! - Nothing is sent to endpoints that are cordoned, draining or removed.
+//! - During the propagation time of a purge, no copy from before it is accepted.
+//! - Endpoints in slow start are not overloaded.
 use super::{CACHE, MS, PARENT};
 use cranesill::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Open {
+/// Time after its deadline by which a request must be answered.
+const DEADLINE_SLACK: Micros = 8 * MS;
+/// Transfer time of a request in the tests.
+const TRANSFER_TIME_US: f64 = 300_000.0;
+
+/// A request that arrived. It stays recorded after it is closed.
+struct RequestRecord {
     class: usize,
     object: ObjectId,
     group: u32,
     deadline: Timestamp,
-    attempts: Vec<(Timestamp, bool, Option<Status>)>,
+    attempts: Vec<AttemptRecord>,
+    /// Whether the client has its answer or has disconnected.
     closed: bool,
 }
 
-/// Checks a stream of events and actions against the five rules.
+struct AttemptRecord {
+    sent_at: Timestamp,
+    in_flight: bool,
+    /// `None` while in flight.
+    status: Option<Status>,
+}
+
+impl AttemptRecord {
+    fn may_have_run(&self) -> bool {
+        self.status.is_none_or(|status| !status.proves_not_run())
+    }
+}
+
+struct Purge {
+    object: Option<ObjectId>,
+    group: u32,
+    purged_at: Timestamp,
+}
+
+struct SlowStartSend {
+    endpoint: EndpointId,
+    sent_at: Timestamp,
+    transfer_time_us: f64,
+}
+
+/// Checks a stream of events and actions against the invariants.
 pub struct Checker {
     settings: Settings,
-    open: BTreeMap<RequestId, Open>,
+    requests: BTreeMap<RequestId, RequestRecord>,
     endpoints: BTreeMap<EndpointId, EndpointEntry>,
-    purged: Vec<(Option<ObjectId>, u32, Timestamp)>,
-    cold: Vec<(EndpointId, Timestamp, f64)>,
+    purges: Vec<Purge>,
+    slow_start_sends: Vec<SlowStartSend>,
     cordoned: BTreeSet<EndpointId>,
     pub violations: Vec<String>,
 }
 
 impl Checker {
     pub fn new(settings: Settings) -> Self {
-        let (open, endpoints, cordoned) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
+        let (requests, endpoints, cordoned) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
         Checker {
             settings,
-            open,
+            requests,
             endpoints,
             cordoned,
-            purged: Vec::new(),
-            cold: Vec::new(),
+            purges: Vec::new(),
+            slow_start_sends: Vec::new(),
             violations: Vec::new(),
         }
     }
 
-    pub fn closed(&self, id: RequestId) -> bool {
-        self.open.get(&id).is_none_or(|o| o.closed)
+    pub fn is_closed(&self, id: RequestId) -> bool {
+        self.requests.get(&id).is_none_or(|record| record.closed)
     }
 
     pub fn deadline(&self, id: RequestId) -> Timestamp {
-        self.open[&id].deadline
+        self.requests[&id].deadline
     }
 
-    /// Every request whose deadline and slack have passed is closed.
-    pub fn overdue(&mut self, now: Timestamp) {
-        let late: Vec<_> = self
-            .open
+    /// Checks that every request past its deadline is closed.
+    pub fn check_overdue(&mut self, now: Timestamp) {
+        let overdue: Vec<_> = self
+            .requests
             .iter()
-            .filter(|(_, o)| !o.closed && o.deadline + 8 * MS < now)
+            .filter(|(_, record)| !record.closed && record.deadline + DEADLINE_SLACK < now)
             .collect();
-        self.violations
-            .extend(late.iter().map(|(id, _)| format!("lost: {id:?}")));
+        self.violations.extend(
+            overdue
+                .iter()
+                .map(|(id, _)| format!("not answered by its deadline: {id:?}")),
+        );
     }
 
-    pub fn event(&mut self, now: Timestamp, event: &Event) {
+    pub fn observe_event(&mut self, now: Timestamp, event: &Event) {
         match event {
             Event::Endpoints(kind, entries) => {
                 if *kind == ListKind::Full {
                     self.endpoints
                         .values_mut()
-                        .for_each(|m| m.state = EndpointState::Removed);
+                        .for_each(|endpoint| endpoint.state = EndpointState::Removed);
                 }
                 for entry in entries {
-                    // What was sent before this start was known did not go to this process as far as can be told.
+                    // Requests sent before the new start time was known count towards the previous process.
                     if self
                         .endpoints
                         .get(&entry.endpoint)
                         .is_some_and(|old| old.started != entry.started)
                     {
-                        self.cold.retain(|sent| sent.0 != entry.endpoint);
+                        self.slow_start_sends
+                            .retain(|sent| sent.endpoint != entry.endpoint);
                     }
                     self.endpoints.insert(entry.endpoint, entry.clone());
                 }
             }
-            Event::Request(ask) => {
-                let open = Open {
-                    class: usize::from(ask.class),
-                    object: ask.object,
-                    group: ask.group,
-                    deadline: now + ask.time_left,
+            Event::Request(request) => {
+                let record = RequestRecord {
+                    class: usize::from(request.class),
+                    object: request.object,
+                    group: request.group,
+                    deadline: now + request.time_left,
                     attempts: Vec::new(),
                     closed: false,
                 };
-                self.open.insert(ask.id, open);
+                self.requests.insert(request.id, record);
+            }
+            Event::Outcome(outcome) => {
+                let record = self
+                    .requests
+                    .get_mut(&outcome.request)
+                    .expect("outcome of a request that arrived");
+                let attempt = &mut record.attempts[usize::from(outcome.attempt)];
+                attempt.in_flight = false;
+                attempt.status = Some(outcome.status);
+                record.closed |= outcome.closed;
             }
-            Event::Outcome(o) => {
-                let open = self.open.get_mut(&o.request).expect("known");
-                open.attempts[usize::from(o.attempt)].1 = false;
-                open.attempts[usize::from(o.attempt)].2 = Some(o.status);
-                open.closed |= o.closed;
+            Event::Cancelled(id) => {
+                self.requests
+                    .get_mut(id)
+                    .expect("cancellation of a request that arrived")
+                    .closed = true
             }
-            Event::Cancelled(id) => self.open.get_mut(id).expect("known").closed = true,
             Event::Cordon {
                 endpoint: id,
                 cordoned: true,
@@ -102,83 +154,98 @@
                 endpoint: id,
                 cordoned: false,
             } => {
-                // It was restarted meanwhile, whatever the list says of it.
-                let back = self
+                // An uncordoned endpoint has been restarted, whatever start time the list contains.
+                let restarted = self
                     .cordoned
                     .remove(id)
                     .then(|| self.endpoints.get_mut(id))
                     .flatten();
-                if let Some(endpoint) = back {
+                if let Some(endpoint) = restarted {
                     endpoint.started = now;
-                    // What went to the process before it was taken out did not go to this one.
-                    self.cold.retain(|sent| sent.0 != *id);
+                    // Requests sent before the cordon went to the previous process.
+                    self.slow_start_sends.retain(|sent| sent.endpoint != *id);
                 }
             }
-            Event::Purged { object, group, age } => self.purged.push((*object, *group, now - age)),
+            Event::Purged { object, group, age } => self.purges.push(Purge {
+                object: *object,
+                group: *group,
+                purged_at: now - age,
+            }),
             _ => {}
         }
     }
 
-    pub fn action(&mut self, now: Timestamp, action: &Action) {
+    pub fn observe_action(&mut self, now: Timestamp, action: &Action) {
         match action {
             Action::Send {
                 request,
                 target,
                 fill,
                 ..
-            } => self.attempt(now, *request, *target, *fill),
+            } => self.observe_attempt(now, *request, *target, *fill),
             Action::Reject(id, _) | Action::Fail(id) => {
-                let refusal = matches!(action, Action::Reject(..));
-                let Some(open) = self.open.get_mut(id) else {
-                    return self.violations.push(format!("answer for unknown {id:?}"));
+                let is_rejection = matches!(action, Action::Reject(..));
+                let Some(record) = self.requests.get_mut(id) else {
+                    return self
+                        .violations
+                        .push(format!("answer to an unknown request: {id:?}"));
                 };
-                if open.closed {
-                    self.violations.push(format!("second answer: {id:?}"));
+                if record.closed {
+                    self.violations.push(format!("answered twice: {id:?}"));
                 }
-                let ran = open
-                    .attempts
-                    .iter()
-                    .any(|a| a.2.is_none_or(|s| !s.proves_not_run()));
-                let effect = self
+                let may_have_run = record.attempts.iter().any(AttemptRecord::may_have_run);
+                let idempotency = self
                     .settings
                     .classes
-                    .get(open.class)
+                    .get(record.class)
                     .map_or(Idempotency::NotIdempotent, |c| c.idempotency);
-                let harmless = matches!(
-                    effect,
+                let is_repeatable = matches!(
+                    idempotency,
                     Idempotency::Idempotent
                         | Idempotency::Keyed {
                             scope: KeyScope::All,
                             ..
                         }
                 );
-                if refusal && ran && !harmless {
+                if is_rejection && may_have_run && !is_repeatable {
                     self.violations
-                        .push(format!("refused what may have run: {id:?}"));
+                        .push(format!("rejected although it may have run: {id:?}"));
                 }
-                open.closed = true;
+                record.closed = true;
             }
             _ => {}
         }
     }
 
-    fn attempt(&mut self, now: Timestamp, id: RequestId, target: EndpointId, fill: Option<Fill>) {
-        let Some(open) = self.open.get_mut(&id) else {
-            return self.violations.push(format!("attempt for unknown {id:?}"));
+    fn observe_attempt(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        target: EndpointId,
+        fill: Option<Fill>,
+    ) {
+        let Some(record) = self.requests.get_mut(&id) else {
+            return self
+                .violations
+                .push(format!("attempt of an unknown request: {id:?}"));
         };
-        if open.closed {
+        if record.closed {
             self.violations
-                .push(format!("attempt after the answer: {id:?}"));
+                .push(format!("attempt of a closed request: {id:?}"));
         }
-        let out = open.attempts.iter().any(|a| a.1);
-        if out && !self.settings.hedging {
-            self.violations.push(format!("two at once: {id:?}"));
+        let has_attempt_in_flight = record.attempts.iter().any(|attempt| attempt.in_flight);
+        if has_attempt_in_flight && !self.settings.hedging {
+            self.violations
+                .push(format!("two attempts in flight without hedging: {id:?}"));
         }
-        let ran = open
+        let first_that_may_have_run = record
             .attempts
             .iter()
-            .find(|a| a.2.is_none_or(|s| !s.proves_not_run()));
-        match (self.settings.classes[open.class].idempotency, ran) {
+            .find(|attempt| attempt.may_have_run());
+        match (
+            self.settings.classes[record.class].idempotency,
+            first_that_may_have_run,
+        ) {
             (Idempotency::Idempotent, _) | (_, None) => {}
             (
                 Idempotency::Keyed {
@@ -186,19 +253,26 @@
                     window,
                 },
                 Some(first),
-            ) if now < first.0 + window => {}
-            _ => self.violations.push(format!("effect twice: {id:?}")),
+            ) if now < first.sent_at + window => {}
+            _ => self.violations.push(format!("may run twice: {id:?}")),
         }
-        open.attempts.push((now, true, None));
-        let write = self.settings.classes[open.class].write;
-        let purge = self.purged.iter().filter(|(object, group, at)| {
-            let named = object.map_or(*group == open.group, |o| o == open.object);
-            named && now < at + self.settings.purge_propagation
+        record.attempts.push(AttemptRecord {
+            sent_at: now,
+            in_flight: true,
+            status: None,
+        });
+        let write = self.settings.classes[record.class].write;
+        let purges = self.purges.iter().filter(|purge| {
+            let is_purged = purge.object.map_or(purge.group == record.group, |object| {
+                object == record.object
+            });
+            is_purged && now < purge.purged_at + self.settings.purge_propagation
         });
-        if let (Some(at), Some(fill), false) = (purge.map(|p| p.2).max(), fill, write) {
-            if fill.max_age == 0 || now - fill.max_age.min(now) < at && now > at {
+        let purged_at = purges.map(|purge| purge.purged_at).max();
+        if let (Some(purged_at), Some(fill), false) = (purged_at, fill, write) {
+            if fill.max_age == 0 || now - fill.max_age.min(now) < purged_at && now > purged_at {
                 self.violations.push(format!(
-                    "purged copy: {id:?} takes copies of age {}",
+                    "accepts a purged copy: {id:?} with a maximum age of {} us",
                     fill.max_age
                 ));
             }
@@ -211,39 +285,51 @@
         .flatten()
         {
             if self.cordoned.contains(&at) {
-                self.violations.push(format!("out by hand: {at:?}"));
+                self.violations
+                    .push(format!("sent to a cordoned endpoint: {at:?}"));
             }
             match self.endpoints.get(&at) {
-                Some(m) if m.state == EndpointState::Ready => self.cold(now, at),
-                _ => self.violations.push(format!("drained: {at:?}")),
+                Some(endpoint) if endpoint.state == EndpointState::Ready => {
+                    self.check_slow_start(now, at)
+                }
+                _ => self
+                    .violations
+                    .push(format!("sent to an endpoint that is not ready: {at:?}")),
             }
         }
     }
 
-    /// All of the tests' cacheable requests take 300 ms to send; fills are counted as if each reached its source.
-    fn cold(&mut self, now: Timestamp, at: EndpointId) {
+    /// Checks the load that was sent to an endpoint in slow start within the overload window. Every fill counts as if it
+    /// reached its source.
+    fn check_slow_start(&mut self, now: Timestamp, at: EndpointId) {
         let endpoint = &self.endpoints[&at];
         let limits = match endpoint.kind {
             PARENT => self.settings.parent_slow_start,
             CACHE => self.settings.cache_slow_start,
             _ => return,
         };
-        let span = self.settings.overload_window;
+        let window = self.settings.overload_window;
         if endpoint.started == 0 || now >= endpoint.started + limits.warm_up {
             return;
         }
         let age = now.saturating_sub(endpoint.started) as f64 / limits.warm_up as f64;
         let capacity = endpoint.weight
             * (limits.initial_capacity_fraction + (1.0 - limits.initial_capacity_fraction) * age);
-        self.cold.push((at, now, 300_000.0));
-        let sum: f64 = self
-            .cold
+        self.slow_start_sends.push(SlowStartSend {
+            endpoint: at,
+            sent_at: now,
+            transfer_time_us: TRANSFER_TIME_US,
+        });
+        let load: f64 = self
+            .slow_start_sends
             .iter()
-            .filter(|c| c.0 == at && c.1 + span > now)
-            .map(|c| c.2)
+            .filter(|sent| sent.endpoint == at && sent.sent_at + window > now)
+            .map(|sent| sent.transfer_time_us)
             .sum();
-        if sum > limits.overload_multiple * capacity * span as f64 {
-            self.violations.push(format!("pushed over: {at:?}"));
+        if load > limits.overload_multiple * capacity * window as f64 {
+            self.violations.push(format!(
+                "overloaded in slow start: {at:?}, {load} us of transfers"
+            ));
         }
     }
 }
--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -1,23 +1,23 @@
-//! Endpoints that operators take out: whatever the list says meanwhile, and whatever was planned before.
+//! Cordoned and uncordoned endpoints: routing, slow start, and health state before and after.
 mod common;
 use common::*;
 use cranesill::api::*;
 
-/// Endpoints that a hundred requests for different objects name.
-fn named(harness: &mut RouterHarness, from: u64) -> std::collections::BTreeSet<u64> {
-    let mut named = std::collections::BTreeSet::new();
+/// Targets and sources of the attempts of a hundred requests for different objects.
+fn endpoints_used(harness: &mut RouterHarness, from: u64) -> std::collections::BTreeSet<u64> {
+    let mut endpoints = std::collections::BTreeSet::new();
     for id in from..from + 100 {
         for sent in harness.send_request(new_request(id, id)) {
-            named.extend([sent.target].into_iter().chain(sent.source));
-            harness.served(&sent);
+            endpoints.extend([sent.target].into_iter().chain(sent.source));
+            harness.serve(&sent);
         }
         harness.advance(20 * MS);
     }
-    named
+    endpoints
 }
 
 #[test]
-fn a_cordoned_endpoint_is_neither_target_nor_source_whatever_the_list_says() {
+fn a_cordoned_endpoint_is_never_target_or_source_after_list_changes() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
@@ -27,17 +27,17 @@
         endpoint: EndpointId(20),
         cordoned: true,
     });
-    assert_eq!(named(&mut harness, 1), [11, 12, 21].into());
-    // It leaves the list and returns, alone and with the whole list.
-    let gone = EndpointEntry {
+    assert_eq!(endpoints_used(&mut harness, 1), [11, 12, 21].into());
+    // The cordon outlasts removal from the list and a return by a delta or a full list.
+    let removed = EndpointEntry {
         state: EndpointState::Removed,
         ..entry(10, CACHE)
     };
-    harness.notify(Event::Endpoints(ListKind::Delta, vec![gone]));
+    harness.notify(Event::Endpoints(ListKind::Delta, vec![removed]));
     harness.notify(Event::Endpoints(ListKind::Delta, vec![entry(10, CACHE)]));
-    assert_eq!(named(&mut harness, 1_001), [11, 12, 21].into());
+    assert_eq!(endpoints_used(&mut harness, 1_001), [11, 12, 21].into());
     harness.notify(Event::Endpoints(ListKind::Full, default_endpoints()));
-    assert_eq!(named(&mut harness, 2_001), [11, 12, 21].into());
+    assert_eq!(endpoints_used(&mut harness, 2_001), [11, 12, 21].into());
     assert!(
         harness.router.is_unavailable(EndpointId(10))
             && !harness.router.is_unavailable(EndpointId(11))
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn one_uncordon_undoes_two_cordons_and_begins_a_slow_start() {
+fn one_uncordon_reverts_repeated_cordons_and_starts_a_slow_start() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
@@ -62,16 +62,16 @@
         cordoned: false,
     });
     assert!(!harness.router.is_unavailable(EndpointId(10)));
-    // The checker holds it to the limits of one that started now.
+    // The checker applies the slow-start limits of an endpoint that started now.
     assert!(
-        named(&mut harness, 1).contains(&10),
-        "it is used again within two seconds"
+        endpoints_used(&mut harness, 1).contains(&10),
+        "the uncordoned cache must get requests within two seconds"
     );
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
-fn an_uncordoned_endpoint_is_judged_by_its_answers_from_then_on() {
+fn outcomes_from_before_an_uncordon_do_not_affect_health() {
     let mut harness = RouterHarness::new(
         settings(),
         vec![entry(10, CACHE), entry(20, PARENT), entry(30, ORIGIN)],
@@ -79,11 +79,14 @@
     for id in 1..=4 {
         let mut next = harness.send_request(new_request(id, id));
         while let Some(sent) = next.first().cloned() {
-            next = harness.end(&sent, Status::ConnectFailed, FillNote::None, 0);
+            next = harness.end_attempt(&sent, Status::ConnectFailed, FillNote::None, 0);
         }
     }
-    assert!(harness.router.is_unavailable(EndpointId(10)), "it is DOWN");
-    let sent = harness.live();
+    assert!(
+        harness.router.is_unavailable(EndpointId(10)),
+        "cache 10 must be DOWN after the failed attempts"
+    );
+    let sent = harness.attempts_in_flight();
     harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
         cordoned: true,
@@ -94,22 +97,22 @@
     });
     assert!(
         !harness.router.is_unavailable(EndpointId(10)),
-        "not DOWN by what its old process did"
+        "failures from before the cordon must not keep the cache DOWN"
     );
-    // What was sent to the old one fails now: that says nothing of the new one either.
+    // Attempts sent to the previous process fail after the restart.
     for sent in sent {
-        harness.end(&sent, Status::Reset, FillNote::None, 0);
+        harness.end_attempt(&sent, Status::Reset, FillNote::None, 0);
     }
     assert!(!harness.router.is_unavailable(EndpointId(10)));
 }
 
 #[test]
-fn with_all_of_a_kind_cordoned_requests_use_the_rest_or_are_answered_at_once() {
-    let direct = Settings {
+fn with_all_endpoints_of_a_kind_cordoned_requests_bypass_it_or_are_answered_immediately() {
+    let pass_through = Settings {
         pass_through: true,
         ..settings()
     };
-    let mut harness = RouterHarness::new(direct, default_endpoints());
+    let mut harness = RouterHarness::new(pass_through, default_endpoints());
     [20, 21].into_iter().for_each(|id| {
         drop(harness.notify(Event::Cordon {
             endpoint: EndpointId(id),
@@ -117,8 +120,8 @@
         }))
     });
     assert!(
-        named(&mut harness, 1).contains(&30),
-        "without parents the origin fills"
+        endpoints_used(&mut harness, 1).contains(&30),
+        "without parents, caches must fill from the origin"
     );
     [10, 11, 12].into_iter().for_each(|id| {
         drop(harness.notify(Event::Cordon {
@@ -127,24 +130,23 @@
         }))
     });
     assert_eq!(
-        named(&mut harness, 1_001),
+        endpoints_used(&mut harness, 1_001),
         [30].into(),
-        "without caches requests go straight to the origin"
+        "without caches, requests must go to the origin"
     );
     harness.notify(Event::Cordon {
         endpoint: EndpointId(30),
         cordoned: true,
     });
-    assert!(named(&mut harness, 2_001).is_empty());
+    assert!(endpoints_used(&mut harness, 2_001).is_empty());
     assert!(
         harness.answers.contains_key(&RequestId(2_001)),
-        "with nothing left they are refused at once"
+        "without usable endpoints, requests must be answered immediately"
     );
-    // Requests that wait for a endpoint that is taken out are not left waiting.
+    // Requests that wait for an endpoint are answered when it is cordoned.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
-    let waiting: Vec<u64> = (1..=400).collect();
-    waiting
-        .iter()
+    let ids: Vec<u64> = (1..=400).collect();
+    ids.iter()
         .for_each(|id| drop(harness.send_request(new_request(*id, 5))));
     [10, 11, 12, 20, 21, 30].into_iter().for_each(|id| {
         drop(harness.notify(Event::Cordon {
@@ -153,17 +155,21 @@
         }))
     });
     let sent: std::collections::BTreeSet<_> = harness.sent.iter().map(|s| s.request.0).collect();
-    let left = waiting.iter().filter(|id| !sent.contains(id));
-    assert!(left.clone().count() > 0, "some wait");
+    let unsent = ids.iter().filter(|id| !sent.contains(id));
+    assert!(
+        unsent.clone().count() > 0,
+        "some requests must wait for capacity"
+    );
     assert!(
-        left.clone()
+        unsent
+            .clone()
             .all(|id| harness.answers.contains_key(&RequestId(*id))),
-        "and are answered"
+        "waiting requests must be answered"
     );
 }
 
 #[test]
-fn the_next_process_suspects_what_was_down_and_keeps_the_slow_start_of_what_was_uncordoned() {
+fn learned_health_carries_down_states_and_slow_starts_to_the_next_process() {
     let endpoints = || {
         vec![
             entry(10, CACHE),
@@ -180,7 +186,7 @@
     for id in 1..=4 {
         let mut next = old.send_request(new_request(id, id));
         while let Some(sent) = next.first().cloned() {
-            next = old.end(&sent, Status::ConnectFailed, FillNote::None, 0);
+            next = old.end_attempt(&sent, Status::ConnectFailed, FillNote::None, 0);
         }
     }
     old.notify(Event::Cordon {
@@ -188,36 +194,43 @@
         cordoned: false,
     });
     let learned = old.router.learned_health();
-    let of = |id| {
+    let learned_of = |id| {
         *learned
             .iter()
             .find(|one| one.endpoint.0 == id)
-            .expect("learned")
+            .expect("learned health of the endpoint")
     };
     assert!(
-        of(10).down && of(10).connection_lost && !of(11).down && of(11).slow_start_at == old.now
+        learned_of(10).down
+            && learned_of(10).connection_lost
+            && !learned_of(11).down
+            && learned_of(11).slow_start_at == old.now
     );
     let mut new = RouterHarness::new(settings(), endpoints());
     new.now = old.now;
     new.notify(Event::LearnedHealth(learned.clone()));
-    // SUSPECT: it is probed by one request and its further try, not by all.
+    // A SUSPECT endpoint gets at most two probes at once.
     let to_10: Vec<_> = (1..=40)
         .flat_map(|id| new.send_request(new_request(id, id)))
         .filter(|sent| sent.target == 10)
         .collect();
-    assert!((1..=2).contains(&to_10.len()), "{} probes", to_10.len());
-    new.end(&to_10[0], Status::ConnectFailed, FillNote::None, 0);
+    assert!(
+        (1..=2).contains(&to_10.len()),
+        "{} probes of a SUSPECT cache",
+        to_10.len()
+    );
+    new.end_attempt(&to_10[0], Status::ConnectFailed, FillNote::None, 0);
     assert!(
         new.router.is_unavailable(EndpointId(10)),
-        "one failure is enough"
+        "one failed probe must make the cache unavailable"
     );
-    // Of a endpoint that has started anew since, it says nothing.
+    // Learned health does not apply to an endpoint with another start time.
     let mut new = RouterHarness::new(settings(), endpoints());
-    let anew = EndpointEntry {
+    let restarted = EndpointEntry {
         started: new.now - S,
         ..entry(10, CACHE)
     };
-    new.notify(Event::Endpoints(ListKind::Delta, vec![anew]));
+    new.notify(Event::Endpoints(ListKind::Delta, vec![restarted]));
     new.notify(Event::LearnedHealth(learned));
     assert_eq!(
         new.router
@@ -230,7 +243,7 @@
 }
 
 #[test]
-fn a_burst_after_uncordoning_skips_the_endpoint_in_slow_start() {
+fn a_burst_after_an_uncordon_stays_within_the_slow_start_budget() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     harness.notify(Event::Cordon {
         endpoint: EndpointId(10),
@@ -240,16 +253,16 @@
         endpoint: EndpointId(10),
         cordoned: false,
     });
-    // Answered at once, so that nothing but its coldness holds them back.
+    // Responses are immediate, so only the slow-start budget limits the requests to the cache.
     for id in 1..=400 {
         for sent in harness.send_request(new_request(id, id)) {
-            harness.served(&sent);
+            harness.serve(&sent);
         }
         harness.advance(MS);
     }
     assert!(
         harness.sent.iter().any(|sent| sent.target == 10),
-        "it gets its share of what it can do"
+        "the cache in slow start must get some requests"
     );
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -1,16 +1,16 @@
-//! One small case for each failure found with the bench, by the names in docs/incidents/README.md.
+//! Regression tests: a small case for each failure found under load. `docs/incidents/README.md` describes them.
 mod common;
 use common::*;
 use cranesill::api::*;
 
-/// Asks once for each object of the range and returns the attempts that are sent at once.
-fn crowd(harness: &mut RouterHarness, ids: std::ops::Range<u64>) -> Vec<Sent> {
+/// Sends one request for each object of the range and returns the attempts that are sent immediately.
+fn send_requests(harness: &mut RouterHarness, ids: std::ops::Range<u64>) -> Vec<SentAttempt> {
     ids.flat_map(|id| harness.send_request(new_request(id, id)))
         .collect()
 }
 
-/// The usual endpoints with parents that have room for few.
-fn tight() -> Vec<EndpointEntry> {
+/// The default endpoints with parents of low weight.
+fn endpoints_with_small_parents() -> Vec<EndpointEntry> {
     let mut endpoints = default_endpoints();
     endpoints[3..5]
         .iter_mut()
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn rejections_for_lack_of_capacity_make_no_retry_storm() {
-    // i23556e: each refusal was tried up to eight times, twenty attempts a request.
+fn rejections_for_lack_of_capacity_cause_no_retry_storm() {
+    // Guards against retrying every rejection, which multiplies the load.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=200 {
         let mut next = harness.send_request(new_request(id, id));
         while let Some(attempt) = next.first().cloned() {
-            next = harness.end(&attempt, Status::Rejected, FillNote::None, 0);
+            next = harness.end_attempt(&attempt, Status::Rejected, FillNote::None, 0);
         }
         harness.advance(10 * MS);
     }
@@ -39,32 +39,32 @@
 }
 
 #[test]
-fn a_fault_that_hits_all_alike_takes_none_down() {
-    // ia8f6a2: fills of all parents timed out behind a slow origin, and all went DOWN.
+fn a_fault_common_to_all_parents_takes_none_down() {
+    // Guards against a slow origin taking all parents DOWN.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=60 {
         if let Some(attempt) = harness.send_request(new_request(id, id)).first().cloned() {
             harness.advance(50 * MS);
-            harness.end(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S);
+            harness.end_attempt(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S);
         }
     }
     assert_eq!(harness.log, Vec::<String>::new());
 }
 
 #[test]
-fn a_parent_that_alone_is_slow_goes_down() {
-    // i4761b2: a parent that answered late but inside the time-out never counted up.
+fn the_only_slow_parent_goes_down() {
+    // Guards against a parent that stays UP although its responses are late, because they arrive before the timeout.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=40 {
         harness.send_request(new_request(id, id));
     }
     for round in 1..=30 {
         harness.advance(100 * MS);
-        for attempt in harness.live() {
-            let late = harness.now > attempt.at + 2 * S;
+        for attempt in harness.attempts_in_flight() {
+            let late = harness.now > attempt.sent_at + 2 * S;
             match attempt.source {
                 Some(20) if !late => {}
-                Some(_) => _ = harness.end(&attempt, Status::Ok, FillNote::Filled, 0),
+                Some(_) => _ = harness.end_attempt(&attempt, Status::Ok, FillNote::Filled, 0),
                 None => {}
             }
         }
@@ -84,104 +84,108 @@
 }
 
 #[test]
-fn where_fills_are_many_a_cache_is_first_asked_for_a_cached_copy() {
-    // ia8f6a2: fills that waited took the places of hits.
-    let mut harness = RouterHarness::new(settings(), tight());
-    let out = crowd(&mut harness, 1..400);
-    let looks: Vec<_> = out.iter().filter(|s| s.source == Some(s.target)).collect();
-    let fills = out
+fn caches_are_checked_for_a_copy_before_filling_from_a_loaded_source() {
+    // Guards against waiting fills that take the slots of hits.
+    let mut harness = RouterHarness::new(settings(), endpoints_with_small_parents());
+    let sent = send_requests(&mut harness, 1..400);
+    let cache_checks: Vec<_> = sent.iter().filter(|s| s.source == Some(s.target)).collect();
+    let fills = sent
         .iter()
         .filter(|s| s.source == Some(20) || s.source == Some(21))
         .count();
     assert!(
-        !looks.is_empty() && fills > 0 && fills < 150,
-        "{} looks, {fills} fills",
-        looks.len()
+        !cache_checks.is_empty() && fills > 0 && fills < 150,
+        "{} checks of caches, {fills} fills",
+        cache_checks.len()
     );
-    // A miss waits for room at its source, and is refused when an answer can no longer be in time.
-    let missed = (*looks[0]).clone();
-    harness.end(&missed, Status::Miss, FillNote::None, 0);
+    // A miss waits for capacity at its source until a response can no longer be in time.
+    let missed = (*cache_checks[0]).clone();
+    harness.end_attempt(&missed, Status::Miss, FillNote::None, 0);
     harness.advance(2 * S);
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
-fn two_fills_of_one_part_do_not_run_at_once_under_pressure() {
-    for joins in [false, true] {
-        let mut with = settings();
-        with.coalescing = joins;
-        let mut harness = RouterHarness::new(with, tight());
-        // As many as make the sources tight and leave room at the caches.
+fn a_second_miss_of_a_part_coalesces_with_the_first_fill_or_waits_for_it() {
+    for coalescing in [false, true] {
+        let mut fill_settings = settings();
+        fill_settings.coalescing = coalescing;
+        let mut harness = RouterHarness::new(fill_settings, endpoints_with_small_parents());
+        // Enough requests to use up the capacity of the sources but not of the caches.
         let mut id = 0;
-        let mut look = None;
-        while look.is_none() && id < 400 {
+        let mut cache_check = None;
+        while cache_check.is_none() && id < 400 {
             id += 1;
-            look = harness
+            cache_check = harness
                 .send_request(new_request(id, id))
                 .into_iter()
                 .find(|s| s.source == Some(s.target));
         }
-        let first = look.expect("the sources grow tight");
+        let first = cache_check.expect("an attempt that only checks the cache");
         let second = harness.send_request(new_request(1000, id)).remove(0);
         assert_eq!(
             second.source,
             Some(second.target),
-            "the twin looks first too"
+            "the second request must check the cache first too"
         );
-        // The sources have room again.
+        // Frees capacity at the sources.
         harness
-            .live()
+            .attempts_in_flight()
             .iter()
             .filter(|s| s.source != Some(s.target))
             .skip(4)
-            .for_each(|s| harness.served(s));
-        let fill = harness.end(&first, Status::Miss, FillNote::None, 0);
+            .for_each(|s| harness.serve(s));
+        let fill = harness.end_attempt(&first, Status::Miss, FillNote::None, 0);
         assert!(
             fill[0].source.is_some_and(|from| from >= 20),
-            "the first miss is filled: {fill:?}"
+            "the first miss must be filled from another source: {fill:?}"
         );
-        let twin = harness.end(&second, Status::Miss, FillNote::None, 0);
-        // Where caches can join a fill the twin does, else it waits for the copy and is sent then.
+        let second_next = harness.end_attempt(&second, Status::Miss, FillNote::None, 0);
+        // With coalescing the second miss is sent at once; without it, it waits for the end of the fill.
         assert_eq!(
-            twin.iter().filter(|s| s.request.0 == 1000).count(),
-            usize::from(joins),
-            "{twin:?}"
+            second_next.iter().filter(|s| s.request.0 == 1000).count(),
+            usize::from(coalescing),
+            "{second_next:?}"
         );
-        if !joins {
-            let then = harness.end(&fill[0], Status::Ok, FillNote::Filled, 0);
-            assert!(then.iter().any(|s| s.request.0 == 1000), "{then:?}");
+        if !coalescing {
+            let resumed = harness.end_attempt(&fill[0], Status::Ok, FillNote::Filled, 0);
+            assert!(resumed.iter().any(|s| s.request.0 == 1000), "{resumed:?}");
         }
     }
 }
 
 #[test]
 fn a_cache_without_capacity_is_skipped() {
-    // i80753b: more videos than one cache could send, while its neighbours had room.
+    // Guards against waiting for one overloaded cache while others have capacity.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
-    let home = harness.send_request(new_request(1, 5)).remove(0);
-    harness.served(&home);
-    let held = |harness: &RouterHarness| {
+    let first = harness.send_request(new_request(1, 5)).remove(0);
+    harness.serve(&first);
+    let in_flight_at_first = |harness: &RouterHarness| {
         harness
-            .live()
+            .attempts_in_flight()
             .iter()
-            .filter(|s| s.target == home.target)
+            .filter(|s| s.target == first.target)
             .count()
     };
-    // A refusal cuts the limit of the cache to what it holds, less a little.
+    // A rejection cuts the limit of the cache to slightly below its requests in flight.
     for id in 2..10 {
         let more = harness.send_request(new_request(id, 5)).remove(0);
-        assert_eq!(more.target, home.target);
+        assert_eq!(more.target, first.target);
     }
-    let last = harness.live().pop().expect("they are out");
-    harness.end(&last, Status::Rejected, FillNote::None, 0);
-    assert!(held(&harness) > 6);
-    let over = harness.send_request(new_request(20, 5)).remove(0);
-    assert_ne!(over.target, home.target);
+    let last = harness
+        .attempts_in_flight()
+        .pop()
+        .expect("an attempt in flight");
+    harness.end_attempt(&last, Status::Rejected, FillNote::None, 0);
+    assert!(in_flight_at_first(&harness) > 6);
+    let next = harness.send_request(new_request(20, 5)).remove(0);
+    assert_ne!(next.target, first.target);
 }
 
 #[test]
-fn a_rejected_write_waits_and_keeps_its_deadline() {
-    // i219619: writes burnt their attempts in milliseconds; snapshot 6ee6ecee lost one whose timer came late.
+fn a_rejected_write_backs_off_and_is_answered_by_its_deadline() {
+    // Guards against writes that use up their attempts within milliseconds, and against a write that is never answered
+    // because its timer expires late.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let write = Request {
         class: 1,
@@ -189,81 +193,85 @@
         ..new_request(1, 5)
     };
     let mut next = harness.send_request(write);
-    let mut tries = 0;
+    let mut attempts = 0;
     while let Some(attempt) = next.first().cloned() {
-        tries += 1;
+        attempts += 1;
         assert!(
             harness
-                .end(&attempt, Status::Rejected, FillNote::SourceRejected, 0)
+                .end_attempt(&attempt, Status::Rejected, FillNote::SourceRejected, 0)
                 .is_empty(),
-            "no retry at once"
+            "a rejected write must back off"
         );
         next = harness.advance(60 * MS);
     }
     harness.advance(2 * S);
-    assert!((4..=8).contains(&tries), "{tries} tries");
+    assert!((4..=8).contains(&attempts), "{attempts} attempts");
     assert!(harness.answers.contains_key(&RequestId(1)));
     let now = harness.now;
-    harness.checker.overdue(now);
+    harness.checker.check_overdue(now);
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
-fn stale_copies_are_asked_for_before_waiting() {
+fn a_stale_copy_is_requested_before_waiting_for_a_source() {
     let mut with_grace = settings();
     with_grace.classes[0] = Class {
         freshness_lifetime: 20 * S,
         grace: 30 * S,
         ..class(Idempotency::Idempotent, false)
     };
-    let mut harness = RouterHarness::new(with_grace, tight());
-    // Misses take the places at the sources until one finds none.
+    let mut harness = RouterHarness::new(with_grace, endpoints_with_small_parents());
+    // Misses use up the capacity of the sources.
     for id in 1..400 {
-        for look in harness
+        for cache_check in harness
             .send_request(new_request(id, id))
             .into_iter()
             .filter(|s| s.source == Some(s.target))
         {
-            assert_eq!(look.fill.unwrap().max_age, 20 * S);
-            for second in harness.end(&look, Status::Miss, FillNote::None, 0) {
-                if second.request == look.request && second.source == Some(second.target) {
+            assert_eq!(cache_check.fill.unwrap().max_age, 20 * S);
+            for second in harness.end_attempt(&cache_check, Status::Miss, FillNote::None, 0) {
+                if second.request == cache_check.request && second.source == Some(second.target) {
                     assert_eq!(second.fill.unwrap().max_age, 50 * S);
                     return;
                 }
             }
         }
     }
-    panic!("no request asked for a copy past its fresh time");
+    panic!("no request accepted a copy past its freshness lifetime");
 }
 
 #[test]
-fn a_stalled_attempt_moves_where_hedging_is_not_allowed() {
-    // id98574: a cache lost some requests and served the others, so it was neither silent nor failing.
-    let mut single = settings();
-    single.hedging = false;
-    single.parent_kind = None;
-    let mut harness = RouterHarness::new(single, vec![entry(10, CACHE), entry(11, CACHE)]);
+fn a_stalled_attempt_is_cancelled_and_moves_where_hedging_is_not_allowed() {
+    // Guards against waiting for a cache that drops some requests but serves others, and therefore stays UP.
+    let mut without_hedging = settings();
+    without_hedging.hedging = false;
+    without_hedging.parent_kind = None;
+    let mut harness = RouterHarness::new(without_hedging, vec![entry(10, CACHE), entry(11, CACHE)]);
     let stalled = harness.send_request(new_request(1, 5)).remove(0);
     harness.advance(900 * MS);
     assert!(
-        harness.trace.contains(&Action::Cancel(RequestId(1), 0)),
+        harness.actions.contains(&Action::Cancel(RequestId(1), 0)),
         "{:?}",
-        harness.trace
+        harness.actions
     );
     let next = harness
-        .end(&stalled, Status::Cancelled, FillNote::None, 0)
+        .end_attempt(&stalled, Status::Cancelled, FillNote::None, 0)
         .remove(0);
     assert_ne!(next.target, stalled.target);
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_silent_cache_goes_down_when_others_answer_and_its_requests_move() {
+fn an_unresponsive_cache_goes_down_while_others_respond_and_its_requests_move() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=200 {
-        for attempt in harness.live().into_iter().filter(|s| s.target != 10) {
-            if harness.now > attempt.at + 200 * MS {
-                harness.served(&attempt);
+        for attempt in harness
+            .attempts_in_flight()
+            .into_iter()
+            .filter(|s| s.target != 10)
+        {
+            if harness.now > attempt.sent_at + 200 * MS {
+                harness.serve(&attempt);
             }
         }
         harness.send_request(new_request(id, id));
@@ -278,7 +286,7 @@
         harness.log
     );
     assert!(harness
-        .trace
+        .actions
         .iter()
         .any(|a| matches!(a, Action::Cancel(..))));
     assert!(!harness
@@ -288,28 +296,28 @@
 }
 
 #[test]
-fn a_silent_cache_goes_down_also_where_one_request_at_a_time_is_asked() {
-    // Seen with processes: half of a front's caches were behind links that passed nothing, and 16 requests in a minute
-    // were served. Nobody else is heard while the one request is out.
-    let mut single = settings();
-    single.hedging = false;
+fn unresponsive_caches_go_down_with_one_request_in_flight_at_a_time() {
+    // Guards against unresponsive caches that stay UP because no other cache responds while a single request is in
+    // flight.
+    let mut without_hedging = settings();
+    without_hedging.hedging = false;
     let mut endpoints = default_endpoints();
     endpoints.extend((13..16).map(|id| entry(id, CACHE)));
-    let mut harness = RouterHarness::new(single, endpoints);
-    let mut silences = 0;
+    let mut harness = RouterHarness::new(without_hedging, endpoints);
+    let mut timeouts = 0;
     for id in 1..=600 {
         let mut next = harness.send_request(new_request(id, id % 50));
         while let Some(attempt) = next.first().cloned() {
-            let silent = (10..13).contains(&attempt.target) && id > 60;
-            harness.advance(if silent { 1_500 * MS } else { 10 * MS });
-            let off = Action::Cancel(attempt.request, attempt.number);
+            let is_unresponsive = (10..13).contains(&attempt.target) && id > 60;
+            harness.advance(if is_unresponsive { 1_500 * MS } else { 10 * MS });
+            let cancel = Action::Cancel(attempt.request, attempt.number);
             next.clear();
-            if !silent {
-                harness.served(&attempt);
-            } else if harness.trace.contains(&off) {
-                next = harness.end(&attempt, Status::Cancelled, FillNote::None, 0);
+            if !is_unresponsive {
+                harness.serve(&attempt);
+            } else if harness.actions.contains(&cancel) {
+                next = harness.end_attempt(&attempt, Status::Cancelled, FillNote::None, 0);
             } else {
-                silences += 1;
+                timeouts += 1;
                 harness.advance(2_600 * MS);
             }
         }
@@ -317,16 +325,16 @@
     let down = harness.log.iter().filter(|l| l.contains("DOWN")).count();
     assert!(
         down >= 3,
-        "{down} DOWN, {silences} waited in vain: {:?}",
+        "{down} caches DOWN, {timeouts} requests timed out: {:?}",
         harness.log
     );
-    assert!(silences < 60, "{silences} of 540 requests waited in vain");
-    // Where all fall silent at once that says nothing of any.
+    assert!(timeouts < 60, "{timeouts} of 540 requests timed out");
+    // When all endpoints stop responding at once, none goes DOWN.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=20 {
         let sent = harness.send_request(new_request(id, id));
         harness.advance(10 * MS);
-        sent.iter().for_each(|attempt| harness.served(attempt));
+        sent.iter().for_each(|attempt| harness.serve(attempt));
     }
     for id in 21..=60 {
         harness.send_request(new_request(id, id));
@@ -340,18 +348,20 @@
 }
 
 #[test]
-fn the_origin_takes_what_a_down_parent_leaves_without_capacity() {
-    // iee772e: the other parent had no room for two shares of fills, and the origin was calm.
+fn the_origin_gets_fills_that_exceed_the_capacity_of_the_remaining_parent() {
+    // Guards against requests that wait for the remaining parent while the origin has capacity.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..200 {
         let mut next = harness.send_request(new_request(id, id));
         while let Some(attempt) = next.first().cloned() {
             next = match attempt.source {
-                Some(20) => harness.end(&attempt, Status::Rejected, FillNote::SourceLost, 0),
+                Some(20) => {
+                    harness.end_attempt(&attempt, Status::Rejected, FillNote::SourceLost, 0)
+                }
                 Some(from) if from == attempt.target => {
-                    harness.end(&attempt, Status::Miss, FillNote::None, 0)
+                    harness.end_attempt(&attempt, Status::Miss, FillNote::None, 0)
                 }
-                _ => harness.end(&attempt, Status::Ok, FillNote::Filled, 0),
+                _ => harness.end_attempt(&attempt, Status::Ok, FillNote::Filled, 0),
             };
         }
         if harness.log.iter().any(|l| l.contains("Parent 14 DOWN")) {
@@ -360,13 +370,13 @@
     }
     assert!(harness.log.iter().any(|l| l.contains("Parent 14 DOWN")));
     for id in 1000..1600 {
-        for look in harness.send_request(new_request(id, id)) {
-            if look.source == Some(look.target) {
-                harness.end(&look, Status::Miss, FillNote::None, 0);
+        for cache_check in harness.send_request(new_request(id, id)) {
+            if cache_check.source == Some(cache_check.target) {
+                harness.end_attempt(&cache_check, Status::Miss, FillNote::None, 0);
             }
         }
     }
-    let to = |source: u64| {
+    let fills_from = |source: u64| {
         harness
             .sent
             .iter()
@@ -374,48 +384,55 @@
             .count()
     };
     assert!(
-        to(30) > 0 && to(21) > to(30),
-        "{} to the origin, {} to the parent",
-        to(30),
-        to(21)
+        fills_from(30) > 0 && fills_from(21) > fills_from(30),
+        "{} fills from the origin, {} from the remaining parent",
+        fills_from(30),
+        fills_from(21)
     );
 }
 
 #[test]
-fn a_parent_in_slow_start_gets_no_more_than_its_budget_and_a_hit_gives_it_back() {
+fn a_parent_in_slow_start_stays_within_its_budget_and_hits_return_their_charge() {
     let mut endpoints = default_endpoints();
     endpoints[3].started = 100 * S;
     endpoints[4].started = 100 * S;
     let mut harness = RouterHarness::new(settings(), endpoints);
-    let out = crowd(&mut harness, 1..60);
-    let to_parents = |sent: &[Sent]| sent.iter().filter(|s| s.source == Some(20)).count();
-    assert!(to_parents(&out) <= 2, "{}", to_parents(&out));
-    let (mut kept, mut given) = (0, 0);
-    for (hit, sum, base) in [(false, &mut kept, 100), (true, &mut given, 1000)] {
+    let sent = send_requests(&mut harness, 1..60);
+    let to_parents = |sent: &[SentAttempt]| sent.iter().filter(|s| s.source == Some(20)).count();
+    assert!(
+        to_parents(&sent) <= 2,
+        "{} fills from a parent in slow start",
+        to_parents(&sent)
+    );
+    let (mut without_hits, mut with_hits) = (0, 0);
+    for (hit, sum, first_id) in [
+        (false, &mut without_hits, 100),
+        (true, &mut with_hits, 1000),
+    ] {
         let mut endpoints = default_endpoints();
         endpoints[3].started = 100 * S;
         endpoints[4].started = 100 * S;
         let mut harness = RouterHarness::new(settings(), endpoints);
         harness.advance(500 * MS);
-        for id in base..base + 60 {
-            for attempt in harness.send_request(new_request(id, id - base)) {
+        for id in first_id..first_id + 60 {
+            for attempt in harness.send_request(new_request(id, id - first_id)) {
                 *sum += usize::from(attempt.source == Some(20));
                 if hit {
-                    harness.served(&attempt);
+                    harness.serve(&attempt);
                 }
             }
         }
         assert_eq!(harness.checker.violations, Vec::<String>::new());
     }
     assert!(
-        kept > 0 && given > kept,
-        "{given} with hits, {kept} without"
+        without_hits > 0 && with_hits > without_hits,
+        "{with_hits} with hits, {without_hits} without"
     );
 }
 
 #[test]
-fn one_healthy_endpoint_among_many_failing_ones_takes_none_down() {
-    // i702365, i04dc8e: with many parents one that was not late was always found, and the rest went DOWN.
+fn many_failing_parents_beside_a_healthy_one_do_not_go_down() {
+    // Guards against one healthy parent being enough to take all failing ones DOWN.
     let mut endpoints = default_endpoints();
     endpoints.extend((22..28).map(|id| entry(id, PARENT)));
     let mut harness = RouterHarness::new(settings(), endpoints);
@@ -423,9 +440,14 @@
         for attempt in harness.send_request(new_request(id, id)) {
             harness.advance(30 * MS);
             match attempt.source {
-                Some(20) => _ = harness.end(&attempt, Status::Ok, FillNote::Filled, 0),
+                Some(20) => _ = harness.end_attempt(&attempt, Status::Ok, FillNote::Filled, 0),
                 Some(_) => {
-                    _ = harness.end(&attempt, Status::Rejected, FillNote::SourceRejected, 2 * S)
+                    _ = harness.end_attempt(
+                        &attempt,
+                        Status::Rejected,
+                        FillNote::SourceRejected,
+                        2 * S,
+                    )
                 }
                 None => {}
             }
@@ -434,35 +456,56 @@
     assert_eq!(harness.log, Vec::<String>::new());
 }
 
-/// Ends an attempt with a report of how full the link into the zone is.
-fn end_with_link(
+/// Ends an attempt with a load report that contains the utilization of the link into the zone.
+fn end_attempt_with_link_report(
     harness: &mut RouterHarness,
-    sent: &Sent,
+    sent: &SentAttempt,
     status: Status,
     note: FillNote,
-    link: f64,
-) -> Vec<Sent> {
+    utilization: f64,
+) -> Vec<SentAttempt> {
     let report = Some(LoadReport {
-        link: Some(link),
+        link: Some(utilization),
         ..LoadReport::default()
     });
-    harness.end_with(sent, status, note, 0, report)
+    harness.end_attempt_with_report(sent, status, note, 0, report)
 }
 
 #[test]
-fn fills_wait_when_the_link_into_the_zone_is_full_and_no_source_is_blamed() {
-    // valle-central big-1: after a flush every cache filled at a sixth of the pace, and all was late.
-    for (link, many) in [(0.5, true), (6.0, false)] {
+fn fills_wait_for_a_full_link_and_no_endpoint_goes_down() {
+    // Guards against fills that overload the link after a purge of all copies, so that all responses are late.
+    for (utilization, expects_most_fills) in [(0.5, true), (6.0, false)] {
         let mut harness = RouterHarness::new(settings(), default_endpoints());
         for id in 1..=1000 {
             let mut next = harness.send_request(new_request(id, id));
             while let Some(attempt) = next.first().cloned().filter(|a| a.source == Some(a.target)) {
-                next = end_with_link(&mut harness, &attempt, Status::Miss, FillNote::None, link);
+                next = end_attempt_with_link_report(
+                    &mut harness,
+                    &attempt,
+                    Status::Miss,
+                    FillNote::None,
+                    utilization,
+                );
             }
             harness.advance(10 * MS);
-            let due = harness.now - if many { 300 * MS } else { 1900 * MS };
-            for attempt in harness.live().into_iter().filter(|a| a.at < due) {
-                end_with_link(&mut harness, &attempt, Status::Ok, FillNote::Filled, link);
+            let due = harness.now
+                - if expects_most_fills {
+                    300 * MS
+                } else {
+                    1900 * MS
+                };
+            for attempt in harness
+                .attempts_in_flight()
+                .into_iter()
+                .filter(|a| a.sent_at < due)
+            {
+                end_attempt_with_link_report(
+                    &mut harness,
+                    &attempt,
+                    Status::Ok,
+                    FillNote::Filled,
+                    utilization,
+                );
             }
         }
         let fills = harness
@@ -472,112 +515,122 @@
             .count();
         assert_eq!(
             fills > 900,
-            many,
-            "link {link}: {fills} fills of 1000 requests"
+            expects_most_fills,
+            "link utilization {utilization}: {fills} fills of 1000 requests"
+        );
+        assert!(
+            expects_most_fills || harness.log.is_empty(),
+            "{:?}",
+            harness.log
         );
-        assert!(many || harness.log.is_empty(), "{:?}", harness.log);
         assert_eq!(harness.checker.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn hundreds_of_fronts_keep_within_the_slow_start_budget_of_a_parent() {
-    // reservas-cr big-1 (5d6f453f and before): each router might overdraw the budget by one request.
-    for routers in [3u64, 30, 300] {
-        let mut with = settings();
-        with.fronts = routers as u32;
+fn hundreds_of_fronts_stay_within_the_slow_start_budget_of_a_parent() {
+    // Guards against hundreds of fronts that each exceed their share of the budget by one request.
+    for fronts in [3u64, 30, 300] {
+        let mut fleet_settings = settings();
+        fleet_settings.fronts = fronts as u32;
         let start = 100 * S;
-        let list = || {
+        let endpoints = || {
             let mut endpoints = default_endpoints();
             endpoints[3].started = start;
             endpoints.remove(4);
             endpoints
         };
-        let one = |number| {
+        let new_harness = |front_index| {
             RouterHarness::new(
                 Settings {
-                    front_index: number as u32,
-                    ..with.clone()
+                    front_index: front_index as u32,
+                    ..fleet_settings.clone()
                 },
-                list(),
+                endpoints(),
             )
         };
-        let mut fleet: Vec<_> = (0..routers).map(one).collect();
+        let mut fleet: Vec<_> = (0..fronts).map(new_harness).collect();
         let mut sent: Vec<Timestamp> = Vec::new();
         for step in 0..200 {
             for (n, harness) in fleet.iter_mut().enumerate() {
-                // All want the parent at once, again and again; fills take half a second each.
+                // Every front sends a request in each step; a fill takes half a second.
                 harness.advance(20 * MS);
                 for done in harness
-                    .live()
+                    .attempts_in_flight()
                     .into_iter()
-                    .filter(|a| a.at + 500 * MS < start + step * 20 * MS)
+                    .filter(|a| a.sent_at + 500 * MS < start + step * 20 * MS)
                 {
-                    harness.end(&done, Status::Ok, FillNote::Filled, 0);
+                    harness.end_attempt(&done, Status::Ok, FillNote::Filled, 0);
                 }
                 let id = step * 1000 + n as u64 + 1;
                 let now = harness.now;
-                let asked = harness.send_request(Request {
+                let new = harness.send_request(Request {
                     time_left: S,
                     ..new_request(id, id)
                 });
-                sent.extend(asked.iter().filter(|a| a.source == Some(20)).map(|_| now));
+                sent.extend(new.iter().filter(|a| a.source == Some(20)).map(|_| now));
             }
         }
-        // Weight 20, a fifth of it at the start, falls over at 2 times: counted in any two seconds.
-        let most = sent.iter().map(|t| {
-            let within = sent
+        // Load relative to the overload threshold in any window of two seconds: weight 20, an initial capacity fraction
+        // of 0.2 and an overload multiple of 2.
+        let peak_load = sent.iter().map(|t| {
+            let in_window = sent
                 .iter()
                 .filter(|u| (*t..*t + 2 * S).contains(*u))
                 .count() as f64;
             let age = (*t - start) as f64 / (20 * S) as f64;
-            within * 300_000.0 / (2.0 * 20.0 * (0.2 + 0.8 * age) * (2 * S) as f64)
+            in_window * 300_000.0 / (2.0 * 20.0 * (0.2 + 0.8 * age) * (2 * S) as f64)
         });
-        let most = most.fold(0.0, f64::max);
+        let peak_load = peak_load.fold(0.0, f64::max);
         assert!(
-            most > 0.1 && most < 1.0,
-            "{routers} routers: {most} of what pushes it over"
+            peak_load > 0.1 && peak_load < 1.0,
+            "{fronts} fronts: peak load {peak_load} of the overload threshold"
         );
     }
 }
 
 #[test]
-fn while_the_origin_is_slow_parents_are_asked_for_cached_copies_and_stay_up() {
-    // valle-central rough-2: what waited for a slow origin took all places at the parents.
-    let mut harness = RouterHarness::new(settings(), tight());
-    let mut held_only = 0;
+fn parents_are_asked_for_cached_copies_and_stay_up_while_the_origin_is_slow() {
+    // Guards against fills from a slow origin that hold all slots of the parents.
+    let mut harness = RouterHarness::new(settings(), endpoints_with_small_parents());
+    let mut cached_checks = 0;
     for id in 1..=400 {
         let mut next = harness.send_request(new_request(id, id));
         harness.advance(10 * MS);
         while let Some(attempt) = next.first().cloned() {
-            let only_held = attempt.fill.is_some_and(|f| f.only_cached);
+            let only_cached = attempt.fill.is_some_and(|f| f.only_cached);
             next = match attempt.source {
-                Some(20 | 21) if only_held => {
-                    held_only += 1;
-                    harness.end(&attempt, Status::Miss, FillNote::SourceMiss, 0)
+                Some(20 | 21) if only_cached => {
+                    cached_checks += 1;
+                    harness.end_attempt(&attempt, Status::Miss, FillNote::SourceMiss, 0)
                 }
                 Some(from) if from == attempt.target => {
-                    harness.end(&attempt, Status::Miss, FillNote::None, 0)
+                    harness.end_attempt(&attempt, Status::Miss, FillNote::None, 0)
                 }
                 _ => break,
             };
         }
         let due = harness.now - 2 * S;
-        for late in harness.live().into_iter().filter(|a| a.at < due) {
-            harness.end(&late, Status::Ok, FillNote::FilledByOrigin, 0);
+        for late in harness
+            .attempts_in_flight()
+            .into_iter()
+            .filter(|a| a.sent_at < due)
+        {
+            harness.end_attempt(&late, Status::Ok, FillNote::FilledByOrigin, 0);
         }
     }
-    let through =
-        |s: &&Sent| s.number > 0 && s.source < Some(30) && s.fill.is_some_and(|f| !f.only_cached);
-    let through = harness
+    let filled_through = |s: &&SentAttempt| {
+        s.number > 0 && s.source < Some(30) && s.fill.is_some_and(|f| !f.only_cached)
+    };
+    let filled_through = harness
         .sent
         .iter()
-        .filter(through)
+        .filter(filled_through)
         .filter(|s| s.source != Some(s.target))
         .count();
     assert!(
-        held_only > 50 && through > 0,
-        "{held_only} asked for what they hold, {through} through"
+        cached_checks > 50 && filled_through > 0,
+        "{cached_checks} requests for cached copies, {filled_through} fills through parents"
     );
     assert!(
         !harness.log.iter().any(|l| l.contains("Parent")),
@@ -588,8 +641,8 @@
 }
 
 #[test]
-fn any_id_of_a_request_works_with_timers() {
-    // Tokens once held the id shifted by eight bits, and lost its top.
+fn timers_work_with_any_request_id() {
+    // Guards against timer tokens that lose the upper bits of the request id.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let id = u64::MAX - 5;
     let write = Request {
@@ -599,16 +652,16 @@
     };
     let first = harness.send_request(write).remove(0);
     assert!(harness
-        .end(&first, Status::Rejected, FillNote::SourceRejected, 0)
+        .end_attempt(&first, Status::Rejected, FillNote::SourceRejected, 0)
         .is_empty());
-    let again = harness.advance(200 * MS);
-    assert_eq!(again[0].request, RequestId(id));
+    let retry = harness.advance(200 * MS);
+    assert_eq!(retry[0].request, RequestId(id));
 }
 
 #[test]
 fn a_request_waits_for_capacity_at_any_cache() {
-    // costa-pacifico rough-1: requests waited for the cache that hung, while others had room.
-    // Whichever cache gets room, its own or the other, the one that waits goes there.
+    // Guards against requests that wait for an unresponsive cache while others have capacity: a waiting request goes to
+    // whichever cache has capacity first.
     for freed in [10, 11] {
         let mut harness = RouterHarness::new(
             settings(),
@@ -623,23 +676,23 @@
             });
         }
         let done = harness
-            .live()
+            .attempts_in_flight()
             .into_iter()
             .find(|a| a.target == freed)
-            .expect("both are in use");
-        let then = harness.end(&done, Status::Ok, FillNote::Hit, 0);
+            .expect("an attempt in flight at the cache");
+        let resumed = harness.end_attempt(&done, Status::Ok, FillNote::Hit, 0);
         assert!(
-            then.len() == 1 && then[0].request.0 == id && then[0].target == freed,
-            "{then:?}"
+            resumed.len() == 1 && resumed[0].request.0 == id && resumed[0].target == freed,
+            "{resumed:?}"
         );
     }
 }
 
 #[test]
-fn repeated_requests_are_cached_at_a_higher_rank_than_one_offs() {
+fn parts_requested_repeatedly_are_cached_at_a_higher_rank() {
     let mut harness = RouterHarness::new(settings(), default_endpoints());
-    let rank = |sent: &[Sent]| sent[0].fill.unwrap().rank;
-    // At first it can't tell one from the other, and must not make light of what is kept already.
+    let rank = |sent: &[SentAttempt]| sent[0].fill.unwrap().rank;
+    // A front that has just started cannot tell which parts are requested repeatedly, and must not rank them low.
     assert_eq!(rank(&harness.send_request(new_request(9, 9))), 2);
     harness.advance(11 * S);
     assert_eq!(rank(&harness.send_request(new_request(1, 5))), 1);
@@ -651,7 +704,7 @@
         ),
         (2, 1)
     );
-    // Another part is another copy, and what was long ago does not count.
+    // Each part counts separately, and only recent requests count.
     assert_eq!(
         rank(&harness.send_request(Request {
             part: 1,
@@ -664,49 +717,56 @@
 }
 
 #[test]
-fn waves_of_draining_caches_and_a_restart_of_all_overload_no_cache_in_slow_start() {
-    // preempt and mass_restart: nothing goes to what drains, and what is new gets its budget and no more.
+fn rolling_replacement_and_a_mass_restart_overload_no_cache_in_slow_start() {
+    // The checker detects requests to draining caches and loads above the slow-start limits.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     let mut id = 0;
-    let mut work = |harness: &mut RouterHarness, span: Micros| {
+    let mut run = |harness: &mut RouterHarness, span: Micros| {
         let end = harness.now + span;
         while harness.now < end {
             id += 1;
             harness.send_request(new_request(id, id));
             harness.advance(10 * MS);
             let due = harness.now - 300 * MS;
-            for done in harness.live().into_iter().filter(|a| a.at < due) {
-                let looks = done.source == Some(done.target);
-                let (status, note) = if looks {
+            for done in harness
+                .attempts_in_flight()
+                .into_iter()
+                .filter(|a| a.sent_at < due)
+            {
+                let is_cache_check = done.source == Some(done.target);
+                let (status, note) = if is_cache_check {
                     (Status::Miss, FillNote::None)
                 } else {
                     (Status::Ok, FillNote::Filled)
                 };
-                harness.end(&done, status, note, 0);
+                harness.end_attempt(&done, status, note, 0);
             }
         }
     };
     for (old, new) in [(10, 13), (11, 14)] {
-        let drains = EndpointEntry {
+        let draining = EndpointEntry {
             state: EndpointState::Draining,
             ..entry(old, CACHE)
         };
-        harness.notify(Event::Endpoints(ListKind::Delta, vec![drains]));
-        work(&mut harness, S);
-        let gone = EndpointEntry {
+        harness.notify(Event::Endpoints(ListKind::Delta, vec![draining]));
+        run(&mut harness, S);
+        let removed = EndpointEntry {
             state: EndpointState::Removed,
             ..entry(old, CACHE)
         };
-        let fresh = EndpointEntry {
+        let replacement = EndpointEntry {
             started: harness.now,
             ..entry(new, CACHE)
         };
-        harness.notify(Event::Endpoints(ListKind::Delta, vec![gone, fresh]));
-        work(&mut harness, S);
+        harness.notify(Event::Endpoints(
+            ListKind::Delta,
+            vec![removed, replacement],
+        ));
+        run(&mut harness, S);
     }
     assert!(
         harness.sent.iter().any(|a| a.target == 13),
-        "the first replacement is used"
+        "the first replacement must get requests"
     );
     let now = harness.now;
     let all = [12, 13, 14].map(|id| EndpointEntry {
@@ -714,79 +774,78 @@
         ..entry(id, CACHE)
     });
     harness.notify(Event::Endpoints(ListKind::Delta, all.to_vec()));
-    work(&mut harness, 3 * S);
+    run(&mut harness, 3 * S);
     assert!(harness
         .sent
         .iter()
-        .any(|a| a.at > now && a.source.is_some()));
+        .any(|a| a.sent_at > now && a.source.is_some()));
     assert_eq!(harness.checker.violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_few_late_answers_among_many_cut_no_limit() {
-    // A calm day on sockets: sizes vary widely and are not told, so some answers are always late; with
-    // hundreds of answers a second each pause had one, and every limit shrank to a tenth of the full pace.
+fn a_few_late_responses_among_many_cut_no_limit() {
+    // Guards against limits that shrink under normal conditions, where sizes are unknown and some responses are always
+    // late.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=20 {
-        let sent = crowd(&mut harness, round * 100..round * 100 + 30);
+        let sent = send_requests(&mut harness, round * 100..round * 100 + 30);
         harness.advance(50 * MS);
         for attempt in &sent[1..] {
-            harness.end(attempt, Status::Ok, FillNote::Hit, 0);
+            harness.end_attempt(attempt, Status::Ok, FillNote::Hit, 0);
         }
         harness.advance(2 * S);
-        harness.end(&sent[0], Status::Ok, FillNote::Hit, 0);
+        harness.end_attempt(&sent[0], Status::Ok, FillNote::Hit, 0);
     }
-    assert_eq!(crowd(&mut harness, 5_000..5_120).len(), 120);
+    assert_eq!(send_requests(&mut harness, 5_000..5_120).len(), 120);
 }
 
 #[test]
-fn a_source_that_is_lost_now_and_then_keeps_the_room_of_its_parent() {
-    // A calm day on sockets: one fill in a thousand broke off, each cut the parent's limit to what it held,
-    // and requests waited for room at parents that had all of it.
+fn occasional_broken_fills_do_not_reduce_the_fills_of_a_parent() {
+    // Guards against single broken fills that cut the limit of a parent, so that requests wait for an idle parent.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=20 {
-        let sent = crowd(&mut harness, round * 100..round * 100 + 30);
+        let sent = send_requests(&mut harness, round * 100..round * 100 + 30);
         harness.advance(50 * MS);
         for attempt in &sent[1..] {
-            harness.end(attempt, Status::Ok, FillNote::Filled, 10 * MS);
+            harness.end_attempt(attempt, Status::Ok, FillNote::Filled, 10 * MS);
         }
-        for again in harness.end(&sent[0], Status::Error, FillNote::SourceLost, 10 * MS) {
-            harness.end(&again, Status::Ok, FillNote::Filled, 10 * MS);
+        for retry in harness.end_attempt(&sent[0], Status::Error, FillNote::SourceLost, 10 * MS) {
+            harness.end_attempt(&retry, Status::Ok, FillNote::Filled, 10 * MS);
         }
         harness.advance(S);
     }
-    let fills = crowd(&mut harness, 5_000..5_100)
+    let fills = send_requests(&mut harness, 5_000..5_100)
         .iter()
         .filter(|s| s.source != Some(s.target))
         .count();
-    assert!(fills >= 40, "{fills} fills at once");
+    assert!(fills >= 40, "{fills} fills in flight");
     assert_eq!(harness.log, Vec::<String>::new());
 }
 
 #[test]
-fn late_answers_alone_leave_a_cache_its_full_share() {
-    // A day with pauses: a good part of the answers was late, caches were held to a third of what goes there
-    // at full pace, and requests were given up while they waited for room.
+fn late_responses_alone_leave_a_cache_its_full_quota() {
+    // Guards against late responses that cut the limit of a cache below its full quota, so that waiting requests are
+    // rejected.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for round in 1..=30 {
-        let sent = crowd(&mut harness, round * 100..round * 100 + 10);
+        let sent = send_requests(&mut harness, round * 100..round * 100 + 10);
         harness.advance(2 * S);
         for attempt in &sent {
-            harness.end(attempt, Status::Ok, FillNote::Hit, 0);
+            harness.end_attempt(attempt, Status::Ok, FillNote::Hit, 0);
         }
     }
-    let sent = crowd(&mut harness, 5_000..5_060).len();
-    assert!(sent >= 36, "{sent} of three times twenty at once");
+    let sent = send_requests(&mut harness, 5_000..5_060).len();
+    assert!(sent >= 36, "{sent} of 60 requests sent immediately");
 }
 
 #[test]
-fn requests_that_all_endpoints_answer_with_errors_take_none_down() {
-    // Bad clients' requests, answered with an error by whoever got them, took all caches DOWN.
+fn requests_that_get_errors_from_all_endpoints_take_none_down() {
+    // Guards against invalid requests of clients that take all caches DOWN.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=40 {
         let mut next = harness.send_request(new_request(id, id));
         while let Some(attempt) = next.first().cloned() {
-            next = harness.end(&attempt, Status::Error, FillNote::None, 0);
+            next = harness.end_attempt(&attempt, Status::Error, FillNote::None, 0);
         }
     }
     assert_eq!(
@@ -795,13 +854,13 @@
         "{:?}",
         harness.log
     );
-    // One that answers with an error what another serves is at fault.
+    // An endpoint that returns an error for a request that another one serves is charged with a failure.
     for id in 101..=120 {
         let first = harness.send_request(new_request(id, id)).remove(0);
-        let bad = |attempt: &Sent| attempt.target == 10;
-        let next = harness.end(
+        let is_faulty = |attempt: &SentAttempt| attempt.target == 10;
+        let next = harness.end_attempt(
             &first,
-            if bad(&first) {
+            if is_faulty(&first) {
                 Status::Error
             } else {
                 Status::Ok
@@ -809,7 +868,7 @@
             FillNote::Hit,
             0,
         );
-        next.iter().for_each(|attempt| harness.served(attempt));
+        next.iter().for_each(|attempt| harness.serve(attempt));
     }
     assert!(
         harness.log.iter().any(|l| l.contains("Cache a DOWN")),
@@ -819,100 +878,101 @@
 }
 
 #[test]
-fn all_attempts_on_one_broken_connection_are_one_failure() {
-    // One spoilt answer broke a connection with four attempts on it, and its parent went DOWN.
-    for (along, down) in [(true, 0), (false, 1)] {
+fn attempts_on_one_broken_connection_count_as_one_failure() {
+    // Guards against one broken connection with four attempts that takes its endpoint DOWN.
+    for (shared, down) in [(true, 0), (false, 1)] {
         let mut harness = RouterHarness::new(settings(), default_endpoints());
-        let home = harness.send_request(new_request(1, 5)).remove(0);
+        let first = harness.send_request(new_request(1, 5)).remove(0);
         let more: Vec<_> = (2..=4)
             .flat_map(|id| harness.send_request(new_request(id, 5)))
             .collect();
-        assert!(more.iter().all(|s| s.target == home.target));
-        harness.end(&home, Status::Reset, FillNote::None, 0);
-        harness.along = along;
-        more.iter()
-            .for_each(|attempt| drop(harness.end(attempt, Status::Reset, FillNote::None, 0)));
-        let lost = harness.log.iter().filter(|l| l.contains("DOWN")).count();
-        assert_eq!(lost, down, "{:?}", harness.log);
+        assert!(more.iter().all(|s| s.target == first.target));
+        harness.end_attempt(&first, Status::Reset, FillNote::None, 0);
+        harness.shared_failure = shared;
+        more.iter().for_each(|attempt| {
+            drop(harness.end_attempt(attempt, Status::Reset, FillNote::None, 0))
+        });
+        let down_count = harness.log.iter().filter(|l| l.contains("DOWN")).count();
+        assert_eq!(down_count, down, "{:?}", harness.log);
     }
 }
 
 #[test]
-fn an_attempt_without_a_connection_goes_elsewhere_and_takes_none_down() {
-    // Descriptors were used up: each attempt counted as a lost one, six of a request in a row.
+fn an_attempt_that_was_not_sent_moves_and_takes_no_endpoint_down() {
+    // Guards against charging endpoints for attempts that were not sent, such as when file descriptors are exhausted.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
     for id in 1..=20 {
         let first = harness.send_request(new_request(id, id)).remove(0);
         let next = harness
-            .end(&first, Status::NotSent, FillNote::None, 0)
+            .end_attempt(&first, Status::NotSent, FillNote::None, 0)
             .remove(0);
         assert_ne!(next.target, first.target);
-        harness.served(&next);
+        harness.serve(&next);
     }
     assert_eq!(harness.log, Vec::<String>::new());
 }
 
 #[test]
-fn a_request_of_which_nothing_was_sent_is_rejected_at_half_its_time() {
-    // Requests waited for room till an answer could no longer be in time, which was past half of their time.
+fn a_request_without_an_attempt_is_rejected_at_half_its_time() {
+    // Guards against rejections that leave the client too little time to retry elsewhere.
     let mut harness = RouterHarness::new(settings(), default_endpoints());
-    let mut held = crowd(&mut harness, 1..2000);
+    let mut sent = send_requests(&mut harness, 1..2000);
     let short = Request {
         time_left: 600 * MS,
         size_kb: 100.0,
         ..new_request(5000, 5000)
     };
-    held.extend(harness.send_request(short));
+    sent.extend(harness.send_request(short));
     assert!(
-        held.iter().all(|s| s.request.0 != 5000),
-        "there is no room left"
+        sent.iter().all(|s| s.request.0 != 5000),
+        "all capacity must be in use"
     );
-    let begun = harness.now;
+    let arrived_at = harness.now;
     while !harness.answers.contains_key(&RequestId(5000)) {
         harness.advance(5 * MS);
     }
     assert!(
-        harness.now <= begun + 310 * MS,
-        "after {} us",
-        harness.now - begun
+        harness.now <= arrived_at + 310 * MS,
+        "answered only after {} us",
+        harness.now - arrived_at
     );
 }
 
 #[test]
-fn the_link_is_full_where_a_fill_is_slower_than_a_client_and_a_look_is_for_want_of_room() {
-    // A report of twice what fits, while fills still outran the clients, cut the link's limit again and again: two
-    // thirds of requests looked first and then waited for a link that was half empty.
-    for (told, calm) in [(2.0, true), (4.0, false)] {
+fn the_link_is_full_only_when_fills_are_slower_than_clients() {
+    // Guards against a link limit that is cut although fills are still faster than clients, so that requests wait for a
+    // link with capacity.
+    for (utilization, link_has_capacity) in [(2.0, true), (4.0, false)] {
         let mut harness = RouterHarness::new(settings(), default_endpoints());
-        let mut looks = 0;
+        let mut cache_checks = 0;
         for id in 1..=400 {
             let sent = harness.send_request(new_request(id, id));
-            looks += sent.iter().filter(|s| s.source == Some(s.target)).count();
+            cache_checks += sent.iter().filter(|s| s.source == Some(s.target)).count();
             harness.advance(20 * MS);
             let due: Vec<_> = harness
-                .live()
+                .attempts_in_flight()
                 .into_iter()
-                .filter(|s| s.at + 500 * MS < harness.now)
+                .filter(|s| s.sent_at + 500 * MS < harness.now)
                 .collect();
             for late in due {
                 let report = Some(LoadReport {
-                    link: Some(told),
+                    link: Some(utilization),
                     ..LoadReport::default()
                 });
-                harness.end_with(&late, Status::Ok, FillNote::Filled, 0, report);
+                harness.end_attempt_with_report(&late, Status::Ok, FillNote::Filled, 0, report);
             }
         }
         assert_eq!(
-            looks == 0 && harness.answers.is_empty(),
-            calm,
-            "{looks} looks at {told}"
+            cache_checks == 0 && harness.answers.is_empty(),
+            link_has_capacity,
+            "{cache_checks} checks of caches at link utilization {utilization}"
         );
     }
 }
 
 #[test]
-fn what_missed_does_not_wait_behind_attempts_that_only_name_a_source() {
-    // A front that served its zone alone held misses back while the link was half empty: hits had its places.
+fn a_miss_does_not_wait_for_attempts_that_may_not_fill() {
+    // Guards against misses that wait for a half-empty link because attempts that may fill, but hit, hold its slots.
     let mut harness = RouterHarness::new(
         Settings {
             link_kb_per_s: 4_000.0,
@@ -920,64 +980,66 @@
         },
         default_endpoints(),
     );
-    let told = Some(LoadReport {
+    let report = Some(LoadReport {
         link: Some(0.5),
         ..LoadReport::default()
     });
     let first = harness.send_request(new_request(1, 1)).remove(0);
-    harness.end_with(&first, Status::Ok, FillNote::Hit, 0, told);
-    // Twelve transfers of the link are this router's; more attempts than that name a source.
-    let out = crowd(&mut harness, 2..20);
+    harness.end_attempt_with_report(&first, Status::Ok, FillNote::Hit, 0, report);
+    // The initial limit of the link is 12 transfers; more attempts than that name a source.
+    let sent = send_requests(&mut harness, 2..20);
     assert!(
-        out.iter().all(|s| s.source != Some(s.target)),
-        "none had to look"
+        sent.iter().all(|s| s.source != Some(s.target)),
+        "no attempt may only check the cache"
     );
-    let next = harness.end(&out[0], Status::Rejected, FillNote::SourceMiss, 0);
+    let next = harness.end_attempt(&sent[0], Status::Rejected, FillNote::SourceMiss, 0);
     assert!(
-        next.iter().any(|s| s.request == out[0].request),
-        "it goes on at once: {next:?}"
+        next.iter().any(|s| s.request == sent[0].request),
+        "the miss must be sent again immediately: {next:?}"
     );
 }
 
 #[test]
-fn where_no_cache_has_capacity_requests_pass_through_to_a_parent_that_has_some() {
-    // Two of a zone's three caches were gone: requests waited for the third to half their time, parents idle.
-    for direct in [true, false] {
+fn requests_bypass_full_caches_where_pass_through_is_allowed() {
+    // Guards against requests that wait for the last caches of a zone while the parents are idle.
+    for pass_through in [true, false] {
         let mut small = default_endpoints();
         small[..3].iter_mut().for_each(|cache| cache.weight = 2.0);
         let mut harness = RouterHarness::new(
             Settings {
-                pass_through: direct,
+                pass_through,
                 ..settings()
             },
             small,
         );
-        let out = crowd(&mut harness, 1..60);
-        let parents = out
+        let sent = send_requests(&mut harness, 1..60);
+        let parents = sent
             .iter()
             .filter(|s| s.target == 20 || s.target == 21)
             .count();
         assert_eq!(
-            (parents > 0, out.len() == 59),
-            (direct, direct),
-            "{parents} of {}",
-            out.len()
+            (parents > 0, sent.len() == 59),
+            (pass_through, pass_through),
+            "{parents} of {} attempts sent to parents",
+            sent.len()
         );
         assert_eq!(harness.checker.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn a_clock_that_is_ahead_takes_no_endpoint_in_slow_start_for_a_warm_one() {
-    // Starts are dated by the list service's clock; a front half a minute ahead held no cold cache back.
+fn a_clock_that_is_ahead_does_not_shorten_a_slow_start() {
+    // Start times are on the discovery clock. Guards against sending full load to a cache in slow start because the
+    // clock of the front is ahead.
     let admitted = |ahead: Micros, started: Option<Micros>| {
         let mut harness = RouterHarness::new(settings(), Vec::new());
         harness.notify(Event::ClockAhead(ahead));
         let started = started.map_or(0, |ago| harness.now - ago);
-        let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
-        harness.notify(Event::Endpoints(ListKind::Full, fresh.to_vec()));
+        let started_entries =
+            [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
+        harness.notify(Event::Endpoints(ListKind::Full, started_entries.to_vec()));
         harness.advance(S);
-        let sent = crowd(&mut harness, 1..200);
+        let sent = send_requests(&mut harness, 1..200);
         assert_eq!(
             harness
                 .checker
@@ -992,10 +1054,10 @@
     let (cold, warm) = (admitted(0, Some(MS)), admitted(0, None));
     assert!(
         cold > 0 && cold * 2 < warm,
-        "{cold} at a cold cache, {warm} at a warm one"
+        "{cold} requests to a cache in slow start, {warm} to a warm one"
     );
     assert_eq!(admitted(30 * S, Some(30 * S + MS)), cold);
-    // A restart that operators make dates itself by this clock.
+    // The start of a slow start after an uncordon is converted to the discovery clock.
     let mut harness = RouterHarness::new(settings(), vec![entry(10, CACHE), entry(30, ORIGIN)]);
     harness.notify(Event::ClockAhead(60 * S));
     harness.notify(Event::Cordon {
@@ -1007,31 +1069,36 @@
         cordoned: false,
     });
     harness.advance(S);
-    assert_eq!(crowd(&mut harness, 1..200).len(), cold);
+    assert_eq!(send_requests(&mut harness, 1..200).len(), cold);
     harness.advance(30 * S);
     assert!(
-        crowd(&mut harness, 300..500).len() > cold,
-        "it is warm in time"
+        send_requests(&mut harness, 300..500).len() > cold,
+        "the cache must get more requests after the warm-up"
     );
 }
 
 #[test]
-fn a_clock_that_is_behind_ends_a_slow_start_in_time() {
-    // By a clock an hour behind a cold cache had an hour of slow start before it, at its least.
-    let admitted = |ahead_of_us: Micros, waits: Micros| {
+fn a_clock_that_is_behind_does_not_lengthen_a_slow_start() {
+    // Guards against a slow start that lasts an hour longer because the clock of the front is an hour behind.
+    let admitted = |start_offset: Micros, wait: Micros| {
         let mut harness = RouterHarness::new(settings(), Vec::new());
-        let started = harness.now + ahead_of_us;
-        let fresh = [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
-        harness.notify(Event::Endpoints(ListKind::Full, fresh.to_vec()));
-        harness.advance(waits);
-        crowd(&mut harness, 1..200).len()
+        let started = harness.now + start_offset;
+        let started_entries =
+            [entry(10, CACHE), entry(30, ORIGIN)].map(|e| EndpointEntry { started, ..e });
+        harness.notify(Event::Endpoints(ListKind::Full, started_entries.to_vec()));
+        harness.advance(wait);
+        send_requests(&mut harness, 1..200).len()
     };
     for behind in [5 * S, 3_600 * S] {
-        assert_eq!(admitted(behind, S), admitted(0, S), "it is as cold");
+        assert_eq!(
+            admitted(behind, S),
+            admitted(0, S),
+            "the same load must be admitted at the start"
+        );
         assert_eq!(
             admitted(behind, 30 * S),
             admitted(0, 30 * S),
-            "it is as warm"
+            "the same load must be admitted after the warm-up"
         );
     }
     assert!(admitted(0, 30 * S) > 2 * admitted(0, S));
