--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -74,7 +74,7 @@
     /// Returns the latest time to send the response. The client's time limit is capped at that of the class, because timers
     /// are held until they expire.
     fn deadline(&self, now: Timestamp, class: usize, time_limit: Micros) -> Timestamp {
-        let class_limit = match self.deployment.limits.waits[class] {
+        let class_limit = match self.deployment.limits.client_timeouts[class] {
             0 => Micros::MAX,
             limit => limit,
         };
--- a/front/src/transport/resting_listener/tests.rs
+++ b/front/src/transport/backoff_listener/tests.rs
@@ -5,7 +5,7 @@
 
 const KEY: usize = 7;
 
-/// A listener of which so many calls fail with an error.
+/// A listener whose next `failures` calls to `accept` fail with `errno`.
 struct Failing {
     listener: TcpListener,
     failures: Cell<usize>,
@@ -39,7 +39,7 @@
     reactor: &Reactor,
     failures: usize,
     errno: i32,
-) -> (RestingListener<Failing>, TcpStream) {
+) -> (BackoffListener<Failing>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -50,7 +50,7 @@
         errno,
     };
     let registered = reactor.watch(failing, KEY, false).unwrap();
-    (RestingListener::new(registered), client)
+    (BackoffListener::new(registered), client)
 }
 
 fn is_reported(reactor: &mut Reactor) -> bool {
@@ -59,13 +59,16 @@
 }
 
 #[test]
-fn after_a_shortage_the_listener_is_not_reported_until_its_rest_is_over() {
+fn after_a_shortage_the_listener_is_not_reported_until_its_pause_ends() {
     for errno in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         let mut reactor = Reactor::new().unwrap();
         let (mut listener, _client) = failing(&reactor, 1, errno);
         assert!(is_reported(&mut reactor));
         assert!(listener.accept(100).is_none());
-        assert!(!is_reported(&mut reactor), "the loop would spin");
+        assert!(
+            !is_reported(&mut reactor),
+            "the listener is reported while it pauses"
+        );
         let resumes_at = listener.resumes_at().unwrap();
         assert_eq!(resumes_at, 100 + RETRY_INTERVAL);
         listener.set_watched(true);
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn connections_that_are_gone_already_cost_no_rest_unless_there_are_many() {
+fn aborted_connections_cause_a_pause_only_above_a_limit() {
     let mut reactor = Reactor::new().unwrap();
     let (mut listener, _client) = failing(&reactor, MAX_FAILURES - 1, libc::ECONNABORTED);
     assert!(listener.accept(100).is_some() && listener.resumes_at().is_none());
