--- a/certs/src/client/operators.rs
+++ b/certs/src/client/operators.rs
@@ -1,146 +1,190 @@
-//! Operators' commands: import, revoke, change of the account's key.
-use super::tasks::{By, Kind};
-use super::{tell, Client, ASKED_MOST};
-use crate::disk::Keep;
-use crate::http::Answer;
+//! Operator commands: import, revocation and account key rollover.
+use super::tasks::{Signer, TaskKind};
+use super::{log_entry, Client, MAX_OPERATOR_TASKS};
+use crate::disk::FileUpdate;
+use crate::http::Response;
 use crate::identity::Identity;
 use crate::jose::{base64url, AccountKey};
-use crate::messages::{Action, Loud, Payload};
-use crate::unsaved::Waiting;
-use crate::wire::{self};
-use crate::{tame, Moment};
+use crate::messages::{Action, Level, Payload};
+use crate::pending_writes::PendingReply;
+use crate::wire;
+use crate::{sanitize, Clocks};
 use serde_json::json;
 use std::sync::Arc;
 
 impl Client {
-    pub(super) fn unknown(&self, id: &str) -> String {
+    /// Returns the error for a certificate id that is not configured.
+    pub(super) fn unknown_certificate(&self, id: &str) -> String {
         match &self.settings {
             None => "no authority is configured".into(),
-            Some(_) => format!("no certificate is configured as {}", tame(id, 100)),
+            Some(_) => format!(
+                "no certificate with the name {} is configured",
+                sanitize(id, 100)
+            ),
         }
     }
 
-    pub(super) fn asked(&self) -> usize {
+    /// Returns the number of operator commands that wait for the authority.
+    pub(super) fn operator_tasks(&self) -> usize {
         self.tasks
             .values()
-            .filter(|t| matches!(t.kind, Kind::Revoke { .. } | Kind::Roll { .. }))
+            .filter(|t| {
+                matches!(
+                    t.kind,
+                    TaskKind::Revoke { .. } | TaskKind::KeyRollover { .. }
+                )
+            })
             .count()
     }
 
     pub(super) fn import(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         operator: u64,
         identity: Identity,
         out: &mut Vec<Action>,
     ) {
         let ids: Vec<String> = self.planner.ids().cloned().collect();
         let Some(id) = ids.into_iter().find(|id| identity.covers(id)) else {
-            let why = format!(
-                "none of its names ({}) is configured first in a certificate",
+            let error = format!(
+                "import rejected: none of the names ({}) is the first name of a configured certificate",
                 identity.names.join(" ")
             );
-            return out.push(Action::Reply(operator, Err(tame(&why, 500))));
+            return out.push(Action::Reply(operator, Err(sanitize(&error, 500))));
         };
-        if identity.not_after < moment.wall {
-            return out.push(Action::Reply(operator, Err("it has expired".into())));
+        if identity.not_after < clocks.wall {
+            let error = format!(
+                "import rejected: the certificate expired at {} (Unix time)",
+                identity.not_after
+            );
+            return out.push(Action::Reply(operator, Err(error)));
         }
-        out.push(tell(
-            Loud::Info,
+        out.push(log_entry(
+            Level::Info,
             "imported",
             &id,
             &format!("serial {}", identity.serial),
         ));
-        let text = format!("{id} is served with serial {}", identity.serial);
-        let keep = Keep::Identity(id.clone(), identity.clone());
-        // The operator may throw the files away that were imported: the answer waits for the disk.
-        self.save(keep, Some(Waiting { operator, text }), out);
-        self.take(moment, &id, identity, false, out);
+        let text = format!(
+            "{id}: certificate with serial {} imported and served",
+            identity.serial
+        );
+        let update = FileUpdate::Identity(id.clone(), identity.clone());
+        // The operator may delete the imported files after the reply, so the reply waits for the write.
+        self.save(update, Some(PendingReply { operator, text }), out);
+        self.install(clocks, &id, identity, false, out);
     }
 
     pub(super) fn revoke(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         operator: u64,
         id: &str,
         reason: u8,
         out: &mut Vec<Action>,
     ) {
         let known = self.served.get(id).is_some_and(|all| !all.is_empty());
-        let where_to = self
+        let revoke_url = self
             .directory
             .as_ref()
             .and_then(|(d, _)| d.revoke_cert.clone());
         let account = self.account.as_ref().is_some_and(|a| a.url.is_some());
-        let why = match (known, where_to.is_some() && account) {
-            (false, _) => self.unknown(id),
-            (_, false) => "the authority was not reached yet, or does not revoke".into(),
-            _ if self.asked() >= ASKED_MOST => "too much is under way".into(),
+        let error = match (known, revoke_url.is_some() && account) {
+            (false, _) => format!(
+                "{} not revoked: no certificate with this name is served",
+                sanitize(id, 100)
+            ),
+            (_, false) => format!("{id} not revoked: the authority was not reached yet or does not support revocation"),
+            _ if self.operator_tasks() >= MAX_OPERATOR_TASKS => {
+                format!("{id} not revoked: {MAX_OPERATOR_TASKS} commands are in progress already")
+            },
             _ => {
-                let task = self.task(Kind::Revoke {
+                let task = self.add_task(TaskKind::Revoke {
                     operator,
                     id: id.into(),
                 });
                 let leaf = self.served[id][0].leaf();
                 let payload = json!({"certificate": base64url(leaf), "reason": reason}).to_string();
-                let url = where_to.unwrap_or_default();
-                return self.post(moment, task, &url, Payload::Text(payload), By::Account, out);
+                let url = revoke_url.unwrap_or_default();
+                return self.post(
+                    clocks,
+                    task,
+                    &url,
+                    Payload::Text(payload),
+                    Signer::Account,
+                    out,
+                );
             }
         };
-        out.push(Action::Reply(operator, Err(why)));
+        out.push(Action::Reply(operator, Err(error)));
     }
 
-    pub(super) fn revoked(
+    pub(super) fn handle_revocation(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         operator: u64,
         id: &str,
-        answer: Result<Answer, String>,
+        response: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
-        let done = match answer {
-            Ok(answer) if answer.status < 300 => Ok("revoked; another is ordered now".to_string()),
-            Ok(answer) => {
-                let problem = wire::problem(&answer.body);
-                match problem.short() {
-                    "alreadyRevoked" => Ok("it was revoked already; another is ordered now".into()),
-                    _ => Err(format!("{} {}", answer.status, problem.line())),
+        let done = match response {
+            Ok(response) if response.status < 300 => {
+                Ok(format!("{id} revoked; a new certificate is being ordered"))
+            }
+            Ok(response) => {
+                let problem = wire::problem(&response.body);
+                match problem.acme_type() {
+                    "alreadyRevoked" => Ok(format!(
+                        "{id} was already revoked; a new certificate is being ordered"
+                    )),
+                    _ => Err(format!(
+                        "{id} not revoked: status {}: {}",
+                        response.status,
+                        problem.summary()
+                    )),
                 }
             }
-            Err(why) => Err(why),
+            Err(error) => Err(format!("{id} not revoked: {error}")),
         };
         if done.is_ok() {
-            out.push(tell(Loud::Warn, "revoked", id, "by an operator"));
-            self.planner.force(moment, id);
+            out.push(log_entry(
+                Level::Warn,
+                "revoked",
+                id,
+                "revoked by an operator; a new certificate is being ordered",
+            ));
+            self.planner.force_renewal(clocks, id);
             let all = self.served.get(id).cloned().unwrap_or_default();
             out.push(Action::Serve(id.into(), all, true));
         }
         out.push(Action::Reply(operator, done));
     }
 
-    pub(super) fn rolled(
+    pub(super) fn handle_key_rollover(
         &mut self,
         operator: u64,
         new: Option<Arc<AccountKey>>,
-        answer: Result<Answer, String>,
+        response: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
-        let done = match answer {
-            Ok(answer) if answer.status < 300 => Ok("the account has a new key".to_string()),
-            Ok(answer) => Err(format!(
-                "{} {}",
-                answer.status,
-                wire::problem(&answer.body).line()
+        let done = match response {
+            Ok(response) if response.status < 300 => Ok("account key changed".to_string()),
+            Ok(response) => Err(format!(
+                "account key not changed: status {}: {}",
+                response.status,
+                wire::problem(&response.body).summary()
+            )),
+            // The request may have been received, so both keys are kept until the authority tells which one is in use.
+            Err(error) => Err(format!(
+                "account key change unconfirmed: {error}; both keys are kept and checked before the next order"
             )),
-            // It may have been taken: the new key stays beside the old one, and is tried once that is not known.
-            Err(why) => Err(format!("{why}; the new key is kept beside the old one")),
         };
         if let (Ok(_), Some((new, account))) = (&done, new.zip(self.account.as_mut())) {
             (account.key, account.next_key) = (new.pem().into(), None);
             self.key = Some(new);
             let account = account.clone();
-            self.save(Keep::Account(account), None, out);
-            out.push(tell(Loud::Info, "account", "", "it has a new key"));
+            self.save(FileUpdate::Account(account), None, out);
+            out.push(log_entry(Level::Info, "account", "", "account key changed"));
         }
         out.push(Action::Reply(operator, done));
     }
--- a/certs/src/client/orders.rs
+++ b/certs/src/client/orders.rs
@@ -1,29 +1,35 @@
-//! Orders under way, and what is served once one is complete.
-use super::tasks::{By, Kind, Task};
-use super::{tell, Client};
-use crate::disk::Keep;
+//! Orders in progress, and the certificates that are served.
+use super::tasks::{Signer, Task, TaskKind};
+use super::{log_entry, Client};
+use crate::disk::FileUpdate;
 use crate::error::Failure;
 use crate::identity::Identity;
-use crate::messages::{Action, Challenge, Key, Loud, Payload};
-use crate::order::{Input, Order, Output, Way};
-use crate::planner::Choice;
-use crate::renewal::Held;
+use crate::messages::{Action, Challenge, KeyRequest, Level, Payload};
+use crate::order::{ChallengeType, Input, Order, Output};
+use crate::planner::PlannedOrder;
+use crate::renewal::Validity;
 use crate::retry::Cause;
-use crate::Moment;
+use crate::Clocks;
 
 impl Client {
-    pub(super) fn begin(&mut self, moment: Moment, choice: Choice, out: &mut Vec<Action>) {
+    /// Starts an order, or resumes a stored one.
+    pub(super) fn begin_order(
+        &mut self,
+        clocks: Clocks,
+        planned: PlannedOrder,
+        out: &mut Vec<Action>,
+    ) {
         let Some(settings) = self.settings.clone() else {
             return;
         };
         let Some((directory, key)) = self.directory.clone().zip(self.key.clone()) else {
             return;
         };
-        let (id, thumbprint) = (choice.id, key.thumbprint());
+        let (id, thumbprint) = (planned.id, key.thumbprint());
         let pending = self.pending.get(&id).cloned();
         let (order, pem) = match pending {
             Some(pending) => (
-                Order::resumed(moment, &pending, settings.way, thumbprint),
+                Order::resumed(clocks, &pending, settings.challenge_type, thumbprint),
                 Some(pending.key.clone()),
             ),
             None => {
@@ -33,9 +39,9 @@
                 let new_order = directory.0.new_order.clone();
                 (
                     Order::new(
-                        moment,
-                        choice.names,
-                        settings.way,
+                        clocks,
+                        planned.names,
+                        settings.challenge_type,
                         thumbprint,
                         new_order,
                         replaces,
@@ -45,39 +51,61 @@
             }
         };
         let names = order.names.clone();
-        let resumed = if pem.is_some() { "taken up" } else { "begun" };
-        out.push(tell(
-            Loud::Info,
+        let state = if pem.is_some() {
+            "order resumed"
+        } else {
+            "order started"
+        };
+        out.push(log_entry(
+            Level::Info,
             "order",
             &id,
-            &format!("{resumed} for {}", names.join(" ")),
+            &format!("{state} for {}", names.join(" ")),
         ));
-        let task = self.task(Kind::Order {
+        let task = self.add_task(TaskKind::Order {
             id,
             order: Box::new(order),
         });
-        out.push(Action::MakeKey(task, Key::Order(names, pem)));
+        out.push(Action::GenerateKey(task, KeyRequest::Order(names, pem)));
     }
 
-    /// Puts an input into an order and carries out what it wants.
-    pub(super) fn order(&mut self, moment: Moment, task: u64, input: Input, out: &mut Vec<Action>) {
+    /// Passes an input to an order and performs its output.
+    pub(super) fn step_order(
+        &mut self,
+        clocks: Clocks,
+        task: u64,
+        input: Input,
+        out: &mut Vec<Action>,
+    ) {
         let Some(Task {
-            kind: Kind::Order { id, order },
+            kind: TaskKind::Order { id, order },
             ..
         }) = self.tasks.get_mut(&task)
         else {
             return;
         };
         let id = id.clone();
-        match order.step(moment, input) {
-            Output::MakeKey(names) => out.push(Action::MakeKey(task, Key::Order(names, None))),
+        match order.step(clocks, input) {
+            Output::GenerateKey(names) => {
+                out.push(Action::GenerateKey(task, KeyRequest::Order(names, None)))
+            }
             Output::Post(url, payload) => {
-                self.post(moment, task, &url, Payload::Text(payload), By::Account, out);
+                self.post(
+                    clocks,
+                    task,
+                    &url,
+                    Payload::Text(payload),
+                    Signer::Account,
+                    out,
+                );
             }
             Output::Publish(name, token, authorization) => {
-                let way = self.settings.as_ref().map_or(Way::Http, |s| s.way);
+                let kind = self
+                    .settings
+                    .as_ref()
+                    .map_or(ChallengeType::Http, |s| s.challenge_type);
                 let challenge = Challenge {
-                    way,
+                    kind,
                     name,
                     token,
                     authorization,
@@ -85,91 +113,104 @@
                 self.tasks
                     .get_mut(&task)
                     .into_iter()
-                    .for_each(|t| t.shown.push(challenge.clone()));
+                    .for_each(|t| t.published.push(challenge.clone()));
                 out.push(Action::Publish(task, challenge));
             }
-            Output::Keep(pending) => {
+            Output::Save(pending) => {
                 self.pending.insert(id.clone(), pending.clone());
-                let keep = Keep::Pending(id, pending);
-                self.unsaved.supersede(&keep);
-                out.push(Action::Save(task, keep));
+                let update = FileUpdate::PendingOrder(id, pending);
+                self.pending_writes.supersede(&update);
+                out.push(Action::Save(task, update));
             }
-            Output::Sleep(until) => {
+            Output::Wait(until) => {
                 self.tasks
                     .get_mut(&task)
                     .into_iter()
                     .for_each(|t| t.wake = Some(until));
             }
             Output::Done(identity) => {
-                self.end(task, out);
+                self.end_task(task, out);
                 self.pending.remove(&id);
                 let until = identity.not_after;
-                out.push(tell(
-                    Loud::Info,
+                out.push(log_entry(
+                    Level::Info,
                     "issued",
                     &id,
-                    &format!("serial {} until {until}", identity.serial),
+                    &format!(
+                        "issued with serial {}, valid until {until} (Unix time)",
+                        identity.serial
+                    ),
                 ));
-                self.save(Keep::Identity(id.clone(), (*identity).clone()), None, out);
-                self.take(moment, &id, *identity, true, out);
-                self.keep_state(out);
+                self.save(
+                    FileUpdate::Identity(id.clone(), (*identity).clone()),
+                    None,
+                    out,
+                );
+                self.install(clocks, &id, *identity, true, out);
+                self.save_state(out);
             }
             Output::Failed(failure) => {
-                self.end(task, out);
-                if !failure.keeps_order && self.pending.remove(&id).is_some() {
-                    self.save(Keep::Forget(id.clone()), None, out);
+                self.end_task(task, out);
+                if !failure.resumable && self.pending.remove(&id).is_some() {
+                    self.save(FileUpdate::RemoveOrder(id.clone()), None, out);
                 }
-                self.failed(moment, &id, &failure, out);
+                self.order_failed(clocks, &id, &failure, out);
             }
         }
     }
 
-    pub(super) fn failed(
+    pub(super) fn order_failed(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         id: &str,
         failure: &Failure,
         out: &mut Vec<Action>,
     ) {
-        if failure.cause == Cause::Unknown {
-            self.account_lost();
+        if failure.cause == Cause::AccountUnknown {
+            self.reset_account();
         }
-        self.planner.failed(moment, id, failure);
-        out.push(tell(Loud::Warn, failure.cause.word(), id, &failure.text));
-        self.keep_state(out);
+        self.planner.failed(clocks, id, failure);
+        out.push(log_entry(
+            Level::Warn,
+            failure.cause.as_str(),
+            id,
+            &format!("order failed: {}; it will be retried", failure.text),
+        ));
+        self.save_state(out);
     }
 
-    /// The authority does not know the account: it is made again under the same key.
-    pub(super) fn account_lost(&mut self) {
+    /// Forgets the account URL because the account no longer exists at the authority. It is registered again with the same
+    /// key.
+    pub(super) fn reset_account(&mut self) {
         if let Some(account) = &mut self.account {
             account.url = None;
         }
-        // Its orders went with it.
+        // The orders belong to the old account.
         self.pending.clear();
     }
 
-    /// A certificate is there: it is served at once.
-    pub(super) fn take(
+    /// Serves a new or stored certificate.
+    pub(super) fn install(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         id: &str,
         identity: Identity,
         ordered: bool,
         out: &mut Vec<Action>,
     ) {
-        let held = Held {
+        let validity = Validity {
             not_before: identity.not_before,
             not_after: identity.not_after,
         };
         let names = identity.names.clone();
         if ordered {
-            self.planner.succeeded(moment, id, held, &names);
+            self.planner.succeeded(clocks, id, validity, &names);
         } else {
-            self.planner.holds(moment, id, held, &names);
+            self.planner.set_certificate(clocks, id, validity, &names);
         }
         if identity.renewal_id.is_some() {
-            self.info.retain(|(_, i)| i != id);
-            self.info.insert((moment.now, id.into()));
+            self.renewal_info_queue.retain(|(_, i)| i != id);
+            self.renewal_info_queue.insert((clocks.now, id.into()));
         }
         let wanted = self
             .planner
@@ -177,44 +218,47 @@
             .map(<[String]>::to_vec)
             .unwrap_or_default();
         let all = self.served.entry(id.into()).or_default();
-        // An older one stays for names that it alone stands for.
+        // An older identity is kept if it covers wanted names that the new one does not cover.
         let lacks: Vec<_> = wanted.iter().filter(|n| !identity.covers(n)).collect();
-        all.retain(|old| old.mark() != identity.mark() && lacks.iter().any(|n| old.covers(n)));
+        all.retain(|old| {
+            old.content_hash() != identity.content_hash() && lacks.iter().any(|n| old.covers(n))
+        });
         all.truncate(1);
         all.insert(0, identity);
         out.push(Action::Serve(id.into(), all.clone(), false));
     }
 
-    pub(super) fn reread(
+    /// Uses the certificate from the shared folder if it is newer and complete; otherwise starts the planned order.
+    pub(super) fn handle_reread(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         found: Option<Box<Identity>>,
         out: &mut Vec<Action>,
     ) {
         let Some(Task {
-            kind: Kind::Reread(choice),
+            kind: TaskKind::Reread(planned),
             ..
         }) = self.tasks.remove(&task)
         else {
             return;
         };
-        let held = self.served.get(&choice.id).and_then(|all| all.first());
+        let current = self.served.get(&planned.id).and_then(|all| all.first());
         let newer = found.filter(|i| {
-            let later = held.is_none_or(|h| i.not_after > h.not_after);
-            later && i.not_after > moment.wall && choice.names.iter().all(|n| i.covers(n))
+            let later = current.is_none_or(|c| i.not_after > c.not_after);
+            later && i.not_after > clocks.wall && planned.names.iter().all(|n| i.covers(n))
         });
         match newer {
             Some(identity) => {
-                out.push(tell(
-                    Loud::Info,
+                out.push(log_entry(
+                    Level::Info,
                     "found",
-                    &choice.id,
-                    "another front has renewed it",
+                    &planned.id,
+                    "renewed by another front; loaded from the shared folder",
                 ));
-                self.take(moment, &choice.id.clone(), *identity, true, out);
+                self.install(clocks, &planned.id.clone(), *identity, true, out);
             }
-            None => self.begin(moment, choice, out),
+            None => self.begin_order(clocks, planned, out),
         }
     }
 }
--- a/certs/src/client/setup.rs
+++ b/certs/src/client/setup.rs
@@ -1,49 +1,62 @@
-//! What must be there before an order: the directory and the account of the authority.
-use super::tasks::{By, Kind, Setup, Task};
-use super::{fail, of, tell, told, Client, DIRECTORY_AGE, INFO_EACH};
-use crate::disk::{Account, Keep, Loaded};
+//! Startup and configuration, and the setup that orders require: the directory and the account.
+use super::tasks::{Setup, Signer, Task, TaskKind};
+use super::{
+    certificate_id, failure, log_entry, notice_entry, Client, MAX_DIRECTORY_AGE,
+    RENEWAL_INFO_INTERVAL,
+};
+use crate::disk::{Account, FileUpdate, Loaded};
 use crate::error::Failure;
-use crate::http::Answer;
+use crate::http::Response;
 use crate::jose::AccountKey;
-use crate::messages::{Action, Key, Loud, Payload};
-use crate::order::RESUME_MOST;
-use crate::planner::Plan;
-use crate::renewal::Turns;
+use crate::messages::{Action, KeyRequest, Level, Payload};
+use crate::order::MAX_RESUME_AGE_S;
+use crate::planner::PlannerSettings;
+use crate::renewal::Ranking;
 use crate::retry::Cause;
-use crate::wire::{self};
-use crate::{tame, Moment, SECOND};
+use crate::wire;
+use crate::{sanitize, Clocks, SECOND};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 impl Client {
-    pub(super) fn start(&mut self, moment: Moment, loaded: Loaded, out: &mut Vec<Action>) {
-        for (file, why) in &loaded.faults {
-            out.push(tell(Loud::Warn, "file-unusable", file, why));
+    /// Takes over the content of the folder.
+    pub(super) fn start(&mut self, clocks: Clocks, loaded: Loaded, out: &mut Vec<Action>) {
+        for (file, error) in &loaded.faults {
+            let text = format!("file cannot be used: {error}");
+            out.push(log_entry(Level::Warn, "file-unusable", file, &text));
         }
         self.saved = loaded.state.clone();
         self.planner
-            .remember(moment, &loaded.state.orders, loaded.state.refused);
-        let here = |a: &Account| {
+            .restore(clocks, &loaded.state.orders, loaded.state.refused);
+        let same_authority = |a: &Account| {
             self.settings
                 .as_ref()
                 .is_some_and(|s| s.directory_url == a.directory_url)
         };
-        if let Some(account) = loaded.account.filter(here) {
+        if let Some(account) = loaded.account.filter(same_authority) {
             match AccountKey::from_pem(&account.key) {
                 Ok(key) => (self.key, self.account) = (Some(Arc::new(key)), Some(account)),
-                Err(why) => out.push(tell(Loud::Warn, "file-unusable", "account.json", &why)),
+                Err(error) => {
+                    let text = format!("{error}; a new account will be registered");
+                    out.push(log_entry(
+                        Level::Warn,
+                        "file-unusable",
+                        "account.json",
+                        &text,
+                    ));
+                }
             }
         }
         for (id, identity) in loaded.identities {
             if self.planner.names(&id).is_some() {
-                self.take(moment, &id, identity, false, out);
+                self.install(clocks, &id, identity, false, out);
             } else {
-                // Nobody would renew it, nor tell when it ends.
-                out.push(tell(
-                    Loud::Info,
+                // It would neither be renewed nor monitored for expiry.
+                out.push(log_entry(
+                    Level::Info,
                     "file-unused",
                     &id,
-                    "no certificate is configured under this name",
+                    "certificate not loaded: no certificate with this name is configured",
                 ));
             }
         }
@@ -52,36 +65,40 @@
                 .planner
                 .names(&id)
                 .is_some_and(|n| pending.names.iter().all(|p| n.contains(p)));
-            let fresh = pending.began + RESUME_MOST > moment.wall && self.account.is_some();
-            if wanted && fresh {
-                self.planner.resumes(moment, &id);
+            let resumable =
+                pending.began + MAX_RESUME_AGE_S > clocks.wall && self.account.is_some();
+            if wanted && resumable {
+                self.planner.set_resumable(clocks, &id);
                 self.pending.insert(id, pending);
             } else {
-                self.save(Keep::Forget(id), None, out);
+                self.save(FileUpdate::RemoveOrder(id), None, out);
             }
         }
         self.started = true;
     }
 
+    /// Applies new settings of the planner and the list of configured certificates.
     pub(super) fn configure(
         &mut self,
-        moment: Moment,
-        plan: Plan,
-        turns: Box<dyn Turns + Send>,
+        clocks: Clocks,
+        planner_settings: PlannerSettings,
+        ranking: Box<dyn Ranking + Send>,
         certificates: &[Vec<String>],
         out: &mut Vec<Action>,
     ) {
-        self.planner.set(moment, plan, turns);
-        self.planner.want(moment, certificates);
+        self.planner.reconfigure(clocks, planner_settings, ranking);
+        self.planner.set_wanted(clocks, certificates);
         let known: BTreeSet<String> = self.planner.ids().cloned().collect();
-        let gone: Vec<u64> = self
+        let obsolete: Vec<u64> = self
             .tasks
             .iter()
-            .filter(|(_, t)| of(&t.kind).is_some_and(|id| !known.contains(id)))
+            .filter(|(_, t)| certificate_id(&t.kind).is_some_and(|id| !known.contains(id)))
             .map(|(task, _)| *task)
             .collect();
-        gone.into_iter().for_each(|task| self.end(task, out));
-        // What is not wanted any more is not served any more; its files stay.
+        obsolete
+            .into_iter()
+            .for_each(|task| self.end_task(task, out));
+        // Certificates that are no longer configured are not served, but their files are kept.
         let dropped: Vec<_> = self
             .served
             .keys()
@@ -94,13 +111,13 @@
         }
     }
 
-    /// Begins what can be begun.
-    pub(super) fn pump(&mut self, moment: Moment, out: &mut Vec<Action>) {
+    /// Logs notices and starts the setup, orders and requests for renewal information that are due.
+    pub(super) fn start_due_work(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         if !self.started {
             return;
         }
-        for notice in self.planner.notices(moment) {
-            out.push(told(&notice));
+        for notice in self.planner.notices(clocks) {
+            out.push(notice_entry(&notice));
         }
         let Some(settings) = self.settings.clone() else {
             return;
@@ -108,90 +125,96 @@
         let setup = self
             .tasks
             .values()
-            .any(|t| matches!(t.kind, Kind::Setup(_)));
-        let wants = self.planner.wants(moment);
-        let info = self.info.first().is_some_and(|(at, _)| *at <= moment.now);
-        let away = moment.now < self.planner.away_until();
-        if setup || away || !(wants || info) {
+            .any(|t| matches!(t.kind, TaskKind::Setup(_)));
+        let has_ready = self.planner.has_ready(clocks);
+        let info = self
+            .renewal_info_queue
+            .first()
+            .is_some_and(|(at, _)| *at <= clocks.now);
+        let paused = clocks.now < self.planner.paused_until();
+        if setup || paused || !(has_ready || info) {
             return;
         }
         let current = self
             .directory
             .as_ref()
-            .filter(|(_, at)| moment.now < at + DIRECTORY_AGE);
+            .filter(|(_, at)| clocks.now < at + MAX_DIRECTORY_AGE);
         if current.is_none() {
-            let task = self.task(Kind::Setup(Setup::Directory));
-            return self.get(moment, task, &settings.directory_url, out);
+            let task = self.add_task(TaskKind::Setup(Setup::Directory));
+            return self.get(clocks, task, &settings.directory_url, out);
         }
-        if wants && self.account.as_ref().is_none_or(|a| a.url.is_none()) {
-            return self.register(moment, out);
+        if has_ready && self.account.as_ref().is_none_or(|a| a.url.is_none()) {
+            return self.register(clocks, out);
         }
-        let rolling = self
+        let rollover_in_progress = self
             .tasks
             .values()
-            .any(|t| matches!(t.kind, Kind::Roll { .. }));
+            .any(|t| matches!(t.kind, TaskKind::KeyRollover { .. }));
         let next = self
             .account
             .as_ref()
             .and_then(|a| a.next_key.as_deref())
-            .filter(|_| wants && !rolling);
+            .filter(|_| has_ready && !rollover_in_progress);
         if let Some(key) = next.and_then(|pem| AccountKey::from_pem(pem).ok()) {
-            let task = self.task(Kind::Setup(Setup::Next));
+            let task = self.add_task(TaskKind::Setup(Setup::CheckNextKey));
             let url = self
                 .directory
                 .as_ref()
                 .map(|(d, _)| d.new_account.clone())
                 .unwrap_or_default();
             return self.post(
-                moment,
+                clocks,
                 task,
                 &url,
                 Payload::Existing,
-                By::Key(Arc::new(key)),
+                Signer::Key(Arc::new(key)),
                 out,
             );
         }
-        while let Some(choice) = self.planner.next(moment) {
-            self.keep_state(out);
-            if settings.shared && !self.pending.contains_key(&choice.id) {
-                let id = choice.id.clone();
-                let task = self.task(Kind::Reread(choice));
+        while let Some(planned) = self.planner.next(clocks) {
+            self.save_state(out);
+            if settings.shared && !self.pending.contains_key(&planned.id) {
+                let id = planned.id.clone();
+                let task = self.add_task(TaskKind::Reread(planned));
                 out.push(Action::Reread(task, id));
             } else {
-                self.begin(moment, choice, out);
+                self.begin_order(clocks, planned, out);
             }
         }
-        let asking = self.tasks.values().any(|t| matches!(t.kind, Kind::Info(_)));
-        if info && !asking {
-            self.ask_info(moment, out);
+        let request_in_progress = self
+            .tasks
+            .values()
+            .any(|t| matches!(t.kind, TaskKind::RenewalInfo(_)));
+        if info && !request_in_progress {
+            self.request_renewal_info(clocks, out);
         }
     }
 
-    /// Makes an account, or finds the one that belongs to the key.
-    pub(super) fn register(&mut self, moment: Moment, out: &mut Vec<Action>) {
+    /// Registers an account, or finds the existing account of the key.
+    pub(super) fn register(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
         match &self.key {
             None => {
-                let task = self.task(Kind::Setup(Setup::Key));
-                out.push(Action::MakeKey(task, Key::Account));
+                let task = self.add_task(TaskKind::Setup(Setup::GenerateKey));
+                out.push(Action::GenerateKey(task, KeyRequest::Account));
             }
             Some(_) => {
-                let task = self.task(Kind::Setup(Setup::Account));
-                self.post_account(moment, task, out);
+                let task = self.add_task(TaskKind::Setup(Setup::Register));
+                self.post_account(clocks, task, out);
             }
         }
     }
 
-    pub(super) fn post_account(&mut self, moment: Moment, task: u64, out: &mut Vec<Action>) {
+    pub(super) fn post_account(&mut self, clocks: Clocks, task: u64, out: &mut Vec<Action>) {
         let Some((settings, (directory, _))) = self.settings.clone().zip(self.directory.clone())
         else {
             return;
         };
         if directory.meta.external_account_required && settings.external.is_none() {
-            let failure = fail(
-                Cause::Account,
-                "the authority wants an external account, and none is configured",
+            let failure = failure(
+                Cause::AccountRejected,
+                "the authority requires an external account, but none is configured",
             );
-            return self.setup_failed(moment, task, &failure, out);
+            return self.setup_failed(clocks, task, &failure, out);
         }
         let payload = Payload::Account {
             contacts: settings.contacts,
@@ -199,32 +222,32 @@
         };
         let Some(key) = self.key.clone() else { return };
         self.post(
-            moment,
+            clocks,
             task,
             &directory.new_account,
             payload,
-            By::Key(key),
+            Signer::Key(key),
             out,
         );
     }
 
-    pub(super) fn account_key(
+    pub(super) fn handle_account_key(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         key: Result<Arc<AccountKey>, String>,
         out: &mut Vec<Action>,
     ) {
         let key = match key {
             Ok(key) => key,
-            Err(why) => return self.lost(moment, task, &why, out),
+            Err(error) => return self.request_failed(clocks, task, &error, out),
         };
         let Some(Task { kind, .. }) = self.tasks.get_mut(&task) else {
             return;
         };
         match kind {
-            Kind::Setup(step) => {
-                *step = Setup::KeepKey;
+            TaskKind::Setup(step) => {
+                *step = Setup::SaveKey;
                 let directory_url = self
                     .settings
                     .as_ref()
@@ -237,111 +260,125 @@
                     url: None,
                 };
                 (self.key, self.account) = (Some(key), Some(account.clone()));
-                let keep = Keep::Account(account);
-                self.unsaved.supersede(&keep);
-                out.push(Action::Save(task, keep));
+                let update = FileUpdate::Account(account);
+                self.pending_writes.supersede(&update);
+                out.push(Action::Save(task, update));
             }
-            Kind::Roll { new, .. } => {
+            TaskKind::KeyRollover { new, .. } => {
                 *new = Some(Arc::clone(&key));
                 if let Some(account) = &mut self.account {
                     account.next_key = Some(key.pem().into());
-                    let keep = Keep::Account(account.clone());
-                    self.unsaved.supersede(&keep);
-                    out.push(Action::Save(task, keep));
+                    let update = FileUpdate::Account(account.clone());
+                    self.pending_writes.supersede(&update);
+                    out.push(Action::Save(task, update));
                 }
             }
             _ => {}
         }
     }
 
-    pub(super) fn directory_told(
+    pub(super) fn handle_directory(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
-        answer: &Answer,
+        response: &Response,
         out: &mut Vec<Action>,
     ) {
-        let found = wire::directory(&answer.body).and_then(|directory| {
+        let found = wire::directory(&response.body).and_then(|directory| {
             for url in [
                 &directory.new_nonce,
                 &directory.new_account,
                 &directory.new_order,
             ] {
-                self.place(url)?;
+                self.authority_url(url)?;
             }
             Ok(directory)
         });
         match found {
             Ok(directory) => {
                 self.tasks.remove(&task);
-                self.directory = Some((directory, moment.now));
+                self.directory = Some((directory, clocks.now));
+            }
+            Err(error) => {
+                self.setup_failed(clocks, task, &failure(Cause::Unreachable, &error), out)
             }
-            Err(why) => self.setup_failed(moment, task, &fail(Cause::Unreachable, &why), out),
         }
     }
 
-    /// Whether the account has the key that was to follow.
-    pub(super) fn next_told(&mut self, taken: bool, out: &mut Vec<Action>) {
+    /// Handles the result of the request that checks whether the authority uses the new account key.
+    pub(super) fn handle_next_key_check(&mut self, accepted: bool, out: &mut Vec<Action>) {
         let Some(account) = &mut self.account else {
             return;
         };
-        if let Some(next) = account.next_key.take().filter(|_| taken) {
+        if let Some(next) = account.next_key.take().filter(|_| accepted) {
             if let Ok(key) = AccountKey::from_pem(&next) {
                 (account.key, self.key) = (next, Some(Arc::new(key)));
             }
         }
         let account = account.clone();
-        self.save(Keep::Account(account), None, out);
-        let text = if taken {
-            "it has the new key"
+        self.save(FileUpdate::Account(account), None, out);
+        let text = if accepted {
+            "the authority uses the new account key"
         } else {
-            "it kept its key"
+            "the authority uses the old account key; the new one is discarded"
         };
-        out.push(tell(Loud::Info, "account", "", text));
+        out.push(log_entry(Level::Info, "account", "", text));
     }
 
-    pub(super) fn account_told(
+    pub(super) fn handle_registration(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
-        answer: Answer,
+        response: Response,
         out: &mut Vec<Action>,
     ) {
-        let url = answer.location.filter(|url| self.place(url).is_ok());
+        let url = response
+            .location
+            .filter(|url| self.authority_url(url).is_ok());
         let Some((url, account)) = url.zip(self.account.as_mut()) else {
-            let failure = fail(Cause::Unreachable, "an account without a URL");
-            return self.setup_failed(moment, task, &failure, out);
+            let failure = failure(
+                Cause::Unreachable,
+                "the registration response has no account URL of the authority",
+            );
+            return self.setup_failed(clocks, task, &failure, out);
         };
         account.url = Some(url.clone());
         account.next_key = None;
         self.tasks.remove(&task);
-        self.planner.answers();
+        self.planner.authority_responded();
         let account = account.clone();
-        self.save(Keep::Account(account), None, out);
-        out.push(tell(Loud::Info, "account", "", &tame(&url, 200)));
+        self.save(FileUpdate::Account(account), None, out);
+        let text = format!("account registered: {}", sanitize(&url, 200));
+        out.push(log_entry(Level::Info, "account", "", &text));
     }
 
+    /// Ends the setup and pauses until the next attempt.
     pub(super) fn setup_failed(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         task: u64,
         failure: &Failure,
         out: &mut Vec<Action>,
     ) {
         self.tasks.remove(&task);
-        self.planner.away(moment, failure.cause, failure.told);
-        // Hints can wait: they alone are no reason to ask again soon.
+        self.planner
+            .pause(clocks, failure.cause, failure.retry_after);
+        // Renewal information is optional and no reason for an early request.
         while let Some((_, id)) = self
-            .info
+            .renewal_info_queue
             .first()
-            .filter(|(at, _)| *at <= moment.now)
+            .filter(|(at, _)| *at <= clocks.now)
             .cloned()
         {
-            self.info.pop_first();
-            self.info.insert((moment.now + INFO_EACH, id));
+            self.renewal_info_queue.pop_first();
+            self.renewal_info_queue
+                .insert((clocks.now + RENEWAL_INFO_INTERVAL, id));
         }
-        let wait = self.planner.away_until().saturating_sub(moment.now) / SECOND;
-        let text = format!("{}; asked again in {wait} s", failure.text);
-        out.push(tell(Loud::Warn, failure.cause.word(), "", &text));
+        let wait = self.planner.paused_until().saturating_sub(clocks.now) / SECOND;
+        let text = format!(
+            "setup of directory or account failed: {}; next attempt in {wait} s",
+            failure.text
+        );
+        out.push(log_entry(Level::Warn, failure.cause.as_str(), "", &text));
     }
 }
--- a/certs/src/renewal.rs
+++ b/certs/src/renewal.rs
@@ -1,94 +1,95 @@
-//! When a certificate is due, and which front's turn it is.
+//! The time at which a certificate is renewed, and which of several fronts renews it.
 use crate::wire::Window;
-use crate::{hash, share, Micros, Wall, SECOND};
+use crate::{hash, hash_below, Micros, UnixTime, SECOND};
 
-/// Share of a lifetime, in percent, that is never waited past, whatever window the authority names.
+/// Percentage of the lifetime at which a certificate is renewed at the latest, even if the suggested window is later.
 const LATEST_PERCENT: u64 = 95;
-/// A front that has nothing to serve waits this long for each that stands before it.
-const FIRST_TURN: Micros = 30 * SECOND;
+/// Upper limit for the delay per rank while no valid certificate exists.
+const FIRST_ORDER_DELAY: Micros = 30 * SECOND;
 
-/// What is known of a certificate that is held.
+/// The validity period of a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// First second at which it holds.
-    pub not_before: Wall,
-    /// Last second at which it holds.
-    pub not_after: Wall,
+pub struct Validity {
+    /// First second of the period.
+    pub not_before: UnixTime,
+    /// Last second of the period.
+    pub not_after: UnixTime,
 }
 
-impl Held {
-    /// The second at which a share of its lifetime, in percent, has passed.
-    pub fn at(&self, percent: u64) -> Wall {
-        let life = self.not_after.saturating_sub(self.not_before);
-        self.not_before + (u128::from(life) * u128::from(percent) / 100) as u64
+impl Validity {
+    /// Returns the time at which `percent` of the period has passed.
+    pub fn at(&self, percent: u64) -> UnixTime {
+        let lifetime = self.not_after.saturating_sub(self.not_before);
+        self.not_before + (u128::from(lifetime) * u128::from(percent) / 100) as u64
     }
 }
 
-/// How renewals are spread.
+/// When a certificate is renewed without a suggested window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// Share of the lifetime, in percent, after which one is due without a window.
+    /// Percentage of the lifetime after which a renewal is due.
     pub renew_percent: u32,
-    /// Up to this share of the lifetime earlier, in percent.
+    /// Renewals are spread over this percentage of the lifetime before `renew_percent`.
     pub jitter_percent: u32,
 }
 
-/// The second from which a certificate should be renewed: a moment within the authority's window (RFC 9773, section
-/// 4.2), else by the rule. It depends on nothing but its arguments, so a restart changes nothing.
-pub fn due(held: &Held, window: Option<Window>, rule: Rule, id: &str) -> Wall {
+/// Returns the time from which a certificate should be renewed: within the window suggested by the authority (RFC 9773,
+/// section 4.2), otherwise by the rule. The result is derived from the arguments alone and stays the same after a restart.
+pub fn due(validity: &Validity, window: Option<Window>, rule: Rule, id: &str) -> UnixTime {
     let due = match window {
-        Some(window) => window.start + share(window.end - window.start, &[id, "window"]),
+        Some(window) => window.start + hash_below(window.end - window.start, &[id, "window"]),
         None => {
-            let life = held.not_after.saturating_sub(held.not_before);
-            let jitter = (u128::from(life) * u128::from(rule.jitter_percent) / 100) as u64;
-            held.at(rule.renew_percent.into())
-                .saturating_sub(share(jitter + 1, &[id, "jitter"]))
+            let lifetime = validity.not_after.saturating_sub(validity.not_before);
+            let jitter = (u128::from(lifetime) * u128::from(rule.jitter_percent) / 100) as u64;
+            validity
+                .at(rule.renew_percent.into())
+                .saturating_sub(hash_below(jitter + 1, &[id, "jitter"]))
         }
     };
-    due.min(held.at(LATEST_PERCENT))
+    due.min(validity.at(LATEST_PERCENT))
 }
 
-/// Whose turn it is to renew, where several fronts serve the same names.
-pub trait Turns {
-    /// How long this front waits once a certificate is due. `left`: seconds from then until it ends; 0: there is
-    /// none, or it has ended.
-    fn delay(&self, id: &str, left: u64) -> Micros;
+/// Decides which of several fronts with the same names renews a certificate first.
+pub trait Ranking {
+    /// Returns how long this front waits after a certificate has become due. `remaining_s` is the number of seconds until it
+    /// expires, or 0 if there is no valid certificate.
+    fn delay(&self, id: &str, remaining_s: u64) -> Micros;
 }
 
-/// Turns by rank, without any talk: each front has a rank for each certificate by hash, and waits a span for each
-/// front before it. Who is first is another one for another certificate.
+/// Ranks fronts by a hash of certificate and front, without communication between them. A front waits for each front that
+/// precedes it. The first rank is distributed evenly over the fronts.
 #[derive(Clone, Debug)]
-pub struct Ranked {
-    /// This front.
-    pub me: String,
-    /// All of them.
+pub struct HashRanking {
+    /// Name of this front.
+    pub front_name: String,
+    /// Names of all fronts.
     pub fronts: Vec<String>,
-    /// How long one waits for the one before it.
-    pub takeover: Micros,
+    /// Delay per rank.
+    pub takeover_delay: Micros,
 }
 
-impl Ranked {
-    /// Fronts that come before this one.
+impl HashRanking {
+    /// Returns the number of fronts that precede this one.
     pub fn rank(&self, id: &str) -> u64 {
-        let mine = (hash(&[id, &self.me]), &self.me);
+        let own = (hash(&[id, &self.front_name]), &self.front_name);
         let before = self
             .fronts
             .iter()
-            .filter(|f| **f != self.me && (hash(&[id, f]), *f) < mine);
+            .filter(|f| **f != self.front_name && (hash(&[id, f]), *f) < own);
         before.count() as u64
     }
 }
 
-impl Turns for Ranked {
-    fn delay(&self, id: &str, left: u64) -> Micros {
-        let each = match left {
-            0 => self.takeover.min(FIRST_TURN),
-            // All turns are over at half of what is left.
+impl Ranking for HashRanking {
+    fn delay(&self, id: &str, remaining_s: u64) -> Micros {
+        let delay = match remaining_s {
+            0 => self.takeover_delay.min(FIRST_ORDER_DELAY),
+            // The last front starts when half of the remaining lifetime has passed.
             _ => self
-                .takeover
-                .min(left.saturating_mul(SECOND / 2) / self.fronts.len().max(1) as u64),
+                .takeover_delay
+                .min(remaining_s.saturating_mul(SECOND / 2) / self.fronts.len().max(1) as u64),
         };
-        each * self.rank(id)
+        delay * self.rank(id)
     }
 }
 
