--- a/front/examples/measure-cold.rs
+++ b/front/examples/measure-cold.rs
@@ -3,7 +3,7 @@
 //!
 //! `measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]`: each front is asked one request at a time with this pause between them;
 //! SETTINGS is a file of the daemon's own. Prints one JSON object.
-use cranesill_rig::{Seen, Shape, Stage};
+use cranesill_rig::{ClusterSize, Observation, TestCluster};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -29,17 +29,17 @@
     let binary: PathBuf = beside.expect("the program lies beside its examples");
     let base: Value =
         serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts,
         caches,
         parents: 2.max(caches / 30),
         sides: 0,
     };
-    let mut stage = Stage::start(&binary, shape, &base, settings.as_ref(), 1);
-    stage.asks.pause = Duration::from_millis(pause as u64);
-    stage.asks.objects = 5_000;
+    let mut stage = TestCluster::start(&binary, shape, &base, settings.as_ref(), 1);
+    stage.load.pause = Duration::from_millis(pause as u64);
+    stage.load.objects = 5_000;
     let began = stage.history.now();
-    let clients = stage.clients(1);
+    let clients = stage.start_clients(1);
     std::thread::sleep(10 * S);
     let end = stage.history.now();
     let first = first_served(&stage, fronts, began);
@@ -55,7 +55,7 @@
     let listening = stage.history.now();
     std::thread::sleep(10 * S);
     let after = stage.history.now();
-    clients.end();
+    clients.stop();
     let returned =
         windows(back, after).find(|at| level(&stage, *at, *at + WINDOW, |_| true) >= 0.95 * before);
     let worst_live = windows(end, after)
@@ -71,10 +71,14 @@
         "level_again_s": returned.map(|at| (at + WINDOW - back).as_secs_f64()),
         "level_again_since_all_listen_s": returned.map(|at| (at + WINDOW).saturating_sub(listening).as_secs_f64()),
         "live_fronts_served_a_second": {"before": live_before.round(), "worst_quarter_second": worst_live.round()},
-        "breaches": stage.breaches().len(),
+        "breaches": stage.violations().len(),
     });
     println!("{found}");
-    assert!(stage.fleet.dead().is_empty(), "{:#?}", stage.fleet.dead());
+    assert!(
+        stage.fleet.exited().is_empty(),
+        "{:#?}",
+        stage.fleet.exited()
+    );
 }
 
 fn windows(from: Duration, to: Duration) -> impl Iterator<Item = Duration> {
@@ -84,17 +88,17 @@
 }
 
 /// Requests served a second by these fronts.
-fn level(stage: &Stage, from: Duration, to: Duration, of: impl Fn(usize) -> bool) -> f64 {
+fn level(stage: &TestCluster, from: Duration, to: Duration, of: impl Fn(usize) -> bool) -> f64 {
     let served = stage
         .history
-        .moments(|seen| matches!(seen, Seen::Answered(front, _, 1) if of(*front)));
+        .timestamps(|seen| matches!(seen, Observation::ClientResponse(front, _, 1) if of(*front)));
     served.iter().filter(|at| (from..to).contains(at)).count() as f64 / (to - from).as_secs_f64()
 }
 
-fn first_served(stage: &Stage, fronts: usize, began: Duration) -> Vec<f64> {
+fn first_served(stage: &TestCluster, fronts: usize, began: Duration) -> Vec<f64> {
     let mut first = vec![f64::INFINITY; fronts];
-    for (at, seen) in stage.history.all() {
-        if let Seen::Answered(front, _, 1) = seen {
+    for (at, seen) in stage.history.observations() {
+        if let Observation::ClientResponse(front, _, 1) = seen {
             first[front] = first[front].min((at.saturating_sub(began)).as_secs_f64());
         }
     }
@@ -108,17 +112,17 @@
 }
 
 /// Connections that came to the cache with the most of them in any second and in any tenth of one, and to all in the mean.
-fn dials(stage: &Stage, caches: usize, from: Duration, to: Duration) -> Value {
+fn dials(stage: &TestCluster, caches: usize, from: Duration, to: Duration) -> Value {
     let of = |place: usize, span: Duration| {
         let id = stage.nodes.all[place].0;
         stage
             .history
-            .most(from, to, span, |seen| *seen == Seen::Dialled(id))
+            .max_in_window(from, to, span, |seen| *seen == Observation::Accepted(id))
             .0
     };
     let total = stage
         .history
-        .moments(|seen| matches!(seen, Seen::Dialled(_)));
+        .timestamps(|seen| matches!(seen, Observation::Accepted(_)));
     json!({
         "worst_second": (0..caches).map(|place| of(place, S)).max(),
         "worst_100_ms": (0..caches).map(|place| of(place, S / 10)).max(),
--- a/front/examples/measure-scale.rs
+++ b/front/examples/measure-scale.rs
@@ -4,7 +4,8 @@
 //!
 //! `measure-scale [OBJECTS]`: how many objects clients ask for, all alike. The run ends with 1 if a bound is exceeded.
 use cranesill_rig::{
-    Asks, Clients, Event, Fleet, History, ListService, Listed, Mode, Mood, Nodes, Seen, State,
+    Behavior, ClientLoad, Clients, Event, Fleet, History, ListService, ListedNode, Nodes,
+    Observation, ServiceMode, State,
 };
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -93,7 +94,7 @@
     nodes: Nodes,
     list: ListService,
     fleet: Fleet,
-    listed: Vec<Listed>,
+    listed: Vec<ListedNode>,
 }
 
 impl Run {
@@ -103,10 +104,10 @@
             .map(|place| 0x101 + place as u32)
             .collect();
         let nodes = Nodes::new(&history, &ids, &["book-car"]);
-        (0..ids.len()).for_each(|place| nodes.set(place, Mood::Answers(ANSWER_TAKES)));
+        (0..ids.len()).for_each(|place| nodes.set(place, Behavior::Respond(ANSWER_TAKES)));
         let cache_weight = (capacity / caches) as u32;
         let parent_weight = (capacity as f64 * PARENTS_SHARE) as u32 / PARENTS as u32;
-        let listed: Vec<Listed> = ids
+        let listed: Vec<ListedNode> = ids
             .iter()
             .enumerate()
             .map(|(place, id)| {
@@ -115,7 +116,7 @@
                     _ if place < caches + PARENTS => (0, 1, parent_weight),
                     _ => (0, 2, 1),
                 };
-                Listed {
+                ListedNode {
                     place,
                     id: *id,
                     state: State::Ready,
@@ -127,7 +128,7 @@
             })
             .collect();
         let addresses = nodes.all.iter().map(|(_, at)| *at).collect();
-        let list = ListService::with_doors(&history, Mode::Serves, vec![addresses]);
+        let list = ListService::with_addresses(&history, ServiceMode::Serve, vec![addresses]);
         let config = configuration(&nodes, &listed, &list, fronts);
         let beside = std::env::current_exe()
             .ok()
@@ -145,18 +146,18 @@
 
     /// Loads the front while the list changes: one cache node after another drains and comes back.
     fn measure(mut self, objects: u64) -> Usage {
-        let asks = Asks {
+        let asks = ClientLoad {
             read: "page-bits".into(),
             write: "book-car".into(),
             objects,
-            at_once: CLIENTS,
+            connections_per_front: CLIENTS,
             pause: CLIENT_PAUSE,
             limit: Duration::from_millis(2_500),
         };
         let addresses = Arc::new(Mutex::new(vec![Some(self.fleet.address(0))]));
         let process = format!("/proc/{}", self.fleet.process_id(0).expect("it runs"));
-        self.list.tell(Event::Nodes(true, self.listed.clone()));
-        let clients = Clients::begin(&self.history, &addresses, &asks, 1);
+        self.list.publish(Event::Nodes(true, self.listed.clone()));
+        let clients = Clients::start(&self.history, &addresses, &asks, 1);
         let (began, mut descriptors, mut changes) = (Instant::now(), 0, 0);
         while began.elapsed() < LOAD_LASTS {
             std::thread::sleep(SAMPLE_INTERVAL);
@@ -168,11 +169,11 @@
             } else {
                 State::Ready
             };
-            self.list.tell(Event::Nodes(false, vec![*node]));
+            self.list.publish(Event::Nodes(false, vec![*node]));
             changes += 1;
         }
-        clients.end();
-        assert!(self.fleet.dead().is_empty(), "{:#?}", self.fleet.dead());
+        clients.stop();
+        assert!(self.fleet.exited().is_empty(), "{:#?}", self.fleet.exited());
         let addresses: Vec<_> = self.nodes.all.iter().map(|(_, at)| *at).collect();
         let list_bytes: usize = self
             .list
@@ -180,27 +181,27 @@
             .iter()
             .map(|event| event.frame(0, &addresses).len())
             .sum();
-        let count = |of: fn(&Seen) -> bool| self.history.count(of);
+        let count = |of: fn(&Observation) -> bool| self.history.count(of);
         Usage {
             cpu_s: cpu_seconds(&process),
             peak_memory_mb: peak_memory_mb(&process),
             descriptors: descriptors as f64,
-            connections: count(|seen| matches!(seen, Seen::Dialled(_))) as f64,
+            connections: count(|seen| matches!(seen, Observation::Accepted(_))) as f64,
             list_kb: list_bytes as f64 / 1_000.0,
-            asked: count(|seen| matches!(seen, Seen::Asked { .. })),
-            served: count(|seen| matches!(seen, Seen::Answered(_, _, 1))),
+            asked: count(|seen| matches!(seen, Observation::ClientRequest { .. })),
+            served: count(|seen| matches!(seen, Observation::ClientResponse(_, _, 1))),
         }
     }
 }
 
-fn configuration(nodes: &Nodes, listed: &[Listed], list: &ListService, fronts: u32) -> Value {
+fn configuration(nodes: &Nodes, listed: &[ListedNode], list: &ListService, fronts: u32) -> Value {
     let mut config: Value =
         serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
     let settings = &mut config["settings"];
     settings["nInstances"] = fronts.into();
     settings["familyInfo"]["seatsByZone"] = json!([0, fronts]);
     let name = |key: &str, at: u8| settings[key][usize::from(at)].clone();
-    let member = |one: &Listed| {
+    let member = |one: &ListedNode| {
         json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": nodes.all[one.place].1.to_string(),
                "zone": name("zones", one.zone), "machineType": name("kinds", one.kind), "cell": 0,
                "lifecycle": "in_service", "weight": one.weight, "startedAtMs": 0})
--- a/front/examples/measure-startup.rs
+++ b/front/examples/measure-startup.rs
@@ -2,7 +2,7 @@
 //! `measure-startup [COUNT [PROGRAM [no-budget | peers]]]`, by default 60 processes of the program beside this one (`-`) with a budget;
 //! with `peers` they hold the list for one another as well. `make measure-startup` runs it with 60 and 300; the figures
 //! stand in `docs/design/startup.md`.
-use cranesill_rig::{Event, Fleet, History, ListService, Mode, Seen};
+use cranesill_rig::{Event, Fleet, History, ListService, Observation, ServiceMode};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -27,7 +27,7 @@
         .or_else(beside)
         .expect("a program");
     let history = History::default();
-    let list = ListService::with_doors(&history, Mode::Closes, vec![Vec::new(); count]);
+    let list = ListService::with_addresses(&history, ServiceMode::Close, vec![Vec::new(); count]);
     let base: Value = serde_json::from_str(include_str!("config.json")).expect("an example");
     let mode = words.next();
     let peers = mode.as_deref() == Some("peers");
@@ -46,24 +46,25 @@
     let mut fleet = Fleet::start(&program, count, budget.as_ref(), |n| {
         let mut config = base.clone();
         config["listen"] = "127.0.0.1:0".into();
-        config["feed"] = list.doors[n].to_string().into();
+        config["feed"] = list.addresses[n].to_string().into();
         config["seed"] = format!("{:x}", 0x7d03_u64 + n as u64).into();
         config["settings"]["nInstances"] = count.into();
         config["settings"]["index"] = n.into();
         config
     });
-    let call = |seen: &Seen| *seen == Seen::Call;
+    let call = |seen: &Observation| *seen == Observation::Call;
     let first = if peers {
         history.now()
     } else {
-        history.until("first calls", count, call)
+        history.wait_for("first calls", count, call)
     };
     std::thread::sleep(30 * S);
     let (from, back) = (first + 4 * S, history.now());
-    list.tell(Event::Purge(1, 1));
-    list.set(Mode::Serves);
-    let told =
-        |n: usize| history.count(|seen| matches!(seen, Seen::Told(front, _) if *front == n)) > 0;
+    list.publish(Event::Purge(1, 1));
+    list.set(ServiceMode::Serve);
+    let told = |n: usize| {
+        history.count(|seen| matches!(seen, Observation::EventSent(front, _) if *front == n)) > 0
+    };
     let taken = |n: usize| fleet.log(n).contains("the list is taken from peers");
     let mut missing: Vec<usize> = if peers {
         (0..count).collect()
@@ -78,7 +79,7 @@
     }
     if peers {
         let calls = history
-            .moments(call)
+            .timestamps(call)
             .iter()
             .filter(|at| **at >= back)
             .count();
@@ -88,24 +89,24 @@
         );
     }
     let made = history
-        .moments(call)
+        .timestamps(call)
         .iter()
         .filter(|at| (from..back).contains(at))
         .count();
-    let (second, _) = history.most(from, back, S, call);
-    let (tenth, _) = history.most(from, back, S / 10, call);
+    let (second, _) = history.max_in_window(from, back, S, call);
+    let (tenth, _) = history.max_in_window(from, back, S / 10, call);
     let mean = made as f64 / (back - from).as_secs_f64();
     let early = history
-        .moments(call)
+        .timestamps(call)
         .iter()
         .filter(|at| **at < first + 4 * S)
         .count();
     println!("in the first 4 s {early} calls; from then on:");
     println!("{count} processes: {mean:.1} calls a second, {second} in the worst second, {tenth} in the worst 100 ms");
-    let served = |seen: &Seen| matches!(seen, Seen::Served(_));
-    let all = history.until("fronts that are served", count, served);
+    let served = |seen: &Observation| matches!(seen, Observation::Subscribed(_));
+    let all = history.wait_for("fronts that are served", count, served);
     let mut took: Vec<_> = history
-        .moments(served)
+        .timestamps(served)
         .into_iter()
         .map(|at| at.saturating_sub(back))
         .collect();
@@ -117,5 +118,5 @@
         part(0.99),
         all - back
     );
-    assert!(fleet.dead().is_empty(), "no process ended by itself");
+    assert!(fleet.exited().is_empty(), "no process ended by itself");
 }
--- a/front/tests/partial.rs
+++ b/front/tests/partial.rs
@@ -1,17 +1,19 @@
 //! Many processes of the program with nodes, parents, an origin, the list service and clients, while parts of it fail: the
 //! rules of the service are kept by the whole fleet, checked by what was seen at both ends.
-use cranesill_rig::{Link, Mode, Mood, Script, Seen, Shape, Stage, State, Way};
+use cranesill_rig::{
+    Behavior, ClusterSize, Link, Observation, Script, ServiceMode, State, TestCluster, Transmission,
+};
 use serde_json::{json, Value};
 use std::path::Path;
 use std::time::Duration;
 
-fn stage(shape: Shape, seed: u64) -> Stage {
+fn stage(shape: ClusterSize, seed: u64) -> TestCluster {
     stage_with(shape, None, seed)
 }
 
-fn stage_with(shape: Shape, settings: Option<&Value>, seed: u64) -> Stage {
+fn stage_with(shape: ClusterSize, settings: Option<&Value>, seed: u64) -> TestCluster {
     let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
-    Stage::start(
+    TestCluster::start(
         Path::new(env!("CARGO_BIN_EXE_cranesill")),
         shape,
         &base,
@@ -24,84 +26,88 @@
 fn the_rules_are_kept_while_everything_fails_and_comes_back_by_the_dice() {
     let seeds = std::env::var("CRANESILL_SEEDS").unwrap_or_else(|_| "1,2,3".into());
     for seed in seeds.split(',').map(|seed| seed.parse().expect("a seed")) {
-        let shape = Shape {
+        let shape = ClusterSize {
             fronts: 8,
             caches: 4,
             parents: 2,
             sides: 2,
         };
         let mut stage = stage(shape, seed);
-        let clients = stage.clients(seed);
-        stage.served("the first answers", 40);
-        stage.play(&Script::from_seed(seed, shape, 40));
-        clients.end();
-        stage.keeps_the_rules(seed);
+        let clients = stage.start_clients(seed);
+        stage.wait_served("the first answers", 40);
+        stage.run_script(&Script::from_seed(seed, shape, 40));
+        clients.stop();
+        stage.assert_no_violations(seed);
     }
 }
 
 #[test]
 fn a_write_whose_connection_breaks_once_it_was_sent_never_runs_again() {
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 4,
         caches: 3,
         parents: 1,
         sides: 1,
     };
     let mut stage = stage(shape, 8);
-    let origin = stage.places() - 1;
-    let clients = stage.clients(8);
-    stage.served("the first answers", 40);
+    let origin = stage.node_count() - 1;
+    let clients = stage.start_clients(8);
+    stage.wait_served("the first answers", 40);
     for _ in 0..4 {
         // It takes a request and breaks; then each connection to it breaks at any moment.
-        stage.nodes.set(origin, Mood::Breaks);
-        stage.served("answers of caches", 60);
+        stage.nodes.set(origin, Behavior::Reset);
+        stage.wait_served("answers of caches", 60);
         stage
             .nodes
-            .set(origin, Mood::Answers(Duration::from_millis(30)));
+            .set(origin, Behavior::Respond(Duration::from_millis(30)));
         for _ in 0..10 {
-            stage.reset(0, origin);
-            stage.served("answers", 10);
+            stage.reset_connections(0, origin);
+            stage.wait_served("answers", 10);
         }
     }
-    let ran = stage.history.count(|seen| matches!(seen, Seen::Ran(_)));
+    let ran = stage
+        .history
+        .count(|seen| matches!(seen, Observation::Executed(_)));
     assert!(ran >= 10, "{ran} writes ran");
-    clients.end();
-    stage.keeps_the_rules(8);
+    clients.stop();
+    stage.assert_no_violations(8);
 }
 
 #[test]
 fn what_waits_for_a_connection_does_not_go_to_a_node_that_drains_meanwhile() {
     // One side of the fleet reaches a cache by a link that is cut; connections come up and say nothing. The cache is told to
     // drain, and the link heals: what was held by the link is not the fronts', what they begin is.
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 6,
         caches: 3,
         parents: 1,
         sides: 2,
     };
     let mut stage = stage(shape, 7);
-    let clients = stage.clients(7);
-    stage.served("the first answers", 60);
+    let clients = stage.start_clients(7);
+    stage.wait_served("the first answers", 60);
     for round in 0..3 {
-        stage.nodes.set(1, Mood::Dead);
-        stage.served("answers without a cache", 60);
-        stage.link(
+        stage.nodes.set(1, Behavior::Down);
+        stage.wait_served("answers without a cache", 60);
+        stage.set_node_link(
             0,
             1,
             Some((
-                Way::Late(Duration::from_millis(200)),
-                Way::Late(Duration::from_millis(200)),
+                Transmission::Delay(Duration::from_millis(200)),
+                Transmission::Delay(Duration::from_millis(200)),
             )),
         );
-        stage.nodes.set(1, Mood::Answers(Duration::from_millis(1)));
-        stage.list(1, State::Draining);
-        stage.served("answers after the drain", 120);
-        stage.link(0, 1, None);
-        stage.list(1, State::Ready);
-        stage.served("answers once it is back", 60 + round);
+        stage
+            .nodes
+            .set(1, Behavior::Respond(Duration::from_millis(1)));
+        stage.set_node_state(1, State::Draining);
+        stage.wait_served("answers after the drain", 120);
+        stage.set_node_link(0, 1, None);
+        stage.set_node_state(1, State::Ready);
+        stage.wait_served("answers once it is back", 60 + round);
     }
-    clients.end();
-    stage.keeps_the_rules(7);
+    clients.stop();
+    stage.assert_no_violations(7);
 }
 
 const S: Duration = Duration::from_secs(1);
@@ -114,13 +120,13 @@
 }
 
 /// The most connections that came to one cache in any second from then on.
-fn worst_second(stage: &Stage, caches: usize, from: Duration) -> usize {
+fn worst_second(stage: &TestCluster, caches: usize, from: Duration) -> usize {
     let most = |place: usize| {
         let id = stage.nodes.all[place].0;
         stage
             .history
-            .most(from, stage.history.now(), S, |seen| {
-                *seen == Seen::Dialled(id)
+            .max_in_window(from, stage.history.now(), S, |seen| {
+                *seen == Observation::Accepted(id)
             })
             .0
     };
@@ -131,7 +137,7 @@
 fn all_fronts_and_all_nodes_cold_at_one_moment_under_load_are_a_ramp_at_each_node_and_serve_at_once(
 ) {
     // 24 fronts and 24 caches: without the ramp 20 or more dial one cache in a second.
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 24,
         caches: 24,
         parents: 2,
@@ -139,16 +145,16 @@
     };
     let mut stage = stage_with(shape, Some(&ramp()), 3);
     let began = stage.history.now();
-    let clients = stage.clients(3);
-    let first = |stage: &Stage, front: usize, from: Duration| {
-        let of = |seen: &Seen| matches!(seen, Seen::Answered(by, _, 1) if *by == front);
+    let clients = stage.start_clients(3);
+    let first = |stage: &TestCluster, front: usize, from: Duration| {
+        let of = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
         let before = stage
             .history
-            .moments(of)
+            .timestamps(of)
             .iter()
             .filter(|at| **at < from)
             .count();
-        stage.history.until("first served", before + 1, of) - from
+        stage.history.wait_for("first served", before + 1, of) - from
     };
     let mut firsts: Vec<_> = (0..24).map(|front| first(&stage, front, began)).collect();
     firsts.sort_unstable();
@@ -157,10 +163,11 @@
         "half of the fronts serve at once: {firsts:?}"
     );
     // By then all use all, and each node has a connection of each front.
-    let all = |seen: &Seen| matches!(seen, Seen::Dialled(node) if *node <= 0x100 + 24);
+    let all =
+        |seen: &Observation| matches!(seen, Observation::Accepted(node) if *node <= 0x100 + 24);
     stage
         .history
-        .until("connections of all to all", 24 * 24, all);
+        .wait_for("connections of all to all", 24 * 24, all);
     let worst = worst_second(&stage, 24, began);
     assert!(
         worst <= HANDSHAKES as usize + 8,
@@ -174,17 +181,17 @@
     for front in &dead {
         first(&stage, *front, killed);
     }
-    let served = |seen: &Seen| matches!(seen, Seen::Answered(by, _, 1) if live.contains(by));
-    let refused = |seen: &Seen| matches!(seen, Seen::Answered(by, _, code) if live.contains(by) && *code != 1);
+    let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if live.contains(by));
+    let refused = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if live.contains(by) && *code != 1);
     let lived = stage
         .history
-        .moments(refused)
+        .timestamps(refused)
         .iter()
         .filter(|at| **at >= killed)
         .count();
     let good = stage
         .history
-        .moments(served)
+        .timestamps(served)
         .iter()
         .filter(|at| **at >= killed)
         .count();
@@ -197,93 +204,100 @@
         worst <= HANDSHAKES as usize + 8,
         "{worst} connections came to one cache in a second after the kill"
     );
-    clients.end();
-    stage.keeps_the_rules(3);
+    clients.stop();
+    stage.assert_no_violations(3);
 }
 
 #[test]
 fn a_node_that_is_listed_at_one_moment_to_all_gets_the_fleet_one_after_another() {
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 24,
         caches: 6,
         parents: 2,
         sides: 0,
     };
     let mut stage = stage_with(shape, Some(&ramp()), 5);
-    let clients = stage.clients(5);
-    let any = |seen: &Seen| matches!(seen, Seen::Dialled(node) if *node <= 0x100 + 6);
+    let clients = stage.start_clients(5);
+    let any =
+        |seen: &Observation| matches!(seen, Observation::Accepted(node) if *node <= 0x100 + 6);
     stage
         .history
-        .until("connections of all to all", 24 * 6, any);
-    let told = |number: u64| move |seen: &Seen| matches!(seen, Seen::Told(_, n) if *n == number);
-    let gone = stage.list(2, State::Gone);
+        .wait_for("connections of all to all", 24 * 6, any);
+    let told = |number: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == number);
+    let gone = stage.set_node_state(2, State::Removed);
     stage
         .history
-        .until("all are told that it is gone", 24, told(gone));
-    stage.nodes.set(2, Mood::Dead);
-    stage.served("answers without it", 200);
-    stage.nodes.set(2, Mood::Answers(Duration::from_millis(1)));
+        .wait_for("all are told that it is gone", 24, told(gone));
+    stage.nodes.set(2, Behavior::Down);
+    stage.wait_served("answers without it", 200);
+    stage
+        .nodes
+        .set(2, Behavior::Respond(Duration::from_millis(1)));
     let (id, before) = (stage.nodes.all[2].0, stage.history.now());
-    let dialled = |seen: &Seen| *seen == Seen::Dialled(id);
+    let dialled = |seen: &Observation| *seen == Observation::Accepted(id);
     let had = stage.history.count(dialled);
-    let back = stage.list(2, State::Ready);
+    let back = stage.set_node_state(2, State::Ready);
+    stage
+        .history
+        .wait_for("all are told that it is back", 24, told(back));
     stage
         .history
-        .until("all are told that it is back", 24, told(back));
-    stage.history.until("connections of all", had + 24, dialled);
-    let (worst, _) = stage.history.most(before, stage.history.now(), S, dialled);
+        .wait_for("connections of all", had + 24, dialled);
+    let (worst, _) = stage
+        .history
+        .max_in_window(before, stage.history.now(), S, dialled);
     assert!(
         worst <= HANDSHAKES as usize + 2,
         "{worst} connections came in one second"
     );
-    clients.end();
-    stage.keeps_the_rules(5);
+    clients.stop();
+    stage.assert_no_violations(5);
 }
 
 #[test]
 fn a_stop_of_the_whole_fleet_and_a_list_service_that_drips_change_nothing_that_clients_may_count_on(
 ) {
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 12,
         caches: 5,
         parents: 2,
         sides: 0,
     };
     let mut stage = stage(shape, 9);
-    let clients = stage.clients(9);
-    stage.served("the first answers", 200);
+    let clients = stage.start_clients(9);
+    stage.wait_served("the first answers", 200);
     let all: Vec<usize> = (0..12).collect();
-    stage.stop(&all, true);
+    stage.set_stopped(&all, true);
     // What is told meanwhile is heard when they go on.
-    stage.list(1, State::Draining);
+    stage.set_node_state(1, State::Draining);
     stage.purge(3);
     std::thread::sleep(5 * S);
-    stage.stop(&all, false);
-    stage.served("answers after the stop", 400);
+    stage.set_stopped(&all, false);
+    stage.wait_served("answers after the stop", 400);
     // A service that tells by the byte is slower than the silence that a front bears: what was known stands.
-    stage.list.set(Mode::Drips);
-    stage.list(1, State::Ready);
-    stage.served("answers while the list drips", 600);
-    stage.list.set(Mode::Serves);
-    let back = stage.list(2, State::Draining);
-    stage.history.until(
+    stage.list_service.set(ServiceMode::ByteByByte);
+    stage.set_node_state(1, State::Ready);
+    stage.wait_served("answers while the list drips", 600);
+    stage.list_service.set(ServiceMode::Serve);
+    let back = stage.set_node_state(2, State::Draining);
+    stage.history.wait_for(
         "all are told",
         12,
-        |seen| matches!(seen, Seen::Told(_, n) if *n == back),
+        |seen| matches!(seen, Observation::EventSent(_, n) if *n == back),
     );
-    stage.served("answers after all", 400);
-    clients.end();
-    stage.keeps_the_rules(9);
+    stage.wait_served("answers after all", 400);
+    clients.stop();
+    stage.assert_no_violations(9);
 }
 
-fn to_cache_by(stage: &Stage, place: usize, fronts: &[usize], from: Duration) -> usize {
+fn to_cache_by(stage: &TestCluster, place: usize, fronts: &[usize], from: Duration) -> usize {
     let id = stage.nodes.all[place].0;
     // Which front asked stands in the id of the request.
     let by = |txn: u64| (txn >> 40) as usize - 1;
-    let of = |seen: &Seen| matches!(seen, Seen::Sent { node, txn, .. } if *node == id && fronts.contains(&by(*txn)));
+    let of = |seen: &Observation| matches!(seen, Observation::Attempt { node, txn, .. } if *node == id && fronts.contains(&by(*txn)));
     stage
         .history
-        .moments(of)
+        .timestamps(of)
         .into_iter()
         .filter(|at| *at >= from)
         .count()
@@ -293,18 +307,18 @@
 fn a_list_on_disk_is_served_from_while_the_service_is_down_and_a_bad_one_is_as_if_absent() {
     let folder = tempfile::tempdir().unwrap();
     let settings = json!({"startup": {"snapshots": folder.path()}});
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 8,
         caches: 4,
         parents: 2,
         sides: 0,
     };
     let mut stage = stage_with(shape, Some(&settings), 11);
-    let clients = stage.clients(11);
-    stage.served("the first answers", 50);
-    let last = stage.list(1, State::Draining);
+    let clients = stage.start_clients(11);
+    stage.wait_served("the first answers", 50);
+    let last = stage.set_node_state(1, State::Draining);
     let file = |front: usize| folder.path().join(format!("n{front}.list"));
-    let until = std::time::Instant::now() + cranesill_rig::GUARD;
+    let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     // Its second line names the list, the last event in it, and when.
     let number = |text: String| text.lines().nth(1)?.split(' ').nth(2)?.parse::<u64>().ok();
     let held =
@@ -316,7 +330,7 @@
         );
         std::thread::yield_now();
     }
-    stage.list.set(Mode::Down);
+    stage.list_service.set(ServiceMode::Down);
     let all: Vec<usize> = (0..8).collect();
     stage.kill(&all);
     // Torn, of another version, empty, and gone.
@@ -327,7 +341,7 @@
     std::fs::remove_file(file(3)).unwrap();
     let back = stage.history.now();
     stage.restart(&all);
-    stage.served("answers without the service", 400);
+    stage.wait_served("answers without the service", 400);
     assert_eq!(
         to_cache_by(&stage, 1, &[4, 5, 6, 7], back),
         0,
@@ -347,31 +361,32 @@
             stage.fleet.log(front)
         );
     }
-    stage.list.set(Mode::Serves);
-    let told = |seen: &Seen| matches!(seen, Seen::Told(front, n) if *n == last && *front < 4);
+    stage.list_service.set(ServiceMode::Serve);
+    let told = |seen: &Observation| matches!(seen, Observation::EventSent(front, n) if *n == last && *front < 4);
     let before = stage
         .history
-        .moments(told)
+        .timestamps(told)
         .iter()
         .filter(|at| **at < back)
         .count();
     stage
         .history
-        .until("those without are told", before + 4, told);
-    stage.served("answers with the service", 200);
+        .wait_for("those without are told", before + 4, told);
+    stage.wait_served("answers with the service", 200);
     // Those with a list asked for what came after it: nothing.
-    let again = |seen: &Seen| matches!(seen, Seen::Told(front, _) if *front >= 4);
+    let again =
+        |seen: &Observation| matches!(seen, Observation::EventSent(front, _) if *front >= 4);
     assert_eq!(
         stage
             .history
-            .moments(again)
+            .timestamps(again)
             .into_iter()
             .filter(|at| *at >= back)
             .count(),
         0
     );
-    clients.end();
-    stage.keeps_the_rules(11);
+    clients.stop();
+    stage.assert_no_violations(11);
 }
 
 #[test]
@@ -379,7 +394,7 @@
     let folder = tempfile::tempdir().unwrap();
     let settings = json!({"startup": {"snapshots": folder.path(), "serve_snapshot_s": 3}});
     let mut stage = stage_with(
-        Shape {
+        ClusterSize {
             fronts: 2,
             caches: 2,
             parents: 1,
@@ -388,14 +403,14 @@
         Some(&settings),
         14,
     );
-    let clients = stage.clients(14);
+    let clients = stage.start_clients(14);
     stage.purge(3);
     let on_disk = |front: usize| {
         let text = std::fs::read_to_string(folder.path().join(format!("n{front}.list")))
             .unwrap_or_default();
         text.contains("\no ")
     };
-    let until = std::time::Instant::now() + cranesill_rig::GUARD;
+    let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     while !(on_disk(0) && on_disk(1)) {
         assert!(
             std::time::Instant::now() < until,
@@ -404,8 +419,8 @@
         std::thread::yield_now();
     }
     let kept = stage.history.now();
-    stage.list.set(Mode::Down);
-    let served = |stage: &Stage, front: usize| {
+    stage.list_service.set(ServiceMode::Down);
+    let served = |stage: &TestCluster, front: usize| {
         let log = stage.fleet.log(front);
         (
             log.matches("is served from disk").count(),
@@ -415,7 +430,7 @@
     while stage.history.now() < kept + 5 * S {
         stage.kill(&[0, 1]);
         stage.restart(&[0, 1]);
-        stage.served("answers after a restart", 40);
+        stage.wait_served("answers after a restart", 40);
     }
     for front in [0, 1] {
         let (yes, no) = served(&stage, front);
@@ -425,8 +440,8 @@
             stage.fleet.log(front)
         );
     }
-    clients.end();
-    stage.keeps_the_rules(14);
+    clients.stop();
+    stage.assert_no_violations(14);
 }
 
 #[test]
@@ -435,21 +450,21 @@
     let file = folder.path().join("file");
     std::fs::write(&file, "").unwrap();
     let settings = json!({"startup": {"snapshots": file}});
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 2,
         caches: 2,
         parents: 1,
         sides: 0,
     };
     let mut stage = stage_with(shape, Some(&settings), 12);
-    let clients = stage.clients(12);
+    let clients = stage.start_clients(12);
     let purge = stage.purge(3);
-    stage.history.until(
+    stage.history.wait_for(
         "both are told",
         2,
-        |seen| matches!(seen, Seen::Told(_, n) if *n == purge),
+        |seen| matches!(seen, Observation::EventSent(_, n) if *n == purge),
     );
-    stage.served("answers all the same", 300);
+    stage.wait_served("answers all the same", 300);
     for front in 0..2 {
         assert_eq!(
             stage.fleet.log(front).matches("be kept on disk").count(),
@@ -458,60 +473,60 @@
             stage.fleet.log(front)
         );
     }
-    clients.end();
-    stage.keeps_the_rules(12);
+    clients.stop();
+    stage.assert_no_violations(12);
 }
 
 #[test]
 fn a_list_service_that_begins_to_count_anew_is_heard_by_all() {
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 8,
         caches: 4,
         parents: 2,
         sides: 0,
     };
     let mut stage = stage_with(shape, Some(&json!({"startup": {"calls_per_s": 20}})), 13);
-    let clients = stage.clients(13);
+    let clients = stage.start_clients(13);
     let last = (0..6).fold(0, |_, item| stage.purge(item));
-    stage.history.until(
+    stage.history.wait_for(
         "all are told",
         8,
-        |seen| matches!(seen, Seen::Told(_, n) if *n == last),
+        |seen| matches!(seen, Observation::EventSent(_, n) if *n == last),
     );
-    stage.served("answers before", 100);
+    stage.wait_served("answers before", 100);
     // It returns with another list under low numbers.
-    stage.list.set(Mode::Down);
-    stage.list.forget();
-    let whole = stage.list_all(&[(1, State::Draining)]);
+    stage.list_service.set(ServiceMode::Down);
+    stage.list_service.clear_events();
+    let whole = stage.publish_all(&[(1, State::Draining)]);
     let back = stage.history.now();
-    stage.list.set(Mode::Serves);
-    let told = |seen: &Seen| matches!(seen, Seen::Told(_, n) if *n == whole);
+    stage.list_service.set(ServiceMode::Serve);
+    let told = |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == whole);
     let before = stage
         .history
-        .moments(told)
+        .timestamps(told)
         .iter()
         .filter(|at| **at < back)
         .count();
     let at = stage
         .history
-        .until("all are told of the new list", before + 8, told);
+        .wait_for("all are told of the new list", before + 8, told);
     assert!(at - back < 15 * S, "after {:?}", at - back);
     std::thread::sleep(S);
     let heeds = stage.history.now();
-    stage.served("answers after", 300);
+    stage.wait_served("answers after", 300);
     assert_eq!(
         to_cache_by(&stage, 1, &(0..8).collect::<Vec<_>>(), heeds),
         0,
         "the new list is heeded"
     );
-    clients.end();
+    clients.stop();
     // Numbers stand for other events now: what was told cannot be held against anybody, the rest can.
     let broken = stage
-        .breaches()
+        .violations()
         .into_iter()
         .filter(|b| !["drain", "purge"].contains(&b.rule))
         .count();
-    assert_eq!((broken, stage.fleet.dead()), (0, vec![]));
+    assert_eq!((broken, stage.fleet.exited()), (0, vec![]));
 }
 
 /// Settings of fronts that hold the list for one another, on addresses that nobody else uses.
@@ -533,7 +548,7 @@
     }})
 }
 
-fn taken(stage: &Stage, front: usize) -> bool {
+fn taken(stage: &TestCluster, front: usize) -> bool {
     stage
         .fleet
         .log(front)
@@ -543,25 +558,25 @@
 #[test]
 fn a_list_that_two_fronts_hold_is_soon_with_all_and_costs_the_service_a_few_calls() {
     // 30 fronts that call twice a second in all need 15 s to be served by the service itself.
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 30,
         caches: 4,
         parents: 2,
         sides: 0,
     };
     let mut stage = stage_with(shape, Some(&peers(30, &[], 2)), 21);
-    stage.list.set(Mode::Down);
-    let clients = stage.clients(21);
-    stage.served("answers without the service", 100);
+    stage.list_service.set(ServiceMode::Down);
+    let clients = stage.start_clients(21);
+    stage.wait_served("answers without the service", 100);
     // What it will tell once it is back.
-    stage.list(1, State::Draining);
+    stage.set_node_state(1, State::Draining);
     std::thread::sleep(2 * S);
     let back = stage.history.now();
-    stage.list.set(Mode::Serves);
-    let told = |stage: &Stage, front: usize| {
+    stage.list_service.set(ServiceMode::Serve);
+    let told = |stage: &TestCluster, front: usize| {
         stage
             .history
-            .count(|s| matches!(s, Seen::Told(by, _) if *by == front))
+            .count(|s| matches!(s, Observation::EventSent(by, _) if *by == front))
             > 0
     };
     let until = back + 30 * S;
@@ -570,7 +585,9 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     let all = stage.history.now();
-    let calls = stage.history.count(|seen| matches!(seen, Seen::Call));
+    let calls = stage
+        .history
+        .count(|seen| matches!(seen, Observation::Call));
     let by_peers = (0..30).filter(|front| taken(&stage, *front)).count();
     assert!(
         all - back < 10 * S && by_peers >= 10,
@@ -578,16 +595,16 @@
         all - back
     );
     assert!(calls <= 24, "{calls} calls on the service");
-    stage.served("answers after", 200);
+    stage.wait_served("answers after", 200);
     // Those that have it from peers heed it as if told.
     let from = stage.history.now();
-    stage.served("more answers", 400);
+    stage.wait_served("more answers", 400);
     assert_eq!(
         to_cache_by(&stage, 1, &(0..30).collect::<Vec<_>>(), from),
         0
     );
-    clients.end();
-    stage.keeps_the_rules(21);
+    clients.stop();
+    stage.assert_no_violations(21);
 }
 
 /// What a peer of the test says to who asks; the text of a good list is at hand.
@@ -641,7 +658,7 @@
             }
         });
     }
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 6,
         caches: 4,
         parents: 2,
@@ -651,17 +668,16 @@
     let ask: Vec<String> =
         serde_json::from_value(settings["startup"]["peers"]["ask"].clone()).unwrap();
     let mut stage = stage_with(shape, Some(&settings), 22);
-    let clients = stage.clients(22);
+    let clients = stage.start_clients(22);
     stage.purge(9);
-    let last = stage.list(1, State::Draining);
+    let last = stage.set_node_state(1, State::Draining);
     assert_eq!(last, 3);
-    let told = |stage: &Stage, front: usize| {
-        stage
-            .history
-            .count(|seen| matches!(seen, Seen::Told(by, n) if *by == front && *n == last))
-            > 0
+    let told = |stage: &TestCluster, front: usize| {
+        stage.history.count(
+            |seen| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last),
+        ) > 0
     };
-    let until = std::time::Instant::now() + cranesill_rig::GUARD;
+    let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     while !(0..6).all(|front| told(&stage, front) || taken(&stage, front)) {
         assert!(std::time::Instant::now() < until, "not all hold the list");
         std::thread::sleep(Duration::from_millis(20));
@@ -675,7 +691,7 @@
         socket.read_to_string(&mut text).unwrap();
         *good.lock().unwrap() = text;
     }
-    stage.list.set(Mode::Down);
+    stage.list_service.set(ServiceMode::Down);
     stage.kill(&[0, 1]);
     let had = [0, 1].map(|front| {
         stage
@@ -685,7 +701,7 @@
             .count()
     });
     stage.restart(&[0, 1]);
-    let again = |stage: &Stage, front: usize| {
+    let again = |stage: &TestCluster, front: usize| {
         stage
             .fleet
             .log(front)
@@ -703,7 +719,7 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     let from = stage.history.now();
-    stage.served("answers by the list of peers", 300);
+    stage.wait_served("answers by the list of peers", 300);
     assert_eq!(
         to_cache_by(&stage, 1, &[0, 1], from),
         0,
@@ -717,23 +733,23 @@
         let log = stage.fleet.log(front);
         assert!(!log.contains("event=999"), "{log}");
     }
-    clients.end();
-    stage.keeps_the_rules(22);
+    clients.stop();
+    stage.assert_no_violations(22);
 }
 
 #[test]
 fn a_rolling_restart_in_tenths_while_the_list_is_told_by_the_byte_is_seen_by_no_client_of_the_others(
 ) {
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 20,
         caches: 6,
         parents: 2,
         sides: 0,
     };
     let mut stage = stage_with(shape, Some(&ramp()), 31);
-    let clients = stage.clients(31);
-    stage.served("the first answers", 200);
-    stage.list.set(Mode::Drips);
+    let clients = stage.start_clients(31);
+    stage.wait_served("the first answers", 200);
+    stage.list_service.set(ServiceMode::ByteByByte);
     stage.purge(4);
     for tenth in 0..10 {
         let some = [2 * tenth, 2 * tenth + 1];
@@ -741,19 +757,19 @@
         stage.kill(&some);
         stage.restart(&some);
         for front in some {
-            let again = |seen: &Seen| matches!(seen, Seen::Answered(by, _, 1) if *by == front);
+            let again = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
             let before = stage
                 .history
-                .moments(again)
+                .timestamps(again)
                 .iter()
                 .filter(|at| **at < from)
                 .count();
-            stage.history.until("it serves again", before + 1, again);
+            stage.history.wait_for("it serves again", before + 1, again);
         }
-        let others = |seen: &Seen| matches!(seen, Seen::Answered(by, _, code) if !some.contains(by) && *code != 1);
+        let others = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if !some.contains(by) && *code != 1);
         let bad = stage
             .history
-            .moments(others)
+            .timestamps(others)
             .into_iter()
             .filter(|at| *at >= from)
             .count();
@@ -762,16 +778,16 @@
             "{bad} requests of the other fronts were not served while {some:?} were restarted"
         );
     }
-    stage.list.set(Mode::Serves);
-    stage.served("answers after", 200);
-    clients.end();
-    stage.keeps_the_rules(31);
+    stage.list_service.set(ServiceMode::Serve);
+    stage.wait_served("answers after", 200);
+    clients.stop();
+    stage.assert_no_violations(31);
 }
 
 #[test]
 fn half_of_the_fleet_that_is_cut_off_from_half_of_the_nodes_goes_on_by_the_others_and_harms_nobody()
 {
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 8,
         caches: 6,
         parents: 2,
@@ -779,29 +795,28 @@
     };
     let mut stage = stage(shape, 33);
     // Few at once take longer to find out, one silence after another.
-    stage.asks.at_once = 8;
-    let clients = stage.clients(33);
-    stage.served("the first answers", 200);
+    stage.load.connections_per_front = 8;
+    let clients = stage.start_clients(33);
+    stage.wait_served("the first answers", 200);
     for (there, back) in [
-        (Way::Cut, Way::Cut),
-        (Way::Pass, Way::Cut),
-        (Way::Cut, Way::Pass),
+        (Transmission::Cut, Transmission::Cut),
+        (Transmission::Pass, Transmission::Cut),
+        (Transmission::Cut, Transmission::Pass),
     ] {
         let from = stage.history.now();
-        (0..3).for_each(|place| stage.link(1, place, Some((there, back))));
+        (0..3).for_each(|place| stage.set_node_link(1, place, Some((there, back))));
         // Those that are cut off find out by their own requests, and serve by what they reach.
         for front in [1, 3, 5, 7] {
-            let served = |seen: &Seen| matches!(seen, Seen::Answered(by, _, 1) if *by == front);
+            let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
             let before = stage.history.count(served);
             stage
                 .history
-                .until("one that is cut off serves", before + 30, served);
+                .wait_for("one that is cut off serves", before + 30, served);
         }
-        let others =
-            |seen: &Seen| matches!(seen, Seen::Answered(by, _, code) if by % 2 == 0 && *code != 1);
+        let others = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if by % 2 == 0 && *code != 1);
         let bad = stage
             .history
-            .moments(others)
+            .timestamps(others)
             .into_iter()
             .filter(|at| *at >= from)
             .count();
@@ -809,16 +824,16 @@
             bad <= 2,
             "{bad} requests of fronts that reach all nodes were not served"
         );
-        (0..3).for_each(|place| stage.link(1, place, None));
-        stage.served("answers once it heals", 200);
+        (0..3).for_each(|place| stage.set_node_link(1, place, None));
+        stage.wait_served("answers once it heals", 200);
     }
-    clients.end();
-    stage.keeps_the_rules(33);
+    clients.stop();
+    stage.assert_no_violations(33);
 }
 
 #[test]
 fn peers_that_are_stopped_reached_one_way_or_come_back_with_nothing_keep_nobody_from_the_list() {
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 6,
         caches: 4,
         parents: 2,
@@ -832,10 +847,10 @@
     (ask[1], ask[2]) = (links[0].address.to_string(), links[1].address.to_string());
     settings["startup"]["peers"]["ask"] = json!(ask);
     let mut stage = stage_with(shape, Some(&settings), 41);
-    let clients = stage.clients(41);
-    let last = stage.list(1, State::Draining);
-    let holds = |stage: &Stage, front: usize, times: usize| {
-        let told = |seen: &Seen| matches!(seen, Seen::Told(by, n) if *by == front && *n == last);
+    let clients = stage.start_clients(41);
+    let last = stage.set_node_state(1, State::Draining);
+    let holds = |stage: &TestCluster, front: usize, times: usize| {
+        let told = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
         let by_peers = stage
             .fleet
             .log(front)
@@ -843,8 +858,8 @@
             .count();
         stage.history.count(told) + by_peers > times
     };
-    let until = std::time::Instant::now() + cranesill_rig::GUARD;
-    let wait = |stage: &Stage, front: usize, times: usize| {
+    let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
+    let wait = |stage: &TestCluster, front: usize, times: usize| {
         while !holds(stage, front, times) {
             assert!(
                 std::time::Instant::now() < until,
@@ -855,14 +870,14 @@
         }
     };
     (0..6).for_each(|front| wait(&stage, front, 0));
-    stage.list.set(Mode::Down);
-    links[0].set(Way::Pass, Way::Cut);
-    links[1].set(Way::Cut, Way::Pass);
-    stage.stop(&[3], true);
+    stage.list_service.set(ServiceMode::Down);
+    links[0].set(Transmission::Pass, Transmission::Cut);
+    links[1].set(Transmission::Cut, Transmission::Pass);
+    stage.set_stopped(&[3], true);
     let stopped = stage.history.now();
     // Fronts 4 and 5 are left to tell; who comes back has nothing but its configuration.
-    let count = |stage: &Stage, front: usize| {
-        let told = |seen: &Seen| matches!(seen, Seen::Told(by, n) if *by == front && *n == last);
+    let count = |stage: &TestCluster, front: usize| {
+        let told = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
         stage.history.count(told)
             + stage
                 .fleet
@@ -875,21 +890,21 @@
     stage.restart(&[0]);
     wait(&stage, 0, had);
     let from = stage.history.now();
-    stage.served("answers by the list of peers", 200);
+    stage.wait_served("answers by the list of peers", 200);
     assert_eq!(
         to_cache_by(&stage, 1, &[0], from),
         0,
         "what peers know to drain is left alone"
     );
     std::thread::sleep((stopped + 10 * S).saturating_sub(stage.history.now()));
-    stage.stop(&[3], false);
+    stage.set_stopped(&[3], false);
     // One that goes on after ten seconds tells as the others do.
     links.iter().for_each(Link::heal);
     let had = count(&stage, 4);
     stage.kill(&[4, 5]);
     stage.restart(&[4, 5]);
     wait(&stage, 4, had);
-    stage.served("answers after all", 200);
-    clients.end();
-    stage.keeps_the_rules(41);
+    stage.wait_served("answers after all", 200);
+    clients.stop();
+    stage.assert_no_violations(41);
 }
--- a/front/tests/production.rs
+++ b/front/tests/production.rs
@@ -2,16 +2,16 @@
 //! which test shows which.
 mod common;
 use common::*;
-use cranesill_rig::{Mode, Mood, Seen, Shape, State};
+use cranesill_rig::{Behavior, ClusterSize, Observation, ServiceMode, State};
 use serde_json::Value;
 use std::io::Write;
 use std::net::TcpListener;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-fn service(shape: Shape, seed: u64) -> cranesill_rig::Stage {
+fn service(shape: ClusterSize, seed: u64) -> cranesill_rig::TestCluster {
     let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
-    cranesill_rig::Stage::start(
+    cranesill_rig::TestCluster::start(
         Path::new(env!("CARGO_BIN_EXE_cranesill")),
         shape,
         &base,
@@ -20,7 +20,7 @@
     )
 }
 
-const SHAPE: Shape = Shape {
+const SHAPE: ClusterSize = ClusterSize {
     fronts: 4,
     caches: 4,
     parents: 2,
@@ -33,47 +33,47 @@
 #[test]
 fn faults_that_begin_after_a_long_quiet_break_no_rule() {
     let mut stage = service(SHAPE, 31);
-    let clients = stage.clients(31);
-    stage.served("the first answers", 200);
-    clients.end();
+    let clients = stage.start_clients(31);
+    stage.wait_served("the first answers", 200);
+    clients.stop();
     std::thread::sleep(QUIET);
     // All at once, with the first request after the quiet: a node hangs, one drains, connections break, a front dies.
-    stage.nodes.set(0, Mood::Silent);
-    let drained = stage.list(1, State::Draining);
-    (0..stage.places()).for_each(|place| stage.reset(0, place));
+    stage.nodes.set(0, Behavior::Silent);
+    let drained = stage.set_node_state(1, State::Draining);
+    (0..stage.node_count()).for_each(|place| stage.reset_connections(0, place));
     stage.kill(&[3]);
     stage.restart(&[3]);
-    let clients = stage.clients(32);
-    stage.history.until(
+    let clients = stage.start_clients(32);
+    stage.history.wait_for(
         "all are told",
         4,
-        |seen| matches!(seen, Seen::Told(_, n) if *n == drained),
+        |seen| matches!(seen, Observation::EventSent(_, n) if *n == drained),
     );
-    stage.served("answers after the quiet", 400);
-    clients.end();
-    stage.keeps_the_rules(31);
+    stage.wait_served("answers after the quiet", 400);
+    clients.stop();
+    stage.assert_no_violations(31);
 }
 
 #[test]
 fn a_long_outage_of_discovery_with_restarts_in_it_and_drains_at_its_end_breaks_no_rule() {
     let mut stage = service(SHAPE, 33);
-    let clients = stage.clients(33);
-    stage.served("the first answers", 200);
-    stage.list.set(Mode::Down);
+    let clients = stage.start_clients(33);
+    stage.wait_served("the first answers", 200);
+    stage.list_service.set(ServiceMode::Down);
     let down = Instant::now();
     stage.kill(&[0, 1]);
     stage.restart(&[0, 1]);
     while down.elapsed() < QUIET {
-        stage.served("answers without discovery", 50);
+        stage.wait_served("answers without discovery", 50);
     }
     // Its return, drains of half of the caches and restarts come together.
-    stage.list_all(&[(0, State::Draining), (1, State::Draining)]);
-    stage.list.set(Mode::Serves);
+    stage.publish_all(&[(0, State::Draining), (1, State::Draining)]);
+    stage.list_service.set(ServiceMode::Serve);
     stage.kill(&[2]);
     stage.restart(&[2]);
-    stage.served("answers after the outage", 400);
-    clients.end();
-    stage.keeps_the_rules(33);
+    stage.wait_served("answers after the outage", 400);
+    clients.stop();
+    stage.assert_no_violations(33);
 }
 
 #[test]
--- a/front/tests/scale.rs
+++ b/front/tests/scale.rs
@@ -1,5 +1,5 @@
 //! A fleet with more cache nodes than one front can hold connections to.
-use cranesill_rig::{Seen, Shape, Stage};
+use cranesill_rig::{ClusterSize, Observation, TestCluster};
 use serde_json::Value;
 use std::path::Path;
 
@@ -8,37 +8,39 @@
 const SOCKETS: u64 = 96;
 const REQUESTS: usize = 600;
 
-fn answered(stage: &Stage, how: u8) -> usize {
+fn answered(stage: &TestCluster, how: u8) -> usize {
     stage
         .history
-        .count(|seen| matches!(seen, Seen::Answered(_, _, word) if *word == how))
+        .count(|seen| matches!(seen, Observation::ClientResponse(_, _, word) if *word == how))
 }
 
 #[test]
 fn a_front_beside_more_nodes_than_it_has_connections_for_refuses_nothing_and_makes_few_of_them() {
     let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     base["limits"]["sockets"] = SOCKETS.into();
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 1,
         caches: CACHES,
         parents: 2,
         sides: 0,
     };
     let binary = Path::new(env!("CARGO_BIN_EXE_cranesill"));
-    let mut stage = Stage::start(binary, shape, &base, None, 1);
-    (stage.asks.objects, stage.asks.at_once) = (5_000, 4);
-    let clients = stage.clients(1);
-    stage.served("requests served", REQUESTS);
-    clients.end();
+    let mut stage = TestCluster::start(binary, shape, &base, None, 1);
+    (stage.load.objects, stage.load.connections_per_front) = (5_000, 4);
+    let clients = stage.start_clients(1);
+    stage.wait_served("requests served", REQUESTS);
+    clients.stop();
     assert_eq!(
         (answered(&stage, 2), answered(&stage, 3)),
         (0, 0),
         "refused and failed"
     );
-    let made = stage.history.count(|seen| matches!(seen, Seen::Dialled(_)));
+    let made = stage
+        .history
+        .count(|seen| matches!(seen, Observation::Accepted(_)));
     assert!(
         made <= 3 * SOCKETS as usize * 3 / 8,
         "{made} connections made"
     );
-    stage.keeps_the_rules(1);
+    stage.assert_no_violations(1);
 }
--- a/front/tests/startup.rs
+++ b/front/tests/startup.rs
@@ -1,5 +1,5 @@
 //! Many processes of the program against one list service that fails in its ways, checked by what the service saw.
-use cranesill_rig::{Fleet, History, Link, ListService, Mode, Seen, Way};
+use cranesill_rig::{Fleet, History, Link, ListService, Observation, ServiceMode, Transmission};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -38,105 +38,113 @@
     )
 }
 
-fn call(seen: &Seen) -> bool {
-    *seen == Seen::Call
+fn call(seen: &Observation) -> bool {
+    *seen == Observation::Call
 }
 
-fn served(seen: &Seen) -> bool {
-    matches!(seen, Seen::Served(_))
+fn served(seen: &Observation) -> bool {
+    matches!(seen, Observation::Subscribed(_))
 }
 
 /// All start while the service fails in this way for a time, and it returns.
-fn fails_and_returns(mode: Mode, count: usize) {
+fn fails_and_returns(mode: ServiceMode, count: usize) {
     let history = History::default();
     let list = ListService::new(&history, mode);
     let mut fleet = fleet(count, &list);
     // Where nobody listens there is nothing to be seen but the end of it.
-    let seen = if mode == Mode::Down {
+    let seen = if mode == ServiceMode::Down {
         history.now()
     } else {
-        history.until("first calls", count, call)
+        history.wait_for("first calls", count, call)
     };
     std::thread::sleep(13 * S);
     let (from, to) = (seen + 4 * S, history.now());
     let mean = history
-        .moments(call)
+        .timestamps(call)
         .iter()
         .filter(|at| (from..to).contains(at))
         .count() as f64
         / (to - from).as_secs_f64();
-    let (second, at) = history.most(from, to, S, call);
-    let (tenth, _) = history.most(from, to, S / 10, call);
+    let (second, at) = history.max_in_window(from, to, S, call);
+    let (tenth, _) = history.max_in_window(from, to, S / 10, call);
     assert!(
         second <= BUDGET && tenth <= IN_STEP,
         "{mode:?}: {second} calls in the second from {at:?}, {tenth} in 100 ms, {mean:.1} a second"
     );
-    if mode != Mode::Down {
+    if mode != ServiceMode::Down {
         assert!(
             mean > 2.0,
             "{mode:?}: it is called, or nobody would notice that it returns: {mean:.1} a second"
         );
     }
     let back = history.now();
-    list.set(Mode::Serves);
-    let all = history.until("fronts that are served", count, served);
+    list.set(ServiceMode::Serve);
+    let all = history.wait_for("fronts that are served", count, served);
     assert!(
         all <= back + SERVED_BY,
         "{mode:?}: all are served {:?} after it returned",
         all - back
     );
-    assert_eq!(fleet.dead(), []);
+    assert_eq!(fleet.exited(), []);
 }
 
 #[test]
 fn a_service_that_closes_at_once_is_called_within_the_budget_and_all_are_served_when_it_returns() {
-    fails_and_returns(Mode::Closes, 40);
+    fails_and_returns(ServiceMode::Close, 40);
 }
 
 #[test]
 fn a_service_that_says_nothing_is_called_within_the_budget_and_all_are_served_when_it_returns() {
-    fails_and_returns(Mode::Silent, 24);
+    fails_and_returns(ServiceMode::Silent, 24);
 }
 
 #[test]
 fn a_service_that_sends_garbage_or_part_of_an_event_is_called_within_the_budget() {
-    fails_and_returns(Mode::Garbage, 16);
-    fails_and_returns(Mode::Torn, 16);
+    fails_and_returns(ServiceMode::Garbage, 16);
+    fails_and_returns(ServiceMode::Truncate, 16);
 }
 
 #[test]
 fn a_service_that_was_down_serves_all_within_the_bound_after_its_return() {
-    fails_and_returns(Mode::Down, 24);
+    fails_and_returns(ServiceMode::Down, 24);
 }
 
 #[test]
 fn half_of_the_fleet_killed_and_started_anew_costs_one_call_each_and_the_other_half_none() {
     let history = History::default();
-    let list = ListService::new(&history, Mode::Serves);
+    let list = ListService::new(&history, ServiceMode::Serve);
     let mut fleet = fleet(24, &list);
-    history.until("fronts that are served", 24, served);
-    assert_eq!(history.moments(call).len(), 24, "one call each");
+    history.wait_for("fronts that are served", 24, served);
+    assert_eq!(history.timestamps(call).len(), 24, "one call each");
     let half = || (0..24).step_by(2);
     fleet.kill(half());
-    history.until("connections that end", 12, |seen| *seen == Seen::Left);
+    history.wait_for("connections that end", 12, |seen| {
+        *seen == Observation::SubscriptionEnded
+    });
     fleet.restart(half());
-    history.until("fronts that are served", 36, served);
+    history.wait_for("fronts that are served", 36, served);
     // A stop of the whole fleet for longer than a silence may last: what was sent meanwhile is read when it goes on.
     fleet.signal(0..24, libc::SIGSTOP);
     std::thread::sleep(4 * S);
     fleet.signal(0..24, libc::SIGCONT);
     let on = history.now();
     std::thread::sleep(3 * S);
-    let calls = history.moments(call).iter().filter(|at| **at >= on).count();
+    let calls = history
+        .timestamps(call)
+        .iter()
+        .filter(|at| **at >= on)
+        .count();
     assert!(
         calls <= 24,
         "{calls} calls by 24 fronts that went on at one moment"
     );
-    assert!(history.moments(call).len() <= 36 + 24);
-    assert_eq!(fleet.dead(), []);
+    assert!(history.timestamps(call).len() <= 36 + 24);
+    assert_eq!(fleet.exited(), []);
     // All of them are served, whether they called anew or not.
-    let gone = history.moments(|seen| *seen == Seen::Left).len();
-    history.until("fronts that are served", 24 + gone, served);
+    let gone = history
+        .timestamps(|seen| *seen == Observation::SubscriptionEnded)
+        .len();
+    history.wait_for("fronts that are served", 24 + gone, served);
 }
 
 #[test]
@@ -145,7 +153,7 @@
     // Both directions are cut, then one alone: what the fronts say arrives and what the service says does not. Then calls are
     // refused, and at last all heals.
     let history = History::default();
-    let list = ListService::new(&history, Mode::Serves);
+    let list = ListService::new(&history, ServiceMode::Serve);
     let (near, far) = (Link::new(list.address), Link::new(list.address));
     let mut fleet = fleet_by(32, |n| {
         if n % 2 == 0 {
@@ -154,9 +162,12 @@
             far.address
         }
     });
-    history.until("fronts that are served", 32, served);
+    history.wait_for("fronts that are served", 32, served);
     let whole = history.now();
-    for (there, back) in [(Way::Cut, Way::Cut), (Way::Pass, Way::Cut)] {
+    for (there, back) in [
+        (Transmission::Cut, Transmission::Cut),
+        (Transmission::Pass, Transmission::Cut),
+    ] {
         far.set(there, back);
         // A silence is noticed after 2.5 s; then they call within their share.
         std::thread::sleep(9 * S);
@@ -164,61 +175,63 @@
     far.reset();
     far.refuse(true);
     std::thread::sleep(6 * S);
-    let (second, at) = history.most(whole + 4 * S, history.now(), S, call);
+    let (second, at) = history.max_in_window(whole + 4 * S, history.now(), S, call);
     assert!(second <= BUDGET, "{second} calls in the second from {at:?}");
-    let before = history.moments(served).len();
+    let before = history.timestamps(served).len();
     let back = history.now();
     far.heal();
-    let all = history.until("fronts that are served again", before + 16, served);
+    let all = history.wait_for("fronts that are served again", before + 16, served);
     assert!(
         all <= back + SERVED_BY,
         "all are served {:?} after the link healed",
         all - back
     );
     // Those that reach the service never left it: sixteen connections are as old as the fleet.
-    let left = history.moments(|seen| *seen == Seen::Left).len();
+    let left = history
+        .timestamps(|seen| *seen == Observation::SubscriptionEnded)
+        .len();
     assert_eq!(
-        history.moments(served).len() - left,
+        history.timestamps(served).len() - left,
         32,
         "each front has one connection"
     );
     assert_eq!(
         history
-            .moments(call)
+            .timestamps(call)
             .iter()
             .filter(|at| **at < whole)
             .count(),
         32
     );
     drop(near);
-    assert_eq!(fleet.dead(), []);
+    assert_eq!(fleet.exited(), []);
 }
 
 #[test]
 fn a_service_that_flaps_each_second_is_called_within_the_budget_and_all_are_served_once_it_stays() {
     let history = History::default();
-    let list = ListService::new(&history, Mode::Serves);
+    let list = ListService::new(&history, ServiceMode::Serve);
     let mut fleet = fleet(40, &list);
-    history.until("all are served at first", 40, served);
+    history.wait_for("all are served at first", 40, served);
     // Their connections were well by then; each break after that is one of a service that fails.
     std::thread::sleep(3 * S);
     let began = history.now();
     for flap in 0..10 {
         list.set(if flap % 2 == 0 {
-            Mode::Closes
+            ServiceMode::Close
         } else {
-            Mode::Serves
+            ServiceMode::Serve
         });
         std::thread::sleep(S);
     }
     let (from, to) = (began + S, history.now());
     let calls = history
-        .moments(call)
+        .timestamps(call)
         .into_iter()
         .filter(|at| (from..to).contains(at))
         .count();
-    let (second, at) = history.most(from, to, S, call);
-    let (tenth, _) = history.most(from, to, S / 10, call);
+    let (second, at) = history.max_in_window(from, to, S, call);
+    let (tenth, _) = history.max_in_window(from, to, S / 10, call);
     let mean = calls as f64 / (to - from).as_secs_f64();
     // A front that was served for a moment begins its share anew at its place, so a second has more in it than where the service
     // fails all the time; the mean keeps to the budget of ten.
@@ -227,10 +240,11 @@
         "{mean:.1} a second, {second} calls in the second from {at:?}, {tenth} in 100 ms"
     );
     assert!(mean >= 4.0, "{mean:.1} calls a second: it is still called");
-    list.set(Mode::Serves);
+    list.set(ServiceMode::Serve);
     let back = history.now();
-    // Each door tells of a connection that is served, and of its end.
-    let held = || history.count(served) - history.count(|seen| *seen == Seen::Left);
+    // Each front tells of a connection that is served, and of its end.
+    let held =
+        || history.count(served) - history.count(|seen| *seen == Observation::SubscriptionEnded);
     while held() < 40 {
         assert!(
             history.now() <= back + SERVED_BY,
@@ -239,5 +253,5 @@
         );
         std::thread::sleep(S / 100);
     }
-    assert_eq!(fleet.dead(), []);
+    assert_eq!(fleet.exited(), []);
 }
--- a/front/tests/syscalls.rs
+++ b/front/tests/syscalls.rs
@@ -1,6 +1,8 @@
 //! System calls on sockets fail in the ways that Linux documents: no request is lost by that, none runs twice, and the time that
 //! nodes are told is no longer than what the client has left.
-use cranesill_rig::{Call, History, Mood, Seen, Shape, SocketFaults, Stage};
+use cranesill_rig::{
+    Behavior, ClusterSize, History, Observation, SocketFaults, SystemCall, TestCluster,
+};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,16 +18,16 @@
 /// What each visitor says that it waits for.
 const LIMIT: Duration = Duration::from_millis(2_400);
 
-fn stage(change: impl Fn(&mut Value), sides: usize, seed: u64) -> Stage {
+fn stage(change: impl Fn(&mut Value), sides: usize, seed: u64) -> TestCluster {
     let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     change(&mut base);
-    let shape = Shape {
+    let shape = ClusterSize {
         fronts: 1,
         caches: 3,
         parents: 1,
         sides,
     };
-    Stage::start(
+    TestCluster::start(
         Path::new(env!("CARGO_BIN_EXE_cranesill")),
         shape,
         &base,
@@ -44,14 +46,14 @@
 static VISITORS: AtomicU32 = AtomicU32::new(16);
 
 impl Visitors {
-    fn begin(stage: &Stage, count: u32, requests: usize, pause: Duration) -> Self {
+    fn begin(stage: &TestCluster, count: u32, requests: usize, pause: Duration) -> Self {
         let over = Arc::new(AtomicBool::new(false));
         let address = stage.fleet.address(0);
         let threads = (0..count).map(|_| {
             let (over, history, class) = (
                 Arc::clone(&over),
                 stage.history.clone(),
-                stage.asks.read.clone(),
+                stage.load.read.clone(),
             );
             let which = VISITORS.fetch_add(1, Ordering::SeqCst) % 0xff;
             thread::spawn(move || {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Asks once and waits for the answer; whether it came.
+    /// ClientLoad once and waits for the answer; whether it came.
     fn ask(&mut self, socket: &mut TcpStream) -> bool {
         self.stream += 1;
         let txn = (1 << 40) | (u64::from(self.which) << 32) | u64::from(self.stream);
@@ -123,14 +125,17 @@
         }
         let length = (5 + payload.len()) as u32;
         let head = [&length.to_be_bytes()[..], &[10], &self.stream.to_be_bytes()].concat();
-        self.history.note(Seen::Asked { front: 0, txn });
+        self.history
+            .record(Observation::ClientRequest { front: 0, txn });
         let answered = socket
             .write_all(&[head, payload].concat())
             .and_then(|()| self.answer(socket));
         let seen = answered
             .as_ref()
-            .map_or(Seen::Lost(0, txn), |code| Seen::Answered(0, txn, *code));
-        self.history.note(seen);
+            .map_or(Observation::ClientUnanswered(0, txn), |code| {
+                Observation::ClientResponse(0, txn, *code)
+            });
+        self.history.record(seen);
         answered.is_ok()
     }
 
@@ -148,25 +153,27 @@
     }
 }
 
-fn is_served(seen: &Seen) -> bool {
-    matches!(seen, Seen::Answered(_, _, 1))
+fn is_served(seen: &Observation) -> bool {
+    matches!(seen, Observation::ClientResponse(_, _, 1))
 }
 
 /// Requests that were answered, but not served.
-fn turned_down(stage: &Stage) -> usize {
+fn turned_down(stage: &TestCluster) -> usize {
     stage
         .history
-        .count(|seen| matches!(seen, Seen::Answered(_, _, code) if *code != 1))
+        .count(|seen| matches!(seen, Observation::ClientResponse(_, _, code) if *code != 1))
 }
 
 /// By how much nodes were told more time than clients had left, of each attempt of the visitors' requests.
-fn over_time_left(stage: &Stage) -> Vec<Duration> {
+fn over_time_left(stage: &TestCluster) -> Vec<Duration> {
     let mut asked = std::collections::HashMap::new();
     let mut over = Vec::new();
-    for (at, seen) in stage.history.all() {
+    for (at, seen) in stage.history.observations() {
         match seen {
-            Seen::Asked { txn, .. } if (txn >> 32) & 0xff >= 16 => drop(asked.insert(txn, at)),
-            Seen::TimeLeft {
+            Observation::ClientRequest { txn, .. } if (txn >> 32) & 0xff >= 16 => {
+                asked.insert(txn, at);
+            }
+            Observation::TimeLeft {
                 txn,
                 left_ms,
                 read_delay,
@@ -185,7 +192,7 @@
 }
 
 /// Nodes were told no more time than clients had left.
-fn time_left_is_kept(stage: &Stage) {
+fn time_left_is_kept(stage: &TestCluster) {
     let told = over_time_left(stage);
     let over: Vec<_> = told.iter().filter(|over| **over > LEFT_SLACK).collect();
     assert!(
@@ -197,31 +204,32 @@
 }
 
 /// Processor time that the front has used.
-fn core_time(stage: &Stage) -> Duration {
+fn core_time(stage: &TestCluster) -> Duration {
     let stat =
-        std::fs::read_to_string(format!("/proc/{}/stat", stage.fleet.id(0).unwrap())).unwrap();
+        std::fs::read_to_string(format!("/proc/{}/stat", stage.fleet.process_id(0).unwrap()))
+            .unwrap();
     let fields: Vec<_> = stat.rsplit(") ").next().unwrap().split(' ').collect();
     let ticks: u64 = fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap();
     Duration::from_millis(ticks * 10)
 }
 
 /// Runs some load for some time, while calls fail, and waits until so many were served.
-fn under(stage: &Stage, faults: &SocketFaults, time: Duration) {
-    let before = stage.fleet.machines[0].socket_faults();
-    stage.fleet.machines[0].sockets(Some(faults));
+fn under(stage: &TestCluster, faults: &SocketFaults, time: Duration) {
+    let before = stage.fleet.injectors[0].socket_fault_count();
+    stage.fleet.injectors[0].set_socket_faults(Some(faults));
     thread::sleep(time);
-    stage.served("answers while calls fail", 20);
-    stage.fleet.machines[0].sockets(None);
-    let cut_short = faults.read_most > 0;
+    stage.wait_served("answers while calls fail", 20);
+    stage.fleet.injectors[0].set_socket_faults(None);
+    let cut_short = faults.max_read_bytes > 0;
     assert!(
-        cut_short || stage.fleet.machines[0].socket_faults() > before,
+        cut_short || stage.fleet.injectors[0].socket_fault_count() > before,
         "{faults:?}: nothing failed"
     );
 }
 
 /// The rules hold, all was served, and nodes were told no more time than there was.
-fn all_is_well(stage: &mut Stage, seed: u64) {
-    stage.keeps_the_rules(seed);
+fn all_is_well(stage: &mut TestCluster, seed: u64) {
+    stage.assert_no_violations(seed);
     let (served, not) = (stage.history.count(is_served), turned_down(stage));
     assert!(
         not * 100 <= served,
@@ -251,27 +259,27 @@
 #[test]
 fn errors_of_accept_cost_nobody_a_connection() {
     let mut stage = stage(|_| {}, 0, 61);
-    stage.asks.pause = 30 * MS;
-    stage.asks.at_once = 4;
+    stage.load.pause = 30 * MS;
+    stage.load.connections_per_front = 4;
     // Some come anew for each request, some stay.
-    let stay = stage.clients(61);
+    let stay = stage.start_clients(61);
     let visitors = Visitors::begin(&stage, 6, 1, 5 * MS);
-    stage.served("the first answers", 100);
+    stage.wait_served("the first answers", 100);
     for errno in OF_ACCEPT {
         under(
             &stage,
-            &SocketFaults::all(&[Call::Accept], errno).every(2),
+            &SocketFaults::all(&[SystemCall::Accept], errno).every(2),
             100 * MS,
         );
         if errno == libc::EINTR {
             // The standard library repeats an interrupted call for as long as it is interrupted.
             continue;
         }
-        let burst = SocketFaults::all(&[Call::Accept], errno).burst(150 * MS, 500 * MS);
+        let burst = SocketFaults::all(&[SystemCall::Accept], errno).burst(150 * MS, 500 * MS);
         under(&stage, &burst, 600 * MS);
     }
     visitors.end();
-    stay.end();
+    stay.stop();
     all_is_well(&mut stage, 61);
 }
 
@@ -283,42 +291,43 @@
         (libc::EMFILE, 64),
     ] {
         let mut stage = stage(|_| {}, 0, seed);
-        let stay = stage.clients(seed);
-        stage.served("the first answers", 20);
-        stage.fleet.machines[0].sockets(Some(&SocketFaults::all(&[Call::Accept], errno)));
+        let stay = stage.start_clients(seed);
+        stage.wait_served("the first answers", 20);
+        stage.fleet.injectors[0]
+            .set_socket_faults(Some(&SocketFaults::all(&[SystemCall::Accept], errno)));
         let (began, used) = (Instant::now(), core_time(&stage));
         let visitors = Visitors::begin(&stage, 4, 3, 5 * MS);
         thread::sleep(1_200 * MS);
         let (used, passed) = (core_time(&stage) - used, began.elapsed());
         assert!(used < passed / 4, "{errno}: {used:?} of {passed:?}");
-        stage.fleet.machines[0].sockets(None);
-        let visitor =
-            |seen: &Seen| matches!(seen, Seen::Answered(_, txn, 1) if (txn >> 32) & 0xff >= 16);
+        stage.fleet.injectors[0].set_socket_faults(None);
+        let visitor = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, txn, 1) if (txn >> 32) & 0xff >= 16);
         stage
             .history
-            .until("those that waited are answered", 12, visitor);
+            .wait_for("those that waited are answered", 12, visitor);
         visitors.end();
-        stay.end();
+        stay.stop();
         all_is_well(&mut stage, seed);
     }
 }
 
 /// Descriptors that the front has open.
-fn descriptors(stage: &Stage) -> Vec<u64> {
-    let open = std::fs::read_dir(format!("/proc/{}/fd", stage.fleet.id(0).unwrap())).unwrap();
+fn descriptors(stage: &TestCluster) -> Vec<u64> {
+    let open =
+        std::fs::read_dir(format!("/proc/{}/fd", stage.fleet.process_id(0).unwrap())).unwrap();
     open.map(|file| file.unwrap().file_name().to_str().unwrap().parse().unwrap())
         .collect()
 }
 
 /// From now on the front may have only a few descriptors more than it has; the first number that it may not open.
-fn allow_few_more_descriptors(stage: &Stage) -> u64 {
+fn allow_few_more_descriptors(stage: &TestCluster) -> u64 {
     let open = descriptors(stage);
     let most = (0..).find(|number| !open.contains(number)).unwrap() + 4;
     let limit = libc::rlimit {
         rlim_cur: most,
         rlim_max: most,
     };
-    let process = stage.fleet.id(0).unwrap() as i32;
+    let process = stage.fleet.process_id(0).unwrap() as i32;
     // SAFETY: the call reads the limit that it is given; the process was begun by this test.
     let set = unsafe {
         libc::prlimit(
@@ -336,7 +345,7 @@
 fn a_lack_of_descriptors_that_is_real_costs_idle_clients_alone_their_connection() {
     let mut stage = stage(|_| {}, 0, 65);
     let address = stage.fleet.address(0);
-    let class = stage.asks.read.clone();
+    let class = stage.load.read.clone();
     let mut visitor = Visitor {
         history: stage.history.clone(),
         class,
@@ -353,8 +362,7 @@
     }
     // What asks now and then stays; the others are closed as far as it takes.
     let visitors = Visitors::begin(&stage, 2, 4, 20 * MS);
-    let served =
-        |seen: &Seen| matches!(seen, Seen::Answered(_, txn, 1) if (txn >> 32) & 0xff < 0xf0);
+    let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, txn, 1) if (txn >> 32) & 0xff < 0xf0);
     while stage.history.count(served) < 16 {
         assert!(
             visitor.ask(&mut busy),
@@ -368,20 +376,20 @@
         "{}",
         stage.fleet.log(0)
     );
-    stage.keeps_the_rules(65);
+    stage.assert_no_violations(65);
 }
 
 #[test]
 fn a_lack_of_descriptors_costs_no_client_its_connection_that_asks_now_and_then() {
     let mut stage = stage(|_| {}, 0, 72);
     let visitors = Visitors::begin(&stage, 6, 6, 700 * MS);
-    stage.served("the first answers", 8);
+    stage.wait_served("the first answers", 8);
     let most = allow_few_more_descriptors(&stage);
     // They say nothing, and there are not enough places for all of them.
     let address = stage.fleet.address(0);
     let mut newcomers = Vec::new();
-    let lacks = |stage: &Stage| stage.fleet.log(0).contains("Too many open files");
-    let guard = Instant::now() + cranesill_rig::GUARD;
+    let lacks = |stage: &TestCluster| stage.fleet.log(0).contains("Too many open files");
+    let guard = Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     while !lacks(&stage) {
         assert!(
             Instant::now() < guard,
@@ -396,7 +404,7 @@
     thread::sleep(900 * MS);
     drop(newcomers);
     visitors.end();
-    stage.keeps_the_rules(72);
+    stage.assert_no_violations(72);
 }
 
 #[test]
@@ -405,7 +413,7 @@
     let short = |base: &mut Value| base["settings"]["policyLimits"]["connIdle"] = 20_000.into();
     let mut stage = stage(short, 0, 66);
     let visitors = Visitors::begin(&stage, 8, 2, 290 * MS);
-    stage.served("the first answers", 30);
+    stage.wait_served("the first answers", 30);
     let of_socket = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     let of_connect = [
         libc::EADDRNOTAVAIL,
@@ -416,8 +424,10 @@
         libc::ENOMEM,
         libc::EAGAIN,
     ];
-    let calls = of_socket.map(|errno| (Call::Socket, errno)).into_iter();
-    for (call, errno) in calls.chain(of_connect.map(|errno| (Call::Connect, errno))) {
+    let calls = of_socket
+        .map(|errno| (SystemCall::Socket, errno))
+        .into_iter();
+    for (call, errno) in calls.chain(of_connect.map(|errno| (SystemCall::Connect, errno))) {
         under(
             &stage,
             &SocketFaults::all(&[call], errno).every(2),
@@ -448,23 +458,24 @@
         libc::EINTR,
     ] {
         stage.kill(&[0]);
-        let before = stage.fleet.machines[0].socket_faults();
-        stage.fleet.machines[0].sockets(Some(&SocketFaults::all(&[Call::Socket], errno)));
+        let before = stage.fleet.injectors[0].socket_fault_count();
+        stage.fleet.injectors[0]
+            .set_socket_faults(Some(&SocketFaults::all(&[SystemCall::Socket], errno)));
         stage.fleet.restart([0]);
-        let guard = Instant::now() + cranesill_rig::GUARD;
-        while stage.fleet.machines[0].socket_faults() < before + 5 {
-            let dead = stage.fleet.dead();
+        let guard = Instant::now() + cranesill_rig::WAIT_TIMEOUT;
+        while stage.fleet.injectors[0].socket_fault_count() < before + 5 {
+            let dead = stage.fleet.exited();
             assert!(
                 dead.is_empty() && Instant::now() < guard,
                 "{errno}: {dead:?}"
             );
             thread::yield_now();
         }
-        stage.fleet.machines[0].sockets(None);
+        stage.fleet.injectors[0].set_socket_faults(None);
         stage.fleet.address(0);
     }
     let visitors = Visitors::begin(&stage, 2, 2, 5 * MS);
-    stage.served("answers after all", 20);
+    stage.wait_served("answers after all", 20);
     visitors.end();
     all_is_well(&mut stage, 67);
 }
@@ -473,30 +484,30 @@
 fn a_front_that_starts_while_calls_fail_serves_all_that_is_asked() {
     let mut stage = stage(|_| {}, 0, 73);
     let faults = [
-        (Call::Accept, libc::ENOBUFS),
-        (Call::Accept, libc::ECONNABORTED),
-        (Call::Connect, libc::EADDRNOTAVAIL),
-        (Call::Connect, libc::ENETUNREACH),
-        (Call::ReadAccepted, libc::EINTR),
-        (Call::ReadDialled, libc::EAGAIN),
-        (Call::WriteAccepted, libc::EAGAIN),
-        (Call::WriteDialled, libc::EINTR),
+        (SystemCall::Accept, libc::ENOBUFS),
+        (SystemCall::Accept, libc::ECONNABORTED),
+        (SystemCall::Connect, libc::EADDRNOTAVAIL),
+        (SystemCall::Connect, libc::ENETUNREACH),
+        (SystemCall::ReadInbound, libc::EINTR),
+        (SystemCall::ReadOutbound, libc::EAGAIN),
+        (SystemCall::WriteInbound, libc::EAGAIN),
+        (SystemCall::WriteOutbound, libc::EINTR),
     ];
     for (call, errno) in faults {
         stage.kill(&[0]);
-        let before = stage.fleet.machines[0].socket_faults();
+        let before = stage.fleet.injectors[0].socket_fault_count();
         let every_other = SocketFaults::all(&[call], errno).every(2);
-        stage.fleet.machines[0].sockets(Some(&every_other));
+        stage.fleet.injectors[0].set_socket_faults(Some(&every_other));
         stage.fleet.restart([0]);
         stage.fleet.address(0);
         let visitors = Visitors::begin(&stage, 4, 3, 5 * MS);
-        stage.served("answers while calls fail from the start on", 40);
+        stage.wait_served("answers while calls fail from the start on", 40);
         visitors.end();
         assert!(
-            stage.fleet.machines[0].socket_faults() > before,
+            stage.fleet.injectors[0].socket_fault_count() > before,
             "{call:?}: nothing failed"
         );
-        stage.fleet.machines[0].sockets(None);
+        stage.fleet.injectors[0].set_socket_faults(None);
     }
     all_is_well(&mut stage, 73);
 }
@@ -506,11 +517,17 @@
     let mut stage = stage(|_| {}, 0, 68);
     stage.kill(&[0]);
     let lines = stage.fleet.log(0).lines().count();
-    stage.fleet.machines[0].sockets(Some(&SocketFaults::all(&[Call::Socket], libc::ENOBUFS)));
+    stage.fleet.injectors[0].set_socket_faults(Some(&SocketFaults::all(
+        &[SystemCall::Socket],
+        libc::ENOBUFS,
+    )));
     let began = Instant::now();
     stage.fleet.restart([0]);
-    while stage.fleet.dead().is_empty() {
-        assert!(began.elapsed() < cranesill_rig::GUARD, "it does not end");
+    while stage.fleet.exited().is_empty() {
+        assert!(
+            began.elapsed() < cranesill_rig::WAIT_TIMEOUT,
+            "it does not end"
+        );
         thread::sleep(10 * MS);
     }
     assert!(began.elapsed() >= 4_900 * MS, "{:?}", began.elapsed());
@@ -546,18 +563,18 @@
 #[test]
 fn reads_and_writes_of_any_length_and_interrupted_ones_change_nothing() {
     let mut stage = stage(|_| {}, 0, 69);
-    stage.asks.at_once = 2;
-    let stay = stage.clients(69);
+    stage.load.connections_per_front = 2;
+    let stay = stage.start_clients(69);
     let visitors = Visitors::begin(&stage, 3, 3, 5 * MS);
-    stage.served("the first answers", 30);
+    stage.wait_served("the first answers", 30);
     for bytes in (1..=40).chain([63, 64, 65, 127, 255, 256, 1_000]) {
         under(&stage, &SocketFaults::short(bytes), 20 * MS);
     }
     let all = [
-        Call::ReadDialled,
-        Call::WriteDialled,
-        Call::ReadAccepted,
-        Call::WriteAccepted,
+        SystemCall::ReadOutbound,
+        SystemCall::WriteOutbound,
+        SystemCall::ReadInbound,
+        SystemCall::WriteInbound,
     ];
     for errno in [libc::EINTR, libc::EAGAIN] {
         for (every, bytes) in [(2, 0), (3, 7), (5, 1)] {
@@ -565,8 +582,8 @@
             under(
                 &stage,
                 &SocketFaults {
-                    read_most: bytes,
-                    write_most: bytes,
+                    max_read_bytes: bytes,
+                    max_write_bytes: bytes,
                     ..faults
                 },
                 100 * MS,
@@ -576,10 +593,10 @@
     // Waits are interrupted by signals.
     for _ in 0..20 {
         stage.fleet.signal([0], libc::SIGHUP);
-        stage.served("answers between signals", 2);
+        stage.wait_served("answers between signals", 2);
     }
     visitors.end();
-    stay.end();
+    stay.stop();
     all_is_well(&mut stage, 69);
 }
 
@@ -594,49 +611,49 @@
 #[test]
 fn connections_to_nodes_that_break_by_any_error_lose_no_request_and_run_none_twice() {
     let mut stage = stage(|_| {}, 0, 70);
-    stage.asks.at_once = 6;
-    let stay = stage.clients(70);
+    stage.load.connections_per_front = 6;
+    let stay = stage.start_clients(70);
     let visitors = Visitors::begin(&stage, 3, 3, 5 * MS);
-    stage.served("the first answers", 30);
+    stage.wait_served("the first answers", 30);
     for errno in BROKEN {
-        for call in [Call::ReadDialled, Call::WriteDialled] {
+        for call in [SystemCall::ReadOutbound, SystemCall::WriteOutbound] {
             under(
                 &stage,
                 &SocketFaults::all(&[call], errno).every(40),
                 200 * MS,
             );
-            stage.served("answers once calls are well", 20);
+            stage.wait_served("answers once calls are well", 20);
         }
     }
     visitors.end();
-    stay.end();
-    stage.keeps_the_rules(70);
+    stay.stop();
+    stage.assert_no_violations(70);
 }
 
 #[test]
 fn connections_of_clients_that_break_by_any_error_harm_nobody_else() {
     let mut stage = stage(|_| {}, 0, 71);
-    stage.asks.at_once = 6;
-    (0..3).for_each(|place| stage.nodes.set(place, Mood::Answers(5 * MS)));
-    let stay = stage.clients(71);
-    stage.served("the first answers", 30);
+    stage.load.connections_per_front = 6;
+    (0..3).for_each(|place| stage.nodes.set(place, Behavior::Respond(5 * MS)));
+    let stay = stage.start_clients(71);
+    stage.wait_served("the first answers", 30);
     for errno in BROKEN {
-        for call in [Call::ReadAccepted, Call::WriteAccepted] {
+        for call in [SystemCall::ReadInbound, SystemCall::WriteInbound] {
             under(
                 &stage,
                 &SocketFaults::all(&[call], errno).every(25),
                 200 * MS,
             );
-            stage.served("answers once calls are well", 20);
+            stage.wait_served("answers once calls are well", 20);
         }
     }
-    stay.end();
+    stay.stop();
     // Whose connection has broken hears no answer; all else holds.
     let broken: Vec<_> = stage
-        .breaches()
+        .violations()
         .into_iter()
         .filter(|breach| breach.rule != "answer")
         .collect();
     assert!(broken.is_empty(), "{broken:#?}");
-    assert!(stage.fleet.dead().is_empty(), "{}", stage.fleet.log(0));
+    assert!(stage.fleet.exited().is_empty(), "{}", stage.fleet.log(0));
 }
--- a/rig/src/clients.rs
+++ b/rig/src/clients.rs
@@ -1,5 +1,5 @@
 //! Clients: one thread a front, one request at a time, each noted with what became of it.
-use crate::history::{History, Seen};
+use crate::history::{History, Observation};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,7 +15,7 @@
 
 /// What clients ask.
 #[derive(Clone, Debug)]
-pub struct Asks {
+pub struct ClientLoad {
     /// Classes that may run twice and those that must not; one in ten is of the latter.
     pub read: String,
     /// The class that must not run twice.
@@ -23,7 +23,7 @@
     /// Different objects.
     pub objects: u64,
     /// Connections to each front, each with one request at a time.
-    pub at_once: usize,
+    pub connections_per_front: usize,
     /// Pause after an answer.
     pub pause: Duration,
     /// When a client gives up.
@@ -41,12 +41,13 @@
 
 impl Clients {
     /// Begins to ask each front.
-    pub fn begin(history: &History, addresses: &Addresses, asks: &Asks, seed: u64) -> Self {
+    pub fn start(history: &History, addresses: &Addresses, load: &ClientLoad, seed: u64) -> Self {
         let over = Arc::new(AtomicBool::new(false));
         let count = addresses.lock().expect("no holder panics").len();
-        let each = (0..count).flat_map(|front| (0..asks.at_once).map(move |which| (front, which)));
+        let each = (0..count)
+            .flat_map(|front| (0..load.connections_per_front).map(move |which| (front, which)));
         let threads = each.map(|(front, which)| {
-            let (history, addresses, asks) = (history.clone(), Arc::clone(addresses), asks.clone());
+            let (history, addresses, load) = (history.clone(), Arc::clone(addresses), load.clone());
             let over = Arc::clone(&over);
             let rng = (seed
                 ^ ((which * count + front) as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
@@ -57,7 +58,7 @@
                     which,
                     rng,
                     stream: 0,
-                    asks,
+                    load,
                 }
                 .run(&history, &addresses, &over)
             })
@@ -69,7 +70,7 @@
     }
 
     /// No new requests; waits until what was asked is answered or given up.
-    pub fn end(mut self) {
+    pub fn stop(mut self) {
         self.over.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
             thread.join().expect("a client does not panic");
@@ -89,7 +90,7 @@
     which: usize,
     rng: u64,
     stream: u32,
-    asks: Asks,
+    load: ClientLoad,
 }
 
 fn field(payload: &mut Vec<u8>, name: &str, value: &str) {
@@ -124,7 +125,7 @@
                         && same()
                         && self.once(&socket, history).is_ok()
                     {
-                        thread::sleep(self.asks.pause);
+                        thread::sleep(self.load.pause);
                     }
                 }
                 None => thread::sleep(Duration::from_millis(5)),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Asks once and hears the answer. An error: the connection is of no further use.
+    /// ClientLoad once and hears the answer. An error: the connection is of no further use.
     fn once(&mut self, mut socket: &TcpStream, history: &History) -> std::io::Result<()> {
         self.stream += 1;
         let (front, stream) = (self.front, self.stream);
@@ -140,12 +141,12 @@
         let write = self.roll().is_multiple_of(10);
         let (class, item) = (
             if write {
-                &self.asks.write
+                &self.load.write
             } else {
-                &self.asks.read
+                &self.load.read
             }
             .clone(),
-            self.roll() % self.asks.objects,
+            self.roll() % self.load.objects,
         );
         let mut payload = vec![4];
         field(&mut payload, "verb", &class);
@@ -153,7 +154,7 @@
         field(
             &mut payload,
             "limit",
-            &self.asks.limit.as_millis().to_string(),
+            &self.load.limit.as_millis().to_string(),
         );
         field(&mut payload, "item", &format!("{item:016x}"));
         if write {
@@ -167,14 +168,14 @@
             &payload,
         ]
         .concat();
-        history.note(Seen::Asked { front, txn });
-        let until = Instant::now() + self.asks.limit + PATIENCE;
+        history.record(Observation::ClientRequest { front, txn });
+        let until = Instant::now() + self.load.limit + PATIENCE;
         let done = socket
             .write_all(&frame)
             .and_then(|()| self.hear(socket, history, txn, until));
         if done.is_err() {
             // The connection ended, or it is given up.
-            history.note(Seen::Lost(front, txn));
+            history.record(Observation::ClientUnanswered(front, txn));
         }
         done
     }
@@ -206,7 +207,7 @@
             let stream = u32::from_be_bytes([frame[1], frame[2], frame[3], frame[4]]);
             let code = frame.get(5).copied().unwrap_or(0);
             let of = self.txn(stream);
-            history.note(Seen::Answered(self.front, of, code));
+            history.record(Observation::ClientResponse(self.front, of, code));
             if of == txn {
                 return Ok(());
             }
--- a/rig/src/event.rs
+++ b/rig/src/event.rs
@@ -9,12 +9,12 @@
     /// It drains.
     Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// A node as it is listed; where it listens depends on who is told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedNode {
     /// Its place among the nodes.
     pub place: usize,
     /// Its id.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Nodes that are listed; `true`: all that there are.
-    Nodes(bool, Vec<Listed>),
+    Nodes(bool, Vec<ListedNode>),
     /// An object is purged, at a Unix millisecond.
     Purge(u64, u64),
 }
@@ -53,7 +53,7 @@
                     let state = match one.state {
                         State::Ready => 0,
                         State::Draining => 1,
-                        State::Gone => 2,
+                        State::Removed => 2,
                     };
                     payload.extend(one.id.to_be_bytes());
                     payload.extend(at.ip().octets());
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// What the machine of one process does, as the library that is loaded into it is told (`shim/`).
-pub struct Machine {
+pub struct FaultInjector {
     words: std::fs::File,
 }
 
-impl Machine {
+impl FaultInjector {
     fn new(file: &Path) -> Self {
         let words = std::fs::File::options()
             .create(true)
@@ -22,7 +22,7 @@
             .read(true)
             .write(true)
             .open(file);
-        let machine = Machine {
+        let machine = FaultInjector {
             words: words.expect("a file"),
         };
         (0..crate::socket_faults::END).for_each(|place| machine.say(place, 0));
@@ -36,17 +36,17 @@
     }
 
     /// Its wall clock is ahead by so many milliseconds, or behind.
-    pub fn clock(&self, ahead_ms: i64) {
+    pub fn set_clock_offset(&self, ahead_ms: i64) {
         self.say(0, ahead_ms);
     }
 
     /// Files under [`Fleet::disk`] can't be written; syncs of them fail.
-    pub fn disk(&self, full: bool, unsynced: bool) {
+    pub fn set_disk_faults(&self, full: bool, unsynced: bool) {
         self.say(1, i64::from(full) | i64::from(unsynced) << 1);
     }
 
     /// System calls on its sockets fail or are cut short like this; `None`: they do what the system does.
-    pub fn sockets(&self, faults: Option<&SocketFaults>) {
+    pub fn set_socket_faults(&self, faults: Option<&SocketFaults>) {
         // The mask comes last and goes first: no call sees half of what is said.
         self.say(crate::socket_faults::MASK, 0);
         let words = faults.map(SocketFaults::words).unwrap_or_default();
@@ -56,8 +56,8 @@
             .for_each(|(place, word)| self.say(place, word));
     }
 
-    /// How many system calls on its sockets have failed by [`Machine::sockets`] since it was made.
-    pub fn socket_faults(&self) -> i64 {
+    /// How many system calls on its sockets have failed by [`FaultInjector::sockets`] since it was made.
+    pub fn socket_fault_count(&self) -> i64 {
         let mut word = [0; 8];
         self.words
             .read_exact_at(&mut word, crate::socket_faults::COUNT * 8)
@@ -66,7 +66,7 @@
     }
 
     /// A sync of such a file takes this long.
-    pub fn sync(&self, takes: Duration) {
+    pub fn set_sync_delay(&self, takes: Duration) {
         self.say(2, takes.as_millis() as i64);
     }
 }
@@ -92,7 +92,7 @@
     settings: bool,
     shim: PathBuf,
     /// Of each process, dead or alive.
-    pub machines: Vec<Machine>,
+    pub injectors: Vec<FaultInjector>,
     processes: Vec<Option<Child>>,
     /// How often each was started.
     starts: Vec<usize>,
@@ -109,11 +109,11 @@
         settings: Option<&Value>,
         config: impl Fn(usize) -> Value,
     ) -> Self {
-        Fleet::on(binary, count, settings, &[], config)
+        Fleet::start_with_clocks(binary, count, settings, &[], config)
     }
 
-    /// The same on machines whose wall clocks are ahead by so many milliseconds.
-    pub fn on(
+    /// The same on injectors whose wall clocks are ahead by so many milliseconds.
+    pub fn start_with_clocks(
         binary: &Path,
         count: usize,
         settings: Option<&Value>,
@@ -122,12 +122,12 @@
     ) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let (binary, starts) = (binary.to_path_buf(), vec![1; count]);
-        let machine = |n: usize| Machine::new(&folder.path().join(format!("{n}.machine")));
-        let machines: Vec<_> = (0..count).map(machine).collect();
-        machines
+        let machine = |n: usize| FaultInjector::new(&folder.path().join(format!("{n}.machine")));
+        let injectors: Vec<_> = (0..count).map(machine).collect();
+        injectors
             .iter()
             .zip(clocks)
-            .for_each(|(machine, ahead)| machine.clock(*ahead));
+            .for_each(|(machine, ahead)| machine.set_clock_offset(*ahead));
         std::fs::create_dir(folder.path().join("disk")).expect("a folder");
         let (settings_on, processes) = (settings.is_some(), Vec::new());
         let shim = shim();
@@ -136,7 +136,7 @@
             folder,
             settings: settings_on,
             shim,
-            machines,
+            injectors,
             processes,
             starts,
         };
@@ -146,7 +146,7 @@
             file.expect("a file");
             if let Some(settings) = settings {
                 let text = settings.to_string().replace("{nnnn}", &format!("{n:04}"));
-                let text = text.replace("{disk}", &fleet.disk().display().to_string());
+                let text = text.replace("{disk}", &fleet.disk_dir().display().to_string());
                 std::fs::write(fleet.settings_file(n), text).expect("a file");
             }
         }
@@ -156,7 +156,7 @@
     }
 
     /// Where files of the processes lie whose disk is in the test's hand.
-    pub fn disk(&self) -> PathBuf {
+    pub fn disk_dir(&self) -> PathBuf {
         self.folder.path().join("disk")
     }
 
@@ -180,7 +180,7 @@
             .stdout(Stdio::null());
         command
             .env("LD_PRELOAD", &self.shim)
-            .env("CRANESILL_SHIM_FILES", self.disk());
+            .env("CRANESILL_SHIM_FILES", self.disk_dir());
         command.env(
             "CRANESILL_SHIM",
             self.folder.path().join(format!("{n}.machine")),
@@ -259,7 +259,7 @@
 
     /// Where the latest process of a front listens, once it does.
     pub fn address(&self, n: usize) -> SocketAddr {
-        let until = Instant::now() + crate::GUARD;
+        let until = Instant::now() + crate::WAIT_TIMEOUT;
         loop {
             let log = self.log(n);
             let lines: Vec<_> = log
@@ -278,7 +278,7 @@
     }
 
     /// Those that have ended by themselves, each with its log.
-    pub fn dead(&mut self) -> Vec<(usize, String)> {
+    pub fn exited(&mut self) -> Vec<(usize, String)> {
         let mut dead = Vec::new();
         for (n, child) in self.processes.iter_mut().enumerate() {
             if child
--- a/rig/src/history.rs
+++ b/rig/src/history.rs
@@ -4,35 +4,35 @@
 
 /// Something that was seen at a stand-in or done by the test. Fronts go by their number, nodes by their id, requests by theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum Observation {
     /// The list service accepted a connection.
     Call,
     /// A front named the last event that it holds, and is served from there.
-    Served(u64),
+    Subscribed(u64),
     /// The connection of a front that was served has ended.
-    Left,
+    SubscriptionEnded,
     /// The test changed something.
-    Mark,
+    ModeChanged,
     /// An event was written to a front.
-    Told(usize, u64),
+    EventSent(usize, u64),
     /// A front was killed: it knows nothing more than its configuration.
     Killed(usize),
     /// A front was stopped.
     Stopped(usize),
     /// A front that was stopped goes on, or one that was killed is there again.
-    Going(usize),
+    Resumed(usize),
     /// A front is not reached by the list service from now on, in one direction or both.
-    Deaf(usize),
+    FeedImpaired(usize),
     /// It is again.
-    Hears(usize),
+    FeedRestored(usize),
     /// What is said to a node may not arrive, or late, from now on; by a link of a side (from 1 on) or by itself (0).
-    Veiled(u32, usize),
+    NodeImpaired(u32, usize),
     /// It does again, as far as that is concerned.
-    Clear(u32, usize),
+    NodeRestored(u32, usize),
     /// A node accepted a connection.
-    Dialled(u32),
+    Accepted(u32),
     /// A request came to a node.
-    Sent {
+    Attempt {
         /// To whom it came.
         node: u32,
         /// Which it is.
@@ -54,30 +54,30 @@
         read_delay: Duration,
     },
     /// A node had no place for a connection, and closed it.
-    TurnedAway(u32),
+    ConnectionRejected(u32),
     /// A request that must not run twice was run.
-    Ran(u64),
+    Executed(u64),
     /// A node was told that nobody waits any more.
-    Off(u32, u64),
+    Aborted(u32, u64),
     /// The connection on which a request came to a node has ended.
-    Cut(u32, u64),
+    ConnectionLost(u32, u64),
     /// A node answered, from a copy of that age in Unix milliseconds or from none (0).
-    Done(u32, u64, u64),
+    Responded(u32, u64, u64),
     /// A client asked a front.
-    Asked {
+    ClientRequest {
         /// Which front.
         front: usize,
         /// Its id.
         txn: u64,
     },
     /// The client was answered: 1 served, 2 refused, 3 failed.
-    Answered(usize, u64, u8),
+    ClientResponse(usize, u64, u8),
     /// The client's connection ended before it was answered, or the client gave up.
-    Lost(usize, u64),
+    ClientUnanswered(usize, u64),
 }
 
 /// Moments with what was seen at them.
-type Moments = Mutex<Vec<(Duration, Seen)>>;
+type Moments = Mutex<Vec<(Duration, Observation)>>;
 
 /// One history for all that a test starts; cheap to copy.
 #[derive(Clone)]
@@ -97,7 +97,7 @@
 
 impl History {
     /// Notes what was seen now.
-    pub fn note(&self, seen: Seen) {
+    pub fn record(&self, seen: Observation) {
         let (all, more) = &*self.all;
         let mut all = all.lock().expect("no holder panics");
         // Under the lock: what is later in the history is not earlier in time.
@@ -111,7 +111,7 @@
     }
 
     /// Moments at which this was seen.
-    pub fn moments(&self, of: impl Fn(&Seen) -> bool) -> Vec<Duration> {
+    pub fn timestamps(&self, of: impl Fn(&Observation) -> bool) -> Vec<Duration> {
         let all = self.all.0.lock().expect("no holder panics");
         all.iter()
             .filter(|(_, seen)| of(seen))
@@ -120,19 +120,24 @@
     }
 
     /// All that was seen, in order.
-    pub fn all(&self) -> Vec<(Duration, Seen)> {
+    pub fn observations(&self) -> Vec<(Duration, Observation)> {
         self.all.0.lock().expect("no holder panics").clone()
     }
 
     /// How many of these were seen.
-    pub fn count(&self, of: impl Fn(&Seen) -> bool) -> usize {
-        self.moments(of).len()
+    pub fn count(&self, of: impl Fn(&Observation) -> bool) -> usize {
+        self.timestamps(of).len()
     }
 
     /// Waits until so many of these were seen, and returns when the last of them was. Panics with what was seen last if that
     /// takes longer than the guard.
-    pub fn until(&self, what: &str, count: usize, of: impl Fn(&Seen) -> bool) -> Duration {
-        let until = Instant::now() + crate::GUARD;
+    pub fn wait_for(
+        &self,
+        what: &str,
+        count: usize,
+        of: impl Fn(&Observation) -> bool,
+    ) -> Duration {
+        let until = Instant::now() + crate::WAIT_TIMEOUT;
         let (lock, more) = &*self.all;
         let mut all = lock.lock().expect("no holder panics");
         loop {
@@ -157,15 +162,15 @@
     }
 
     /// The most of these in any window of this length that begins at `from` or later, and when that window begins.
-    pub fn most(
+    pub fn max_in_window(
         &self,
         from: Duration,
         to: Duration,
         window: Duration,
-        of: impl Fn(&Seen) -> bool,
+        of: impl Fn(&Observation) -> bool,
     ) -> (usize, Duration) {
         let all: Vec<_> = self
-            .moments(of)
+            .timestamps(of)
             .into_iter()
             .filter(|at| (from..to).contains(at))
             .collect();
--- a/rig/src/history/tests.rs
+++ b/rig/src/history/tests.rs
@@ -5,21 +5,24 @@
     let history = History::default();
     let mut all = history.all.0.lock().unwrap();
     for (ms, seen) in [
-        (0, Seen::Call),
-        (5_000, Seen::Call),
-        (5_050, Seen::Call),
-        (5_080, Seen::Call),
-        (9_000, Seen::Left),
+        (0, Observation::Call),
+        (5_000, Observation::Call),
+        (5_050, Observation::Call),
+        (5_080, Observation::Call),
+        (9_000, Observation::SubscriptionEnded),
     ] {
         all.push((Duration::from_millis(ms), seen));
     }
     drop(all);
     let s = Duration::from_secs;
-    let calls = |seen: &Seen| *seen == Seen::Call;
-    assert_eq!(history.most(s(0), s(10), s(1) / 10, calls), (3, s(5)));
-    assert_eq!(history.most(s(6), s(10), s(1), calls), (0, s(6)));
+    let calls = |seen: &Observation| *seen == Observation::Call;
     assert_eq!(
-        history.until("calls", 4, calls),
+        history.max_in_window(s(0), s(10), s(1) / 10, calls),
+        (3, s(5))
+    );
+    assert_eq!(history.max_in_window(s(6), s(10), s(1), calls), (0, s(6)));
+    assert_eq!(
+        history.wait_for("calls", 4, calls),
         Duration::from_millis(5_080)
     );
 }
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -18,26 +18,26 @@
 mod socket_faults;
 mod stage;
 
-pub use clients::{Asks, Clients};
-pub use event::{Event, Listed, State};
-pub use fleet::{Fleet, Machine};
-pub use history::{History, Seen};
-pub use link::{Link, Way};
-pub use list::{ListService, Mode};
-pub use nodes::{Mood, Nodes};
-pub use rules::{around, breaches, pushed_over, Breach, Cold, Limits};
+pub use clients::{ClientLoad, Clients};
+pub use event::{Event, ListedNode, State};
+pub use fleet::{FaultInjector, Fleet};
+pub use history::{History, Observation};
+pub use link::{Link, Transmission};
+pub use list::{ListService, ServiceMode};
+pub use nodes::{Behavior, Nodes};
+pub use rules::{context, violations, warm_up_violations, Limits, Violation, WarmUpLimits};
 pub use script::{Fault, Script};
-pub use socket_faults::{Call, SocketFaults};
-pub use stage::{Shape, Stage};
+pub use socket_faults::{SocketFaults, SystemCall};
+pub use stage::{ClusterSize, TestCluster};
 
 use std::time::Duration;
 
 /// No test waits for longer than this: a guard against hanging, not a measure.
-pub const GUARD: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An address of this machine that nobody else listens on and nobody dials from: what is dialled from 127.0.0.1 has ports of that
 /// address, and one of them could otherwise be what a stand-in that was down wants back.
-pub fn own_address() -> std::net::SocketAddr {
+pub fn unique_address() -> std::net::SocketAddr {
     static LAST: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let n = LAST.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
     let (pid, part) = (std::process::id(), |n: u32| (n % 250 + 1) as u8);
--- a/rig/src/link.rs
+++ b/rig/src/link.rs
@@ -17,23 +17,23 @@
 
 /// What one direction of a link does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Transmission {
     /// Bytes pass as they come.
     Pass,
     /// Nothing passes, and nobody is told.
     Cut,
     /// Bytes come this much later.
-    Late(Duration),
+    Delay(Duration),
     /// So many bytes a second pass.
-    Slow(u64),
+    Throttle(u64),
 }
 
 /// The two directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Ways {
     /// From who called to who was called.
-    there: Way,
-    back: Way,
+    there: Transmission,
+    back: Transmission,
 }
 
 /// A link to one address. Who is to use it is given its own address in that one's place.
@@ -56,11 +56,11 @@
 impl Link {
     /// A link that passes all to `to`.
     pub fn new(to: SocketAddr) -> Self {
-        let listener = TcpListener::bind(crate::own_address()).expect("a port");
+        let listener = TcpListener::bind(crate::unique_address()).expect("a port");
         let address = listener.local_addr().expect("bound");
         let ways = Mutex::new(Ways {
-            there: Way::Pass,
-            back: Way::Pass,
+            there: Transmission::Pass,
+            back: Transmission::Pass,
         });
         let (refuses, over, age) = (
             AtomicBool::new(false),
@@ -80,13 +80,13 @@
     }
 
     /// From now on each direction does this: `there` from who called to who was called, `back` the other way.
-    pub fn set(&self, there: Way, back: Way) {
+    pub fn set(&self, there: Transmission, back: Transmission) {
         *self.shared.ways.lock().expect("no holder panics") = Ways { there, back };
     }
 
     /// Both directions pass again, and calls are accepted.
     pub fn heal(&self) {
-        self.set(Way::Pass, Way::Pass);
+        self.set(Transmission::Pass, Transmission::Pass);
         self.refuse(false);
     }
 
@@ -191,12 +191,14 @@
         goes_on()?;
         let now = way();
         let most = match now {
-            Way::Cut => {
+            Transmission::Cut => {
                 thread::sleep(TURN);
                 continue;
             }
-            Way::Slow(rate) => ((rate as f64 * TURN.as_secs_f64()) as usize).clamp(1, CHUNK),
-            Way::Pass | Way::Late(_) => CHUNK,
+            Transmission::Throttle(rate) => {
+                ((rate as f64 * TURN.as_secs_f64()) as usize).clamp(1, CHUNK)
+            }
+            Transmission::Pass | Transmission::Delay(_) => CHUNK,
         };
         let n = match from.read(&mut chunk[..most]) {
             Ok(0) => return to.shutdown(Shutdown::Write),
@@ -215,23 +217,23 @@
         // here. What is not passed when it is cut is held.
         let now = loop {
             match way() {
-                Way::Cut => thread::sleep(TURN),
+                Transmission::Cut => thread::sleep(TURN),
                 now => break now,
             }
             goes_on()?;
         };
         match now {
-            Way::Late(span) => {
+            Transmission::Delay(span) => {
                 // What comes behind waits as well, so all of it is late by this at least.
                 let due = Instant::now() + span;
                 while Instant::now() < due && shared.age.load(Ordering::SeqCst) == age {
                     thread::sleep(TURN);
                 }
             }
-            Way::Slow(rate) => {
+            Transmission::Throttle(rate) => {
                 thread::sleep(Duration::from_secs_f64(n as f64 / rate.max(1) as f64))
             }
-            Way::Pass | Way::Cut => {}
+            Transmission::Pass | Transmission::Cut => {}
         }
         to.write_all(&chunk[..n])?;
     }
--- a/rig/src/link/tests.rs
+++ b/rig/src/link/tests.rs
@@ -7,7 +7,7 @@
     let caller = TcpStream::connect(link.address).unwrap();
     let (called, _) = listener.accept().unwrap();
     for socket in [&caller, &called] {
-        socket.set_read_timeout(Some(crate::GUARD)).unwrap();
+        socket.set_read_timeout(Some(crate::WAIT_TIMEOUT)).unwrap();
     }
     (link, caller, called)
 }
@@ -23,7 +23,7 @@
         .unwrap();
     let nothing =
         matches!(socket.read(&mut [0; 8]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
-    socket.set_read_timeout(Some(crate::GUARD)).unwrap();
+    socket.set_read_timeout(Some(crate::WAIT_TIMEOUT)).unwrap();
     nothing
 }
 
@@ -32,11 +32,11 @@
     let (link, mut caller, mut called) = pair();
     caller.write_all(b"one").unwrap();
     assert!(hears(&called, b"one"));
-    link.set(Way::Pass, Way::Cut);
+    link.set(Transmission::Pass, Transmission::Cut);
     caller.write_all(b"two").unwrap();
     called.write_all(b"held").unwrap();
     assert!(hears(&called, b"two") && hears_nothing(&caller));
-    link.set(Way::Cut, Way::Pass);
+    link.set(Transmission::Cut, Transmission::Pass);
     assert!(hears(&caller, b"held"), "nothing is lost, it is late");
     caller.write_all(b"three").unwrap();
     assert!(hears_nothing(&called));
@@ -48,7 +48,7 @@
 fn a_reset_ends_what_is_open_and_a_refusal_what_is_begun() {
     let (link, caller, called) = pair();
     link.refuse(true);
-    let until = Instant::now() + crate::GUARD;
+    let until = Instant::now() + crate::WAIT_TIMEOUT;
     while TcpStream::connect(link.address).is_ok() {
         assert!(Instant::now() < until, "calls are still accepted");
     }
@@ -67,8 +67,11 @@
     // A relay that waits for bytes as the way is set is what the wait before gives time for.
     caller.write_all(b"x").unwrap();
     assert!(hears(&called, b"x"));
-    for way in [Way::Late(Duration::from_millis(300)), Way::Slow(1_000)] {
-        link.set(way, Way::Pass);
+    for way in [
+        Transmission::Delay(Duration::from_millis(300)),
+        Transmission::Throttle(1_000),
+    ] {
+        link.set(way, Transmission::Pass);
         let began = Instant::now();
         caller.write_all(&[7; 300]).unwrap();
         assert!(hears(&called, &[7; 300]));
--- a/rig/src/list.rs
+++ b/rig/src/list.rs
@@ -1,6 +1,6 @@
 //! The list service as a stand-in: what it does with those that call is the test's to say, from one moment to the next.
 use crate::event::Event;
-use crate::history::{History, Seen};
+use crate::history::{History, Observation};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,85 +19,89 @@
 
 /// What the service does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum ServiceMode {
     /// Nobody listens.
     Down,
     /// It accepts, and closes at once.
-    Closes,
+    Close,
     /// It accepts, and says nothing.
     Silent,
     /// It sends what nobody can read.
     Garbage,
     /// It sends part of an event and closes.
-    Torn,
+    Truncate,
     /// It serves by the byte: an event takes seconds.
-    Drips,
+    ByteByByte,
     /// It serves: what is new, and once a second that nothing is.
-    Serves,
+    Serve,
 }
 
-/// Events, and under which addresses each door's fronts reach the nodes.
+/// Events, and under which addresses each front's fronts reach the nodes.
 type Told = Arc<Mutex<(Vec<Event>, Vec<Vec<SocketAddr>>)>>;
 
 /// A list service that the test holds in its hand. Connections that were served are closed when it stops serving. Each front
-/// calls at a door of its own, so that the history says who was told.
+/// calls at a front of its own, so that the history says who was told.
 pub struct ListService {
-    /// Where it listens: the first door.
+    /// Where it listens: the first front.
     pub address: SocketAddr,
-    /// All doors.
-    pub doors: Vec<SocketAddr>,
+    /// All addresses.
+    pub addresses: Vec<SocketAddr>,
     hand: Hand,
 }
 
 #[derive(Clone)]
 struct Hand {
-    mode: Arc<Mutex<Mode>>,
+    mode: Arc<Mutex<ServiceMode>>,
     over: Arc<AtomicBool>,
     told: Told,
     history: History,
 }
 
 impl ListService {
-    /// Begins in a mode, with one door for all.
-    pub fn new(history: &History, mode: Mode) -> Self {
-        Self::with_doors(history, mode, vec![Vec::new()])
+    /// Begins in a mode, with one front for all.
+    pub fn new(history: &History, mode: ServiceMode) -> Self {
+        Self::with_addresses(history, mode, vec![Vec::new()])
     }
 
-    /// Begins in a mode, with a door for each of these; who calls there reaches the nodes at those addresses.
-    pub fn with_doors(history: &History, mode: Mode, addresses: Vec<Vec<SocketAddr>>) -> Self {
-        let listeners: Vec<_> = addresses
+    /// Begins in a mode, with a front for each of these; who calls there reaches the nodes at those addresses.
+    pub fn with_addresses(
+        history: &History,
+        mode: ServiceMode,
+        node_addresses: Vec<Vec<SocketAddr>>,
+    ) -> Self {
+        let listeners: Vec<_> = node_addresses
             .iter()
-            .map(|_| TcpListener::bind(crate::own_address()).expect("a port"))
+            .map(|_| TcpListener::bind(crate::unique_address()).expect("a port"))
             .collect();
-        let doors: Vec<_> = listeners
+        let addresses: Vec<_> = listeners
             .iter()
             .map(|l| l.local_addr().expect("bound"))
             .collect();
         let (mode, over) = (Arc::new(Mutex::new(mode)), Arc::new(AtomicBool::new(false)));
-        let told = Arc::new(Mutex::new((Vec::new(), addresses)));
+        let told = Arc::new(Mutex::new((Vec::new(), node_addresses)));
         let hand = Hand {
             mode,
             over,
             told,
             history: history.clone(),
         };
-        let (own, at) = (hand.clone(), doors.clone());
+        let (own, at) = (hand.clone(), addresses.clone());
         thread::spawn(move || listen(listeners, &at, &own));
         ListService {
-            address: doors[0],
-            doors,
+            address: addresses[0],
+            addresses,
             hand,
         }
     }
 
     /// From now on it does this.
-    pub fn set(&self, mode: Mode) {
+    pub fn set(&self, mode: ServiceMode) {
         *self.hand.mode.lock().expect("no holder panics") = mode;
-        self.hand.history.note(Seen::Mark);
+        self.hand.history.record(Observation::ModeChanged);
     }
 
     /// Has one more event to tell; its number.
-    pub fn tell(&self, event: Event) -> u64 {
+    pub fn publish(&self, event: Event) -> u64 {
         let events = &mut self.hand.told.lock().expect("no holder panics").0;
         events.push(event);
         FIRST + events.len() as u64 - 1
@@ -105,7 +109,7 @@
 
     /// The service begins anew: it holds no event, and numbers begin with the first. Who is connected is closed with
     /// the next change of mode.
-    pub fn forget(&self) {
+    pub fn clear_events(&self) {
         self.hand.told.lock().expect("no holder panics").0.clear();
     }
 
@@ -121,20 +125,20 @@
     }
 }
 
-fn listen(first: Vec<TcpListener>, doors: &[SocketAddr], hand: &Hand) {
+fn listen(first: Vec<TcpListener>, addresses: &[SocketAddr], hand: &Hand) {
     let mut listeners: Vec<_> = first.into_iter().map(Some).collect();
     while !hand.over.load(Ordering::SeqCst) {
         let now = *hand.mode.lock().expect("no holder panics");
-        if now == Mode::Down {
+        if now == ServiceMode::Down {
             listeners.iter_mut().for_each(|listener| *listener = None);
             thread::sleep(TURN / 4);
             continue;
         }
         let mut any = false;
-        for (door, listener) in listeners.iter_mut().enumerate() {
+        for (front, listener) in listeners.iter_mut().enumerate() {
             let Some(here) = listener.as_ref() else {
                 // The port is kept free of others by having been this service's: it is tried for until it is had again.
-                *listener = TcpListener::bind(doors[door]).ok();
+                *listener = TcpListener::bind(addresses[front]).ok();
                 continue;
             };
             here.set_nonblocking(true).expect("a socket");
@@ -142,11 +146,11 @@
                 continue;
             };
             any = true;
-            hand.history.note(Seen::Call);
+            hand.history.record(Observation::Call);
             let hand = hand.clone();
             thread::spawn(move || {
                 // A front that goes away ends its connection: that is no fault of the service.
-                let _ = serve(socket, door, now, &hand);
+                let _ = serve(socket, front, now, &hand);
             });
         }
         if !any {
@@ -155,34 +159,40 @@
     }
 }
 
-fn serve(mut socket: TcpStream, door: usize, as_of: Mode, hand: &Hand) -> std::io::Result<()> {
+fn serve(
+    mut socket: TcpStream,
+    front: usize,
+    as_of: ServiceMode,
+    hand: &Hand,
+) -> std::io::Result<()> {
     socket.set_nonblocking(false)?;
     let still = || {
         !hand.over.load(Ordering::SeqCst) && *hand.mode.lock().expect("no holder panics") == as_of
     };
     match as_of {
-        Mode::Down | Mode::Closes => Ok(()),
-        Mode::Silent => {
+        ServiceMode::Down | ServiceMode::Close => Ok(()),
+        ServiceMode::Silent => {
             while still() {
                 thread::sleep(TURN);
             }
             Ok(())
         }
-        Mode::Garbage => socket.write_all(&[0xff; 64]),
-        Mode::Torn => socket.write_all(&[0, 0, 0, 40, 0, 0]),
-        Mode::Drips | Mode::Serves => {
+        ServiceMode::Garbage => socket.write_all(&[0xff; 64]),
+        ServiceMode::Truncate => socket.write_all(&[0, 0, 0, 40, 0, 0]),
+        ServiceMode::ByteByByte | ServiceMode::Serve => {
             let mut last = [0; 8];
             socket.read_exact(&mut last)?;
-            hand.history.note(Seen::Served(u64::from_be_bytes(last)));
+            hand.history
+                .record(Observation::Subscribed(u64::from_be_bytes(last)));
             let done = tell(
                 &socket,
-                door,
+                front,
                 u64::from_be_bytes(last),
-                as_of == Mode::Drips,
+                as_of == ServiceMode::ByteByByte,
                 &still,
                 hand,
             );
-            hand.history.note(Seen::Left);
+            hand.history.record(Observation::SubscriptionEnded);
             done
         }
     }
@@ -190,7 +200,7 @@
 
 fn tell(
     mut socket: &TcpStream,
-    door: usize,
+    front: usize,
     mut last: u64,
     drips: bool,
     still: &dyn Fn() -> bool,
@@ -205,7 +215,7 @@
             let number = FIRST + place as u64;
             told.0
                 .get(place)
-                .map(|event| (number, event.frame(number, &told.1[door])))
+                .map(|event| (number, event.frame(number, &told.1[front])))
         };
         if let Some((number, frame)) = next {
             // Noted before the front can know it: what it may do from then on it does later in the history.
@@ -221,7 +231,7 @@
             } else {
                 socket.write_all(most)?;
             }
-            hand.history.note(Seen::Told(door, number));
+            hand.history.record(Observation::EventSent(front, number));
             socket.write_all(end)?;
             last = number;
             continue;
--- a/rig/src/list/tests.rs
+++ b/rig/src/list/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn a_service_returns_though_somebody_dials_from_its_port_meanwhile() {
-    let service = ListService::new(&History::default(), Mode::Serves);
-    service.set(Mode::Down);
-    let until = Instant::now() + crate::GUARD / 6;
+    let service = ListService::new(&History::default(), ServiceMode::Serve);
+    service.set(ServiceMode::Down);
+    let until = Instant::now() + crate::WAIT_TIMEOUT / 6;
     while TcpStream::connect(service.address).is_ok() {
         assert!(Instant::now() < until, "it is still there");
     }
@@ -14,7 +14,7 @@
     let from: SocketAddr = ([127, 0, 0, 1], service.address.port()).into();
     dials.bind(&from.into()).unwrap();
     dials.connect(&other.local_addr().unwrap().into()).unwrap();
-    service.set(Mode::Serves);
+    service.set(ServiceMode::Serve);
     while TcpStream::connect(service.address).is_err() {
         assert!(Instant::now() < until, "it does not return");
     }
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -1,6 +1,6 @@
 //! Cache nodes, parents and the origin as stand-ins, all on one thread with a poller: many fronts times many nodes are
 //! thousands of connections. They hold old copies for as long as the protocol allows, unless newer ones are asked for.
-use crate::history::{History, Seen};
+use crate::history::{History, Observation};
 use polling::{Event, Events, PollMode, Poller};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -18,29 +18,29 @@
 
 /// What a node does with what it is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum Behavior {
     /// It answers after this long.
-    Answers(Duration),
+    Respond(Duration),
     /// It reads and never answers.
     Silent,
     /// It reads nothing: what is said to it waits.
-    Frozen,
+    NotReading,
     /// It has no place for anything.
-    Full,
+    Shed,
     /// It fails at all, and may have run it.
-    Faults,
+    Fail,
     /// It answers what nobody can read.
     Garbage,
     /// It takes a request, runs it, and breaks the connection.
-    Breaks,
+    Reset,
     /// It sends half of each answer.
-    Torn,
+    Truncate,
     /// It answers twice, and answers what was given up as well.
-    Stubborn,
+    Duplicate,
     /// It answers at once, and has places for so many connections: one more is accepted and closed.
-    Crowded(usize),
+    LimitConnections(usize),
     /// Nobody listens, and what was open is reset.
-    Dead,
+    Down,
 }
 
 /// Unix milliseconds.
@@ -62,7 +62,7 @@
 struct Shared {
     /// Objects that were purged, when, and from when on no node holds older copies, in Unix milliseconds.
     purged: Mutex<Vec<(u64, u64, u64)>>,
-    moods: Mutex<Vec<Mood>>,
+    moods: Mutex<Vec<Behavior>>,
     over: Mutex<bool>,
     poller: Poller,
 }
@@ -71,7 +71,7 @@
     /// Begins with these ids; all answer at once. Classes of these names must not run twice.
     pub fn new(history: &History, ids: &[u32], writes: &[&str]) -> Self {
         let poller = Poller::new().expect("a poller");
-        let moods = Mutex::new(vec![Mood::Answers(Duration::ZERO); ids.len()]);
+        let moods = Mutex::new(vec![Behavior::Respond(Duration::ZERO); ids.len()]);
         let purged = Mutex::default();
         let shared = Arc::new(Shared {
             purged,
@@ -81,9 +81,9 @@
         });
         let mut nodes = Vec::new();
         for id in ids {
-            let listener = TcpListener::bind(crate::own_address()).expect("a port");
+            let listener = TcpListener::bind(crate::unique_address()).expect("a port");
             let address = listener.local_addr().expect("bound");
-            let mood = Mood::Answers(Duration::ZERO);
+            let mood = Behavior::Respond(Duration::ZERO);
             nodes.push(Node {
                 id: *id,
                 address,
@@ -127,15 +127,15 @@
     }
 
     /// From now on this node does that.
-    pub fn set(&self, place: usize, mood: Mood) {
+    pub fn set(&self, place: usize, mood: Behavior) {
         let id = self.all[place].0;
         // What reads nothing hears of nothing: the checkers must not hold a front to what it could not make known.
-        let seen = if matches!(mood, Mood::Frozen) {
-            Seen::Veiled(id, 0)
+        let seen = if matches!(mood, Behavior::NotReading) {
+            Observation::NodeImpaired(id, 0)
         } else {
-            Seen::Clear(id, 0)
+            Observation::NodeRestored(id, 0)
         };
-        self.history.note(seen);
+        self.history.record(seen);
         self.shared.moods.lock().expect("no holder panics")[place] = mood;
         self.shared.poller.notify().expect("a poller");
     }
@@ -152,7 +152,7 @@
     id: u32,
     address: SocketAddr,
     listener: Option<TcpListener>,
-    mood: Mood,
+    mood: Behavior,
     /// When each copy was made.
     copies: HashMap<u64, u64>,
 }
@@ -340,7 +340,7 @@
                 .filter(|(_, l)| l.place == place)
                 .map(|(k, _)| *k)
                 .collect();
-            if mood == Mood::Dead {
+            if mood == Behavior::Down {
                 if let Some(listener) = self.nodes[place].listener.take() {
                     let _ = self.shared.poller.delete(&listener);
                 }
@@ -349,9 +349,9 @@
                 mine.into_iter().for_each(|key| self.drop(key, true));
                 continue;
             }
-            if before == Mood::Dead {
+            if before == Behavior::Down {
                 let at = self.nodes[place].address;
-                let until = Instant::now() + crate::GUARD;
+                let until = Instant::now() + crate::WAIT_TIMEOUT;
                 let listener = loop {
                     match TcpListener::bind(at) {
                         Ok(listener) => break listener,
@@ -361,7 +361,7 @@
                 self.nodes[place].listener = Some(listener);
                 self.watch(place);
             }
-            let reads = mood != Mood::Frozen;
+            let reads = mood != Behavior::NotReading;
             for key in mine {
                 self.rewatch(key, reads);
             }
@@ -387,7 +387,8 @@
             let _ = socket2::SockRef::from(&link.socket).set_linger(Some(Duration::ZERO));
         }
         for txn in link.open {
-            self.history.note(Seen::Cut(self.nodes[link.place].id, txn));
+            self.history
+                .record(Observation::ConnectionLost(self.nodes[link.place].id, txn));
         }
     }
 
@@ -400,8 +401,9 @@
         let Some((socket, _)) = accepted else {
             return false;
         };
-        self.history.note(Seen::Dialled(self.nodes[place].id));
-        if let Mood::Crowded(most) = self.nodes[place].mood {
+        self.history
+            .record(Observation::Accepted(self.nodes[place].id));
+        if let Behavior::LimitConnections(most) = self.nodes[place].mood {
             if self
                 .links
                 .values()
@@ -409,7 +411,8 @@
                 .count()
                 >= most
             {
-                self.history.note(Seen::TurnedAway(self.nodes[place].id));
+                self.history
+                    .record(Observation::ConnectionRejected(self.nodes[place].id));
                 return true;
             }
         }
@@ -431,7 +434,7 @@
             unread_since: Some(self.previous_poll),
         };
         self.links.insert(*next, link);
-        if self.nodes[place].mood == Mood::Frozen {
+        if self.nodes[place].mood == Behavior::NotReading {
             self.rewatch(*next, false);
         }
         true
@@ -442,7 +445,7 @@
         let Some(link) = self.links.get_mut(&key).filter(|_| readable) else {
             return;
         };
-        if self.nodes[link.place].mood == Mood::Frozen {
+        if self.nodes[link.place].mood == Behavior::NotReading {
             return;
         }
         let mut chunk = [0; 16 * 1024];
@@ -492,46 +495,46 @@
         };
         let txn = hex(&text(1));
         if &*text(0) == "abort" {
-            self.history.note(Seen::Off(node.id, txn));
-            if node.mood != Mood::Stubborn {
+            self.history.record(Observation::Aborted(node.id, txn));
+            if node.mood != Behavior::Duplicate {
                 link.open.retain(|open| *open != txn);
             }
             return;
         }
         let asked = fetch(parts.get(2).map_or(&[], |p| &p[..]));
         let write = self.writes.contains(&asked.class);
-        self.history.note(Seen::Sent {
+        self.history.record(Observation::Attempt {
             node: node.id,
             txn,
             write,
             item: asked.item,
             source: asked.source,
         });
-        self.history.note(Seen::TimeLeft {
+        self.history.record(Observation::TimeLeft {
             txn,
             left_ms: asked.limit,
             read_delay: came_after.elapsed(),
         });
         link.open.push(txn);
-        let runs = !matches!(node.mood, Mood::Full | Mood::Dead);
+        let runs = !matches!(node.mood, Behavior::Shed | Behavior::Down);
         if write && runs {
-            self.history.note(Seen::Ran(txn));
+            self.history.record(Observation::Executed(txn));
         }
         let mut soon = Instant::now();
         let word = match node.mood {
-            Mood::Silent | Mood::Frozen | Mood::Dead => return,
-            Mood::Full => Some(Word::Full),
-            Mood::Faults => Some(Word::Fault),
-            Mood::Breaks => return self.drop(key, true),
-            Mood::Garbage => {
+            Behavior::Silent | Behavior::NotReading | Behavior::Down => return,
+            Behavior::Shed => Some(Word::Full),
+            Behavior::Fail => Some(Word::Fault),
+            Behavior::Reset => return self.drop(key, true),
+            Behavior::Garbage => {
                 link.output.extend(b"+OK\r\n");
                 return self.flush(key);
             }
-            Mood::Answers(takes) => {
+            Behavior::Respond(takes) => {
                 soon += takes;
                 None
             }
-            Mood::Torn | Mood::Stubborn | Mood::Crowded(_) => None,
+            Behavior::Truncate | Behavior::Duplicate | Behavior::LimitConnections(_) => None,
         };
         let word = match word {
             Some(word) => word,
@@ -569,10 +572,10 @@
         let waits = link.open.iter().position(|open| *open == txn);
         if let Some(place) = waits {
             // Of half an answer the front makes nothing: the request stays open here.
-            if node.mood != Mood::Torn {
+            if node.mood != Behavior::Truncate {
                 link.open.swap_remove(place);
             }
-        } else if node.mood != Mood::Stubborn {
+        } else if node.mood != Behavior::Duplicate {
             return;
         }
         let (name, fields, body, born) = match word {
@@ -589,12 +592,13 @@
         let id = format!("{txn:016x}");
         let parts = [id.as_str(), name, &fields, body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
         let whole = format!("*4\r\n{}", parts.concat());
-        if waits.is_some() && node.mood != Mood::Torn {
-            self.history.note(Seen::Done(node.id, txn, born));
+        if waits.is_some() && node.mood != Behavior::Truncate {
+            self.history
+                .record(Observation::Responded(node.id, txn, born));
         }
         match node.mood {
-            Mood::Torn => link.output.extend(&whole.as_bytes()[..whole.len() / 2]),
-            Mood::Stubborn => link.output.extend(whole.repeat(2).bytes()),
+            Behavior::Truncate => link.output.extend(&whole.as_bytes()[..whole.len() / 2]),
+            Behavior::Duplicate => link.output.extend(whole.repeat(2).bytes()),
             _ => link.output.extend(whole.bytes()),
         }
         self.flush(key);
@@ -611,7 +615,7 @@
                 _ => return self.drop(key, false),
             }
         }
-        let reads = self.nodes[link.place].mood != Mood::Frozen;
+        let reads = self.nodes[link.place].mood != Behavior::NotReading;
         self.rewatch(key, reads);
     }
 }
--- a/rig/src/rules.rs
+++ b/rig/src/rules.rs
@@ -1,6 +1,6 @@
 //! Checkers of the service's rules over the whole fleet. They read one history, and what was told by the list service.
 use crate::event::{Event, State};
-use crate::history::Seen;
+use crate::history::Observation;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
     /// For how long the end of one attempt may come after the begin of the next, on different connections.
     pub overlap: Duration,
     /// A front that was killed knows what it was told before: it lies on its disk.
-    pub remembers: bool,
+    pub lists_on_disk: bool,
 }
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// When.
     pub at: Duration,
     /// Which rule.
@@ -62,11 +62,11 @@
 }
 
 /// All breaches of the rules; `event` gives what was told under a number.
-pub fn breaches<'a>(
-    history: &[(Duration, Seen)],
+pub fn violations<'a>(
+    history: &[(Duration, Observation)],
     event: impl Fn(u64) -> Option<&'a Event>,
     limits: &Limits,
-) -> Vec<Breach> {
+) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut fronts: HashMap<usize, Front> = HashMap::new();
     let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
@@ -81,7 +81,7 @@
     for (now, seen) in history {
         let now = *now;
         let mut breach = |rule, txn, text| {
-            found.push(Breach {
+            found.push(Violation {
                 at: now,
                 rule,
                 txn,
@@ -89,7 +89,7 @@
             })
         };
         match *seen {
-            Seen::Told(front, number) => {
+            Observation::EventSent(front, number) => {
                 let front = fronts.entry(front).or_default();
                 match event(number) {
                     Some(Event::Nodes(_, listed)) => {
@@ -106,10 +106,10 @@
                     None => {}
                 }
             }
-            Seen::Killed(front) | Seen::Stopped(front) => {
-                let killed = matches!(seen, Seen::Killed(_));
+            Observation::Killed(front) | Observation::Stopped(front) => {
+                let killed = matches!(seen, Observation::Killed(_));
                 let told = fronts.entry(front).or_default();
-                if killed && !limits.remembers {
+                if killed && !limits.lists_on_disk {
                     *told = Front {
                         deaf: told.deaf,
                         ..Front::default()
@@ -121,24 +121,24 @@
                     request.excused |= request.front == front;
                 }
             }
-            Seen::Going(front) | Seen::Hears(front) => {
+            Observation::Resumed(front) | Observation::FeedRestored(front) => {
                 let told = fronts.entry(front).or_default();
                 match seen {
-                    Seen::Going(_) => told.stopped = false,
+                    Observation::Resumed(_) => told.stopped = false,
                     _ => told.deaf = false,
                 }
                 told.free(now);
             }
-            Seen::Deaf(front) => fronts.entry(front).or_default().deaf = true,
-            Seen::Veiled(node, by) => drop(veiled.insert((node, by))),
-            Seen::Clear(node, by) => {
+            Observation::FeedImpaired(front) => fronts.entry(front).or_default().deaf = true,
+            Observation::NodeImpaired(node, by) => drop(veiled.insert((node, by))),
+            Observation::NodeRestored(node, by) => {
                 if veiled.remove(&(node, by)) {
                     cleared.insert(node, now);
                 }
                 // What could not be made known in time is nobody's fault.
                 doubts.retain(|(_, at), _| *at != node);
             }
-            Seen::Asked { front, txn } => {
+            Observation::ClientRequest { front, txn } => {
                 let excused = fronts.get(&front).is_some_and(|f| f.stopped);
                 requests.insert(
                     txn,
@@ -151,7 +151,7 @@
                 );
                 open.insert(txn);
             }
-            Seen::Answered(front, txn, _) => {
+            Observation::ClientResponse(front, txn, _) => {
                 let Some(request) = requests.get_mut(&txn) else {
                     breach(
                         "answer",
@@ -181,7 +181,7 @@
                     );
                 }
             }
-            Seen::Lost(_, txn) => {
+            Observation::ClientUnanswered(_, txn) => {
                 open.remove(&txn);
                 let Some(request) = requests.get_mut(&txn) else {
                     continue;
@@ -198,7 +198,7 @@
                     );
                 }
             }
-            Seen::Sent {
+            Observation::Attempt {
                 node,
                 txn,
                 item,
@@ -226,7 +226,7 @@
                     continue;
                 };
                 for at in [node, source] {
-                    if let Some((State::Draining | State::Gone, since)) = front.nodes.get(&at) {
+                    if let Some((State::Draining | State::Removed, since)) = front.nodes.get(&at) {
                         if now > *since + limits.drain {
                             let (late, by) = (now - *since, request.front);
                             let how = if at == node {
@@ -248,7 +248,7 @@
                     }
                 }
             }
-            Seen::Ran(txn) => {
+            Observation::Executed(txn) => {
                 let request = requests.entry(txn).or_default();
                 request.ran += 1;
                 if request.ran > 1 {
@@ -259,7 +259,9 @@
                     );
                 }
             }
-            Seen::Off(node, txn) | Seen::Cut(node, txn) | Seen::Done(node, txn, _) => {
+            Observation::Aborted(node, txn)
+            | Observation::ConnectionLost(node, txn)
+            | Observation::Responded(node, txn, _) => {
                 if let Some(request) = requests.get_mut(&txn) {
                     if let Some(place) = request.out.iter().position(|at| *at == node) {
                         request.out.swap_remove(place);
@@ -280,7 +282,9 @@
                         }
                     }
                 }
-                if let (Seen::Done(_, _, born), Some(at_ms)) = (*seen, newer.remove(&(txn, node))) {
+                if let (Observation::Responded(_, _, born), Some(at_ms)) =
+                    (*seen, newer.remove(&(txn, node)))
+                {
                     if born > 0 && born < at_ms {
                         let age = at_ms - born;
                         breach(
@@ -300,7 +304,7 @@
             let text = format!(
                 "{txn:x} was still out at {node:x} though another had begun or it was answered"
             );
-            found.push(Breach {
+            found.push(Violation {
                 at: since,
                 rule: "overlap",
                 txn,
@@ -312,7 +316,7 @@
         let request = &requests[&txn];
         if end > request.at + limits.answer && !request.excused {
             let text = format!("front {} never answered {txn:x}", request.front);
-            found.push(Breach {
+            found.push(Violation {
                 at: request.at,
                 rule: "answer",
                 txn,
@@ -326,7 +330,7 @@
 
 /// What a node bears that started lately, as the platform's settings say it.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct WarmUpLimits {
     /// Share of its capacity with which it starts, and how long it takes to have all of it.
     pub from: f64,
     /// See above.
@@ -339,7 +343,7 @@
     pub work: Duration,
 }
 
-impl Cold {
+impl WarmUpLimits {
     /// Requests that a node of so many places bears within the span, which ends so long after its start.
     fn bears(&self, weight: u32, age: Duration) -> f64 {
         let warm = (age.as_secs_f64() / self.warm_in.as_secs_f64()).min(1.0);
@@ -350,18 +354,18 @@
 }
 
 /// Nodes that were pushed over while they were cold: by all fronts together that had been told of their start.
-pub fn pushed_over<'a>(
-    history: &[(Duration, Seen)],
+pub fn warm_up_violations<'a>(
+    history: &[(Duration, Observation)],
     event: impl Fn(u64) -> Option<&'a Event>,
-    cold: &Cold,
-) -> Vec<Breach> {
+    cold: &WarmUpLimits,
+) -> Vec<Violation> {
     let mut found = Vec::new();
     // By node: its size, the start that it is listed with, when that was first told, who knows, and what came from them.
     type Started = (u32, u64, Duration, BTreeSet<usize>, VecDeque<Duration>);
     let mut started: HashMap<u32, Started> = HashMap::new();
     for (now, seen) in history {
         match *seen {
-            Seen::Told(front, number) => {
+            Observation::EventSent(front, number) => {
                 let Some(Event::Nodes(_, listed)) = event(number) else {
                     continue;
                 };
@@ -384,7 +388,7 @@
                     node.3.insert(front);
                 }
             }
-            Seen::Sent { node: id, txn, .. } => {
+            Observation::Attempt { node: id, txn, .. } => {
                 let front = (txn >> 40) as usize;
                 let Some((weight, _, since, knows, sent)) = started.get_mut(&id) else {
                     continue;
@@ -405,7 +409,7 @@
                         "{id:x} was sent {count} in {:?}, {age:?} after its start",
                         cold.span
                     );
-                    found.push(Breach {
+                    found.push(Violation {
                         at: *now,
                         rule: "cold",
                         txn,
@@ -421,25 +425,32 @@
 }
 
 /// What was seen of the request of a breach, and of faults from a second before it on, for who reads why.
-pub fn around(history: &[(Duration, Seen)], breach: &Breach) -> String {
+pub fn context(history: &[(Duration, Observation)], breach: &Violation) -> String {
     let (from, to) = (
         breach.at.saturating_sub(Duration::from_secs(1)),
         breach.at + Duration::from_millis(100),
     );
     let front = history.iter().find_map(|(_, seen)| match *seen {
-        Seen::Asked { front, txn } if txn == breach.txn => Some(front),
+        Observation::ClientRequest { front, txn } if txn == breach.txn => Some(front),
         _ => None,
     });
-    let of_it = |seen: &Seen| match *seen {
-        Seen::Told(to, _) => (Some(to) != front).then_some(false),
-        Seen::Sent { txn, .. } | Seen::Asked { txn, .. } => Some(txn == breach.txn),
-        Seen::Ran(txn) | Seen::Off(_, txn) | Seen::Cut(_, txn) | Seen::Done(_, txn, _) => {
+    let of_it = |seen: &Observation| match *seen {
+        Observation::EventSent(to, _) => (Some(to) != front).then_some(false),
+        Observation::Attempt { txn, .. } | Observation::ClientRequest { txn, .. } => {
             Some(txn == breach.txn)
         }
-        Seen::Answered(_, txn, _) | Seen::Lost(_, txn) => Some(txn == breach.txn),
-        Seen::Call | Seen::Served(_) | Seen::Left | Seen::Dialled(_) | Seen::TurnedAway(_) => {
-            Some(false)
+        Observation::Executed(txn)
+        | Observation::Aborted(_, txn)
+        | Observation::ConnectionLost(_, txn)
+        | Observation::Responded(_, txn, _) => Some(txn == breach.txn),
+        Observation::ClientResponse(_, txn, _) | Observation::ClientUnanswered(_, txn) => {
+            Some(txn == breach.txn)
         }
+        Observation::Call
+        | Observation::Subscribed(_)
+        | Observation::SubscriptionEnded
+        | Observation::Accepted(_)
+        | Observation::ConnectionRejected(_) => Some(false),
         _ => None,
     };
     let shown = history
--- a/rig/src/rules/tests.rs
+++ b/rig/src/rules/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
-use crate::event::Listed;
+use crate::event::ListedNode;
 
 const LIMITS: Limits = Limits {
     drain: Duration::from_millis(500),
     purge: Duration::from_millis(500),
     answer: Duration::from_millis(1_000),
     overlap: Duration::from_millis(50),
-    remembers: false,
+    lists_on_disk: false,
 };
 
 fn drains() -> Event {
     let (state, started_ms) = (State::Draining, 0);
     Event::Nodes(
         false,
-        vec![Listed {
+        vec![ListedNode {
             place: 0,
             id: 7,
             state,
@@ -25,22 +25,22 @@
     )
 }
 
-fn found(script: &[(u64, Seen)]) -> Vec<&'static str> {
+fn found(script: &[(u64, Observation)]) -> Vec<&'static str> {
     found_by(script, &LIMITS)
 }
 
-fn found_by(script: &[(u64, Seen)], limits: &Limits) -> Vec<&'static str> {
+fn found_by(script: &[(u64, Observation)], limits: &Limits) -> Vec<&'static str> {
     let history: Vec<_> = script
         .iter()
         .map(|(ms, seen)| (Duration::from_millis(*ms), *seen))
         .collect();
     let events = [drains(), Event::Purge(3, 1_000)];
-    let all = breaches(&history, |number| events.get(number as usize), limits);
+    let all = violations(&history, |number| events.get(number as usize), limits);
     all.iter().map(|breach| breach.rule).collect()
 }
 
-fn sent(node: u32, txn: u64, source: u32) -> Seen {
-    Seen::Sent {
+fn sent(node: u32, txn: u64, source: u32) -> Observation {
+    Observation::Attempt {
         node,
         txn,
         write: false,
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_cold_node_is_seen_pushed_over_by_those_that_knew_and_by_nobody_else() {
-    let one = Listed {
+    let one = ListedNode {
         place: 0,
         id: 7,
         state: State::Ready,
@@ -63,7 +63,7 @@
     let event = Event::Nodes(false, vec![one]);
     let (span, work) = (Duration::from_millis(1_500), Duration::from_millis(200));
     let warm_in = Duration::from_secs(15);
-    let cold = Cold {
+    let cold = WarmUpLimits {
         from: 0.15,
         warm_in,
         multiple: 4.0,
@@ -72,7 +72,7 @@
     };
     // 36 by what it can do, 57 with what chance allows.
     let play = |told: usize, each_ms: u64, from_ms: u64| {
-        let mut all = vec![(Duration::ZERO, Seen::Told(told, 0))];
+        let mut all = vec![(Duration::ZERO, Observation::EventSent(told, 0))];
         let sends = (0..200u64).map(|n| {
             (
                 Duration::from_millis(from_ms + n * each_ms),
@@ -80,7 +80,7 @@
             )
         });
         all.extend(sends);
-        pushed_over(&all, |_| Some(&event), &cold).len()
+        warm_up_violations(&all, |_| Some(&event), &cold).len()
     };
     assert_eq!(play(0, 50, 0), 0, "30 in the span");
     assert!(play(0, 15, 0) > 0, "100 in the span");
@@ -88,51 +88,51 @@
     assert_eq!(play(0, 15, 14_000), 0, "it is all but warm");
 }
 
-const ASKED: Seen = Seen::Asked { front: 0, txn: 1 };
-const ANSWERED: Seen = Seen::Answered(0, 1, 1);
+const ASKED: Observation = Observation::ClientRequest { front: 0, txn: 1 };
+const ANSWERED: Observation = Observation::ClientResponse(0, 1, 1);
 
 #[test]
 fn each_rule_is_seen_broken_and_seen_kept() {
-    let kept: [&[(u64, Seen)]; 8] = [
+    let kept: [&[(u64, Observation)]; 8] = [
         &[
             (0, ASKED),
             (1, sent(7, 1, 0)),
-            (2, Seen::Done(7, 1, 5)),
+            (2, Observation::Responded(7, 1, 5)),
             (3, ANSWERED),
-            (4_000, Seen::Mark),
+            (4_000, Observation::ModeChanged),
         ],
         // A front that was killed answers nothing, one that was stopped answers late.
         &[
             (0, ASKED),
-            (9, Seen::Killed(0)),
-            (9, Seen::Lost(0, 1)),
-            (4_000, Seen::Mark),
+            (9, Observation::Killed(0)),
+            (9, Observation::ClientUnanswered(0, 1)),
+            (4_000, Observation::ModeChanged),
         ],
         &[
             (0, ASKED),
-            (9, Seen::Stopped(0)),
-            (3_000, Seen::Going(0)),
+            (9, Observation::Stopped(0)),
+            (3_000, Observation::Resumed(0)),
             (3_001, ANSWERED),
         ],
         // Told and heeded; told to one that does not hear.
         &[
-            (0, Seen::Told(0, 0)),
+            (0, Observation::EventSent(0, 0)),
             (400, ASKED),
             (499, sent(7, 1, 0)),
-            (500, Seen::Done(7, 1, 5)),
+            (500, Observation::Responded(7, 1, 5)),
             (501, ANSWERED),
         ],
         &[
-            (0, Seen::Deaf(0)),
-            (0, Seen::Told(0, 0)),
+            (0, Observation::FeedImpaired(0)),
+            (0, Observation::EventSent(0, 0)),
             (900, ASKED),
             (999, sent(7, 1, 0)),
             (1_000, ANSWERED),
         ],
         // A restart knows nothing of what was told before.
         &[
-            (0, Seen::Told(0, 0)),
-            (9, Seen::Killed(0)),
+            (0, Observation::EventSent(0, 0)),
+            (9, Observation::Killed(0)),
             (900, ASKED),
             (999, sent(7, 1, 0)),
             (1_000, ANSWERED),
@@ -142,36 +142,39 @@
             (0, ASKED),
             (1, sent(7, 1, 0)),
             (5, sent(8, 1, 0)),
-            (30, Seen::Off(7, 1)),
+            (30, Observation::Aborted(7, 1)),
             (31, ANSWERED),
         ],
         &[
             (0, ASKED),
-            (1, Seen::Veiled(7, 0)),
+            (1, Observation::NodeImpaired(7, 0)),
             (1, sent(7, 1, 0)),
             (5, sent(8, 1, 0)),
-            (30, Seen::Done(8, 1, 5)),
+            (30, Observation::Responded(8, 1, 5)),
             (31, ANSWERED),
-            (3_000, Seen::Clear(7, 0)),
-            (3_001, Seen::Off(7, 1)),
+            (3_000, Observation::NodeRestored(7, 0)),
+            (3_001, Observation::Aborted(7, 1)),
         ],
     ];
     for script in kept {
         assert!(found(script).is_empty(), "{script:?}");
     }
-    let broken: [(&str, &[(u64, Seen)]); 13] = [
-        ("answer", &[(0, ASKED), (4_000, Seen::Mark)]),
+    let broken: [(&str, &[(u64, Observation)]); 13] = [
+        ("answer", &[(0, ASKED), (4_000, Observation::ModeChanged)]),
         ("answer", &[(0, ASKED), (1_001, ANSWERED)]),
         ("answer", &[(0, ASKED), (10, ANSWERED), (11, ANSWERED)]),
         ("answer", &[(0, ANSWERED)]),
-        ("answer", &[(0, ASKED), (1_200, Seen::Lost(0, 1))]),
+        (
+            "answer",
+            &[(0, ASKED), (1_200, Observation::ClientUnanswered(0, 1))],
+        ),
         ("asked", &[(0, sent(7, 1, 0))]),
         (
             "twice",
             &[
                 (0, ASKED),
-                (1, Seen::Ran(1)),
-                (2, Seen::Ran(1)),
+                (1, Observation::Executed(1)),
+                (2, Observation::Executed(1)),
                 (3, ANSWERED),
             ],
         ),
@@ -181,7 +184,7 @@
                 (0, ASKED),
                 (1, sent(7, 1, 0)),
                 (5, sent(8, 1, 0)),
-                (90, Seen::Off(7, 1)),
+                (90, Observation::Aborted(7, 1)),
                 (91, ANSWERED),
             ],
         ),
@@ -191,9 +194,9 @@
                 (0, ASKED),
                 (1, sent(7, 1, 0)),
                 (5, sent(8, 1, 0)),
-                (6, Seen::Done(8, 1, 5)),
+                (6, Observation::Responded(8, 1, 5)),
                 (6, ANSWERED),
-                (900, Seen::Mark),
+                (900, Observation::ModeChanged),
             ],
         ),
         (
@@ -202,13 +205,13 @@
                 (0, ASKED),
                 (1, sent(7, 1, 0)),
                 (2, ANSWERED),
-                (90, Seen::Mark),
+                (90, Observation::ModeChanged),
             ],
         ),
         (
             "drain",
             &[
-                (0, Seen::Told(0, 0)),
+                (0, Observation::EventSent(0, 0)),
                 (400, ASKED),
                 (501, sent(7, 1, 0)),
                 (502, ANSWERED),
@@ -217,7 +220,7 @@
         (
             "drain",
             &[
-                (0, Seen::Told(0, 0)),
+                (0, Observation::EventSent(0, 0)),
                 (400, ASKED),
                 (501, sent(8, 1, 7)),
                 (502, ANSWERED),
@@ -226,10 +229,10 @@
         (
             "purge",
             &[
-                (0, Seen::Told(0, 1)),
+                (0, Observation::EventSent(0, 1)),
                 (501, ASKED),
                 (502, sent(8, 1, 0)),
-                (503, Seen::Done(8, 1, 999)),
+                (503, Observation::Responded(8, 1, 999)),
                 (504, ANSWERED),
             ],
         ),
@@ -239,9 +242,9 @@
     }
     // One that hears again is held to it from then on.
     let late = [
-        (0, Seen::Deaf(0)),
-        (0, Seen::Told(0, 0)),
-        (900, Seen::Hears(0)),
+        (0, Observation::FeedImpaired(0)),
+        (0, Observation::EventSent(0, 0)),
+        (900, Observation::FeedRestored(0)),
         (1_390, ASKED),
         (1_399, sent(7, 1, 0)),
         (1_401, sent(7, 1, 0)),
@@ -250,30 +253,30 @@
     assert_eq!(found(&late), ["drain"]);
     // One that has it on disk is held to what it was told before it was killed.
     let script = [
-        (0, Seen::Told(0, 0)),
-        (9, Seen::Killed(0)),
-        (10, Seen::Going(0)),
+        (0, Observation::EventSent(0, 0)),
+        (9, Observation::Killed(0)),
+        (10, Observation::Resumed(0)),
         (900, ASKED),
         (901, sent(7, 1, 0)),
         (902, ANSWERED),
     ];
-    let remembers = Limits {
-        remembers: true,
+    let lists_on_disk = Limits {
+        lists_on_disk: true,
         ..LIMITS
     };
     assert_eq!(
-        (found(&script), found_by(&script, &remembers)),
+        (found(&script), found_by(&script, &lists_on_disk)),
         (vec![], vec!["drain"])
     );
     // What a link held comes once it heals; what comes later than that was written later.
     let script = |at| {
         [
-            (0, Seen::Told(0, 0)),
-            (1, Seen::Veiled(7, 0)),
+            (0, Observation::EventSent(0, 0)),
+            (1, Observation::NodeImpaired(7, 0)),
             (400, ASKED),
-            (800, Seen::Clear(7, 0)),
+            (800, Observation::NodeRestored(7, 0)),
             (at, sent(7, 1, 0)),
-            (at, Seen::Done(7, 1, 5)),
+            (at, Observation::Responded(7, 1, 5)),
             (at, ANSWERED),
         ]
     };
--- a/rig/src/script.rs
+++ b/rig/src/script.rs
@@ -1,11 +1,11 @@
 //! Faults from a seed. A script says what fails and what comes back, in order; the next step is taken once so many more requests
 //! were answered, so that a slow machine takes longer and sees the same.
 use crate::event::State;
-use crate::history::Seen;
-use crate::link::Way;
-use crate::list::Mode;
-use crate::nodes::Mood;
-use crate::stage::{Shape, Stage};
+use crate::history::Observation;
+use crate::link::Transmission;
+use crate::list::ServiceMode;
+use crate::nodes::Behavior;
+use crate::stage::{ClusterSize, TestCluster};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -19,21 +19,21 @@
     /// Fronts are stopped.
     Stop(Vec<usize>),
     /// They go on.
-    Go(Vec<usize>),
+    Resume(Vec<usize>),
     /// A front and the list service: what passes there and back; `None`: all.
-    Feed(usize, Option<(Way, Way)>),
+    Feed(usize, Option<(Transmission, Transmission)>),
     /// A side of the fleet and a node.
-    Link(usize, usize, Option<(Way, Way)>),
+    Link(usize, usize, Option<(Transmission, Transmission)>),
     /// The connections of a side to a node are reset.
     Reset(usize, usize),
     /// What a node does.
-    Node(usize, Mood),
+    Node(usize, Behavior),
     /// What the list service says of a node.
-    Listed(usize, State),
+    SetState(usize, State),
     /// An object is purged.
     Purge(u64),
     /// What the list service does.
-    Service(Mode),
+    Service(ServiceMode),
 }
 
 /// Faults, one after another.
@@ -61,7 +61,7 @@
 
 impl Script {
     /// So many steps. Half of the fronts and one cache at least stay untouched, so that there is service to be seen.
-    pub fn from_seed(seed: u64, shape: Shape, count: usize) -> Self {
+    pub fn from_seed(seed: u64, shape: ClusterSize, count: usize) -> Self {
         let mut rng = Rng(seed);
         let (mut down, mut stopped) = (BTreeSet::new(), BTreeSet::new());
         // Front 0 and cache 0 are never touched.
@@ -69,10 +69,10 @@
         let place = |rng: &mut Rng| 1 + rng.below(shape.caches + shape.parents);
         let ways = |rng: &mut Rng| {
             let one = |rng: &mut Rng| match rng.below(4) {
-                0 => Way::Pass,
-                1 => Way::Late(Duration::from_millis(50 + rng.below(300) as u64)),
-                2 => Way::Slow(200 + rng.below(2_000) as u64),
-                _ => Way::Cut,
+                0 => Transmission::Pass,
+                1 => Transmission::Delay(Duration::from_millis(50 + rng.below(300) as u64)),
+                2 => Transmission::Throttle(200 + rng.below(2_000) as u64),
+                _ => Transmission::Cut,
             };
             [None, Some((one(rng), one(rng)))][rng.below(3).min(1)]
         };
@@ -103,34 +103,39 @@
                     Fault::Stop(vec![one])
                 }
                 5 if !stopped.is_empty() => {
-                    Fault::Go(std::mem::take(&mut stopped).into_iter().collect())
+                    Fault::Resume(std::mem::take(&mut stopped).into_iter().collect())
                 }
                 6 => Fault::Feed(front(&mut rng), ways(&mut rng)),
                 7 => Fault::Link(rng.below(shape.sides), place(&mut rng), ways(&mut rng)),
                 8 => Fault::Reset(rng.below(shape.sides), place(&mut rng)),
                 9 => {
                     let moods = [
-                        Mood::Answers(Duration::from_millis(1)),
-                        Mood::Answers(Duration::from_millis(80)),
-                        Mood::Silent,
-                        Mood::Frozen,
-                        Mood::Full,
-                        Mood::Faults,
-                        Mood::Garbage,
-                        Mood::Torn,
-                        Mood::Breaks,
-                        Mood::Stubborn,
-                        Mood::Dead,
+                        Behavior::Respond(Duration::from_millis(1)),
+                        Behavior::Respond(Duration::from_millis(80)),
+                        Behavior::Silent,
+                        Behavior::NotReading,
+                        Behavior::Shed,
+                        Behavior::Fail,
+                        Behavior::Garbage,
+                        Behavior::Truncate,
+                        Behavior::Reset,
+                        Behavior::Duplicate,
+                        Behavior::Down,
                     ];
                     Fault::Node(place(&mut rng), moods[rng.below(moods.len())])
                 }
                 10 => {
                     let states = [State::Draining, State::Ready];
-                    Fault::Listed(place(&mut rng), states[rng.below(2)])
+                    Fault::SetState(place(&mut rng), states[rng.below(2)])
                 }
                 11 => match rng.below(4) {
                     0 => Fault::Service(
-                        [Mode::Serves, Mode::Closes, Mode::Silent, Mode::Torn][rng.below(4)],
+                        [
+                            ServiceMode::Serve,
+                            ServiceMode::Close,
+                            ServiceMode::Silent,
+                            ServiceMode::Truncate,
+                        ][rng.below(4)],
                     ),
                     _ => Fault::Purge(rng.below(50) as u64),
                 },
@@ -138,13 +143,16 @@
             });
         }
         // All heals.
-        steps.push(Fault::Service(Mode::Serves));
+        steps.push(Fault::Service(ServiceMode::Serve));
         steps.push(Fault::Restart(down.into_iter().collect()));
-        steps.push(Fault::Go(stopped.into_iter().collect()));
+        steps.push(Fault::Resume(stopped.into_iter().collect()));
         steps.extend((1..shape.fronts).map(|front| Fault::Feed(front, None)));
         for place in 1..=shape.caches + shape.parents {
-            steps.push(Fault::Node(place, Mood::Answers(Duration::from_millis(1))));
-            steps.push(Fault::Listed(place, State::Ready));
+            steps.push(Fault::Node(
+                place,
+                Behavior::Respond(Duration::from_millis(1)),
+            ));
+            steps.push(Fault::SetState(place, State::Ready));
             steps.extend((0..shape.sides).map(|side| Fault::Link(side, place, None)));
         }
         Script {
@@ -155,46 +163,47 @@
     }
 }
 
-impl Stage {
+impl TestCluster {
     /// Takes one step.
-    pub fn take(&mut self, fault: &Fault) {
+    pub fn apply(&mut self, fault: &Fault) {
         match fault {
             Fault::Kill(which) => self.kill(which),
             Fault::Restart(which) => self.restart(which),
-            Fault::Stop(which) => self.stop(which, true),
-            Fault::Go(which) => self.stop(which, false),
-            Fault::Feed(front, ways) => self.feed(*front, *ways),
-            Fault::Link(side, place, ways) => self.link(*side, *place, *ways),
-            Fault::Reset(side, place) => self.reset(*side, *place),
+            Fault::Stop(which) => self.set_stopped(which, true),
+            Fault::Resume(which) => self.set_stopped(which, false),
+            Fault::Feed(front, ways) => self.set_feed_link(*front, *ways),
+            Fault::Link(side, place, ways) => self.set_node_link(*side, *place, *ways),
+            Fault::Reset(side, place) => self.reset_connections(*side, *place),
             Fault::Node(place, mood) => self.nodes.set(*place, *mood),
-            Fault::Listed(place, state) => drop(self.list(*place, *state)),
+            Fault::SetState(place, state) => drop(self.set_node_state(*place, *state)),
             Fault::Purge(item) => drop(self.purge(*item)),
-            Fault::Service(mode) => self.list.set(*mode),
+            Fault::Service(mode) => self.list_service.set(*mode),
         }
     }
 
     /// Plays a script to its end: all has healed, and each front has served again.
-    pub fn play(&mut self, script: &Script) {
-        let answered = |seen: &Seen| matches!(seen, Seen::Answered(..));
+    pub fn run_script(&mut self, script: &Script) {
+        let answered = |seen: &Observation| matches!(seen, Observation::ClientResponse(..));
         for (place, step) in script.steps.iter().enumerate() {
             let before = self.history.count(answered);
-            self.take(step);
-            if place + self.places() * 4 + self.shape().fronts < script.steps.len() {
+            self.apply(step);
+            if place + self.node_count() * 4 + self.size().fronts < script.steps.len() {
                 let what = format!("seed {}: answers after {step:?}", script.seed);
-                self.history.until(&what, before + script.answers, answered);
+                self.history
+                    .wait_for(&what, before + script.answers, answered);
             }
         }
         let healed = self.history.now();
-        for front in 0..self.shape().fronts {
-            let again = |seen: &Seen| matches!(seen, Seen::Answered(by, _, 1) if *by == front);
+        for front in 0..self.size().fronts {
+            let again = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
             let before = self
                 .history
-                .moments(again)
+                .timestamps(again)
                 .iter()
                 .filter(|at| **at <= healed)
                 .count();
             let what = format!("seed {}: front {front} serves again", script.seed);
-            self.history.until(&what, before + 1, again);
+            self.history.wait_for(&what, before + 1, again);
         }
     }
 }
--- a/rig/src/socket_faults.rs
+++ b/rig/src/socket_faults.rs
@@ -9,7 +9,7 @@
 
 /// A system call on a TCP socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum SystemCall {
     /// `accept`, `accept4`.
     Accept = 1,
     /// `socket`.
@@ -17,20 +17,20 @@
     /// `connect`.
     Connect = 4,
     /// Reads from connections that the process made.
-    ReadDialled = 8,
+    ReadOutbound = 8,
     /// Writes to connections that the process made.
-    WriteDialled = 16,
+    WriteOutbound = 16,
     /// Reads from connections that it accepted.
-    ReadAccepted = 32,
+    ReadInbound = 32,
     /// Writes to connections that it accepted.
-    WriteAccepted = 64,
+    WriteInbound = 64,
 }
 
 /// Which calls fail, how and when.
 #[derive(Clone, Debug, Default)]
 pub struct SocketFaults {
     /// The calls that fail.
-    pub calls: Vec<Call>,
+    pub calls: Vec<SystemCall>,
     /// The error that they fail with.
     pub errno: i32,
     /// Of so many calls one fails; 1: all do.
@@ -38,14 +38,14 @@
     /// They fail only for the first part of each of these periods; `None`: all the time.
     pub burst: Option<(Duration, Duration)>,
     /// Bytes that a read takes at most; 0: as many as there are.
-    pub read_most: usize,
+    pub max_read_bytes: usize,
     /// Bytes that a write takes at most; 0: as many as fit.
-    pub write_most: usize,
+    pub max_write_bytes: usize,
 }
 
 impl SocketFaults {
     /// All calls of these kinds fail with an error.
-    pub fn all(calls: &[Call], errno: i32) -> Self {
+    pub fn all(calls: &[SystemCall], errno: i32) -> Self {
         SocketFaults {
             calls: calls.to_vec(),
             errno,
@@ -70,8 +70,8 @@
     /// Reads and writes of no more than so many bytes.
     pub fn short(bytes: usize) -> Self {
         SocketFaults {
-            read_most: bytes,
-            write_most: bytes,
+            max_read_bytes: bytes,
+            max_write_bytes: bytes,
             ..SocketFaults::default()
         }
     }
@@ -84,8 +84,8 @@
             i64::from(self.every),
             fails.as_millis() as i64,
             period.as_millis() as i64,
-            self.read_most as i64,
-            self.write_most as i64,
+            self.max_read_bytes as i64,
+            self.max_write_bytes as i64,
         ];
         (MASK..).zip([mask].into_iter().chain(rest)).collect()
     }
--- a/rig/src/stage.rs
+++ b/rig/src/stage.rs
@@ -1,12 +1,12 @@
 //! A whole service under a test's hand: fronts, the list service, nodes behind links, clients, one history.
-use crate::clients::{Addresses, Asks, Clients};
-use crate::event::{Event, Listed, State};
+use crate::clients::{Addresses, ClientLoad, Clients};
+use crate::event::{Event, ListedNode, State};
 use crate::fleet::Fleet;
-use crate::history::{History, Seen};
-use crate::link::{Link, Way};
-use crate::list::{ListService, Mode, FIRST};
+use crate::history::{History, Observation};
+use crate::link::{Link, Transmission};
+use crate::list::{ListService, ServiceMode, FIRST};
 use crate::nodes::Nodes;
-use crate::rules::{around, breaches, pushed_over, Breach, Cold, Limits};
+use crate::rules::{context, violations, warm_up_violations, Limits, Violation, WarmUpLimits};
 use serde_json::{json, Value};
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -14,7 +14,7 @@
 
 /// How large a service is.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct ClusterSize {
     /// Processes of the program.
     pub fronts: usize,
     /// Cache nodes, parents; there is one origin besides.
@@ -27,11 +27,11 @@
 }
 
 /// What runs. Nodes go by their place: caches, then parents, then the origin.
-pub struct Stage {
+pub struct TestCluster {
     /// What was seen.
     pub history: History,
     /// The list service.
-    pub list: ListService,
+    pub list_service: ListService,
     /// Cache nodes, parents, the origin.
     pub nodes: Nodes,
     /// The processes.
@@ -40,33 +40,33 @@
     pub feeds: Vec<Link>,
     /// By side and node.
     links: Vec<Vec<Link>>,
-    shape: Shape,
-    listed: Vec<Listed>,
+    shape: ClusterSize,
+    listed: Vec<ListedNode>,
     addresses: Addresses,
     limits: Limits,
-    cold: Cold,
+    cold: WarmUpLimits,
     purge_takes: Duration,
     /// What clients ask that begin from now on.
-    pub asks: Asks,
+    pub load: ClientLoad,
 }
 
-impl Stage {
+impl TestCluster {
     /// Starts all of it. `base` is a configuration whose settings have the classes that are asked, an edge at zone 1, a hub at
     /// zone 0 and the kinds cache, parent, origin in this order; `settings` are the daemon's own.
     pub fn start(
         binary: &Path,
-        shape: Shape,
+        shape: ClusterSize,
         base: &Value,
         settings: Option<&Value>,
         seed: u64,
     ) -> Self {
-        Stage::on(binary, shape, base, settings, &[], seed)
+        TestCluster::start_with_clocks(binary, shape, base, settings, &[], seed)
     }
 
-    /// The same on machines whose wall clocks are ahead by so many milliseconds, front by front.
-    pub fn on(
+    /// The same on injectors whose wall clocks are ahead by so many milliseconds, front by front.
+    pub fn start_with_clocks(
         binary: &Path,
-        shape: Shape,
+        shape: ClusterSize,
         base: &Value,
         settings: Option<&Value>,
         clocks: &[i64],
@@ -92,10 +92,10 @@
             purge: micros(&info["purgeGrace"]) + SLACK,
             answer: limit(read).min(limit(one)) + SLACK,
             overlap: SLACK,
-            remembers: false,
+            lists_on_disk: false,
         };
         let rules = &base["settings"]["rules"];
-        let cold = Cold {
+        let cold = WarmUpLimits {
             from: rules["coldFrom"].as_f64().expect("a share"),
             warm_in: micros(&rules["cold"]),
             multiple: rules["fallMultiple"].as_f64().expect("a number"),
@@ -118,7 +118,7 @@
                     _ if place < count - 1 => (0, 1, 24),
                     _ => (0, 2, 1),
                 };
-                Listed {
+                ListedNode {
                     place,
                     id: ids[place],
                     state: State::Ready,
@@ -135,20 +135,20 @@
                 None => nodes.all.iter().map(|(_, at)| *at).collect(),
             }
         };
-        let list = ListService::with_doors(
+        let list = ListService::with_addresses(
             &history,
-            Mode::Serves,
+            ServiceMode::Serve,
             (0..shape.fronts).map(reach).collect(),
         );
-        let linked = list.doors.iter().filter(|_| !links.is_empty());
-        let feeds: Vec<_> = linked.map(|door| Link::new(*door)).collect();
+        let linked = list.addresses.iter().filter(|_| !links.is_empty());
+        let feeds: Vec<_> = linked.map(|front| Link::new(*front)).collect();
         let calls = |front: usize| {
             feeds
                 .get(front)
-                .map_or(list.doors[front], |link| link.address)
+                .map_or(list.addresses[front], |link| link.address)
         };
         let names = |key: &str, i: u8| base["settings"][key][usize::from(i)].clone();
-        let fleet = Fleet::on(binary, shape.fronts, settings, clocks, |front| {
+        let fleet = Fleet::start_with_clocks(binary, shape.fronts, settings, clocks, |front| {
             let mut config = base.clone();
             config["name"] = format!("n{front}").into();
             config["listen"] = "127.0.0.1:0".into();
@@ -158,7 +158,7 @@
             config["settings"]["index"] = front.into();
             // All of them stand at the edge: what a cache bears is shared by as many.
             config["settings"]["familyInfo"]["seatsByZone"] = json!([0, shape.fronts]);
-            let member = |one: &Listed| {
+            let member = |one: &ListedNode| {
                 json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": reach(front)[one.place].to_string(),
                        "zone": names("zones", one.zone), "machineType": names("kinds", one.kind), "cell": 0,
                        "lifecycle": "in_service", "weight": one.weight, "startedAtMs": 0})
@@ -174,17 +174,17 @@
         ));
         let pause = Duration::from_millis(20);
         let limit = limit(read).min(limit(one));
-        let asks = Asks {
+        let load = ClientLoad {
             read: name(read),
             write: name(one),
             objects: 50,
-            at_once: 1,
+            connections_per_front: 1,
             pause,
             limit,
         };
-        Stage {
+        TestCluster {
             history,
-            list,
+            list_service: list,
             nodes,
             fleet,
             feeds,
@@ -195,24 +195,24 @@
             limits,
             cold,
             purge_takes,
-            asks,
+            load,
         }
     }
 
     /// From now on each front that is killed is held to what it was told before: it has it on disk.
-    pub fn remembers(&mut self) {
-        self.limits.remembers = true;
+    pub fn keep_lists_on_disk(&mut self) {
+        self.limits.lists_on_disk = true;
     }
 
     /// Clients begin to ask all fronts.
-    pub fn clients(&self, seed: u64) -> Clients {
-        Clients::begin(&self.history, &self.addresses, &self.asks, seed)
+    pub fn start_clients(&self, seed: u64) -> Clients {
+        Clients::start(&self.history, &self.addresses, &self.load, seed)
     }
 
     /// Kills fronts outright.
     pub fn kill(&mut self, which: &[usize]) {
         for front in which {
-            self.history.note(Seen::Killed(*front));
+            self.history.record(Observation::Killed(*front));
             self.addresses.lock().expect("no holder panics")[*front] = None;
         }
         self.fleet.kill(which.iter().copied());
@@ -223,132 +223,141 @@
         self.fleet.restart(which.iter().copied());
         for front in which {
             let at = self.fleet.address(*front);
-            self.history.note(Seen::Going(*front));
+            self.history.record(Observation::Resumed(*front));
             self.addresses.lock().expect("no holder panics")[*front] = Some(at);
         }
     }
 
     /// Stops fronts, or lets them go on.
-    pub fn stop(&self, which: &[usize], on: bool) {
+    pub fn set_stopped(&self, which: &[usize], on: bool) {
         let signal = if on { libc::SIGSTOP } else { libc::SIGCONT };
         if on {
             which
                 .iter()
-                .for_each(|front| self.history.note(Seen::Stopped(*front)));
+                .for_each(|front| self.history.record(Observation::Stopped(*front)));
         }
         self.fleet.signal(which.iter().copied(), signal);
         if !on {
             which
                 .iter()
-                .for_each(|front| self.history.note(Seen::Going(*front)));
+                .for_each(|front| self.history.record(Observation::Resumed(*front)));
         }
     }
 
     /// The link between a front and the list service does this; `None`: it heals.
-    pub fn feed(&self, front: usize, ways: Option<(Way, Way)>) {
+    pub fn set_feed_link(&self, front: usize, ways: Option<(Transmission, Transmission)>) {
         match ways {
             Some((there, back)) => {
-                self.history.note(Seen::Deaf(front));
+                self.history.record(Observation::FeedImpaired(front));
                 self.feeds[front].set(there, back);
             }
             None => {
                 self.feeds[front].heal();
-                self.history.note(Seen::Hears(front));
+                self.history.record(Observation::FeedRestored(front));
             }
         }
     }
 
     /// The link between one side of the fleet and a node does this; `None`: it heals.
-    pub fn link(&self, side: usize, place: usize, ways: Option<(Way, Way)>) {
+    pub fn set_node_link(
+        &self,
+        side: usize,
+        place: usize,
+        ways: Option<(Transmission, Transmission)>,
+    ) {
         let id = self.listed[place].id;
         match ways {
             Some((there, back)) => {
-                self.history.note(Seen::Veiled(id, side + 1));
+                self.history.record(Observation::NodeImpaired(id, side + 1));
                 self.links[side][place].set(there, back);
             }
             None => {
                 self.links[side][place].heal();
-                self.history.note(Seen::Clear(id, side + 1));
+                self.history.record(Observation::NodeRestored(id, side + 1));
             }
         }
     }
 
     /// Resets the connections of one side of the fleet to a node.
-    pub fn reset(&self, side: usize, place: usize) {
+    pub fn reset_connections(&self, side: usize, place: usize) {
         self.links[side][place].reset();
     }
 
     /// The list service tells that a node is in another state.
-    pub fn list(&mut self, place: usize, state: State) -> u64 {
+    pub fn set_node_state(&mut self, place: usize, state: State) -> u64 {
         self.listed[place].state = state;
-        self.list
-            .tell(Event::Nodes(false, vec![self.listed[place]]))
+        self.list_service
+            .publish(Event::Nodes(false, vec![self.listed[place]]))
     }
 
     /// The list service tells that a node has just started: it is cold.
-    pub fn list_started(&mut self, place: usize) -> u64 {
+    pub fn mark_started(&mut self, place: usize) -> u64 {
         self.listed[place].started_ms = crate::nodes::wall_ms();
-        self.list(place, State::Ready)
+        self.set_node_state(place, State::Ready)
     }
 
     /// The list service tells of all nodes, some of them in other states.
-    pub fn list_all(&mut self, states: &[(usize, State)]) -> u64 {
+    pub fn publish_all(&mut self, states: &[(usize, State)]) -> u64 {
         states
             .iter()
             .for_each(|(place, state)| self.listed[*place].state = *state);
-        self.list.tell(Event::Nodes(true, self.listed.clone()))
+        self.list_service
+            .publish(Event::Nodes(true, self.listed.clone()))
     }
 
     /// The list service tells that an object is purged now.
     pub fn purge(&self, item: u64) -> u64 {
         let at_ms = crate::nodes::wall_ms();
         self.nodes.purge(item, at_ms, self.purge_takes);
-        self.list.tell(Event::Purge(item, at_ms))
+        self.list_service.publish(Event::Purge(item, at_ms))
     }
 
     /// How many nodes there are.
-    pub fn places(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.listed.len()
     }
 
     /// Its shape.
-    pub fn shape(&self) -> Shape {
+    pub fn size(&self) -> ClusterSize {
         self.shape
     }
 
     /// Waits until so many more requests were answered with success.
-    pub fn served(&self, what: &str, more: usize) {
-        let served = |seen: &Seen| matches!(seen, Seen::Answered(_, _, 1));
+    pub fn wait_served(&self, what: &str, more: usize) {
+        let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, _, 1));
         let before = self.history.count(served);
-        self.history.until(what, before + more, served);
+        self.history.wait_for(what, before + more, served);
     }
 
     /// Breaches of the service's rules in all that was seen.
-    pub fn breaches(&self) -> Vec<Breach> {
-        let events = self.list.events();
-        let (all, event) = (self.history.all(), |number: u64| {
+    pub fn violations(&self) -> Vec<Violation> {
+        let events = self.list_service.events();
+        let (all, event) = (self.history.observations(), |number: u64| {
             events.get(number.checked_sub(FIRST)? as usize)
         });
-        let mut found = breaches(&all, event, &self.limits);
-        found.extend(pushed_over(&all, event, &self.cold));
+        let mut found = violations(&all, event, &self.limits);
+        found.extend(warm_up_violations(&all, event, &self.cold));
         found
     }
 
     /// No rule was broken and no process has ended by itself, or the history round the first breach is shown.
-    pub fn keeps_the_rules(&mut self, seed: u64) {
-        let found = self.breaches();
+    pub fn assert_no_violations(&mut self, seed: u64) {
+        let found = self.violations();
         if let Some(first) = found.first() {
             let list = found
                 .iter()
                 .take(20)
                 .map(|b| format!("{:?} {}: {}\n", b.at, b.rule, b.text));
-            let (list, round) = (list.collect::<String>(), around(&self.history.all(), first));
+            let (list, round) = (
+                list.collect::<String>(),
+                context(&self.history.observations(), first),
+            );
             panic!(
                 "seed {seed}: {} breaches\n{list}\nthe first:\n{round}",
                 found.len()
             );
         }
-        let dead = self.fleet.dead();
+        let dead = self.fleet.exited();
         assert!(dead.is_empty(), "seed {seed}: {dead:#?}");
     }
 }
