--- a/front/examples/measure-daily.rs
+++ b/front/examples/measure-daily.rs
@@ -3,7 +3,7 @@
 //! stand in `docs/design/daily.md`.
 #[path = "../tests/common/mod.rs"]
 mod common;
-use common::desk::*;
+use common::operations::*;
 use common::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 /// Memory in KB and descriptors of a process.
 fn held(process: &Process) -> (u64, usize) {
-    let folder = format!("/proc/{}", process.front.id());
+    let folder = format!("/proc/{}", process.child.id());
     let status = std::fs::read_to_string(format!("{folder}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kb = line
@@ -27,30 +27,30 @@
 }
 
 fn main() {
-    let stage = Stage::new(|_| {});
+    let stage = TestFront::new(|_| {});
     stage
         .caches
         .iter()
         .chain([&stage.origin])
-        .for_each(|member| drop(answering(member)));
-    let platform = Held::new(&stage.config);
+        .for_each(|member| drop(serve_hits(member)));
+    let platform = InheritedListener::new(&stage.config);
     let (mut old, mut ops) = platform.start();
     let (over, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
-    let clients = load(
+    let clients = start_load(
         platform.listener.local_addr().unwrap(),
         &over,
         &failures,
         32,
     );
     // Warm: connections are made and the members known.
-    while figures(ops)["handled.page-bits.passed"] < 10_000 {}
-    let before = figures(ops)["handled.page-bits.passed"];
+    while counters(ops)["handled.page-bits.passed"] < 10_000 {}
+    let before = counters(ops)["handled.page-bits.passed"];
     let began = Instant::now();
     for word in ["health", "counters"] {
         let mut took: Vec<_> = (0..CALLS)
             .map(|_| {
                 let began = Instant::now();
-                assert!(call(ops, word).starts_with("+OK"));
+                assert!(operator_command(ops, word).starts_with("+OK"));
                 began.elapsed().as_micros()
             })
             .collect();
@@ -63,7 +63,7 @@
             of(100)
         );
     }
-    let served = figures(ops)["handled.page-bits.passed"] - before;
+    let served = counters(ops)["handled.page-bits.passed"] - before;
     println!(
         "beside {:.0} requests a second",
         served as f64 / began.elapsed().as_secs_f64()
@@ -71,20 +71,20 @@
     let (mut most, mut ends) = ((0, 0), Vec::new());
     for _ in 0..REPLACEMENTS {
         let (new, new_ops) = platform.start();
-        until(&new.log, "waits for another process");
+        wait_for_line(&new.log, "waits for another process");
         let began = Instant::now();
         old.signal("-TERM");
-        until(&new.log, "accepts clients");
+        wait_for_line(&new.log, "accepts clients");
         let both = [held(&old), held(&new)];
         most = (
             most.0.max(both[0].0 + both[1].0),
             most.1.max(both[0].1 + both[1].1),
         );
-        assert!(old.front.wait().unwrap().success());
+        assert!(old.child.wait().unwrap().success());
         ends.push(began.elapsed().as_millis());
         (old, ops) = (new, new_ops);
     }
-    assert!(call(ops, "health").starts_with("+OK"));
+    assert!(operator_command(ops, "health").starts_with("+OK"));
     over.store(true, Ordering::SeqCst);
     let answered: u32 = clients
         .into_iter()
--- a/front/tests/common/mod.rs
+++ b/front/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A front as a process of its own, and the peers that a story scripts: blocking sockets on loopback.
 #![allow(dead_code)]
-pub mod desk;
+pub mod operations;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,22 +10,22 @@
 use std::time::Duration;
 
 /// No story waits for longer than this: it is a guard against hanging, not a measure.
-const GUARD: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub const CACHES: [u32; 2] = [0x11, 0x12];
+pub const CACHE_IDS: [u32; 2] = [0x11, 0x12];
 
-fn guarded(stream: TcpStream) -> TcpStream {
-    stream.set_read_timeout(Some(GUARD)).unwrap();
+fn with_read_timeout(stream: TcpStream) -> TcpStream {
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream
 }
 
 /// The members, the feed and the front.
-pub struct Stage {
+pub struct TestFront {
     pub caches: [TcpListener; 2],
     pub origin: TcpListener,
     pub feed: TcpListener,
     pub config: Value,
-    pub front: Child,
+    pub child: Child,
     pub address: SocketAddr,
     pub file: PathBuf,
     pub log: Receiver<String>,
@@ -35,12 +35,12 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-pub fn member(id: u32, at: &TcpListener, zone: &str, kind: &str) -> Value {
+pub fn instance(id: u32, at: &TcpListener, zone: &str, kind: &str) -> Value {
     json!({"instanceId": format!("s-{id:08x}"), "hostPort": at.local_addr().unwrap().to_string(), "zone": zone,
            "machineType": kind, "cell": 0, "lifecycle": "in_service", "weight": 8, "startedAtMs": 0})
 }
 
-impl Stage {
+impl TestFront {
     /// Two caches and an origin: what a cache lacks comes from the origin.
     pub fn new(change: impl Fn(&mut Value)) -> Self {
         Self::with(change, None)
@@ -57,21 +57,23 @@
             .for_each(|class| config["settings"]["classes"][class]["deadline"] = 60_000_000.into());
         config["feed"] = feed.local_addr().unwrap().to_string().into();
         config["known"]["events"][0]["members"]["instances"] = json!([
-            member(CACHES[0], &caches[0], "edge-1", "small-box"),
-            member(CACHES[1], &caches[1], "edge-1", "small-box"),
-            member(0x31, &origin, "east-hub", "origin")
+            instance(CACHE_IDS[0], &caches[0], "edge-1", "small-box"),
+            instance(CACHE_IDS[1], &caches[1], "edge-1", "small-box"),
+            instance(0x31, &origin, "east-hub", "origin")
         ]);
         change(&mut config);
         let (mut front, lines) = start_with(&config, settings);
         let file = lines.to_path_buf();
-        let log = follow(&mut front, lines);
-        let address = field(&until(&log, "listening"), "at").parse().unwrap();
-        Stage {
+        let log = read_log(&mut front, lines);
+        let address = log_field(&wait_for_line(&log, "listening"), "at")
+            .parse()
+            .unwrap();
+        TestFront {
             caches,
             origin,
             feed,
             config,
-            front,
+            child: front,
             address,
             file,
             log,
@@ -82,27 +84,27 @@
         let stream = TcpStream::connect(self.address).unwrap();
         // What it says is there at once, not when the system thinks fit.
         stream.set_nodelay(true).unwrap();
-        Client(guarded(stream))
+        Client(with_read_timeout(stream))
     }
 
     /// What a client that comes now is told when it asks whether the front is ready.
     pub fn readiness(&self) -> Option<String> {
         let mut client = self.client();
         client.send(20, 1, &[0]);
-        client.hear()
+        client.receive()
     }
 
     /// Kills the front outright.
     pub fn kill(&mut self) {
-        self.front.kill().unwrap();
-        self.front.wait().unwrap();
+        self.child.kill().unwrap();
+        self.child.wait().unwrap();
     }
 
     /// Stops the front, lets all of it come about, and lets the front go on: it learns of everything in one turn. `false`: it
     /// had ended before.
     pub fn while_stopped(&self, come_about: impl FnOnce()) -> bool {
         self.signal("-STOP");
-        let stat = format!("/proc/{}/stat", self.front.id());
+        let stat = format!("/proc/{}/stat", self.child.id());
         // The state is what follows the name in parentheses.
         let state = || {
             std::fs::read_to_string(&stat)
@@ -125,7 +127,7 @@
 
     /// Sends the front a signal.
     pub fn signal(&self, name: &str) {
-        let pid = self.front.id().to_string();
+        let pid = self.child.id().to_string();
         assert!(Command::new("kill")
             .args([name, &pid])
             .status()
@@ -134,19 +136,19 @@
     }
 
     /// A client with the smallest buffer for what it hears.
-    pub fn narrow_client(&self) -> Client {
+    pub fn client_with_small_buffer(&self) -> Client {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4_096).unwrap();
         socket.connect(&self.address.into()).unwrap();
-        Client(guarded(socket.into()))
+        Client(with_read_timeout(socket.into()))
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestFront {
     fn drop(&mut self) {
-        let _ = self.front.kill();
-        let _ = self.front.wait();
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
@@ -156,11 +158,11 @@
 }
 
 fn start_with(config: &Value, settings: Option<&std::path::Path>) -> (Child, tempfile::TempPath) {
-    start_in(config, settings, &[])
+    start_with_env(config, settings, &[])
 }
 
 /// The same, with variables.
-pub fn start_in(
+pub fn start_with_env(
     config: &Value,
     settings: Option<&std::path::Path>,
     variables: &[(&str, &str)],
@@ -194,7 +196,7 @@
 }
 
 /// Lines of the log as they come.
-pub fn follow(front: &mut Child, file: tempfile::TempPath) -> Receiver<String> {
+pub fn read_log(front: &mut Child, file: tempfile::TempPath) -> Receiver<String> {
     let (lines, log) = channel();
     let errors = BufReader::new(front.stderr.take().unwrap());
     std::thread::spawn(move || {
@@ -208,10 +210,10 @@
 }
 
 /// Waits for a line of the log.
-pub fn until(log: &Receiver<String>, text: &str) -> String {
+pub fn wait_for_line(log: &Receiver<String>, text: &str) -> String {
     loop {
         let line = log
-            .recv_timeout(GUARD)
+            .recv_timeout(WAIT_TIMEOUT)
             .unwrap_or_else(|_| panic!("no line with {text}"));
         if line.contains(text) {
             return line;
@@ -220,7 +222,7 @@
 }
 
 /// A field of a line of the log.
-pub fn field(line: &str, name: &str) -> String {
+pub fn log_field(line: &str, name: &str) -> String {
     let (_, rest) = line
         .split_once(&format!(" {name}="))
         .unwrap_or_else(|| panic!("no {name} in {line}"));
@@ -238,7 +240,7 @@
     }
 
     /// Asks on a stream; the id of the request is the stream's number.
-    pub fn ask(
+    pub fn request(
         &mut self,
         stream: u32,
         class: &str,
@@ -265,7 +267,7 @@
     }
 
     /// Asks with fields of one's own; an error: the connection is gone.
-    pub fn try_ask(
+    pub fn try_request(
         &mut self,
         stream: u32,
         class: &str,
@@ -286,7 +288,7 @@
     }
 
     /// The next frame in words; `None` at the end of the connection.
-    pub fn hear(&mut self) -> Option<String> {
+    pub fn receive(&mut self) -> Option<String> {
         let mut length = [0; 4];
         self.0.read_exact(&mut length).ok()?;
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -301,17 +303,17 @@
 }
 
 /// A connection of the front to a member.
-pub struct Link(pub BufReader<TcpStream>);
+pub struct NodeConnection(pub BufReader<TcpStream>);
 
 /// Takes the front's next connection.
-pub fn link(at: &TcpListener) -> Link {
-    Link(BufReader::new(accepted(at)))
+pub fn accept_node(at: &TcpListener) -> NodeConnection {
+    NodeConnection(BufReader::new(accept(at)))
 }
 
 /// The next connection to a listener; it is waited for no longer than the guard allows.
-pub fn accepted(at: &TcpListener) -> TcpStream {
+pub fn accept(at: &TcpListener) -> TcpStream {
     at.set_nonblocking(true).unwrap();
-    let by = std::time::Instant::now() + GUARD;
+    let by = std::time::Instant::now() + WAIT_TIMEOUT;
     let stream = loop {
         match at.accept() {
             Ok((stream, _)) => break stream,
@@ -322,27 +324,27 @@
     };
     at.set_nonblocking(false).unwrap();
     stream.set_nonblocking(false).unwrap();
-    guarded(stream)
+    with_read_timeout(stream)
 }
 
 /// Lets a listener take up no further connection: one comes up once the one that is returned is let go and accepted, by the
 /// system's next try about a second later.
-pub fn fill_up(at: &TcpListener) -> TcpStream {
+pub fn fill_accept_queue(at: &TcpListener) -> TcpStream {
     socket2::SockRef::from(at).listen(0).unwrap();
     TcpStream::connect(at.local_addr().unwrap()).unwrap()
 }
 
 /// The front's next connection to whichever of the nodes, and which: the origin is the last.
-pub fn any_link(stage: &Stage) -> (usize, Link) {
-    let all = [&stage.caches[0], &stage.caches[1], &stage.origin];
+pub fn accept_any_node(setup: &TestFront) -> (usize, NodeConnection) {
+    let all = [&setup.caches[0], &setup.caches[1], &setup.origin];
     all.iter().for_each(|at| at.set_nonblocking(true).unwrap());
-    let by = std::time::Instant::now() + GUARD;
+    let by = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         for (i, at) in all.iter().enumerate() {
             if let Ok((stream, _)) = at.accept() {
                 all.iter().for_each(|at| at.set_nonblocking(false).unwrap());
                 stream.set_nonblocking(false).unwrap();
-                return (i, Link(BufReader::new(guarded(stream))));
+                return (i, NodeConnection(BufReader::new(with_read_timeout(stream))));
             }
         }
         assert!(std::time::Instant::now() < by, "no connection comes");
@@ -350,7 +352,7 @@
     }
 }
 
-impl Link {
+impl NodeConnection {
     fn line(&mut self) -> Option<usize> {
         let mut line = String::new();
         self.0.read_line(&mut line).ok().filter(|n| *n > 0)?;
@@ -358,7 +360,7 @@
     }
 
     /// The next command: its words as they came.
-    pub fn hear_raw(&mut self) -> Option<Vec<Vec<u8>>> {
+    pub fn receive_raw(&mut self) -> Option<Vec<Vec<u8>>> {
         let count = self.line()?;
         let mut words = Vec::new();
         for _ in 0..count {
@@ -371,7 +373,7 @@
     }
 
     /// The next command: its words, with the time left taken out of the fields.
-    pub fn hear(&mut self) -> Option<Vec<String>> {
+    pub fn receive(&mut self) -> Option<Vec<String>> {
         let timeless = |word: Vec<u8>| {
             let word = String::from_utf8(word).unwrap();
             word.split(',')
@@ -379,11 +381,11 @@
                 .collect::<Vec<_>>()
                 .join(",")
         };
-        Some(self.hear_raw()?.into_iter().map(timeless).collect())
+        Some(self.receive_raw()?.into_iter().map(timeless).collect())
     }
 
     /// Answers a command; what is served names the copy, as a member's answers do.
-    pub fn say(&mut self, id: &str, word: &str, fields: &str, body: &str) {
+    pub fn respond(&mut self, id: &str, word: &str, fields: &str, body: &str) {
         let copy = format!("ver=4be0c1927d55a6f3,born=1764576000123,{fields}");
         let fields = if ["HIT", "VALID"].contains(&word) {
             &copy
@@ -399,15 +401,15 @@
 }
 
 /// The front's next connection to the feed, and the number of the event from which it goes on.
-pub fn feed(at: &TcpListener) -> (TcpStream, u64) {
-    let mut stream = accepted(at);
+pub fn accept_feed(at: &TcpListener) -> (TcpStream, u64) {
+    let mut stream = accept(at);
     let mut last = [0; 8];
     stream.read_exact(&mut last).unwrap();
     (stream, u64::from_be_bytes(last))
 }
 
 /// One event of the feed.
-pub fn event(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
+pub fn feed_event(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (9 + payload.len()) as u32;
     [
         &length.to_be_bytes()[..],
@@ -419,7 +421,7 @@
 }
 
 /// A record of the feed's list.
-pub fn record(id: u32, at: SocketAddr, state: u8, started_ms: u64) -> Vec<u8> {
+pub fn node_record(id: u32, at: SocketAddr, state: u8, started_ms: u64) -> Vec<u8> {
     let SocketAddr::V4(at) = at else {
         unreachable!()
     };
--- a/front/tests/common/desk.rs
+++ b/front/tests/common/operations.rs
@@ -9,20 +9,20 @@
 use std::time::Instant;
 
 /// Operators are answered within this, whatever the load.
-pub const DUE: Duration = Duration::from_secs(1);
+pub const OPERATOR_TIMEOUT: Duration = Duration::from_secs(1);
 
-pub fn with_ops(config: &mut Value) {
+pub fn with_operator_address(config: &mut Value) {
     config["ops"] = "127.0.0.1:0".into();
 }
 
-pub fn ops_of(log: &Receiver<String>) -> SocketAddr {
-    field(&until(log, "operators call here"), "at")
+pub fn operator_address(log: &Receiver<String>) -> SocketAddr {
+    log_field(&wait_for_line(log, "operators call here"), "at")
         .parse()
         .unwrap()
 }
 
 /// Says something on the second address, ends or not, and hears the whole answer.
-pub fn say(at: SocketAddr, bytes: &[u8], ends: bool) -> String {
+pub fn exchange(at: SocketAddr, bytes: &[u8], ends: bool) -> String {
     let mut socket = TcpStream::connect(at).unwrap();
     socket
         .set_read_timeout(Some(Duration::from_secs(20)))
@@ -36,40 +36,44 @@
     answer
 }
 
-pub fn call(at: SocketAddr, line: &str) -> String {
+pub fn operator_command(at: SocketAddr, line: &str) -> String {
     let began = Instant::now();
-    let answer = say(at, format!("{line}\n").as_bytes(), false);
-    assert!(began.elapsed() < DUE, "{line} took {:?}", began.elapsed());
+    let answer = exchange(at, format!("{line}\n").as_bytes(), false);
+    assert!(
+        began.elapsed() < OPERATOR_TIMEOUT,
+        "{line} took {:?}",
+        began.elapsed()
+    );
     answer
 }
 
-pub fn figures(at: SocketAddr) -> BTreeMap<String, u64> {
-    let answer = call(at, "counters");
+pub fn counters(at: SocketAddr) -> BTreeMap<String, u64> {
+    let answer = operator_command(at, "counters");
     let lines: Vec<_> = answer.lines().collect();
     assert_eq!((lines.first(), lines.last()), (Some(&"+OK"), Some(&".")));
-    let figure = |line: &&str| {
+    let counter = |line: &&str| {
         let (name, value) = line.split_once('=').unwrap();
         (
             name.strip_prefix("edge_relay.").unwrap().to_string(),
             value.parse().unwrap(),
         )
     };
-    lines[1..lines.len() - 1].iter().map(figure).collect()
+    lines[1..lines.len() - 1].iter().map(counter).collect()
 }
 
 /// A member that answers all that it is asked, and counts it.
-pub fn answering(listener: &TcpListener) -> Arc<AtomicU32> {
+pub fn serve_hits(listener: &TcpListener) -> Arc<AtomicU32> {
     let (listener, asked) = (listener.try_clone().unwrap(), Arc::new(AtomicU32::new(0)));
     let count = Arc::clone(&asked);
     std::thread::spawn(move || {
         for socket in listener.incoming().map_while(Result::ok) {
             let count = Arc::clone(&count);
             std::thread::spawn(move || {
-                let mut link = Link(BufReader::new(socket));
-                while let Some(words) = link.hear_raw() {
+                let mut link = NodeConnection(BufReader::new(socket));
+                while let Some(words) = link.receive_raw() {
                     if words[0] == b"fetch" {
                         count.fetch_add(1, Ordering::SeqCst);
-                        link.say(
+                        link.respond(
                             std::str::from_utf8(&words[1]).unwrap(),
                             "HIT",
                             "tell=local",
@@ -84,21 +88,21 @@
 }
 
 /// A front whose clients' socket the platform holds.
-pub struct Held {
+pub struct InheritedListener {
     pub listener: TcpListener,
     pub folder: tempfile::TempDir,
     pub config: Value,
 }
 
-impl Held {
+impl InheritedListener {
     pub fn new(config: &Value) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         socket2::SockRef::from(&listener)
             .set_cloexec(false)
             .unwrap();
         let mut config = config.clone();
-        with_ops(&mut config);
-        Held {
+        with_operator_address(&mut config);
+        InheritedListener {
             listener,
             folder: tempfile::tempdir().unwrap(),
             config,
@@ -106,34 +110,34 @@
     }
 
     pub fn start(&self) -> (Process, SocketAddr) {
-        let process = self.begin(&self.config);
-        let at = ops_of(&process.log);
+        let process = self.start_with(&self.config);
+        let at = operator_address(&process.log);
         (process, at)
     }
 
     /// Starts one more process, with a configuration that may differ.
-    pub fn begin(&self, config: &Value) -> Process {
+    pub fn start_with(&self, config: &Value) -> Process {
         let fd = std::os::fd::AsRawFd::as_raw_fd(&self.listener).to_string();
         let folder = self.folder.path().display().to_string();
         let variables = [
             ("RELAY_ACCEPT_FD", fd.as_str()),
             ("TMPDIR", folder.as_str()),
         ];
-        let (mut front, file) = start_in(config, None, &variables);
-        let log = follow(&mut front, file);
+        let (mut front, file) = start_with_env(config, None, &variables);
+        let log = read_log(&mut front, file);
         // From here on it is ended whatever happens.
-        Process { front, log }
+        Process { child: front, log }
     }
 }
 
 pub struct Process {
-    pub front: Child,
+    pub child: Child,
     pub log: Receiver<String>,
 }
 
 impl Process {
     pub fn signal(&self, name: &str) {
-        let pid = self.front.id().to_string();
+        let pid = self.child.id().to_string();
         assert!(std::process::Command::new("kill")
             .args([name, &pid])
             .status()
@@ -144,14 +148,14 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = self.front.kill();
-        let _ = self.front.wait();
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
 /// Clients that ask one thing after another until they are told to stop; how many were answered. Each that meets a closed
 /// door is a failure, unless its front had told it to go elsewhere.
-pub fn load(
+pub fn start_load(
     at: SocketAddr,
     over: &Arc<AtomicBool>,
     failures: &Arc<Mutex<Vec<String>>>,
@@ -170,22 +174,21 @@
                         .unwrap();
                     Client(socket)
                 });
-                connected.ask(stream, "page-bits", "20000", &[], b"");
-                let mut told_off = false;
+                connected.request(stream, "page-bits", "20000", &[], b"");
+                let mut redirected = false;
                 let answer = loop {
-                    match connected.hear() {
-                        Some(told) if told.starts_with("type 30") => told_off = true,
+                    match connected.receive() {
+                        Some(received) if received.starts_with("type 30") => redirected = true,
                         other => break other,
                     }
                 };
                 match answer {
-                    Some(told) if told.contains("\\x01") => answered += 1,
-                    other => failures
-                        .lock()
-                        .unwrap()
-                        .push(format!("{stream}: {other:?}, told off: {told_off}")),
+                    Some(received) if received.contains("\\x01") => answered += 1,
+                    other => failures.lock().unwrap().push(format!(
+                        "{stream}: {other:?}, told to reconnect: {redirected}"
+                    )),
                 }
-                client = Some(connected).filter(|_| !told_off);
+                client = Some(connected).filter(|_| !redirected);
             }
             answered
         })
--- a/front/tests/daily.rs
+++ b/front/tests/daily.rs
@@ -1,7 +1,7 @@
 //! Stories of daily use: operators' calls on the second address, members out by hand, drains, and a process that is
 //! replaced under load.
 mod common;
-use common::desk::*;
+use common::operations::*;
 use common::*;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -11,12 +11,12 @@
 use std::time::{Duration, Instant};
 
 /// By then a drained front holds no idle connection.
-const EMPTY: Duration = Duration::from_secs(4);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[test]
 fn each_call_has_its_answer_and_what_is_no_call_harms_nobody() {
-    let stage = Stage::new(with_ops);
-    let at = ops_of(&stage.log);
+    let setup = TestFront::new(with_operator_address);
+    let at = operator_address(&setup.log);
     let calls: [&[u8]; 13] = [
         b"health\n",
         b"health\r\n",
@@ -32,13 +32,20 @@
         b"halt\n",
         &[b'x'; 5_000],
     ];
-    let told: Vec<_> = calls.iter().map(|bytes| say(at, bytes, false)).collect();
-    let half = say(at, b"heal", true);
-    assert_eq!(say(at, b"", true), "", "nothing said, nothing answered");
-    insta::assert_debug_snapshot!((told, half));
+    let received: Vec<_> = calls
+        .iter()
+        .map(|bytes| exchange(at, bytes, false))
+        .collect();
+    let half = exchange(at, b"heal", true);
+    assert_eq!(
+        exchange(at, b"", true),
+        "",
+        "nothing said, nothing answered"
+    );
+    insta::assert_debug_snapshot!((received, half));
     // Without an address nothing listens.
-    let stage = Stage::new(|_| {});
-    assert!(!stage
+    let setup = TestFront::new(|_| {});
+    assert!(!setup
         .log
         .try_iter()
         .any(|line| line.contains("operators call here")));
@@ -46,8 +53,8 @@
 
 #[test]
 fn hundreds_that_say_nothing_do_not_keep_out_one_that_asks() {
-    let stage = Stage::new(with_ops);
-    let at = ops_of(&stage.log);
+    let setup = TestFront::new(with_operator_address);
+    let at = operator_address(&setup.log);
     let silent: Vec<_> = (0..300u32)
         .map(|i| {
             let mut socket = TcpStream::connect(at).unwrap();
@@ -58,17 +65,17 @@
             socket
         })
         .collect();
-    assert_eq!(call(at, "health"), "+OK serving\n");
-    assert_eq!(figures(at)["known_cache_nodes"], 3);
+    assert_eq!(operator_command(at, "health"), "+OK serving\n");
+    assert_eq!(counters(at)["known_cache_nodes"], 3);
     drop(silent);
 }
 
 #[test]
 fn without_descriptors_a_silent_caller_gives_its_own_up_to_one_that_asks() {
     let mut file = tempfile::NamedTempFile::new().unwrap();
-    let stage = Stage::new(|_| {});
-    let mut config = stage.config.clone();
-    with_ops(&mut config);
+    let setup = TestFront::new(|_| {});
+    let mut config = setup.config.clone();
+    with_operator_address(&mut config);
     config["listen"] = "127.0.0.1:0".into();
     file.write_all(config.to_string().as_bytes()).unwrap();
     let mut shell = std::process::Command::new("sh");
@@ -77,179 +84,187 @@
         .arg(binary())
         .arg(file.path());
     let mut front = shell.stderr(std::process::Stdio::piped()).spawn().unwrap();
-    let log = follow(&mut front, file.into_temp_path());
-    let process = Process { front, log };
-    let at = ops_of(&process.log);
+    let log = read_log(&mut front, file.into_temp_path());
+    let process = Process { child: front, log };
+    let at = operator_address(&process.log);
     let silent: Vec<_> = (0..60).map(|_| TcpStream::connect(at).unwrap()).collect();
-    assert_eq!(call(at, "health"), "+OK serving\n");
+    assert_eq!(operator_command(at, "health"), "+OK serving\n");
     drop(silent);
 }
 
 #[test]
 fn the_figures_are_what_clients_and_members_saw() {
-    let stage = Stage::new(with_ops);
-    let at = ops_of(&stage.log);
-    let asked = stage
+    let setup = TestFront::new(with_operator_address);
+    let at = operator_address(&setup.log);
+    let asked = setup
         .caches
         .iter()
-        .map(answering)
-        .chain([answering(&stage.origin)])
+        .map(serve_hits)
+        .chain([serve_hits(&setup.origin)])
         .collect::<Vec<_>>();
-    let (mut client, mut seen) = (stage.client(), BTreeMap::<&str, u64>::new());
+    let (mut client, mut seen) = (setup.client(), BTreeMap::<&str, u64>::new());
     for stream in 1..=30 {
         match stream % 5 {
             // A class that there is not is in no count; one whose id is taken is answered by the front itself.
-            0 => client.ask(stream, "no-such", "2000", &[], b""),
-            1 => client.ask(stream, "book-car", "2000", &[], b"keys"),
-            _ => client.ask(stream, "page-bits", "2000", &[], b""),
+            0 => client.request(stream, "no-such", "2000", &[], b""),
+            1 => client.request(stream, "book-car", "2000", &[], b"keys"),
+            _ => client.request(stream, "page-bits", "2000", &[], b""),
         }
-        let told = client.hear().unwrap();
-        let code = told.split(": ").nth(1).unwrap();
+        let received = client.receive().unwrap();
+        let code = received.split(": ").nth(1).unwrap();
         let name = match (stream % 5, &code[..4]) {
             (0, _) => continue,
             (1, "\\x01") => "handled.book-car.passed",
             (_, "\\x01") => "handled.page-bits.passed",
-            _ => panic!("{told}"),
+            _ => panic!("{received}"),
         };
         *seen.entry(name).or_default() += 1;
     }
     // A request that its client takes back is in no count, and no longer in progress.
-    client.ask(31, "page-bits", "2000", &[], b"");
+    client.request(31, "page-bits", "2000", &[], b"");
     client.send(12, 31, b"");
     client.send(20, 32, &[0]);
-    while !client.hear().unwrap().contains("stream 32") {}
-    let told = figures(at);
+    while !client.receive().unwrap().contains("stream 32") {}
+    let received = counters(at);
     let tries: u32 = asked.iter().map(|n| n.load(Ordering::SeqCst)).sum();
     for (name, n) in seen {
         let slack = u64::from(name == "handled.page-bits.passed");
         assert!(
-            told[name] >= n && told[name] <= n + slack,
+            received[name] >= n && received[name] <= n + slack,
             "{name}: {} and not {n}",
-            told[name]
+            received[name]
         );
     }
     assert!(
-        told["upstream_tries"].abs_diff(tries.into()) <= 1,
+        received["upstream_tries"].abs_diff(tries.into()) <= 1,
         "{} and {tries}",
-        told["upstream_tries"]
+        received["upstream_tries"]
     );
-    assert_eq!((told["in_progress"], told["skipped_cache_nodes"]), (0, 0));
-    call(at, "cordon s-00000011");
-    assert_eq!(figures(at)["skipped_cache_nodes"], 1);
+    assert_eq!(
+        (received["in_progress"], received["skipped_cache_nodes"]),
+        (0, 0)
+    );
+    operator_command(at, "cordon s-00000011");
+    assert_eq!(counters(at)["skipped_cache_nodes"], 1);
 }
 
 #[test]
 fn a_drained_front_says_no_lets_go_of_its_clients_and_takes_others_later() {
-    let stage = Stage::new(with_ops);
-    let at = ops_of(&stage.log);
-    let (mut idle, mut busy) = (stage.client(), stage.client());
-    let mut told = Vec::new();
+    let setup = TestFront::new(with_operator_address);
+    let at = operator_address(&setup.log);
+    let (mut idle, mut busy) = (setup.client(), setup.client());
+    let mut received = Vec::new();
     idle.send(20, 1, &[0]);
-    told.extend(idle.hear());
-    busy.ask(1, "book-car", "20000", &[], b"keys");
-    let mut origin = link(&stage.origin);
-    let fetch = origin.hear().unwrap();
+    received.extend(idle.receive());
+    busy.request(1, "book-car", "20000", &[], b"keys");
+    let mut origin = accept_node(&setup.origin);
+    let fetch = origin.receive().unwrap();
     let began = Instant::now();
-    told.push(call(at, "quiesce"));
-    told.push(call(at, "quiesce"));
-    told.push(call(at, "health"));
+    received.push(operator_command(at, "quiesce"));
+    received.push(operator_command(at, "quiesce"));
+    received.push(operator_command(at, "health"));
     // Both are told to open nothing new; the idle one is closed, the other has its answer first.
-    told.extend(idle.hear());
-    assert_eq!(idle.hear(), None);
+    received.extend(idle.receive());
+    assert_eq!(idle.receive(), None);
     assert!(
-        began.elapsed() < EMPTY,
+        began.elapsed() < DRAIN_TIMEOUT,
         "an idle connection is let go in time"
     );
-    told.extend(busy.hear());
+    received.extend(busy.receive());
     busy.send(20, 2, &[0]);
-    told.extend(busy.hear());
-    origin.say(&fetch[1], "HIT", "-", "booked");
-    told.extend(busy.hear());
-    assert_eq!(busy.hear(), None);
-    told.push(call(at, "resume"));
-    told.push(call(at, "health"));
-    told.extend(stage.readiness());
-    insta::assert_debug_snapshot!(told);
+    received.extend(busy.receive());
+    origin.respond(&fetch[1], "HIT", "-", "booked");
+    received.extend(busy.receive());
+    assert_eq!(busy.receive(), None);
+    received.push(operator_command(at, "resume"));
+    received.push(operator_command(at, "health"));
+    received.extend(setup.readiness());
+    insta::assert_debug_snapshot!(received);
 }
 
 #[test]
 fn a_drained_front_that_is_told_to_end_answers_what_is_open_and_takes_nobody_back() {
-    let mut stage = Stage::new(with_ops);
-    let at = ops_of(&stage.log);
-    let mut client = stage.client();
-    client.ask(1, "book-car", "20000", &[], b"keys");
-    let mut origin = link(&stage.origin);
-    let fetch = origin.hear().unwrap();
-    call(at, "quiesce");
-    stage.signal("-TERM");
-    until(&stage.log, "leaving");
-    let told = ["resume", "quiesce", "health"].map(|word| call(at, word));
+    let mut setup = TestFront::new(with_operator_address);
+    let at = operator_address(&setup.log);
+    let mut client = setup.client();
+    client.request(1, "book-car", "20000", &[], b"keys");
+    let mut origin = accept_node(&setup.origin);
+    let fetch = origin.receive().unwrap();
+    operator_command(at, "quiesce");
+    setup.signal("-TERM");
+    wait_for_line(&setup.log, "leaving");
+    let received = ["resume", "quiesce", "health"].map(|word| operator_command(at, word));
     assert_eq!(
-        told,
+        received,
         [
             "-ERR leaving: another process takes over\n",
             "+OK quiesced\n",
             "-ERR leaving\n"
         ]
     );
-    origin.say(&fetch[1], "HIT", "-", "booked");
-    let answers: Vec<_> = std::iter::from_fn(|| client.hear()).collect();
+    origin.respond(&fetch[1], "HIT", "-", "booked");
+    let answers: Vec<_> = std::iter::from_fn(|| client.receive()).collect();
     assert_eq!(
         answers,
         ["type 30 stream 0: ", "type 11 stream 1: \\x01\\x00booked"]
     );
-    assert!(stage.front.wait().unwrap().success());
+    assert!(setup.child.wait().unwrap().success());
 }
 
 #[test]
 fn processes_are_replaced_under_load_and_no_request_meets_a_closed_door() {
-    let stage = Stage::new(|_| {});
-    let asked: Vec<_> = stage.caches.iter().map(answering).collect();
-    answering(&stage.origin);
-    let held = Held::new(&stage.config);
-    let (mut old, mut ops) = held.start();
-    until(&old.log, "accepts clients");
+    let setup = TestFront::new(|_| {});
+    let asked: Vec<_> = setup.caches.iter().map(serve_hits).collect();
+    serve_hits(&setup.origin);
+    let inherited = InheritedListener::new(&setup.config);
+    let (mut old, mut ops) = inherited.start();
+    wait_for_line(&old.log, "accepts clients");
     let (over, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
-    let clients = load(held.listener.local_addr().unwrap(), &over, &failures, 4);
+    let clients = start_load(
+        inherited.listener.local_addr().unwrap(),
+        &over,
+        &failures,
+        4,
+    );
     // A member that is out by hand stays out, by whichever process, and so does one taken out in between.
-    assert_eq!(call(ops, "cordon s-00000011"), "+OK out\n");
+    assert_eq!(operator_command(ops, "cordon s-00000011"), "+OK out\n");
     let out = asked[0].load(Ordering::SeqCst);
     for round in 0..3 {
-        let (new, new_ops) = held.start();
-        until(&new.log, "waits for another process");
+        let (new, new_ops) = inherited.start();
+        wait_for_line(&new.log, "waits for another process");
         assert_eq!(
-            call(new_ops, "health"),
+            operator_command(new_ops, "health"),
             "+OK serving\n",
             "it says yes beside the old one"
         );
-        assert_eq!(figures(new_ops)["skipped_cache_nodes"], 1);
+        assert_eq!(counters(new_ops)["skipped_cache_nodes"], 1);
         // It takes no clients while the old one does, however many come.
         for n in 0..60 {
             let mut client =
-                Client(TcpStream::connect(held.listener.local_addr().unwrap()).unwrap());
-            client.ask(
+                Client(TcpStream::connect(inherited.listener.local_addr().unwrap()).unwrap());
+            client.request(
                 0x7000_0000 + 100 * round + n,
                 "page-bits",
                 "20000",
                 &[],
                 b"",
             );
-            assert!(client.hear().unwrap().contains("bytes"));
+            assert!(client.receive().unwrap().contains("bytes"));
         }
-        assert_eq!(figures(new_ops)["handled.page-bits.passed"], 0);
+        assert_eq!(counters(new_ops)["handled.page-bits.passed"], 0);
         if round == 2 {
             assert_eq!(
                 asked[0].load(Ordering::SeqCst),
                 out,
-                "nothing went to the member that was out"
+                "nothing went to the instance that was out"
             );
             // Said to the old process, and to none other.
-            call(ops, "uncordon s-00000011");
-            call(ops, "cordon s-00000012");
+            operator_command(ops, "uncordon s-00000011");
+            operator_command(ops, "cordon s-00000012");
         }
         old.signal("-TERM");
-        until(&new.log, "accepts clients");
-        assert!(old.front.wait().unwrap().success());
+        wait_for_line(&new.log, "accepts clients");
+        assert!(old.child.wait().unwrap().success());
         (old, ops) = (new, new_ops);
     }
     let before = asked
@@ -257,8 +272,8 @@
         .map(|n| n.load(Ordering::SeqCst))
         .collect::<Vec<_>>();
     // Killed outright, the next one needs nobody's word.
-    let (new, _) = held.start();
-    until(&new.log, "waits for another process");
+    let (new, _) = inherited.start();
+    wait_for_line(&new.log, "waits for another process");
     over.store(true, Ordering::SeqCst);
     let answered: u32 = clients
         .into_iter()
@@ -267,10 +282,10 @@
     assert_eq!(*failures.lock().unwrap(), Vec::<String>::new());
     assert!(answered > 100, "the load must be one: {answered}");
     old.signal("-KILL");
-    until(&new.log, "accepts clients");
-    let mut client = Client(TcpStream::connect(held.listener.local_addr().unwrap()).unwrap());
-    client.ask(1, "page-bits", "20000", &[], b"");
-    assert!(client.hear().unwrap().contains("bytes"));
+    wait_for_line(&new.log, "accepts clients");
+    let mut client = Client(TcpStream::connect(inherited.listener.local_addr().unwrap()).unwrap());
+    client.request(1, "page-bits", "20000", &[], b"");
+    assert!(client.receive().unwrap().contains("bytes"));
     assert_eq!(
         asked[1].load(Ordering::SeqCst),
         before[1],
@@ -287,37 +302,41 @@
 ) {
     // A start that ended with one line left the front without a next process: the old one keeps its address until its end,
     // and any connection of the machine may have been given the port for a moment.
-    let stage = Stage::new(|_| {});
-    stage
+    let setup = TestFront::new(|_| {});
+    setup
         .caches
         .iter()
-        .chain([&stage.origin])
-        .for_each(|member| drop(answering(member)));
-    let held = Held::new(&stage.config);
-    let (mut old, at) = held.start();
-    let mut config = held.config.clone();
+        .chain([&setup.origin])
+        .for_each(|instance| drop(serve_hits(instance)));
+    let inherited = InheritedListener::new(&setup.config);
+    let (mut old, at) = inherited.start();
+    let mut config = inherited.config.clone();
     config["ops"] = at.to_string().into();
-    let mut new = held.begin(&config);
-    until(&new.log, "address for operators is taken");
-    until(&new.log, "waits for another process");
-    assert_eq!(call(at, "health"), "+OK serving\n", "the old one answers");
+    let mut new = inherited.start_with(&config);
+    wait_for_line(&new.log, "address for operators is taken");
+    wait_for_line(&new.log, "waits for another process");
+    assert_eq!(
+        operator_command(at, "health"),
+        "+OK serving\n",
+        "the old one answers"
+    );
     old.signal("-TERM");
-    until(&new.log, "accepts clients");
-    let mut client = Client(TcpStream::connect(held.listener.local_addr().unwrap()).unwrap());
-    client.ask(1, "page-bits", "20000", &[], b"");
-    assert!(client.hear().unwrap().contains("bytes"));
-    assert!(old.front.wait().unwrap().success());
-    until(&new.log, "operators call here");
+    wait_for_line(&new.log, "accepts clients");
+    let mut client = Client(TcpStream::connect(inherited.listener.local_addr().unwrap()).unwrap());
+    client.request(1, "page-bits", "20000", &[], b"");
+    assert!(client.receive().unwrap().contains("bytes"));
+    assert!(old.child.wait().unwrap().success());
+    wait_for_line(&new.log, "operators call here");
     assert_eq!(
-        figures(at)["handled.page-bits.passed"],
+        counters(at)["handled.page-bits.passed"],
         1,
         "it is the new one that answers now"
     );
     new.signal("-TERM");
-    assert!(new.front.wait().unwrap().success());
+    assert!(new.child.wait().unwrap().success());
     // Where nobody stands beside it, an address that is taken is an error of the configuration.
-    let mut config = stage.config.clone();
-    config["ops"] = stage.address.to_string().into();
+    let mut config = setup.config.clone();
+    config["ops"] = setup.address.to_string().into();
     let (mut front, _file) = start(&config);
     let mut errors = String::new();
     front
@@ -334,9 +353,9 @@
 
 #[test]
 fn what_is_no_listening_socket_ends_the_start_with_one_line() {
-    let stage = Stage::new(|_| {});
+    let setup = TestFront::new(|_| {});
     let refused = |fd: &str| {
-        let (mut front, _file) = start_in(&stage.config, None, &[("RELAY_ACCEPT_FD", fd)]);
+        let (mut front, _file) = start_with_env(&setup.config, None, &[("RELAY_ACCEPT_FD", fd)]);
         let mut errors = String::new();
         front
             .stderr
@@ -353,7 +372,7 @@
         );
     };
     let (socket, _other) = std::os::unix::net::UnixStream::pair().unwrap();
-    let plain = TcpStream::connect(stage.address).unwrap();
+    let plain = TcpStream::connect(setup.address).unwrap();
     let file = tempfile::tempfile().unwrap();
     socket2::SockRef::from(&socket).set_cloexec(false).unwrap();
     socket2::SockRef::from(&plain).set_cloexec(false).unwrap();
@@ -371,7 +390,7 @@
     }
     // Named and not handed over: the program's own first descriptor gets that number, and is not to be taken for it.
     let mut file = tempfile::NamedTempFile::new().unwrap();
-    file.write_all(stage.config.to_string().as_bytes()).unwrap();
+    file.write_all(setup.config.to_string().as_bytes()).unwrap();
     let script = "exec 3<&- 4<&- 5<&-; exec \"$0\" serve \"$1\"";
     for fd in ["3", "4", "5"] {
         let mut shell = std::process::Command::new("sh");
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet.rs
@@ -16,7 +16,12 @@
 const REQUESTS: u32 = 20_000;
 const TAGS: [&str; 3] = ["vitara", "blue", "winter"];
 
-fn front(folder: &Path, boxes: &[TaggedBox], origin: &TaggedBox, purges: &Value) -> Stage {
+fn start_front(
+    folder: &Path,
+    boxes: &[TaggedBox],
+    origin: &TaggedBox,
+    purges: &Value,
+) -> TestFront {
     std::fs::create_dir_all(folder).unwrap();
     let mut purges = purges.clone();
     purges["file"] = folder.join("purges").display().to_string().into();
@@ -24,9 +29,9 @@
     let settings = json!({"control": {"path": folder.join("control")}, "purges": purges});
     let file = folder.join("daemon.json");
     std::fs::write(&file, settings.to_string()).unwrap();
-    let stage = Stage::with(
+    let setup = TestFront::with(
         |config| {
-            let member = |id: u32, at: String, zone: &str, kind: &str| {
+            let instance = |id: u32, at: String, zone: &str, kind: &str| {
                 json!({"instanceId": format!("s-{id:08x}"), "hostPort": at, "zone": zone, "machineType": kind,
                        "cell": 0, "lifecycle": "in_service", "weight": 8, "startedAtMs": 0})
             };
@@ -34,7 +39,7 @@
                 .iter()
                 .enumerate()
                 .map(|(i, b)| {
-                    member(
+                    instance(
                         0x41 + i as u32,
                         b.address.to_string(),
                         "edge-1",
@@ -42,7 +47,7 @@
                     )
                 })
                 .collect();
-            all.push(member(
+            all.push(instance(
                 0x31,
                 origin.address.to_string(),
                 "east-hub",
@@ -52,8 +57,8 @@
         },
         Some(&file),
     );
-    until(&stage.log, "control socket");
-    stage
+    wait_for_line(&setup.log, "control socket");
+    setup
 }
 
 fn run(folder: &Path, arguments: &[&str]) -> (i32, String) {
@@ -75,9 +80,9 @@
 }
 
 struct Purged {
-    at: u64,
+    at_ms: u64,
     /// When it was answered: a front was told by then.
-    told: u64,
+    confirmed_ms: u64,
     tag: Option<&'static str>,
     prefix: String,
 }
@@ -111,7 +116,7 @@
     let follows = json!({"follow": {"address": at, "lease_ms": LEASE}});
     let mut fronts: Vec<_> = (0..3)
         .map(|i| {
-            front(
+            start_front(
                 &folders[i],
                 &boxes,
                 &main,
@@ -159,12 +164,12 @@
                     // Ids are new over all fronts.
                     let txn = format!("{:016x}", (u64::from(stream) << 8) | i as u64);
                     if connected
-                        .try_ask(stream, "page-bits", &[("item", &item), ("txn", &txn)])
+                        .try_request(stream, "page-bits", &[("item", &item), ("txn", &txn)])
                         .is_err()
                     {
                         continue;
                     }
-                    let Some(told) = connected.hear() else {
+                    let Some(told) = connected.receive() else {
                         continue;
                     };
                     client = Some(connected);
@@ -181,13 +186,13 @@
                         .lock()
                         .unwrap()
                         .iter()
-                        .filter(|p| p.told + slack < sent)
+                        .filter(|p| p.confirmed_ms + slack < sent)
                     {
-                        let stale = born < p.at && p.concerns(&item, tags);
+                        let stale = born < p.at_ms && p.concerns(&item, tags);
                         assert!(
                             !stale,
                             "front {i} sent {sent}: {item} of {born} ({tags}), purged at {}",
-                            p.at
+                            p.at_ms
                         );
                     }
                 }
@@ -222,8 +227,8 @@
             .as_u64()
             .unwrap();
         purged.lock().unwrap().push(Purged {
-            at,
-            told,
+            at_ms: at,
+            confirmed_ms: told,
             tag,
             prefix,
         });
@@ -237,7 +242,7 @@
         if round % 10 == 5 {
             // A front is killed outright and comes back with its file.
             fronts[2].kill();
-            fronts[2] = front(&folders[2], &boxes, &main, &follows);
+            fronts[2] = start_front(&folders[2], &boxes, &main, &follows);
             *addresses[2].lock().unwrap() = fronts[2].address;
         }
     }
--- a/front/tests/machines.rs
+++ b/front/tests/machines.rs
@@ -6,7 +6,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-fn stage(shape: ClusterSize, settings: Option<&Value>, clocks: &[i64], seed: u64) -> TestCluster {
+fn start_cluster(
+    shape: ClusterSize,
+    settings: Option<&Value>,
+    clocks: &[i64],
+    seed: u64,
+) -> TestCluster {
     let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     TestCluster::start_with_clocks(
         Path::new(env!("CARGO_BIN_EXE_cranesill")),
@@ -29,25 +34,25 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage(shape, None, &CLOCKS, 21);
-    let clients = stage.start_clients(21);
-    stage.wait_served("the first answers", 200);
+    let mut cluster = start_cluster(shape, None, &CLOCKS, 21);
+    let clients = cluster.start_clients(21);
+    cluster.wait_served("the first answers", 200);
     for round in 0..4 {
         for item in 0..50 {
-            stage.purge(item);
-            stage.wait_served("answers under purges", 12);
+            cluster.purge(item);
+            cluster.wait_served("answers under purges", 12);
         }
-        let drained = stage.set_node_state(round % 4, State::Draining);
-        stage.history.wait_for(
+        let drained = cluster.set_node_state(round % 4, State::Draining);
+        cluster.history.wait_for(
             "all are told",
             6,
             |seen| matches!(seen, Observation::EventSent(_, n) if *n == drained),
         );
-        stage.wait_served("answers after a drain", 120);
-        stage.set_node_state(round % 4, State::Ready);
+        cluster.wait_served("answers after a drain", 120);
+        cluster.set_node_state(round % 4, State::Ready);
     }
     for (front, ahead) in CLOCKS.iter().enumerate() {
-        let told = stage
+        let told = cluster
             .fleet
             .log(front)
             .matches("this clock is far from that of the list service")
@@ -56,15 +61,15 @@
             told,
             usize::from(ahead.abs() > 5_000),
             "{}",
-            stage.fleet.log(front)
+            cluster.fleet.log(front)
         );
     }
     clients.stop();
-    stage.assert_no_violations(21);
+    cluster.assert_no_violations(21);
 }
 
 /// Waits until something holds that no stand-in can see.
-fn until(what: &str, holds: impl Fn() -> bool) {
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let guard = Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < guard, "never came: {what}");
@@ -72,14 +77,14 @@
     }
 }
 
-fn lists(stage: &TestCluster, front: usize) -> String {
-    std::fs::read_to_string(stage.fleet.disk_dir().join(format!("n{front}.list")))
+fn list_file(cluster: &TestCluster, front: usize) -> String {
+    std::fs::read_to_string(cluster.fleet.disk_dir().join(format!("n{front}.list")))
         .unwrap_or_default()
 }
 
 /// The last event in a list on disk: its second line names the list, the event, and when.
-fn on_disk(stage: &TestCluster, front: usize) -> Option<u64> {
-    lists(stage, front)
+fn revision_on_disk(cluster: &TestCluster, front: usize) -> Option<u64> {
+    list_file(cluster, front)
         .lines()
         .nth(1)?
         .split(' ')
@@ -105,56 +110,56 @@
         parents: 2,
         sides: 1,
     };
-    let mut stage = stage(shape, Some(&settings), &CLOCKS, 22);
-    stage.keep_lists_on_disk();
+    let mut cluster = start_cluster(shape, Some(&settings), &CLOCKS, 22);
+    cluster.keep_lists_on_disk();
     // So many that not all are fetched anew between a purge and a kill.
-    stage.load.objects = 400;
-    let clients = stage.start_clients(22);
-    stage.wait_served("the first answers", 1_200);
+    cluster.load.objects = 400;
+    let clients = cluster.start_clients(22);
+    cluster.wait_served("the first answers", 1_200);
     for round in 0..2 {
         // Five hear of it all and are killed; the sixth does not, and learns it from them.
-        stage.set_feed_link(
+        cluster.set_feed_link(
             5,
             Some((
                 cranesill_rig::Transmission::Cut,
                 cranesill_rig::Transmission::Cut,
             )),
         );
-        let last = (0..400).fold(0, |_, item| stage.purge(item));
-        until("lists on disk", || {
-            (0..5).all(|front| on_disk(&stage, front) == Some(last))
+        let last = (0..400).fold(0, |_, item| cluster.purge(item));
+        wait_until("lists on disk", || {
+            (0..5).all(|front| revision_on_disk(&cluster, front) == Some(last))
         });
-        stage.list_service.set(ServiceMode::Down);
-        stage.kill(&[0, 1, 2, 3, 4]);
-        stage.restart(&[0, 1, 2, 3, 4]);
-        stage.wait_served("answers by lists on disk", 300);
+        cluster.list_service.set(ServiceMode::Down);
+        cluster.kill(&[0, 1, 2, 3, 4]);
+        cluster.restart(&[0, 1, 2, 3, 4]);
+        cluster.wait_served("answers by lists on disk", 300);
         // What was told before a kill counts again: it lay on disk.
         for front in 0..5 {
-            let log = stage.fleet.log(front);
+            let log = cluster.fleet.log(front);
             assert!(
                 log.matches("the list is served from disk").count() > round,
                 "{log}"
             );
         }
-        until("the sixth has the list of others", || {
-            stage
+        wait_until("the sixth has the list of others", || {
+            cluster
                 .fleet
                 .log(5)
                 .matches("the list is taken from peers")
                 .count()
                 > round
         });
-        stage.wait_served("answers by lists of others", 100);
-        stage.set_feed_link(5, None);
-        stage.list_service.set(ServiceMode::Serve);
-        let before = stage.set_node_state(1, State::Ready);
+        cluster.wait_served("answers by lists of others", 100);
+        cluster.set_feed_link(5, None);
+        cluster.list_service.set(ServiceMode::Serve);
+        let before = cluster.set_node_state(1, State::Ready);
         // By the service or by one another.
-        until("all hold the last event", || {
-            (0..6).all(|front| on_disk(&stage, front) == Some(before))
+        wait_until("all hold the last event", || {
+            (0..6).all(|front| revision_on_disk(&cluster, front) == Some(before))
         });
     }
     clients.stop();
-    stage.assert_no_violations(22);
+    cluster.assert_no_violations(22);
 }
 
 #[test]
@@ -167,63 +172,68 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage(shape, Some(&settings), &[], 23);
-    stage.keep_lists_on_disk();
-    stage.fleet.injectors[0].set_disk_faults(true, false);
-    stage.kill(&[0]);
-    stage.restart(&[0]);
-    let clients = stage.start_clients(23);
-    stage.wait_served("the first answers", 100);
+    let mut cluster = start_cluster(shape, Some(&settings), &[], 23);
+    cluster.keep_lists_on_disk();
+    cluster.fleet.injectors[0].set_disk_faults(true, false);
+    cluster.kill(&[0]);
+    cluster.restart(&[0]);
+    let clients = cluster.start_clients(23);
+    cluster.wait_served("the first answers", 100);
     let told = |last: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == last);
-    let first = stage.set_node_state(1, State::Draining);
-    stage.history.wait_for("all are told", 5, told(first));
-    until("lists on disk", || {
-        (1..5).all(|front| on_disk(&stage, front) == Some(first))
+    let first = cluster.set_node_state(1, State::Draining);
+    cluster.history.wait_for("all are told", 5, told(first));
+    wait_until("lists on disk", || {
+        (1..5).all(|front| revision_on_disk(&cluster, front) == Some(first))
     });
-    stage.fleet.injectors[1].set_disk_faults(true, false);
-    stage.fleet.injectors[2].set_disk_faults(false, true);
-    stage.fleet.injectors[3].set_sync_delay(std::time::Duration::from_secs(2));
-    let second = stage.set_node_state(2, State::Draining);
-    stage.history.wait_for("all are told", 5, told(second));
-    stage.wait_served("answers while disks fail", 600);
-    let warnings = |stage: &TestCluster, front: usize| {
-        stage.fleet.log(front).matches("be kept on disk").count()
+    cluster.fleet.injectors[1].set_disk_faults(true, false);
+    cluster.fleet.injectors[2].set_disk_faults(false, true);
+    cluster.fleet.injectors[3].set_sync_delay(std::time::Duration::from_secs(2));
+    let second = cluster.set_node_state(2, State::Draining);
+    cluster.history.wait_for("all are told", 5, told(second));
+    cluster.wait_served("answers while disks fail", 600);
+    let warnings = |cluster: &TestCluster, front: usize| {
+        cluster.fleet.log(front).matches("be kept on disk").count()
     };
-    until("the slow disk has it", || {
+    wait_until("the slow disk has it", || {
         [3, 4]
             .iter()
-            .all(|front| on_disk(&stage, *front) == Some(second))
+            .all(|front| revision_on_disk(&cluster, *front) == Some(second))
     });
-    until("three warnings", || {
-        (0..3).all(|front| warnings(&stage, front) == 1)
+    wait_until("three warnings", || {
+        (0..3).all(|front| warnings(&cluster, front) == 1)
     });
     // What can't be kept leaves what was kept before: whole, and older.
     let held = [None, Some(first), Some(first)];
-    assert_eq!([0, 1, 2].map(|front| on_disk(&stage, front)), held);
-    let left = |stage: &TestCluster| {
-        let files = std::fs::read_dir(stage.fleet.disk_dir()).unwrap().flatten();
+    assert_eq!(
+        [0, 1, 2].map(|front| revision_on_disk(&cluster, front)),
+        held
+    );
+    let left = |cluster: &TestCluster| {
+        let files = std::fs::read_dir(cluster.fleet.disk_dir())
+            .unwrap()
+            .flatten();
         files
             .filter(|file| file.file_name().to_string_lossy().ends_with(".tmp"))
             .count()
     };
-    until("nothing half written is left", || left(&stage) == 0);
-    (0..3).for_each(|front| stage.fleet.injectors[front].set_disk_faults(false, false));
-    stage.wait_served("answers once disks are well", 200);
-    until("all have it on disk", || {
-        (0..5).all(|front| on_disk(&stage, front) == Some(second))
+    wait_until("nothing half written is left", || left(&cluster) == 0);
+    (0..3).for_each(|front| cluster.fleet.injectors[front].set_disk_faults(false, false));
+    cluster.wait_served("answers once disks are well", 200);
+    wait_until("all have it on disk", || {
+        (0..5).all(|front| revision_on_disk(&cluster, front) == Some(second))
     });
     assert_eq!(
-        [0, 1, 2].map(|front| warnings(&stage, front)),
+        [0, 1, 2].map(|front| warnings(&cluster, front)),
         [1, 1, 1],
         "each is told once"
     );
     // All start anew while the service is down: what they kept is heeded.
-    stage.list_service.set(ServiceMode::Down);
-    stage.kill(&[0, 1, 2, 3, 4]);
-    stage.restart(&[0, 1, 2, 3, 4]);
-    stage.wait_served("answers by lists on disk", 400);
+    cluster.list_service.set(ServiceMode::Down);
+    cluster.kill(&[0, 1, 2, 3, 4]);
+    cluster.restart(&[0, 1, 2, 3, 4]);
+    cluster.wait_served("answers by lists on disk", 400);
     clients.stop();
-    stage.assert_no_violations(23);
+    cluster.assert_no_violations(23);
 }
 
 #[test]
@@ -237,50 +247,50 @@
         parents: 2,
         sides: 2,
     };
-    let mut stage = stage(shape, None, &clocks, 24);
-    stage.load.pause = std::time::Duration::from_millis(5);
-    let clients = stage.start_clients(24);
-    stage.wait_served("the first answers", 500);
+    let mut cluster = start_cluster(shape, None, &clocks, 24);
+    cluster.load.pause = std::time::Duration::from_millis(5);
+    let clients = cluster.start_clients(24);
+    cluster.wait_served("the first answers", 500);
     // Clocks are compared by what the service dates.
     for item in 0..5 {
-        stage.purge(item);
+        cluster.purge(item);
     }
     let told = |last: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == last);
     for round in 0..2 {
-        let gone = stage.set_node_state(1, State::Removed);
-        stage
+        let gone = cluster.set_node_state(1, State::Removed);
+        cluster
             .history
             .wait_for("all are told that it is gone", 12, told(gone));
-        stage.nodes.set(1, cranesill_rig::Behavior::Down);
-        stage.wait_served("answers without it", 500);
-        stage.nodes.set(
+        cluster.nodes.set(1, cranesill_rig::Behavior::Down);
+        cluster.wait_served("answers without it", 500);
+        cluster.nodes.set(
             1,
             cranesill_rig::Behavior::Respond(std::time::Duration::from_millis(1)),
         );
         if round == 1 {
             let late = cranesill_rig::Transmission::Delay(std::time::Duration::from_millis(100));
-            stage.set_node_link(0, 1, Some((late, late)));
+            cluster.set_node_link(0, 1, Some((late, late)));
         }
-        let id = stage.nodes.all[1].0;
+        let id = cluster.nodes.all[1].0;
         let of = move |seen: &Observation| matches!(seen, Observation::Attempt { node, .. } if *node == id);
-        let before = stage.history.count(of);
-        let back = stage.mark_started(1);
-        stage
+        let before = cluster.history.count(of);
+        let back = cluster.mark_started(1);
+        cluster
             .history
             .wait_for("all are told that it is back", 12, told(back));
         if round == 1 {
-            stage.kill(&[3, 4, 5]);
-            stage.restart(&[3, 4, 5]);
+            cluster.kill(&[3, 4, 5]);
+            cluster.restart(&[3, 4, 5]);
         }
-        stage.wait_served("answers while it is cold", 3_000);
+        cluster.wait_served("answers while it is cold", 3_000);
         assert!(
-            stage.history.count(of) > before + 20,
+            cluster.history.count(of) > before + 20,
             "it is used while it is cold"
         );
-        stage.set_node_link(0, 1, None);
+        cluster.set_node_link(0, 1, None);
     }
     clients.stop();
-    stage.assert_no_violations(24);
+    cluster.assert_no_violations(24);
 }
 
 #[test]
@@ -291,23 +301,23 @@
         parents: 2,
         sides: 2,
     };
-    let mut stage = stage(shape, None, &[], 25);
-    let clients = stage.start_clients(25);
-    stage.wait_served("the first answers", 300);
+    let mut cluster = start_cluster(shape, None, &[], 25);
+    let clients = cluster.start_clients(25);
+    cluster.wait_served("the first answers", 300);
     // From now on each has places for five; what is open is reset once, so that all ask for one at the same moment.
     (0..4).for_each(|place| {
-        stage
+        cluster
             .nodes
             .set(place, cranesill_rig::Behavior::LimitConnections(5))
     });
-    let began = stage.history.now();
-    (0..2).for_each(|side| (0..4).for_each(|place| stage.reset_connections(side, place)));
-    stage.wait_served("answers with few places", 3_000);
-    let (end, s) = (stage.history.now(), std::time::Duration::from_secs(1));
-    for (id, _) in &stage.nodes.all[..4] {
+    let began = cluster.history.now();
+    (0..2).for_each(|side| (0..4).for_each(|place| cluster.reset_connections(side, place)));
+    cluster.wait_served("answers with few places", 3_000);
+    let (end, s) = (cluster.history.now(), std::time::Duration::from_secs(1));
+    for (id, _) in &cluster.nodes.all[..4] {
         let away = |seen: &Observation| *seen == Observation::ConnectionRejected(*id);
-        let (first, _) = stage.history.max_in_window(began, end, s, away);
-        let (later, _) = stage.history.max_in_window(began + 2 * s, end, s, away);
+        let (first, _) = cluster.history.max_in_window(began, end, s, away);
+        let (later, _) = cluster.history.max_in_window(began + 2 * s, end, s, away);
         // Seven of twelve find no place, try a few times, and then leave the node alone for growing spans.
         assert!(
             first <= 60 && later <= 12,
@@ -316,7 +326,7 @@
     }
     let answered = |wanted: fn(u8) -> bool| {
         let of = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, _, code) if wanted(*code));
-        stage
+        cluster
             .history
             .timestamps(of)
             .into_iter()
@@ -326,28 +336,28 @@
     let (good, bad) = (answered(|code| code == 1), answered(|code| code != 1));
     assert!(bad * 100 <= good, "{bad} were not served, {good} were");
     // Once there are places for all again each front uses all of them.
-    let back = stage.history.now();
+    let back = cluster.history.now();
     (0..4).for_each(|place| {
-        stage
+        cluster
             .nodes
             .set(place, cranesill_rig::Behavior::Respond(s / 1_000))
     });
     for front in 0..12 {
-        for (id, _) in &stage.nodes.all[..4] {
+        for (id, _) in &cluster.nodes.all[..4] {
             let of = move |seen: &Observation| matches!(seen, Observation::Attempt { node, txn, .. } if node == id && (txn >> 40) as usize == front + 1);
-            let before = stage
+            let before = cluster
                 .history
                 .timestamps(of)
                 .iter()
                 .filter(|at| **at < back)
                 .count();
-            stage
+            cluster
                 .history
                 .wait_for("each front uses each node again", before + 1, of);
         }
     }
     clients.stop();
-    stage.assert_no_violations(25);
+    cluster.assert_no_violations(25);
 }
 
 /// By how many milliseconds a wall clock is stepped, one after another.
@@ -362,41 +372,41 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage(shape, Some(&settings), &[], 26);
-    stage.keep_lists_on_disk();
-    stage.load.objects = 200;
-    let clients = stage.start_clients(26);
-    stage.wait_served("the first answers", 800);
+    let mut cluster = start_cluster(shape, Some(&settings), &[], 26);
+    cluster.keep_lists_on_disk();
+    cluster.load.objects = 200;
+    let clients = cluster.start_clients(26);
+    cluster.wait_served("the first answers", 800);
     let all = [0, 1, 2, 3];
     for step in STEPS {
-        let first = (0..100).fold(0, |_, item| stage.purge(item));
-        until("the first are on disk", || {
+        let first = (0..100).fold(0, |_, item| cluster.purge(item));
+        wait_until("the first are on disk", || {
             all.iter()
-                .all(|front| on_disk(&stage, *front) >= Some(first))
+                .all(|front| revision_on_disk(&cluster, *front) >= Some(first))
         });
         all.iter()
-            .for_each(|front| stage.fleet.injectors[*front].set_clock_offset(step));
-        let last = (100..200).fold(0, |_, item| stage.purge(item));
-        until("all are on disk", || {
+            .for_each(|front| cluster.fleet.injectors[*front].set_clock_offset(step));
+        let last = (100..200).fold(0, |_, item| cluster.purge(item));
+        wait_until("all are on disk", || {
             all.iter()
-                .all(|front| on_disk(&stage, *front) >= Some(last))
+                .all(|front| revision_on_disk(&cluster, *front) >= Some(last))
         });
         // What was told on both sides of the step is all that a front knows that starts anew.
-        stage.list_service.set(ServiceMode::Down);
-        stage.kill(&all);
-        stage.restart(&all);
-        stage.wait_served("answers by lists on disk", 300);
-        stage.list_service.set(ServiceMode::Serve);
-        stage.wait_served("answers with the service", 100);
+        cluster.list_service.set(ServiceMode::Down);
+        cluster.kill(&all);
+        cluster.restart(&all);
+        cluster.wait_served("answers by lists on disk", 300);
+        cluster.list_service.set(ServiceMode::Serve);
+        cluster.wait_served("answers with the service", 100);
     }
     clients.stop();
-    stage.assert_no_violations(26);
+    cluster.assert_no_violations(26);
 }
 
 /// Gives a front a word of its operators. An error is the text that they are told.
-fn operator(stage: &TestCluster, word: &Value) -> Result<Value, String> {
-    let path = stage.fleet.disk_dir().join("control");
-    until("the operators' socket", || {
+fn operator(cluster: &TestCluster, word: &Value) -> Result<Value, String> {
+    let path = cluster.fleet.disk_dir().join("control");
+    wait_until("the operators' socket", || {
         UnixStream::connect(&path).is_ok()
     });
     let mut socket = UnixStream::connect(&path).unwrap();
@@ -410,16 +420,16 @@
     }
 }
 
-fn purge(stage: &TestCluster, id: &str) -> Result<Value, String> {
+fn purge(cluster: &TestCluster, id: &str) -> Result<Value, String> {
     operator(
-        stage,
+        cluster,
         &json!({"word": "purge", "args": {"group": 1, "id": id}}),
     )
 }
 
 /// The purges of the ledger, latest first: id and time.
-fn ledger(stage: &TestCluster) -> Vec<(String, u64)> {
-    let told = operator(stage, &json!({"word": "purges", "args": {}})).unwrap();
+fn logged_purges(cluster: &TestCluster) -> Vec<(String, u64)> {
+    let told = operator(cluster, &json!({"word": "purges", "args": {}})).unwrap();
     let row = |row: &Value| {
         (
             row["id"].as_str().unwrap().to_string(),
@@ -431,10 +441,10 @@
 
 /// One front with a ledger of purges by operators on the disk that is in the test's hand. Its wall clock is ahead by so many
 /// milliseconds when it starts.
-fn with_ledger(ahead_ms: i64, seed: u64) -> TestCluster {
+fn start_with_purge_log(ahead_ms: i64, seed: u64) -> TestCluster {
     let purges = json!({"file": "{disk}/purges", "horizon_s": 60});
     let settings = json!({"purges": purges, "control": {"path": "{disk}/control"}});
-    stage(
+    start_cluster(
         ClusterSize {
             fronts: 1,
             caches: 2,
@@ -449,16 +459,16 @@
 
 #[test]
 fn a_purge_by_operators_is_dated_and_kept_as_if_the_wall_clock_were_never_stepped() {
-    let stage = with_ledger(0, 27);
+    let cluster = start_with_purge_log(0, 27);
     let began = Instant::now();
     for (n, step) in STEPS.iter().enumerate() {
-        stage.fleet.injectors[0].set_clock_offset(*step);
+        cluster.fleet.injectors[0].set_clock_offset(*step);
         let asked = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap()
             .as_millis() as u64;
-        purge(&stage, &n.to_string()).unwrap();
-        let (id, at) = ledger(&stage)[0].clone();
+        purge(&cluster, &n.to_string()).unwrap();
+        let (id, at) = logged_purges(&cluster)[0].clone();
         assert_eq!(id, n.to_string());
         assert!(
             at.abs_diff(asked) < 2_000,
@@ -466,30 +476,34 @@
         );
     }
     // An hour ahead: the sweep, each ten seconds, forgets what is past the horizon of a minute.
-    stage.fleet.injectors[0].set_clock_offset(3_600_000);
+    cluster.fleet.injectors[0].set_clock_offset(3_600_000);
     std::thread::sleep(Duration::from_secs(12));
     assert!(began.elapsed() < Duration::from_secs(60));
-    assert!(ledger(&stage).len() >= STEPS.len(), "{:?}", ledger(&stage));
+    assert!(
+        logged_purges(&cluster).len() >= STEPS.len(),
+        "{:?}",
+        logged_purges(&cluster)
+    );
 }
 
 #[test]
 fn a_front_that_started_an_hour_behind_dates_purges_no_earlier_than_they_are() {
     // Its clock is set right later; what the list service dates shows by how much the start was off.
-    let stage = with_ledger(-3_600_000, 29);
-    let last = stage.purge(1);
-    stage.history.wait_for(
+    let cluster = start_with_purge_log(-3_600_000, 29);
+    let last = cluster.purge(1);
+    cluster.history.wait_for(
         "it is told",
         1,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == last),
     );
-    stage.fleet.injectors[0].set_clock_offset(0);
+    cluster.fleet.injectors[0].set_clock_offset(0);
     let asked = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
-    until("it has heard", || {
-        purge(&stage, &asked.to_string()).unwrap();
-        let (_, at) = ledger(&stage)[0].clone();
+    wait_until("it has heard", || {
+        purge(&cluster, &asked.to_string()).unwrap();
+        let (_, at) = logged_purges(&cluster)[0].clone();
         // By the delay of that news, which the skew that settings allow for covers.
         at + 500 > asked
     });
@@ -498,18 +512,21 @@
 #[test]
 fn a_purge_is_confirmed_only_when_it_is_durable_and_the_ledger_recovers_when_the_disk_does() {
     for (full, unsynced) in [(true, false), (false, true)] {
-        let mut stage = with_ledger(0, 28);
-        purge(&stage, "before").unwrap();
-        stage.fleet.injectors[0].set_disk_faults(full, unsynced);
-        assert!(purge(&stage, "first").is_err_and(|why| why.contains("could not be kept")));
-        assert!(purge(&stage, "second").is_err());
-        stage.fleet.injectors[0].set_disk_faults(false, false);
+        let mut cluster = start_with_purge_log(0, 28);
+        purge(&cluster, "before").unwrap();
+        cluster.fleet.injectors[0].set_disk_faults(full, unsynced);
+        assert!(purge(&cluster, "first").is_err_and(|why| why.contains("could not be kept")));
+        assert!(purge(&cluster, "second").is_err());
+        cluster.fleet.injectors[0].set_disk_faults(false, false);
         // A sync that succeeds now says nothing of what was written before the one that failed.
-        until("it is kept again", || purge(&stage, "first").is_ok());
-        purge(&stage, "third").unwrap();
-        stage.kill(&[0]);
-        stage.restart(&[0]);
-        let ids: Vec<_> = ledger(&stage).into_iter().map(|row| row.0).collect();
+        wait_until("it is kept again", || purge(&cluster, "first").is_ok());
+        purge(&cluster, "third").unwrap();
+        cluster.kill(&[0]);
+        cluster.restart(&[0]);
+        let ids: Vec<_> = logged_purges(&cluster)
+            .into_iter()
+            .map(|row| row.0)
+            .collect();
         for id in ["before", "first", "third"] {
             assert_eq!(
                 ids.iter().filter(|held| *held == id).count(),
@@ -518,9 +535,9 @@
             );
         }
         assert!(
-            !stage.fleet.log(0).contains("damaged"),
+            !cluster.fleet.log(0).contains("damaged"),
             "{}",
-            stage.fleet.log(0)
+            cluster.fleet.log(0)
         );
     }
 }
--- a/front/tests/partial.rs
+++ b/front/tests/partial.rs
@@ -7,11 +7,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-fn stage(shape: ClusterSize, seed: u64) -> TestCluster {
-    stage_with(shape, None, seed)
+fn start_cluster(shape: ClusterSize, seed: u64) -> TestCluster {
+    start_cluster_with(shape, None, seed)
 }
 
-fn stage_with(shape: ClusterSize, settings: Option<&Value>, seed: u64) -> TestCluster {
+fn start_cluster_with(shape: ClusterSize, settings: Option<&Value>, seed: u64) -> TestCluster {
     let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     TestCluster::start(
         Path::new(env!("CARGO_BIN_EXE_cranesill")),
@@ -32,12 +32,12 @@
             parents: 2,
             sides: 2,
         };
-        let mut stage = stage(shape, seed);
-        let clients = stage.start_clients(seed);
-        stage.wait_served("the first answers", 40);
-        stage.run_script(&Script::from_seed(seed, shape, 40));
+        let mut cluster = start_cluster(shape, seed);
+        let clients = cluster.start_clients(seed);
+        cluster.wait_served("the first answers", 40);
+        cluster.run_script(&Script::from_seed(seed, shape, 40));
         clients.stop();
-        stage.assert_no_violations(seed);
+        cluster.assert_no_violations(seed);
     }
 }
 
@@ -49,28 +49,28 @@
         parents: 1,
         sides: 1,
     };
-    let mut stage = stage(shape, 8);
-    let origin = stage.node_count() - 1;
-    let clients = stage.start_clients(8);
-    stage.wait_served("the first answers", 40);
+    let mut cluster = start_cluster(shape, 8);
+    let origin = cluster.node_count() - 1;
+    let clients = cluster.start_clients(8);
+    cluster.wait_served("the first answers", 40);
     for _ in 0..4 {
         // It takes a request and breaks; then each connection to it breaks at any moment.
-        stage.nodes.set(origin, Behavior::Reset);
-        stage.wait_served("answers of caches", 60);
-        stage
+        cluster.nodes.set(origin, Behavior::Reset);
+        cluster.wait_served("answers of caches", 60);
+        cluster
             .nodes
             .set(origin, Behavior::Respond(Duration::from_millis(30)));
         for _ in 0..10 {
-            stage.reset_connections(0, origin);
-            stage.wait_served("answers", 10);
+            cluster.reset_connections(0, origin);
+            cluster.wait_served("answers", 10);
         }
     }
-    let ran = stage
+    let ran = cluster
         .history
         .count(|seen| matches!(seen, Observation::Executed(_)));
     assert!(ran >= 10, "{ran} writes ran");
     clients.stop();
-    stage.assert_no_violations(8);
+    cluster.assert_no_violations(8);
 }
 
 #[test]
@@ -83,13 +83,13 @@
         parents: 1,
         sides: 2,
     };
-    let mut stage = stage(shape, 7);
-    let clients = stage.start_clients(7);
-    stage.wait_served("the first answers", 60);
+    let mut cluster = start_cluster(shape, 7);
+    let clients = cluster.start_clients(7);
+    cluster.wait_served("the first answers", 60);
     for round in 0..3 {
-        stage.nodes.set(1, Behavior::Down);
-        stage.wait_served("answers without a cache", 60);
-        stage.set_node_link(
+        cluster.nodes.set(1, Behavior::Down);
+        cluster.wait_served("answers without a cache", 60);
+        cluster.set_node_link(
             0,
             1,
             Some((
@@ -97,17 +97,17 @@
                 Transmission::Delay(Duration::from_millis(200)),
             )),
         );
-        stage
+        cluster
             .nodes
             .set(1, Behavior::Respond(Duration::from_millis(1)));
-        stage.set_node_state(1, State::Draining);
-        stage.wait_served("answers after the drain", 120);
-        stage.set_node_link(0, 1, None);
-        stage.set_node_state(1, State::Ready);
-        stage.wait_served("answers once it is back", 60 + round);
+        cluster.set_node_state(1, State::Draining);
+        cluster.wait_served("answers after the drain", 120);
+        cluster.set_node_link(0, 1, None);
+        cluster.set_node_state(1, State::Ready);
+        cluster.wait_served("answers once it is back", 60 + round);
     }
     clients.stop();
-    stage.assert_no_violations(7);
+    cluster.assert_no_violations(7);
 }
 
 const S: Duration = Duration::from_secs(1);
@@ -115,17 +115,17 @@
 /// So many of the fleet together begin to use a node in a second; those that each front uses at once are over it.
 const HANDSHAKES: u32 = 4;
 
-fn ramp() -> Value {
+fn handshake_ramp() -> Value {
     json!({"startup": {"handshakes_per_s": HANDSHAKES, "ready_percent": 50, "ready_most_ms": 2_000}})
 }
 
 /// The most connections that came to one cache in any second from then on.
-fn worst_second(stage: &TestCluster, caches: usize, from: Duration) -> usize {
+fn max_connections_per_second(cluster: &TestCluster, caches: usize, from: Duration) -> usize {
     let most = |place: usize| {
-        let id = stage.nodes.all[place].0;
-        stage
+        let id = cluster.nodes.all[place].0;
+        cluster
             .history
-            .max_in_window(from, stage.history.now(), S, |seen| {
+            .max_in_window(from, cluster.history.now(), S, |seen| {
                 *seen == Observation::Accepted(id)
             })
             .0
@@ -143,20 +143,20 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage_with(shape, Some(&ramp()), 3);
-    let began = stage.history.now();
-    let clients = stage.start_clients(3);
-    let first = |stage: &TestCluster, front: usize, from: Duration| {
+    let mut cluster = start_cluster_with(shape, Some(&handshake_ramp()), 3);
+    let began = cluster.history.now();
+    let clients = cluster.start_clients(3);
+    let first = |cluster: &TestCluster, front: usize, from: Duration| {
         let of = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
-        let before = stage
+        let before = cluster
             .history
             .timestamps(of)
             .iter()
             .filter(|at| **at < from)
             .count();
-        stage.history.wait_for("first served", before + 1, of) - from
+        cluster.history.wait_for("first served", before + 1, of) - from
     };
-    let mut firsts: Vec<_> = (0..24).map(|front| first(&stage, front, began)).collect();
+    let mut firsts: Vec<_> = (0..24).map(|front| first(&cluster, front, began)).collect();
     firsts.sort_unstable();
     assert!(
         firsts[12] < Duration::from_millis(500),
@@ -165,31 +165,31 @@
     // By then all use all, and each node has a connection of each front.
     let all =
         |seen: &Observation| matches!(seen, Observation::Accepted(node) if *node <= 0x100 + 24);
-    stage
+    cluster
         .history
         .wait_for("connections of all to all", 24 * 24, all);
-    let worst = worst_second(&stage, 24, began);
+    let worst = max_connections_per_second(&cluster, 24, began);
     assert!(
         worst <= HANDSHAKES as usize + 8,
         "{worst} connections came to one cache in a second"
     );
     // Seven in ten are killed and come back; the others serve on as if nothing were.
     let (dead, live): (Vec<usize>, Vec<usize>) = (0..24).partition(|front| front % 10 < 7);
-    let killed = stage.history.now();
-    stage.kill(&dead);
-    stage.restart(&dead);
+    let killed = cluster.history.now();
+    cluster.kill(&dead);
+    cluster.restart(&dead);
     for front in &dead {
-        first(&stage, *front, killed);
+        first(&cluster, *front, killed);
     }
     let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if live.contains(by));
     let refused = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if live.contains(by) && *code != 1);
-    let lived = stage
+    let lived = cluster
         .history
         .timestamps(refused)
         .iter()
         .filter(|at| **at >= killed)
         .count();
-    let good = stage
+    let good = cluster
         .history
         .timestamps(served)
         .iter()
@@ -199,13 +199,13 @@
         lived * 10 <= good,
         "of those that live {lived} requests were not served, {good} were"
     );
-    let worst = worst_second(&stage, 24, killed);
+    let worst = max_connections_per_second(&cluster, 24, killed);
     assert!(
         worst <= HANDSHAKES as usize + 8,
         "{worst} connections came to one cache in a second after the kill"
     );
     clients.stop();
-    stage.assert_no_violations(3);
+    cluster.assert_no_violations(3);
 }
 
 #[test]
@@ -216,42 +216,42 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage_with(shape, Some(&ramp()), 5);
-    let clients = stage.start_clients(5);
+    let mut cluster = start_cluster_with(shape, Some(&handshake_ramp()), 5);
+    let clients = cluster.start_clients(5);
     let any =
         |seen: &Observation| matches!(seen, Observation::Accepted(node) if *node <= 0x100 + 6);
-    stage
+    cluster
         .history
         .wait_for("connections of all to all", 24 * 6, any);
     let told = |number: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == number);
-    let gone = stage.set_node_state(2, State::Removed);
-    stage
+    let gone = cluster.set_node_state(2, State::Removed);
+    cluster
         .history
         .wait_for("all are told that it is gone", 24, told(gone));
-    stage.nodes.set(2, Behavior::Down);
-    stage.wait_served("answers without it", 200);
-    stage
+    cluster.nodes.set(2, Behavior::Down);
+    cluster.wait_served("answers without it", 200);
+    cluster
         .nodes
         .set(2, Behavior::Respond(Duration::from_millis(1)));
-    let (id, before) = (stage.nodes.all[2].0, stage.history.now());
+    let (id, before) = (cluster.nodes.all[2].0, cluster.history.now());
     let dialled = |seen: &Observation| *seen == Observation::Accepted(id);
-    let had = stage.history.count(dialled);
-    let back = stage.set_node_state(2, State::Ready);
-    stage
+    let had = cluster.history.count(dialled);
+    let back = cluster.set_node_state(2, State::Ready);
+    cluster
         .history
         .wait_for("all are told that it is back", 24, told(back));
-    stage
+    cluster
         .history
         .wait_for("connections of all", had + 24, dialled);
-    let (worst, _) = stage
+    let (worst, _) = cluster
         .history
-        .max_in_window(before, stage.history.now(), S, dialled);
+        .max_in_window(before, cluster.history.now(), S, dialled);
     assert!(
         worst <= HANDSHAKES as usize + 2,
         "{worst} connections came in one second"
     );
     clients.stop();
-    stage.assert_no_violations(5);
+    cluster.assert_no_violations(5);
 }
 
 #[test]
@@ -263,39 +263,44 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage(shape, 9);
-    let clients = stage.start_clients(9);
-    stage.wait_served("the first answers", 200);
+    let mut cluster = start_cluster(shape, 9);
+    let clients = cluster.start_clients(9);
+    cluster.wait_served("the first answers", 200);
     let all: Vec<usize> = (0..12).collect();
-    stage.set_stopped(&all, true);
+    cluster.set_stopped(&all, true);
     // What is told meanwhile is heard when they go on.
-    stage.set_node_state(1, State::Draining);
-    stage.purge(3);
+    cluster.set_node_state(1, State::Draining);
+    cluster.purge(3);
     std::thread::sleep(5 * S);
-    stage.set_stopped(&all, false);
-    stage.wait_served("answers after the stop", 400);
+    cluster.set_stopped(&all, false);
+    cluster.wait_served("answers after the stop", 400);
     // A service that tells by the byte is slower than the silence that a front bears: what was known stands.
-    stage.list_service.set(ServiceMode::ByteByByte);
-    stage.set_node_state(1, State::Ready);
-    stage.wait_served("answers while the list drips", 600);
-    stage.list_service.set(ServiceMode::Serve);
-    let back = stage.set_node_state(2, State::Draining);
-    stage.history.wait_for(
+    cluster.list_service.set(ServiceMode::ByteByByte);
+    cluster.set_node_state(1, State::Ready);
+    cluster.wait_served("answers while the list drips", 600);
+    cluster.list_service.set(ServiceMode::Serve);
+    let back = cluster.set_node_state(2, State::Draining);
+    cluster.history.wait_for(
         "all are told",
         12,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == back),
     );
-    stage.wait_served("answers after all", 400);
+    cluster.wait_served("answers after all", 400);
     clients.stop();
-    stage.assert_no_violations(9);
+    cluster.assert_no_violations(9);
 }
 
-fn to_cache_by(stage: &TestCluster, place: usize, fronts: &[usize], from: Duration) -> usize {
-    let id = stage.nodes.all[place].0;
+fn attempts_to_cache(
+    cluster: &TestCluster,
+    place: usize,
+    fronts: &[usize],
+    from: Duration,
+) -> usize {
+    let id = cluster.nodes.all[place].0;
     // Which front asked stands in the id of the request.
     let by = |txn: u64| (txn >> 40) as usize - 1;
     let of = |seen: &Observation| matches!(seen, Observation::Attempt { node, txn, .. } if *node == id && fronts.contains(&by(*txn)));
-    stage
+    cluster
         .history
         .timestamps(of)
         .into_iter()
@@ -313,10 +318,10 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage_with(shape, Some(&settings), 11);
-    let clients = stage.start_clients(11);
-    stage.wait_served("the first answers", 50);
-    let last = stage.set_node_state(1, State::Draining);
+    let mut cluster = start_cluster_with(shape, Some(&settings), 11);
+    let clients = cluster.start_clients(11);
+    cluster.wait_served("the first answers", 50);
+    let last = cluster.set_node_state(1, State::Draining);
     let file = |front: usize| folder.path().join(format!("n{front}.list"));
     let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     // Its second line names the list, the last event in it, and when.
@@ -330,54 +335,54 @@
         );
         std::thread::yield_now();
     }
-    stage.list_service.set(ServiceMode::Down);
+    cluster.list_service.set(ServiceMode::Down);
     let all: Vec<usize> = (0..8).collect();
-    stage.kill(&all);
+    cluster.kill(&all);
     // Torn, of another version, empty, and gone.
     let text = std::fs::read_to_string(file(0)).unwrap();
     std::fs::write(file(0), &text[..text.len() / 2]).unwrap();
     std::fs::write(file(1), text.replacen("v1", "v9", 1)).unwrap();
     std::fs::write(file(2), "").unwrap();
     std::fs::remove_file(file(3)).unwrap();
-    let back = stage.history.now();
-    stage.restart(&all);
-    stage.wait_served("answers without the service", 400);
+    let back = cluster.history.now();
+    cluster.restart(&all);
+    cluster.wait_served("answers without the service", 400);
     assert_eq!(
-        to_cache_by(&stage, 1, &[4, 5, 6, 7], back),
+        attempts_to_cache(&cluster, 1, &[4, 5, 6, 7], back),
         0,
         "what drained is known to drain"
     );
     assert!(
-        to_cache_by(&stage, 1, &[0, 1, 2, 3], back) > 0,
+        attempts_to_cache(&cluster, 1, &[0, 1, 2, 3], back) > 0,
         "without a list on disk that can't be known"
     );
     for front in 0..3 {
         assert!(
-            stage
+            cluster
                 .fleet
                 .log(front)
                 .contains("the list on disk is left aside"),
             "{}",
-            stage.fleet.log(front)
+            cluster.fleet.log(front)
         );
     }
-    stage.list_service.set(ServiceMode::Serve);
+    cluster.list_service.set(ServiceMode::Serve);
     let told = |seen: &Observation| matches!(seen, Observation::EventSent(front, n) if *n == last && *front < 4);
-    let before = stage
+    let before = cluster
         .history
         .timestamps(told)
         .iter()
         .filter(|at| **at < back)
         .count();
-    stage
+    cluster
         .history
         .wait_for("those without are told", before + 4, told);
-    stage.wait_served("answers with the service", 200);
+    cluster.wait_served("answers with the service", 200);
     // Those with a list asked for what came after it: nothing.
     let again =
         |seen: &Observation| matches!(seen, Observation::EventSent(front, _) if *front >= 4);
     assert_eq!(
-        stage
+        cluster
             .history
             .timestamps(again)
             .into_iter()
@@ -386,14 +391,14 @@
         0
     );
     clients.stop();
-    stage.assert_no_violations(11);
+    cluster.assert_no_violations(11);
 }
 
 #[test]
 fn a_list_on_disk_does_not_grow_younger_by_restarts() {
     let folder = tempfile::tempdir().unwrap();
     let settings = json!({"startup": {"snapshots": folder.path(), "serve_snapshot_s": 3}});
-    let mut stage = stage_with(
+    let mut cluster = start_cluster_with(
         ClusterSize {
             fronts: 2,
             caches: 2,
@@ -403,8 +408,8 @@
         Some(&settings),
         14,
     );
-    let clients = stage.start_clients(14);
-    stage.purge(3);
+    let clients = cluster.start_clients(14);
+    cluster.purge(3);
     let on_disk = |front: usize| {
         let text = std::fs::read_to_string(folder.path().join(format!("n{front}.list")))
             .unwrap_or_default();
@@ -418,30 +423,30 @@
         );
         std::thread::yield_now();
     }
-    let kept = stage.history.now();
-    stage.list_service.set(ServiceMode::Down);
-    let served = |stage: &TestCluster, front: usize| {
-        let log = stage.fleet.log(front);
+    let kept = cluster.history.now();
+    cluster.list_service.set(ServiceMode::Down);
+    let served = |cluster: &TestCluster, front: usize| {
+        let log = cluster.fleet.log(front);
         (
             log.matches("is served from disk").count(),
             log.matches("older than may be served from").count(),
         )
     };
-    while stage.history.now() < kept + 5 * S {
-        stage.kill(&[0, 1]);
-        stage.restart(&[0, 1]);
-        stage.wait_served("answers after a restart", 40);
+    while cluster.history.now() < kept + 5 * S {
+        cluster.kill(&[0, 1]);
+        cluster.restart(&[0, 1]);
+        cluster.wait_served("answers after a restart", 40);
     }
     for front in [0, 1] {
-        let (yes, no) = served(&stage, front);
+        let (yes, no) = served(&cluster, front);
         assert!(
             yes >= 1 && no >= 1,
             "{yes} times it was served from, {no} times too old: {}",
-            stage.fleet.log(front)
+            cluster.fleet.log(front)
         );
     }
     clients.stop();
-    stage.assert_no_violations(14);
+    cluster.assert_no_violations(14);
 }
 
 #[test]
@@ -456,25 +461,25 @@
         parents: 1,
         sides: 0,
     };
-    let mut stage = stage_with(shape, Some(&settings), 12);
-    let clients = stage.start_clients(12);
-    let purge = stage.purge(3);
-    stage.history.wait_for(
+    let mut cluster = start_cluster_with(shape, Some(&settings), 12);
+    let clients = cluster.start_clients(12);
+    let purge = cluster.purge(3);
+    cluster.history.wait_for(
         "both are told",
         2,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == purge),
     );
-    stage.wait_served("answers all the same", 300);
+    cluster.wait_served("answers all the same", 300);
     for front in 0..2 {
         assert_eq!(
-            stage.fleet.log(front).matches("be kept on disk").count(),
+            cluster.fleet.log(front).matches("be kept on disk").count(),
             1,
             "{}",
-            stage.fleet.log(front)
+            cluster.fleet.log(front)
         );
     }
     clients.stop();
-    stage.assert_no_violations(12);
+    cluster.assert_no_violations(12);
 }
 
 #[test]
@@ -485,48 +490,48 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage_with(shape, Some(&json!({"startup": {"calls_per_s": 20}})), 13);
-    let clients = stage.start_clients(13);
-    let last = (0..6).fold(0, |_, item| stage.purge(item));
-    stage.history.wait_for(
+    let mut cluster = start_cluster_with(shape, Some(&json!({"startup": {"calls_per_s": 20}})), 13);
+    let clients = cluster.start_clients(13);
+    let last = (0..6).fold(0, |_, item| cluster.purge(item));
+    cluster.history.wait_for(
         "all are told",
         8,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == last),
     );
-    stage.wait_served("answers before", 100);
+    cluster.wait_served("answers before", 100);
     // It returns with another list under low numbers.
-    stage.list_service.set(ServiceMode::Down);
-    stage.list_service.clear_events();
-    let whole = stage.publish_all(&[(1, State::Draining)]);
-    let back = stage.history.now();
-    stage.list_service.set(ServiceMode::Serve);
+    cluster.list_service.set(ServiceMode::Down);
+    cluster.list_service.clear_events();
+    let whole = cluster.publish_all(&[(1, State::Draining)]);
+    let back = cluster.history.now();
+    cluster.list_service.set(ServiceMode::Serve);
     let told = |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == whole);
-    let before = stage
+    let before = cluster
         .history
         .timestamps(told)
         .iter()
         .filter(|at| **at < back)
         .count();
-    let at = stage
+    let at = cluster
         .history
         .wait_for("all are told of the new list", before + 8, told);
     assert!(at - back < 15 * S, "after {:?}", at - back);
     std::thread::sleep(S);
-    let heeds = stage.history.now();
-    stage.wait_served("answers after", 300);
+    let heeds = cluster.history.now();
+    cluster.wait_served("answers after", 300);
     assert_eq!(
-        to_cache_by(&stage, 1, &(0..8).collect::<Vec<_>>(), heeds),
+        attempts_to_cache(&cluster, 1, &(0..8).collect::<Vec<_>>(), heeds),
         0,
         "the new list is heeded"
     );
     clients.stop();
     // Numbers stand for other events now: what was told cannot be held against anybody, the rest can.
-    let broken = stage
+    let broken = cluster
         .violations()
         .into_iter()
         .filter(|b| !["drain", "purge"].contains(&b.rule))
         .count();
-    assert_eq!((broken, stage.fleet.exited()), (0, vec![]));
+    assert_eq!((broken, cluster.fleet.exited()), (0, vec![]));
 }
 
 /// Settings of fronts that hold the list for one another, on addresses that nobody else uses.
@@ -548,8 +553,8 @@
     }})
 }
 
-fn taken(stage: &TestCluster, front: usize) -> bool {
-    stage
+fn has_list_from_peers(cluster: &TestCluster, front: usize) -> bool {
+    cluster
         .fleet
         .log(front)
         .contains("the list is taken from peers")
@@ -564,51 +569,53 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage_with(shape, Some(&peers(30, &[], 2)), 21);
-    stage.list_service.set(ServiceMode::Down);
-    let clients = stage.start_clients(21);
-    stage.wait_served("answers without the service", 100);
+    let mut cluster = start_cluster_with(shape, Some(&peers(30, &[], 2)), 21);
+    cluster.list_service.set(ServiceMode::Down);
+    let clients = cluster.start_clients(21);
+    cluster.wait_served("answers without the service", 100);
     // What it will tell once it is back.
-    stage.set_node_state(1, State::Draining);
+    cluster.set_node_state(1, State::Draining);
     std::thread::sleep(2 * S);
-    let back = stage.history.now();
-    stage.list_service.set(ServiceMode::Serve);
-    let told = |stage: &TestCluster, front: usize| {
-        stage
+    let back = cluster.history.now();
+    cluster.list_service.set(ServiceMode::Serve);
+    let told = |cluster: &TestCluster, front: usize| {
+        cluster
             .history
             .count(|s| matches!(s, Observation::EventSent(by, _) if *by == front))
             > 0
     };
     let until = back + 30 * S;
-    while !(0..30).all(|front| told(&stage, front) || taken(&stage, front)) {
-        assert!(stage.history.now() < until, "not all hold the list");
+    while !(0..30).all(|front| told(&cluster, front) || has_list_from_peers(&cluster, front)) {
+        assert!(cluster.history.now() < until, "not all hold the list");
         std::thread::sleep(Duration::from_millis(20));
     }
-    let all = stage.history.now();
-    let calls = stage
+    let all = cluster.history.now();
+    let calls = cluster
         .history
         .count(|seen| matches!(seen, Observation::Call));
-    let by_peers = (0..30).filter(|front| taken(&stage, *front)).count();
+    let by_peers = (0..30)
+        .filter(|front| has_list_from_peers(&cluster, *front))
+        .count();
     assert!(
         all - back < 10 * S && by_peers >= 10,
         "{:?}, {by_peers} by peers",
         all - back
     );
     assert!(calls <= 24, "{calls} calls on the service");
-    stage.wait_served("answers after", 200);
+    cluster.wait_served("answers after", 200);
     // Those that have it from peers heed it as if told.
-    let from = stage.history.now();
-    stage.wait_served("more answers", 400);
+    let from = cluster.history.now();
+    cluster.wait_served("more answers", 400);
     assert_eq!(
-        to_cache_by(&stage, 1, &(0..30).collect::<Vec<_>>(), from),
+        attempts_to_cache(&cluster, 1, &(0..30).collect::<Vec<_>>(), from),
         0
     );
     clients.stop();
-    stage.assert_no_violations(21);
+    cluster.assert_no_violations(21);
 }
 
 /// What a peer of the test says to who asks; the text of a good list is at hand.
-type Liar = Box<dyn Fn(&mut std::net::TcpStream, &str) + Send>;
+type BadPeer = Box<dyn Fn(&mut std::net::TcpStream, &str) + Send>;
 
 #[test]
 fn peers_that_lie_are_slow_or_never_end_are_not_taken_from_and_good_ones_are() {
@@ -625,7 +632,7 @@
             .map_or("", |found| found.1)
             .to_string()
     };
-    let liars: Vec<Liar> = vec![
+    let bad_peers: Vec<BadPeer> = vec![
         // A number of the future and all nodes draining, well sealed.
         Box::new(move |socket, text| {
             let text = body(text)
@@ -645,7 +652,7 @@
         Box::new(|socket, text| drop(socket.write_all(&text.as_bytes()[..text.len() / 2]))),
     ];
     let mut addresses = Vec::new();
-    for liar in liars {
+    for bad_peer in bad_peers {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         addresses.push(listener.local_addr().unwrap().to_string());
         let good = std::sync::Arc::clone(&good);
@@ -653,7 +660,7 @@
             for mut socket in listener.incoming().map_while(Result::ok) {
                 let text = good.lock().unwrap().clone();
                 if socket.read_exact(&mut [0; 8]).is_ok() {
-                    liar(&mut socket, &text);
+                    bad_peer(&mut socket, &text);
                 }
             }
         });
@@ -667,18 +674,18 @@
     let settings = peers(6, &addresses, 50);
     let ask: Vec<String> =
         serde_json::from_value(settings["startup"]["peers"]["ask"].clone()).unwrap();
-    let mut stage = stage_with(shape, Some(&settings), 22);
-    let clients = stage.start_clients(22);
-    stage.purge(9);
-    let last = stage.set_node_state(1, State::Draining);
+    let mut cluster = start_cluster_with(shape, Some(&settings), 22);
+    let clients = cluster.start_clients(22);
+    cluster.purge(9);
+    let last = cluster.set_node_state(1, State::Draining);
     assert_eq!(last, 3);
-    let told = |stage: &TestCluster, front: usize| {
-        stage.history.count(
+    let told = |cluster: &TestCluster, front: usize| {
+        cluster.history.count(
             |seen| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last),
         ) > 0
     };
     let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
-    while !(0..6).all(|front| told(&stage, front) || taken(&stage, front)) {
+    while !(0..6).all(|front| told(&cluster, front) || has_list_from_peers(&cluster, front)) {
         assert!(std::time::Instant::now() < until, "not all hold the list");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -691,50 +698,50 @@
         socket.read_to_string(&mut text).unwrap();
         *good.lock().unwrap() = text;
     }
-    stage.list_service.set(ServiceMode::Down);
-    stage.kill(&[0, 1]);
+    cluster.list_service.set(ServiceMode::Down);
+    cluster.kill(&[0, 1]);
     let had = [0, 1].map(|front| {
-        stage
+        cluster
             .fleet
             .log(front)
             .matches("the list is taken from peers")
             .count()
     });
-    stage.restart(&[0, 1]);
-    let again = |stage: &TestCluster, front: usize| {
-        stage
+    cluster.restart(&[0, 1]);
+    let again = |cluster: &TestCluster, front: usize| {
+        cluster
             .fleet
             .log(front)
             .matches("the list is taken from peers")
             .count()
             > had[front]
     };
-    while !(again(&stage, 0) && again(&stage, 1)) {
+    while !(again(&cluster, 0) && again(&cluster, 1)) {
         assert!(
             std::time::Instant::now() < until,
             "{}\n{}",
-            stage.fleet.log(0),
-            stage.fleet.log(1)
+            cluster.fleet.log(0),
+            cluster.fleet.log(1)
         );
         std::thread::sleep(Duration::from_millis(20));
     }
-    let from = stage.history.now();
-    stage.wait_served("answers by the list of peers", 300);
+    let from = cluster.history.now();
+    cluster.wait_served("answers by the list of peers", 300);
     assert_eq!(
-        to_cache_by(&stage, 1, &[0, 1], from),
+        attempts_to_cache(&cluster, 1, &[0, 1], from),
         0,
         "what peers know to drain is left alone"
     );
     assert!(
-        to_cache_by(&stage, 0, &[0, 1], from) > 0,
+        attempts_to_cache(&cluster, 0, &[0, 1], from) > 0,
         "and what they know to serve is used"
     );
     for front in 0..6 {
-        let log = stage.fleet.log(front);
+        let log = cluster.fleet.log(front);
         assert!(!log.contains("event=999"), "{log}");
     }
     clients.stop();
-    stage.assert_no_violations(22);
+    cluster.assert_no_violations(22);
 }
 
 #[test]
@@ -746,28 +753,30 @@
         parents: 2,
         sides: 0,
     };
-    let mut stage = stage_with(shape, Some(&ramp()), 31);
-    let clients = stage.start_clients(31);
-    stage.wait_served("the first answers", 200);
-    stage.list_service.set(ServiceMode::ByteByByte);
-    stage.purge(4);
+    let mut cluster = start_cluster_with(shape, Some(&handshake_ramp()), 31);
+    let clients = cluster.start_clients(31);
+    cluster.wait_served("the first answers", 200);
+    cluster.list_service.set(ServiceMode::ByteByByte);
+    cluster.purge(4);
     for tenth in 0..10 {
         let some = [2 * tenth, 2 * tenth + 1];
-        let from = stage.history.now();
-        stage.kill(&some);
-        stage.restart(&some);
+        let from = cluster.history.now();
+        cluster.kill(&some);
+        cluster.restart(&some);
         for front in some {
             let again = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
-            let before = stage
+            let before = cluster
                 .history
                 .timestamps(again)
                 .iter()
                 .filter(|at| **at < from)
                 .count();
-            stage.history.wait_for("it serves again", before + 1, again);
+            cluster
+                .history
+                .wait_for("it serves again", before + 1, again);
         }
         let others = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if !some.contains(by) && *code != 1);
-        let bad = stage
+        let bad = cluster
             .history
             .timestamps(others)
             .into_iter()
@@ -778,10 +787,10 @@
             "{bad} requests of the other fronts were not served while {some:?} were restarted"
         );
     }
-    stage.list_service.set(ServiceMode::Serve);
-    stage.wait_served("answers after", 200);
+    cluster.list_service.set(ServiceMode::Serve);
+    cluster.wait_served("answers after", 200);
     clients.stop();
-    stage.assert_no_violations(31);
+    cluster.assert_no_violations(31);
 }
 
 #[test]
@@ -793,28 +802,28 @@
         parents: 2,
         sides: 2,
     };
-    let mut stage = stage(shape, 33);
+    let mut cluster = start_cluster(shape, 33);
     // Few at once take longer to find out, one silence after another.
-    stage.load.connections_per_front = 8;
-    let clients = stage.start_clients(33);
-    stage.wait_served("the first answers", 200);
+    cluster.load.connections_per_front = 8;
+    let clients = cluster.start_clients(33);
+    cluster.wait_served("the first answers", 200);
     for (there, back) in [
         (Transmission::Cut, Transmission::Cut),
         (Transmission::Pass, Transmission::Cut),
         (Transmission::Cut, Transmission::Pass),
     ] {
-        let from = stage.history.now();
-        (0..3).for_each(|place| stage.set_node_link(1, place, Some((there, back))));
+        let from = cluster.history.now();
+        (0..3).for_each(|place| cluster.set_node_link(1, place, Some((there, back))));
         // Those that are cut off find out by their own requests, and serve by what they reach.
         for front in [1, 3, 5, 7] {
             let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
-            let before = stage.history.count(served);
-            stage
+            let before = cluster.history.count(served);
+            cluster
                 .history
                 .wait_for("one that is cut off serves", before + 30, served);
         }
         let others = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if by % 2 == 0 && *code != 1);
-        let bad = stage
+        let bad = cluster
             .history
             .timestamps(others)
             .into_iter()
@@ -824,11 +833,11 @@
             bad <= 2,
             "{bad} requests of fronts that reach all nodes were not served"
         );
-        (0..3).for_each(|place| stage.set_node_link(1, place, None));
-        stage.wait_served("answers once it heals", 200);
+        (0..3).for_each(|place| cluster.set_node_link(1, place, None));
+        cluster.wait_served("answers once it heals", 200);
     }
     clients.stop();
-    stage.assert_no_violations(33);
+    cluster.assert_no_violations(33);
 }
 
 #[test]
@@ -846,65 +855,65 @@
     let links = [1, 2].map(|front: usize| Link::new(ask[front].parse().unwrap()));
     (ask[1], ask[2]) = (links[0].address.to_string(), links[1].address.to_string());
     settings["startup"]["peers"]["ask"] = json!(ask);
-    let mut stage = stage_with(shape, Some(&settings), 41);
-    let clients = stage.start_clients(41);
-    let last = stage.set_node_state(1, State::Draining);
-    let holds = |stage: &TestCluster, front: usize, times: usize| {
+    let mut cluster = start_cluster_with(shape, Some(&settings), 41);
+    let clients = cluster.start_clients(41);
+    let last = cluster.set_node_state(1, State::Draining);
+    let holds = |cluster: &TestCluster, front: usize, times: usize| {
         let told = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
-        let by_peers = stage
+        let by_peers = cluster
             .fleet
             .log(front)
             .matches("the list is taken from peers")
             .count();
-        stage.history.count(told) + by_peers > times
+        cluster.history.count(told) + by_peers > times
     };
     let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
-    let wait = |stage: &TestCluster, front: usize, times: usize| {
-        while !holds(stage, front, times) {
+    let wait = |cluster: &TestCluster, front: usize, times: usize| {
+        while !holds(cluster, front, times) {
             assert!(
                 std::time::Instant::now() < until,
                 "front {front}: {}",
-                stage.fleet.log(front)
+                cluster.fleet.log(front)
             );
             std::thread::sleep(Duration::from_millis(20));
         }
     };
-    (0..6).for_each(|front| wait(&stage, front, 0));
-    stage.list_service.set(ServiceMode::Down);
+    (0..6).for_each(|front| wait(&cluster, front, 0));
+    cluster.list_service.set(ServiceMode::Down);
     links[0].set(Transmission::Pass, Transmission::Cut);
     links[1].set(Transmission::Cut, Transmission::Pass);
-    stage.set_stopped(&[3], true);
-    let stopped = stage.history.now();
+    cluster.set_stopped(&[3], true);
+    let stopped = cluster.history.now();
     // Fronts 4 and 5 are left to tell; who comes back has nothing but its configuration.
-    let count = |stage: &TestCluster, front: usize| {
+    let count = |cluster: &TestCluster, front: usize| {
         let told = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
-        stage.history.count(told)
-            + stage
+        cluster.history.count(told)
+            + cluster
                 .fleet
                 .log(front)
                 .matches("the list is taken from peers")
                 .count()
     };
-    let had = count(&stage, 0);
-    stage.kill(&[0]);
-    stage.restart(&[0]);
-    wait(&stage, 0, had);
-    let from = stage.history.now();
-    stage.wait_served("answers by the list of peers", 200);
+    let had = count(&cluster, 0);
+    cluster.kill(&[0]);
+    cluster.restart(&[0]);
+    wait(&cluster, 0, had);
+    let from = cluster.history.now();
+    cluster.wait_served("answers by the list of peers", 200);
     assert_eq!(
-        to_cache_by(&stage, 1, &[0], from),
+        attempts_to_cache(&cluster, 1, &[0], from),
         0,
         "what peers know to drain is left alone"
     );
-    std::thread::sleep((stopped + 10 * S).saturating_sub(stage.history.now()));
-    stage.set_stopped(&[3], false);
+    std::thread::sleep((stopped + 10 * S).saturating_sub(cluster.history.now()));
+    cluster.set_stopped(&[3], false);
     // One that goes on after ten seconds tells as the others do.
     links.iter().for_each(Link::heal);
-    let had = count(&stage, 4);
-    stage.kill(&[4, 5]);
-    stage.restart(&[4, 5]);
-    wait(&stage, 4, had);
-    stage.wait_served("answers after all", 200);
+    let had = count(&cluster, 4);
+    cluster.kill(&[4, 5]);
+    cluster.restart(&[4, 5]);
+    wait(&cluster, 4, had);
+    cluster.wait_served("answers after all", 200);
     clients.stop();
-    stage.assert_no_violations(41);
+    cluster.assert_no_violations(41);
 }
--- a/front/tests/production.rs
+++ b/front/tests/production.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-fn service(shape: ClusterSize, seed: u64) -> cranesill_rig::TestCluster {
+fn start_cluster(shape: ClusterSize, seed: u64) -> cranesill_rig::TestCluster {
     let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     cranesill_rig::TestCluster::start(
         Path::new(env!("CARGO_BIN_EXE_cranesill")),
@@ -32,122 +32,122 @@
 
 #[test]
 fn faults_that_begin_after_a_long_quiet_break_no_rule() {
-    let mut stage = service(SHAPE, 31);
-    let clients = stage.start_clients(31);
-    stage.wait_served("the first answers", 200);
+    let mut cluster = start_cluster(SHAPE, 31);
+    let clients = cluster.start_clients(31);
+    cluster.wait_served("the first answers", 200);
     clients.stop();
     std::thread::sleep(QUIET);
     // All at once, with the first request after the quiet: a node hangs, one drains, connections break, a front dies.
-    stage.nodes.set(0, Behavior::Silent);
-    let drained = stage.set_node_state(1, State::Draining);
-    (0..stage.node_count()).for_each(|place| stage.reset_connections(0, place));
-    stage.kill(&[3]);
-    stage.restart(&[3]);
-    let clients = stage.start_clients(32);
-    stage.history.wait_for(
+    cluster.nodes.set(0, Behavior::Silent);
+    let drained = cluster.set_node_state(1, State::Draining);
+    (0..cluster.node_count()).for_each(|place| cluster.reset_connections(0, place));
+    cluster.kill(&[3]);
+    cluster.restart(&[3]);
+    let clients = cluster.start_clients(32);
+    cluster.history.wait_for(
         "all are told",
         4,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == drained),
     );
-    stage.wait_served("answers after the quiet", 400);
+    cluster.wait_served("answers after the quiet", 400);
     clients.stop();
-    stage.assert_no_violations(31);
+    cluster.assert_no_violations(31);
 }
 
 #[test]
 fn a_long_outage_of_discovery_with_restarts_in_it_and_drains_at_its_end_breaks_no_rule() {
-    let mut stage = service(SHAPE, 33);
-    let clients = stage.start_clients(33);
-    stage.wait_served("the first answers", 200);
-    stage.list_service.set(ServiceMode::Down);
+    let mut cluster = start_cluster(SHAPE, 33);
+    let clients = cluster.start_clients(33);
+    cluster.wait_served("the first answers", 200);
+    cluster.list_service.set(ServiceMode::Down);
     let down = Instant::now();
-    stage.kill(&[0, 1]);
-    stage.restart(&[0, 1]);
+    cluster.kill(&[0, 1]);
+    cluster.restart(&[0, 1]);
     while down.elapsed() < QUIET {
-        stage.wait_served("answers without discovery", 50);
+        cluster.wait_served("answers without discovery", 50);
     }
     // Its return, drains of half of the caches and restarts come together.
-    stage.publish_all(&[(0, State::Draining), (1, State::Draining)]);
-    stage.list_service.set(ServiceMode::Serve);
-    stage.kill(&[2]);
-    stage.restart(&[2]);
-    stage.wait_served("answers after the outage", 400);
+    cluster.publish_all(&[(0, State::Draining), (1, State::Draining)]);
+    cluster.list_service.set(ServiceMode::Serve);
+    cluster.kill(&[2]);
+    cluster.restart(&[2]);
+    cluster.wait_served("answers after the outage", 400);
     clients.stop();
-    stage.assert_no_violations(33);
+    cluster.assert_no_violations(33);
 }
 
 #[test]
 fn an_attempt_and_its_hedged_request_that_fail_in_one_turn_are_one_answer() {
-    let stage =
-        Stage::new(|config| config["settings"]["policyLimits"]["mayDuplicate"] = true.into());
-    let mut client = stage.client();
-    client.ask(1, "page-bits", "20000", &[], b"");
-    let (_, mut first) = any_link(&stage);
-    first.hear().unwrap();
+    let setup =
+        TestFront::new(|config| config["settings"]["policyLimits"]["mayDuplicate"] = true.into());
+    let mut client = setup.client();
+    client.request(1, "page-bits", "20000", &[], b"");
+    let (_, mut first) = accept_any_node(&setup);
+    first.receive().unwrap();
     // The first node says nothing: another is asked beside it.
-    let (_, mut second) = any_link(&stage);
-    second.hear().unwrap();
-    stage.while_stopped(|| {
+    let (_, mut second) = accept_any_node(&setup);
+    second.receive().unwrap();
+    setup.while_stopped(|| {
         for link in [first, second] {
             socket2::SockRef::from(link.0.get_ref())
                 .set_linger(Some(Duration::ZERO))
                 .unwrap();
         }
     });
-    let (_, mut third) = any_link(&stage);
-    let fetch = third.hear().unwrap();
-    third.say(&fetch[1], "HIT", "-", "in the end");
-    assert!(client.hear().unwrap().ends_with("in the end"));
+    let (_, mut third) = accept_any_node(&setup);
+    let fetch = third.receive().unwrap();
+    third.respond(&fetch[1], "HIT", "-", "in the end");
+    assert!(client.receive().unwrap().ends_with("in the end"));
     client.send(20, 2, &[0]);
     assert!(
-        client.hear().unwrap().starts_with("type 21"),
+        client.receive().unwrap().starts_with("type 21"),
         "one answer and no more"
     );
 }
 
 #[test]
 fn configurations_in_quick_succession_lose_no_event_and_disturb_no_request() {
-    let stage = Stage::new(|_| {});
-    let (mut old, _) = feed(&stage.feed);
-    old.write_all(&event(2, 4, &[0; 10])).unwrap();
-    let mut client = stage.client();
-    client.ask(1, "page-bits", "20000", &[], b"");
-    let (_, mut cache) = any_link(&stage);
-    let fetch = cache.hear().unwrap();
+    let setup = TestFront::new(|_| {});
+    let (mut old, _) = accept_feed(&setup.feed);
+    old.write_all(&feed_event(2, 4, &[0; 10])).unwrap();
+    let mut client = setup.client();
+    client.request(1, "page-bits", "20000", &[], b"");
+    let (_, mut cache) = accept_any_node(&setup);
+    let fetch = cache.receive().unwrap();
     let places: Vec<_> = (0..8)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
         .collect();
     for place in &places {
-        let mut config = stage.config.clone();
+        let mut config = setup.config.clone();
         config["feed"] = place.local_addr().unwrap().to_string().into();
         // As a whole: one that is half written is another test's.
-        let aside = stage.file.with_extension("new");
+        let aside = setup.file.with_extension("new");
         std::fs::write(&aside, config.to_string()).unwrap();
-        std::fs::rename(&aside, &stage.file).unwrap();
-        stage.signal("-HUP");
+        std::fs::rename(&aside, &setup.file).unwrap();
+        setup.signal("-HUP");
     }
     // The last one counts, from the last event that is held; those before it may have been asked.
-    let (mut new, last) = feed(&places[7]);
+    let (mut new, last) = accept_feed(&places[7]);
     assert_eq!(last, 2);
     let nodes = [0, 1]
-        .map(|i| record(CACHES[i], stage.caches[i].local_addr().unwrap(), 1, 0))
+        .map(|i| node_record(CACHE_IDS[i], setup.caches[i].local_addr().unwrap(), 1, 0))
         .concat();
-    new.write_all(&event(3, 2, &nodes)).unwrap();
-    cache.say(&fetch[1], "HIT", "-", "undisturbed");
-    assert!(client.hear().unwrap().ends_with("undisturbed"));
+    new.write_all(&feed_event(3, 2, &nodes)).unwrap();
+    cache.respond(&fetch[1], "HIT", "-", "undisturbed");
+    assert!(client.receive().unwrap().ends_with("undisturbed"));
     std::thread::sleep(Duration::from_millis(500));
-    client.ask(2, "page-bits", "20000", &[], b"");
-    let mut origin = link(&stage.origin);
-    let fetch = origin.hear().unwrap();
-    origin.say(&fetch[1], "HIT", "-", "by the last list");
-    assert!(client.hear().unwrap().ends_with("by the last list"));
+    client.request(2, "page-bits", "20000", &[], b"");
+    let mut origin = accept_node(&setup.origin);
+    let fetch = origin.receive().unwrap();
+    origin.respond(&fetch[1], "HIT", "-", "by the last list");
+    assert!(client.receive().unwrap().ends_with("by the last list"));
 }
 
 #[test]
 fn requests_with_very_little_time_left_are_answered_in_time_though_nodes_drop_them() {
-    let stage = Stage::new(|_| {});
+    let setup = TestFront::new(|_| {});
     // Nodes read what comes and never say a word.
-    for at in [&stage.caches[0], &stage.caches[1], &stage.origin] {
+    for at in [&setup.caches[0], &setup.caches[1], &setup.origin] {
         let at = at.try_clone().unwrap();
         std::thread::spawn(move || {
             let mut all = Vec::new();
@@ -156,12 +156,12 @@
             }
         });
     }
-    let mut client = stage.client();
+    let mut client = setup.client();
     for (stream, limit) in (1u32..).zip([1u64, 3, 10, 30, 100]) {
         for class in ["page-bits", "book-car"] {
             let stream = 2 * stream + u32::from(class == "book-car");
             let asked = Instant::now();
-            client.ask(
+            client.request(
                 stream,
                 class,
                 &limit.to_string(),
@@ -170,7 +170,7 @@
             );
             assert!(
                 client
-                    .hear()
+                    .receive()
                     .unwrap()
                     .starts_with(&format!("type 11 stream {stream}")),
                 "{limit} {class}"
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-fn wall() -> u64 {
+fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
@@ -23,7 +23,7 @@
 /// What a cache holds: of which age, with which tags.
 #[derive(Clone, Default)]
 struct Copy {
-    born: u64,
+    created_ms: u64,
     tags: Option<&'static str>,
 }
 
@@ -33,16 +33,16 @@
     copies: Arc<Mutex<HashMap<String, Copy>>>,
     /// `oldest` of each fetch, as it was asked for; 0: not at all.
     asked: Arc<Mutex<Vec<u64>>>,
-    lies: bool,
+    ignores_max_age: bool,
     /// Says nothing of purges.
-    deaf: Arc<AtomicBool>,
+    ignores_purges: Arc<AtomicBool>,
     /// Everything up to this number is carried out: of the ledger in the last batch.
     applied: Arc<Mutex<(u64, u64)>>,
 }
 
 impl Cache {
     /// Carries a batch out, in order.
-    fn purge(&self, link: &mut Link, id: &str, fields: &str, body: &[u8]) {
+    fn purge(&self, link: &mut NodeConnection, id: &str, fields: &str, body: &[u8]) {
         let field = |name: &str| {
             fields
                 .split(',')
@@ -75,7 +75,7 @@
                         PurgeTarget::Object(object) => *item == format!("{object:016x}"),
                         _ => false,
                     };
-                    !hit || copy.born >= purge.at_ms
+                    !hit || copy.created_ms >= purge.at_ms
                 });
             }
             assert!(rest.is_empty() && number == upto);
@@ -97,12 +97,12 @@
             for socket in listener.incoming().map_while(Result::ok) {
                 let cache = cache.clone();
                 std::thread::spawn(move || {
-                    let mut link = Link(std::io::BufReader::new(socket));
-                    while let Some(words) = link.hear_raw() {
+                    let mut link = NodeConnection(std::io::BufReader::new(socket));
+                    while let Some(words) = link.receive_raw() {
                         let text = |i: usize| String::from_utf8_lossy(&words[i]).to_string();
                         match text(0).as_str() {
                             "fetch" => cache.answer(&mut link, &[text(0), text(1), text(2)]),
-                            "purge" if cache.deaf.load(Ordering::SeqCst) => {}
+                            "purge" if cache.ignores_purges.load(Ordering::SeqCst) => {}
                             "purge" => cache.purge(&mut link, &text(1), &text(2), &words[3]),
                             _ => {}
                         }
@@ -112,7 +112,7 @@
         });
     }
 
-    fn answer(&self, link: &mut Link, words: &[String]) {
+    fn answer(&self, link: &mut NodeConnection, words: &[String]) {
         let field = |name: &str| {
             words[2]
                 .split(',')
@@ -124,15 +124,18 @@
         self.asked.lock().unwrap().push(oldest);
         let mut copies = self.copies.lock().unwrap();
         let copy = copies.entry(item).or_insert(Copy {
-            born: wall(),
+            created_ms: unix_ms(),
             tags: None,
         });
-        if oldest > 0 && wall() > copy.born + oldest && !self.lies {
-            copy.born = wall();
+        if oldest > 0 && unix_ms() > copy.created_ms + oldest && !self.ignores_max_age {
+            copy.created_ms = unix_ms();
         }
         let tags = copy.tags.map_or(String::new(), |t| format!(",tags={t}"));
-        let fields = format!("ver=4be0c1927d55a6f3,born={},tell=local{tags}", copy.born);
-        let body = format!("born {}", copy.born);
+        let fields = format!(
+            "ver=4be0c1927d55a6f3,born={},tell=local{tags}",
+            copy.created_ms
+        );
+        let body = format!("born {}", copy.created_ms);
         drop(copies);
         let parts =
             [words[1].as_str(), "HIT", &fields, &body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
@@ -145,9 +148,9 @@
 }
 
 /// An empty ledger's file.
-struct Fresh(PathBuf);
+struct EmptyJournal(PathBuf);
 
-impl journal::JournalFile for Fresh {
+impl journal::JournalFile for EmptyJournal {
     fn read(&mut self) -> std::io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
@@ -162,58 +165,62 @@
     }
 }
 
-struct Play {
+struct Fixture {
     folder: tempfile::TempDir,
     cache: Cache,
 }
 
-impl Play {
-    fn new(lies: bool, boxes: bool) -> Play {
-        let play = Play {
+impl Fixture {
+    fn new(ignores_max_age: bool, boxes: bool) -> Fixture {
+        let fixture = Fixture {
             folder: tempfile::tempdir().unwrap(),
             cache: Cache {
-                lies,
+                ignores_max_age,
                 ..Cache::default()
             },
         };
-        let mut settings = json!({"control": {"path": play.path("control")},
-                                  "purges": {"file": play.path("purges"), "skew_ms": 0, "horizon_s": 3600}});
+        let mut settings = json!({"control": {"path": fixture.path("control")},
+                                  "purges": {"file": fixture.path("purges"), "skew_ms": 0, "horizon_s": 3600}});
         if boxes {
             settings["purges"]["boxes"] = json!({"kinds": ["origin"], "connections_most": 8});
         }
-        std::fs::write(play.path("daemon.json"), settings.to_string()).unwrap();
-        play
+        std::fs::write(fixture.path("daemon.json"), settings.to_string()).unwrap();
+        fixture
     }
 
     fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    fn start(&self) -> Stage {
+    fn start(&self) -> TestFront {
         let begin = || {
-            let stage = Stage::with(|_| {}, Some(&self.path("daemon.json")));
-            until(&stage.log, "control socket");
-            stage
+            let setup = TestFront::with(|_| {}, Some(&self.path("daemon.json")));
+            wait_for_line(&setup.log, "control socket");
+            setup
         };
         if !self.path("purges").exists() {
             // Without a file everything would count as purged.
             let identity = u64::from(std::process::id());
-            journal::rewrite(&mut Fresh(self.path("purges")), &PurgeLog::new(identity)).unwrap();
+            journal::rewrite(
+                &mut EmptyJournal(self.path("purges")),
+                &PurgeLog::new(identity),
+            )
+            .unwrap();
         }
-        let stage = begin();
-        stage
+        let setup = begin();
+        setup
             .caches
             .iter()
-            .chain([&stage.origin])
+            .chain([&setup.origin])
             .for_each(|c| self.cache.serve(c));
-        stage
+        setup
     }
 
-    fn hold(&self, item: &str, age: u64, tags: Option<&'static str>) {
+    fn store(&self, item: &str, age: u64, tags: Option<&'static str>) {
         self.cache.copies.lock().unwrap().insert(
             item.into(),
             Copy {
-                born: wall() - age,
+                created_ms: unix_ms() - age,
                 tags,
             },
         );
@@ -243,46 +250,47 @@
     }
 }
 
-const CAR: &str = "7f3a9c21e0b4d655";
+const OBJECT: &str = "7f3a9c21e0b4d655";
 
 /// What a client is told: the moment that the copy was given out, or the code of another answer.
-fn ask(stage: &Stage, stream: u32, item: &str) -> Result<u64, String> {
-    let mut client = stage.client();
+fn request(setup: &TestFront, stream: u32, item: &str) -> Result<u64, String> {
+    let mut client = setup.client();
     // The last field of a name counts.
-    client.ask(stream, "page-bits", "3000", &[("item", item)], b"");
-    let told = client.hear().unwrap();
-    told.rsplit_once("born ")
+    client.request(stream, "page-bits", "3000", &[("item", item)], b"");
+    let received = client.receive().unwrap();
+    received
+        .rsplit_once("born ")
         .and_then(|(_, born)| born.parse().ok())
-        .ok_or(told)
+        .ok_or(received)
 }
 
 #[test]
 fn after_a_purge_by_tag_nothing_older_is_served_and_other_objects_are_left_alone() {
-    let play = Play::new(false, false);
-    let stage = play.start();
+    let fixture = Fixture::new(false, false);
+    let setup = fixture.start();
     let other = "00000000000000aa";
-    play.hold(CAR, 3_000, Some("vitara;blue"));
-    play.hold(other, 3_000, Some("swift"));
-    let old = ask(&stage, 1, CAR).unwrap();
-    let plain = ask(&stage, 2, other).unwrap();
-    let (_, text) = play.run(&["purge", "--tag", "vitara", "--dry-run"]);
+    fixture.store(OBJECT, 3_000, Some("vitara;blue"));
+    fixture.store(other, 3_000, Some("swift"));
+    let old = request(&setup, 1, OBJECT).unwrap();
+    let plain = request(&setup, 2, other).unwrap();
+    let (_, text) = fixture.run(&["purge", "--tag", "vitara", "--dry-run"]);
     assert!(
         text.contains("\"known_objects\": 2") && text.contains("\"matched\": 1"),
         "{text}"
     );
-    let before = wall();
+    let before = unix_ms();
     assert_eq!(
-        play.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
+        fixture.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
         1
     );
-    let new = ask(&stage, 3, CAR).unwrap();
+    let new = request(&setup, 3, OBJECT).unwrap();
     assert!(old < before && new >= before, "{old} {before} {new}");
     assert_eq!(
-        ask(&stage, 4, other).unwrap(),
+        request(&setup, 4, other).unwrap(),
         plain,
         "known, and without the tag"
     );
-    let asked = play.cache.asked.lock().unwrap().clone();
+    let asked = fixture.cache.asked.lock().unwrap().clone();
     assert_eq!(
         (asked[3], asked[1]),
         (8_000, 8_000),
@@ -294,18 +302,20 @@
     );
     // The same command again is the same purge; another under its id is refused.
     assert_eq!(
-        play.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
+        fixture.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
         1
     );
     assert_eq!(
-        play.run(&["purge", "--tag", "swift", "--id", "photos-1"]).0,
+        fixture
+            .run(&["purge", "--tag", "swift", "--id", "photos-1"])
+            .0,
         1
     );
     assert_eq!(
-        play.number(&["purge", "--pattern", "page-*/00000000000000a?/*"]),
+        fixture.number(&["purge", "--pattern", "page-*/00000000000000a?/*"]),
         2
     );
-    assert!(ask(&stage, 5, other).unwrap() >= before);
+    assert!(request(&setup, 5, other).unwrap() >= before);
     for bad in [
         ["--pattern", "*"],
         ["--pattern", "["],
@@ -314,123 +324,123 @@
         ["--tag", "a,b"],
     ] {
         assert_eq!(
-            play.run(&[&["purge"][..], &bad[..]].concat()).0,
+            fixture.run(&[&["purge"][..], &bad[..]].concat()).0,
             1,
             "{bad:?}"
         );
     }
-    assert_eq!(play.run(&["purges", "show", "2"]).0, 0);
-    assert_eq!(play.run(&["purges", "show", "9"]).0, 3);
+    assert_eq!(fixture.run(&["purges", "show", "2"]).0, 0);
+    assert_eq!(fixture.run(&["purges", "show", "9"]).0, 3);
 }
 
 #[test]
 fn a_cache_that_says_good_of_an_older_copy_is_not_believed() {
-    let play = Play::new(true, false);
-    let stage = play.start();
-    play.hold(CAR, 3_000, Some("vitara"));
-    assert!(ask(&stage, 1, CAR).is_ok());
-    play.number(&["purge", "--object", CAR]);
+    let fixture = Fixture::new(true, false);
+    let setup = fixture.start();
+    fixture.store(OBJECT, 3_000, Some("vitara"));
+    assert!(request(&setup, 1, OBJECT).is_ok());
+    fixture.number(&["purge", "--object", OBJECT]);
     // All lie: the request fails, and no old copy is passed on.
-    let told = ask(&stage, 2, CAR).unwrap_err();
-    assert!(!told.contains("born"), "{told}");
-    let (_, text) = play.run(&["ctl", "status"]);
+    let received = request(&setup, 2, OBJECT).unwrap_err();
+    assert!(!received.contains("born"), "{received}");
+    let (_, text) = fixture.run(&["ctl", "status"]);
     let status: Value = serde_json::from_str(&text).unwrap();
     assert!(status["purges"]["lies"].as_u64().unwrap() > 0, "{text}");
 }
 
 #[test]
 fn a_restart_keeps_numbers_and_floors_and_a_damaged_file_counts_as_a_purge_of_everything() {
-    let play = Play::new(false, false);
+    let fixture = Fixture::new(false, false);
     let purged = {
-        let stage = play.start();
-        play.hold(CAR, 3_000, Some("vitara"));
-        play.number(&["purge", "--tag", "vitara"]);
-        let _ = &stage;
-        wall()
+        let setup = fixture.start();
+        fixture.store(OBJECT, 3_000, Some("vitara"));
+        fixture.number(&["purge", "--tag", "vitara"]);
+        let _ = &setup;
+        unix_ms()
     };
     {
-        let stage = play.start();
+        let setup = fixture.start();
         // Its tags are not known any more: it counts as matched.
-        assert!(ask(&stage, 1, CAR).unwrap() >= purged - 500);
-        play.hold("00000000000000aa", 3_000, Some("swift"));
-        assert_eq!(play.number(&["purge", "--group", "7"]), 2);
+        assert!(request(&setup, 1, OBJECT).unwrap() >= purged - 500);
+        fixture.store("00000000000000aa", 3_000, Some("swift"));
+        assert_eq!(fixture.number(&["purge", "--group", "7"]), 2);
     }
-    let file = play.path("purges");
+    let file = fixture.path("purges");
     let mut bytes = std::fs::read(&file).unwrap();
     let at = bytes.len() - 3;
     bytes[at] ^= 0x10;
     std::fs::write(&file, &bytes).unwrap();
-    let stage = play.start();
-    let begun = wall();
-    play.hold("00000000000000bb", 3_000, Some("swift"));
+    let setup = fixture.start();
+    let begun = unix_ms();
+    fixture.store("00000000000000bb", 3_000, Some("swift"));
     assert!(
-        ask(&stage, 2, "00000000000000bb").unwrap() + 5_000 >= begun,
+        request(&setup, 2, "00000000000000bb").unwrap() + 5_000 >= begun,
         "what is not known counts as purged"
     );
     assert!(
-        play.path("purges.damaged").exists(),
+        fixture.path("purges.damaged").exists(),
         "what was found is kept for a look"
     );
     assert_eq!(
-        play.number(&["purge", "--group", "7"]),
+        fixture.number(&["purge", "--group", "7"]),
         3,
         "what stood before is held, then comes everything"
     );
-    drop(stage);
-    let stage = play.start();
-    play.hold("00000000000000bc", 3_000, Some("swift"));
+    drop(setup);
+    let setup = fixture.start();
+    fixture.store("00000000000000bc", 3_000, Some("swift"));
     assert!(
-        ask(&stage, 4, "00000000000000bc").unwrap() + 2_500 >= begun,
+        request(&setup, 4, "00000000000000bc").unwrap() + 2_500 >= begun,
         "a second start does not forget it"
     );
 }
 
 #[test]
 fn boxes_are_purged_in_order_and_those_that_did_not_confirm_are_named() {
-    let play = Play::new(false, true);
-    let stage = play.start();
-    play.hold(CAR, 3_000, Some("vitara"));
-    let (code, text) = play.run(&["purge", "--tag", "vitara", "--wait"]);
+    let fixture = Fixture::new(false, true);
+    let setup = fixture.start();
+    fixture.store(OBJECT, 3_000, Some("vitara"));
+    let (code, text) = fixture.run(&["purge", "--tag", "vitara", "--wait"]);
     assert!(code == 0 && text.contains("by all boxes"), "{text}");
     assert!(
-        play.cache.copies.lock().unwrap().is_empty(),
+        fixture.cache.copies.lock().unwrap().is_empty(),
         "it is gone from the box"
     );
     // Confirmed by all: nothing newer is asked for any more, and the answer is judged all the same.
-    assert_eq!(play.cache.applied.lock().unwrap().1, 1);
-    play.cache.deaf.store(true, Ordering::SeqCst);
-    let (code, text) = play.run(&["purge", "--object", CAR, "--wait-s", "1"]);
+    assert_eq!(fixture.cache.applied.lock().unwrap().1, 1);
+    fixture.cache.ignores_purges.store(true, Ordering::SeqCst);
+    let (code, text) = fixture.run(&["purge", "--object", OBJECT, "--wait-s", "1"]);
     assert!(
         code == 1 && text.contains("purge 2 is not confirmed by s-00000031"),
         "{text}"
     );
-    play.cache.deaf.store(false, Ordering::SeqCst);
+    fixture.cache.ignores_purges.store(false, Ordering::SeqCst);
     // The same command waits again, and the batch that was lost is sent again.
-    let (code, text) = play.run(&["purge", "--group", "9", "--id", "again", "--wait"]);
+    let (code, text) = fixture.run(&["purge", "--group", "9", "--id", "again", "--wait"]);
     assert!(code == 0 && text.contains("by all boxes"), "{text}");
-    let (_, text) = play.run(&["purges", "boxes"]);
+    let (_, text) = fixture.run(&["purges", "boxes"]);
     assert!(text.contains("\"confirmed\": 3"), "{text}");
-    drop(stage);
+    drop(setup);
     // After a restart the box reports what it has: nothing is sent twice, which the box itself would tell.
-    let _stage = play.start();
-    let (code, text) = play.run(&["purge", "--group", "8", "--wait"]);
+    let _stage = fixture.start();
+    let (code, text) = fixture.run(&["purge", "--group", "8", "--wait"]);
     assert!(code == 0, "{text}");
-    assert_eq!(play.cache.applied.lock().unwrap().1, 4);
+    assert_eq!(fixture.cache.applied.lock().unwrap().1, 4);
 }
 
 /// A front that follows the writer at a port, with its own folder.
-fn follower(play: &Play, port: u16, without: &str) -> (Play, Stage) {
-    let follower = Play {
+fn follower(fixture: &Fixture, port: u16, without: &str) -> (Fixture, TestFront) {
+    let follower = Fixture {
         folder: tempfile::tempdir().unwrap(),
-        cache: play.cache.clone(),
+        cache: fixture.cache.clone(),
     };
     let settings = json!({"control": {"path": follower.path("control")},
                           "purges": {"file": follower.path("purges"), "skew_ms": 0,
                                      "follow": {"address": format!("127.0.0.1:{port}"), "lease_ms": 1000,
                                                 "without_contact": without}}});
     std::fs::write(follower.path("daemon.json"), settings.to_string()).unwrap();
-    let stage = follower.start();
-    (follower, stage)
+    let setup = follower.start();
+    (follower, setup)
 }
 
 #[test]
@@ -440,7 +450,7 @@
         .local_addr()
         .unwrap()
         .port();
-    let writer = Play::new(false, false);
+    let writer = Fixture::new(false, false);
     let text = std::fs::read_to_string(writer.path("daemon.json")).unwrap();
     let mut settings: Value = serde_json::from_str(&text).unwrap();
     settings["purges"]["serve"] = format!("127.0.0.1:{port}").into();
@@ -456,21 +466,21 @@
             .read_line(&mut String::new())
             .unwrap();
     });
-    let (strict, stage) = follower(&writer, port, "strict");
+    let (strict, setup) = follower(&writer, port, "strict");
     let (open, loose) = follower(&writer, port, "available");
-    let last = |play: &Play| {
-        let (_, text) = play.run(&["purges", "list", "--json"]);
+    let last = |fixture: &Fixture| {
+        let (_, text) = fixture.run(&["purges", "list", "--json"]);
         serde_json::from_str::<Value>(&text).unwrap()["last"]
             .as_u64()
             .unwrap()
     };
-    let caught_up = |play: &Play, number: u64| {
+    let caught_up = |fixture: &Fixture, number: u64| {
         let deadline = std::time::Instant::now() + std::time::Duration::from_secs(20);
-        while last(play) != number {
+        while last(fixture) != number {
             assert!(
                 std::time::Instant::now() < deadline,
                 "{} of {number}",
-                last(play)
+                last(fixture)
             );
         }
     };
@@ -479,24 +489,27 @@
     let (code, text) = strict.run(&["purge", "--group", "1"]);
     assert!(code == 1 && text.contains("purge at its writer"), "{text}");
     // A purge at the writer counts at a follower well within half a second.
-    writer.hold(CAR, 3_000, Some("vitara"));
+    writer.store(OBJECT, 3_000, Some("vitara"));
     assert_eq!(writer.number(&["purge", "--tag", "vitara"]), 601);
     caught_up(&strict, 601);
-    let purged = wall();
-    assert!(ask(&stage, 1, CAR).unwrap() >= purged - 500);
+    let purged = unix_ms();
+    assert!(request(&setup, 1, OBJECT).unwrap() >= purged - 500);
     // The writer is gone: one does not serve what is older than the lease, the other goes on and counts.
     drop(first);
-    until(&stage.log, "contact-lost");
-    until(&loose.log, "contact-lost");
+    wait_for_line(&setup.log, "contact-lost");
+    wait_for_line(&loose.log, "contact-lost");
     let other = "00000000000000cc";
-    writer.hold(other, 3_000, Some("swift"));
-    let held = wall() - 3_000;
+    writer.store(other, 3_000, Some("swift"));
+    let held = unix_ms() - 3_000;
     // One that is not under a purge, to a front that knows its tags.
-    assert!(ask(&loose, 2, other).is_ok());
-    writer.hold(other, 3_000, Some("swift"));
-    let going = ask(&loose, 4, other).unwrap();
+    assert!(request(&loose, 2, other).is_ok());
+    writer.store(other, 3_000, Some("swift"));
+    let going = request(&loose, 4, other).unwrap();
     assert!(going <= held + 1_000, "it goes on: {going} of {held}");
-    assert!(ask(&stage, 3, other).unwrap() > held + 1_000, "it does not");
+    assert!(
+        request(&setup, 3, other).unwrap() > held + 1_000,
+        "it does not"
+    );
     let (_, text) = open.run(&["ctl", "status"]);
     assert!(
         serde_json::from_str::<Value>(&text).unwrap()["purges"]["answers_in_doubt"]
@@ -506,12 +519,12 @@
     );
     // The writer is back with its file: the same ledger goes on.
     let _again = writer.start();
-    until(&stage.log, "contact with the ledger again");
+    wait_for_line(&setup.log, "contact with the ledger again");
     assert_eq!(writer.number(&["purge", "--group", "3"]), 602);
     caught_up(&strict, 602);
     // A follower that restarts goes on from its file, and nothing counts as purged that was not.
-    drop(stage);
-    let stage = strict.start();
+    drop(setup);
+    let setup = strict.start();
     caught_up(&strict, 602);
-    let _ = stage;
+    let _ = setup;
 }
--- a/front/tests/scale.rs
+++ b/front/tests/scale.rs
@@ -8,8 +8,8 @@
 const SOCKETS: u64 = 96;
 const REQUESTS: usize = 600;
 
-fn answered(stage: &TestCluster, how: u8) -> usize {
-    stage
+fn answered(cluster: &TestCluster, how: u8) -> usize {
+    cluster
         .history
         .count(|seen| matches!(seen, Observation::ClientResponse(_, _, word) if *word == how))
 }
@@ -25,22 +25,22 @@
         sides: 0,
     };
     let binary = Path::new(env!("CARGO_BIN_EXE_cranesill"));
-    let mut stage = TestCluster::start(binary, shape, &base, None, 1);
-    (stage.load.objects, stage.load.connections_per_front) = (5_000, 4);
-    let clients = stage.start_clients(1);
-    stage.wait_served("requests served", REQUESTS);
+    let mut cluster = TestCluster::start(binary, shape, &base, None, 1);
+    (cluster.load.objects, cluster.load.connections_per_front) = (5_000, 4);
+    let clients = cluster.start_clients(1);
+    cluster.wait_served("requests served", REQUESTS);
     clients.stop();
     assert_eq!(
-        (answered(&stage, 2), answered(&stage, 3)),
+        (answered(&cluster, 2), answered(&cluster, 3)),
         (0, 0),
         "refused and failed"
     );
-    let made = stage
+    let made = cluster
         .history
         .count(|seen| matches!(seen, Observation::Accepted(_)));
     assert!(
         made <= 3 * SOCKETS as usize * 3 / 8,
         "{made} connections made"
     );
-    stage.assert_no_violations(1);
+    cluster.assert_no_violations(1);
 }
--- a/front/tests/startup.rs
+++ b/front/tests/startup.rs
@@ -7,10 +7,10 @@
 
 const S: Duration = Duration::from_secs(1);
 /// Calls a second of a whole fleet at a service that fails, once it has noticed, and in a tenth of a second.
-const BUDGET: usize = 20;
-const IN_STEP: usize = 12;
+const CALLS_PER_SECOND: usize = 20;
+const TENTH_BUDGET: usize = 12;
 /// By then all fronts are served again by a service that has returned. The core's own bound is 5.7 s.
-const SERVED_BY: Duration = Duration::from_millis(6_500);
+const RECOVERY_TIMEOUT: Duration = Duration::from_millis(6_500);
 
 fn fleet(count: usize, list: &ListService) -> Fleet {
     let at = list.address;
@@ -47,7 +47,7 @@
 }
 
 /// All start while the service fails in this way for a time, and it returns.
-fn fails_and_returns(mode: ServiceMode, count: usize) {
+fn check_outage(mode: ServiceMode, count: usize) {
     let history = History::default();
     let list = ListService::new(&history, mode);
     let mut fleet = fleet(count, &list);
@@ -68,7 +68,7 @@
     let (second, at) = history.max_in_window(from, to, S, call);
     let (tenth, _) = history.max_in_window(from, to, S / 10, call);
     assert!(
-        second <= BUDGET && tenth <= IN_STEP,
+        second <= CALLS_PER_SECOND && tenth <= TENTH_BUDGET,
         "{mode:?}: {second} calls in the second from {at:?}, {tenth} in 100 ms, {mean:.1} a second"
     );
     if mode != ServiceMode::Down {
@@ -81,7 +81,7 @@
     list.set(ServiceMode::Serve);
     let all = history.wait_for("fronts that are served", count, served);
     assert!(
-        all <= back + SERVED_BY,
+        all <= back + RECOVERY_TIMEOUT,
         "{mode:?}: all are served {:?} after it returned",
         all - back
     );
@@ -90,23 +90,23 @@
 
 #[test]
 fn a_service_that_closes_at_once_is_called_within_the_budget_and_all_are_served_when_it_returns() {
-    fails_and_returns(ServiceMode::Close, 40);
+    check_outage(ServiceMode::Close, 40);
 }
 
 #[test]
 fn a_service_that_says_nothing_is_called_within_the_budget_and_all_are_served_when_it_returns() {
-    fails_and_returns(ServiceMode::Silent, 24);
+    check_outage(ServiceMode::Silent, 24);
 }
 
 #[test]
 fn a_service_that_sends_garbage_or_part_of_an_event_is_called_within_the_budget() {
-    fails_and_returns(ServiceMode::Garbage, 16);
-    fails_and_returns(ServiceMode::Truncate, 16);
+    check_outage(ServiceMode::Garbage, 16);
+    check_outage(ServiceMode::Truncate, 16);
 }
 
 #[test]
 fn a_service_that_was_down_serves_all_within_the_bound_after_its_return() {
-    fails_and_returns(ServiceMode::Down, 24);
+    check_outage(ServiceMode::Down, 24);
 }
 
 #[test]
@@ -176,13 +176,16 @@
     far.refuse(true);
     std::thread::sleep(6 * S);
     let (second, at) = history.max_in_window(whole + 4 * S, history.now(), S, call);
-    assert!(second <= BUDGET, "{second} calls in the second from {at:?}");
+    assert!(
+        second <= CALLS_PER_SECOND,
+        "{second} calls in the second from {at:?}"
+    );
     let before = history.timestamps(served).len();
     let back = history.now();
     far.heal();
     let all = history.wait_for("fronts that are served again", before + 16, served);
     assert!(
-        all <= back + SERVED_BY,
+        all <= back + RECOVERY_TIMEOUT,
         "all are served {:?} after the link healed",
         all - back
     );
@@ -236,7 +239,7 @@
     // A front that was served for a moment begins its share anew at its place, so a second has more in it than where the service
     // fails all the time; the mean keeps to the budget of ten.
     assert!(
-        mean <= 14.0 && second <= 3 * BUDGET / 2 && tenth <= IN_STEP,
+        mean <= 14.0 && second <= 3 * CALLS_PER_SECOND / 2 && tenth <= TENTH_BUDGET,
         "{mean:.1} a second, {second} calls in the second from {at:?}, {tenth} in 100 ms"
     );
     assert!(mean >= 4.0, "{mean:.1} calls a second: it is still called");
@@ -247,7 +250,7 @@
         || history.count(served) - history.count(|seen| *seen == Observation::SubscriptionEnded);
     while held() < 40 {
         assert!(
-            history.now() <= back + SERVED_BY,
+            history.now() <= back + RECOVERY_TIMEOUT,
             "{} of 40 are served",
             held()
         );
--- a/front/tests/syscalls.rs
+++ b/front/tests/syscalls.rs
@@ -14,11 +14,11 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// What the time told to a node may be longer than what the client has left.
-const LEFT_SLACK: Duration = Duration::from_millis(150);
+const REMAINING_TIME_TOLERANCE: Duration = Duration::from_millis(150);
 /// What each visitor says that it waits for.
 const LIMIT: Duration = Duration::from_millis(2_400);
 
-fn stage(change: impl Fn(&mut Value), sides: usize, seed: u64) -> TestCluster {
+fn start_cluster(change: impl Fn(&mut Value), sides: usize, seed: u64) -> TestCluster {
     let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     change(&mut base);
     let shape = ClusterSize {
@@ -37,45 +37,45 @@
 }
 
 /// Clients that come with a new connection for each few requests, as many as there are threads.
-struct Visitors {
+struct ReconnectingClients {
     over: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 /// Numbers of clients' threads that no other in this process has had: they stand in the ids of requests.
-static VISITORS: AtomicU32 = AtomicU32::new(16);
+static CLIENT_NUMBERS: AtomicU32 = AtomicU32::new(16);
 
-impl Visitors {
-    fn begin(stage: &TestCluster, count: u32, requests: usize, pause: Duration) -> Self {
+impl ReconnectingClients {
+    fn start(cluster: &TestCluster, count: u32, requests: usize, pause: Duration) -> Self {
         let over = Arc::new(AtomicBool::new(false));
-        let address = stage.fleet.address(0);
+        let address = cluster.fleet.address(0);
         let threads = (0..count).map(|_| {
             let (over, history, class) = (
                 Arc::clone(&over),
-                stage.history.clone(),
-                stage.load.read.clone(),
+                cluster.history.clone(),
+                cluster.load.read.clone(),
             );
-            let which = VISITORS.fetch_add(1, Ordering::SeqCst) % 0xff;
+            let which = CLIENT_NUMBERS.fetch_add(1, Ordering::SeqCst) % 0xff;
             thread::spawn(move || {
-                let mut visitor = Visitor {
+                let mut client = ReconnectingClient {
                     history,
                     class,
                     which,
                     stream: 0,
                 };
                 while !over.load(Ordering::SeqCst) {
-                    visitor.visit(address, requests, pause);
+                    client.run(address, requests, pause);
                     thread::sleep(pause);
                 }
             })
         });
-        Visitors {
+        ReconnectingClients {
             threads: threads.collect(),
             over,
         }
     }
 
-    fn end(self) {
+    fn stop(self) {
         self.over.store(true, Ordering::SeqCst);
         self.threads
             .into_iter()
@@ -83,29 +83,29 @@
     }
 }
 
-struct Visitor {
+struct ReconnectingClient {
     history: History,
     class: String,
     which: u32,
     stream: u32,
 }
 
-impl Visitor {
-    fn visit(&mut self, address: SocketAddr, requests: usize, pause: Duration) {
+impl ReconnectingClient {
+    fn run(&mut self, address: SocketAddr, requests: usize, pause: Duration) {
         let mut socket = TcpStream::connect(address).unwrap();
         socket.set_nodelay(true).unwrap();
         for n in 0..requests {
             if n > 0 {
                 thread::sleep(pause);
             }
-            if !self.ask(&mut socket) {
+            if !self.request(&mut socket) {
                 return;
             }
         }
     }
 
     /// ClientLoad once and waits for the answer; whether it came.
-    fn ask(&mut self, socket: &mut TcpStream) -> bool {
+    fn request(&mut self, socket: &mut TcpStream) -> bool {
         self.stream += 1;
         let txn = (1 << 40) | (u64::from(self.which) << 32) | u64::from(self.stream);
         let (id, limit) = (format!("{txn:016x}"), LIMIT.as_millis().to_string());
@@ -158,17 +158,17 @@
 }
 
 /// Requests that were answered, but not served.
-fn turned_down(stage: &TestCluster) -> usize {
-    stage
+fn count_not_served(cluster: &TestCluster) -> usize {
+    cluster
         .history
         .count(|seen| matches!(seen, Observation::ClientResponse(_, _, code) if *code != 1))
 }
 
 /// By how much nodes were told more time than clients had left, of each attempt of the visitors' requests.
-fn over_time_left(stage: &TestCluster) -> Vec<Duration> {
+fn excess_remaining_time(cluster: &TestCluster) -> Vec<Duration> {
     let mut asked = std::collections::HashMap::new();
     let mut over = Vec::new();
-    for (at, seen) in stage.history.observations() {
+    for (at, seen) in cluster.history.observations() {
         match seen {
             Observation::ClientRequest { txn, .. } if (txn >> 32) & 0xff >= 16 => {
                 asked.insert(txn, at);
@@ -192,9 +192,12 @@
 }
 
 /// Nodes were told no more time than clients had left.
-fn time_left_is_kept(stage: &TestCluster) {
-    let told = over_time_left(stage);
-    let over: Vec<_> = told.iter().filter(|over| **over > LEFT_SLACK).collect();
+fn assert_remaining_time_kept(cluster: &TestCluster) {
+    let told = excess_remaining_time(cluster);
+    let over: Vec<_> = told
+        .iter()
+        .filter(|over| **over > REMAINING_TIME_TOLERANCE)
+        .collect();
     assert!(
         over.is_empty(),
         "{} of {} were told too much: {over:?}",
@@ -204,39 +207,41 @@
 }
 
 /// Processor time that the front has used.
-fn core_time(stage: &TestCluster) -> Duration {
-    let stat =
-        std::fs::read_to_string(format!("/proc/{}/stat", stage.fleet.process_id(0).unwrap()))
-            .unwrap();
+fn cpu_time(cluster: &TestCluster) -> Duration {
+    let stat = std::fs::read_to_string(format!(
+        "/proc/{}/stat",
+        cluster.fleet.process_id(0).unwrap()
+    ))
+    .unwrap();
     let fields: Vec<_> = stat.rsplit(") ").next().unwrap().split(' ').collect();
     let ticks: u64 = fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap();
     Duration::from_millis(ticks * 10)
 }
 
 /// Runs some load for some time, while calls fail, and waits until so many were served.
-fn under(stage: &TestCluster, faults: &SocketFaults, time: Duration) {
-    let before = stage.fleet.injectors[0].socket_fault_count();
-    stage.fleet.injectors[0].set_socket_faults(Some(faults));
+fn run_with_faults(cluster: &TestCluster, faults: &SocketFaults, time: Duration) {
+    let before = cluster.fleet.injectors[0].socket_fault_count();
+    cluster.fleet.injectors[0].set_socket_faults(Some(faults));
     thread::sleep(time);
-    stage.wait_served("answers while calls fail", 20);
-    stage.fleet.injectors[0].set_socket_faults(None);
+    cluster.wait_served("answers while calls fail", 20);
+    cluster.fleet.injectors[0].set_socket_faults(None);
     let cut_short = faults.max_read_bytes > 0;
     assert!(
-        cut_short || stage.fleet.injectors[0].socket_fault_count() > before,
+        cut_short || cluster.fleet.injectors[0].socket_fault_count() > before,
         "{faults:?}: nothing failed"
     );
 }
 
 /// The rules hold, all was served, and nodes were told no more time than there was.
-fn all_is_well(stage: &mut TestCluster, seed: u64) {
-    stage.assert_no_violations(seed);
-    let (served, not) = (stage.history.count(is_served), turned_down(stage));
+fn assert_all_served(cluster: &mut TestCluster, seed: u64) {
+    cluster.assert_no_violations(seed);
+    let (served, not) = (cluster.history.count(is_served), count_not_served(cluster));
     assert!(
         not * 100 <= served,
         "{not} were not served, {served} were: {}",
-        stage.fleet.log(0)
+        cluster.fleet.log(0)
     );
-    time_left_is_kept(stage);
+    assert_remaining_time_kept(cluster);
 }
 
 const OF_ACCEPT: [i32; 14] = [
@@ -258,16 +263,16 @@
 
 #[test]
 fn errors_of_accept_cost_nobody_a_connection() {
-    let mut stage = stage(|_| {}, 0, 61);
-    stage.load.pause = 30 * MS;
-    stage.load.connections_per_front = 4;
+    let mut cluster = start_cluster(|_| {}, 0, 61);
+    cluster.load.pause = 30 * MS;
+    cluster.load.connections_per_front = 4;
     // Some come anew for each request, some stay.
-    let stay = stage.start_clients(61);
-    let visitors = Visitors::begin(&stage, 6, 1, 5 * MS);
-    stage.wait_served("the first answers", 100);
+    let stay = cluster.start_clients(61);
+    let reconnecting = ReconnectingClients::start(&cluster, 6, 1, 5 * MS);
+    cluster.wait_served("the first answers", 100);
     for errno in OF_ACCEPT {
-        under(
-            &stage,
+        run_with_faults(
+            &cluster,
             &SocketFaults::all(&[SystemCall::Accept], errno).every(2),
             100 * MS,
         );
@@ -276,11 +281,11 @@
             continue;
         }
         let burst = SocketFaults::all(&[SystemCall::Accept], errno).burst(150 * MS, 500 * MS);
-        under(&stage, &burst, 600 * MS);
+        run_with_faults(&cluster, &burst, 600 * MS);
     }
-    visitors.end();
+    reconnecting.stop();
     stay.stop();
-    all_is_well(&mut stage, 61);
+    assert_all_served(&mut cluster, 61);
 }
 
 #[test]
@@ -290,44 +295,44 @@
         (libc::ECONNABORTED, 63),
         (libc::EMFILE, 64),
     ] {
-        let mut stage = stage(|_| {}, 0, seed);
-        let stay = stage.start_clients(seed);
-        stage.wait_served("the first answers", 20);
-        stage.fleet.injectors[0]
+        let mut cluster = start_cluster(|_| {}, 0, seed);
+        let stay = cluster.start_clients(seed);
+        cluster.wait_served("the first answers", 20);
+        cluster.fleet.injectors[0]
             .set_socket_faults(Some(&SocketFaults::all(&[SystemCall::Accept], errno)));
-        let (began, used) = (Instant::now(), core_time(&stage));
-        let visitors = Visitors::begin(&stage, 4, 3, 5 * MS);
+        let (began, used) = (Instant::now(), cpu_time(&cluster));
+        let reconnecting = ReconnectingClients::start(&cluster, 4, 3, 5 * MS);
         thread::sleep(1_200 * MS);
-        let (used, passed) = (core_time(&stage) - used, began.elapsed());
+        let (used, passed) = (cpu_time(&cluster) - used, began.elapsed());
         assert!(used < passed / 4, "{errno}: {used:?} of {passed:?}");
-        stage.fleet.injectors[0].set_socket_faults(None);
-        let visitor = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, txn, 1) if (txn >> 32) & 0xff >= 16);
-        stage
+        cluster.fleet.injectors[0].set_socket_faults(None);
+        let client = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, txn, 1) if (txn >> 32) & 0xff >= 16);
+        cluster
             .history
-            .wait_for("those that waited are answered", 12, visitor);
-        visitors.end();
+            .wait_for("those that waited are answered", 12, client);
+        reconnecting.stop();
         stay.stop();
-        all_is_well(&mut stage, seed);
+        assert_all_served(&mut cluster, seed);
     }
 }
 
 /// Descriptors that the front has open.
-fn descriptors(stage: &TestCluster) -> Vec<u64> {
+fn descriptors(cluster: &TestCluster) -> Vec<u64> {
     let open =
-        std::fs::read_dir(format!("/proc/{}/fd", stage.fleet.process_id(0).unwrap())).unwrap();
+        std::fs::read_dir(format!("/proc/{}/fd", cluster.fleet.process_id(0).unwrap())).unwrap();
     open.map(|file| file.unwrap().file_name().to_str().unwrap().parse().unwrap())
         .collect()
 }
 
 /// From now on the front may have only a few descriptors more than it has; the first number that it may not open.
-fn allow_few_more_descriptors(stage: &TestCluster) -> u64 {
-    let open = descriptors(stage);
+fn allow_few_more_descriptors(cluster: &TestCluster) -> u64 {
+    let open = descriptors(cluster);
     let most = (0..).find(|number| !open.contains(number)).unwrap() + 4;
     let limit = libc::rlimit {
         rlim_cur: most,
         rlim_max: most,
     };
-    let process = stage.fleet.process_id(0).unwrap() as i32;
+    let process = cluster.fleet.process_id(0).unwrap() as i32;
     // SAFETY: the call reads the limit that it is given; the process was begun by this test.
     let set = unsafe {
         libc::prlimit(
@@ -343,59 +348,59 @@
 
 #[test]
 fn a_lack_of_descriptors_that_is_real_costs_idle_clients_alone_their_connection() {
-    let mut stage = stage(|_| {}, 0, 65);
-    let address = stage.fleet.address(0);
-    let class = stage.load.read.clone();
-    let mut visitor = Visitor {
-        history: stage.history.clone(),
+    let mut cluster = start_cluster(|_| {}, 0, 65);
+    let address = cluster.fleet.address(0);
+    let class = cluster.load.read.clone();
+    let mut client = ReconnectingClient {
+        history: cluster.history.clone(),
         class,
         which: 0xf0,
         stream: 0,
     };
     let mut busy = TcpStream::connect(address).unwrap();
-    assert!(visitor.ask(&mut busy));
-    let most = allow_few_more_descriptors(&stage);
+    assert!(client.request(&mut busy));
+    let most = allow_few_more_descriptors(&cluster);
     let mut idle = Vec::new();
-    while (0..most).any(|number| !descriptors(&stage).contains(&number)) {
+    while (0..most).any(|number| !descriptors(&cluster).contains(&number)) {
         idle.push(TcpStream::connect(address).unwrap());
-        assert!(visitor.ask(idle.last_mut().unwrap()));
+        assert!(client.request(idle.last_mut().unwrap()));
     }
     // What asks now and then stays; the others are closed as far as it takes.
-    let visitors = Visitors::begin(&stage, 2, 4, 20 * MS);
+    let reconnecting = ReconnectingClients::start(&cluster, 2, 4, 20 * MS);
     let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, txn, 1) if (txn >> 32) & 0xff < 0xf0);
-    while stage.history.count(served) < 16 {
+    while cluster.history.count(served) < 16 {
         assert!(
-            visitor.ask(&mut busy),
+            client.request(&mut busy),
             "a client that asks all the time has lost its connection"
         );
         thread::sleep(50 * MS);
     }
-    visitors.end();
+    reconnecting.stop();
     assert!(
-        stage.fleet.log(0).contains("Too many open files"),
+        cluster.fleet.log(0).contains("Too many open files"),
         "{}",
-        stage.fleet.log(0)
+        cluster.fleet.log(0)
     );
-    stage.assert_no_violations(65);
+    cluster.assert_no_violations(65);
 }
 
 #[test]
 fn a_lack_of_descriptors_costs_no_client_its_connection_that_asks_now_and_then() {
-    let mut stage = stage(|_| {}, 0, 72);
-    let visitors = Visitors::begin(&stage, 6, 6, 700 * MS);
-    stage.wait_served("the first answers", 8);
-    let most = allow_few_more_descriptors(&stage);
+    let mut cluster = start_cluster(|_| {}, 0, 72);
+    let reconnecting = ReconnectingClients::start(&cluster, 6, 6, 700 * MS);
+    cluster.wait_served("the first answers", 8);
+    let most = allow_few_more_descriptors(&cluster);
     // They say nothing, and there are not enough places for all of them.
-    let address = stage.fleet.address(0);
+    let address = cluster.fleet.address(0);
     let mut newcomers = Vec::new();
-    let lacks = |stage: &TestCluster| stage.fleet.log(0).contains("Too many open files");
+    let lacks = |cluster: &TestCluster| cluster.fleet.log(0).contains("Too many open files");
     let guard = Instant::now() + cranesill_rig::WAIT_TIMEOUT;
-    while !lacks(&stage) {
+    while !lacks(&cluster) {
         assert!(
             Instant::now() < guard,
             "{:?} of {most}: {}",
-            descriptors(&stage),
-            stage.fleet.log(0)
+            descriptors(&cluster),
+            cluster.fleet.log(0)
         );
         newcomers.push(TcpStream::connect(address).unwrap());
         thread::sleep(5 * MS);
@@ -403,17 +408,17 @@
     newcomers.extend((0..16).map(|_| TcpStream::connect(address).unwrap()));
     thread::sleep(900 * MS);
     drop(newcomers);
-    visitors.end();
-    stage.assert_no_violations(72);
+    reconnecting.stop();
+    cluster.assert_no_violations(72);
 }
 
 #[test]
 fn errors_of_socket_and_connect_are_held_against_no_node_and_lose_no_request() {
     // Connections are closed as soon as they are idle, so that each clump of requests dials.
     let short = |base: &mut Value| base["settings"]["policyLimits"]["connIdle"] = 20_000.into();
-    let mut stage = stage(short, 0, 66);
-    let visitors = Visitors::begin(&stage, 8, 2, 290 * MS);
-    stage.wait_served("the first answers", 30);
+    let mut cluster = start_cluster(short, 0, 66);
+    let reconnecting = ReconnectingClients::start(&cluster, 8, 2, 290 * MS);
+    cluster.wait_served("the first answers", 30);
     let of_socket = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     let of_connect = [
         libc::EADDRNOTAVAIL,
@@ -428,28 +433,28 @@
         .map(|errno| (SystemCall::Socket, errno))
         .into_iter();
     for (call, errno) in calls.chain(of_connect.map(|errno| (SystemCall::Connect, errno))) {
-        under(
-            &stage,
+        run_with_faults(
+            &cluster,
             &SocketFaults::all(&[call], errno).every(2),
             300 * MS,
         );
         if errno != libc::EINTR {
-            under(
-                &stage,
+            run_with_faults(
+                &cluster,
                 &SocketFaults::all(&[call], errno).burst(150 * MS, 500 * MS),
                 1_000 * MS,
             );
         }
     }
-    visitors.end();
-    let log = stage.fleet.log(0);
+    reconnecting.stop();
+    let log = cluster.fleet.log(0);
     assert!(!log.contains("DOWN"), "{log}");
-    all_is_well(&mut stage, 66);
+    assert_all_served(&mut cluster, 66);
 }
 
 #[test]
 fn a_start_outlasts_a_shortage_that_passes() {
-    let mut stage = stage(|_| {}, 0, 67);
+    let mut cluster = start_cluster(|_| {}, 0, 67);
     for errno in [
         libc::EMFILE,
         libc::ENFILE,
@@ -457,32 +462,32 @@
         libc::ENOMEM,
         libc::EINTR,
     ] {
-        stage.kill(&[0]);
-        let before = stage.fleet.injectors[0].socket_fault_count();
-        stage.fleet.injectors[0]
+        cluster.kill(&[0]);
+        let before = cluster.fleet.injectors[0].socket_fault_count();
+        cluster.fleet.injectors[0]
             .set_socket_faults(Some(&SocketFaults::all(&[SystemCall::Socket], errno)));
-        stage.fleet.restart([0]);
+        cluster.fleet.restart([0]);
         let guard = Instant::now() + cranesill_rig::WAIT_TIMEOUT;
-        while stage.fleet.injectors[0].socket_fault_count() < before + 5 {
-            let dead = stage.fleet.exited();
+        while cluster.fleet.injectors[0].socket_fault_count() < before + 5 {
+            let dead = cluster.fleet.exited();
             assert!(
                 dead.is_empty() && Instant::now() < guard,
                 "{errno}: {dead:?}"
             );
             thread::yield_now();
         }
-        stage.fleet.injectors[0].set_socket_faults(None);
-        stage.fleet.address(0);
+        cluster.fleet.injectors[0].set_socket_faults(None);
+        cluster.fleet.address(0);
     }
-    let visitors = Visitors::begin(&stage, 2, 2, 5 * MS);
-    stage.wait_served("answers after all", 20);
-    visitors.end();
-    all_is_well(&mut stage, 67);
+    let reconnecting = ReconnectingClients::start(&cluster, 2, 2, 5 * MS);
+    cluster.wait_served("answers after all", 20);
+    reconnecting.stop();
+    assert_all_served(&mut cluster, 67);
 }
 
 #[test]
 fn a_front_that_starts_while_calls_fail_serves_all_that_is_asked() {
-    let mut stage = stage(|_| {}, 0, 73);
+    let mut cluster = start_cluster(|_| {}, 0, 73);
     let faults = [
         (SystemCall::Accept, libc::ENOBUFS),
         (SystemCall::Accept, libc::ECONNABORTED),
@@ -494,36 +499,36 @@
         (SystemCall::WriteOutbound, libc::EINTR),
     ];
     for (call, errno) in faults {
-        stage.kill(&[0]);
-        let before = stage.fleet.injectors[0].socket_fault_count();
+        cluster.kill(&[0]);
+        let before = cluster.fleet.injectors[0].socket_fault_count();
         let every_other = SocketFaults::all(&[call], errno).every(2);
-        stage.fleet.injectors[0].set_socket_faults(Some(&every_other));
-        stage.fleet.restart([0]);
-        stage.fleet.address(0);
-        let visitors = Visitors::begin(&stage, 4, 3, 5 * MS);
-        stage.wait_served("answers while calls fail from the start on", 40);
-        visitors.end();
+        cluster.fleet.injectors[0].set_socket_faults(Some(&every_other));
+        cluster.fleet.restart([0]);
+        cluster.fleet.address(0);
+        let reconnecting = ReconnectingClients::start(&cluster, 4, 3, 5 * MS);
+        cluster.wait_served("answers while calls fail from the start on", 40);
+        reconnecting.stop();
         assert!(
-            stage.fleet.injectors[0].socket_fault_count() > before,
+            cluster.fleet.injectors[0].socket_fault_count() > before,
             "{call:?}: nothing failed"
         );
-        stage.fleet.injectors[0].set_socket_faults(None);
+        cluster.fleet.injectors[0].set_socket_faults(None);
     }
-    all_is_well(&mut stage, 73);
+    assert_all_served(&mut cluster, 73);
 }
 
 #[test]
 fn a_start_gives_up_a_shortage_that_lasts_with_one_line() {
-    let mut stage = stage(|_| {}, 0, 68);
-    stage.kill(&[0]);
-    let lines = stage.fleet.log(0).lines().count();
-    stage.fleet.injectors[0].set_socket_faults(Some(&SocketFaults::all(
+    let mut cluster = start_cluster(|_| {}, 0, 68);
+    cluster.kill(&[0]);
+    let lines = cluster.fleet.log(0).lines().count();
+    cluster.fleet.injectors[0].set_socket_faults(Some(&SocketFaults::all(
         &[SystemCall::Socket],
         libc::ENOBUFS,
     )));
     let began = Instant::now();
-    stage.fleet.restart([0]);
-    while stage.fleet.exited().is_empty() {
+    cluster.fleet.restart([0]);
+    while cluster.fleet.exited().is_empty() {
         assert!(
             began.elapsed() < cranesill_rig::WAIT_TIMEOUT,
             "it does not end"
@@ -531,7 +536,7 @@
         thread::sleep(10 * MS);
     }
     assert!(began.elapsed() >= 4_900 * MS, "{:?}", began.elapsed());
-    let log = stage.fleet.log(0);
+    let log = cluster.fleet.log(0);
     let told: Vec<_> = log.lines().skip(lines).collect();
     assert!(
         matches!(told[..], [line] if line.starts_with("cranesill: 127.0.0.1:0: ")),
@@ -562,13 +567,13 @@
 
 #[test]
 fn reads_and_writes_of_any_length_and_interrupted_ones_change_nothing() {
-    let mut stage = stage(|_| {}, 0, 69);
-    stage.load.connections_per_front = 2;
-    let stay = stage.start_clients(69);
-    let visitors = Visitors::begin(&stage, 3, 3, 5 * MS);
-    stage.wait_served("the first answers", 30);
+    let mut cluster = start_cluster(|_| {}, 0, 69);
+    cluster.load.connections_per_front = 2;
+    let stay = cluster.start_clients(69);
+    let reconnecting = ReconnectingClients::start(&cluster, 3, 3, 5 * MS);
+    cluster.wait_served("the first answers", 30);
     for bytes in (1..=40).chain([63, 64, 65, 127, 255, 256, 1_000]) {
-        under(&stage, &SocketFaults::short(bytes), 20 * MS);
+        run_with_faults(&cluster, &SocketFaults::short(bytes), 20 * MS);
     }
     let all = [
         SystemCall::ReadOutbound,
@@ -579,8 +584,8 @@
     for errno in [libc::EINTR, libc::EAGAIN] {
         for (every, bytes) in [(2, 0), (3, 7), (5, 1)] {
             let faults = SocketFaults::all(&all, errno).every(every);
-            under(
-                &stage,
+            run_with_faults(
+                &cluster,
                 &SocketFaults {
                     max_read_bytes: bytes,
                     max_write_bytes: bytes,
@@ -592,12 +597,12 @@
     }
     // Waits are interrupted by signals.
     for _ in 0..20 {
-        stage.fleet.signal([0], libc::SIGHUP);
-        stage.wait_served("answers between signals", 2);
+        cluster.fleet.signal([0], libc::SIGHUP);
+        cluster.wait_served("answers between signals", 2);
     }
-    visitors.end();
+    reconnecting.stop();
     stay.stop();
-    all_is_well(&mut stage, 69);
+    assert_all_served(&mut cluster, 69);
 }
 
 const BROKEN: [i32; 5] = [
@@ -610,50 +615,54 @@
 
 #[test]
 fn connections_to_nodes_that_break_by_any_error_lose_no_request_and_run_none_twice() {
-    let mut stage = stage(|_| {}, 0, 70);
-    stage.load.connections_per_front = 6;
-    let stay = stage.start_clients(70);
-    let visitors = Visitors::begin(&stage, 3, 3, 5 * MS);
-    stage.wait_served("the first answers", 30);
+    let mut cluster = start_cluster(|_| {}, 0, 70);
+    cluster.load.connections_per_front = 6;
+    let stay = cluster.start_clients(70);
+    let reconnecting = ReconnectingClients::start(&cluster, 3, 3, 5 * MS);
+    cluster.wait_served("the first answers", 30);
     for errno in BROKEN {
         for call in [SystemCall::ReadOutbound, SystemCall::WriteOutbound] {
-            under(
-                &stage,
+            run_with_faults(
+                &cluster,
                 &SocketFaults::all(&[call], errno).every(40),
                 200 * MS,
             );
-            stage.wait_served("answers once calls are well", 20);
+            cluster.wait_served("answers once calls are well", 20);
         }
     }
-    visitors.end();
+    reconnecting.stop();
     stay.stop();
-    stage.assert_no_violations(70);
+    cluster.assert_no_violations(70);
 }
 
 #[test]
 fn connections_of_clients_that_break_by_any_error_harm_nobody_else() {
-    let mut stage = stage(|_| {}, 0, 71);
-    stage.load.connections_per_front = 6;
-    (0..3).for_each(|place| stage.nodes.set(place, Behavior::Respond(5 * MS)));
-    let stay = stage.start_clients(71);
-    stage.wait_served("the first answers", 30);
+    let mut cluster = start_cluster(|_| {}, 0, 71);
+    cluster.load.connections_per_front = 6;
+    (0..3).for_each(|place| cluster.nodes.set(place, Behavior::Respond(5 * MS)));
+    let stay = cluster.start_clients(71);
+    cluster.wait_served("the first answers", 30);
     for errno in BROKEN {
         for call in [SystemCall::ReadInbound, SystemCall::WriteInbound] {
-            under(
-                &stage,
+            run_with_faults(
+                &cluster,
                 &SocketFaults::all(&[call], errno).every(25),
                 200 * MS,
             );
-            stage.wait_served("answers once calls are well", 20);
+            cluster.wait_served("answers once calls are well", 20);
         }
     }
     stay.stop();
     // Whose connection has broken hears no answer; all else holds.
-    let broken: Vec<_> = stage
+    let broken: Vec<_> = cluster
         .violations()
         .into_iter()
         .filter(|breach| breach.rule != "answer")
         .collect();
     assert!(broken.is_empty(), "{broken:#?}");
-    assert!(stage.fleet.exited().is_empty(), "{}", stage.fleet.log(0));
+    assert!(
+        cluster.fleet.exited().is_empty(),
+        "{}",
+        cluster.fleet.log(0)
+    );
 }
