--- a/front/tests/tls.rs
+++ b/front/tests/tls.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const GUARD: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A port that nobody else has, nor gets before the front does: the system gives out none below its own range, and one
 /// that it had given out could go to a connection of another test meanwhile.
@@ -28,14 +28,14 @@
     }
 }
 
-struct Play {
+struct Fixture {
     folder: tempfile::TempDir,
     authority: Server,
     settings: Value,
     ports: (u16, u16),
 }
 
-impl Play {
+impl Fixture {
     fn new(challenge: &str, names: Value) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let ports = (port(), port());
@@ -52,14 +52,14 @@
                               "terms_agreed": true, "challenge": challenge}
             }
         });
-        let play = Play {
+        let fixture = Fixture {
             folder,
             authority,
             settings,
             ports,
         };
-        play.write();
-        play
+        fixture.write();
+        fixture
     }
 
     fn file(&self) -> PathBuf {
@@ -70,11 +70,11 @@
         std::fs::write(self.file(), self.settings.to_string()).unwrap();
     }
 
-    fn start(&self) -> Stage {
-        let stage = Stage::with(|_| {}, Some(&self.file()));
+    fn start(&self) -> TestFront {
+        let setup = TestFront::with(|_| {}, Some(&self.file()));
         // Clients' own socket is told of first.
-        until(&stage.log, "TLS listening");
-        stage
+        wait_for_line(&setup.log, "TLS listening");
+        setup
     }
 
     fn tls(&self) -> SocketAddr {
@@ -124,7 +124,7 @@
 impl Secure {
     fn connect(at: SocketAddr, name: &str, config: Arc<ClientConfig>) -> Result<Secure, String> {
         let mut socket = TcpStream::connect(at).map_err(|e| e.to_string())?;
-        socket.set_read_timeout(Some(GUARD)).unwrap();
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let name = ServerName::try_from(name.to_string()).unwrap();
         let mut connection = ClientConnection::new(config, name).unwrap();
         while connection.is_handshaking() {
@@ -149,7 +149,7 @@
         self.0.write_all(&[&head, payload].concat())
     }
 
-    fn ask(&mut self, stream: u32) -> std::io::Result<()> {
+    fn request(&mut self, stream: u32) -> std::io::Result<()> {
         let txn = format!(
             "{:016x}",
             (u64::from(stream) << 32) | u64::from(self.0.sock.local_addr()?.port())
@@ -170,7 +170,7 @@
         self.send(10, stream, &payload)
     }
 
-    fn hear(&mut self) -> std::io::Result<Vec<u8>> {
+    fn receive(&mut self) -> std::io::Result<Vec<u8>> {
         let mut length = [0; 4];
         self.0.read_exact(&mut length)?;
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -186,10 +186,10 @@
         for socket in cache.incoming() {
             let Ok(socket) = socket else { return };
             std::thread::spawn(move || {
-                let mut link = Link(std::io::BufReader::new(socket));
-                while let Some(words) = link.hear() {
+                let mut link = NodeConnection(std::io::BufReader::new(socket));
+                while let Some(words) = link.receive() {
                     if words[0] == "fetch" {
-                        link.say(&words[1], "HIT", "tell=local", body);
+                        link.respond(&words[1], "HIT", "tell=local", body);
                     }
                 }
             });
@@ -200,36 +200,36 @@
 #[test]
 fn a_front_gets_its_certificates_and_serves_requests_under_them() {
     for challenge in ["http-01", "tls-alpn-01"] {
-        let play = Play::new(
+        let fixture = Fixture::new(
             challenge,
             json!([{"names": ["front1.example", "alias.example"]}, {"names": ["other.example"]}]),
         );
-        let stage = play.start();
-        stage
+        let setup = fixture.start();
+        setup
             .caches
             .iter()
             .for_each(|c| serve_all(c, "bytes over TLS"));
-        until(&stage.log, "kind=issued");
-        until(&stage.log, "kind=issued");
+        wait_for_line(&setup.log, "kind=issued");
+        wait_for_line(&setup.log, "kind=issued");
         for name in ["front1.example", "ALIAS.example", "other.example"] {
-            let mut client = play.connect(name).unwrap();
-            client.ask(1).unwrap();
+            let mut client = fixture.connect(name).unwrap();
+            client.request(1).unwrap();
             assert!(
-                client.hear().unwrap().ends_with(b"bytes over TLS"),
+                client.receive().unwrap().ends_with(b"bytes over TLS"),
                 "{challenge} {name}"
             );
         }
-        let unknown = play.connect("unknown.example").err().unwrap();
+        let unknown = fixture.connect("unknown.example").err().unwrap();
         assert!(unknown.contains("UnrecognisedName"), "{unknown}");
         for protocol in ["http/1.1", ""] {
-            let config = Arc::new(play.config(protocol));
-            let refused = Secure::connect(play.tls(), "front1.example", config)
+            let config = Arc::new(fixture.config(protocol));
+            let refused = Secure::connect(fixture.tls(), "front1.example", config)
                 .err()
                 .unwrap();
             assert!(refused.contains("NoApplicationProtocol"), "{refused}");
         }
         // Keys are 0600 and nothing of a key is in the log.
-        let folder = play.folder.path().join("certs");
+        let folder = fixture.folder.path().join("certs");
         for file in std::fs::read_dir(&folder).unwrap() {
             use std::os::unix::fs::PermissionsExt;
             assert_eq!(
@@ -237,7 +237,7 @@
                 0o600
             );
         }
-        let (code, text) = play.run(&["certs", "list"]);
+        let (code, text) = fixture.run(&["certs", "list"]);
         assert_eq!(code, 0, "{text}");
         assert!(
             text.contains("front1.example") && text.contains("good"),
@@ -248,14 +248,14 @@
 
 #[test]
 fn both_versions_of_tls_work_and_sessions_are_resumed() {
-    let play = Play::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
-    let stage = play.start();
-    stage.caches.iter().for_each(|c| serve_all(c, "x"));
-    until(&stage.log, "kind=issued");
+    let fixture = Fixture::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
+    let setup = fixture.start();
+    setup.caches.iter().for_each(|c| serve_all(c, "x"));
+    wait_for_line(&setup.log, "kind=issued");
     for version in [&rustls::version::TLS12, &rustls::version::TLS13] {
         let mut roots = RootCertStore::empty();
         roots
-            .add(CertificateDer::from_pem_slice(play.authority.root().as_bytes()).unwrap())
+            .add(CertificateDer::from_pem_slice(fixture.authority.root().as_bytes()).unwrap())
             .unwrap();
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = ClientConfig::builder_with_provider(provider)
@@ -267,9 +267,9 @@
         let kinds: Vec<_> = (0..2)
             .map(|_| {
                 let mut client =
-                    Secure::connect(play.tls(), "front1.example", Arc::clone(&config)).unwrap();
-                client.ask(1).unwrap();
-                client.hear().unwrap();
+                    Secure::connect(fixture.tls(), "front1.example", Arc::clone(&config)).unwrap();
+                client.request(1).unwrap();
+                client.receive().unwrap();
                 client.0.conn.handshake_kind().unwrap()
             })
             .collect();
@@ -280,12 +280,12 @@
         );
     }
     // A revoked certificate's tickets are good for nothing.
-    let config = Arc::new(play.config("cranesill/1"));
-    let first = Secure::connect(play.tls(), "front1.example", Arc::clone(&config)).unwrap();
-    let (code, text) = play.run(&["certs", "revoke", "front1.example", "--reason", "1"]);
+    let config = Arc::new(fixture.config("cranesill/1"));
+    let first = Secure::connect(fixture.tls(), "front1.example", Arc::clone(&config)).unwrap();
+    let (code, text) = fixture.run(&["certs", "revoke", "front1.example", "--reason", "1"]);
     assert_eq!(code, 0, "{text}");
-    until(&stage.log, "kind=issued");
-    let second = Secure::connect(play.tls(), "front1.example", config).unwrap();
+    wait_for_line(&setup.log, "kind=issued");
+    let second = Secure::connect(fixture.tls(), "front1.example", config).unwrap();
     assert_eq!(
         second.0.conn.handshake_kind(),
         Some(rustls::HandshakeKind::Full)
@@ -295,35 +295,35 @@
 
 #[test]
 fn a_renewal_while_connections_are_busy_loses_no_request() {
-    let play = Play::new("http-01", json!([{"names": ["front1.example"]}]));
-    let stage = play.start();
-    stage.caches.iter().for_each(|c| serve_all(c, "busy"));
-    until(&stage.log, "kind=issued");
-    let config = Arc::new(play.config("cranesill/1"));
+    let fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
+    let setup = fixture.start();
+    setup.caches.iter().for_each(|c| serve_all(c, "busy"));
+    wait_for_line(&setup.log, "kind=issued");
+    let config = Arc::new(fixture.config("cranesill/1"));
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let clients: Vec<_> = (0..100)
         .map(|_| {
             let mut client =
-                Secure::connect(play.tls(), "front1.example", Arc::clone(&config)).unwrap();
+                Secure::connect(fixture.tls(), "front1.example", Arc::clone(&config)).unwrap();
             let stop = Arc::clone(&stop);
             std::thread::spawn(move || {
                 let mut asked = 0;
                 while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                     asked += 1;
-                    client.ask(asked).unwrap();
-                    let answer = client.hear().unwrap();
+                    client.request(asked).unwrap();
+                    let answer = client.receive().unwrap();
                     assert_eq!((answer[5], answer.ends_with(b"busy")), (1, true));
                 }
                 asked
             })
         })
         .collect();
-    let before = play.connect("front1.example").unwrap().serial();
+    let before = fixture.connect("front1.example").unwrap().serial();
     for _ in 0..3 {
-        assert_eq!(play.run(&["certs", "renew", "front1.example"]).0, 0);
-        until(&stage.log, "kind=issued");
+        assert_eq!(fixture.run(&["certs", "renew", "front1.example"]).0, 0);
+        wait_for_line(&setup.log, "kind=issued");
     }
-    let after = play.connect("front1.example").unwrap().serial();
+    let after = fixture.connect("front1.example").unwrap().serial();
     assert_ne!(before, after, "new handshakes get the new certificate");
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     let asked: Vec<u32> = clients.into_iter().map(|c| c.join().unwrap()).collect();
@@ -332,68 +332,73 @@
 
 #[test]
 fn a_restart_without_the_authority_serves_what_the_folder_holds_and_takes_new_names_up_at_sighup() {
-    let mut play = Play::new("http-01", json!([{"names": ["front1.example"]}]));
+    let mut fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
     let serial = {
-        let stage = play.start();
-        until(&stage.log, "kind=issued");
+        let setup = fixture.start();
+        wait_for_line(&setup.log, "kind=issued");
         // Written in order before this is answered by the folder's reader at the next start.
-        let deadline = Instant::now() + GUARD;
-        while !play.folder.path().join("certs/front1.example.pem").exists() {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !fixture
+            .folder
+            .path()
+            .join("certs/front1.example.pem")
+            .exists()
+        {
             assert!(Instant::now() < deadline);
             std::thread::yield_now();
         }
-        play.connect("front1.example").unwrap().serial()
+        fixture.connect("front1.example").unwrap().serial()
     };
-    play.authority.authority().faults.vanished = true;
-    let stage = play.start();
-    assert_eq!(play.connect("front1.example").unwrap().serial(), serial);
+    fixture.authority.authority().faults.vanished = true;
+    let setup = fixture.start();
+    assert_eq!(fixture.connect("front1.example").unwrap().serial(), serial);
     // A second daemon can't take the same control socket.
-    play.settings["certs"]["certificates"] =
+    fixture.settings["certs"]["certificates"] =
         json!([{"names": ["front1.example"]}, {"names": ["front2.example"]}]);
-    play.settings["tls"]["listen"] = "127.0.0.1:1".into();
-    play.write();
-    stage.signal("-HUP");
-    assert!(until(&stage.log, "need a restart").contains("tls.listen"));
-    assert!(until(&stage.log, "taken over").contains("certs.certificates"));
-    let (code, text) = play.run(&["certs", "show", "front2.example"]);
+    fixture.settings["tls"]["listen"] = "127.0.0.1:1".into();
+    fixture.write();
+    setup.signal("-HUP");
+    assert!(wait_for_line(&setup.log, "need a restart").contains("tls.listen"));
+    assert!(wait_for_line(&setup.log, "taken over").contains("certs.certificates"));
+    let (code, text) = fixture.run(&["certs", "show", "front2.example"]);
     assert_eq!((code, text.contains("\"missing\"")), (4, true), "{text}");
-    assert_eq!(play.run(&["certs", "show", "nobody.example"]).0, 3);
+    assert_eq!(fixture.run(&["certs", "show", "nobody.example"]).0, 3);
     // A broken file changes nothing, and all its faults are told.
-    std::fs::write(play.file(), r#"{"tls": {"listen": "x"}, "surplus": 1}"#).unwrap();
-    stage.signal("-HUP");
-    let line = until(&stage.log, "the settings stay as they were");
+    std::fs::write(fixture.file(), r#"{"tls": {"listen": "x"}, "surplus": 1}"#).unwrap();
+    setup.signal("-HUP");
+    let line = wait_for_line(&setup.log, "the settings stay as they were");
     assert!(
         line.contains("$.tls.listen") && line.contains("surplus"),
         "{line}"
     );
-    let (code, text) = play.run(&["check", "--settings", play.file().to_str().unwrap()]);
+    let (code, text) = fixture.run(&["check", "--settings", fixture.file().to_str().unwrap()]);
     assert_eq!((code, text.lines().count()), (1, 2), "{text}");
-    assert_eq!(play.run(&["ctl", "status"]).0, 0);
-    assert_eq!(play.run(&["ctl", "nonsense"]).0, 1);
+    assert_eq!(fixture.run(&["ctl", "status"]).0, 0);
+    assert_eq!(fixture.run(&["ctl", "nonsense"]).0, 1);
 }
 
 #[test]
 fn an_expired_certificate_is_served_loudly_or_refused_by_setting_and_never_in_silence() {
     for refuse in [false, true] {
-        let mut play = Play::new("http-01", json!([{"names": ["front1.example"]}]));
-        play.settings["tls"]["expired"] = if refuse { "refuse" } else { "serve" }.into();
-        play.settings["certs"]["authority"] = Value::Null;
-        play.settings["certs"]
+        let mut fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
+        fixture.settings["tls"]["expired"] = if refuse { "refuse" } else { "serve" }.into();
+        fixture.settings["certs"]["authority"] = Value::Null;
+        fixture.settings["certs"]
             .as_object_mut()
             .unwrap()
             .remove("authority");
-        play.write();
+        fixture.write();
         // Issued long ago, and lying in the folder.
-        let (key, chain) = old(&play, 1_000_000);
-        std::fs::create_dir(play.folder.path().join("certs")).unwrap();
+        let (key, chain) = old(&fixture, 1_000_000);
+        std::fs::create_dir(fixture.folder.path().join("certs")).unwrap();
         std::fs::write(
-            play.folder.path().join("certs/front1.example.pem"),
+            fixture.folder.path().join("certs/front1.example.pem"),
             format!("{key}{chain}"),
         )
         .unwrap();
-        let stage = play.start();
-        assert!(until(&stage.log, "kind=expired").contains(" error "));
-        let refused = play.connect("front1.example").err().unwrap();
+        let setup = fixture.start();
+        assert!(wait_for_line(&setup.log, "kind=expired").contains(" error "));
+        let refused = fixture.connect("front1.example").err().unwrap();
         // The client's own word, or the front's alert.
         assert_eq!(
             refused.contains("AlertReceived") || refused.contains("fatal alert"),
@@ -401,13 +406,13 @@
             "{refused}"
         );
         assert!(refused.contains("xpired"), "{refused}");
-        let (code, text) = play.run(&["certs", "list"]);
+        let (code, text) = fixture.run(&["certs", "list"]);
         assert_eq!((code, text.contains("EXPIRED")), (5, true), "{text}");
     }
 }
 
 /// A key and a chain for front1.example that ended in 1970.
-fn old(play: &Play, until: u64) -> (String, String) {
+fn old(fixture: &Fixture, until: u64) -> (String, String) {
     let mut made = cranesill_certs::exchange::make_key(&cranesill_certs::Key::Order(
         vec!["front1.example".into()],
         None,
@@ -415,7 +420,7 @@
     let Ok(cranesill_certs::exchange::Made::Order(key, csr)) = made.as_mut() else {
         panic!()
     };
-    let (chain, _) = play
+    let (chain, _) = fixture
         .authority
         .authority()
         .issuer
@@ -426,16 +431,16 @@
 
 #[test]
 fn floods_of_handshakes_garbage_and_silence_leave_open_connections_and_new_ones_served() {
-    let play = Play::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
-    let stage = play.start();
-    stage.caches.iter().for_each(|c| serve_all(c, "x"));
-    until(&stage.log, "kind=issued");
-    let mut usual = play.connect("front1.example").unwrap();
-    usual.ask(1).unwrap();
-    usual.hear().unwrap();
+    let fixture = Fixture::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
+    let setup = fixture.start();
+    setup.caches.iter().for_each(|c| serve_all(c, "x"));
+    wait_for_line(&setup.log, "kind=issued");
+    let mut usual = fixture.connect("front1.example").unwrap();
+    usual.request(1).unwrap();
+    usual.receive().unwrap();
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let at = play.tls();
-    let config = Arc::new(play.config("cranesill/1"));
+    let at = fixture.tls();
+    let config = Arc::new(fixture.config("cranesill/1"));
     let mut flood = Vec::new();
     for kind in 0..4 {
         let (stop, config) = (Arc::clone(&stop), Arc::clone(&config));
@@ -461,41 +466,41 @@
         }));
     }
     for stream in 2..200 {
-        usual.ask(stream).unwrap();
-        assert!(usual.hear().unwrap().ends_with(b"x"));
+        usual.request(stream).unwrap();
+        assert!(usual.receive().unwrap().ends_with(b"x"));
     }
     // A new one gets through in time, and so does the authority's look at a challenge.
     let begun = Instant::now();
     let mut through = 0;
-    while through == 0 && begun.elapsed() < GUARD {
-        through += u32::from(play.connect("front1.example").is_ok());
+    while through == 0 && begun.elapsed() < WAIT_TIMEOUT {
+        through += u32::from(fixture.connect("front1.example").is_ok());
     }
     assert_eq!(through, 1);
-    assert_eq!(play.run(&["certs", "renew", "front1.example"]).0, 0);
-    until(&stage.log, "kind=issued");
+    assert_eq!(fixture.run(&["certs", "renew", "front1.example"]).0, 0);
+    wait_for_line(&setup.log, "kind=issued");
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     flood.into_iter().for_each(|f| f.join().unwrap());
-    let (code, text) = play.run(&["ctl", "tls"]);
+    let (code, text) = fixture.run(&["ctl", "tls"]);
     assert_eq!(code, 0, "{text}");
     assert!(text.contains("garbage"), "{text}");
 }
 
 #[test]
 fn a_second_hello_on_a_secured_connection_ends_that_one_alone() {
-    let play = Play::new("http-01", json!([{"names": ["front1.example"]}]));
-    let stage = play.start();
-    stage.caches.iter().for_each(|c| serve_all(c, "x"));
-    until(&stage.log, "kind=issued");
-    let mut usual = play.connect("front1.example").unwrap();
-    let mut odd = play.connect("front1.example").unwrap();
-    odd.ask(1).unwrap();
-    odd.hear().unwrap();
+    let fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
+    let setup = fixture.start();
+    setup.caches.iter().for_each(|c| serve_all(c, "x"));
+    wait_for_line(&setup.log, "kind=issued");
+    let mut usual = fixture.connect("front1.example").unwrap();
+    let mut odd = fixture.connect("front1.example").unwrap();
+    odd.request(1).unwrap();
+    odd.receive().unwrap();
     // A hello in the clear where sealed records belong: what a client that renegotiates by force would send.
     odd.0
         .sock
         .write_all(&[22, 3, 3, 0, 8, 1, 0, 0, 4, 3, 3, 0, 0])
         .unwrap();
-    assert!(odd.hear().is_err());
-    usual.ask(1).unwrap();
-    assert!(usual.hear().unwrap().ends_with(b"x"));
+    assert!(odd.receive().is_err());
+    usual.request(1).unwrap();
+    assert!(usual.receive().unwrap().ends_with(b"x"));
 }
