--- a/rig/src/stage.rs
+++ b/rig/src/cluster.rs
@@ -1,12 +1,12 @@
 //! A whole service under a test's hand: fronts, the list service, nodes behind links, clients, one history.
 use crate::clients::{Addresses, ClientLoad, Clients};
-use crate::event::{Event, ListedNode, State};
 use crate::fleet::Fleet;
 use crate::history::{History, Observation};
+use crate::invariants::{context, violations, warm_up_violations, Limits, Violation, WarmUpLimits};
 use crate::link::{Link, Transmission};
-use crate::list::{ListService, ServiceMode, FIRST};
+use crate::list_event::{Event, ListedNode, State};
+use crate::list_service::{ListService, ServiceMode, FIRST};
 use crate::nodes::Nodes;
-use crate::rules::{context, violations, warm_up_violations, Limits, Violation, WarmUpLimits};
 use serde_json::{json, Value};
 use std::path::Path;
 use std::sync::{Arc, Mutex};
--- a/rig/src/script.rs
+++ b/rig/src/faults.rs
@@ -1,11 +1,11 @@
 //! Faults from a seed. A script says what fails and what comes back, in order; the next step is taken once so many more requests
 //! were answered, so that a slow machine takes longer and sees the same.
-use crate::event::State;
+use crate::cluster::{ClusterSize, TestCluster};
 use crate::history::Observation;
 use crate::link::Transmission;
-use crate::list::ServiceMode;
+use crate::list_event::State;
+use crate::list_service::ServiceMode;
 use crate::nodes::Behavior;
-use crate::stage::{ClusterSize, TestCluster};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/rig/src/rules.rs
+++ b/rig/src/invariants.rs
@@ -1,6 +1,6 @@
 //! Checkers of the service's rules over the whole fleet. They read one history, and what was told by the list service.
-use crate::event::{Event, State};
 use crate::history::Observation;
+use crate::list_event::{Event, State};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
--- a/rig/src/rules/tests.rs
+++ b/rig/src/invariants/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::event::ListedNode;
+use crate::list_event::ListedNode;
 
 const LIMITS: Limits = Limits {
     drain: Duration::from_millis(500),
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -7,28 +7,28 @@
 #![deny(missing_docs)]
 
 mod clients;
-mod event;
+mod cluster;
+mod faults;
 mod fleet;
 mod history;
+mod invariants;
 mod link;
-mod list;
+mod list_event;
+mod list_service;
 mod nodes;
-mod rules;
-mod script;
 mod socket_faults;
-mod stage;
 
 pub use clients::{ClientLoad, Clients};
-pub use event::{Event, ListedNode, State};
+pub use cluster::{ClusterSize, TestCluster};
+pub use faults::{Fault, Script};
 pub use fleet::{FaultInjector, Fleet};
 pub use history::{History, Observation};
+pub use invariants::{context, violations, warm_up_violations, Limits, Violation, WarmUpLimits};
 pub use link::{Link, Transmission};
-pub use list::{ListService, ServiceMode};
+pub use list_event::{Event, ListedNode, State};
+pub use list_service::{ListService, ServiceMode};
 pub use nodes::{Behavior, Nodes};
-pub use rules::{context, violations, warm_up_violations, Limits, Violation, WarmUpLimits};
-pub use script::{Fault, Script};
 pub use socket_faults::{SocketFaults, SystemCall};
-pub use stage::{ClusterSize, TestCluster};
 
 use std::time::Duration;
 
--- a/rig/src/list.rs
+++ b/rig/src/list_service.rs
@@ -1,6 +1,6 @@
 //! The list service as a stand-in: what it does with those that call is the test's to say, from one moment to the next.
-use crate::event::Event;
 use crate::history::{History, Observation};
+use crate::list_event::Event;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
