--- a/Makefile
+++ b/Makefile
@@ -71,7 +71,7 @@
 # Faults by the dice on several processes, more seeds than the tests take.
 .PHONY: rig-seeds
 rig-seeds:
-	CRANESILL_SEEDS=$$(seq -s, 1 40) cargo test --locked -p cranesill-front --test fleet_faults dice
+	CRANESILL_SEEDS=$$(seq -s, 1 40) cargo test --locked -p cranesill-front --test fleet_faults random_faults
 
 .PHONY: emulate
 emulate:
--- a/front/tests/clock_and_disk_faults.rs
+++ b/front/tests/clock_and_disk_faults.rs
@@ -27,7 +27,7 @@
 const CLOCKS: [i64; 6] = [0, 9_000, -9_000, 3_600_000, -3_600_000, 450];
 
 #[test]
-fn fronts_whose_clocks_differ_keep_the_rules_on_purges_and_drains() {
+fn purges_and_drains_are_kept_by_fronts_with_different_wall_clocks() {
     let shape = ClusterSize {
         fronts: 6,
         caches: 4,
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn lists_on_disk_and_of_others_bring_no_older_copies_though_clocks_differ() {
+fn lists_from_disk_and_from_peers_keep_purges_despite_different_wall_clocks() {
     // An address of this test's own: ports are the fronts' numbers.
     let host = format!(
         "127.{}.{}.22",
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_disk_that_is_full_does_not_sync_or_is_slow_costs_a_warning_and_is_written_again_once_it_can() {
+fn disk_faults_cause_one_warning_and_the_list_is_saved_after_recovery() {
     // A: full from the start. B: full in service. C: syncs fail. D: each sync takes two seconds. E: well.
     let settings = json!({"startup": {"snapshots": "{disk}"}});
     let shape = ClusterSize {
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_cold_cache_is_not_pushed_over_by_all_fronts_together_whatever_their_clocks_and_connections() {
+fn warming_cache_is_not_overloaded_by_the_fleet() {
     // Twelve fronts on three caches, far more requests than a cold cache bears; it is replaced twice, the second time while one
     // half of the fleet reaches it by a link that is late and a part of the fleet is killed and starts anew.
     let clocks: Vec<i64> = (0..12).map(|front| CLOCKS[front % 6]).collect();
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn nodes_that_have_places_for_few_connections_are_not_stormed_and_serve_those_that_have_one() {
+fn nodes_with_connection_limits_are_redialled_with_backoff() {
     let shape = ClusterSize {
         fronts: 12,
         caches: 4,
@@ -364,7 +364,7 @@
 const STEPS: [i64; 4] = [5_000, -5_000, 3_600_000, -3_600_000];
 
 #[test]
-fn wall_clocks_that_are_stepped_in_service_and_between_starts_lose_no_purge() {
+fn wall_clock_steps_lose_no_purge() {
     let settings = json!({"startup": {"snapshots": "{disk}"}});
     let shape = ClusterSize {
         fronts: 4,
@@ -458,7 +458,7 @@
 }
 
 #[test]
-fn a_purge_by_operators_is_dated_and_kept_as_if_the_wall_clock_were_never_stepped() {
+fn operator_purges_have_correct_times_and_retention_after_wall_clock_steps() {
     let cluster = start_with_purge_log(0, 27);
     let began = Instant::now();
     for (n, step) in STEPS.iter().enumerate() {
@@ -487,7 +487,7 @@
 }
 
 #[test]
-fn a_front_that_started_an_hour_behind_dates_purges_no_earlier_than_they_are() {
+fn front_started_an_hour_behind_does_not_date_purges_too_early() {
     // Its clock is set right later; what the list service dates shows by how much the start was off.
     let cluster = start_with_purge_log(-3_600_000, 29);
     let last = cluster.purge(1);
@@ -510,7 +510,7 @@
 }
 
 #[test]
-fn a_purge_is_confirmed_only_when_it_is_durable_and_the_ledger_recovers_when_the_disk_does() {
+fn purge_is_confirmed_only_once_durable_and_the_log_recovers_with_the_disk() {
     for (full, unsynced) in [(true, false), (false, true)] {
         let mut cluster = start_with_purge_log(0, 28);
         purge(&cluster, "before").unwrap();
--- a/front/tests/combined_faults.rs
+++ b/front/tests/combined_faults.rs
@@ -31,7 +31,7 @@
 const QUIET: Duration = Duration::from_secs(15);
 
 #[test]
-fn faults_that_begin_after_a_long_quiet_break_no_rule() {
+fn faults_after_a_long_idle_period_violate_no_invariant() {
     let mut cluster = start_cluster(SHAPE, 31);
     let clients = cluster.start_clients(31);
     cluster.wait_served("the first answers", 200);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_long_outage_of_discovery_with_restarts_in_it_and_drains_at_its_end_breaks_no_rule() {
+fn long_discovery_outage_with_restarts_and_drains_violates_no_invariant() {
     let mut cluster = start_cluster(SHAPE, 33);
     let clients = cluster.start_clients(33);
     cluster.wait_served("the first answers", 200);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_attempt_and_its_hedged_request_that_fail_in_one_turn_are_one_answer() {
+fn attempt_and_hedged_request_that_fail_together_yield_one_response() {
     let setup =
         TestFront::new(|config| config["settings"]["policyLimits"]["mayDuplicate"] = true.into());
     let mut client = setup.client();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn configurations_in_quick_succession_lose_no_event_and_disturb_no_request() {
+fn rapid_reloads_lose_no_event_and_no_request() {
     let setup = TestFront::new(|_| {});
     let (mut old, _) = accept_feed(&setup.feed);
     old.write_all(&feed_event(2, 4, &[0; 10])).unwrap();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn requests_with_very_little_time_left_are_answered_in_time_though_nodes_drop_them() {
+fn requests_with_short_deadlines_are_answered_in_time_by_silent_nodes() {
     let setup = TestFront::new(|_| {});
     // Nodes read what comes and never say a word.
     for at in [&setup.caches[0], &setup.caches[1], &setup.origin] {
--- a/front/tests/connection_limit.rs
+++ b/front/tests/connection_limit.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_front_beside_more_nodes_than_it_has_connections_for_refuses_nothing_and_makes_few_of_them() {
+fn front_with_more_nodes_than_connections_rejects_nothing_and_reconnects_rarely() {
     let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     base["limits"]["sockets"] = SOCKETS.into();
     let shape = ClusterSize {
--- a/front/tests/fleet_faults.rs
+++ b/front/tests/fleet_faults.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_rules_are_kept_while_everything_fails_and_comes_back_by_the_dice() {
+fn random_faults_violate_no_invariant() {
     let seeds = std::env::var("CRANESILL_SEEDS").unwrap_or_else(|_| "1,2,3".into());
     for seed in seeds.split(',').map(|seed| seed.parse().expect("a seed")) {
         let shape = ClusterSize {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_write_whose_connection_breaks_once_it_was_sent_never_runs_again() {
+fn write_is_not_repeated_after_its_connection_breaks() {
     let shape = ClusterSize {
         fronts: 4,
         caches: 3,
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_does_not_go_to_a_node_that_drains_meanwhile() {
+fn request_waiting_for_a_connection_is_not_sent_to_a_draining_node() {
     // One side of the fleet reaches a cache by a link that is cut; connections come up and say nothing. The cache is told to
     // drain, and the link heals: what was held by the link is not the fronts', what they begin is.
     let shape = ClusterSize {
@@ -134,8 +134,7 @@
 }
 
 #[test]
-fn all_fronts_and_all_nodes_cold_at_one_moment_under_load_are_a_ramp_at_each_node_and_serve_at_once(
-) {
+fn cold_fleet_connects_gradually_and_serves_immediately() {
     // 24 fronts and 24 caches: without the ramp 20 or more dial one cache in a second.
     let shape = ClusterSize {
         fronts: 24,
@@ -209,7 +208,7 @@
 }
 
 #[test]
-fn a_node_that_is_listed_at_one_moment_to_all_gets_the_fleet_one_after_another() {
+fn newly_listed_node_gets_connections_gradually() {
     let shape = ClusterSize {
         fronts: 24,
         caches: 6,
@@ -255,8 +254,7 @@
 }
 
 #[test]
-fn a_stop_of_the_whole_fleet_and_a_list_service_that_drips_change_nothing_that_clients_may_count_on(
-) {
+fn stopped_fleet_and_slow_list_service_violate_no_invariant() {
     let shape = ClusterSize {
         fronts: 12,
         caches: 5,
@@ -309,7 +307,7 @@
 }
 
 #[test]
-fn a_list_on_disk_is_served_from_while_the_service_is_down_and_a_bad_one_is_as_if_absent() {
+fn list_on_disk_is_used_during_an_outage_and_an_invalid_one_is_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let settings = json!({"startup": {"snapshots": folder.path()}});
     let shape = ClusterSize {
@@ -395,7 +393,7 @@
 }
 
 #[test]
-fn a_list_on_disk_does_not_grow_younger_by_restarts() {
+fn restarts_do_not_reset_the_age_of_the_list_on_disk() {
     let folder = tempfile::tempdir().unwrap();
     let settings = json!({"startup": {"snapshots": folder.path(), "serve_snapshot_s": 3}});
     let mut cluster = start_cluster_with(
@@ -450,7 +448,7 @@
 }
 
 #[test]
-fn a_folder_that_can_not_be_written_costs_a_warning_and_nothing_else() {
+fn unwritable_snapshot_folder_causes_only_a_warning() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("file");
     std::fs::write(&file, "").unwrap();
@@ -483,7 +481,7 @@
 }
 
 #[test]
-fn a_list_service_that_begins_to_count_anew_is_heard_by_all() {
+fn restarted_event_numbering_is_followed_by_all_fronts() {
     let shape = ClusterSize {
         fronts: 8,
         caches: 4,
@@ -561,7 +559,7 @@
 }
 
 #[test]
-fn a_list_that_two_fronts_hold_is_soon_with_all_and_costs_the_service_a_few_calls() {
+fn list_spreads_among_peers_with_few_calls_to_the_service() {
     // 30 fronts that call twice a second in all need 15 s to be served by the service itself.
     let shape = ClusterSize {
         fronts: 30,
@@ -618,7 +616,7 @@
 type BadPeer = Box<dyn Fn(&mut std::net::TcpStream, &str) + Send>;
 
 #[test]
-fn peers_that_lie_are_slow_or_never_end_are_not_taken_from_and_good_ones_are() {
+fn lists_of_faulty_peers_are_not_used() {
     use std::io::{Read, Write};
     let good = std::sync::Arc::new(std::sync::Mutex::new(String::new()));
     let sealed = |body: String| {
@@ -745,8 +743,7 @@
 }
 
 #[test]
-fn a_rolling_restart_in_tenths_while_the_list_is_told_by_the_byte_is_seen_by_no_client_of_the_others(
-) {
+fn rolling_restart_with_a_slow_list_service_does_not_affect_other_fronts() {
     let shape = ClusterSize {
         fronts: 20,
         caches: 6,
@@ -794,8 +791,7 @@
 }
 
 #[test]
-fn half_of_the_fleet_that_is_cut_off_from_half_of_the_nodes_goes_on_by_the_others_and_harms_nobody()
-{
+fn fronts_cut_off_from_some_nodes_serve_from_the_others() {
     let shape = ClusterSize {
         fronts: 8,
         caches: 6,
@@ -841,7 +837,7 @@
 }
 
 #[test]
-fn peers_that_are_stopped_reached_one_way_or_come_back_with_nothing_keep_nobody_from_the_list() {
+fn unreachable_peers_do_not_delay_the_list() {
     let shape = ClusterSize {
         fronts: 6,
         caches: 4,
--- a/front/tests/fleet_purges.rs
+++ b/front/tests/fleet_purges.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn no_answer_is_stale_while_boxes_and_a_front_are_killed_during_purges() {
+fn no_response_is_stale_while_nodes_and_a_front_are_killed_during_purges() {
     let root = tempfile::tempdir().unwrap();
     let folders: Vec<PathBuf> = (0..3).map(|i| root.path().join(format!("n{i}"))).collect();
     let origin = Arc::new(Origin::default());
--- a/front/tests/list_service_outage.rs
+++ b/front/tests/list_service_outage.rs
@@ -89,28 +89,28 @@
 }
 
 #[test]
-fn a_service_that_closes_at_once_is_called_within_the_budget_and_all_are_served_when_it_returns() {
+fn closing_service_is_called_within_budget_and_recovers() {
     check_outage(ServiceMode::Close, 40);
 }
 
 #[test]
-fn a_service_that_says_nothing_is_called_within_the_budget_and_all_are_served_when_it_returns() {
+fn silent_service_is_called_within_budget_and_recovers() {
     check_outage(ServiceMode::Silent, 24);
 }
 
 #[test]
-fn a_service_that_sends_garbage_or_part_of_an_event_is_called_within_the_budget() {
+fn service_sending_invalid_or_truncated_events_is_called_within_budget() {
     check_outage(ServiceMode::Garbage, 16);
     check_outage(ServiceMode::Truncate, 16);
 }
 
 #[test]
-fn a_service_that_was_down_serves_all_within_the_bound_after_its_return() {
+fn all_fronts_are_served_in_time_after_a_service_outage() {
     check_outage(ServiceMode::Down, 24);
 }
 
 #[test]
-fn half_of_the_fleet_killed_and_started_anew_costs_one_call_each_and_the_other_half_none() {
+fn restarting_half_of_the_fleet_costs_one_call_for_each_restarted_front() {
     let history = History::default();
     let list = ListService::new(&history, ServiceMode::Serve);
     let mut fleet = fleet(24, &list);
@@ -148,8 +148,7 @@
 }
 
 #[test]
-fn a_service_that_half_of_the_fronts_reach_is_called_by_the_other_half_alone_and_within_the_budget()
-{
+fn only_fronts_cut_off_from_the_service_call_it_again_and_within_budget() {
     // Both directions are cut, then one alone: what the fronts say arrives and what the service says does not. Then calls are
     // refused, and at last all heals.
     let history = History::default();
@@ -211,7 +210,7 @@
 }
 
 #[test]
-fn a_service_that_flaps_each_second_is_called_within_the_budget_and_all_are_served_once_it_stays() {
+fn flapping_service_is_called_within_budget_and_recovers() {
     let history = History::default();
     let list = ListService::new(&history, ServiceMode::Serve);
     let mut fleet = fleet(40, &list);
--- a/front/tests/operations.rs
+++ b/front/tests/operations.rs
@@ -14,7 +14,7 @@
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[test]
-fn each_call_has_its_answer_and_what_is_no_call_harms_nobody() {
+fn operator_commands_are_answered_and_invalid_ones_do_no_harm() {
     let setup = TestFront::new(with_operator_address);
     let at = operator_address(&setup.log);
     let calls: [&[u8]; 13] = [
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn hundreds_that_say_nothing_do_not_keep_out_one_that_asks() {
+fn silent_operator_connections_do_not_block_a_command() {
     let setup = TestFront::new(with_operator_address);
     let at = operator_address(&setup.log);
     let silent: Vec<_> = (0..300u32)
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn without_descriptors_a_silent_caller_gives_its_own_up_to_one_that_asks() {
+fn without_descriptors_a_silent_operator_connection_is_closed_for_a_new_one() {
     let mut file = tempfile::NamedTempFile::new().unwrap();
     let setup = TestFront::new(|_| {});
     let mut config = setup.config.clone();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_figures_are_what_clients_and_members_saw() {
+fn counters_match_what_clients_and_nodes_observed() {
     let setup = TestFront::new(with_operator_address);
     let at = operator_address(&setup.log);
     let asked = setup
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_drained_front_says_no_lets_go_of_its_clients_and_takes_others_later() {
+fn quiesced_front_disconnects_idle_clients_and_accepts_again_after_resume() {
     let setup = TestFront::new(with_operator_address);
     let at = operator_address(&setup.log);
     let (mut idle, mut busy) = (setup.client(), setup.client());
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_drained_front_that_is_told_to_end_answers_what_is_open_and_takes_nobody_back() {
+fn terminated_while_quiesced_answers_open_requests_and_cannot_be_resumed() {
     let mut setup = TestFront::new(with_operator_address);
     let at = operator_address(&setup.log);
     let mut client = setup.client();
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn processes_are_replaced_under_load_and_no_request_meets_a_closed_door() {
+fn no_request_fails_while_processes_are_replaced_under_load() {
     let setup = TestFront::new(|_| {});
     let asked: Vec<_> = setup.caches.iter().map(serve_hits).collect();
     serve_hits(&setup.origin);
@@ -298,8 +298,7 @@
 }
 
 #[test]
-fn a_new_process_whose_operators_address_is_taken_serves_all_the_same_and_answers_there_once_it_is_free(
-) {
+fn new_process_serves_while_its_operator_address_is_in_use_and_listens_there_later() {
     // A start that ended with one line left the front without a next process: the old one keeps its address until its end,
     // and any connection of the machine may have been given the port for a moment.
     let setup = TestFront::new(|_| {});
@@ -352,7 +351,7 @@
 }
 
 #[test]
-fn what_is_no_listening_socket_ends_the_start_with_one_line() {
+fn invalid_accept_descriptor_ends_the_start_with_one_line() {
     let setup = TestFront::new(|_| {});
     let refused = |fd: &str| {
         let (mut front, _file) = start_with_env(&setup.config, None, &[("RELAY_ACCEPT_FD", fd)]);
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn after_a_purge_by_tag_nothing_older_is_served_and_other_objects_are_left_alone() {
+fn purge_by_tag_affects_only_objects_with_the_tag() {
     let fixture = Fixture::new(false, false);
     let setup = fixture.start();
     let other = "00000000000000aa";
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_cache_that_says_good_of_an_older_copy_is_not_believed() {
+fn older_copy_from_a_faulty_cache_is_rejected() {
     let fixture = Fixture::new(true, false);
     let setup = fixture.start();
     fixture.store(OBJECT, 3_000, Some("vitara"));
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_restart_keeps_numbers_and_floors_and_a_damaged_file_counts_as_a_purge_of_everything() {
+fn restart_keeps_purges_and_a_damaged_file_purges_everything() {
     let fixture = Fixture::new(false, false);
     let purged = {
         let setup = fixture.start();
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn boxes_are_purged_in_order_and_those_that_did_not_confirm_are_named() {
+fn purges_reach_nodes_in_order_and_unconfirmed_nodes_are_named() {
     let fixture = Fixture::new(false, true);
     let setup = fixture.start();
     fixture.store(OBJECT, 3_000, Some("vitara"));
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn a_follower_has_what_the_writer_has_and_says_when_contact_is_lost() {
+fn follower_replicates_the_writer_and_reports_a_lost_connection() {
     let port = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
--- a/front/tests/races.rs
+++ b/front/tests/races.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_copy_is_called_current_only_by_a_node_that_names_the_clients_own() {
+fn validation_counts_only_for_the_copy_the_client_holds() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     // It holds another copy than the one that is named; it holds none; it writes.
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn the_key_of_a_request_is_passed_on_with_each_of_its_attempts() {
+fn idempotency_key_is_sent_with_each_attempt() {
     let setup = TestFront::new(|config| {
         let class = &mut config["settings"]["classes"][2];
         class["semantics"] = "token".into();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_node_that_answers_without_end_is_cut_off_and_holds_up_nobody() {
+fn node_that_never_stops_sending_is_disconnected() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "30000", &[], b"");
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_list_service_that_tells_without_end_holds_up_no_client() {
+fn endless_list_events_do_not_block_clients() {
     let setup = TestFront::new(|_| {});
     let (stream, _) = accept_feed(&setup.feed);
     let flood = Flood::new(stream, feed_event(1, 0, b"").repeat(20_000));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_connection_with_the_rest_of_an_answer_to_come_is_not_used_again() {
+fn connection_with_an_incomplete_response_is_not_reused() {
     let setup = TestFront::new(with_one_cache);
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -254,13 +254,13 @@
 }
 
 #[test]
-fn a_booking_is_not_written_into_a_connection_that_its_other_side_has_closed() {
+fn write_is_not_sent_on_a_connection_closed_by_the_node() {
     request_while_connection_closes(true);
     request_while_connection_closes(false);
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
+fn retry_is_not_sent_when_the_connection_is_established_after_its_window() {
     let setup = TestFront::new(|config| {
         let class = &mut config["settings"]["classes"][2];
         class["semantics"] = "token".into();
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_request_whose_client_leaves_during_the_dial_is_not_sent_on() {
+fn request_cancelled_during_connect_is_not_forwarded() {
     for leaves in ["says so", "closes", "resets"] {
         let setup = TestFront::new(with_long_connect_timeout);
         let mut client = setup.client();
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn hundreds_that_reset_at_once_while_they_wait_are_not_sent_on() {
+fn requests_of_many_simultaneously_reset_clients_are_not_forwarded() {
     let setup = TestFront::new(|config| {
         with_long_connect_timeout(config);
         config["limits"]["sockets"] = 1_024.into();
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn a_request_whose_client_leaves_in_the_pause_before_a_repeat_is_not_sent_on() {
+fn request_cancelled_during_retry_backoff_is_not_forwarded() {
     let setup = TestFront::new(|config| config["settings"]["classes"][2]["aim"] = 5_000_000.into());
     let mut client = setup.client();
     client.request(1, "book-car", "20000", &[], b"keys");
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn a_node_that_drains_while_it_is_dialled_gets_nothing_and_its_request_moves() {
+fn request_moves_when_its_node_drains_during_connect() {
     let setup = TestFront::new(with_long_connect_timeout);
     let (mut stream, _) = accept_feed(&setup.feed);
     let mut client = setup.client();
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn an_answer_and_the_end_of_its_time_in_one_turn_make_one_answer() {
+fn response_and_deadline_in_one_iteration_yield_one_response() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "400", &[], b"");
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn an_open_feed_that_falls_silent_is_asked_anew_and_what_it_missed_acts() {
+fn silent_feed_is_reconnected_and_missed_events_apply() {
     let setup = TestFront::new(|_| {});
     let (mut silent, last) = accept_feed(&setup.feed);
     assert_eq!(last, 1);
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn a_repeat_is_not_written_by_a_turn_that_comes_after_its_window() {
+fn retry_is_not_sent_by_an_iteration_after_its_window() {
     let setup = TestFront::new(|config| {
         let class = &mut config["settings"]["classes"][2];
         class["semantics"] = "token".into();
@@ -488,7 +488,7 @@
 }
 
 #[test]
-fn a_purge_told_during_the_dial_leaves_no_older_copy_to_be_asked_for() {
+fn purge_received_during_connect_limits_the_age_of_the_copy() {
     let setup = TestFront::new(|config| {
         with_one_cache(config);
         config["settings"]["policyLimits"]["connectTimeout"] = 10_000_000.into();
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn an_answer_and_the_end_of_its_connection_in_one_turn_are_an_answer() {
+fn response_followed_by_connection_end_is_delivered() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     for (stream, resets) in [(1, false), (2, true)] {
@@ -559,7 +559,7 @@
 }
 
 #[test]
-fn a_client_that_ends_its_side_alone_is_still_answered() {
+fn half_closed_client_is_answered() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -574,7 +574,7 @@
 }
 
 #[test]
-fn who_asks_and_leaves_in_one_turn_asks_no_node() {
+fn request_cancelled_in_the_same_iteration_is_not_forwarded() {
     let setup = TestFront::new(with_one_cache);
     let (mut client, mut other) = (setup.client(), setup.client());
     // Both are known to the front.
@@ -600,7 +600,7 @@
 }
 
 #[test]
-fn who_asks_and_closes_before_the_front_has_read_it_asks_no_node() {
+fn request_of_a_closed_connection_is_not_forwarded() {
     let setup = TestFront::new(with_one_cache);
     let mut client = setup.client();
     // A connection to the node is up: what is forwarded would be written at once.
@@ -622,7 +622,7 @@
 }
 
 #[test]
-fn a_client_that_rests_after_a_bad_request_is_heard_in_time_when_it_cancels_another() {
+fn cancellation_from_a_throttled_client_is_read_in_time() {
     // What is turned away unseen goes out again after a tenth of its aim: 0.12 s.
     let setup = TestFront::new(|config| config["settings"]["classes"][2]["aim"] = 1_200_000.into());
     let asked = RecordedRequests::default();
@@ -663,7 +663,7 @@
 }
 
 #[test]
-fn clients_that_send_without_end_hold_up_neither_moments_nor_discovery() {
+fn flooding_clients_delay_neither_deadlines_nor_discovery() {
     let setup = TestFront::new(|_| {});
     let (mut stream, _) = accept_feed(&setup.feed);
     // Nothing is owed for what takes back what was never asked.
@@ -719,7 +719,7 @@
 }
 
 #[test]
-fn with_nodes_that_hang_and_clients_that_rest_the_end_comes_in_time_and_all_are_answered() {
+fn shutdown_with_hanging_nodes_and_idle_clients_is_bounded_and_answers_all() {
     // Killed 0.7 s after the longest time of a class: of 60 s three count, of a second all.
     for (longest, killed) in [(60_000_000u64, 3_700), (1_000_000, 1_700), (400_000, 1_100)] {
         let mut setup = TestFront::new(|config| {
@@ -797,7 +797,7 @@
 }
 
 #[test]
-fn clients_that_go_on_sending_through_the_end_are_all_answered_and_it_comes_in_time() {
+fn shutdown_is_bounded_and_answers_all_while_clients_keep_sending() {
     for (longest, killed) in [(60_000_000u64, 3_700), (1_000_000, 1_700), (400_000, 1_100)] {
         let mut setup = TestFront::new(|config| {
             (0..3).for_each(|class| {
@@ -831,7 +831,7 @@
 }
 
 #[test]
-fn what_comes_on_a_connection_that_the_front_has_shut_is_not_sent_on() {
+fn request_on_a_shut_down_connection_is_not_forwarded() {
     let setup = TestFront::new(operations::with_operator_address);
     let at = operations::operator_address(&setup.log);
     let mut rests = setup.client();
@@ -854,7 +854,7 @@
 }
 
 #[test]
-fn at_its_end_the_front_still_reads_what_comes_on_what_it_has_shut() {
+fn late_input_is_read_during_shutdown_to_avoid_a_reset() {
     // Whether the front lives when the end is seen is up to the scheduler: it has 0.2 s, and five tries.
     let shown = (0..5).any(|_| {
         let mut setup = TestFront::new(|_| {});
@@ -879,7 +879,7 @@
 }
 
 #[test]
-fn what_comes_in_the_turn_in_which_the_front_would_shut_is_answered() {
+fn request_arriving_with_the_shutdown_of_its_connection_is_answered() {
     let mut setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.send(20, 1, &[0]);
@@ -902,7 +902,7 @@
 }
 
 #[test]
-fn a_request_of_which_half_has_come_when_the_front_would_shut_is_answered() {
+fn partially_received_request_is_answered_during_shutdown() {
     let mut setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.send(20, 1, &[0]);
@@ -926,7 +926,7 @@
 }
 
 #[test]
-fn signals_that_come_while_the_front_starts_are_heeded_once_it_has_started() {
+fn signals_during_startup_are_handled_after_it() {
     for (signals, ends) in [
         (&["-TERM"][..], true),
         (&["-HUP"], false),
@@ -978,7 +978,7 @@
 }
 
 #[test]
-fn the_end_and_a_new_configuration_in_one_turn_are_both_heeded() {
+fn sighup_and_sigterm_in_one_iteration_are_both_handled() {
     let mut setup = TestFront::new(|_| {});
     let (mut old, _) = accept_feed(&setup.feed);
     old.write_all(&feed_event(2, 4, &[0; 10])).unwrap();
@@ -1025,7 +1025,7 @@
 }
 
 #[test]
-fn hundreds_that_leave_while_they_wait_for_room_are_not_sent_on_when_there_is_some() {
+fn queued_requests_of_disconnected_clients_are_not_forwarded() {
     for resets in [false, true] {
         let setup = TestFront::new(|config| {
             for node in config["known"]["events"][0]["members"]["instances"]
@@ -1087,7 +1087,7 @@
 }
 
 #[test]
-fn what_waited_past_its_time_is_not_sent_on_by_a_turn_that_comes_late() {
+fn expired_queued_requests_are_not_forwarded_by_a_late_iteration() {
     let setup = TestFront::new(|config| {
         for node in config["known"]["events"][0]["members"]["instances"]
             .as_array_mut()
@@ -1150,7 +1150,7 @@
 }
 
 #[test]
-fn processes_of_a_hand_over_that_are_told_to_end_in_any_order_end_and_whoever_is_left_serves() {
+fn processes_terminated_in_any_order_during_handover_leave_one_that_serves() {
     let setup = TestFront::new(|_| {});
     setup
         .caches
@@ -1188,7 +1188,7 @@
 }
 
 #[test]
-fn answers_out_of_all_bounds_end_their_connection_alone_and_their_requests_move() {
+fn oversized_responses_end_only_their_connection_and_requests_move() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     // One that is well, and has to stay so.
@@ -1229,7 +1229,7 @@
 }
 
 #[test]
-fn a_front_that_was_stopped_past_its_end_answers_what_it_has_and_what_has_come_and_ends() {
+fn front_stopped_past_its_shutdown_deadline_answers_all_and_exits() {
     let mut setup = TestFront::new(|config| {
         (0..3)
             .for_each(|class| config["settings"]["classes"][class]["deadline"] = 1_000_000.into());
--- a/front/tests/requests.rs
+++ b/front/tests/requests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_request_goes_to_a_cache_and_its_answer_back_to_the_client() {
+fn request_is_forwarded_to_a_cache_and_the_response_returned() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     let mut received = Vec::new();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_is_not_sent_again_and_one_that_can_not_is() {
+fn write_is_retried_only_if_it_cannot_have_been_executed() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "book-car", "3000", &[], b"keys");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn where_nobody_listens_a_write_is_refused_with_a_time_to_come_back() {
+fn write_to_an_unreachable_origin_is_rejected_with_retry_after() {
     // Bound and not listened on: connections are refused, and no other story gets the port.
     let deaf = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     deaf.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_broken_connection_moves_a_read_and_ends_nothing_else() {
+fn broken_connection_moves_its_read_to_another_node() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_late_answer_to_what_was_given_up_is_dropped() {
+fn late_response_to_a_cancelled_request_is_dropped() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_silent_cache_costs_its_request_no_more_than_the_clients_time() {
+fn request_to_a_silent_cache_ends_at_the_clients_deadline() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "300", &[], b"");
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_gives_up_what_it_asked_for() {
+fn requests_of_a_disconnected_client_are_cancelled() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_was_taken_before_an_unreadable_frame_is_answered_before_the_end() {
+fn requests_before_an_invalid_frame_are_answered() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn unreadable_frames_end_one_connection_and_bad_fields_one_request() {
+fn invalid_frames_end_one_connection_and_invalid_fields_one_request() {
     let setup = TestFront::new(|_| {});
     let mut received = Vec::new();
     let mut client = setup.client();
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn the_feed_is_followed_from_the_last_event_over_broken_connections() {
+fn feed_resumes_from_the_last_event_after_reconnecting() {
     let setup = TestFront::new(|_| {});
     let (mut stream, last) = accept_feed(&setup.feed);
     assert_eq!(last, 1);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_member_that_restarted_gets_connections_while_old_ones_are_silent() {
+fn restarted_node_gets_new_connections_while_old_ones_are_silent() {
     // One cache, and with the least number of descriptors eighteen connections to each of two members.
     let setup = TestFront::new(|config| {
         config["limits"]["sockets"] = 96.into();
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn at_sigterm_what_is_taken_is_answered_and_new_connections_are_told() {
+fn sigterm_answers_open_requests_and_redirects_new_connections() {
     let mut setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn at_sighup_the_feed_is_asked_at_its_new_address_and_nothing_else_changes() {
+fn sighup_moves_the_feed_and_keeps_open_requests() {
     let setup = TestFront::new(|_| {});
     let (mut old, _) = accept_feed(&setup.feed);
     old.write_all(&feed_event(2, 4, &[0; 10])).unwrap();
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_second_copy_of_an_answer_is_not_taken_for_that_of_the_next_attempt() {
+fn duplicate_response_does_not_complete_the_next_attempt() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn clients_that_say_nothing_or_never_finish_are_told_and_closed() {
+fn silent_and_incomplete_clients_get_an_error_and_are_closed() {
     let setup = TestFront::new(|_| {});
     let [mut silent, mut half, mut usual] = [0; 3].map(|_| setup.client());
     half.0.write_all(&[0, 0, 1, 0, 10]).unwrap();
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn an_answer_that_stops_short_moves_its_request() {
+fn truncated_response_moves_its_request() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn at_the_cap_an_idle_connection_makes_room_for_a_new_one() {
+fn idle_connection_is_closed_for_a_new_one_at_the_limit() {
     let setup = TestFront::new(|config| config["limits"]["sockets"] = 96.into());
     let mut clients: Vec<_> = (0..80).map(|_| setup.client()).collect();
     let last = clients.last_mut().unwrap();
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn clients_that_take_nothing_are_given_up_before_they_fill_the_memory() {
+fn clients_that_do_not_read_are_disconnected_before_memory_runs_out() {
     let setup = TestFront::new(|config| config["limits"]["memory_mb"] = 16.into());
     for cache in &setup.caches {
         let cache = cache.try_clone().unwrap();
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_the_start_with_one_line() {
+fn invalid_configuration_ends_the_start_with_one_line() {
     let setup = TestFront::new(|_| {});
     let received = [
         ("listen", "nowhere"),
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn what_is_served_without_naming_its_copy_is_not_passed_on() {
+fn hit_without_a_valid_creation_time_is_not_returned() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "5000", &[], b"");
--- a/front/tests/system_call_faults.rs
+++ b/front/tests/system_call_faults.rs
@@ -262,7 +262,7 @@
 ];
 
 #[test]
-fn errors_of_accept_cost_nobody_a_connection() {
+fn accept_errors_lose_no_connection() {
     let mut cluster = start_cluster(|_| {}, 0, 61);
     cluster.load.pause = 30 * MS;
     cluster.load.connections_per_front = 4;
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn while_nothing_can_be_accepted_the_front_does_not_spin_and_what_waits_keeps_its_deadline() {
+fn failing_accept_does_not_spin_and_pending_requests_keep_their_deadline() {
     for (errno, seed) in [
         (libc::ENOBUFS, 62),
         (libc::ECONNABORTED, 63),
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn a_lack_of_descriptors_that_is_real_costs_idle_clients_alone_their_connection() {
+fn descriptor_exhaustion_closes_only_idle_clients() {
     let mut cluster = start_cluster(|_| {}, 0, 65);
     let address = cluster.fleet.address(0);
     let class = cluster.load.read.clone();
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn a_lack_of_descriptors_costs_no_client_its_connection_that_asks_now_and_then() {
+fn descriptor_exhaustion_does_not_close_intermittent_clients() {
     let mut cluster = start_cluster(|_| {}, 0, 72);
     let reconnecting = ReconnectingClients::start(&cluster, 6, 6, 700 * MS);
     cluster.wait_served("the first answers", 8);
@@ -413,7 +413,7 @@
 }
 
 #[test]
-fn errors_of_socket_and_connect_are_held_against_no_node_and_lose_no_request() {
+fn socket_and_connect_errors_neither_mark_nodes_down_nor_lose_requests() {
     // Connections are closed as soon as they are idle, so that each clump of requests dials.
     let short = |base: &mut Value| base["settings"]["policyLimits"]["connIdle"] = 20_000.into();
     let mut cluster = start_cluster(short, 0, 66);
@@ -453,7 +453,7 @@
 }
 
 #[test]
-fn a_start_outlasts_a_shortage_that_passes() {
+fn startup_survives_a_temporary_shortage() {
     let mut cluster = start_cluster(|_| {}, 0, 67);
     for errno in [
         libc::EMFILE,
@@ -486,7 +486,7 @@
 }
 
 #[test]
-fn a_front_that_starts_while_calls_fail_serves_all_that_is_asked() {
+fn front_started_during_call_failures_serves_all_requests() {
     let mut cluster = start_cluster(|_| {}, 0, 73);
     let faults = [
         (SystemCall::Accept, libc::ENOBUFS),
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn a_start_gives_up_a_shortage_that_lasts_with_one_line() {
+fn startup_ends_with_one_line_after_a_lasting_shortage() {
     let mut cluster = start_cluster(|_| {}, 0, 68);
     cluster.kill(&[0]);
     let lines = cluster.fleet.log(0).lines().count();
@@ -545,7 +545,7 @@
 }
 
 #[test]
-fn a_start_on_a_wrong_address_ends_at_once() {
+fn startup_on_an_unusable_address_fails_immediately() {
     let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     base["listen"] = "192.0.2.1:1".into();
     let mut file = tempfile::NamedTempFile::new().unwrap();
@@ -566,7 +566,7 @@
 }
 
 #[test]
-fn reads_and_writes_of_any_length_and_interrupted_ones_change_nothing() {
+fn short_and_interrupted_reads_and_writes_lose_nothing() {
     let mut cluster = start_cluster(|_| {}, 0, 69);
     cluster.load.connections_per_front = 2;
     let stay = cluster.start_clients(69);
@@ -614,7 +614,7 @@
 ];
 
 #[test]
-fn connections_to_nodes_that_break_by_any_error_lose_no_request_and_run_none_twice() {
+fn broken_node_connections_lose_no_request_and_repeat_no_write() {
     let mut cluster = start_cluster(|_| {}, 0, 70);
     cluster.load.connections_per_front = 6;
     let stay = cluster.start_clients(70);
@@ -636,7 +636,7 @@
 }
 
 #[test]
-fn connections_of_clients_that_break_by_any_error_harm_nobody_else() {
+fn broken_client_connections_affect_no_other_client() {
     let mut cluster = start_cluster(|_| {}, 0, 71);
     cluster.load.connections_per_front = 6;
     (0..3).for_each(|place| cluster.nodes.set(place, Behavior::Respond(5 * MS)));
--- a/front/tests/tls.rs
+++ b/front/tests/tls.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_front_gets_its_certificates_and_serves_requests_under_them() {
+fn front_obtains_certificates_and_serves_requests_with_them() {
     for challenge in ["http-01", "tls-alpn-01"] {
         let fixture = Fixture::new(
             challenge,
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn both_versions_of_tls_work_and_sessions_are_resumed() {
+fn tls_1_2_and_1_3_resume_sessions() {
     let fixture = Fixture::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
     let setup = fixture.start();
     setup.caches.iter().for_each(|c| serve_all(c, "x"));
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_renewal_while_connections_are_busy_loses_no_request() {
+fn renewal_under_load_loses_no_request() {
     let fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
     let setup = fixture.start();
     setup.caches.iter().for_each(|c| serve_all(c, "busy"));
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn a_restart_without_the_authority_serves_what_the_folder_holds_and_takes_new_names_up_at_sighup() {
+fn restart_without_the_authority_serves_stored_certificates_and_sighup_adds_names() {
     let mut fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
     let serial = {
         let setup = fixture.start();
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn an_expired_certificate_is_served_loudly_or_refused_by_setting_and_never_in_silence() {
+fn expired_certificate_is_served_or_refused_by_setting_and_logged() {
     for refuse in [false, true] {
         let mut fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
         fixture.settings["tls"]["expired"] = if refuse { "refuse" } else { "serve" }.into();
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn floods_of_handshakes_garbage_and_silence_leave_open_connections_and_new_ones_served() {
+fn handshake_floods_do_not_block_open_or_new_connections() {
     let fixture = Fixture::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
     let setup = fixture.start();
     setup.caches.iter().for_each(|c| serve_all(c, "x"));
@@ -486,7 +486,7 @@
 }
 
 #[test]
-fn a_second_hello_on_a_secured_connection_ends_that_one_alone() {
+fn renegotiation_attempt_ends_only_its_connection() {
     let fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
     let setup = fixture.start();
     setup.caches.iter().for_each(|c| serve_all(c, "x"));
--- a/rig/src/history/tests.rs
+++ b/rig/src/history/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_scripted_breach_of_a_rate_is_found_with_its_moment() {
+fn max_in_window_finds_the_busiest_window() {
     let history = History::default();
     let mut all = history.all.0.lock().unwrap();
     for (ms, seen) in [
--- a/rig/src/invariants/tests.rs
+++ b/rig/src/invariants/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_cold_node_is_seen_pushed_over_by_those_that_knew_and_by_nobody_else() {
+fn warm_up_overload_counts_only_fronts_informed_of_the_start() {
     let one = ListedNode {
         place: 0,
         id: 7,
@@ -92,7 +92,7 @@
 const ANSWERED: Observation = Observation::ClientResponse(0, 1, 1);
 
 #[test]
-fn each_rule_is_seen_broken_and_seen_kept() {
+fn each_invariant_is_checked_for_violation_and_compliance() {
     let kept: [&[(u64, Observation)]; 8] = [
         &[
             (0, ASKED),
--- a/rig/src/link/tests.rs
+++ b/rig/src/link/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn each_direction_is_cut_by_itself_and_what_was_held_comes_once_it_heals() {
+fn directions_are_cut_independently_and_held_bytes_are_delivered_after_healing() {
     let (link, mut caller, mut called) = pair();
     caller.write_all(b"one").unwrap();
     assert!(hears(&called, b"one"));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_reset_ends_what_is_open_and_a_refusal_what_is_begun() {
+fn reset_ends_open_connections_and_refuse_rejects_new_ones() {
     let (link, caller, called) = pair();
     link.refuse(true);
     let until = Instant::now() + crate::WAIT_TIMEOUT;
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_slow_or_late_direction_takes_its_time_from_the_moment_it_is_set() {
+fn delay_and_throttle_apply_as_soon_as_they_are_set() {
     let (link, mut caller, called) = pair();
     // A relay that waits for bytes as the way is set is what the wait before gives time for.
     caller.write_all(b"x").unwrap();
--- a/rig/src/list_service/tests.rs
+++ b/rig/src/list_service/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_service_returns_though_somebody_dials_from_its_port_meanwhile() {
+fn service_rebinds_its_port_while_another_socket_uses_the_port_number() {
     let service = ListService::new(&History::default(), ServiceMode::Serve);
     service.set(ServiceMode::Down);
     let until = Instant::now() + crate::WAIT_TIMEOUT / 6;
