--- a/front/examples/measure-cold.rs
+++ b/front/examples/measure-cold.rs
@@ -33,7 +33,7 @@
         fronts,
         caches,
         parents: 2.max(caches / 30),
-        sides: 0,
+        link_groups: 0,
     };
     let mut stage = TestCluster::start(&binary, shape, &base, settings.as_ref(), 1);
     stage.load.pause = Duration::from_millis(pause as u64);
--- a/front/examples/measure-scale.rs
+++ b/front/examples/measure-scale.rs
@@ -117,7 +117,7 @@
                     _ => (0, 2, 1),
                 };
                 ListedNode {
-                    place,
+                    index: place,
                     id: *id,
                     state: State::Ready,
                     zone,
@@ -147,12 +147,12 @@
     /// Loads the front while the list changes: one cache node after another drains and comes back.
     fn measure(mut self, objects: u64) -> Usage {
         let asks = ClientLoad {
-            read: "page-bits".into(),
-            write: "book-car".into(),
+            read_class: "page-bits".into(),
+            write_class: "book-car".into(),
             objects,
             connections_per_front: CLIENTS,
             pause: CLIENT_PAUSE,
-            limit: Duration::from_millis(2_500),
+            timeout: Duration::from_millis(2_500),
         };
         let addresses = Arc::new(Mutex::new(vec![Some(self.fleet.address(0))]));
         let process = format!("/proc/{}", self.fleet.process_id(0).expect("it runs"));
@@ -202,7 +202,7 @@
     settings["familyInfo"]["seatsByZone"] = json!([0, fronts]);
     let name = |key: &str, at: u8| settings[key][usize::from(at)].clone();
     let member = |one: &ListedNode| {
-        json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": nodes.all[one.place].1.to_string(),
+        json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": nodes.all[one.index].1.to_string(),
                "zone": name("zones", one.zone), "machineType": name("kinds", one.kind), "cell": 0,
                "lifecycle": "in_service", "weight": one.weight, "startedAtMs": 0})
     };
--- a/front/tests/clock_and_disk_faults.rs
+++ b/front/tests/clock_and_disk_faults.rs
@@ -32,7 +32,7 @@
         fronts: 6,
         caches: 4,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster(shape, None, &CLOCKS, 21);
     let clients = cluster.start_clients(21);
@@ -108,7 +108,7 @@
         fronts: 6,
         caches: 4,
         parents: 2,
-        sides: 1,
+        link_groups: 1,
     };
     let mut cluster = start_cluster(shape, Some(&settings), &CLOCKS, 22);
     cluster.keep_lists_on_disk();
@@ -170,7 +170,7 @@
         fronts: 5,
         caches: 4,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster(shape, Some(&settings), &[], 23);
     cluster.keep_lists_on_disk();
@@ -245,7 +245,7 @@
         fronts: 12,
         caches: 3,
         parents: 2,
-        sides: 2,
+        link_groups: 2,
     };
     let mut cluster = start_cluster(shape, None, &clocks, 24);
     cluster.load.pause = std::time::Duration::from_millis(5);
@@ -299,19 +299,19 @@
         fronts: 12,
         caches: 4,
         parents: 2,
-        sides: 2,
+        link_groups: 2,
     };
     let mut cluster = start_cluster(shape, None, &[], 25);
     let clients = cluster.start_clients(25);
     cluster.wait_served("the first answers", 300);
     // From now on each has places for five; what is open is reset once, so that all ask for one at the same moment.
-    (0..4).for_each(|place| {
+    (0..4).for_each(|index| {
         cluster
             .nodes
-            .set(place, cranesill_rig::Behavior::LimitConnections(5))
+            .set(index, cranesill_rig::Behavior::LimitConnections(5))
     });
     let began = cluster.history.now();
-    (0..2).for_each(|side| (0..4).for_each(|place| cluster.reset_connections(side, place)));
+    (0..2).for_each(|side| (0..4).for_each(|index| cluster.reset_connections(side, index)));
     cluster.wait_served("answers with few places", 3_000);
     let (end, s) = (cluster.history.now(), std::time::Duration::from_secs(1));
     for (id, _) in &cluster.nodes.all[..4] {
@@ -337,10 +337,10 @@
     assert!(bad * 100 <= good, "{bad} were not served, {good} were");
     // Once there are places for all again each front uses all of them.
     let back = cluster.history.now();
-    (0..4).for_each(|place| {
+    (0..4).for_each(|index| {
         cluster
             .nodes
-            .set(place, cranesill_rig::Behavior::Respond(s / 1_000))
+            .set(index, cranesill_rig::Behavior::Respond(s / 1_000))
     });
     for front in 0..12 {
         for (id, _) in &cluster.nodes.all[..4] {
@@ -370,7 +370,7 @@
         fronts: 4,
         caches: 4,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster(shape, Some(&settings), &[], 26);
     cluster.keep_lists_on_disk();
@@ -449,7 +449,7 @@
             fronts: 1,
             caches: 2,
             parents: 1,
-            sides: 0,
+            link_groups: 0,
         },
         Some(&settings),
         &[ahead_ms],
--- a/front/tests/combined_faults.rs
+++ b/front/tests/combined_faults.rs
@@ -24,7 +24,7 @@
     fronts: 4,
     caches: 4,
     parents: 2,
-    sides: 1,
+    link_groups: 1,
 };
 
 /// Longer than idle connections of clients and nodes are kept.
@@ -40,7 +40,7 @@
     // All at once, with the first request after the quiet: a node hangs, one drains, connections break, a front dies.
     cluster.nodes.set(0, Behavior::Silent);
     let drained = cluster.set_node_state(1, State::Draining);
-    (0..cluster.node_count()).for_each(|place| cluster.reset_connections(0, place));
+    (0..cluster.node_count()).for_each(|index| cluster.reset_connections(0, index));
     cluster.kill(&[3]);
     cluster.restart(&[3]);
     let clients = cluster.start_clients(32);
@@ -114,12 +114,12 @@
     client.request(1, "page-bits", "20000", &[], b"");
     let (_, mut cache) = accept_any_node(&setup);
     let fetch = cache.receive().unwrap();
-    let places: Vec<_> = (0..8)
+    let feeds: Vec<_> = (0..8)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
         .collect();
-    for place in &places {
+    for moved in &feeds {
         let mut config = setup.config.clone();
-        config["feed"] = place.local_addr().unwrap().to_string().into();
+        config["feed"] = moved.local_addr().unwrap().to_string().into();
         // As a whole: one that is half written is another test's.
         let aside = setup.file.with_extension("new");
         std::fs::write(&aside, config.to_string()).unwrap();
@@ -127,7 +127,7 @@
         setup.signal("-HUP");
     }
     // The last one counts, from the last event that is held; those before it may have been asked.
-    let (mut new, last) = accept_feed(&places[7]);
+    let (mut new, last) = accept_feed(&feeds[7]);
     assert_eq!(last, 2);
     let nodes = [0, 1]
         .map(|i| node_record(CACHE_IDS[i], setup.caches[i].local_addr().unwrap(), 1, 0))
--- a/front/tests/common/mod.rs
+++ b/front/tests/common/mod.rs
@@ -425,9 +425,9 @@
     let SocketAddr::V4(at) = at else {
         unreachable!()
     };
-    let place = [state, 1, 0, 0, 0];
+    let state_fields = [state, 1, 0, 0, 0];
     let rest = [
-        &place[..],
+        &state_fields[..],
         &8000u32.to_be_bytes(),
         &started_ms.to_be_bytes(),
     ]
--- a/front/tests/common/operations.rs
+++ b/front/tests/common/operations.rs
@@ -157,15 +157,15 @@
 /// door is a failure, unless its front had told it to go elsewhere.
 pub fn start_load(
     at: SocketAddr,
-    over: &Arc<AtomicBool>,
+    stop: &Arc<AtomicBool>,
     failures: &Arc<Mutex<Vec<String>>>,
     clients: u32,
 ) -> Vec<std::thread::JoinHandle<u32>> {
     let client = |number: u32| {
-        let (over, failures) = (Arc::clone(over), Arc::clone(failures));
+        let (stop, failures) = (Arc::clone(stop), Arc::clone(failures));
         std::thread::spawn(move || {
             let (mut answered, mut client, mut stream) = (0, None::<Client>, number << 20);
-            while !over.load(Ordering::SeqCst) {
+            while !stop.load(Ordering::SeqCst) {
                 stream += 1;
                 let mut connected = client.take().unwrap_or_else(|| {
                     let socket = TcpStream::connect(at).unwrap();
--- a/front/tests/connection_limit.rs
+++ b/front/tests/connection_limit.rs
@@ -22,7 +22,7 @@
         fronts: 1,
         caches: CACHES,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let binary = Path::new(env!("CARGO_BIN_EXE_cranesill"));
     let mut cluster = TestCluster::start(binary, shape, &base, None, 1);
--- a/front/tests/fleet_faults.rs
+++ b/front/tests/fleet_faults.rs
@@ -30,7 +30,7 @@
             fronts: 8,
             caches: 4,
             parents: 2,
-            sides: 2,
+            link_groups: 2,
         };
         let mut cluster = start_cluster(shape, seed);
         let clients = cluster.start_clients(seed);
@@ -47,7 +47,7 @@
         fronts: 4,
         caches: 3,
         parents: 1,
-        sides: 1,
+        link_groups: 1,
     };
     let mut cluster = start_cluster(shape, 8);
     let origin = cluster.node_count() - 1;
@@ -81,7 +81,7 @@
         fronts: 6,
         caches: 3,
         parents: 1,
-        sides: 2,
+        link_groups: 2,
     };
     let mut cluster = start_cluster(shape, 7);
     let clients = cluster.start_clients(7);
@@ -121,8 +121,8 @@
 
 /// The most connections that came to one cache in any second from then on.
 fn max_connections_per_second(cluster: &TestCluster, caches: usize, from: Duration) -> usize {
-    let most = |place: usize| {
-        let id = cluster.nodes.all[place].0;
+    let most = |index: usize| {
+        let id = cluster.nodes.all[index].0;
         cluster
             .history
             .max_in_window(from, cluster.history.now(), S, |seen| {
@@ -140,7 +140,7 @@
         fronts: 24,
         caches: 24,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster_with(shape, Some(&handshake_ramp()), 3);
     let began = cluster.history.now();
@@ -213,7 +213,7 @@
         fronts: 24,
         caches: 6,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster_with(shape, Some(&handshake_ramp()), 5);
     let clients = cluster.start_clients(5);
@@ -259,7 +259,7 @@
         fronts: 12,
         caches: 5,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster(shape, 9);
     let clients = cluster.start_clients(9);
@@ -290,11 +290,11 @@
 
 fn attempts_to_cache(
     cluster: &TestCluster,
-    place: usize,
+    index: usize,
     fronts: &[usize],
     from: Duration,
 ) -> usize {
-    let id = cluster.nodes.all[place].0;
+    let id = cluster.nodes.all[index].0;
     // Which front asked stands in the id of the request.
     let by = |txn: u64| (txn >> 40) as usize - 1;
     let of = |seen: &Observation| matches!(seen, Observation::Attempt { node, txn, .. } if *node == id && fronts.contains(&by(*txn)));
@@ -314,7 +314,7 @@
         fronts: 8,
         caches: 4,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster_with(shape, Some(&settings), 11);
     let clients = cluster.start_clients(11);
@@ -401,7 +401,7 @@
             fronts: 2,
             caches: 2,
             parents: 1,
-            sides: 0,
+            link_groups: 0,
         },
         Some(&settings),
         14,
@@ -457,7 +457,7 @@
         fronts: 2,
         caches: 2,
         parents: 1,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster_with(shape, Some(&settings), 12);
     let clients = cluster.start_clients(12);
@@ -486,7 +486,7 @@
         fronts: 8,
         caches: 4,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster_with(shape, Some(&json!({"startup": {"calls_per_s": 20}})), 13);
     let clients = cluster.start_clients(13);
@@ -565,7 +565,7 @@
         fronts: 30,
         caches: 4,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster_with(shape, Some(&peers(30, &[], 2)), 21);
     cluster.list_service.set(ServiceMode::Down);
@@ -667,7 +667,7 @@
         fronts: 6,
         caches: 4,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let settings = peers(6, &addresses, 50);
     let ask: Vec<String> =
@@ -748,7 +748,7 @@
         fronts: 20,
         caches: 6,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut cluster = start_cluster_with(shape, Some(&handshake_ramp()), 31);
     let clients = cluster.start_clients(31);
@@ -796,7 +796,7 @@
         fronts: 8,
         caches: 6,
         parents: 2,
-        sides: 2,
+        link_groups: 2,
     };
     let mut cluster = start_cluster(shape, 33);
     // Few at once take longer to find out, one silence after another.
@@ -809,7 +809,7 @@
         (Transmission::Cut, Transmission::Pass),
     ] {
         let from = cluster.history.now();
-        (0..3).for_each(|place| cluster.set_node_link(1, place, Some((there, back))));
+        (0..3).for_each(|index| cluster.set_node_link(1, index, Some((there, back))));
         // Those that are cut off find out by their own requests, and serve by what they reach.
         for front in [1, 3, 5, 7] {
             let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
@@ -829,7 +829,7 @@
             bad <= 2,
             "{bad} requests of fronts that reach all nodes were not served"
         );
-        (0..3).for_each(|place| cluster.set_node_link(1, place, None));
+        (0..3).for_each(|index| cluster.set_node_link(1, index, None));
         cluster.wait_served("answers once it heals", 200);
     }
     clients.stop();
@@ -842,7 +842,7 @@
         fronts: 6,
         caches: 4,
         parents: 2,
-        sides: 0,
+        link_groups: 0,
     };
     let mut settings = peers(6, &[], 50);
     let mut ask: Vec<String> =
--- a/front/tests/fleet_purges.rs
+++ b/front/tests/fleet_purges.rs
@@ -130,13 +130,13 @@
         .collect::<Vec<_>>();
     let addresses = Arc::new(addresses);
     let purged: Arc<Mutex<Vec<Purged>>> = Arc::default();
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..3)
         .map(|i| {
-            let (addresses, purged, over) = (
+            let (addresses, purged, stop) = (
                 Arc::clone(&addresses),
                 Arc::clone(&purged),
-                Arc::clone(&over),
+                Arc::clone(&stop),
             );
             std::thread::spawn(move || {
                 let (mut answered, mut refused, mut client) = (0u32, 0u32, None::<Client>);
@@ -196,13 +196,13 @@
                         );
                     }
                 }
-                over.store(true, Ordering::SeqCst);
+                stop.store(true, Ordering::SeqCst);
                 (answered, refused)
             })
         })
         .collect();
     let mut round = 0u64;
-    while !over.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
         round += 1;
         let (tag, prefix) = if round.is_multiple_of(3) {
             (None, item(round % OBJECTS)[..14].to_string())
--- a/front/tests/operations.rs
+++ b/front/tests/operations.rs
@@ -219,10 +219,10 @@
     let inherited = InheritedListener::new(&setup.config);
     let (mut old, mut ops) = inherited.start();
     wait_for_line(&old.log, "accepts clients");
-    let (over, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
+    let (stop, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
     let clients = start_load(
         inherited.listener.local_addr().unwrap(),
-        &over,
+        &stop,
         &failures,
         4,
     );
@@ -274,7 +274,7 @@
     // Killed outright, the next one needs nobody's word.
     let (new, _) = inherited.start();
     wait_for_line(&new.log, "waits for another process");
-    over.store(true, Ordering::SeqCst);
+    stop.store(true, Ordering::SeqCst);
     let answered: u32 = clients
         .into_iter()
         .map(|client| client.join().unwrap())
--- a/front/tests/races.rs
+++ b/front/tests/races.rs
@@ -60,17 +60,17 @@
 
 impl Flood {
     fn new(mut stream: TcpStream, bytes: Vec<u8>) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let received = Arc::clone(&over);
+        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::clone(&stop);
         let writes = move || loop {
             if stream.write_all(&bytes).is_err() {
                 return true;
             }
-            if received.load(Ordering::Relaxed) {
+            if stopped.load(Ordering::Relaxed) {
                 return false;
             }
         };
-        Flood(over, std::thread::spawn(writes))
+        Flood(stop, std::thread::spawn(writes))
     }
 
     /// Ends it. Whether the front had ended the connection.
@@ -548,9 +548,9 @@
         let fetch = origin.receive().unwrap();
         setup.while_stopped(|| {
             origin.respond(&fetch[1], "HIT", "-", "booked");
-            let over = if resets { Some(Duration::ZERO) } else { None };
+            let linger = if resets { Some(Duration::ZERO) } else { None };
             socket2::SockRef::from(origin.0.get_ref())
-                .set_linger(over)
+                .set_linger(linger)
                 .unwrap();
             drop(origin);
         });
--- a/front/tests/system_call_faults.rs
+++ b/front/tests/system_call_faults.rs
@@ -18,14 +18,14 @@
 /// What each visitor says that it waits for.
 const LIMIT: Duration = Duration::from_millis(2_400);
 
-fn start_cluster(change: impl Fn(&mut Value), sides: usize, seed: u64) -> TestCluster {
+fn start_cluster(change: impl Fn(&mut Value), link_groups: usize, seed: u64) -> TestCluster {
     let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     change(&mut base);
     let shape = ClusterSize {
         fronts: 1,
         caches: 3,
         parents: 1,
-        sides,
+        link_groups,
     };
     TestCluster::start(
         Path::new(env!("CARGO_BIN_EXE_cranesill")),
@@ -38,7 +38,7 @@
 
 /// Clients that come with a new connection for each few requests, as many as there are threads.
 struct ReconnectingClients {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -47,13 +47,13 @@
 
 impl ReconnectingClients {
     fn start(cluster: &TestCluster, count: u32, requests: usize, pause: Duration) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
+        let stop = Arc::new(AtomicBool::new(false));
         let address = cluster.fleet.address(0);
         let threads = (0..count).map(|_| {
-            let (over, history, class) = (
-                Arc::clone(&over),
+            let (stop, history, class) = (
+                Arc::clone(&stop),
                 cluster.history.clone(),
-                cluster.load.read.clone(),
+                cluster.load.read_class.clone(),
             );
             let which = CLIENT_NUMBERS.fetch_add(1, Ordering::SeqCst) % 0xff;
             thread::spawn(move || {
@@ -63,7 +63,7 @@
                     which,
                     stream: 0,
                 };
-                while !over.load(Ordering::SeqCst) {
+                while !stop.load(Ordering::SeqCst) {
                     client.run(address, requests, pause);
                     thread::sleep(pause);
                 }
@@ -71,12 +71,12 @@
         });
         ReconnectingClients {
             threads: threads.collect(),
-            over,
+            stop,
         }
     }
 
     fn stop(self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
         self.threads
             .into_iter()
             .for_each(|thread| thread.join().unwrap());
@@ -350,7 +350,7 @@
 fn descriptor_exhaustion_closes_only_idle_clients() {
     let mut cluster = start_cluster(|_| {}, 0, 65);
     let address = cluster.fleet.address(0);
-    let class = cluster.load.read.clone();
+    let class = cluster.load.read_class.clone();
     let mut client = ReconnectingClient {
         history: cluster.history.clone(),
         class,
@@ -639,7 +639,7 @@
 fn broken_client_connections_affect_no_other_client() {
     let mut cluster = start_cluster(|_| {}, 0, 71);
     cluster.load.connections_per_front = 6;
-    (0..3).for_each(|place| cluster.nodes.set(place, Behavior::Respond(5 * MS)));
+    (0..3).for_each(|index| cluster.nodes.set(index, Behavior::Respond(5 * MS)));
     let stay = cluster.start_clients(71);
     cluster.wait_served("the first answers", 30);
     for errno in BROKEN {
--- a/rig/shim/src/lib.rs
+++ b/rig/shim/src/lib.rs
@@ -10,19 +10,19 @@
 use std::sync::atomic::{AtomicI64, AtomicPtr, Ordering};
 
 const WORDS: usize = 32;
-const FULL: i64 = 1;
-const UNSYNCED: i64 = 2;
+const DISK_FULL: i64 = 1;
+const SYNC_FAILS: i64 = 2;
 
 type Words = [AtomicI64; WORDS];
-static NONE: Words = [const { AtomicI64::new(0) }; WORDS];
+static DEFAULTS: Words = [const { AtomicI64::new(0) }; WORDS];
 static MAPPED: AtomicPtr<Words> = AtomicPtr::new(std::ptr::null_mut());
 
-fn raw(number: c_long, args: [usize; 4]) -> c_long {
+fn system_call(number: c_long, args: [usize; 4]) -> c_long {
     // SAFETY: each caller passes the arguments of the call that it stands for, as it got them.
     unsafe { libc::syscall(number, args[0], args[1], args[2], args[3]) }
 }
 
-fn setting(name: &std::ffi::CStr) -> *const c_char {
+fn environment_variable(name: &std::ffi::CStr) -> *const c_char {
     // SAFETY: the name ends with a zero; nothing in a process under test changes its environment.
     unsafe { libc::getenv(name.as_ptr()) }
 }
@@ -34,10 +34,10 @@
     if let Some(words) = unsafe { mapped.as_ref() } {
         return words;
     }
-    let path = setting(c"CRANESILL_SHIM");
-    let mut found: *const Words = &NONE;
+    let path = environment_variable(c"CRANESILL_SHIM");
+    let mut found: *const Words = &DEFAULTS;
     if !path.is_null() {
-        let fd = raw(
+        let fd = system_call(
             libc::SYS_openat,
             [
                 libc::AT_FDCWD as usize,
@@ -60,7 +60,7 @@
                     0,
                 )
             };
-            raw(libc::SYS_close, [fd as usize, 0, 0, 0]);
+            system_call(libc::SYS_close, [fd as usize, 0, 0, 0]);
             if at != libc::MAP_FAILED {
                 found = at.cast();
             }
@@ -75,15 +75,15 @@
     words()[place].load(Ordering::Relaxed)
 }
 
-fn fails(errno: c_int) -> c_int {
+fn fail_with(errno: c_int) -> c_int {
     // SAFETY: the place of this thread's own error number.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
 
 /// Whether this is a file under the folder.
-fn under(fd: c_int) -> bool {
-    let folder = setting(c"CRANESILL_SHIM_FILES");
+fn is_in_fault_folder(fd: c_int) -> bool {
+    let folder = environment_variable(c"CRANESILL_SHIM_FILES");
     if folder.is_null() {
         return false;
     }
@@ -108,7 +108,7 @@
         path.as_mut_ptr() as usize,
         path.len(),
     ];
-    let len = raw(libc::SYS_readlinkat, args);
+    let len = system_call(libc::SYS_readlinkat, args);
     usize::try_from(len).is_ok_and(|len| path[..len].starts_with(folder))
 }
 
@@ -126,7 +126,7 @@
         REAL.store(real, Ordering::Relaxed);
     }
     let result = match real.is_null() {
-        true => raw(libc::SYS_clock_gettime, [clock as usize, to as usize, 0, 0]) as c_int,
+        true => system_call(libc::SYS_clock_gettime, [clock as usize, to as usize, 0, 0]) as c_int,
         false => std::mem::transmute::<*mut c_void, Real>(real)(clock, to),
     };
     if result == 0 && clock == libc::CLOCK_REALTIME && !to.is_null() {
@@ -144,27 +144,27 @@
 /// As the system's: `count` bytes can be read at `from`.
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, from: *const c_void, count: usize) -> isize {
-    if word(1) & FULL != 0 && under(fd) {
-        return fails(libc::ENOSPC) as isize;
+    if word(1) & DISK_FULL != 0 && is_in_fault_folder(fd) {
+        return fail_with(libc::ENOSPC) as isize;
     }
-    raw(libc::SYS_write, [fd as usize, from as usize, count, 0]) as isize
+    system_call(libc::SYS_write, [fd as usize, from as usize, count, 0]) as isize
 }
 
 fn sync(number: c_long, fd: c_int) -> c_int {
-    if under(fd) {
-        let takes = word(2).max(0);
-        if takes > 0 {
-            let span = libc::timespec {
-                tv_sec: takes / 1_000,
-                tv_nsec: takes % 1_000 * 1_000_000,
+    if is_in_fault_folder(fd) {
+        let delay_ms = word(2).max(0);
+        if delay_ms > 0 {
+            let duration = libc::timespec {
+                tv_sec: delay_ms / 1_000,
+                tv_nsec: delay_ms % 1_000 * 1_000_000,
             };
-            raw(libc::SYS_nanosleep, [&raw const span as usize, 0, 0, 0]);
+            system_call(libc::SYS_nanosleep, [&raw const duration as usize, 0, 0, 0]);
         }
-        if word(1) & UNSYNCED != 0 {
-            return fails(libc::EIO);
+        if word(1) & SYNC_FAILS != 0 {
+            return fail_with(libc::EIO);
         }
     }
-    raw(number, [fd as usize, 0, 0, 0]) as c_int
+    system_call(number, [fd as usize, 0, 0, 0]) as c_int
 }
 
 /// Syncs a file, as the test says.
--- a/rig/shim/src/sockets.rs
+++ b/rig/shim/src/sockets.rs
@@ -4,18 +4,18 @@
 //! made, 32 reads and 64 writes on those that it accepted); 17 the error; 18 of so many calls one fails; 19 and 20: they fail
 //! for the first so many of each so many milliseconds (0: all the time); 21 and 22 bytes that a read and a write take at most;
 //! 23 calls that have failed, counted here.
-use crate::{fails, raw, word, words};
+use crate::{fail_with, system_call, word, words};
 use std::ffi::{c_int, c_void};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
-const MASK: usize = 16;
+const FAILING_CALLS: usize = 16;
 const ERRNO: usize = 17;
 const EVERY: usize = 18;
 const BURST: usize = 19;
 const PERIOD: usize = 20;
-const READ_MOST: usize = 21;
-const WRITE_MOST: usize = 22;
-const COUNT: usize = 23;
+const MAX_READ_BYTES: usize = 21;
+const MAX_WRITE_BYTES: usize = 22;
+const FAILURE_COUNT: usize = 23;
 
 const ACCEPT: i64 = 1;
 const SOCKET: i64 = 2;
@@ -23,16 +23,16 @@
 const READ: i64 = 8;
 const WRITE: i64 = 16;
 /// What a call on an accepted connection has to be shifted by.
-const ACCEPTED: u32 = 2;
+const ACCEPTED_SHIFT: u32 = 2;
 /// Slices of one call that are looked at.
-const SLICES: usize = 64;
+const MAX_SLICES: usize = 64;
 
 /// Which descriptors the process has connected.
-static DIALLED: [AtomicBool; 1 << 14] = [const { AtomicBool::new(false) }; 1 << 14];
+static OUTBOUND: [AtomicBool; 1 << 14] = [const { AtomicBool::new(false) }; 1 << 14];
 static CALLS: AtomicI64 = AtomicI64::new(0);
 
-fn dialled(fd: c_int) -> Option<&'static AtomicBool> {
-    DIALLED.get(usize::try_from(fd).ok()?)
+fn outbound(fd: c_int) -> Option<&'static AtomicBool> {
+    OUTBOUND.get(usize::try_from(fd).ok()?)
 }
 
 /// Whether this is the time at which calls fail.
@@ -45,7 +45,7 @@
         tv_sec: 0,
         tv_nsec: 0,
     };
-    raw(
+    system_call(
         libc::SYS_clock_gettime,
         [libc::CLOCK_MONOTONIC as usize, &raw mut now as usize, 0, 0],
     );
@@ -53,16 +53,16 @@
 }
 
 /// The error that a call fails with now.
-fn fault(call: i64) -> Option<c_int> {
+fn take_fault(call: i64) -> Option<c_int> {
     let every = word(EVERY);
-    if word(MASK) & call == 0 || every <= 0 || !in_burst() {
+    if word(FAILING_CALLS) & call == 0 || every <= 0 || !in_burst() {
         return None;
     }
     if CALLS.fetch_add(1, Ordering::Relaxed) % every != 0 {
         return None;
     }
     // Without words of its own nothing is asked to fail, and nothing is written there.
-    words()[COUNT].fetch_add(1, Ordering::Relaxed);
+    words()[FAILURE_COUNT].fetch_add(1, Ordering::Relaxed);
     Some(word(ERRNO) as c_int)
 }
 
@@ -86,24 +86,28 @@
 }
 
 /// How many bytes a call on a connection may take; an error: it fails with that.
-fn bytes(fd: c_int, call: i64) -> Result<usize, c_int> {
-    let most = if call == READ {
-        word(READ_MOST)
+fn allowed_bytes(fd: c_int, call: i64) -> Result<usize, c_int> {
+    let limit = if call == READ {
+        word(MAX_READ_BYTES)
     } else {
-        word(WRITE_MOST)
+        word(MAX_WRITE_BYTES)
     };
-    if (word(MASK) == 0 && most <= 0) || !is_tcp(fd) {
+    if (word(FAILING_CALLS) == 0 && limit <= 0) || !is_tcp(fd) {
         return Ok(usize::MAX);
     }
-    let accepted = !dialled(fd).is_some_and(|dialled| dialled.load(Ordering::Relaxed));
-    match fault(if accepted { call << ACCEPTED } else { call }) {
+    let accepted = !outbound(fd).is_some_and(|outbound| outbound.load(Ordering::Relaxed));
+    match take_fault(if accepted {
+        call << ACCEPTED_SHIFT
+    } else {
+        call
+    }) {
         Some(errno) => Err(errno),
-        None if most > 0 => Ok(most as usize),
+        None if limit > 0 => Ok(limit as usize),
         None => Ok(usize::MAX),
     }
 }
 
-fn result(returned: std::ffi::c_long) -> isize {
+fn to_result(returned: std::ffi::c_long) -> isize {
     // `libc::syscall` has set the error number already.
     returned as isize
 }
@@ -112,11 +116,11 @@
 #[no_mangle]
 pub extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET {
-        if let Some(errno) = fault(SOCKET) {
-            return fails(errno);
+        if let Some(errno) = take_fault(SOCKET) {
+            return fail_with(errno);
         }
     }
-    raw(
+    system_call(
         libc::SYS_socket,
         [domain as usize, kind as usize, protocol as usize, 0],
     ) as c_int
@@ -133,14 +137,14 @@
     size: libc::socklen_t,
 ) -> c_int {
     if i32::from((*address).sa_family) == libc::AF_INET {
-        if let Some(errno) = fault(CONNECT) {
-            return fails(errno);
+        if let Some(errno) = take_fault(CONNECT) {
+            return fail_with(errno);
         }
-        dialled(fd)
+        outbound(fd)
             .into_iter()
-            .for_each(|dialled| dialled.store(true, Ordering::Relaxed));
+            .for_each(|outbound| outbound.store(true, Ordering::Relaxed));
     }
-    raw(
+    system_call(
         libc::SYS_connect,
         [fd as usize, address as usize, size as usize, 0],
     ) as c_int
@@ -158,15 +162,15 @@
     flags: c_int,
 ) -> c_int {
     if is_tcp(fd) {
-        if let Some(errno) = fault(ACCEPT) {
-            return fails(errno);
+        if let Some(errno) = take_fault(ACCEPT) {
+            return fail_with(errno);
         }
     }
     let args = [fd as usize, address as usize, size as usize, flags as usize];
-    let accepted = raw(libc::SYS_accept4, args) as c_int;
-    dialled(accepted)
+    let accepted = system_call(libc::SYS_accept4, args) as c_int;
+    outbound(accepted)
         .into_iter()
-        .for_each(|dialled| dialled.store(false, Ordering::Relaxed));
+        .for_each(|outbound| outbound.store(false, Ordering::Relaxed));
     accepted
 }
 
@@ -176,11 +180,11 @@
 /// As the system's: `size` bytes can be written at `to`.
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, to: *mut c_void, size: usize, flags: c_int) -> isize {
-    let size = match bytes(fd, READ) {
-        Ok(most) => size.min(most),
-        Err(errno) => return fails(errno) as isize,
+    let size = match allowed_bytes(fd, READ) {
+        Ok(limit) => size.min(limit),
+        Err(errno) => return fail_with(errno) as isize,
     };
-    result(libc::syscall(
+    to_result(libc::syscall(
         libc::SYS_recvfrom,
         fd,
         to,
@@ -197,11 +201,11 @@
 /// As the system's: `size` bytes can be read at `from`.
 #[no_mangle]
 pub unsafe extern "C" fn send(fd: c_int, from: *const c_void, size: usize, flags: c_int) -> isize {
-    let size = match bytes(fd, WRITE) {
-        Ok(most) => size.min(most),
-        Err(errno) => return fails(errno) as isize,
+    let size = match allowed_bytes(fd, WRITE) {
+        Ok(limit) => size.min(limit),
+        Err(errno) => return fail_with(errno) as isize,
     };
-    result(libc::syscall(
+    to_result(libc::syscall(
         libc::SYS_sendto,
         fd,
         from,
@@ -218,21 +222,21 @@
 /// As the system's: `count` slices that can be read are at `slices`.
 #[no_mangle]
 pub unsafe extern "C" fn writev(fd: c_int, slices: *const libc::iovec, count: c_int) -> isize {
-    let most = match bytes(fd, WRITE) {
+    let limit = match allowed_bytes(fd, WRITE) {
         Ok(usize::MAX) => {
-            return raw(
+            return system_call(
                 libc::SYS_writev,
                 [fd as usize, slices as usize, count as usize, 0],
             ) as isize
         }
-        Ok(most) => most,
-        Err(errno) => return fails(errno) as isize,
+        Ok(limit) => limit,
+        Err(errno) => return fail_with(errno) as isize,
     };
     let mut short = [libc::iovec {
         iov_base: std::ptr::null_mut(),
         iov_len: 0,
-    }; SLICES];
-    let (mut left, mut used) = (most, 0);
+    }; MAX_SLICES];
+    let (mut left, mut used) = (limit, 0);
     for to in short.iter_mut().take(count.max(0) as usize) {
         if left == 0 {
             break;
@@ -242,7 +246,7 @@
         left -= to.iov_len;
         used += 1;
     }
-    raw(
+    system_call(
         libc::SYS_writev,
         [fd as usize, short.as_ptr() as usize, used, 0],
     ) as isize
--- a/rig/src/clients.rs
+++ b/rig/src/clients.rs
@@ -8,18 +8,18 @@
 use std::time::{Duration, Instant};
 
 /// Bytes of a frame at most.
-const FRAME_MOST: usize = 1 << 18;
+const MAX_FRAME_BYTES: usize = 1 << 18;
 
 /// For how long a client waits on after the moment at which it said that it gives up: what comes then is seen to be late.
-const PATIENCE: Duration = Duration::from_secs(1);
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What clients ask.
 #[derive(Clone, Debug)]
 pub struct ClientLoad {
     /// Classes that may run twice and those that must not; one in ten is of the latter.
-    pub read: String,
+    pub read_class: String,
     /// The class that must not run twice.
-    pub write: String,
+    pub write_class: String,
     /// Different objects.
     pub objects: u64,
     /// Connections to each front, each with one request at a time.
@@ -27,12 +27,12 @@
     /// Pause after an answer.
     pub pause: Duration,
     /// When a client gives up.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// Clients of all fronts, until they are let go.
 pub struct Clients {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -42,36 +42,36 @@
 impl Clients {
     /// Begins to ask each front.
     pub fn start(history: &History, addresses: &Addresses, load: &ClientLoad, seed: u64) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
+        let stop = Arc::new(AtomicBool::new(false));
         let count = addresses.lock().expect("no holder panics").len();
-        let each = (0..count)
-            .flat_map(|front| (0..load.connections_per_front).map(move |which| (front, which)));
-        let threads = each.map(|(front, which)| {
+        let clients = (0..count)
+            .flat_map(|front| (0..load.connections_per_front).map(move |number| (front, number)));
+        let threads = clients.map(|(front, number)| {
             let (history, addresses, load) = (history.clone(), Arc::clone(addresses), load.clone());
-            let over = Arc::clone(&over);
+            let stop = Arc::clone(&stop);
             let rng = (seed
-                ^ ((which * count + front) as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
+                ^ ((number * count + front) as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
                 | 1;
             thread::spawn(move || {
                 Client {
                     front,
-                    which,
+                    number,
                     rng,
                     stream: 0,
                     load,
                 }
-                .run(&history, &addresses, &over)
+                .run(&history, &addresses, &stop)
             })
         });
         Clients {
             threads: threads.collect(),
-            over,
+            stop,
         }
     }
 
     /// No new requests; waits until what was asked is answered or given up.
     pub fn stop(mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
             thread.join().expect("a client does not panic");
         }
@@ -80,14 +80,14 @@
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
     }
 }
 
 struct Client {
     front: usize,
     /// Which of the clients of this front.
-    which: usize,
+    number: usize,
     rng: u64,
     stream: u32,
     load: ClientLoad,
@@ -103,27 +103,28 @@
 impl Client {
     /// The id of a request: the front, the client and the stream stand in it.
     fn txn(&self, stream: u32) -> u64 {
-        ((self.front as u64 + 1) << 40) | ((self.which as u64) << 32) | u64::from(stream)
+        ((self.front as u64 + 1) << 40) | ((self.number as u64) << 32) | u64::from(stream)
     }
 
-    fn roll(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.rng ^= self.rng << 13;
         self.rng ^= self.rng >> 7;
         self.rng ^= self.rng << 17;
         self.rng
     }
 
-    fn run(mut self, history: &History, addresses: &Addresses, over: &AtomicBool) {
-        while !over.load(Ordering::SeqCst) {
+    fn run(mut self, history: &History, addresses: &Addresses, stop: &AtomicBool) {
+        while !stop.load(Ordering::SeqCst) {
             let address = addresses.lock().expect("no holder panics")[self.front];
             match address.and_then(|at| TcpStream::connect(at).ok()) {
                 Some(socket) => {
                     // A connection to a process that was killed is of no use: what is asked there was taken by nobody.
                     let front = self.front;
-                    let same = || addresses.lock().expect("no holder panics")[front] == address;
-                    while !over.load(Ordering::SeqCst)
-                        && same()
-                        && self.once(&socket, history).is_ok()
+                    let same_process =
+                        || addresses.lock().expect("no holder panics")[front] == address;
+                    while !stop.load(Ordering::SeqCst)
+                        && same_process()
+                        && self.request(&socket, history).is_ok()
                     {
                         thread::sleep(self.load.pause);
                     }
@@ -134,19 +135,19 @@
     }
 
     /// ClientLoad once and hears the answer. An error: the connection is of no further use.
-    fn once(&mut self, mut socket: &TcpStream, history: &History) -> std::io::Result<()> {
+    fn request(&mut self, mut socket: &TcpStream, history: &History) -> std::io::Result<()> {
         self.stream += 1;
         let (front, stream) = (self.front, self.stream);
         let txn = self.txn(stream);
-        let write = self.roll().is_multiple_of(10);
+        let write = self.next_random().is_multiple_of(10);
         let (class, item) = (
             if write {
-                &self.load.write
+                &self.load.write_class
             } else {
-                &self.load.read
+                &self.load.read_class
             }
             .clone(),
-            self.roll() % self.load.objects,
+            self.next_random() % self.load.objects,
         );
         let mut payload = vec![4];
         field(&mut payload, "verb", &class);
@@ -154,7 +155,7 @@
         field(
             &mut payload,
             "limit",
-            &self.load.limit.as_millis().to_string(),
+            &self.load.timeout.as_millis().to_string(),
         );
         field(&mut payload, "item", &format!("{item:016x}"));
         if write {
@@ -169,10 +170,10 @@
         ]
         .concat();
         history.record(Observation::ClientRequest { front, txn });
-        let until = Instant::now() + self.load.limit + PATIENCE;
+        let until = Instant::now() + self.load.timeout + LATE_RESPONSE_TIMEOUT;
         let done = socket
             .write_all(&frame)
-            .and_then(|()| self.hear(socket, history, txn, until));
+            .and_then(|()| self.receive(socket, history, txn, until));
         if done.is_err() {
             // The connection ended, or it is given up.
             history.record(Observation::ClientUnanswered(front, txn));
@@ -180,7 +181,7 @@
         done
     }
 
-    fn hear(
+    fn receive(
         &self,
         mut socket: &TcpStream,
         history: &History,
@@ -195,7 +196,7 @@
             let mut length = [0; 4];
             socket.read_exact(&mut length)?;
             let length = u32::from_be_bytes(length) as usize;
-            if !(5..=FRAME_MOST).contains(&length) {
+            if !(5..=MAX_FRAME_BYTES).contains(&length) {
                 return Err(ErrorKind::InvalidData.into());
             }
             let mut frame = vec![0; length];
@@ -206,9 +207,9 @@
             }
             let stream = u32::from_be_bytes([frame[1], frame[2], frame[3], frame[4]]);
             let code = frame.get(5).copied().unwrap_or(0);
-            let of = self.txn(stream);
-            history.record(Observation::ClientResponse(self.front, of, code));
-            if of == txn {
+            let response_txn = self.txn(stream);
+            history.record(Observation::ClientResponse(self.front, response_txn, code));
+            if response_txn == txn {
                 return Ok(());
             }
         }
--- a/rig/src/faults.rs
+++ b/rig/src/faults.rs
@@ -44,7 +44,7 @@
     /// The steps.
     pub steps: Vec<Fault>,
     /// Answers to be seen between two steps.
-    pub answers: usize,
+    pub responses: usize,
 }
 
 struct Rng(u64);
@@ -66,35 +66,36 @@
         let (mut down, mut stopped) = (BTreeSet::new(), BTreeSet::new());
         // Front 0 and cache 0 are never touched.
         let front = |rng: &mut Rng| 1 + rng.below(shape.fronts - 1);
-        let place = |rng: &mut Rng| 1 + rng.below(shape.caches + shape.parents);
-        let ways = |rng: &mut Rng| {
-            let one = |rng: &mut Rng| match rng.below(4) {
+        let index = |rng: &mut Rng| 1 + rng.below(shape.caches + shape.parents);
+        let transmission = |rng: &mut Rng| {
+            let direction = |rng: &mut Rng| match rng.below(4) {
                 0 => Transmission::Pass,
                 1 => Transmission::Delay(Duration::from_millis(50 + rng.below(300) as u64)),
                 2 => Transmission::Throttle(200 + rng.below(2_000) as u64),
                 _ => Transmission::Cut,
             };
-            [None, Some((one(rng), one(rng)))][rng.below(3).min(1)]
+            [None, Some((direction(rng), direction(rng)))][rng.below(3).min(1)]
         };
         let mut steps = Vec::new();
         while steps.len() < count {
-            let most = shape.fronts / 2;
+            let max_down = shape.fronts / 2;
             steps.push(match rng.below(12) {
-                0 | 1 if down.len() + stopped.len() < most => {
-                    let some: BTreeSet<_> =
-                        (0..1 + rng.below(most)).map(|_| front(&mut rng)).collect();
-                    let room = most - down.len() - stopped.len();
+                0 | 1 if down.len() + stopped.len() < max_down => {
+                    let some: BTreeSet<_> = (0..1 + rng.below(max_down))
+                        .map(|_| front(&mut rng))
+                        .collect();
+                    let remaining = max_down - down.len() - stopped.len();
                     let free = some
                         .into_iter()
                         .filter(|f| !down.contains(f) && !stopped.contains(f));
-                    let some: Vec<usize> = free.take(room).collect();
+                    let some: Vec<usize> = free.take(remaining).collect();
                     down.extend(&some);
                     Fault::Kill(some)
                 }
                 2 | 3 if !down.is_empty() => {
                     Fault::Restart(std::mem::take(&mut down).into_iter().collect())
                 }
-                4 if stopped.is_empty() && down.len() < most => {
+                4 if stopped.is_empty() && down.len() < max_down => {
                     let one = front(&mut rng);
                     if down.contains(&one) {
                         continue;
@@ -105,11 +106,15 @@
                 5 if !stopped.is_empty() => {
                     Fault::Resume(std::mem::take(&mut stopped).into_iter().collect())
                 }
-                6 => Fault::Feed(front(&mut rng), ways(&mut rng)),
-                7 => Fault::Link(rng.below(shape.sides), place(&mut rng), ways(&mut rng)),
-                8 => Fault::Reset(rng.below(shape.sides), place(&mut rng)),
+                6 => Fault::Feed(front(&mut rng), transmission(&mut rng)),
+                7 => Fault::Link(
+                    rng.below(shape.link_groups),
+                    index(&mut rng),
+                    transmission(&mut rng),
+                ),
+                8 => Fault::Reset(rng.below(shape.link_groups), index(&mut rng)),
                 9 => {
-                    let moods = [
+                    let behaviors = [
                         Behavior::Respond(Duration::from_millis(1)),
                         Behavior::Respond(Duration::from_millis(80)),
                         Behavior::Silent,
@@ -122,11 +127,11 @@
                         Behavior::Duplicate,
                         Behavior::Down,
                     ];
-                    Fault::Node(place(&mut rng), moods[rng.below(moods.len())])
+                    Fault::Node(index(&mut rng), behaviors[rng.below(behaviors.len())])
                 }
                 10 => {
                     let states = [State::Draining, State::Ready];
-                    Fault::SetState(place(&mut rng), states[rng.below(2)])
+                    Fault::SetState(index(&mut rng), states[rng.below(2)])
                 }
                 11 => match rng.below(4) {
                     0 => Fault::Service(
@@ -147,18 +152,18 @@
         steps.push(Fault::Restart(down.into_iter().collect()));
         steps.push(Fault::Resume(stopped.into_iter().collect()));
         steps.extend((1..shape.fronts).map(|front| Fault::Feed(front, None)));
-        for place in 1..=shape.caches + shape.parents {
+        for index in 1..=shape.caches + shape.parents {
             steps.push(Fault::Node(
-                place,
+                index,
                 Behavior::Respond(Duration::from_millis(1)),
             ));
-            steps.push(Fault::SetState(place, State::Ready));
-            steps.extend((0..shape.sides).map(|side| Fault::Link(side, place, None)));
+            steps.push(Fault::SetState(index, State::Ready));
+            steps.extend((0..shape.link_groups).map(|group| Fault::Link(group, index, None)));
         }
         Script {
             seed,
             steps,
-            answers: 2 * shape.fronts,
+            responses: 2 * shape.fronts,
         }
     }
 }
@@ -167,15 +172,17 @@
     /// Takes one step.
     pub fn apply(&mut self, fault: &Fault) {
         match fault {
-            Fault::Kill(which) => self.kill(which),
-            Fault::Restart(which) => self.restart(which),
-            Fault::Stop(which) => self.set_stopped(which, true),
-            Fault::Resume(which) => self.set_stopped(which, false),
-            Fault::Feed(front, ways) => self.set_feed_link(*front, *ways),
-            Fault::Link(side, place, ways) => self.set_node_link(*side, *place, *ways),
-            Fault::Reset(side, place) => self.reset_connections(*side, *place),
-            Fault::Node(place, mood) => self.nodes.set(*place, *mood),
-            Fault::SetState(place, state) => drop(self.set_node_state(*place, *state)),
+            Fault::Kill(fronts) => self.kill(fronts),
+            Fault::Restart(fronts) => self.restart(fronts),
+            Fault::Stop(fronts) => self.set_stopped(fronts, true),
+            Fault::Resume(fronts) => self.set_stopped(fronts, false),
+            Fault::Feed(front, transmission) => self.set_feed_link(*front, *transmission),
+            Fault::Link(group, index, transmission) => {
+                self.set_node_link(*group, *index, *transmission)
+            }
+            Fault::Reset(group, index) => self.reset_connections(*group, *index),
+            Fault::Node(index, behavior) => self.nodes.set(*index, *behavior),
+            Fault::SetState(index, state) => drop(self.set_node_state(*index, *state)),
             Fault::Purge(item) => drop(self.purge(*item)),
             Fault::Service(mode) => self.list_service.set(*mode),
         }
@@ -183,27 +190,27 @@
 
     /// Plays a script to its end: all has healed, and each front has served again.
     pub fn run_script(&mut self, script: &Script) {
-        let answered = |seen: &Observation| matches!(seen, Observation::ClientResponse(..));
-        for (place, step) in script.steps.iter().enumerate() {
-            let before = self.history.count(answered);
+        let response = |seen: &Observation| matches!(seen, Observation::ClientResponse(..));
+        for (index, step) in script.steps.iter().enumerate() {
+            let before = self.history.count(response);
             self.apply(step);
-            if place + self.node_count() * 4 + self.size().fronts < script.steps.len() {
+            if index + self.node_count() * 4 + self.size().fronts < script.steps.len() {
                 let what = format!("seed {}: answers after {step:?}", script.seed);
                 self.history
-                    .wait_for(&what, before + script.answers, answered);
+                    .wait_for(&what, before + script.responses, response);
             }
         }
         let healed = self.history.now();
         for front in 0..self.size().fronts {
-            let again = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
+            let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
             let before = self
                 .history
-                .timestamps(again)
+                .timestamps(served)
                 .iter()
                 .filter(|at| **at <= healed)
                 .count();
             let what = format!("seed {}: front {front} serves again", script.seed);
-            self.history.wait_for(&what, before + 1, again);
+            self.history.wait_for(&what, before + 1, served);
         }
     }
 }
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -25,61 +25,61 @@
         let machine = FaultInjector {
             words: words.expect("a file"),
         };
-        (0..crate::socket_faults::END).for_each(|place| machine.say(place, 0));
+        (0..crate::socket_faults::WORD_COUNT).for_each(|index| machine.set_word(index, 0));
         machine
     }
 
-    fn say(&self, place: u64, word: i64) {
+    fn set_word(&self, index: u64, word: i64) {
         self.words
-            .write_all_at(&word.to_ne_bytes(), place * 8)
+            .write_all_at(&word.to_ne_bytes(), index * 8)
             .expect("a file");
     }
 
     /// Its wall clock is ahead by so many milliseconds, or behind.
     pub fn set_clock_offset(&self, ahead_ms: i64) {
-        self.say(0, ahead_ms);
+        self.set_word(0, ahead_ms);
     }
 
     /// Files under [`Fleet::disk`] can't be written; syncs of them fail.
     pub fn set_disk_faults(&self, full: bool, unsynced: bool) {
-        self.say(1, i64::from(full) | i64::from(unsynced) << 1);
+        self.set_word(1, i64::from(full) | i64::from(unsynced) << 1);
     }
 
     /// System calls on its sockets fail or are cut short like this; `None`: they do what the system does.
     pub fn set_socket_faults(&self, faults: Option<&SocketFaults>) {
         // The mask comes last and goes first: no call sees half of what is said.
-        self.say(crate::socket_faults::MASK, 0);
+        self.set_word(crate::socket_faults::FAILING_CALLS, 0);
         let words = faults.map(SocketFaults::words).unwrap_or_default();
         words
             .into_iter()
             .rev()
-            .for_each(|(place, word)| self.say(place, word));
+            .for_each(|(index, word)| self.set_word(index, word));
     }
 
     /// How many system calls on its sockets have failed by [`FaultInjector::sockets`] since it was made.
     pub fn socket_fault_count(&self) -> i64 {
         let mut word = [0; 8];
         self.words
-            .read_exact_at(&mut word, crate::socket_faults::COUNT * 8)
+            .read_exact_at(&mut word, crate::socket_faults::FAILURE_COUNT * 8)
             .expect("a file");
         i64::from_ne_bytes(word)
     }
 
     /// A sync of such a file takes this long.
-    pub fn set_sync_delay(&self, takes: Duration) {
-        self.say(2, takes.as_millis() as i64);
+    pub fn set_sync_delay(&self, duration: Duration) {
+        self.set_word(2, duration.as_millis() as i64);
     }
 }
 
 /// The library that is loaded into each process: it is built beside this.
-fn shim() -> PathBuf {
+fn shim_library() -> PathBuf {
     let exe = std::env::current_exe().expect("a program");
-    let near = exe
+    let candidates = exe
         .ancestors()
         .skip(1)
         .take(2)
         .flat_map(|at| [at.to_path_buf(), at.join("deps")]);
-    let mut found = near.map(|at| at.join("libcranesill_shim.so"));
+    let mut found = candidates.map(|at| at.join("libcranesill_shim.so"));
     found
         .find(|at| at.exists())
         .expect("libcranesill_shim.so is built with the rig")
@@ -129,19 +129,19 @@
             .zip(clocks)
             .for_each(|(machine, ahead)| machine.set_clock_offset(*ahead));
         std::fs::create_dir(folder.path().join("disk")).expect("a folder");
-        let (settings_on, processes) = (settings.is_some(), Vec::new());
-        let shim = shim();
+        let (has_settings, processes) = (settings.is_some(), Vec::new());
+        let shim = shim_library();
         let mut fleet = Fleet {
             binary,
             folder,
-            settings: settings_on,
+            settings: has_settings,
             shim,
             injectors,
             processes,
             starts,
         };
         for n in 0..count {
-            let file = std::fs::File::create(fleet.file(n))
+            let file = std::fs::File::create(fleet.config_file(n))
                 .and_then(|mut f| f.write_all(config(n).to_string().as_bytes()));
             file.expect("a file");
             if let Some(settings) = settings {
@@ -160,7 +160,7 @@
         self.folder.path().join("disk")
     }
 
-    fn file(&self, n: usize) -> PathBuf {
+    fn config_file(&self, n: usize) -> PathBuf {
         self.folder.path().join(format!("{n}.json"))
     }
 
@@ -175,7 +175,7 @@
             command.arg("--settings").arg(self.settings_file(n));
         }
         command
-            .arg(self.file(n))
+            .arg(self.config_file(n))
             .stdin(Stdio::null())
             .stdout(Stdio::null());
         command
@@ -223,16 +223,19 @@
     }
 
     /// Sends some of them a signal.
-    pub fn signal(&self, which: impl IntoIterator<Item = usize>, signal: i32) {
-        for child in which.into_iter().filter_map(|n| self.processes[n].as_ref()) {
+    pub fn signal(&self, numbers: impl IntoIterator<Item = usize>, signal: i32) {
+        for child in numbers
+            .into_iter()
+            .filter_map(|n| self.processes[n].as_ref())
+        {
             // SAFETY: the call takes numbers alone; the process was begun here and has not been waited for.
             unsafe { libc::kill(child.id() as i32, signal) };
         }
     }
 
     /// Kills some outright and waits for their ends.
-    pub fn kill(&mut self, which: impl IntoIterator<Item = usize>) {
-        for n in which {
+    pub fn kill(&mut self, numbers: impl IntoIterator<Item = usize>) {
+        for n in numbers {
             if let Some(mut child) = self.processes[n].take() {
                 child
                     .kill()
@@ -243,8 +246,8 @@
     }
 
     /// Starts some anew that were killed, with the same configuration.
-    pub fn restart(&mut self, which: impl IntoIterator<Item = usize>) {
-        for n in which {
+    pub fn restart(&mut self, numbers: impl IntoIterator<Item = usize>) {
+        for n in numbers {
             if self.processes[n].is_none() {
                 self.processes[n] = Some(self.spawn(n));
                 self.starts[n] += 1;
@@ -279,16 +282,16 @@
 
     /// Those that have ended by themselves, each with its log.
     pub fn exited(&mut self) -> Vec<(usize, String)> {
-        let mut dead = Vec::new();
+        let mut exited = Vec::new();
         for (n, child) in self.processes.iter_mut().enumerate() {
             if child
                 .as_mut()
                 .is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
             {
-                dead.push(n);
+                exited.push(n);
             }
         }
-        dead.into_iter().map(|n| (n, self.log(n))).collect()
+        exited.into_iter().map(|n| (n, self.log(n))).collect()
     }
 }
 
--- a/rig/src/invariants.rs
+++ b/rig/src/invariants.rs
@@ -12,7 +12,7 @@
     /// From being told of a purge until nothing is answered from an older copy.
     pub purge: Duration,
     /// From a request until its final answer.
-    pub answer: Duration,
+    pub response: Duration,
     /// For how long the end of one attempt may come after the begin of the next, on different connections.
     pub overlap: Duration,
     /// A front that was killed knows what it was told before: it lies on its disk.
@@ -36,25 +36,25 @@
 struct Request {
     front: usize,
     at: Duration,
-    answers: u32,
+    responses: u32,
     /// The client no longer waits, or the front could not answer.
     excused: bool,
     /// Attempts at nodes that have not ended.
-    out: Vec<u32>,
-    ran: u32,
+    outstanding: Vec<u32>,
+    executions: u32,
 }
 
 /// What a front was told, with the moment since which it counts.
 #[derive(Default)]
 struct Front {
-    deaf: bool,
+    feed_impaired: bool,
     stopped: bool,
     nodes: HashMap<u32, (State, Duration)>,
     purges: HashMap<u64, (u64, Duration)>,
 }
 
 impl Front {
-    fn free(&mut self, now: Duration) {
+    fn restart_grace(&mut self, now: Duration) {
         // What was told meanwhile is heard from now on.
         self.nodes.values_mut().for_each(|told| told.1 = now);
         self.purges.values_mut().for_each(|told| told.1 = now);
@@ -71,16 +71,16 @@
     let mut fronts: HashMap<usize, Front> = HashMap::new();
     let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
     let mut open: BTreeSet<u64> = BTreeSet::new();
-    let mut veiled: BTreeSet<(u32, usize)> = BTreeSet::new();
+    let mut impaired: BTreeSet<(u32, usize)> = BTreeSet::new();
     // When each could be reached again: what was held comes then.
-    let mut cleared: HashMap<u32, Duration> = HashMap::new();
+    let mut restored: HashMap<u32, Duration> = HashMap::new();
     // Copies that must be newer: by request and node.
-    let mut newer: HashMap<(u64, u32), u64> = HashMap::new();
+    let mut required_creation: HashMap<(u64, u32), u64> = HashMap::new();
     // Earlier attempts that are still out though another has begun, and since when.
-    let mut doubts: HashMap<(u64, u32), Duration> = HashMap::new();
+    let mut superseded: HashMap<(u64, u32), Duration> = HashMap::new();
     for (now, seen) in history {
         let now = *now;
-        let mut breach = |rule, txn, text| {
+        let mut report = |rule, txn, text| {
             found.push(Violation {
                 at: now,
                 rule,
@@ -111,7 +111,7 @@
                 let told = fronts.entry(front).or_default();
                 if killed && !limits.lists_on_disk {
                     *told = Front {
-                        deaf: told.deaf,
+                        feed_impaired: told.feed_impaired,
                         ..Front::default()
                     };
                 }
@@ -125,18 +125,20 @@
                 let told = fronts.entry(front).or_default();
                 match seen {
                     Observation::Resumed(_) => told.stopped = false,
-                    _ => told.deaf = false,
+                    _ => told.feed_impaired = false,
                 }
-                told.free(now);
+                told.restart_grace(now);
             }
-            Observation::FeedImpaired(front) => fronts.entry(front).or_default().deaf = true,
-            Observation::NodeImpaired(node, by) => drop(veiled.insert((node, by))),
+            Observation::FeedImpaired(front) => {
+                fronts.entry(front).or_default().feed_impaired = true
+            }
+            Observation::NodeImpaired(node, by) => drop(impaired.insert((node, by))),
             Observation::NodeRestored(node, by) => {
-                if veiled.remove(&(node, by)) {
-                    cleared.insert(node, now);
+                if impaired.remove(&(node, by)) {
+                    restored.insert(node, now);
                 }
                 // What could not be made known in time is nobody's fault.
-                doubts.retain(|(_, at), _| *at != node);
+                superseded.retain(|(_, at), _| *at != node);
             }
             Observation::ClientRequest { front, txn } => {
                 let excused = fronts.get(&front).is_some_and(|f| f.stopped);
@@ -153,28 +155,28 @@
             }
             Observation::ClientResponse(front, txn, _) => {
                 let Some(request) = requests.get_mut(&txn) else {
-                    breach(
+                    report(
                         "answer",
                         txn,
                         format!("front {front} answered {txn:x}, which nobody asked"),
                     );
                     continue;
                 };
-                request.answers += 1;
+                request.responses += 1;
                 open.remove(&txn);
                 // Nobody waits for what is still out: its node is to hear of it.
-                for node in &request.out {
-                    doubts.entry((txn, *node)).or_insert(now);
+                for node in &request.outstanding {
+                    superseded.entry((txn, *node)).or_insert(now);
                 }
-                if request.answers > 1 {
-                    breach(
+                if request.responses > 1 {
+                    report(
                         "answer",
                         txn,
-                        format!("front {front} answered {txn:x} {} times", request.answers),
+                        format!("front {front} answered {txn:x} {} times", request.responses),
                     );
-                } else if now > request.at + limits.answer && !request.excused {
+                } else if now > request.at + limits.response && !request.excused {
                     let took = now - request.at;
-                    breach(
+                    report(
                         "answer",
                         txn,
                         format!("front {front} answered {txn:x} after {took:?}"),
@@ -188,7 +190,7 @@
                 };
                 if !request.excused {
                     let took = now - request.at;
-                    breach(
+                    report(
                         "answer",
                         txn,
                         format!(
@@ -206,23 +208,24 @@
                 ..
             } => {
                 let Some(request) = requests.get_mut(&txn) else {
-                    breach(
+                    report(
                         "asked",
                         txn,
                         format!("{node:x} was sent {txn:x}, which nobody asked"),
                     );
                     continue;
                 };
-                for other in &request.out {
-                    doubts.entry((txn, *other)).or_insert(now);
+                for other in &request.outstanding {
+                    superseded.entry((txn, *other)).or_insert(now);
                 }
-                request.out.push(node);
-                let held = veiled.iter().any(|(at, _)| *at == node)
-                    || cleared
+                request.outstanding.push(node);
+                let recently_impaired = impaired.iter().any(|(at, _)| *at == node)
+                    || restored
                         .get(&node)
                         .is_some_and(|at| now < *at + limits.overlap);
-                let free = |front: &&Front| !front.deaf && !front.stopped && !held;
-                let Some(front) = fronts.get(&request.front).filter(free) else {
+                let reachable =
+                    |front: &&Front| !front.feed_impaired && !front.stopped && !recently_impaired;
+                let Some(front) = fronts.get(&request.front).filter(reachable) else {
                     continue;
                 };
                 for at in [node, source] {
@@ -234,7 +237,7 @@
                             } else {
                                 "named as source for"
                             };
-                            breach(
+                            report(
                                 "drain",
                                 txn,
                                 format!("front {by}: {at:x} was {how} {txn:x} {late:?} after"),
@@ -244,18 +247,21 @@
                 }
                 if let Some((at_ms, since)) = front.purges.get(&item) {
                     if now > *since + limits.purge {
-                        newer.insert((txn, node), *at_ms);
+                        required_creation.insert((txn, node), *at_ms);
                     }
                 }
             }
             Observation::Executed(txn) => {
                 let request = requests.entry(txn).or_default();
-                request.ran += 1;
-                if request.ran > 1 {
-                    breach(
+                request.executions += 1;
+                if request.executions > 1 {
+                    report(
                         "twice",
                         txn,
-                        format!("front {}: {txn:x} ran {} times", request.front, request.ran),
+                        format!(
+                            "front {}: {txn:x} ran {} times",
+                            request.front, request.executions
+                        ),
                     );
                 }
             }
@@ -263,16 +269,16 @@
             | Observation::ConnectionLost(node, txn)
             | Observation::Responded(node, txn, _) => {
                 if let Some(request) = requests.get_mut(&txn) {
-                    if let Some(place) = request.out.iter().position(|at| *at == node) {
-                        request.out.swap_remove(place);
+                    if let Some(index) = request.outstanding.iter().position(|at| *at == node) {
+                        request.outstanding.swap_remove(index);
                     }
                     let front = request.front;
-                    let hindered = fronts.get(&front).is_some_and(|f| f.stopped)
-                        || veiled.iter().any(|(at, _)| *at == node);
-                    if let Some(since) = doubts.remove(&(txn, node)) {
-                        if now > since + limits.overlap && !hindered {
+                    let excused = fronts.get(&front).is_some_and(|f| f.stopped)
+                        || impaired.iter().any(|(at, _)| *at == node);
+                    if let Some(since) = superseded.remove(&(txn, node)) {
+                        if now > since + limits.overlap && !excused {
                             let most = now - since;
-                            breach(
+                            report(
                                 "overlap",
                                 txn,
                                 format!(
@@ -282,12 +288,12 @@
                         }
                     }
                 }
-                if let (Observation::Responded(_, _, born), Some(at_ms)) =
-                    (*seen, newer.remove(&(txn, node)))
+                if let (Observation::Responded(_, _, created_ms), Some(at_ms)) =
+                    (*seen, required_creation.remove(&(txn, node)))
                 {
-                    if born > 0 && born < at_ms {
-                        let age = at_ms - born;
-                        breach(
+                    if created_ms > 0 && created_ms < at_ms {
+                        let age = at_ms - created_ms;
+                        report(
                             "purge",
                             txn,
                             format!("{node:x} answered {txn:x} {age} ms older than the purge"),
@@ -299,8 +305,8 @@
         }
     }
     let end = history.last().map_or(Duration::ZERO, |last| last.0);
-    for ((txn, node), since) in doubts {
-        if end > since + limits.overlap && veiled.iter().all(|(at, _)| *at != node) {
+    for ((txn, node), since) in superseded {
+        if end > since + limits.overlap && impaired.iter().all(|(at, _)| *at != node) {
             let text = format!(
                 "{txn:x} was still out at {node:x} though another had begun or it was answered"
             );
@@ -314,7 +320,7 @@
     }
     for txn in open {
         let request = &requests[&txn];
-        if end > request.at + limits.answer && !request.excused {
+        if end > request.at + limits.response && !request.excused {
             let text = format!("front {} never answered {txn:x}", request.front);
             found.push(Violation {
                 at: request.at,
@@ -324,7 +330,7 @@
             });
         }
     }
-    found.sort_by_key(|breach| breach.at);
+    found.sort_by_key(|violation| violation.at);
     found
 }
 
@@ -332,23 +338,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUpLimits {
     /// Share of its capacity with which it starts, and how long it takes to have all of it.
-    pub from: f64,
+    pub initial_fraction: f64,
     /// See above.
-    pub warm_in: Duration,
+    pub warm_up: Duration,
     /// It falls when it is sent more than this many times what it can do, for this long.
-    pub multiple: f64,
+    pub overload_factor: f64,
     /// See above.
-    pub span: Duration,
+    pub overload_window: Duration,
     /// What one request takes of one of its places.
-    pub work: Duration,
+    pub request_cost: Duration,
 }
 
 impl WarmUpLimits {
     /// Requests that a node of so many places bears within the span, which ends so long after its start.
-    fn bears(&self, weight: u32, age: Duration) -> f64 {
-        let warm = (age.as_secs_f64() / self.warm_in.as_secs_f64()).min(1.0);
-        let places = f64::from(weight) * (self.from + (1.0 - self.from) * warm);
-        let n = self.multiple * places * self.span.as_secs_f64() / self.work.as_secs_f64();
+    fn max_requests(&self, weight: u32, age: Duration) -> f64 {
+        let warm = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
+        let indexes =
+            f64::from(weight) * (self.initial_fraction + (1.0 - self.initial_fraction) * warm);
+        let n = self.overload_factor * indexes * self.overload_window.as_secs_f64()
+            / self.request_cost.as_secs_f64();
         n + 3.0 * n.sqrt() + 3.0
     }
 }
@@ -357,7 +365,7 @@
 pub fn warm_up_violations<'a>(
     history: &[(Duration, Observation)],
     event: impl Fn(u64) -> Option<&'a Event>,
-    cold: &WarmUpLimits,
+    limits: &WarmUpLimits,
 ) -> Vec<Violation> {
     let mut found = Vec::new();
     // By node: its size, the start that it is listed with, when that was first told, who knows, and what came from them.
@@ -390,24 +398,27 @@
             }
             Observation::Attempt { node: id, txn, .. } => {
                 let front = (txn >> 40) as usize;
-                let Some((weight, _, since, knows, sent)) = started.get_mut(&id) else {
+                let Some((weight, _, since, informed, sent)) = started.get_mut(&id) else {
                     continue;
                 };
                 if !front
                     .checked_sub(1)
-                    .is_some_and(|front| knows.contains(&front))
+                    .is_some_and(|front| informed.contains(&front))
                 {
                     continue;
                 }
                 sent.push_back(*now);
-                while sent.front().is_some_and(|at| *at + cold.span < *now) {
+                while sent
+                    .front()
+                    .is_some_and(|at| *at + limits.overload_window < *now)
+                {
                     sent.pop_front();
                 }
                 let (age, count) = (*now - *since, sent.len());
-                if age < cold.warm_in && count as f64 > cold.bears(*weight, age) {
+                if age < limits.warm_up && count as f64 > limits.max_requests(*weight, age) {
                     let text = format!(
                         "{id:x} was sent {count} in {:?}, {age:?} after its start",
-                        cold.span
+                        limits.overload_window
                     );
                     found.push(Violation {
                         at: *now,
@@ -425,26 +436,26 @@
 }
 
 /// What was seen of the request of a breach, and of faults from a second before it on, for who reads why.
-pub fn context(history: &[(Duration, Observation)], breach: &Violation) -> String {
+pub fn context(history: &[(Duration, Observation)], violation: &Violation) -> String {
     let (from, to) = (
-        breach.at.saturating_sub(Duration::from_secs(1)),
-        breach.at + Duration::from_millis(100),
+        violation.at.saturating_sub(Duration::from_secs(1)),
+        violation.at + Duration::from_millis(100),
     );
     let front = history.iter().find_map(|(_, seen)| match *seen {
-        Observation::ClientRequest { front, txn } if txn == breach.txn => Some(front),
+        Observation::ClientRequest { front, txn } if txn == violation.txn => Some(front),
         _ => None,
     });
-    let of_it = |seen: &Observation| match *seen {
+    let related = |seen: &Observation| match *seen {
         Observation::EventSent(to, _) => (Some(to) != front).then_some(false),
         Observation::Attempt { txn, .. } | Observation::ClientRequest { txn, .. } => {
-            Some(txn == breach.txn)
+            Some(txn == violation.txn)
         }
         Observation::Executed(txn)
         | Observation::Aborted(_, txn)
         | Observation::ConnectionLost(_, txn)
-        | Observation::Responded(_, txn, _) => Some(txn == breach.txn),
+        | Observation::Responded(_, txn, _) => Some(txn == violation.txn),
         Observation::ClientResponse(_, txn, _) | Observation::ClientUnanswered(_, txn) => {
-            Some(txn == breach.txn)
+            Some(txn == violation.txn)
         }
         Observation::Call
         | Observation::Subscribed(_)
@@ -455,7 +466,7 @@
     };
     let shown = history
         .iter()
-        .filter(|(at, seen)| of_it(seen).unwrap_or_else(|| (from..to).contains(at)));
+        .filter(|(at, seen)| related(seen).unwrap_or_else(|| (from..to).contains(at)));
     shown
         .map(|(at, seen)| format!("{at:?} {seen:?}\n"))
         .collect()
--- a/rig/src/invariants/tests.rs
+++ b/rig/src/invariants/tests.rs
@@ -4,7 +4,7 @@
 const LIMITS: Limits = Limits {
     drain: Duration::from_millis(500),
     purge: Duration::from_millis(500),
-    answer: Duration::from_millis(1_000),
+    response: Duration::from_millis(1_000),
     overlap: Duration::from_millis(50),
     lists_on_disk: false,
 };
@@ -14,7 +14,7 @@
     Event::Nodes(
         false,
         vec![ListedNode {
-            place: 0,
+            index: 0,
             id: 7,
             state,
             zone: 1,
@@ -25,21 +25,21 @@
     )
 }
 
-fn found(script: &[(u64, Observation)]) -> Vec<&'static str> {
-    found_by(script, &LIMITS)
+fn violated_rules(script: &[(u64, Observation)]) -> Vec<&'static str> {
+    violated_rules_with(script, &LIMITS)
 }
 
-fn found_by(script: &[(u64, Observation)], limits: &Limits) -> Vec<&'static str> {
+fn violated_rules_with(script: &[(u64, Observation)], limits: &Limits) -> Vec<&'static str> {
     let history: Vec<_> = script
         .iter()
         .map(|(ms, seen)| (Duration::from_millis(*ms), *seen))
         .collect();
     let events = [drains(), Event::Purge(3, 1_000)];
     let all = violations(&history, |number| events.get(number as usize), limits);
-    all.iter().map(|breach| breach.rule).collect()
+    all.iter().map(|violation| violation.rule).collect()
 }
 
-fn sent(node: u32, txn: u64, source: u32) -> Observation {
+fn attempt(node: u32, txn: u64, source: u32) -> Observation {
     Observation::Attempt {
         node,
         txn,
@@ -52,7 +52,7 @@
 #[test]
 fn warm_up_overload_counts_only_fronts_informed_of_the_start() {
     let one = ListedNode {
-        place: 0,
+        index: 0,
         id: 7,
         state: State::Ready,
         zone: 1,
@@ -61,150 +61,155 @@
         started_ms: 5,
     };
     let event = Event::Nodes(false, vec![one]);
-    let (span, work) = (Duration::from_millis(1_500), Duration::from_millis(200));
-    let warm_in = Duration::from_secs(15);
-    let cold = WarmUpLimits {
-        from: 0.15,
-        warm_in,
-        multiple: 4.0,
-        span,
-        work,
+    let (overload_window, request_cost) =
+        (Duration::from_millis(1_500), Duration::from_millis(200));
+    let warm_up = Duration::from_secs(15);
+    let limits = WarmUpLimits {
+        initial_fraction: 0.15,
+        warm_up,
+        overload_factor: 4.0,
+        overload_window,
+        request_cost,
     };
     // 36 by what it can do, 57 with what chance allows.
-    let play = |told: usize, each_ms: u64, from_ms: u64| {
+    let count_violations = |told: usize, each_ms: u64, from_ms: u64| {
         let mut all = vec![(Duration::ZERO, Observation::EventSent(told, 0))];
         let sends = (0..200u64).map(|n| {
             (
                 Duration::from_millis(from_ms + n * each_ms),
-                sent(7, 1 << 40 | n, 0),
+                attempt(7, 1 << 40 | n, 0),
             )
         });
         all.extend(sends);
-        warm_up_violations(&all, |_| Some(&event), &cold).len()
+        warm_up_violations(&all, |_| Some(&event), &limits).len()
     };
-    assert_eq!(play(0, 50, 0), 0, "30 in the span");
-    assert!(play(0, 15, 0) > 0, "100 in the span");
-    assert_eq!(play(1, 15, 0), 0, "by a front that was not told");
-    assert_eq!(play(0, 15, 14_000), 0, "it is all but warm");
+    assert_eq!(count_violations(0, 50, 0), 0, "30 in the span");
+    assert!(count_violations(0, 15, 0) > 0, "100 in the span");
+    assert_eq!(
+        count_violations(1, 15, 0),
+        0,
+        "by a front that was not told"
+    );
+    assert_eq!(count_violations(0, 15, 14_000), 0, "it is all but warm");
 }
 
-const ASKED: Observation = Observation::ClientRequest { front: 0, txn: 1 };
-const ANSWERED: Observation = Observation::ClientResponse(0, 1, 1);
+const REQUEST: Observation = Observation::ClientRequest { front: 0, txn: 1 };
+const RESPONSE: Observation = Observation::ClientResponse(0, 1, 1);
 
 #[test]
 fn each_invariant_is_checked_for_violation_and_compliance() {
     let kept: [&[(u64, Observation)]; 8] = [
         &[
-            (0, ASKED),
-            (1, sent(7, 1, 0)),
+            (0, REQUEST),
+            (1, attempt(7, 1, 0)),
             (2, Observation::Responded(7, 1, 5)),
-            (3, ANSWERED),
+            (3, RESPONSE),
             (4_000, Observation::ModeChanged),
         ],
         // A front that was killed answers nothing, one that was stopped answers late.
         &[
-            (0, ASKED),
+            (0, REQUEST),
             (9, Observation::Killed(0)),
             (9, Observation::ClientUnanswered(0, 1)),
             (4_000, Observation::ModeChanged),
         ],
         &[
-            (0, ASKED),
+            (0, REQUEST),
             (9, Observation::Stopped(0)),
             (3_000, Observation::Resumed(0)),
-            (3_001, ANSWERED),
+            (3_001, RESPONSE),
         ],
         // Told and heeded; told to one that does not hear.
         &[
             (0, Observation::EventSent(0, 0)),
-            (400, ASKED),
-            (499, sent(7, 1, 0)),
+            (400, REQUEST),
+            (499, attempt(7, 1, 0)),
             (500, Observation::Responded(7, 1, 5)),
-            (501, ANSWERED),
+            (501, RESPONSE),
         ],
         &[
             (0, Observation::FeedImpaired(0)),
             (0, Observation::EventSent(0, 0)),
-            (900, ASKED),
-            (999, sent(7, 1, 0)),
-            (1_000, ANSWERED),
+            (900, REQUEST),
+            (999, attempt(7, 1, 0)),
+            (1_000, RESPONSE),
         ],
         // A restart knows nothing of what was told before.
         &[
             (0, Observation::EventSent(0, 0)),
             (9, Observation::Killed(0)),
-            (900, ASKED),
-            (999, sent(7, 1, 0)),
-            (1_000, ANSWERED),
+            (900, REQUEST),
+            (999, attempt(7, 1, 0)),
+            (1_000, RESPONSE),
         ],
         // Given up and sent again, which is seen a little later; or never, where the node reads nothing.
         &[
-            (0, ASKED),
-            (1, sent(7, 1, 0)),
-            (5, sent(8, 1, 0)),
+            (0, REQUEST),
+            (1, attempt(7, 1, 0)),
+            (5, attempt(8, 1, 0)),
             (30, Observation::Aborted(7, 1)),
-            (31, ANSWERED),
+            (31, RESPONSE),
         ],
         &[
-            (0, ASKED),
+            (0, REQUEST),
             (1, Observation::NodeImpaired(7, 0)),
-            (1, sent(7, 1, 0)),
-            (5, sent(8, 1, 0)),
+            (1, attempt(7, 1, 0)),
+            (5, attempt(8, 1, 0)),
             (30, Observation::Responded(8, 1, 5)),
-            (31, ANSWERED),
+            (31, RESPONSE),
             (3_000, Observation::NodeRestored(7, 0)),
             (3_001, Observation::Aborted(7, 1)),
         ],
     ];
     for script in kept {
-        assert!(found(script).is_empty(), "{script:?}");
+        assert!(violated_rules(script).is_empty(), "{script:?}");
     }
     let broken: [(&str, &[(u64, Observation)]); 13] = [
-        ("answer", &[(0, ASKED), (4_000, Observation::ModeChanged)]),
-        ("answer", &[(0, ASKED), (1_001, ANSWERED)]),
-        ("answer", &[(0, ASKED), (10, ANSWERED), (11, ANSWERED)]),
-        ("answer", &[(0, ANSWERED)]),
+        ("answer", &[(0, REQUEST), (4_000, Observation::ModeChanged)]),
+        ("answer", &[(0, REQUEST), (1_001, RESPONSE)]),
+        ("answer", &[(0, REQUEST), (10, RESPONSE), (11, RESPONSE)]),
+        ("answer", &[(0, RESPONSE)]),
         (
             "answer",
-            &[(0, ASKED), (1_200, Observation::ClientUnanswered(0, 1))],
+            &[(0, REQUEST), (1_200, Observation::ClientUnanswered(0, 1))],
         ),
-        ("asked", &[(0, sent(7, 1, 0))]),
+        ("asked", &[(0, attempt(7, 1, 0))]),
         (
             "twice",
             &[
-                (0, ASKED),
+                (0, REQUEST),
                 (1, Observation::Executed(1)),
                 (2, Observation::Executed(1)),
-                (3, ANSWERED),
+                (3, RESPONSE),
             ],
         ),
         (
             "overlap",
             &[
-                (0, ASKED),
-                (1, sent(7, 1, 0)),
-                (5, sent(8, 1, 0)),
+                (0, REQUEST),
+                (1, attempt(7, 1, 0)),
+                (5, attempt(8, 1, 0)),
                 (90, Observation::Aborted(7, 1)),
-                (91, ANSWERED),
+                (91, RESPONSE),
             ],
         ),
         (
             "overlap",
             &[
-                (0, ASKED),
-                (1, sent(7, 1, 0)),
-                (5, sent(8, 1, 0)),
+                (0, REQUEST),
+                (1, attempt(7, 1, 0)),
+                (5, attempt(8, 1, 0)),
                 (6, Observation::Responded(8, 1, 5)),
-                (6, ANSWERED),
+                (6, RESPONSE),
                 (900, Observation::ModeChanged),
             ],
         ),
         (
             "overlap",
             &[
-                (0, ASKED),
-                (1, sent(7, 1, 0)),
-                (2, ANSWERED),
+                (0, REQUEST),
+                (1, attempt(7, 1, 0)),
+                (2, RESPONSE),
                 (90, Observation::ModeChanged),
             ],
         ),
@@ -212,60 +217,63 @@
             "drain",
             &[
                 (0, Observation::EventSent(0, 0)),
-                (400, ASKED),
-                (501, sent(7, 1, 0)),
-                (502, ANSWERED),
+                (400, REQUEST),
+                (501, attempt(7, 1, 0)),
+                (502, RESPONSE),
             ],
         ),
         (
             "drain",
             &[
                 (0, Observation::EventSent(0, 0)),
-                (400, ASKED),
-                (501, sent(8, 1, 7)),
-                (502, ANSWERED),
+                (400, REQUEST),
+                (501, attempt(8, 1, 7)),
+                (502, RESPONSE),
             ],
         ),
         (
             "purge",
             &[
                 (0, Observation::EventSent(0, 1)),
-                (501, ASKED),
-                (502, sent(8, 1, 0)),
+                (501, REQUEST),
+                (502, attempt(8, 1, 0)),
                 (503, Observation::Responded(8, 1, 999)),
-                (504, ANSWERED),
+                (504, RESPONSE),
             ],
         ),
     ];
     for (rule, script) in broken {
-        assert_eq!(found(script), [rule], "{script:?}");
+        assert_eq!(violated_rules(script), [rule], "{script:?}");
     }
     // One that hears again is held to it from then on.
     let late = [
         (0, Observation::FeedImpaired(0)),
         (0, Observation::EventSent(0, 0)),
         (900, Observation::FeedRestored(0)),
-        (1_390, ASKED),
-        (1_399, sent(7, 1, 0)),
-        (1_401, sent(7, 1, 0)),
-        (1_402, ANSWERED),
+        (1_390, REQUEST),
+        (1_399, attempt(7, 1, 0)),
+        (1_401, attempt(7, 1, 0)),
+        (1_402, RESPONSE),
     ];
-    assert_eq!(found(&late), ["drain"]);
+    assert_eq!(violated_rules(&late), ["drain"]);
     // One that has it on disk is held to what it was told before it was killed.
     let script = [
         (0, Observation::EventSent(0, 0)),
         (9, Observation::Killed(0)),
         (10, Observation::Resumed(0)),
-        (900, ASKED),
-        (901, sent(7, 1, 0)),
-        (902, ANSWERED),
+        (900, REQUEST),
+        (901, attempt(7, 1, 0)),
+        (902, RESPONSE),
     ];
     let lists_on_disk = Limits {
         lists_on_disk: true,
         ..LIMITS
     };
     assert_eq!(
-        (found(&script), found_by(&script, &lists_on_disk)),
+        (
+            violated_rules(&script),
+            violated_rules_with(&script, &lists_on_disk)
+        ),
         (vec![], vec!["drain"])
     );
     // What a link held comes once it heals; what comes later than that was written later.
@@ -273,15 +281,15 @@
         [
             (0, Observation::EventSent(0, 0)),
             (1, Observation::NodeImpaired(7, 0)),
-            (400, ASKED),
+            (400, REQUEST),
             (800, Observation::NodeRestored(7, 0)),
-            (at, sent(7, 1, 0)),
+            (at, attempt(7, 1, 0)),
             (at, Observation::Responded(7, 1, 5)),
-            (at, ANSWERED),
+            (at, RESPONSE),
         ]
     };
     assert_eq!(
-        (found(&script(801)), found(&script(851))),
+        (violated_rules(&script(801)), violated_rules(&script(851))),
         (vec![], vec!["drain"])
     );
 }
--- a/rig/src/link.rs
+++ b/rig/src/link.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// How often a relay looks whether the test has said something else.
-const TURN: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Bytes that one read takes at most.
 const CHUNK: usize = 16 * 1024;
 
@@ -30,10 +30,10 @@
 
 /// The two directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Ways {
+struct Directions {
     /// From who called to who was called.
-    there: Transmission,
-    back: Transmission,
+    forward: Transmission,
+    backward: Transmission,
 }
 
 /// A link to one address. Who is to use it is given its own address in that one's place.
@@ -45,12 +45,12 @@
 
 struct Shared {
     to: SocketAddr,
-    ways: Mutex<Ways>,
+    directions: Mutex<Directions>,
     /// Nobody listens.
-    refuses: AtomicBool,
-    over: AtomicBool,
+    refusing: AtomicBool,
+    stop: AtomicBool,
     /// Connections of an older age are reset.
-    age: AtomicU64,
+    generation: AtomicU64,
 }
 
 impl Link {
@@ -58,30 +58,31 @@
     pub fn new(to: SocketAddr) -> Self {
         let listener = TcpListener::bind(crate::unique_address()).expect("a port");
         let address = listener.local_addr().expect("bound");
-        let ways = Mutex::new(Ways {
-            there: Transmission::Pass,
-            back: Transmission::Pass,
+        let directions = Mutex::new(Directions {
+            forward: Transmission::Pass,
+            backward: Transmission::Pass,
         });
-        let (refuses, over, age) = (
+        let (refusing, stop, generation) = (
             AtomicBool::new(false),
             AtomicBool::new(false),
             AtomicU64::new(0),
         );
         let shared = Arc::new(Shared {
             to,
-            ways,
-            refuses,
-            over,
-            age,
+            directions,
+            refusing,
+            stop,
+            generation,
         });
-        let own = Arc::clone(&shared);
-        thread::spawn(move || listen(listener, address, &own));
+        let thread_shared = Arc::clone(&shared);
+        thread::spawn(move || listen(listener, address, &thread_shared));
         Link { address, shared }
     }
 
     /// From now on each direction does this: `there` from who called to who was called, `back` the other way.
-    pub fn set(&self, there: Transmission, back: Transmission) {
-        *self.shared.ways.lock().expect("no holder panics") = Ways { there, back };
+    pub fn set(&self, forward: Transmission, backward: Transmission) {
+        *self.shared.directions.lock().expect("no holder panics") =
+            Directions { forward, backward };
     }
 
     /// Both directions pass again, and calls are accepted.
@@ -92,40 +93,40 @@
 
     /// Resets all connections that are open.
     pub fn reset(&self) {
-        self.shared.age.fetch_add(1, Ordering::SeqCst);
+        self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Calls are refused from now on, or no longer. Open connections stay.
-    pub fn refuse(&self, refuses: bool) {
-        self.shared.refuses.store(refuses, Ordering::SeqCst);
+    pub fn refuse(&self, refusing: bool) {
+        self.shared.refusing.store(refusing, Ordering::SeqCst);
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
+        self.shared.stop.store(true, Ordering::SeqCst);
     }
 }
 
 fn listen(first: TcpListener, address: SocketAddr, shared: &Arc<Shared>) {
     let mut listener = Some(first);
-    while !shared.over.load(Ordering::SeqCst) {
-        if shared.refuses.load(Ordering::SeqCst) {
+    while !shared.stop.load(Ordering::SeqCst) {
+        if shared.refusing.load(Ordering::SeqCst) {
             listener = None;
-            thread::sleep(TURN);
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let Some(here) = listener.as_ref() else {
+        let Some(socket) = listener.as_ref() else {
             listener = TcpListener::bind(address).ok();
             continue;
         };
-        here.set_nonblocking(true).expect("a socket");
-        match here.accept() {
+        socket.set_nonblocking(true).expect("a socket");
+        match socket.accept() {
             Ok((caller, _)) => {
                 let shared = Arc::clone(shared);
                 thread::spawn(move || relay(caller, &shared));
             }
-            Err(_) => thread::sleep(TURN),
+            Err(_) => thread::sleep(POLL_INTERVAL),
         }
     }
 }
@@ -136,21 +137,21 @@
     let Ok(called) = TcpStream::connect(shared.to) else {
         return reset(&caller);
     };
-    let age = shared.age.load(Ordering::SeqCst);
-    let pump = |from: &TcpStream, to: &TcpStream, there: bool| {
+    let generation = shared.generation.load(Ordering::SeqCst);
+    let spawn_direction = |from: &TcpStream, to: &TcpStream, forward: bool| {
         let (Ok(from), Ok(to), shared) = (from.try_clone(), to.try_clone(), Arc::clone(shared))
         else {
             return;
         };
         thread::spawn(move || {
-            if pass(&from, &to, there, age, &shared).is_err() {
+            if relay_direction(&from, &to, forward, generation, &shared).is_err() {
                 reset(&from);
                 reset(&to);
             }
         });
     };
-    pump(&caller, &called, true);
-    pump(&called, &caller, false);
+    spawn_direction(&caller, &called, true);
+    spawn_direction(&called, &caller, false);
 }
 
 fn reset(socket: &TcpStream) {
@@ -160,47 +161,48 @@
 }
 
 /// Passes bytes one way. An error: the connection is to be reset.
-fn pass(
+fn relay_direction(
     mut from: &TcpStream,
     mut to: &TcpStream,
-    there: bool,
-    age: u64,
+    forward: bool,
+    generation: u64,
     shared: &Shared,
 ) -> io::Result<()> {
     from.set_nonblocking(false)?;
     to.set_nonblocking(false)?;
-    from.set_read_timeout(Some(TURN))?;
+    from.set_read_timeout(Some(POLL_INTERVAL))?;
     let mut chunk = vec![0; CHUNK];
-    let goes_on = || {
-        let over = shared.over.load(Ordering::SeqCst) || shared.age.load(Ordering::SeqCst) != age;
-        if over {
+    let check_open = || {
+        let stop = shared.stop.load(Ordering::SeqCst)
+            || shared.generation.load(Ordering::SeqCst) != generation;
+        if stop {
             Err(io::Error::from(io::ErrorKind::ConnectionReset))
         } else {
             Ok(())
         }
     };
-    let way = || {
-        let ways = *shared.ways.lock().expect("no holder panics");
-        if there {
-            ways.there
+    let transmission = || {
+        let directions = *shared.directions.lock().expect("no holder panics");
+        if forward {
+            directions.forward
         } else {
-            ways.back
+            directions.backward
         }
     };
     loop {
-        goes_on()?;
-        let now = way();
-        let most = match now {
+        check_open()?;
+        let now = transmission();
+        let max_bytes = match now {
             Transmission::Cut => {
-                thread::sleep(TURN);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
             Transmission::Throttle(rate) => {
-                ((rate as f64 * TURN.as_secs_f64()) as usize).clamp(1, CHUNK)
+                ((rate as f64 * POLL_INTERVAL.as_secs_f64()) as usize).clamp(1, CHUNK)
             }
             Transmission::Pass | Transmission::Delay(_) => CHUNK,
         };
-        let n = match from.read(&mut chunk[..most]) {
+        let n = match from.read(&mut chunk[..max_bytes]) {
             Ok(0) => return to.shutdown(Shutdown::Write),
             Ok(n) => n,
             Err(e)
@@ -216,18 +218,19 @@
         // The test may have said something else while this waited for bytes: what counts is what the link does once they are
         // here. What is not passed when it is cut is held.
         let now = loop {
-            match way() {
-                Transmission::Cut => thread::sleep(TURN),
+            match transmission() {
+                Transmission::Cut => thread::sleep(POLL_INTERVAL),
                 now => break now,
             }
-            goes_on()?;
+            check_open()?;
         };
         match now {
-            Transmission::Delay(span) => {
+            Transmission::Delay(delay) => {
                 // What comes behind waits as well, so all of it is late by this at least.
-                let due = Instant::now() + span;
-                while Instant::now() < due && shared.age.load(Ordering::SeqCst) == age {
-                    thread::sleep(TURN);
+                let due = Instant::now() + delay;
+                while Instant::now() < due && shared.generation.load(Ordering::SeqCst) == generation
+                {
+                    thread::sleep(POLL_INTERVAL);
                 }
             }
             Transmission::Throttle(rate) => {
--- a/rig/src/link/tests.rs
+++ b/rig/src/link/tests.rs
@@ -12,12 +12,12 @@
     (link, caller, called)
 }
 
-fn hears(mut socket: &TcpStream, text: &[u8]) -> bool {
+fn receives(mut socket: &TcpStream, text: &[u8]) -> bool {
     let mut got = vec![0; text.len()];
     socket.read_exact(&mut got).is_ok() && got == text
 }
 
-fn hears_nothing(mut socket: &TcpStream) -> bool {
+fn receives_nothing(mut socket: &TcpStream) -> bool {
     socket
         .set_read_timeout(Some(Duration::from_millis(150)))
         .unwrap();
@@ -31,17 +31,17 @@
 fn directions_are_cut_independently_and_held_bytes_are_delivered_after_healing() {
     let (link, mut caller, mut called) = pair();
     caller.write_all(b"one").unwrap();
-    assert!(hears(&called, b"one"));
+    assert!(receives(&called, b"one"));
     link.set(Transmission::Pass, Transmission::Cut);
     caller.write_all(b"two").unwrap();
     called.write_all(b"held").unwrap();
-    assert!(hears(&called, b"two") && hears_nothing(&caller));
+    assert!(receives(&called, b"two") && receives_nothing(&caller));
     link.set(Transmission::Cut, Transmission::Pass);
-    assert!(hears(&caller, b"held"), "nothing is lost, it is late");
+    assert!(receives(&caller, b"held"), "nothing is lost, it is late");
     caller.write_all(b"three").unwrap();
-    assert!(hears_nothing(&called));
+    assert!(receives_nothing(&called));
     link.heal();
-    assert!(hears(&called, b"three"));
+    assert!(receives(&called, b"three"));
 }
 
 #[test]
@@ -52,9 +52,9 @@
     while TcpStream::connect(link.address).is_ok() {
         assert!(Instant::now() < until, "calls are still accepted");
     }
-    assert!(hears_nothing(&caller), "what is open stays");
+    assert!(receives_nothing(&caller), "what is open stays");
     link.reset();
-    assert!(!hears(&caller, b"x") && !hears(&called, b"x"));
+    assert!(!receives(&caller, b"x") && !receives(&called, b"x"));
     link.heal();
     while TcpStream::connect(link.address).is_err() {
         assert!(Instant::now() < until, "calls are still refused");
@@ -66,18 +66,18 @@
     let (link, mut caller, called) = pair();
     // A relay that waits for bytes as the way is set is what the wait before gives time for.
     caller.write_all(b"x").unwrap();
-    assert!(hears(&called, b"x"));
-    for way in [
+    assert!(receives(&called, b"x"));
+    for transmission in [
         Transmission::Delay(Duration::from_millis(300)),
         Transmission::Throttle(1_000),
     ] {
-        link.set(way, Transmission::Pass);
+        link.set(transmission, Transmission::Pass);
         let began = Instant::now();
         caller.write_all(&[7; 300]).unwrap();
-        assert!(hears(&called, &[7; 300]));
+        assert!(receives(&called, &[7; 300]));
         assert!(
             began.elapsed() >= Duration::from_millis(250),
-            "{way:?}: {:?}",
+            "{transmission:?}: {:?}",
             began.elapsed()
         );
     }
--- a/rig/src/list_event.rs
+++ b/rig/src/list_event.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedNode {
     /// Its place among the nodes.
-    pub place: usize,
+    pub index: usize,
     /// Its id.
     pub id: u32,
     /// What it is listed as.
@@ -47,7 +47,7 @@
         let kind = match self {
             Event::Nodes(whole, listed) => {
                 for one in listed {
-                    let SocketAddr::V4(at) = addresses[one.place] else {
+                    let SocketAddr::V4(at) = addresses[one.index] else {
                         unreachable!("the rig is on IPv4")
                     };
                     let state = match one.state {
--- a/rig/src/list_service.rs
+++ b/rig/src/list_service.rs
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 
 /// How often the service looks whether the test has said something else.
-const TURN: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often it sends an empty frame.
-const FRAME: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause between two bytes of one that answers by the byte.
-const BYTE: Duration = Duration::from_millis(30);
+const BYTE_INTERVAL: Duration = Duration::from_millis(30);
 /// The number of the first event that the service tells; a front's configuration holds the one before.
-pub const FIRST: u64 = 2;
+pub const FIRST_EVENT: u64 = 2;
 
 /// What the service does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 }
 
 /// Events, and under which addresses each front's fronts reach the nodes.
-type Told = Arc<Mutex<(Vec<Event>, Vec<Vec<SocketAddr>>)>>;
+type Published = Arc<Mutex<(Vec<Event>, Vec<Vec<SocketAddr>>)>>;
 
 /// A list service that the test holds in its hand. Connections that were served are closed when it stops serving. Each front
 /// calls at a front of its own, so that the history says who was told.
@@ -46,14 +46,14 @@
     pub address: SocketAddr,
     /// All addresses.
     pub addresses: Vec<SocketAddr>,
-    hand: Hand,
+    shared: Shared,
 }
 
 #[derive(Clone)]
-struct Hand {
+struct Shared {
     mode: Arc<Mutex<ServiceMode>>,
-    over: Arc<AtomicBool>,
-    told: Told,
+    stop: Arc<AtomicBool>,
+    published: Published,
     history: History,
 }
 
@@ -77,83 +77,93 @@
             .iter()
             .map(|l| l.local_addr().expect("bound"))
             .collect();
-        let (mode, over) = (Arc::new(Mutex::new(mode)), Arc::new(AtomicBool::new(false)));
-        let told = Arc::new(Mutex::new((Vec::new(), node_addresses)));
-        let hand = Hand {
+        let (mode, stop) = (Arc::new(Mutex::new(mode)), Arc::new(AtomicBool::new(false)));
+        let published = Arc::new(Mutex::new((Vec::new(), node_addresses)));
+        let shared = Shared {
             mode,
-            over,
-            told,
+            stop,
+            published,
             history: history.clone(),
         };
-        let (own, at) = (hand.clone(), addresses.clone());
+        let (own, at) = (shared.clone(), addresses.clone());
         thread::spawn(move || listen(listeners, &at, &own));
         ListService {
             address: addresses[0],
             addresses,
-            hand,
+            shared,
         }
     }
 
     /// From now on it does this.
     pub fn set(&self, mode: ServiceMode) {
-        *self.hand.mode.lock().expect("no holder panics") = mode;
-        self.hand.history.record(Observation::ModeChanged);
+        *self.shared.mode.lock().expect("no holder panics") = mode;
+        self.shared.history.record(Observation::ModeChanged);
     }
 
     /// Has one more event to tell; its number.
     pub fn publish(&self, event: Event) -> u64 {
-        let events = &mut self.hand.told.lock().expect("no holder panics").0;
+        let events = &mut self.shared.published.lock().expect("no holder panics").0;
         events.push(event);
-        FIRST + events.len() as u64 - 1
+        FIRST_EVENT + events.len() as u64 - 1
     }
 
     /// The service begins anew: it holds no event, and numbers begin with the first. Who is connected is closed with
     /// the next change of mode.
     pub fn clear_events(&self) {
-        self.hand.told.lock().expect("no holder panics").0.clear();
+        self.shared
+            .published
+            .lock()
+            .expect("no holder panics")
+            .0
+            .clear();
     }
 
     /// All that it has told or would tell, from its first event on.
     pub fn events(&self) -> Vec<Event> {
-        self.hand.told.lock().expect("no holder panics").0.clone()
+        self.shared
+            .published
+            .lock()
+            .expect("no holder panics")
+            .0
+            .clone()
     }
 }
 
 impl Drop for ListService {
     fn drop(&mut self) {
-        self.hand.over.store(true, Ordering::SeqCst);
+        self.shared.stop.store(true, Ordering::SeqCst);
     }
 }
 
-fn listen(first: Vec<TcpListener>, addresses: &[SocketAddr], hand: &Hand) {
+fn listen(first: Vec<TcpListener>, addresses: &[SocketAddr], shared: &Shared) {
     let mut listeners: Vec<_> = first.into_iter().map(Some).collect();
-    while !hand.over.load(Ordering::SeqCst) {
-        let now = *hand.mode.lock().expect("no holder panics");
+    while !shared.stop.load(Ordering::SeqCst) {
+        let now = *shared.mode.lock().expect("no holder panics");
         if now == ServiceMode::Down {
             listeners.iter_mut().for_each(|listener| *listener = None);
-            thread::sleep(TURN / 4);
+            thread::sleep(POLL_INTERVAL / 4);
             continue;
         }
-        let mut any = false;
+        let mut accepted = false;
         for (front, listener) in listeners.iter_mut().enumerate() {
-            let Some(here) = listener.as_ref() else {
+            let Some(socket) = listener.as_ref() else {
                 // The port is kept free of others by having been this service's: it is tried for until it is had again.
                 *listener = TcpListener::bind(addresses[front]).ok();
                 continue;
             };
-            here.set_nonblocking(true).expect("a socket");
-            let Ok((socket, _)) = here.accept() else {
+            socket.set_nonblocking(true).expect("a socket");
+            let Ok((connection, _)) = socket.accept() else {
                 continue;
             };
-            any = true;
-            hand.history.record(Observation::Call);
-            let hand = hand.clone();
+            accepted = true;
+            shared.history.record(Observation::Call);
+            let shared = shared.clone();
             thread::spawn(move || {
                 // A front that goes away ends its connection: that is no fault of the service.
-                let _ = serve(socket, front, now, &hand);
+                let _ = serve(connection, front, now, &shared);
             });
         }
-        if !any {
+        if !accepted {
             thread::sleep(Duration::from_millis(2));
         }
     }
@@ -162,18 +172,19 @@
 fn serve(
     mut socket: TcpStream,
     front: usize,
-    as_of: ServiceMode,
-    hand: &Hand,
+    mode: ServiceMode,
+    shared: &Shared,
 ) -> std::io::Result<()> {
     socket.set_nonblocking(false)?;
-    let still = || {
-        !hand.over.load(Ordering::SeqCst) && *hand.mode.lock().expect("no holder panics") == as_of
+    let unchanged = || {
+        !shared.stop.load(Ordering::SeqCst)
+            && *shared.mode.lock().expect("no holder panics") == mode
     };
-    match as_of {
+    match mode {
         ServiceMode::Down | ServiceMode::Close => Ok(()),
         ServiceMode::Silent => {
-            while still() {
-                thread::sleep(TURN);
+            while unchanged() {
+                thread::sleep(POLL_INTERVAL);
             }
             Ok(())
         }
@@ -182,65 +193,69 @@
         ServiceMode::ByteByByte | ServiceMode::Serve => {
             let mut last = [0; 8];
             socket.read_exact(&mut last)?;
-            hand.history
+            shared
+                .history
                 .record(Observation::Subscribed(u64::from_be_bytes(last)));
-            let done = tell(
+            let done = send_events(
                 &socket,
                 front,
                 u64::from_be_bytes(last),
-                as_of == ServiceMode::ByteByByte,
-                &still,
-                hand,
+                mode == ServiceMode::ByteByByte,
+                &unchanged,
+                shared,
             );
-            hand.history.record(Observation::SubscriptionEnded);
+            shared.history.record(Observation::SubscriptionEnded);
             done
         }
     }
 }
 
-fn tell(
+fn send_events(
     mut socket: &TcpStream,
     front: usize,
     mut last: u64,
-    drips: bool,
-    still: &dyn Fn() -> bool,
-    hand: &Hand,
+    byte_by_byte: bool,
+    unchanged: &dyn Fn() -> bool,
+    shared: &Shared,
 ) -> std::io::Result<()> {
-    socket.set_read_timeout(Some(TURN))?;
+    socket.set_read_timeout(Some(POLL_INTERVAL))?;
     let mut due = Instant::now();
-    while still() {
+    while unchanged() {
         let next = {
-            let told = hand.told.lock().expect("no holder panics");
-            let place = (last + 1).saturating_sub(FIRST) as usize;
-            let number = FIRST + place as u64;
-            told.0
-                .get(place)
-                .map(|event| (number, event.frame(number, &told.1[front])))
+            let published = shared.published.lock().expect("no holder panics");
+            let index = (last + 1).saturating_sub(FIRST_EVENT) as usize;
+            let number = FIRST_EVENT + index as u64;
+            published
+                .0
+                .get(index)
+                .map(|event| (number, event.frame(number, &published.1[front])))
         };
         if let Some((number, frame)) = next {
             // Noted before the front can know it: what it may do from then on it does later in the history.
-            let (most, end) = frame.split_at(frame.len() - 1);
-            if drips {
-                for byte in most {
+            let (head, end) = frame.split_at(frame.len() - 1);
+            if byte_by_byte {
+                for byte in head {
                     socket.write_all(&[*byte])?;
-                    thread::sleep(BYTE);
-                    if !still() {
+                    thread::sleep(BYTE_INTERVAL);
+                    if !unchanged() {
                         return Ok(());
                     }
                 }
             } else {
-                socket.write_all(most)?;
+                socket.write_all(head)?;
             }
-            hand.history.record(Observation::EventSent(front, number));
+            shared.history.record(Observation::EventSent(front, number));
             socket.write_all(end)?;
             last = number;
             continue;
         }
         if Instant::now() >= due {
             // It names its own last event, whatever the front holds.
-            let own = FIRST - 1 + hand.told.lock().expect("no holder panics").0.len() as u64;
-            socket.write_all(&[&9u32.to_be_bytes()[..], &own.to_be_bytes(), &[0]].concat())?;
-            due = Instant::now() + FRAME;
+            let last_event =
+                FIRST_EVENT - 1 + shared.published.lock().expect("no holder panics").0.len() as u64;
+            socket
+                .write_all(&[&9u32.to_be_bytes()[..], &last_event.to_be_bytes(), &[0]].concat())?;
+            due = Instant::now() + HEARTBEAT_INTERVAL;
         }
         // A front says nothing more: what can be read is its end.
         match socket.read(&mut [0; 8]) {
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Bytes that a front may say before the stand-in takes it for broken.
-const INPUT_MOST: usize = 1 << 20;
+const MAX_INPUT_BYTES: usize = 1 << 20;
 /// Strings of a command, and bytes of one.
-const STRINGS_MOST: usize = 8;
-const STRING_MOST: usize = 1 << 17;
+const MAX_STRINGS: usize = 8;
+const MAX_STRING_BYTES: usize = 1 << 17;
 
 /// What a node does with what it is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,8 +62,8 @@
 struct Shared {
     /// Objects that were purged, when, and from when on no node holds older copies, in Unix milliseconds.
     purged: Mutex<Vec<(u64, u64, u64)>>,
-    moods: Mutex<Vec<Behavior>>,
-    over: Mutex<bool>,
+    behaviors: Mutex<Vec<Behavior>>,
+    stop: Mutex<bool>,
     poller: Poller,
 }
 
@@ -71,79 +71,79 @@
     /// Begins with these ids; all answer at once. Classes of these names must not run twice.
     pub fn new(history: &History, ids: &[u32], writes: &[&str]) -> Self {
         let poller = Poller::new().expect("a poller");
-        let moods = Mutex::new(vec![Behavior::Respond(Duration::ZERO); ids.len()]);
+        let behaviors = Mutex::new(vec![Behavior::Respond(Duration::ZERO); ids.len()]);
         let purged = Mutex::default();
         let shared = Arc::new(Shared {
             purged,
-            moods,
-            over: Mutex::new(false),
+            behaviors,
+            stop: Mutex::new(false),
             poller,
         });
         let mut nodes = Vec::new();
         for id in ids {
             let listener = TcpListener::bind(crate::unique_address()).expect("a port");
             let address = listener.local_addr().expect("bound");
-            let mood = Behavior::Respond(Duration::ZERO);
+            let behavior = Behavior::Respond(Duration::ZERO);
             nodes.push(Node {
                 id: *id,
                 address,
                 listener: Some(listener),
-                mood,
+                behavior,
                 copies: HashMap::new(),
             });
         }
         let all = nodes.iter().map(|node| (node.id, node.address)).collect();
         let writes = writes.iter().map(|name| name.to_string()).collect();
         let (own, history) = (Arc::clone(&shared), history.clone());
-        let noted = history.clone();
+        let own_history = history.clone();
         thread::spawn(move || {
-            let world = World {
+            let event_loop = EventLoop {
                 shared: &own,
                 history: &history,
                 nodes,
                 writes,
-                links: HashMap::new(),
+                connections: HashMap::new(),
                 last: 0,
                 due: BinaryHeap::new(),
                 previous_poll: Instant::now(),
             };
-            world.run();
+            event_loop.run();
         });
         Nodes {
             all,
             shared,
-            history: noted,
+            history: own_history,
         }
     }
 
     /// An object was purged at this Unix millisecond; after so long no node holds an older copy.
-    pub fn purge(&self, item: u64, at_ms: u64, takes: Duration) {
-        let gone = at_ms + takes.as_millis() as u64;
+    pub fn purge(&self, item: u64, at_ms: u64, duration: Duration) {
+        let removed_ms = at_ms + duration.as_millis() as u64;
         self.shared
             .purged
             .lock()
             .expect("no holder panics")
-            .push((item, at_ms, gone));
+            .push((item, at_ms, removed_ms));
     }
 
     /// From now on this node does that.
-    pub fn set(&self, place: usize, mood: Behavior) {
-        let id = self.all[place].0;
+    pub fn set(&self, index: usize, behavior: Behavior) {
+        let id = self.all[index].0;
         // What reads nothing hears of nothing: the checkers must not hold a front to what it could not make known.
-        let seen = if matches!(mood, Behavior::NotReading) {
+        let seen = if matches!(behavior, Behavior::NotReading) {
             Observation::NodeImpaired(id, 0)
         } else {
             Observation::NodeRestored(id, 0)
         };
         self.history.record(seen);
-        self.shared.moods.lock().expect("no holder panics")[place] = mood;
+        self.shared.behaviors.lock().expect("no holder panics")[index] = behavior;
         self.shared.poller.notify().expect("a poller");
     }
 }
 
 impl Drop for Nodes {
     fn drop(&mut self) {
-        *self.shared.over.lock().expect("no holder panics") = true;
+        *self.shared.stop.lock().expect("no holder panics") = true;
         let _ = self.shared.poller.notify();
     }
 }
@@ -152,13 +152,13 @@
     id: u32,
     address: SocketAddr,
     listener: Option<TcpListener>,
-    mood: Behavior,
+    behavior: Behavior,
     /// When each copy was made.
     copies: HashMap<u64, u64>,
 }
 
-struct Link {
-    place: usize,
+struct Connection {
+    index: usize,
     socket: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
@@ -169,11 +169,11 @@
 }
 
 /// An answer that is due: when, in which order, on which connection, to what, and how.
-type Due = Reverse<(Instant, u64, usize, u64, Word)>;
+type DueReply = Reverse<(Instant, u64, usize, u64, Reply)>;
 
 /// What an answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Word {
+enum Reply {
     /// Served from a copy of that age.
     Hit(u64),
     Miss,
@@ -181,14 +181,14 @@
     Fault,
 }
 
-struct World<'a> {
+struct EventLoop<'a> {
     shared: &'a Shared,
     history: &'a History,
     nodes: Vec<Node>,
     writes: Vec<String>,
-    links: HashMap<usize, Link>,
+    connections: HashMap<usize, Connection>,
     last: u64,
-    due: BinaryHeap<Due>,
+    due: BinaryHeap<DueReply>,
     /// When the poll began that came before the last one. What the last one reports came after this moment: the earlier one
     /// would have reported it.
     previous_poll: Instant,
@@ -196,15 +196,15 @@
 
 /// A request as it was read.
 #[derive(Default)]
-struct Fetch {
+struct FetchRequest {
     class: String,
     item: u64,
     source: u32,
     /// The age in milliseconds up to which a copy will do; 0: any.
-    oldest: u64,
+    max_age_ms: u64,
     /// Milliseconds that the client is said to have left.
-    limit: u64,
-    only_held: bool,
+    remaining_ms: u64,
+    cached_only: bool,
 }
 
 fn hex(text: &str) -> u64 {
@@ -216,7 +216,7 @@
 
 /// The first command. `None`: it is not whole. An error: no front writes this.
 fn command(input: &[u8]) -> Result<Option<Command<'_>>, ()> {
-    let number = |at: usize, mark: u8, most: usize| {
+    let number = |at: usize, mark: u8, max: usize| {
         let Some(end) = input[at..].iter().position(|b| *b == b'\n') else {
             return if input.len() > at + 12 {
                 Err(())
@@ -232,17 +232,17 @@
             .ok()
             .and_then(|t| t.parse().ok())
             .ok_or(())?;
-        if n > most {
+        if n > max {
             return Err(());
         }
         Ok(Some((n, at + end + 1)))
     };
-    let Some((count, mut at)) = number(0, b'*', STRINGS_MOST)? else {
+    let Some((count, mut at)) = number(0, b'*', MAX_STRINGS)? else {
         return Ok(None);
     };
     let mut parts = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((n, begin)) = number(at, b'$', STRING_MOST)? else {
+        let Some((n, begin)) = number(at, b'$', MAX_STRING_BYTES)? else {
             return Ok(None);
         };
         let Some(part) = input.get(begin..begin + n + 2) else {
@@ -254,27 +254,27 @@
     Ok(Some((parts, at)))
 }
 
-fn fetch(fields: &[u8]) -> Fetch {
-    let mut found = Fetch::default();
+fn fetch(fields: &[u8]) -> FetchRequest {
+    let mut found = FetchRequest::default();
     let text = String::from_utf8_lossy(fields);
     for (name, value) in text.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "cls" => found.class = value.into(),
             "item" => found.item = hex(value),
             "from" => found.source = hex(value.trim_start_matches("s-")) as u32,
-            "oldest" => found.oldest = value.parse().unwrap_or(0),
-            "limit" => found.limit = value.parse().unwrap_or(0),
-            "mode" => found.only_held = value.split('+').any(|word| word == "shallow"),
+            "oldest" => found.max_age_ms = value.parse().unwrap_or(0),
+            "limit" => found.remaining_ms = value.parse().unwrap_or(0),
+            "mode" => found.cached_only = value.split('+').any(|word| word == "shallow"),
             _ => {}
         }
     }
     found
 }
 
-impl World<'_> {
+impl EventLoop<'_> {
     fn run(mut self) {
-        for place in 0..self.nodes.len() {
-            self.watch(place);
+        for index in 0..self.nodes.len() {
+            self.watch(index);
         }
         let (mut events, mut next) = (Events::new(), self.nodes.len());
         let mut last_poll = Instant::now();
@@ -288,19 +288,19 @@
             if self.shared.poller.wait(&mut events, left).is_err() {
                 return;
             }
-            if *self.shared.over.lock().expect("no holder panics") {
+            if *self.shared.stop.lock().expect("no holder panics") {
                 return;
             }
-            self.moods();
+            self.behaviors();
             while self
                 .due
                 .peek()
                 .is_some_and(|due| due.0 .0 <= Instant::now())
             {
-                let Some(Reverse((_, _, key, txn, word))) = self.due.pop() else {
+                let Some(Reverse((_, _, key, txn, reply))) = self.due.pop() else {
                     break;
                 };
-                self.answer(key, txn, word);
+                self.answer(key, txn, reply);
             }
             for event in events.iter() {
                 if event.key < self.nodes.len() {
@@ -312,8 +312,8 @@
         }
     }
 
-    fn watch(&self, place: usize) {
-        let Some(listener) = &self.nodes[place].listener else {
+    fn watch(&self, index: usize) {
+        let Some(listener) = &self.nodes[index].listener else {
             return;
         };
         listener.set_nonblocking(true).expect("a socket");
@@ -321,36 +321,41 @@
         let added = unsafe {
             self.shared
                 .poller
-                .add_with_mode(listener, Event::readable(place), PollMode::Level)
+                .add_with_mode(listener, Event::readable(index), PollMode::Level)
         };
         added.expect("a socket");
     }
 
     /// Takes over what the test said.
-    fn moods(&mut self) {
-        let moods = self.shared.moods.lock().expect("no holder panics").clone();
-        for (place, mood) in moods.into_iter().enumerate() {
-            if self.nodes[place].mood == mood {
+    fn behaviors(&mut self) {
+        let behaviors = self
+            .shared
+            .behaviors
+            .lock()
+            .expect("no holder panics")
+            .clone();
+        for (index, behavior) in behaviors.into_iter().enumerate() {
+            if self.nodes[index].behavior == behavior {
                 continue;
             }
-            let before = std::mem::replace(&mut self.nodes[place].mood, mood);
+            let before = std::mem::replace(&mut self.nodes[index].behavior, behavior);
             let mine: Vec<_> = self
-                .links
+                .connections
                 .iter()
-                .filter(|(_, l)| l.place == place)
+                .filter(|(_, l)| l.index == index)
                 .map(|(k, _)| *k)
                 .collect();
-            if mood == Behavior::Down {
-                if let Some(listener) = self.nodes[place].listener.take() {
+            if behavior == Behavior::Down {
+                if let Some(listener) = self.nodes[index].listener.take() {
                     let _ = self.shared.poller.delete(&listener);
                 }
                 // What comes back is a new process: it holds nothing.
-                self.nodes[place].copies.clear();
+                self.nodes[index].copies.clear();
                 mine.into_iter().for_each(|key| self.drop(key, true));
                 continue;
             }
             if before == Behavior::Down {
-                let at = self.nodes[place].address;
+                let at = self.nodes[index].address;
                 let until = Instant::now() + crate::WAIT_TIMEOUT;
                 let listener = loop {
                     match TcpListener::bind(at) {
@@ -358,10 +363,10 @@
                         Err(e) => assert!(Instant::now() < until, "{at}: {e}"),
                     }
                 };
-                self.nodes[place].listener = Some(listener);
-                self.watch(place);
+                self.nodes[index].listener = Some(listener);
+                self.watch(index);
             }
-            let reads = mood != Behavior::NotReading;
+            let reads = behavior != Behavior::NotReading;
             for key in mine {
                 self.rewatch(key, reads);
             }
@@ -369,32 +374,34 @@
     }
 
     fn rewatch(&self, key: usize, reads: bool) {
-        if let Some(link) = self.links.get(&key) {
-            let event = Event::new(key, reads, !link.output.is_empty());
+        if let Some(connection) = self.connections.get(&key) {
+            let event = Event::new(key, reads, !connection.output.is_empty());
             let _ = self
                 .shared
                 .poller
-                .modify_with_mode(&link.socket, event, PollMode::Level);
+                .modify_with_mode(&connection.socket, event, PollMode::Level);
         }
     }
 
     fn drop(&mut self, key: usize, reset: bool) {
-        let Some(link) = self.links.remove(&key) else {
+        let Some(connection) = self.connections.remove(&key) else {
             return;
         };
-        let _ = self.shared.poller.delete(&link.socket);
+        let _ = self.shared.poller.delete(&connection.socket);
         if reset {
-            let _ = socket2::SockRef::from(&link.socket).set_linger(Some(Duration::ZERO));
+            let _ = socket2::SockRef::from(&connection.socket).set_linger(Some(Duration::ZERO));
         }
-        for txn in link.open {
-            self.history
-                .record(Observation::ConnectionLost(self.nodes[link.place].id, txn));
+        for txn in connection.open {
+            self.history.record(Observation::ConnectionLost(
+                self.nodes[connection.index].id,
+                txn,
+            ));
         }
     }
 
     /// Accepts a connection, if there is one.
-    fn accept(&mut self, place: usize, next: &mut usize) -> bool {
-        let accepted = self.nodes[place]
+    fn accept(&mut self, index: usize, next: &mut usize) -> bool {
+        let accepted = self.nodes[index]
             .listener
             .as_ref()
             .and_then(|l| l.accept().ok());
@@ -402,17 +409,17 @@
             return false;
         };
         self.history
-            .record(Observation::Accepted(self.nodes[place].id));
-        if let Behavior::LimitConnections(most) = self.nodes[place].mood {
+            .record(Observation::Accepted(self.nodes[index].id));
+        if let Behavior::LimitConnections(max) = self.nodes[index].behavior {
             if self
-                .links
+                .connections
                 .values()
-                .filter(|link| link.place == place)
+                .filter(|connection| connection.index == index)
                 .count()
-                >= most
+                >= max
             {
                 self.history
-                    .record(Observation::ConnectionRejected(self.nodes[place].id));
+                    .record(Observation::ConnectionRejected(self.nodes[index].id));
                 return true;
             }
         }
@@ -425,16 +432,16 @@
                 .add_with_mode(&socket, Event::readable(*next), PollMode::Level)
         };
         added.expect("a socket");
-        let link = Link {
-            place,
+        let connection = Connection {
+            index,
             socket,
             input: Vec::new(),
             output: Vec::new(),
             open: Vec::new(),
             unread_since: Some(self.previous_poll),
         };
-        self.links.insert(*next, link);
-        if self.nodes[place].mood == Behavior::NotReading {
+        self.connections.insert(*next, connection);
+        if self.nodes[index].behavior == Behavior::NotReading {
             self.rewatch(*next, false);
         }
         true
@@ -442,27 +449,27 @@
 
     fn ready(&mut self, key: usize, readable: bool) {
         self.flush(key);
-        let Some(link) = self.links.get_mut(&key).filter(|_| readable) else {
+        let Some(connection) = self.connections.get_mut(&key).filter(|_| readable) else {
             return;
         };
-        if self.nodes[link.place].mood == Behavior::NotReading {
+        if self.nodes[connection.index].behavior == Behavior::NotReading {
             return;
         }
         let mut chunk = [0; 16 * 1024];
-        let came_after = link.unread_since.take().unwrap_or(self.previous_poll);
-        match link.socket.read(&mut chunk) {
+        let arrived_after = connection.unread_since.take().unwrap_or(self.previous_poll);
+        match connection.socket.read(&mut chunk) {
             Ok(n) if n > 0 => {
-                link.input.extend_from_slice(&chunk[..n]);
-                link.unread_since = (n == chunk.len()).then_some(came_after);
+                connection.input.extend_from_slice(&chunk[..n]);
+                connection.unread_since = (n == chunk.len()).then_some(arrived_after);
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return,
             _ => return self.drop(key, false),
         }
         loop {
-            let Some(link) = self.links.get_mut(&key) else {
+            let Some(connection) = self.connections.get_mut(&key) else {
                 return;
             };
-            let input = std::mem::take(&mut link.input);
+            let input = std::mem::take(&mut connection.input);
             let found = command(&input).map(|found| {
                 found.map(|(parts, used)| {
                     (parts.iter().map(|p| p.to_vec()).collect::<Vec<_>>(), used)
@@ -470,11 +477,11 @@
             });
             match found {
                 Ok(Some((parts, used))) => {
-                    link.input = input[used..].to_vec();
-                    self.hear(key, &parts, came_after);
+                    connection.input = input[used..].to_vec();
+                    self.handle(key, &parts, arrived_after);
                 }
-                Ok(None) if input.len() <= INPUT_MOST => {
-                    link.input = input;
+                Ok(None) if input.len() <= MAX_INPUT_BYTES => {
+                    connection.input = input;
                     return;
                 }
                 _ => return self.drop(key, true),
@@ -482,11 +489,11 @@
         }
     }
 
-    fn hear(&mut self, key: usize, parts: &[Vec<u8>], came_after: Instant) {
-        let Some(link) = self.links.get_mut(&key) else {
+    fn handle(&mut self, key: usize, parts: &[Vec<u8>], arrived_after: Instant) {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        let node = &mut self.nodes[link.place];
+        let node = &mut self.nodes[connection.index];
         let text = |n: usize| {
             parts
                 .get(n)
@@ -496,126 +503,130 @@
         let txn = hex(&text(1));
         if &*text(0) == "abort" {
             self.history.record(Observation::Aborted(node.id, txn));
-            if node.mood != Behavior::Duplicate {
-                link.open.retain(|open| *open != txn);
+            if node.behavior != Behavior::Duplicate {
+                connection.open.retain(|open| *open != txn);
             }
             return;
         }
-        let asked = fetch(parts.get(2).map_or(&[], |p| &p[..]));
-        let write = self.writes.contains(&asked.class);
+        let request = fetch(parts.get(2).map_or(&[], |p| &p[..]));
+        let write = self.writes.contains(&request.class);
         self.history.record(Observation::Attempt {
             node: node.id,
             txn,
             write,
-            item: asked.item,
-            source: asked.source,
+            item: request.item,
+            source: request.source,
         });
         self.history.record(Observation::TimeLeft {
             txn,
-            left_ms: asked.limit,
-            read_delay: came_after.elapsed(),
+            left_ms: request.remaining_ms,
+            read_delay: arrived_after.elapsed(),
         });
-        link.open.push(txn);
-        let runs = !matches!(node.mood, Behavior::Shed | Behavior::Down);
+        connection.open.push(txn);
+        let runs = !matches!(node.behavior, Behavior::Shed | Behavior::Down);
         if write && runs {
             self.history.record(Observation::Executed(txn));
         }
-        let mut soon = Instant::now();
-        let word = match node.mood {
+        let mut due_at = Instant::now();
+        let reply = match node.behavior {
             Behavior::Silent | Behavior::NotReading | Behavior::Down => return,
-            Behavior::Shed => Some(Word::Full),
-            Behavior::Fail => Some(Word::Fault),
+            Behavior::Shed => Some(Reply::Full),
+            Behavior::Fail => Some(Reply::Fault),
             Behavior::Reset => return self.drop(key, true),
             Behavior::Garbage => {
-                link.output.extend(b"+OK\r\n");
+                connection.output.extend(b"+OK\r\n");
                 return self.flush(key);
             }
-            Behavior::Respond(takes) => {
-                soon += takes;
+            Behavior::Respond(duration) => {
+                due_at += duration;
                 None
             }
             Behavior::Truncate | Behavior::Duplicate | Behavior::LimitConnections(_) => None,
         };
-        let word = match word {
-            Some(word) => word,
-            None if write => Word::Hit(wall_ms()),
+        let reply = match reply {
+            Some(reply) => reply,
+            None if write => Reply::Hit(wall_ms()),
             None => {
                 let now = wall_ms();
                 let purged = self.shared.purged.lock().expect("no holder panics").clone();
-                let gone = |born: u64| {
+                let gone = |created_ms: u64| {
                     purged
                         .iter()
-                        .any(|p| p.0 == asked.item && born < p.1 && now >= p.2)
+                        .any(|p| p.0 == request.item && created_ms < p.1 && now >= p.2)
+                };
+                let acceptable = |created_ms: &u64| {
+                    !gone(*created_ms)
+                        && (request.max_age_ms == 0 || now - *created_ms <= request.max_age_ms)
                 };
-                let does =
-                    |born: &u64| !gone(*born) && (asked.oldest == 0 || now - *born <= asked.oldest);
-                let held = node.copies.get(&asked.item).copied().filter(does);
+                let held = node.copies.get(&request.item).copied().filter(acceptable);
                 match held {
-                    Some(born) => Word::Hit(born),
-                    None if asked.only_held => Word::Miss,
+                    Some(created_ms) => Reply::Hit(created_ms),
+                    None if request.cached_only => Reply::Miss,
                     None => {
-                        node.copies.insert(asked.item, now);
-                        Word::Hit(now)
+                        node.copies.insert(request.item, now);
+                        Reply::Hit(now)
                     }
                 }
             }
         };
         self.last += 1;
-        self.due.push(Reverse((soon, self.last, key, txn, word)));
+        self.due.push(Reverse((due_at, self.last, key, txn, reply)));
     }
 
-    fn answer(&mut self, key: usize, txn: u64, word: Word) {
-        let Some(link) = self.links.get_mut(&key) else {
+    fn answer(&mut self, key: usize, txn: u64, reply: Reply) {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        let node = &self.nodes[link.place];
-        let waits = link.open.iter().position(|open| *open == txn);
-        if let Some(place) = waits {
+        let node = &self.nodes[connection.index];
+        let open_index = connection.open.iter().position(|open| *open == txn);
+        if let Some(index) = open_index {
             // Of half an answer the front makes nothing: the request stays open here.
-            if node.mood != Behavior::Truncate {
-                link.open.swap_remove(place);
+            if node.behavior != Behavior::Truncate {
+                connection.open.swap_remove(index);
             }
-        } else if node.mood != Behavior::Duplicate {
+        } else if node.behavior != Behavior::Duplicate {
             return;
         }
-        let (name, fields, body, born) = match word {
-            Word::Hit(born) => (
+        let (name, fields, body, created_ms) = match reply {
+            Reply::Hit(created_ms) => (
                 "HIT",
-                format!("ver={born:x},born={born},tell=local"),
+                format!("ver={created_ms:x},born={created_ms},tell=local"),
                 "bytes",
-                born,
+                created_ms,
             ),
-            Word::Miss => ("NONE", "tell=not_there".into(), "", 0),
-            Word::Full => ("SHED", "-".into(), "", 0),
-            Word::Fault => ("FAULT", "-".into(), "", 0),
+            Reply::Miss => ("NONE", "tell=not_there".into(), "", 0),
+            Reply::Full => ("SHED", "-".into(), "", 0),
+            Reply::Fault => ("FAULT", "-".into(), "", 0),
         };
         let id = format!("{txn:016x}");
         let parts = [id.as_str(), name, &fields, body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
-        let whole = format!("*4\r\n{}", parts.concat());
-        if waits.is_some() && node.mood != Behavior::Truncate {
+        let encoded = format!("*4\r\n{}", parts.concat());
+        if open_index.is_some() && node.behavior != Behavior::Truncate {
             self.history
-                .record(Observation::Responded(node.id, txn, born));
+                .record(Observation::Responded(node.id, txn, created_ms));
         }
-        match node.mood {
-            Behavior::Truncate => link.output.extend(&whole.as_bytes()[..whole.len() / 2]),
-            Behavior::Duplicate => link.output.extend(whole.repeat(2).bytes()),
-            _ => link.output.extend(whole.bytes()),
+        match node.behavior {
+            Behavior::Truncate => connection
+                .output
+                .extend(&encoded.as_bytes()[..encoded.len() / 2]),
+            Behavior::Duplicate => connection.output.extend(encoded.repeat(2).bytes()),
+            _ => connection.output.extend(encoded.bytes()),
         }
         self.flush(key);
     }
 
     fn flush(&mut self, key: usize) {
-        let Some(link) = self.links.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        while !link.output.is_empty() {
-            match link.socket.write(&link.output) {
-                Ok(n) if n > 0 => drop(link.output.drain(..n)),
+        while !connection.output.is_empty() {
+            match connection.socket.write(&connection.output) {
+                Ok(n) if n > 0 => drop(connection.output.drain(..n)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 _ => return self.drop(key, false),
             }
         }
-        let reads = self.nodes[link.place].mood != Behavior::NotReading;
+        let reads = self.nodes[connection.index].behavior != Behavior::NotReading;
         self.rewatch(key, reads);
     }
 }
--- a/rig/src/socket_faults.rs
+++ b/rig/src/socket_faults.rs
@@ -2,10 +2,10 @@
 use std::time::Duration;
 
 /// Places of the words: which calls fail, and how many have.
-pub(crate) const MASK: u64 = 16;
-pub(crate) const COUNT: u64 = 23;
+pub(crate) const FAILING_CALLS: u64 = 16;
+pub(crate) const FAILURE_COUNT: u64 = 23;
 /// Words that are said in all.
-pub(crate) const END: u64 = 24;
+pub(crate) const WORD_COUNT: u64 = 24;
 
 /// A system call on a TCP socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,6 +87,8 @@
             self.max_read_bytes as i64,
             self.max_write_bytes as i64,
         ];
-        (MASK..).zip([mask].into_iter().chain(rest)).collect()
+        (FAILING_CALLS..)
+            .zip([mask].into_iter().chain(rest))
+            .collect()
     }
 }
