--- a/front/tests/system_call_faults.rs
+++ b/front/tests/system_call_faults.rs
@@ -657,7 +657,7 @@
     let broken: Vec<_> = cluster
         .violations()
         .into_iter()
-        .filter(|breach| breach.rule != "answer")
+        .filter(|violation| violation.rule != "response")
         .collect();
     assert!(broken.is_empty(), "{broken:#?}");
     assert!(
--- a/rig/shim/src/lib.rs
+++ b/rig/shim/src/lib.rs
@@ -1,9 +1,10 @@
-//! Loaded into a process under test (`LD_PRELOAD`): its wall clock is another one, and the disk under one folder is full, fails
-//! to sync or is slow, as the test says. The test says it in a file of `WORDS` numbers of 64 bits, named by `CRANESILL_SHIM`,
-//! which the process maps; `CRANESILL_SHIM_FILES` is the folder. Without them all is as it was.
+//! Preloaded into a process under test (`LD_PRELOAD`) to shift its wall clock and to inject disk and socket faults.
 //!
-//! Words: 0 milliseconds that the wall clock is ahead; 1 faults of the disk (1: nothing can be written, 2: syncs fail);
-//! 2 milliseconds that each sync takes; from 16 on what `sockets.rs` says.
+//! The faults are configured by a file of `WORDS` 64-bit numbers that the process maps; `CRANESILL_SHIM` is its path, and
+//! `CRANESILL_SHIM_FILES` the folder to which disk faults apply. Without them nothing changes.
+//!
+//! Words: 0 shift of the wall clock in milliseconds; 1 disk faults (bit 0: writes fail, bit 1: syncs fail); 2 duration of a sync
+//! in milliseconds; from 16 on see `sockets.rs`.
 mod sockets;
 
 use std::ffi::{c_char, c_int, c_long, c_void};
@@ -18,19 +19,19 @@
 static MAPPED: AtomicPtr<Words> = AtomicPtr::new(std::ptr::null_mut());
 
 fn system_call(number: c_long, args: [usize; 4]) -> c_long {
-    // SAFETY: each caller passes the arguments of the call that it stands for, as it got them.
+    // SAFETY: each caller passes the arguments of the system call that it replaces, unchanged.
     unsafe { libc::syscall(number, args[0], args[1], args[2], args[3]) }
 }
 
 fn environment_variable(name: &std::ffi::CStr) -> *const c_char {
-    // SAFETY: the name ends with a zero; nothing in a process under test changes its environment.
+    // SAFETY: the name is null-terminated, and processes under test do not change their environment.
     unsafe { libc::getenv(name.as_ptr()) }
 }
 
-/// What the test says.
+/// Returns the mapped fault configuration, or `DEFAULTS` if there is none.
 fn words() -> &'static Words {
     let mapped = MAPPED.load(Ordering::Acquire);
-    // SAFETY: what is kept there is a mapping that lasts, or `NONE`.
+    // SAFETY: the pointer is null, a mapping that is never removed, or `DEFAULTS`.
     if let Some(words) = unsafe { mapped.as_ref() } {
         return words;
     }
@@ -48,7 +49,7 @@
         );
         if fd >= 0 {
             let size = std::mem::size_of::<Words>();
-            // SAFETY: a new mapping of a file that the test made this long.
+            // SAFETY: a new mapping of a file that the test created with this size.
             let at = unsafe {
                 let access = libc::PROT_READ | libc::PROT_WRITE;
                 libc::mmap(
@@ -76,18 +77,18 @@
 }
 
 fn fail_with(errno: c_int) -> c_int {
-    // SAFETY: the place of this thread's own error number.
+    // SAFETY: the pointer refers to the error number of this thread.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
 
-/// Whether this is a file under the folder.
+/// Whether a descriptor refers to a file in the folder to which disk faults apply.
 fn is_in_fault_folder(fd: c_int) -> bool {
     let folder = environment_variable(c"CRANESILL_SHIM_FILES");
     if folder.is_null() {
         return false;
     }
-    // SAFETY: a string of the environment.
+    // SAFETY: the pointer refers to a string in the environment.
     let folder = unsafe { std::ffi::CStr::from_ptr(folder) }.to_bytes();
     let mut link = *b"/proc/self/fd/\0\0\0\0\0\0\0\0\0\0\0\0";
     let (mut n, mut digits, mut at) = (fd.max(0), [0u8; 10], 0);
@@ -112,10 +113,10 @@
     usize::try_from(len).is_ok_and(|len| path[..len].starts_with(folder))
 }
 
-/// The clock of the process: the wall clock is ahead by what the test says.
+/// Replaces `clock_gettime` and shifts the wall clock.
 ///
 /// # Safety
-/// As the system's: `to` is where a time may be written, or null.
+/// As for the system function: `to` is null or valid for writes.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, to: *mut libc::timespec) -> c_int {
     type Real = unsafe extern "C" fn(libc::clockid_t, *mut libc::timespec) -> c_int;
@@ -138,10 +139,10 @@
     result
 }
 
-/// Writes, unless it is a file on a disk that is full.
+/// Replaces `write`, which fails with `ENOSPC` for files in the fault folder while the disk is full.
 ///
 /// # Safety
-/// As the system's: `count` bytes can be read at `from`.
+/// As for the system function: `from` is valid for reads of `count` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, from: *const c_void, count: usize) -> isize {
     if word(1) & DISK_FULL != 0 && is_in_fault_folder(fd) {
@@ -167,13 +168,13 @@
     system_call(number, [fd as usize, 0, 0, 0]) as c_int
 }
 
-/// Syncs a file, as the test says.
+/// Replaces `fsync`, which is delayed or fails as configured.
 #[no_mangle]
 pub extern "C" fn fsync(fd: c_int) -> c_int {
     sync(libc::SYS_fsync, fd)
 }
 
-/// Syncs what a file holds, as the test says.
+/// Replaces `fdatasync`, which is delayed or fails as configured.
 #[no_mangle]
 pub extern "C" fn fdatasync(fd: c_int) -> c_int {
     sync(libc::SYS_fdatasync, fd)
--- a/rig/shim/src/sockets.rs
+++ b/rig/shim/src/sockets.rs
@@ -1,9 +1,9 @@
-//! System calls on TCP sockets over IPv4 that fail or are cut short, as the test says.
+//! Faults of system calls on IPv4 TCP sockets.
 //!
-//! Words: 16 the calls that fail, added up (1 accept, 2 socket, 4 connect, 8 reads and 16 writes on connections that the process
-//! made, 32 reads and 64 writes on those that it accepted); 17 the error; 18 of so many calls one fails; 19 and 20: they fail
-//! for the first so many of each so many milliseconds (0: all the time); 21 and 22 bytes that a read and a write take at most;
-//! 23 calls that have failed, counted here.
+//! Words: 16 set of failing calls (1 accept, 2 socket, 4 connect, 8 read and 16 write on connections that the process opened, 32
+//! read and 64 write on accepted ones); 17 error number; 18 one in this many calls fails; 19 and 20 calls fail for the first part
+//! of each period, both in milliseconds (0: all the time); 21 and 22 maximum bytes of a read and of a write; 23 number of failures,
+//! counted by this library.
 use crate::{fail_with, system_call, word, words};
 use std::ffi::{c_int, c_void};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
@@ -22,12 +22,12 @@
 const CONNECT: i64 = 4;
 const READ: i64 = 8;
 const WRITE: i64 = 16;
-/// What a call on an accepted connection has to be shifted by.
+/// Shift from the bit of a call on an outbound connection to that on an accepted one.
 const ACCEPTED_SHIFT: u32 = 2;
-/// Slices of one call that are looked at.
+/// Maximum number of slices of a `writev` that is cut short.
 const MAX_SLICES: usize = 64;
 
-/// Which descriptors the process has connected.
+/// Whether the process opened the connection, by descriptor.
 static OUTBOUND: [AtomicBool; 1 << 14] = [const { AtomicBool::new(false) }; 1 << 14];
 static CALLS: AtomicI64 = AtomicI64::new(0);
 
@@ -35,7 +35,7 @@
     OUTBOUND.get(usize::try_from(fd).ok()?)
 }
 
-/// Whether this is the time at which calls fail.
+/// Whether calls fail at the current time of the period.
 fn in_burst() -> bool {
     let (burst, period) = (word(BURST), word(PERIOD));
     if period <= 0 {
@@ -52,7 +52,7 @@
     (now.tv_sec * 1_000 + now.tv_nsec / 1_000_000) % period < burst
 }
 
-/// The error that a call fails with now.
+/// Returns the error with which a call has to fail, and counts the failure.
 fn take_fault(call: i64) -> Option<c_int> {
     let every = word(EVERY);
     if word(FAILING_CALLS) & call == 0 || every <= 0 || !in_burst() {
@@ -61,7 +61,7 @@
     if CALLS.fetch_add(1, Ordering::Relaxed) % every != 0 {
         return None;
     }
-    // Without words of its own nothing is asked to fail, and nothing is written there.
+    // Never reached with `DEFAULTS`, which must not be modified.
     words()[FAILURE_COUNT].fetch_add(1, Ordering::Relaxed);
     Some(word(ERRNO) as c_int)
 }
@@ -69,7 +69,7 @@
 fn is_tcp(fd: c_int) -> bool {
     let option = |name: c_int| {
         let (mut value, mut size): (c_int, libc::socklen_t) = (0, 4);
-        // SAFETY: the call writes the value and its size, and nothing else.
+        // SAFETY: the call writes to the value and its size only.
         let got = unsafe {
             libc::getsockopt(
                 fd,
@@ -85,7 +85,7 @@
         && option(libc::SO_TYPE) == Some(libc::SOCK_STREAM)
 }
 
-/// How many bytes a call on a connection may take; an error: it fails with that.
+/// Returns how many bytes a call may transfer, or the error with which it has to fail.
 fn allowed_bytes(fd: c_int, call: i64) -> Result<usize, c_int> {
     let limit = if call == READ {
         word(MAX_READ_BYTES)
@@ -108,11 +108,11 @@
 }
 
 fn to_result(returned: std::ffi::c_long) -> isize {
-    // `libc::syscall` has set the error number already.
+    // `libc::syscall` has already set the error number.
     returned as isize
 }
 
-/// Makes a socket, unless that fails now.
+/// Replaces `socket`, which may fail as configured.
 #[no_mangle]
 pub extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET {
@@ -126,10 +126,10 @@
     ) as c_int
 }
 
-/// Connects a socket, unless that fails now.
+/// Replaces `connect`, which may fail as configured.
 ///
 /// # Safety
-/// As the system's: `size` bytes can be read at `address`.
+/// As for the system function: `address` is valid for reads of `size` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn connect(
     fd: c_int,
@@ -150,10 +150,10 @@
     ) as c_int
 }
 
-/// Accepts a connection, unless that fails now.
+/// Replaces `accept4`, which may fail as configured.
 ///
 /// # Safety
-/// As the system's: `address` and `size` are null, or a place to write to and its size.
+/// As for the system function: `address` and `size` are null, or a buffer and its size.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     fd: c_int,
@@ -174,10 +174,10 @@
     accepted
 }
 
-/// Reads what a connection has, unless that fails now.
+/// Replaces `recv`, which may fail or read fewer bytes as configured.
 ///
 /// # Safety
-/// As the system's: `size` bytes can be written at `to`.
+/// As for the system function: `to` is valid for writes of `size` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, to: *mut c_void, size: usize, flags: c_int) -> isize {
     let size = match allowed_bytes(fd, READ) {
@@ -195,10 +195,10 @@
     ))
 }
 
-/// Writes to a connection, unless that fails now.
+/// Replaces `send`, which may fail or write fewer bytes as configured.
 ///
 /// # Safety
-/// As the system's: `size` bytes can be read at `from`.
+/// As for the system function: `from` is valid for reads of `size` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn send(fd: c_int, from: *const c_void, size: usize, flags: c_int) -> isize {
     let size = match allowed_bytes(fd, WRITE) {
@@ -216,10 +216,10 @@
     ))
 }
 
-/// Writes several slices, unless that fails now.
+/// Replaces `writev`, which may fail or write fewer bytes as configured.
 ///
 /// # Safety
-/// As the system's: `count` slices that can be read are at `slices`.
+/// As for the system function: `slices` is valid for reads of `count` slices.
 #[no_mangle]
 pub unsafe extern "C" fn writev(fd: c_int, slices: *const libc::iovec, count: c_int) -> isize {
     let limit = match allowed_bytes(fd, WRITE) {
--- a/rig/src/clients.rs
+++ b/rig/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: one thread a front, one request at a time, each noted with what became of it.
+//! Clients of the fronts: one thread for each connection, with one request at a time, recorded in the history.
 use crate::history::{History, Observation};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,40 +7,39 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Bytes of a frame at most.
 const MAX_FRAME_BYTES: usize = 1 << 18;
 
-/// For how long a client waits on after the moment at which it said that it gives up: what comes then is seen to be late.
+/// How long a client still waits for a response after its timeout, so that late responses are recorded.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What clients ask.
+/// Load that the clients put on the fronts.
 #[derive(Clone, Debug)]
 pub struct ClientLoad {
-    /// Classes that may run twice and those that must not; one in ten is of the latter.
+    /// Class of read requests; nine in ten requests are reads.
     pub read_class: String,
-    /// The class that must not run twice.
+    /// Class of write requests, which must not be executed twice.
     pub write_class: String,
-    /// Different objects.
+    /// Number of different objects.
     pub objects: u64,
     /// Connections to each front, each with one request at a time.
     pub connections_per_front: usize,
-    /// Pause after an answer.
+    /// Pause after each response.
     pub pause: Duration,
-    /// When a client gives up.
+    /// Timeout that a client sends with its request.
     pub timeout: Duration,
 }
 
-/// Clients of all fronts, until they are let go.
+/// Clients of all fronts, running until they are stopped.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Where each front listens now; `None`: it does not.
+/// Address on which each front listens; `None` while its process is not running.
 pub type Addresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
 impl Clients {
-    /// Begins to ask each front.
+    /// Starts the clients of each front.
     pub fn start(history: &History, addresses: &Addresses, load: &ClientLoad, seed: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let count = addresses.lock().expect("no holder panics").len();
@@ -69,11 +68,11 @@
         }
     }
 
-    /// No new requests; waits until what was asked is answered or given up.
+    /// Sends no new requests and waits until open requests are answered or have timed out.
     pub fn stop(mut self) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
-            thread.join().expect("a client does not panic");
+            thread.join().expect("client thread panicked");
         }
     }
 }
@@ -86,7 +85,7 @@
 
 struct Client {
     front: usize,
-    /// Which of the clients of this front.
+    /// Number of the client among those of its front.
     number: usize,
     rng: u64,
     stream: u32,
@@ -101,7 +100,7 @@
 }
 
 impl Client {
-    /// The id of a request: the front, the client and the stream stand in it.
+    /// Transaction id of a request, composed of front, client and stream.
     fn txn(&self, stream: u32) -> u64 {
         ((self.front as u64 + 1) << 40) | ((self.number as u64) << 32) | u64::from(stream)
     }
@@ -118,7 +117,7 @@
             let address = addresses.lock().expect("no holder panics")[self.front];
             match address.and_then(|at| TcpStream::connect(at).ok()) {
                 Some(socket) => {
-                    // A connection to a process that was killed is of no use: what is asked there was taken by nobody.
+                    // Disconnect from a process that was killed: a request sent there would reach nobody.
                     let front = self.front;
                     let same_process =
                         || addresses.lock().expect("no holder panics")[front] == address;
@@ -134,7 +133,7 @@
         }
     }
 
-    /// ClientLoad once and hears the answer. An error: the connection is of no further use.
+    /// Sends a request and waits for its response. After an error the connection must not be used again.
     fn request(&mut self, mut socket: &TcpStream, history: &History) -> std::io::Result<()> {
         self.stream += 1;
         let (front, stream) = (self.front, self.stream);
@@ -175,7 +174,7 @@
             .write_all(&frame)
             .and_then(|()| self.receive(socket, history, txn, until));
         if done.is_err() {
-            // The connection ended, or it is given up.
+            // The connection was closed or the response did not arrive in time.
             history.record(Observation::ClientUnanswered(front, txn));
         }
         done
@@ -202,7 +201,7 @@
             let mut frame = vec![0; length];
             socket.read_exact(&mut frame)?;
             if frame[0] != 11 {
-                // The front takes nothing more here: the next request goes elsewhere.
+                // Another message of the front; it asks the client to reconnect, which takes effect after this request.
                 continue;
             }
             let stream = u32::from_be_bytes([frame[1], frame[2], frame[3], frame[4]]);
--- a/rig/src/cluster.rs
+++ b/rig/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole service under a test's hand: fronts, the list service, nodes behind links, clients, one history.
+//! Test cluster: fronts, list service, nodes behind network links, and clients, with one history.
 use crate::clients::{Addresses, ClientLoad, Clients};
 use crate::fleet::Fleet;
 use crate::history::{History, Observation};
@@ -12,33 +12,33 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How large a service is.
+/// Size of a test cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterSize {
-    /// Processes of the program.
+    /// Number of processes of the program.
     pub fronts: usize,
-    /// Cache nodes, parents; there is one origin besides.
+    /// Number of cache nodes.
     pub caches: usize,
-    /// Parents.
+    /// Number of parents. There is always one origin.
     pub parents: usize,
-    /// Parts of the fleet that reach the nodes by links of their own; a front is of the part of its number. 0: no links at
-    /// all, neither to nodes nor to the list service; each costs threads.
+    /// Number of link groups. Front `n` reaches the nodes through the links of group `n % link_groups`; 0 for no links to nodes
+    /// and to the list service, which saves their threads.
     pub link_groups: usize,
 }
 
-/// What runs. Nodes go by their place: caches, then parents, then the origin.
+/// Running test cluster. Nodes are indexed with caches first, then parents, then the origin.
 pub struct TestCluster {
-    /// What was seen.
+    /// History of the cluster.
     pub history: History,
-    /// The list service.
+    /// Stand-in for the list service.
     pub list_service: ListService,
-    /// Cache nodes, parents, the origin.
+    /// Cache nodes, parents and the origin.
     pub nodes: Nodes,
-    /// The processes.
+    /// Processes of the program.
     pub fleet: Fleet,
-    /// From each front to the list service.
+    /// Link from each front to the list service.
     pub feeds: Vec<Link>,
-    /// By side and node.
+    /// Links to the nodes, by link group and node.
     links: Vec<Vec<Link>>,
     shape: ClusterSize,
     listed: Vec<ListedNode>,
@@ -46,13 +46,13 @@
     limits: Limits,
     warm_up_limits: WarmUpLimits,
     purge_duration: Duration,
-    /// What clients ask that begin from now on.
+    /// Load of clients that are started from now on.
     pub load: ClientLoad,
 }
 
 impl TestCluster {
-    /// Starts all of it. `base` is a configuration whose settings have the classes that are asked, an edge at zone 1, a hub at
-    /// zone 0 and the kinds cache, parent, origin in this order; `settings` are the daemon's own.
+    /// Starts a cluster. The settings of `base` must have a read and a write class, a hub as zone 0, an edge as zone 1, and the
+    /// kinds cache, parent and origin in this order. `settings` are the daemon settings.
     pub fn start(
         binary: &Path,
         shape: ClusterSize,
@@ -63,7 +63,7 @@
         TestCluster::start_with_clocks(binary, shape, base, settings, &[], seed)
     }
 
-    /// The same on injectors whose wall clocks are ahead by so many milliseconds, front by front.
+    /// Like [`TestCluster::start`], with wall clocks that are ahead by `clocks` milliseconds, front by front.
     pub fn start_with_clocks(
         binary: &Path,
         shape: ClusterSize,
@@ -76,18 +76,28 @@
         let info = &base["settings"]["familyInfo"];
         let classes = base["settings"]["classes"].as_array().expect("classes");
         let is_write = |i: usize| info["classWrite"][i].as_bool().unwrap_or(false);
-        let name = |i: usize| classes[i]["name"].as_str().expect("a name").to_string();
+        let name = |i: usize| {
+            classes[i]["name"]
+                .as_str()
+                .expect("name of a class")
+                .to_string()
+        };
         let writes: Vec<_> = (0..classes.len()).filter(|i| is_write(*i)).collect();
         let reads: Vec<_> = (0..classes.len()).filter(|i| !is_write(*i)).collect();
         let (read, write) = (
-            *reads.last().expect("a class"),
-            *writes.first().expect("a class"),
+            *reads.last().expect("a read class"),
+            *writes.first().expect("a write class"),
         );
-        let limit =
-            |i: usize| Duration::from_micros(classes[i]["deadline"].as_u64().expect("a time"));
-        let micros = |v: &Value| Duration::from_micros(v.as_u64().expect("a time"));
+        let limit = |i: usize| {
+            Duration::from_micros(
+                classes[i]["deadline"]
+                    .as_u64()
+                    .expect("deadline of a class"),
+            )
+        };
+        let micros =
+            |v: &Value| Duration::from_micros(v.as_u64().expect("duration in microseconds"));
         let limits = Limits {
-            // A machine whose cores are all busy is late by this.
             drain: micros(&base["settings"]["rules"]["drainGrace"]) + SCHEDULING_TOLERANCE,
             purge: micros(&info["purgeGrace"]) + SCHEDULING_TOLERANCE,
             response: limit(read).min(limit(write)) + SCHEDULING_TOLERANCE,
@@ -96,9 +106,9 @@
         };
         let rules = &base["settings"]["rules"];
         let warm_up_limits = WarmUpLimits {
-            initial_fraction: rules["coldFrom"].as_f64().expect("a share"),
+            initial_fraction: rules["coldFrom"].as_f64().expect("coldFrom"),
             warm_up: micros(&rules["cold"]),
-            overload_factor: rules["fallMultiple"].as_f64().expect("a number"),
+            overload_factor: rules["fallMultiple"].as_f64().expect("fallMultiple"),
             overload_window: micros(&rules["overloadFor"]),
             request_cost: REQUEST_COST,
         };
@@ -156,7 +166,7 @@
             config["seed"] = format!("{:x}", seed.wrapping_mul(1_000_003) + front as u64).into();
             config["settings"]["nInstances"] = shape.fronts.into();
             config["settings"]["index"] = front.into();
-            // All of them stand at the edge: what a cache bears is shared by as many.
+            // All fronts are at the edge and share the capacity of the caches.
             config["settings"]["familyInfo"]["seatsByZone"] = json!([0, shape.fronts]);
             let member = |one: &ListedNode| {
                 json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": node_addresses(front)[one.index].to_string(),
@@ -198,17 +208,17 @@
         }
     }
 
-    /// From now on each front that is killed is held to what it was told before: it has it on disk.
+    /// Requires restarted fronts to respect events from before their restart, as they have the list on disk.
     pub fn keep_lists_on_disk(&mut self) {
         self.limits.lists_on_disk = true;
     }
 
-    /// Clients begin to ask all fronts.
+    /// Starts clients of all fronts.
     pub fn start_clients(&self, seed: u64) -> Clients {
         Clients::start(&self.history, &self.addresses, &self.load, seed)
     }
 
-    /// Kills fronts outright.
+    /// Kills fronts with SIGKILL.
     pub fn kill(&mut self, fronts: &[usize]) {
         for front in fronts {
             self.history.record(Observation::Killed(*front));
@@ -217,7 +227,7 @@
         self.fleet.kill(fronts.iter().copied());
     }
 
-    /// Starts fronts anew that were killed.
+    /// Restarts killed fronts.
     pub fn restart(&mut self, fronts: &[usize]) {
         self.fleet.restart(fronts.iter().copied());
         for front in fronts {
@@ -227,7 +237,7 @@
         }
     }
 
-    /// Stops fronts, or lets them go on.
+    /// Stops fronts with SIGSTOP or continues them.
     pub fn set_stopped(&self, fronts: &[usize], stopped: bool) {
         let signal = if stopped {
             libc::SIGSTOP
@@ -247,7 +257,7 @@
         }
     }
 
-    /// The link between a front and the list service does this; `None`: it heals.
+    /// Sets both directions of the link between a front and the list service; `None` heals it.
     pub fn set_feed_link(&self, front: usize, transmission: Option<(Transmission, Transmission)>) {
         match transmission {
             Some((forward, backward)) => {
@@ -261,7 +271,7 @@
         }
     }
 
-    /// The link between one side of the fleet and a node does this; `None`: it heals.
+    /// Sets both directions of the link between a link group and a node; `None` heals it.
     pub fn set_node_link(
         &self,
         group: usize,
@@ -283,25 +293,25 @@
         }
     }
 
-    /// Resets the connections of one side of the fleet to a node.
+    /// Resets the connections of a link group to a node.
     pub fn reset_connections(&self, group: usize, index: usize) {
         self.links[group][index].reset();
     }
 
-    /// The list service tells that a node is in another state.
+    /// Publishes a new state of a node and returns the event number.
     pub fn set_node_state(&mut self, index: usize, state: State) -> u64 {
         self.listed[index].state = state;
         self.list_service
             .publish(Event::Nodes(false, vec![self.listed[index]]))
     }
 
-    /// The list service tells that a node has just started: it is cold.
+    /// Publishes that a node has started now and is warming up.
     pub fn mark_started(&mut self, index: usize) -> u64 {
         self.listed[index].started_ms = crate::nodes::wall_ms();
         self.set_node_state(index, State::Ready)
     }
 
-    /// The list service tells of all nodes, some of them in other states.
+    /// Publishes the whole list, with new states of some nodes.
     pub fn publish_all(&mut self, states: &[(usize, State)]) -> u64 {
         states
             .iter()
@@ -310,31 +320,31 @@
             .publish(Event::Nodes(true, self.listed.clone()))
     }
 
-    /// The list service tells that an object is purged now.
+    /// Purges an object now and publishes that.
     pub fn purge(&self, item: u64) -> u64 {
         let at_ms = crate::nodes::wall_ms();
         self.nodes.purge(item, at_ms, self.purge_duration);
         self.list_service.publish(Event::Purge(item, at_ms))
     }
 
-    /// How many nodes there are.
+    /// Number of nodes.
     pub fn node_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// Its shape.
+    /// Size of the cluster.
     pub fn size(&self) -> ClusterSize {
         self.shape
     }
 
-    /// Waits until so many more requests were answered with success.
+    /// Waits for `more` further successful responses.
     pub fn wait_served(&self, what: &str, more: usize) {
         let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, _, 1));
         let before = self.history.count(served);
         self.history.wait_for(what, before + more, served);
     }
 
-    /// Breaches of the service's rules in all that was seen.
+    /// Violations of the invariants in the history so far.
     pub fn violations(&self) -> Vec<Violation> {
         let events = self.list_service.events();
         let (all, event) = (self.history.observations(), |number: u64| {
@@ -345,7 +355,7 @@
         found
     }
 
-    /// No rule was broken and no process has ended by itself, or the history round the first breach is shown.
+    /// Panics with the history around the first violation, or with the logs of processes that exited by themselves.
     pub fn assert_no_violations(&mut self, seed: u64) {
         let found = self.violations();
         if let Some(first) = found.first() {
@@ -358,17 +368,20 @@
                 context(&self.history.observations(), first),
             );
             panic!(
-                "seed {seed}: {} breaches\n{list}\nthe first:\n{context_text}",
+                "seed {seed}: {} violations\n{list}\nhistory around the first:\n{context_text}",
                 found.len()
             );
         }
-        let dead = self.fleet.exited();
-        assert!(dead.is_empty(), "seed {seed}: {dead:#?}");
+        let exited = self.fleet.exited();
+        assert!(
+            exited.is_empty(),
+            "seed {seed}: processes exited by themselves: {exited:#?}"
+        );
     }
 }
 
-/// What a request that tells no size takes of a node's place, as the decisions assume it.
+/// Time for which a request without a size occupies a slot, as in the router.
 const REQUEST_COST: Duration = Duration::from_millis(200);
 
-/// What a test machine with busy cores may be late by.
+/// Tolerated delay by a test machine whose cores are all busy.
 const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(400);
--- a/rig/src/faults.rs
+++ b/rig/src/faults.rs
@@ -1,5 +1,5 @@
-//! Faults from a seed. A script says what fails and what comes back, in order; the next step is taken once so many more requests
-//! were answered, so that a slow machine takes longer and sees the same.
+//! Random faults from a seed. A script lists faults and recoveries; each step waits for a number of responses rather than for a
+//! time, so that a slow machine goes through the same states.
 use crate::cluster::{ClusterSize, TestCluster};
 use crate::history::Observation;
 use crate::link::Transmission;
@@ -9,41 +9,41 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// One step of a script.
+/// Step of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Fronts are killed outright, or started anew.
+    /// Kills fronts with SIGKILL.
     Kill(Vec<usize>),
-    /// They are started anew.
+    /// Restarts killed fronts.
     Restart(Vec<usize>),
-    /// Fronts are stopped.
+    /// Stops fronts with SIGSTOP.
     Stop(Vec<usize>),
-    /// They go on.
+    /// Continues stopped fronts.
     Resume(Vec<usize>),
-    /// A front and the list service: what passes there and back; `None`: all.
+    /// Sets both directions of the link between a front and the list service; `None` heals it.
     Feed(usize, Option<(Transmission, Transmission)>),
-    /// A side of the fleet and a node.
+    /// Sets both directions of the links between a link group and a node; `None` heals them.
     Link(usize, usize, Option<(Transmission, Transmission)>),
-    /// The connections of a side to a node are reset.
+    /// Resets the connections of a link group to a node.
     Reset(usize, usize),
-    /// What a node does.
+    /// Changes the behaviour of a node.
     Node(usize, Behavior),
-    /// What the list service says of a node.
+    /// Changes the listed state of a node.
     SetState(usize, State),
-    /// An object is purged.
+    /// Purges an object.
     Purge(u64),
-    /// What the list service does.
+    /// Changes the mode of the list service.
     Service(ServiceMode),
 }
 
-/// Faults, one after another.
+/// Sequence of faults that ends with a full recovery.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// From which it was made.
+    /// Seed of the script.
     pub seed: u64,
-    /// The steps.
+    /// Steps in order.
     pub steps: Vec<Fault>,
-    /// Answers to be seen between two steps.
+    /// Number of responses to wait for between two steps.
     pub responses: usize,
 }
 
@@ -60,11 +60,11 @@
 }
 
 impl Script {
-    /// So many steps. Half of the fronts and one cache at least stay untouched, so that there is service to be seen.
+    /// Creates a script of `count` faults. At least half of the fronts and one cache are not affected.
     pub fn from_seed(seed: u64, shape: ClusterSize, count: usize) -> Self {
         let mut rng = Rng(seed);
         let (mut down, mut stopped) = (BTreeSet::new(), BTreeSet::new());
-        // Front 0 and cache 0 are never touched.
+        // Front 0 and cache 0 are never affected.
         let front = |rng: &mut Rng| 1 + rng.below(shape.fronts - 1);
         let index = |rng: &mut Rng| 1 + rng.below(shape.caches + shape.parents);
         let transmission = |rng: &mut Rng| {
@@ -147,7 +147,7 @@
                 _ => continue,
             });
         }
-        // All heals.
+        // Recovery from all faults.
         steps.push(Fault::Service(ServiceMode::Serve));
         steps.push(Fault::Restart(down.into_iter().collect()));
         steps.push(Fault::Resume(stopped.into_iter().collect()));
@@ -169,7 +169,7 @@
 }
 
 impl TestCluster {
-    /// Takes one step.
+    /// Applies one step.
     pub fn apply(&mut self, fault: &Fault) {
         match fault {
             Fault::Kill(fronts) => self.kill(fronts),
@@ -188,14 +188,14 @@
         }
     }
 
-    /// Plays a script to its end: all has healed, and each front has served again.
+    /// Runs a script and waits until each front serves requests after the recovery.
     pub fn run_script(&mut self, script: &Script) {
         let response = |seen: &Observation| matches!(seen, Observation::ClientResponse(..));
         for (index, step) in script.steps.iter().enumerate() {
             let before = self.history.count(response);
             self.apply(step);
             if index + self.node_count() * 4 + self.size().fronts < script.steps.len() {
-                let what = format!("seed {}: answers after {step:?}", script.seed);
+                let what = format!("seed {}: responses after {step:?}", script.seed);
                 self.history
                     .wait_for(&what, before + script.responses, response);
             }
@@ -209,7 +209,10 @@
                 .iter()
                 .filter(|at| **at <= healed)
                 .count();
-            let what = format!("seed {}: front {front} serves again", script.seed);
+            let what = format!(
+                "seed {}: front {front} serves requests after the recovery",
+                script.seed
+            );
             self.history.wait_for(&what, before + 1, served);
         }
     }
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Processes of the program.
+//! Processes of the program and the faults that the preloaded library injects into them.
 use crate::socket_faults::SocketFaults;
 use serde_json::Value;
 use std::io::Write;
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// What the machine of one process does, as the library that is loaded into it is told (`shim/`).
+/// Controls clock, disk and socket faults of one process through the file that the preloaded library maps (`shim/`).
 pub struct FaultInjector {
     words: std::fs::File,
 }
@@ -23,7 +23,7 @@
             .write(true)
             .open(file);
         let machine = FaultInjector {
-            words: words.expect("a file"),
+            words: words.expect("open the fault file"),
         };
         (0..crate::socket_faults::WORD_COUNT).for_each(|index| machine.set_word(index, 0));
         machine
@@ -32,22 +32,22 @@
     fn set_word(&self, index: u64, word: i64) {
         self.words
             .write_all_at(&word.to_ne_bytes(), index * 8)
-            .expect("a file");
+            .expect("write the fault file");
     }
 
-    /// Its wall clock is ahead by so many milliseconds, or behind.
+    /// Shifts the wall clock of the process by this many milliseconds.
     pub fn set_clock_offset(&self, ahead_ms: i64) {
         self.set_word(0, ahead_ms);
     }
 
-    /// Files under [`Fleet::disk`] can't be written; syncs of them fail.
+    /// Sets whether writes to files under [`Fleet::disk_dir`] fail with a full disk, and whether syncs fail.
     pub fn set_disk_faults(&self, full: bool, unsynced: bool) {
         self.set_word(1, i64::from(full) | i64::from(unsynced) << 1);
     }
 
-    /// System calls on its sockets fail or are cut short like this; `None`: they do what the system does.
+    /// Makes system calls on TCP sockets fail or transfer fewer bytes; `None` restores normal operation.
     pub fn set_socket_faults(&self, faults: Option<&SocketFaults>) {
-        // The mask comes last and goes first: no call sees half of what is said.
+        // The set of failing calls is cleared first and written last, so that no call uses a partial configuration.
         self.set_word(crate::socket_faults::FAILING_CALLS, 0);
         let words = faults.map(SocketFaults::words).unwrap_or_default();
         words
@@ -56,24 +56,24 @@
             .for_each(|(index, word)| self.set_word(index, word));
     }
 
-    /// How many system calls on its sockets have failed by [`FaultInjector::sockets`] since it was made.
+    /// Number of system calls that have failed because of [`FaultInjector::set_socket_faults`].
     pub fn socket_fault_count(&self) -> i64 {
         let mut word = [0; 8];
         self.words
             .read_exact_at(&mut word, crate::socket_faults::FAILURE_COUNT * 8)
-            .expect("a file");
+            .expect("read the fault file");
         i64::from_ne_bytes(word)
     }
 
-    /// A sync of such a file takes this long.
+    /// Delays each sync of a file under [`Fleet::disk_dir`].
     pub fn set_sync_delay(&self, duration: Duration) {
         self.set_word(2, duration.as_millis() as i64);
     }
 }
 
-/// The library that is loaded into each process: it is built beside this.
+/// Path of the library that is preloaded into each process; cargo builds it next to the test.
 fn shim_library() -> PathBuf {
-    let exe = std::env::current_exe().expect("a program");
+    let exe = std::env::current_exe().expect("path of the test executable");
     let candidates = exe
         .ancestors()
         .skip(1)
@@ -82,27 +82,27 @@
     let mut found = candidates.map(|at| at.join("libcranesill_shim.so"));
     found
         .find(|at| at.exists())
-        .expect("libcranesill_shim.so is built with the rig")
+        .expect("libcranesill_shim.so not found next to the test executable")
 }
 
-/// Some processes of the program, each with a configuration of its own. All are ended with this.
+/// Processes of the program, each with its own configuration. Dropping the fleet kills them.
 pub struct Fleet {
     binary: PathBuf,
     folder: tempfile::TempDir,
     settings: bool,
     shim: PathBuf,
-    /// Of each process, dead or alive.
+    /// Fault injector of each process, running or not.
     pub injectors: Vec<FaultInjector>,
     processes: Vec<Option<Child>>,
-    /// How often each was started.
+    /// Number of starts of each process.
     starts: Vec<usize>,
 }
 
 impl Fleet {
-    /// Starts so many processes at once, each with what `config` makes of its number.
+    /// Starts `count` processes, with the configuration that `config` returns for the process number.
     ///
-    /// `settings` are the daemon's own; `{nnnn}` in them is the number of the process in four digits, `{disk}` a folder for its
-    /// files; `None`: it is started without.
+    /// `settings` are the daemon settings, in which `{nnnn}` stands for the process number in four digits and `{disk}` for
+    /// [`Fleet::disk_dir`]; `None` starts the processes without settings.
     pub fn start(
         binary: &Path,
         count: usize,
@@ -112,7 +112,7 @@
         Fleet::start_with_clocks(binary, count, settings, &[], config)
     }
 
-    /// The same on injectors whose wall clocks are ahead by so many milliseconds.
+    /// Like [`Fleet::start`], with wall clocks that are ahead by `clocks` milliseconds, process by process.
     pub fn start_with_clocks(
         binary: &Path,
         count: usize,
@@ -120,7 +120,7 @@
         clocks: &[i64],
         config: impl Fn(usize) -> Value,
     ) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("temporary folder");
         let (binary, starts) = (binary.to_path_buf(), vec![1; count]);
         let machine = |n: usize| FaultInjector::new(&folder.path().join(format!("{n}.machine")));
         let injectors: Vec<_> = (0..count).map(machine).collect();
@@ -128,7 +128,7 @@
             .iter()
             .zip(clocks)
             .for_each(|(machine, ahead)| machine.set_clock_offset(*ahead));
-        std::fs::create_dir(folder.path().join("disk")).expect("a folder");
+        std::fs::create_dir(folder.path().join("disk")).expect("disk folder");
         let (has_settings, processes) = (settings.is_some(), Vec::new());
         let shim = shim_library();
         let mut fleet = Fleet {
@@ -143,19 +143,19 @@
         for n in 0..count {
             let file = std::fs::File::create(fleet.config_file(n))
                 .and_then(|mut f| f.write_all(config(n).to_string().as_bytes()));
-            file.expect("a file");
+            file.expect("write the configuration");
             if let Some(settings) = settings {
                 let text = settings.to_string().replace("{nnnn}", &format!("{n:04}"));
                 let text = text.replace("{disk}", &fleet.disk_dir().display().to_string());
-                std::fs::write(fleet.settings_file(n), text).expect("a file");
+                std::fs::write(fleet.settings_file(n), text).expect("write the settings");
             }
         }
-        // What is slow is done before: they start in step.
+        // All files are written first, so that the processes start at nearly the same time.
         fleet.processes = (0..count).map(|n| Some(fleet.spawn(n))).collect();
         fleet
     }
 
-    /// Where files of the processes lie whose disk is in the test's hand.
+    /// Folder for the processes' files to which disk faults apply.
     pub fn disk_dir(&self) -> PathBuf {
         self.folder.path().join("disk")
     }
@@ -189,8 +189,8 @@
             .create(true)
             .append(true)
             .open(self.folder.path().join(format!("{n}.log")));
-        command.stderr(log.expect("a log"));
-        // SAFETY: between fork and exec one system call is made that takes numbers alone and allocates nothing.
+        command.stderr(log.expect("open the log file"));
+        // SAFETY: the closure runs between fork and exec, makes one system call with numeric arguments and does not allocate.
         unsafe {
             command.pre_exec(
                 || match libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) {
@@ -199,53 +199,53 @@
                 },
             );
         }
-        command.spawn().expect("the program starts")
+        command.spawn().expect("start the program")
     }
 
-    /// The id of a process that lives.
+    /// Id of a running process; `None` if it was killed.
     pub fn id(&self, n: usize) -> Option<u32> {
         self.processes[n].as_ref().map(Child::id)
     }
 
-    /// How many there are, dead or alive.
+    /// Number of processes, running or not.
     pub fn len(&self) -> usize {
         self.processes.len()
     }
 
-    /// The process id of a front that runs.
+    /// Process id of a running front; `None` if it was killed.
     pub fn process_id(&self, n: usize) -> Option<u32> {
         self.processes[n].as_ref().map(Child::id)
     }
 
-    /// Whether there are none.
+    /// Whether the fleet has no processes.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
 
-    /// Sends some of them a signal.
+    /// Sends a signal to those of the given processes that are running.
     pub fn signal(&self, numbers: impl IntoIterator<Item = usize>, signal: i32) {
         for child in numbers
             .into_iter()
             .filter_map(|n| self.processes[n].as_ref())
         {
-            // SAFETY: the call takes numbers alone; the process was begun here and has not been waited for.
+            // SAFETY: the call takes numbers only; the process is a child of this one and was not waited for.
             unsafe { libc::kill(child.id() as i32, signal) };
         }
     }
 
-    /// Kills some outright and waits for their ends.
+    /// Kills the given processes with SIGKILL and waits for them.
     pub fn kill(&mut self, numbers: impl IntoIterator<Item = usize>) {
         for n in numbers {
             if let Some(mut child) = self.processes[n].take() {
                 child
                     .kill()
                     .and_then(|()| child.wait().map(drop))
-                    .expect("it was begun here");
+                    .expect("kill and wait for a child process");
             }
         }
     }
 
-    /// Starts some anew that were killed, with the same configuration.
+    /// Restarts the given processes with their configuration, unless they are running.
     pub fn restart(&mut self, numbers: impl IntoIterator<Item = usize>) {
         for n in numbers {
             if self.processes[n].is_none() {
@@ -255,12 +255,12 @@
         }
     }
 
-    /// What one has logged.
+    /// Log of a process, over all its starts.
     pub fn log(&self, n: usize) -> String {
         std::fs::read_to_string(self.folder.path().join(format!("{n}.log"))).unwrap_or_default()
     }
 
-    /// Where the latest process of a front listens, once it does.
+    /// Waits until the latest process of a front logs its listening address, and returns that address.
     pub fn address(&self, n: usize) -> SocketAddr {
         let until = Instant::now() + crate::WAIT_TIMEOUT;
         loop {
@@ -275,12 +275,15 @@
             if let Some(at) = at.and_then(|at| at.parse().ok()) {
                 return at;
             }
-            assert!(Instant::now() < until, "front {n} does not listen: {log}");
+            assert!(
+                Instant::now() < until,
+                "front {n} logged no listening address: {log}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Those that have ended by themselves, each with its log.
+    /// Processes that have exited by themselves, with their logs.
     pub fn exited(&mut self) -> Vec<(usize, String)> {
         let mut exited = Vec::new();
         for (n, child) in self.processes.iter_mut().enumerate() {
--- a/rig/src/history.rs
+++ b/rig/src/history.rs
@@ -1,85 +1,85 @@
-//! What was seen, in order.
+//! History of what stand-ins, clients and the test observed.
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Something that was seen at a stand-in or done by the test. Fronts go by their number, nodes by their id, requests by theirs.
+/// Observation by a stand-in or a client, or an action of the test. Fronts have numbers, nodes and requests ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// The list service accepted a connection.
     Call,
-    /// A front named the last event that it holds, and is served from there.
+    /// A front sent the number of its last event and is served the events after it.
     Subscribed(u64),
-    /// The connection of a front that was served has ended.
+    /// The connection of a subscribed front ended.
     SubscriptionEnded,
-    /// The test changed something.
+    /// The test changed the mode of the list service.
     ModeChanged,
-    /// An event was written to a front.
+    /// An event was sent to a front: front and event number.
     EventSent(usize, u64),
-    /// A front was killed: it knows nothing more than its configuration.
+    /// A front was killed; it keeps nothing but its configuration and its files.
     Killed(usize),
-    /// A front was stopped.
+    /// A front was stopped with SIGSTOP.
     Stopped(usize),
-    /// A front that was stopped goes on, or one that was killed is there again.
+    /// A stopped front was continued, or a killed one was restarted.
     Resumed(usize),
-    /// A front is not reached by the list service from now on, in one direction or both.
+    /// The link between a front and the list service is impaired from now on, in one direction or both.
     FeedImpaired(usize),
-    /// It is again.
+    /// That link works again.
     FeedRestored(usize),
-    /// What is said to a node may not arrive, or late, from now on; by a link of a side (from 1 on) or by itself (0).
+    /// Messages to a node may be lost or late from now on: node and link group (from 1 on), or 0 if the node itself is the cause.
     NodeImpaired(u32, usize),
-    /// It does again, as far as that is concerned.
+    /// That impairment ended.
     NodeRestored(u32, usize),
     /// A node accepted a connection.
     Accepted(u32),
-    /// A request came to a node.
+    /// An attempt of a request arrived at a node.
     Attempt {
-        /// To whom it came.
+        /// Id of the node.
         node: u32,
-        /// Which it is.
+        /// Transaction id.
         txn: u64,
-        /// Whether it is one that must not run twice.
+        /// Whether the request must not be executed twice.
         write: bool,
-        /// The object.
+        /// Object id.
         item: u64,
-        /// Whom it names to fill a miss, or 0.
+        /// Source for filling a miss, or 0.
         source: u32,
     },
-    /// What a request that came to a node said of the time that its client has left.
+    /// Remaining time of the client as sent with a request to a node.
     TimeLeft {
-        /// Which request.
+        /// Transaction id.
         txn: u64,
-        /// The time left, in milliseconds.
+        /// Remaining time in milliseconds.
         left_ms: u64,
-        /// The node may have read it later than it came, by this at most: the machine may be busy.
+        /// Upper bound of the time between arrival and reading, which may be long on a busy machine.
         read_delay: Duration,
     },
-    /// A node had no place for a connection, and closed it.
+    /// A node closed a connection because of its connection limit.
     ConnectionRejected(u32),
-    /// A request that must not run twice was run.
+    /// A node executed a request that must not be executed twice.
     Executed(u64),
-    /// A node was told that nobody waits any more.
+    /// A node received a cancellation: node and transaction id.
     Aborted(u32, u64),
-    /// The connection on which a request came to a node has ended.
+    /// The connection on which a node had received a request ended: node and transaction id.
     ConnectionLost(u32, u64),
-    /// A node answered, from a copy of that age in Unix milliseconds or from none (0).
+    /// A node responded: node, transaction id and creation time of the copy in Unix milliseconds (0: no copy).
     Responded(u32, u64, u64),
-    /// A client asked a front.
+    /// A client sent a request to a front.
     ClientRequest {
-        /// Which front.
+        /// Number of the front.
         front: usize,
-        /// Its id.
+        /// Transaction id.
         txn: u64,
     },
-    /// The client was answered: 1 served, 2 refused, 3 failed.
+    /// A client received a response: front, transaction id and code (1 served, 2 rejected, 3 failed).
     ClientResponse(usize, u64, u8),
-    /// The client's connection ended before it was answered, or the client gave up.
+    /// A client's connection ended or timed out before the response: front and transaction id.
     ClientUnanswered(usize, u64),
 }
 
-/// Moments with what was seen at them.
+/// Observations with their times since the start of the history.
 type Moments = Mutex<Vec<(Duration, Observation)>>;
 
-/// One history for all that a test starts; cheap to copy.
+/// History shared by everything that a test starts; clones refer to the same history.
 #[derive(Clone)]
 pub struct History {
     began: Instant,
@@ -96,21 +96,21 @@
 }
 
 impl History {
-    /// Notes what was seen now.
+    /// Records an observation at the current time.
     pub fn record(&self, seen: Observation) {
         let (all, more) = &*self.all;
         let mut all = all.lock().expect("no holder panics");
-        // Under the lock: what is later in the history is not earlier in time.
+        // The time is taken under the lock, so that times in the history never decrease.
         all.push((self.began.elapsed(), seen));
         more.notify_all();
     }
 
-    /// Time since the history began.
+    /// Time since the start of the history.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
-    /// Moments at which this was seen.
+    /// Times of the matching observations.
     pub fn timestamps(&self, of: impl Fn(&Observation) -> bool) -> Vec<Duration> {
         let all = self.all.0.lock().expect("no holder panics");
         all.iter()
@@ -119,18 +119,18 @@
             .collect()
     }
 
-    /// All that was seen, in order.
+    /// All observations in order.
     pub fn observations(&self) -> Vec<(Duration, Observation)> {
         self.all.0.lock().expect("no holder panics").clone()
     }
 
-    /// How many of these were seen.
+    /// Number of matching observations.
     pub fn count(&self, of: impl Fn(&Observation) -> bool) -> usize {
         self.timestamps(of).len()
     }
 
-    /// Waits until so many of these were seen, and returns when the last of them was. Panics with what was seen last if that
-    /// takes longer than the guard.
+    /// Waits for `count` matching observations and returns the time of the last of them. Panics with the latest observations
+    /// after [`crate::WAIT_TIMEOUT`].
     pub fn wait_for(
         &self,
         what: &str,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// The most of these in any window of this length that begins at `from` or later, and when that window begins.
+    /// Largest number of matching observations in any window of this length that starts within `from..to`, and its start.
     pub fn max_in_window(
         &self,
         from: Duration,
--- a/rig/src/invariants.rs
+++ b/rig/src/invariants.rs
@@ -1,34 +1,34 @@
-//! Checkers of the service's rules over the whole fleet. They read one history, and what was told by the list service.
+//! Checkers of the invariants of a fleet, based on the history and the published events.
 use crate::history::Observation;
 use crate::list_event::{Event, State};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
-/// Times that a fleet is held to. Each has the test machine's slack in it.
+/// Time limits of the invariants, including the tolerance for a busy test machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// From being told that a node drains until nothing new goes there.
+    /// From the event that drains a node until no new attempt may go to it.
     pub drain: Duration,
-    /// From being told of a purge until nothing is answered from an older copy.
+    /// From a purge event until no response may come from an older copy.
     pub purge: Duration,
-    /// From a request until its final answer.
+    /// From a client's request until its response.
     pub response: Duration,
-    /// For how long the end of one attempt may come after the begin of the next, on different connections.
+    /// How long an attempt may outlast the start of the next one, which is on another connection.
     pub overlap: Duration,
-    /// A front that was killed knows what it was told before: it lies on its disk.
+    /// Whether a restarted front has the list from its disk and is bound by events that it received before.
     pub lists_on_disk: bool,
 }
 
-/// A rule that was broken.
+/// Violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When.
+    /// Time in the history.
     pub at: Duration,
-    /// Which rule.
+    /// Name of the invariant.
     pub rule: &'static str,
-    /// Of which request.
+    /// Transaction id of the affected request.
     pub txn: u64,
-    /// What was seen.
+    /// Description with the affected front or node.
     pub text: String,
 }
 
@@ -37,14 +37,14 @@
     front: usize,
     at: Duration,
     responses: u32,
-    /// The client no longer waits, or the front could not answer.
+    /// The client disconnected, or the front was unable to respond.
     excused: bool,
-    /// Attempts at nodes that have not ended.
+    /// Nodes with attempts that have not ended.
     outstanding: Vec<u32>,
     executions: u32,
 }
 
-/// What a front was told, with the moment since which it counts.
+/// Events that a front has received, each with the time from which it is bound by them.
 #[derive(Default)]
 struct Front {
     feed_impaired: bool,
@@ -55,13 +55,13 @@
 
 impl Front {
     fn restart_grace(&mut self, now: Duration) {
-        // What was told meanwhile is heard from now on.
+        // Events that arrived in the meantime are read from now on.
         self.nodes.values_mut().for_each(|told| told.1 = now);
         self.purges.values_mut().for_each(|told| told.1 = now);
     }
 }
 
-/// All breaches of the rules; `event` gives what was told under a number.
+/// Finds all violations; `event` returns the event with a number.
 pub fn violations<'a>(
     history: &[(Duration, Observation)],
     event: impl Fn(u64) -> Option<&'a Event>,
@@ -72,11 +72,11 @@
     let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
     let mut open: BTreeSet<u64> = BTreeSet::new();
     let mut impaired: BTreeSet<(u32, usize)> = BTreeSet::new();
-    // When each could be reached again: what was held comes then.
+    // Time at which an impaired node became reachable; bytes that the link held arrive then.
     let mut restored: HashMap<u32, Duration> = HashMap::new();
-    // Copies that must be newer: by request and node.
+    // Creation time that a response must reach, by request and node.
     let mut required_creation: HashMap<(u64, u32), u64> = HashMap::new();
-    // Earlier attempts that are still out though another has begun, and since when.
+    // Attempts still open after a later attempt or the response, with the time of that.
     let mut superseded: HashMap<(u64, u32), Duration> = HashMap::new();
     for (now, seen) in history {
         let now = *now;
@@ -117,7 +117,7 @@
                 }
                 told.stopped = true;
                 for txn in &open {
-                    let request = requests.get_mut(txn).expect("it is open");
+                    let request = requests.get_mut(txn).expect("open request");
                     request.excused |= request.front == front;
                 }
             }
@@ -137,7 +137,7 @@
                 if impaired.remove(&(node, by)) {
                     restored.insert(node, now);
                 }
-                // What could not be made known in time is nobody's fault.
+                // A cancellation that could not be delivered in time is not the front's fault.
                 superseded.retain(|(_, at), _| *at != node);
             }
             Observation::ClientRequest { front, txn } => {
@@ -156,30 +156,35 @@
             Observation::ClientResponse(front, txn, _) => {
                 let Some(request) = requests.get_mut(&txn) else {
                     report(
-                        "answer",
+                        "response",
                         txn,
-                        format!("front {front} answered {txn:x}, which nobody asked"),
+                        format!(
+                            "front {front} sent a response to {txn:x}, which no client requested"
+                        ),
                     );
                     continue;
                 };
                 request.responses += 1;
                 open.remove(&txn);
-                // Nobody waits for what is still out: its node is to hear of it.
+                // The client has its response: attempts still open have to be cancelled.
                 for node in &request.outstanding {
                     superseded.entry((txn, *node)).or_insert(now);
                 }
                 if request.responses > 1 {
                     report(
-                        "answer",
+                        "response",
                         txn,
-                        format!("front {front} answered {txn:x} {} times", request.responses),
+                        format!(
+                            "front {front} sent {} responses to {txn:x}",
+                            request.responses
+                        ),
                     );
                 } else if now > request.at + limits.response && !request.excused {
                     let took = now - request.at;
                     report(
-                        "answer",
+                        "response",
                         txn,
-                        format!("front {front} answered {txn:x} after {took:?}"),
+                        format!("front {front} responded to {txn:x} after {took:?}"),
                     );
                 }
             }
@@ -191,10 +196,10 @@
                 if !request.excused {
                     let took = now - request.at;
                     report(
-                        "answer",
+                        "response",
                         txn,
                         format!(
-                            "front {} left {txn:x} unanswered for {took:?}",
+                            "front {} sent no response to {txn:x} for {took:?}; the client disconnected",
                             request.front
                         ),
                     );
@@ -209,9 +214,9 @@
             } => {
                 let Some(request) = requests.get_mut(&txn) else {
                     report(
-                        "asked",
+                        "unrequested",
                         txn,
-                        format!("{node:x} was sent {txn:x}, which nobody asked"),
+                        format!("node {node:x} received {txn:x}, which no client requested"),
                     );
                     continue;
                 };
@@ -235,12 +240,12 @@
                             let how = if at == node {
                                 "sent"
                             } else {
-                                "named as source for"
+                                "named as the source of"
                             };
                             report(
                                 "drain",
                                 txn,
-                                format!("front {by}: {at:x} was {how} {txn:x} {late:?} after"),
+                                format!("front {by}: node {at:x} was {how} {txn:x} {late:?} after the event that drained or removed it"),
                             );
                         }
                     }
@@ -256,10 +261,10 @@
                 request.executions += 1;
                 if request.executions > 1 {
                     report(
-                        "twice",
+                        "repeated write",
                         txn,
                         format!(
-                            "front {}: {txn:x} ran {} times",
+                            "front {}: write {txn:x} was executed {} times",
                             request.front, request.executions
                         ),
                     );
@@ -277,12 +282,12 @@
                         || impaired.iter().any(|(at, _)| *at == node);
                     if let Some(since) = superseded.remove(&(txn, node)) {
                         if now > since + limits.overlap && !excused {
-                            let most = now - since;
+                            let open_for = now - since;
                             report(
                                 "overlap",
                                 txn,
                                 format!(
-                                    "front {front}: {txn:x} was out {most:?} longer than it should"
+                                    "front {front}: attempt of {txn:x} at {node:x} stayed open for {open_for:?} after the next attempt or the response"
                                 ),
                             );
                         }
@@ -296,7 +301,7 @@
                         report(
                             "purge",
                             txn,
-                            format!("{node:x} answered {txn:x} {age} ms older than the purge"),
+                            format!("node {node:x} responded to {txn:x} from a copy {age} ms older than the purge"),
                         );
                     }
                 }
@@ -308,7 +313,7 @@
     for ((txn, node), since) in superseded {
         if end > since + limits.overlap && impaired.iter().all(|(at, _)| *at != node) {
             let text = format!(
-                "{txn:x} was still out at {node:x} though another had begun or it was answered"
+                "attempt of {txn:x} at {node:x} was never ended after the next attempt or the response"
             );
             found.push(Violation {
                 at: since,
@@ -321,10 +326,10 @@
     for txn in open {
         let request = &requests[&txn];
         if end > request.at + limits.response && !request.excused {
-            let text = format!("front {} never answered {txn:x}", request.front);
+            let text = format!("front {} sent no response to {txn:x}", request.front);
             found.push(Violation {
                 at: request.at,
-                rule: "answer",
+                rule: "response",
                 txn,
                 text,
             });
@@ -334,23 +339,23 @@
     found
 }
 
-/// What a node bears that started lately, as the platform's settings say it.
+/// Load limits of a node that is warming up, as in the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUpLimits {
-    /// Share of its capacity with which it starts, and how long it takes to have all of it.
+    /// Fraction of the capacity that a node has at its start.
     pub initial_fraction: f64,
-    /// See above.
+    /// Time until a node has its full capacity.
     pub warm_up: Duration,
-    /// It falls when it is sent more than this many times what it can do, for this long.
+    /// Factor of its capacity above which a node is overloaded.
     pub overload_factor: f64,
-    /// See above.
+    /// Window for which that load has to last.
     pub overload_window: Duration,
-    /// What one request takes of one of its places.
+    /// Time for which one request occupies a slot.
     pub request_cost: Duration,
 }
 
 impl WarmUpLimits {
-    /// Requests that a node of so many places bears within the span, which ends so long after its start.
+    /// Maximum number of requests within the window that ends at `age`, including three standard deviations.
     fn max_requests(&self, weight: u32, age: Duration) -> f64 {
         let warm = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
         let indexes =
@@ -361,14 +366,14 @@
     }
 }
 
-/// Nodes that were pushed over while they were cold: by all fronts together that had been told of their start.
+/// Finds nodes that were overloaded while warming up, counting attempts of fronts that had received their start event.
 pub fn warm_up_violations<'a>(
     history: &[(Duration, Observation)],
     event: impl Fn(u64) -> Option<&'a Event>,
     limits: &WarmUpLimits,
 ) -> Vec<Violation> {
     let mut found = Vec::new();
-    // By node: its size, the start that it is listed with, when that was first told, who knows, and what came from them.
+    // By node: weight, listed start time, time of the first event with it, informed fronts, and times of their attempts.
     type Started = (u32, u64, Duration, BTreeSet<usize>, VecDeque<Duration>);
     let mut started: HashMap<u32, Started> = HashMap::new();
     for (now, seen) in history {
@@ -417,12 +422,12 @@
                 let (age, count) = (*now - *since, sent.len());
                 if age < limits.warm_up && count as f64 > limits.max_requests(*weight, age) {
                     let text = format!(
-                        "{id:x} was sent {count} in {:?}, {age:?} after its start",
+                        "node {id:x} received {count} requests within {:?}, {age:?} after its start",
                         limits.overload_window
                     );
                     found.push(Violation {
                         at: *now,
-                        rule: "cold",
+                        rule: "warm-up",
                         txn,
                         text,
                     });
@@ -435,7 +440,7 @@
     found
 }
 
-/// What was seen of the request of a breach, and of faults from a second before it on, for who reads why.
+/// Formats the observations about the request of a violation, and faults from one second before it.
 pub fn context(history: &[(Duration, Observation)], violation: &Violation) -> String {
     let (from, to) = (
         violation.at.saturating_sub(Duration::from_secs(1)),
--- a/rig/src/invariants/tests.rs
+++ b/rig/src/invariants/tests.rs
@@ -71,7 +71,7 @@
         overload_window,
         request_cost,
     };
-    // 36 by what it can do, 57 with what chance allows.
+    // The capacity is 36 requests in the window, 57 with the statistical tolerance.
     let count_violations = |told: usize, each_ms: u64, from_ms: u64| {
         let mut all = vec![(Duration::ZERO, Observation::EventSent(told, 0))];
         let sends = (0..200u64).map(|n| {
@@ -83,14 +83,18 @@
         all.extend(sends);
         warm_up_violations(&all, |_| Some(&event), &limits).len()
     };
-    assert_eq!(count_violations(0, 50, 0), 0, "30 in the span");
-    assert!(count_violations(0, 15, 0) > 0, "100 in the span");
+    assert_eq!(count_violations(0, 50, 0), 0, "30 requests in the window");
+    assert!(count_violations(0, 15, 0) > 0, "100 requests in the window");
     assert_eq!(
         count_violations(1, 15, 0),
         0,
-        "by a front that was not told"
+        "attempts of a front without the start event do not count"
+    );
+    assert_eq!(
+        count_violations(0, 15, 14_000),
+        0,
+        "the node is almost warmed up"
     );
-    assert_eq!(count_violations(0, 15, 14_000), 0, "it is all but warm");
 }
 
 const REQUEST: Observation = Observation::ClientRequest { front: 0, txn: 1 };
@@ -106,7 +110,7 @@
             (3, RESPONSE),
             (4_000, Observation::ModeChanged),
         ],
-        // A front that was killed answers nothing, one that was stopped answers late.
+        // A killed front sends no response, a stopped one a late one.
         &[
             (0, REQUEST),
             (9, Observation::Killed(0)),
@@ -119,7 +123,7 @@
             (3_000, Observation::Resumed(0)),
             (3_001, RESPONSE),
         ],
-        // Told and heeded; told to one that does not hear.
+        // Within the limit after the event; later, while the link of the front is impaired.
         &[
             (0, Observation::EventSent(0, 0)),
             (400, REQUEST),
@@ -134,7 +138,7 @@
             (999, attempt(7, 1, 0)),
             (1_000, RESPONSE),
         ],
-        // A restart knows nothing of what was told before.
+        // A restarted front without a list on disk is not bound by earlier events.
         &[
             (0, Observation::EventSent(0, 0)),
             (9, Observation::Killed(0)),
@@ -142,7 +146,7 @@
             (999, attempt(7, 1, 0)),
             (1_000, RESPONSE),
         ],
-        // Given up and sent again, which is seen a little later; or never, where the node reads nothing.
+        // A cancellation recorded a little later; or much later, because the node was not reading.
         &[
             (0, REQUEST),
             (1, attempt(7, 1, 0)),
@@ -165,17 +169,20 @@
         assert!(violated_rules(script).is_empty(), "{script:?}");
     }
     let broken: [(&str, &[(u64, Observation)]); 13] = [
-        ("answer", &[(0, REQUEST), (4_000, Observation::ModeChanged)]),
-        ("answer", &[(0, REQUEST), (1_001, RESPONSE)]),
-        ("answer", &[(0, REQUEST), (10, RESPONSE), (11, RESPONSE)]),
-        ("answer", &[(0, RESPONSE)]),
         (
-            "answer",
+            "response",
+            &[(0, REQUEST), (4_000, Observation::ModeChanged)],
+        ),
+        ("response", &[(0, REQUEST), (1_001, RESPONSE)]),
+        ("response", &[(0, REQUEST), (10, RESPONSE), (11, RESPONSE)]),
+        ("response", &[(0, RESPONSE)]),
+        (
+            "response",
             &[(0, REQUEST), (1_200, Observation::ClientUnanswered(0, 1))],
         ),
-        ("asked", &[(0, attempt(7, 1, 0))]),
+        ("unrequested", &[(0, attempt(7, 1, 0))]),
         (
-            "twice",
+            "repeated write",
             &[
                 (0, REQUEST),
                 (1, Observation::Executed(1)),
@@ -245,7 +252,7 @@
     for (rule, script) in broken {
         assert_eq!(violated_rules(script), [rule], "{script:?}");
     }
-    // One that hears again is held to it from then on.
+    // The limit starts again when the link of the front is restored.
     let late = [
         (0, Observation::FeedImpaired(0)),
         (0, Observation::EventSent(0, 0)),
@@ -256,7 +263,7 @@
         (1_402, RESPONSE),
     ];
     assert_eq!(violated_rules(&late), ["drain"]);
-    // One that has it on disk is held to what it was told before it was killed.
+    // A restarted front with the list on disk is bound by earlier events.
     let script = [
         (0, Observation::EventSent(0, 0)),
         (9, Observation::Killed(0)),
@@ -276,7 +283,7 @@
         ),
         (vec![], vec!["drain"])
     );
-    // What a link held comes once it heals; what comes later than that was written later.
+    // Bytes that a link held arrive when it is restored; an attempt after the tolerance was sent later.
     let script = |at| {
         [
             (0, Observation::EventSent(0, 0)),
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -1,9 +1,8 @@
-//! Several processes of the program with a list service, nodes, links and clients under a test's hand, one history of what crossed its sockets, and
-//! checkers that read it. Never a dependency of what ships.
+//! Test harness that runs several processes of the program with a list service, nodes, network links and clients.
 //!
-//! Verdicts rest on what was seen at the service, never on what a process says of itself. A test waits for events, each with
-//! one generous deadline, and what fails prints the history around it. Only processes that the rig itself began are ended,
-//! also when the test dies: the system ends them with the thread that began them.
+//! Stand-ins and clients record what they observe in one history, which checkers evaluate; what a process reports about
+//! itself does not count. Waits have a common timeout, and failures print the history around the event. Processes that the
+//! harness started are killed when the thread that started them exits. Used by tests and measurements only.
 #![deny(missing_docs)]
 
 mod clients;
@@ -32,16 +31,17 @@
 
 use std::time::Duration;
 
-/// No test waits for longer than this: a guard against hanging, not a measure.
+/// Timeout of every wait in a test; protects against hanging tests.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An address of this machine that nobody else listens on and nobody dials from: what is dialled from 127.0.0.1 has ports of that
-/// address, and one of them could otherwise be what a stand-in that was down wants back.
+/// Returns a loopback address, port 0, that no other listener of this host uses.
+///
+/// Outgoing connections use ports of 127.0.0.1, so none of them can occupy a port that a stopped stand-in binds again.
 pub fn unique_address() -> std::net::SocketAddr {
     static LAST: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let n = LAST.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
     let (pid, part) = (std::process::id(), |n: u32| (n % 250 + 1) as u8);
-    // 127.128 and up: stories take addresses below for what their fronts listen on.
+    // Tests use addresses below 127.128 for the fronts' own listeners.
     let host = [127, 128 + (pid % 100) as u8, part(pid / 100), part(n)];
     (host, 0).into()
 }
--- a/rig/src/link.rs
+++ b/rig/src/link.rs
@@ -1,8 +1,8 @@
-//! A link between two processes under the test's hand: a relay of TCP connections whose two directions are held apart.
+//! Network link of a test: a TCP relay whose two directions are controlled separately.
 //!
-//! What a network cut does to an open connection is done here by holding its bytes: they come later, in order, once the link
-//! heals, as retransmitted ones do. A connection that is begun while the link is cut comes up and says nothing, since the
-//! system accepts it for the relay; one that is refused meets no listener.
+//! A cut link holds the bytes of open connections and delivers them in order once it is healed, like retransmissions after a
+//! network outage. New connections through a cut link are accepted and transfer nothing; while the link refuses connections it has
+//! no listener.
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,35 +10,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a relay looks whether the test has said something else.
+/// How often a relay checks for a new setting.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Bytes that one read takes at most.
+/// Size of a read.
 const CHUNK: usize = 16 * 1024;
 
-/// What one direction of a link does.
+/// How one direction of a link transmits bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transmission {
-    /// Bytes pass as they come.
+    /// Passes bytes without delay.
     Pass,
-    /// Nothing passes, and nobody is told.
+    /// Passes nothing and keeps connections open.
     Cut,
-    /// Bytes come this much later.
+    /// Delays bytes by this duration.
     Delay(Duration),
-    /// So many bytes a second pass.
+    /// Passes this many bytes per second.
     Throttle(u64),
 }
 
-/// The two directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Directions {
-    /// From who called to who was called.
+    /// From the connecting to the accepting side.
     forward: Transmission,
     backward: Transmission,
 }
 
-/// A link to one address. Who is to use it is given its own address in that one's place.
+/// Link to one address. The side that uses it connects to the link's address instead.
 pub struct Link {
-    /// Where it is called.
+    /// Address of the link itself.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -46,18 +45,18 @@
 struct Shared {
     to: SocketAddr,
     directions: Mutex<Directions>,
-    /// Nobody listens.
+    /// Whether the link has no listener.
     refusing: AtomicBool,
     stop: AtomicBool,
-    /// Connections of an older age are reset.
+    /// Incremented by a reset; connections of an earlier generation are reset.
     generation: AtomicU64,
 }
 
 impl Link {
-    /// A link that passes all to `to`.
+    /// Creates a link to `to` that passes all bytes.
     pub fn new(to: SocketAddr) -> Self {
         let listener = TcpListener::bind(crate::unique_address()).expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("address of a bound listener");
         let directions = Mutex::new(Directions {
             forward: Transmission::Pass,
             backward: Transmission::Pass,
@@ -79,24 +78,24 @@
         Link { address, shared }
     }
 
-    /// From now on each direction does this: `there` from who called to who was called, `back` the other way.
+    /// Sets both directions: `forward` is from the connecting to the accepting side, `backward` the opposite one.
     pub fn set(&self, forward: Transmission, backward: Transmission) {
         *self.shared.directions.lock().expect("no holder panics") =
             Directions { forward, backward };
     }
 
-    /// Both directions pass again, and calls are accepted.
+    /// Restores both directions and accepts connections.
     pub fn heal(&self) {
         self.set(Transmission::Pass, Transmission::Pass);
         self.refuse(false);
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Calls are refused from now on, or no longer. Open connections stay.
+    /// Sets whether new connections are refused. Open connections are unaffected.
     pub fn refuse(&self, refusing: bool) {
         self.shared.refusing.store(refusing, Ordering::SeqCst);
     }
@@ -120,7 +119,9 @@
             listener = TcpListener::bind(address).ok();
             continue;
         };
-        socket.set_nonblocking(true).expect("a socket");
+        socket
+            .set_nonblocking(true)
+            .expect("set the listener non-blocking");
         match socket.accept() {
             Ok((caller, _)) => {
                 let shared = Arc::clone(shared);
@@ -131,9 +132,9 @@
     }
 }
 
-/// Relays one connection until it ends on either side, or is reset.
+/// Relays one connection until either side closes it or the link resets it.
 fn relay(caller: TcpStream, shared: &Arc<Shared>) {
-    // Nobody there: the caller's connection ends, as it would have without a link.
+    // The target does not listen: end the connection, as without a link.
     let Ok(called) = TcpStream::connect(shared.to) else {
         return reset(&caller);
     };
@@ -155,12 +156,12 @@
 }
 
 fn reset(socket: &TcpStream) {
-    // It may be gone already.
+    // The other side may have closed it already.
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
     let _ = socket.shutdown(Shutdown::Both);
 }
 
-/// Passes bytes one way. An error: the connection is to be reset.
+/// Relays one direction of a connection. An error means that the connection has to be reset.
 fn relay_direction(
     mut from: &TcpStream,
     mut to: &TcpStream,
@@ -215,8 +216,7 @@
             }
             Err(e) => return Err(e),
         };
-        // The test may have said something else while this waited for bytes: what counts is what the link does once they are
-        // here. What is not passed when it is cut is held.
+        // The setting may have changed during the read; the one that is in effect now counts. Bytes read before a cut are held.
         let now = loop {
             match transmission() {
                 Transmission::Cut => thread::sleep(POLL_INTERVAL),
@@ -226,7 +226,7 @@
         };
         match now {
             Transmission::Delay(delay) => {
-                // What comes behind waits as well, so all of it is late by this at least.
+                // Later bytes wait behind these, so the delay is a lower bound for all of them.
                 let due = Instant::now() + delay;
                 while Instant::now() < due && shared.generation.load(Ordering::SeqCst) == generation
                 {
--- a/rig/src/link/tests.rs
+++ b/rig/src/link/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Who called and who was called, over a link.
+/// A link with both ends of a connection over it: connecting and accepting side.
 fn pair() -> (Link, TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let link = Link::new(listener.local_addr().unwrap());
@@ -37,7 +37,10 @@
     called.write_all(b"held").unwrap();
     assert!(receives(&called, b"two") && receives_nothing(&caller));
     link.set(Transmission::Cut, Transmission::Pass);
-    assert!(receives(&caller, b"held"), "nothing is lost, it is late");
+    assert!(
+        receives(&caller, b"held"),
+        "held bytes were not delivered after healing"
+    );
     caller.write_all(b"three").unwrap();
     assert!(receives_nothing(&called));
     link.heal();
@@ -50,21 +53,27 @@
     link.refuse(true);
     let until = Instant::now() + crate::WAIT_TIMEOUT;
     while TcpStream::connect(link.address).is_ok() {
-        assert!(Instant::now() < until, "calls are still accepted");
+        assert!(Instant::now() < until, "the link still accepts connections");
     }
-    assert!(receives_nothing(&caller), "what is open stays");
+    assert!(
+        receives_nothing(&caller),
+        "an open connection transferred bytes or was closed by refuse"
+    );
     link.reset();
     assert!(!receives(&caller, b"x") && !receives(&called, b"x"));
     link.heal();
     while TcpStream::connect(link.address).is_err() {
-        assert!(Instant::now() < until, "calls are still refused");
+        assert!(
+            Instant::now() < until,
+            "the healed link still refuses connections"
+        );
     }
 }
 
 #[test]
 fn delay_and_throttle_apply_as_soon_as_they_are_set() {
     let (link, mut caller, called) = pair();
-    // A relay that waits for bytes as the way is set is what the wait before gives time for.
+    // The transfer ensures that the relay is waiting in a read when the setting changes.
     caller.write_all(b"x").unwrap();
     assert!(receives(&called, b"x"));
     for transmission in [
--- a/rig/src/list_event.rs
+++ b/rig/src/list_event.rs
@@ -1,47 +1,47 @@
-//! Events of the list service as it writes them.
+//! Events of the list service and their encoding.
 use std::net::SocketAddr;
 
-/// What a node is listed as.
+/// State in which a node is listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It serves.
+    /// Accepts requests.
     Ready,
-    /// It drains.
+    /// Is being drained.
     Draining,
-    /// It is gone.
+    /// Is no longer in the list.
     Removed,
 }
 
-/// A node as it is listed; where it listens depends on who is told.
+/// Entry of a node in the endpoint list. The address is added by encoding, since it depends on the receiving front.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedNode {
-    /// Its place among the nodes.
+    /// Index of the node in [`crate::Nodes::all`].
     pub index: usize,
-    /// Its id.
+    /// Endpoint id.
     pub id: u32,
-    /// What it is listed as.
+    /// Listed state.
     pub state: State,
-    /// Places in the lists of zones and kinds of the settings.
+    /// Index in the list of zones of the settings.
     pub zone: u8,
-    /// The kind.
+    /// Index in the list of kinds of the settings.
     pub kind: u8,
-    /// Its size.
+    /// Capacity weight.
     pub weight: u32,
-    /// Unix millisecond of a late start, or 0.
+    /// Start time in Unix milliseconds; 0 if the node is not warming up.
     pub started_ms: u64,
 }
 
-/// One event.
+/// Event of the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Nodes that are listed; `true`: all that there are.
+    /// Listed nodes; `true` if they replace the whole list.
     Nodes(bool, Vec<ListedNode>),
-    /// An object is purged, at a Unix millisecond.
+    /// Purge of an object: its id and the time in Unix milliseconds.
     Purge(u64, u64),
 }
 
 impl Event {
-    /// The event as it is written under a number to who reaches the nodes at these addresses.
+    /// Encodes the event with its number, with `addresses` as the nodes' addresses.
     pub fn frame(&self, number: u64, addresses: &[SocketAddr]) -> Vec<u8> {
         let mut payload = Vec::new();
         let kind = match self {
--- a/rig/src/list_service.rs
+++ b/rig/src/list_service.rs
@@ -1,4 +1,4 @@
-//! The list service as a stand-in: what it does with those that call is the test's to say, from one moment to the next.
+//! Stand-in for the list service, whose behaviour the test changes at run time.
 use crate::history::{History, Observation};
 use crate::list_event::Event;
 use std::io::{Read, Write};
@@ -8,43 +8,43 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often the service looks whether the test has said something else.
+/// How often the service checks whether the test has changed its mode.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often it sends an empty frame.
+/// Interval of the empty frames that keep a connection alive.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause between two bytes of one that answers by the byte.
+/// Pause between two bytes in [`ServiceMode::ByteByByte`].
 const BYTE_INTERVAL: Duration = Duration::from_millis(30);
-/// The number of the first event that the service tells; a front's configuration holds the one before.
+/// Number of the first published event; the configuration of a front contains the event before it.
 pub const FIRST_EVENT: u64 = 2;
 
-/// What the service does.
+/// How the service treats connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceMode {
-    /// Nobody listens.
+    /// Has no listener.
     Down,
-    /// It accepts, and closes at once.
+    /// Accepts connections and closes them immediately.
     Close,
-    /// It accepts, and says nothing.
+    /// Accepts connections and sends nothing.
     Silent,
-    /// It sends what nobody can read.
+    /// Sends undecodable bytes.
     Garbage,
-    /// It sends part of an event and closes.
+    /// Sends a part of an event and closes the connection.
     Truncate,
-    /// It serves by the byte: an event takes seconds.
+    /// Serves events one byte at a time, so that an event takes seconds.
     ByteByByte,
-    /// It serves: what is new, and once a second that nothing is.
+    /// Serves events, and an empty frame each second.
     Serve,
 }
 
-/// Events, and under which addresses each front's fronts reach the nodes.
+/// Published events, and for each front the addresses at which it reaches the nodes.
 type Published = Arc<Mutex<(Vec<Event>, Vec<Vec<SocketAddr>>)>>;
 
-/// A list service that the test holds in its hand. Connections that were served are closed when it stops serving. Each front
-/// calls at a front of its own, so that the history says who was told.
+/// Stand-in for the list service. Subscribed connections are closed when its mode changes. Each front connects to an address
+/// of its own, so that the history names the receiver of an event.
 pub struct ListService {
-    /// Where it listens: the first front.
+    /// Listening address for the first front, or for all if there is one address only.
     pub address: SocketAddr,
-    /// All addresses.
+    /// Listening address for each front.
     pub addresses: Vec<SocketAddr>,
     shared: Shared,
 }
@@ -58,12 +58,12 @@
 }
 
 impl ListService {
-    /// Begins in a mode, with one front for all.
+    /// Starts the service with one address for all fronts.
     pub fn new(history: &History, mode: ServiceMode) -> Self {
         Self::with_addresses(history, mode, vec![Vec::new()])
     }
 
-    /// Begins in a mode, with a front for each of these; who calls there reaches the nodes at those addresses.
+    /// Starts the service with one address for each entry of `node_addresses`, which holds the nodes' addresses for that front.
     pub fn with_addresses(
         history: &History,
         mode: ServiceMode,
@@ -75,7 +75,7 @@
             .collect();
         let addresses: Vec<_> = listeners
             .iter()
-            .map(|l| l.local_addr().expect("bound"))
+            .map(|l| l.local_addr().expect("address of a bound listener"))
             .collect();
         let (mode, stop) = (Arc::new(Mutex::new(mode)), Arc::new(AtomicBool::new(false)));
         let published = Arc::new(Mutex::new((Vec::new(), node_addresses)));
@@ -94,21 +94,20 @@
         }
     }
 
-    /// From now on it does this.
+    /// Changes the mode and records that.
     pub fn set(&self, mode: ServiceMode) {
         *self.shared.mode.lock().expect("no holder panics") = mode;
         self.shared.history.record(Observation::ModeChanged);
     }
 
-    /// Has one more event to tell; its number.
+    /// Publishes an event and returns its number.
     pub fn publish(&self, event: Event) -> u64 {
         let events = &mut self.shared.published.lock().expect("no holder panics").0;
         events.push(event);
         FIRST_EVENT + events.len() as u64 - 1
     }
 
-    /// The service begins anew: it holds no event, and numbers begin with the first. Who is connected is closed with
-    /// the next change of mode.
+    /// Removes all events, so that numbers start again with the first. Open connections end with the next change of mode.
     pub fn clear_events(&self) {
         self.shared
             .published
@@ -118,7 +117,7 @@
             .clear();
     }
 
-    /// All that it has told or would tell, from its first event on.
+    /// All published events, starting with the first.
     pub fn events(&self) -> Vec<Event> {
         self.shared
             .published
@@ -147,11 +146,13 @@
         let mut accepted = false;
         for (front, listener) in listeners.iter_mut().enumerate() {
             let Some(socket) = listener.as_ref() else {
-                // The port is kept free of others by having been this service's: it is tried for until it is had again.
+                // Another socket may use the port for a short time; binding is repeated until it succeeds.
                 *listener = TcpListener::bind(addresses[front]).ok();
                 continue;
             };
-            socket.set_nonblocking(true).expect("a socket");
+            socket
+                .set_nonblocking(true)
+                .expect("set the listener non-blocking");
             let Ok((connection, _)) = socket.accept() else {
                 continue;
             };
@@ -159,7 +160,7 @@
             shared.history.record(Observation::Call);
             let shared = shared.clone();
             thread::spawn(move || {
-                // A front that goes away ends its connection: that is no fault of the service.
+                // An error means that the front closed its connection.
                 let _ = serve(connection, front, now, &shared);
             });
         }
@@ -231,7 +232,7 @@
                 .map(|event| (number, event.frame(number, &published.1[front])))
         };
         if let Some((number, frame)) = next {
-            // Noted before the front can know it: what it may do from then on it does later in the history.
+            // Recorded before the last byte is sent: whatever the front does because of the event is recorded later.
             let (head, end) = frame.split_at(frame.len() - 1);
             if byte_by_byte {
                 for byte in head {
@@ -250,14 +251,14 @@
             continue;
         }
         if Instant::now() >= due {
-            // It names its own last event, whatever the front holds.
+            // The frame names the last event of the service, which the front may not have received yet.
             let last_event =
                 FIRST_EVENT - 1 + shared.published.lock().expect("no holder panics").0.len() as u64;
             socket
                 .write_all(&[&9u32.to_be_bytes()[..], &last_event.to_be_bytes(), &[0]].concat())?;
             due = Instant::now() + HEARTBEAT_INTERVAL;
         }
-        // A front says nothing more: what can be read is its end.
+        // A front sends nothing after its first message; a read detects the end of the connection.
         match socket.read(&mut [0; 8]) {
             Ok(0) => return Ok(()),
             Ok(_) => {}
--- a/rig/src/list_service/tests.rs
+++ b/rig/src/list_service/tests.rs
@@ -6,9 +6,12 @@
     service.set(ServiceMode::Down);
     let until = Instant::now() + crate::WAIT_TIMEOUT / 6;
     while TcpStream::connect(service.address).is_ok() {
-        assert!(Instant::now() < until, "it is still there");
+        assert!(
+            Instant::now() < until,
+            "the service still accepts connections"
+        );
     }
-    // As the system gives ports to whoever dials: any that nobody has at that moment.
+    // A listener elsewhere, to which a socket with the service's port number connects.
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
     let dials = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let from: SocketAddr = ([127, 0, 0, 1], service.address.port()).into();
@@ -16,6 +19,9 @@
     dials.connect(&other.local_addr().unwrap().into()).unwrap();
     service.set(ServiceMode::Serve);
     while TcpStream::connect(service.address).is_err() {
-        assert!(Instant::now() < until, "it does not return");
+        assert!(
+            Instant::now() < until,
+            "the service did not bind its port again"
+        );
     }
 }
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -1,5 +1,5 @@
-//! Cache nodes, parents and the origin as stand-ins, all on one thread with a poller: many fronts times many nodes are
-//! thousands of connections. They hold old copies for as long as the protocol allows, unless newer ones are asked for.
+//! Stand-ins for cache nodes, parents and the origin. One thread with a poller serves all of them, since many fronts and nodes
+//! have thousands of connections. They keep copies for as long as the protocol allows, unless a request limits the age.
 use crate::history::{History, Observation};
 use polling::{Event, Events, PollMode, Poller};
 use std::cmp::Reverse;
@@ -10,40 +10,40 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Bytes that a front may say before the stand-in takes it for broken.
+/// Input without a complete command after which a connection is reset.
 const MAX_INPUT_BYTES: usize = 1 << 20;
-/// Strings of a command, and bytes of one.
+/// Limits of a command: number of strings and bytes of a string.
 const MAX_STRINGS: usize = 8;
 const MAX_STRING_BYTES: usize = 1 << 17;
 
-/// What a node does with what it is asked.
+/// How a node treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// It answers after this long.
+    /// Responds after this duration.
     Respond(Duration),
-    /// It reads and never answers.
+    /// Reads requests and never responds.
     Silent,
-    /// It reads nothing: what is said to it waits.
+    /// Does not read from its connections.
     NotReading,
-    /// It has no place for anything.
+    /// Rejects all requests because of overload.
     Shed,
-    /// It fails at all, and may have run it.
+    /// Fails all requests; writes may have been executed.
     Fail,
-    /// It answers what nobody can read.
+    /// Responds with undecodable bytes.
     Garbage,
-    /// It takes a request, runs it, and breaks the connection.
+    /// Executes a request and resets the connection.
     Reset,
-    /// It sends half of each answer.
+    /// Sends half of each response.
     Truncate,
-    /// It answers twice, and answers what was given up as well.
+    /// Responds twice, also to cancelled requests.
     Duplicate,
-    /// It answers at once, and has places for so many connections: one more is accepted and closed.
+    /// Responds immediately and closes connections in excess of this number.
     LimitConnections(usize),
-    /// Nobody listens, and what was open is reset.
+    /// Has no listener; open connections are reset.
     Down,
 }
 
-/// Unix milliseconds.
+/// Wall clock in Unix milliseconds.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -51,16 +51,16 @@
         .as_millis() as u64
 }
 
-/// Nodes that a test holds in its hand.
+/// Stand-ins for the nodes of a test.
 pub struct Nodes {
-    /// Id and address of each.
+    /// Id and address of each node.
     pub all: Vec<(u32, SocketAddr)>,
     shared: Arc<Shared>,
     history: History,
 }
 
 struct Shared {
-    /// Objects that were purged, when, and from when on no node holds older copies, in Unix milliseconds.
+    /// Purged objects: id, time of the purge, and time from which no node has older copies (Unix milliseconds).
     purged: Mutex<Vec<(u64, u64, u64)>>,
     behaviors: Mutex<Vec<Behavior>>,
     stop: Mutex<bool>,
@@ -68,9 +68,9 @@
 }
 
 impl Nodes {
-    /// Begins with these ids; all answer at once. Classes of these names must not run twice.
+    /// Starts nodes with these ids that respond immediately. `writes` names the classes that must not be executed twice.
     pub fn new(history: &History, ids: &[u32], writes: &[&str]) -> Self {
-        let poller = Poller::new().expect("a poller");
+        let poller = Poller::new().expect("create a poller");
         let behaviors = Mutex::new(vec![Behavior::Respond(Duration::ZERO); ids.len()]);
         let purged = Mutex::default();
         let shared = Arc::new(Shared {
@@ -82,7 +82,7 @@
         let mut nodes = Vec::new();
         for id in ids {
             let listener = TcpListener::bind(crate::unique_address()).expect("a port");
-            let address = listener.local_addr().expect("bound");
+            let address = listener.local_addr().expect("address of a bound listener");
             let behavior = Behavior::Respond(Duration::ZERO);
             nodes.push(Node {
                 id: *id,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// An object was purged at this Unix millisecond; after so long no node holds an older copy.
+    /// Purges an object at a time in Unix milliseconds; after `duration` no node has an older copy.
     pub fn purge(&self, item: u64, at_ms: u64, duration: Duration) {
         let removed_ms = at_ms + duration.as_millis() as u64;
         self.shared
@@ -126,10 +126,10 @@
             .push((item, at_ms, removed_ms));
     }
 
-    /// From now on this node does that.
+    /// Changes the behaviour of a node.
     pub fn set(&self, index: usize, behavior: Behavior) {
         let id = self.all[index].0;
-        // What reads nothing hears of nothing: the checkers must not hold a front to what it could not make known.
+        // A node that does not read cannot receive a cancellation; the checkers must not blame the front for that.
         let seen = if matches!(behavior, Behavior::NotReading) {
             Observation::NodeImpaired(id, 0)
         } else {
@@ -137,7 +137,7 @@
         };
         self.history.record(seen);
         self.shared.behaviors.lock().expect("no holder panics")[index] = behavior;
-        self.shared.poller.notify().expect("a poller");
+        self.shared.poller.notify().expect("wake the poller");
     }
 }
 
@@ -153,7 +153,7 @@
     address: SocketAddr,
     listener: Option<TcpListener>,
     behavior: Behavior,
-    /// When each copy was made.
+    /// Creation time of each copy in Unix milliseconds, by object.
     copies: HashMap<u64, u64>,
 }
 
@@ -162,19 +162,19 @@
     socket: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Requests that are not answered yet.
+    /// Requests without a response.
     open: Vec<u64>,
-    /// What is not read yet came after this moment; `None`: after the last poll that did not report it.
+    /// Time after which unread input arrived; `None` if the previous poll did not report any.
     unread_since: Option<Instant>,
 }
 
-/// An answer that is due: when, in which order, on which connection, to what, and how.
+/// Scheduled reply: due time, sequence number, connection key, transaction id and content.
 type DueReply = Reverse<(Instant, u64, usize, u64, Reply)>;
 
-/// What an answer says.
+/// Content of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Reply {
-    /// Served from a copy of that age.
+    /// Hit with the creation time of the copy.
     Hit(u64),
     Miss,
     Full,
@@ -189,20 +189,20 @@
     connections: HashMap<usize, Connection>,
     last: u64,
     due: BinaryHeap<DueReply>,
-    /// When the poll began that came before the last one. What the last one reports came after this moment: the earlier one
-    /// would have reported it.
+    /// Start of the poll before the last one. Input that the last poll reported arrived after it, as the earlier poll would
+    /// have reported it otherwise.
     previous_poll: Instant,
 }
 
-/// A request as it was read.
+/// Decoded fields of a fetch command.
 #[derive(Default)]
 struct FetchRequest {
     class: String,
     item: u64,
     source: u32,
-    /// The age in milliseconds up to which a copy will do; 0: any.
+    /// Maximum age of a copy in milliseconds; 0 for any age.
     max_age_ms: u64,
-    /// Milliseconds that the client is said to have left.
+    /// Remaining time of the client in milliseconds.
     remaining_ms: u64,
     cached_only: bool,
 }
@@ -211,10 +211,10 @@
     u64::from_str_radix(text, 16).unwrap_or(0)
 }
 
-/// The strings of a command, and its length in bytes.
+/// Strings of a command and its length in bytes.
 type Command<'a> = (Vec<&'a [u8]>, usize);
 
-/// The first command. `None`: it is not whole. An error: no front writes this.
+/// Decodes the first command; `None` if it is incomplete, an error if it is invalid.
 fn command(input: &[u8]) -> Result<Option<Command<'_>>, ()> {
     let number = |at: usize, mark: u8, max: usize| {
         let Some(end) = input[at..].iter().position(|b| *b == b'\n') else {
@@ -316,17 +316,19 @@
         let Some(listener) = &self.nodes[index].listener else {
             return;
         };
-        listener.set_nonblocking(true).expect("a socket");
-        // SAFETY: the listener is taken out of the poller before it is dropped, in `moods`.
+        listener
+            .set_nonblocking(true)
+            .expect("set the listener non-blocking");
+        // SAFETY: the listener is removed from the poller before it is dropped, in `behaviors`.
         let added = unsafe {
             self.shared
                 .poller
                 .add_with_mode(listener, Event::readable(index), PollMode::Level)
         };
-        added.expect("a socket");
+        added.expect("add the listener to the poller");
     }
 
-    /// Takes over what the test said.
+    /// Applies the behaviours that the test has set.
     fn behaviors(&mut self) {
         let behaviors = self
             .shared
@@ -349,7 +351,7 @@
                 if let Some(listener) = self.nodes[index].listener.take() {
                     let _ = self.shared.poller.delete(&listener);
                 }
-                // What comes back is a new process: it holds nothing.
+                // A node that comes back is a new process without copies.
                 self.nodes[index].copies.clear();
                 mine.into_iter().for_each(|key| self.drop(key, true));
                 continue;
@@ -360,7 +362,7 @@
                 let listener = loop {
                     match TcpListener::bind(at) {
                         Ok(listener) => break listener,
-                        Err(e) => assert!(Instant::now() < until, "{at}: {e}"),
+                        Err(e) => assert!(Instant::now() < until, "bind {at} again: {e}"),
                     }
                 };
                 self.nodes[index].listener = Some(listener);
@@ -399,7 +401,7 @@
         }
     }
 
-    /// Accepts a connection, if there is one.
+    /// Accepts a connection; `false` if there is none.
     fn accept(&mut self, index: usize, next: &mut usize) -> bool {
         let accepted = self.nodes[index]
             .listener
@@ -423,15 +425,17 @@
                 return true;
             }
         }
-        socket.set_nonblocking(true).expect("a socket");
+        socket
+            .set_nonblocking(true)
+            .expect("set the socket non-blocking");
         *next += 1;
-        // SAFETY: the socket is taken out of the poller before it is dropped, in `drop`.
+        // SAFETY: the socket is removed from the poller before it is dropped, in `drop`.
         let added = unsafe {
             self.shared
                 .poller
                 .add_with_mode(&socket, Event::readable(*next), PollMode::Level)
         };
-        added.expect("a socket");
+        added.expect("add the socket to the poller");
         let connection = Connection {
             index,
             socket,
@@ -580,7 +584,7 @@
         let node = &self.nodes[connection.index];
         let open_index = connection.open.iter().position(|open| *open == txn);
         if let Some(index) = open_index {
-            // Of half an answer the front makes nothing: the request stays open here.
+            // The front cannot use half a response, so the request stays open.
             if node.behavior != Behavior::Truncate {
                 connection.open.swap_remove(index);
             }
--- a/rig/src/socket_faults.rs
+++ b/rig/src/socket_faults.rs
@@ -1,50 +1,50 @@
-//! Faults of system calls on the TCP sockets of a process, as the library that is loaded into it is told (`shim/src/sockets.rs`).
+//! Faults of system calls on the TCP sockets of a process, executed by the preloaded library (`shim/src/sockets.rs`).
 use std::time::Duration;
 
-/// Places of the words: which calls fail, and how many have.
+/// Word with the set of failing calls, and word that counts failures.
 pub(crate) const FAILING_CALLS: u64 = 16;
 pub(crate) const FAILURE_COUNT: u64 = 23;
-/// Words that are said in all.
+/// Number of words in the fault file.
 pub(crate) const WORD_COUNT: u64 = 24;
 
-/// A system call on a TCP socket.
+/// System call on a TCP socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
-    /// `accept`, `accept4`.
+    /// `accept` and `accept4`.
     Accept = 1,
     /// `socket`.
     Socket = 2,
     /// `connect`.
     Connect = 4,
-    /// Reads from connections that the process made.
+    /// Reads from connections that the process opened.
     ReadOutbound = 8,
-    /// Writes to connections that the process made.
+    /// Writes to connections that the process opened.
     WriteOutbound = 16,
-    /// Reads from connections that it accepted.
+    /// Reads from connections that the process accepted.
     ReadInbound = 32,
-    /// Writes to connections that it accepted.
+    /// Writes to connections that the process accepted.
     WriteInbound = 64,
 }
 
-/// Which calls fail, how and when.
+/// Faults to inject into system calls.
 #[derive(Clone, Debug, Default)]
 pub struct SocketFaults {
-    /// The calls that fail.
+    /// Calls that fail.
     pub calls: Vec<SystemCall>,
-    /// The error that they fail with.
+    /// Error number of the failures.
     pub errno: i32,
-    /// Of so many calls one fails; 1: all do.
+    /// One in this many calls fails; 1 for all.
     pub every: u32,
-    /// They fail only for the first part of each of these periods; `None`: all the time.
+    /// Calls fail only for the first duration of each period of the second one; `None` for all the time.
     pub burst: Option<(Duration, Duration)>,
-    /// Bytes that a read takes at most; 0: as many as there are.
+    /// Maximum bytes of a read; 0 for no limit.
     pub max_read_bytes: usize,
-    /// Bytes that a write takes at most; 0: as many as fit.
+    /// Maximum bytes of a write; 0 for no limit.
     pub max_write_bytes: usize,
 }
 
 impl SocketFaults {
-    /// All calls of these kinds fail with an error.
+    /// All of these calls fail with an error.
     pub fn all(calls: &[SystemCall], errno: i32) -> Self {
         SocketFaults {
             calls: calls.to_vec(),
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Only one of so many does.
+    /// Only one in `every` calls fails.
     pub fn every(self, every: u32) -> Self {
         SocketFaults { every, ..self }
     }
 
-    /// They do so for the first part of each period.
+    /// Calls fail only for the first part of each period.
     pub fn burst(self, fails: Duration, period: Duration) -> Self {
         SocketFaults {
             burst: Some((fails, period)),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reads and writes of no more than so many bytes.
+    /// Limits reads and writes to this many bytes.
     pub fn short(bytes: usize) -> Self {
         SocketFaults {
             max_read_bytes: bytes,
