--- a/front/tests/clock_and_disk_faults.rs
+++ b/front/tests/clock_and_disk_faults.rs
@@ -1,4 +1,4 @@
-//! Many processes of the program on injectors whose clocks differ and whose disks fail, under load, with faults between them.
+//! Fleets with different wall clocks and with disk faults under load violate no invariant.
 use cranesill_rig::{ClusterSize, Observation, ServiceMode, State, TestCluster};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
@@ -23,7 +23,7 @@
     )
 }
 
-/// Milliseconds by which the fronts' wall clocks are ahead.
+/// Offsets of the fronts' wall clocks in milliseconds.
 const CLOCKS: [i64; 6] = [0, 9_000, -9_000, 3_600_000, -3_600_000, 450];
 
 #[test]
@@ -36,19 +36,19 @@
     };
     let mut cluster = start_cluster(shape, None, &CLOCKS, 21);
     let clients = cluster.start_clients(21);
-    cluster.wait_served("the first answers", 200);
+    cluster.wait_served("initial responses", 200);
     for round in 0..4 {
         for item in 0..50 {
             cluster.purge(item);
-            cluster.wait_served("answers under purges", 12);
+            cluster.wait_served("responses during purges", 12);
         }
         let drained = cluster.set_node_state(round % 4, State::Draining);
         cluster.history.wait_for(
-            "all are told",
+            "event received by all fronts",
             6,
             |seen| matches!(seen, Observation::EventSent(_, n) if *n == drained),
         );
-        cluster.wait_served("answers after a drain", 120);
+        cluster.wait_served("responses after a drain", 120);
         cluster.set_node_state(round % 4, State::Ready);
     }
     for (front, ahead) in CLOCKS.iter().enumerate() {
@@ -68,11 +68,11 @@
     cluster.assert_no_violations(21);
 }
 
-/// Waits until something holds that no stand-in can see.
+/// Waits for a condition that no stand-in observes.
 fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let guard = Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < guard, "never came: {what}");
+        assert!(Instant::now() < guard, "timed out: {what}");
         std::thread::yield_now();
     }
 }
@@ -82,7 +82,7 @@
         .unwrap_or_default()
 }
 
-/// The last event in a list on disk: its second line names the list, the event, and when.
+/// Number of the last event in a front's list on disk, the third word of its second line.
 fn revision_on_disk(cluster: &TestCluster, front: usize) -> Option<u64> {
     list_file(cluster, front)
         .lines()
@@ -95,7 +95,7 @@
 
 #[test]
 fn lists_from_disk_and_from_peers_keep_purges_despite_different_wall_clocks() {
-    // An address of this test's own: ports are the fronts' numbers.
+    // An address for this test only; the ports contain the numbers of the fronts.
     let host = format!(
         "127.{}.{}.22",
         1 + std::process::id() / 250 % 200,
@@ -112,12 +112,12 @@
     };
     let mut cluster = start_cluster(shape, Some(&settings), &CLOCKS, 22);
     cluster.keep_lists_on_disk();
-    // So many that not all are fetched anew between a purge and a kill.
+    // With many objects some copies from before a purge remain until the kill.
     cluster.load.objects = 400;
     let clients = cluster.start_clients(22);
-    cluster.wait_served("the first answers", 1_200);
+    cluster.wait_served("initial responses", 1_200);
     for round in 0..2 {
-        // Five hear of it all and are killed; the sixth does not, and learns it from them.
+        // Five fronts receive all events and are killed; the sixth gets them from those.
         cluster.set_feed_link(
             5,
             Some((
@@ -126,14 +126,14 @@
             )),
         );
         let last = (0..400).fold(0, |_, item| cluster.purge(item));
-        wait_until("lists on disk", || {
+        wait_until("event in all lists on disk", || {
             (0..5).all(|front| revision_on_disk(&cluster, front) == Some(last))
         });
         cluster.list_service.set(ServiceMode::Down);
         cluster.kill(&[0, 1, 2, 3, 4]);
         cluster.restart(&[0, 1, 2, 3, 4]);
-        cluster.wait_served("answers by lists on disk", 300);
-        // What was told before a kill counts again: it lay on disk.
+        cluster.wait_served("responses with lists from disk", 300);
+        // Events from before the kill apply again, as they were on disk.
         for front in 0..5 {
             let log = cluster.fleet.log(front);
             assert!(
@@ -141,7 +141,7 @@
                 "{log}"
             );
         }
-        wait_until("the sixth has the list of others", || {
+        wait_until("list of front 5 from its peers", || {
             cluster
                 .fleet
                 .log(5)
@@ -149,12 +149,12 @@
                 .count()
                 > round
         });
-        cluster.wait_served("answers by lists of others", 100);
+        cluster.wait_served("responses with lists from peers", 100);
         cluster.set_feed_link(5, None);
         cluster.list_service.set(ServiceMode::Serve);
         let before = cluster.set_node_state(1, State::Ready);
-        // By the service or by one another.
-        wait_until("all hold the last event", || {
+        // From the service or from peers.
+        wait_until("last event on all disks", || {
             (0..6).all(|front| revision_on_disk(&cluster, front) == Some(before))
         });
     }
@@ -164,7 +164,7 @@
 
 #[test]
 fn disk_faults_cause_one_warning_and_the_list_is_saved_after_recovery() {
-    // A: full from the start. B: full in service. C: syncs fail. D: each sync takes two seconds. E: well.
+    // Disks: 0 full from the start, 1 full in service, 2 sync errors, 3 syncs of two seconds, 4 without faults.
     let settings = json!({"startup": {"snapshots": "{disk}"}});
     let shape = ClusterSize {
         fronts: 5,
@@ -178,31 +178,35 @@
     cluster.kill(&[0]);
     cluster.restart(&[0]);
     let clients = cluster.start_clients(23);
-    cluster.wait_served("the first answers", 100);
+    cluster.wait_served("initial responses", 100);
     let told = |last: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == last);
     let first = cluster.set_node_state(1, State::Draining);
-    cluster.history.wait_for("all are told", 5, told(first));
-    wait_until("lists on disk", || {
+    cluster
+        .history
+        .wait_for("event received by all fronts", 5, told(first));
+    wait_until("event in all lists on disk", || {
         (1..5).all(|front| revision_on_disk(&cluster, front) == Some(first))
     });
     cluster.fleet.injectors[1].set_disk_faults(true, false);
     cluster.fleet.injectors[2].set_disk_faults(false, true);
     cluster.fleet.injectors[3].set_sync_delay(std::time::Duration::from_secs(2));
     let second = cluster.set_node_state(2, State::Draining);
-    cluster.history.wait_for("all are told", 5, told(second));
-    cluster.wait_served("answers while disks fail", 600);
+    cluster
+        .history
+        .wait_for("event received by all fronts", 5, told(second));
+    cluster.wait_served("responses during disk faults", 600);
     let warnings = |cluster: &TestCluster, front: usize| {
         cluster.fleet.log(front).matches("be kept on disk").count()
     };
-    wait_until("the slow disk has it", || {
+    wait_until("list on the slow and the unimpaired disk", || {
         [3, 4]
             .iter()
             .all(|front| revision_on_disk(&cluster, *front) == Some(second))
     });
-    wait_until("three warnings", || {
+    wait_until("one warning of each front with a faulty disk", || {
         (0..3).all(|front| warnings(&cluster, front) == 1)
     });
-    // What can't be kept leaves what was kept before: whole, and older.
+    // A failed write keeps the previous list.
     let held = [None, Some(first), Some(first)];
     assert_eq!(
         [0, 1, 2].map(|front| revision_on_disk(&cluster, front)),
@@ -216,30 +220,30 @@
             .filter(|file| file.file_name().to_string_lossy().ends_with(".tmp"))
             .count()
     };
-    wait_until("nothing half written is left", || left(&cluster) == 0);
+    wait_until("temporary files removed", || left(&cluster) == 0);
     (0..3).for_each(|front| cluster.fleet.injectors[front].set_disk_faults(false, false));
-    cluster.wait_served("answers once disks are well", 200);
-    wait_until("all have it on disk", || {
+    cluster.wait_served("responses after disk faults", 200);
+    wait_until("list on all disks", || {
         (0..5).all(|front| revision_on_disk(&cluster, front) == Some(second))
     });
     assert_eq!(
         [0, 1, 2].map(|front| warnings(&cluster, front)),
         [1, 1, 1],
-        "each is told once"
+        "one warning each"
     );
-    // All start anew while the service is down: what they kept is heeded.
+    // Restarted without the service, the fronts use the saved lists.
     cluster.list_service.set(ServiceMode::Down);
     cluster.kill(&[0, 1, 2, 3, 4]);
     cluster.restart(&[0, 1, 2, 3, 4]);
-    cluster.wait_served("answers by lists on disk", 400);
+    cluster.wait_served("responses with lists from disk", 400);
     clients.stop();
     cluster.assert_no_violations(23);
 }
 
 #[test]
 fn warming_cache_is_not_overloaded_by_the_fleet() {
-    // Twelve fronts on three caches, far more requests than a cold cache bears; it is replaced twice, the second time while one
-    // half of the fleet reaches it by a link that is late and a part of the fleet is killed and starts anew.
+    // Twelve fronts send more than a cold cache can serve. The cache is replaced twice, the second time while half of the fleet
+    // reaches it over a delayed link and a quarter of the fleet restarts.
     let clocks: Vec<i64> = (0..12).map(|front| CLOCKS[front % 6]).collect();
     let shape = ClusterSize {
         fronts: 12,
@@ -250,8 +254,8 @@
     let mut cluster = start_cluster(shape, None, &clocks, 24);
     cluster.load.pause = std::time::Duration::from_millis(5);
     let clients = cluster.start_clients(24);
-    cluster.wait_served("the first answers", 500);
-    // Clocks are compared by what the service dates.
+    cluster.wait_served("initial responses", 500);
+    // Fronts determine their clock offset from the times of purges.
     for item in 0..5 {
         cluster.purge(item);
     }
@@ -260,9 +264,9 @@
         let gone = cluster.set_node_state(1, State::Removed);
         cluster
             .history
-            .wait_for("all are told that it is gone", 12, told(gone));
+            .wait_for("removal received by all fronts", 12, told(gone));
         cluster.nodes.set(1, cranesill_rig::Behavior::Down);
-        cluster.wait_served("answers without it", 500);
+        cluster.wait_served("responses without the cache", 500);
         cluster.nodes.set(
             1,
             cranesill_rig::Behavior::Respond(std::time::Duration::from_millis(1)),
@@ -277,15 +281,15 @@
         let back = cluster.mark_started(1);
         cluster
             .history
-            .wait_for("all are told that it is back", 12, told(back));
+            .wait_for("start event received by all fronts", 12, told(back));
         if round == 1 {
             cluster.kill(&[3, 4, 5]);
             cluster.restart(&[3, 4, 5]);
         }
-        cluster.wait_served("answers while it is cold", 3_000);
+        cluster.wait_served("responses while the cache warms up", 3_000);
         assert!(
             cluster.history.count(of) > before + 20,
-            "it is used while it is cold"
+            "the warming cache received too few requests"
         );
         cluster.set_node_link(0, 1, None);
     }
@@ -303,8 +307,8 @@
     };
     let mut cluster = start_cluster(shape, None, &[], 25);
     let clients = cluster.start_clients(25);
-    cluster.wait_served("the first answers", 300);
-    // From now on each has places for five; what is open is reset once, so that all ask for one at the same moment.
+    cluster.wait_served("initial responses", 300);
+    // Each node now accepts five connections; a reset makes all fronts reconnect at once.
     (0..4).for_each(|index| {
         cluster
             .nodes
@@ -312,16 +316,16 @@
     });
     let began = cluster.history.now();
     (0..2).for_each(|side| (0..4).for_each(|index| cluster.reset_connections(side, index)));
-    cluster.wait_served("answers with few places", 3_000);
+    cluster.wait_served("responses with limited connections", 3_000);
     let (end, s) = (cluster.history.now(), std::time::Duration::from_secs(1));
     for (id, _) in &cluster.nodes.all[..4] {
         let away = |seen: &Observation| *seen == Observation::ConnectionRejected(*id);
         let (first, _) = cluster.history.max_in_window(began, end, s, away);
         let (later, _) = cluster.history.max_in_window(began + 2 * s, end, s, away);
-        // Seven of twelve find no place, try a few times, and then leave the node alone for growing spans.
+        // Seven of twelve fronts are rejected, retry a few times and then back off with growing intervals.
         assert!(
             first <= 60 && later <= 12,
-            "{id:x} turned {first} away in the worst second, {later} later"
+            "node {id:x} rejected {first} connections in one second, {later} after the first two seconds"
         );
     }
     let answered = |wanted: fn(u8) -> bool| {
@@ -335,7 +339,7 @@
     };
     let (good, bad) = (answered(|code| code == 1), answered(|code| code != 1));
     assert!(bad * 100 <= good, "{bad} were not served, {good} were");
-    // Once there are places for all again each front uses all of them.
+    // Without the limit each front uses all nodes again.
     let back = cluster.history.now();
     (0..4).for_each(|index| {
         cluster
@@ -353,14 +357,14 @@
                 .count();
             cluster
                 .history
-                .wait_for("each front uses each node again", before + 1, of);
+                .wait_for("attempt of each front at each node", before + 1, of);
         }
     }
     clients.stop();
     cluster.assert_no_violations(25);
 }
 
-/// By how many milliseconds a wall clock is stepped, one after another.
+/// Offsets to which the wall clock is stepped, in milliseconds.
 const STEPS: [i64; 4] = [5_000, -5_000, 3_600_000, -3_600_000];
 
 #[test]
@@ -376,37 +380,37 @@
     cluster.keep_lists_on_disk();
     cluster.load.objects = 200;
     let clients = cluster.start_clients(26);
-    cluster.wait_served("the first answers", 800);
+    cluster.wait_served("initial responses", 800);
     let all = [0, 1, 2, 3];
     for step in STEPS {
         let first = (0..100).fold(0, |_, item| cluster.purge(item));
-        wait_until("the first are on disk", || {
+        wait_until("purges before the step on disk", || {
             all.iter()
                 .all(|front| revision_on_disk(&cluster, *front) >= Some(first))
         });
         all.iter()
             .for_each(|front| cluster.fleet.injectors[*front].set_clock_offset(step));
         let last = (100..200).fold(0, |_, item| cluster.purge(item));
-        wait_until("all are on disk", || {
+        wait_until("purges after the step on disk", || {
             all.iter()
                 .all(|front| revision_on_disk(&cluster, *front) >= Some(last))
         });
-        // What was told on both sides of the step is all that a front knows that starts anew.
+        // After the restart a front has only the events from both sides of the step.
         cluster.list_service.set(ServiceMode::Down);
         cluster.kill(&all);
         cluster.restart(&all);
-        cluster.wait_served("answers by lists on disk", 300);
+        cluster.wait_served("responses with lists from disk", 300);
         cluster.list_service.set(ServiceMode::Serve);
-        cluster.wait_served("answers with the service", 100);
+        cluster.wait_served("responses with the list service", 100);
     }
     clients.stop();
     cluster.assert_no_violations(26);
 }
 
-/// Gives a front a word of its operators. An error is the text that they are told.
+/// Sends an operator command to front 0; an error is the text of its answer.
 fn operator(cluster: &TestCluster, word: &Value) -> Result<Value, String> {
     let path = cluster.fleet.disk_dir().join("control");
-    wait_until("the operators' socket", || {
+    wait_until("control socket accepts connections", || {
         UnixStream::connect(&path).is_ok()
     });
     let mut socket = UnixStream::connect(&path).unwrap();
@@ -427,7 +431,7 @@
     )
 }
 
-/// The purges of the ledger, latest first: id and time.
+/// Purges in the log with id and time, latest first.
 fn logged_purges(cluster: &TestCluster) -> Vec<(String, u64)> {
     let told = operator(cluster, &json!({"word": "purges", "args": {}})).unwrap();
     let row = |row: &Value| {
@@ -439,8 +443,7 @@
     told["purges"].as_array().unwrap().iter().map(row).collect()
 }
 
-/// One front with a ledger of purges by operators on the disk that is in the test's hand. Its wall clock is ahead by so many
-/// milliseconds when it starts.
+/// Starts one front with a purge log on the disk with fault injection; its wall clock is ahead by `ahead_ms`.
 fn start_with_purge_log(ahead_ms: i64, seed: u64) -> TestCluster {
     let purges = json!({"file": "{disk}/purges", "horizon_s": 60});
     let settings = json!({"purges": purges, "control": {"path": "{disk}/control"}});
@@ -472,10 +475,10 @@
         assert_eq!(id, n.to_string());
         assert!(
             at.abs_diff(asked) < 2_000,
-            "{step}: dated {at}, asked at {asked}"
+            "clock offset {step} ms: purge dated {at}, sent at {asked}"
         );
     }
-    // An hour ahead: the sweep, each ten seconds, forgets what is past the horizon of a minute.
+    // One hour ahead, the sweep that runs every ten seconds must not remove purges within the horizon of one minute.
     cluster.fleet.injectors[0].set_clock_offset(3_600_000);
     std::thread::sleep(Duration::from_secs(12));
     assert!(began.elapsed() < Duration::from_secs(60));
@@ -488,11 +491,11 @@
 
 #[test]
 fn front_started_an_hour_behind_does_not_date_purges_too_early() {
-    // Its clock is set right later; what the list service dates shows by how much the start was off.
+    // The clock is corrected after the start; times from the list service reveal the initial offset.
     let cluster = start_with_purge_log(-3_600_000, 29);
     let last = cluster.purge(1);
     cluster.history.wait_for(
-        "it is told",
+        "event received",
         1,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == last),
     );
@@ -501,10 +504,10 @@
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
-    wait_until("it has heard", || {
+    wait_until("purge time corrected", || {
         purge(&cluster, &asked.to_string()).unwrap();
         let (_, at) = logged_purges(&cluster)[0].clone();
-        // By the delay of that news, which the skew that settings allow for covers.
+        // The event's delay remains as an error, which the permitted skew covers.
         at + 500 > asked
     });
 }
@@ -518,8 +521,10 @@
         assert!(purge(&cluster, "first").is_err_and(|why| why.contains("could not be kept")));
         assert!(purge(&cluster, "second").is_err());
         cluster.fleet.injectors[0].set_disk_faults(false, false);
-        // A sync that succeeds now says nothing of what was written before the one that failed.
-        wait_until("it is kept again", || purge(&cluster, "first").is_ok());
+        // A successful sync does not cover data written before a failed one.
+        wait_until("purge log writable again", || {
+            purge(&cluster, "first").is_ok()
+        });
         purge(&cluster, "third").unwrap();
         cluster.kill(&[0]);
         cluster.restart(&[0]);
@@ -531,7 +536,7 @@
             assert_eq!(
                 ids.iter().filter(|held| *held == id).count(),
                 1,
-                "{id}: {ids:?}"
+                "purge {id} not exactly once in {ids:?}"
             );
         }
         assert!(
--- a/front/tests/combined_faults.rs
+++ b/front/tests/combined_faults.rs
@@ -1,5 +1,4 @@
-//! Kinds of trouble that production adds to what benches play: late, long, and several at once. `docs/design/races.md` lists
-//! which test shows which.
+//! Faults after idle periods, during long outages and in combination.
 mod common;
 use common::*;
 use cranesill_rig::{Behavior, ClusterSize, Observation, ServiceMode, State};
@@ -27,17 +26,17 @@
     link_groups: 1,
 };
 
-/// Longer than idle connections of clients and nodes are kept.
+/// Longer than clients' and nodes' idle connections are kept.
 const QUIET: Duration = Duration::from_secs(15);
 
 #[test]
 fn faults_after_a_long_idle_period_violate_no_invariant() {
     let mut cluster = start_cluster(SHAPE, 31);
     let clients = cluster.start_clients(31);
-    cluster.wait_served("the first answers", 200);
+    cluster.wait_served("initial responses", 200);
     clients.stop();
     std::thread::sleep(QUIET);
-    // All at once, with the first request after the quiet: a node hangs, one drains, connections break, a front dies.
+    // Together with the first requests: a node is silent, one drains, connections break, a front restarts.
     cluster.nodes.set(0, Behavior::Silent);
     let drained = cluster.set_node_state(1, State::Draining);
     (0..cluster.node_count()).for_each(|index| cluster.reset_connections(0, index));
@@ -45,11 +44,11 @@
     cluster.restart(&[3]);
     let clients = cluster.start_clients(32);
     cluster.history.wait_for(
-        "all are told",
+        "event received by all fronts",
         4,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == drained),
     );
-    cluster.wait_served("answers after the quiet", 400);
+    cluster.wait_served("responses after the idle period", 400);
     clients.stop();
     cluster.assert_no_violations(31);
 }
@@ -58,20 +57,20 @@
 fn long_discovery_outage_with_restarts_and_drains_violates_no_invariant() {
     let mut cluster = start_cluster(SHAPE, 33);
     let clients = cluster.start_clients(33);
-    cluster.wait_served("the first answers", 200);
+    cluster.wait_served("initial responses", 200);
     cluster.list_service.set(ServiceMode::Down);
     let down = Instant::now();
     cluster.kill(&[0, 1]);
     cluster.restart(&[0, 1]);
     while down.elapsed() < QUIET {
-        cluster.wait_served("answers without discovery", 50);
+        cluster.wait_served("responses without the list service", 50);
     }
-    // Its return, drains of half of the caches and restarts come together.
+    // The service returns together with drains of half of the caches and a restart.
     cluster.publish_all(&[(0, State::Draining), (1, State::Draining)]);
     cluster.list_service.set(ServiceMode::Serve);
     cluster.kill(&[2]);
     cluster.restart(&[2]);
-    cluster.wait_served("answers after the outage", 400);
+    cluster.wait_served("responses after the outage", 400);
     clients.stop();
     cluster.assert_no_violations(33);
 }
@@ -84,7 +83,7 @@
     client.request(1, "page-bits", "20000", &[], b"");
     let (_, mut first) = accept_any_node(&setup);
     first.receive().unwrap();
-    // The first node says nothing: another is asked beside it.
+    // The first node is silent, so a hedged request follows.
     let (_, mut second) = accept_any_node(&setup);
     second.receive().unwrap();
     setup.while_stopped(|| {
@@ -101,7 +100,7 @@
     client.send(20, 2, &[0]);
     assert!(
         client.receive().unwrap().starts_with("type 21"),
-        "one answer and no more"
+        "more than one response"
     );
 }
 
@@ -120,13 +119,13 @@
     for moved in &feeds {
         let mut config = setup.config.clone();
         config["feed"] = moved.local_addr().unwrap().to_string().into();
-        // As a whole: one that is half written is another test's.
+        // Replaced atomically, as a partially written file is another test's subject.
         let aside = setup.file.with_extension("new");
         std::fs::write(&aside, config.to_string()).unwrap();
         std::fs::rename(&aside, &setup.file).unwrap();
         setup.signal("-HUP");
     }
-    // The last one counts, from the last event that is held; those before it may have been asked.
+    // The last address counts, and the feed resumes after the last event.
     let (mut new, last) = accept_feed(&feeds[7]);
     assert_eq!(last, 2);
     let nodes = [0, 1]
@@ -146,7 +145,7 @@
 #[test]
 fn requests_with_short_deadlines_are_answered_in_time_by_silent_nodes() {
     let setup = TestFront::new(|_| {});
-    // Nodes read what comes and never say a word.
+    // Nodes that accept connections and never respond.
     for at in [&setup.caches[0], &setup.caches[1], &setup.origin] {
         let at = at.try_clone().unwrap();
         std::thread::spawn(move || {
@@ -175,7 +174,7 @@
                     .starts_with(&format!("type 11 stream {stream}")),
                 "{limit} {class}"
             );
-            // Later than half a second after its time it would be lost.
+            // A response half a second after the deadline would be lost.
             assert!(
                 asked.elapsed() < Duration::from_millis(limit + 500),
                 "{limit} {class}"
--- a/front/tests/common/mod.rs
+++ b/front/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front as a process of its own, and the peers that a story scripts: blocking sockets on loopback.
+//! A front as a separate process, and scripted peers with blocking sockets on loopback.
 #![allow(dead_code)]
 pub mod operations;
 use serde_json::{json, Value};
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// No story waits for longer than this: it is a guard against hanging, not a measure.
+/// Timeout of every wait in a test; protects against hanging tests.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const CACHE_IDS: [u32; 2] = [0x11, 0x12];
@@ -19,7 +19,7 @@
     stream
 }
 
-/// The members, the feed and the front.
+/// A front and its peers: two caches, an origin and the list service's feed.
 pub struct TestFront {
     pub caches: [TcpListener; 2],
     pub origin: TcpListener,
@@ -41,18 +41,18 @@
 }
 
 impl TestFront {
-    /// Two caches and an origin: what a cache lacks comes from the origin.
+    /// Starts a front whose caches are filled from the origin.
     pub fn new(change: impl Fn(&mut Value)) -> Self {
         Self::with(change, None)
     }
 
-    /// The same, with settings of the daemon's own.
+    /// Like [`TestFront::new`], with daemon settings.
     pub fn with(change: impl Fn(&mut Value), settings: Option<&std::path::Path>) -> Self {
         let (caches, origin, feed) = ([bound(), bound()], bound(), bound());
         let mut config: Value =
             serde_json::from_str(include_str!("../../examples/config.json")).unwrap();
         config["listen"] = "127.0.0.1:0".into();
-        // The stories' clients have time.
+        // Long deadlines, so that only a test's own timeouts matter.
         (0..3)
             .for_each(|class| config["settings"]["classes"][class]["deadline"] = 60_000_000.into());
         config["feed"] = feed.local_addr().unwrap().to_string().into();
@@ -82,30 +82,30 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
-        // What it says is there at once, not when the system thinks fit.
+        // Small frames have to be sent without delay.
         stream.set_nodelay(true).unwrap();
         Client(with_read_timeout(stream))
     }
 
-    /// What a client that comes now is told when it asks whether the front is ready.
+    /// The response to a readiness request on a new connection.
     pub fn readiness(&self) -> Option<String> {
         let mut client = self.client();
         client.send(20, 1, &[0]);
         client.receive()
     }
 
-    /// Kills the front outright.
+    /// Kills the front with SIGKILL.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Stops the front, lets all of it come about, and lets the front go on: it learns of everything in one turn. `false`: it
-    /// had ended before.
+    /// Stops the front while `come_about` runs, so that it finds all resulting events in one iteration of its event loop. Returns
+    /// `false` if it had already exited.
     pub fn while_stopped(&self, come_about: impl FnOnce()) -> bool {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        // The state is what follows the name in parentheses.
+        // The state follows the name in parentheses.
         let state = || {
             std::fs::read_to_string(&stat)
                 .unwrap()
@@ -125,7 +125,7 @@
         lives
     }
 
-    /// Sends the front a signal.
+    /// Sends a signal to the front.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill")
@@ -135,7 +135,7 @@
             .success());
     }
 
-    /// A client with the smallest buffer for what it hears.
+    /// A client with a small receive buffer.
     pub fn client_with_small_buffer(&self) -> Client {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -161,7 +161,7 @@
     start_with_env(config, settings, &[])
 }
 
-/// The same, with variables.
+/// Like `start`, with daemon settings and environment variables.
 pub fn start_with_env(
     config: &Value,
     settings: Option<&std::path::Path>,
@@ -181,7 +181,7 @@
     (command.spawn().unwrap(), file.into_temp_path())
 }
 
-/// The program: as cargo names it to tests, or beside the example that asks.
+/// Path of the program: from cargo in tests, or next to the running example.
 pub fn binary() -> PathBuf {
     let beside = || {
         std::env::current_exe()
@@ -195,7 +195,7 @@
     option_env!("CARGO_BIN_EXE_cranesill").map_or_else(beside, PathBuf::from)
 }
 
-/// Lines of the log as they come.
+/// Lines of the front's log as they are written.
 pub fn read_log(front: &mut Child, file: tempfile::TempPath) -> Receiver<String> {
     let (lines, log) = channel();
     let errors = BufReader::new(front.stderr.take().unwrap());
@@ -209,27 +209,27 @@
     log
 }
 
-/// Waits for a line of the log.
+/// Waits for a log line that contains a text.
 pub fn wait_for_line(log: &Receiver<String>, text: &str) -> String {
     loop {
         let line = log
             .recv_timeout(WAIT_TIMEOUT)
-            .unwrap_or_else(|_| panic!("no line with {text}"));
+            .unwrap_or_else(|_| panic!("no log line with {text:?}"));
         if line.contains(text) {
             return line;
         }
     }
 }
 
-/// A field of a line of the log.
+/// Value of a field in a log line.
 pub fn log_field(line: &str, name: &str) -> String {
     let (_, rest) = line
         .split_once(&format!(" {name}="))
-        .unwrap_or_else(|| panic!("no {name} in {line}"));
+        .unwrap_or_else(|| panic!("no field {name} in log line: {line}"));
     rest.split(' ').next().unwrap_or(rest).to_string()
 }
 
-/// A client's connection.
+/// Connection of a client.
 pub struct Client(pub TcpStream);
 
 impl Client {
@@ -239,7 +239,7 @@
         self.0.write_all(&[&head, payload].concat()).unwrap();
     }
 
-    /// Asks on a stream; the id of the request is the stream's number.
+    /// Sends a request on a stream, whose number is also the transaction id.
     pub fn request(
         &mut self,
         stream: u32,
@@ -266,7 +266,7 @@
         self.send(10, stream, &[&payload, body].concat());
     }
 
-    /// Asks with fields of one's own; an error: the connection is gone.
+    /// Sends a request with the given fields; an error means that the connection was closed.
     pub fn try_request(
         &mut self,
         stream: u32,
@@ -287,7 +287,7 @@
         self.0.write_all(&[head, payload].concat())
     }
 
-    /// The next frame in words; `None` at the end of the connection.
+    /// The next frame in readable form; `None` at the end of the connection.
     pub fn receive(&mut self) -> Option<String> {
         let mut length = [0; 4];
         self.0.read_exact(&mut length).ok()?;
@@ -302,15 +302,15 @@
     }
 }
 
-/// A connection of the front to a member.
+/// Connection of the front to a node.
 pub struct NodeConnection(pub BufReader<TcpStream>);
 
-/// Takes the front's next connection.
+/// Accepts the front's next connection to a node.
 pub fn accept_node(at: &TcpListener) -> NodeConnection {
     NodeConnection(BufReader::new(accept(at)))
 }
 
-/// The next connection to a listener; it is waited for no longer than the guard allows.
+/// Accepts the next connection, with a timeout.
 pub fn accept(at: &TcpListener) -> TcpStream {
     at.set_nonblocking(true).unwrap();
     let by = std::time::Instant::now() + WAIT_TIMEOUT;
@@ -319,7 +319,10 @@
             Ok((stream, _)) => break stream,
             Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::WouldBlock),
         }
-        assert!(std::time::Instant::now() < by, "no connection comes");
+        assert!(
+            std::time::Instant::now() < by,
+            "no connection within {WAIT_TIMEOUT:?}"
+        );
         std::thread::sleep(Duration::from_millis(1));
     };
     at.set_nonblocking(false).unwrap();
@@ -327,14 +330,14 @@
     with_read_timeout(stream)
 }
 
-/// Lets a listener take up no further connection: one comes up once the one that is returned is let go and accepted, by the
-/// system's next try about a second later.
+/// Fills a listener's accept queue, so that further connections are not established. After the returned connection is accepted
+/// and dropped, they are established by the next retry of the system, about one second later.
 pub fn fill_accept_queue(at: &TcpListener) -> TcpStream {
     socket2::SockRef::from(at).listen(0).unwrap();
     TcpStream::connect(at.local_addr().unwrap()).unwrap()
 }
 
-/// The front's next connection to whichever of the nodes, and which: the origin is the last.
+/// Accepts the front's next connection to any node, with the node's index; the origin is the last.
 pub fn accept_any_node(setup: &TestFront) -> (usize, NodeConnection) {
     let all = [&setup.caches[0], &setup.caches[1], &setup.origin];
     all.iter().for_each(|at| at.set_nonblocking(true).unwrap());
@@ -347,7 +350,10 @@
                 return (i, NodeConnection(BufReader::new(with_read_timeout(stream))));
             }
         }
-        assert!(std::time::Instant::now() < by, "no connection comes");
+        assert!(
+            std::time::Instant::now() < by,
+            "no connection within {WAIT_TIMEOUT:?}"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -359,7 +365,7 @@
         line[1..].trim_end().parse().ok()
     }
 
-    /// The next command: its words as they came.
+    /// The strings of the next command.
     pub fn receive_raw(&mut self) -> Option<Vec<Vec<u8>>> {
         let count = self.line()?;
         let mut words = Vec::new();
@@ -372,7 +378,7 @@
         Some(words)
     }
 
-    /// The next command: its words, with the time left taken out of the fields.
+    /// The strings of the next command without the remaining time, which varies.
     pub fn receive(&mut self) -> Option<Vec<String>> {
         let timeless = |word: Vec<u8>| {
             let word = String::from_utf8(word).unwrap();
@@ -384,7 +390,7 @@
         Some(self.receive_raw()?.into_iter().map(timeless).collect())
     }
 
-    /// Answers a command; what is served names the copy, as a member's answers do.
+    /// Sends a response; hits and validations name the copy, as those of a node do.
     pub fn respond(&mut self, id: &str, word: &str, fields: &str, body: &str) {
         let copy = format!("ver=4be0c1927d55a6f3,born=1764576000123,{fields}");
         let fields = if ["HIT", "VALID"].contains(&word) {
@@ -400,7 +406,7 @@
     }
 }
 
-/// The front's next connection to the feed, and the number of the event from which it goes on.
+/// Accepts the front's next connection to the list service, with the number of the last event that the front has.
 pub fn accept_feed(at: &TcpListener) -> (TcpStream, u64) {
     let mut stream = accept(at);
     let mut last = [0; 8];
@@ -408,7 +414,7 @@
     (stream, u64::from_be_bytes(last))
 }
 
-/// One event of the feed.
+/// Encodes a feed event.
 pub fn feed_event(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (9 + payload.len()) as u32;
     [
@@ -420,7 +426,7 @@
     .concat()
 }
 
-/// A record of the feed's list.
+/// Encodes a node of the feed's list.
 pub fn node_record(id: u32, at: SocketAddr, state: u8, started_ms: u64) -> Vec<u8> {
     let SocketAddr::V4(at) = at else {
         unreachable!()
--- a/front/tests/common/operations.rs
+++ b/front/tests/common/operations.rs
@@ -1,5 +1,5 @@
-//! What stories and measurements of daily use share: operators' calls, members that answer, a front whose clients' socket
-//! the platform holds, and a load on it.
+//! Helpers of tests and measurements of operation: operator commands, nodes that respond, fronts with an inherited listener, and
+//! a client load.
 #![allow(dead_code)]
 use super::*;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Operators are answered within this, whatever the load.
+/// Time within which an operator command has to be answered under any load.
 pub const OPERATOR_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub fn with_operator_address(config: &mut Value) {
@@ -21,7 +21,7 @@
         .unwrap()
 }
 
-/// Says something on the second address, ends or not, and hears the whole answer.
+/// Sends bytes to the operator address, optionally shuts down the sending side, and returns the whole answer.
 pub fn exchange(at: SocketAddr, bytes: &[u8], ends: bool) -> String {
     let mut socket = TcpStream::connect(at).unwrap();
     socket
@@ -61,7 +61,7 @@
     lines[1..lines.len() - 1].iter().map(counter).collect()
 }
 
-/// A member that answers all that it is asked, and counts it.
+/// Serves hits for all requests on a listener and counts them.
 pub fn serve_hits(listener: &TcpListener) -> Arc<AtomicU32> {
     let (listener, asked) = (listener.try_clone().unwrap(), Arc::new(AtomicU32::new(0)));
     let count = Arc::clone(&asked);
@@ -87,7 +87,7 @@
     asked
 }
 
-/// A front whose clients' socket the platform holds.
+/// Client listener that fronts inherit, as from a service manager.
 pub struct InheritedListener {
     pub listener: TcpListener,
     pub folder: tempfile::TempDir,
@@ -115,7 +115,7 @@
         (process, at)
     }
 
-    /// Starts one more process, with a configuration that may differ.
+    /// Starts a further process, whose configuration may differ.
     pub fn start_with(&self, config: &Value) -> Process {
         let fd = std::os::fd::AsRawFd::as_raw_fd(&self.listener).to_string();
         let folder = self.folder.path().display().to_string();
@@ -125,7 +125,7 @@
         ];
         let (mut front, file) = start_with_env(config, None, &variables);
         let log = read_log(&mut front, file);
-        // From here on it is ended whatever happens.
+        // `Process` kills the front when it is dropped.
         Process { child: front, log }
     }
 }
@@ -153,8 +153,8 @@
     }
 }
 
-/// Clients that ask one thing after another until they are told to stop; how many were answered. Each that meets a closed
-/// door is a failure, unless its front had told it to go elsewhere.
+/// Starts clients that send requests until `stop` is set and return their number of responses. A lost response counts as a
+/// failure; a client that was asked to reconnect does so after its response.
 pub fn start_load(
     at: SocketAddr,
     stop: &Arc<AtomicBool>,
--- a/front/tests/connection_limit.rs
+++ b/front/tests/connection_limit.rs
@@ -1,10 +1,10 @@
-//! A fleet with more cache nodes than one front can hold connections to.
+//! A fleet with more cache nodes than a front can have connections.
 use cranesill_rig::{ClusterSize, Observation, TestCluster};
 use serde_json::Value;
 use std::path::Path;
 
 const CACHES: usize = 240;
-/// Descriptors of the front: it can hold 36 connections to nodes.
+/// Descriptor limit of the front, which allows 36 connections to nodes.
 const SOCKETS: u64 = 96;
 const REQUESTS: usize = 600;
 
@@ -28,19 +28,19 @@
     let mut cluster = TestCluster::start(binary, shape, &base, None, 1);
     (cluster.load.objects, cluster.load.connections_per_front) = (5_000, 4);
     let clients = cluster.start_clients(1);
-    cluster.wait_served("requests served", REQUESTS);
+    cluster.wait_served("served requests", REQUESTS);
     clients.stop();
     assert_eq!(
         (answered(&cluster, 2), answered(&cluster, 3)),
         (0, 0),
-        "refused and failed"
+        "rejected and failed requests"
     );
     let made = cluster
         .history
         .count(|seen| matches!(seen, Observation::Accepted(_)));
     assert!(
         made <= 3 * SOCKETS as usize * 3 / 8,
-        "{made} connections made"
+        "the front opened {made} connections"
     );
     cluster.assert_no_violations(1);
 }
--- a/front/tests/fleet_faults.rs
+++ b/front/tests/fleet_faults.rs
@@ -34,7 +34,7 @@
         };
         let mut cluster = start_cluster(shape, seed);
         let clients = cluster.start_clients(seed);
-        cluster.wait_served("the first answers", 40);
+        cluster.wait_served("initial responses", 40);
         cluster.run_script(&Script::from_seed(seed, shape, 40));
         clients.stop();
         cluster.assert_no_violations(seed);
@@ -52,17 +52,17 @@
     let mut cluster = start_cluster(shape, 8);
     let origin = cluster.node_count() - 1;
     let clients = cluster.start_clients(8);
-    cluster.wait_served("the first answers", 40);
+    cluster.wait_served("initial responses", 40);
     for _ in 0..4 {
         // It takes a request and breaks; then each connection to it breaks at any moment.
         cluster.nodes.set(origin, Behavior::Reset);
-        cluster.wait_served("answers of caches", 60);
+        cluster.wait_served("responses from caches", 60);
         cluster
             .nodes
             .set(origin, Behavior::Respond(Duration::from_millis(30)));
         for _ in 0..10 {
             cluster.reset_connections(0, origin);
-            cluster.wait_served("answers", 10);
+            cluster.wait_served("responses", 10);
         }
     }
     let ran = cluster
@@ -85,10 +85,10 @@
     };
     let mut cluster = start_cluster(shape, 7);
     let clients = cluster.start_clients(7);
-    cluster.wait_served("the first answers", 60);
+    cluster.wait_served("initial responses", 60);
     for round in 0..3 {
         cluster.nodes.set(1, Behavior::Down);
-        cluster.wait_served("answers without a cache", 60);
+        cluster.wait_served("responses without the cache", 60);
         cluster.set_node_link(
             0,
             1,
@@ -101,10 +101,10 @@
             .nodes
             .set(1, Behavior::Respond(Duration::from_millis(1)));
         cluster.set_node_state(1, State::Draining);
-        cluster.wait_served("answers after the drain", 120);
+        cluster.wait_served("responses after the drain", 120);
         cluster.set_node_link(0, 1, None);
         cluster.set_node_state(1, State::Ready);
-        cluster.wait_served("answers once it is back", 60 + round);
+        cluster.wait_served("responses after the node is back", 60 + round);
     }
     clients.stop();
     cluster.assert_no_violations(7);
@@ -153,7 +153,10 @@
             .iter()
             .filter(|at| **at < from)
             .count();
-        cluster.history.wait_for("first served", before + 1, of) - from
+        cluster
+            .history
+            .wait_for("first response of a front", before + 1, of)
+            - from
     };
     let mut firsts: Vec<_> = (0..24).map(|front| first(&cluster, front, began)).collect();
     firsts.sort_unstable();
@@ -166,7 +169,7 @@
         |seen: &Observation| matches!(seen, Observation::Accepted(node) if *node <= 0x100 + 24);
     cluster
         .history
-        .wait_for("connections of all to all", 24 * 24, all);
+        .wait_for("connections of all fronts to all caches", 24 * 24, all);
     let worst = max_connections_per_second(&cluster, 24, began);
     assert!(
         worst <= HANDSHAKES as usize + 8,
@@ -221,14 +224,14 @@
         |seen: &Observation| matches!(seen, Observation::Accepted(node) if *node <= 0x100 + 6);
     cluster
         .history
-        .wait_for("connections of all to all", 24 * 6, any);
+        .wait_for("connections of all fronts to all caches", 24 * 6, any);
     let told = |number: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == number);
     let gone = cluster.set_node_state(2, State::Removed);
     cluster
         .history
-        .wait_for("all are told that it is gone", 24, told(gone));
+        .wait_for("removal received by all fronts", 24, told(gone));
     cluster.nodes.set(2, Behavior::Down);
-    cluster.wait_served("answers without it", 200);
+    cluster.wait_served("responses without the cache", 200);
     cluster
         .nodes
         .set(2, Behavior::Respond(Duration::from_millis(1)));
@@ -238,10 +241,10 @@
     let back = cluster.set_node_state(2, State::Ready);
     cluster
         .history
-        .wait_for("all are told that it is back", 24, told(back));
+        .wait_for("return received by all fronts", 24, told(back));
     cluster
         .history
-        .wait_for("connections of all", had + 24, dialled);
+        .wait_for("connections of all fronts", had + 24, dialled);
     let (worst, _) = cluster
         .history
         .max_in_window(before, cluster.history.now(), S, dialled);
@@ -263,7 +266,7 @@
     };
     let mut cluster = start_cluster(shape, 9);
     let clients = cluster.start_clients(9);
-    cluster.wait_served("the first answers", 200);
+    cluster.wait_served("initial responses", 200);
     let all: Vec<usize> = (0..12).collect();
     cluster.set_stopped(&all, true);
     // What is told meanwhile is heard when they go on.
@@ -271,19 +274,19 @@
     cluster.purge(3);
     std::thread::sleep(5 * S);
     cluster.set_stopped(&all, false);
-    cluster.wait_served("answers after the stop", 400);
+    cluster.wait_served("responses after the stop", 400);
     // A service that tells by the byte is slower than the silence that a front bears: what was known stands.
     cluster.list_service.set(ServiceMode::ByteByByte);
     cluster.set_node_state(1, State::Ready);
-    cluster.wait_served("answers while the list drips", 600);
+    cluster.wait_served("responses with a slow list service", 600);
     cluster.list_service.set(ServiceMode::Serve);
     let back = cluster.set_node_state(2, State::Draining);
     cluster.history.wait_for(
-        "all are told",
+        "event received by all fronts",
         12,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == back),
     );
-    cluster.wait_served("answers after all", 400);
+    cluster.wait_served("responses after the faults", 400);
     clients.stop();
     cluster.assert_no_violations(9);
 }
@@ -318,7 +321,7 @@
     };
     let mut cluster = start_cluster_with(shape, Some(&settings), 11);
     let clients = cluster.start_clients(11);
-    cluster.wait_served("the first answers", 50);
+    cluster.wait_served("initial responses", 50);
     let last = cluster.set_node_state(1, State::Draining);
     let file = |front: usize| folder.path().join(format!("n{front}.list"));
     let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
@@ -344,7 +347,7 @@
     std::fs::remove_file(file(3)).unwrap();
     let back = cluster.history.now();
     cluster.restart(&all);
-    cluster.wait_served("answers without the service", 400);
+    cluster.wait_served("responses without the list service", 400);
     assert_eq!(
         attempts_to_cache(&cluster, 1, &[4, 5, 6, 7], back),
         0,
@@ -374,8 +377,8 @@
         .count();
     cluster
         .history
-        .wait_for("those without are told", before + 4, told);
-    cluster.wait_served("answers with the service", 200);
+        .wait_for("event received by fronts without a list", before + 4, told);
+    cluster.wait_served("responses with the list service", 200);
     // Those with a list asked for what came after it: nothing.
     let again =
         |seen: &Observation| matches!(seen, Observation::EventSent(front, _) if *front >= 4);
@@ -433,7 +436,7 @@
     while cluster.history.now() < kept + 5 * S {
         cluster.kill(&[0, 1]);
         cluster.restart(&[0, 1]);
-        cluster.wait_served("answers after a restart", 40);
+        cluster.wait_served("responses after a restart", 40);
     }
     for front in [0, 1] {
         let (yes, no) = served(&cluster, front);
@@ -463,11 +466,11 @@
     let clients = cluster.start_clients(12);
     let purge = cluster.purge(3);
     cluster.history.wait_for(
-        "both are told",
+        "event received by both fronts",
         2,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == purge),
     );
-    cluster.wait_served("answers all the same", 300);
+    cluster.wait_served("responses without the snapshot folder", 300);
     for front in 0..2 {
         assert_eq!(
             cluster.fleet.log(front).matches("be kept on disk").count(),
@@ -492,11 +495,11 @@
     let clients = cluster.start_clients(13);
     let last = (0..6).fold(0, |_, item| cluster.purge(item));
     cluster.history.wait_for(
-        "all are told",
+        "event received by all fronts",
         8,
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == last),
     );
-    cluster.wait_served("answers before", 100);
+    cluster.wait_served("responses before the restart of the service", 100);
     // It returns with another list under low numbers.
     cluster.list_service.set(ServiceMode::Down);
     cluster.list_service.clear_events();
@@ -512,11 +515,11 @@
         .count();
     let at = cluster
         .history
-        .wait_for("all are told of the new list", before + 8, told);
+        .wait_for("new list received by all fronts", before + 8, told);
     assert!(at - back < 15 * S, "after {:?}", at - back);
     std::thread::sleep(S);
     let heeds = cluster.history.now();
-    cluster.wait_served("answers after", 300);
+    cluster.wait_served("responses afterwards", 300);
     assert_eq!(
         attempts_to_cache(&cluster, 1, &(0..8).collect::<Vec<_>>(), heeds),
         0,
@@ -570,7 +573,7 @@
     let mut cluster = start_cluster_with(shape, Some(&peers(30, &[], 2)), 21);
     cluster.list_service.set(ServiceMode::Down);
     let clients = cluster.start_clients(21);
-    cluster.wait_served("answers without the service", 100);
+    cluster.wait_served("responses without the list service", 100);
     // What it will tell once it is back.
     cluster.set_node_state(1, State::Draining);
     std::thread::sleep(2 * S);
@@ -600,10 +603,10 @@
         all - back
     );
     assert!(calls <= 24, "{calls} calls on the service");
-    cluster.wait_served("answers after", 200);
+    cluster.wait_served("responses afterwards", 200);
     // Those that have it from peers heed it as if told.
     let from = cluster.history.now();
-    cluster.wait_served("more answers", 400);
+    cluster.wait_served("further responses", 400);
     assert_eq!(
         attempts_to_cache(&cluster, 1, &(0..30).collect::<Vec<_>>(), from),
         0
@@ -724,7 +727,7 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     let from = cluster.history.now();
-    cluster.wait_served("answers by the list of peers", 300);
+    cluster.wait_served("responses with the list of peers", 300);
     assert_eq!(
         attempts_to_cache(&cluster, 1, &[0, 1], from),
         0,
@@ -752,7 +755,7 @@
     };
     let mut cluster = start_cluster_with(shape, Some(&handshake_ramp()), 31);
     let clients = cluster.start_clients(31);
-    cluster.wait_served("the first answers", 200);
+    cluster.wait_served("initial responses", 200);
     cluster.list_service.set(ServiceMode::ByteByByte);
     cluster.purge(4);
     for tenth in 0..10 {
@@ -770,7 +773,7 @@
                 .count();
             cluster
                 .history
-                .wait_for("it serves again", before + 1, again);
+                .wait_for("response of a restarted front", before + 1, again);
         }
         let others = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if !some.contains(by) && *code != 1);
         let bad = cluster
@@ -785,7 +788,7 @@
         );
     }
     cluster.list_service.set(ServiceMode::Serve);
-    cluster.wait_served("answers after", 200);
+    cluster.wait_served("responses afterwards", 200);
     clients.stop();
     cluster.assert_no_violations(31);
 }
@@ -802,7 +805,7 @@
     // Few at once take longer to find out, one silence after another.
     cluster.load.connections_per_front = 8;
     let clients = cluster.start_clients(33);
-    cluster.wait_served("the first answers", 200);
+    cluster.wait_served("initial responses", 200);
     for (there, back) in [
         (Transmission::Cut, Transmission::Cut),
         (Transmission::Pass, Transmission::Cut),
@@ -816,7 +819,7 @@
             let before = cluster.history.count(served);
             cluster
                 .history
-                .wait_for("one that is cut off serves", before + 30, served);
+                .wait_for("responses of a front that is cut off", before + 30, served);
         }
         let others = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if by % 2 == 0 && *code != 1);
         let bad = cluster
@@ -830,7 +833,7 @@
             "{bad} requests of fronts that reach all nodes were not served"
         );
         (0..3).for_each(|index| cluster.set_node_link(1, index, None));
-        cluster.wait_served("answers once it heals", 200);
+        cluster.wait_served("responses after healing", 200);
     }
     clients.stop();
     cluster.assert_no_violations(33);
@@ -895,7 +898,7 @@
     cluster.restart(&[0]);
     wait(&cluster, 0, had);
     let from = cluster.history.now();
-    cluster.wait_served("answers by the list of peers", 200);
+    cluster.wait_served("responses with the list of peers", 200);
     assert_eq!(
         attempts_to_cache(&cluster, 1, &[0], from),
         0,
@@ -909,7 +912,7 @@
     cluster.kill(&[4, 5]);
     cluster.restart(&[4, 5]);
     wait(&cluster, 4, had);
-    cluster.wait_served("answers after all", 200);
+    cluster.wait_served("responses after the faults", 200);
     clients.stop();
     cluster.assert_no_violations(41);
 }
--- a/front/tests/fleet_purges.rs
+++ b/front/tests/fleet_purges.rs
@@ -1,5 +1,5 @@
-//! The story of a fleet: three fronts, six boxes, purges by tag and pattern while boxes and a front are killed. No answer
-//! is from an older copy than it may be.
+//! Three fronts and six cache nodes: no response comes from a purged copy while nodes and a front are killed during purges by tag
+//! and pattern.
 mod common;
 use common::*;
 use cranesill_standins::boxes::{wall, Origin, TaggedBox};
@@ -81,7 +81,7 @@
 
 struct Purged {
     at_ms: u64,
-    /// When it was answered: a front was told by then.
+    /// Time at which the purge command was answered; the writer has the purge by then.
     confirmed_ms: u64,
     tag: Option<&'static str>,
     prefix: String,
@@ -142,7 +142,7 @@
                 let (mut answered, mut refused, mut client) = (0u32, 0u32, None::<Client>);
                 let mut rng = 7 + i as u64;
                 let mut stream = 0;
-                // The front that is killed again and again answers what it can.
+                // The front that is killed repeatedly answers fewer requests.
                 while stream < REQUESTS / 2 {
                     stream += 1;
                     rng = rng
@@ -161,7 +161,7 @@
                         std::thread::yield_now();
                         continue;
                     };
-                    // Ids are new over all fronts.
+                    // Transaction ids are unique over all fronts.
                     let txn = format!("{:016x}", (u64::from(stream) << 8) | i as u64);
                     if connected
                         .try_request(stream, "page-bits", &[("item", &item), ("txn", &txn)])
@@ -180,7 +180,7 @@
                     answered += 1;
                     let (born, tags) = rest.split_once(" tags=").unwrap();
                     let born: u64 = born.parse().unwrap();
-                    // The writer knows at once; those that follow by their lease.
+                    // The writer applies a purge immediately, followers within their lease.
                     let slack = if i == 0 { GRACE } else { LEASE + GRACE };
                     for p in purged
                         .lock()
@@ -191,7 +191,7 @@
                         let stale = born < p.at_ms && p.concerns(&item, tags);
                         assert!(
                             !stale,
-                            "front {i} sent {sent}: {item} of {born} ({tags}), purged at {}",
+                            "front {i}, request at {sent}: copy of {item} from {born} ({tags}), purged at {}",
                             p.at_ms
                         );
                     }
@@ -209,7 +209,7 @@
         } else {
             (Some(TAGS[round as usize % 3]), String::new())
         };
-        // Tags change with the version.
+        // Each version of an object has other tags.
         let n = round % OBJECTS;
         origin.tag(&item(n), &[TAGS[(n + round) as usize % 3], "any"]);
         let pattern = format!("page-bits/{prefix}*");
@@ -240,7 +240,7 @@
             _ => boxes[which].late(round % 7),
         }
         if round % 10 == 5 {
-            // A front is killed outright and comes back with its file.
+            // Restart a follower with its purge file.
             fronts[2].kill();
             fronts[2] = start_front(&folders[2], &boxes, &main, &follows);
             *addresses[2].lock().unwrap() = fronts[2].address;
@@ -250,9 +250,9 @@
     let answered: u32 = counts.iter().map(|c| c.0).sum();
     assert!(
         answered >= REQUESTS * 9 / 10,
-        "{counts:?} in {round} rounds"
+        "too few responses: {counts:?} in {round} rounds"
     );
-    // Once the faults end every box confirms everything.
+    // After the faults every node confirms all purges.
     boxes.iter().for_each(|b| {
         b.revive();
         b.lie(false);
@@ -266,7 +266,7 @@
         boxes.iter().map(TaggedBox::gaps).collect::<Vec<_>>()
     );
     println!(
-        "{answered} answered, {counts:?}, {round} rounds, {} fetches",
+        "{answered} responses {counts:?}, {round} rounds, {} fetches",
         origin.fetches.load(Ordering::SeqCst)
     );
 }
--- a/front/tests/list_service_outage.rs
+++ b/front/tests/list_service_outage.rs
@@ -79,7 +79,7 @@
     }
     let back = history.now();
     list.set(ServiceMode::Serve);
-    let all = history.wait_for("fronts that are served", count, served);
+    let all = history.wait_for("subscribed fronts", count, served);
     assert!(
         all <= back + RECOVERY_TIMEOUT,
         "{mode:?}: all are served {:?} after it returned",
@@ -114,15 +114,15 @@
     let history = History::default();
     let list = ListService::new(&history, ServiceMode::Serve);
     let mut fleet = fleet(24, &list);
-    history.wait_for("fronts that are served", 24, served);
+    history.wait_for("subscribed fronts", 24, served);
     assert_eq!(history.timestamps(call).len(), 24, "one call each");
     let half = || (0..24).step_by(2);
     fleet.kill(half());
-    history.wait_for("connections that end", 12, |seen| {
+    history.wait_for("ended subscriptions", 12, |seen| {
         *seen == Observation::SubscriptionEnded
     });
     fleet.restart(half());
-    history.wait_for("fronts that are served", 36, served);
+    history.wait_for("subscribed fronts", 36, served);
     // A stop of the whole fleet for longer than a silence may last: what was sent meanwhile is read when it goes on.
     fleet.signal(0..24, libc::SIGSTOP);
     std::thread::sleep(4 * S);
@@ -144,7 +144,7 @@
     let gone = history
         .timestamps(|seen| *seen == Observation::SubscriptionEnded)
         .len();
-    history.wait_for("fronts that are served", 24 + gone, served);
+    history.wait_for("subscribed fronts", 24 + gone, served);
 }
 
 #[test]
@@ -161,7 +161,7 @@
             far.address
         }
     });
-    history.wait_for("fronts that are served", 32, served);
+    history.wait_for("subscribed fronts", 32, served);
     let whole = history.now();
     for (there, back) in [
         (Transmission::Cut, Transmission::Cut),
@@ -182,7 +182,7 @@
     let before = history.timestamps(served).len();
     let back = history.now();
     far.heal();
-    let all = history.wait_for("fronts that are served again", before + 16, served);
+    let all = history.wait_for("fronts subscribed again", before + 16, served);
     assert!(
         all <= back + RECOVERY_TIMEOUT,
         "all are served {:?} after the link healed",
@@ -214,7 +214,7 @@
     let history = History::default();
     let list = ListService::new(&history, ServiceMode::Serve);
     let mut fleet = fleet(40, &list);
-    history.wait_for("all are served at first", 40, served);
+    history.wait_for("fronts subscribed initially", 40, served);
     // Their connections were well by then; each break after that is one of a service that fails.
     std::thread::sleep(3 * S);
     let began = history.now();
--- a/front/tests/operations.rs
+++ b/front/tests/operations.rs
@@ -1,5 +1,4 @@
-//! Stories of daily use: operators' calls on the second address, members out by hand, drains, and a process that is
-//! replaced under load.
+//! Operation of a front: operator commands, cordoned nodes, quiescing, and replacement of the process under load.
 mod common;
 use common::operations::*;
 use common::*;
@@ -10,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// By then a drained front holds no idle connection.
+/// Time within which a quiesced front has closed its idle connections.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[test]
@@ -40,10 +39,10 @@
     assert_eq!(
         exchange(at, b"", true),
         "",
-        "nothing said, nothing answered"
+        "an empty command has no answer"
     );
     insta::assert_debug_snapshot!((received, half));
-    // Without an address nothing listens.
+    // Without an operator address the front does not listen for operators.
     let setup = TestFront::new(|_| {});
     assert!(!setup
         .log
@@ -58,7 +57,7 @@
     let silent: Vec<_> = (0..300u32)
         .map(|i| {
             let mut socket = TcpStream::connect(at).unwrap();
-            // Some have begun.
+            // A third of them sends part of a command.
             socket
                 .write_all(if i % 3 == 0 { b"coun" } else { b"" })
                 .unwrap();
@@ -105,7 +104,7 @@
     let (mut client, mut seen) = (setup.client(), BTreeMap::<&str, u64>::new());
     for stream in 1..=30 {
         match stream % 5 {
-            // A class that there is not is in no count; one whose id is taken is answered by the front itself.
+            // Unknown classes are not counted.
             0 => client.request(stream, "no-such", "2000", &[], b""),
             1 => client.request(stream, "book-car", "2000", &[], b"keys"),
             _ => client.request(stream, "page-bits", "2000", &[], b""),
@@ -120,7 +119,7 @@
         };
         *seen.entry(name).or_default() += 1;
     }
-    // A request that its client takes back is in no count, and no longer in progress.
+    // Cancelled requests are neither counted nor in progress.
     client.request(31, "page-bits", "2000", &[], b"");
     client.send(12, 31, b"");
     client.send(20, 32, &[0]);
@@ -131,13 +130,13 @@
         let slack = u64::from(name == "handled.page-bits.passed");
         assert!(
             received[name] >= n && received[name] <= n + slack,
-            "{name}: {} and not {n}",
+            "{name}: counter {}, clients saw {n}",
             received[name]
         );
     }
     assert!(
         received["upstream_tries"].abs_diff(tries.into()) <= 1,
-        "{} and {tries}",
+        "counter {}, nodes saw {tries}",
         received["upstream_tries"]
     );
     assert_eq!(
@@ -163,12 +162,12 @@
     received.push(operator_command(at, "quiesce"));
     received.push(operator_command(at, "quiesce"));
     received.push(operator_command(at, "health"));
-    // Both are told to open nothing new; the idle one is closed, the other has its answer first.
+    // Both clients are asked to reconnect; the idle one is closed, the other one after its response.
     received.extend(idle.receive());
     assert_eq!(idle.receive(), None);
     assert!(
         began.elapsed() < DRAIN_TIMEOUT,
-        "an idle connection is let go in time"
+        "the idle connection was closed after {DRAIN_TIMEOUT:?}"
     );
     received.extend(busy.receive());
     busy.send(20, 2, &[0]);
@@ -226,7 +225,7 @@
         &failures,
         4,
     );
-    // A member that is out by hand stays out, by whichever process, and so does one taken out in between.
+    // A cordoned node stays cordoned across processes, also one cordoned in between.
     assert_eq!(operator_command(ops, "cordon s-00000011"), "+OK out\n");
     let out = asked[0].load(Ordering::SeqCst);
     for round in 0..3 {
@@ -235,10 +234,10 @@
         assert_eq!(
             operator_command(new_ops, "health"),
             "+OK serving\n",
-            "it says yes beside the old one"
+            "health of the waiting process"
         );
         assert_eq!(counters(new_ops)["skipped_cache_nodes"], 1);
-        // It takes no clients while the old one does, however many come.
+        // The new process accepts no clients while the old one does.
         for n in 0..60 {
             let mut client =
                 Client(TcpStream::connect(inherited.listener.local_addr().unwrap()).unwrap());
@@ -256,9 +255,9 @@
             assert_eq!(
                 asked[0].load(Ordering::SeqCst),
                 out,
-                "nothing went to the instance that was out"
+                "a cordoned node received requests"
             );
-            // Said to the old process, and to none other.
+            // Sent to the old process only.
             operator_command(ops, "uncordon s-00000011");
             operator_command(ops, "cordon s-00000012");
         }
@@ -271,7 +270,7 @@
         .iter()
         .map(|n| n.load(Ordering::SeqCst))
         .collect::<Vec<_>>();
-    // Killed outright, the next one needs nobody's word.
+    // After a kill the next process takes over without a message from the old one.
     let (new, _) = inherited.start();
     wait_for_line(&new.log, "waits for another process");
     stop.store(true, Ordering::SeqCst);
@@ -280,7 +279,7 @@
         .map(|client| client.join().unwrap())
         .sum();
     assert_eq!(*failures.lock().unwrap(), Vec::<String>::new());
-    assert!(answered > 100, "the load must be one: {answered}");
+    assert!(answered > 100, "too little load: {answered} responses");
     old.signal("-KILL");
     wait_for_line(&new.log, "accepts clients");
     let mut client = Client(TcpStream::connect(inherited.listener.local_addr().unwrap()).unwrap());
@@ -289,18 +288,18 @@
     assert_eq!(
         asked[1].load(Ordering::SeqCst),
         before[1],
-        "the other one is out now"
+        "the node cordoned last received requests"
     );
     assert!(
         asked[0].load(Ordering::SeqCst) > out,
-        "and the first is back"
+        "the uncordoned node received no requests"
     );
 }
 
 #[test]
 fn new_process_serves_while_its_operator_address_is_in_use_and_listens_there_later() {
-    // A start that ended with one line left the front without a next process: the old one keeps its address until its end,
-    // and any connection of the machine may have been given the port for a moment.
+    // A failure to bind would leave the service without a successor: the old process keeps the operator address until it exits, and
+    // an outgoing connection may occupy the port for a short time.
     let setup = TestFront::new(|_| {});
     setup
         .caches
@@ -317,7 +316,7 @@
     assert_eq!(
         operator_command(at, "health"),
         "+OK serving\n",
-        "the old one answers"
+        "the old process answers"
     );
     old.signal("-TERM");
     wait_for_line(&new.log, "accepts clients");
@@ -329,11 +328,11 @@
     assert_eq!(
         counters(at)["handled.page-bits.passed"],
         1,
-        "it is the new one that answers now"
+        "the new process answers"
     );
     new.signal("-TERM");
     assert!(new.child.wait().unwrap().success());
-    // Where nobody stands beside it, an address that is taken is an error of the configuration.
+    // Without a process to replace, an address in use is a configuration error.
     let mut config = setup.config.clone();
     config["ops"] = setup.address.to_string().into();
     let (mut front, _file) = start(&config);
@@ -387,7 +386,7 @@
     ] {
         refused(&fd);
     }
-    // Named and not handed over: the program's own first descriptor gets that number, and is not to be taken for it.
+    // The descriptor is not inherited: the program's own first descriptor gets that number and must not be used as the listener.
     let mut file = tempfile::NamedTempFile::new().unwrap();
     file.write_all(setup.config.to_string().as_bytes()).unwrap();
     let script = "exec 3<&- 4<&- 5<&-; exec \"$0\" serve \"$1\"";
--- a/front/tests/system_call_faults.rs
+++ b/front/tests/system_call_faults.rs
@@ -223,7 +223,7 @@
     let before = cluster.fleet.injectors[0].socket_fault_count();
     cluster.fleet.injectors[0].set_socket_faults(Some(faults));
     thread::sleep(time);
-    cluster.wait_served("answers while calls fail", 20);
+    cluster.wait_served("responses during call failures", 20);
     cluster.fleet.injectors[0].set_socket_faults(None);
     let cut_short = faults.max_read_bytes > 0;
     assert!(
@@ -269,7 +269,7 @@
     // Some come anew for each request, some stay.
     let stay = cluster.start_clients(61);
     let reconnecting = ReconnectingClients::start(&cluster, 6, 1, 5 * MS);
-    cluster.wait_served("the first answers", 100);
+    cluster.wait_served("initial responses", 100);
     for errno in OF_ACCEPT {
         run_with_faults(
             &cluster,
@@ -297,7 +297,7 @@
     ] {
         let mut cluster = start_cluster(|_| {}, 0, seed);
         let stay = cluster.start_clients(seed);
-        cluster.wait_served("the first answers", 20);
+        cluster.wait_served("initial responses", 20);
         cluster.fleet.injectors[0]
             .set_socket_faults(Some(&SocketFaults::all(&[SystemCall::Accept], errno)));
         let (began, used) = (Instant::now(), cpu_time(&cluster));
@@ -309,7 +309,7 @@
         let client = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, txn, 1) if (txn >> 32) & 0xff >= 16);
         cluster
             .history
-            .wait_for("those that waited are answered", 12, client);
+            .wait_for("responses to pending requests", 12, client);
         reconnecting.stop();
         stay.stop();
         assert_all_served(&mut cluster, seed);
@@ -388,7 +388,7 @@
 fn descriptor_exhaustion_does_not_close_intermittent_clients() {
     let mut cluster = start_cluster(|_| {}, 0, 72);
     let reconnecting = ReconnectingClients::start(&cluster, 6, 6, 700 * MS);
-    cluster.wait_served("the first answers", 8);
+    cluster.wait_served("initial responses", 8);
     let most = allow_few_more_descriptors(&cluster);
     // They say nothing, and there are not enough places for all of them.
     let address = cluster.fleet.address(0);
@@ -418,7 +418,7 @@
     let short = |base: &mut Value| base["settings"]["policyLimits"]["connIdle"] = 20_000.into();
     let mut cluster = start_cluster(short, 0, 66);
     let reconnecting = ReconnectingClients::start(&cluster, 8, 2, 290 * MS);
-    cluster.wait_served("the first answers", 30);
+    cluster.wait_served("initial responses", 30);
     let of_socket = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     let of_connect = [
         libc::EADDRNOTAVAIL,
@@ -480,7 +480,7 @@
         cluster.fleet.address(0);
     }
     let reconnecting = ReconnectingClients::start(&cluster, 2, 2, 5 * MS);
-    cluster.wait_served("answers after all", 20);
+    cluster.wait_served("responses after the faults", 20);
     reconnecting.stop();
     assert_all_served(&mut cluster, 67);
 }
@@ -506,7 +506,7 @@
         cluster.fleet.restart([0]);
         cluster.fleet.address(0);
         let reconnecting = ReconnectingClients::start(&cluster, 4, 3, 5 * MS);
-        cluster.wait_served("answers while calls fail from the start on", 40);
+        cluster.wait_served("responses during call failures since startup", 40);
         reconnecting.stop();
         assert!(
             cluster.fleet.injectors[0].socket_fault_count() > before,
@@ -571,7 +571,7 @@
     cluster.load.connections_per_front = 2;
     let stay = cluster.start_clients(69);
     let reconnecting = ReconnectingClients::start(&cluster, 3, 3, 5 * MS);
-    cluster.wait_served("the first answers", 30);
+    cluster.wait_served("initial responses", 30);
     for bytes in (1..=40).chain([63, 64, 65, 127, 255, 256, 1_000]) {
         run_with_faults(&cluster, &SocketFaults::short(bytes), 20 * MS);
     }
@@ -598,7 +598,7 @@
     // Waits are interrupted by signals.
     for _ in 0..20 {
         cluster.fleet.signal([0], libc::SIGHUP);
-        cluster.wait_served("answers between signals", 2);
+        cluster.wait_served("responses between signals", 2);
     }
     reconnecting.stop();
     stay.stop();
@@ -619,7 +619,7 @@
     cluster.load.connections_per_front = 6;
     let stay = cluster.start_clients(70);
     let reconnecting = ReconnectingClients::start(&cluster, 3, 3, 5 * MS);
-    cluster.wait_served("the first answers", 30);
+    cluster.wait_served("initial responses", 30);
     for errno in BROKEN {
         for call in [SystemCall::ReadOutbound, SystemCall::WriteOutbound] {
             run_with_faults(
@@ -627,7 +627,7 @@
                 &SocketFaults::all(&[call], errno).every(40),
                 200 * MS,
             );
-            cluster.wait_served("answers once calls are well", 20);
+            cluster.wait_served("responses after call failures", 20);
         }
     }
     reconnecting.stop();
@@ -641,7 +641,7 @@
     cluster.load.connections_per_front = 6;
     (0..3).for_each(|index| cluster.nodes.set(index, Behavior::Respond(5 * MS)));
     let stay = cluster.start_clients(71);
-    cluster.wait_served("the first answers", 30);
+    cluster.wait_served("initial responses", 30);
     for errno in BROKEN {
         for call in [SystemCall::ReadInbound, SystemCall::WriteInbound] {
             run_with_faults(
@@ -649,7 +649,7 @@
                 &SocketFaults::all(&[call], errno).every(25),
                 200 * MS,
             );
-            cluster.wait_served("answers once calls are well", 20);
+            cluster.wait_served("responses after call failures", 20);
         }
     }
     stay.stop();
