--- a/front/tests/fleet_faults.rs
+++ b/front/tests/fleet_faults.rs
@@ -1,5 +1,4 @@
-//! Many processes of the program with nodes, parents, an origin, the list service and clients, while parts of it fail: the
-//! rules of the service are kept by the whole fleet, checked by what was seen at both ends.
+//! Fleets with nodes, list service and clients that partly fail violate no invariant, as observed by nodes and clients.
 use cranesill_rig::{
     Behavior, ClusterSize, Link, Observation, Script, ServiceMode, State, TestCluster, Transmission,
 };
@@ -54,7 +53,7 @@
     let clients = cluster.start_clients(8);
     cluster.wait_served("initial responses", 40);
     for _ in 0..4 {
-        // It takes a request and breaks; then each connection to it breaks at any moment.
+        // The origin executes writes and resets the connection; later its connections are reset at arbitrary times.
         cluster.nodes.set(origin, Behavior::Reset);
         cluster.wait_served("responses from caches", 60);
         cluster
@@ -68,15 +67,15 @@
     let ran = cluster
         .history
         .count(|seen| matches!(seen, Observation::Executed(_)));
-    assert!(ran >= 10, "{ran} writes ran");
+    assert!(ran >= 10, "only {ran} writes were executed");
     clients.stop();
     cluster.assert_no_violations(8);
 }
 
 #[test]
 fn request_waiting_for_a_connection_is_not_sent_to_a_draining_node() {
-    // One side of the fleet reaches a cache by a link that is cut; connections come up and say nothing. The cache is told to
-    // drain, and the link heals: what was held by the link is not the fronts', what they begin is.
+    // Half of the fleet reaches a cache over a delayed link while the cache starts to drain. Bytes held by the link do not count
+    // against the fronts, attempts that they begin afterwards do.
     let shape = ClusterSize {
         fronts: 6,
         caches: 3,
@@ -112,14 +111,14 @@
 
 const S: Duration = Duration::from_secs(1);
 
-/// So many of the fleet together begin to use a node in a second; those that each front uses at once are over it.
+/// Connections per second that the fleet together opens to a node; those that each front opens immediately are additional.
 const HANDSHAKES: u32 = 4;
 
 fn handshake_ramp() -> Value {
     json!({"startup": {"handshakes_per_s": HANDSHAKES, "ready_percent": 50, "ready_most_ms": 2_000}})
 }
 
-/// The most connections that came to one cache in any second from then on.
+/// Largest number of connections to one cache within any second since `from`.
 fn max_connections_per_second(cluster: &TestCluster, caches: usize, from: Duration) -> usize {
     let most = |index: usize| {
         let id = cluster.nodes.all[index].0;
@@ -135,7 +134,7 @@
 
 #[test]
 fn cold_fleet_connects_gradually_and_serves_immediately() {
-    // 24 fronts and 24 caches: without the ramp 20 or more dial one cache in a second.
+    // Without the ramp, 20 or more of the 24 fronts connect to one cache within a second.
     let shape = ClusterSize {
         fronts: 24,
         caches: 24,
@@ -162,9 +161,9 @@
     firsts.sort_unstable();
     assert!(
         firsts[12] < Duration::from_millis(500),
-        "half of the fronts serve at once: {firsts:?}"
+        "half of the fronts took too long to their first response: {firsts:?}"
     );
-    // By then all use all, and each node has a connection of each front.
+    // Eventually each front has connections to all nodes.
     let all =
         |seen: &Observation| matches!(seen, Observation::Accepted(node) if *node <= 0x100 + 24);
     cluster
@@ -175,7 +174,7 @@
         worst <= HANDSHAKES as usize + 8,
         "{worst} connections came to one cache in a second"
     );
-    // Seven in ten are killed and come back; the others serve on as if nothing were.
+    // 70% of the fronts are killed and restarted; the others must not be affected.
     let (dead, live): (Vec<usize>, Vec<usize>) = (0..24).partition(|front| front % 10 < 7);
     let killed = cluster.history.now();
     cluster.kill(&dead);
@@ -199,7 +198,7 @@
         .count();
     assert!(
         lived * 10 <= good,
-        "of those that live {lived} requests were not served, {good} were"
+        "fronts that kept running: {lived} requests not served, {good} served"
     );
     let worst = max_connections_per_second(&cluster, 24, killed);
     assert!(
@@ -269,13 +268,13 @@
     cluster.wait_served("initial responses", 200);
     let all: Vec<usize> = (0..12).collect();
     cluster.set_stopped(&all, true);
-    // What is told meanwhile is heard when they go on.
+    // The fronts receive these events when they are continued.
     cluster.set_node_state(1, State::Draining);
     cluster.purge(3);
     std::thread::sleep(5 * S);
     cluster.set_stopped(&all, false);
     cluster.wait_served("responses after the stop", 400);
-    // A service that tells by the byte is slower than the silence that a front bears: what was known stands.
+    // An event takes longer than the silence timeout of a front, which keeps its previous list.
     cluster.list_service.set(ServiceMode::ByteByByte);
     cluster.set_node_state(1, State::Ready);
     cluster.wait_served("responses with a slow list service", 600);
@@ -298,7 +297,7 @@
     from: Duration,
 ) -> usize {
     let id = cluster.nodes.all[index].0;
-    // Which front asked stands in the id of the request.
+    // The transaction id contains the front.
     let by = |txn: u64| (txn >> 40) as usize - 1;
     let of = |seen: &Observation| matches!(seen, Observation::Attempt { node, txn, .. } if *node == id && fronts.contains(&by(*txn)));
     cluster
@@ -325,7 +324,7 @@
     let last = cluster.set_node_state(1, State::Draining);
     let file = |front: usize| folder.path().join(format!("n{front}.list"));
     let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
-    // Its second line names the list, the last event in it, and when.
+    // The last event is the third word of the second line.
     let number = |text: String| text.lines().nth(1)?.split(' ').nth(2)?.parse::<u64>().ok();
     let held =
         |front: usize| std::fs::read_to_string(file(front)).ok().and_then(number) == Some(last);
@@ -339,7 +338,7 @@
     cluster.list_service.set(ServiceMode::Down);
     let all: Vec<usize> = (0..8).collect();
     cluster.kill(&all);
-    // Torn, of another version, empty, and gone.
+    // Truncated, of another version, empty, and missing.
     let text = std::fs::read_to_string(file(0)).unwrap();
     std::fs::write(file(0), &text[..text.len() / 2]).unwrap();
     std::fs::write(file(1), text.replacen("v1", "v9", 1)).unwrap();
@@ -351,11 +350,11 @@
     assert_eq!(
         attempts_to_cache(&cluster, 1, &[4, 5, 6, 7], back),
         0,
-        "what drained is known to drain"
+        "a front with a list on disk used the draining cache"
     );
     assert!(
         attempts_to_cache(&cluster, 1, &[0, 1, 2, 3], back) > 0,
-        "without a list on disk that can't be known"
+        "fronts without a list on disk did not use the draining cache"
     );
     for front in 0..3 {
         assert!(
@@ -379,7 +378,7 @@
         .history
         .wait_for("event received by fronts without a list", before + 4, told);
     cluster.wait_served("responses with the list service", 200);
-    // Those with a list asked for what came after it: nothing.
+    // Fronts with a list ask only for later events, of which there are none.
     let again =
         |seen: &Observation| matches!(seen, Observation::EventSent(front, _) if *front >= 4);
     assert_eq!(
@@ -442,7 +441,7 @@
         let (yes, no) = served(&cluster, front);
         assert!(
             yes >= 1 && no >= 1,
-            "{yes} times it was served from, {no} times too old: {}",
+            "list on disk used {yes} times, too old {no} times: {}",
             cluster.fleet.log(front)
         );
     }
@@ -500,7 +499,7 @@
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == last),
     );
     cluster.wait_served("responses before the restart of the service", 100);
-    // It returns with another list under low numbers.
+    // The service restarts with another list and low event numbers.
     cluster.list_service.set(ServiceMode::Down);
     cluster.list_service.clear_events();
     let whole = cluster.publish_all(&[(1, State::Draining)]);
@@ -516,17 +515,21 @@
     let at = cluster
         .history
         .wait_for("new list received by all fronts", before + 8, told);
-    assert!(at - back < 15 * S, "after {:?}", at - back);
+    assert!(
+        at - back < 15 * S,
+        "new list received after {:?}",
+        at - back
+    );
     std::thread::sleep(S);
     let heeds = cluster.history.now();
     cluster.wait_served("responses afterwards", 300);
     assert_eq!(
         attempts_to_cache(&cluster, 1, &(0..8).collect::<Vec<_>>(), heeds),
         0,
-        "the new list is heeded"
+        "a front used the cache that drains in the new list"
     );
     clients.stop();
-    // Numbers stand for other events now: what was told cannot be held against anybody, the rest can.
+    // Event numbers now mean other events, so the checks of drains and purges do not apply.
     let broken = cluster
         .violations()
         .into_iter()
@@ -535,9 +538,9 @@
     assert_eq!((broken, cluster.fleet.exited()), (0, vec![]));
 }
 
-/// Settings of fronts that hold the list for one another, on addresses that nobody else uses.
+/// Settings of fronts that exchange the list as peers, on unique addresses.
 fn peers(fronts: usize, more: &[String], calls_per_s: u32) -> Value {
-    // All of 127/8 is this machine; what it dials from is 127.0.0.1.
+    // Addresses in 127/8 other than 127.0.0.1 are not used by outgoing connections.
     static FLEETS: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let fleet = FLEETS.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
     let host = format!(
@@ -563,7 +566,7 @@
 
 #[test]
 fn list_spreads_among_peers_with_few_calls_to_the_service() {
-    // 30 fronts that call twice a second in all need 15 s to be served by the service itself.
+    // With two calls per second, 30 fronts need 15 s to be served by the service itself.
     let shape = ClusterSize {
         fronts: 30,
         caches: 4,
@@ -574,7 +577,7 @@
     cluster.list_service.set(ServiceMode::Down);
     let clients = cluster.start_clients(21);
     cluster.wait_served("responses without the list service", 100);
-    // What it will tell once it is back.
+    // An event that the fronts receive when the service is back.
     cluster.set_node_state(1, State::Draining);
     std::thread::sleep(2 * S);
     let back = cluster.history.now();
@@ -599,12 +602,12 @@
         .count();
     assert!(
         all - back < 10 * S && by_peers >= 10,
-        "{:?}, {by_peers} by peers",
+        "list with all fronts after {:?}, {by_peers} of them from peers",
         all - back
     );
-    assert!(calls <= 24, "{calls} calls on the service");
+    assert!(calls <= 24, "{calls} calls to the service");
     cluster.wait_served("responses afterwards", 200);
-    // Those that have it from peers heed it as if told.
+    // Fronts with the list of a peer respect its events.
     let from = cluster.history.now();
     cluster.wait_served("further responses", 400);
     assert_eq!(
@@ -615,7 +618,7 @@
     cluster.assert_no_violations(21);
 }
 
-/// What a peer of the test says to who asks; the text of a good list is at hand.
+/// Writes the answer of a faulty peer, based on the text of a valid list.
 type BadPeer = Box<dyn Fn(&mut std::net::TcpStream, &str) + Send>;
 
 #[test]
@@ -634,7 +637,7 @@
             .to_string()
     };
     let bad_peers: Vec<BadPeer> = vec![
-        // A number of the future and all nodes draining, well sealed.
+        // A valid checksum over a future event number with all nodes draining.
         Box::new(move |socket, text| {
             let text = body(text)
                 .replacen(" 3 ", " 999 ", 1)
@@ -690,9 +693,12 @@
         assert!(std::time::Instant::now() < until, "not all hold the list");
         std::thread::sleep(Duration::from_millis(20));
     }
-    // The liars learn what a good list looks like.
+    // The faulty peers derive their answers from a valid list.
     while !good.lock().unwrap().contains(" 3 ") {
-        assert!(std::time::Instant::now() < until, "a front serves its list");
+        assert!(
+            std::time::Instant::now() < until,
+            "no front serves its list to peers"
+        );
         let mut socket = std::net::TcpStream::connect(&ask[2]).unwrap();
         socket.write_all(&[0; 8]).unwrap();
         let mut text = String::new();
@@ -731,11 +737,11 @@
     assert_eq!(
         attempts_to_cache(&cluster, 1, &[0, 1], from),
         0,
-        "what peers know to drain is left alone"
+        "the draining cache received attempts"
     );
     assert!(
         attempts_to_cache(&cluster, 0, &[0, 1], from) > 0,
-        "and what they know to serve is used"
+        "the ready cache received no attempts"
     );
     for front in 0..6 {
         let log = cluster.fleet.log(front);
@@ -784,7 +790,7 @@
             .count();
         assert!(
             bad <= 2,
-            "{bad} requests of the other fronts were not served while {some:?} were restarted"
+            "{bad} requests of other fronts were not served during the restart of {some:?}"
         );
     }
     cluster.list_service.set(ServiceMode::Serve);
@@ -802,7 +808,7 @@
         link_groups: 2,
     };
     let mut cluster = start_cluster(shape, 33);
-    // Few at once take longer to find out, one silence after another.
+    // With few connections, one timeout after another, the fronts detect the cut later.
     cluster.load.connections_per_front = 8;
     let clients = cluster.start_clients(33);
     cluster.wait_served("initial responses", 200);
@@ -813,7 +819,7 @@
     ] {
         let from = cluster.history.now();
         (0..3).for_each(|index| cluster.set_node_link(1, index, Some((there, back))));
-        // Those that are cut off find out by their own requests, and serve by what they reach.
+        // Fronts that are cut off detect it by their own requests and use the reachable nodes.
         for front in [1, 3, 5, 7] {
             let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
             let before = cluster.history.count(served);
@@ -850,7 +856,7 @@
     let mut settings = peers(6, &[], 50);
     let mut ask: Vec<String> =
         serde_json::from_value(settings["startup"]["peers"]["ask"].clone()).unwrap();
-    // Front 1 is asked over a link that passes nothing back, front 2 over one that passes nothing there.
+    // The link to front 1 passes nothing back, the one to front 2 nothing forward.
     let links = [1, 2].map(|front: usize| Link::new(ask[front].parse().unwrap()));
     (ask[1], ask[2]) = (links[0].address.to_string(), links[1].address.to_string());
     settings["startup"]["peers"]["ask"] = json!(ask);
@@ -883,7 +889,7 @@
     links[1].set(Transmission::Cut, Transmission::Pass);
     cluster.set_stopped(&[3], true);
     let stopped = cluster.history.now();
-    // Fronts 4 and 5 are left to tell; who comes back has nothing but its configuration.
+    // Only fronts 4 and 5 can serve the list; a restarted front has only its configuration.
     let count = |cluster: &TestCluster, front: usize| {
         let told = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
         cluster.history.count(told)
@@ -902,11 +908,11 @@
     assert_eq!(
         attempts_to_cache(&cluster, 1, &[0], from),
         0,
-        "what peers know to drain is left alone"
+        "the draining cache received attempts"
     );
     std::thread::sleep((stopped + 10 * S).saturating_sub(cluster.history.now()));
     cluster.set_stopped(&[3], false);
-    // One that goes on after ten seconds tells as the others do.
+    // The continued front serves its list again.
     links.iter().for_each(Link::heal);
     let had = count(&cluster, 4);
     cluster.kill(&[4, 5]);
--- a/front/tests/list_service_outage.rs
+++ b/front/tests/list_service_outage.rs
@@ -1,4 +1,4 @@
-//! Many processes of the program against one list service that fails in its ways, checked by what the service saw.
+//! Fleets and one list service that fails in several ways; checked by the calls that the service receives.
 use cranesill_rig::{Fleet, History, Link, ListService, Observation, ServiceMode, Transmission};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 const S: Duration = Duration::from_secs(1);
-/// Calls a second of a whole fleet at a service that fails, once it has noticed, and in a tenth of a second.
+/// Maximum calls of a fleet to a failing service, per second and per tenth of a second.
 const CALLS_PER_SECOND: usize = 20;
 const TENTH_BUDGET: usize = 12;
-/// By then all fronts are served again by a service that has returned. The core's own bound is 5.7 s.
+/// Time after the return of the service within which all fronts are subscribed; the implementation's own bound is 5.7 s.
 const RECOVERY_TIMEOUT: Duration = Duration::from_millis(6_500);
 
 fn fleet(count: usize, list: &ListService) -> Fleet {
@@ -17,7 +17,7 @@
     fleet_by(count, |_| at)
 }
 
-/// Each process reaches the service by an address of its own.
+/// Starts a fleet whose processes reach the service at addresses of their own.
 fn fleet_by(count: usize, feed: impl Fn(usize) -> SocketAddr) -> Fleet {
     let base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
     let settings = json!({"startup": {"calls_per_s": 10}});
@@ -46,12 +46,12 @@
     matches!(seen, Observation::Subscribed(_))
 }
 
-/// All start while the service fails in this way for a time, and it returns.
+/// Starts a fleet while the service fails in a mode, then lets the service return.
 fn check_outage(mode: ServiceMode, count: usize) {
     let history = History::default();
     let list = ListService::new(&history, mode);
     let mut fleet = fleet(count, &list);
-    // Where nobody listens there is nothing to be seen but the end of it.
+    // Without a listener there are no calls to record.
     let seen = if mode == ServiceMode::Down {
         history.now()
     } else {
@@ -69,12 +69,12 @@
     let (tenth, _) = history.max_in_window(from, to, S / 10, call);
     assert!(
         second <= CALLS_PER_SECOND && tenth <= TENTH_BUDGET,
-        "{mode:?}: {second} calls in the second from {at:?}, {tenth} in 100 ms, {mean:.1} a second"
+        "{mode:?}: {second} calls in the second from {at:?}, {tenth} in 100 ms, {mean:.1} per second on average"
     );
     if mode != ServiceMode::Down {
         assert!(
             mean > 2.0,
-            "{mode:?}: it is called, or nobody would notice that it returns: {mean:.1} a second"
+            "{mode:?}: too few calls to notice the return of the service: {mean:.1} per second"
         );
     }
     let back = history.now();
@@ -82,7 +82,7 @@
     let all = history.wait_for("subscribed fronts", count, served);
     assert!(
         all <= back + RECOVERY_TIMEOUT,
-        "{mode:?}: all are served {:?} after it returned",
+        "{mode:?}: all fronts subscribed {:?} after the return",
         all - back
     );
     assert_eq!(fleet.exited(), []);
@@ -123,7 +123,7 @@
     });
     fleet.restart(half());
     history.wait_for("subscribed fronts", 36, served);
-    // A stop of the whole fleet for longer than a silence may last: what was sent meanwhile is read when it goes on.
+    // Stop the fleet for longer than the silence timeout; the fronts then read what was sent in the meantime.
     fleet.signal(0..24, libc::SIGSTOP);
     std::thread::sleep(4 * S);
     fleet.signal(0..24, libc::SIGCONT);
@@ -136,11 +136,11 @@
         .count();
     assert!(
         calls <= 24,
-        "{calls} calls by 24 fronts that went on at one moment"
+        "{calls} calls by 24 fronts that were continued together"
     );
     assert!(history.timestamps(call).len() <= 36 + 24);
     assert_eq!(fleet.exited(), []);
-    // All of them are served, whether they called anew or not.
+    // All fronts are subscribed, with a new connection or without.
     let gone = history
         .timestamps(|seen| *seen == Observation::SubscriptionEnded)
         .len();
@@ -149,8 +149,7 @@
 
 #[test]
 fn only_fronts_cut_off_from_the_service_call_it_again_and_within_budget() {
-    // Both directions are cut, then one alone: what the fronts say arrives and what the service says does not. Then calls are
-    // refused, and at last all heals.
+    // Both directions are cut, then only the one from the service; then connections are refused, and finally the link heals.
     let history = History::default();
     let list = ListService::new(&history, ServiceMode::Serve);
     let (near, far) = (Link::new(list.address), Link::new(list.address));
@@ -168,7 +167,7 @@
         (Transmission::Pass, Transmission::Cut),
     ] {
         far.set(there, back);
-        // A silence is noticed after 2.5 s; then they call within their share.
+        // A front notices the silence after 2.5 s and then calls within the budget.
         std::thread::sleep(9 * S);
     }
     far.reset();
@@ -185,17 +184,17 @@
     let all = history.wait_for("fronts subscribed again", before + 16, served);
     assert!(
         all <= back + RECOVERY_TIMEOUT,
-        "all are served {:?} after the link healed",
+        "all fronts subscribed {:?} after the link healed",
         all - back
     );
-    // Those that reach the service never left it: sixteen connections are as old as the fleet.
+    // Fronts that reach the service keep their first connection.
     let left = history
         .timestamps(|seen| *seen == Observation::SubscriptionEnded)
         .len();
     assert_eq!(
         history.timestamps(served).len() - left,
         32,
-        "each front has one connection"
+        "each front should have one connection"
     );
     assert_eq!(
         history
@@ -215,7 +214,7 @@
     let list = ListService::new(&history, ServiceMode::Serve);
     let mut fleet = fleet(40, &list);
     history.wait_for("fronts subscribed initially", 40, served);
-    // Their connections were well by then; each break after that is one of a service that fails.
+    // After this time a broken connection counts as a failure of the service.
     std::thread::sleep(3 * S);
     let began = history.now();
     for flap in 0..10 {
@@ -235,22 +234,22 @@
     let (second, at) = history.max_in_window(from, to, S, call);
     let (tenth, _) = history.max_in_window(from, to, S / 10, call);
     let mean = calls as f64 / (to - from).as_secs_f64();
-    // A front that was served for a moment begins its share anew at its place, so a second has more in it than where the service
-    // fails all the time; the mean keeps to the budget of ten.
+    // Each short subscription restarts a front's call schedule, so a second may have more calls than with a lasting failure; the
+    // mean still follows the budget of ten.
     assert!(
         mean <= 14.0 && second <= 3 * CALLS_PER_SECOND / 2 && tenth <= TENTH_BUDGET,
-        "{mean:.1} a second, {second} calls in the second from {at:?}, {tenth} in 100 ms"
+        "{mean:.1} calls per second on average, {second} calls in the second from {at:?}, {tenth} in 100 ms"
     );
-    assert!(mean >= 4.0, "{mean:.1} calls a second: it is still called");
+    assert!(mean >= 4.0, "only {mean:.1} calls per second");
     list.set(ServiceMode::Serve);
     let back = history.now();
-    // Each front tells of a connection that is served, and of its end.
+    // Subscriptions and their ends are recorded for all fronts.
     let held =
         || history.count(served) - history.count(|seen| *seen == Observation::SubscriptionEnded);
     while held() < 40 {
         assert!(
             history.now() <= back + RECOVERY_TIMEOUT,
-            "{} of 40 are served",
+            "{} of 40 fronts subscribed",
             held()
         );
         std::thread::sleep(S / 100);
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -1,4 +1,4 @@
-//! Stories of purges by operators: a front as a process, caches that hold old copies on purpose.
+//! Purges by operators: a front as a process, and caches that hold old copies.
 mod common;
 use common::*;
 use cranesill_purges::journal::{self, DecodedRecord};
@@ -20,28 +20,28 @@
         .as_millis() as u64
 }
 
-/// What a cache holds: of which age, with which tags.
+/// Copy in a cache: creation time in Unix milliseconds and tags.
 #[derive(Clone, Default)]
 struct Copy {
     created_ms: u64,
     tags: Option<&'static str>,
 }
 
-/// A cache that answers from what it holds; an honest one fetches anew what is older than it was asked for.
+/// Cache that responds from its copies; a correct one replaces copies older than the requested maximum age.
 #[derive(Clone, Default)]
 struct Cache {
     copies: Arc<Mutex<HashMap<String, Copy>>>,
-    /// `oldest` of each fetch, as it was asked for; 0: not at all.
+    /// Maximum age in milliseconds of each fetch; 0 for none.
     asked: Arc<Mutex<Vec<u64>>>,
     ignores_max_age: bool,
-    /// Says nothing of purges.
+    /// Does not answer purge commands.
     ignores_purges: Arc<AtomicBool>,
-    /// Everything up to this number is carried out: of the ledger in the last batch.
+    /// Log identity of the last batch, and number up to which its purges are applied.
     applied: Arc<Mutex<(u64, u64)>>,
 }
 
 impl Cache {
-    /// Carries a batch out, in order.
+    /// Applies a batch of purges in order.
     fn purge(&self, link: &mut NodeConnection, id: &str, fields: &str, body: &[u8]) {
         let field = |name: &str| {
             fields
@@ -58,7 +58,10 @@
         let mut applied = self.applied.lock().unwrap();
         if upto > 0 {
             let held = if applied.0 == ledger { applied.1 } else { 0 };
-            assert!(after <= held, "sent {after} to one that has {held}");
+            assert!(
+                after <= held,
+                "batch after purge {after} sent to a cache at purge {held}"
+            );
             let (mut rest, mut number) = (body, after);
             while let DecodedRecord::Record {
                 purge,
@@ -147,7 +150,7 @@
     }
 }
 
-/// An empty ledger's file.
+/// File of an empty purge log.
 struct EmptyJournal(PathBuf);
 
 impl journal::JournalFile for EmptyJournal {
@@ -199,7 +202,7 @@
             setup
         };
         if !self.path("purges").exists() {
-            // Without a file everything would count as purged.
+            // Without a file all objects would count as purged.
             let identity = u64::from(std::process::id());
             journal::rewrite(
                 &mut EmptyJournal(self.path("purges")),
@@ -226,7 +229,7 @@
         );
     }
 
-    /// `cranesill` with arguments; its exit code and what it printed.
+    /// Runs `cranesill` with arguments; returns its exit code and output.
     fn run(&self, arguments: &[&str]) -> (i32, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_cranesill"));
         let done = command
@@ -252,10 +255,10 @@
 
 const OBJECT: &str = "7f3a9c21e0b4d655";
 
-/// What a client is told: the moment that the copy was given out, or the code of another answer.
+/// Requests an object; returns the creation time of the copy, or the frame of another response.
 fn request(setup: &TestFront, stream: u32, item: &str) -> Result<u64, String> {
     let mut client = setup.client();
-    // The last field of a name counts.
+    // Of two fields with the same name the last one counts.
     client.request(stream, "page-bits", "3000", &[("item", item)], b"");
     let received = client.receive().unwrap();
     received
@@ -288,19 +291,19 @@
     assert_eq!(
         request(&setup, 4, other).unwrap(),
         plain,
-        "known, and without the tag"
+        "the object without the tag was fetched again"
     );
     let asked = fixture.cache.asked.lock().unwrap().clone();
     assert_eq!(
         (asked[3], asked[1]),
         (8_000, 8_000),
-        "it is asked for as its class has it: {asked:?}"
+        "maximum age differs from that of the class: {asked:?}"
     );
     assert!(
         asked[2] < 8_000,
-        "the other was asked for something newer: {asked:?}"
+        "the purged object was requested without a lower maximum age: {asked:?}"
     );
-    // The same command again is the same purge; another under its id is refused.
+    // A repeated command is the same purge; another target with the same id is rejected.
     assert_eq!(
         fixture.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
         1
@@ -340,7 +343,7 @@
     fixture.store(OBJECT, 3_000, Some("vitara"));
     assert!(request(&setup, 1, OBJECT).is_ok());
     fixture.number(&["purge", "--object", OBJECT]);
-    // All lie: the request fails, and no old copy is passed on.
+    // All caches return the old copy: the request fails instead.
     let received = request(&setup, 2, OBJECT).unwrap_err();
     assert!(!received.contains("born"), "{received}");
     let (_, text) = fixture.run(&["ctl", "status"]);
@@ -360,7 +363,7 @@
     };
     {
         let setup = fixture.start();
-        // Its tags are not known any more: it counts as matched.
+        // The tags of its objects are unknown after a restart, so the purge applies.
         assert!(request(&setup, 1, OBJECT).unwrap() >= purged - 500);
         fixture.store("00000000000000aa", 3_000, Some("swift"));
         assert_eq!(fixture.number(&["purge", "--group", "7"]), 2);
@@ -375,23 +378,23 @@
     fixture.store("00000000000000bb", 3_000, Some("swift"));
     assert!(
         request(&setup, 2, "00000000000000bb").unwrap() + 5_000 >= begun,
-        "what is not known counts as purged"
+        "an unknown object was served from an older copy"
     );
     assert!(
         fixture.path("purges.damaged").exists(),
-        "what was found is kept for a look"
+        "the damaged file was not kept"
     );
     assert_eq!(
         fixture.number(&["purge", "--group", "7"]),
         3,
-        "what stood before is held, then comes everything"
+        "the log does not continue after the intact purges"
     );
     drop(setup);
     let setup = fixture.start();
     fixture.store("00000000000000bc", 3_000, Some("swift"));
     assert!(
         request(&setup, 4, "00000000000000bc").unwrap() + 2_500 >= begun,
-        "a second start does not forget it"
+        "a second start lost the purge of all objects"
     );
 }
 
@@ -404,9 +407,9 @@
     assert!(code == 0 && text.contains("by all boxes"), "{text}");
     assert!(
         fixture.cache.copies.lock().unwrap().is_empty(),
-        "it is gone from the box"
+        "the node still has the copy"
     );
-    // Confirmed by all: nothing newer is asked for any more, and the answer is judged all the same.
+    // Once all nodes have confirmed, requests have no lower maximum age, but responses are still checked.
     assert_eq!(fixture.cache.applied.lock().unwrap().1, 1);
     fixture.cache.ignores_purges.store(true, Ordering::SeqCst);
     let (code, text) = fixture.run(&["purge", "--object", OBJECT, "--wait-s", "1"]);
@@ -415,20 +418,20 @@
         "{text}"
     );
     fixture.cache.ignores_purges.store(false, Ordering::SeqCst);
-    // The same command waits again, and the batch that was lost is sent again.
+    // A repeated command waits again, and the lost batch is sent again.
     let (code, text) = fixture.run(&["purge", "--group", "9", "--id", "again", "--wait"]);
     assert!(code == 0 && text.contains("by all boxes"), "{text}");
     let (_, text) = fixture.run(&["purges", "boxes"]);
     assert!(text.contains("\"confirmed\": 3"), "{text}");
     drop(setup);
-    // After a restart the box reports what it has: nothing is sent twice, which the box itself would tell.
+    // After a restart the node reports its last purge; it would reject a repeated batch.
     let _stage = fixture.start();
     let (code, text) = fixture.run(&["purge", "--group", "8", "--wait"]);
     assert!(code == 0, "{text}");
     assert_eq!(fixture.cache.applied.lock().unwrap().1, 4);
 }
 
-/// A front that follows the writer at a port, with its own folder.
+/// Starts a front with its own folder that follows the writer on a port.
 fn follower(fixture: &Fixture, port: u16, without: &str) -> (Fixture, TestFront) {
     let follower = Fixture {
         folder: tempfile::tempdir().unwrap(),
@@ -479,7 +482,7 @@
         while last(fixture) != number {
             assert!(
                 std::time::Instant::now() < deadline,
-                "{} of {number}",
+                "follower at purge {}, expected {number}",
                 last(fixture)
             );
         }
@@ -488,27 +491,30 @@
     caught_up(&open, 600);
     let (code, text) = strict.run(&["purge", "--group", "1"]);
     assert!(code == 1 && text.contains("purge at its writer"), "{text}");
-    // A purge at the writer counts at a follower well within half a second.
+    // A purge reaches a follower within half a second.
     writer.store(OBJECT, 3_000, Some("vitara"));
     assert_eq!(writer.number(&["purge", "--tag", "vitara"]), 601);
     caught_up(&strict, 601);
     let purged = unix_ms();
     assert!(request(&setup, 1, OBJECT).unwrap() >= purged - 500);
-    // The writer is gone: one does not serve what is older than the lease, the other goes on and counts.
+    // Without the writer one follower rejects copies older than the lease, the other serves and counts them.
     drop(first);
     wait_for_line(&setup.log, "contact-lost");
     wait_for_line(&loose.log, "contact-lost");
     let other = "00000000000000cc";
     writer.store(other, 3_000, Some("swift"));
     let held = unix_ms() - 3_000;
-    // One that is not under a purge, to a front that knows its tags.
+    // An object without a matching purge, on a front that knows its tags.
     assert!(request(&loose, 2, other).is_ok());
     writer.store(other, 3_000, Some("swift"));
     let going = request(&loose, 4, other).unwrap();
-    assert!(going <= held + 1_000, "it goes on: {going} of {held}");
+    assert!(
+        going <= held + 1_000,
+        "the available follower did not serve the copy: {going} of {held}"
+    );
     assert!(
         request(&setup, 3, other).unwrap() > held + 1_000,
-        "it does not"
+        "the strict follower served a copy older than the lease"
     );
     let (_, text) = open.run(&["ctl", "status"]);
     assert!(
@@ -517,12 +523,12 @@
             .unwrap()
             > 0
     );
-    // The writer is back with its file: the same ledger goes on.
+    // The writer restarts with its file, so the log identity is the same.
     let _again = writer.start();
     wait_for_line(&setup.log, "contact with the ledger again");
     assert_eq!(writer.number(&["purge", "--group", "3"]), 602);
     caught_up(&strict, 602);
-    // A follower that restarts goes on from its file, and nothing counts as purged that was not.
+    // A restarted follower continues from its file without additional purges.
     drop(setup);
     let setup = strict.start();
     caught_up(&strict, 602);
--- a/front/tests/races.rs
+++ b/front/tests/races.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, each crossing forced: a scripted peer holds a byte, an answer or an end back until the other event
-//! is seen to have happened, or the front is stopped while both come. `docs/design/races.md` lists the pairs.
+//! Races between two events. A scripted peer holds back a byte, a response or a close until the other event has happened, or the
+//! front is stopped while both happen. `docs/design/races.md` lists the pairs.
 mod common;
 use common::*;
 use std::io::{BufReader, ErrorKind, Read, Write};
@@ -8,18 +8,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Enough for the program to see on loopback what was sent before; nothing is told from it alone.
+/// Time for the front to process what was sent on loopback.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 
-/// Nothing may be begun for a request that was cancelled, or whose client has closed its connection, this long ago.
+/// Time after a cancellation or a close until the front must not start attempts for the request.
 const CANCELLED: Duration = Duration::from_millis(100);
 
-/// Waits until so much time has passed since some moment.
+/// Waits until a duration has passed since a time.
 fn wait_since(moment: Instant, span: Duration) {
     std::thread::sleep(span.saturating_sub(moment.elapsed()));
 }
 
-/// Whether nothing comes on a connection within a while, nor its end.
+/// Whether a connection delivers neither bytes nor its end for a while.
 fn is_silent(link: &mut NodeConnection) -> bool {
     link.0
         .get_ref()
@@ -29,7 +29,7 @@
     matches!(read, Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// Whether no command ever comes on a connection that the front has begun; its end may come.
+/// Whether a connection of the front carries no command; it may be closed.
 fn is_unused(link: &mut NodeConnection) -> bool {
     link.0
         .get_ref()
@@ -38,7 +38,7 @@
     !matches!(link.0.read(&mut [0; 1]), Ok(n) if n > 0)
 }
 
-/// How many connections come up within two seconds, in which the system tries again; `None`: something is asked on one.
+/// Number of connections established within two seconds, which covers a retry of the system; `None` if one carries a command.
 fn late_connections(at: &TcpListener) -> Option<usize> {
     at.set_nonblocking(true).unwrap();
     let (mut links, by) = (0, Instant::now() + Duration::from_secs(2));
@@ -55,7 +55,7 @@
     Some(links)
 }
 
-/// Writes the same again and again until the front ends that connection or it is let go.
+/// Writes the same bytes repeatedly until the front closes the connection or the test stops it.
 struct Flood(Arc<AtomicBool>, std::thread::JoinHandle<bool>);
 
 impl Flood {
@@ -73,7 +73,7 @@
         Flood(stop, std::thread::spawn(writes))
     }
 
-    /// Ends it. Whether the front had ended the connection.
+    /// Stops writing and returns whether the front had closed the connection.
     fn end(self) -> bool {
         self.0.store(true, Ordering::Relaxed);
         self.1.join().unwrap()
@@ -95,7 +95,7 @@
         .remove(1);
 }
 
-/// Late connections are waited for, so that it shows what becomes of them.
+/// Keeps the front waiting for connections that are established late.
 fn with_long_connect_timeout(config: &mut serde_json::Value) {
     config["settings"]["policyLimits"]["connectTimeout"] = 10_000_000.into();
     config["settings"]["familyInfo"]["purgeGrace"] = 10_000_000.into();
@@ -105,7 +105,7 @@
 fn validation_counts_only_for_the_copy_the_client_holds() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
-    // It holds another copy than the one that is named; it holds none; it writes.
+    // The node has another copy, the client has none, the request is a write.
     for (n, class, fields) in [
         (1, "page-bits", &[("have", "aaaa")][..]),
         (2, "page-bits", &[]),
@@ -121,7 +121,7 @@
             other.respond(&fetch[1], "HIT", "-", "whole");
             assert!(client.receive().unwrap().ends_with("whole"));
         } else {
-            // It may have run: nobody is told that it did.
+            // The write may have been executed, so the request fails.
             assert!(client
                 .receive()
                 .unwrap()
@@ -173,12 +173,12 @@
             .repeat(2_000)
             .into(),
     );
-    // Its request is moved, though it never stops.
+    // The request moves although the node keeps sending.
     let (_, mut other) = accept_any_node(&setup);
     let fetch = other.receive().unwrap();
     other.respond(&fetch[1], "HIT", "-", "whole");
     assert!(client.receive().unwrap().ends_with("whole"));
-    assert!(flood.end(), "the front has ended it");
+    assert!(flood.end(), "the front did not close the connection");
 }
 
 #[test]
@@ -189,7 +189,7 @@
     for n in 1..=20 {
         assert!(setup.readiness().unwrap().starts_with("type 21"), "{n}");
     }
-    assert!(!flood.end(), "what it says is whole: it is heard");
+    assert!(!flood.end(), "the front closed a feed with valid events");
 }
 
 #[test]
@@ -199,7 +199,7 @@
     client.request(1, "page-bits", "5000", &[], b"");
     let mut first = accept_node(&setup.caches[0]);
     let fetch = first.receive().unwrap();
-    // The answer, and half of one that nobody asked for: what is asked next would wait behind it.
+    // A complete response and half of an unrelated one, behind which a further request would have to wait.
     let half = hit_response("00000000000000ff", "not asked for");
     let whole = hit_response(&fetch[1], "whole");
     first
@@ -230,7 +230,7 @@
     assert!(client.receive().unwrap().ends_with("booked again"));
 }
 
-/// A booking arrives in the turn in which the connection that it would go out on is closed by its other side.
+/// A write arrives in the iteration in which the node closes the connection that the write would use.
 fn request_while_connection_closes(closes_first: bool) {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
@@ -272,7 +272,7 @@
     client.request(1, "book-car", "20000", &[], b"keys");
     let mut origin = accept_node(&setup.origin);
     origin.receive().unwrap();
-    // It may have run: it may go out again within 0.6 s, and no later. The connection for that comes up after about 1 s.
+    // The write may have been executed; it may be repeated within 0.6 s, and its connection is established after about 1 s.
     let filler = fill_accept_queue(&setup.origin);
     drop(origin);
     assert!(
@@ -280,13 +280,13 @@
             .receive()
             .unwrap()
             .starts_with("type 11 stream 1: \\x02"),
-        "nodes know repeats: no harm in one of the client's"
+        "the client may repeat a request that nodes deduplicate"
     );
     drop(accept(&setup.origin));
     drop(filler);
     assert!(
         is_unused(&mut accept_node(&setup.origin)),
-        "its window is over"
+        "a retry was sent after its window"
     );
 }
 
@@ -297,7 +297,7 @@
         let mut client = setup.client();
         let filler = fill_accept_queue(&setup.origin);
         client.request(1, "book-car", "20000", &[], b"keys");
-        // It is taken once a later word on the same connection is answered.
+        // The request has been read once a later one on the same connection is answered.
         client.send(20, 2, &[0]);
         assert!(client.receive().unwrap().starts_with("type 21"));
         match leaves {
@@ -343,7 +343,7 @@
     drop(accept(&setup.origin));
     drop(filler);
     let links = late_connections(&setup.origin).expect("nothing is asked on them");
-    assert!(links > 0, "none of the connections came up");
+    assert!(links > 0, "no connection was established");
 }
 
 #[test]
@@ -353,13 +353,13 @@
     client.request(1, "book-car", "20000", &[], b"keys");
     let mut origin = accept_node(&setup.origin);
     let fetch = origin.receive().unwrap();
-    // Turned away unseen: it goes out again after a tenth of its aim, half a second. What can't be read comes behind that: the
-    // end of the connection shows that both were heard.
+    // A rejected request is retried after a tenth of the latency objective, half a second. The front closes the connection because of
+    // the invalid reply, which shows that it has read both.
     origin.respond(&fetch[1], "SHED", "-", "");
     origin.0.get_mut().write_all(b"+OK\r\n").unwrap();
     assert_eq!(origin.receive(), None);
     client.send(12, 1, b"");
-    // Another one that is turned away later goes out again, the first one never does.
+    // A request rejected later is retried, the first one never.
     let mut other = setup.client();
     other.request(7, "book-car", "20000", &[], b"keys");
     let mut origin = accept_node(&setup.origin);
@@ -376,7 +376,7 @@
     let setup = TestFront::new(with_long_connect_timeout);
     let (mut stream, _) = accept_feed(&setup.feed);
     let mut client = setup.client();
-    // Which of the two it goes to shows by the one that is not dialled.
+    // The filled accept queues keep both caches from accepting the request.
     let fillers = setup.caches.each_ref().map(fill_accept_queue);
     client.request(1, "page-bits", "20000", &[], b"");
     client.send(20, 2, &[0]);
@@ -385,7 +385,7 @@
         .map(|i| node_record(CACHE_IDS[i], setup.caches[i].local_addr().unwrap(), 1, 0))
         .concat();
     stream.write_all(&feed_event(2, 2, &nodes)).unwrap();
-    // Both drain: the origin is what is left.
+    // Both caches drain, so the request moves to the origin.
     let mut origin = accept_node(&setup.origin);
     let fetch = origin.receive().unwrap();
     origin.respond(&fetch[1], "HIT", "-", "from the origin");
@@ -414,7 +414,7 @@
     client.send(20, 2, &[0]);
     assert!(
         client.receive().unwrap().starts_with("type 21"),
-        "one answer and no more"
+        "more than one response"
     );
 }
 
@@ -425,7 +425,7 @@
     assert_eq!(last, 1);
     silent.write_all(&feed_event(1, 0, b"")).unwrap();
     let heard = Instant::now();
-    // Nothing more comes, and the connection stays open.
+    // The connection stays open without further events.
     let (mut stream, last) = accept_feed(&setup.feed);
     assert!(
         heard.elapsed() < Duration::from_millis(3_200),
@@ -439,7 +439,7 @@
         &node_record(CACHE_IDS[0], setup.caches[0].local_addr().unwrap(), 1, 0),
     );
     stream.write_all(&drains).unwrap();
-    // What the old one tells after all is of no account: it is told once, by the new one.
+    // The event on the old connection must be ignored.
     let back: SocketAddr = setup.caches[0].local_addr().unwrap();
     let _ = silent.write_all(&feed_event(3, 2, &node_record(CACHE_IDS[0], back, 0, 0)));
     let mut client = setup.client();
@@ -469,7 +469,7 @@
     let sent = Instant::now();
     let filler = fill_accept_queue(&setup.origin);
     drop(origin);
-    // Its connection is being made once the front has heard of that; it comes up, and its window ends, while the front stands.
+    // The front is connecting after this answer. The connection is established and the window ends while the front is stopped.
     assert!(setup.readiness().unwrap().starts_with("type 21"));
     let mut late = None;
     setup.while_stopped(|| {
@@ -484,7 +484,10 @@
         .receive()
         .unwrap()
         .starts_with("type 11 stream 1: \\x02"));
-    assert!(is_unused(&mut late.unwrap()), "its window is over");
+    assert!(
+        is_unused(&mut late.unwrap()),
+        "a retry was sent after its window"
+    );
 }
 
 #[test]
@@ -513,7 +516,7 @@
     ]
     .concat();
     stream.write_all(&feed_event(2, 3, &object)).unwrap();
-    // More than the grace passes before any connection can come up.
+    // The purge grace ends before a connection is established.
     while purged.elapsed() < Duration::from_millis(400) {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -566,7 +569,7 @@
     let (_, mut cache) = accept_any_node(&setup);
     let fetch = cache.receive().unwrap();
     client.0.shutdown(std::net::Shutdown::Write).unwrap();
-    // The front has heard of it: it says that nothing new is wanted here.
+    // The front has seen the half-close and asks the client to reconnect.
     assert!(client.receive().unwrap().starts_with("type 30 stream 0"));
     cache.respond(&fetch[1], "HIT", "-", "whole");
     assert!(client.receive().unwrap().ends_with("whole"));
@@ -577,12 +580,12 @@
 fn request_cancelled_in_the_same_iteration_is_not_forwarded() {
     let setup = TestFront::new(with_one_cache);
     let (mut client, mut other) = (setup.client(), setup.client());
-    // Both are known to the front.
+    // The front has read from both clients.
     for client in [&mut client, &mut other] {
         client.send(20, 1, &[0]);
         assert!(client.receive().unwrap().starts_with("type 21"));
     }
-    // A connection to the node is up: what is sent on would be written at once.
+    // A connection to the node exists, so that an attempt would be sent immediately.
     other.request(6, "page-bits", "5000", &[("part", "6")], b"");
     let mut cache = accept_node(&setup.caches[0]);
     let fetch = cache.receive().unwrap();
@@ -603,7 +606,7 @@
 fn request_of_a_closed_connection_is_not_forwarded() {
     let setup = TestFront::new(with_one_cache);
     let mut client = setup.client();
-    // A connection to the node is up: what is forwarded would be written at once.
+    // A connection to the node exists, so that an attempt would be sent immediately.
     client.request(6, "page-bits", "5000", &[("part", "6")], b"");
     let mut cache = accept_node(&setup.caches[0]);
     let fetch = cache.receive().unwrap();
@@ -623,7 +626,7 @@
 
 #[test]
 fn cancellation_from_a_throttled_client_is_read_in_time() {
-    // What is turned away unseen goes out again after a tenth of its aim: 0.12 s.
+    // A rejected request is retried after a tenth of the latency objective, 0.12 s.
     let setup = TestFront::new(|config| config["settings"]["classes"][2]["aim"] = 1_200_000.into());
     let asked = RecordedRequests::default();
     record_requests(&setup.origin, &asked);
@@ -636,14 +639,14 @@
             .filter(|(asked, _)| *asked == id)
             .count()
     };
-    // When it is heard shows by its place in the front's sweeps, each quarter of a second: one client after another.
+    // Several clients, as the delay depends on the position in the front's sweeps every 250 ms.
     for stream in (0..5).map(|n| 10 + n) {
         let mut client = setup.client();
         client.request(stream, "book-car", "20000", &[], b"keys");
         while attempts(stream) == 0 {
             std::thread::yield_now();
         }
-        // No fields at all: it is answered as failed, and its client is read from less often.
+        // A request without fields fails, and the front then reads less often from its client.
         client.send(10, 2, &[0]);
         assert!(client.receive().unwrap().starts_with("type 11 stream 2"));
         client.send(12, stream, b"");
@@ -658,7 +661,11 @@
             .write_all(turned_away.as_bytes())
             .unwrap();
         std::thread::sleep(SETTLE_TIME);
-        assert_eq!(attempts(stream), 1, "an attempt was begun for nobody");
+        assert_eq!(
+            attempts(stream),
+            1,
+            "an attempt was made for a cancelled request"
+        );
     }
 }
 
@@ -666,7 +673,7 @@
 fn flooding_clients_delay_neither_deadlines_nor_discovery() {
     let setup = TestFront::new(|_| {});
     let (mut stream, _) = accept_feed(&setup.feed);
-    // Nothing is owed for what takes back what was never asked.
+    // Cancellations of unknown requests have no response.
     let gone = [0, 0, 0, 5, 12, 0, 0, 0, 9].repeat(4_000);
     let floods: Vec<_> = (0..8)
         .map(|_| Flood::new(setup.client().0, gone.clone()))
@@ -680,7 +687,7 @@
                 .receive()
                 .unwrap()
                 .starts_with(&format!("type 11 stream {n}")),
-            "no node answers"
+            "no response without a node that responds"
         );
         assert!(
             asked.elapsed() < Duration::from_millis(1_400),
@@ -692,7 +699,7 @@
         .map(|i| node_record(CACHE_IDS[i], setup.caches[i].local_addr().unwrap(), 1, 0))
         .concat();
     stream.write_all(&feed_event(2, 2, &nodes)).unwrap();
-    // Heard within half a second: what is asked later goes to the origin.
+    // The event applies within half a second, and later requests go to the origin.
     std::thread::sleep(Duration::from_millis(500));
     client.request(6, "page-bits", "5000", &[], b"");
     let mut origin = accept_node(&setup.origin);
@@ -704,23 +711,23 @@
     }
     floods
         .into_iter()
-        .for_each(|flood| assert!(!flood.end(), "such a client is not closed for that"));
+        .for_each(|flood| assert!(!flood.end(), "the front closed a flooding client"));
 }
 
-/// Waits for the end of a front; how long that took since some moment. Its code has to be 0.
+/// Waits for the front to exit with code 0; returns the time since `since`.
 fn wait_exit(setup: &mut TestFront, since: Instant) -> Duration {
     assert_eq!(setup.child.wait().unwrap().code(), Some(0));
     since.elapsed()
 }
 
-/// Whether a connection ends as it should: by an end, not by a reset.
+/// Whether a connection ends with a close rather than a reset.
 fn closes_cleanly(client: &mut Client) -> bool {
     matches!(client.0.read(&mut [0; 1]), Ok(0))
 }
 
 #[test]
 fn shutdown_with_hanging_nodes_and_idle_clients_is_bounded_and_answers_all() {
-    // Killed 0.7 s after the longest time of a class: of 60 s three count, of a second all.
+    // The time limit is 0.7 s after the longest deadline of a class, of which at most three seconds count.
     for (longest, killed) in [(60_000_000u64, 3_700), (1_000_000, 1_700), (400_000, 1_100)] {
         let mut setup = TestFront::new(|config| {
             (0..3).for_each(|class| {
@@ -734,7 +741,7 @@
         let terminated_at = Instant::now();
         assert!(waits.receive().unwrap().starts_with("type 30"));
         assert!(rests.receive().unwrap().starts_with("type 30"));
-        // It is taken after that, and waits for longer than there is time.
+        // This request arrives after the signal and has a longer timeout than remains.
         while terminated_at.elapsed() < Duration::from_millis(600) {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -757,14 +764,14 @@
     }
 }
 
-/// One client that asks all the while on one connection and leaves it to the front to end that. Returns the requests that were
-/// asked long before the end and are not answered, and how many were answered.
+/// Sends requests on one connection until the front closes it. Returns the requests without a response that were sent well before
+/// the close, and the number of responses.
 fn request_until_closed(mut client: Client) -> (Vec<u32>, usize) {
     let mut reads = Client(client.0.try_clone().unwrap());
     let answers = std::thread::spawn(move || {
         let mut answered = Vec::new();
         while let Some(received) = reads.receive() {
-            // "type 11 stream N: ..." is an answer.
+            // "type 11 stream N: ..." is a response.
             let stream: Option<u32> = received
                 .strip_prefix("type 11 stream ")
                 .and_then(|t| t.split(':').next()?.parse().ok());
@@ -784,11 +791,11 @@
             break;
         }
         asked.push((stream, Instant::now()));
-        // No more are open at once than a connection may have.
+        // Keeps the number of open requests below the limit of a connection.
         std::thread::sleep(Duration::from_millis(120));
     }
     let (answered, ended): (Vec<u32>, Instant) = answers.join().unwrap();
-    // What crosses the front's end of the connection was never read: its client asks again elsewhere.
+    // Requests sent shortly before the close may be unread; their client repeats them on another front.
     let before = |at: Instant| at + Duration::from_millis(50) < ended;
     let open = asked
         .iter()
@@ -804,7 +811,7 @@
                 config["settings"]["classes"][class]["deadline"] = longest.into()
             });
         });
-        // One node answers, the others hang through all of it.
+        // One node responds, the others never do.
         drop(operations::serve_hits(&setup.caches[0]));
         let asked = RecordedRequests::default();
         [&setup.caches[1], &setup.origin]
@@ -824,7 +831,7 @@
             let (open, answered) = client.join().unwrap();
             assert!(
                 open.is_empty() && answered > 0,
-                "{longest}: {open:?} were not answered, {answered} were"
+                "deadline {longest} us: no response to {open:?}, {answered} responses"
             );
         }
     }
@@ -837,11 +844,11 @@
     let mut rests = setup.client();
     rests.send(20, 1, &[0]);
     assert!(rests.receive().unwrap().starts_with("type 21"));
-    // Emptied, the front shuts connections that carry nothing; on others it still serves.
+    // A quiesced front closes idle connections and still serves on others.
     let emptied = Instant::now();
     operations::operator_command(at, "quiesce");
     assert!(rests.receive().unwrap().starts_with("type 30") && closes_cleanly(&mut rests));
-    // A client that has not seen that yet asks all the same; it is dropped, and nobody is reset over it.
+    // A request sent before the client sees the close is dropped without a reset.
     rests.request(2, "page-bits", "5000", &[], b"");
     assert!(
         late_connections(&setup.caches[0]) == Some(0)
@@ -849,13 +856,13 @@
     );
     assert!(
         emptied.elapsed() > Duration::from_millis(1_500),
-        "by now the front would refuse it"
+        "the check ended too early to show a rejection"
     );
 }
 
 #[test]
 fn late_input_is_read_during_shutdown_to_avoid_a_reset() {
-    // Whether the front lives when the end is seen is up to the scheduler: it has 0.2 s, and five tries.
+    // Whether the front is still running when the client sees the close depends on the scheduler, hence five attempts.
     let shown = (0..5).any(|_| {
         let mut setup = TestFront::new(|_| {});
         let mut rests = setup.client();
@@ -871,7 +878,7 @@
         assert!(took < Duration::from_millis(3_700), "{took:?}");
         assert!(
             rests.0.take_error().unwrap().is_none(),
-            "a close over unread bytes resets"
+            "the connection was reset because of unread bytes"
         );
         true
     });
@@ -915,7 +922,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     client.0.write_all(&ready[..7]).unwrap();
-    // The rest comes when the front would have shut the connection.
+    // The rest arrives when the front would have closed the connection.
     while terminated_at.elapsed() < Duration::from_millis(1_300) {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -946,7 +953,7 @@
             .env("RELAY_CONFIG", &file)
             .stderr(std::process::Stdio::piped());
         let mut front = command.spawn().unwrap();
-        // It reads its configuration once this can be opened.
+        // Opening succeeds once the front opens the pipe to read its configuration.
         let mut pipe = std::fs::File::options().write(true).open(&file).unwrap();
         for signal in signals {
             let mut kill = std::process::Command::new("kill");
@@ -957,7 +964,7 @@
                 .unwrap()
                 .success());
         }
-        // What it reads again is a file.
+        // A reload reads a regular file.
         std::fs::remove_file(&file).unwrap();
         std::fs::write(&file, setup.config.to_string()).unwrap();
         pipe.write_all(setup.config.to_string().as_bytes()).unwrap();
@@ -993,16 +1000,16 @@
             .for_each(|signal| setup.signal(signal))
     });
     let terminated_at = Instant::now();
-    // What drains or is purged is still heard of while open requests end.
+    // Drains and purges are still received during a graceful shutdown.
     let (_new, last) = accept_feed(&moved);
     assert_eq!(last, 2);
     assert!(wait_exit(&mut setup, terminated_at) < Duration::from_millis(3_700));
 }
 
-/// All that nodes are asked: the ids, with where the answer goes.
+/// Requests received by nodes: transaction id and the connection for the response.
 type RecordedRequests = Arc<std::sync::Mutex<Vec<(String, TcpStream)>>>;
 
-/// Takes down what a node is asked, and answers nothing.
+/// Records the requests of a node without responding.
 fn record_requests(at: &TcpListener, asked: &RecordedRequests) {
     let (at, asked) = (at.try_clone().unwrap(), Arc::clone(asked));
     std::thread::spawn(move || {
@@ -1059,8 +1066,11 @@
         }
         std::thread::sleep(SETTLE_TIME);
         let out = asked.lock().unwrap().len();
-        assert!(0 < out && out < 600, "{out} were sent, the others wait");
-        // All of them in one turn.
+        assert!(
+            0 < out && out < 600,
+            "{out} of 600 requests were sent to nodes"
+        );
+        // All clients leave in one iteration.
         setup.while_stopped(|| {
             for client in &mut clients {
                 if resets {
@@ -1081,7 +1091,7 @@
         assert_eq!(
             asked.lock().unwrap().len(),
             out,
-            "there is room, and nobody waits for it"
+            "queued requests of disconnected clients were sent"
         );
     }
 }
@@ -1104,7 +1114,7 @@
         .for_each(|at| record_requests(at, &asked));
     let (mut first, mut late) = (setup.client(), setup.client());
     let mut begun = Instant::now();
-    // The first ones take the room that there is.
+    // The first requests occupy all slots.
     for (n, client, limit, asks) in [(1, &mut first, "20000", 6), (2, &mut late, "1500", 30)] {
         begun = Instant::now();
         for stream in 1..=asks {
@@ -1133,14 +1143,17 @@
         while begun.elapsed() < Duration::from_millis(1_600) {
             std::thread::sleep(Duration::from_millis(5));
         }
-        assert!((1..=30).all(waits), "they wait for room");
+        assert!(
+            (1..=30).all(waits),
+            "a request was sent without a free slot"
+        );
         for (id, stream) in &mut *asked.lock().unwrap() {
             stream
                 .write_all(hit_response(id, "room").as_bytes())
                 .unwrap();
         }
     });
-    // All of them are answered: their time is over.
+    // All requests have exceeded their deadline.
     let answers = (0..30).map(|_| late.receive().unwrap()).collect::<Vec<_>>();
     assert!(answers
         .iter()
@@ -1168,11 +1181,11 @@
     wait_for_line(&old.log, "accepts clients");
     let (mut waits, _) = inherited.start();
     wait_for_line(&waits.log, "waits for another process");
-    // The one that waits is told first: the other one serves as before.
+    // The waiting process is terminated first; the other one keeps serving.
     waits.signal("-TERM");
     assert_eq!(waits.child.wait().unwrap().code(), Some(0));
     assert!(asks(1));
-    // The one that serves and one that waits are told at once: a third takes over.
+    // The serving and one waiting process are terminated together: a third takes over.
     let (mut both, _) = inherited.start();
     wait_for_line(&both.log, "waits for another process");
     let (third, _) = inherited.start();
@@ -1191,7 +1204,7 @@
 fn oversized_responses_end_only_their_connection_and_requests_move() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
-    // One that is well, and has to stay so.
+    // A request whose connection must not be affected.
     client.request(1, "book-car", "20000", &[], b"keys");
     let mut origin = accept_node(&setup.origin);
     let booking = origin.receive().unwrap();
@@ -1246,14 +1259,14 @@
         waits.receive().unwrap().starts_with("type 30")
             && asks.receive().unwrap().starts_with("type 30")
     );
-    // It would have been over by then.
+    // The shutdown deadline passes while the front is stopped.
     setup.while_stopped(|| {
         asks.request(2, "book-car", "50000", &[], b"keys");
         while terminated_at.elapsed() < Duration::from_millis(2_500) {
             std::thread::sleep(Duration::from_millis(5));
         }
     });
-    // The booking that is at the origin may have run: it is not refused, for its client would ask again.
+    // The write at the origin may have been executed: it fails instead of being rejected, as the client would repeat it.
     assert!(waits
         .receive()
         .unwrap()
--- a/front/tests/requests.rs
+++ b/front/tests/requests.rs
@@ -1,9 +1,9 @@
-//! Stories over loopback: one for each failure that the front must stand.
+//! Requests through one front with scripted peers on loopback: forwarding, failures of peers and clients, limits, signals.
 mod common;
 use common::*;
 use std::io::Write;
 
-/// The cache that gets the story's object, and its first connection: the one that the front turns to.
+/// Accepts the front's first connection to a cache and returns it with the cache's index.
 fn accept_first_attempt(setup: &TestFront) -> (usize, NodeConnection) {
     setup
         .caches
@@ -48,7 +48,7 @@
         "bytes",
     );
     received.extend(client.receive());
-    // The copy that the client holds is the one.
+    // Validation of the copy that the client holds.
     client.request(
         3,
         "page-bits",
@@ -70,15 +70,15 @@
     client.request(1, "book-car", "3000", &[], b"keys");
     let mut origin = accept_node(&setup.origin);
     let mut received = vec![origin.receive().unwrap().join(" ")];
-    // It came whole, then the connection broke: it may have run.
+    // Received completely before the connection broke: it may have been executed.
     drop(origin);
     received.extend(client.receive());
-    // Turned away unseen: it goes out again.
+    // Rejected before execution: the front retries.
     client.request(2, "book-car", "3000", &[], b"keys");
     let mut origin = accept_node(&setup.origin);
     let fetch = origin.receive().unwrap();
     origin.respond(&fetch[1], "SHED", "-", "");
-    // On another connection: a second copy of the first answer would be taken for that of this attempt.
+    // On a new connection: a duplicate of the first response could be mistaken for that of this attempt.
     origin.respond(&fetch[1], "SHED", "-", "");
     let mut origin = accept_node(&setup.origin);
     received.push(origin.receive().unwrap().join(" "));
@@ -89,7 +89,7 @@
 
 #[test]
 fn write_to_an_unreachable_origin_is_rejected_with_retry_after() {
-    // Bound and not listened on: connections are refused, and no other story gets the port.
+    // Bound without listening: connections are refused, and no other test gets the port.
     let deaf = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     deaf.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .unwrap();
@@ -109,7 +109,7 @@
     client.request(1, "page-bits", "5000", &[], b"");
     let (at, mut cache) = accept_first_attempt(&setup);
     cache.receive().unwrap();
-    // What can't be read ends this connection alone.
+    // An undecodable response ends only this connection.
     cache.0.get_mut().write_all(b"+OK\r\n").unwrap();
     let mut other = accept_node(&setup.caches[1 - at]);
     let fetch = other.receive().unwrap();
@@ -127,14 +127,14 @@
     client.send(12, 1, b"");
     assert_eq!(cache.receive().unwrap(), ["abort", &fetch[1]]);
     cache.respond(&fetch[1], "HIT", "-", "too late");
-    // The same id again: its answer must not come over the connection that may still bring the old one.
+    // A request with the same id must use another connection, as the old one may still deliver the late response.
     let mut second = setup.client();
     second.request(1, "page-bits", "5000", &[], b"");
     let (_, mut fresh) = accept_first_attempt(&setup);
     let fetch = fresh.receive().unwrap();
     fresh.respond(&fetch[1], "HIT", "-", "in time");
     assert!(second.receive().unwrap().ends_with("in time"));
-    // And nothing came to the first.
+    // The first client received no response.
     client.send(20, 9, &[0]);
     assert!(client.receive().unwrap().starts_with("type 21 stream 9"));
 }
@@ -206,7 +206,7 @@
     let setup = TestFront::new(|_| {});
     let (mut stream, last) = accept_feed(&setup.feed);
     assert_eq!(last, 1);
-    // One cache drains, then the other way round; a repeat of the first event changes nothing.
+    // One cache drains, then the other; a repetition of the first event has no effect.
     let [a, b] = [0, 1].map(|i| (CACHE_IDS[i], setup.caches[i].local_addr().unwrap()));
     let first = feed_event(2, 2, &node_record(a.0, a.1, 1, 0));
     let second = feed_event(
@@ -217,7 +217,7 @@
     stream
         .write_all(&[&first[..], &second, &first, &[0, 0, 0, 1]].concat())
         .unwrap();
-    // The last frame can't be read: the front connects anew and goes on from what it holds.
+    // The last frame is undecodable: the front reconnects and resumes after its last event.
     let (mut stream, last) = accept_feed(&setup.feed);
     assert_eq!(last, 3);
     stream.write_all(&feed_event(3, 0, b"")).unwrap();
@@ -234,7 +234,7 @@
 
 #[test]
 fn restarted_node_gets_new_connections_while_old_ones_are_silent() {
-    // One cache, and with the least number of descriptors eighteen connections to each of two members.
+    // One cache; the lowest descriptor limit allows eighteen connections to each of two nodes.
     let setup = TestFront::new(|config| {
         config["limits"]["sockets"] = 96.into();
         config["known"]["events"][0]["members"]["instances"]
@@ -299,7 +299,7 @@
     client.request(1, "page-bits", "5000", &[], b"");
     let (_, mut cache) = accept_first_attempt(&setup);
     let fetch = cache.receive().unwrap();
-    // A file that can't be used changes nothing.
+    // An invalid file has no effect.
     std::fs::write(&setup.file, "{").unwrap();
     setup.signal("-HUP");
     wait_for_line(&setup.log, "the configuration stays as it was");
@@ -309,7 +309,7 @@
     std::fs::write(&setup.file, config.to_string()).unwrap();
     setup.signal("-HUP");
     let (_new, last) = accept_feed(&moved);
-    assert_eq!(last, 2, "it goes on from the last event held");
+    assert_eq!(last, 2, "the feed did not resume after the last event");
     cache.respond(&fetch[1], "HIT", "-", "undisturbed");
     assert!(client.receive().unwrap().ends_with("undisturbed"));
 }
@@ -321,7 +321,7 @@
     client.request(1, "page-bits", "5000", &[], b"");
     let (at, mut cache) = accept_first_attempt(&setup);
     let fetch = cache.receive().unwrap();
-    // Twice the same, and one for nothing that was asked: the next attempt must not end by them.
+    // A duplicate and an unrelated response must not complete the next attempt.
     cache.respond(&fetch[1], "NONE", "tell=not_there", "");
     cache.respond(&fetch[1], "NONE", "tell=not_there", "");
     cache.respond("00000000000000ff", "HIT", "-", "not asked for");
@@ -341,7 +341,7 @@
         assert!(client.receive().unwrap().starts_with("type 11 stream 0"));
         assert_eq!(client.receive(), None);
     }
-    // One between two requests stays.
+    // A client between two requests is kept.
     usual.send(20, 2, &[0]);
     assert!(usual.receive().unwrap().starts_with("type 21 stream 1"));
     assert!(usual.receive().unwrap().starts_with("type 21 stream 2"));
@@ -375,7 +375,7 @@
     assert_eq!(
         clients[0].receive(),
         None,
-        "the one that was idle for longest is closed"
+        "the connection idle for longest was not closed"
     );
 }
 
@@ -395,7 +395,7 @@
             });
         });
     }
-    // Four clients ask for more than the memory and the system's buffers hold, and read nothing.
+    // Four clients request more than memory and system buffers hold and read nothing.
     let mut slow: Vec<_> = (0..4).map(|_| setup.client_with_small_buffer()).collect();
     for (client, first) in slow.iter_mut().zip([100, 200, 300, 400]) {
         (first..first + 32).for_each(|id| client.request(id, "car-video", "60000", &[], b""));
--- a/front/tests/system_call_faults.rs
+++ b/front/tests/system_call_faults.rs
@@ -1,5 +1,5 @@
-//! System calls on sockets fail in the ways that Linux documents: no request is lost by that, none runs twice, and the time that
-//! nodes are told is no longer than what the client has left.
+//! Failures of socket system calls as documented for Linux lose no request, repeat no write, and never make the remaining time
+//! sent to nodes longer than that of the client.
 use cranesill_rig::{
     Behavior, ClusterSize, History, Observation, SocketFaults, SystemCall, TestCluster,
 };
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// What the time told to a node may be longer than what the client has left.
+/// Tolerated excess of the remaining time sent to a node.
 const REMAINING_TIME_TOLERANCE: Duration = Duration::from_millis(150);
-/// What each visitor says that it waits for.
+/// Timeout that each client sends.
 const LIMIT: Duration = Duration::from_millis(2_400);
 
 fn start_cluster(change: impl Fn(&mut Value), link_groups: usize, seed: u64) -> TestCluster {
@@ -36,13 +36,13 @@
     )
 }
 
-/// Clients that come with a new connection for each few requests, as many as there are threads.
+/// Clients, one per thread, that reconnect after a few requests.
 struct ReconnectingClients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Numbers of clients' threads that no other in this process has had: they stand in the ids of requests.
+/// Client numbers, unique in this process, which are part of the transaction ids.
 static CLIENT_NUMBERS: AtomicU32 = AtomicU32::new(16);
 
 impl ReconnectingClients {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// ClientLoad once and waits for the answer; whether it came.
+    /// Sends a request and waits for its response; `false` if the connection failed.
     fn request(&mut self, socket: &mut TcpStream) -> bool {
         self.stream += 1;
         let txn = (1 << 40) | (u64::from(self.which) << 32) | u64::from(self.stream);
@@ -157,14 +157,14 @@
     matches!(seen, Observation::ClientResponse(_, _, 1))
 }
 
-/// Requests that were answered, but not served.
+/// Number of responses other than successful ones.
 fn count_not_served(cluster: &TestCluster) -> usize {
     cluster
         .history
         .count(|seen| matches!(seen, Observation::ClientResponse(_, _, code) if *code != 1))
 }
 
-/// By how much nodes were told more time than clients had left, of each attempt of the visitors' requests.
+/// Excess of the remaining time sent to nodes, for each attempt of the reconnecting clients' requests.
 fn excess_remaining_time(cluster: &TestCluster) -> Vec<Duration> {
     let mut asked = std::collections::HashMap::new();
     let mut over = Vec::new();
@@ -181,7 +181,7 @@
                 let Some(asked) = asked.get(&txn) else {
                     continue;
                 };
-                // A node that reads late must not hold that against the front: the request came before.
+                // The delay with which the node read the request does not count.
                 let ends = at.saturating_sub(read_delay) + Duration::from_millis(left_ms);
                 over.push(ends.saturating_sub(*asked + LIMIT));
             }
@@ -191,7 +191,7 @@
     over
 }
 
-/// Nodes were told no more time than clients had left.
+/// Asserts that no node was sent a longer remaining time than its client had.
 fn assert_remaining_time_kept(cluster: &TestCluster) {
     let told = excess_remaining_time(cluster);
     let over: Vec<_> = told
@@ -200,13 +200,13 @@
         .collect();
     assert!(
         over.is_empty(),
-        "{} of {} were told too much: {over:?}",
+        "remaining time too long in {} of {} attempts: {over:?}",
         over.len(),
         told.len()
     );
 }
 
-/// Processor time that the front has used.
+/// Processor time used by the front.
 fn cpu_time(cluster: &TestCluster) -> Duration {
     let stat = std::fs::read_to_string(format!(
         "/proc/{}/stat",
@@ -218,7 +218,7 @@
     Duration::from_millis(ticks * 10)
 }
 
-/// Runs some load for some time, while calls fail, and waits until so many were served.
+/// Injects faults for a time under the current load and waits for some successful responses.
 fn run_with_faults(cluster: &TestCluster, faults: &SocketFaults, time: Duration) {
     let before = cluster.fleet.injectors[0].socket_fault_count();
     cluster.fleet.injectors[0].set_socket_faults(Some(faults));
@@ -228,17 +228,17 @@
     let cut_short = faults.max_read_bytes > 0;
     assert!(
         cut_short || cluster.fleet.injectors[0].socket_fault_count() > before,
-        "{faults:?}: nothing failed"
+        "{faults:?}: no call failed"
     );
 }
 
-/// The rules hold, all was served, and nodes were told no more time than there was.
+/// Asserts that no invariant is violated, almost all requests were served, and remaining times were correct.
 fn assert_all_served(cluster: &mut TestCluster, seed: u64) {
     cluster.assert_no_violations(seed);
     let (served, not) = (cluster.history.count(is_served), count_not_served(cluster));
     assert!(
         not * 100 <= served,
-        "{not} were not served, {served} were: {}",
+        "{not} requests not served, {served} served: {}",
         cluster.fleet.log(0)
     );
     assert_remaining_time_kept(cluster);
@@ -266,7 +266,7 @@
     let mut cluster = start_cluster(|_| {}, 0, 61);
     cluster.load.pause = 30 * MS;
     cluster.load.connections_per_front = 4;
-    // Some come anew for each request, some stay.
+    // Some clients reconnect for each request, others stay connected.
     let stay = cluster.start_clients(61);
     let reconnecting = ReconnectingClients::start(&cluster, 6, 1, 5 * MS);
     cluster.wait_served("initial responses", 100);
@@ -277,7 +277,7 @@
             100 * MS,
         );
         if errno == libc::EINTR {
-            // The standard library repeats an interrupted call for as long as it is interrupted.
+            // The standard library retries interrupted calls until they are no longer interrupted.
             continue;
         }
         let burst = SocketFaults::all(&[SystemCall::Accept], errno).burst(150 * MS, 500 * MS);
@@ -304,7 +304,10 @@
         let reconnecting = ReconnectingClients::start(&cluster, 4, 3, 5 * MS);
         thread::sleep(1_200 * MS);
         let (used, passed) = (cpu_time(&cluster) - used, began.elapsed());
-        assert!(used < passed / 4, "{errno}: {used:?} of {passed:?}");
+        assert!(
+            used < passed / 4,
+            "error {errno}: {used:?} processor time in {passed:?}"
+        );
         cluster.fleet.injectors[0].set_socket_faults(None);
         let client = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, txn, 1) if (txn >> 32) & 0xff >= 16);
         cluster
@@ -316,7 +319,7 @@
     }
 }
 
-/// Descriptors that the front has open.
+/// Open descriptors of the front.
 fn descriptors(cluster: &TestCluster) -> Vec<u64> {
     let open =
         std::fs::read_dir(format!("/proc/{}/fd", cluster.fleet.process_id(0).unwrap())).unwrap();
@@ -324,7 +327,7 @@
         .collect()
 }
 
-/// From now on the front may have only a few descriptors more than it has; the first number that it may not open.
+/// Limits the front to a few more descriptors than it has open; returns the limit.
 fn allow_few_more_descriptors(cluster: &TestCluster) -> u64 {
     let open = descriptors(cluster);
     let most = (0..).find(|number| !open.contains(number)).unwrap() + 4;
@@ -333,7 +336,7 @@
         rlim_max: most,
     };
     let process = cluster.fleet.process_id(0).unwrap() as i32;
-    // SAFETY: the call reads the limit that it is given; the process was begun by this test.
+    // SAFETY: the call reads a valid limit; the process was started by this test.
     let set = unsafe {
         libc::prlimit(
             process,
@@ -365,13 +368,13 @@
         idle.push(TcpStream::connect(address).unwrap());
         assert!(client.request(idle.last_mut().unwrap()));
     }
-    // What asks now and then stays; the others are closed as far as it takes.
+    // Active clients keep their connections; idle ones are closed as required.
     let reconnecting = ReconnectingClients::start(&cluster, 2, 4, 20 * MS);
     let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(_, txn, 1) if (txn >> 32) & 0xff < 0xf0);
     while cluster.history.count(served) < 16 {
         assert!(
             client.request(&mut busy),
-            "a client that asks all the time has lost its connection"
+            "an active client lost its connection"
         );
         thread::sleep(50 * MS);
     }
@@ -390,7 +393,7 @@
     let reconnecting = ReconnectingClients::start(&cluster, 6, 6, 700 * MS);
     cluster.wait_served("initial responses", 8);
     let most = allow_few_more_descriptors(&cluster);
-    // They say nothing, and there are not enough places for all of them.
+    // More silent connections than there are descriptors.
     let address = cluster.fleet.address(0);
     let mut newcomers = Vec::new();
     let lacks = |cluster: &TestCluster| cluster.fleet.log(0).contains("Too many open files");
@@ -414,7 +417,7 @@
 
 #[test]
 fn socket_and_connect_errors_neither_mark_nodes_down_nor_lose_requests() {
-    // Connections are closed as soon as they are idle, so that each clump of requests dials.
+    // Idle connections are closed quickly, so that each group of requests opens new ones.
     let short = |base: &mut Value| base["settings"]["policyLimits"]["connIdle"] = 20_000.into();
     let mut cluster = start_cluster(short, 0, 66);
     let reconnecting = ReconnectingClients::start(&cluster, 8, 2, 290 * MS);
@@ -472,7 +475,7 @@
             let dead = cluster.fleet.exited();
             assert!(
                 dead.is_empty() && Instant::now() < guard,
-                "{errno}: {dead:?}"
+                "error {errno}: exited processes {dead:?}"
             );
             thread::yield_now();
         }
@@ -510,7 +513,7 @@
         reconnecting.stop();
         assert!(
             cluster.fleet.injectors[0].socket_fault_count() > before,
-            "{call:?}: nothing failed"
+            "{call:?}: no call failed"
         );
         cluster.fleet.injectors[0].set_socket_faults(None);
     }
@@ -531,7 +534,7 @@
     while cluster.fleet.exited().is_empty() {
         assert!(
             began.elapsed() < cranesill_rig::WAIT_TIMEOUT,
-            "it does not end"
+            "the front did not exit"
         );
         thread::sleep(10 * MS);
     }
@@ -595,7 +598,7 @@
             );
         }
     }
-    // Waits are interrupted by signals.
+    // Signals interrupt waits.
     for _ in 0..20 {
         cluster.fleet.signal([0], libc::SIGHUP);
         cluster.wait_served("responses between signals", 2);
@@ -653,7 +656,7 @@
         }
     }
     stay.stop();
-    // Whose connection has broken hears no answer; all else holds.
+    // Clients whose connections broke get no response; all other invariants hold.
     let broken: Vec<_> = cluster
         .violations()
         .into_iter()
--- a/front/tests/tls.rs
+++ b/front/tests/tls.rs
@@ -1,4 +1,4 @@
-//! Stories of TLS and certificates over loopback: a front as a process, the stand-in authority in this one.
+//! TLS and certificates: a front as a process and a stand-in for the certificate authority in the test process.
 mod common;
 use common::*;
 use cranesill_standins::acme::Server;
@@ -15,8 +15,8 @@
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A port that nobody else has, nor gets before the front does: the system gives out none below its own range, and one
-/// that it had given out could go to a connection of another test meanwhile.
+/// Returns an unused port below the range that the system assigns, so that no connection of another test can occupy it before
+/// the front binds it.
 fn port() -> u16 {
     static LAST: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     loop {
@@ -72,7 +72,7 @@
 
     fn start(&self) -> TestFront {
         let setup = TestFront::with(|_| {}, Some(&self.file()));
-        // Clients' own socket is told of first.
+        // Logged after the plain listener.
         wait_for_line(&setup.log, "TLS listening");
         setup
     }
@@ -81,7 +81,7 @@
         ([127, 0, 0, 1], self.ports.1).into()
     }
 
-    /// `cranesill` with arguments; its exit code and what it printed.
+    /// Runs `cranesill` with arguments; returns its exit code and output.
     fn run(&self, arguments: &[&str]) -> (i32, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_cranesill"));
         let done = command
@@ -118,7 +118,7 @@
     }
 }
 
-/// A client over TLS.
+/// Client over TLS.
 struct Secure(StreamOwned<ClientConnection, TcpStream>);
 
 impl Secure {
@@ -179,7 +179,7 @@
     }
 }
 
-/// A cache that answers everything, on all its connections.
+/// Serves hits on all connections of a cache.
 fn serve_all(cache: &TcpListener, body: &'static str) {
     let cache = cache.try_clone().unwrap();
     std::thread::spawn(move || {
@@ -228,7 +228,7 @@
                 .unwrap();
             assert!(refused.contains("NoApplicationProtocol"), "{refused}");
         }
-        // Keys are 0600 and nothing of a key is in the log.
+        // Files with keys are readable by the owner only.
         let folder = fixture.folder.path().join("certs");
         for file in std::fs::read_dir(&folder).unwrap() {
             use std::os::unix::fs::PermissionsExt;
@@ -279,7 +279,7 @@
             "{version:?}"
         );
     }
-    // A revoked certificate's tickets are good for nothing.
+    // Session tickets issued under a revoked certificate are not accepted.
     let config = Arc::new(fixture.config("cranesill/1"));
     let first = Secure::connect(fixture.tls(), "front1.example", Arc::clone(&config)).unwrap();
     let (code, text) = fixture.run(&["certs", "revoke", "front1.example", "--reason", "1"]);
@@ -324,7 +324,10 @@
         wait_for_line(&setup.log, "kind=issued");
     }
     let after = fixture.connect("front1.example").unwrap().serial();
-    assert_ne!(before, after, "new handshakes get the new certificate");
+    assert_ne!(
+        before, after,
+        "handshakes after the renewal use the old certificate"
+    );
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     let asked: Vec<u32> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     assert!(asked.iter().all(|n| *n > 0), "{asked:?}");
@@ -336,7 +339,7 @@
     let serial = {
         let setup = fixture.start();
         wait_for_line(&setup.log, "kind=issued");
-        // Written in order before this is answered by the folder's reader at the next start.
+        // The file is complete once it has its final name.
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while !fixture
             .folder
@@ -352,7 +355,7 @@
     fixture.authority.authority().faults.vanished = true;
     let setup = fixture.start();
     assert_eq!(fixture.connect("front1.example").unwrap().serial(), serial);
-    // A second daemon can't take the same control socket.
+    // The listening address cannot change without a restart; the list of certificates can.
     fixture.settings["certs"]["certificates"] =
         json!([{"names": ["front1.example"]}, {"names": ["front2.example"]}]);
     fixture.settings["tls"]["listen"] = "127.0.0.1:1".into();
@@ -363,7 +366,7 @@
     let (code, text) = fixture.run(&["certs", "show", "front2.example"]);
     assert_eq!((code, text.contains("\"missing\"")), (4, true), "{text}");
     assert_eq!(fixture.run(&["certs", "show", "nobody.example"]).0, 3);
-    // A broken file changes nothing, and all its faults are told.
+    // An invalid file has no effect, and all of its errors are logged.
     std::fs::write(fixture.file(), r#"{"tls": {"listen": "x"}, "surplus": 1}"#).unwrap();
     setup.signal("-HUP");
     let line = wait_for_line(&setup.log, "the settings stay as they were");
@@ -388,7 +391,7 @@
             .unwrap()
             .remove("authority");
         fixture.write();
-        // Issued long ago, and lying in the folder.
+        // A certificate in the folder that expired long ago.
         let (key, chain) = old(&fixture, 1_000_000);
         std::fs::create_dir(fixture.folder.path().join("certs")).unwrap();
         std::fs::write(
@@ -399,7 +402,7 @@
         let setup = fixture.start();
         assert!(wait_for_line(&setup.log, "kind=expired").contains(" error "));
         let refused = fixture.connect("front1.example").err().unwrap();
-        // The client's own word, or the front's alert.
+        // Either the client rejects the certificate or the front sends an alert.
         assert_eq!(
             refused.contains("AlertReceived") || refused.contains("fatal alert"),
             refuse,
@@ -411,7 +414,7 @@
     }
 }
 
-/// A key and a chain for front1.example that ended in 1970.
+/// Key and chain for front1.example that expired at the given Unix time.
 fn old(fixture: &Fixture, until: u64) -> (String, String) {
     let mut made = cranesill_certs::exchange::make_key(&cranesill_certs::Key::Order(
         vec!["front1.example".into()],
@@ -453,7 +456,7 @@
                 match kind {
                     0 => drop(socket.write_all(&[0x55; 300])),
                     1 => {
-                        // Half a hello, and silence.
+                        // A partial hello without continuation.
                         let _ = socket.write_all(&[22, 3, 1, 2, 0, 1, 0, 1]);
                         silent.push(socket);
                         if silent.len() > 200 {
@@ -469,7 +472,7 @@
         usual.request(stream).unwrap();
         assert!(usual.receive().unwrap().ends_with(b"x"));
     }
-    // A new one gets through in time, and so does the authority's look at a challenge.
+    // A new connection and the authority's validation succeed in time.
     let begun = Instant::now();
     let mut through = 0;
     while through == 0 && begun.elapsed() < WAIT_TIMEOUT {
@@ -495,7 +498,7 @@
     let mut odd = fixture.connect("front1.example").unwrap();
     odd.request(1).unwrap();
     odd.receive().unwrap();
-    // A hello in the clear where sealed records belong: what a client that renegotiates by force would send.
+    // An unencrypted hello on an encrypted connection, as in a forced renegotiation.
     odd.0
         .sock
         .write_all(&[22, 3, 3, 0, 8, 1, 0, 0, 4, 3, 3, 0, 0])
