--- a/front/tests/clock_and_disk_faults.rs
+++ b/front/tests/clock_and_disk_faults.rs
@@ -52,13 +52,13 @@
         cluster.set_node_state(round % 4, State::Ready);
     }
     for (front, ahead) in CLOCKS.iter().enumerate() {
-        let told = cluster
+        let clock_warnings = cluster
             .fleet
             .log(front)
             .matches("this clock is far from that of the list service")
             .count();
         assert_eq!(
-            told,
+            clock_warnings,
             usize::from(ahead.abs() > 5_000),
             "{}",
             cluster.fleet.log(front)
@@ -69,10 +69,10 @@
 }
 
 /// Waits for a condition that no stand-in observes.
-fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let guard = Instant::now() + cranesill_rig::WAIT_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < guard, "timed out: {what}");
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + cranesill_rig::WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out: {what}");
         std::thread::yield_now();
     }
 }
@@ -179,11 +179,11 @@
     cluster.restart(&[0]);
     let clients = cluster.start_clients(23);
     cluster.wait_served("initial responses", 100);
-    let told = |last: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == last);
+    let event_sent = |last: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == last);
     let first = cluster.set_node_state(1, State::Draining);
     cluster
         .history
-        .wait_for("event received by all fronts", 5, told(first));
+        .wait_for("event received by all fronts", 5, event_sent(first));
     wait_until("event in all lists on disk", || {
         (1..5).all(|front| revision_on_disk(&cluster, front) == Some(first))
     });
@@ -193,7 +193,7 @@
     let second = cluster.set_node_state(2, State::Draining);
     cluster
         .history
-        .wait_for("event received by all fronts", 5, told(second));
+        .wait_for("event received by all fronts", 5, event_sent(second));
     cluster.wait_served("responses during disk faults", 600);
     let warnings = |cluster: &TestCluster, front: usize| {
         cluster.fleet.log(front).matches("be kept on disk").count()
@@ -207,12 +207,12 @@
         (0..3).all(|front| warnings(&cluster, front) == 1)
     });
     // A failed write keeps the previous list.
-    let held = [None, Some(first), Some(first)];
+    let saved = [None, Some(first), Some(first)];
     assert_eq!(
         [0, 1, 2].map(|front| revision_on_disk(&cluster, front)),
-        held
+        saved
     );
-    let left = |cluster: &TestCluster| {
+    let temporary_files = |cluster: &TestCluster| {
         let files = std::fs::read_dir(cluster.fleet.disk_dir())
             .unwrap()
             .flatten();
@@ -220,7 +220,7 @@
             .filter(|file| file.file_name().to_string_lossy().ends_with(".tmp"))
             .count()
     };
-    wait_until("temporary files removed", || left(&cluster) == 0);
+    wait_until("temporary files removed", || temporary_files(&cluster) == 0);
     (0..3).for_each(|front| cluster.fleet.injectors[front].set_disk_faults(false, false));
     cluster.wait_served("responses after disk faults", 200);
     wait_until("list on all disks", || {
@@ -259,12 +259,12 @@
     for item in 0..5 {
         cluster.purge(item);
     }
-    let told = |last: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == last);
+    let event_sent = |last: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == last);
     for round in 0..2 {
-        let gone = cluster.set_node_state(1, State::Removed);
+        let removed = cluster.set_node_state(1, State::Removed);
         cluster
             .history
-            .wait_for("removal received by all fronts", 12, told(gone));
+            .wait_for("removal received by all fronts", 12, event_sent(removed));
         cluster.nodes.set(1, cranesill_rig::Behavior::Down);
         cluster.wait_served("responses without the cache", 500);
         cluster.nodes.set(
@@ -281,7 +281,7 @@
         let back = cluster.mark_started(1);
         cluster
             .history
-            .wait_for("start event received by all fronts", 12, told(back));
+            .wait_for("start event received by all fronts", 12, event_sent(back));
         if round == 1 {
             cluster.kill(&[3, 4, 5]);
             cluster.restart(&[3, 4, 5]);
@@ -408,13 +408,13 @@
 }
 
 /// Sends an operator command to front 0; an error is the text of its answer.
-fn operator(cluster: &TestCluster, word: &Value) -> Result<Value, String> {
+fn operator(cluster: &TestCluster, command: &Value) -> Result<Value, String> {
     let path = cluster.fleet.disk_dir().join("control");
     wait_until("control socket accepts connections", || {
         UnixStream::connect(&path).is_ok()
     });
     let mut socket = UnixStream::connect(&path).unwrap();
-    socket.write_all(format!("{word}\n").as_bytes()).unwrap();
+    socket.write_all(format!("{command}\n").as_bytes()).unwrap();
     let mut line = String::new();
     BufReader::new(socket).read_line(&mut line).unwrap();
     let answer: Value = serde_json::from_str(&line).unwrap();
@@ -433,14 +433,19 @@
 
 /// Purges in the log with id and time, latest first.
 fn logged_purges(cluster: &TestCluster) -> Vec<(String, u64)> {
-    let told = operator(cluster, &json!({"word": "purges", "args": {}})).unwrap();
+    let answer = operator(cluster, &json!({"word": "purges", "args": {}})).unwrap();
     let row = |row: &Value| {
         (
             row["id"].as_str().unwrap().to_string(),
             row["at_ms"].as_u64().unwrap(),
         )
     };
-    told["purges"].as_array().unwrap().iter().map(row).collect()
+    answer["purges"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(row)
+        .collect()
 }
 
 /// Starts one front with a purge log on the disk with fault injection; its wall clock is ahead by `ahead_ms`.
@@ -466,7 +471,7 @@
     let began = Instant::now();
     for (n, step) in STEPS.iter().enumerate() {
         cluster.fleet.injectors[0].set_clock_offset(*step);
-        let asked = SystemTime::now()
+        let sent_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap()
             .as_millis() as u64;
@@ -474,8 +479,8 @@
         let (id, at) = logged_purges(&cluster)[0].clone();
         assert_eq!(id, n.to_string());
         assert!(
-            at.abs_diff(asked) < 2_000,
-            "clock offset {step} ms: purge dated {at}, sent at {asked}"
+            at.abs_diff(sent_ms) < 2_000,
+            "clock offset {step} ms: purge dated {at}, sent at {sent_ms}"
         );
     }
     // One hour ahead, the sweep that runs every ten seconds must not remove purges within the horizon of one minute.
@@ -500,15 +505,15 @@
         |seen| matches!(seen, Observation::EventSent(_, n) if *n == last),
     );
     cluster.fleet.injectors[0].set_clock_offset(0);
-    let asked = SystemTime::now()
+    let sent_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
     wait_until("purge time corrected", || {
-        purge(&cluster, &asked.to_string()).unwrap();
+        purge(&cluster, &sent_ms.to_string()).unwrap();
         let (_, at) = logged_purges(&cluster)[0].clone();
         // The event's delay remains as an error, which the permitted skew covers.
-        at + 500 > asked
+        at + 500 > sent_ms
     });
 }
 
@@ -518,7 +523,7 @@
         let mut cluster = start_with_purge_log(0, 28);
         purge(&cluster, "before").unwrap();
         cluster.fleet.injectors[0].set_disk_faults(full, unsynced);
-        assert!(purge(&cluster, "first").is_err_and(|why| why.contains("could not be kept")));
+        assert!(purge(&cluster, "first").is_err_and(|error| error.contains("could not be kept")));
         assert!(purge(&cluster, "second").is_err());
         cluster.fleet.injectors[0].set_disk_faults(false, false);
         // A successful sync does not cover data written before a failed one.
@@ -534,7 +539,7 @@
             .collect();
         for id in ["before", "first", "third"] {
             assert_eq!(
-                ids.iter().filter(|held| *held == id).count(),
+                ids.iter().filter(|saved| *saved == id).count(),
                 1,
                 "purge {id} not exactly once in {ids:?}"
             );
--- a/front/tests/combined_faults.rs
+++ b/front/tests/combined_faults.rs
@@ -87,8 +87,8 @@
     let (_, mut second) = accept_any_node(&setup);
     second.receive().unwrap();
     setup.while_stopped(|| {
-        for link in [first, second] {
-            socket2::SockRef::from(link.0.get_ref())
+        for node in [first, second] {
+            socket2::SockRef::from(node.0.get_ref())
                 .set_linger(Some(Duration::ZERO))
                 .unwrap();
         }
@@ -159,7 +159,7 @@
     for (stream, limit) in (1u32..).zip([1u64, 3, 10, 30, 100]) {
         for class in ["page-bits", "book-car"] {
             let stream = 2 * stream + u32::from(class == "book-car");
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             client.request(
                 stream,
                 class,
@@ -176,7 +176,7 @@
             );
             // A response half a second after the deadline would be lost.
             assert!(
-                asked.elapsed() < Duration::from_millis(limit + 500),
+                sent_at.elapsed() < Duration::from_millis(limit + 500),
                 "{limit} {class}"
             );
         }
--- a/front/tests/common/mod.rs
+++ b/front/tests/common/mod.rs
@@ -102,7 +102,7 @@
 
     /// Stops the front while `come_about` runs, so that it finds all resulting events in one iteration of its event loop. Returns
     /// `false` if it had already exited.
-    pub fn while_stopped(&self, come_about: impl FnOnce()) -> bool {
+    pub fn while_stopped(&self, events: impl FnOnce()) -> bool {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         // The state follows the name in parentheses.
@@ -119,10 +119,10 @@
         while !['T', 'Z'].contains(&state()) {
             std::thread::yield_now();
         }
-        let lives = state() == 'T';
-        come_about();
+        let running = state() == 'T';
+        events();
         self.signal("-CONT");
-        lives
+        running
     }
 
     /// Sends a signal to the front.
@@ -313,14 +313,14 @@
 /// Accepts the next connection, with a timeout.
 pub fn accept(at: &TcpListener) -> TcpStream {
     at.set_nonblocking(true).unwrap();
-    let by = std::time::Instant::now() + WAIT_TIMEOUT;
+    let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
     let stream = loop {
         match at.accept() {
             Ok((stream, _)) => break stream,
             Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::WouldBlock),
         }
         assert!(
-            std::time::Instant::now() < by,
+            std::time::Instant::now() < deadline,
             "no connection within {WAIT_TIMEOUT:?}"
         );
         std::thread::sleep(Duration::from_millis(1));
@@ -341,7 +341,7 @@
 pub fn accept_any_node(setup: &TestFront) -> (usize, NodeConnection) {
     let all = [&setup.caches[0], &setup.caches[1], &setup.origin];
     all.iter().for_each(|at| at.set_nonblocking(true).unwrap());
-    let by = std::time::Instant::now() + WAIT_TIMEOUT;
+    let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         for (i, at) in all.iter().enumerate() {
             if let Ok((stream, _)) = at.accept() {
@@ -351,7 +351,7 @@
             }
         }
         assert!(
-            std::time::Instant::now() < by,
+            std::time::Instant::now() < deadline,
             "no connection within {WAIT_TIMEOUT:?}"
         );
         std::thread::sleep(Duration::from_millis(1));
@@ -368,37 +368,38 @@
     /// The strings of the next command.
     pub fn receive_raw(&mut self) -> Option<Vec<Vec<u8>>> {
         let count = self.line()?;
-        let mut words = Vec::new();
+        let mut strings = Vec::new();
         for _ in 0..count {
-            let mut word = vec![0; self.line()? + 2];
-            self.0.read_exact(&mut word).unwrap();
-            word.truncate(word.len() - 2);
-            words.push(word);
+            let mut string = vec![0; self.line()? + 2];
+            self.0.read_exact(&mut string).unwrap();
+            string.truncate(string.len() - 2);
+            strings.push(string);
         }
-        Some(words)
+        Some(strings)
     }
 
     /// The strings of the next command without the remaining time, which varies.
     pub fn receive(&mut self) -> Option<Vec<String>> {
-        let timeless = |word: Vec<u8>| {
-            let word = String::from_utf8(word).unwrap();
-            word.split(',')
+        let without_limit = |string: Vec<u8>| {
+            let string = String::from_utf8(string).unwrap();
+            string
+                .split(',')
                 .filter(|f| !f.starts_with("limit="))
                 .collect::<Vec<_>>()
                 .join(",")
         };
-        Some(self.receive_raw()?.into_iter().map(timeless).collect())
+        Some(self.receive_raw()?.into_iter().map(without_limit).collect())
     }
 
     /// Sends a response; hits and validations name the copy, as those of a node do.
-    pub fn respond(&mut self, id: &str, word: &str, fields: &str, body: &str) {
+    pub fn respond(&mut self, id: &str, status: &str, fields: &str, body: &str) {
         let copy = format!("ver=4be0c1927d55a6f3,born=1764576000123,{fields}");
-        let fields = if ["HIT", "VALID"].contains(&word) {
+        let fields = if ["HIT", "VALID"].contains(&status) {
             &copy
         } else {
             fields
         };
-        let parts = [id, word, fields, body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
+        let parts = [id, status, fields, body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
         self.0
             .get_mut()
             .write_all(format!("*4\r\n{}", parts.concat()).as_bytes())
--- a/front/tests/common/operations.rs
+++ b/front/tests/common/operations.rs
@@ -63,18 +63,18 @@
 
 /// Serves hits for all requests on a listener and counts them.
 pub fn serve_hits(listener: &TcpListener) -> Arc<AtomicU32> {
-    let (listener, asked) = (listener.try_clone().unwrap(), Arc::new(AtomicU32::new(0)));
-    let count = Arc::clone(&asked);
+    let (listener, requests) = (listener.try_clone().unwrap(), Arc::new(AtomicU32::new(0)));
+    let count = Arc::clone(&requests);
     std::thread::spawn(move || {
         for socket in listener.incoming().map_while(Result::ok) {
             let count = Arc::clone(&count);
             std::thread::spawn(move || {
-                let mut link = NodeConnection(BufReader::new(socket));
-                while let Some(words) = link.receive_raw() {
-                    if words[0] == b"fetch" {
+                let mut node = NodeConnection(BufReader::new(socket));
+                while let Some(strings) = node.receive_raw() {
+                    if strings[0] == b"fetch" {
                         count.fetch_add(1, Ordering::SeqCst);
-                        link.respond(
-                            std::str::from_utf8(&words[1]).unwrap(),
+                        node.respond(
+                            std::str::from_utf8(&strings[1]).unwrap(),
                             "HIT",
                             "tell=local",
                             "bytes",
@@ -84,7 +84,7 @@
             });
         }
     });
-    asked
+    requests
 }
 
 /// Client listener that fronts inherit, as from a service manager.
--- a/front/tests/connection_limit.rs
+++ b/front/tests/connection_limit.rs
@@ -8,10 +8,10 @@
 const SOCKETS: u64 = 96;
 const REQUESTS: usize = 600;
 
-fn answered(cluster: &TestCluster, how: u8) -> usize {
+fn count_responses(cluster: &TestCluster, expected: u8) -> usize {
     cluster
         .history
-        .count(|seen| matches!(seen, Observation::ClientResponse(_, _, word) if *word == how))
+        .count(|seen| matches!(seen, Observation::ClientResponse(_, _, code) if *code == expected))
 }
 
 #[test]
@@ -31,16 +31,16 @@
     cluster.wait_served("served requests", REQUESTS);
     clients.stop();
     assert_eq!(
-        (answered(&cluster, 2), answered(&cluster, 3)),
+        (count_responses(&cluster, 2), count_responses(&cluster, 3)),
         (0, 0),
         "rejected and failed requests"
     );
-    let made = cluster
+    let connections = cluster
         .history
         .count(|seen| matches!(seen, Observation::Accepted(_)));
     assert!(
-        made <= 3 * SOCKETS as usize * 3 / 8,
-        "the front opened {made} connections"
+        connections <= 3 * SOCKETS as usize * 3 / 8,
+        "the front opened {connections} connections"
     );
     cluster.assert_no_violations(1);
 }
--- a/front/tests/fleet_faults.rs
+++ b/front/tests/fleet_faults.rs
@@ -120,7 +120,7 @@
 
 /// Largest number of connections to one cache within any second since `from`.
 fn max_connections_per_second(cluster: &TestCluster, caches: usize, from: Duration) -> usize {
-    let most = |index: usize| {
+    let max_rate = |index: usize| {
         let id = cluster.nodes.all[index].0;
         cluster
             .history
@@ -129,7 +129,7 @@
             })
             .0
     };
-    (0..caches).map(most).max().unwrap()
+    (0..caches).map(max_rate).max().unwrap()
 }
 
 #[test]
@@ -175,16 +175,16 @@
         "{worst} connections came to one cache in a second"
     );
     // 70% of the fronts are killed and restarted; the others must not be affected.
-    let (dead, live): (Vec<usize>, Vec<usize>) = (0..24).partition(|front| front % 10 < 7);
+    let (restarted, running): (Vec<usize>, Vec<usize>) = (0..24).partition(|front| front % 10 < 7);
     let killed = cluster.history.now();
-    cluster.kill(&dead);
-    cluster.restart(&dead);
-    for front in &dead {
+    cluster.kill(&restarted);
+    cluster.restart(&restarted);
+    for front in &restarted {
         first(&cluster, *front, killed);
     }
-    let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if live.contains(by));
-    let refused = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if live.contains(by) && *code != 1);
-    let lived = cluster
+    let served = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if running.contains(by));
+    let refused = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if running.contains(by) && *code != 1);
+    let not_served = cluster
         .history
         .timestamps(refused)
         .iter()
@@ -197,8 +197,8 @@
         .filter(|at| **at >= killed)
         .count();
     assert!(
-        lived * 10 <= good,
-        "fronts that kept running: {lived} requests not served, {good} served"
+        not_served * 10 <= good,
+        "fronts that kept running: {not_served} requests not served, {good} served"
     );
     let worst = max_connections_per_second(&cluster, 24, killed);
     assert!(
@@ -224,29 +224,29 @@
     cluster
         .history
         .wait_for("connections of all fronts to all caches", 24 * 6, any);
-    let told = |number: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == number);
-    let gone = cluster.set_node_state(2, State::Removed);
+    let event_sent = |number: u64| move |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == number);
+    let removed = cluster.set_node_state(2, State::Removed);
     cluster
         .history
-        .wait_for("removal received by all fronts", 24, told(gone));
+        .wait_for("removal received by all fronts", 24, event_sent(removed));
     cluster.nodes.set(2, Behavior::Down);
     cluster.wait_served("responses without the cache", 200);
     cluster
         .nodes
         .set(2, Behavior::Respond(Duration::from_millis(1)));
     let (id, before) = (cluster.nodes.all[2].0, cluster.history.now());
-    let dialled = |seen: &Observation| *seen == Observation::Accepted(id);
-    let had = cluster.history.count(dialled);
+    let accepted = |seen: &Observation| *seen == Observation::Accepted(id);
+    let had = cluster.history.count(accepted);
     let back = cluster.set_node_state(2, State::Ready);
     cluster
         .history
-        .wait_for("return received by all fronts", 24, told(back));
+        .wait_for("return received by all fronts", 24, event_sent(back));
     cluster
         .history
-        .wait_for("connections of all fronts", had + 24, dialled);
+        .wait_for("connections of all fronts", had + 24, accepted);
     let (worst, _) = cluster
         .history
-        .max_in_window(before, cluster.history.now(), S, dialled);
+        .max_in_window(before, cluster.history.now(), S, accepted);
     assert!(
         worst <= HANDSHAKES as usize + 2,
         "{worst} connections came in one second"
@@ -326,9 +326,9 @@
     let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     // The last event is the third word of the second line.
     let number = |text: String| text.lines().nth(1)?.split(' ').nth(2)?.parse::<u64>().ok();
-    let held =
+    let has_last_event =
         |front: usize| std::fs::read_to_string(file(front)).ok().and_then(number) == Some(last);
-    while !(0..8).all(held) {
+    while !(0..8).all(has_last_event) {
         assert!(
             std::time::Instant::now() < until,
             "not all lists are on disk"
@@ -367,24 +367,26 @@
         );
     }
     cluster.list_service.set(ServiceMode::Serve);
-    let told = |seen: &Observation| matches!(seen, Observation::EventSent(front, n) if *n == last && *front < 4);
+    let event_sent = |seen: &Observation| matches!(seen, Observation::EventSent(front, n) if *n == last && *front < 4);
     let before = cluster
         .history
-        .timestamps(told)
+        .timestamps(event_sent)
         .iter()
         .filter(|at| **at < back)
         .count();
-    cluster
-        .history
-        .wait_for("event received by fronts without a list", before + 4, told);
+    cluster.history.wait_for(
+        "event received by fronts without a list",
+        before + 4,
+        event_sent,
+    );
     cluster.wait_served("responses with the list service", 200);
     // Fronts with a list ask only for later events, of which there are none.
-    let again =
+    let restarted_response =
         |seen: &Observation| matches!(seen, Observation::EventSent(front, _) if *front >= 4);
     assert_eq!(
         cluster
             .history
-            .timestamps(again)
+            .timestamps(restarted_response)
             .into_iter()
             .filter(|at| *at >= back)
             .count(),
@@ -502,29 +504,30 @@
     // The service restarts with another list and low event numbers.
     cluster.list_service.set(ServiceMode::Down);
     cluster.list_service.clear_events();
-    let whole = cluster.publish_all(&[(1, State::Draining)]);
+    let new_list = cluster.publish_all(&[(1, State::Draining)]);
     let back = cluster.history.now();
     cluster.list_service.set(ServiceMode::Serve);
-    let told = |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == whole);
+    let event_sent =
+        |seen: &Observation| matches!(seen, Observation::EventSent(_, n) if *n == new_list);
     let before = cluster
         .history
-        .timestamps(told)
+        .timestamps(event_sent)
         .iter()
         .filter(|at| **at < back)
         .count();
     let at = cluster
         .history
-        .wait_for("new list received by all fronts", before + 8, told);
+        .wait_for("new list received by all fronts", before + 8, event_sent);
     assert!(
         at - back < 15 * S,
         "new list received after {:?}",
         at - back
     );
     std::thread::sleep(S);
-    let heeds = cluster.history.now();
+    let applied_at = cluster.history.now();
     cluster.wait_served("responses afterwards", 300);
     assert_eq!(
-        attempts_to_cache(&cluster, 1, &(0..8).collect::<Vec<_>>(), heeds),
+        attempts_to_cache(&cluster, 1, &(0..8).collect::<Vec<_>>(), applied_at),
         0,
         "a front used the cache that drains in the new list"
     );
@@ -549,11 +552,11 @@
         1 + std::process::id() / 64 % 250,
         1 + fleet
     );
-    let mut ask: Vec<String> = (0..fronts).map(|n| format!("{host}:2{n:04}")).collect();
-    ask.extend_from_slice(more);
+    let mut peer_addresses: Vec<String> = (0..fronts).map(|n| format!("{host}:2{n:04}")).collect();
+    peer_addresses.extend_from_slice(more);
     json!({"startup": {
         "calls_per_s": calls_per_s, "wait_most_ms": 600_000, "list": "main",
-        "peers": {"listen": format!("{host}:2{{nnnn}}"), "ask": ask, "every_ms": 500}
+        "peers": {"listen": format!("{host}:2{{nnnn}}"), "ask": peer_addresses, "every_ms": 500}
     }})
 }
 
@@ -582,14 +585,15 @@
     std::thread::sleep(2 * S);
     let back = cluster.history.now();
     cluster.list_service.set(ServiceMode::Serve);
-    let told = |cluster: &TestCluster, front: usize| {
+    let event_sent = |cluster: &TestCluster, front: usize| {
         cluster
             .history
             .count(|s| matches!(s, Observation::EventSent(by, _) if *by == front))
             > 0
     };
     let until = back + 30 * S;
-    while !(0..30).all(|front| told(&cluster, front) || has_list_from_peers(&cluster, front)) {
+    while !(0..30).all(|front| event_sent(&cluster, front) || has_list_from_peers(&cluster, front))
+    {
         assert!(cluster.history.now() < until, "not all hold the list");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -676,20 +680,20 @@
         link_groups: 0,
     };
     let settings = peers(6, &addresses, 50);
-    let ask: Vec<String> =
+    let peer_addresses: Vec<String> =
         serde_json::from_value(settings["startup"]["peers"]["ask"].clone()).unwrap();
     let mut cluster = start_cluster_with(shape, Some(&settings), 22);
     let clients = cluster.start_clients(22);
     cluster.purge(9);
     let last = cluster.set_node_state(1, State::Draining);
     assert_eq!(last, 3);
-    let told = |cluster: &TestCluster, front: usize| {
+    let event_sent = |cluster: &TestCluster, front: usize| {
         cluster.history.count(
             |seen| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last),
         ) > 0
     };
     let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
-    while !(0..6).all(|front| told(&cluster, front) || has_list_from_peers(&cluster, front)) {
+    while !(0..6).all(|front| event_sent(&cluster, front) || has_list_from_peers(&cluster, front)) {
         assert!(std::time::Instant::now() < until, "not all hold the list");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -699,7 +703,7 @@
             std::time::Instant::now() < until,
             "no front serves its list to peers"
         );
-        let mut socket = std::net::TcpStream::connect(&ask[2]).unwrap();
+        let mut socket = std::net::TcpStream::connect(&peer_addresses[2]).unwrap();
         socket.write_all(&[0; 8]).unwrap();
         let mut text = String::new();
         socket.read_to_string(&mut text).unwrap();
@@ -715,7 +719,7 @@
             .count()
     });
     cluster.restart(&[0, 1]);
-    let again = |cluster: &TestCluster, front: usize| {
+    let restarted_response = |cluster: &TestCluster, front: usize| {
         cluster
             .fleet
             .log(front)
@@ -723,7 +727,7 @@
             .count()
             > had[front]
     };
-    while !(again(&cluster, 0) && again(&cluster, 1)) {
+    while !(restarted_response(&cluster, 0) && restarted_response(&cluster, 1)) {
         assert!(
             std::time::Instant::now() < until,
             "{}\n{}",
@@ -770,16 +774,18 @@
         cluster.kill(&some);
         cluster.restart(&some);
         for front in some {
-            let again = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
+            let restarted_response = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, 1) if *by == front);
             let before = cluster
                 .history
-                .timestamps(again)
+                .timestamps(restarted_response)
                 .iter()
                 .filter(|at| **at < from)
                 .count();
-            cluster
-                .history
-                .wait_for("response of a restarted front", before + 1, again);
+            cluster.history.wait_for(
+                "response of a restarted front",
+                before + 1,
+                restarted_response,
+            );
         }
         let others = |seen: &Observation| matches!(seen, Observation::ClientResponse(by, _, code) if !some.contains(by) && *code != 1);
         let bad = cluster
@@ -854,27 +860,28 @@
         link_groups: 0,
     };
     let mut settings = peers(6, &[], 50);
-    let mut ask: Vec<String> =
+    let mut peer_addresses: Vec<String> =
         serde_json::from_value(settings["startup"]["peers"]["ask"].clone()).unwrap();
     // The link to front 1 passes nothing back, the one to front 2 nothing forward.
-    let links = [1, 2].map(|front: usize| Link::new(ask[front].parse().unwrap()));
-    (ask[1], ask[2]) = (links[0].address.to_string(), links[1].address.to_string());
-    settings["startup"]["peers"]["ask"] = json!(ask);
+    let links = [1, 2].map(|front: usize| Link::new(peer_addresses[front].parse().unwrap()));
+    (peer_addresses[1], peer_addresses[2]) =
+        (links[0].address.to_string(), links[1].address.to_string());
+    settings["startup"]["peers"]["ask"] = json!(peer_addresses);
     let mut cluster = start_cluster_with(shape, Some(&settings), 41);
     let clients = cluster.start_clients(41);
     let last = cluster.set_node_state(1, State::Draining);
-    let holds = |cluster: &TestCluster, front: usize, times: usize| {
-        let told = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
+    let has_event = |cluster: &TestCluster, front: usize, times: usize| {
+        let event_sent = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
         let by_peers = cluster
             .fleet
             .log(front)
             .matches("the list is taken from peers")
             .count();
-        cluster.history.count(told) + by_peers > times
+        cluster.history.count(event_sent) + by_peers > times
     };
     let until = std::time::Instant::now() + cranesill_rig::WAIT_TIMEOUT;
     let wait = |cluster: &TestCluster, front: usize, times: usize| {
-        while !holds(cluster, front, times) {
+        while !has_event(cluster, front, times) {
             assert!(
                 std::time::Instant::now() < until,
                 "front {front}: {}",
@@ -891,8 +898,8 @@
     let stopped = cluster.history.now();
     // Only fronts 4 and 5 can serve the list; a restarted front has only its configuration.
     let count = |cluster: &TestCluster, front: usize| {
-        let told = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
-        cluster.history.count(told)
+        let event_sent = |seen: &Observation| matches!(seen, Observation::EventSent(by, n) if *by == front && *n == last);
+        cluster.history.count(event_sent)
             + cluster
                 .fleet
                 .log(front)
--- a/front/tests/fleet_purges.rs
+++ b/front/tests/fleet_purges.rs
@@ -169,17 +169,17 @@
                     {
                         continue;
                     }
-                    let Some(told) = connected.receive() else {
+                    let Some(response) = connected.receive() else {
                         continue;
                     };
                     client = Some(connected);
-                    let Some((_, rest)) = told.split_once("born=") else {
+                    let Some((_, rest)) = response.split_once("born=") else {
                         refused += 1;
                         continue;
                     };
                     answered += 1;
-                    let (born, tags) = rest.split_once(" tags=").unwrap();
-                    let born: u64 = born.parse().unwrap();
+                    let (created_ms, tags) = rest.split_once(" tags=").unwrap();
+                    let created_ms: u64 = created_ms.parse().unwrap();
                     // The writer applies a purge immediately, followers within their lease.
                     let slack = if i == 0 { GRACE } else { LEASE + GRACE };
                     for p in purged
@@ -188,10 +188,10 @@
                         .iter()
                         .filter(|p| p.confirmed_ms + slack < sent)
                     {
-                        let stale = born < p.at_ms && p.concerns(&item, tags);
+                        let stale = created_ms < p.at_ms && p.concerns(&item, tags);
                         assert!(
                             !stale,
-                            "front {i}, request at {sent}: copy of {item} from {born} ({tags}), purged at {}",
+                            "front {i}, request at {sent}: copy of {item} from {created_ms} ({tags}), purged at {}",
                             p.at_ms
                         );
                     }
@@ -217,7 +217,7 @@
             Some(tag) => run(&folders[0], &["purge", "--tag", tag]),
             None => run(&folders[0], &["purge", "--pattern", &pattern]),
         };
-        let told = wall();
+        let confirmed_ms = wall();
         assert_eq!(code, 0, "{text}");
         let number = serde_json::from_str::<Value>(&text).unwrap()["number"]
             .as_u64()
@@ -228,7 +228,7 @@
             .unwrap();
         purged.lock().unwrap().push(Purged {
             at_ms: at,
-            confirmed_ms: told,
+            confirmed_ms,
             tag,
             prefix,
         });
--- a/front/tests/list_service_outage.rs
+++ b/front/tests/list_service_outage.rs
@@ -141,10 +141,10 @@
     assert!(history.timestamps(call).len() <= 36 + 24);
     assert_eq!(fleet.exited(), []);
     // All fronts are subscribed, with a new connection or without.
-    let gone = history
+    let ended = history
         .timestamps(|seen| *seen == Observation::SubscriptionEnded)
         .len();
-    history.wait_for("subscribed fronts", 24 + gone, served);
+    history.wait_for("subscribed fronts", 24 + ended, served);
 }
 
 #[test]
@@ -152,35 +152,35 @@
     // Both directions are cut, then only the one from the service; then connections are refused, and finally the link heals.
     let history = History::default();
     let list = ListService::new(&history, ServiceMode::Serve);
-    let (near, far) = (Link::new(list.address), Link::new(list.address));
+    let (working, impaired) = (Link::new(list.address), Link::new(list.address));
     let mut fleet = fleet_by(32, |n| {
         if n % 2 == 0 {
-            near.address
+            working.address
         } else {
-            far.address
+            impaired.address
         }
     });
     history.wait_for("subscribed fronts", 32, served);
-    let whole = history.now();
+    let all_subscribed = history.now();
     for (there, back) in [
         (Transmission::Cut, Transmission::Cut),
         (Transmission::Pass, Transmission::Cut),
     ] {
-        far.set(there, back);
+        impaired.set(there, back);
         // A front notices the silence after 2.5 s and then calls within the budget.
         std::thread::sleep(9 * S);
     }
-    far.reset();
-    far.refuse(true);
+    impaired.reset();
+    impaired.refuse(true);
     std::thread::sleep(6 * S);
-    let (second, at) = history.max_in_window(whole + 4 * S, history.now(), S, call);
+    let (second, at) = history.max_in_window(all_subscribed + 4 * S, history.now(), S, call);
     assert!(
         second <= CALLS_PER_SECOND,
         "{second} calls in the second from {at:?}"
     );
     let before = history.timestamps(served).len();
     let back = history.now();
-    far.heal();
+    impaired.heal();
     let all = history.wait_for("fronts subscribed again", before + 16, served);
     assert!(
         all <= back + RECOVERY_TIMEOUT,
@@ -200,11 +200,11 @@
         history
             .timestamps(call)
             .iter()
-            .filter(|at| **at < whole)
+            .filter(|at| **at < all_subscribed)
             .count(),
         32
     );
-    drop(near);
+    drop(working);
     assert_eq!(fleet.exited(), []);
 }
 
@@ -244,13 +244,13 @@
     list.set(ServiceMode::Serve);
     let back = history.now();
     // Subscriptions and their ends are recorded for all fronts.
-    let held =
+    let subscribed =
         || history.count(served) - history.count(|seen| *seen == Observation::SubscriptionEnded);
-    while held() < 40 {
+    while subscribed() < 40 {
         assert!(
             history.now() <= back + RECOVERY_TIMEOUT,
             "{} of 40 fronts subscribed",
-            held()
+            subscribed()
         );
         std::thread::sleep(S / 100);
     }
--- a/front/tests/operations.rs
+++ b/front/tests/operations.rs
@@ -95,7 +95,7 @@
 fn counters_match_what_clients_and_nodes_observed() {
     let setup = TestFront::new(with_operator_address);
     let at = operator_address(&setup.log);
-    let asked = setup
+    let request_counts = setup
         .caches
         .iter()
         .map(serve_hits)
@@ -125,7 +125,10 @@
     client.send(20, 32, &[0]);
     while !client.receive().unwrap().contains("stream 32") {}
     let received = counters(at);
-    let tries: u32 = asked.iter().map(|n| n.load(Ordering::SeqCst)).sum();
+    let attempts: u32 = request_counts
+        .iter()
+        .map(|n| n.load(Ordering::SeqCst))
+        .sum();
     for (name, n) in seen {
         let slack = u64::from(name == "handled.page-bits.passed");
         assert!(
@@ -135,8 +138,8 @@
         );
     }
     assert!(
-        received["upstream_tries"].abs_diff(tries.into()) <= 1,
-        "counter {}, nodes saw {tries}",
+        received["upstream_tries"].abs_diff(attempts.into()) <= 1,
+        "counter {}, nodes saw {attempts}",
         received["upstream_tries"]
     );
     assert_eq!(
@@ -213,7 +216,7 @@
 #[test]
 fn no_request_fails_while_processes_are_replaced_under_load() {
     let setup = TestFront::new(|_| {});
-    let asked: Vec<_> = setup.caches.iter().map(serve_hits).collect();
+    let request_counts: Vec<_> = setup.caches.iter().map(serve_hits).collect();
     serve_hits(&setup.origin);
     let inherited = InheritedListener::new(&setup.config);
     let (mut old, mut ops) = inherited.start();
@@ -227,7 +230,7 @@
     );
     // A cordoned node stays cordoned across processes, also one cordoned in between.
     assert_eq!(operator_command(ops, "cordon s-00000011"), "+OK out\n");
-    let out = asked[0].load(Ordering::SeqCst);
+    let out = request_counts[0].load(Ordering::SeqCst);
     for round in 0..3 {
         let (new, new_ops) = inherited.start();
         wait_for_line(&new.log, "waits for another process");
@@ -253,7 +256,7 @@
         assert_eq!(counters(new_ops)["handled.page-bits.passed"], 0);
         if round == 2 {
             assert_eq!(
-                asked[0].load(Ordering::SeqCst),
+                request_counts[0].load(Ordering::SeqCst),
                 out,
                 "a cordoned node received requests"
             );
@@ -266,7 +269,7 @@
         assert!(old.child.wait().unwrap().success());
         (old, ops) = (new, new_ops);
     }
-    let before = asked
+    let before = request_counts
         .iter()
         .map(|n| n.load(Ordering::SeqCst))
         .collect::<Vec<_>>();
@@ -286,12 +289,12 @@
     client.request(1, "page-bits", "20000", &[], b"");
     assert!(client.receive().unwrap().contains("bytes"));
     assert_eq!(
-        asked[1].load(Ordering::SeqCst),
+        request_counts[1].load(Ordering::SeqCst),
         before[1],
         "the node cordoned last received requests"
     );
     assert!(
-        asked[0].load(Ordering::SeqCst) > out,
+        request_counts[0].load(Ordering::SeqCst) > out,
         "the uncordoned node received no requests"
     );
 }
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -32,7 +32,7 @@
 struct Cache {
     copies: Arc<Mutex<HashMap<String, Copy>>>,
     /// Maximum age in milliseconds of each fetch; 0 for none.
-    asked: Arc<Mutex<Vec<u64>>>,
+    max_ages: Arc<Mutex<Vec<u64>>>,
     ignores_max_age: bool,
     /// Does not answer purge commands.
     ignores_purges: Arc<AtomicBool>,
@@ -42,7 +42,7 @@
 
 impl Cache {
     /// Applies a batch of purges in order.
-    fn purge(&self, link: &mut NodeConnection, id: &str, fields: &str, body: &[u8]) {
+    fn purge(&self, node: &mut NodeConnection, id: &str, fields: &str, body: &[u8]) {
         let field = |name: &str| {
             fields
                 .split(',')
@@ -50,14 +50,18 @@
                 .unwrap()
                 .to_string()
         };
-        let ledger = u64::from_str_radix(&field("ledger"), 16).unwrap();
+        let log_identity = u64::from_str_radix(&field("ledger"), 16).unwrap();
         let (after, upto): (u64, u64) = (
             field("after").parse().unwrap(),
             field("upto").parse().unwrap(),
         );
         let mut applied = self.applied.lock().unwrap();
         if upto > 0 {
-            let held = if applied.0 == ledger { applied.1 } else { 0 };
+            let held = if applied.0 == log_identity {
+                applied.1
+            } else {
+                0
+            };
             assert!(
                 after <= held,
                 "batch after purge {after} sent to a cache at purge {held}"
@@ -82,13 +86,13 @@
                 });
             }
             assert!(rest.is_empty() && number == upto);
-            *applied = (ledger, held.max(upto));
+            *applied = (log_identity, held.max(upto));
         }
         let fields = format!("ledger={:016x},upto={}", applied.0, applied.1);
         drop(applied);
         let parts = [id, "DONE", &fields, ""].map(|p| format!("${}\r\n{p}\r\n", p.len()));
         std::io::Write::write_all(
-            link.0.get_mut(),
+            node.0.get_mut(),
             format!("*4\r\n{}", parts.concat()).as_bytes(),
         )
         .unwrap();
@@ -100,13 +104,13 @@
             for socket in listener.incoming().map_while(Result::ok) {
                 let cache = cache.clone();
                 std::thread::spawn(move || {
-                    let mut link = NodeConnection(std::io::BufReader::new(socket));
-                    while let Some(words) = link.receive_raw() {
+                    let mut node = NodeConnection(std::io::BufReader::new(socket));
+                    while let Some(words) = node.receive_raw() {
                         let text = |i: usize| String::from_utf8_lossy(&words[i]).to_string();
                         match text(0).as_str() {
-                            "fetch" => cache.answer(&mut link, &[text(0), text(1), text(2)]),
+                            "fetch" => cache.answer(&mut node, &[text(0), text(1), text(2)]),
                             "purge" if cache.ignores_purges.load(Ordering::SeqCst) => {}
-                            "purge" => cache.purge(&mut link, &text(1), &text(2), &words[3]),
+                            "purge" => cache.purge(&mut node, &text(1), &text(2), &words[3]),
                             _ => {}
                         }
                     }
@@ -115,7 +119,7 @@
         });
     }
 
-    fn answer(&self, link: &mut NodeConnection, words: &[String]) {
+    fn answer(&self, node: &mut NodeConnection, words: &[String]) {
         let field = |name: &str| {
             words[2]
                 .split(',')
@@ -124,7 +128,7 @@
         };
         let item = field("item").unwrap_or_default();
         let oldest: u64 = field("oldest").map_or(0, |o| o.parse().unwrap());
-        self.asked.lock().unwrap().push(oldest);
+        self.max_ages.lock().unwrap().push(oldest);
         let mut copies = self.copies.lock().unwrap();
         let copy = copies.entry(item).or_insert(Copy {
             created_ms: unix_ms(),
@@ -143,7 +147,7 @@
         let parts =
             [words[1].as_str(), "HIT", &fields, &body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
         std::io::Write::write_all(
-            link.0.get_mut(),
+            node.0.get_mut(),
             format!("*4\r\n{}", parts.concat()).as_bytes(),
         )
         .unwrap();
@@ -174,7 +178,7 @@
 }
 
 impl Fixture {
-    fn new(ignores_max_age: bool, boxes: bool) -> Fixture {
+    fn new(ignores_max_age: bool, purges_nodes: bool) -> Fixture {
         let fixture = Fixture {
             folder: tempfile::tempdir().unwrap(),
             cache: Cache {
@@ -184,7 +188,7 @@
         };
         let mut settings = json!({"control": {"path": fixture.path("control")},
                                   "purges": {"file": fixture.path("purges"), "skew_ms": 0, "horizon_s": 3600}});
-        if boxes {
+        if purges_nodes {
             settings["purges"]["boxes"] = json!({"kinds": ["origin"], "connections_most": 8});
         }
         std::fs::write(fixture.path("daemon.json"), settings.to_string()).unwrap();
@@ -293,15 +297,15 @@
         plain,
         "the object without the tag was fetched again"
     );
-    let asked = fixture.cache.asked.lock().unwrap().clone();
+    let max_ages = fixture.cache.max_ages.lock().unwrap().clone();
     assert_eq!(
-        (asked[3], asked[1]),
+        (max_ages[3], max_ages[1]),
         (8_000, 8_000),
-        "maximum age differs from that of the class: {asked:?}"
+        "maximum age differs from that of the class: {max_ages:?}"
     );
     assert!(
-        asked[2] < 8_000,
-        "the purged object was requested without a lower maximum age: {asked:?}"
+        max_ages[2] < 8_000,
+        "the purged object was requested without a lower maximum age: {max_ages:?}"
     );
     // A repeated command is the same purge; another target with the same id is rejected.
     assert_eq!(
@@ -432,7 +436,7 @@
 }
 
 /// Starts a front with its own folder that follows the writer on a port.
-fn follower(fixture: &Fixture, port: u16, without: &str) -> (Fixture, TestFront) {
+fn follower(fixture: &Fixture, port: u16, without_contact: &str) -> (Fixture, TestFront) {
     let follower = Fixture {
         folder: tempfile::tempdir().unwrap(),
         cache: fixture.cache.clone(),
@@ -440,7 +444,7 @@
     let settings = json!({"control": {"path": follower.path("control")},
                           "purges": {"file": follower.path("purges"), "skew_ms": 0,
                                      "follow": {"address": format!("127.0.0.1:{port}"), "lease_ms": 1000,
-                                                "without_contact": without}}});
+                                                "without_contact": without_contact}}});
     std::fs::write(follower.path("daemon.json"), settings.to_string()).unwrap();
     let setup = follower.start();
     (follower, setup)
@@ -507,10 +511,10 @@
     // An object without a matching purge, on a front that knows its tags.
     assert!(request(&loose, 2, other).is_ok());
     writer.store(other, 3_000, Some("swift"));
-    let going = request(&loose, 4, other).unwrap();
+    let served_copy = request(&loose, 4, other).unwrap();
     assert!(
-        going <= held + 1_000,
-        "the available follower did not serve the copy: {going} of {held}"
+        served_copy <= held + 1_000,
+        "the available follower did not serve the copy: {served_copy} of {held}"
     );
     assert!(
         request(&setup, 3, other).unwrap() > held + 1_000,
--- a/front/tests/races.rs
+++ b/front/tests/races.rs
@@ -15,44 +15,44 @@
 const CANCELLED: Duration = Duration::from_millis(100);
 
 /// Waits until a duration has passed since a time.
-fn wait_since(moment: Instant, span: Duration) {
-    std::thread::sleep(span.saturating_sub(moment.elapsed()));
+fn wait_since(start: Instant, duration: Duration) {
+    std::thread::sleep(duration.saturating_sub(start.elapsed()));
 }
 
 /// Whether a connection delivers neither bytes nor its end for a while.
-fn is_silent(link: &mut NodeConnection) -> bool {
-    link.0
+fn is_silent(node: &mut NodeConnection) -> bool {
+    node.0
         .get_ref()
         .set_read_timeout(Some(SETTLE_TIME))
         .unwrap();
-    let read = link.0.read(&mut [0; 1]);
+    let read = node.0.read(&mut [0; 1]);
     matches!(read, Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
 /// Whether a connection of the front carries no command; it may be closed.
-fn is_unused(link: &mut NodeConnection) -> bool {
-    link.0
+fn is_unused(node: &mut NodeConnection) -> bool {
+    node.0
         .get_ref()
         .set_read_timeout(Some(SETTLE_TIME))
         .unwrap();
-    !matches!(link.0.read(&mut [0; 1]), Ok(n) if n > 0)
+    !matches!(node.0.read(&mut [0; 1]), Ok(n) if n > 0)
 }
 
 /// Number of connections established within two seconds, which covers a retry of the system; `None` if one carries a command.
 fn late_connections(at: &TcpListener) -> Option<usize> {
     at.set_nonblocking(true).unwrap();
-    let (mut links, by) = (0, Instant::now() + Duration::from_secs(2));
+    let (mut connections, by) = (0, Instant::now() + Duration::from_secs(2));
     while Instant::now() < by {
         if let Ok((stream, _)) = at.accept() {
             stream.set_nonblocking(false).unwrap();
-            links += 1;
+            connections += 1;
             if !is_unused(&mut NodeConnection(BufReader::new(stream))) {
                 return None;
             }
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    Some(links)
+    Some(connections)
 }
 
 /// Writes the same bytes repeatedly until the front closes the connection or the test stops it.
@@ -118,8 +118,8 @@
         if class == "page-bits" {
             let (_, mut other) = accept_any_node(&setup);
             let fetch = other.receive().unwrap();
-            other.respond(&fetch[1], "HIT", "-", "whole");
-            assert!(client.receive().unwrap().ends_with("whole"));
+            other.respond(&fetch[1], "HIT", "-", "complete");
+            assert!(client.receive().unwrap().ends_with("complete"));
         } else {
             // The write may have been executed, so the request fails.
             assert!(client
@@ -176,8 +176,8 @@
     // The request moves although the node keeps sending.
     let (_, mut other) = accept_any_node(&setup);
     let fetch = other.receive().unwrap();
-    other.respond(&fetch[1], "HIT", "-", "whole");
-    assert!(client.receive().unwrap().ends_with("whole"));
+    other.respond(&fetch[1], "HIT", "-", "complete");
+    assert!(client.receive().unwrap().ends_with("complete"));
     assert!(flood.end(), "the front did not close the connection");
 }
 
@@ -201,13 +201,13 @@
     let fetch = first.receive().unwrap();
     // A complete response and half of an unrelated one, behind which a further request would have to wait.
     let half = hit_response("00000000000000ff", "not asked for");
-    let whole = hit_response(&fetch[1], "whole");
+    let complete = hit_response(&fetch[1], "complete");
     first
         .0
         .get_mut()
-        .write_all(&[whole.as_bytes(), &half.as_bytes()[..40]].concat())
+        .write_all(&[complete.as_bytes(), &half.as_bytes()[..40]].concat())
         .unwrap();
-    assert!(client.receive().unwrap().ends_with("whole"));
+    assert!(client.receive().unwrap().ends_with("complete"));
     client.request(2, "book-car", "5000", &[], b"keys");
     let mut origin = accept_node(&setup.origin);
     let fetch = origin.receive().unwrap();
@@ -314,7 +314,7 @@
         drop(accept(&setup.origin));
         drop(filler);
         assert!(
-            late_connections(&setup.origin).is_some_and(|links| links <= 1),
+            late_connections(&setup.origin).is_some_and(|connections| connections <= 1),
             "{leaves}"
         );
     }
@@ -342,8 +342,8 @@
     wait_since(Instant::now(), CANCELLED);
     drop(accept(&setup.origin));
     drop(filler);
-    let links = late_connections(&setup.origin).expect("nothing is asked on them");
-    assert!(links > 0, "no connection was established");
+    let connections = late_connections(&setup.origin).expect("a late connection carried a command");
+    assert!(connections > 0, "no connection was established");
 }
 
 #[test]
@@ -403,10 +403,10 @@
     client.request(1, "page-bits", "400", &[], b"");
     let (_, mut cache) = accept_any_node(&setup);
     let fetch = cache.receive().unwrap();
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     setup.while_stopped(|| {
         cache.respond(&fetch[1], "HIT", "-", "just in time");
-        while asked.elapsed() < Duration::from_millis(500) {
+        while sent_at.elapsed() < Duration::from_millis(500) {
             std::thread::yield_now();
         }
     });
@@ -525,15 +525,15 @@
         .for_each(|at| drop(accept(at)));
     drop(fillers);
     let fetch = loop {
-        let (_, mut link) = accept_any_node(&setup);
-        if let Some(fetch) = link.receive() {
+        let (_, mut node) = accept_any_node(&setup);
+        if let Some(fetch) = node.receive() {
             break fetch;
         }
     };
     let oldest = fetch[2]
         .split(',')
         .find_map(|field| field.strip_prefix("oldest="))
-        .expect("an age is asked for");
+        .expect("the fetch has no maximum age");
     let oldest = Duration::from_millis(oldest.parse().unwrap());
     assert!(
         oldest > Duration::ZERO && oldest <= purged.elapsed() + Duration::from_millis(50),
@@ -571,8 +571,8 @@
     client.0.shutdown(std::net::Shutdown::Write).unwrap();
     // The front has seen the half-close and asks the client to reconnect.
     assert!(client.receive().unwrap().starts_with("type 30 stream 0"));
-    cache.respond(&fetch[1], "HIT", "-", "whole");
-    assert!(client.receive().unwrap().ends_with("whole"));
+    cache.respond(&fetch[1], "HIT", "-", "complete");
+    assert!(client.receive().unwrap().ends_with("complete"));
     assert_eq!(client.receive(), None);
 }
 
@@ -613,9 +613,9 @@
     cache.respond(&fetch[1], "HIT", "-", "");
     client.receive().unwrap();
     setup.while_stopped(|| {
-        let mut leaves = setup.client();
-        leaves.request(2, "page-bits", "5000", &[], b"");
-        drop(leaves);
+        let mut departing = setup.client();
+        departing.request(2, "page-bits", "5000", &[], b"");
+        drop(departing);
         wait_since(Instant::now(), CANCELLED);
     });
     wait_since(Instant::now(), CANCELLED);
@@ -628,15 +628,15 @@
 fn cancellation_from_a_throttled_client_is_read_in_time() {
     // A rejected request is retried after a tenth of the latency objective, 0.12 s.
     let setup = TestFront::new(|config| config["settings"]["classes"][2]["aim"] = 1_200_000.into());
-    let asked = RecordedRequests::default();
-    record_requests(&setup.origin, &asked);
+    let recorded = RecordedRequests::default();
+    record_requests(&setup.origin, &recorded);
     let attempts = |stream: u32| {
         let id = format!("{stream:016x}");
-        asked
+        recorded
             .lock()
             .unwrap()
             .iter()
-            .filter(|(asked, _)| *asked == id)
+            .filter(|(recorded, _)| *recorded == id)
             .count()
     };
     // Several clients, as the delay depends on the position in the front's sweeps every 250 ms.
@@ -652,7 +652,7 @@
         client.send(12, stream, b"");
         let turned_away =
             format!("*4\r\n$16\r\n{stream:016x}\r\n$4\r\nSHED\r\n$1\r\n-\r\n$0\r\n\r\n");
-        asked
+        recorded
             .lock()
             .unwrap()
             .last_mut()
@@ -674,14 +674,14 @@
     let setup = TestFront::new(|_| {});
     let (mut stream, _) = accept_feed(&setup.feed);
     // Cancellations of unknown requests have no response.
-    let gone = [0, 0, 0, 5, 12, 0, 0, 0, 9].repeat(4_000);
+    let cancellations = [0, 0, 0, 5, 12, 0, 0, 0, 9].repeat(4_000);
     let floods: Vec<_> = (0..8)
-        .map(|_| Flood::new(setup.client().0, gone.clone()))
+        .map(|_| Flood::new(setup.client().0, cancellations.clone()))
         .collect();
     let mut client = setup.client();
     for n in 1..=5 {
         client.request(n, "page-bits", "400", &[], b"");
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         assert!(
             client
                 .receive()
@@ -690,9 +690,9 @@
             "no response without a node that responds"
         );
         assert!(
-            asked.elapsed() < Duration::from_millis(1_400),
+            sent_at.elapsed() < Duration::from_millis(1_400),
             "{:?}",
-            asked.elapsed()
+            sent_at.elapsed()
         );
     }
     let nodes = [0, 1]
@@ -734,29 +734,29 @@
                 config["settings"]["classes"][class]["deadline"] = longest.into()
             });
         });
-        let (mut waits, mut rests) = (setup.client(), setup.client());
-        rests.send(20, 1, &[0]);
-        assert!(rests.receive().unwrap().starts_with("type 21"));
+        let (mut waiting, mut idle) = (setup.client(), setup.client());
+        idle.send(20, 1, &[0]);
+        assert!(idle.receive().unwrap().starts_with("type 21"));
         setup.signal("-TERM");
         let terminated_at = Instant::now();
-        assert!(waits.receive().unwrap().starts_with("type 30"));
-        assert!(rests.receive().unwrap().starts_with("type 30"));
+        assert!(waiting.receive().unwrap().starts_with("type 30"));
+        assert!(idle.receive().unwrap().starts_with("type 30"));
         // This request arrives after the signal and has a longer timeout than remains.
         while terminated_at.elapsed() < Duration::from_millis(600) {
             std::thread::sleep(Duration::from_millis(5));
         }
-        waits.request(1, "page-bits", "50000", &[], b"");
+        waiting.request(1, "page-bits", "50000", &[], b"");
         let (_, mut cache) = accept_any_node(&setup);
         cache.receive().unwrap();
         ["-TERM", "-HUP"]
             .iter()
             .for_each(|signal| setup.signal(signal));
         assert!(
-            waits.receive().unwrap().starts_with("type 11 stream 1"),
+            waiting.receive().unwrap().starts_with("type 11 stream 1"),
             "{longest}"
         );
         assert!(
-            closes_cleanly(&mut waits) && closes_cleanly(&mut rests),
+            closes_cleanly(&mut waiting) && closes_cleanly(&mut idle),
             "{longest}"
         );
         let took = wait_exit(&mut setup, terminated_at);
@@ -779,7 +779,7 @@
         }
         (answered, Instant::now())
     });
-    let mut asked: Vec<(u32, Instant)> = Vec::new();
+    let mut sent: Vec<(u32, Instant)> = Vec::new();
     for stream in 1u32.. {
         let (txn, part) = (format!("{stream:016x}"), stream.to_string());
         let more = [
@@ -790,14 +790,14 @@
         if answers.is_finished() || client.try_request(stream, "page-bits", &more).is_err() {
             break;
         }
-        asked.push((stream, Instant::now()));
+        sent.push((stream, Instant::now()));
         // Keeps the number of open requests below the limit of a connection.
         std::thread::sleep(Duration::from_millis(120));
     }
     let (answered, ended): (Vec<u32>, Instant) = answers.join().unwrap();
     // Requests sent shortly before the close may be unread; their client repeats them on another front.
     let before = |at: Instant| at + Duration::from_millis(50) < ended;
-    let open = asked
+    let open = sent
         .iter()
         .filter(|(stream, at)| before(*at) && !answered.contains(stream));
     (open.map(|(stream, _)| *stream).collect(), answered.len())
@@ -813,10 +813,10 @@
         });
         // One node responds, the others never do.
         drop(operations::serve_hits(&setup.caches[0]));
-        let asked = RecordedRequests::default();
+        let recorded = RecordedRequests::default();
         [&setup.caches[1], &setup.origin]
             .iter()
-            .for_each(|at| record_requests(at, &asked));
+            .for_each(|at| record_requests(at, &recorded));
         let clients: Vec<_> = (0..8).map(|_| setup.client()).collect();
         let clients = clients
             .into_iter()
@@ -841,15 +841,15 @@
 fn request_on_a_shut_down_connection_is_not_forwarded() {
     let setup = TestFront::new(operations::with_operator_address);
     let at = operations::operator_address(&setup.log);
-    let mut rests = setup.client();
-    rests.send(20, 1, &[0]);
-    assert!(rests.receive().unwrap().starts_with("type 21"));
+    let mut idle = setup.client();
+    idle.send(20, 1, &[0]);
+    assert!(idle.receive().unwrap().starts_with("type 21"));
     // A quiesced front closes idle connections and still serves on others.
     let emptied = Instant::now();
     operations::operator_command(at, "quiesce");
-    assert!(rests.receive().unwrap().starts_with("type 30") && closes_cleanly(&mut rests));
+    assert!(idle.receive().unwrap().starts_with("type 30") && closes_cleanly(&mut idle));
     // A request sent before the client sees the close is dropped without a reset.
-    rests.request(2, "page-bits", "5000", &[], b"");
+    idle.request(2, "page-bits", "5000", &[], b"");
     assert!(
         late_connections(&setup.caches[0]) == Some(0)
             && late_connections(&setup.caches[1]) == Some(0)
@@ -865,19 +865,19 @@
     // Whether the front is still running when the client sees the close depends on the scheduler, hence five attempts.
     let shown = (0..5).any(|_| {
         let mut setup = TestFront::new(|_| {});
-        let mut rests = setup.client();
-        rests.send(20, 1, &[0]);
-        assert!(rests.receive().unwrap().starts_with("type 21"));
+        let mut idle = setup.client();
+        idle.send(20, 1, &[0]);
+        assert!(idle.receive().unwrap().starts_with("type 21"));
         setup.signal("-TERM");
         let terminated_at = Instant::now();
-        assert!(rests.receive().unwrap().starts_with("type 30") && closes_cleanly(&mut rests));
-        if !setup.while_stopped(|| rests.request(2, "page-bits", "5000", &[], b"")) {
+        assert!(idle.receive().unwrap().starts_with("type 30") && closes_cleanly(&mut idle));
+        if !setup.while_stopped(|| idle.request(2, "page-bits", "5000", &[], b"")) {
             return false;
         }
         let took = wait_exit(&mut setup, terminated_at);
         assert!(took < Duration::from_millis(3_700), "{took:?}");
         assert!(
-            rests.0.take_error().unwrap().is_none(),
+            idle.0.take_error().unwrap().is_none(),
             "the connection was reset because of unread bytes"
         );
         true
@@ -1010,17 +1010,17 @@
 type RecordedRequests = Arc<std::sync::Mutex<Vec<(String, TcpStream)>>>;
 
 /// Records the requests of a node without responding.
-fn record_requests(at: &TcpListener, asked: &RecordedRequests) {
-    let (at, asked) = (at.try_clone().unwrap(), Arc::clone(asked));
+fn record_requests(at: &TcpListener, recorded: &RecordedRequests) {
+    let (at, recorded) = (at.try_clone().unwrap(), Arc::clone(recorded));
     std::thread::spawn(move || {
         for stream in at.incoming().map_while(Result::ok) {
-            let asked = Arc::clone(&asked);
+            let recorded = Arc::clone(&recorded);
             std::thread::spawn(move || {
                 let answers = stream.try_clone().unwrap();
-                let mut link = NodeConnection(BufReader::new(stream));
-                while let Some(words) = link.receive() {
+                let mut node = NodeConnection(BufReader::new(stream));
+                while let Some(words) = node.receive() {
                     if words[0] == "fetch" {
-                        asked
+                        recorded
                             .lock()
                             .unwrap()
                             .push((words[1].clone(), answers.try_clone().unwrap()));
@@ -1042,12 +1042,12 @@
                 node["weight"] = 1.into();
             }
         });
-        let asked = RecordedRequests::default();
+        let recorded = RecordedRequests::default();
         setup
             .caches
             .iter()
             .chain([&setup.origin])
-            .for_each(|at| record_requests(at, &asked));
+            .for_each(|at| record_requests(at, &recorded));
         let mut clients: Vec<_> = (0..20).map(|_| setup.client()).collect();
         for (n, client) in clients.iter_mut().enumerate() {
             for stream in 1..=30 {
@@ -1065,7 +1065,7 @@
             while !client.receive().unwrap().starts_with("type 21") {}
         }
         std::thread::sleep(SETTLE_TIME);
-        let out = asked.lock().unwrap().len();
+        let out = recorded.lock().unwrap().len();
         assert!(
             0 < out && out < 600,
             "{out} of 600 requests were sent to nodes"
@@ -1084,12 +1084,12 @@
             drop(resets.then(|| std::mem::take(&mut clients)));
         });
         wait_since(Instant::now(), CANCELLED);
-        for (id, stream) in &mut *asked.lock().unwrap() {
+        for (id, stream) in &mut *recorded.lock().unwrap() {
             let _ = stream.write_all(hit_response(id, "too late").as_bytes());
         }
         std::thread::sleep(SETTLE_TIME);
         assert_eq!(
-            asked.lock().unwrap().len(),
+            recorded.lock().unwrap().len(),
             out,
             "queued requests of disconnected clients were sent"
         );
@@ -1106,18 +1106,18 @@
             node["weight"] = 1.into();
         }
     });
-    let asked = RecordedRequests::default();
+    let recorded = RecordedRequests::default();
     setup
         .caches
         .iter()
         .chain([&setup.origin])
-        .for_each(|at| record_requests(at, &asked));
+        .for_each(|at| record_requests(at, &recorded));
     let (mut first, mut late) = (setup.client(), setup.client());
     let mut begun = Instant::now();
     // The first requests occupy all slots.
-    for (n, client, limit, asks) in [(1, &mut first, "20000", 6), (2, &mut late, "1500", 30)] {
+    for (n, client, limit, requests) in [(1, &mut first, "20000", 6), (2, &mut late, "1500", 30)] {
         begun = Instant::now();
-        for stream in 1..=asks {
+        for stream in 1..=requests {
             let txn = format!("{:016x}", n * 100 + stream);
             client.request(
                 stream,
@@ -1131,23 +1131,23 @@
         while !client.receive().unwrap().starts_with("type 21") {}
     }
     let out = || {
-        asked
+        recorded
             .lock()
             .unwrap()
             .iter()
             .map(|(id, _)| id.clone())
             .collect::<Vec<_>>()
     };
-    let waits = |n: u32| !out().contains(&format!("{:016x}", 200 + n));
+    let waiting = |n: u32| !out().contains(&format!("{:016x}", 200 + n));
     setup.while_stopped(|| {
         while begun.elapsed() < Duration::from_millis(1_600) {
             std::thread::sleep(Duration::from_millis(5));
         }
         assert!(
-            (1..=30).all(waits),
+            (1..=30).all(waiting),
             "a request was sent without a free slot"
         );
-        for (id, stream) in &mut *asked.lock().unwrap() {
+        for (id, stream) in &mut *recorded.lock().unwrap() {
             stream
                 .write_all(hit_response(id, "room").as_bytes())
                 .unwrap();
@@ -1159,7 +1159,7 @@
         .iter()
         .all(|received| received.starts_with("type 11")));
     std::thread::sleep(SETTLE_TIME);
-    assert!((1..=30).all(waits), "{:?}", out());
+    assert!((1..=30).all(waiting), "{:?}", out());
 }
 
 #[test]
@@ -1172,19 +1172,19 @@
         .for_each(|instance| drop(operations::serve_hits(instance)));
     let inherited = operations::InheritedListener::new(&setup.config);
     let at = inherited.listener.local_addr().unwrap();
-    let asks = |stream: u32| {
+    let requests = |stream: u32| {
         let mut client = Client(TcpStream::connect(at).unwrap());
         client.request(stream, "page-bits", "20000", &[], b"");
         client.receive().unwrap().contains("bytes")
     };
     let (mut old, _) = inherited.start();
     wait_for_line(&old.log, "accepts clients");
-    let (mut waits, _) = inherited.start();
-    wait_for_line(&waits.log, "waits for another process");
+    let (mut waiting, _) = inherited.start();
+    wait_for_line(&waiting.log, "waits for another process");
     // The waiting process is terminated first; the other one keeps serving.
-    waits.signal("-TERM");
-    assert_eq!(waits.child.wait().unwrap().code(), Some(0));
-    assert!(asks(1));
+    waiting.signal("-TERM");
+    assert_eq!(waiting.child.wait().unwrap().code(), Some(0));
+    assert!(requests(1));
     // The serving and one waiting process are terminated together: a third takes over.
     let (mut both, _) = inherited.start();
     wait_for_line(&both.log, "waits for another process");
@@ -1194,10 +1194,10 @@
         .iter()
         .for_each(|process| process.signal("-TERM"));
     wait_for_line(&third.log, "accepts clients");
-    assert!(asks(2));
+    assert!(requests(2));
     let codes = [&mut old, &mut both].map(|process| process.child.wait().unwrap().code());
     assert_eq!(codes, [Some(0); 2]);
-    assert!(asks(3));
+    assert!(requests(3));
 }
 
 #[test]
@@ -1247,30 +1247,30 @@
         (0..3)
             .for_each(|class| config["settings"]["classes"][class]["deadline"] = 1_000_000.into());
     });
-    let (mut waits, mut asks) = (setup.client(), setup.client());
-    asks.send(20, 1, &[0]);
-    assert!(asks.receive().unwrap().starts_with("type 21"));
-    waits.request(1, "book-car", "50000", &[], b"keys");
+    let (mut waiting, mut requests) = (setup.client(), setup.client());
+    requests.send(20, 1, &[0]);
+    assert!(requests.receive().unwrap().starts_with("type 21"));
+    waiting.request(1, "book-car", "50000", &[], b"keys");
     let mut origin = accept_node(&setup.origin);
     origin.receive().unwrap();
     setup.signal("-TERM");
     let terminated_at = Instant::now();
     assert!(
-        waits.receive().unwrap().starts_with("type 30")
-            && asks.receive().unwrap().starts_with("type 30")
+        waiting.receive().unwrap().starts_with("type 30")
+            && requests.receive().unwrap().starts_with("type 30")
     );
     // The shutdown deadline passes while the front is stopped.
     setup.while_stopped(|| {
-        asks.request(2, "book-car", "50000", &[], b"keys");
+        requests.request(2, "book-car", "50000", &[], b"keys");
         while terminated_at.elapsed() < Duration::from_millis(2_500) {
             std::thread::sleep(Duration::from_millis(5));
         }
     });
     // The write at the origin may have been executed: it fails instead of being rejected, as the client would repeat it.
-    assert!(waits
+    assert!(waiting
         .receive()
         .unwrap()
         .starts_with("type 11 stream 1: \\x03"));
-    assert!(asks.receive().unwrap().starts_with("type 11 stream 2"));
+    assert!(requests.receive().unwrap().starts_with("type 11 stream 2"));
     wait_exit(&mut setup, terminated_at);
 }
--- a/front/tests/requests.rs
+++ b/front/tests/requests.rs
@@ -174,8 +174,8 @@
     client.0.write_all(&[0xff; 300]).unwrap();
     assert!(client.receive().unwrap().starts_with("type 11 stream 0"));
     client.0.write_all(&[0xff; 300]).unwrap();
-    cache.respond(&fetch[1], "HIT", "-", "whole");
-    assert!(client.receive().unwrap().ends_with("whole"));
+    cache.respond(&fetch[1], "HIT", "-", "complete");
+    assert!(client.receive().unwrap().ends_with("complete"));
     assert_eq!(client.receive(), None);
 }
 
@@ -361,8 +361,8 @@
     cache.0.get_mut().write_all(begun.as_bytes()).unwrap();
     let mut other = accept_node(&setup.caches[1 - at]);
     let fetch = other.receive().unwrap();
-    other.respond(&fetch[1], "HIT", "-", "whole");
-    assert!(client.receive().unwrap().ends_with("whole"));
+    other.respond(&fetch[1], "HIT", "-", "complete");
+    assert!(client.receive().unwrap().ends_with("complete"));
 }
 
 #[test]
@@ -385,11 +385,11 @@
     for cache in &setup.caches {
         let cache = cache.try_clone().unwrap();
         std::thread::spawn(move || loop {
-            let mut link = accept_node(&cache);
+            let mut node = accept_node(&cache);
             std::thread::spawn(move || {
-                while let Some(fetch) = link.receive() {
+                while let Some(fetch) = node.receive() {
                     if fetch[0] == "fetch" {
-                        link.respond(&fetch[1], "HIT", "-", &"x".repeat(240_000));
+                        node.respond(&fetch[1], "HIT", "-", &"x".repeat(240_000));
                     }
                 }
             });
--- a/front/tests/system_call_faults.rs
+++ b/front/tests/system_call_faults.rs
@@ -166,24 +166,24 @@
 
 /// Excess of the remaining time sent to nodes, for each attempt of the reconnecting clients' requests.
 fn excess_remaining_time(cluster: &TestCluster) -> Vec<Duration> {
-    let mut asked = std::collections::HashMap::new();
+    let mut sent = std::collections::HashMap::new();
     let mut over = Vec::new();
     for (at, seen) in cluster.history.observations() {
         match seen {
             Observation::ClientRequest { txn, .. } if (txn >> 32) & 0xff >= 16 => {
-                asked.insert(txn, at);
+                sent.insert(txn, at);
             }
             Observation::TimeLeft {
                 txn,
                 left_ms,
                 read_delay,
             } => {
-                let Some(asked) = asked.get(&txn) else {
+                let Some(sent_at) = sent.get(&txn) else {
                     continue;
                 };
                 // The delay with which the node read the request does not count.
                 let ends = at.saturating_sub(read_delay) + Duration::from_millis(left_ms);
-                over.push(ends.saturating_sub(*asked + LIMIT));
+                over.push(ends.saturating_sub(*sent_at + LIMIT));
             }
             _ => {}
         }
@@ -193,8 +193,8 @@
 
 /// Asserts that no node was sent a longer remaining time than its client had.
 fn assert_remaining_time_kept(cluster: &TestCluster) {
-    let told = excess_remaining_time(cluster);
-    let over: Vec<_> = told
+    let excess = excess_remaining_time(cluster);
+    let over: Vec<_> = excess
         .iter()
         .filter(|over| **over > REMAINING_TIME_TOLERANCE)
         .collect();
@@ -202,7 +202,7 @@
         over.is_empty(),
         "remaining time too long in {} of {} attempts: {over:?}",
         over.len(),
-        told.len()
+        excess.len()
     );
 }
 
@@ -540,10 +540,10 @@
     }
     assert!(began.elapsed() >= 4_900 * MS, "{:?}", began.elapsed());
     let log = cluster.fleet.log(0);
-    let told: Vec<_> = log.lines().skip(lines).collect();
+    let logged: Vec<_> = log.lines().skip(lines).collect();
     assert!(
-        matches!(told[..], [line] if line.starts_with("cranesill: 127.0.0.1:0: ")),
-        "{told:?}"
+        matches!(logged[..], [line] if line.starts_with("cranesill: 127.0.0.1:0: ")),
+        "{logged:?}"
     );
 }
 
@@ -561,10 +561,10 @@
         "{:?}",
         began.elapsed()
     );
-    let told = String::from_utf8_lossy(&ended.stderr);
+    let errors = String::from_utf8_lossy(&ended.stderr);
     assert!(
-        told.lines().count() == 1 && told.contains("192.0.2.1:1"),
-        "{told}"
+        errors.lines().count() == 1 && errors.contains("192.0.2.1:1"),
+        "{errors}"
     );
 }
 
--- a/front/tests/tls.rs
+++ b/front/tests/tls.rs
@@ -186,10 +186,10 @@
         for socket in cache.incoming() {
             let Ok(socket) = socket else { return };
             std::thread::spawn(move || {
-                let mut link = NodeConnection(std::io::BufReader::new(socket));
-                while let Some(words) = link.receive() {
+                let mut node = NodeConnection(std::io::BufReader::new(socket));
+                while let Some(words) = node.receive() {
                     if words[0] == "fetch" {
-                        link.respond(&words[1], "HIT", "tell=local", body);
+                        node.respond(&words[1], "HIT", "tell=local", body);
                     }
                 }
             });
@@ -307,14 +307,14 @@
                 Secure::connect(fixture.tls(), "front1.example", Arc::clone(&config)).unwrap();
             let stop = Arc::clone(&stop);
             std::thread::spawn(move || {
-                let mut asked = 0;
+                let mut sent = 0;
                 while !stop.load(std::sync::atomic::Ordering::Relaxed) {
-                    asked += 1;
-                    client.request(asked).unwrap();
+                    sent += 1;
+                    client.request(sent).unwrap();
                     let answer = client.receive().unwrap();
                     assert_eq!((answer[5], answer.ends_with(b"busy")), (1, true));
                 }
-                asked
+                sent
             })
         })
         .collect();
@@ -329,8 +329,8 @@
         "handshakes after the renewal use the old certificate"
     );
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
-    let asked: Vec<u32> = clients.into_iter().map(|c| c.join().unwrap()).collect();
-    assert!(asked.iter().all(|n| *n > 0), "{asked:?}");
+    let sent: Vec<u32> = clients.into_iter().map(|c| c.join().unwrap()).collect();
+    assert!(sent.iter().all(|n| *n > 0), "{sent:?}");
 }
 
 #[test]
--- a/rig/src/clients.rs
+++ b/rig/src/clients.rs
@@ -42,7 +42,7 @@
     /// Starts the clients of each front.
     pub fn start(history: &History, addresses: &Addresses, load: &ClientLoad, seed: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let count = addresses.lock().expect("no holder panics").len();
+        let count = addresses.lock().expect("lock poisoned").len();
         let clients = (0..count)
             .flat_map(|front| (0..load.connections_per_front).map(move |number| (front, number)));
         let threads = clients.map(|(front, number)| {
@@ -114,13 +114,13 @@
 
     fn run(mut self, history: &History, addresses: &Addresses, stop: &AtomicBool) {
         while !stop.load(Ordering::SeqCst) {
-            let address = addresses.lock().expect("no holder panics")[self.front];
+            let address = addresses.lock().expect("lock poisoned")[self.front];
             match address.and_then(|at| TcpStream::connect(at).ok()) {
                 Some(socket) => {
                     // Disconnect from a process that was killed: a request sent there would reach nobody.
                     let front = self.front;
                     let same_process =
-                        || addresses.lock().expect("no holder panics")[front] == address;
+                        || addresses.lock().expect("lock poisoned")[front] == address;
                     while !stop.load(Ordering::SeqCst)
                         && same_process()
                         && self.request(&socket, history).is_ok()
--- a/rig/src/cluster.rs
+++ b/rig/src/cluster.rs
@@ -222,7 +222,7 @@
     pub fn kill(&mut self, fronts: &[usize]) {
         for front in fronts {
             self.history.record(Observation::Killed(*front));
-            self.addresses.lock().expect("no holder panics")[*front] = None;
+            self.addresses.lock().expect("lock poisoned")[*front] = None;
         }
         self.fleet.kill(fronts.iter().copied());
     }
@@ -233,7 +233,7 @@
         for front in fronts {
             let at = self.fleet.address(*front);
             self.history.record(Observation::Resumed(*front));
-            self.addresses.lock().expect("no holder panics")[*front] = Some(at);
+            self.addresses.lock().expect("lock poisoned")[*front] = Some(at);
         }
     }
 
--- a/rig/src/history.rs
+++ b/rig/src/history.rs
@@ -99,7 +99,7 @@
     /// Records an observation at the current time.
     pub fn record(&self, seen: Observation) {
         let (all, more) = &*self.all;
-        let mut all = all.lock().expect("no holder panics");
+        let mut all = all.lock().expect("lock poisoned");
         // The time is taken under the lock, so that times in the history never decrease.
         all.push((self.began.elapsed(), seen));
         more.notify_all();
@@ -112,7 +112,7 @@
 
     /// Times of the matching observations.
     pub fn timestamps(&self, of: impl Fn(&Observation) -> bool) -> Vec<Duration> {
-        let all = self.all.0.lock().expect("no holder panics");
+        let all = self.all.0.lock().expect("lock poisoned");
         all.iter()
             .filter(|(_, seen)| of(seen))
             .map(|(at, _)| *at)
@@ -121,7 +121,7 @@
 
     /// All observations in order.
     pub fn observations(&self) -> Vec<(Duration, Observation)> {
-        self.all.0.lock().expect("no holder panics").clone()
+        self.all.0.lock().expect("lock poisoned").clone()
     }
 
     /// Number of matching observations.
@@ -139,7 +139,7 @@
     ) -> Duration {
         let until = Instant::now() + crate::WAIT_TIMEOUT;
         let (lock, more) = &*self.all;
-        let mut all = lock.lock().expect("no holder panics");
+        let mut all = lock.lock().expect("lock poisoned");
         loop {
             let found: Vec<_> = all
                 .iter()
@@ -157,7 +157,7 @@
                 found.len(),
                 &all[tail..]
             );
-            all = more.wait_timeout(all, left).expect("no holder panics").0;
+            all = more.wait_timeout(all, left).expect("lock poisoned").0;
         }
     }
 
--- a/rig/src/invariants.rs
+++ b/rig/src/invariants.rs
@@ -56,8 +56,8 @@
 impl Front {
     fn restart_grace(&mut self, now: Duration) {
         // Events that arrived in the meantime are read from now on.
-        self.nodes.values_mut().for_each(|told| told.1 = now);
-        self.purges.values_mut().for_each(|told| told.1 = now);
+        self.nodes.values_mut().for_each(|state| state.1 = now);
+        self.purges.values_mut().for_each(|state| state.1 = now);
     }
 }
 
@@ -94,9 +94,9 @@
                 match event(number) {
                     Some(Event::Nodes(_, listed)) => {
                         for one in listed {
-                            let told = front.nodes.entry(one.id).or_insert((one.state, now));
-                            if told.0 != one.state {
-                                *told = (one.state, now);
+                            let state = front.nodes.entry(one.id).or_insert((one.state, now));
+                            if state.0 != one.state {
+                                *state = (one.state, now);
                             }
                         }
                     }
@@ -108,26 +108,26 @@
             }
             Observation::Killed(front) | Observation::Stopped(front) => {
                 let killed = matches!(seen, Observation::Killed(_));
-                let told = fronts.entry(front).or_default();
+                let state = fronts.entry(front).or_default();
                 if killed && !limits.lists_on_disk {
-                    *told = Front {
-                        feed_impaired: told.feed_impaired,
+                    *state = Front {
+                        feed_impaired: state.feed_impaired,
                         ..Front::default()
                     };
                 }
-                told.stopped = true;
+                state.stopped = true;
                 for txn in &open {
                     let request = requests.get_mut(txn).expect("open request");
                     request.excused |= request.front == front;
                 }
             }
             Observation::Resumed(front) | Observation::FeedRestored(front) => {
-                let told = fronts.entry(front).or_default();
+                let state = fronts.entry(front).or_default();
                 match seen {
-                    Observation::Resumed(_) => told.stopped = false,
-                    _ => told.feed_impaired = false,
+                    Observation::Resumed(_) => state.stopped = false,
+                    _ => state.feed_impaired = false,
                 }
-                told.restart_grace(now);
+                state.restart_grace(now);
             }
             Observation::FeedImpaired(front) => {
                 fronts.entry(front).or_default().feed_impaired = true
@@ -358,9 +358,9 @@
     /// Maximum number of requests within the window that ends at `age`, including three standard deviations.
     fn max_requests(&self, weight: u32, age: Duration) -> f64 {
         let warm = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
-        let indexes =
+        let slots =
             f64::from(weight) * (self.initial_fraction + (1.0 - self.initial_fraction) * warm);
-        let n = self.overload_factor * indexes * self.overload_window.as_secs_f64()
+        let n = self.overload_factor * slots * self.overload_window.as_secs_f64()
             / self.request_cost.as_secs_f64();
         n + 3.0 * n.sqrt() + 3.0
     }
--- a/rig/src/link.rs
+++ b/rig/src/link.rs
@@ -55,7 +55,7 @@
 impl Link {
     /// Creates a link to `to` that passes all bytes.
     pub fn new(to: SocketAddr) -> Self {
-        let listener = TcpListener::bind(crate::unique_address()).expect("a port");
+        let listener = TcpListener::bind(crate::unique_address()).expect("bind a loopback port");
         let address = listener.local_addr().expect("address of a bound listener");
         let directions = Mutex::new(Directions {
             forward: Transmission::Pass,
@@ -80,8 +80,7 @@
 
     /// Sets both directions: `forward` is from the connecting to the accepting side, `backward` the opposite one.
     pub fn set(&self, forward: Transmission, backward: Transmission) {
-        *self.shared.directions.lock().expect("no holder panics") =
-            Directions { forward, backward };
+        *self.shared.directions.lock().expect("lock poisoned") = Directions { forward, backward };
     }
 
     /// Restores both directions and accepts connections.
@@ -183,7 +182,7 @@
         }
     };
     let transmission = || {
-        let directions = *shared.directions.lock().expect("no holder panics");
+        let directions = *shared.directions.lock().expect("lock poisoned");
         if forward {
             directions.forward
         } else {
--- a/rig/src/list_service.rs
+++ b/rig/src/list_service.rs
@@ -71,7 +71,7 @@
     ) -> Self {
         let listeners: Vec<_> = node_addresses
             .iter()
-            .map(|_| TcpListener::bind(crate::unique_address()).expect("a port"))
+            .map(|_| TcpListener::bind(crate::unique_address()).expect("bind a loopback port"))
             .collect();
         let addresses: Vec<_> = listeners
             .iter()
@@ -96,13 +96,13 @@
 
     /// Changes the mode and records that.
     pub fn set(&self, mode: ServiceMode) {
-        *self.shared.mode.lock().expect("no holder panics") = mode;
+        *self.shared.mode.lock().expect("lock poisoned") = mode;
         self.shared.history.record(Observation::ModeChanged);
     }
 
     /// Publishes an event and returns its number.
     pub fn publish(&self, event: Event) -> u64 {
-        let events = &mut self.shared.published.lock().expect("no holder panics").0;
+        let events = &mut self.shared.published.lock().expect("lock poisoned").0;
         events.push(event);
         FIRST_EVENT + events.len() as u64 - 1
     }
@@ -112,7 +112,7 @@
         self.shared
             .published
             .lock()
-            .expect("no holder panics")
+            .expect("lock poisoned")
             .0
             .clear();
     }
@@ -122,7 +122,7 @@
         self.shared
             .published
             .lock()
-            .expect("no holder panics")
+            .expect("lock poisoned")
             .0
             .clone()
     }
@@ -137,7 +137,7 @@
 fn listen(first: Vec<TcpListener>, addresses: &[SocketAddr], shared: &Shared) {
     let mut listeners: Vec<_> = first.into_iter().map(Some).collect();
     while !shared.stop.load(Ordering::SeqCst) {
-        let now = *shared.mode.lock().expect("no holder panics");
+        let now = *shared.mode.lock().expect("lock poisoned");
         if now == ServiceMode::Down {
             listeners.iter_mut().for_each(|listener| *listener = None);
             thread::sleep(POLL_INTERVAL / 4);
@@ -178,8 +178,7 @@
 ) -> std::io::Result<()> {
     socket.set_nonblocking(false)?;
     let unchanged = || {
-        !shared.stop.load(Ordering::SeqCst)
-            && *shared.mode.lock().expect("no holder panics") == mode
+        !shared.stop.load(Ordering::SeqCst) && *shared.mode.lock().expect("lock poisoned") == mode
     };
     match mode {
         ServiceMode::Down | ServiceMode::Close => Ok(()),
@@ -223,7 +222,7 @@
     let mut due = Instant::now();
     while unchanged() {
         let next = {
-            let published = shared.published.lock().expect("no holder panics");
+            let published = shared.published.lock().expect("lock poisoned");
             let index = (last + 1).saturating_sub(FIRST_EVENT) as usize;
             let number = FIRST_EVENT + index as u64;
             published
@@ -253,7 +252,7 @@
         if Instant::now() >= due {
             // The frame names the last event of the service, which the front may not have received yet.
             let last_event =
-                FIRST_EVENT - 1 + shared.published.lock().expect("no holder panics").0.len() as u64;
+                FIRST_EVENT - 1 + shared.published.lock().expect("lock poisoned").0.len() as u64;
             socket
                 .write_all(&[&9u32.to_be_bytes()[..], &last_event.to_be_bytes(), &[0]].concat())?;
             due = Instant::now() + HEARTBEAT_INTERVAL;
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -81,7 +81,8 @@
         });
         let mut nodes = Vec::new();
         for id in ids {
-            let listener = TcpListener::bind(crate::unique_address()).expect("a port");
+            let listener =
+                TcpListener::bind(crate::unique_address()).expect("bind a loopback port");
             let address = listener.local_addr().expect("address of a bound listener");
             let behavior = Behavior::Respond(Duration::ZERO);
             nodes.push(Node {
@@ -103,7 +104,7 @@
                 nodes,
                 writes,
                 connections: HashMap::new(),
-                last: 0,
+                reply_count: 0,
                 due: BinaryHeap::new(),
                 previous_poll: Instant::now(),
             };
@@ -122,7 +123,7 @@
         self.shared
             .purged
             .lock()
-            .expect("no holder panics")
+            .expect("lock poisoned")
             .push((item, at_ms, removed_ms));
     }
 
@@ -136,14 +137,14 @@
             Observation::NodeRestored(id, 0)
         };
         self.history.record(seen);
-        self.shared.behaviors.lock().expect("no holder panics")[index] = behavior;
+        self.shared.behaviors.lock().expect("lock poisoned")[index] = behavior;
         self.shared.poller.notify().expect("wake the poller");
     }
 }
 
 impl Drop for Nodes {
     fn drop(&mut self) {
-        *self.shared.stop.lock().expect("no holder panics") = true;
+        *self.shared.stop.lock().expect("lock poisoned") = true;
         let _ = self.shared.poller.notify();
     }
 }
@@ -177,7 +178,7 @@
     /// Hit with the creation time of the copy.
     Hit(u64),
     Miss,
-    Full,
+    Shed,
     Fault,
 }
 
@@ -187,7 +188,7 @@
     nodes: Vec<Node>,
     writes: Vec<String>,
     connections: HashMap<usize, Connection>,
-    last: u64,
+    reply_count: u64,
     due: BinaryHeap<DueReply>,
     /// Start of the poll before the last one. Input that the last poll reported arrived after it, as the earlier poll would
     /// have reported it otherwise.
@@ -207,7 +208,7 @@
     cached_only: bool,
 }
 
-fn hex(text: &str) -> u64 {
+fn parse_hex(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or(0)
 }
 
@@ -260,8 +261,8 @@
     for (name, value) in text.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "cls" => found.class = value.into(),
-            "item" => found.item = hex(value),
-            "from" => found.source = hex(value.trim_start_matches("s-")) as u32,
+            "item" => found.item = parse_hex(value),
+            "from" => found.source = parse_hex(value.trim_start_matches("s-")) as u32,
             "oldest" => found.max_age_ms = value.parse().unwrap_or(0),
             "limit" => found.remaining_ms = value.parse().unwrap_or(0),
             "mode" => found.cached_only = value.split('+').any(|word| word == "shallow"),
@@ -288,10 +289,10 @@
             if self.shared.poller.wait(&mut events, left).is_err() {
                 return;
             }
-            if *self.shared.stop.lock().expect("no holder panics") {
+            if *self.shared.stop.lock().expect("lock poisoned") {
                 return;
             }
-            self.behaviors();
+            self.apply_behaviors();
             while self
                 .due
                 .peek()
@@ -319,7 +320,7 @@
         listener
             .set_nonblocking(true)
             .expect("set the listener non-blocking");
-        // SAFETY: the listener is removed from the poller before it is dropped, in `behaviors`.
+        // SAFETY: the listener is removed from the poller before it is dropped, in `apply_behaviors`.
         let added = unsafe {
             self.shared
                 .poller
@@ -329,13 +330,8 @@
     }
 
     /// Applies the behaviours that the test has set.
-    fn behaviors(&mut self) {
-        let behaviors = self
-            .shared
-            .behaviors
-            .lock()
-            .expect("no holder panics")
-            .clone();
+    fn apply_behaviors(&mut self) {
+        let behaviors = self.shared.behaviors.lock().expect("lock poisoned").clone();
         for (index, behavior) in behaviors.into_iter().enumerate() {
             if self.nodes[index].behavior == behavior {
                 continue;
@@ -504,7 +500,7 @@
                 .map(|p| String::from_utf8_lossy(p))
                 .unwrap_or_default()
         };
-        let txn = hex(&text(1));
+        let txn = parse_hex(&text(1));
         if &*text(0) == "abort" {
             self.history.record(Observation::Aborted(node.id, txn));
             if node.behavior != Behavior::Duplicate {
@@ -534,7 +530,7 @@
         let mut due_at = Instant::now();
         let reply = match node.behavior {
             Behavior::Silent | Behavior::NotReading | Behavior::Down => return,
-            Behavior::Shed => Some(Reply::Full),
+            Behavior::Shed => Some(Reply::Shed),
             Behavior::Fail => Some(Reply::Fault),
             Behavior::Reset => return self.drop(key, true),
             Behavior::Garbage => {
@@ -552,7 +548,7 @@
             None if write => Reply::Hit(wall_ms()),
             None => {
                 let now = wall_ms();
-                let purged = self.shared.purged.lock().expect("no holder panics").clone();
+                let purged = self.shared.purged.lock().expect("lock poisoned").clone();
                 let gone = |created_ms: u64| {
                     purged
                         .iter()
@@ -573,8 +569,9 @@
                 }
             }
         };
-        self.last += 1;
-        self.due.push(Reverse((due_at, self.last, key, txn, reply)));
+        self.reply_count += 1;
+        self.due
+            .push(Reverse((due_at, self.reply_count, key, txn, reply)));
     }
 
     fn answer(&mut self, key: usize, txn: u64, reply: Reply) {
@@ -599,7 +596,7 @@
                 created_ms,
             ),
             Reply::Miss => ("NONE", "tell=not_there".into(), "", 0),
-            Reply::Full => ("SHED", "-".into(), "", 0),
+            Reply::Shed => ("SHED", "-".into(), "", 0),
             Reply::Fault => ("FAULT", "-".into(), "", 0),
         };
         let id = format!("{txn:016x}");
