--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration of one front, and the limits that follow from it.
+//! Configuration of one front, as provided by the platform, and the resource limits derived from it.
 use super::error::{ConfigError, ConfigErrors, ConfigFault};
 use crate::protocol::configured_events;
 use crate::protocol::discovery::WatchEvent;
@@ -9,49 +9,49 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The least limits with which a front can serve.
+/// Minimum limits with which a front can serve.
 const MIN_SOCKETS: u64 = 96;
 const MIN_MEMORY_MB: u64 = 16;
-/// Descriptors of the purge log itself: files, the listener, and the connection to the writer.
+/// Descriptors of the purge log apart from followers and cache nodes: files, the listener, and the connection to the writer.
 const PURGE_LOG_DESCRIPTORS: usize = 6;
 
-/// What the platform configures for a front.
+/// Configuration of a front.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The file that this was read from; a reload reads it again.
+    /// The file that the configuration was read from; a reload reads it again.
     pub file: PathBuf,
-    /// The front's name.
+    /// The name of the front; `front` if the configuration has none.
     pub name: String,
-    /// Where clients connect.
+    /// The address that the front listens on for clients.
     pub listen: SocketAddr,
-    /// Seed of the front's random choices.
+    /// Seed of the pseudo-random number generators.
     pub seed: u64,
     /// The address of the list service.
-    pub feed: SocketAddr,
-    /// The limit on open descriptors.
+    pub list_service: SocketAddr,
+    /// The maximum number of open descriptors.
     pub sockets: usize,
-    /// Descriptors that subsystems take from those of clients.
+    /// Descriptors reserved for subsystems, deducted from the share of clients.
     pub reserved: usize,
-    /// The limit on memory, in bytes.
+    /// The memory limit in bytes.
     pub memory: usize,
-    /// The revision of the endpoint list that is known at the start, and the events that lead to it.
+    /// The revision of the endpoint list known at startup, and the events that lead to it.
     pub known: (u64, Vec<WatchEvent>),
-    /// Rules and limits of the deployment.
+    /// Classes, limits and policy settings of the deployment.
     pub deployment: Deployment,
-    /// Where operators of the platform connect, if anywhere.
+    /// The address for operators' commands; `None` if there is none.
     pub ops: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform hands it over.
+    /// The inherited descriptor of the listening socket for clients, if the platform provides one.
     pub accept_fd: Option<i32>,
-    /// Whether two processes of this front share its limits now.
-    pub halved: bool,
+    /// Whether the limits are currently shared with a second process of this front, each using half of them.
+    pub limits_shared: bool,
 }
 
 impl Config {
-    /// Reads the file. All errors that can be found are returned.
+    /// Reads the file. Returns all errors found in it.
     pub fn load(file: &Path) -> Result<Self, ConfigErrors> {
         let text = std::fs::read(file).map_err(|source| ConfigError::unreadable(file, source))?;
-        let value: Value =
-            serde_json::from_slice(&text).map_err(|source| ConfigError::no_json(file, source))?;
+        let value: Value = serde_json::from_slice(&text)
+            .map_err(|source| ConfigError::invalid_json(file, source))?;
         Self::read(file, &value).map_err(|faults| {
             let error = |fault| ConfigError::invalid(file, fault);
             faults.into_iter().map(error).collect()
@@ -60,19 +60,19 @@
 
     fn read(file: &Path, value: &Value) -> Result<Self, Vec<ConfigFault>> {
         let mut faults = Vec::new();
-        let listen = noted(address(value, "listen"), &mut faults);
-        let seed = noted(seed(value), &mut faults);
-        let feed = noted(address(value, "feed"), &mut faults);
-        let ops = noted(optional_address(value, "ops"), &mut faults);
-        let sockets = noted(limit(value, "sockets", MIN_SOCKETS), &mut faults);
-        let memory_mb = noted(limit(value, "memory_mb", MIN_MEMORY_MB), &mut faults);
+        let listen = ok_or_record(address(value, "listen"), &mut faults);
+        let seed = ok_or_record(seed(value), &mut faults);
+        let list_service = ok_or_record(address(value, "feed"), &mut faults);
+        let ops = ok_or_record(optional_address(value, "ops"), &mut faults);
+        let sockets = ok_or_record(limit(value, "sockets", MIN_SOCKETS), &mut faults);
+        let memory_mb = ok_or_record(limit(value, "memory_mb", MIN_MEMORY_MB), &mut faults);
         let deployment = cranesill_settings::read(&value["settings"])
             .map_err(|e| ConfigFault::Deployment(e.to_string()));
-        let deployment = noted(deployment, &mut faults);
+        let deployment = ok_or_record(deployment, &mut faults);
         let known = deployment.as_ref().and_then(|deployment| {
             let known = configured_events::read(&value["known"], &deployment.names);
             let known = known.map_err(ConfigFault::from);
-            noted(known, &mut faults)
+            ok_or_record(known, &mut faults)
         });
         let config = || {
             Some(Config {
@@ -80,7 +80,7 @@
                 name: value["name"].as_str().unwrap_or("front").to_string(),
                 listen: listen?,
                 seed: seed?,
-                feed: feed?,
+                list_service: list_service?,
                 sockets: sockets? as usize,
                 reserved: 0,
                 memory: memory_mb? as usize * (1 << 20),
@@ -88,23 +88,24 @@
                 deployment: deployment?,
                 ops: ops?,
                 accept_fd: None,
-                halved: false,
+                limits_shared: false,
             })
         };
         config().ok_or(faults)
     }
 
     fn processes(&self) -> usize {
-        1 + usize::from(self.halved)
+        1 + usize::from(self.limits_shared)
     }
 
-    /// Returns how many clients may be connected at once.
+    /// Returns the maximum number of concurrent client connections.
     pub fn max_clients(&self) -> usize {
         (self.sockets / 2).saturating_sub(self.reserved) / self.processes()
     }
 
-    /// Takes the descriptors of subsystems that the settings switch on from those of clients.
-    pub fn reserve(&mut self, settings: &Daemon) -> Result<(), ConfigError> {
+    /// Reserves descriptors for the subsystems that `settings` enable, at the expense of client connections. Fails if these would
+    /// take more than a quarter of all descriptors.
+    pub fn reserve_descriptors(&mut self, settings: &Daemon) -> Result<(), ConfigError> {
         let subsystems = subsystem_descriptors(settings);
         let ops = self.ops.map_or(0, |_| super::drivers::ops::MAX_CALLERS + 1);
         self.reserved = subsystems + ops;
@@ -119,33 +120,34 @@
         Ok(())
     }
 
-    /// Returns how many upstream connections may be open at once. The remaining descriptors are for the list service, the
-    /// poller and files.
+    /// Returns the maximum number of upstream connections. The remaining descriptors are for the list service, the poller and
+    /// files.
     pub fn max_upstream_connections(&self) -> usize {
         self.sockets * 3 / 8 / self.processes()
     }
 
-    /// Returns the capacity for requests: half of the memory; the rest is for input, the program and the allocator.
-    pub fn room(&self) -> CapacityLimits {
+    /// Returns the capacity for requests, which may use half of the memory; the rest is left to input buffers, the program and the
+    /// allocator.
+    pub fn capacity_limits(&self) -> CapacityLimits {
         CapacityLimits {
-            max_pending: self.deployment.limits.open,
+            max_pending: self.deployment.limits.max_open_requests,
             max_buffered_bytes: self.memory / 2 / self.processes(),
         }
     }
 
-    /// Returns the bytes buffered for clients above which those that take up most are disconnected. Reading from upstream
-    /// stops long before.
+    /// Returns the number of bytes buffered for clients above which the clients with the largest buffers are disconnected. Reading
+    /// from upstream pauses at a lower limit.
     pub fn max_client_buffers(&self) -> usize {
         self.memory * 5 / 8 / self.processes()
     }
 
-    /// Returns one line that sums the configuration up.
+    /// Returns a one-line summary of the configuration.
     pub fn summary(&self) -> String {
         format!(
-            "{} listens on {}, hears {} from event {}: {} classes, {} sockets, {} MB",
+            "{} listens on {}, list service {} from revision {}: {} classes, {} sockets, {} MB",
             self.name,
             self.listen,
-            self.feed,
+            self.list_service,
             self.known.0,
             self.deployment.names.classes.len(),
             self.sockets,
@@ -154,7 +156,7 @@
     }
 }
 
-/// Descriptors that the subsystems use at most.
+/// Returns the maximum number of descriptors used by the enabled subsystems.
 fn subsystem_descriptors(settings: &Daemon) -> usize {
     let tls = settings.tls.as_ref();
     let tls = tls.map_or(0, |tls| tls.handshakes_most + 1);
@@ -181,7 +183,7 @@
 
 fn address(value: &Value, key: &'static str) -> Result<SocketAddr, ConfigFault> {
     let text = value[key].as_str().ok_or(ConfigFault::Missing(key))?;
-    text.parse().map_err(|_| ConfigFault::NoAddress {
+    text.parse().map_err(|_| ConfigFault::InvalidAddress {
         key,
         text: text.into(),
     })
@@ -208,13 +210,13 @@
     u64::from_str_radix(text, 16).map_err(|_| ConfigFault::SeedMalformed(text.into()))
 }
 
-/// Returns what could be read; what could not is added to the faults.
-fn noted<T>(result: Result<T, ConfigFault>, faults: &mut Vec<ConfigFault>) -> Option<T> {
+/// Returns the value, or adds the fault to `faults`.
+fn ok_or_record<T>(result: Result<T, ConfigFault>, faults: &mut Vec<ConfigFault>) -> Option<T> {
     result.map_err(|fault| faults.push(fault)).ok()
 }
 
-/// Reads the daemon's own settings. All errors that can be found are returned.
-pub fn settings(file: &Path) -> Result<Daemon, ConfigErrors> {
+/// Reads the settings of the daemon. Returns all errors found in the file.
+pub fn load_settings(file: &Path) -> Result<Daemon, ConfigErrors> {
     let text = std::fs::read(file).map_err(|source| ConfigError::unreadable(file, source))?;
     let settings = cranesill_daemon::read(&text).map_err(|faults| {
         let error = |fault| ConfigError::invalid_settings(file, fault);
--- a/front/src/server/downstream/eviction.rs
+++ b/front/src/server/downstream/eviction.rs
@@ -1,51 +1,51 @@
-//! Closes connections that are dead, idle, or in the way of others.
+//! Closes connections that are dead, idle, or needed for other clients.
 use super::connection::{Connection, ConnectionState};
 use super::{ClientEvent, Clients};
 use cranesill::api::{Micros, Timestamp};
 
-/// An idle connection is closed after this long: clients close theirs far earlier.
-pub(super) const MAX_IDLE: Micros = 10_000_000;
-/// A client that reads nothing of what is written for this long is taken for dead.
-const MAX_STALL: Micros = 10_000_000;
-/// The same while clients use up the memory for buffers: others wait for them then.
-const MAX_STALL_UNDER_PRESSURE: Micros = 1_000_000;
-/// The first frame on a connection, and each that is begun, has to be complete after this long. Guards against clients that
-/// take up connections and send nothing, or never end a frame.
-const MAX_FRAME_TIME: Micros = 1_500_000;
-/// After this long without input no request is taken to be on its way: the connection may be closed for lack of
-/// descriptors.
+/// Idle connections are closed after this time. Clients normally close them much earlier.
+pub(super) const IDLE_TIMEOUT: Micros = 10_000_000;
+/// A client that reads none of the pending output for this time is disconnected.
+const STALL_TIMEOUT: Micros = 10_000_000;
+/// The same while so much is buffered that reading from upstream is paused.
+const STALL_TIMEOUT_UNDER_PRESSURE: Micros = 1_000_000;
+/// Time limit for receiving a complete frame, from its first byte or, for the first frame, from the start of the connection.
+/// Disconnects clients that occupy connections without sending requests.
+const FRAME_TIMEOUT: Micros = 1_500_000;
+/// A connection without input for this time may be closed for lack of descriptors, since no request is likely to be in transit.
 const MIN_EVICTABLE_IDLE: Micros = 1_000_000;
 
 impl Clients {
-    /// Closes connections that are dead or idle. While more than `max_buffered` bytes are buffered, those that buffer most
-    /// are closed too; above `pressure`, clients that read nothing are given less time. Returns requests that need no answer.
+    /// Closes dead and idle connections, and the ones with the largest buffers while more than `max_buffered` bytes are buffered.
+    /// Above `pressure` buffered bytes, clients that do not read are disconnected earlier. Returns the events of closed connections.
     pub fn sweep(
         &mut self,
         now: Timestamp,
         pressure: usize,
         max_buffered: usize,
     ) -> Vec<ClientEvent> {
-        // By what was buffered before anything is closed.
-        let max_stall = if self.buffered_bytes > pressure {
-            MAX_STALL_UNDER_PRESSURE
+        // Determined before any connection is closed.
+        let stall_timeout = if self.buffered_bytes > pressure {
+            STALL_TIMEOUT_UNDER_PRESSURE
         } else {
-            MAX_STALL
+            STALL_TIMEOUT
         };
         self.drain_idle(now);
-        let mut disconnected = self.close_stale(now, max_stall);
+        let mut disconnected = self.close_stale(now, stall_timeout);
         while self.buffered_bytes > max_buffered {
-            let most = self
+            let largest = self
                 .connections
                 .iter()
                 .max_by_key(|(key, connection)| (connection.stream.buffered_bytes(), **key))
                 .map(|(key, _)| *key);
-            let Some(key) = most else { break };
+            let Some(key) = largest else { break };
             disconnected.extend(self.disconnect(key));
         }
         disconnected
     }
 
-    /// Ends input where a frame is overdue, and drains connections that are idle. Paused reading is resumed on the way.
+    /// Rejects further input on connections with an overdue frame, drains idle connections, and resumes reading where a pause is
+    /// over.
     fn drain_idle(&mut self, now: Timestamp) {
         let keys: Vec<_> = self.connections.keys().copied().collect();
         for key in keys {
@@ -55,23 +55,24 @@
             };
             let was_open = connection.state == ConnectionState::Open;
             let expected_since = connection.incomplete_since;
-            if was_open && expected_since.is_some_and(|since| now > since + MAX_FRAME_TIME) {
+            if was_open && expected_since.is_some_and(|since| now > since + FRAME_TIMEOUT) {
                 connection.reject_input();
             }
-            let idle = now > connection.active_at + MAX_IDLE
+            let idle = now > connection.active_at + IDLE_TIMEOUT
                 && connection.open_streams.is_empty()
                 && connection.stream.flushed();
-            if was_open && (idle || closes_idle && connection.is_free(now)) {
+            if was_open && (idle || closes_idle && connection.is_closable(now)) {
                 connection.begin_draining();
             }
             self.flush(now, key);
         }
     }
 
-    /// Closes connections whose clients read nothing or do not close their side.
-    fn close_stale(&mut self, now: Timestamp, max_stall: Micros) -> Vec<ClientEvent> {
-        let is_stalled = |c: &Connection| !c.stream.flushed() && now > c.active_at + max_stall;
-        let is_overdue = |c: &Connection| matches!(c.state, ConnectionState::Shut(at) if now > at);
+    /// Closes connections whose clients do not read, or do not close a connection after its write side was closed.
+    fn close_stale(&mut self, now: Timestamp, stall_timeout: Micros) -> Vec<ClientEvent> {
+        let is_stalled = |c: &Connection| !c.stream.flushed() && now > c.active_at + stall_timeout;
+        let is_overdue =
+            |c: &Connection| matches!(c.state, ConnectionState::WriteClosed(at) if now > at);
         let stale: Vec<_> = self
             .connections
             .iter()
@@ -80,14 +81,17 @@
             .collect();
         let clients = stale.iter().filter(|(_, stalled)| *stalled).count();
         if clients > 0 {
-            tracing::info!(clients, "clients given up that take nothing");
+            tracing::info!(
+                clients,
+                "disconnected clients that do not read their responses"
+            );
         }
         let keys = stale.into_iter().map(|(key, _)| key);
         keys.flat_map(|key| self.disconnect(key)).collect()
     }
 
-    /// Closes a connection without a request: one that never sent a complete frame before the one that was idle for longest.
-    /// A connection with unread input, most likely a request, is not idle. Returns whether one was closed.
+    /// Closes a connection without open requests, preferably one that never sent a complete frame, then the one idle for longest.
+    /// Connections with unread input, probably a request, are skipped. Returns whether a connection was closed.
     pub fn evict(&mut self) -> bool {
         let free = self
             .connections
@@ -97,7 +101,11 @@
             .map(|(key, c)| (c.incomplete_since.is_none(), c.active_at, *key))
             .collect();
         idle.sort_unstable();
-        let unread = |key: &usize| self.connections.get(key).is_some_and(|c| c.stream.unread());
+        let unread = |key: &usize| {
+            self.connections
+                .get(key)
+                .is_some_and(|c| c.stream.has_unread_input())
+        };
         let key = idle
             .into_iter()
             .map(|(.., key)| key)
@@ -105,8 +113,7 @@
         key.map(|key| self.disconnect(key)).is_some()
     }
 
-    /// Closes the connection that was idle for longest, if it was for so long that no request is on its way there. Returns
-    /// whether one was closed.
+    /// Closes the connection idle for longest, if that is at least [`MIN_EVICTABLE_IDLE`]. Returns whether a connection was closed.
     pub fn evict_idle(&mut self, now: Timestamp) -> bool {
         let idle = |c: &Connection| {
             c.open_streams.is_empty() && c.stream.flushed() && c.stream.input().is_empty()
@@ -115,7 +122,7 @@
         let oldest = self
             .connections
             .iter()
-            .filter(|(_, c)| evictable(c) && !c.stream.unread());
+            .filter(|(_, c)| evictable(c) && !c.stream.has_unread_input());
         let key = oldest
             .min_by_key(|(key, c)| (c.active_at, **key))
             .map(|(key, _)| *key);
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of operators that concern the front itself.
+//! Operator commands that are handled by the front itself rather than by a driver.
 use super::Server;
 use crate::protocol::cache_node::endpoint_name;
 use crate::server::drivers::purges::parse_target;
@@ -7,43 +7,40 @@
 use cranesill_daemon::Level;
 use serde_json::{json, Value};
 
-/// The commands of operators that the front itself carries out, each with its line of help.
+/// The operator commands handled by the front itself, each with its help text.
 pub(super) const ADMIN_COMMANDS: [(&str, &str); 11] = [
-    ("health", "whether it can serve"),
-    ("counters", "the figures"),
+    ("health", "check whether the front serves clients"),
+    ("counters", "show the counters of requests and connections"),
     (
         "cordon",
-        "{node}: take a cache, a parent or the origin out, by hand",
+        "{node}: take a cache, a parent or the origin out of service",
     ),
-    ("uncordon", "{node}: it may serve again"),
-    ("quiesce", "empty the front of clients"),
-    ("resume", "take clients again"),
+    ("uncordon", "{node}: return a cordoned endpoint to service"),
+    ("quiesce", "drain the front of clients"),
+    ("resume", "accept clients again after quiesce"),
     (
         "purge-dry",
-        "{object | group | tag | pattern}: how many known objects match",
+        "{object | group | tag | pattern}: count the known objects that match",
     ),
-    ("status", "how the front stands"),
+    ("status", "show the state of the front"),
     (
         "startup",
-        "whether it is ready, what it waits for, and the calls on the list service",
-    ),
-    (
-        "log",
-        "{level}: change the log's level until the next reload",
+        "show readiness, what it waits for, and the connections to the list service",
     ),
+    ("log", "{level}: change the log level until the next reload"),
     (
         "reload",
-        "read configuration and settings again, as SIGHUP does",
+        "reload configuration and settings, as SIGHUP does",
     ),
 ];
 
-/// Whether the front itself carries out the command.
+/// Whether the front itself handles the command.
 pub(super) fn is_admin_command(name: &str) -> bool {
     ADMIN_COMMANDS.iter().any(|(command, _)| *command == name)
 }
 
 impl Server {
-    /// Carries out an operator's command; `name` is one of [`ADMIN_COMMANDS`].
+    /// Runs an operator command; `name` is one of [`ADMIN_COMMANDS`].
     pub(super) fn run_admin_command(
         &mut self,
         now: Timestamp,
@@ -62,7 +59,7 @@
             "startup" => Ok(self.startup_state(now)),
             "reload" => {
                 self.reload(now);
-                Ok("read again; the log tells what was taken over".into())
+                Ok("reloaded; see the log for the settings that were applied".into())
             }
             _ => Ok(self.status(now)),
         }
@@ -78,7 +75,7 @@
         Ok("serving".into())
     }
 
-    /// Changes the level of the log until the next reload.
+    /// Changes the log level until the next reload.
     fn set_log_level(&mut self, arguments: &Value) -> Result<Value, AdminError> {
         let level: Level =
             serde_json::from_value(arguments["level"].clone()).map_err(AdminError::LogLevel)?;
@@ -86,40 +83,40 @@
             level,
             ..self.settings.log.clone()
         });
-        Ok(json!(format!("level is {level:?}").to_lowercase()))
+        Ok(json!(format!("log level set to {level:?}").to_lowercase()))
     }
 
     /// Counts the known objects that a purge would match, without purging them.
     fn count_purge_matches(&self, arguments: &Value) -> Result<Value, AdminError> {
         let target = parse_target(arguments).map_err(AdminError::PurgeTarget)?;
-        let floors = self.front.floors.as_ref();
+        let floors = self.pipeline.floors.as_ref();
         let floors = floors.ok_or(AdminError::PurgesDisabled)?;
         let (known, matched) = floors.count_matches(&target);
         Ok(json!({"known_objects": known, "matched": matched}))
     }
 
-    /// The state of the start: readiness, and calls to the list service.
+    /// Returns the state of startup: readiness, and the connections to the list service.
     fn startup_state(&self, now: Timestamp) -> Value {
         let in_use = self.upstream.listed().count();
         let mut state = self
             .startup
             .state(in_use, self.upstream.reached_endpoints());
-        let lost_at = self.discovery.lost_at();
+        let unreachable_since = self.discovery.unreachable_since();
         let revision = self.discovery.revision();
-        let next_call_at = lost_at.map(|_| self.discovery.deadline);
+        let next_call_at = unreachable_since.map(|_| self.discovery.deadline);
         state["list"] = json!({
             "last_event": revision,
-            "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
-            "calls": self.discovery.calls_made,
+            "unheard_for_ms": unreachable_since.map(|since| now.saturating_sub(since) / 1_000),
+            "calls": self.discovery.connections_begun,
             "next_call_in_ms": next_call_at.map(|at| at.saturating_sub(now) / 1_000),
         });
         state
     }
 
-    /// The state of the whole front.
+    /// Returns the state of the front.
     fn status(&self, now: Timestamp) -> Value {
         let cordoned: Vec<_> = self.cordoned.iter().map(|id| endpoint_name(*id)).collect();
-        let lost_at = self.discovery.lost_at();
+        let unreachable_since = self.discovery.unreachable_since();
         let revision = self.discovery.revision();
         json!({
             "name": self.config.name,
@@ -128,14 +125,14 @@
             "leaving": self.shutdown.is_some(),
             "quiesced": self.quiesced_at.is_some(),
             "accepts_clients": !self.another_process_accepts(),
-            "limits_shared": self.config.halved,
+            "limits_shared": self.config.limits_shared,
             "out_by_hand": cordoned,
             "list": {
                 "last_event": revision,
-                "clock_ahead_ms": self.front.clock_offset.offset_ms(),
-                "unheard_for_ms": lost_at.map(|since| now.saturating_sub(since) / 1_000),
+                "clock_ahead_ms": self.pipeline.clock_offset.offset_ms(),
+                "unheard_for_ms": unreachable_since.map(|since| now.saturating_sub(since) / 1_000),
             },
-            "open_requests": self.front.pending_requests(),
+            "open_requests": self.pipeline.pending_requests(),
             "clients": self.clients.len(),
             "clients_most": self.config.max_clients(),
             "held_bytes": self.clients.buffered_bytes() + self.upstream.buffered_bytes(),
@@ -145,12 +142,12 @@
         })
     }
 
-    /// The state of purges; null where the settings do not switch them on.
+    /// Returns the state of purges; null if they are not enabled.
     fn purge_status(&self) -> Value {
-        let Some(floors) = &self.front.floors else {
+        let Some(floors) = &self.pipeline.floors else {
             return Value::Null;
         };
-        let shield = self.front.shield.as_ref();
+        let shield = self.pipeline.shield.as_ref();
         json!({
             "live_objects_groups_tags_patterns": floors.counts(),
             "answers_refused": floors.stale_replies,
@@ -161,22 +158,25 @@
         })
     }
 
-    /// The counters that the platform reads, by the names that it gives them.
+    /// Returns the counters under the names that the platform defines for them.
     fn counters(&self) -> Value {
         let mut all = serde_json::Map::new();
         let mut put = |name: String, count: u64| {
             all.insert(format!("edge_relay.{name}"), count.into());
         };
-        for (class, counts) in self.front.response_counts() {
+        for (class, counts) in self.pipeline.response_counts() {
             put(format!("handled.{class}.passed"), counts.served);
             put(format!("handled.{class}.dropped"), counts.rejected);
             put(format!("handled.{class}.bad_gateway"), counts.failed);
         }
         let known = self.upstream.listed().count() + self.startup.waiting();
         let skipped = self.upstream.listed();
-        let skipped = skipped.filter(|id| self.front.is_avoided(*id)).count();
+        let skipped = skipped.filter(|id| self.pipeline.is_avoided(*id)).count();
         put("upstream_tries".into(), self.upstream.attempts_written);
-        put("in_progress".into(), self.front.pending_requests() as u64);
+        put(
+            "in_progress".into(),
+            self.pipeline.pending_requests() as u64,
+        );
         put("known_cache_nodes".into(), known as u64);
         put("skipped_cache_nodes".into(), skipped as u64);
         all.into()
--- a/front/src/server/log.rs
+++ b/front/src/server/log.rs
@@ -1,4 +1,4 @@
-//! The log: events of `tracing` as lines on standard error, in text or JSON, limited per second.
+//! The log: writes `tracing` events to standard error as text or JSON lines, with a rate limit.
 use cranesill_daemon::{Format, Level, Log as Settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,38 +12,38 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::{reload, Layer, Registry};
 
-/// Lines a second at most. Guards the CPU against storms of events.
+/// Maximum number of lines per second, a limit on the CPU time spent on logging.
 const MAX_LINES_PER_SECOND: u32 = 50;
-/// Lines below warnings a second at most: warnings and errors are not lost among them.
-const MAX_NOTES_PER_SECOND: u32 = 35;
-/// Kinds of suppressed lines that are counted separately.
+/// Maximum number of lines below the level WARN per second; the remaining lines are reserved for warnings and errors.
+const MAX_INFO_LINES_PER_SECOND: u32 = 35;
+/// Maximum number of kinds for which suppressed lines are counted separately.
 const MAX_SUPPRESSED_KINDS: usize = 32;
-/// Characters of a line at most.
+/// Maximum length of a line or of a JSON value, in characters.
 const MAX_LINE_CHARACTERS: usize = 4_000;
 
-/// Decides which lines are written. Without a clock: seconds are passed in.
+/// Rate limiter. The current second is passed in by the caller.
 #[derive(Debug, Default)]
 struct Limiter {
     second: u64,
-    notes: u32,
+    info_lines: u32,
     warnings: u32,
     suppressed: BTreeMap<String, u64>,
 }
 
 impl Limiter {
-    /// Returns whether a line of this kind is written now; otherwise it is counted.
+    /// Returns whether a line of this kind may be written now; otherwise it is counted as suppressed.
     fn admit(&mut self, second: u64, is_warning: bool, kind: &str) -> bool {
         if second != self.second {
             self.second = second;
-            self.notes = 0;
+            self.info_lines = 0;
             self.warnings = 0;
         }
-        let all = self.notes + self.warnings;
-        let admitted =
-            all < MAX_LINES_PER_SECOND && (is_warning || self.notes < MAX_NOTES_PER_SECOND);
+        let all = self.info_lines + self.warnings;
+        let admitted = all < MAX_LINES_PER_SECOND
+            && (is_warning || self.info_lines < MAX_INFO_LINES_PER_SECOND);
         match (admitted, is_warning) {
             (true, true) => self.warnings += 1,
-            (true, false) => self.notes += 1,
+            (true, false) => self.info_lines += 1,
             (false, _) => self.count_suppressed(kind),
         }
         admitted
@@ -56,10 +56,10 @@
         *self.suppressed.entry(kind.into()).or_default() += 1;
     }
 
-    /// Takes out how many lines were suppressed in an earlier second, by kind.
+    /// Removes and returns the counts of lines suppressed in an earlier second, by kind.
     fn take_suppressed(&mut self, second: u64) -> Option<BTreeMap<String, u64>> {
-        let over = second != self.second && !self.suppressed.is_empty();
-        over.then(|| std::mem::take(&mut self.suppressed))
+        let is_past = second != self.second && !self.suppressed.is_empty();
+        is_past.then(|| std::mem::take(&mut self.suppressed))
     }
 }
 
@@ -69,15 +69,15 @@
     limiter: Mutex<Limiter>,
 }
 
-/// Writes the events of `tracing` as lines.
-struct Lines(Arc<Writer>);
+/// The `tracing` layer that formats and writes events.
+struct LineLayer(Arc<Writer>);
 
-/// Collects an event's fields.
+/// The fields of an event.
 #[derive(Default)]
 struct Fields {
     message: String,
     kind: Option<String>,
-    rest: Vec<(&'static str, String)>,
+    others: Vec<(&'static str, String)>,
 }
 
 impl Fields {
@@ -86,9 +86,9 @@
             "message" => self.message = value,
             "kind" => {
                 self.kind = Some(value.clone());
-                self.rest.push(("kind", value));
+                self.others.push(("kind", value));
             }
-            name => self.rest.push((name, value)),
+            name => self.others.push((name, value)),
         }
     }
 }
@@ -103,7 +103,7 @@
     }
 }
 
-/// The Unix time in seconds and the microseconds beyond.
+/// Returns the Unix time as seconds and microseconds.
 fn now() -> (u64, u32) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -111,7 +111,7 @@
     (now.as_secs(), now.subsec_micros())
 }
 
-/// Formats one line; `level` is in lower case. What could break a line is escaped.
+/// Formats one line; `level` is in lower case. Line breaks and control characters are escaped.
 fn line(
     json: bool,
     time: (u64, u32),
@@ -156,7 +156,7 @@
     let mut line = format!("{second}.{micros:06} {level} {message}");
     for (name, value) in fields {
         let needs_quotes = |c: char| c.is_control() || " \"=".contains(c);
-        // Writing into a string can't fail.
+        // Writing to a string cannot fail.
         let _ = if value.is_empty() || value.chars().any(needs_quotes) {
             write!(line, " {name}={value:?}")
         } else {
@@ -178,7 +178,7 @@
             message,
             fields,
         );
-        // There is nowhere else to report a log that can't be written.
+        // A failure to write the log cannot be reported anywhere else.
         let _ = std::io::stderr().lock().write_all(text.as_bytes());
     }
 
@@ -196,12 +196,12 @@
                 .map(|(kind, n)| format!("{kind}:{n}"))
                 .collect();
             fields.push(("kinds", kinds.join(",")));
-            self.write("warn", "lines left out", &fields);
+            self.write("warn", "log lines suppressed by the rate limit", &fields);
         }
     }
 }
 
-impl<S: Subscriber> Layer<S> for Lines {
+impl<S: Subscriber> Layer<S> for LineLayer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let mut fields = Fields::default();
         event.record(&mut fields);
@@ -218,7 +218,7 @@
             self.0.write(
                 &level.to_string().to_lowercase(),
                 &fields.message,
-                &fields.rest,
+                &fields.others,
             );
         }
     }
@@ -234,14 +234,14 @@
     }
 }
 
-/// The log of this process.
+/// Handle to the installed log, for changes of its settings.
 pub struct Log {
     writer: Arc<Writer>,
     level: reload::Handle<LevelFilter, Registry>,
 }
 
 impl Log {
-    /// Installs the log for the process. Only the first call in a process has an effect.
+    /// Installs the global `tracing` subscriber. Only the first call in a process has an effect.
     pub fn install(settings: &Settings) -> Self {
         let writer = Arc::new(Writer::default());
         writer
@@ -250,23 +250,23 @@
         let (filter, level) = reload::Layer::new(filter(settings.level));
         let subscriber = Registry::default()
             .with(filter)
-            .with(Lines(Arc::clone(&writer)));
-        // A second one in the same process, as in tests, leaves the first in place.
+            .with(LineLayer(Arc::clone(&writer)));
+        // Fails if a subscriber is already installed, as in tests that start several servers.
         let _ = tracing::subscriber::set_global_default(subscriber);
         Log { writer, level }
     }
 
-    /// Changes format and level.
+    /// Applies new settings of format and level.
     pub fn set(&self, settings: &Settings) {
         self.writer
             .json
             .store(settings.format == Format::Json, Ordering::Relaxed);
-        // It can only fail once the subscriber is gone.
+        // Fails only if the subscriber has been dropped.
         let _ = self.level.modify(|level| *level = filter(settings.level));
     }
 
-    /// Logs what was suppressed, also where no further line comes.
-    pub fn sweep(&self) {
+    /// Logs the number of suppressed lines even if no further event is logged.
+    pub fn report_suppressed(&self) {
         self.writer.report_suppressed();
     }
 }
--- a/front/src/server/upstream/placement.rs
+++ b/front/src/server/upstream/placement.rs
@@ -1,32 +1,34 @@
-//! Chooses or begins a connection for an attempt.
-use super::connection::{Connection, Sent};
-use super::{CacheNodes, Ends, Target};
+//! Selects a connection for an attempt, or starts a new one.
+use super::connection::{Connection, OpenAttempt};
+use super::{Ends, Target, UpstreamConnections};
 use crate::protocol::cache_node;
 use crate::routing::{AttemptEnd, Fetch, TransactionId};
 use crate::transport::{dial, is_local, Reactor, Stream};
 use cranesill::api::{EndpointId, Timestamp};
 use std::io;
 
-/// With this many attempts open a connection counts as busy and another is begun: a large answer blocks what is behind it.
-const MAX_CALM_STREAMS: usize = 1;
+/// A connection with this many open attempts is busy. Another one is then started, because a large response delays all later
+/// responses on its connection.
+const MIN_BUSY_STREAMS: usize = 1;
 
-/// What came of a new connection that an attempt might need.
+/// Result of an attempt to start a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NewConnection {
-    /// None was needed, or there is no capacity for one.
-    NotBegun,
-    /// It was begun.
-    Begun,
-    /// The endpoint refused it.
+enum ConnectResult {
+    /// No connection was needed, or there is no capacity for one.
+    NotAttempted,
+    /// Connecting has started.
+    Started,
+    /// The endpoint refused the connection.
     Refused,
-    /// This machine could not begin it, which says nothing of the endpoint.
+    /// This host could not start the connection, which gives no information about the endpoint.
     LocalFailure,
-    /// It failed in some other way.
+    /// Connecting failed for another reason.
     Failed,
 }
 
-impl CacheNodes {
-    /// Sends an attempt on a connection; `key` is for a new one. Returns the key if a connection was begun.
+impl UpstreamConnections {
+    /// Sends an attempt on an existing connection or on a new one with the poller key `key`. Returns the key if a connection was
+    /// started.
     pub fn send(
         &mut self,
         now: Timestamp,
@@ -38,16 +40,16 @@
     ) -> Option<usize> {
         let endpoint = target.endpoint;
         let chosen = self.choose_live(now, endpoint, &fetch.transaction, ends);
-        let new = self.begin_if_needed(now, reactor, key, endpoint, chosen);
-        let may_wait = new == NewConnection::LocalFailure && chosen.is_none();
-        if may_wait && self.redials.may_wait(now, endpoint) {
+        let new = self.connect_if_needed(now, reactor, key, endpoint, chosen);
+        let may_retry = new == ConnectResult::LocalFailure && chosen.is_none();
+        if may_retry && self.redials.record_failure(now, endpoint) {
             self.redials.wait(now, target, fetch);
             return None;
         }
-        let begun = (new == NewConnection::Begun).then_some(key);
-        match begun.or(chosen) {
-            Some(key) => self.put(now, key, target, fetch, ends),
-            None if new == NewConnection::Refused => {
+        let started = (new == ConnectResult::Started).then_some(key);
+        match started.or(chosen) {
+            Some(key) => self.enqueue(now, key, target, fetch, ends),
+            None if new == ConnectResult::Refused => {
                 ends.push((
                     target.attempt,
                     AttemptEnd::Unsent {
@@ -57,50 +59,50 @@
             }
             None => ends.push((target.attempt, AttemptEnd::NoConnection)),
         }
-        begun
+        started
     }
 
-    /// Begins a connection if none was chosen, or if the chosen one is busy and the endpoint may have another.
-    fn begin_if_needed(
+    /// Starts a connection if none was chosen, or if the chosen one is busy and the endpoint may have another.
+    fn connect_if_needed(
         &mut self,
         now: Timestamp,
         reactor: &Reactor,
         key: usize,
         endpoint: EndpointId,
         chosen: Option<usize>,
-    ) -> NewConnection {
+    ) -> ConnectResult {
         let open_attempts = |key| {
             let connection: Option<&Connection> = self.connections.get(&key);
             connection.map_or(0, |connection| connection.open_attempts.len())
         };
-        let is_calm = chosen.is_some_and(|key| open_attempts(key) < MAX_CALM_STREAMS);
+        let chosen_is_free = chosen.is_some_and(|key| open_attempts(key) < MIN_BUSY_STREAMS);
         let max_per_endpoint = (self.max_connections / self.listed.len().max(1)).max(2);
-        if is_calm || self.usable_connections(endpoint) >= max_per_endpoint {
-            return NewConnection::NotBegun;
+        if chosen_is_free || self.usable_connections(endpoint) >= max_per_endpoint {
+            return ConnectResult::NotAttempted;
         }
         let Some((address, _)) = self.listed.get(&endpoint).copied() else {
-            return NewConnection::NotBegun;
+            return ConnectResult::NotAttempted;
         };
-        // One that would only be the second to an endpoint closes none to another.
+        // An additional connection to an endpoint must not replace a connection to another endpoint.
         let has_capacity = self.connections.len() < self.max_connections
-            || chosen.is_none() && self.free_connection();
+            || chosen.is_none() && self.ensure_capacity();
         if !has_capacity {
-            return NewConnection::NotBegun;
+            return ConnectResult::NotAttempted;
         }
         match dial(address).and_then(|socket| Stream::new(reactor, socket, key, true)) {
             Ok(stream) => {
-                self.redials.dialled(endpoint);
+                self.redials.record_success(endpoint);
                 self.insert(now, key, endpoint, stream);
-                NewConnection::Begun
+                ConnectResult::Started
             }
-            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => NewConnection::Refused,
-            Err(e) if is_local(&e) => NewConnection::LocalFailure,
-            Err(_) => NewConnection::Failed,
+            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => ConnectResult::Refused,
+            Err(e) if is_local(&e) => ConnectResult::LocalFailure,
+            Err(_) => ConnectResult::Failed,
         }
     }
 
-    /// Counts an endpoint's connections that still get attempts. Those to an earlier process of it may stay silent for long
-    /// and must not keep the new one from being reached.
+    /// Returns the number of connections of an endpoint that still get attempts. Retired connections to an earlier process of the
+    /// endpoint do not count, so that they cannot prevent connections to the new one.
     fn usable_connections(&self, endpoint: EndpointId) -> usize {
         let keys = self.by_endpoint.get(&endpoint).into_iter().flatten();
         let connections = keys.filter_map(|key| self.connections.get(key));
@@ -119,13 +121,20 @@
         self.by_endpoint.entry(endpoint).or_default().push(key);
     }
 
-    /// Puts an attempt on a connection, and writes what can be written of it.
-    fn put(&mut self, now: Timestamp, key: usize, target: Target, fetch: &Fetch, ends: &mut Ends) {
+    /// Queues an attempt on a connection and writes as much as possible.
+    fn enqueue(
+        &mut self,
+        now: Timestamp,
+        key: usize,
+        target: Target,
+        fetch: &Fetch,
+        ends: &mut Ends,
+    ) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return ends.push((target.attempt, AttemptEnd::NoConnection));
         };
         connection.recent_ids.add(now, fetch.transaction);
-        let sent = Sent {
+        let sent = OpenAttempt {
             attempt: target.attempt,
             sent_at: now,
             is_write: fetch.write,
@@ -139,7 +148,7 @@
         self.by_attempt
             .insert(target.attempt, (key, fetch.transaction));
         self.flush(now, key, ends);
-        // Most are written at once and need no copy of the request.
+        // Copied only now because most requests are written immediately and need no copy.
         let connection = self.connections.get_mut(&key);
         let sent =
             connection.and_then(|connection| connection.open_attempts.get_mut(&fetch.transaction));
@@ -148,8 +157,8 @@
         }
     }
 
-    /// Chooses a connection, and reads from it first if it is idle. Guards against commands that are written into the end of
-    /// a connection: the endpoint may have closed it, which was not reported yet.
+    /// Chooses a connection and, if it is idle, reads from it first to detect that the endpoint has closed it, which the poller may
+    /// not have reported yet.
     fn choose_live(
         &mut self,
         now: Timestamp,
@@ -174,7 +183,7 @@
         }
     }
 
-    /// Chooses the connection to an endpoint that carries least, among those that may carry this id.
+    /// Chooses the connection with the fewest open attempts among those of the endpoint that accept this id.
     fn choose(&self, endpoint: EndpointId, txn: &TransactionId) -> Option<usize> {
         let keys = self.by_endpoint.get(&endpoint)?.iter();
         let connections = keys.filter_map(|key| Some((*key, self.connections.get(key)?)));
@@ -187,9 +196,9 @@
             .map(|(key, _)| key)
     }
 
-    /// Closes the connection that was idle for longest if there is no capacity for one more. Guards against requests that
-    /// find no connection while others are idle. Returns whether there is capacity.
-    fn free_connection(&mut self) -> bool {
+    /// Closes the connection idle for longest if the limit on connections is reached. Returns whether there is capacity for another
+    /// one.
+    fn ensure_capacity(&mut self) -> bool {
         if self.connections.len() < self.max_connections {
             return true;
         }
@@ -206,9 +215,9 @@
         self.connections.len() < self.max_connections
     }
 
-    /// Begins a connection to an endpoint that has none, before a request needs it. Returns whether one was begun; one that
-    /// cannot be begun now is begun for the first request.
-    pub fn connect_ahead(
+    /// Starts a connection to an endpoint that has none, before a request needs it. Returns whether one was started; after a failure
+    /// the first request starts one.
+    pub fn preconnect(
         &mut self,
         now: Timestamp,
         reactor: &Reactor,
@@ -223,7 +232,7 @@
             return false;
         };
         let stream = dial(address).and_then(|socket| Stream::new(reactor, socket, key, true));
-        let begun = stream.map(|stream| self.insert(now, key, endpoint, stream));
-        begun.is_ok()
+        let started = stream.map(|stream| self.insert(now, key, endpoint, stream));
+        started.is_ok()
     }
 }
--- a/front/tests/clock_and_disk_faults.rs
+++ b/front/tests/clock_and_disk_faults.rs
@@ -137,7 +137,7 @@
         for front in 0..5 {
             let log = cluster.fleet.log(front);
             assert!(
-                log.matches("the list is served from disk").count() > round,
+                log.matches("endpoint list loaded from disk").count() > round,
                 "{log}"
             );
         }
@@ -196,7 +196,11 @@
         .wait_for("event received by all fronts", 5, event_sent(second));
     cluster.wait_served("responses during disk faults", 600);
     let warnings = |cluster: &TestCluster, front: usize| {
-        cluster.fleet.log(front).matches("be kept on disk").count()
+        cluster
+            .fleet
+            .log(front)
+            .matches("cannot write the endpoint list to disk")
+            .count()
     };
     wait_until("list on the slow and the unimpaired disk", || {
         [3, 4]
@@ -523,7 +527,8 @@
         let mut cluster = start_with_purge_log(0, 28);
         purge(&cluster, "before").unwrap();
         cluster.fleet.injectors[0].set_disk_faults(full, unsynced);
-        assert!(purge(&cluster, "first").is_err_and(|error| error.contains("could not be kept")));
+        assert!(purge(&cluster, "first")
+            .is_err_and(|error| error.contains("could not be written to the journal")));
         assert!(purge(&cluster, "second").is_err());
         cluster.fleet.injectors[0].set_disk_faults(false, false);
         // A successful sync does not cover data written before a failed one.
--- a/front/tests/common/operations.rs
+++ b/front/tests/common/operations.rs
@@ -16,7 +16,7 @@
 }
 
 pub fn operator_address(log: &Receiver<String>) -> SocketAddr {
-    log_field(&wait_for_line(log, "operators call here"), "at")
+    log_field(&wait_for_line(log, "operator listener open"), "at")
         .parse()
         .unwrap()
 }
--- a/front/tests/fleet_faults.rs
+++ b/front/tests/fleet_faults.rs
@@ -361,7 +361,7 @@
             cluster
                 .fleet
                 .log(front)
-                .contains("the list on disk is left aside"),
+                .contains("endpoint list on disk rejected"),
             "{}",
             cluster.fleet.log(front)
         );
@@ -430,7 +430,7 @@
     let served = |cluster: &TestCluster, front: usize| {
         let log = cluster.fleet.log(front);
         (
-            log.matches("is served from disk").count(),
+            log.matches("endpoint list loaded from disk").count(),
             log.matches("older than may be served from").count(),
         )
     };
@@ -474,7 +474,11 @@
     cluster.wait_served("responses without the snapshot folder", 300);
     for front in 0..2 {
         assert_eq!(
-            cluster.fleet.log(front).matches("be kept on disk").count(),
+            cluster
+                .fleet
+                .log(front)
+                .matches("cannot write the endpoint list to disk")
+                .count(),
             1,
             "{}",
             cluster.fleet.log(front)
--- a/front/tests/operations.rs
+++ b/front/tests/operations.rs
@@ -47,7 +47,7 @@
     assert!(!setup
         .log
         .try_iter()
-        .any(|line| line.contains("operators call here")));
+        .any(|line| line.contains("operator listener open")));
 }
 
 #[test]
@@ -314,7 +314,7 @@
     let mut config = inherited.config.clone();
     config["ops"] = at.to_string().into();
     let mut new = inherited.start_with(&config);
-    wait_for_line(&new.log, "address for operators is taken");
+    wait_for_line(&new.log, "address for operators is in use");
     wait_for_line(&new.log, "waits for another process");
     assert_eq!(
         operator_command(at, "health"),
@@ -327,7 +327,7 @@
     client.request(1, "page-bits", "20000", &[], b"");
     assert!(client.receive().unwrap().contains("bytes"));
     assert!(old.child.wait().unwrap().success());
-    wait_for_line(&new.log, "operators call here");
+    wait_for_line(&new.log, "operator listener open");
     assert_eq!(
         counters(at)["handled.page-bits.passed"],
         1,
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -494,7 +494,10 @@
     caught_up(&strict, 600);
     caught_up(&open, 600);
     let (code, text) = strict.run(&["purge", "--group", "1"]);
-    assert!(code == 1 && text.contains("purge at its writer"), "{text}");
+    assert!(
+        code == 1 && text.contains("send the purge to that front"),
+        "{text}"
+    );
     // A purge reaches a follower within half a second.
     writer.store(OBJECT, 3_000, Some("vitara"));
     assert_eq!(writer.number(&["purge", "--tag", "vitara"]), 601);
@@ -529,7 +532,10 @@
     );
     // The writer restarts with its file, so the log identity is the same.
     let _again = writer.start();
-    wait_for_line(&setup.log, "contact with the ledger again");
+    wait_for_line(
+        &setup.log,
+        "contact with the writer of the purge log restored",
+    );
     assert_eq!(writer.number(&["purge", "--group", "3"]), 602);
     caught_up(&strict, 602);
     // A restarted follower continues from its file without additional purges.
--- a/front/tests/requests.rs
+++ b/front/tests/requests.rs
@@ -408,7 +408,10 @@
             .unwrap()
             .starts_with(&format!("type 11 stream {id}")));
     }
-    wait_for_line(&setup.log, "given up that take nothing");
+    wait_for_line(
+        &setup.log,
+        "disconnected clients that do not read their responses",
+    );
     let taken = slow
         .iter_mut()
         .map(|client| std::iter::from_fn(|| client.receive()).take(32).count());
