--- a/front/tests/clock_and_disk_faults.rs
+++ b/front/tests/clock_and_disk_faults.rs
@@ -319,7 +319,7 @@
             .set(index, cranesill_rig::Behavior::LimitConnections(5))
     });
     let began = cluster.history.now();
-    (0..2).for_each(|side| (0..4).for_each(|index| cluster.reset_connections(side, index)));
+    (0..2).for_each(|group| (0..4).for_each(|index| cluster.reset_connections(group, index)));
     cluster.wait_served("responses with limited connections", 3_000);
     let (end, s) = (cluster.history.now(), std::time::Duration::from_secs(1));
     for (id, _) in &cluster.nodes.all[..4] {
--- a/front/tests/common/mod.rs
+++ b/front/tests/common/mod.rs
@@ -100,7 +100,7 @@
         self.child.wait().unwrap();
     }
 
-    /// Stops the front while `come_about` runs, so that it finds all resulting events in one iteration of its event loop. Returns
+    /// Stops the front while `events` runs, so that it finds all resulting events in one turn of its event loop. Returns
     /// `false` if it had already exited.
     pub fn while_stopped(&self, events: impl FnOnce()) -> bool {
         self.signal("-STOP");
--- a/front/tests/races.rs
+++ b/front/tests/races.rs
@@ -230,7 +230,7 @@
     assert!(client.receive().unwrap().ends_with("booked again"));
 }
 
-/// A write arrives in the iteration in which the node closes the connection that the write would use.
+/// A write arrives in the turn of the event loop in which the node closes the connection that the write would use.
 fn request_while_connection_closes(closes_first: bool) {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn response_and_deadline_in_one_iteration_yield_one_response() {
+fn response_and_deadline_in_one_turn_yield_one_response() {
     let setup = TestFront::new(|_| {});
     let mut client = setup.client();
     client.request(1, "page-bits", "400", &[], b"");
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn retry_is_not_sent_by_an_iteration_after_its_window() {
+fn retry_is_not_sent_by_a_turn_after_its_window() {
     let setup = TestFront::new(|config| {
         let class = &mut config["settings"]["classes"][2];
         class["semantics"] = "token".into();
@@ -577,7 +577,7 @@
 }
 
 #[test]
-fn request_cancelled_in_the_same_iteration_is_not_forwarded() {
+fn request_cancelled_in_the_same_turn_is_not_forwarded() {
     let setup = TestFront::new(with_one_cache);
     let (mut client, mut other) = (setup.client(), setup.client());
     // The front has read from both clients.
@@ -985,7 +985,7 @@
 }
 
 #[test]
-fn sighup_and_sigterm_in_one_iteration_are_both_handled() {
+fn sighup_and_sigterm_in_one_turn_are_both_handled() {
     let mut setup = TestFront::new(|_| {});
     let (mut old, _) = accept_feed(&setup.feed);
     old.write_all(&feed_event(2, 4, &[0; 10])).unwrap();
@@ -1070,7 +1070,7 @@
             0 < out && out < 600,
             "{out} of 600 requests were sent to nodes"
         );
-        // All clients leave in one iteration.
+        // All clients leave in one turn of the event loop.
         setup.while_stopped(|| {
             for client in &mut clients {
                 if resets {
@@ -1097,7 +1097,7 @@
 }
 
 #[test]
-fn expired_queued_requests_are_not_forwarded_by_a_late_iteration() {
+fn expired_queued_requests_are_not_forwarded_by_a_late_turn() {
     let setup = TestFront::new(|config| {
         for node in config["known"]["events"][0]["members"]["instances"]
             .as_array_mut()
