--- a/front/tests/clock_and_disk_faults.rs
+++ b/front/tests/clock_and_disk_faults.rs
@@ -24,7 +24,7 @@
 }
 
 /// Offsets of the fronts' wall clocks in milliseconds.
-const CLOCKS: [i64; 6] = [0, 9_000, -9_000, 3_600_000, -3_600_000, 450];
+const CLOCK_OFFSETS_MS: [i64; 6] = [0, 9_000, -9_000, 3_600_000, -3_600_000, 450];
 
 #[test]
 fn purges_and_drains_are_kept_by_fronts_with_different_wall_clocks() {
@@ -34,7 +34,7 @@
         parents: 2,
         link_groups: 0,
     };
-    let mut cluster = start_cluster(shape, None, &CLOCKS, 21);
+    let mut cluster = start_cluster(shape, None, &CLOCK_OFFSETS_MS, 21);
     let clients = cluster.start_clients(21);
     cluster.wait_served("initial responses", 200);
     for round in 0..4 {
@@ -51,7 +51,7 @@
         cluster.wait_served("responses after a drain", 120);
         cluster.set_node_state(round % 4, State::Ready);
     }
-    for (front, ahead) in CLOCKS.iter().enumerate() {
+    for (front, ahead) in CLOCK_OFFSETS_MS.iter().enumerate() {
         let clock_warnings = cluster
             .fleet
             .log(front)
@@ -110,7 +110,7 @@
         parents: 2,
         link_groups: 1,
     };
-    let mut cluster = start_cluster(shape, Some(&settings), &CLOCKS, 22);
+    let mut cluster = start_cluster(shape, Some(&settings), &CLOCK_OFFSETS_MS, 22);
     cluster.keep_lists_on_disk();
     // With many objects some copies from before a purge remain until the kill.
     cluster.load.objects = 400;
@@ -248,7 +248,7 @@
 fn warming_cache_is_not_overloaded_by_the_fleet() {
     // Twelve fronts send more than a cold cache can serve. The cache is replaced twice, the second time while half of the fleet
     // reaches it over a delayed link and a quarter of the fleet restarts.
-    let clocks: Vec<i64> = (0..12).map(|front| CLOCKS[front % 6]).collect();
+    let clocks: Vec<i64> = (0..12).map(|front| CLOCK_OFFSETS_MS[front % 6]).collect();
     let shape = ClusterSize {
         fronts: 12,
         caches: 3,
@@ -323,9 +323,11 @@
     cluster.wait_served("responses with limited connections", 3_000);
     let (end, s) = (cluster.history.now(), std::time::Duration::from_secs(1));
     for (id, _) in &cluster.nodes.all[..4] {
-        let away = |seen: &Observation| *seen == Observation::ConnectionRejected(*id);
-        let (first, _) = cluster.history.max_in_window(began, end, s, away);
-        let (later, _) = cluster.history.max_in_window(began + 2 * s, end, s, away);
+        let rejected = |seen: &Observation| *seen == Observation::ConnectionRejected(*id);
+        let (first, _) = cluster.history.max_in_window(began, end, s, rejected);
+        let (later, _) = cluster
+            .history
+            .max_in_window(began + 2 * s, end, s, rejected);
         // Seven of twelve fronts are rejected, retry a few times and then back off with growing intervals.
         assert!(
             first <= 60 && later <= 12,
@@ -369,7 +371,7 @@
 }
 
 /// Offsets to which the wall clock is stepped, in milliseconds.
-const STEPS: [i64; 4] = [5_000, -5_000, 3_600_000, -3_600_000];
+const CLOCK_STEPS_MS: [i64; 4] = [5_000, -5_000, 3_600_000, -3_600_000];
 
 #[test]
 fn wall_clock_steps_lose_no_purge() {
@@ -386,7 +388,7 @@
     let clients = cluster.start_clients(26);
     cluster.wait_served("initial responses", 800);
     let all = [0, 1, 2, 3];
-    for step in STEPS {
+    for step in CLOCK_STEPS_MS {
         let first = (0..100).fold(0, |_, item| cluster.purge(item));
         wait_until("purges before the step on disk", || {
             all.iter()
@@ -473,7 +475,7 @@
 fn operator_purges_have_correct_times_and_retention_after_wall_clock_steps() {
     let cluster = start_with_purge_log(0, 27);
     let began = Instant::now();
-    for (n, step) in STEPS.iter().enumerate() {
+    for (n, step) in CLOCK_STEPS_MS.iter().enumerate() {
         cluster.fleet.injectors[0].set_clock_offset(*step);
         let sent_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -492,7 +494,7 @@
     std::thread::sleep(Duration::from_secs(12));
     assert!(began.elapsed() < Duration::from_secs(60));
     assert!(
-        logged_purges(&cluster).len() >= STEPS.len(),
+        logged_purges(&cluster).len() >= CLOCK_STEPS_MS.len(),
         "{:?}",
         logged_purges(&cluster)
     );
--- a/front/tests/combined_faults.rs
+++ b/front/tests/combined_faults.rs
@@ -27,7 +27,7 @@
 };
 
 /// Longer than clients' and nodes' idle connections are kept.
-const QUIET: Duration = Duration::from_secs(15);
+const IDLE_PERIOD: Duration = Duration::from_secs(15);
 
 #[test]
 fn faults_after_a_long_idle_period_violate_no_invariant() {
@@ -35,7 +35,7 @@
     let clients = cluster.start_clients(31);
     cluster.wait_served("initial responses", 200);
     clients.stop();
-    std::thread::sleep(QUIET);
+    std::thread::sleep(IDLE_PERIOD);
     // Together with the first requests: a node is silent, one drains, connections break, a front restarts.
     cluster.nodes.set(0, Behavior::Silent);
     let drained = cluster.set_node_state(1, State::Draining);
@@ -62,7 +62,7 @@
     let down = Instant::now();
     cluster.kill(&[0, 1]);
     cluster.restart(&[0, 1]);
-    while down.elapsed() < QUIET {
+    while down.elapsed() < IDLE_PERIOD {
         cluster.wait_served("responses without the list service", 50);
     }
     // The service returns together with drains of half of the caches and a restart.
--- a/front/tests/fleet_faults.rs
+++ b/front/tests/fleet_faults.rs
@@ -112,10 +112,10 @@
 const S: Duration = Duration::from_secs(1);
 
 /// Connections per second that the fleet together opens to a node; those that each front opens immediately are additional.
-const HANDSHAKES: u32 = 4;
+const HANDSHAKES_PER_SECOND: u32 = 4;
 
 fn handshake_ramp() -> Value {
-    json!({"startup": {"handshakes_per_s": HANDSHAKES, "ready_percent": 50, "ready_most_ms": 2_000}})
+    json!({"startup": {"handshakes_per_s": HANDSHAKES_PER_SECOND, "ready_percent": 50, "ready_most_ms": 2_000}})
 }
 
 /// Largest number of connections to one cache within any second since `from`.
@@ -171,7 +171,7 @@
         .wait_for("connections of all fronts to all caches", 24 * 24, all);
     let worst = max_connections_per_second(&cluster, 24, began);
     assert!(
-        worst <= HANDSHAKES as usize + 8,
+        worst <= HANDSHAKES_PER_SECOND as usize + 8,
         "{worst} connections came to one cache in a second"
     );
     // 70% of the fronts are killed and restarted; the others must not be affected.
@@ -202,7 +202,7 @@
     );
     let worst = max_connections_per_second(&cluster, 24, killed);
     assert!(
-        worst <= HANDSHAKES as usize + 8,
+        worst <= HANDSHAKES_PER_SECOND as usize + 8,
         "{worst} connections came to one cache in a second after the kill"
     );
     clients.stop();
@@ -248,7 +248,7 @@
         .history
         .max_in_window(before, cluster.history.now(), S, accepted);
     assert!(
-        worst <= HANDSHAKES as usize + 2,
+        worst <= HANDSHAKES_PER_SECOND as usize + 2,
         "{worst} connections came in one second"
     );
     clients.stop();
--- a/front/tests/fleet_purges.rs
+++ b/front/tests/fleet_purges.rs
@@ -10,8 +10,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-const LEASE: u64 = 1_000;
-const GRACE: u64 = 500;
+const LEASE_MS: u64 = 1_000;
+const GRACE_MS: u64 = 500;
 const OBJECTS: u64 = 24;
 const REQUESTS: u32 = 20_000;
 const TAGS: [&str; 3] = ["vitara", "blue", "winter"];
@@ -88,7 +88,7 @@
 }
 
 impl Purged {
-    fn concerns(&self, item: &str, tags: &str) -> bool {
+    fn matches(&self, item: &str, tags: &str) -> bool {
         match self.tag {
             Some(tag) => tags.split(';').any(|t| t == tag),
             None => item.starts_with(&self.prefix),
@@ -113,7 +113,7 @@
         .port();
     let at = format!("127.0.0.1:{port}");
     let writes = json!({"serve": at, "boxes": {"kinds": ["small-box"], "connections_most": 8}});
-    let follows = json!({"follow": {"address": at, "lease_ms": LEASE}});
+    let follows = json!({"follow": {"address": at, "lease_ms": LEASE_MS}});
     let mut fronts: Vec<_> = (0..3)
         .map(|i| {
             start_front(
@@ -181,14 +181,14 @@
                     let (created_ms, tags) = rest.split_once(" tags=").unwrap();
                     let created_ms: u64 = created_ms.parse().unwrap();
                     // The writer applies a purge immediately, followers within their lease.
-                    let slack = if i == 0 { GRACE } else { LEASE + GRACE };
+                    let slack = if i == 0 { GRACE_MS } else { LEASE_MS + GRACE_MS };
                     for p in purged
                         .lock()
                         .unwrap()
                         .iter()
                         .filter(|p| p.confirmed_ms + slack < sent)
                     {
-                        let stale = created_ms < p.at_ms && p.concerns(&item, tags);
+                        let stale = created_ms < p.at_ms && p.matches(&item, tags);
                         assert!(
                             !stale,
                             "front {i}, request at {sent}: copy of {item} from {created_ms} ({tags}), purged at {}",
--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -105,12 +105,12 @@
                 let cache = cache.clone();
                 std::thread::spawn(move || {
                     let mut node = NodeConnection(std::io::BufReader::new(socket));
-                    while let Some(words) = node.receive_raw() {
-                        let text = |i: usize| String::from_utf8_lossy(&words[i]).to_string();
+                    while let Some(strings) = node.receive_raw() {
+                        let text = |i: usize| String::from_utf8_lossy(&strings[i]).to_string();
                         match text(0).as_str() {
                             "fetch" => cache.answer(&mut node, &[text(0), text(1), text(2)]),
                             "purge" if cache.ignores_purges.load(Ordering::SeqCst) => {}
-                            "purge" => cache.purge(&mut node, &text(1), &text(2), &words[3]),
+                            "purge" => cache.purge(&mut node, &text(1), &text(2), &strings[3]),
                             _ => {}
                         }
                     }
@@ -119,22 +119,22 @@
         });
     }
 
-    fn answer(&self, node: &mut NodeConnection, words: &[String]) {
+    fn answer(&self, node: &mut NodeConnection, strings: &[String]) {
         let field = |name: &str| {
-            words[2]
+            strings[2]
                 .split(',')
                 .find_map(|f| f.strip_prefix(&format!("{name}=")))
                 .map(str::to_string)
         };
         let item = field("item").unwrap_or_default();
-        let oldest: u64 = field("oldest").map_or(0, |o| o.parse().unwrap());
-        self.max_ages.lock().unwrap().push(oldest);
+        let max_age: u64 = field("oldest").map_or(0, |o| o.parse().unwrap());
+        self.max_ages.lock().unwrap().push(max_age);
         let mut copies = self.copies.lock().unwrap();
         let copy = copies.entry(item).or_insert(Copy {
             created_ms: unix_ms(),
             tags: None,
         });
-        if oldest > 0 && unix_ms() > copy.created_ms + oldest && !self.ignores_max_age {
+        if max_age > 0 && unix_ms() > copy.created_ms + max_age && !self.ignores_max_age {
             copy.created_ms = unix_ms();
         }
         let tags = copy.tags.map_or(String::new(), |t| format!(",tags={t}"));
@@ -144,8 +144,8 @@
         );
         let body = format!("born {}", copy.created_ms);
         drop(copies);
-        let parts =
-            [words[1].as_str(), "HIT", &fields, &body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
+        let parts = [strings[1].as_str(), "HIT", &fields, &body]
+            .map(|p| format!("${}\r\n{p}\r\n", p.len()));
         std::io::Write::write_all(
             node.0.get_mut(),
             format!("*4\r\n{}", parts.concat()).as_bytes(),
@@ -248,7 +248,7 @@
         )
     }
 
-    fn number(&self, arguments: &[&str]) -> u64 {
+    fn purge_number(&self, arguments: &[&str]) -> u64 {
         let (code, text) = self.run(arguments);
         assert_eq!(code, 0, "{text}");
         serde_json::from_str::<Value>(&text).unwrap()["number"]
@@ -287,7 +287,7 @@
     );
     let before = unix_ms();
     assert_eq!(
-        fixture.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
+        fixture.purge_number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
         1
     );
     let new = request(&setup, 3, OBJECT).unwrap();
@@ -309,7 +309,7 @@
     );
     // A repeated command is the same purge; another target with the same id is rejected.
     assert_eq!(
-        fixture.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
+        fixture.purge_number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
         1
     );
     assert_eq!(
@@ -319,7 +319,7 @@
         1
     );
     assert_eq!(
-        fixture.number(&["purge", "--pattern", "page-*/00000000000000a?/*"]),
+        fixture.purge_number(&["purge", "--pattern", "page-*/00000000000000a?/*"]),
         2
     );
     assert!(request(&setup, 5, other).unwrap() >= before);
@@ -346,7 +346,7 @@
     let setup = fixture.start();
     fixture.store(OBJECT, 3_000, Some("vitara"));
     assert!(request(&setup, 1, OBJECT).is_ok());
-    fixture.number(&["purge", "--object", OBJECT]);
+    fixture.purge_number(&["purge", "--object", OBJECT]);
     // All caches return the old copy: the request fails instead.
     let received = request(&setup, 2, OBJECT).unwrap_err();
     assert!(!received.contains("born"), "{received}");
@@ -361,7 +361,7 @@
     let purged = {
         let setup = fixture.start();
         fixture.store(OBJECT, 3_000, Some("vitara"));
-        fixture.number(&["purge", "--tag", "vitara"]);
+        fixture.purge_number(&["purge", "--tag", "vitara"]);
         let _ = &setup;
         unix_ms()
     };
@@ -370,7 +370,7 @@
         // The tags of its objects are unknown after a restart, so the purge applies.
         assert!(request(&setup, 1, OBJECT).unwrap() >= purged - 500);
         fixture.store("00000000000000aa", 3_000, Some("swift"));
-        assert_eq!(fixture.number(&["purge", "--group", "7"]), 2);
+        assert_eq!(fixture.purge_number(&["purge", "--group", "7"]), 2);
     }
     let file = fixture.path("purges");
     let mut bytes = std::fs::read(&file).unwrap();
@@ -389,7 +389,7 @@
         "the damaged file was not kept"
     );
     assert_eq!(
-        fixture.number(&["purge", "--group", "7"]),
+        fixture.purge_number(&["purge", "--group", "7"]),
         3,
         "the log does not continue after the intact purges"
     );
@@ -500,7 +500,7 @@
     );
     // A purge reaches a follower within half a second.
     writer.store(OBJECT, 3_000, Some("vitara"));
-    assert_eq!(writer.number(&["purge", "--tag", "vitara"]), 601);
+    assert_eq!(writer.purge_number(&["purge", "--tag", "vitara"]), 601);
     caught_up(&strict, 601);
     let purged = unix_ms();
     assert!(request(&setup, 1, OBJECT).unwrap() >= purged - 500);
@@ -536,7 +536,7 @@
         &setup.log,
         "contact with the writer of the purge log restored",
     );
-    assert_eq!(writer.number(&["purge", "--group", "3"]), 602);
+    assert_eq!(writer.purge_number(&["purge", "--group", "3"]), 602);
     caught_up(&strict, 602);
     // A restarted follower continues from its file without additional purges.
     drop(setup);
--- a/front/tests/races.rs
+++ b/front/tests/races.rs
@@ -12,7 +12,7 @@
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// Time after a cancellation or a close until the front must not start attempts for the request.
-const CANCELLED: Duration = Duration::from_millis(100);
+const CANCELLATION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Waits until a duration has passed since a time.
 fn wait_since(start: Instant, duration: Duration) {
@@ -41,8 +41,8 @@
 /// Number of connections established within two seconds, which covers a retry of the system; `None` if one carries a command.
 fn late_connections(at: &TcpListener) -> Option<usize> {
     at.set_nonblocking(true).unwrap();
-    let (mut connections, by) = (0, Instant::now() + Duration::from_secs(2));
-    while Instant::now() < by {
+    let (mut connections, deadline) = (0, Instant::now() + Duration::from_secs(2));
+    while Instant::now() < deadline {
         if let Ok((stream, _)) = at.accept() {
             stream.set_nonblocking(false).unwrap();
             connections += 1;
@@ -56,9 +56,9 @@
 }
 
 /// Writes the same bytes repeatedly until the front closes the connection or the test stops it.
-struct Flood(Arc<AtomicBool>, std::thread::JoinHandle<bool>);
+struct RepeatedWriter(Arc<AtomicBool>, std::thread::JoinHandle<bool>);
 
-impl Flood {
+impl RepeatedWriter {
     fn new(mut stream: TcpStream, bytes: Vec<u8>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = Arc::clone(&stop);
@@ -70,11 +70,11 @@
                 return false;
             }
         };
-        Flood(stop, std::thread::spawn(writes))
+        RepeatedWriter(stop, std::thread::spawn(writes))
     }
 
     /// Stops writing and returns whether the front had closed the connection.
-    fn end(self) -> bool {
+    fn stop(self) -> bool {
         self.0.store(true, Ordering::Relaxed);
         self.1.join().unwrap()
     }
@@ -167,7 +167,7 @@
     client.request(1, "page-bits", "30000", &[], b"");
     let (_, mut first) = accept_any_node(&setup);
     first.receive().unwrap();
-    let flood = Flood::new(
+    let writer = RepeatedWriter::new(
         first.0.into_inner(),
         hit_response("00000000000000ff", "not asked for")
             .repeat(2_000)
@@ -178,18 +178,18 @@
     let fetch = other.receive().unwrap();
     other.respond(&fetch[1], "HIT", "-", "complete");
     assert!(client.receive().unwrap().ends_with("complete"));
-    assert!(flood.end(), "the front did not close the connection");
+    assert!(writer.stop(), "the front did not close the connection");
 }
 
 #[test]
 fn endless_list_events_do_not_block_clients() {
     let setup = TestFront::new(|_| {});
     let (stream, _) = accept_feed(&setup.feed);
-    let flood = Flood::new(stream, feed_event(1, 0, b"").repeat(20_000));
+    let writer = RepeatedWriter::new(stream, feed_event(1, 0, b"").repeat(20_000));
     for n in 1..=20 {
         assert!(setup.readiness().unwrap().starts_with("type 21"), "{n}");
     }
-    assert!(!flood.end(), "the front closed a feed with valid events");
+    assert!(!writer.stop(), "the front closed a feed with valid events");
 }
 
 #[test]
@@ -292,7 +292,7 @@
 
 #[test]
 fn request_cancelled_during_connect_is_not_forwarded() {
-    for leaves in ["says so", "closes", "resets"] {
+    for departure in ["cancels", "closes", "resets"] {
         let setup = TestFront::new(with_long_connect_timeout);
         let mut client = setup.client();
         let filler = fill_accept_queue(&setup.origin);
@@ -300,8 +300,8 @@
         // The request has been read once a later one on the same connection is answered.
         client.send(20, 2, &[0]);
         assert!(client.receive().unwrap().starts_with("type 21"));
-        match leaves {
-            "says so" => client.send(12, 1, b""),
+        match departure {
+            "cancels" => client.send(12, 1, b""),
             "closes" => drop(client),
             _ => {
                 socket2::SockRef::from(&client.0)
@@ -310,12 +310,12 @@
                 drop(client);
             }
         }
-        wait_since(Instant::now(), CANCELLED);
+        wait_since(Instant::now(), CANCELLATION_TIMEOUT);
         drop(accept(&setup.origin));
         drop(filler);
         assert!(
             late_connections(&setup.origin).is_some_and(|connections| connections <= 1),
-            "{leaves}"
+            "{departure}"
         );
     }
 }
@@ -339,7 +339,7 @@
         all.push(client);
     }
     setup.while_stopped(|| drop(all));
-    wait_since(Instant::now(), CANCELLED);
+    wait_since(Instant::now(), CANCELLATION_TIMEOUT);
     drop(accept(&setup.origin));
     drop(filler);
     let connections = late_connections(&setup.origin).expect("a late connection carried a command");
@@ -616,9 +616,9 @@
         let mut departing = setup.client();
         departing.request(2, "page-bits", "5000", &[], b"");
         drop(departing);
-        wait_since(Instant::now(), CANCELLED);
+        wait_since(Instant::now(), CANCELLATION_TIMEOUT);
     });
-    wait_since(Instant::now(), CANCELLED);
+    wait_since(Instant::now(), CANCELLATION_TIMEOUT);
     client.request(7, "page-bits", "5000", &[("part", "7")], b"");
     let first = cache.receive().unwrap();
     assert_eq!(first[1], format!("{:016x}", 7), "{first:?}");
@@ -675,8 +675,8 @@
     let (mut stream, _) = accept_feed(&setup.feed);
     // Cancellations of unknown requests have no response.
     let cancellations = [0, 0, 0, 5, 12, 0, 0, 0, 9].repeat(4_000);
-    let floods: Vec<_> = (0..8)
-        .map(|_| Flood::new(setup.client().0, cancellations.clone()))
+    let writers: Vec<_> = (0..8)
+        .map(|_| RepeatedWriter::new(setup.client().0, cancellations.clone()))
         .collect();
     let mut client = setup.client();
     for n in 1..=5 {
@@ -709,9 +709,9 @@
             break;
         }
     }
-    floods
+    writers
         .into_iter()
-        .for_each(|flood| assert!(!flood.end(), "the front closed a flooding client"));
+        .for_each(|writer| assert!(!writer.stop(), "the front closed a flooding client"));
 }
 
 /// Waits for the front to exit with code 0; returns the time since `since`.
@@ -1083,7 +1083,7 @@
             }
             drop(resets.then(|| std::mem::take(&mut clients)));
         });
-        wait_since(Instant::now(), CANCELLED);
+        wait_since(Instant::now(), CANCELLATION_TIMEOUT);
         for (id, stream) in &mut *recorded.lock().unwrap() {
             let _ = stream.write_all(hit_response(id, "too late").as_bytes());
         }
--- a/front/tests/system_call_faults.rs
+++ b/front/tests/system_call_faults.rs
@@ -16,7 +16,7 @@
 /// Tolerated excess of the remaining time sent to a node.
 const REMAINING_TIME_TOLERANCE: Duration = Duration::from_millis(150);
 /// Timeout that each client sends.
-const LIMIT: Duration = Duration::from_millis(2_400);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_400);
 
 fn start_cluster(change: impl Fn(&mut Value), link_groups: usize, seed: u64) -> TestCluster {
     let mut base: Value = serde_json::from_str(include_str!("../examples/config.json")).unwrap();
@@ -55,12 +55,12 @@
                 cluster.history.clone(),
                 cluster.load.read_class.clone(),
             );
-            let which = CLIENT_NUMBERS.fetch_add(1, Ordering::SeqCst) % 0xff;
+            let number = CLIENT_NUMBERS.fetch_add(1, Ordering::SeqCst) % 0xff;
             thread::spawn(move || {
                 let mut client = ReconnectingClient {
                     history,
                     class,
-                    which,
+                    number,
                     stream: 0,
                 };
                 while !stop.load(Ordering::SeqCst) {
@@ -86,7 +86,7 @@
 struct ReconnectingClient {
     history: History,
     class: String,
-    which: u32,
+    number: u32,
     stream: u32,
 }
 
@@ -107,8 +107,11 @@
     /// Sends a request and waits for its response; `false` if the connection failed.
     fn request(&mut self, socket: &mut TcpStream) -> bool {
         self.stream += 1;
-        let txn = (1 << 40) | (u64::from(self.which) << 32) | u64::from(self.stream);
-        let (id, limit) = (format!("{txn:016x}"), LIMIT.as_millis().to_string());
+        let txn = (1 << 40) | (u64::from(self.number) << 32) | u64::from(self.stream);
+        let (id, limit) = (
+            format!("{txn:016x}"),
+            CLIENT_TIMEOUT.as_millis().to_string(),
+        );
         let item = format!("{:016x}", self.stream % 50);
         let fields = [
             ("verb", self.class.as_str()),
@@ -140,7 +143,7 @@
     }
 
     fn answer(&self, socket: &mut TcpStream) -> std::io::Result<u8> {
-        socket.set_read_timeout(Some(2 * LIMIT))?;
+        socket.set_read_timeout(Some(2 * CLIENT_TIMEOUT))?;
         loop {
             let mut length = [0; 4];
             socket.read_exact(&mut length)?;
@@ -167,7 +170,7 @@
 /// Excess of the remaining time sent to nodes, for each attempt of the reconnecting clients' requests.
 fn excess_remaining_time(cluster: &TestCluster) -> Vec<Duration> {
     let mut sent = std::collections::HashMap::new();
-    let mut over = Vec::new();
+    let mut excessive = Vec::new();
     for (at, seen) in cluster.history.observations() {
         match seen {
             Observation::ClientRequest { txn, .. } if (txn >> 32) & 0xff >= 16 => {
@@ -183,25 +186,25 @@
                 };
                 // The delay with which the node read the request does not count.
                 let ends = at.saturating_sub(read_delay) + Duration::from_millis(left_ms);
-                over.push(ends.saturating_sub(*sent_at + LIMIT));
+                excessive.push(ends.saturating_sub(*sent_at + CLIENT_TIMEOUT));
             }
             _ => {}
         }
     }
-    over
+    excessive
 }
 
 /// Asserts that no node was sent a longer remaining time than its client had.
 fn assert_remaining_time_kept(cluster: &TestCluster) {
     let excess = excess_remaining_time(cluster);
-    let over: Vec<_> = excess
+    let excessive: Vec<_> = excess
         .iter()
-        .filter(|over| **over > REMAINING_TIME_TOLERANCE)
+        .filter(|excessive| **excessive > REMAINING_TIME_TOLERANCE)
         .collect();
     assert!(
-        over.is_empty(),
-        "remaining time too long in {} of {} attempts: {over:?}",
-        over.len(),
+        excessive.is_empty(),
+        "remaining time too long in {} of {} attempts: {excessive:?}",
+        excessive.len(),
         excess.len()
     );
 }
@@ -244,7 +247,7 @@
     assert_remaining_time_kept(cluster);
 }
 
-const OF_ACCEPT: [i32; 14] = [
+const ACCEPT_ERRORS: [i32; 14] = [
     libc::ECONNABORTED,
     libc::EPROTO,
     libc::ENETDOWN,
@@ -267,10 +270,10 @@
     cluster.load.pause = 30 * MS;
     cluster.load.connections_per_front = 4;
     // Some clients reconnect for each request, others stay connected.
-    let stay = cluster.start_clients(61);
+    let connected = cluster.start_clients(61);
     let reconnecting = ReconnectingClients::start(&cluster, 6, 1, 5 * MS);
     cluster.wait_served("initial responses", 100);
-    for errno in OF_ACCEPT {
+    for errno in ACCEPT_ERRORS {
         run_with_faults(
             &cluster,
             &SocketFaults::all(&[SystemCall::Accept], errno).every(2),
@@ -284,7 +287,7 @@
         run_with_faults(&cluster, &burst, 600 * MS);
     }
     reconnecting.stop();
-    stay.stop();
+    connected.stop();
     assert_all_served(&mut cluster, 61);
 }
 
@@ -296,7 +299,7 @@
         (libc::EMFILE, 64),
     ] {
         let mut cluster = start_cluster(|_| {}, 0, seed);
-        let stay = cluster.start_clients(seed);
+        let connected = cluster.start_clients(seed);
         cluster.wait_served("initial responses", 20);
         cluster.fleet.injectors[0]
             .set_socket_faults(Some(&SocketFaults::all(&[SystemCall::Accept], errno)));
@@ -314,7 +317,7 @@
             .history
             .wait_for("responses to pending requests", 12, client);
         reconnecting.stop();
-        stay.stop();
+        connected.stop();
         assert_all_served(&mut cluster, seed);
     }
 }
@@ -357,7 +360,7 @@
     let mut client = ReconnectingClient {
         history: cluster.history.clone(),
         class,
-        which: 0xf0,
+        number: 0xf0,
         stream: 0,
     };
     let mut busy = TcpStream::connect(address).unwrap();
@@ -422,8 +425,8 @@
     let mut cluster = start_cluster(short, 0, 66);
     let reconnecting = ReconnectingClients::start(&cluster, 8, 2, 290 * MS);
     cluster.wait_served("initial responses", 30);
-    let of_socket = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-    let of_connect = [
+    let socket_errors = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+    let connect_errors = [
         libc::EADDRNOTAVAIL,
         libc::ENETUNREACH,
         libc::ENETDOWN,
@@ -432,10 +435,10 @@
         libc::ENOMEM,
         libc::EAGAIN,
     ];
-    let calls = of_socket
+    let calls = socket_errors
         .map(|errno| (SystemCall::Socket, errno))
         .into_iter();
-    for (call, errno) in calls.chain(of_connect.map(|errno| (SystemCall::Connect, errno))) {
+    for (call, errno) in calls.chain(connect_errors.map(|errno| (SystemCall::Connect, errno))) {
         run_with_faults(
             &cluster,
             &SocketFaults::all(&[call], errno).every(2),
@@ -572,7 +575,7 @@
 fn short_and_interrupted_reads_and_writes_lose_nothing() {
     let mut cluster = start_cluster(|_| {}, 0, 69);
     cluster.load.connections_per_front = 2;
-    let stay = cluster.start_clients(69);
+    let connected = cluster.start_clients(69);
     let reconnecting = ReconnectingClients::start(&cluster, 3, 3, 5 * MS);
     cluster.wait_served("initial responses", 30);
     for bytes in (1..=40).chain([63, 64, 65, 127, 255, 256, 1_000]) {
@@ -604,11 +607,11 @@
         cluster.wait_served("responses between signals", 2);
     }
     reconnecting.stop();
-    stay.stop();
+    connected.stop();
     assert_all_served(&mut cluster, 69);
 }
 
-const BROKEN: [i32; 5] = [
+const CONNECTION_ERRORS: [i32; 5] = [
     libc::ETIMEDOUT,
     libc::EHOSTUNREACH,
     libc::ECONNRESET,
@@ -620,10 +623,10 @@
 fn broken_node_connections_lose_no_request_and_repeat_no_write() {
     let mut cluster = start_cluster(|_| {}, 0, 70);
     cluster.load.connections_per_front = 6;
-    let stay = cluster.start_clients(70);
+    let connected = cluster.start_clients(70);
     let reconnecting = ReconnectingClients::start(&cluster, 3, 3, 5 * MS);
     cluster.wait_served("initial responses", 30);
-    for errno in BROKEN {
+    for errno in CONNECTION_ERRORS {
         for call in [SystemCall::ReadOutbound, SystemCall::WriteOutbound] {
             run_with_faults(
                 &cluster,
@@ -634,7 +637,7 @@
         }
     }
     reconnecting.stop();
-    stay.stop();
+    connected.stop();
     cluster.assert_no_violations(70);
 }
 
@@ -643,9 +646,9 @@
     let mut cluster = start_cluster(|_| {}, 0, 71);
     cluster.load.connections_per_front = 6;
     (0..3).for_each(|index| cluster.nodes.set(index, Behavior::Respond(5 * MS)));
-    let stay = cluster.start_clients(71);
+    let connected = cluster.start_clients(71);
     cluster.wait_served("initial responses", 30);
-    for errno in BROKEN {
+    for errno in CONNECTION_ERRORS {
         for call in [SystemCall::ReadInbound, SystemCall::WriteInbound] {
             run_with_faults(
                 &cluster,
@@ -655,7 +658,7 @@
             cluster.wait_served("responses after call failures", 20);
         }
     }
-    stay.stop();
+    connected.stop();
     // Clients whose connections broke get no response; all other invariants hold.
     let broken: Vec<_> = cluster
         .violations()
--- a/rig/src/cluster.rs
+++ b/rig/src/cluster.rs
@@ -151,7 +151,7 @@
             (0..shape.fronts).map(node_addresses).collect(),
         );
         let linked = list.addresses.iter().filter(|_| !links.is_empty());
-        let feeds: Vec<_> = linked.map(|front| Link::new(*front)).collect();
+        let feeds: Vec<_> = linked.map(|address| Link::new(*address)).collect();
         let feed_address = |front: usize| {
             feeds
                 .get(front)
@@ -168,12 +168,12 @@
             config["settings"]["index"] = front.into();
             // All fronts are at the edge and share the capacity of the caches.
             config["settings"]["familyInfo"]["seatsByZone"] = json!([0, shape.fronts]);
-            let member = |one: &ListedNode| {
+            let instance = |one: &ListedNode| {
                 json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": node_addresses(front)[one.index].to_string(),
                        "zone": names("zones", one.zone), "machineType": names("kinds", one.kind), "cell": 0,
                        "lifecycle": "in_service", "weight": one.weight, "startedAtMs": 0})
             };
-            let all: Vec<_> = listed.iter().map(member).collect();
+            let all: Vec<_> = listed.iter().map(instance).collect();
             let members = json!({"generation": 1, "reset": true, "instances": all});
             config["known"] = json!({"n": FIRST_EVENT - 1, "events": [{"n": FIRST_EVENT - 1, "members": members}]});
             config
--- a/rig/src/link.rs
+++ b/rig/src/link.rs
@@ -13,7 +13,7 @@
 /// How often a relay checks for a new setting.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Size of a read.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// How one direction of a link transmits bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -171,7 +171,7 @@
     from.set_nonblocking(false)?;
     to.set_nonblocking(false)?;
     from.set_read_timeout(Some(POLL_INTERVAL))?;
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; CHUNK_BYTES];
     let check_open = || {
         let stop = shared.stop.load(Ordering::SeqCst)
             || shared.generation.load(Ordering::SeqCst) != generation;
@@ -198,9 +198,9 @@
                 continue;
             }
             Transmission::Throttle(rate) => {
-                ((rate as f64 * POLL_INTERVAL.as_secs_f64()) as usize).clamp(1, CHUNK)
+                ((rate as f64 * POLL_INTERVAL.as_secs_f64()) as usize).clamp(1, CHUNK_BYTES)
             }
-            Transmission::Pass | Transmission::Delay(_) => CHUNK,
+            Transmission::Pass | Transmission::Delay(_) => CHUNK_BYTES,
         };
         let n = match from.read(&mut chunk[..max_bytes]) {
             Ok(0) => return to.shutdown(Shutdown::Write),
