--- a/leases/src/holder/tests.rs
+++ b/leases/src/holder/tests.rs
@@ -6,7 +6,7 @@
     LeaseHolder::new(3, LEASE_DURATION, 0, [(0, 100)])
 }
 
-/// Polls the holder, and returns sequence and renewed token of the request that it proposes.
+/// Polls the holder, and returns the sequence number and the renewed token of the proposed request.
 fn request(holder: &mut LeaseHolder, now: Timestamp) -> (u64, Option<FencingToken>) {
     match holder.poll(now)[..] {
         [Action::Propose(Command::Acquire {
@@ -30,38 +30,42 @@
 }
 
 #[test]
-fn a_lease_counts_from_its_request_less_the_drift_and_is_checked_before_each_operation() {
+fn a_lease_expires_one_usable_duration_after_its_request_was_sent() {
     let mut holder = holder();
     assert!(holder.poll(99).is_empty() && holder.authorize(99, 0, 99).is_err());
     let (sequence, renews) = request(&mut holder, 100);
     assert_eq!(renews, None);
-    // The outcome arrives 300 into the lease duration.
+    // The outcome arrives 300 us after the request was sent.
     assert_eq!(
         holder.apply(400, granted(sequence, 5)),
         [Action::Acquired(0, 5)]
     );
-    let last = 100 + LEASE_DURATION - LEASE_DURATION * MAX_DRIFT_PER_MILLE / 1_000;
-    assert_eq!(holder.authorize(last - 1, 0, last), Ok(5));
+    let expires_at = 100 + LEASE_DURATION - LEASE_DURATION * MAX_DRIFT_PER_MILLE / 1_000;
+    assert_eq!(holder.authorize(expires_at - 1, 0, expires_at), Ok(5));
     assert!(
-        holder.authorize(last - 1, 0, last + 1).is_err(),
-        "it would outlast the lease"
+        holder.authorize(expires_at - 1, 0, expires_at + 1).is_err(),
+        "the operation would end after the expiry"
     );
-    // A process that was stopped asks before it has polled anything.
+    // A resumed process must not be authorized by an expired lease, even before it polls.
     assert!(
-        holder.authorize(last, 0, last).is_err()
-            && holder.authorize(last + 5_000, 0, last + 5_001).is_err()
+        holder.authorize(expires_at, 0, expires_at).is_err()
+            && holder
+                .authorize(expires_at + 5_000, 0, expires_at + 5_001)
+                .is_err()
     );
-    assert!(holder.poll(last + 5_000).contains(&Action::Lost(0, 5)));
+    assert!(holder
+        .poll(expires_at + 5_000)
+        .contains(&Action::Lost(0, 5)));
 }
 
 #[test]
-fn only_the_outcome_of_the_last_request_counts_and_not_after_the_lease_duration() {
+fn only_the_outcome_of_the_last_request_counts_and_only_within_its_lease_duration() {
     let mut holder = holder();
     let (first, _) = request(&mut holder, 100);
     let (second, _) = request(&mut holder, 100 + LEASE_DURATION / 3);
     assert!(
         holder.apply(500, granted(first, 5)).is_empty(),
-        "it is not known when that request was sent"
+        "only the last request counts"
     );
     assert!(holder.authorize(500, 0, 501).is_err());
     assert!(holder
@@ -73,7 +77,7 @@
 }
 
 #[test]
-fn a_release_is_proposed_once_operations_have_ended_until_it_is_confirmed_and_no_request_before() {
+fn a_release_waits_for_operations_and_is_repeated_until_confirmed_before_any_new_request() {
     let mut holder = holder();
     let (sequence, _) = request(&mut holder, 100);
     holder.apply(110, granted(sequence, 5));
@@ -94,19 +98,19 @@
     assert_eq!(
         holder.poll(600 + LEASE_DURATION / 5),
         release,
-        "it may have been lost"
+        "an unconfirmed release is repeated"
     );
     holder.apply(900, Outcome::Freed(0));
     assert!(
         holder.is_released() && holder.poll(5_000).is_empty() && holder.next_deadline().is_none()
     );
-    // After a failure the lease is requested again, after a backoff and not while it is being released.
+    // After a failure, the lease is not requested during the backoff and before its release is confirmed.
     let mut failing = LeaseHolder::new(3, LEASE_DURATION, 0, [(0, 100)]);
     let (sequence, _) = request(&mut failing, 100);
     failing.apply(110, granted(sequence, 6));
     assert_eq!(failing.authorize(120, 0, 1_080), Ok(6));
     assert_eq!(failing.record_failure(130, 0), [Action::Lost(0, 6)]);
-    // The lease and the backoff end before the operation does.
+    // The lease and the backoff end before the authorized operation.
     let mut actions = Vec::new();
     (131..1_080).for_each(|now| actions.extend(failing.poll(now)));
     assert_eq!(actions, []);
@@ -116,6 +120,6 @@
     ));
     assert!(
         failing.poll(1_135).is_empty(),
-        "not before the release is confirmed"
+        "no request before the release is confirmed"
     );
 }
--- a/leases/src/manager/tests.rs
+++ b/leases/src/manager/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_whole_lease_duration_counts_from_the_last_renewal_and_anew_by_each_leader() {
+fn a_lease_expires_one_duration_after_its_last_renewal_or_a_leader_change() {
     let mut table = LeaseTable::new(1);
     let mut manager = LeaseManager::new(100);
     table.apply(Command::Acquire {
@@ -12,7 +12,7 @@
     });
     assert!(
         manager.poll(0, &table).is_empty() && manager.next_deadline().is_none(),
-        "it is not the leader"
+        "the replica is not the leader"
     );
 
     manager.set_leader(true);
@@ -35,7 +35,7 @@
         (Some(190), expire.clone())
     );
     assert!(manager.poll(191, &table).is_empty());
-    assert_eq!(manager.poll(203, &table), expire, "it is proposed again");
+    assert_eq!(manager.poll(203, &table), expire, "the proposal is retried");
 
     manager.set_leader(false);
     assert!(manager.poll(400, &table).is_empty());
