--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -202,11 +202,6 @@
         command.spawn().expect("start the program")
     }
 
-    /// Id of a running process; `None` if it was killed.
-    pub fn id(&self, n: usize) -> Option<u32> {
-        self.processes[n].as_ref().map(Child::id)
-    }
-
     /// Number of processes, running or not.
     pub fn len(&self) -> usize {
         self.processes.len()
