--- a/front/tests/purges.rs
+++ b/front/tests/purges.rs
@@ -1,4 +1,4 @@
-//! Stories of purges by operators: a front as a process, caches that hold old copies on purpose.
+//! Purges by operators: a front as a process, and caches that hold old copies.
 mod common;
 use common::*;
 use cranesill_purges::journal::{self, DecodedRecord};
@@ -13,36 +13,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-fn wall() -> u64 {
+fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64
 }
 
-/// What a cache holds: of which age, with which tags.
+/// Copy in a cache: creation time in Unix milliseconds and tags.
 #[derive(Clone, Default)]
 struct Copy {
-    born: u64,
+    created_ms: u64,
     tags: Option<&'static str>,
 }
 
-/// A cache that answers from what it holds; an honest one fetches anew what is older than it was asked for.
+/// Cache that responds from its copies; a correct one replaces copies older than the requested maximum age.
 #[derive(Clone, Default)]
 struct Cache {
     copies: Arc<Mutex<HashMap<String, Copy>>>,
-    /// `oldest` of each fetch, as it was asked for; 0: not at all.
-    asked: Arc<Mutex<Vec<u64>>>,
-    lies: bool,
-    /// Says nothing of purges.
-    deaf: Arc<AtomicBool>,
-    /// Everything up to this number is carried out: of the ledger in the last batch.
+    /// Maximum age in milliseconds of each fetch; 0 for none.
+    max_ages: Arc<Mutex<Vec<u64>>>,
+    ignores_max_age: bool,
+    /// Does not answer purge commands.
+    ignores_purges: Arc<AtomicBool>,
+    /// Log identity of the last batch, and number up to which its purges are applied.
     applied: Arc<Mutex<(u64, u64)>>,
 }
 
 impl Cache {
-    /// Carries a batch out, in order.
-    fn purge(&self, link: &mut Link, id: &str, fields: &str, body: &[u8]) {
+    /// Applies a batch of purges in order.
+    fn purge(&self, node: &mut NodeConnection, id: &str, fields: &str, body: &[u8]) {
         let field = |name: &str| {
             fields
                 .split(',')
@@ -50,15 +50,22 @@
                 .unwrap()
                 .to_string()
         };
-        let ledger = u64::from_str_radix(&field("ledger"), 16).unwrap();
+        let log_identity = u64::from_str_radix(&field("ledger"), 16).unwrap();
         let (after, upto): (u64, u64) = (
             field("after").parse().unwrap(),
             field("upto").parse().unwrap(),
         );
         let mut applied = self.applied.lock().unwrap();
         if upto > 0 {
-            let held = if applied.0 == ledger { applied.1 } else { 0 };
-            assert!(after <= held, "sent {after} to one that has {held}");
+            let held = if applied.0 == log_identity {
+                applied.1
+            } else {
+                0
+            };
+            assert!(
+                after <= held,
+                "batch after purge {after} sent to a cache at purge {held}"
+            );
             let (mut rest, mut number) = (body, after);
             while let DecodedRecord::Record {
                 purge,
@@ -75,17 +82,17 @@
                         PurgeTarget::Object(object) => *item == format!("{object:016x}"),
                         _ => false,
                     };
-                    !hit || copy.born >= purge.at_ms
+                    !hit || copy.created_ms >= purge.at_ms
                 });
             }
             assert!(rest.is_empty() && number == upto);
-            *applied = (ledger, held.max(upto));
+            *applied = (log_identity, held.max(upto));
         }
         let fields = format!("ledger={:016x},upto={}", applied.0, applied.1);
         drop(applied);
         let parts = [id, "DONE", &fields, ""].map(|p| format!("${}\r\n{p}\r\n", p.len()));
         std::io::Write::write_all(
-            link.0.get_mut(),
+            node.0.get_mut(),
             format!("*4\r\n{}", parts.concat()).as_bytes(),
         )
         .unwrap();
@@ -97,13 +104,13 @@
             for socket in listener.incoming().map_while(Result::ok) {
                 let cache = cache.clone();
                 std::thread::spawn(move || {
-                    let mut link = Link(std::io::BufReader::new(socket));
-                    while let Some(words) = link.hear_raw() {
-                        let text = |i: usize| String::from_utf8_lossy(&words[i]).to_string();
+                    let mut node = NodeConnection(std::io::BufReader::new(socket));
+                    while let Some(strings) = node.receive_raw() {
+                        let text = |i: usize| String::from_utf8_lossy(&strings[i]).to_string();
                         match text(0).as_str() {
-                            "fetch" => cache.answer(&mut link, &[text(0), text(1), text(2)]),
-                            "purge" if cache.deaf.load(Ordering::SeqCst) => {}
-                            "purge" => cache.purge(&mut link, &text(1), &text(2), &words[3]),
+                            "fetch" => cache.answer(&mut node, &[text(0), text(1), text(2)]),
+                            "purge" if cache.ignores_purges.load(Ordering::SeqCst) => {}
+                            "purge" => cache.purge(&mut node, &text(1), &text(2), &strings[3]),
                             _ => {}
                         }
                     }
@@ -112,42 +119,45 @@
         });
     }
 
-    fn answer(&self, link: &mut Link, words: &[String]) {
+    fn answer(&self, node: &mut NodeConnection, strings: &[String]) {
         let field = |name: &str| {
-            words[2]
+            strings[2]
                 .split(',')
                 .find_map(|f| f.strip_prefix(&format!("{name}=")))
                 .map(str::to_string)
         };
         let item = field("item").unwrap_or_default();
-        let oldest: u64 = field("oldest").map_or(0, |o| o.parse().unwrap());
-        self.asked.lock().unwrap().push(oldest);
+        let max_age: u64 = field("oldest").map_or(0, |o| o.parse().unwrap());
+        self.max_ages.lock().unwrap().push(max_age);
         let mut copies = self.copies.lock().unwrap();
         let copy = copies.entry(item).or_insert(Copy {
-            born: wall(),
+            created_ms: unix_ms(),
             tags: None,
         });
-        if oldest > 0 && wall() > copy.born + oldest && !self.lies {
-            copy.born = wall();
+        if max_age > 0 && unix_ms() > copy.created_ms + max_age && !self.ignores_max_age {
+            copy.created_ms = unix_ms();
         }
         let tags = copy.tags.map_or(String::new(), |t| format!(",tags={t}"));
-        let fields = format!("ver=4be0c1927d55a6f3,born={},tell=local{tags}", copy.born);
-        let body = format!("born {}", copy.born);
+        let fields = format!(
+            "ver=4be0c1927d55a6f3,born={},tell=local{tags}",
+            copy.created_ms
+        );
+        let body = format!("born {}", copy.created_ms);
         drop(copies);
-        let parts =
-            [words[1].as_str(), "HIT", &fields, &body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
+        let parts = [strings[1].as_str(), "HIT", &fields, &body]
+            .map(|p| format!("${}\r\n{p}\r\n", p.len()));
         std::io::Write::write_all(
-            link.0.get_mut(),
+            node.0.get_mut(),
             format!("*4\r\n{}", parts.concat()).as_bytes(),
         )
         .unwrap();
     }
 }
 
-/// An empty ledger's file.
-struct Fresh(PathBuf);
+/// File of an empty purge log.
+struct EmptyJournal(PathBuf);
 
-impl journal::JournalFile for Fresh {
+impl journal::JournalFile for EmptyJournal {
     fn read(&mut self) -> std::io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
@@ -162,64 +172,68 @@
     }
 }
 
-struct Play {
+struct Fixture {
     folder: tempfile::TempDir,
     cache: Cache,
 }
 
-impl Play {
-    fn new(lies: bool, boxes: bool) -> Play {
-        let play = Play {
+impl Fixture {
+    fn new(ignores_max_age: bool, purges_nodes: bool) -> Fixture {
+        let fixture = Fixture {
             folder: tempfile::tempdir().unwrap(),
             cache: Cache {
-                lies,
+                ignores_max_age,
                 ..Cache::default()
             },
         };
-        let mut settings = json!({"control": {"path": play.path("control")},
-                                  "purges": {"file": play.path("purges"), "skew_ms": 0, "horizon_s": 3600}});
-        if boxes {
+        let mut settings = json!({"control": {"path": fixture.path("control")},
+                                  "purges": {"file": fixture.path("purges"), "skew_ms": 0, "horizon_s": 3600}});
+        if purges_nodes {
             settings["purges"]["boxes"] = json!({"kinds": ["origin"], "connections_most": 8});
         }
-        std::fs::write(play.path("daemon.json"), settings.to_string()).unwrap();
-        play
+        std::fs::write(fixture.path("daemon.json"), settings.to_string()).unwrap();
+        fixture
     }
 
     fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    fn start(&self) -> Stage {
+    fn start(&self) -> TestFront {
         let begin = || {
-            let stage = Stage::with(|_| {}, Some(&self.path("daemon.json")));
-            until(&stage.log, "control socket");
-            stage
+            let setup = TestFront::with(|_| {}, Some(&self.path("daemon.json")));
+            wait_for_line(&setup.log, "control socket");
+            setup
         };
         if !self.path("purges").exists() {
-            // Without a file everything would count as purged.
+            // Without a file all objects would count as purged.
             let identity = u64::from(std::process::id());
-            journal::rewrite(&mut Fresh(self.path("purges")), &PurgeLog::new(identity)).unwrap();
+            journal::rewrite(
+                &mut EmptyJournal(self.path("purges")),
+                &PurgeLog::new(identity),
+            )
+            .unwrap();
         }
-        let stage = begin();
-        stage
+        let setup = begin();
+        setup
             .caches
             .iter()
-            .chain([&stage.origin])
+            .chain([&setup.origin])
             .for_each(|c| self.cache.serve(c));
-        stage
+        setup
     }
 
-    fn hold(&self, item: &str, age: u64, tags: Option<&'static str>) {
+    fn store(&self, item: &str, age: u64, tags: Option<&'static str>) {
         self.cache.copies.lock().unwrap().insert(
             item.into(),
             Copy {
-                born: wall() - age,
+                created_ms: unix_ms() - age,
                 tags,
             },
         );
     }
 
-    /// `cranesill` with arguments; its exit code and what it printed.
+    /// Runs `cranesill` with arguments; returns its exit code and output.
     fn run(&self, arguments: &[&str]) -> (i32, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_cranesill"));
         let done = command
@@ -234,7 +248,7 @@
         )
     }
 
-    fn number(&self, arguments: &[&str]) -> u64 {
+    fn purge_number(&self, arguments: &[&str]) -> u64 {
         let (code, text) = self.run(arguments);
         assert_eq!(code, 0, "{text}");
         serde_json::from_str::<Value>(&text).unwrap()["number"]
@@ -243,69 +257,72 @@
     }
 }
 
-const CAR: &str = "7f3a9c21e0b4d655";
+const OBJECT: &str = "7f3a9c21e0b4d655";
 
-/// What a client is told: the moment that the copy was given out, or the code of another answer.
-fn ask(stage: &Stage, stream: u32, item: &str) -> Result<u64, String> {
-    let mut client = stage.client();
-    // The last field of a name counts.
-    client.ask(stream, "page-bits", "3000", &[("item", item)], b"");
-    let told = client.hear().unwrap();
-    told.rsplit_once("born ")
+/// Requests an object; returns the creation time of the copy, or the frame of another response.
+fn request(setup: &TestFront, stream: u32, item: &str) -> Result<u64, String> {
+    let mut client = setup.client();
+    // Of two fields with the same name the last one counts.
+    client.request(stream, "page-bits", "3000", &[("item", item)], b"");
+    let received = client.receive().unwrap();
+    received
+        .rsplit_once("born ")
         .and_then(|(_, born)| born.parse().ok())
-        .ok_or(told)
+        .ok_or(received)
 }
 
 #[test]
-fn after_a_purge_by_tag_nothing_older_is_served_and_other_objects_are_left_alone() {
-    let play = Play::new(false, false);
-    let stage = play.start();
+fn purge_by_tag_affects_only_objects_with_the_tag() {
+    let fixture = Fixture::new(false, false);
+    let setup = fixture.start();
     let other = "00000000000000aa";
-    play.hold(CAR, 3_000, Some("vitara;blue"));
-    play.hold(other, 3_000, Some("swift"));
-    let old = ask(&stage, 1, CAR).unwrap();
-    let plain = ask(&stage, 2, other).unwrap();
-    let (_, text) = play.run(&["purge", "--tag", "vitara", "--dry-run"]);
+    fixture.store(OBJECT, 3_000, Some("vitara;blue"));
+    fixture.store(other, 3_000, Some("swift"));
+    let old = request(&setup, 1, OBJECT).unwrap();
+    let plain = request(&setup, 2, other).unwrap();
+    let (_, text) = fixture.run(&["purge", "--tag", "vitara", "--dry-run"]);
     assert!(
         text.contains("\"known_objects\": 2") && text.contains("\"matched\": 1"),
         "{text}"
     );
-    let before = wall();
+    let before = unix_ms();
     assert_eq!(
-        play.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
+        fixture.purge_number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
         1
     );
-    let new = ask(&stage, 3, CAR).unwrap();
+    let new = request(&setup, 3, OBJECT).unwrap();
     assert!(old < before && new >= before, "{old} {before} {new}");
     assert_eq!(
-        ask(&stage, 4, other).unwrap(),
+        request(&setup, 4, other).unwrap(),
         plain,
-        "known, and without the tag"
+        "the object without the tag was fetched again"
     );
-    let asked = play.cache.asked.lock().unwrap().clone();
+    let max_ages = fixture.cache.max_ages.lock().unwrap().clone();
     assert_eq!(
-        (asked[3], asked[1]),
+        (max_ages[3], max_ages[1]),
         (8_000, 8_000),
-        "it is asked for as its class has it: {asked:?}"
+        "maximum age differs from that of the class: {max_ages:?}"
     );
     assert!(
-        asked[2] < 8_000,
-        "the other was asked for something newer: {asked:?}"
+        max_ages[2] < 8_000,
+        "the purged object was requested without a lower maximum age: {max_ages:?}"
     );
-    // The same command again is the same purge; another under its id is refused.
+    // A repeated command is the same purge; another target with the same id is rejected.
     assert_eq!(
-        play.number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
+        fixture.purge_number(&["purge", "--tag", "vitara", "--id", "photos-1"]),
         1
     );
     assert_eq!(
-        play.run(&["purge", "--tag", "swift", "--id", "photos-1"]).0,
+        fixture
+            .run(&["purge", "--tag", "swift", "--id", "photos-1"])
+            .0,
         1
     );
     assert_eq!(
-        play.number(&["purge", "--pattern", "page-*/00000000000000a?/*"]),
+        fixture.purge_number(&["purge", "--pattern", "page-*/00000000000000a?/*"]),
         2
     );
-    assert!(ask(&stage, 5, other).unwrap() >= before);
+    assert!(request(&setup, 5, other).unwrap() >= before);
     for bad in [
         ["--pattern", "*"],
         ["--pattern", "["],
@@ -314,133 +331,133 @@
         ["--tag", "a,b"],
     ] {
         assert_eq!(
-            play.run(&[&["purge"][..], &bad[..]].concat()).0,
+            fixture.run(&[&["purge"][..], &bad[..]].concat()).0,
             1,
             "{bad:?}"
         );
     }
-    assert_eq!(play.run(&["purges", "show", "2"]).0, 0);
-    assert_eq!(play.run(&["purges", "show", "9"]).0, 3);
+    assert_eq!(fixture.run(&["purges", "show", "2"]).0, 0);
+    assert_eq!(fixture.run(&["purges", "show", "9"]).0, 3);
 }
 
 #[test]
-fn a_cache_that_says_good_of_an_older_copy_is_not_believed() {
-    let play = Play::new(true, false);
-    let stage = play.start();
-    play.hold(CAR, 3_000, Some("vitara"));
-    assert!(ask(&stage, 1, CAR).is_ok());
-    play.number(&["purge", "--object", CAR]);
-    // All lie: the request fails, and no old copy is passed on.
-    let told = ask(&stage, 2, CAR).unwrap_err();
-    assert!(!told.contains("born"), "{told}");
-    let (_, text) = play.run(&["ctl", "status"]);
+fn older_copy_from_a_faulty_cache_is_rejected() {
+    let fixture = Fixture::new(true, false);
+    let setup = fixture.start();
+    fixture.store(OBJECT, 3_000, Some("vitara"));
+    assert!(request(&setup, 1, OBJECT).is_ok());
+    fixture.purge_number(&["purge", "--object", OBJECT]);
+    // All caches return the old copy: the request fails instead.
+    let received = request(&setup, 2, OBJECT).unwrap_err();
+    assert!(!received.contains("born"), "{received}");
+    let (_, text) = fixture.run(&["ctl", "status"]);
     let status: Value = serde_json::from_str(&text).unwrap();
     assert!(status["purges"]["lies"].as_u64().unwrap() > 0, "{text}");
 }
 
 #[test]
-fn a_restart_keeps_numbers_and_floors_and_a_damaged_file_counts_as_a_purge_of_everything() {
-    let play = Play::new(false, false);
+fn restart_keeps_purges_and_a_damaged_file_purges_everything() {
+    let fixture = Fixture::new(false, false);
     let purged = {
-        let stage = play.start();
-        play.hold(CAR, 3_000, Some("vitara"));
-        play.number(&["purge", "--tag", "vitara"]);
-        let _ = &stage;
-        wall()
+        let setup = fixture.start();
+        fixture.store(OBJECT, 3_000, Some("vitara"));
+        fixture.purge_number(&["purge", "--tag", "vitara"]);
+        let _ = &setup;
+        unix_ms()
     };
     {
-        let stage = play.start();
-        // Its tags are not known any more: it counts as matched.
-        assert!(ask(&stage, 1, CAR).unwrap() >= purged - 500);
-        play.hold("00000000000000aa", 3_000, Some("swift"));
-        assert_eq!(play.number(&["purge", "--group", "7"]), 2);
+        let setup = fixture.start();
+        // The tags of its objects are unknown after a restart, so the purge applies.
+        assert!(request(&setup, 1, OBJECT).unwrap() >= purged - 500);
+        fixture.store("00000000000000aa", 3_000, Some("swift"));
+        assert_eq!(fixture.purge_number(&["purge", "--group", "7"]), 2);
     }
-    let file = play.path("purges");
+    let file = fixture.path("purges");
     let mut bytes = std::fs::read(&file).unwrap();
     let at = bytes.len() - 3;
     bytes[at] ^= 0x10;
     std::fs::write(&file, &bytes).unwrap();
-    let stage = play.start();
-    let begun = wall();
-    play.hold("00000000000000bb", 3_000, Some("swift"));
+    let setup = fixture.start();
+    let begun = unix_ms();
+    fixture.store("00000000000000bb", 3_000, Some("swift"));
     assert!(
-        ask(&stage, 2, "00000000000000bb").unwrap() + 5_000 >= begun,
-        "what is not known counts as purged"
+        request(&setup, 2, "00000000000000bb").unwrap() + 5_000 >= begun,
+        "an unknown object was served from an older copy"
     );
     assert!(
-        play.path("purges.damaged").exists(),
-        "what was found is kept for a look"
+        fixture.path("purges.damaged").exists(),
+        "the damaged file was not kept"
     );
     assert_eq!(
-        play.number(&["purge", "--group", "7"]),
+        fixture.purge_number(&["purge", "--group", "7"]),
         3,
-        "what stood before is held, then comes everything"
+        "the log does not continue after the intact purges"
     );
-    drop(stage);
-    let stage = play.start();
-    play.hold("00000000000000bc", 3_000, Some("swift"));
+    drop(setup);
+    let setup = fixture.start();
+    fixture.store("00000000000000bc", 3_000, Some("swift"));
     assert!(
-        ask(&stage, 4, "00000000000000bc").unwrap() + 2_500 >= begun,
-        "a second start does not forget it"
+        request(&setup, 4, "00000000000000bc").unwrap() + 2_500 >= begun,
+        "a second start lost the purge of all objects"
     );
 }
 
 #[test]
-fn boxes_are_purged_in_order_and_those_that_did_not_confirm_are_named() {
-    let play = Play::new(false, true);
-    let stage = play.start();
-    play.hold(CAR, 3_000, Some("vitara"));
-    let (code, text) = play.run(&["purge", "--tag", "vitara", "--wait"]);
+fn purges_reach_nodes_in_order_and_unconfirmed_nodes_are_named() {
+    let fixture = Fixture::new(false, true);
+    let setup = fixture.start();
+    fixture.store(OBJECT, 3_000, Some("vitara"));
+    let (code, text) = fixture.run(&["purge", "--tag", "vitara", "--wait"]);
     assert!(code == 0 && text.contains("by all boxes"), "{text}");
     assert!(
-        play.cache.copies.lock().unwrap().is_empty(),
-        "it is gone from the box"
+        fixture.cache.copies.lock().unwrap().is_empty(),
+        "the node still has the copy"
     );
-    // Confirmed by all: nothing newer is asked for any more, and the answer is judged all the same.
-    assert_eq!(play.cache.applied.lock().unwrap().1, 1);
-    play.cache.deaf.store(true, Ordering::SeqCst);
-    let (code, text) = play.run(&["purge", "--object", CAR, "--wait-s", "1"]);
+    // Once all nodes have confirmed, requests have no lower maximum age, but responses are still checked.
+    assert_eq!(fixture.cache.applied.lock().unwrap().1, 1);
+    fixture.cache.ignores_purges.store(true, Ordering::SeqCst);
+    let (code, text) = fixture.run(&["purge", "--object", OBJECT, "--wait-s", "1"]);
     assert!(
         code == 1 && text.contains("purge 2 is not confirmed by s-00000031"),
         "{text}"
     );
-    play.cache.deaf.store(false, Ordering::SeqCst);
-    // The same command waits again, and the batch that was lost is sent again.
-    let (code, text) = play.run(&["purge", "--group", "9", "--id", "again", "--wait"]);
+    fixture.cache.ignores_purges.store(false, Ordering::SeqCst);
+    // A repeated command waits again, and the lost batch is sent again.
+    let (code, text) = fixture.run(&["purge", "--group", "9", "--id", "again", "--wait"]);
     assert!(code == 0 && text.contains("by all boxes"), "{text}");
-    let (_, text) = play.run(&["purges", "boxes"]);
+    let (_, text) = fixture.run(&["purges", "boxes"]);
     assert!(text.contains("\"confirmed\": 3"), "{text}");
-    drop(stage);
-    // After a restart the box reports what it has: nothing is sent twice, which the box itself would tell.
-    let _stage = play.start();
-    let (code, text) = play.run(&["purge", "--group", "8", "--wait"]);
+    drop(setup);
+    // After a restart the node reports its last purge; it would reject a repeated batch.
+    let _stage = fixture.start();
+    let (code, text) = fixture.run(&["purge", "--group", "8", "--wait"]);
     assert!(code == 0, "{text}");
-    assert_eq!(play.cache.applied.lock().unwrap().1, 4);
+    assert_eq!(fixture.cache.applied.lock().unwrap().1, 4);
 }
 
-/// A front that follows the writer at a port, with its own folder.
-fn follower(play: &Play, port: u16, without: &str) -> (Play, Stage) {
-    let follower = Play {
+/// Starts a front with its own folder that follows the writer on a port.
+fn follower(fixture: &Fixture, port: u16, without_contact: &str) -> (Fixture, TestFront) {
+    let follower = Fixture {
         folder: tempfile::tempdir().unwrap(),
-        cache: play.cache.clone(),
+        cache: fixture.cache.clone(),
     };
     let settings = json!({"control": {"path": follower.path("control")},
                           "purges": {"file": follower.path("purges"), "skew_ms": 0,
                                      "follow": {"address": format!("127.0.0.1:{port}"), "lease_ms": 1000,
-                                                "without_contact": without}}});
+                                                "without_contact": without_contact}}});
     std::fs::write(follower.path("daemon.json"), settings.to_string()).unwrap();
-    let stage = follower.start();
-    (follower, stage)
+    let setup = follower.start();
+    (follower, setup)
 }
 
 #[test]
-fn a_follower_has_what_the_writer_has_and_says_when_contact_is_lost() {
+fn follower_replicates_the_writer_and_reports_a_lost_connection() {
     let port = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
         .port();
-    let writer = Play::new(false, false);
+    let writer = Fixture::new(false, false);
     let text = std::fs::read_to_string(writer.path("daemon.json")).unwrap();
     let mut settings: Value = serde_json::from_str(&text).unwrap();
     settings["purges"]["serve"] = format!("127.0.0.1:{port}").into();
@@ -456,21 +473,21 @@
             .read_line(&mut String::new())
             .unwrap();
     });
-    let (strict, stage) = follower(&writer, port, "strict");
+    let (strict, setup) = follower(&writer, port, "strict");
     let (open, loose) = follower(&writer, port, "available");
-    let last = |play: &Play| {
-        let (_, text) = play.run(&["purges", "list", "--json"]);
+    let last = |fixture: &Fixture| {
+        let (_, text) = fixture.run(&["purges", "list", "--json"]);
         serde_json::from_str::<Value>(&text).unwrap()["last"]
             .as_u64()
             .unwrap()
     };
-    let caught_up = |play: &Play, number: u64| {
+    let caught_up = |fixture: &Fixture, number: u64| {
         let deadline = std::time::Instant::now() + std::time::Duration::from_secs(20);
-        while last(play) != number {
+        while last(fixture) != number {
             assert!(
                 std::time::Instant::now() < deadline,
-                "{} of {number}",
-                last(play)
+                "follower at purge {}, expected {number}",
+                last(fixture)
             );
         }
     };
@@ -481,25 +498,31 @@
         code == 1 && text.contains("send the purge to that front"),
         "{text}"
     );
-    // A purge at the writer counts at a follower well within half a second.
-    writer.hold(CAR, 3_000, Some("vitara"));
-    assert_eq!(writer.number(&["purge", "--tag", "vitara"]), 601);
+    // A purge reaches a follower within half a second.
+    writer.store(OBJECT, 3_000, Some("vitara"));
+    assert_eq!(writer.purge_number(&["purge", "--tag", "vitara"]), 601);
     caught_up(&strict, 601);
-    let purged = wall();
-    assert!(ask(&stage, 1, CAR).unwrap() >= purged - 500);
-    // The writer is gone: one does not serve what is older than the lease, the other goes on and counts.
+    let purged = unix_ms();
+    assert!(request(&setup, 1, OBJECT).unwrap() >= purged - 500);
+    // Without the writer one follower rejects copies older than the lease, the other serves and counts them.
     drop(first);
-    until(&stage.log, "contact-lost");
-    until(&loose.log, "contact-lost");
+    wait_for_line(&setup.log, "contact-lost");
+    wait_for_line(&loose.log, "contact-lost");
     let other = "00000000000000cc";
-    writer.hold(other, 3_000, Some("swift"));
-    let held = wall() - 3_000;
-    // One that is not under a purge, to a front that knows its tags.
-    assert!(ask(&loose, 2, other).is_ok());
-    writer.hold(other, 3_000, Some("swift"));
-    let going = ask(&loose, 4, other).unwrap();
-    assert!(going <= held + 1_000, "it goes on: {going} of {held}");
-    assert!(ask(&stage, 3, other).unwrap() > held + 1_000, "it does not");
+    writer.store(other, 3_000, Some("swift"));
+    let held = unix_ms() - 3_000;
+    // An object without a matching purge, on a front that knows its tags.
+    assert!(request(&loose, 2, other).is_ok());
+    writer.store(other, 3_000, Some("swift"));
+    let served_copy = request(&loose, 4, other).unwrap();
+    assert!(
+        served_copy <= held + 1_000,
+        "the available follower did not serve the copy: {served_copy} of {held}"
+    );
+    assert!(
+        request(&setup, 3, other).unwrap() > held + 1_000,
+        "the strict follower served a copy older than the lease"
+    );
     let (_, text) = open.run(&["ctl", "status"]);
     assert!(
         serde_json::from_str::<Value>(&text).unwrap()["purges"]["answers_in_doubt"]
@@ -507,17 +530,17 @@
             .unwrap()
             > 0
     );
-    // The writer is back with its file: the same ledger goes on.
+    // The writer restarts with its file, so the log identity is the same.
     let _again = writer.start();
-    until(
-        &stage.log,
+    wait_for_line(
+        &setup.log,
         "contact with the writer of the purge log restored",
     );
-    assert_eq!(writer.number(&["purge", "--group", "3"]), 602);
+    assert_eq!(writer.purge_number(&["purge", "--group", "3"]), 602);
     caught_up(&strict, 602);
-    // A follower that restarts goes on from its file, and nothing counts as purged that was not.
-    drop(stage);
-    let stage = strict.start();
+    // A restarted follower continues from its file without additional purges.
+    drop(setup);
+    let setup = strict.start();
     caught_up(&strict, 602);
-    let _ = stage;
+    let _ = setup;
 }
--- a/front/tests/tls.rs
+++ b/front/tests/tls.rs
@@ -1,4 +1,4 @@
-//! Stories of TLS and certificates over loopback: a front as a process, the stand-in authority in this one.
+//! TLS and certificates: a front as a process and a stand-in for the certificate authority in the test process.
 mod common;
 use common::*;
 use cranesill_standins::acme::Server;
@@ -13,10 +13,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const GUARD: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A port that nobody else has, nor gets before the front does: the system gives out none below its own range, and one
-/// that it had given out could go to a connection of another test meanwhile.
+/// Returns an unused port below the range that the system assigns, so that no connection of another test can occupy it before
+/// the front binds it.
 fn port() -> u16 {
     static LAST: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     loop {
@@ -28,14 +28,14 @@
     }
 }
 
-struct Play {
+struct Fixture {
     folder: tempfile::TempDir,
     authority: Server,
     settings: Value,
     ports: (u16, u16),
 }
 
-impl Play {
+impl Fixture {
     fn new(challenge: &str, names: Value) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let ports = (port(), port());
@@ -52,14 +52,14 @@
                               "terms_agreed": true, "challenge": challenge}
             }
         });
-        let play = Play {
+        let fixture = Fixture {
             folder,
             authority,
             settings,
             ports,
         };
-        play.write();
-        play
+        fixture.write();
+        fixture
     }
 
     fn file(&self) -> PathBuf {
@@ -70,18 +70,18 @@
         std::fs::write(self.file(), self.settings.to_string()).unwrap();
     }
 
-    fn start(&self) -> Stage {
-        let stage = Stage::with(|_| {}, Some(&self.file()));
-        // Clients' own socket is told of first.
-        until(&stage.log, "TLS listening");
-        stage
+    fn start(&self) -> TestFront {
+        let setup = TestFront::with(|_| {}, Some(&self.file()));
+        // Logged after the plain listener.
+        wait_for_line(&setup.log, "TLS listening");
+        setup
     }
 
     fn tls(&self) -> SocketAddr {
         ([127, 0, 0, 1], self.ports.1).into()
     }
 
-    /// `cranesill` with arguments; its exit code and what it printed.
+    /// Runs `cranesill` with arguments; returns its exit code and output.
     fn run(&self, arguments: &[&str]) -> (i32, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_cranesill"));
         let done = command
@@ -118,13 +118,13 @@
     }
 }
 
-/// A client over TLS.
+/// Client over TLS.
 struct Secure(StreamOwned<ClientConnection, TcpStream>);
 
 impl Secure {
     fn connect(at: SocketAddr, name: &str, config: Arc<ClientConfig>) -> Result<Secure, String> {
         let mut socket = TcpStream::connect(at).map_err(|e| e.to_string())?;
-        socket.set_read_timeout(Some(GUARD)).unwrap();
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let name = ServerName::try_from(name.to_string()).unwrap();
         let mut connection = ClientConnection::new(config, name).unwrap();
         while connection.is_handshaking() {
@@ -149,7 +149,7 @@
         self.0.write_all(&[&head, payload].concat())
     }
 
-    fn ask(&mut self, stream: u32) -> std::io::Result<()> {
+    fn request(&mut self, stream: u32) -> std::io::Result<()> {
         let txn = format!(
             "{:016x}",
             (u64::from(stream) << 32) | u64::from(self.0.sock.local_addr()?.port())
@@ -170,7 +170,7 @@
         self.send(10, stream, &payload)
     }
 
-    fn hear(&mut self) -> std::io::Result<Vec<u8>> {
+    fn receive(&mut self) -> std::io::Result<Vec<u8>> {
         let mut length = [0; 4];
         self.0.read_exact(&mut length)?;
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -179,17 +179,17 @@
     }
 }
 
-/// A cache that answers everything, on all its connections.
+/// Serves hits on all connections of a cache.
 fn serve_all(cache: &TcpListener, body: &'static str) {
     let cache = cache.try_clone().unwrap();
     std::thread::spawn(move || {
         for socket in cache.incoming() {
             let Ok(socket) = socket else { return };
             std::thread::spawn(move || {
-                let mut link = Link(std::io::BufReader::new(socket));
-                while let Some(words) = link.hear() {
+                let mut node = NodeConnection(std::io::BufReader::new(socket));
+                while let Some(words) = node.receive() {
                     if words[0] == "fetch" {
-                        link.say(&words[1], "HIT", "tell=local", body);
+                        node.respond(&words[1], "HIT", "tell=local", body);
                     }
                 }
             });
@@ -198,38 +198,38 @@
 }
 
 #[test]
-fn a_front_gets_its_certificates_and_serves_requests_under_them() {
+fn front_obtains_certificates_and_serves_requests_with_them() {
     for challenge in ["http-01", "tls-alpn-01"] {
-        let play = Play::new(
+        let fixture = Fixture::new(
             challenge,
             json!([{"names": ["front1.example", "alias.example"]}, {"names": ["other.example"]}]),
         );
-        let stage = play.start();
-        stage
+        let setup = fixture.start();
+        setup
             .caches
             .iter()
             .for_each(|c| serve_all(c, "bytes over TLS"));
-        until(&stage.log, "kind=issued");
-        until(&stage.log, "kind=issued");
+        wait_for_line(&setup.log, "kind=issued");
+        wait_for_line(&setup.log, "kind=issued");
         for name in ["front1.example", "ALIAS.example", "other.example"] {
-            let mut client = play.connect(name).unwrap();
-            client.ask(1).unwrap();
+            let mut client = fixture.connect(name).unwrap();
+            client.request(1).unwrap();
             assert!(
-                client.hear().unwrap().ends_with(b"bytes over TLS"),
+                client.receive().unwrap().ends_with(b"bytes over TLS"),
                 "{challenge} {name}"
             );
         }
-        let unknown = play.connect("unknown.example").err().unwrap();
+        let unknown = fixture.connect("unknown.example").err().unwrap();
         assert!(unknown.contains("UnrecognisedName"), "{unknown}");
         for protocol in ["http/1.1", ""] {
-            let config = Arc::new(play.config(protocol));
-            let refused = Secure::connect(play.tls(), "front1.example", config)
+            let config = Arc::new(fixture.config(protocol));
+            let refused = Secure::connect(fixture.tls(), "front1.example", config)
                 .err()
                 .unwrap();
             assert!(refused.contains("NoApplicationProtocol"), "{refused}");
         }
-        // Keys are 0600 and nothing of a key is in the log.
-        let folder = play.folder.path().join("certs");
+        // Files with keys are readable by the owner only.
+        let folder = fixture.folder.path().join("certs");
         for file in std::fs::read_dir(&folder).unwrap() {
             use std::os::unix::fs::PermissionsExt;
             assert_eq!(
@@ -237,7 +237,7 @@
                 0o600
             );
         }
-        let (code, text) = play.run(&["certs", "list"]);
+        let (code, text) = fixture.run(&["certs", "list"]);
         assert_eq!(code, 0, "{text}");
         assert!(
             text.contains("front1.example") && text.contains("good"),
@@ -247,15 +247,15 @@
 }
 
 #[test]
-fn both_versions_of_tls_work_and_sessions_are_resumed() {
-    let play = Play::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
-    let stage = play.start();
-    stage.caches.iter().for_each(|c| serve_all(c, "x"));
-    until(&stage.log, "kind=issued");
+fn tls_1_2_and_1_3_resume_sessions() {
+    let fixture = Fixture::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
+    let setup = fixture.start();
+    setup.caches.iter().for_each(|c| serve_all(c, "x"));
+    wait_for_line(&setup.log, "kind=issued");
     for version in [&rustls::version::TLS12, &rustls::version::TLS13] {
         let mut roots = RootCertStore::empty();
         roots
-            .add(CertificateDer::from_pem_slice(play.authority.root().as_bytes()).unwrap())
+            .add(CertificateDer::from_pem_slice(fixture.authority.root().as_bytes()).unwrap())
             .unwrap();
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = ClientConfig::builder_with_provider(provider)
@@ -267,9 +267,9 @@
         let kinds: Vec<_> = (0..2)
             .map(|_| {
                 let mut client =
-                    Secure::connect(play.tls(), "front1.example", Arc::clone(&config)).unwrap();
-                client.ask(1).unwrap();
-                client.hear().unwrap();
+                    Secure::connect(fixture.tls(), "front1.example", Arc::clone(&config)).unwrap();
+                client.request(1).unwrap();
+                client.receive().unwrap();
                 client.0.conn.handshake_kind().unwrap()
             })
             .collect();
@@ -279,13 +279,13 @@
             "{version:?}"
         );
     }
-    // A revoked certificate's tickets are good for nothing.
-    let config = Arc::new(play.config("cranesill/1"));
-    let first = Secure::connect(play.tls(), "front1.example", Arc::clone(&config)).unwrap();
-    let (code, text) = play.run(&["certs", "revoke", "front1.example", "--reason", "1"]);
+    // Session tickets issued under a revoked certificate are not accepted.
+    let config = Arc::new(fixture.config("cranesill/1"));
+    let first = Secure::connect(fixture.tls(), "front1.example", Arc::clone(&config)).unwrap();
+    let (code, text) = fixture.run(&["certs", "revoke", "front1.example", "--reason", "1"]);
     assert_eq!(code, 0, "{text}");
-    until(&stage.log, "kind=issued");
-    let second = Secure::connect(play.tls(), "front1.example", config).unwrap();
+    wait_for_line(&setup.log, "kind=issued");
+    let second = Secure::connect(fixture.tls(), "front1.example", config).unwrap();
     assert_eq!(
         second.0.conn.handshake_kind(),
         Some(rustls::HandshakeKind::Full)
@@ -294,120 +294,128 @@
 }
 
 #[test]
-fn a_renewal_while_connections_are_busy_loses_no_request() {
-    let play = Play::new("http-01", json!([{"names": ["front1.example"]}]));
-    let stage = play.start();
-    stage.caches.iter().for_each(|c| serve_all(c, "busy"));
-    until(&stage.log, "kind=issued");
-    let config = Arc::new(play.config("cranesill/1"));
+fn renewal_under_load_loses_no_request() {
+    let fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
+    let setup = fixture.start();
+    setup.caches.iter().for_each(|c| serve_all(c, "busy"));
+    wait_for_line(&setup.log, "kind=issued");
+    let config = Arc::new(fixture.config("cranesill/1"));
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let clients: Vec<_> = (0..100)
         .map(|_| {
             let mut client =
-                Secure::connect(play.tls(), "front1.example", Arc::clone(&config)).unwrap();
+                Secure::connect(fixture.tls(), "front1.example", Arc::clone(&config)).unwrap();
             let stop = Arc::clone(&stop);
             std::thread::spawn(move || {
-                let mut asked = 0;
+                let mut sent = 0;
                 while !stop.load(std::sync::atomic::Ordering::Relaxed) {
-                    asked += 1;
-                    client.ask(asked).unwrap();
-                    let answer = client.hear().unwrap();
+                    sent += 1;
+                    client.request(sent).unwrap();
+                    let answer = client.receive().unwrap();
                     assert_eq!((answer[5], answer.ends_with(b"busy")), (1, true));
                 }
-                asked
+                sent
             })
         })
         .collect();
-    let before = play.connect("front1.example").unwrap().serial();
+    let before = fixture.connect("front1.example").unwrap().serial();
     for _ in 0..3 {
-        assert_eq!(play.run(&["certs", "renew", "front1.example"]).0, 0);
-        until(&stage.log, "kind=issued");
+        assert_eq!(fixture.run(&["certs", "renew", "front1.example"]).0, 0);
+        wait_for_line(&setup.log, "kind=issued");
     }
-    let after = play.connect("front1.example").unwrap().serial();
-    assert_ne!(before, after, "new handshakes get the new certificate");
+    let after = fixture.connect("front1.example").unwrap().serial();
+    assert_ne!(
+        before, after,
+        "handshakes after the renewal use the old certificate"
+    );
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
-    let asked: Vec<u32> = clients.into_iter().map(|c| c.join().unwrap()).collect();
-    assert!(asked.iter().all(|n| *n > 0), "{asked:?}");
+    let sent: Vec<u32> = clients.into_iter().map(|c| c.join().unwrap()).collect();
+    assert!(sent.iter().all(|n| *n > 0), "{sent:?}");
 }
 
 #[test]
-fn a_restart_without_the_authority_serves_what_the_folder_holds_and_takes_new_names_up_at_sighup() {
-    let mut play = Play::new("http-01", json!([{"names": ["front1.example"]}]));
+fn restart_without_the_authority_serves_stored_certificates_and_sighup_adds_names() {
+    let mut fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
     let serial = {
-        let stage = play.start();
-        until(&stage.log, "kind=issued");
-        // Written in order before this is answered by the folder's reader at the next start.
-        let deadline = Instant::now() + GUARD;
-        while !play.folder.path().join("certs/front1.example.pem").exists() {
+        let setup = fixture.start();
+        wait_for_line(&setup.log, "kind=issued");
+        // The file is complete once it has its final name.
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !fixture
+            .folder
+            .path()
+            .join("certs/front1.example.pem")
+            .exists()
+        {
             assert!(Instant::now() < deadline);
             std::thread::yield_now();
         }
-        play.connect("front1.example").unwrap().serial()
+        fixture.connect("front1.example").unwrap().serial()
     };
-    play.authority.authority().faults.vanished = true;
-    let stage = play.start();
-    assert_eq!(play.connect("front1.example").unwrap().serial(), serial);
-    // A second daemon can't take the same control socket.
-    play.settings["certs"]["certificates"] =
+    fixture.authority.authority().faults.vanished = true;
+    let setup = fixture.start();
+    assert_eq!(fixture.connect("front1.example").unwrap().serial(), serial);
+    // The listening address cannot change without a restart; the list of certificates can.
+    fixture.settings["certs"]["certificates"] =
         json!([{"names": ["front1.example"]}, {"names": ["front2.example"]}]);
-    play.settings["tls"]["listen"] = "127.0.0.1:1".into();
-    play.write();
-    stage.signal("-HUP");
-    assert!(until(&stage.log, "need a restart").contains("tls.listen"));
-    assert!(until(&stage.log, "taken over").contains("certs.certificates"));
-    let (code, text) = play.run(&["certs", "show", "front2.example"]);
+    fixture.settings["tls"]["listen"] = "127.0.0.1:1".into();
+    fixture.write();
+    setup.signal("-HUP");
+    assert!(wait_for_line(&setup.log, "need a restart").contains("tls.listen"));
+    assert!(wait_for_line(&setup.log, "taken over").contains("certs.certificates"));
+    let (code, text) = fixture.run(&["certs", "show", "front2.example"]);
     assert_eq!((code, text.contains("\"missing\"")), (4, true), "{text}");
-    assert_eq!(play.run(&["certs", "show", "nobody.example"]).0, 3);
-    // A broken file changes nothing, and all its faults are told.
-    std::fs::write(play.file(), r#"{"tls": {"listen": "x"}, "surplus": 1}"#).unwrap();
-    stage.signal("-HUP");
-    let line = until(&stage.log, "the settings stay as they were");
+    assert_eq!(fixture.run(&["certs", "show", "nobody.example"]).0, 3);
+    // An invalid file has no effect, and all of its errors are logged.
+    std::fs::write(fixture.file(), r#"{"tls": {"listen": "x"}, "surplus": 1}"#).unwrap();
+    setup.signal("-HUP");
+    let line = wait_for_line(&setup.log, "the settings stay as they were");
     assert!(
         line.contains("$.tls.listen") && line.contains("surplus"),
         "{line}"
     );
-    let (code, text) = play.run(&["check", "--settings", play.file().to_str().unwrap()]);
+    let (code, text) = fixture.run(&["check", "--settings", fixture.file().to_str().unwrap()]);
     assert_eq!((code, text.lines().count()), (1, 2), "{text}");
-    assert_eq!(play.run(&["ctl", "status"]).0, 0);
-    assert_eq!(play.run(&["ctl", "nonsense"]).0, 1);
+    assert_eq!(fixture.run(&["ctl", "status"]).0, 0);
+    assert_eq!(fixture.run(&["ctl", "nonsense"]).0, 1);
 }
 
 #[test]
-fn an_expired_certificate_is_served_loudly_or_refused_by_setting_and_never_in_silence() {
+fn expired_certificate_is_served_or_refused_by_setting_and_logged() {
     for refuse in [false, true] {
-        let mut play = Play::new("http-01", json!([{"names": ["front1.example"]}]));
-        play.settings["tls"]["expired"] = if refuse { "refuse" } else { "serve" }.into();
-        play.settings["certs"]["authority"] = Value::Null;
-        play.settings["certs"]
+        let mut fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
+        fixture.settings["tls"]["expired"] = if refuse { "refuse" } else { "serve" }.into();
+        fixture.settings["certs"]["authority"] = Value::Null;
+        fixture.settings["certs"]
             .as_object_mut()
             .unwrap()
             .remove("authority");
-        play.write();
-        // Issued long ago, and lying in the folder.
-        let (key, chain) = old(&play, 1_000_000);
-        std::fs::create_dir(play.folder.path().join("certs")).unwrap();
+        fixture.write();
+        // A certificate in the folder that expired long ago.
+        let (key, chain) = old(&fixture, 1_000_000);
+        std::fs::create_dir(fixture.folder.path().join("certs")).unwrap();
         std::fs::write(
-            play.folder.path().join("certs/front1.example.pem"),
+            fixture.folder.path().join("certs/front1.example.pem"),
             format!("{key}{chain}"),
         )
         .unwrap();
-        let stage = play.start();
-        assert!(until(&stage.log, "kind=expired").contains(" error "));
-        let refused = play.connect("front1.example").err().unwrap();
-        // The client's own word, or the front's alert.
+        let setup = fixture.start();
+        assert!(wait_for_line(&setup.log, "kind=expired").contains(" error "));
+        let refused = fixture.connect("front1.example").err().unwrap();
+        // Either the client rejects the certificate or the front sends an alert.
         assert_eq!(
             refused.contains("AlertReceived") || refused.contains("fatal alert"),
             refuse,
             "{refused}"
         );
         assert!(refused.contains("xpired"), "{refused}");
-        let (code, text) = play.run(&["certs", "list"]);
+        let (code, text) = fixture.run(&["certs", "list"]);
         assert_eq!((code, text.contains("EXPIRED")), (5, true), "{text}");
     }
 }
 
-/// A key and a chain for front1.example that ended in 1970.
-fn old(play: &Play, until: u64) -> (String, String) {
+/// Key and chain for front1.example that expired at the given Unix time.
+fn old(fixture: &Fixture, until: u64) -> (String, String) {
     let mut made = cranesill_certs::exchange::generate_key(&cranesill_certs::KeyRequest::Order(
         vec!["front1.example".into()],
         None,
@@ -415,7 +423,7 @@
     let Ok(cranesill_certs::exchange::GeneratedKey::Order(key, csr)) = made.as_mut() else {
         panic!()
     };
-    let (chain, _) = play
+    let (chain, _) = fixture
         .authority
         .authority()
         .issuer
@@ -425,17 +433,17 @@
 }
 
 #[test]
-fn floods_of_handshakes_garbage_and_silence_leave_open_connections_and_new_ones_served() {
-    let play = Play::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
-    let stage = play.start();
-    stage.caches.iter().for_each(|c| serve_all(c, "x"));
-    until(&stage.log, "kind=issued");
-    let mut usual = play.connect("front1.example").unwrap();
-    usual.ask(1).unwrap();
-    usual.hear().unwrap();
+fn handshake_floods_do_not_block_open_or_new_connections() {
+    let fixture = Fixture::new("tls-alpn-01", json!([{"names": ["front1.example"]}]));
+    let setup = fixture.start();
+    setup.caches.iter().for_each(|c| serve_all(c, "x"));
+    wait_for_line(&setup.log, "kind=issued");
+    let mut usual = fixture.connect("front1.example").unwrap();
+    usual.request(1).unwrap();
+    usual.receive().unwrap();
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let at = play.tls();
-    let config = Arc::new(play.config("cranesill/1"));
+    let at = fixture.tls();
+    let config = Arc::new(fixture.config("cranesill/1"));
     let mut flood = Vec::new();
     for kind in 0..4 {
         let (stop, config) = (Arc::clone(&stop), Arc::clone(&config));
@@ -448,7 +456,7 @@
                 match kind {
                     0 => drop(socket.write_all(&[0x55; 300])),
                     1 => {
-                        // Half a hello, and silence.
+                        // A partial hello without continuation.
                         let _ = socket.write_all(&[22, 3, 1, 2, 0, 1, 0, 1]);
                         silent.push(socket);
                         if silent.len() > 200 {
@@ -461,41 +469,41 @@
         }));
     }
     for stream in 2..200 {
-        usual.ask(stream).unwrap();
-        assert!(usual.hear().unwrap().ends_with(b"x"));
+        usual.request(stream).unwrap();
+        assert!(usual.receive().unwrap().ends_with(b"x"));
     }
-    // A new one gets through in time, and so does the authority's look at a challenge.
+    // A new connection and the authority's validation succeed in time.
     let begun = Instant::now();
     let mut through = 0;
-    while through == 0 && begun.elapsed() < GUARD {
-        through += u32::from(play.connect("front1.example").is_ok());
+    while through == 0 && begun.elapsed() < WAIT_TIMEOUT {
+        through += u32::from(fixture.connect("front1.example").is_ok());
     }
     assert_eq!(through, 1);
-    assert_eq!(play.run(&["certs", "renew", "front1.example"]).0, 0);
-    until(&stage.log, "kind=issued");
+    assert_eq!(fixture.run(&["certs", "renew", "front1.example"]).0, 0);
+    wait_for_line(&setup.log, "kind=issued");
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     flood.into_iter().for_each(|f| f.join().unwrap());
-    let (code, text) = play.run(&["ctl", "tls"]);
+    let (code, text) = fixture.run(&["ctl", "tls"]);
     assert_eq!(code, 0, "{text}");
     assert!(text.contains("garbage"), "{text}");
 }
 
 #[test]
-fn a_second_hello_on_a_secured_connection_ends_that_one_alone() {
-    let play = Play::new("http-01", json!([{"names": ["front1.example"]}]));
-    let stage = play.start();
-    stage.caches.iter().for_each(|c| serve_all(c, "x"));
-    until(&stage.log, "kind=issued");
-    let mut usual = play.connect("front1.example").unwrap();
-    let mut odd = play.connect("front1.example").unwrap();
-    odd.ask(1).unwrap();
-    odd.hear().unwrap();
-    // A hello in the clear where sealed records belong: what a client that renegotiates by force would send.
+fn renegotiation_attempt_ends_only_its_connection() {
+    let fixture = Fixture::new("http-01", json!([{"names": ["front1.example"]}]));
+    let setup = fixture.start();
+    setup.caches.iter().for_each(|c| serve_all(c, "x"));
+    wait_for_line(&setup.log, "kind=issued");
+    let mut usual = fixture.connect("front1.example").unwrap();
+    let mut odd = fixture.connect("front1.example").unwrap();
+    odd.request(1).unwrap();
+    odd.receive().unwrap();
+    // An unencrypted hello on an encrypted connection, as in a forced renegotiation.
     odd.0
         .sock
         .write_all(&[22, 3, 3, 0, 8, 1, 0, 0, 4, 3, 3, 0, 0])
         .unwrap();
-    assert!(odd.hear().is_err());
-    usual.ask(1).unwrap();
-    assert!(usual.hear().unwrap().ends_with(b"x"));
+    assert!(odd.receive().is_err());
+    usual.request(1).unwrap();
+    assert!(usual.receive().unwrap().ends_with(b"x"));
 }
--- a/rig/src/clients.rs
+++ b/rig/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: one thread a front, one request at a time, each noted with what became of it.
-use crate::history::{History, Seen};
+//! Clients of the fronts: one thread for each connection, with one request at a time, recorded in the history.
+use crate::history::{History, Observation};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,89 +7,89 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Bytes of a frame at most.
-const FRAME_MOST: usize = 1 << 18;
+const MAX_FRAME_BYTES: usize = 1 << 18;
 
-/// For how long a client waits on after the moment at which it said that it gives up: what comes then is seen to be late.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// How long a client still waits for a response after its timeout, so that late responses are recorded.
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What clients ask.
+/// Load that the clients put on the fronts.
 #[derive(Clone, Debug)]
-pub struct Asks {
-    /// Classes that may run twice and those that must not; one in ten is of the latter.
-    pub read: String,
-    /// The class that must not run twice.
-    pub write: String,
-    /// Different objects.
+pub struct ClientLoad {
+    /// Class of read requests; nine in ten requests are reads.
+    pub read_class: String,
+    /// Class of write requests, which must not be executed twice.
+    pub write_class: String,
+    /// Number of different objects.
     pub objects: u64,
     /// Connections to each front, each with one request at a time.
-    pub at_once: usize,
-    /// Pause after an answer.
+    pub connections_per_front: usize,
+    /// Pause after each response.
     pub pause: Duration,
-    /// When a client gives up.
-    pub limit: Duration,
+    /// Timeout that a client sends with its request.
+    pub timeout: Duration,
 }
 
-/// Clients of all fronts, until they are let go.
+/// Clients of all fronts, running until they are stopped.
 pub struct Clients {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Where each front listens now; `None`: it does not.
+/// Address on which each front listens; `None` while its process is not running.
 pub type Addresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
 impl Clients {
-    /// Begins to ask each front.
-    pub fn begin(history: &History, addresses: &Addresses, asks: &Asks, seed: u64) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let count = addresses.lock().expect("no holder panics").len();
-        let each = (0..count).flat_map(|front| (0..asks.at_once).map(move |which| (front, which)));
-        let threads = each.map(|(front, which)| {
-            let (history, addresses, asks) = (history.clone(), Arc::clone(addresses), asks.clone());
-            let over = Arc::clone(&over);
+    /// Starts the clients of each front.
+    pub fn start(history: &History, addresses: &Addresses, load: &ClientLoad, seed: u64) -> Self {
+        let stop = Arc::new(AtomicBool::new(false));
+        let count = addresses.lock().expect("lock poisoned").len();
+        let clients = (0..count)
+            .flat_map(|front| (0..load.connections_per_front).map(move |number| (front, number)));
+        let threads = clients.map(|(front, number)| {
+            let (history, addresses, load) = (history.clone(), Arc::clone(addresses), load.clone());
+            let stop = Arc::clone(&stop);
             let rng = (seed
-                ^ ((which * count + front) as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
+                ^ ((number * count + front) as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
                 | 1;
             thread::spawn(move || {
                 Client {
                     front,
-                    which,
+                    number,
                     rng,
                     stream: 0,
-                    asks,
+                    load,
                 }
-                .run(&history, &addresses, &over)
+                .run(&history, &addresses, &stop)
             })
         });
         Clients {
             threads: threads.collect(),
-            over,
+            stop,
         }
     }
 
-    /// No new requests; waits until what was asked is answered or given up.
-    pub fn end(mut self) {
-        self.over.store(true, Ordering::SeqCst);
+    /// Sends no new requests and waits until open requests are answered or have timed out.
+    pub fn stop(mut self) {
+        self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
-            thread.join().expect("a client does not panic");
+            thread.join().expect("client thread panicked");
         }
     }
 }
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
     }
 }
 
 struct Client {
     front: usize,
-    /// Which of the clients of this front.
-    which: usize,
+    /// Number of the client among those of its front.
+    number: usize,
     rng: u64,
     stream: u32,
-    asks: Asks,
+    load: ClientLoad,
 }
 
 fn field(payload: &mut Vec<u8>, name: &str, value: &str) {
@@ -100,31 +100,32 @@
 }
 
 impl Client {
-    /// The id of a request: the front, the client and the stream stand in it.
+    /// Transaction id of a request, composed of front, client and stream.
     fn txn(&self, stream: u32) -> u64 {
-        ((self.front as u64 + 1) << 40) | ((self.which as u64) << 32) | u64::from(stream)
+        ((self.front as u64 + 1) << 40) | ((self.number as u64) << 32) | u64::from(stream)
     }
 
-    fn roll(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.rng ^= self.rng << 13;
         self.rng ^= self.rng >> 7;
         self.rng ^= self.rng << 17;
         self.rng
     }
 
-    fn run(mut self, history: &History, addresses: &Addresses, over: &AtomicBool) {
-        while !over.load(Ordering::SeqCst) {
-            let address = addresses.lock().expect("no holder panics")[self.front];
+    fn run(mut self, history: &History, addresses: &Addresses, stop: &AtomicBool) {
+        while !stop.load(Ordering::SeqCst) {
+            let address = addresses.lock().expect("lock poisoned")[self.front];
             match address.and_then(|at| TcpStream::connect(at).ok()) {
                 Some(socket) => {
-                    // A connection to a process that was killed is of no use: what is asked there was taken by nobody.
+                    // Disconnect from a process that was killed: a request sent there would reach nobody.
                     let front = self.front;
-                    let same = || addresses.lock().expect("no holder panics")[front] == address;
-                    while !over.load(Ordering::SeqCst)
-                        && same()
-                        && self.once(&socket, history).is_ok()
+                    let same_process =
+                        || addresses.lock().expect("lock poisoned")[front] == address;
+                    while !stop.load(Ordering::SeqCst)
+                        && same_process()
+                        && self.request(&socket, history).is_ok()
                     {
-                        thread::sleep(self.asks.pause);
+                        thread::sleep(self.load.pause);
                     }
                 }
                 None => thread::sleep(Duration::from_millis(5)),
@@ -132,20 +133,20 @@
         }
     }
 
-    /// Asks once and hears the answer. An error: the connection is of no further use.
-    fn once(&mut self, mut socket: &TcpStream, history: &History) -> std::io::Result<()> {
+    /// Sends a request and waits for its response. After an error the connection must not be used again.
+    fn request(&mut self, mut socket: &TcpStream, history: &History) -> std::io::Result<()> {
         self.stream += 1;
         let (front, stream) = (self.front, self.stream);
         let txn = self.txn(stream);
-        let write = self.roll().is_multiple_of(10);
+        let write = self.next_random().is_multiple_of(10);
         let (class, item) = (
             if write {
-                &self.asks.write
+                &self.load.write_class
             } else {
-                &self.asks.read
+                &self.load.read_class
             }
             .clone(),
-            self.roll() % self.asks.objects,
+            self.next_random() % self.load.objects,
         );
         let mut payload = vec![4];
         field(&mut payload, "verb", &class);
@@ -153,7 +154,7 @@
         field(
             &mut payload,
             "limit",
-            &self.asks.limit.as_millis().to_string(),
+            &self.load.timeout.as_millis().to_string(),
         );
         field(&mut payload, "item", &format!("{item:016x}"));
         if write {
@@ -167,19 +168,19 @@
             &payload,
         ]
         .concat();
-        history.note(Seen::Asked { front, txn });
-        let until = Instant::now() + self.asks.limit + PATIENCE;
+        history.record(Observation::ClientRequest { front, txn });
+        let until = Instant::now() + self.load.timeout + LATE_RESPONSE_TIMEOUT;
         let done = socket
             .write_all(&frame)
-            .and_then(|()| self.hear(socket, history, txn, until));
+            .and_then(|()| self.receive(socket, history, txn, until));
         if done.is_err() {
-            // The connection ended, or it is given up.
-            history.note(Seen::Lost(front, txn));
+            // The connection was closed or the response did not arrive in time.
+            history.record(Observation::ClientUnanswered(front, txn));
         }
         done
     }
 
-    fn hear(
+    fn receive(
         &self,
         mut socket: &TcpStream,
         history: &History,
@@ -194,20 +195,20 @@
             let mut length = [0; 4];
             socket.read_exact(&mut length)?;
             let length = u32::from_be_bytes(length) as usize;
-            if !(5..=FRAME_MOST).contains(&length) {
+            if !(5..=MAX_FRAME_BYTES).contains(&length) {
                 return Err(ErrorKind::InvalidData.into());
             }
             let mut frame = vec![0; length];
             socket.read_exact(&mut frame)?;
             if frame[0] != 11 {
-                // The front takes nothing more here: the next request goes elsewhere.
+                // Another message of the front; it asks the client to reconnect, which takes effect after this request.
                 continue;
             }
             let stream = u32::from_be_bytes([frame[1], frame[2], frame[3], frame[4]]);
             let code = frame.get(5).copied().unwrap_or(0);
-            let of = self.txn(stream);
-            history.note(Seen::Answered(self.front, of, code));
-            if of == txn {
+            let response_txn = self.txn(stream);
+            history.record(Observation::ClientResponse(self.front, response_txn, code));
+            if response_txn == txn {
                 return Ok(());
             }
         }
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -1,6 +1,6 @@
-//! Cache nodes, parents and the origin as stand-ins, all on one thread with a poller: many fronts times many nodes are
-//! thousands of connections. They hold old copies for as long as the protocol allows, unless newer ones are asked for.
-use crate::history::{History, Seen};
+//! Stand-ins for cache nodes, parents and the origin. One thread with a poller serves all of them, since many fronts and nodes
+//! have thousands of connections. They keep copies for as long as the protocol allows, unless a request limits the age.
+use crate::history::{History, Observation};
 use polling::{Event, Events, PollMode, Poller};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -10,40 +10,40 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Bytes that a front may say before the stand-in takes it for broken.
-const INPUT_MOST: usize = 1 << 20;
-/// Strings of a command, and bytes of one.
-const STRINGS_MOST: usize = 8;
-const STRING_MOST: usize = 1 << 17;
+/// Input without a complete command after which a connection is reset.
+const MAX_INPUT_BYTES: usize = 1 << 20;
+/// Limits of a command: number of strings and bytes of a string.
+const MAX_STRINGS: usize = 8;
+const MAX_STRING_BYTES: usize = 1 << 17;
 
-/// What a node does with what it is asked.
+/// How a node treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    /// It answers after this long.
-    Answers(Duration),
-    /// It reads and never answers.
+pub enum Behavior {
+    /// Responds after this duration.
+    Respond(Duration),
+    /// Reads requests and never responds.
     Silent,
-    /// It reads nothing: what is said to it waits.
-    Frozen,
-    /// It has no place for anything.
-    Full,
-    /// It fails at all, and may have run it.
-    Faults,
-    /// It answers what nobody can read.
+    /// Does not read from its connections.
+    NotReading,
+    /// Rejects all requests because of overload.
+    Shed,
+    /// Fails all requests; writes may have been executed.
+    Fail,
+    /// Responds with undecodable bytes.
     Garbage,
-    /// It takes a request, runs it, and breaks the connection.
-    Breaks,
-    /// It sends half of each answer.
-    Torn,
-    /// It answers twice, and answers what was given up as well.
-    Stubborn,
-    /// It answers at once, and has places for so many connections: one more is accepted and closed.
-    Crowded(usize),
-    /// Nobody listens, and what was open is reset.
-    Dead,
+    /// Executes a request and resets the connection.
+    Reset,
+    /// Sends half of each response.
+    Truncate,
+    /// Responds twice, also to cancelled requests.
+    Duplicate,
+    /// Responds immediately and closes connections in excess of this number.
+    LimitConnections(usize),
+    /// Has no listener; open connections are reset.
+    Down,
 }
 
-/// Unix milliseconds.
+/// Wall clock in Unix milliseconds.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -51,99 +51,100 @@
         .as_millis() as u64
 }
 
-/// Nodes that a test holds in its hand.
+/// Stand-ins for the nodes of a test.
 pub struct Nodes {
-    /// Id and address of each.
+    /// Id and address of each node.
     pub all: Vec<(u32, SocketAddr)>,
     shared: Arc<Shared>,
     history: History,
 }
 
 struct Shared {
-    /// Objects that were purged, when, and from when on no node holds older copies, in Unix milliseconds.
+    /// Purged objects: id, time of the purge, and time from which no node has older copies (Unix milliseconds).
     purged: Mutex<Vec<(u64, u64, u64)>>,
-    moods: Mutex<Vec<Mood>>,
-    over: Mutex<bool>,
+    behaviors: Mutex<Vec<Behavior>>,
+    stop: Mutex<bool>,
     poller: Poller,
 }
 
 impl Nodes {
-    /// Begins with these ids; all answer at once. Classes of these names must not run twice.
+    /// Starts nodes with these ids that respond immediately. `writes` names the classes that must not be executed twice.
     pub fn new(history: &History, ids: &[u32], writes: &[&str]) -> Self {
-        let poller = Poller::new().expect("a poller");
-        let moods = Mutex::new(vec![Mood::Answers(Duration::ZERO); ids.len()]);
+        let poller = Poller::new().expect("create a poller");
+        let behaviors = Mutex::new(vec![Behavior::Respond(Duration::ZERO); ids.len()]);
         let purged = Mutex::default();
         let shared = Arc::new(Shared {
             purged,
-            moods,
-            over: Mutex::new(false),
+            behaviors,
+            stop: Mutex::new(false),
             poller,
         });
         let mut nodes = Vec::new();
         for id in ids {
-            let listener = TcpListener::bind(crate::own_address()).expect("a port");
-            let address = listener.local_addr().expect("bound");
-            let mood = Mood::Answers(Duration::ZERO);
+            let listener =
+                TcpListener::bind(crate::unique_address()).expect("bind a loopback port");
+            let address = listener.local_addr().expect("address of a bound listener");
+            let behavior = Behavior::Respond(Duration::ZERO);
             nodes.push(Node {
                 id: *id,
                 address,
                 listener: Some(listener),
-                mood,
+                behavior,
                 copies: HashMap::new(),
             });
         }
         let all = nodes.iter().map(|node| (node.id, node.address)).collect();
         let writes = writes.iter().map(|name| name.to_string()).collect();
         let (own, history) = (Arc::clone(&shared), history.clone());
-        let noted = history.clone();
+        let own_history = history.clone();
         thread::spawn(move || {
-            let world = World {
+            let event_loop = EventLoop {
                 shared: &own,
                 history: &history,
                 nodes,
                 writes,
-                links: HashMap::new(),
-                last: 0,
+                connections: HashMap::new(),
+                reply_count: 0,
                 due: BinaryHeap::new(),
                 previous_poll: Instant::now(),
             };
-            world.run();
+            event_loop.run();
         });
         Nodes {
             all,
             shared,
-            history: noted,
+            history: own_history,
         }
     }
 
-    /// An object was purged at this Unix millisecond; after so long no node holds an older copy.
-    pub fn purge(&self, item: u64, at_ms: u64, takes: Duration) {
-        let gone = at_ms + takes.as_millis() as u64;
+    /// Purges an object at a time in Unix milliseconds; after `duration` no node has an older copy.
+    pub fn purge(&self, item: u64, at_ms: u64, duration: Duration) {
+        let removed_ms = at_ms + duration.as_millis() as u64;
         self.shared
             .purged
             .lock()
-            .expect("no holder panics")
-            .push((item, at_ms, gone));
+            .expect("lock poisoned")
+            .push((item, at_ms, removed_ms));
     }
 
-    /// From now on this node does that.
-    pub fn set(&self, place: usize, mood: Mood) {
-        let id = self.all[place].0;
-        // What reads nothing hears of nothing: the checkers must not hold a front to what it could not make known.
-        let seen = if matches!(mood, Mood::Frozen) {
-            Seen::Veiled(id, 0)
+    /// Changes the behaviour of a node.
+    pub fn set(&self, index: usize, behavior: Behavior) {
+        let id = self.all[index].0;
+        // A node that does not read cannot receive a cancellation; the checkers must not blame the front for that.
+        let seen = if matches!(behavior, Behavior::NotReading) {
+            Observation::NodeImpaired(id, 0)
         } else {
-            Seen::Clear(id, 0)
+            Observation::NodeRestored(id, 0)
         };
-        self.history.note(seen);
-        self.shared.moods.lock().expect("no holder panics")[place] = mood;
-        self.shared.poller.notify().expect("a poller");
+        self.history.record(seen);
+        self.shared.behaviors.lock().expect("lock poisoned")[index] = behavior;
+        self.shared.poller.notify().expect("wake the poller");
     }
 }
 
 impl Drop for Nodes {
     fn drop(&mut self) {
-        *self.shared.over.lock().expect("no holder panics") = true;
+        *self.shared.stop.lock().expect("lock poisoned") = true;
         let _ = self.shared.poller.notify();
     }
 }
@@ -152,71 +153,71 @@
     id: u32,
     address: SocketAddr,
     listener: Option<TcpListener>,
-    mood: Mood,
-    /// When each copy was made.
+    behavior: Behavior,
+    /// Creation time of each copy in Unix milliseconds, by object.
     copies: HashMap<u64, u64>,
 }
 
-struct Link {
-    place: usize,
+struct Connection {
+    index: usize,
     socket: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Requests that are not answered yet.
+    /// Requests without a response.
     open: Vec<u64>,
-    /// What is not read yet came after this moment; `None`: after the last poll that did not report it.
+    /// Time after which unread input arrived; `None` if the previous poll did not report any.
     unread_since: Option<Instant>,
 }
 
-/// An answer that is due: when, in which order, on which connection, to what, and how.
-type Due = Reverse<(Instant, u64, usize, u64, Word)>;
+/// Scheduled reply: due time, sequence number, connection key, transaction id and content.
+type DueReply = Reverse<(Instant, u64, usize, u64, Reply)>;
 
-/// What an answer says.
+/// Content of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Word {
-    /// Served from a copy of that age.
+enum Reply {
+    /// Hit with the creation time of the copy.
     Hit(u64),
     Miss,
-    Full,
+    Shed,
     Fault,
 }
 
-struct World<'a> {
+struct EventLoop<'a> {
     shared: &'a Shared,
     history: &'a History,
     nodes: Vec<Node>,
     writes: Vec<String>,
-    links: HashMap<usize, Link>,
-    last: u64,
-    due: BinaryHeap<Due>,
-    /// When the poll began that came before the last one. What the last one reports came after this moment: the earlier one
-    /// would have reported it.
+    connections: HashMap<usize, Connection>,
+    reply_count: u64,
+    due: BinaryHeap<DueReply>,
+    /// Start of the poll before the last one. Input that the last poll reported arrived after it, as the earlier poll would
+    /// have reported it otherwise.
     previous_poll: Instant,
 }
 
-/// A request as it was read.
+/// Decoded fields of a fetch command.
 #[derive(Default)]
-struct Fetch {
+struct FetchRequest {
     class: String,
     item: u64,
     source: u32,
-    /// The age in milliseconds up to which a copy will do; 0: any.
-    oldest: u64,
-    /// Milliseconds that the client is said to have left.
-    limit: u64,
-    only_held: bool,
+    /// Maximum age of a copy in milliseconds; 0 for any age.
+    max_age_ms: u64,
+    /// Remaining time of the client in milliseconds.
+    remaining_ms: u64,
+    cached_only: bool,
 }
 
-fn hex(text: &str) -> u64 {
+fn parse_hex(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or(0)
 }
 
-/// The strings of a command, and its length in bytes.
+/// Strings of a command and its length in bytes.
 type Command<'a> = (Vec<&'a [u8]>, usize);
 
-/// The first command. `None`: it is not whole. An error: no front writes this.
+/// Decodes the first command; `None` if it is incomplete, an error if it is invalid.
 fn command(input: &[u8]) -> Result<Option<Command<'_>>, ()> {
-    let number = |at: usize, mark: u8, most: usize| {
+    let number = |at: usize, mark: u8, max: usize| {
         let Some(end) = input[at..].iter().position(|b| *b == b'\n') else {
             return if input.len() > at + 12 {
                 Err(())
@@ -232,17 +233,17 @@
             .ok()
             .and_then(|t| t.parse().ok())
             .ok_or(())?;
-        if n > most {
+        if n > max {
             return Err(());
         }
         Ok(Some((n, at + end + 1)))
     };
-    let Some((count, mut at)) = number(0, b'*', STRINGS_MOST)? else {
+    let Some((count, mut at)) = number(0, b'*', MAX_STRINGS)? else {
         return Ok(None);
     };
     let mut parts = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((n, begin)) = number(at, b'$', STRING_MOST)? else {
+        let Some((n, begin)) = number(at, b'$', MAX_STRING_BYTES)? else {
             return Ok(None);
         };
         let Some(part) = input.get(begin..begin + n + 2) else {
@@ -254,27 +255,27 @@
     Ok(Some((parts, at)))
 }
 
-fn fetch(fields: &[u8]) -> Fetch {
-    let mut found = Fetch::default();
+fn fetch(fields: &[u8]) -> FetchRequest {
+    let mut found = FetchRequest::default();
     let text = String::from_utf8_lossy(fields);
     for (name, value) in text.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "cls" => found.class = value.into(),
-            "item" => found.item = hex(value),
-            "from" => found.source = hex(value.trim_start_matches("s-")) as u32,
-            "oldest" => found.oldest = value.parse().unwrap_or(0),
-            "limit" => found.limit = value.parse().unwrap_or(0),
-            "mode" => found.only_held = value.split('+').any(|word| word == "shallow"),
+            "item" => found.item = parse_hex(value),
+            "from" => found.source = parse_hex(value.trim_start_matches("s-")) as u32,
+            "oldest" => found.max_age_ms = value.parse().unwrap_or(0),
+            "limit" => found.remaining_ms = value.parse().unwrap_or(0),
+            "mode" => found.cached_only = value.split('+').any(|word| word == "shallow"),
             _ => {}
         }
     }
     found
 }
 
-impl World<'_> {
+impl EventLoop<'_> {
     fn run(mut self) {
-        for place in 0..self.nodes.len() {
-            self.watch(place);
+        for index in 0..self.nodes.len() {
+            self.watch(index);
         }
         let (mut events, mut next) = (Events::new(), self.nodes.len());
         let mut last_poll = Instant::now();
@@ -288,19 +289,19 @@
             if self.shared.poller.wait(&mut events, left).is_err() {
                 return;
             }
-            if *self.shared.over.lock().expect("no holder panics") {
+            if *self.shared.stop.lock().expect("lock poisoned") {
                 return;
             }
-            self.moods();
+            self.apply_behaviors();
             while self
                 .due
                 .peek()
                 .is_some_and(|due| due.0 .0 <= Instant::now())
             {
-                let Some(Reverse((_, _, key, txn, word))) = self.due.pop() else {
+                let Some(Reverse((_, _, key, txn, reply))) = self.due.pop() else {
                     break;
                 };
-                self.answer(key, txn, word);
+                self.answer(key, txn, reply);
             }
             for event in events.iter() {
                 if event.key < self.nodes.len() {
@@ -312,56 +313,58 @@
         }
     }
 
-    fn watch(&self, place: usize) {
-        let Some(listener) = &self.nodes[place].listener else {
+    fn watch(&self, index: usize) {
+        let Some(listener) = &self.nodes[index].listener else {
             return;
         };
-        listener.set_nonblocking(true).expect("a socket");
-        // SAFETY: the listener is taken out of the poller before it is dropped, in `moods`.
+        listener
+            .set_nonblocking(true)
+            .expect("set the listener non-blocking");
+        // SAFETY: the listener is removed from the poller before it is dropped, in `apply_behaviors`.
         let added = unsafe {
             self.shared
                 .poller
-                .add_with_mode(listener, Event::readable(place), PollMode::Level)
+                .add_with_mode(listener, Event::readable(index), PollMode::Level)
         };
-        added.expect("a socket");
+        added.expect("add the listener to the poller");
     }
 
-    /// Takes over what the test said.
-    fn moods(&mut self) {
-        let moods = self.shared.moods.lock().expect("no holder panics").clone();
-        for (place, mood) in moods.into_iter().enumerate() {
-            if self.nodes[place].mood == mood {
+    /// Applies the behaviours that the test has set.
+    fn apply_behaviors(&mut self) {
+        let behaviors = self.shared.behaviors.lock().expect("lock poisoned").clone();
+        for (index, behavior) in behaviors.into_iter().enumerate() {
+            if self.nodes[index].behavior == behavior {
                 continue;
             }
-            let before = std::mem::replace(&mut self.nodes[place].mood, mood);
+            let before = std::mem::replace(&mut self.nodes[index].behavior, behavior);
             let mine: Vec<_> = self
-                .links
+                .connections
                 .iter()
-                .filter(|(_, l)| l.place == place)
+                .filter(|(_, l)| l.index == index)
                 .map(|(k, _)| *k)
                 .collect();
-            if mood == Mood::Dead {
-                if let Some(listener) = self.nodes[place].listener.take() {
+            if behavior == Behavior::Down {
+                if let Some(listener) = self.nodes[index].listener.take() {
                     let _ = self.shared.poller.delete(&listener);
                 }
-                // What comes back is a new process: it holds nothing.
-                self.nodes[place].copies.clear();
+                // A node that comes back is a new process without copies.
+                self.nodes[index].copies.clear();
                 mine.into_iter().for_each(|key| self.drop(key, true));
                 continue;
             }
-            if before == Mood::Dead {
-                let at = self.nodes[place].address;
-                let until = Instant::now() + crate::GUARD;
+            if before == Behavior::Down {
+                let at = self.nodes[index].address;
+                let until = Instant::now() + crate::WAIT_TIMEOUT;
                 let listener = loop {
                     match TcpListener::bind(at) {
                         Ok(listener) => break listener,
-                        Err(e) => assert!(Instant::now() < until, "{at}: {e}"),
+                        Err(e) => assert!(Instant::now() < until, "bind {at} again: {e}"),
                     }
                 };
-                self.nodes[place].listener = Some(listener);
-                self.watch(place);
+                self.nodes[index].listener = Some(listener);
+                self.watch(index);
             }
-            let reads = mood != Mood::Frozen;
+            let reads = behavior != Behavior::NotReading;
             for key in mine {
                 self.rewatch(key, reads);
             }
@@ -369,69 +372,76 @@
     }
 
     fn rewatch(&self, key: usize, reads: bool) {
-        if let Some(link) = self.links.get(&key) {
-            let event = Event::new(key, reads, !link.output.is_empty());
+        if let Some(connection) = self.connections.get(&key) {
+            let event = Event::new(key, reads, !connection.output.is_empty());
             let _ = self
                 .shared
                 .poller
-                .modify_with_mode(&link.socket, event, PollMode::Level);
+                .modify_with_mode(&connection.socket, event, PollMode::Level);
         }
     }
 
     fn drop(&mut self, key: usize, reset: bool) {
-        let Some(link) = self.links.remove(&key) else {
+        let Some(connection) = self.connections.remove(&key) else {
             return;
         };
-        let _ = self.shared.poller.delete(&link.socket);
+        let _ = self.shared.poller.delete(&connection.socket);
         if reset {
-            let _ = socket2::SockRef::from(&link.socket).set_linger(Some(Duration::ZERO));
+            let _ = socket2::SockRef::from(&connection.socket).set_linger(Some(Duration::ZERO));
         }
-        for txn in link.open {
-            self.history.note(Seen::Cut(self.nodes[link.place].id, txn));
+        for txn in connection.open {
+            self.history.record(Observation::ConnectionLost(
+                self.nodes[connection.index].id,
+                txn,
+            ));
         }
     }
 
-    /// Accepts a connection, if there is one.
-    fn accept(&mut self, place: usize, next: &mut usize) -> bool {
-        let accepted = self.nodes[place]
+    /// Accepts a connection; `false` if there is none.
+    fn accept(&mut self, index: usize, next: &mut usize) -> bool {
+        let accepted = self.nodes[index]
             .listener
             .as_ref()
             .and_then(|l| l.accept().ok());
         let Some((socket, _)) = accepted else {
             return false;
         };
-        self.history.note(Seen::Dialled(self.nodes[place].id));
-        if let Mood::Crowded(most) = self.nodes[place].mood {
+        self.history
+            .record(Observation::Accepted(self.nodes[index].id));
+        if let Behavior::LimitConnections(max) = self.nodes[index].behavior {
             if self
-                .links
+                .connections
                 .values()
-                .filter(|link| link.place == place)
+                .filter(|connection| connection.index == index)
                 .count()
-                >= most
+                >= max
             {
-                self.history.note(Seen::TurnedAway(self.nodes[place].id));
+                self.history
+                    .record(Observation::ConnectionRejected(self.nodes[index].id));
                 return true;
             }
         }
-        socket.set_nonblocking(true).expect("a socket");
+        socket
+            .set_nonblocking(true)
+            .expect("set the socket non-blocking");
         *next += 1;
-        // SAFETY: the socket is taken out of the poller before it is dropped, in `drop`.
+        // SAFETY: the socket is removed from the poller before it is dropped, in `drop`.
         let added = unsafe {
             self.shared
                 .poller
                 .add_with_mode(&socket, Event::readable(*next), PollMode::Level)
         };
-        added.expect("a socket");
-        let link = Link {
-            place,
+        added.expect("add the socket to the poller");
+        let connection = Connection {
+            index,
             socket,
             input: Vec::new(),
             output: Vec::new(),
             open: Vec::new(),
             unread_since: Some(self.previous_poll),
         };
-        self.links.insert(*next, link);
-        if self.nodes[place].mood == Mood::Frozen {
+        self.connections.insert(*next, connection);
+        if self.nodes[index].behavior == Behavior::NotReading {
             self.rewatch(*next, false);
         }
         true
@@ -439,27 +449,27 @@
 
     fn ready(&mut self, key: usize, readable: bool) {
         self.flush(key);
-        let Some(link) = self.links.get_mut(&key).filter(|_| readable) else {
+        let Some(connection) = self.connections.get_mut(&key).filter(|_| readable) else {
             return;
         };
-        if self.nodes[link.place].mood == Mood::Frozen {
+        if self.nodes[connection.index].behavior == Behavior::NotReading {
             return;
         }
         let mut chunk = [0; 16 * 1024];
-        let came_after = link.unread_since.take().unwrap_or(self.previous_poll);
-        match link.socket.read(&mut chunk) {
+        let arrived_after = connection.unread_since.take().unwrap_or(self.previous_poll);
+        match connection.socket.read(&mut chunk) {
             Ok(n) if n > 0 => {
-                link.input.extend_from_slice(&chunk[..n]);
-                link.unread_since = (n == chunk.len()).then_some(came_after);
+                connection.input.extend_from_slice(&chunk[..n]);
+                connection.unread_since = (n == chunk.len()).then_some(arrived_after);
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return,
             _ => return self.drop(key, false),
         }
         loop {
-            let Some(link) = self.links.get_mut(&key) else {
+            let Some(connection) = self.connections.get_mut(&key) else {
                 return;
             };
-            let input = std::mem::take(&mut link.input);
+            let input = std::mem::take(&mut connection.input);
             let found = command(&input).map(|found| {
                 found.map(|(parts, used)| {
                     (parts.iter().map(|p| p.to_vec()).collect::<Vec<_>>(), used)
@@ -467,11 +477,11 @@
             });
             match found {
                 Ok(Some((parts, used))) => {
-                    link.input = input[used..].to_vec();
-                    self.hear(key, &parts, came_after);
+                    connection.input = input[used..].to_vec();
+                    self.handle(key, &parts, arrived_after);
                 }
-                Ok(None) if input.len() <= INPUT_MOST => {
-                    link.input = input;
+                Ok(None) if input.len() <= MAX_INPUT_BYTES => {
+                    connection.input = input;
                     return;
                 }
                 _ => return self.drop(key, true),
@@ -479,139 +489,145 @@
         }
     }
 
-    fn hear(&mut self, key: usize, parts: &[Vec<u8>], came_after: Instant) {
-        let Some(link) = self.links.get_mut(&key) else {
+    fn handle(&mut self, key: usize, parts: &[Vec<u8>], arrived_after: Instant) {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        let node = &mut self.nodes[link.place];
+        let node = &mut self.nodes[connection.index];
         let text = |n: usize| {
             parts
                 .get(n)
                 .map(|p| String::from_utf8_lossy(p))
                 .unwrap_or_default()
         };
-        let txn = hex(&text(1));
+        let txn = parse_hex(&text(1));
         if &*text(0) == "abort" {
-            self.history.note(Seen::Off(node.id, txn));
-            if node.mood != Mood::Stubborn {
-                link.open.retain(|open| *open != txn);
+            self.history.record(Observation::Aborted(node.id, txn));
+            if node.behavior != Behavior::Duplicate {
+                connection.open.retain(|open| *open != txn);
             }
             return;
         }
-        let asked = fetch(parts.get(2).map_or(&[], |p| &p[..]));
-        let write = self.writes.contains(&asked.class);
-        self.history.note(Seen::Sent {
+        let request = fetch(parts.get(2).map_or(&[], |p| &p[..]));
+        let write = self.writes.contains(&request.class);
+        self.history.record(Observation::Attempt {
             node: node.id,
             txn,
             write,
-            item: asked.item,
-            source: asked.source,
+            item: request.item,
+            source: request.source,
         });
-        self.history.note(Seen::TimeLeft {
+        self.history.record(Observation::TimeLeft {
             txn,
-            left_ms: asked.limit,
-            read_delay: came_after.elapsed(),
+            left_ms: request.remaining_ms,
+            read_delay: arrived_after.elapsed(),
         });
-        link.open.push(txn);
-        let runs = !matches!(node.mood, Mood::Full | Mood::Dead);
+        connection.open.push(txn);
+        let runs = !matches!(node.behavior, Behavior::Shed | Behavior::Down);
         if write && runs {
-            self.history.note(Seen::Ran(txn));
+            self.history.record(Observation::Executed(txn));
         }
-        let mut soon = Instant::now();
-        let word = match node.mood {
-            Mood::Silent | Mood::Frozen | Mood::Dead => return,
-            Mood::Full => Some(Word::Full),
-            Mood::Faults => Some(Word::Fault),
-            Mood::Breaks => return self.drop(key, true),
-            Mood::Garbage => {
-                link.output.extend(b"+OK\r\n");
+        let mut due_at = Instant::now();
+        let reply = match node.behavior {
+            Behavior::Silent | Behavior::NotReading | Behavior::Down => return,
+            Behavior::Shed => Some(Reply::Shed),
+            Behavior::Fail => Some(Reply::Fault),
+            Behavior::Reset => return self.drop(key, true),
+            Behavior::Garbage => {
+                connection.output.extend(b"+OK\r\n");
                 return self.flush(key);
             }
-            Mood::Answers(takes) => {
-                soon += takes;
+            Behavior::Respond(duration) => {
+                due_at += duration;
                 None
             }
-            Mood::Torn | Mood::Stubborn | Mood::Crowded(_) => None,
+            Behavior::Truncate | Behavior::Duplicate | Behavior::LimitConnections(_) => None,
         };
-        let word = match word {
-            Some(word) => word,
-            None if write => Word::Hit(wall_ms()),
+        let reply = match reply {
+            Some(reply) => reply,
+            None if write => Reply::Hit(wall_ms()),
             None => {
                 let now = wall_ms();
-                let purged = self.shared.purged.lock().expect("no holder panics").clone();
-                let gone = |born: u64| {
+                let purged = self.shared.purged.lock().expect("lock poisoned").clone();
+                let gone = |created_ms: u64| {
                     purged
                         .iter()
-                        .any(|p| p.0 == asked.item && born < p.1 && now >= p.2)
+                        .any(|p| p.0 == request.item && created_ms < p.1 && now >= p.2)
                 };
-                let does =
-                    |born: &u64| !gone(*born) && (asked.oldest == 0 || now - *born <= asked.oldest);
-                let held = node.copies.get(&asked.item).copied().filter(does);
+                let acceptable = |created_ms: &u64| {
+                    !gone(*created_ms)
+                        && (request.max_age_ms == 0 || now - *created_ms <= request.max_age_ms)
+                };
+                let held = node.copies.get(&request.item).copied().filter(acceptable);
                 match held {
-                    Some(born) => Word::Hit(born),
-                    None if asked.only_held => Word::Miss,
+                    Some(created_ms) => Reply::Hit(created_ms),
+                    None if request.cached_only => Reply::Miss,
                     None => {
-                        node.copies.insert(asked.item, now);
-                        Word::Hit(now)
+                        node.copies.insert(request.item, now);
+                        Reply::Hit(now)
                     }
                 }
             }
         };
-        self.last += 1;
-        self.due.push(Reverse((soon, self.last, key, txn, word)));
+        self.reply_count += 1;
+        self.due
+            .push(Reverse((due_at, self.reply_count, key, txn, reply)));
     }
 
-    fn answer(&mut self, key: usize, txn: u64, word: Word) {
-        let Some(link) = self.links.get_mut(&key) else {
+    fn answer(&mut self, key: usize, txn: u64, reply: Reply) {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        let node = &self.nodes[link.place];
-        let waits = link.open.iter().position(|open| *open == txn);
-        if let Some(place) = waits {
-            // Of half an answer the front makes nothing: the request stays open here.
-            if node.mood != Mood::Torn {
-                link.open.swap_remove(place);
+        let node = &self.nodes[connection.index];
+        let open_index = connection.open.iter().position(|open| *open == txn);
+        if let Some(index) = open_index {
+            // The front cannot use half a response, so the request stays open.
+            if node.behavior != Behavior::Truncate {
+                connection.open.swap_remove(index);
             }
-        } else if node.mood != Mood::Stubborn {
+        } else if node.behavior != Behavior::Duplicate {
             return;
         }
-        let (name, fields, body, born) = match word {
-            Word::Hit(born) => (
+        let (name, fields, body, created_ms) = match reply {
+            Reply::Hit(created_ms) => (
                 "HIT",
-                format!("ver={born:x},born={born},tell=local"),
+                format!("ver={created_ms:x},born={created_ms},tell=local"),
                 "bytes",
-                born,
+                created_ms,
             ),
-            Word::Miss => ("NONE", "tell=not_there".into(), "", 0),
-            Word::Full => ("SHED", "-".into(), "", 0),
-            Word::Fault => ("FAULT", "-".into(), "", 0),
+            Reply::Miss => ("NONE", "tell=not_there".into(), "", 0),
+            Reply::Shed => ("SHED", "-".into(), "", 0),
+            Reply::Fault => ("FAULT", "-".into(), "", 0),
         };
         let id = format!("{txn:016x}");
         let parts = [id.as_str(), name, &fields, body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
-        let whole = format!("*4\r\n{}", parts.concat());
-        if waits.is_some() && node.mood != Mood::Torn {
-            self.history.note(Seen::Done(node.id, txn, born));
+        let encoded = format!("*4\r\n{}", parts.concat());
+        if open_index.is_some() && node.behavior != Behavior::Truncate {
+            self.history
+                .record(Observation::Responded(node.id, txn, created_ms));
         }
-        match node.mood {
-            Mood::Torn => link.output.extend(&whole.as_bytes()[..whole.len() / 2]),
-            Mood::Stubborn => link.output.extend(whole.repeat(2).bytes()),
-            _ => link.output.extend(whole.bytes()),
+        match node.behavior {
+            Behavior::Truncate => connection
+                .output
+                .extend(&encoded.as_bytes()[..encoded.len() / 2]),
+            Behavior::Duplicate => connection.output.extend(encoded.repeat(2).bytes()),
+            _ => connection.output.extend(encoded.bytes()),
         }
         self.flush(key);
     }
 
     fn flush(&mut self, key: usize) {
-        let Some(link) = self.links.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        while !link.output.is_empty() {
-            match link.socket.write(&link.output) {
-                Ok(n) if n > 0 => drop(link.output.drain(..n)),
+        while !connection.output.is_empty() {
+            match connection.socket.write(&connection.output) {
+                Ok(n) if n > 0 => drop(connection.output.drain(..n)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 _ => return self.drop(key, false),
             }
         }
-        let reads = self.nodes[link.place].mood != Mood::Frozen;
+        let reads = self.nodes[connection.index].behavior != Behavior::NotReading;
         self.rewatch(key, reads);
     }
 }
