--- a/front/src/protocol/cache_node.rs
+++ b/front/src/protocol/cache_node.rs
@@ -1,7 +1,7 @@
 //! Commands to cache nodes and their replies, both encoded as arrays of bulk strings.
 use super::bulk_strings::{self, decode_reply};
 use super::DecodeError;
-use crate::routing::{Fetch, FillSource, ReplyKind, TransactionId, UpstreamReply};
+use crate::routing::{Fetch, FillInstructions, ReplyKind, TransactionId, UpstreamReply};
 use crate::transport::Outgoing;
 use cranesill::api::{EndpointId, FillNote, Micros, Timestamp};
 use std::rc::Rc;
@@ -52,7 +52,7 @@
     fields
 }
 
-fn fill_fields(fill: &FillSource) -> String {
+fn fill_fields(fill: &FillInstructions) -> String {
     let mut fields = String::new();
     if let Some(source) = fill.source {
         fields += &format!(",from={}", endpoint_name(source));
@@ -142,7 +142,7 @@
         "born" => reply.created_at_ms = value.parse().ok(),
         "tags" => reply.tags = Some(value.into()),
         "tell" => reply.fill_note = fill_note(value),
-        "waited" => reply.queueing_time = parse_milliseconds(value),
+        "waited" => reply.source_wait = parse_milliseconds(value),
         "meter" => reply.load_report = parse_load_report(value),
         _ => {}
     }
--- a/front/src/protocol/cache_node/tests.rs
+++ b/front/src/protocol/cache_node/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::routing::{FillSource, ObjectKey};
+use crate::routing::{FillInstructions, ObjectKey};
 
 #[test]
 fn a_fetch_command_encodes_the_request_and_the_fill_options() {
@@ -8,7 +8,7 @@
         text: "7f3a9c21e0b4d655".into(),
         id: 0,
     };
-    let fill = FillSource {
+    let fill = FillInstructions {
         source: Some(EndpointId(0xc41f7a)),
         rank: 2,
         max_age: 1_500_999,
--- a/front/src/routing/accounting.rs
+++ b/front/src/routing/accounting.rs
@@ -25,7 +25,7 @@
             status,
             shared_failure: end.is_duplicate_failure(),
             note: reply.map_or(FillNote::None, |reply| reply.fill_note),
-            source_wait: reply.map_or(0, |reply| reply.queueing_time),
+            source_wait: reply.map_or(0, |reply| reply.source_wait),
             latency: now.saturating_sub(outstanding.sent_at),
             report: reply.and_then(|reply| self.read_load_report(reply)),
         };
@@ -51,8 +51,8 @@
             return;
         }
         if let Some(pending) = self.pending.get_mut(&id) {
-            let first = pending.first_possible_run.unwrap_or(sent_at);
-            pending.first_possible_run = Some(first.min(sent_at));
+            let first = pending.may_have_run_at.unwrap_or(sent_at);
+            pending.may_have_run_at = Some(first.min(sent_at));
         }
     }
 
@@ -104,7 +104,7 @@
     /// Handles the timeout of an attempt: cancels it at the endpoint and reports its end.
     pub(super) fn time_out(&mut self, now: Timestamp, attempt: AttemptId) {
         if self.outstanding.contains_key(&attempt) {
-            self.commands.push_back(Command::Abort(attempt));
+            self.commands.push_back(Command::Cancel(attempt));
             self.attempt_ended(now, attempt, AttemptEnd::TimedOut);
         }
     }
@@ -128,7 +128,7 @@
     /// Returns whether an attempt of the request may have been executed.
     fn may_have_run(&self, id: RequestId) -> bool {
         let pending = self.pending.get(&id);
-        let ran = pending.is_some_and(|pending| pending.first_possible_run.is_some());
+        let ran = pending.is_some_and(|pending| pending.may_have_run_at.is_some());
         ran || self.outstanding.keys().any(|out| out.request == id)
     }
 
--- a/front/src/routing/dispatch.rs
+++ b/front/src/routing/dispatch.rs
@@ -4,7 +4,7 @@
 
 /// The fill of an attempt, adjusted to the purges that are currently known.
 struct FillPlan {
-    fill: Option<FillSource>,
+    fill: Option<FillInstructions>,
     /// The part for which the caches are bypassed, if a purge requires a newer copy than they have.
     bypass: Option<ObjectPart>,
 }
@@ -24,7 +24,7 @@
         let Some(pending) = self.pending.get(&request) else {
             return;
         };
-        let fill = fill.map(|fill| FillSource::new(fill, target));
+        let fill = fill.map(|fill| FillInstructions::new(fill, target));
         let plan = self.plan_fill(now, pending, fill);
         if let Some(part) = plan.bypass {
             let class = pending.class;
@@ -55,7 +55,7 @@
         &self,
         now: Timestamp,
         pending: &PendingRequest,
-        fill: Option<FillSource>,
+        fill: Option<FillInstructions>,
     ) -> FillPlan {
         let class_max_age = fill.map_or(0, |fill| fill.max_age);
         let floors = self.floors.as_ref().filter(|_| !pending.write);
@@ -65,12 +65,12 @@
             return FillPlan { fill, bypass: None };
         };
         let fill = match fill {
-            Some(fill) => FillSource {
+            Some(fill) => FillInstructions {
                 max_age: required.max_age,
                 coalesce: self.deployment.settings.coalescing,
                 ..fill
             },
-            None => FillSource::without_fill(required.max_age),
+            None => FillInstructions::without_fill(required.max_age),
         };
         let fetches = !required.renewed && fill.source.is_some();
         FillPlan {
@@ -144,7 +144,7 @@
         attempt: AttemptId,
         target: EndpointId,
         timeout_at: Option<Timestamp>,
-        fill: Option<FillSource>,
+        fill: Option<FillInstructions>,
     ) {
         let Some(pending) = self.pending.get(&attempt.request) else {
             return;
@@ -180,7 +180,7 @@
     fn write_by(&self, pending: &PendingRequest) -> Timestamp {
         let class = self.deployment.settings.classes.get(pending.class);
         let idempotency = class.map(|class| class.idempotency);
-        match (idempotency, pending.first_possible_run) {
+        match (idempotency, pending.may_have_run_at) {
             (Some(Idempotency::Keyed { window, .. }), Some(ran_at)) => {
                 ran_at.saturating_add(window)
             }
@@ -191,15 +191,15 @@
     /// Cancels an attempt if it is outstanding. The server reports its end once it is cancelled.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
         if self.outstanding.contains_key(&attempt) {
-            self.commands.push_back(Command::Abort(attempt));
+            self.commands.push_back(Command::Cancel(attempt));
         }
     }
 }
 
-impl FillSource {
+impl FillInstructions {
     /// Creates the fill for `target`. An endpoint that is its own source does not fill.
     fn new(fill: Fill, target: EndpointId) -> Self {
-        FillSource {
+        FillInstructions {
             source: Some(fill.source).filter(|source| *source != target),
             rank: fill.rank,
             max_age: fill.max_age,
@@ -211,7 +211,7 @@
 
     /// Creates a limit on the age of the copy, without a fill.
     fn without_fill(max_age: Micros) -> Self {
-        FillSource {
+        FillInstructions {
             source: None,
             rank: 0,
             max_age,
--- a/front/src/routing/ingress.rs
+++ b/front/src/routing/ingress.rs
@@ -32,7 +32,7 @@
             class,
             write,
             attempts_sent: 0,
-            first_possible_run: None,
+            may_have_run_at: None,
         };
         self.admit(now, pending, request);
     }
--- a/front/src/routing/mod.rs
+++ b/front/src/routing/mod.rs
@@ -36,7 +36,7 @@
     write: bool,
     attempts_sent: u16,
     /// Send time of the first attempt that may have been executed.
-    first_possible_run: Option<Timestamp>,
+    may_have_run_at: Option<Timestamp>,
 }
 
 /// An attempt without a reported end.
--- a/front/src/routing/route.rs
+++ b/front/src/routing/route.rs
@@ -29,7 +29,7 @@
             Action::Fail(id) => self.conclude(id, Response::Failed),
             Action::Timer(delay, token) => self.commands.push_back(Command::SetTimer {
                 at: now + delay,
-                timer: Timer::Policy(token),
+                timer: Timer::Router(token),
             }),
             // Discovery pushes changes without a subscription.
             Action::Subscribe => {}
@@ -127,7 +127,7 @@
     /// Handles the expiry of a timer that was set by [`Command::SetTimer`].
     pub fn handle_timer(&mut self, now: Timestamp, timer: Timer) {
         match timer {
-            Timer::Policy(token) => self.handle_event(now, Event::Timer(token)),
+            Timer::Router(token) => self.handle_event(now, Event::Timer(token)),
             Timer::AttemptTimeout(attempt) => self.time_out(now, attempt),
             Timer::RequestDeadline(id) => self.deadline_passed(now, id),
         }
--- a/front/src/routing/tests.rs
+++ b/front/src/routing/tests.rs
@@ -330,7 +330,7 @@
     };
     pipeline.cancel_request(2 * SECOND, from);
     assert!(
-        matches!(take_commands(&mut pipeline)[..], [Command::Abort(aborted)] if aborted == attempt)
+        matches!(take_commands(&mut pipeline)[..], [Command::Cancel(aborted)] if aborted == attempt)
     );
     pipeline.attempt_ended(2 * SECOND, attempt, AttemptEnd::Cancelled);
     assert!(take_commands(&mut pipeline).is_empty());
@@ -469,7 +469,7 @@
         while let Some(command) = pipeline.next_command() {
             match command {
                 Command::Send { attempt, .. } => outstanding.push(attempt),
-                Command::Abort(attempt) => {
+                Command::Cancel(attempt) => {
                     pipeline.attempt_ended(now, attempt, AttemptEnd::Cancelled)
                 }
                 Command::Respond {
--- a/front/src/routing/types.rs
+++ b/front/src/routing/types.rs
@@ -117,7 +117,7 @@
 
 /// Instructions to a cache node on filling a miss and on serving cached copies.
 #[derive(Clone, Copy, Debug)]
-pub struct FillSource {
+pub struct FillInstructions {
     /// The endpoint to fill from; `None` to disable filling.
     pub source: Option<EndpointId>,
     /// Retention preference of the copy: 0 to not cache it, 1 to 3 in ascending order.
@@ -148,7 +148,7 @@
     /// The latest time to start writing the fetch, after which cache nodes would no longer detect a retry.
     pub write_by: Timestamp,
     /// Instructions for filling a miss; `None` to leave it to the endpoint.
-    pub fill: Option<FillSource>,
+    pub fill: Option<FillInstructions>,
     /// The tag of the client's cached copy.
     pub cached_tag: Option<Rc<str>>,
     /// The idempotency key, forwarded as received.
@@ -189,7 +189,7 @@
     /// The origin of the content, or the reason for a failed fill.
     pub fill_note: FillNote,
     /// Time until the first byte from the fill source or its failure; 0 if not reported.
-    pub queueing_time: Micros,
+    pub source_wait: Micros,
     /// The tag of the copy.
     pub tag: Option<Box<str>>,
     /// Creation time of the copy at the origin, in Unix milliseconds.
@@ -288,7 +288,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// A timer of the router, with its token.
-    Policy(u64),
+    Router(u64),
     /// The timeout of an attempt.
     AttemptTimeout(AttemptId),
     /// The deadline of a request.
@@ -308,7 +308,7 @@
         fetch: Fetch,
     },
     /// Cancel an attempt that was sent.
-    Abort(AttemptId),
+    Cancel(AttemptId),
     /// Send a client its final response.
     Respond {
         /// The client and the stream.
--- a/front/src/server/discovery.rs
+++ b/front/src/server/discovery.rs
@@ -46,7 +46,7 @@
     /// When the current connection times out or, without one, when the next connection is started.
     pub deadline: Timestamp,
     /// The number of connections started.
-    pub connections_begun: u64,
+    pub calls_started: u64,
 }
 
 impl Discovery {
@@ -68,7 +68,7 @@
             calls,
             outage: None,
             deadline,
-            connections_begun: 0,
+            calls_started: 0,
             behind_since: None,
         }
     }
@@ -94,8 +94,8 @@
     }
 
     /// Skips the events up to this revision, after a list of that revision was adopted from peers.
-    pub fn advance_to(&mut self, number: u64) {
-        self.revision = self.revision.max(number);
+    pub fn advance_to(&mut self, revision: u64) {
+        self.revision = self.revision.max(revision);
     }
 
     /// Closes the connection and reconnects immediately, to this address, from the known revision. Returns whether the address has
@@ -122,7 +122,7 @@
             }
         }
         self.deadline = self.calls.start_call(now);
-        self.connections_begun += 1;
+        self.calls_started += 1;
         self.behind_since = None;
         match dial(self.address).and_then(|s| Stream::new(reactor, s, key, true)) {
             Ok(stream) => {
@@ -247,8 +247,8 @@
 
     /// Fails if the service has reported an older revision for so long that it must have restarted its numbering. The next
     /// connection then requests the complete list.
-    fn check_revision(&mut self, now: Timestamp, number: u64, has_event: bool) -> io::Result<()> {
-        let is_behind = number < self.revision && !has_event && self.calls.has_budget();
+    fn check_revision(&mut self, now: Timestamp, revision: u64, has_event: bool) -> io::Result<()> {
+        let is_behind = revision < self.revision && !has_event && self.calls.has_budget();
         self.behind_since = is_behind.then(|| self.behind_since.unwrap_or(now));
         let behind_since = self.behind_since;
         if behind_since.is_none_or(|since| now < since + MAX_REVISION_LAG) {
@@ -256,7 +256,7 @@
         }
         tracing::warn!(
             kind = "list",
-            number,
+            number = revision,
             held = self.revision,
             "the list service restarted its revision numbers: reconnecting for the complete list"
         );
--- a/front/src/server/downstream.rs
+++ b/front/src/server/downstream.rs
@@ -163,7 +163,7 @@
         let paused_before = self.paused_at(key);
         let mut events = Vec::new();
         let half_closed = self.read_frames(now, key, &mut events);
-        cancel_unforwarded(&mut events);
+        remove_cancelled(&mut events);
         if half_closed {
             events = self.hold_back(now, events);
         }
@@ -313,7 +313,7 @@
 }
 
 /// Removes requests that are already cancelled, together with the events of their cancellation, so that they are not forwarded.
-fn cancel_unforwarded(events: &mut Vec<ClientEvent>) {
+fn remove_cancelled(events: &mut Vec<ClientEvent>) {
     let disconnected: HashSet<_> = events
         .iter()
         .filter_map(|event| match event {
--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -123,7 +123,7 @@
         let mut table_changed = false;
         for action in actions {
             table_changed |= matches!(action, Action::Serve(..));
-            self.carry_out(turn, action);
+            self.apply_action(turn, action);
         }
         if table_changed {
             let table = self
--- a/front/src/server/drivers/certs/actions.rs
+++ b/front/src/server/drivers/certs/actions.rs
@@ -15,7 +15,7 @@
 
 impl Certs {
     /// Carries out an action. Its result is passed to the ACME client as an event.
-    pub(super) fn carry_out(&mut self, turn: &mut Turn<'_>, action: Action) {
+    pub(super) fn apply_action(&mut self, turn: &mut Turn<'_>, action: Action) {
         let event = match action {
             Action::Ask(task, request) => self.send_request(task, request),
             Action::MakeKey(task, key) => self.make_key(task, key),
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -83,7 +83,7 @@
     /// A peer's list was adopted. It keeps the time at which it was last known to be current.
     Adopted(Box<Snapshot>),
     /// An endpoint served a copy from before a purge that it had been sent.
-    ServedPurged {
+    StaleCopyServed {
         /// Id of the endpoint.
         endpoint: u64,
     },
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -54,7 +54,7 @@
     callers: BTreeMap<usize, Caller>,
     /// Whether accepting is paused until a slot is free or the retry is due.
     paused: bool,
-    acceptor: AcceptBackoff,
+    accept_backoff: AcceptBackoff,
     /// Time of the next attempt of `accept` or `listen` after a failure.
     retry_at: Option<Timestamp>,
 }
@@ -75,7 +75,7 @@
             listener_key,
             callers: BTreeMap::new(),
             paused: false,
-            acceptor: AcceptBackoff::default(),
+            accept_backoff: AcceptBackoff::default(),
             retry_at: None,
         };
         match retry_on_shortage(|| ops.listen(turn)) {
@@ -99,7 +99,7 @@
 
     /// Accepts callers until none are pending, or no slot or descriptor is free.
     fn accept(&mut self, turn: &mut Turn<'_>) {
-        self.acceptor.begin_turn();
+        self.accept_backoff.begin_turn();
         loop {
             if self.callers.len() >= MAX_CALLERS && !self.free_slot(turn) {
                 return self.set_paused(true);
@@ -127,7 +127,7 @@
         if fault == AcceptFault::Descriptors && descriptors_exhausted() && self.free_slot(turn) {
             return true;
         }
-        if self.acceptor.failed(turn.now, fault) == AcceptRetry::Now {
+        if self.accept_backoff.failed(turn.now, fault) == AcceptRetry::Now {
             return true;
         }
         tracing::warn!(kind = "ops", %error, "cannot accept a connection of an operator; retrying");
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -333,7 +333,7 @@
                     self.advance_links(turn);
                 }
             }
-            Effect::Endpoints(EndpointEffect::ServedPurged { endpoint }) => {
+            Effect::Endpoints(EndpointEffect::StaleCopyServed { endpoint }) => {
                 if let Some(nodes) = &mut self.cache_nodes {
                     nodes.stale_copy_served(turn.now, *endpoint);
                 }
--- a/front/src/server/event_loop/admin.rs
+++ b/front/src/server/event_loop/admin.rs
@@ -107,7 +107,7 @@
         state["list"] = json!({
             "last_event": revision,
             "unheard_for_ms": unreachable_since.map(|since| now.saturating_sub(since) / 1_000),
-            "calls": self.discovery.connections_begun,
+            "calls": self.discovery.calls_started,
             "next_call_in_ms": next_call_at.map(|at| at.saturating_sub(now) / 1_000),
         });
         state
--- a/front/src/server/event_loop/assembly.rs
+++ b/front/src/server/event_loop/assembly.rs
@@ -125,7 +125,7 @@
             .set_connection_limits(now, server.upstream.cache_node_limits());
         server.start_drivers(now, known.snapshot)?;
         for event in known.events {
-            server.apply_watch_event(now, event, known.origin);
+            server.apply_watch_event(now, event, known.source);
         }
         server.forwards_watch_events = server.has_list_followers();
         server.begin_takeover(now);
--- a/front/src/server/event_loop/dispatch.rs
+++ b/front/src/server/event_loop/dispatch.rs
@@ -59,15 +59,15 @@
             } => {
                 self.begin_attempt(now, attempt, target, &fetch, ends);
             }
-            Command::Abort(attempt) => {
-                self.upstream.abort(now, attempt, ends);
+            Command::Cancel(attempt) => {
+                self.upstream.cancel(now, attempt, ends);
                 ends.insert(0, (attempt, AttemptEnd::Cancelled));
             }
             Command::Respond { to, response } => self.clients.respond(now, to, response),
             Command::SetTimer { at, timer } => self.timers.add(at, Timer::Routing(timer)),
             Command::StaleCopyServed(endpoint) => {
                 let endpoint = endpoint.0;
-                let message = EndpointEffect::ServedPurged { endpoint };
+                let message = EndpointEffect::StaleCopyServed { endpoint };
                 self.effects.push(Effect::Endpoints(message));
             }
             Command::Log(text) => tracing::info!(kind = "decision", text, "decision"),
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -26,7 +26,7 @@
         &mut self,
         now: Timestamp,
         event: WatchEvent,
-        origin: EventSource,
+        source: EventSource,
     ) {
         if self.forwards_watch_events {
             let message = EndpointEffect::WatchEvent {
@@ -40,7 +40,7 @@
             WatchEvent::Endpoints { complete, list } => {
                 self.announce_endpoints(now, &list, complete);
                 let list = self.startup.stagger(now, complete, list);
-                self.update_endpoints(now, complete, list, origin);
+                self.update_endpoints(now, complete, list, source);
             }
             WatchEvent::Purge {
                 object,
@@ -49,7 +49,7 @@
             } => {
                 let purged_at = at_ms.saturating_mul(1_000);
                 self.pipeline
-                    .apply_purge(now, object, group, purged_at, origin);
+                    .apply_purge(now, object, group, purged_at, source);
             }
         }
         self.check_clock_skew();
@@ -116,7 +116,7 @@
         now: Timestamp,
         complete: bool,
         list: Vec<EndpointRecord>,
-        origin: EventSource,
+        source: EventSource,
     ) {
         let entries: Vec<_> = list.iter().map(endpoint_entry).collect();
         let removed = if complete {
@@ -124,8 +124,8 @@
         } else {
             Vec::new()
         };
-        for (entry, listing) in entries.iter().zip(&list) {
-            self.upstream.update_endpoint(entry, listing.address);
+        for (entry, record) in entries.iter().zip(&list) {
+            self.upstream.update_endpoint(entry, record.address);
         }
         let (ready, not_ready): (Vec<_>, Vec<_>) = entries
             .iter()
@@ -136,7 +136,7 @@
         } else {
             ListKind::Delta
         };
-        self.pipeline.apply_endpoints(now, kind, entries, origin);
+        self.pipeline.apply_endpoints(now, kind, entries, source);
         let mut ends = Vec::new();
         let not_ready = not_ready.into_iter().map(|(_, endpoint)| endpoint);
         for endpoint in not_ready.chain(removed) {
@@ -179,23 +179,23 @@
     }
 }
 
-fn endpoint_address(listing: &EndpointRecord) -> EndpointAddress {
-    let listed = listing.state != EndpointState::Removed;
+fn endpoint_address(record: &EndpointRecord) -> EndpointAddress {
+    let listed = record.state != EndpointState::Removed;
     EndpointAddress {
-        id: listing.id.into(),
-        kind: listing.kind,
-        address: listed.then_some(listing.address),
+        id: record.id.into(),
+        kind: record.kind,
+        address: listed.then_some(record.address),
     }
 }
 
-fn endpoint_entry(listing: &EndpointRecord) -> EndpointEntry {
+fn endpoint_entry(record: &EndpointRecord) -> EndpointEntry {
     EndpointEntry {
-        endpoint: EndpointId(listing.id.into()),
-        kind: listing.kind,
-        zone: listing.zone,
-        cell: listing.cell,
-        weight: listing.weight,
-        started: listing.started_ms.saturating_mul(1_000),
-        state: listing.state,
+        endpoint: EndpointId(record.id.into()),
+        kind: record.kind,
+        zone: record.zone,
+        cell: record.cell,
+        weight: record.weight,
+        started: record.started_ms.saturating_mul(1_000),
+        state: record.state,
     }
 }
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -44,7 +44,7 @@
     pub(super) fn handle_timer(&mut self, now: Timestamp, timer: Timer) {
         let mut ends = Vec::new();
         match timer {
-            Timer::Routing(wake) => self.pipeline.handle_timer(now, wake),
+            Timer::Routing(timer) => self.pipeline.handle_timer(now, timer),
             Timer::ConnectTimeout(key) => self.upstream.fail_unestablished(key, &mut ends),
             Timer::WriteDeadline(attempt) => self.upstream.withdraw(attempt, &mut ends),
             Timer::Discovery => self.poll_discovery(now),
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -60,7 +60,7 @@
     /// The events that lead to it.
     pub events: Vec<WatchEvent>,
     /// Whether the list comes from the configuration or from disk.
-    pub origin: EventSource,
+    pub source: EventSource,
     /// The initial snapshot. If it was read from disk it keeps its age.
     pub snapshot: Snapshot,
 }
@@ -80,7 +80,7 @@
         return KnownList {
             revision: list.revision,
             events,
-            origin: EventSource::Stored,
+            source: EventSource::Stored,
             snapshot: list,
         };
     }
@@ -96,7 +96,7 @@
     KnownList {
         revision,
         events,
-        origin: EventSource::Configuration,
+        source: EventSource::Configuration,
         snapshot: list,
     }
 }
@@ -111,7 +111,7 @@
     /// The zone of the front.
     zone: u16,
     /// The kind of origin endpoints, which are used without slow start.
-    origin: Option<u8>,
+    origin_kind: Option<u8>,
 }
 
 impl Startup {
@@ -137,7 +137,7 @@
             readiness,
             not_ready: None,
             zone: config.deployment.settings.zone,
-            origin: config.deployment.settings.origin_kind,
+            origin_kind: config.deployment.settings.origin_kind,
         }
     }
 
@@ -151,18 +151,20 @@
         let Some(slow_start) = &mut self.slow_start else {
             return list;
         };
-        let admission = |l: &EndpointRecord| match l.state {
-            EndpointState::Ready if Some(l.kind) != self.origin => Admission::Staggered(Group {
-                kind: l.kind,
-                same_zone: l.zone == self.zone,
-            }),
+        let admission = |record: &EndpointRecord| match record.state {
+            EndpointState::Ready if Some(record.kind) != self.origin_kind => {
+                Admission::Staggered(Group {
+                    kind: record.kind,
+                    same_zone: record.zone == self.zone,
+                })
+            }
             EndpointState::Removed => Admission::Removed,
             _ => Admission::Immediate,
         };
-        let endpoint = |l: EndpointRecord| ListedEndpoint {
-            id: l.id.into(),
-            admission: admission(&l),
-            entry: l,
+        let endpoint = |record: EndpointRecord| ListedEndpoint {
+            id: record.id.into(),
+            admission: admission(&record),
+            entry: record,
         };
         slow_start.update(now, complete, list.into_iter().map(endpoint).collect())
     }
@@ -185,10 +187,10 @@
     }
 
     /// Whether an endpoint is listed and waits in slow start.
-    pub fn is_waiting(&self, member: EndpointId) -> bool {
+    pub fn is_waiting(&self, endpoint: EndpointId) -> bool {
         self.slow_start
             .as_ref()
-            .is_some_and(|slow_start| slow_start.is_waiting(member.0))
+            .is_some_and(|slow_start| slow_start.is_waiting(endpoint.0))
     }
 
     /// Returns the number of endpoints that wait in slow start.
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -123,7 +123,11 @@
         if self.paused != paused {
             self.paused = paused;
             // Fails only for a socket that is not registered.
-            for connection in self.connections.values_mut().filter(|l| l.established) {
+            for connection in self
+                .connections
+                .values_mut()
+                .filter(|connection| connection.established)
+            {
                 drop(connection.stream.rewatch(!paused));
                 connection.received_at = connection.received_at.max(now);
                 connection.partial_since = connection.partial_since.map(|_| now);
@@ -151,11 +155,11 @@
 
     /// Removes all endpoints that are not in `listed`.
     pub fn retain_listed(&mut self, listed: &HashSet<EndpointId>) {
-        self.listed.retain(|member, _| listed.contains(member));
+        self.listed.retain(|endpoint, _| listed.contains(endpoint));
         self.connections
             .values_mut()
-            .filter(|l| !listed.contains(&l.endpoint))
-            .for_each(|l| l.retired = true);
+            .filter(|connection| !listed.contains(&connection.endpoint))
+            .for_each(|connection| connection.retired = true);
     }
 
     /// Returns the number of listed endpoints with an established connection.
@@ -167,7 +171,7 @@
         };
         self.by_endpoint
             .iter()
-            .filter(|(member, keys)| self.listed.contains_key(member) && keys.iter().any(up))
+            .filter(|(endpoint, keys)| self.listed.contains_key(endpoint) && keys.iter().any(up))
             .count()
     }
 
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -125,28 +125,28 @@
 /// cannot be matched to a later attempt with the same id.
 #[derive(Debug, Default)]
 pub(super) struct RecentIds {
-    new: HashSet<TransactionId>,
-    old: HashSet<TransactionId>,
+    current: HashSet<TransactionId>,
+    previous: HashSet<TransactionId>,
     rotated_at: Timestamp,
 }
 
 impl RecentIds {
     /// Whether the connection has used this id recently.
     pub(super) fn contains(&self, txn: &TransactionId) -> bool {
-        self.new.contains(txn) || self.old.contains(txn)
+        self.current.contains(txn) || self.previous.contains(txn)
     }
 
     /// Returns the number of remembered ids.
     pub(super) fn len(&self) -> usize {
-        self.new.len() + self.old.len()
+        self.current.len() + self.previous.len()
     }
 
     /// Adds an id and removes expired ones.
     pub(super) fn add(&mut self, now: Timestamp, txn: TransactionId) {
         if now > self.rotated_at + RECENT_ID_RETENTION {
-            self.old = std::mem::take(&mut self.new);
+            self.previous = std::mem::take(&mut self.current);
             self.rotated_at = now;
         }
-        self.new.insert(txn);
+        self.current.insert(txn);
     }
 }
--- a/front/src/server/upstream/redial/tests.rs
+++ b/front/src/server/upstream/redial/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::routing::{FillSource, TransactionId};
+use crate::routing::{FillInstructions, TransactionId};
 use cranesill::api::RequestId;
 
 const ENDPOINT: EndpointId = EndpointId(1);
 
 fn fetch(source: Option<EndpointId>) -> Fetch {
-    let fill = source.map(|source| FillSource {
+    let fill = source.map(|source| FillInstructions {
         source: Some(source),
         rank: 0,
         max_age: 0,
--- a/front/src/server/upstream/tests.rs
+++ b/front/src/server/upstream/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::routing::FillSource;
+use crate::routing::FillInstructions;
 use crate::transport::Reactor;
 use std::io;
 
@@ -99,7 +99,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut reactor, mut ends) = (Reactor::new().unwrap(), Vec::new());
     let mut upstream = upstream(9, &listener);
-    let source = |id: u64| FillSource {
+    let source = |id: u64| FillInstructions {
         source: Some(EndpointId(id)),
         rank: 1,
         max_age: 0,
@@ -152,7 +152,7 @@
             write_deadline: Timestamp::MAX,
         };
         let started = upstream.send(now, &reactor, n as usize, target, &fetch(n), &mut ends);
-        upstream.abort(now + out, attempt(n), &mut ends);
+        upstream.cancel(now + out, attempt(n), &mut ends);
         started.is_some()
     };
     assert!(starts_connection(0, 1, 10_000));
@@ -176,7 +176,7 @@
             },
         );
         let started = upstream.send(now, &reactor, n as usize, target, &fetch(n), &mut ends);
-        upstream.abort(now + 400_000, attempt(n), &mut ends);
+        upstream.cancel(now + 400_000, attempt(n), &mut ends);
         started.is_some()
     };
     assert_eq!(
@@ -353,7 +353,7 @@
             }
             0..=5 => {
                 if let Some(id) = wanted.remove(&request) {
-                    upstream.abort(now, id, &mut ends);
+                    upstream.cancel(now, id, &mut ends);
                 }
             }
             6 | 7 => {
@@ -483,8 +483,8 @@
             upstream.ready(0, n as usize, false, &mut ends);
         }
     }
-    upstream.abort(1_000, attempt(3), &mut ends);
-    upstream.abort(2_000, attempt(2), &mut ends);
+    upstream.cancel(1_000, attempt(3), &mut ends);
+    upstream.cancel(2_000, attempt(2), &mut ends);
     upstream.send(
         3_000,
         &reactor,
--- a/front/src/server/upstream/withdrawal.rs
+++ b/front/src/server/upstream/withdrawal.rs
@@ -9,7 +9,7 @@
 
 impl UpstreamConnections {
     /// Cancels an attempt; an endpoint that may have received it is notified.
-    pub fn abort(&mut self, now: Timestamp, attempt: AttemptId, ends: &mut Ends) {
+    pub fn cancel(&mut self, now: Timestamp, attempt: AttemptId, ends: &mut Ends) {
         self.redials.remove(attempt);
         let Some((key, txn)) = self.by_attempt.remove(&attempt) else {
             return;
--- a/leases/src/state_machine.rs
+++ b/leases/src/state_machine.rs
@@ -125,7 +125,7 @@
 
 impl LeaseState {
     /// Returns the denial if the lease is reserved for another front.
-    fn operator_denial(&self, front: FrontId) -> Option<Denial> {
+    fn reservation_denial(&self, front: FrontId) -> Option<Denial> {
         match self.reserved_for {
             Some(reserved) if reserved != front => Some(Denial::ReservedFor(reserved)),
             _ => None,
@@ -144,7 +144,7 @@
     /// Renews the grant, unless the lease is reserved for another front or suspended. Operators' commands do not end a
     /// grant; they only prevent its renewal.
     fn renew(&mut self, front: FrontId) -> Result<(), Denial> {
-        if let Some(denial) = self.operator_denial(front) {
+        if let Some(denial) = self.reservation_denial(front) {
             return Err(denial);
         }
         if self.suspended {
@@ -158,7 +158,7 @@
         if self.suspended {
             return Err(Denial::Suspended);
         }
-        if let Some(denial) = self.operator_denial(front) {
+        if let Some(denial) = self.reservation_denial(front) {
             return Err(denial);
         }
         self.last_token += 1;
