--- a/front/src/protocol/cache_node.rs
+++ b/front/src/protocol/cache_node.rs
@@ -162,7 +162,7 @@
         .collect()
 }
 
-/// Decodes the note on the origin of a copy. Unknown notes yield [`FillNote::None`].
+/// Decodes the note on how the copy was obtained. Unknown notes yield [`FillNote::None`].
 fn fill_note(note: &str) -> FillNote {
     match note {
         "local" => FillNote::Hit,
--- a/front/src/protocol/discovery.rs
+++ b/front/src/protocol/discovery.rs
@@ -38,7 +38,7 @@
     pub kind: u8,
     /// The cell to which the endpoint belongs.
     pub cell: u16,
-    /// Share of the load relative to other endpoints.
+    /// Approximate number of transfers to clients that the endpoint's link carries at full rate.
     pub weight: f64,
     /// Start time in Unix milliseconds if the endpoint joined after the initial ones, otherwise 0.
     pub started_ms: u64,
--- a/front/src/protocol/follow.rs
+++ b/front/src/protocol/follow.rs
@@ -7,8 +7,8 @@
 //!                                                       kind 1, reset: discard the log and start after `base`
 //! ```
 //!
-//! `ledger` identifies the log. The writer sends a batch only after the follower has confirmed the previous one. An empty
-//! batch each second serves as a heartbeat; a follower is up to date if its last purge is `head`.
+//! `ledger` identifies the log. The writer sends a batch only after the follower has confirmed the previous one. Empty
+//! batches serve as heartbeats; a follower is up to date if its last purge is `head`.
 use super::{Cursor, DecodeError};
 use cranesill_purges::journal::{self, DecodedRecord};
 use cranesill_purges::log::MAX_BATCH_PURGES;
@@ -45,7 +45,7 @@
 pub struct Frame {
     /// Whether the follower must discard its log and start after `base`.
     pub reset: bool,
-    /// The identity of the log.
+    /// The identity of the writer's log, assigned when that log was created.
     pub log_identity: u64,
     /// The number before the first purge in the writer's log.
     pub base: PurgeNumber,
--- a/front/src/protocol/snapshot.rs
+++ b/front/src/protocol/snapshot.rs
@@ -32,7 +32,7 @@
 pub struct Snapshot {
     /// The identity of the endpoint list.
     pub source: u64,
-    /// The number of the last watch event that was applied.
+    /// The revision of the list: the number of the last watch event that was applied.
     pub revision: u64,
     /// The time at which the list was last known to be current, in Unix milliseconds.
     pub at_ms: u64,
--- a/front/src/routing/types.rs
+++ b/front/src/routing/types.rs
@@ -109,9 +109,9 @@
 /// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to, assigned by the pipeline at ingress.
     pub request: RequestId,
-    /// The number of the attempt, starting from 0 in the order sent.
+    /// The number of the attempt within the request, from 0 in the order sent.
     pub number: u16,
 }
 
@@ -186,7 +186,7 @@
     pub kind: ReplyKind,
     /// The content.
     pub body: Rc<[u8]>,
-    /// The origin of the content, or the reason for a failed fill.
+    /// How the copy was obtained, or why the fill failed.
     pub fill_note: FillNote,
     /// Time until the first byte from the fill source or its failure; 0 if not reported.
     pub source_wait: Micros,
@@ -287,33 +287,34 @@
 /// A timer of the pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A timer of the router, with its token.
+    /// A timer that the router set, with the token that the router assigned to it.
     Router(u64),
-    /// The timeout of an attempt.
+    /// An attempt has reached its timeout or the deadline of its request, whichever is earlier: it is cancelled if it is
+    /// outstanding.
     AttemptTimeout(AttemptId),
-    /// The deadline of a request.
+    /// The deadline of a request and the grace period of the router have passed: the request fails if it is pending.
     RequestDeadline(RequestId),
 }
 
 /// A command from the pipeline to the server.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Send an attempt.
+    /// Send an attempt, and report its end by [`attempt_ended`](super::RequestPipeline::attempt_ended).
     Send {
-        /// The attempt.
+        /// Identifies the attempt in [`Command::Cancel`] and when its end is reported.
         attempt: AttemptId,
         /// The endpoint to which the attempt is sent.
         target: EndpointId,
         /// The fetch to send.
         fetch: Fetch,
     },
-    /// Cancel an attempt that was sent.
+    /// Cancel an attempt that was sent and has not ended.
     Cancel(AttemptId),
     /// Send a client its final response.
     Respond {
         /// The client and the stream.
         to: ReplyTo,
-        /// The response.
+        /// The only response to the request on that stream.
         response: Response,
     },
     /// Call [`handle_timer`](super::RequestPipeline::handle_timer) when the timer expires.
@@ -323,7 +324,7 @@
         /// The timer to pass.
         timer: Timer,
     },
-    /// Report that an endpoint served a copy older than the requested maximum age.
+    /// Report that an endpoint served a copy older than the maximum age that the attempt requested because of a purge.
     StaleCopyServed(EndpointId),
     /// Write a line to the log.
     Log(String),
--- a/front/src/server/discovery.rs
+++ b/front/src/server/discovery.rs
@@ -37,15 +37,15 @@
     stream: Option<(usize, Stream<()>)>,
     /// Whether the connection is established.
     established: bool,
-    /// Schedules connections so that the fronts of a fleet do not overload the service.
+    /// Schedules calls so that the fronts of a fleet do not overload the service.
     calls: CallSchedule,
     /// The current outage, if any.
     outage: Option<Outage>,
-    /// Since when the service reports an older revision than the known one.
+    /// When the service started to report an older revision than the known one; `None` while it does not.
     behind_since: Option<Timestamp>,
     /// When the current connection times out or, without one, when the next connection is started.
     pub deadline: Timestamp,
-    /// The number of connections started.
+    /// The number of calls started since the start of the process, whether or not a connection was established.
     pub calls_started: u64,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns since when the service is not reachable; `None` while it is.
+    /// Returns the start of the current outage; `None` while the service is reachable.
     pub fn unreachable_since(&self) -> Option<Timestamp> {
         self.outage.map(|outage| outage.since)
     }
--- a/front/src/server/downstream/connection.rs
+++ b/front/src/server/downstream/connection.rs
@@ -52,13 +52,14 @@
     pub(super) state: ConnectionState,
     /// When data was last received or written.
     pub(super) active_at: Timestamp,
-    /// Since when a frame is incomplete, or since when the first frame is expected; `None` between frames.
+    /// When the first byte of an incomplete frame arrived, or when the connection was accepted if no frame is complete yet; `None`
+    /// between frames.
     pub(super) incomplete_since: Option<Timestamp>,
     /// When reading was paused after a malformed request.
     pub(super) paused_at: Option<Timestamp>,
     /// When the client was asked to send no new requests on this connection.
     pub(super) notified_at: Option<Timestamp>,
-    /// How long the first requests may have been in the accept queue.
+    /// How long the first requests may have been in the accept queue; 0 after the first read.
     pub(super) accept_delay: Micros,
 }
 
--- a/front/src/server/drain.rs
+++ b/front/src/server/drain.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Starts closing connections once no work is unfinished and clients had time to leave, or at the deadline. If closing starts
+    /// Starts closing connections once no work is unfinished and clients had time to disconnect, or at the deadline. If closing starts
     /// now, returns the latest time at which the shutdown ends.
     pub fn begin_closing(
         &mut self,
--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -115,7 +115,7 @@
         Ok(certs)
     }
 
-    /// Passes an event to the ACME client and carries out the resulting actions.
+    /// Passes an event to the ACME client and applies the resulting actions.
     fn handle(&mut self, turn: &mut Turn<'_>, event: Event) {
         let time = time_now(turn.now);
         let mut actions = Vec::new();
--- a/front/src/server/drivers/certs/actions.rs
+++ b/front/src/server/drivers/certs/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of the ACME client. Blocking work runs on a worker thread.
+//! Applies the actions of the ACME client. Blocking work runs on a worker thread.
 use super::{Certs, WorkResult};
 use crate::server::drivers::certificate_table::ChallengeCertificate;
 use crate::server::drivers::{Effect, TlsEffect, Turn};
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 impl Certs {
-    /// Carries out an action. Its result is passed to the ACME client as an event.
+    /// Applies an action. Its result is passed to the ACME client as an event.
     pub(super) fn apply_action(&mut self, turn: &mut Turn<'_>, action: Action) {
         let event = match action {
             Action::Ask(task, request) => self.send_request(task, request),
--- a/front/src/server/drivers/effect.rs
+++ b/front/src/server/drivers/effect.rs
@@ -73,7 +73,7 @@
     WatchEvent {
         /// Revision of the list after the event.
         revision: u64,
-        /// The event.
+        /// The changed endpoints or the purge, as received from the list service.
         event: WatchEvent,
     },
     /// The list service confirmed that the list is current.
@@ -82,7 +82,7 @@
     Offered(Box<Snapshot>),
     /// A peer's list was adopted. It keeps the time at which it was last known to be current.
     Adopted(Box<Snapshot>),
-    /// An endpoint served a copy from before a purge that it had been sent.
+    /// An endpoint served a copy older than the maximum age that the attempt requested because of a purge.
     StaleCopyServed {
         /// Id of the endpoint.
         endpoint: u64,
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -204,7 +204,8 @@
         self.connections.contains_key(&key)
     }
 
-    /// Handles a node that served a copy after it had confirmed its purge.
+    /// Handles a node that served a copy older than requested because of a purge. If the node has confirmed purges, they were not
+    /// effective, which is logged.
     pub(super) fn stale_copy_served(&mut self, now: Timestamp, id: NodeId) {
         if self.replication.confirmed_by(id) > 0 {
             tracing::warn!(
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -67,8 +67,8 @@
         self.stream.rewatch(true)
     }
 
-    /// Reads the hello, if it is complete. A follower of another log, or with a position that this log does not have, is told
-    /// to reset its log.
+    /// Reads the hello, if it is complete. A follower of another log, or with a position that this log does not have, is sent a
+    /// frame that resets its log.
     fn read_hello(&mut self, log: &PurgeLog) -> io::Result<()> {
         let decoded = decode_hello(self.stream.input()).map_err(|e| invalid(e.0))?;
         let Some(Hello { log_identity, last }) = decoded else {
@@ -110,7 +110,7 @@
             return true;
         }
         let Some(purges) = log.batch_after(after) else {
-            // The next purges were compacted: after a reconnect the follower is told to reset its log.
+            // The next purges were compacted: after a reconnect the follower is sent a reset.
             return false;
         };
         self.in_flight = purges.last().map(|purge| purge.number);
--- a/front/src/server/drivers/purges/journal_writer.rs
+++ b/front/src/server/drivers/purges/journal_writer.rs
@@ -135,19 +135,19 @@
 
 /// A completed job of a worker thread.
 pub(super) enum Completed {
-    /// Appending an operator's purge.
+    /// An operator's purge was appended, or appending it failed.
     PurgeAppended(WriteResult),
-    /// Appending a batch from the writer.
+    /// A batch from the writer was appended up to `durable`, or appending it failed.
     BatchAppended {
         durable: DurablePosition,
         result: WriteResult,
     },
-    /// Rewriting the journal.
+    /// The journal was rewritten up to `durable`, or rewriting it failed.
     Rewritten {
         durable: DurablePosition,
         result: WriteResult,
     },
-    /// Compiling patterns.
+    /// The compiled patterns, or why they could not be compiled.
     PatternsCompiled(Result<PatternSet, CompileError>),
 }
 
--- a/front/src/server/purge_effects.rs
+++ b/front/src/server/purge_effects.rs
@@ -1,4 +1,4 @@
-//! Applies messages of the purge log to the routing, which rejects responses older than a purge.
+//! Applies messages of the purge log to the routing, which rejects copies older than a purge.
 use super::drivers::{Effect, PurgeEffect};
 use crate::routing::{PurgeFloors, RequestPipeline};
 use cranesill::api::Timestamp;
--- a/front/src/server/startup.rs
+++ b/front/src/server/startup.rs
@@ -59,7 +59,7 @@
     pub revision: u64,
     /// The events that lead to it.
     pub events: Vec<WatchEvent>,
-    /// Whether the list comes from the configuration or from disk.
+    /// The source of the events: the configuration, or the snapshot on disk.
     pub source: EventSource,
     /// The initial snapshot. If it was read from disk it keeps its age.
     pub snapshot: Snapshot,
@@ -108,9 +108,9 @@
     readiness: Option<Readiness>,
     /// Why the front was not ready at the last check; `None` if it was.
     not_ready: Option<NotReady>,
-    /// The zone of the front.
+    /// Index of the front's zone. Slow start groups endpoints by whether they are in it.
     zone: u16,
-    /// The kind of origin endpoints, which are used without slow start.
+    /// Index of the kind of the origin, which is used without slow start; `None` if it is not on the endpoint list.
     origin_kind: Option<u8>,
 }
 
--- a/front/src/server/upstream/connection.rs
+++ b/front/src/server/upstream/connection.rs
@@ -55,7 +55,8 @@
     pub(super) idle_since: Timestamp,
     /// When data was last received.
     pub(super) received_at: Timestamp,
-    /// Since when a response is partially received.
+    /// When the first byte of a partially received response arrived, or when reading resumed after a pause; `None` between
+    /// responses.
     pub(super) partial_since: Option<Timestamp>,
     /// Total time that cancelled attempts had waited, since data was last received.
     pub(super) silent_wait: Micros,
--- a/leases/src/holder.rs
+++ b/leases/src/holder.rs
@@ -66,7 +66,7 @@
     expires_at: Option<Timestamp>,
     /// The last request, if its outcome is pending. The lease duration starts when it was sent, not when it was granted.
     request: Option<Request>,
-    /// When the next acquisition or renewal is due.
+    /// When the next request, which acquires or renews the lease, is due.
     next_request: Timestamp,
     /// Whether the caller received [`Action::Acquired`] without a subsequent [`Action::Lost`].
     reported_held: bool,
@@ -118,7 +118,7 @@
         now >= self.next_request && now >= self.backoff_until && self.release.is_none()
     }
 
-    /// Gives up a held lease, and schedules its release for the end of the last authorized operation. Returns its token;
+    /// Stops holding a lease, and schedules its release for the end of the last authorized operation. Returns its token;
     /// `None` if the lease was not held.
     fn begin_release(&mut self, usable_duration: Micros) -> Option<FencingToken> {
         self.expires_at.take()?;
--- a/leases/src/manager.rs
+++ b/leases/src/manager.rs
@@ -10,7 +10,8 @@
 struct ObservedGrant {
     token: FencingToken,
     renewals: u64,
-    /// When this leader first observed the grant with this number of renewals.
+    /// When this leader first observed the grant with this number of renewals. It is moved after each proposal of the
+    /// expiry, so that the next proposal is due after the retry interval.
     observed_at: Timestamp,
 }
 
@@ -84,7 +85,7 @@
         })
     }
 
-    /// Returns when the next lease expires; `None` if no lease is held or this replica is not the leader.
+    /// Returns when the next expiry has to be proposed; `None` if no lease is held or this replica is not the leader.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         if !self.is_leader {
             return None;
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -29,14 +29,14 @@
         target: EndpointId,
         /// Timeout of the attempt; 0: the deadline of the request.
         timeout: Micros,
-        /// Fill instructions; `None`: a miss is not filled.
+        /// Fill instructions for the endpoint; `None`: the attempt is sent without any.
         fill: Option<Fill>,
     },
     /// Cancel the attempt with this number.
     Cancel(RequestId, u16),
-    /// Final answer: rejected. The client may safely retry after this time.
+    /// Final response: rejected. The client may safely retry after this time.
     Reject(RequestId, Micros),
-    /// Final answer: failed. The request may have run.
+    /// Final response: failed. The request may have run.
     Fail(RequestId),
     /// Set a timer: after this time the router expects an [`Event::Timer`](super::Event::Timer) with this token.
     Timer(Micros, u64),
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -33,7 +33,8 @@
     Outcome(Outcome),
     /// The response of the attempt with this number has begun. The client receives this response.
     Started(RequestId, u16),
-    /// The client disconnected; the request needs no further attempts.
+    /// The client has cancelled the request or disconnected, or the embedding program has sent the final response
+    /// itself. The request needs no further attempts.
     Cancelled(RequestId),
     /// The timer that the router set with this token has expired.
     Timer(u64),
--- a/src/policy/request_state.rs
+++ b/src/policy/request_state.rs
@@ -1,4 +1,4 @@
-//! State of a request until it is answered, and of its attempts.
+//! State of a request until its final response and the end of all its attempts.
 use super::endpoint::EndpointIndex;
 use crate::api::{Action, Class, Idempotency, Micros, ObjectId, Request, RequestId, Timestamp};
 
@@ -160,7 +160,7 @@
     pub request: RequestId,
 }
 
-/// A request that has not been answered.
+/// A request without a final response, or with attempts still in flight after it.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub request: Request,
