--- a/front/src/routing/admission.rs
+++ b/front/src/routing/admission.rs
@@ -18,9 +18,11 @@
         }
         if let Some(reason) = self.rejection_reason() {
             let line = format!(
-                "request rejected: {reason}: {} requests pending, {} bytes buffered",
+                "request rejected: {reason}: {} of {} requests pending, {} of {} bytes buffered",
                 self.pending.len(),
-                self.buffered_bytes
+                self.capacity.max_pending,
+                self.buffered_bytes,
+                self.capacity.max_buffered_bytes
             );
             self.commands.push_back(Command::Log(line));
             let response = Response::Rejected(self.overload_retry_after());
--- a/front/src/server/config.rs
+++ b/front/src/server/config.rs
@@ -200,7 +200,11 @@
     let limit = value["limits"][key].as_f64();
     let limit = limit.ok_or(ConfigFault::LimitMissing(key))? as u64;
     if limit < minimum {
-        return Err(ConfigFault::LimitTooLow { key, minimum });
+        return Err(ConfigFault::LimitTooLow {
+            key,
+            value: limit,
+            minimum,
+        });
     }
     Ok(limit)
 }
--- a/front/src/server/downstream/eviction.rs
+++ b/front/src/server/downstream/eviction.rs
@@ -83,6 +83,7 @@
         if clients > 0 {
             tracing::info!(
                 clients,
+                timeout_ms = stall_timeout / 1_000,
                 "disconnected clients that do not read their responses"
             );
         }
--- a/front/src/server/drivers/ops.rs
+++ b/front/src/server/drivers/ops.rs
@@ -80,7 +80,8 @@
         };
         match retry_on_shortage(|| ops.listen(turn)) {
             Err(error) if handover && error.kind() == io::ErrorKind::AddrInUse => {
-                tracing::warn!(kind = "ops", at = %address, "address for operators is in use; retrying until it is free");
+                let again_ms = RETRY_INTERVAL / 1_000;
+                tracing::warn!(kind = "ops", at = %address, again_ms, "address for operators is in use; retrying until it is free");
                 ops.retry_at = Some(turn.now + RETRY_INTERVAL);
             }
             result => result.map_err(|source| ListenError { address, source })?,
@@ -130,7 +131,8 @@
         if self.accept_backoff.failed(turn.now, fault) == AcceptRetry::Now {
             return true;
         }
-        tracing::warn!(kind = "ops", %error, "cannot accept a connection of an operator; retrying");
+        let again_ms = RETRY_INTERVAL / 1_000;
+        tracing::warn!(kind = "ops", %error, at = %self.address, again_ms, "cannot accept a connection of an operator; retrying");
         self.retry_at = Some(turn.now + RETRY_INTERVAL);
         self.set_paused(true);
         false
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -230,7 +230,9 @@
             Ok(list) => self.record_offer(turn, peer, list),
             Err(error) => {
                 let at = self.peers[peer];
-                tracing::info!(kind = "peer", why = %error, %at, "endpoint list of a peer rejected");
+                let known_event = required.known_revision;
+                let max_age_ms = required.max_age_ms;
+                tracing::info!(kind = "peer", why = %error, known_event, max_age_ms, %at, "endpoint list of a peer rejected");
                 self.record_failure(turn.now, peer);
             }
         }
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -36,13 +36,16 @@
 }
 
 impl Connection {
-    fn is_overdue(&self, now: Timestamp) -> bool {
-        let timeout = if self.reported {
+    fn timeout(&self) -> Micros {
+        if self.reported {
             CONFIRM_TIMEOUT
         } else {
             REPORT_TIMEOUT
-        };
-        self.awaiting_answer && now > self.last_progress_at + timeout
+        }
+    }
+
+    fn is_overdue(&self, now: Timestamp) -> bool {
+        self.awaiting_answer && now > self.last_progress_at + self.timeout()
     }
 }
 
@@ -260,6 +263,7 @@
             tracing::info!(
                 kind = "box-lost",
                 member = cache_node::endpoint_name(EndpointId(id)),
+                at = %node.address,
                 error = reason,
                 "purges: connection to cache node lost; reconnecting with backoff"
             );
@@ -282,9 +286,12 @@
     fn disconnect_overdue(&mut self, now: Timestamp) {
         let connections = self.connections.iter();
         let overdue = connections.filter(|(_, connection)| connection.is_overdue(now));
-        let overdue: Vec<usize> = overdue.map(|(key, _)| *key).collect();
-        for key in overdue {
-            self.disconnect(now, key, "no answer within the timeout");
+        let overdue: Vec<(usize, Micros)> = overdue
+            .map(|(key, connection)| (*key, connection.timeout()))
+            .collect();
+        for (key, timeout) in overdue {
+            let reason = format!("no answer within {} ms", timeout / 1_000);
+            self.disconnect(now, key, &reason);
         }
     }
 
--- a/front/src/server/drivers/purges/commands.rs
+++ b/front/src/server/drivers/purges/commands.rs
@@ -27,7 +27,7 @@
     #[error("object: not 16 hex digits")]
     Object,
     /// The group id is malformed or out of range.
-    #[error("group: not a number below 256")]
+    #[error("group: not a number below {}", GROUP_COUNT)]
     Group,
 }
 
--- a/front/src/server/drivers/purges/followers.rs
+++ b/front/src/server/drivers/purges/followers.rs
@@ -93,8 +93,12 @@
         while let Some(bytes) = self.stream.input().first_chunk::<CONFIRMATION_BYTES>() {
             let number = u64::from_le_bytes(*bytes);
             self.stream.consume(CONFIRMATION_BYTES);
-            if self.in_flight.take() != Some(number) {
-                return Err(invalid("follower confirmed a purge that it was not sent"));
+            let expected = self.in_flight.take();
+            if expected != Some(number) {
+                let expected = expected.map_or("none".into(), |last| last.to_string());
+                return Err(invalid(format!(
+                    "follower confirmed purge {number}; expected: {expected}"
+                )));
             }
             self.stored = Some(number);
         }
@@ -123,8 +127,8 @@
     }
 }
 
-fn invalid(message: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, message)
+fn invalid(message: impl Into<String>) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message.into())
 }
 
 fn batch_frame(log: &PurgeLog, purges: Vec<Purge>) -> Frame {
@@ -234,8 +238,11 @@
                 continue;
             }
             follower.read_confirmations()?;
-            if follower.stream.input().len() > HELLO_BYTES {
-                return Err(invalid("follower sent more than its confirmations"));
+            let excess = follower.stream.input().len();
+            if excess > HELLO_BYTES {
+                return Err(invalid(format!(
+                    "follower sent {excess} bytes that are not confirmations"
+                )));
             }
         }
         follower.stream.rewatch(true)
--- a/front/src/server/drivers/purges/mod.rs
+++ b/front/src/server/drivers/purges/mod.rs
@@ -212,11 +212,18 @@
         }
     }
 
+    /// Returns the path of the journal for log lines, if the settings specify one.
+    fn journal_path(&self) -> Option<impl tracing::Value + '_> {
+        let path = self.settings.file.as_ref();
+        path.map(|path| tracing::field::display(path.display()))
+    }
+
     /// Handles a failed write. The contents of the journal are unknown until it is rewritten.
     fn journal_failed(&mut self, turn: &mut Turn<'_>, cause: &str) {
         tracing::error!(
             kind = "not-kept",
             error = cause,
+            path = self.journal_path(),
             "purges: cannot write the journal; it will be rewritten"
         );
         self.journal_failure = Some(cause.into());
@@ -232,6 +239,7 @@
             tracing::error!(
                 kind = "not-kept",
                 error = cause,
+                path = self.journal_path(),
                 "purges: cannot rewrite the journal; retrying"
             );
         }
--- a/front/src/server/drivers/purges/start.rs
+++ b/front/src/server/drivers/purges/start.rs
@@ -114,7 +114,7 @@
     let journal_failure = if intact {
         None
     } else {
-        rewrite(&mut file, &log).map_err(failed)?
+        rewrite(&mut file, path, &log).map_err(failed)?
     };
     Ok(LoadedLog {
         log,
@@ -184,7 +184,11 @@
 
 /// Rewrites the journal. If the disk is full or has an I/O error, the start continues: the error is returned as text, and the
 /// next sweep retries. Any other error, such as an invalid path, prevents the start.
-fn rewrite(file: &mut GuardedFile<DiskFile>, log: &PurgeLog) -> io::Result<Option<String>> {
+fn rewrite(
+    file: &mut GuardedFile<DiskFile>,
+    path: &Path,
+    log: &PurgeLog,
+) -> io::Result<Option<String>> {
     let Err(error) = journal::rewrite(file, log) else {
         return Ok(None);
     };
@@ -195,7 +199,7 @@
     if !full && error.raw_os_error() != Some(libc::EIO) {
         return Err(error);
     }
-    tracing::error!(kind = "not-kept", %error, "purges: cannot rewrite the journal; retrying");
+    tracing::error!(kind = "not-kept", %error, path = %path.display(), "purges: cannot rewrite the journal; retrying");
     Ok(Some(error.to_string()))
 }
 
--- a/front/src/server/drivers/purges/writer_link.rs
+++ b/front/src/server/drivers/purges/writer_link.rs
@@ -133,7 +133,8 @@
     pub(super) fn connect_if_due(&mut self, turn: &mut Turn<'_>, log: u64, durable: PurgeNumber) {
         let now = turn.now;
         if self.connection.is_some() && now > self.last_frame_at + FRAME_TIMEOUT {
-            self.disconnect(now, "no frame within the timeout");
+            let reason = format!("no complete frame within {} ms", FRAME_TIMEOUT / 1_000);
+            self.disconnect(now, &reason);
         }
         if self.connection.is_some() || now < self.connect_at {
             return;
--- a/front/src/server/drivers/snapshot.rs
+++ b/front/src/server/drivers/snapshot.rs
@@ -111,7 +111,9 @@
         }
         Err(ListError::Unreadable(error)) if error.kind() == io::ErrorKind::NotFound => None,
         Err(error) => {
-            tracing::info!(kind = "snapshot", why = %error, %at, "endpoint list on disk rejected");
+            let known_event = required.known_revision;
+            let max_age_ms = required.max_age_ms;
+            tracing::info!(kind = "snapshot", why = %error, known_event, max_age_ms, %at, "endpoint list on disk rejected");
             None
         }
     }
@@ -252,7 +254,10 @@
         self.failing = true;
         tracing::warn!(
             kind = "snapshot",
+            members = self.list.endpoints.len(),
             purges = self.list.purges.len(),
+            max_bytes = MAX_SNAPSHOT_BYTES,
+            at = %self.path.display(),
             "endpoint list too large to store; the older one on disk is kept"
         );
     }
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -170,7 +170,8 @@
                 Err(e) => match self.accept_backoff.failed(turn.now, AcceptFault::of(&e)) {
                     AcceptRetry::Now => {}
                     AcceptRetry::At(until) => {
-                        tracing::warn!(error = %e, "cannot accept a TLS connection; retrying");
+                        let again_ms = until.saturating_sub(turn.now) / 1_000;
+                        tracing::warn!(error = %e, at = %self.address, again_ms, "cannot accept a TLS connection; retrying");
                         self.accept_resumes_at = until;
                         return self.watch_listener(false);
                     }
--- a/front/src/server/error.rs
+++ b/front/src/server/error.rs
@@ -27,10 +27,12 @@
     #[error("limits.{0}: missing")]
     LimitMissing(&'static str),
     /// A limit is below the minimum that a front needs.
-    #[error("limits.{key}: below the minimum of {minimum}")]
+    #[error("limits.{key}: {value} is below the minimum of {minimum}")]
     LimitTooLow {
         /// The key of the limit.
         key: &'static str,
+        /// The configured value, without its fractional part.
+        value: u64,
         /// The minimum value.
         minimum: u64,
     },
--- a/front/src/server/event_loop/clients.rs
+++ b/front/src/server/event_loop/clients.rs
@@ -61,7 +61,8 @@
 
     /// Stops polling the listener until `until` after a failed `accept`.
     fn pause_listener(&mut self, now: Timestamp, until: Timestamp, error: &io::Error) {
-        tracing::warn!(%error, "accept failed: retrying after a pause");
+        let again_ms = until.saturating_sub(now) / 1_000;
+        tracing::warn!(%error, again_ms, "accept failed: retrying after a pause");
         self.free_descriptor(now, error);
         self.watch_listener(false);
         self.timers.add(until, Timer::AcceptRetry);
--- a/front/src/server/event_loop/endpoints.rs
+++ b/front/src/server/event_loop/endpoints.rs
@@ -77,6 +77,7 @@
             tracing::warn!(
                 kind = "clock",
                 ahead_ms,
+                limit_ms = MAX_CLOCK_SKEW_MS,
                 "this clock is far from that of the list service"
             );
         }
--- a/front/src/server/event_loop/timers.rs
+++ b/front/src/server/event_loop/timers.rs
@@ -107,8 +107,12 @@
         let floors = self.pipeline.floors.as_mut();
         let lease = floors.and_then(|floors| floors.lease.as_mut());
         if lease.is_some_and(|lease| lease.report_expiry(now)) {
+            let purges = self.settings.purges.as_ref();
+            let follow = purges.and_then(|purges| purges.follow.as_ref());
             tracing::warn!(
                 kind = "contact-lost",
+                writer = follow.map(|follow| follow.address.as_str()),
+                lease_ms = follow.map(|follow| follow.lease_ms),
                 "purges: lease expired without contact with the writer of the purge log"
             );
         }
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -129,7 +129,7 @@
         if let Err(error) = written {
             // Best effort: a partially written file is useless.
             let _ = fs::remove_file(&temporary);
-            tracing::warn!(kind = "upgrade", %error, "cannot write learned health: the next process starts without it");
+            tracing::warn!(kind = "upgrade", %error, directory = %self.directory.display(), "cannot write learned health: the next process starts without it");
         }
         if let Err(error) = self.accept.file.unlock() {
             tracing::warn!(kind = "upgrade", %error, "cannot release the accept lock: the next process accepts only after this one has ended");
@@ -150,19 +150,26 @@
         match found {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Vec::new(),
             Err(error) => {
-                tracing::warn!(kind = "upgrade", %error, "cannot read learned health: starting without it");
+                tracing::warn!(kind = "upgrade", %error, file = %path.display(), "cannot read learned health: starting without it");
                 return Vec::new();
             }
             Ok(_) => drop(fs::remove_file(&path)),
         }
         match decode_learned(&text) {
             Ok((at, learned)) if at <= now && now <= at + MAX_LEARNED_AGE => learned,
-            Ok(_) => {
-                tracing::info!(kind = "upgrade", "learned health is too old: ignored");
+            Ok((at, _)) => {
+                let age_ms = (now as i64 - at as i64) / 1_000;
+                let max_age_ms = MAX_LEARNED_AGE / 1_000;
+                tracing::info!(
+                    kind = "upgrade",
+                    age_ms,
+                    max_age_ms,
+                    "learned health is too old or from the future: ignored"
+                );
                 Vec::new()
             }
             Err(error) => {
-                tracing::warn!(kind = "upgrade", %error, "learned health is malformed: ignored");
+                tracing::warn!(kind = "upgrade", %error, file = %path.display(), "learned health is malformed: ignored");
                 Vec::new()
             }
         }
@@ -185,7 +192,7 @@
         let found = self.read_cordons();
         // The directory is polled ten times a second, so the error is logged only once until a read succeeds.
         if let Some(error) = found.as_ref().err().filter(|_| !self.unreadable_logged) {
-            tracing::warn!(kind = "by-hand", %error, "cannot read the shared directory: cordons set in another process are not applied");
+            tracing::warn!(kind = "by-hand", %error, directory = %self.directory.display(), "cannot read the shared directory: cordons set in another process are not applied");
         }
         self.unreadable_logged = found.is_err();
         found.ok()
--- a/front/src/server/upstream.rs
+++ b/front/src/server/upstream.rs
@@ -189,7 +189,12 @@
     pub fn sweep(&mut self, now: Timestamp, ends: &mut Ends) {
         let overdue = self.keys_where(|connection| self.is_overdue(now, connection));
         for key in overdue {
-            self.fail(key, "response incomplete for too long", ends);
+            let error = format!(
+                "response incomplete: no progress for {} ms, or not received within {} ms",
+                PARTIAL_RESPONSE_TIMEOUT / 1_000,
+                self.max_response_time / 1_000
+            );
+            self.fail(key, &error, ends);
         }
         let unused = self.keys_where(|connection| {
             let is_old = now > connection.idle_since + self.max_idle;
