--- a/certs/src/client.rs
+++ b/certs/src/client.rs
@@ -1,6 +1,6 @@
-//! The whole of ACME as one state machine: the planner chooses, the account stands behind it, orders go their way,
-//! each in a task of its own with one request out at a time. Nonces, the account and the rule that nothing is
-//! sent to any place but the configured authority are here.
+//! The ACME client as a state machine. It sets up the directory and the account, starts the orders that the planner
+//! returns, and runs each of them as a task with at most one request in flight. It also manages nonces and rejects every
+//! URL that is not on the host and port of the configured authority.
 mod operators;
 mod orders;
 mod renewal_info;
@@ -9,211 +9,226 @@
 mod setup;
 mod tasks;
 
-use crate::disk::{Account, Pending, State};
+use crate::disk::{Account, PendingOrder, State};
 use crate::error::Failure;
 use crate::identity::Identity;
 use crate::jose::AccountKey;
-use crate::messages::{Action, Event, Key, Loud, Note};
-use crate::order::{Input, Way};
-use crate::planner::{Notice, Plan, Planner, Row};
-use crate::renewal::Turns;
+use crate::messages::{Action, Event, KeyRequest, Level, LogEntry};
+use crate::order::{ChallengeType, Input};
+use crate::pending_writes::PendingWrites;
+use crate::planner::{CertificateStatus, Notice, Planner, PlannerSettings};
+use crate::renewal::Ranking;
 use crate::retry::Cause;
-use crate::unsaved::Unsaved;
 use crate::wire::{Directory, Problem};
-use crate::{tame, Micros, Moment, Timestamp, SECOND};
+use crate::{sanitize, Clocks, Micros, Timestamp, SECOND};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use tasks::{Kind, Task};
+use tasks::{Task, TaskKind};
 
-/// Nonces that are kept, and letters of one.
-const NONCES_MOST: usize = 8;
-const NONCE_MOST: usize = 512;
-/// A request that is refused for its nonce goes out again this often (RFC 8555, section 6.5).
-const NONCE_TRIES: u8 = 5;
-/// A directory is asked for anew after this long.
-const DIRECTORY_AGE: Micros = 24 * 3_600 * SECOND;
-/// Pauses between two looks at renewal information (RFC 9773, section 4.3): without, and with a word of the
-/// authority.
-const INFO_EACH: Micros = 6 * 3_600 * SECOND;
-const INFO_LEAST: Micros = 60 * SECOND;
-const INFO_MOST: Micros = 24 * 3_600 * SECOND;
-/// What an operator may have under way at once.
-const ASKED_MOST: usize = 8;
-/// The clock of this machine and the authority's may differ by this many seconds before somebody is told.
-const SKEW_MOST: u64 = 300;
-/// The longest pause until the next look at the wall clock, which may jump.
-const LOOK_EACH: Micros = 30 * SECOND;
-/// The shortest.
-const LOOK_LEAST: Micros = 50_000;
-/// What the client goes by beside its certificates.
+/// Maximum number of unused nonces.
+const MAX_NONCES: usize = 8;
+/// Longer nonces are ignored.
+const MAX_NONCE_CHARS: usize = 512;
+/// Retries of a request that was rejected because of its nonce (RFC 8555, section 6.5).
+const MAX_NONCE_RETRIES: u8 = 5;
+/// The directory is fetched again after this time.
+const MAX_DIRECTORY_AGE: Micros = 24 * 3_600 * SECOND;
+/// Interval between requests for renewal information (RFC 9773, section 4.3), and the limits within which the interval
+/// requested by the authority is accepted.
+const RENEWAL_INFO_INTERVAL: Micros = 6 * 3_600 * SECOND;
+const MIN_RENEWAL_INFO_INTERVAL: Micros = 60 * SECOND;
+const MAX_RENEWAL_INFO_INTERVAL: Micros = 24 * 3_600 * SECOND;
+/// Maximum number of operator commands that wait for the authority.
+const MAX_OPERATOR_TASKS: usize = 8;
+/// Difference in seconds between the clocks of this machine and of the authority above which a warning is logged.
+const MAX_SKEW_S: u64 = 300;
+/// Maximum interval between ticks. The wall clock may jump, so it has to be checked regularly.
+const MAX_TICK_INTERVAL: Micros = 30 * SECOND;
+/// Minimum delay until the next tick for the planner and renewal information.
+const MIN_TICK_INTERVAL: Micros = 50_000;
+
+/// The authority and the account.
 #[derive(Clone)]
 pub struct Settings {
-    /// URL of the directory.
+    /// Directory URL of the authority.
     pub directory_url: String,
-    /// `mailto:` addresses.
+    /// Contact URLs of the account, e.g. `mailto:` addresses.
     pub contacts: Vec<String>,
-    /// Id and HMAC key of an external account: a secret.
+    /// Key id and HMAC key of an external account. The key must not be logged.
     pub external: Option<(String, Vec<u8>)>,
-    /// How control of names is shown.
-    pub way: Way,
-    /// The folder may be another front's too: it is read again before an order.
+    /// Challenge type used to prove control of names.
+    pub challenge_type: ChallengeType,
+    /// Other fronts share the folder, so that it is checked for a renewed certificate before an order.
     pub shared: bool,
 }
 
-/// The client.
+/// The ACME client.
 pub struct Client {
     settings: Option<Settings>,
     planner: Planner,
     tasks: BTreeMap<u64, Task>,
-    last: u64,
+    last_task: u64,
+    /// The directory and the time at which it was fetched.
     directory: Option<(Directory, Timestamp)>,
     account: Option<Account>,
     key: Option<Arc<AccountKey>>,
     nonces: Vec<String>,
-    pending: BTreeMap<String, Pending>,
+    /// Unfinished orders by certificate id.
+    pending: BTreeMap<String, PendingOrder>,
+    /// Served identities by certificate id.
     served: BTreeMap<String, Vec<Identity>>,
-    info: BTreeSet<(Timestamp, String)>,
-    /// By how many seconds the authority's clock is ahead, as told last.
+    /// Certificate ids by the time of their next request for renewal information.
+    renewal_info_queue: BTreeSet<(Timestamp, String)>,
+    /// Seconds by which the clock of the authority is ahead, from its last response.
     skew: Option<i64>,
     started: bool,
+    /// Planner state as it was saved last.
     saved: State,
-    unsaved: Unsaved,
+    pending_writes: PendingWrites,
 }
+
 impl Client {
-    /// A client for an authority, or for none: then it watches dates alone.
-    pub fn new(settings: Option<Settings>, plan: Plan, turns: Box<dyn Turns + Send>) -> Self {
+    /// Creates a client. Without `settings` it orders nothing and only reports the expiry of certificates.
+    pub fn new(
+        settings: Option<Settings>,
+        planner_settings: PlannerSettings,
+        ranking: Box<dyn Ranking + Send>,
+    ) -> Self {
         Client {
             settings,
-            planner: Planner::new(plan, turns),
+            planner: Planner::new(planner_settings, ranking),
             tasks: BTreeMap::new(),
-            last: 0,
+            last_task: 0,
             directory: None,
             account: None,
             key: None,
             nonces: Vec::new(),
             pending: BTreeMap::new(),
             served: BTreeMap::new(),
-            info: BTreeSet::new(),
+            renewal_info_queue: BTreeSet::new(),
             skew: None,
             started: false,
             saved: State::default(),
-            unsaved: Unsaved::default(),
+            pending_writes: PendingWrites::default(),
         }
     }
 
-    /// Takes an event in.
-    pub fn handle(&mut self, moment: Moment, event: Event, out: &mut Vec<Action>) {
+    /// Handles an event and appends the actions for the driver to `out`.
+    pub fn handle(&mut self, clocks: Clocks, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Start(loaded) => self.start(moment, *loaded, out),
-            Event::Answered(task, answer) => self.answered(moment, task, answer, out),
-            Event::Key(task, key) => {
+            Event::Start(loaded) => self.start(clocks, *loaded, out),
+            Event::Response(task, response) => self.handle_response(clocks, task, response, out),
+            Event::OrderKey(task, key) => {
                 let input = match key {
                     Ok((pem, csr)) => Input::Key(pem, csr),
-                    Err(why) => Input::Barred(why),
+                    Err(error) => Input::NotSent(error),
                 };
-                self.order(moment, task, input, out);
+                self.step_order(clocks, task, input, out);
             }
-            Event::AccountKey(task, key) => self.account_key(moment, task, key, out),
-            Event::Done(task, done) => self.done(moment, task, done, out),
-            Event::Reread(task, found) => self.reread(moment, task, found, out),
+            Event::AccountKey(task, key) => self.handle_account_key(clocks, task, key, out),
+            Event::Done(task, done) => self.handle_done(clocks, task, done, out),
+            Event::Reread(task, found) => self.handle_reread(clocks, task, found, out),
             Event::Tick => {
-                self.save_again(moment.now, out);
+                self.retry_writes(clocks.now, out);
                 let due = self
                     .tasks
                     .iter()
-                    .filter(|(_, t)| t.wake.is_some_and(|at| at <= moment.now));
+                    .filter(|(_, t)| t.wake.is_some_and(|at| at <= clocks.now));
                 let due: Vec<_> = due.map(|(id, _)| *id).collect();
                 for task in due {
                     self.tasks
                         .get_mut(&task)
                         .into_iter()
                         .for_each(|t| t.wake = None);
-                    self.order(moment, task, Input::Time, out);
+                    self.step_order(clocks, task, Input::Timer, out);
                 }
             }
-            Event::Configure(plan, turns, certificates) => {
-                self.configure(moment, plan, turns, &certificates, out)
+            Event::Configure(planner_settings, ranking, certificates) => {
+                self.configure(clocks, planner_settings, ranking, &certificates, out)
             }
             Event::Renew(operator, id) => {
-                let known = self.settings.is_some() && self.planner.force(moment, &id);
-                let answer = if known {
-                    Ok("it is ordered next".into())
+                let known = self.settings.is_some() && self.planner.force_renewal(clocks, &id);
+                let response = if known {
+                    Ok(format!("{id}: renewal scheduled"))
                 } else {
-                    Err(self.unknown(&id))
+                    Err(self.unknown_certificate(&id))
                 };
-                out.push(Action::Reply(operator, answer));
+                out.push(Action::Reply(operator, response));
             }
-            Event::Revoke(operator, id, reason) => self.revoke(moment, operator, &id, reason, out),
-            Event::Import(operator, identity) => self.import(moment, operator, *identity, out),
+            Event::Revoke(operator, id, reason) => self.revoke(clocks, operator, &id, reason, out),
+            Event::Import(operator, identity) => self.import(clocks, operator, *identity, out),
             Event::RollKey(operator) => {
                 if self.account.as_ref().is_none_or(|a| a.url.is_none())
-                    || self.asked() >= ASKED_MOST
+                    || self.operator_tasks() >= MAX_OPERATOR_TASKS
                 {
-                    let why = "there is no account yet, or too much is under way";
-                    out.push(Action::Reply(operator, Err(why.into())));
+                    let error = format!(
+                        "account key not changed: no account is registered yet, \
+                         or {MAX_OPERATOR_TASKS} commands are in progress"
+                    );
+                    out.push(Action::Reply(operator, Err(error)));
                 } else {
-                    let task = self.task(Kind::Roll {
+                    let task = self.add_task(TaskKind::KeyRollover {
                         operator,
                         new: None,
                     });
-                    out.push(Action::MakeKey(task, Key::Account));
+                    out.push(Action::GenerateKey(task, KeyRequest::Account));
                 }
             }
         }
-        self.pump(moment, out);
+        self.start_due_work(clocks, out);
     }
 
-    /// The next moment at which [`Event::Tick`] is due.
-    pub fn next(&self, moment: Moment) -> Timestamp {
+    /// Returns the time at which [`Event::Tick`] is due.
+    pub fn next(&self, clocks: Clocks) -> Timestamp {
         let tasks = self.tasks.values().filter_map(|t| t.wake).min();
         let setup = self
             .tasks
             .values()
-            .any(|t| matches!(t.kind, Kind::Setup(_)));
+            .any(|t| matches!(t.kind, TaskKind::Setup(_)));
         let planned = self
             .planner
-            .wake(moment)
+            .next_wakeup(clocks)
             .filter(|_| self.settings.is_some() && !setup);
         let info = self
-            .info
+            .renewal_info_queue
             .first()
             .map(|(at, _)| *at)
             .filter(|_| self.settings.is_some());
-        // Guards against a loop without rest: what could be done now was done already.
-        let least = moment.now + LOOK_LEAST;
+        // Prevents a busy loop: everything that could be done now has been done.
+        let least = clocks.now + MIN_TICK_INTERVAL;
         let next = [planned, info]
             .into_iter()
             .flatten()
             .map(|at| at.max(least))
             .min();
-        let most = moment.now + LOOK_EACH;
+        let most = clocks.now + MAX_TICK_INTERVAL;
         tasks
             .into_iter()
             .chain(next)
-            .chain(self.unsaved.next())
+            .chain(self.pending_writes.next())
             .min()
             .unwrap_or(most)
             .min(most)
     }
 
-    /// How each certificate stands, and what is served for it.
-    pub fn rows(&self, moment: Moment) -> Vec<(Row, Option<&Identity>)> {
-        let rows = self.planner.rows(moment).into_iter();
-        rows.map(|row| {
-            let served = self.served.get(&row.id).and_then(|all| all.first());
-            (row, served)
-        })
-        .collect()
+    /// Returns the state of each certificate with the identity that is served.
+    pub fn statuses(&self, clocks: Clocks) -> Vec<(CertificateStatus, Option<&Identity>)> {
+        let statuses = self.planner.statuses(clocks).into_iter();
+        statuses
+            .map(|status| {
+                let served = self.served.get(&status.id).and_then(|all| all.first());
+                (status, served)
+            })
+            .collect()
     }
 
-    /// For operators: the account's URL, seconds until the authority is asked again, orders in the window and how
-    /// many may be, by how much the authority's clock is ahead.
-    pub fn state(&self, moment: Moment) -> serde_json::Value {
-        let (orders, most) = self.planner.budget();
+    /// Returns the state of the account and of the connection to the authority, for operators.
+    pub fn state(&self, clocks: Clocks) -> serde_json::Value {
+        let (orders, most) = self.planner.order_counts();
         json!({
             "account": self.account.as_ref().and_then(|a| a.url.as_ref()),
-            "away_s": self.planner.away_until().saturating_sub(moment.now) / SECOND,
+            "away_s": self.planner.paused_until().saturating_sub(clocks.now) / SECOND,
             "orders_in_window": orders,
             "orders_most": most,
             "tasks": self.tasks.len(),
@@ -221,86 +236,92 @@
         })
     }
 
-    /// What is served for a certificate.
+    /// Returns the identities that are served for a certificate.
     pub fn served(&self, id: &str) -> &[Identity] {
         self.served.get(id).map_or(&[], |all| all)
     }
 
-    fn task(&mut self, kind: Kind) -> u64 {
-        self.last += 1;
+    fn add_task(&mut self, kind: TaskKind) -> u64 {
+        self.last_task += 1;
         self.tasks.insert(
-            self.last,
+            self.last_task,
             Task {
                 kind,
                 post: None,
-                nonce: false,
+                awaits_nonce: false,
                 wake: None,
-                shown: Vec::new(),
+                published: Vec::new(),
             },
         );
-        self.last
+        self.last_task
     }
 }
-/// The certificate that a task is for.
-fn of(kind: &Kind) -> Option<&String> {
+
+/// Returns the id of the certificate that a task is for, if any.
+fn certificate_id(kind: &TaskKind) -> Option<&String> {
     match kind {
-        Kind::Order { id, .. } | Kind::Info(id) => Some(id),
-        Kind::Reread(choice) => Some(&choice.id),
+        TaskKind::Order { id, .. } | TaskKind::RenewalInfo(id) => Some(id),
+        TaskKind::Reread(planned) => Some(&planned.id),
         _ => None,
     }
 }
 
-fn fail(cause: Cause, text: &str) -> Failure {
+fn failure(cause: Cause, text: &str) -> Failure {
     Failure {
         cause,
         refused: Vec::new(),
-        told: None,
-        text: tame(text, 500),
-        keeps_order: false,
+        retry_after: None,
+        text: sanitize(text, 500),
+        resumable: false,
     }
 }
 
-/// What a problem with directory or account means.
-fn common(problem: &Problem, status: u16) -> Cause {
-    match problem.short() {
-        "rateLimited" => Cause::Limited,
+/// Returns the cause for an error response during the setup of directory and account.
+fn setup_failure_cause(problem: &Problem, status: u16) -> Cause {
+    match problem.acme_type() {
+        "rateLimited" => Cause::RateLimited,
         "serverInternal" => Cause::Unreachable,
         "" if status >= 500 || status == 429 => Cause::Unreachable,
         _ if status >= 500 => Cause::Unreachable,
-        _ => Cause::Account,
+        _ => Cause::AccountRejected,
     }
 }
 
-fn tell(loud: Loud, kind: &'static str, name: &str, text: &str) -> Action {
-    Action::Tell(Note {
-        loud,
+fn log_entry(level: Level, kind: &'static str, name: &str, text: &str) -> Action {
+    Action::Log(LogEntry {
+        level,
         kind,
         name: name.into(),
         text: text.into(),
     })
 }
 
-fn told(notice: &Notice) -> Action {
+fn notice_entry(notice: &Notice) -> Action {
     match notice {
-        Notice::Expiring { count, left, names } => tell(
-            Loud::Warn,
+        Notice::Expiring {
+            count,
+            expires_in_s,
+            names,
+        } => log_entry(
+            Level::Warn,
             "expiring",
             &names.join(" "),
-            &format!("{count} will end, the first in {left} s"),
+            &format!("certificates about to expire: {count}, the first in {expires_in_s} s"),
         ),
         Notice::Expired {
             count,
-            since,
+            expired_for_s,
             names,
-        } => tell(
-            Loud::Error,
+        } => log_entry(
+            Level::Error,
             "expired",
             &names.join(" "),
-            &format!("{count} HAVE EXPIRED, the first {since} s ago"),
+            &format!("expired certificates: {count}, the first expired {expired_for_s} s ago"),
         ),
-        Notice::NotYet { count, names } => {
-            let text = format!("{count} do not hold yet: is this machine's clock right?");
-            tell(Loud::Warn, "not-yet-valid", &names.join(" "), &text)
+        Notice::NotYetValid { count, names } => {
+            let text =
+                format!("certificates not valid yet: {count}; check the clock of this machine");
+            log_entry(Level::Warn, "not-yet-valid", &names.join(" "), &text)
         }
     }
 }
--- a/certs/src/client/renewal_info.rs
+++ b/certs/src/client/renewal_info.rs
@@ -1,14 +1,16 @@
-//! Renewal information of the authority (RFC 9773): hints when to renew.
-use super::tasks::Kind;
-use super::{tell, Client, INFO_EACH, INFO_LEAST, INFO_MOST};
-use crate::http::Answer;
-use crate::messages::{Action, Loud};
-use crate::wire::{self};
-use crate::{Moment, SECOND};
+//! Requests for the suggested renewal windows of certificates (RFC 9773).
+use super::tasks::TaskKind;
+use super::{
+    log_entry, Client, MAX_RENEWAL_INFO_INTERVAL, MIN_RENEWAL_INFO_INTERVAL, RENEWAL_INFO_INTERVAL,
+};
+use crate::http::Response;
+use crate::messages::{Action, Level};
+use crate::wire;
+use crate::{Clocks, SECOND};
 
 impl Client {
-    pub(super) fn ask_info(&mut self, moment: Moment, out: &mut Vec<Action>) {
-        let Some((_, id)) = self.info.pop_first() else {
+    pub(super) fn request_renewal_info(&mut self, clocks: Clocks, out: &mut Vec<Action>) {
+        let Some((_, id)) = self.renewal_info_queue.pop_first() else {
             return;
         };
         let base = self
@@ -21,53 +23,68 @@
             .and_then(|all| all.first())
             .and_then(|i| i.renewal_id.clone());
         let Some((base, renewal)) = base.zip(renewal) else {
-            // This authority tells nothing: a new directory may.
-            self.info.insert((moment.now + INFO_MOST, id));
+            // The authority offers no renewal information. A new directory may add it.
+            self.renewal_info_queue
+                .insert((clocks.now + MAX_RENEWAL_INFO_INTERVAL, id));
             return;
         };
-        let task = self.task(Kind::Info(id));
+        let task = self.add_task(TaskKind::RenewalInfo(id));
         self.get(
-            moment,
+            clocks,
             task,
             &format!("{}/{renewal}", base.trim_end_matches('/')),
             out,
         );
     }
 
-    pub(super) fn info_told(
+    pub(super) fn handle_renewal_info(
         &mut self,
-        moment: Moment,
+        clocks: Clocks,
         id: &str,
-        answer: Result<Answer, String>,
+        response: Result<Response, String>,
         out: &mut Vec<Action>,
     ) {
-        let mut pause = INFO_EACH;
-        match answer {
-            Ok(answer) if answer.status == 200 => {
-                pause = answer
-                    .retry_after
-                    .map_or(pause, |s| (s * SECOND).clamp(INFO_LEAST, INFO_MOST));
-                match wire::renewal_info(&answer.body) {
-                    Ok(window) => self.planner.suggested(moment, id, window),
-                    Err(why) => out.push(tell(Loud::Warn, "bad-answer", id, &why)),
+        let mut pause = RENEWAL_INFO_INTERVAL;
+        match response {
+            Ok(response) if response.status == 200 => {
+                pause = response.retry_after.map_or(pause, |s| {
+                    (s * SECOND).clamp(MIN_RENEWAL_INFO_INTERVAL, MAX_RENEWAL_INFO_INTERVAL)
+                });
+                match wire::renewal_info(&response.body) {
+                    Ok(window) => self.planner.set_window(clocks, id, window),
+                    Err(error) => {
+                        let text = format!("{error}; the response is ignored");
+                        out.push(log_entry(Level::Warn, "bad-answer", id, &text));
+                    }
                 }
             }
-            // It is a hint: without it the rule by lifetime holds.
-            Ok(answer) => {
-                pause = answer
-                    .retry_after
-                    .map_or(pause, |s| (s * SECOND).clamp(INFO_EACH, INFO_MOST));
-                out.push(tell(
-                    Loud::Info,
+            // Without a suggested window the renewal follows from the lifetime.
+            Ok(response) => {
+                pause = response.retry_after.map_or(pause, |s| {
+                    (s * SECOND).clamp(RENEWAL_INFO_INTERVAL, MAX_RENEWAL_INFO_INTERVAL)
+                });
+                out.push(log_entry(
+                    Level::Info,
                     "renewal-info",
                     id,
-                    &format!("status {}", answer.status),
+                    &format!(
+                        "no renewal information: status {}; requested again in {} s",
+                        response.status,
+                        pause / SECOND
+                    ),
                 ));
             }
-            Err(why) => out.push(tell(Loud::Info, "renewal-info", id, &why)),
+            Err(error) => {
+                let text = format!(
+                    "no renewal information: {error}; requested again in {} s",
+                    pause / SECOND
+                );
+                out.push(log_entry(Level::Info, "renewal-info", id, &text));
+            }
         }
         if self.served.contains_key(id) {
-            self.info.insert((moment.now + pause, id.into()));
+            self.renewal_info_queue
+                .insert((clocks.now + pause, id.into()));
         }
     }
 }
--- a/certs/src/client/tasks.rs
+++ b/certs/src/client/tasks.rs
@@ -1,26 +1,26 @@
-//! Tasks of the client: each has one request out at a time.
+//! Tasks of the client. Each has at most one request in flight.
 use crate::jose::AccountKey;
 use crate::messages::{Challenge, Payload};
 use crate::order::Order;
-use crate::planner::Choice;
+use crate::planner::PlannedOrder;
 use crate::url::Url;
 use crate::Timestamp;
 use std::sync::Arc;
 
-pub(super) enum Kind {
+pub(super) enum TaskKind {
     Setup(Setup),
     Order {
         id: String,
         order: Box<Order>,
     },
-    /// Reads the folder before an order.
-    Reread(Choice),
-    Info(String),
+    /// Reads the shared folder before an order.
+    Reread(PlannedOrder),
+    RenewalInfo(String),
     Revoke {
         operator: u64,
         id: String,
     },
-    Roll {
+    KeyRollover {
         operator: u64,
         new: Option<Arc<AccountKey>>,
     },
@@ -29,36 +29,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Setup {
     Directory,
-    Key,
-    KeepKey,
-    Account,
-    /// Asks whether the account has the key that was to follow: whoever asked for that was not told.
-    Next,
+    GenerateKey,
+    SaveKey,
+    Register,
+    /// Checks whether the authority uses the new account key, after a rollover without a response.
+    CheckNextKey,
 }
 
 #[derive(Clone)]
 pub(super) struct Post {
     pub(super) url: Url,
+    /// The URL as received, for the signed header.
     pub(super) text: String,
     pub(super) payload: Payload,
-    pub(super) by: By,
+    pub(super) signer: Signer,
     pub(super) tries: u8,
 }
 
-/// What a request is signed with.
+/// The key that signs a request.
 #[derive(Clone)]
-pub(super) enum By {
-    /// The account, by its URL.
+pub(super) enum Signer {
+    /// The account key, identified by the account URL.
     Account,
-    /// A key that stands in the request.
+    /// A key whose public part is included in the request.
     Key(Arc<AccountKey>),
 }
 
 pub(super) struct Task {
-    pub(super) kind: Kind,
+    pub(super) kind: TaskKind,
     pub(super) post: Option<Post>,
-    /// The request out is for a nonce.
-    pub(super) nonce: bool,
+    /// The request in flight is for a nonce; `post` is sent after it.
+    pub(super) awaits_nonce: bool,
+    /// Time of the next [`Input::Timer`](crate::order::Input::Timer).
     pub(super) wake: Option<Timestamp>,
-    pub(super) shown: Vec<Challenge>,
+    /// Challenge responses to withdraw when the task ends.
+    pub(super) published: Vec<Challenge>,
 }
--- a/certs/src/exchange.rs
+++ b/certs/src/exchange.rs
@@ -1,7 +1,7 @@
-//! Carries requests out: one HTTPS exchange, blocking, until an absolute deadline. For worker threads.
-use crate::http::{request, Answer, Reader};
+//! Blocking operations for worker threads: one HTTPS exchange with an absolute deadline, and key generation.
+use crate::http::{encode_request, Reader, Response};
 use crate::jose::AccountKey;
-use crate::messages::{Ask, Key};
+use crate::messages::{KeyRequest, Request};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, ServerName};
 use rustls::sign::CertifiedKey;
@@ -12,11 +12,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Addresses of a name that are tried.
-const ADDRESSES_MOST: usize = 4;
+/// Resolved addresses to which a connection is attempted.
+const MAX_ADDRESSES: usize = 4;
 
-/// What is trusted for the TLS of the authority: the roots in a PEM file, and nothing else.
-pub fn roots(file: &Path) -> Result<Arc<ClientConfig>, String> {
+/// Returns a TLS configuration that trusts the root certificates in a PEM file and no others.
+pub fn load_roots(file: &Path) -> Result<Arc<ClientConfig>, String> {
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let mut store = RootCertStore::empty();
     for root in CertificateDer::pem_file_iter(file).map_err(|e| failed(&e))? {
@@ -25,7 +25,7 @@
             .map_err(|e| failed(&e))?;
     }
     if store.is_empty() {
-        return Err(failed(&"no certificate in it"));
+        return Err(failed(&"the file contains no certificates"));
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
@@ -36,108 +36,125 @@
     Ok(Arc::new(config))
 }
 
-/// Asks and reads the answer, of `most` bytes at most, before `deadline`. The error is one line.
+/// Sends a request and returns the response, whose body may have up to `max_body_bytes`. Fails with an error of one line.
+/// Connecting, writing and reading end at `deadline`; name resolution is not bounded by it.
 pub fn exchange(
     config: &Arc<ClientConfig>,
-    ask: &Ask,
+    request: &Request,
     deadline: Instant,
-    most: usize,
-) -> Result<Answer, String> {
-    let body = ask.sign.as_ref().map(|sign| sign.body()).transpose()?;
-    let bytes = request(ask.method, &ask.url, body.as_deref());
-    let (host, port) = (ask.url.host.as_str(), ask.url.port);
-    let at = |what: &str, e: &dyn std::fmt::Display| format!("{host}:{port}: {what}: {e}");
-    let name = ServerName::try_from(host.to_string()).map_err(|e| at("name", &e))?;
+    max_body_bytes: usize,
+) -> Result<Response, String> {
+    let body = request.sign.as_ref().map(|sign| sign.body()).transpose()?;
+    let bytes = encode_request(request.method, &request.url, body.as_deref());
+    let (host, port) = (request.url.host.as_str(), request.url.port);
+    let error = |step: &str, e: &dyn std::fmt::Display| {
+        format!("request to {host}:{port} failed: {step}: {e}")
+    };
+    let name = ServerName::try_from(host.to_string()).map_err(|e| error("name", &e))?;
     let addresses = (host, port)
         .to_socket_addrs()
-        .map_err(|e| at("look-up", &e))?;
-    let mut socket = Err("no address".to_string());
-    for address in addresses.take(ADDRESSES_MOST) {
-        socket = left(deadline)
+        .map_err(|e| error("look-up", &e))?;
+    let mut socket = Err(error("look-up", &"the name has no address"));
+    for address in addresses.take(MAX_ADDRESSES) {
+        socket = remaining(deadline)
             .and_then(|left| TcpStream::connect_timeout(&address, left))
-            .map_err(|e| at("connect", &e));
+            .map_err(|e| error("connect", &e));
         if socket.is_ok() {
             break;
         }
     }
     let mut socket = socket?;
-    // It can only fail on a socket that is broken, which the next write tells.
+    // A failure means a broken socket, which the next write reports.
     let _ = socket.set_nodelay(true);
-    let mut tls = ClientConnection::new(Arc::clone(config), name).map_err(|e| at("TLS", &e))?;
-    tls.writer().write_all(&bytes).map_err(|e| at("TLS", &e))?;
-    let mut reader = Reader::new(ask.method, most);
+    let mut tls = ClientConnection::new(Arc::clone(config), name).map_err(|e| error("TLS", &e))?;
+    tls.writer()
+        .write_all(&bytes)
+        .map_err(|e| error("TLS", &e))?;
+    let mut reader = Reader::new(request.method, max_body_bytes);
     let mut plain = [0; 4096];
     loop {
         while tls.wants_write() {
             socket
-                .set_write_timeout(Some(left(deadline).map_err(|e| at("write", &e))?))
-                .map_err(|e| at("write", &e))?;
-            tls.write_tls(&mut socket).map_err(|e| at("write", &e))?;
+                .set_write_timeout(Some(remaining(deadline).map_err(|e| error("write", &e))?))
+                .map_err(|e| error("write", &e))?;
+            tls.write_tls(&mut socket).map_err(|e| error("write", &e))?;
         }
         socket
-            .set_read_timeout(Some(left(deadline).map_err(|e| at("read", &e))?))
-            .map_err(|e| at("read", &e))?;
+            .set_read_timeout(Some(remaining(deadline).map_err(|e| error("read", &e))?))
+            .map_err(|e| error("read", &e))?;
         let n = tls
             .read_tls(&mut socket)
-            .map_err(|e| at("read", &late(e)))?;
+            .map_err(|e| error("read", &as_timeout(e)))?;
         let state = tls.process_new_packets().map_err(|e| {
-            // The alert that tells why is best effort.
+            // Sends the TLS alert that describes the error, if possible.
             let _ = tls.write_tls(&mut socket);
-            at("TLS", &e)
+            error("TLS", &e)
         })?;
-        let mut ended = n == 0;
+        let mut closed = n == 0;
         let mut readable = state.plaintext_bytes_to_read();
         while readable > 0 {
-            let got = tls.reader().read(&mut plain).map_err(|e| at("read", &e))?;
-            if let Some(answer) = reader.feed(&plain[..got]).map_err(|e| at("answer", &e))? {
-                return Ok(answer);
+            let got = tls
+                .reader()
+                .read(&mut plain)
+                .map_err(|e| error("read", &e))?;
+            if let Some(response) = reader
+                .feed(&plain[..got])
+                .map_err(|e| error("answer", &e))?
+            {
+                return Ok(response);
             }
             readable = readable.saturating_sub(got.max(1));
         }
-        ended |= state.peer_has_closed();
-        if ended {
-            // Only a proper end can be the end of an answer that has no length.
+        closed |= state.peer_has_closed();
+        if closed {
+            // Without a close_notify, the end of a response without a length could be a truncation.
             if !state.peer_has_closed() {
-                return Err(at("answer", &"the connection broke"));
+                return Err(error(
+                    "answer",
+                    &"connection closed without a TLS close_notify",
+                ));
             }
-            let whole = reader.end().map_err(|e| at("answer", &e))?;
-            return whole.ok_or_else(|| at("answer", &"the answer stops short"));
+            let complete = reader.end().map_err(|e| error("answer", &e))?;
+            return complete.ok_or_else(|| error("answer", &"the response is truncated"));
         }
     }
 }
 
-/// Time until the deadline, never nothing: a socket would wait for ever.
-fn left(deadline: Instant) -> io::Result<Duration> {
+/// Returns the time until the deadline. Zero is an error because socket timeouts must not be zero.
+fn remaining(deadline: Instant) -> io::Result<Duration> {
     let left = deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
-        return Err(io::Error::new(io::ErrorKind::TimedOut, "not done in time"));
+        return Err(io::Error::new(io::ErrorKind::TimedOut, "deadline exceeded"));
     }
     Ok(left)
 }
 
-fn late(e: io::Error) -> io::Error {
+/// Maps the two error kinds of a socket timeout to one.
+fn as_timeout(e: io::Error) -> io::Error {
     match e.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => {
-            io::Error::new(io::ErrorKind::TimedOut, "not done in time")
+            io::Error::new(io::ErrorKind::TimedOut, "deadline exceeded")
         }
         _ => e,
     }
 }
 
-/// What [`make_key`] made.
-pub enum Made {
-    /// Key in PEM and signing request in DER.
+/// The result of [`generate_key`].
+pub enum GeneratedKey {
+    /// Private key in PEM, and certificate signing request in DER.
     Order(String, Vec<u8>),
-    /// A key for the account.
+    /// Account key.
     Account(Arc<AccountKey>),
 }
 
-/// Makes a P-256 key; for an order with a signing request for its names (RFC 2986).
-pub fn make_key(key: &Key) -> Result<Made, String> {
-    let failed = |e: rcgen::Error| format!("key: {e}");
+/// Generates a P-256 key, for an order together with a certificate signing request (RFC 2986).
+pub fn generate_key(key: &KeyRequest) -> Result<GeneratedKey, String> {
+    let failed = |e: rcgen::Error| format!("cannot generate the key of an order: {e}");
     match key {
-        Key::Account => AccountKey::generate().map(|key| Made::Account(Arc::new(key))),
-        Key::Order(names, pem) => {
+        KeyRequest::Account => {
+            AccountKey::generate().map(|key| GeneratedKey::Account(Arc::new(key)))
+        }
+        KeyRequest::Order(names, pem) => {
             let key = match pem {
                 Some(pem) => rcgen::KeyPair::from_pem(pem).map_err(failed)?,
                 None => rcgen::KeyPair::generate().map_err(failed)?,
@@ -145,15 +162,23 @@
             let mut params = rcgen::CertificateParams::new(names.clone()).map_err(failed)?;
             params.distinguished_name = rcgen::DistinguishedName::new();
             let request = params.serialize_request(&key).map_err(failed)?;
-            Ok(Made::Order(key.serialize_pem(), request.der().to_vec()))
+            Ok(GeneratedKey::Order(
+                key.serialize_pem(),
+                request.der().to_vec(),
+            ))
         }
     }
 }
 
-/// A self-signed certificate that shows control of a name (RFC 8737, section 3): it names that alone, and holds the
-/// digest of the key authorization.
-pub fn prove(name: &str, authorization: &str) -> Result<Arc<CertifiedKey>, String> {
-    let failed = |e: &dyn std::fmt::Display| format!("challenge: {e}");
+/// Generates the self-signed certificate that answers a `tls-alpn-01` challenge (RFC 8737, section 3). It contains the
+/// name and the digest of the key authorization.
+pub fn generate_challenge_certificate(
+    name: &str,
+    authorization: &str,
+) -> Result<Arc<CertifiedKey>, String> {
+    let failed = |e: &dyn std::fmt::Display| {
+        format!("cannot generate the challenge certificate for {name}: {e}")
+    };
     let key = rcgen::KeyPair::generate().map_err(|e| failed(&e))?;
     let mut params = rcgen::CertificateParams::new(vec![name.into()]).map_err(|e| failed(&e))?;
     let digest = ring::digest::digest(&ring::digest::SHA256, authorization.as_bytes());
@@ -163,7 +188,7 @@
     let cert = params.self_signed(&key).map_err(|e| failed(&e))?;
     let der =
         rustls::pki_types::PrivateKeyDer::try_from(key.serialize_der()).map_err(|e| failed(&e))?;
-    // Not by way of the check that key and certificate fit: it knows nothing of the critical extension.
+    // `CertifiedKey::from_der` would reject the critical acmeIdentifier extension.
     let key = rustls::crypto::ring::sign::any_supported_type(&der).map_err(|e| failed(&e))?;
     Ok(Arc::new(CertifiedKey::new(vec![cert.der().clone()], key)))
 }
--- a/certs/src/identity/tests.rs
+++ b/certs/src/identity/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A self-signed bundle for some names, from one second to another.
-fn made(names: &[&str], from: Wall, until: Wall) -> (String, String) {
+/// Returns the key and the self-signed certificate for some names, with the given validity.
+fn self_signed(names: &[&str], from: UnixTime, until: UnixTime) -> (String, String) {
     let key = rcgen::KeyPair::generate().unwrap();
     let names: Vec<String> = names.iter().map(|n| n.to_string()).collect();
     let mut params = rcgen::CertificateParams::new(names).unwrap();
@@ -11,29 +11,34 @@
 }
 
 #[test]
-fn key_and_certificate_have_to_belong_together() {
-    let (key, chain) = made(&["A.example", "*.b.example"], 1_000, 2_000);
-    let found = Identity::join(&key, &chain).unwrap();
+fn key_and_certificate_must_match() {
+    let (key, chain) = self_signed(&["A.example", "*.b.example"], 1_000, 2_000);
+    let found = Identity::from_key_and_chain(&key, &chain).unwrap();
     assert_eq!((found.not_before, found.not_after), (1_000, 2_000));
     assert!(found.covers("a.EXAMPLE") && found.covers("x.b.example"));
     assert!(!found.covers("b.example") && !found.covers("x.y.b.example"));
-    assert!(found.holds(1_000) && found.holds(2_000) && !found.holds(2_001) && !found.holds(999));
+    assert!(
+        found.is_valid_at(1_000)
+            && found.is_valid_at(2_000)
+            && !found.is_valid_at(2_001)
+            && !found.is_valid_at(999)
+    );
     assert!(!format!("{found:?}").contains(key.lines().nth(1).unwrap()));
-    let (other, _) = made(&["a.example"], 1_000, 2_000);
-    let why = Identity::join(&other, &chain).unwrap_err();
-    assert!(why.contains("do not belong together"), "{why}");
-    assert!(Identity::join(&key, &format!("{other}{chain}")).is_err());
+    let (other, _) = self_signed(&["a.example"], 1_000, 2_000);
+    let error = Identity::from_key_and_chain(&other, &chain).unwrap_err();
+    assert!(error.contains("does not match"), "{error}");
+    assert!(Identity::from_key_and_chain(&key, &format!("{other}{chain}")).is_err());
 }
 
 #[test]
-fn odd_bundles_are_refused_in_one_line() {
-    let (key, chain) = made(&["a.example"], 1_000, 2_000);
-    let whole = format!("{key}{chain}");
-    for cut in (0..whole.len()).step_by(7) {
-        if let Err(e) = Identity::from_pem(&whole[..cut]) {
+fn malformed_bundles_are_rejected_with_a_one_line_error() {
+    let (key, chain) = self_signed(&["a.example"], 1_000, 2_000);
+    let bundle = format!("{key}{chain}");
+    for cut in (0..bundle.len()).step_by(7) {
+        if let Err(e) = Identity::from_pem(&bundle[..cut]) {
             assert!(!e.contains('\n'));
         }
     }
-    assert!(Identity::from_pem(&format!("{key}{}", chain.repeat(CHAIN_MOST + 1))).is_err());
-    assert!(Identity::from_pem(&"x".repeat(BUNDLE_MOST + 1)).is_err());
+    assert!(Identity::from_pem(&format!("{key}{}", chain.repeat(MAX_CHAIN_LENGTH + 1))).is_err());
+    assert!(Identity::from_pem(&"x".repeat(MAX_BUNDLE_BYTES + 1)).is_err());
 }
--- a/certs/src/retry.rs
+++ b/certs/src/retry.rs
@@ -1,79 +1,84 @@
-//! How long to wait after a failure: by its cause, and by how often it came before.
-use crate::{share, Micros, SECOND};
+//! Delays before the next attempt, by the cause of a failure and the number of failures in a row.
+use crate::{hash_below, Micros, SECOND};
 
 const MINUTE: Micros = 60 * SECOND;
 const HOUR: Micros = 60 * MINUTE;
 
-/// Why something did not come about.
+/// The cause of a failure, which determines the retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The authority can't be reached, is too slow, or says that it is in trouble.
+    /// The authority cannot be reached, did not respond in time, or reported an internal error.
     Unreachable,
-    /// It said something that can't be used, or something went wrong with this order alone.
-    Broken,
-    /// It said that this was too much (`rateLimited`, 429).
-    Limited,
-    /// It won't issue for a name, or could not see that it is ours.
+    /// The response cannot be used, or another error affects this order alone.
+    BadResponse,
+    /// The authority limits requests (`rateLimited`, status 429).
+    RateLimited,
+    /// The authority does not issue for a name, or its validation of the name failed.
     Refused,
-    /// The account is not good enough: terms, external account, or it is barred.
-    Account,
-    /// The authority does not know the account any more.
-    Unknown,
-    /// The order takes its time; it is looked at again and not made anew.
-    Slow,
+    /// The account is rejected: terms of service, missing external account, or deactivation.
+    AccountRejected,
+    /// The account no longer exists at the authority.
+    AccountUnknown,
+    /// The authority has not finished the order in time. The next attempt polls the same order.
+    Processing,
 }
 
 impl Cause {
-    /// The field's word for it, as in logs and `cranesill certs`.
-    pub fn word(self) -> &'static str {
+    /// The name of the cause in logs and in the output of `cranesill certs`.
+    pub fn as_str(self) -> &'static str {
         match self {
             Cause::Unreachable => "authority-unreachable",
-            Cause::Broken => "bad-answer",
-            Cause::Limited => "rate-limited",
+            Cause::BadResponse => "bad-answer",
+            Cause::RateLimited => "rate-limited",
             Cause::Refused => "refused",
-            Cause::Account => "account",
-            Cause::Unknown => "account-unknown",
-            Cause::Slow => "processing",
+            Cause::AccountRejected => "account",
+            Cause::AccountUnknown => "account-unknown",
+            Cause::Processing => "processing",
         }
     }
 
-    /// Whether it holds for all certificates and not for one alone.
-    pub fn common(self) -> bool {
-        matches!(self, Cause::Unreachable | Cause::Account | Cause::Unknown)
+    /// Whether the cause affects all certificates.
+    pub fn affects_all(self) -> bool {
+        matches!(
+            self,
+            Cause::Unreachable | Cause::AccountRejected | Cause::AccountUnknown
+        )
     }
 
-    /// The first wait and the longest. A name that is refused stays so until somebody mends it; an authority that
-    /// is away is back of itself.
+    /// Minimum and maximum delay. They are longer for a refused name, which an operator has to fix, than for an
+    /// unreachable authority, which usually recovers without intervention.
     fn bounds(self) -> (Micros, Micros) {
         match self {
             Cause::Unreachable => (10 * SECOND, 30 * MINUTE),
-            Cause::Broken => (2 * MINUTE, 6 * HOUR),
-            Cause::Limited => (HOUR, 24 * HOUR),
+            Cause::BadResponse => (2 * MINUTE, 6 * HOUR),
+            Cause::RateLimited => (HOUR, 24 * HOUR),
             Cause::Refused => (HOUR, 24 * HOUR),
-            Cause::Account => (10 * MINUTE, 12 * HOUR),
-            Cause::Unknown => (SECOND, HOUR),
-            Cause::Slow => (MINUTE, HOUR),
+            Cause::AccountRejected => (10 * MINUTE, 12 * HOUR),
+            Cause::AccountUnknown => (SECOND, HOUR),
+            Cause::Processing => (MINUTE, HOUR),
         }
     }
 }
 
-/// A time to come back that the authority named is heeded up to this.
-pub const TOLD_MOST: Micros = 7 * 24 * HOUR;
+/// Upper limit for a delay that the authority requests.
+pub const MAX_RETRY_AFTER: Micros = 7 * 24 * HOUR;
 
-/// How long to wait after the `failures`th failure in a row (1 up), with up to a quarter more that depends on
-/// `salt` alone, so that those that failed together do not come back together. What the authority named
-/// (`told`, microseconds) is the least.
-pub fn wait(cause: Cause, failures: u32, told: Option<Micros>, salt: &str) -> Micros {
-    let (first, most) = cause.bounds();
-    let grown = first
+/// Returns the delay after the given number of failures in a row (at least 1): exponential backoff plus up to a quarter
+/// of jitter derived from `salt`, which spreads the retries of orders that failed together. The delay requested by the
+/// authority (`retry_after`, microseconds) is a lower bound.
+pub fn retry_delay(cause: Cause, failures: u32, retry_after: Option<Micros>, salt: &str) -> Micros {
+    let (min, max) = cause.bounds();
+    let delay = min
         .saturating_mul(1 << failures.saturating_sub(1).min(20))
-        .min(most);
-    let grown = grown + share(grown / 4, &[salt, &failures.to_string()]);
-    match (told.map(|t| t.min(TOLD_MOST)), cause) {
-        // Its word is all there is to a limit.
-        (Some(told), Cause::Limited) => told + share(told / 20 + SECOND, &[salt]),
-        (Some(told), _) => told.max(grown),
-        (None, _) => grown,
+        .min(max);
+    let delay = delay + hash_below(delay / 4, &[salt, &failures.to_string()]);
+    match (retry_after.map(|t| t.min(MAX_RETRY_AFTER)), cause) {
+        // The authority knows its own limit: its delay replaces the backoff.
+        (Some(retry_after), Cause::RateLimited) => {
+            retry_after + hash_below(retry_after / 20 + SECOND, &[salt])
+        }
+        (Some(retry_after), _) => retry_after.max(delay),
+        (None, _) => delay,
     }
 }
 
--- a/certs/tests/exchange.rs
+++ b/certs/tests/exchange.rs
@@ -1,12 +1,12 @@
-//! Exchanges over sockets: an authority that is slow, endless, cut off or gone costs its deadline and no more.
-use cranesill_certs::exchange::{exchange, roots};
+//! Exchanges over sockets with faulty authorities must end within the deadline.
+use cranesill_certs::exchange::{exchange, load_roots};
 use cranesill_certs::url::Url;
-use cranesill_certs::{Ask, Method};
+use cranesill_certs::{Method, Request};
 use cranesill_standins::acme::{Faults, Server};
 use std::time::{Duration, Instant};
 
-fn ask(url: &str) -> Ask {
-    Ask {
+fn request(url: &str) -> Request {
+    Request {
         method: Method::Get,
         url: Url::parse(url).unwrap(),
         sign: None,
@@ -14,17 +14,17 @@
 }
 
 #[test]
-fn answers_that_never_end_stop_short_or_come_by_the_byte_are_given_up_in_time() {
+fn endless_truncated_and_slow_responses_fail_within_the_deadline() {
     let server = Server::start("127.0.0.1:0".parse().unwrap(), 1, 1, 3).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("root.pem");
     std::fs::write(&file, server.root()).unwrap();
-    let config = roots(&file).unwrap();
+    let config = load_roots(&file).unwrap();
     let url = server.directory();
     let within = |ms: u64| {
         exchange(
             &config,
-            &ask(&url),
+            &request(&url),
             Instant::now() + Duration::from_millis(ms),
             100_000,
         )
@@ -45,7 +45,7 @@
                 cut: true,
                 ..Faults::default()
             },
-            "short",
+            "truncated",
         ),
         (
             "by the byte",
@@ -53,7 +53,7 @@
                 slow_ms: 50,
                 ..Faults::default()
             },
-            "not done in time",
+            "deadline exceeded",
         ),
         (
             "vanished",
@@ -74,40 +74,44 @@
     ];
     for (what, fault, word) in faults {
         server.authority().faults = fault;
-        let begun = Instant::now();
+        let started = Instant::now();
         match within(1_500) {
-            Ok(answer) => assert_eq!((what, answer.status), ("down", 503)),
+            Ok(response) => assert_eq!((what, response.status), ("down", 503)),
             Err(why) => assert!(why.contains(word) && !why.contains('\n'), "{what}: {why}"),
         }
         assert!(
-            begun.elapsed() < Duration::from_millis(2_500),
+            started.elapsed() < Duration::from_millis(2_500),
             "{what}: {:?}",
-            begun.elapsed()
+            started.elapsed()
         );
     }
 }
 
 #[test]
-fn an_authority_under_another_root_is_not_spoken_to() {
+fn no_request_is_sent_to_an_authority_with_an_untrusted_root() {
     let server = Server::start("127.0.0.1:0".parse().unwrap(), 1, 1, 3).unwrap();
     let other = cranesill_standins::acme::Issuer::new();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("root.pem");
     std::fs::write(&file, other.root()).unwrap();
-    let config = roots(&file).unwrap();
+    let config = load_roots(&file).unwrap();
     let why = exchange(
         &config,
-        &ask(&server.directory()),
+        &request(&server.directory()),
         Instant::now() + Duration::from_secs(10),
         1_000,
     );
     assert!(why.unwrap_err().contains("invalid peer certificate"));
-    assert_eq!(server.authority().seen.len(), 0, "nothing was said to it");
+    assert_eq!(
+        server.authority().seen.len(),
+        0,
+        "the authority received a request"
+    );
     for bad in [
         "",
         "-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n",
     ] {
         std::fs::write(&file, bad).unwrap();
-        assert!(roots(&file).is_err());
+        assert!(load_roots(&file).is_err());
     }
 }
--- a/certs/tests/planner.rs
+++ b/certs/tests/planner.rs
@@ -1,12 +1,12 @@
-//! Properties of the planner, over seeds: never more orders than allowed, and every name renewed in time as long as
-//! the authority works for some hours in each lifetime.
+//! Randomized tests of the planner: the order limit is kept, and every name is renewed in time if the authority is available
+//! for some hours in each part of the lifetime.
 mod common;
-use common::{plan, ranked, DAY, HOUR, START};
+use common::{planner_settings, ranking, DAY, HOUR, START};
 use cranesill_certs::error::Failure;
-use cranesill_certs::planner::{Plan, Planner};
-use cranesill_certs::renewal::{Held, Rule};
+use cranesill_certs::planner::{Planner, PlannerSettings};
+use cranesill_certs::renewal::{Rule, Validity};
 use cranesill_certs::retry::Cause;
-use cranesill_certs::{Moment, Timestamp, SECOND};
+use cranesill_certs::{Clocks, Timestamp, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
 struct Rng(u64);
@@ -21,7 +21,7 @@
     }
 }
 
-fn failure(cause: Cause, name: &str, told: Option<u64>) -> Failure {
+fn failure(cause: Cause, name: &str, retry_after: Option<u64>) -> Failure {
     let refused = if cause == Cause::Refused {
         vec![name.to_string()]
     } else {
@@ -30,118 +30,128 @@
     Failure {
         cause,
         refused,
-        told: told.map(|s| s * SECOND),
-        text: "played".into(),
-        keeps_order: false,
+        retry_after: retry_after.map(|s| s * SECOND),
+        text: "simulated".into(),
+        resumable: false,
     }
 }
 
-/// Plays a planner for a span against an authority that answers by random numbers; `works` says when it does at all.
-fn play(
+/// Runs a planner for `span` seconds against an authority with random results, which is reachable while `is_available`
+/// returns true.
+fn run_planner(
     seed: u64,
-    plan: Plan,
+    planner_settings: PlannerSettings,
     names: usize,
     lifetime: u64,
     span: u64,
-    works: impl Fn(u64) -> bool,
-    mut check: impl FnMut(u64, &BTreeMap<String, Held>, &VecDeque<Timestamp>),
+    is_available: impl Fn(u64) -> bool,
+    mut check: impl FnMut(u64, &BTreeMap<String, Validity>, &VecDeque<Timestamp>),
 ) {
     let mut rng = Rng(seed);
-    let mut planner = Planner::new(plan, Box::new(ranked("n1", &["n1", "n2", "n3"])));
+    let mut planner = Planner::new(
+        planner_settings,
+        Box::new(ranking("n1", &["n1", "n2", "n3"])),
+    );
     let mut now = SECOND;
-    let at = |now: Timestamp| Moment {
+    let at = |now: Timestamp| Clocks {
         now,
         wall: START + now / SECOND,
     };
     let all: Vec<_> = (0..names).map(|i| vec![format!("n{i}.example")]).collect();
-    planner.want(at(now), &all);
-    let (mut held, mut begun, mut busy) = (
+    planner.set_wanted(at(now), &all);
+    let (mut certificates, mut recent_orders, mut in_progress) = (
         BTreeMap::new(),
         VecDeque::new(),
         Vec::<(Timestamp, String)>::new(),
     );
     while now < span * SECOND {
-        let moment = at(now);
-        while let Some(choice) = planner.next(moment) {
-            begun.push_back(now);
-            busy.push((now + (1 + rng.below(90)) * SECOND, choice.id));
+        let clocks = at(now);
+        while let Some(planned) = planner.next(clocks) {
+            recent_orders.push_back(now);
+            in_progress.push((now + (1 + rng.below(90)) * SECOND, planned.id));
         }
-        assert!(busy.len() <= plan.at_once, "seed {seed}");
-        while begun.front().is_some_and(|t| now >= t + plan.window) {
-            begun.pop_front();
+        assert!(
+            in_progress.len() <= planner_settings.max_concurrent_orders,
+            "seed {seed}"
+        );
+        while recent_orders
+            .front()
+            .is_some_and(|t| now >= t + planner_settings.order_window)
+        {
+            recent_orders.pop_front();
         }
         assert!(
-            begun.len() <= plan.orders_most,
+            recent_orders.len() <= planner_settings.max_orders,
             "seed {seed}: {} orders in a window",
-            begun.len()
+            recent_orders.len()
         );
-        check(moment.wall, &held, &begun);
-        let done: Vec<_> = busy
+        check(clocks.wall, &certificates, &recent_orders);
+        let done: Vec<_> = in_progress
             .iter()
             .filter(|(at, _)| *at <= now)
             .map(|(_, id)| id.clone())
             .collect();
-        busy.retain(|(at, _)| *at > now);
+        in_progress.retain(|(at, _)| *at > now);
         for id in done {
-            let fate = rng.below(20);
-            if !works(moment.wall - START) {
-                let told = (fate < 3).then_some(fate * 600);
-                planner.failed(moment, &id, &failure(Cause::Unreachable, &id, told));
-            } else if fate == 0 {
-                planner.failed(moment, &id, &failure(Cause::Broken, &id, None));
-            } else if fate == 1 {
+            let outcome = rng.below(20);
+            if !is_available(clocks.wall - START) {
+                let retry_after = (outcome < 3).then_some(outcome * 600);
+                planner.failed(clocks, &id, &failure(Cause::Unreachable, &id, retry_after));
+            } else if outcome == 0 {
+                planner.failed(clocks, &id, &failure(Cause::BadResponse, &id, None));
+            } else if outcome == 1 {
                 planner.failed(
-                    moment,
+                    clocks,
                     &id,
-                    &failure(Cause::Limited, &id, Some(rng.below(1_800))),
+                    &failure(Cause::RateLimited, &id, Some(rng.below(1_800))),
                 );
             } else {
-                let new = Held {
-                    not_before: moment.wall - 60,
-                    not_after: moment.wall + lifetime,
+                let new = Validity {
+                    not_before: clocks.wall - 60,
+                    not_after: clocks.wall + lifetime,
                 };
-                planner.succeeded(moment, &id, new, std::slice::from_ref(&id));
-                held.insert(id, new);
+                planner.succeeded(clocks, &id, new, std::slice::from_ref(&id));
+                certificates.insert(id, new);
             }
         }
-        let next = planner.wake(at(now)).unwrap_or(now + HOUR * SECOND);
-        let busy_next = busy
+        let next = planner.next_wakeup(at(now)).unwrap_or(now + HOUR * SECOND);
+        let next_completion = in_progress
             .iter()
             .map(|(at, _)| *at)
             .min()
             .unwrap_or(Timestamp::MAX);
         now = next
             .max(now + SECOND / 2)
-            .min(busy_next.max(now + 1))
+            .min(next_completion.max(now + 1))
             .min(now + HOUR * SECOND);
     }
 }
 
 #[test]
-fn never_more_orders_than_allowed_and_all_renewed_while_the_authority_works_for_some_hours() {
+fn orders_stay_within_the_limit_and_all_names_are_renewed_despite_outages() {
     for seed in 0..60 {
         let lifetime = [6 * DAY, 10 * DAY, 90 * DAY][seed as usize % 3];
-        let plan = Plan {
-            orders_most: 40,
-            at_once: 1 + seed as usize % 4,
-            ..plan()
+        let planner_settings = PlannerSettings {
+            max_orders: 40,
+            max_concurrent_orders: 1 + seed as usize % 4,
+            ..planner_settings()
         };
-        // It works for eight hours in each tenth of a lifetime, at a time that depends on the seed.
+        // Available for eight hours in each tenth of a lifetime, at an offset that depends on the seed.
         let period = lifetime / 10;
         let from = (seed * 7_919) % (period - 8 * HOUR);
-        let works = |t: u64| (from..from + 8 * HOUR).contains(&(t % period));
+        let is_available = |t: u64| (from..from + 8 * HOUR).contains(&(t % period));
         let names = 60;
-        play(
+        run_planner(
             seed,
-            plan,
+            planner_settings,
             names,
             lifetime,
             3 * lifetime,
-            works,
-            |wall, held, _| {
+            is_available,
+            |wall, certificates, _| {
                 if wall > START + lifetime / 2 {
-                    assert_eq!(held.len(), names, "seed {seed}");
-                    let over = held.iter().find(|(_, h)| h.not_after < wall);
+                    assert_eq!(certificates.len(), names, "seed {seed}");
+                    let over = certificates.iter().find(|(_, h)| h.not_after < wall);
                     assert!(over.is_none(), "seed {seed}: {over:?} at {wall}");
                 }
             },
@@ -150,23 +160,23 @@
 }
 
 #[test]
-fn an_authority_that_never_works_is_asked_less_and_less() {
+fn orders_to_a_failing_authority_back_off() {
     for seed in 0..20 {
         let mut orders = 0;
         let mut last = 0;
-        play(
+        run_planner(
             seed,
-            Plan {
-                orders_most: 500,
-                ..plan()
+            PlannerSettings {
+                max_orders: 500,
+                ..planner_settings()
             },
             300,
             90 * DAY,
             10 * DAY,
             |_| false,
-            |_, _, begun| {
-                if begun.back().is_some_and(|t| *t != last) {
-                    last = *begun.back().unwrap();
+            |_, _, recent_orders| {
+                if recent_orders.back().is_some_and(|t| *t != last) {
+                    last = *recent_orders.back().unwrap();
                     orders += 1;
                 }
             },
@@ -179,41 +189,41 @@
 }
 
 #[test]
-fn ten_thousand_names_are_planned_without_a_scan_over_all() {
+fn ten_thousand_names_are_renewed() {
     let rule = Rule {
         renew_percent: 67,
         jitter_percent: 20,
     };
-    let plan = Plan {
+    let planner_settings = PlannerSettings {
         rule,
-        orders_most: 100_000,
-        ..plan()
+        max_orders: 100_000,
+        ..planner_settings()
     };
-    let mut planner = Planner::new(plan, Box::new(ranked("n1", &["n1"])));
-    let at = |wall: u64| Moment {
+    let mut planner = Planner::new(planner_settings, Box::new(ranking("n1", &["n1"])));
+    let at = |wall: u64| Clocks {
         now: (wall - START + 1) * SECOND,
         wall,
     };
     let ids: Vec<_> = (0..10_000).map(|i| format!("n{i}.example")).collect();
-    planner.want(
+    planner.set_wanted(
         at(START),
         &ids.iter().map(|id| vec![id.clone()]).collect::<Vec<_>>(),
     );
-    let held = Held {
+    let validity = Validity {
         not_before: START,
         not_after: START + 90 * DAY,
     };
     ids.iter()
-        .for_each(|id| planner.holds(at(START), id, held, std::slice::from_ref(id)));
+        .for_each(|id| planner.set_certificate(at(START), id, validity, std::slice::from_ref(id)));
     let (mut wall, mut renewed) = (START, 0);
     while wall < START + 62 * DAY {
         wall += 60;
-        while let Some(choice) = planner.next(at(wall)) {
-            let new = Held {
+        while let Some(planned) = planner.next(at(wall)) {
+            let new = Validity {
                 not_before: wall,
                 not_after: wall + 90 * DAY,
             };
-            planner.succeeded(at(wall), &choice.id, new, &choice.names);
+            planner.succeeded(at(wall), &planned.id, new, &planned.names);
             renewed += 1;
         }
     }
--- a/front/src/server/drivers/certificate_table.rs
+++ b/front/src/server/drivers/certificate_table.rs
@@ -1,5 +1,5 @@
 //! The certificates that TLS handshakes serve, by the host name in the client's SNI extension.
-use cranesill_certs::{Identity, Wall};
+use cranesill_certs::{Identity, UnixTime};
 use rustls::crypto::CryptoProvider;
 use rustls::server::{NoServerSessionStorage, ProducesTickets, ResolvesServerCert};
 use rustls::sign::CertifiedKey;
@@ -18,7 +18,7 @@
     /// TLS configuration that presents this certificate.
     pub config: Arc<ServerConfig>,
     /// Unix time of the last second at which the certificate is valid.
-    pub not_after: Wall,
+    pub not_after: UnixTime,
 }
 
 /// The certificates to serve, by host name.
