--- a/front/src/server/drivers/certs/actions.rs
+++ b/front/src/server/drivers/certs/actions.rs
@@ -20,7 +20,7 @@
     pub(super) fn apply_action(&mut self, turn: &mut Turn<'_>, action: Action) {
         let event = match action {
             Action::Request(task, request) => self.send_request(task, request),
-            Action::GenerateKey(task, key) => self.make_key(task, key),
+            Action::GenerateKey(task, key) => self.generate_key(task, key),
             Action::Save(task, content) => self.save(task, content),
             Action::Reread(task, id) => self.reread(task, id),
             Action::Publish(task, challenge) => self.publish(task, challenge),
@@ -58,7 +58,7 @@
     }
 
     /// Generates a key. Returns an event if the worker thread could not be started.
-    fn make_key(&mut self, task: u64, key: KeyRequest) -> Option<Event> {
+    fn generate_key(&mut self, task: u64, key: KeyRequest) -> Option<Event> {
         let is_account = matches!(key, KeyRequest::Account);
         let failure = move |error| match is_account {
             true => Event::AccountKey(task, Err(error)),
--- a/front/src/server/drivers/certs/operators.rs
+++ b/front/src/server/drivers/certs/operators.rs
@@ -24,7 +24,7 @@
 ];
 
 impl Certs {
-    /// Carries out a command. One that needs a request to the authority is answered when that is complete.
+    /// Runs a command. One that needs a request to the authority is answered when that is complete.
     pub(super) fn handle_command(
         &mut self,
         turn: &mut Turn<'_>,
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -322,7 +322,7 @@
         if now < self.bootstrap.next_round() {
             return;
         }
-        // Rounds continue while the list service is in contact, but no peer is polled.
+        // Rounds continue while the list service sends messages, but no peer is polled.
         let chosen = self.bootstrap.start_round(now);
         if self.service_is_silent(now) {
             for peer in chosen {
--- a/front/src/server/drivers/purges/start.rs
+++ b/front/src/server/drivers/purges/start.rs
@@ -96,7 +96,7 @@
     let mut file = GuardedFile::new(DiskFile::new(path.clone()));
     let (log, intact) = match journal::open(&mut file).map_err(failed)? {
         OpenedJournal::Missing => {
-            // A lost disk cannot be told from a first start.
+            // A lost disk cannot be distinguished from a first start.
             let mut log = PurgeLog::new(identity);
             purge_everything(now, &mut log, "the file was missing");
             (log, false)
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -182,7 +182,7 @@
 
     /// Starts the handshake on an accepted connection, and displaces an older one if all slots are taken.
     fn admit(&mut self, turn: &mut Turn<'_>, socket: TcpStream) {
-        // No request is sent before the handshake is complete, so the time in the accept queue delays none.
+        // No request is sent before the handshake is complete, so the accept delay is not deducted from a time limit.
         self.accept_backoff.accepted(turn.now);
         let key = turn.key();
         let ready = socket
--- a/front/src/server/handover.rs
+++ b/front/src/server/handover.rs
@@ -1,7 +1,8 @@
 //! Handover of the listening socket for clients between two processes of a front, through lock files and small data files in a
 //! directory shared by both.
 //!
-//! The process that accepts clients holds the lock `accept`; a process that is not waiting for an earlier one to end holds `alive`.
+//! The process that accepts clients holds the lock `accept`. The process that holds the lock `alive` keeps it until it ends; another
+//! one that acquires it thereby detects that all earlier processes have ended.
 //! The operating system releases the locks of a process that ends for any reason, so a lock that is not held proves that its
 //! process has ended.
 //!
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/endpoint_table.rs
@@ -128,17 +128,17 @@
     pub fn remove_idle(&mut self) -> Vec<EndpointIndex> {
         let idle = |at: &EndpointIndex| self.endpoints[*at].concurrency.in_flight == 0;
         let index_if_idle = |id: &EndpointId| self.index.get(id).copied().filter(idle);
-        let forgotten: Vec<_> = self
+        let dropped: Vec<_> = self
             .removed
             .iter()
             .filter_map(|id| index_if_idle(id).map(|at| (*id, at)))
             .collect();
-        for (id, at) in &forgotten {
+        for (id, at) in &dropped {
             self.removed.remove(id);
             self.index.remove(id);
             self.free.push(*at);
         }
-        forgotten.into_iter().map(|(_, at)| at).collect()
+        dropped.into_iter().map(|(_, at)| at).collect()
     }
 
     /// Removes an endpoint from the ready ones before it is changed.
--- a/src/policy/recent_keys.rs
+++ b/src/policy/recent_keys.rs
@@ -8,7 +8,7 @@
     current: BTreeSet<K>,
     previous: BTreeSet<K>,
     period_started_at: Timestamp,
-    /// Time of the first request. Until a full period after it, new keys cannot be told from old ones.
+    /// Time of the first request. Until a full period after it, it is unknown whether a key is new.
     first_used_at: Option<Timestamp>,
 }
 
--- a/src/policy/recent_keys/tests.rs
+++ b/src/policy/recent_keys/tests.rs
@@ -6,7 +6,7 @@
     // After a restart, keys requested before it must not be treated as new.
     assert!(
         recent.insert(0, 50, 50) && recent.insert(7, 99, 50),
-        "new keys cannot be told from old ones yet"
+        "it is unknown yet whether a key is new"
     );
     assert!(!recent.insert(1, 100, 50));
     assert!(recent.insert(1, 140, 50));
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -9,7 +9,7 @@
 /// Number of error responses from which the request itself is considered at fault and is not sent again.
 const MAX_ERRORS: usize = 2;
 
-/// How a stalled attempt is handled.
+/// How an overdue attempt is handled that has stalled.
 enum OverdueAction {
     /// Cancel it, which leads to the next attempt.
     Cancel,
