--- a/front/src/routing/types.rs
+++ b/front/src/routing/types.rs
@@ -109,15 +109,15 @@
 /// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to, assigned by the pipeline at ingress.
     pub request: RequestId,
-    /// The number of the attempt, starting from 0 in the order sent.
+    /// The number of the attempt within the request, from 0 in the order sent.
     pub number: u16,
 }
 
 /// Instructions to a cache node on filling a miss and on serving cached copies.
 #[derive(Clone, Copy, Debug)]
-pub struct FillSource {
+pub struct FillInstructions {
     /// The endpoint to fill from; `None` to disable filling.
     pub source: Option<EndpointId>,
     /// Retention preference of the copy: 0 to not cache it, 1 to 3 in ascending order.
@@ -148,7 +148,7 @@
     /// The latest time to start writing the fetch, after which cache nodes would no longer detect a retry.
     pub write_by: Timestamp,
     /// Instructions for filling a miss; `None` to leave it to the endpoint.
-    pub fill: Option<FillSource>,
+    pub fill: Option<FillInstructions>,
     /// The tag of the client's cached copy.
     pub cached_tag: Option<Rc<str>>,
     /// The idempotency key, forwarded as received.
@@ -186,10 +186,10 @@
     pub kind: ReplyKind,
     /// The content.
     pub body: Rc<[u8]>,
-    /// The origin of the content, or the reason for a failed fill.
+    /// How the copy was obtained, or why the fill failed.
     pub fill_note: FillNote,
     /// Time until the first byte from the fill source or its failure; 0 if not reported.
-    pub queueing_time: Micros,
+    pub source_wait: Micros,
     /// The tag of the copy.
     pub tag: Option<Box<str>>,
     /// Creation time of the copy at the origin, in Unix milliseconds.
@@ -287,33 +287,34 @@
 /// A timer of the pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A timer of the router, with its token.
-    Policy(u64),
-    /// The timeout of an attempt.
+    /// A timer that the router set, with the token that the router assigned to it.
+    Router(u64),
+    /// An attempt has reached its timeout or the deadline of its request, whichever is earlier: it is cancelled if it is
+    /// outstanding.
     AttemptTimeout(AttemptId),
-    /// The deadline of a request.
+    /// The deadline of a request and the grace period of the router have passed: the request fails if it is pending.
     RequestDeadline(RequestId),
 }
 
 /// A command from the pipeline to the server.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Send an attempt.
+    /// Send an attempt, and report its end by [`attempt_ended`](super::RequestPipeline::attempt_ended).
     Send {
-        /// The attempt.
+        /// Identifies the attempt in [`Command::Cancel`] and when its end is reported.
         attempt: AttemptId,
         /// The endpoint to which the attempt is sent.
         target: EndpointId,
         /// The fetch to send.
         fetch: Fetch,
     },
-    /// Cancel an attempt that was sent.
-    Abort(AttemptId),
+    /// Cancel an attempt that was sent and has not ended.
+    Cancel(AttemptId),
     /// Send a client its final response.
     Respond {
         /// The client and the stream.
         to: ReplyTo,
-        /// The response.
+        /// The only response to the request on that stream.
         response: Response,
     },
     /// Call [`handle_timer`](super::RequestPipeline::handle_timer) when the timer expires.
@@ -323,7 +324,7 @@
         /// The timer to pass.
         timer: Timer,
     },
-    /// Report that an endpoint served a copy older than the requested maximum age.
+    /// Report that an endpoint served a copy older than the maximum age that the attempt requested because of a purge.
     StaleCopyServed(EndpointId),
     /// Write a line to the log.
     Log(String),
--- a/front/src/server/drivers/certs.rs
+++ b/front/src/server/drivers/certs.rs
@@ -115,7 +115,7 @@
         Ok(certs)
     }
 
-    /// Passes an event to the ACME client and carries out the resulting actions.
+    /// Passes an event to the ACME client and applies the resulting actions.
     fn handle(&mut self, turn: &mut Turn<'_>, event: Event) {
         let time = time_now(turn.now);
         let mut actions = Vec::new();
@@ -123,7 +123,7 @@
         let mut table_changed = false;
         for action in actions {
             table_changed |= matches!(action, Action::Serve(..));
-            self.carry_out(turn, action);
+            self.apply_action(turn, action);
         }
         if table_changed {
             let table = self
--- a/front/src/server/drivers/peers.rs
+++ b/front/src/server/drivers/peers.rs
@@ -230,7 +230,9 @@
             Ok(list) => self.record_offer(turn, peer, list),
             Err(error) => {
                 let at = self.peers[peer];
-                tracing::info!(kind = "peer", why = %error, %at, "endpoint list of a peer rejected");
+                let known_event = required.known_revision;
+                let max_age_ms = required.max_age_ms;
+                tracing::info!(kind = "peer", why = %error, known_event, max_age_ms, %at, "endpoint list of a peer rejected");
                 self.record_failure(turn.now, peer);
             }
         }
@@ -320,7 +322,7 @@
         if now < self.bootstrap.next_round() {
             return;
         }
-        // Rounds continue while the list service is in contact, but no peer is polled.
+        // Rounds continue while the list service sends messages, but no peer is polled.
         let chosen = self.bootstrap.start_round(now);
         if self.service_is_silent(now) {
             for peer in chosen {
--- a/front/src/server/drivers/purges/cache_nodes.rs
+++ b/front/src/server/drivers/purges/cache_nodes.rs
@@ -36,13 +36,16 @@
 }
 
 impl Connection {
-    fn is_overdue(&self, now: Timestamp) -> bool {
-        let timeout = if self.reported {
+    fn timeout(&self) -> Micros {
+        if self.reported {
             CONFIRM_TIMEOUT
         } else {
             REPORT_TIMEOUT
-        };
-        self.awaiting_answer && now > self.last_progress_at + timeout
+        }
+    }
+
+    fn is_overdue(&self, now: Timestamp) -> bool {
+        self.awaiting_answer && now > self.last_progress_at + self.timeout()
     }
 }
 
@@ -204,7 +207,8 @@
         self.connections.contains_key(&key)
     }
 
-    /// Handles a node that served a copy after it had confirmed its purge.
+    /// Handles a node that served a copy older than requested because of a purge. If the node has confirmed purges, they were not
+    /// effective, which is logged.
     pub(super) fn stale_copy_served(&mut self, now: Timestamp, id: NodeId) {
         if self.replication.confirmed_by(id) > 0 {
             tracing::warn!(
@@ -259,6 +263,7 @@
             tracing::info!(
                 kind = "box-lost",
                 member = cache_node::endpoint_name(EndpointId(id)),
+                at = %node.address,
                 error = reason,
                 "purges: connection to cache node lost; reconnecting with backoff"
             );
@@ -281,9 +286,12 @@
     fn disconnect_overdue(&mut self, now: Timestamp) {
         let connections = self.connections.iter();
         let overdue = connections.filter(|(_, connection)| connection.is_overdue(now));
-        let overdue: Vec<usize> = overdue.map(|(key, _)| *key).collect();
-        for key in overdue {
-            self.disconnect(now, key, "no answer within the timeout");
+        let overdue: Vec<(usize, Micros)> = overdue
+            .map(|(key, connection)| (*key, connection.timeout()))
+            .collect();
+        for (key, timeout) in overdue {
+            let reason = format!("no answer within {} ms", timeout / 1_000);
+            self.disconnect(now, key, &reason);
         }
     }
 
--- a/front/src/server/drivers/tls.rs
+++ b/front/src/server/drivers/tls.rs
@@ -170,7 +170,8 @@
                 Err(e) => match self.accept_backoff.failed(turn.now, AcceptFault::of(&e)) {
                     AcceptRetry::Now => {}
                     AcceptRetry::At(until) => {
-                        tracing::warn!(error = %e, "cannot accept a TLS connection; retrying");
+                        let again_ms = until.saturating_sub(turn.now) / 1_000;
+                        tracing::warn!(error = %e, at = %self.address, again_ms, "cannot accept a TLS connection; retrying");
                         self.accept_resumes_at = until;
                         return self.watch_listener(false);
                     }
@@ -181,7 +182,7 @@
 
     /// Starts the handshake on an accepted connection, and displaces an older one if all slots are taken.
     fn admit(&mut self, turn: &mut Turn<'_>, socket: TcpStream) {
-        // No request is sent before the handshake is complete, so the time in the accept queue delays none.
+        // No request is sent before the handshake is complete, so the accept delay is not deducted from a time limit.
         self.accept_backoff.accepted(turn.now);
         let key = turn.key();
         let ready = socket
