--- a/front/examples/measure-boxes.rs
+++ b/front/examples/measure-boxes.rs
@@ -1,7 +1,7 @@
 //! Measures the delay from a command to the last box's confirmation, with 10, 100 and 1,000 stand-in boxes, purges a
 //! second, and the load on the stand-in origin after a purge of everything with and without the shield. `make
 //! measure-boxes` runs it; the figures stand in `docs/design/purges.md`.
-use cranesill_standins::boxes::{Origin, TaggedBox};
+use cranesill_standins::cache_node::{Origin, TaggedBox};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! is from an older copy than it may be.
 mod common;
 use common::*;
-use cranesill_standins::boxes::{wall, Origin, TaggedBox};
+use cranesill_standins::cache_node::{wall, Origin, TaggedBox};
 use serde_json::{json, Value};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -4,4 +4,4 @@
 #![deny(missing_docs)]
 
 pub mod acme;
-pub mod boxes;
+pub mod cache_node;
