--- a/certs/tests/exchange.rs
+++ b/certs/tests/exchange.rs
@@ -102,7 +102,11 @@
         1_000,
     );
     assert!(why.unwrap_err().contains("invalid peer certificate"));
-    assert_eq!(server.authority().seen.len(), 0, "nothing was said to it");
+    assert_eq!(
+        server.authority().request_counts.len(),
+        0,
+        "nothing was said to it"
+    );
     for bad in [
         "",
         "-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n",
--- a/front/examples/measure-boxes.rs
+++ b/front/examples/measure-boxes.rs
@@ -1,7 +1,7 @@
 //! Measures the delay from a command to the last box's confirmation, with 10, 100 and 1,000 stand-in boxes, purges a
 //! second, and the load on the stand-in origin after a purge of everything with and without the shield. `make
 //! measure-boxes` runs it; the figures stand in `docs/design/purges.md`.
-use cranesill_standins::cache_node::{Origin, TaggedBox};
+use cranesill_standins::cache_node::{CacheNode, Origin};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -21,7 +21,7 @@
 }
 
 impl Front {
-    fn start(boxes: &[TaggedBox], main: &TaggedBox, purges: Value) -> Front {
+    fn start(boxes: &[CacheNode], main: &CacheNode, purges: Value) -> Front {
         let folder = tempfile::tempdir().unwrap();
         let feed = TcpListener::bind("127.0.0.1:0").unwrap();
         let listen = TcpListener::bind("127.0.0.1:0")
@@ -104,9 +104,9 @@
 fn delays(count: usize) {
     let origin = Arc::new(Origin::default());
     let boxes: Vec<_> = (0..count)
-        .map(|_| TaggedBox::start(Arc::clone(&origin), true).unwrap())
+        .map(|_| CacheNode::start(Arc::clone(&origin), true).unwrap())
         .collect();
-    let main = TaggedBox::main(Arc::clone(&origin)).unwrap();
+    let main = CacheNode::start_origin(Arc::clone(&origin)).unwrap();
     let on = json!({"kinds": ["small-box"], "connections_most": count, "per_s": 1_000_000});
     let front = Front::start(&boxes, &main, json!({"boxes": on}));
     let wait = |n: u64| {
@@ -199,9 +199,9 @@
 fn everything(shield: Option<u32>) {
     let origin = Arc::new(Origin::default());
     let boxes: Vec<_> = (0..6)
-        .map(|_| TaggedBox::start(Arc::clone(&origin), true).unwrap())
+        .map(|_| CacheNode::start(Arc::clone(&origin), true).unwrap())
         .collect();
-    let main = TaggedBox::main(Arc::clone(&origin)).unwrap();
+    let main = CacheNode::start_origin(Arc::clone(&origin)).unwrap();
     let mut purges = json!({});
     if let Some(shield) = shield {
         purges["shield_per_s"] = shield.into();
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! is from an older copy than it may be.
 mod common;
 use common::*;
-use cranesill_standins::cache_node::{wall, Origin, TaggedBox};
+use cranesill_standins::cache_node::{unix_ms, CacheNode, Origin};
 use serde_json::{json, Value};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 const REQUESTS: u32 = 20_000;
 const TAGS: [&str; 3] = ["vitara", "blue", "winter"];
 
-fn front(folder: &Path, boxes: &[TaggedBox], origin: &TaggedBox, purges: &Value) -> Stage {
+fn front(folder: &Path, boxes: &[CacheNode], origin: &CacheNode, purges: &Value) -> Stage {
     std::fs::create_dir_all(folder).unwrap();
     let mut purges = purges.clone();
     purges["file"] = folder.join("purges").display().to_string().into();
@@ -98,9 +98,9 @@
     let origin = Arc::new(Origin::default());
     (0..OBJECTS).for_each(|n| origin.tag(&item(n), &[TAGS[n as usize % 3]]));
     let boxes: Vec<_> = (0..6)
-        .map(|i| TaggedBox::start(Arc::clone(&origin), i % 2 == 0).unwrap())
+        .map(|i| CacheNode::start(Arc::clone(&origin), i % 2 == 0).unwrap())
         .collect();
-    let main = TaggedBox::main(Arc::clone(&origin)).unwrap();
+    let main = CacheNode::start_origin(Arc::clone(&origin)).unwrap();
     let port = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -144,7 +144,7 @@
                         .wrapping_mul(6364136223846793005)
                         .wrapping_add(1442695040888963407);
                     let item = item((rng >> 33) % OBJECTS);
-                    let sent = wall();
+                    let sent = unix_ms();
                     let connected = client.take().or_else(|| {
                         let socket = TcpStream::connect(*addresses[i].lock().unwrap()).ok()?;
                         socket
@@ -212,7 +212,7 @@
             Some(tag) => run(&folders[0], &["purge", "--tag", tag]),
             None => run(&folders[0], &["purge", "--pattern", &pattern]),
         };
-        let told = wall();
+        let told = unix_ms();
         assert_eq!(code, 0, "{text}");
         let number = serde_json::from_str::<Value>(&text).unwrap()["number"]
             .as_u64()
@@ -230,9 +230,9 @@
         let which = (round as usize * 5) % 6;
         match round % 4 {
             0 => boxes[which].kill(),
-            1 => boxes.iter().for_each(TaggedBox::revive),
-            2 => boxes[which].lie(round % 8 == 2),
-            _ => boxes[which].late(round % 7),
+            1 => boxes.iter().for_each(CacheNode::restart),
+            2 => boxes[which].set_serve_stale(round % 8 == 2),
+            _ => boxes[which].set_delay_ms(round % 7),
         }
         if round % 10 == 5 {
             // A front is killed outright and comes back with its file.
@@ -249,16 +249,16 @@
     );
     // Once the faults end every box confirms everything.
     boxes.iter().for_each(|b| {
-        b.revive();
-        b.lie(false);
-        b.late(0);
+        b.restart();
+        b.set_serve_stale(false);
+        b.set_delay_ms(0);
     });
     let (code, text) = run(&folders[0], &["purge", "--tag", "any", "--wait-s", "30"]);
     assert_eq!(code, 0, "{text}");
     assert!(
         boxes.iter().all(|b| b.gaps() == 0),
         "{:?}",
-        boxes.iter().map(TaggedBox::gaps).collect::<Vec<_>>()
+        boxes.iter().map(CacheNode::gaps).collect::<Vec<_>>()
     );
     println!(
         "{answered} answered, {counts:?}, {round} rounds, {} fetches",
--- a/standins/src/acme/authority.rs
+++ b/standins/src/acme/authority.rs
@@ -158,7 +158,7 @@
     last: u64,
     rng: u64,
     /// Requests answered, by the first step of their path.
-    pub seen: BTreeMap<String, u64>,
+    pub request_counts: BTreeMap<String, u64>,
 }
 
 type Answer = Result<Response, Response>;
@@ -223,7 +223,7 @@
             checks: Vec::new(),
             last: 0,
             rng: seed | 1,
-            seen: BTreeMap::new(),
+            request_counts: BTreeMap::new(),
         }
     }
 
@@ -319,7 +319,7 @@
             .split('/')
             .map(str::to_string)
             .collect::<Vec<_>>();
-        *self.seen.entry(path[0].clone()).or_default() += 1;
+        *self.request_counts.entry(path[0].clone()).or_default() += 1;
         let mut answer = if self.faults.down {
             problem(503, "serverInternal", "told to be down")
         } else {
--- a/standins/src/cache_node.rs
+++ b/standins/src/cache_node.rs
@@ -11,7 +11,7 @@
 const STRING_MOST: usize = 1 << 20;
 
 /// Unix milliseconds.
-pub fn wall() -> u64 {
+pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -39,7 +39,7 @@
     fn fetch(&self, item: &str) -> Copy {
         self.fetches.fetch_add(1, Ordering::SeqCst);
         // Given out after the moment that it is dated by, never before.
-        let born = wall();
+        let born = unix_ms();
         Copy {
             born,
             tags: lock(&self.tags).get(item).cloned().unwrap_or_default(),
@@ -79,24 +79,24 @@
 }
 
 /// A box.
-pub struct TaggedBox {
+pub struct CacheNode {
     /// Where it listens, dead or alive.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl TaggedBox {
+impl CacheNode {
     /// A box that fetches from an origin; with a disk it keeps what it has over a death.
-    pub fn start(origin: Arc<Origin>, disk: bool) -> io::Result<TaggedBox> {
+    pub fn start(origin: Arc<Origin>, disk: bool) -> io::Result<CacheNode> {
         Self::begin(origin, disk, false)
     }
 
     /// The main store, as a member that never misses.
-    pub fn main(origin: Arc<Origin>) -> io::Result<TaggedBox> {
+    pub fn start_origin(origin: Arc<Origin>) -> io::Result<CacheNode> {
         Self::begin(origin, false, true)
     }
 
-    fn begin(origin: Arc<Origin>, disk: bool, main: bool) -> io::Result<TaggedBox> {
+    fn begin(origin: Arc<Origin>, disk: bool, main: bool) -> io::Result<CacheNode> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
@@ -114,7 +114,7 @@
         let accepting = Arc::clone(&shared);
         let thread = std::thread::Builder::new().stack_size(128 * 1024);
         thread.spawn(move || accept(&accepting, &listener))?;
-        Ok(TaggedBox { address, shared })
+        Ok(CacheNode { address, shared })
     }
 
     /// Dies: its connections are reset or closed, what it held is gone unless it has a disk.
@@ -131,17 +131,17 @@
     }
 
     /// Comes back, at the same address.
-    pub fn revive(&self) {
+    pub fn restart(&self) {
         self.shared.alive.store(true, Ordering::SeqCst);
     }
 
     /// Answers from what it has, whatever age it is asked for, or no longer.
-    pub fn lie(&self, lies: bool) {
+    pub fn set_serve_stale(&self, lies: bool) {
         self.shared.lies.store(lies, Ordering::SeqCst);
     }
 
     /// Waits so long before each answer.
-    pub fn late(&self, ms: u64) {
+    pub fn set_delay_ms(&self, ms: u64) {
         self.shared.late_ms.store(ms, Ordering::SeqCst);
     }
 
@@ -251,7 +251,7 @@
     let oldest: u64 = field(fields, "oldest")
         .and_then(|o| o.parse().ok())
         .unwrap_or(0);
-    let now = wall();
+    let now = unix_ms();
     let held = lock(&shared.held).copies.get(&key).cloned();
     let lies = shared.lies.load(Ordering::SeqCst);
     let good = held.filter(|copy| lies || oldest == 0 || now <= copy.born + oldest);
