--- a/emulator/src/nodes.rs
+++ b/emulator/src/cache_nodes.rs
@@ -1,5 +1,5 @@
 //! Connections that come to cache nodes while a fleet starts under load.
-use crate::lists::worst;
+use crate::list_service::worst;
 use crate::rng::Rng;
 use crate::{Timestamp, S};
 use cranesill_startup::{Admission, FleetPosition, Group, ListedEndpoint, SlowStart};
--- a/emulator/src/cold.rs
+++ b/emulator/src/cold_start.rs
@@ -238,7 +238,7 @@
             served_first: share(world.asked[0]),
             served_last: share(world.asked[1]),
             attempts: world.attempts as f64 / world.requests.max(1) as f64,
-            origin_most: crate::lists::worst(&world.origin, S),
+            origin_most: crate::list_service::worst(&world.origin, S),
         }
     }
 }
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -5,15 +5,15 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod cold;
-mod lists;
-mod nodes;
+mod cache_nodes;
+mod cold_start;
+mod list_service;
 mod plot;
 mod rng;
 
-pub use cold::{Cold, Found, Held};
-pub use lists::{Outage, Return, Way};
-pub use nodes::{handshakes, Dials, Use};
+pub use cache_nodes::{handshakes, Dials, Use};
+pub use cold_start::{Cold, Found, Held};
+pub use list_service::{Outage, Return, Way};
 pub use plot::{draw, Line};
 
 /// A moment or span on the virtual clock, in microseconds.
