--- a/emulator/src/cold_start.rs
+++ b/emulator/src/cold_start.rs
@@ -1,9 +1,9 @@
 //! All fronts and all nodes cold at one moment, under load: the decisions as they ship, many times, against modelled nodes.
 //!
-//! A cache or parent has so many places, fewer while it is cold, and takes longer the more requests it holds. Sent more than the
+//! A cache or parent has so many slots, fewer while it is cold, and duration longer the more requests it holds. Sent more than the
 //! settings let it bear, and chance, it falls and stays down. Clients ask once more what they were not served.
 use crate::rng::Rng;
-use crate::{Timestamp, S};
+use crate::{Timestamp, SECOND};
 use cranesill::api::*;
 use cranesill::Router;
 use serde::Serialize;
@@ -14,53 +14,55 @@
 const CACHE: u8 = 0;
 const PARENT: u8 = 1;
 const ORIGIN: u8 = 2;
-/// Places of a cache and of a parent, and how long a request takes one.
-const PLACES: f64 = 20.0;
-const PARENT_PLACES: f64 = 120.0;
-const WORK: Timestamp = 200 * MS;
-/// What a fill takes from a parent, and from the origin behind it.
-const FILL: Timestamp = 30 * MS;
-const ORIGIN_TAKES: Timestamp = 60 * MS;
-const REFUSED: Timestamp = MS;
-const OBJECTS: f64 = 20_000.0;
+/// Places of a cache and of a parent, and how long a request duration one.
+const CACHE_SLOTS: f64 = 20.0;
+const PARENT_SLOTS: f64 = 120.0;
+const SERVICE_TIME: Timestamp = 200 * MS;
+/// What a fill duration from a parent, and from the origin behind it.
+const FILL_TIME: Timestamp = 30 * MS;
+const ORIGIN_TIME: Timestamp = 60 * MS;
+const REFUSAL_TIME: Timestamp = MS;
+const OBJECT_COUNT: f64 = 20_000.0;
 /// Clients wait this long, and ask once more a moment later.
-const WAIT: Timestamp = 2_500 * MS;
-const AGAIN: Timestamp = 500 * MS;
+const CLIENT_TIMEOUT: Timestamp = 2_500 * MS;
+const CLIENT_RETRY_DELAY: Timestamp = 500 * MS;
 /// The virtual clock begins here: 0 would mean that nodes started long ago.
-const BEGIN: Timestamp = 1_000 * S;
+const START_TIME: Timestamp = 1_000 * SECOND;
 
 /// How a fleet begins to use nodes that have just started.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Held {
-    /// As it ships: by the fleet's share of what a cold node bears.
-    Shares,
-    /// Each front goes by what the node bears as if it were alone: not taken.
-    Alone,
-    /// Cold nodes are taken for warm: not taken.
-    Not,
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SlowStartPolicy {
+    /// As it ships: by the fleet's share of what a cold node admit.
+    FleetShare,
+    /// Each front goes by what the node admit as if it were alone: not taken.
+    PerFront,
+    /// ColdFleet nodes are taken for warm: not taken.
+    Disabled,
 }
 
 /// What came of it.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Found {
+pub struct ColdStartResult {
     /// Nodes that fell, of all caches and parents.
-    pub fell: usize,
-    /// The most that one node was sent, over what it bears.
+    #[serde(rename = "fell")]
+    pub failed_nodes: usize,
+    /// The most that one node was sent, over what it admit.
     pub worst_load: f64,
     /// Shares of first tries that were served by their clients' time in the first 5 s, and in the last 5 s.
     pub served_first: f64,
     /// See above.
     pub served_last: f64,
     /// Attempts for each request that was asked.
-    pub attempts: f64,
+    #[serde(rename = "attempts")]
+    pub attempts_per_request: f64,
     /// Fetches from the origin in the worst second.
-    pub origin_most: usize,
+    #[serde(rename = "origin_most")]
+    pub max_origin_fetches_per_s: usize,
 }
 
 /// A fleet and its nodes.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct ColdFleet {
     /// Fronts of one location, and its caches; one parent for four of them.
     pub fronts: u32,
     /// Caches.
@@ -75,58 +77,58 @@
 
 #[derive(Debug)]
 struct Node {
-    parent: bool,
-    holds: HashSet<u64>,
-    inside: u32,
-    sent: VecDeque<Timestamp>,
-    fallen: bool,
+    is_parent: bool,
+    cached: HashSet<u64>,
+    in_flight: u32,
+    recent_arrivals: VecDeque<Timestamp>,
+    failed: bool,
 }
 
-enum Due {
-    Ask(u32, u64, bool),
+enum Scheduled {
+    ClientRequest(u32, u64, bool),
     Timer(u32, u64),
-    End(u32, RequestId, u16, Status, FillNote, u64),
-    Over(u32, RequestId),
+    AttemptEnd(u32, RequestId, u16, Status, FillNote, u64),
+    ClientTimeout(u32, RequestId),
 }
 
-struct Open {
-    at: Timestamp,
+struct OpenRequest {
+    arrived_at: Timestamp,
     object: u64,
-    first: bool,
-    sent: u16,
+    first_try: bool,
+    attempts: u16,
 }
 
-struct World {
-    limits: Settings,
+struct Simulation {
+    settings: Settings,
     nodes: BTreeMap<u64, Node>,
     routers: Vec<Router>,
-    open: HashMap<(u32, RequestId), Open>,
+    open_requests: HashMap<(u32, RequestId), OpenRequest>,
     /// Attempts that are out, with their node.
-    out: HashMap<(u32, RequestId, u16), (u64, Timestamp)>,
-    due: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    what: HashMap<u64, Due>,
-    last: u64,
+    attempts_in_flight: HashMap<(u32, RequestId, u16), (u64, Timestamp)>,
+    queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
+    scheduled: HashMap<u64, Scheduled>,
+    last_key: u64,
     now: Timestamp,
-    until: Timestamp,
+    end_time: Timestamp,
     rng: Rng,
-    asked: [(u64, u64); 2],
+    served_and_total: [(u64, u64); 2],
     requests: u64,
     attempts: u64,
     worst_load: f64,
-    origin: Vec<Timestamp>,
+    origin_fetches: Vec<Timestamp>,
 }
 
-impl Cold {
-    fn settings(&self, number: u32, held: Held) -> Settings {
-        let alone = held == Held::Alone;
-        let routers = if alone { 1 } else { self.fronts };
+impl ColdFleet {
+    fn settings(&self, number: u32, policy: SlowStartPolicy) -> Settings {
+        let per_front = policy == SlowStartPolicy::PerFront;
+        let routers = if per_front { 1 } else { self.fronts };
         let cold = SlowStartLimits {
             initial_capacity_fraction: 0.15,
-            warm_up: 15 * S,
+            warm_up: 15 * SECOND,
             overload_multiple: 4.0,
         };
         let class = Class {
-            latency_objective: S,
+            latency_objective: SECOND,
             objective_stretch: 2.0,
             priority_weight: 1.0,
             idempotency: Idempotency::Idempotent,
@@ -138,7 +140,7 @@
             zone: 1,
             fronts_by_zone: vec![0, routers],
             fronts: routers,
-            front_index: if alone { 0 } else { number },
+            front_index: if per_front { 0 } else { number },
             classes: vec![class],
             parent_kind: Some(PARENT),
             origin_kind: Some(ORIGIN),
@@ -146,7 +148,7 @@
             link_kb_per_s: 0.0,
             pass_through: true,
             coalescing: true,
-            purge_propagation: 6 * S,
+            purge_propagation: 6 * SECOND,
             cache_slow_start: cold,
             parent_slow_start: SlowStartLimits {
                 overload_multiple: 2.0,
@@ -163,8 +165,12 @@
     }
 
     /// Plays it.
-    pub fn play(&self, held: Held) -> Found {
-        let started = if held == Held::Not { 0 } else { BEGIN };
+    pub fn simulate(&self, policy: SlowStartPolicy) -> ColdStartResult {
+        let started = if policy == SlowStartPolicy::Disabled {
+            0
+        } else {
+            START_TIME
+        };
         let parents = self.caches.div_ceil(4).max(2);
         let entry = |id: u64, kind: u8, weight: f64, started: Timestamp| {
             let zone = u16::from(kind == CACHE);
@@ -178,116 +184,129 @@
                 state: EndpointState::Ready,
             }
         };
-        let caches = (0..u64::from(self.caches)).map(|n| entry(0x100 + n, CACHE, PLACES, started));
-        let above =
-            (0..u64::from(parents)).map(|n| entry(0x10_000 + n, PARENT, PARENT_PLACES, started));
+        let caches =
+            (0..u64::from(self.caches)).map(|n| entry(0x100 + n, CACHE, CACHE_SLOTS, started));
+        let parent_entries =
+            (0..u64::from(parents)).map(|n| entry(0x10_000 + n, PARENT, PARENT_SLOTS, started));
         let list: Vec<_> = caches
-            .chain(above)
+            .chain(parent_entries)
             .chain([entry(0x20_000, ORIGIN, 1.0, 0)])
             .collect();
         let node = |e: &EndpointEntry| {
-            let (holds, sent) = (HashSet::new(), VecDeque::new());
+            let (cached, recent_arrivals) = (HashSet::new(), VecDeque::new());
             (
                 e.endpoint.0,
                 Node {
-                    parent: e.kind == PARENT,
-                    holds,
-                    inside: 0,
-                    sent,
-                    fallen: false,
+                    is_parent: e.kind == PARENT,
+                    cached,
+                    in_flight: 0,
+                    recent_arrivals,
+                    failed: false,
                 },
             )
         };
-        let mut world = World {
-            limits: self.settings(0, Held::Shares),
+        let mut simulation = Simulation {
+            settings: self.settings(0, SlowStartPolicy::FleetShare),
             nodes: list.iter().filter(|e| e.kind != ORIGIN).map(node).collect(),
             routers: (0..self.fronts)
-                .map(|n| Router::new(self.settings(n, held), n.into()))
+                .map(|n| Router::new(self.settings(n, policy), n.into()))
                 .collect(),
-            open: HashMap::new(),
-            out: HashMap::new(),
-            due: BinaryHeap::new(),
-            what: HashMap::new(),
-            last: 0,
-            now: BEGIN,
-            until: BEGIN + self.seconds * S,
+            open_requests: HashMap::new(),
+            attempts_in_flight: HashMap::new(),
+            queue: BinaryHeap::new(),
+            scheduled: HashMap::new(),
+            last_key: 0,
+            now: START_TIME,
+            end_time: START_TIME + self.seconds * SECOND,
             rng: Rng(self.seed.wrapping_mul(1_000_003) | 1),
-            asked: [(0, 0); 2],
+            served_and_total: [(0, 0); 2],
             requests: 0,
             attempts: 0,
             worst_load: 0.0,
-            origin: Vec::new(),
+            origin_fetches: Vec::new(),
         };
         for front in 0..self.fronts {
-            world.tell(front, Event::Endpoints(ListKind::Full, list.clone()));
+            simulation.handle_event(front, Event::Endpoints(ListKind::Full, list.clone()));
         }
-        let per_s = self.load * f64::from(self.caches) * PLACES * S as f64 / WORK as f64;
-        let mut at = BEGIN as f64;
-        while at < world.until as f64 {
-            at += -(1.0 - world.rng.roll()).ln() / per_s * S as f64;
-            let object = (OBJECTS * world.rng.roll().powi(3)) as u64;
-            let front = world.rng.below(self.fronts.into()) as u32;
-            world.add(at as Timestamp, Due::Ask(front, object, true));
+        let per_s =
+            self.load * f64::from(self.caches) * CACHE_SLOTS * SECOND as f64 / SERVICE_TIME as f64;
+        let mut at = START_TIME as f64;
+        while at < simulation.end_time as f64 {
+            at += -(1.0 - simulation.rng.uniform()).ln() / per_s * SECOND as f64;
+            let object = (OBJECT_COUNT * simulation.rng.uniform().powi(3)) as u64;
+            let front = simulation.rng.below(self.fronts.into()) as u32;
+            simulation.schedule(
+                at as Timestamp,
+                Scheduled::ClientRequest(front, object, true),
+            );
         }
-        world.run();
+        simulation.run();
         let share = |(served, all): (u64, u64)| served as f64 / all.max(1) as f64;
-        world.origin.sort_unstable();
-        Found {
-            fell: world.nodes.values().filter(|node| node.fallen).count(),
-            worst_load: world.worst_load,
-            served_first: share(world.asked[0]),
-            served_last: share(world.asked[1]),
-            attempts: world.attempts as f64 / world.requests.max(1) as f64,
-            origin_most: crate::list_service::worst(&world.origin, S),
+        simulation.origin_fetches.sort_unstable();
+        ColdStartResult {
+            failed_nodes: simulation.nodes.values().filter(|node| node.failed).count(),
+            worst_load: simulation.worst_load,
+            served_first: share(simulation.served_and_total[0]),
+            served_last: share(simulation.served_and_total[1]),
+            attempts_per_request: simulation.attempts as f64 / simulation.requests.max(1) as f64,
+            max_origin_fetches_per_s: crate::list_service::max_in_window(
+                &simulation.origin_fetches,
+                SECOND,
+            ),
         }
     }
 }
 
-impl World {
-    fn add(&mut self, at: Timestamp, due: Due) {
-        self.last += 1;
-        self.due.push(Reverse((at, self.last)));
-        self.what.insert(self.last, due);
+impl Simulation {
+    fn schedule(&mut self, at: Timestamp, event: Scheduled) {
+        self.last_key += 1;
+        self.queue.push(Reverse((at, self.last_key)));
+        self.scheduled.insert(self.last_key, event);
     }
 
     fn run(&mut self) {
-        while let Some(Reverse((at, key))) = self.due.pop() {
+        while let Some(Reverse((at, key))) = self.queue.pop() {
             self.now = at;
-            let Some(due) = self.what.remove(&key) else {
+            let Some(event) = self.scheduled.remove(&key) else {
                 continue;
             };
-            match due {
-                Due::Ask(front, object, first) => self.ask(front, object, first),
-                Due::Timer(front, token) => self.tell(front, Event::Timer(token)),
-                Due::End(front, id, number, status, note, node) => {
-                    self.end(front, id, number, status, note, node)
+            match event {
+                Scheduled::ClientRequest(front, object, first_try) => {
+                    self.start_request(front, object, first_try)
                 }
-                Due::Over(front, id) => {
-                    if self.open.contains_key(&(front, id)) {
-                        self.close(front, id, false);
-                        self.tell(front, Event::Cancelled(id));
+                Scheduled::Timer(front, token) => self.handle_event(front, Event::Timer(token)),
+                Scheduled::AttemptEnd(front, id, number, status, note, node) => {
+                    self.end_attempt(front, id, number, status, note, node)
+                }
+                Scheduled::ClientTimeout(front, id) => {
+                    if self.open_requests.contains_key(&(front, id)) {
+                        self.finish_request(front, id, false);
+                        self.handle_event(front, Event::Cancelled(id));
                     }
                 }
             }
         }
     }
 
-    fn ask(&mut self, front: u32, object: u64, first: bool) {
+    fn start_request(&mut self, front: u32, object: u64, first_try: bool) {
         self.requests += 1;
         let id = RequestId(self.requests);
-        self.open.insert(
+        self.open_requests.insert(
             (front, id),
-            Open {
-                at: self.now,
+            OpenRequest {
+                arrived_at: self.now,
                 object,
-                first,
-                sent: 0,
+                first_try,
+                attempts: 0,
             },
         );
-        self.add(self.now + WAIT, Due::Over(front, id));
+        self.schedule(
+            self.now + CLIENT_TIMEOUT,
+            Scheduled::ClientTimeout(front, id),
+        );
         let object = ObjectId(object);
-        let (class, part, group, size_kb) = (0, 0, 0, WORK as f64 / 1e3);
-        self.tell(
+        let (class, part, group, size_kb) = (0, 0, 0, SERVICE_TIME as f64 / 1e3);
+        self.handle_event(
             front,
             Event::Request(Request {
                 id,
@@ -296,34 +315,37 @@
                 part,
                 group,
                 size_kb,
-                time_left: WAIT,
+                time_left: CLIENT_TIMEOUT,
             }),
         );
     }
 
     /// A request has its final answer; one that was not served is asked once more, elsewhere.
-    fn close(&mut self, front: u32, id: RequestId, served: bool) {
-        let Some(open) = self.open.remove(&(front, id)) else {
+    fn finish_request(&mut self, front: u32, id: RequestId, served: bool) {
+        let Some(open) = self.open_requests.remove(&(front, id)) else {
             return;
         };
-        let second = (open.at - BEGIN) / S;
-        let which = (second < 5)
+        let second = (open.arrived_at - START_TIME) / SECOND;
+        let phase = (second < 5)
             .then_some(0)
-            .or((open.at + 5 * S >= self.until).then_some(1));
-        if let Some(count) = which
-            .filter(|_| open.first)
-            .and_then(|which| self.asked.get_mut(which))
+            .or((open.arrived_at + 5 * SECOND >= self.end_time).then_some(1));
+        if let Some(count) = phase
+            .filter(|_| open.first_try)
+            .and_then(|phase| self.served_and_total.get_mut(phase))
         {
             count.0 += u64::from(served);
             count.1 += 1;
         }
-        if open.first && !served {
+        if open.first_try && !served {
             let other = self.rng.below(self.routers.len() as u64) as u32;
-            self.add(self.now + AGAIN, Due::Ask(other, open.object, false));
+            self.schedule(
+                self.now + CLIENT_RETRY_DELAY,
+                Scheduled::ClientRequest(other, open.object, false),
+            );
         }
     }
 
-    fn tell(&mut self, front: u32, event: Event) {
+    fn handle_event(&mut self, front: u32, event: Event) {
         let mut actions = Vec::new();
         self.routers[front as usize].handle(self.now, event, &mut actions);
         for action in actions {
@@ -333,18 +355,20 @@
                     target,
                     timeout,
                     fill,
-                } => self.send(front, request, target.0, timeout, fill),
+                } => self.start_attempt(front, request, target.0, timeout, fill),
                 Action::Cancel(id, number) => {
-                    self.end(front, id, number, Status::Cancelled, FillNote::None, 0)
+                    self.end_attempt(front, id, number, Status::Cancelled, FillNote::None, 0)
+                }
+                Action::Reject(id, _) | Action::Fail(id) => self.finish_request(front, id, false),
+                Action::Timer(span, token) => {
+                    self.schedule(self.now + span, Scheduled::Timer(front, token))
                 }
-                Action::Reject(id, _) | Action::Fail(id) => self.close(front, id, false),
-                Action::Timer(span, token) => self.add(self.now + span, Due::Timer(front, token)),
                 Action::Subscribe | Action::Log(_) => {}
             }
         }
     }
 
-    fn send(
+    fn start_attempt(
         &mut self,
         front: u32,
         id: RequestId,
@@ -352,117 +376,131 @@
         timeout: Micros,
         fill: Option<Fill>,
     ) {
-        let Some(open) = self.open.get_mut(&(front, id)) else {
+        let Some(open) = self.open_requests.get_mut(&(front, id)) else {
             return;
         };
-        let (number, object, over) = (open.sent, open.object, open.at + WAIT);
-        open.sent += 1;
+        let (number, object, client_deadline) =
+            (open.attempts, open.object, open.arrived_at + CLIENT_TIMEOUT);
+        open.attempts += 1;
         self.attempts += 1;
-        let until = if timeout > 0 {
-            over.min(self.now + timeout)
+        let deadline = if timeout > 0 {
+            client_deadline.min(self.now + timeout)
         } else {
-            over
+            client_deadline
         };
-        let (takes, status, note) = match self.arrives(target, object, fill) {
-            Some(found) => found,
+        let (duration, status, note) = match self.process_at_node(target, object, fill) {
+            Some(response) => response,
             None => {
-                self.origin.push(self.now);
-                (WORK + ORIGIN_TAKES, Status::Ok, FillNote::FilledByOrigin)
+                self.origin_fetches.push(self.now);
+                (
+                    SERVICE_TIME + ORIGIN_TIME,
+                    Status::Ok,
+                    FillNote::FilledByOrigin,
+                )
             }
         };
-        self.out.insert((front, id, number), (target, self.now));
-        let (at, status, note) = match self.now + takes {
-            late if late > until => (until, Status::Timeout, FillNote::None),
+        self.attempts_in_flight
+            .insert((front, id, number), (target, self.now));
+        let (at, status, note) = match self.now + duration {
+            late if late > deadline => (deadline, Status::Timeout, FillNote::None),
             at => (at, status, note),
         };
-        self.add(at, Due::End(front, id, number, status, note, target));
+        self.schedule(
+            at,
+            Scheduled::AttemptEnd(front, id, number, status, note, target),
+        );
     }
 
     /// What a node makes of a request; `None`: it is the origin.
-    fn arrives(
+    fn process_at_node(
         &mut self,
         id: u64,
         object: u64,
         fill: Option<Fill>,
     ) -> Option<(Timestamp, Status, FillNote)> {
-        let takes = self.bears(id)?;
-        let Some(takes) = takes else {
-            return Some((REFUSED, Status::ConnectFailed, FillNote::None));
+        let duration = self.admit(id)?;
+        let Some(duration) = duration else {
+            return Some((REFUSAL_TIME, Status::ConnectFailed, FillNote::None));
         };
-        if self.nodes[&id].holds.contains(&object) {
-            return Some((takes, Status::Ok, FillNote::Hit));
+        if self.nodes[&id].cached.contains(&object) {
+            return Some((duration, Status::Ok, FillNote::Hit));
         }
-        let parent = self.nodes[&id].parent;
-        let hold =
-            |world: &mut World, at: u64| world.nodes.get_mut(&at).map(|n| n.holds.insert(object));
+        let parent = self.nodes[&id].is_parent;
+        let store = |simulation: &mut Simulation, at: u64| {
+            simulation
+                .nodes
+                .get_mut(&at)
+                .map(|n| n.cached.insert(object))
+        };
         let fill = fill.filter(|fill| !fill.only_cached);
         if parent {
-            self.origin.push(self.now);
-            hold(self, id);
-            return Some((takes + ORIGIN_TAKES, Status::Ok, FillNote::Filled));
+            self.origin_fetches.push(self.now);
+            store(self, id);
+            return Some((duration + ORIGIN_TIME, Status::Ok, FillNote::Filled));
         }
         let Some(fill) = fill else {
-            return Some((REFUSED, Status::Miss, FillNote::None));
+            return Some((REFUSAL_TIME, Status::Miss, FillNote::None));
         };
-        let (more, note) = match self.bears(fill.source.0) {
-            Some(None) => return Some((REFUSED, Status::Rejected, FillNote::SourceLost)),
-            Some(Some(_)) if self.nodes[&fill.source.0].holds.contains(&object) => {
-                (FILL, FillNote::Filled)
+        let (fill_duration, note) = match self.admit(fill.source.0) {
+            Some(None) => return Some((REFUSAL_TIME, Status::Rejected, FillNote::SourceLost)),
+            Some(Some(_)) if self.nodes[&fill.source.0].cached.contains(&object) => {
+                (FILL_TIME, FillNote::Filled)
             }
             Some(Some(_)) => {
-                self.origin.push(self.now);
-                hold(self, fill.source.0);
-                (FILL + ORIGIN_TAKES, FillNote::Filled)
+                self.origin_fetches.push(self.now);
+                store(self, fill.source.0);
+                (FILL_TIME + ORIGIN_TIME, FillNote::Filled)
             }
             None => {
-                self.origin.push(self.now);
-                (ORIGIN_TAKES, FillNote::FilledByOrigin)
+                self.origin_fetches.push(self.now);
+                (ORIGIN_TIME, FillNote::FilledByOrigin)
             }
         };
-        // A fill that asks a parent holds none of its places for long: what it is sent counts all the same.
+        // A fill that asks a parent holds none of its slots for long: what it is sent counts all the same.
         if let Some(node) = self.nodes.get_mut(&fill.source.0) {
-            node.inside = node.inside.saturating_sub(1);
+            node.in_flight = node.in_flight.saturating_sub(1);
         }
-        hold(self, id);
-        Some((takes + more, Status::Ok, note))
+        store(self, id);
+        Some((duration + fill_duration, Status::Ok, note))
     }
 
-    /// One more request at a node, which falls if it is too much: how long it takes. `None`: no such node; `Some(None)`: it fell.
-    fn bears(&mut self, id: u64) -> Option<Option<Timestamp>> {
-        let (now, limits) = (self.now, &self.limits);
+    /// One more request at a node, which falls if it is too much: how long it duration. `None`: no such node; `Some(None)`: it fell.
+    fn admit(&mut self, id: u64) -> Option<Option<Timestamp>> {
+        let (now, settings) = (self.now, &self.settings);
         let node = self.nodes.get_mut(&id)?;
-        if node.fallen {
+        if node.failed {
             return Some(None);
         }
-        let (cold, places) = match node.parent {
-            true => (limits.parent_slow_start, PARENT_PLACES),
-            false => (limits.cache_slow_start, PLACES),
+        let (cold, slots) = match node.is_parent {
+            true => (settings.parent_slow_start, PARENT_SLOTS),
+            false => (settings.cache_slow_start, CACHE_SLOTS),
         };
-        let age = ((now - BEGIN) as f64 / cold.warm_up as f64).min(1.0);
-        let places = places
-            * (cold.initial_capacity_fraction + (1.0 - cold.initial_capacity_fraction) * age);
-        node.sent.push_back(now);
+        let age = ((now - START_TIME) as f64 / cold.warm_up as f64).min(1.0);
+        let slots =
+            slots * (cold.initial_capacity_fraction + (1.0 - cold.initial_capacity_fraction) * age);
+        node.recent_arrivals.push_back(now);
         while node
-            .sent
+            .recent_arrivals
             .front()
-            .is_some_and(|at| at + limits.overload_window < now)
+            .is_some_and(|at| at + settings.overload_window < now)
         {
-            node.sent.pop_front();
+            node.recent_arrivals.pop_front();
         }
-        let n = cold.overload_multiple * places * limits.overload_window as f64 / WORK as f64;
-        let load = node.sent.len() as f64 / (n + 3.0 * n.sqrt() + 3.0);
+        let n =
+            cold.overload_multiple * slots * settings.overload_window as f64 / SERVICE_TIME as f64;
+        let load = node.recent_arrivals.len() as f64 / (n + 3.0 * n.sqrt() + 3.0);
         self.worst_load = self.worst_load.max(if age < 1.0 { load } else { 0.0 });
         if age < 1.0 && load > 1.0 {
-            node.fallen = true;
+            node.failed = true;
             return Some(None);
         }
-        node.inside += 1;
+        node.in_flight += 1;
         Some(Some(
-            (WORK as f64 * (f64::from(node.inside) / places).max(1.0)) as Timestamp,
+            (SERVICE_TIME as f64 * (f64::from(node.in_flight) / slots).max(1.0)) as Timestamp,
         ))
     }
 
-    fn end(
+    fn end_attempt(
         &mut self,
         front: u32,
         id: RequestId,
@@ -471,16 +509,16 @@
         note: FillNote,
         _: u64,
     ) {
-        let Some((target, sent)) = self.out.remove(&(front, id, number)) else {
+        let Some((target, sent)) = self.attempts_in_flight.remove(&(front, id, number)) else {
             return;
         };
         if let Some(node) = self.nodes.get_mut(&target) {
-            node.inside = node.inside.saturating_sub(1);
+            node.in_flight = node.in_flight.saturating_sub(1);
         }
         if status == Status::Ok {
-            self.close(front, id, true);
+            self.finish_request(front, id, true);
         }
-        let closed = !self.open.contains_key(&(front, id));
+        let closed = !self.open_requests.contains_key(&(front, id));
         let latency = self.now - sent;
         let (request, attempt, along, waited, report) = (id, number, false, 0, None);
         let outcome = Outcome {
@@ -494,6 +532,6 @@
             latency,
             report,
         };
-        self.tell(front, Event::Outcome(outcome));
+        self.handle_event(front, Event::Outcome(outcome));
     }
 }
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -11,12 +11,12 @@
 mod plot;
 mod rng;
 
-pub use cache_nodes::{handshakes, Dials, Use};
-pub use cold_start::{Cold, Found, Held};
-pub use list_service::{Outage, Return, Way};
+pub use cache_nodes::{simulate_connections, ConnectPolicy, ConnectionResult};
+pub use cold_start::{ColdFleet, ColdStartResult, SlowStartPolicy};
+pub use list_service::{CallPolicy, Outage, OutageResult};
 pub use plot::{draw, Line};
 
 /// A moment or span on the virtual clock, in microseconds.
 pub type Timestamp = u64;
 /// A second.
-pub const S: Timestamp = 1_000_000;
+pub const SECOND: Timestamp = 1_000_000;
--- a/emulator/src/list_service.rs
+++ b/emulator/src/list_service.rs
@@ -1,45 +1,49 @@
 //! Calls on a list service that fails for a time and returns with room for so many.
 use crate::rng::Rng;
-use crate::{Timestamp, S};
+use crate::{Timestamp, SECOND};
 use cranesill_startup::{CallBudget, CallEnd, CallSchedule, FleetPosition};
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 /// How a front decides when it calls again.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Way {
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum CallPolicy {
     /// The core without a budget: after a fifth of a second, for ever.
     NoBudget,
     /// The core with a budget of calls a second and a longest wait.
     Budget {
         /// Calls a second of the whole fleet.
-        per_s: u32,
+        calls_per_s: u32,
         /// The longest wait of one front, in microseconds.
-        most: Timestamp,
+        max_wait: Timestamp,
     },
     /// Twice as long after each failure, up to a longest wait, all in step: not taken.
-    Doubling {
+    Backoff {
         /// The longest wait, in microseconds.
-        most: Timestamp,
+        max_wait: Timestamp,
     },
     /// The same, each wait at random between none and all of it: not taken.
-    DoublingAtRandom {
+    JitteredBackoff {
         /// The longest wait, in microseconds.
-        most: Timestamp,
+        max_wait: Timestamp,
     },
 }
 
-impl Way {
+impl CallPolicy {
     /// Its name in results.
     pub fn name(&self) -> String {
-        let s = |span: &Timestamp| *span as f64 / S as f64;
+        let s = |span: &Timestamp| *span as f64 / SECOND as f64;
         match self {
-            Way::NoBudget => "no budget".into(),
-            Way::Budget { per_s, most } => format!("budget {per_s}/s, {} s at most", s(most)),
-            Way::Doubling { most } => format!("doubling, {} s at most", s(most)),
-            Way::DoublingAtRandom { most } => format!("doubling at random, {} s at most", s(most)),
+            CallPolicy::NoBudget => "no budget".into(),
+            CallPolicy::Budget {
+                calls_per_s,
+                max_wait,
+            } => format!("budget {calls_per_s}/s, {} s at most", s(max_wait)),
+            CallPolicy::Backoff { max_wait } => format!("doubling, {} s at most", s(max_wait)),
+            CallPolicy::JitteredBackoff { max_wait } => {
+                format!("doubling at random, {} s at most", s(max_wait))
+            }
         }
     }
 }
@@ -50,18 +54,19 @@
     /// Fronts.
     pub fronts: u32,
     /// When it returns.
-    pub back: Timestamp,
+    pub restored_at: Timestamp,
     /// Calls that it can serve in a second from then on.
-    pub room: u32,
+    pub capacity_per_s: u32,
     /// The seed.
     pub seed: u64,
 }
 
 /// What was seen.
 #[derive(Clone, Debug, Serialize)]
-pub struct Return {
+pub struct OutageResult {
     /// Calls a second while it failed, from the fourth second on.
-    pub calls_a_second: f64,
+    #[serde(rename = "calls_a_second")]
+    pub calls_per_s: f64,
     /// In the worst second, and in the worst tenth of one, from then on.
     pub worst_second: usize,
     /// The same for a tenth of a second.
@@ -69,43 +74,50 @@
     /// Seconds after its return until so many in a hundred are served; absent: not within ten minutes.
     pub half_served_s: Option<f64>,
     /// The same for 99 in a hundred.
-    pub most_served_s: Option<f64>,
+    #[serde(rename = "most_served_s")]
+    pub served_99_percent_s: Option<f64>,
     /// The same for all.
     pub all_served_s: Option<f64>,
     /// Calls after its return that it spent its time on in vain.
-    pub in_vain: usize,
+    #[serde(rename = "in_vain")]
+    pub wasted_calls: usize,
     /// The most calls that waited for it at once.
-    pub queue_most: usize,
+    #[serde(rename = "queue_most")]
+    pub max_queue_length: usize,
 }
 
 /// Calls of one front.
 enum Caller {
-    Core(CallSchedule),
-    Doubling {
+    Schedule(CallSchedule),
+    Backoff {
         wait: Timestamp,
-        most: Timestamp,
+        max_wait: Timestamp,
         random: bool,
     },
 }
 
-const FIRST: Timestamp = S / 5;
-const DIAL: Timestamp = S / 2;
+const FIRST_WAIT: Timestamp = SECOND / 5;
+const CALL_TIMEOUT: Timestamp = SECOND / 2;
 
 impl Caller {
-    fn begin(&mut self, now: Timestamp) -> Timestamp {
+    fn start_call(&mut self, now: Timestamp) -> Timestamp {
         match self {
-            Caller::Core(calls) => calls.start_call(now),
-            Caller::Doubling { .. } => now + DIAL,
+            Caller::Schedule(calls) => calls.start_call(now),
+            Caller::Backoff { .. } => now + CALL_TIMEOUT,
         }
     }
 
-    fn end(&mut self, now: Timestamp, end: CallEnd, rng: &mut Rng) -> Timestamp {
+    fn end_call(&mut self, now: Timestamp, end: CallEnd, rng: &mut Rng) -> Timestamp {
         match self {
-            Caller::Core(calls) => calls.end_call(now, end),
-            Caller::Doubling { wait, most, random } => {
-                *wait = (*wait * 2).clamp(FIRST, *most);
+            Caller::Schedule(calls) => calls.end_call(now, end),
+            Caller::Backoff {
+                wait,
+                max_wait,
+                random,
+            } => {
+                *wait = (*wait * 2).clamp(FIRST_WAIT, *max_wait);
                 now + if *random {
-                    (*wait as f64 * rng.roll()) as Timestamp
+                    (*wait as f64 * rng.uniform()) as Timestamp
                 } else {
                     *wait
                 }
@@ -119,46 +131,51 @@
     /// A front calls.
     Call(usize),
     /// A front gives its call up, which was its nth.
-    GiveUp(usize, u32),
+    CallTimeout(usize, u32),
     /// The service has done with a call.
-    Done(usize, u32),
+    CallServed(usize, u32),
 }
 
 /// A call that takes that long to be closed again.
-const CLOSES: Timestamp = 2_000;
+const CLOSE_DELAY: Timestamp = 2_000;
 /// It is not looked further.
-const END: Timestamp = 600 * S;
+const MAX_SIMULATED_TIME: Timestamp = 600 * SECOND;
 
 impl Outage {
     /// Plays it with fronts that go this way.
-    pub fn play(&self, way: Way) -> Return {
+    pub fn simulate(&self, policy: CallPolicy) -> OutageResult {
         let mut rng = Rng(self.seed);
         let n = self.fronts as usize;
         let mut fronts: Vec<_> = (0..n)
             .map(|front| {
-                let place = FleetPosition {
+                let position = FleetPosition {
                     number: front as u32,
                     fronts: self.fronts,
                 };
                 let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(front as u64);
-                match way {
-                    Way::NoBudget => Caller::Core(CallSchedule::new(0, place, seed, None)),
-                    Way::Budget { per_s, most } => {
+                match policy {
+                    CallPolicy::NoBudget => {
+                        Caller::Schedule(CallSchedule::new(0, position, seed, None))
+                    }
+                    CallPolicy::Budget {
+                        calls_per_s,
+                        max_wait,
+                    } => {
                         let budget = CallBudget {
-                            calls_per_s: per_s.into(),
-                            max_wait: most,
+                            calls_per_s: calls_per_s.into(),
+                            max_wait,
                             urgent_period: 0,
                         };
-                        Caller::Core(CallSchedule::new(0, place, seed, Some(budget)))
+                        Caller::Schedule(CallSchedule::new(0, position, seed, Some(budget)))
                     }
-                    Way::Doubling { most } => Caller::Doubling {
+                    CallPolicy::Backoff { max_wait } => Caller::Backoff {
                         wait: 0,
-                        most,
+                        max_wait,
                         random: false,
                     },
-                    Way::DoublingAtRandom { most } => Caller::Doubling {
+                    CallPolicy::JitteredBackoff { max_wait } => Caller::Backoff {
                         wait: 0,
-                        most,
+                        max_wait,
                         random: true,
                     },
                 }
@@ -167,10 +184,10 @@
         let mut steps: BinaryHeap<Reverse<(Timestamp, Step)>> = BinaryHeap::new();
         for (front, caller) in fronts.iter_mut().enumerate() {
             let first = match caller {
-                Caller::Core(calls) => calls.first_call(0, false),
-                Caller::Doubling { random, .. } => {
+                Caller::Schedule(calls) => calls.first_call(0, false),
+                Caller::Backoff { random, .. } => {
                     if *random {
-                        rng.below(FIRST)
+                        rng.below(FIRST_WAIT)
                     } else {
                         0
                     }
@@ -178,89 +195,104 @@
             };
             steps.push(Reverse((first, Step::Call(front))));
         }
-        let (mut number, mut waits, mut served) = (vec![0u32; n], vec![false; n], Vec::new());
+        let (mut call_counts, mut waiting, mut served) =
+            (vec![0u32; n], vec![false; n], Vec::new());
         let mut queue: VecDeque<(usize, u32)> = VecDeque::new();
-        let (mut calls, mut in_vain, mut queue_most, mut works) = (Vec::new(), 0, 0, false);
-        let takes = S / Timestamp::from(self.room.max(1));
+        let (mut calls, mut wasted_calls, mut max_queue_length, mut busy) =
+            (Vec::new(), 0, 0, false);
+        let service_time = SECOND / Timestamp::from(self.capacity_per_s.max(1));
         while let Some(Reverse((now, step))) = steps.pop() {
-            if now > END || served.len() == n {
+            if now > MAX_SIMULATED_TIME || served.len() == n {
                 break;
             }
             match step {
                 Step::Call(front) => {
                     calls.push(now);
-                    number[front] += 1;
-                    let until = fronts[front].begin(now);
-                    if now < self.back {
-                        let again = fronts[front].end(now + CLOSES, CallEnd::Closed, &mut rng);
-                        steps.push(Reverse((again.max(now + CLOSES), Step::Call(front))));
+                    call_counts[front] += 1;
+                    let timeout_at = fronts[front].start_call(now);
+                    if now < self.restored_at {
+                        let next_call =
+                            fronts[front].end_call(now + CLOSE_DELAY, CallEnd::Closed, &mut rng);
+                        steps.push(Reverse((
+                            next_call.max(now + CLOSE_DELAY),
+                            Step::Call(front),
+                        )));
                         continue;
                     }
-                    waits[front] = true;
-                    steps.push(Reverse((until, Step::GiveUp(front, number[front]))));
-                    queue.push_back((front, number[front]));
-                    queue_most = queue_most.max(queue.len());
-                    if !works {
-                        works = true;
-                        steps.push(Reverse((now + takes, Step::Done(front, number[front]))));
+                    waiting[front] = true;
+                    steps.push(Reverse((
+                        timeout_at,
+                        Step::CallTimeout(front, call_counts[front]),
+                    )));
+                    queue.push_back((front, call_counts[front]));
+                    max_queue_length = max_queue_length.max(queue.len());
+                    if !busy {
+                        busy = true;
+                        steps.push(Reverse((
+                            now + service_time,
+                            Step::CallServed(front, call_counts[front]),
+                        )));
                     }
                 }
-                Step::GiveUp(front, of) => {
-                    if waits[front] && number[front] == of {
-                        waits[front] = false;
-                        let again = fronts[front].end(now, CallEnd::Unanswered, &mut rng);
-                        steps.push(Reverse((again.max(now), Step::Call(front))));
+                Step::CallTimeout(front, call) => {
+                    if waiting[front] && call_counts[front] == call {
+                        waiting[front] = false;
+                        let next_call = fronts[front].end_call(now, CallEnd::Unanswered, &mut rng);
+                        steps.push(Reverse((next_call.max(now), Step::Call(front))));
                     }
                 }
-                Step::Done(front, of) => {
+                Step::CallServed(front, call) => {
                     queue.pop_front();
-                    if waits[front] && number[front] == of {
-                        waits[front] = false;
+                    if waiting[front] && call_counts[front] == call {
+                        waiting[front] = false;
                         served.push(now);
                     } else {
                         // It was given up: the service did not know.
-                        in_vain += 1;
+                        wasted_calls += 1;
                     }
-                    works = !queue.is_empty();
-                    if let Some((front, of)) = queue.front() {
-                        steps.push(Reverse((now + takes, Step::Done(*front, *of))));
+                    busy = !queue.is_empty();
+                    if let Some((front, call)) = queue.front() {
+                        steps.push(Reverse((
+                            now + service_time,
+                            Step::CallServed(*front, *call),
+                        )));
                     }
                 }
             }
         }
-        let failing: Vec<_> = calls
+        let calls_during_outage: Vec<_> = calls
             .iter()
             .copied()
-            .filter(|at| (4 * S..self.back).contains(at))
+            .filter(|at| (4 * SECOND..self.restored_at).contains(at))
             .collect();
-        let span = self.back.saturating_sub(4 * S) as f64 / S as f64;
-        let after = |share: f64| {
-            let place = ((n as f64 * share).ceil() as usize).clamp(1, n) - 1;
+        let span = self.restored_at.saturating_sub(4 * SECOND) as f64 / SECOND as f64;
+        let served_after = |share: f64| {
+            let index = ((n as f64 * share).ceil() as usize).clamp(1, n) - 1;
             served
-                .get(place)
-                .map(|at| (at - self.back) as f64 / S as f64)
+                .get(index)
+                .map(|at| (at - self.restored_at) as f64 / SECOND as f64)
         };
-        Return {
-            calls_a_second: failing.len() as f64 / span,
-            worst_second: worst(&failing, S),
-            worst_100_ms: worst(&failing, S / 10),
-            half_served_s: after(0.5),
-            most_served_s: after(0.99),
-            all_served_s: after(1.0),
-            in_vain,
-            queue_most,
+        OutageResult {
+            calls_per_s: calls_during_outage.len() as f64 / span,
+            worst_second: max_in_window(&calls_during_outage, SECOND),
+            worst_100_ms: max_in_window(&calls_during_outage, SECOND / 10),
+            half_served_s: served_after(0.5),
+            served_99_percent_s: served_after(0.99),
+            all_served_s: served_after(1.0),
+            wasted_calls,
+            max_queue_length,
         }
     }
 }
 
 /// The most of these in any window; they are in order.
-pub(crate) fn worst(at: &[Timestamp], window: Timestamp) -> usize {
-    let (mut most, mut from) = (0, 0);
-    for (place, now) in at.iter().enumerate() {
-        while at[from] + window <= *now {
+pub(crate) fn max_in_window(times: &[Timestamp], window: Timestamp) -> usize {
+    let (mut max, mut from) = (0, 0);
+    for (index, now) in times.iter().enumerate() {
+        while times[from] + window <= *now {
             from += 1;
         }
-        most = most.max(place - from + 1);
+        max = max.max(index - from + 1);
     }
-    most
+    max
 }
--- a/emulator/src/plot.rs
+++ b/emulator/src/plot.rs
@@ -7,22 +7,22 @@
 
 /// Draws lines on scales of powers of ten into an SVG file.
 pub fn draw(file: &Path, title: &str, unit: &str, lines: &[Line]) -> Result<(), String> {
-    let all = || {
+    let all_points = || {
         lines
             .iter()
             .flat_map(|(_, points)| points.iter().copied())
             .filter(|p| p.1 > 0.0)
     };
-    let span = |of: fn(&(f64, f64)) -> f64| {
-        let (least, most) = all()
+    let range = |of: fn(&(f64, f64)) -> f64| {
+        let (min, max) = all_points()
             .map(|p| of(&p))
             .fold((f64::MAX, 0f64), |(l, m), v| (l.min(v), m.max(v)));
-        (least * 0.8, most * 1.3)
+        (min * 0.8, max * 1.3)
     };
-    if all().next().is_none() {
+    if all_points().next().is_none() {
         return Err(format!("{title}: nothing to draw"));
     }
-    let ((x0, x1), (y0, y1)) = (span(|p| p.0), span(|p| p.1));
+    let ((x0, x1), (y0, y1)) = (range(|p| p.0), range(|p| p.1));
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let root = SVGBackend::new(file, (880, 520)).into_drawing_area();
     root.fill(&WHITE).map_err(|e| failed(&e))?;
@@ -38,8 +38,8 @@
         .y_desc(unit)
         .draw()
         .map_err(|e| failed(&e))?;
-    for (place, (name, points)) in lines.iter().enumerate() {
-        let color = Palette99::pick(place).to_rgba();
+    for (index, (name, points)) in lines.iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
         let points: Vec<_> = points.iter().copied().filter(|p| p.1 > 0.0).collect();
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))
--- a/emulator/src/rng.rs
+++ b/emulator/src/rng.rs
@@ -9,7 +9,7 @@
     }
 
     /// From 0 to 1.
-    pub fn roll(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -1,9 +1,11 @@
 //! What must hold for any seed, and how growth looks.
-use cranesill_emulator::{handshakes, Cold, Held, Outage, Use, Way, S};
+use cranesill_emulator::{
+    simulate_connections, CallPolicy, ColdFleet, ConnectPolicy, Outage, SlowStartPolicy, SECOND,
+};
 
-const BUDGET: Way = Way::Budget {
-    per_s: 10,
-    most: 5_500_000,
+const BUDGET: CallPolicy = CallPolicy::Budget {
+    calls_per_s: 10,
+    max_wait: 5_500_000,
 };
 
 #[test]
@@ -11,13 +13,13 @@
     for seed in 0..1_000 {
         let outage = Outage {
             fronts: 40,
-            back: 20 * S,
-            room: 1_000,
+            restored_at: 20 * SECOND,
+            capacity_per_s: 1_000,
             seed,
         };
-        let found = outage.play(BUDGET);
+        let found = outage.simulate(BUDGET);
         assert!(
-            found.calls_a_second <= 12.0 && found.worst_second <= 20,
+            found.calls_per_s <= 12.0 && found.worst_second <= 20,
             "seed {seed}: {found:?}"
         );
         assert!(found.worst_100_ms <= 12, "seed {seed}: {found:?}");
@@ -32,35 +34,48 @@
 fn a_service_with_room_for_few_is_kept_down_without_a_budget_and_not_with_one() {
     let outage = Outage {
         fronts: 3_000,
-        back: 10 * S,
-        room: 100,
+        restored_at: 10 * SECOND,
+        capacity_per_s: 100,
         seed: 1,
     };
     let (without, with) = (
-        outage.play(Way::NoBudget),
-        outage.play(Way::Budget {
-            per_s: 50,
-            most: 60 * S,
+        outage.simulate(CallPolicy::NoBudget),
+        outage.simulate(CallPolicy::Budget {
+            calls_per_s: 50,
+            max_wait: 60 * SECOND,
         }),
     );
     assert!(
-        without.in_vain > 10_000 && without.all_served_s.is_none(),
+        without.wasted_calls > 10_000 && without.all_served_s.is_none(),
         "{without:?}"
     );
     assert!(
-        with.all_served_s.is_some_and(|s| s < 90.0) && with.in_vain < 600,
+        with.all_served_s.is_some_and(|s| s < 90.0) && with.wasted_calls < 600,
         "{with:?}"
     );
     // Doubling in step is no way out: all come at the same moments.
-    let step = outage.play(Way::Doubling { most: 60 * S });
-    assert!(step.in_vain > 10 * with.in_vain.max(1), "{step:?}");
+    let step = outage.simulate(CallPolicy::Backoff {
+        max_wait: 60 * SECOND,
+    });
+    assert!(
+        step.wasted_calls > 10 * with.wasted_calls.max(1),
+        "{step:?}"
+    );
 }
 
 #[test]
 fn connections_to_one_node_follow_the_budget_and_not_the_fleet() {
     for fronts in [100, 300, 1_000] {
-        let ramp = handshakes(fronts, 200, 100.0, Use::Ramp { per_s: 20 }, 1);
-        let demand = handshakes(fronts, 200, 100.0, Use::OnDemand, 1);
+        let ramp = simulate_connections(
+            fronts,
+            200,
+            100.0,
+            ConnectPolicy::SlowStart {
+                connections_per_s: 20,
+            },
+            1,
+        );
+        let demand = simulate_connections(fronts, 200, 100.0, ConnectPolicy::OnDemand, 1);
         // Those that each front uses at once come on top: two of two hundred.
         let early = fronts as usize / 100 * 3 + 8;
         assert!(ramp.worst_second <= 20 + early, "{fronts}: {ramp:?}");
@@ -73,25 +88,25 @@
 
 #[test]
 fn all_fronts_and_all_nodes_cold_at_one_moment_push_nobody_over_and_serve_on_whatever_the_fleet() {
-    let play = |fronts: u32, seed: u64, held: Held| {
-        Cold {
+    let simulate = |fronts: u32, seed: u64, policy: SlowStartPolicy| {
+        ColdFleet {
             fronts,
             caches: 8,
             load: 0.6,
             seconds: 20,
             seed,
         }
-        .play(held)
+        .simulate(policy)
     };
     for seed in 0..12 {
         let fronts = [8, 40, 150][seed as usize % 3];
-        let found = play(fronts, seed, Held::Shares);
+        let found = simulate(fronts, seed, SlowStartPolicy::FleetShare);
         assert!(
-            found.fell == 0 && found.worst_load < 0.75,
+            found.failed_nodes == 0 && found.worst_load < 0.75,
             "seed {seed}, {fronts} fronts: {found:?}"
         );
         assert!(
-            found.served_last > 0.99 && found.attempts < 1.2,
+            found.served_last > 0.99 && found.attempts_per_request < 1.2,
             "seed {seed}, {fronts} fronts: {found:?}"
         );
         assert!(
@@ -100,8 +115,11 @@
         );
     }
     // What was not taken: the guard is found to be gone.
-    let (alone, warm) = (play(400, 1, Held::Alone), play(400, 1, Held::Not));
-    let shares = play(400, 1, Held::Shares);
+    let (alone, warm) = (
+        simulate(400, 1, SlowStartPolicy::PerFront),
+        simulate(400, 1, SlowStartPolicy::Disabled),
+    );
+    let shares = simulate(400, 1, SlowStartPolicy::FleetShare);
     assert!(
         alone.worst_load > 1.5 * shares.worst_load
             && alone.served_first < shares.served_first / 2.0,
