--- a/emulator/src/cache_nodes.rs
+++ b/emulator/src/cache_nodes.rs
@@ -1,37 +1,37 @@
-//! Connections that come to cache nodes while a fleet starts under load.
+//! Simulates the connections that cache nodes accept while a fleet starts under load.
 use crate::list_service::max_in_window;
 use crate::rng::Rng;
 use crate::{Timestamp, SECOND};
 use cranesill_startup::{Admission, FleetPosition, Group, ListedEndpoint, SlowStart};
 use serde::Serialize;
 
-/// When a front begins a connection.
+/// When a front opens its connection to a cache node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectPolicy {
-    /// With the first request that is for the node.
+    /// On the first request for the node.
     OnDemand,
-    /// At once to all: not taken.
+    /// To all nodes at startup; for comparison only.
     Immediate,
-    /// Along the core's slow_start.
+    /// As the production slow start schedules it.
     SlowStart {
-        /// First connections to one node in a second by the whole fleet.
+        /// First connections per second to one node from the whole fleet.
         connections_per_s: u32,
     },
 }
 
-/// What came to the nodes.
+/// Connections that the nodes accepted.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConnectionResult {
-    /// To the worst node in the worst second, and in the worst tenth of one.
+    /// Most connections to one node within any second.
     pub worst_second: usize,
-    /// The same for a tenth of a second.
+    /// Most connections to one node within any 100 ms.
     pub worst_100_ms: usize,
-    /// Seconds until each front has a connection to each node.
+    /// Time until every front has a connection to every node, in seconds.
     #[serde(rename = "all_s")]
     pub all_connected_s: f64,
 }
 
-/// So many fronts with so many nodes start at one moment; each is asked so often a second, for objects that are spread evenly.
+/// Simulates the simultaneous start of all fronts. Each front receives `requests_per_s`, spread evenly over the nodes.
 pub fn simulate_connections(
     fronts: u32,
     nodes: u64,
--- a/emulator/src/cold_start.rs
+++ b/emulator/src/cold_start.rs
@@ -1,7 +1,8 @@
-//! All fronts and all nodes cold at one moment, under load: the decisions as they ship, many times, against modelled nodes.
+//! Simulates the simultaneous cold start of all fronts and nodes under load: production routers against modelled nodes.
 //!
-//! A cache or parent has so many slots, fewer while it is cold, and duration longer the more requests it holds. Sent more than the
-//! settings let it bear, and chance, it falls and stays down. Clients ask once more what they were not served.
+//! A cache or parent has a number of slots, fewer while it warms up, and slows down when more requests than slots are in flight.
+//! It fails for the rest of the run when it receives more than the overload multiple of its settings, with a margin for
+//! statistical variation. Clients repeat an unserved request once.
 use crate::rng::Rng;
 use crate::{Timestamp, SECOND};
 use cranesill::api::*;
@@ -14,64 +15,67 @@
 const CACHE: u8 = 0;
 const PARENT: u8 = 1;
 const ORIGIN: u8 = 2;
-/// Places of a cache and of a parent, and how long a request duration one.
+/// Requests that a warm cache processes at once without slowing down.
 const CACHE_SLOTS: f64 = 20.0;
+/// Requests that a warm parent processes at once without slowing down.
 const PARENT_SLOTS: f64 = 120.0;
+/// Time that a request occupies a slot of a node that is not overloaded.
 const SERVICE_TIME: Timestamp = 200 * MS;
-/// What a fill duration from a parent, and from the origin behind it.
+/// Additional time of a fill from a parent.
 const FILL_TIME: Timestamp = 30 * MS;
+/// Additional time of a fetch from the origin.
 const ORIGIN_TIME: Timestamp = 60 * MS;
+/// Time until a front learns that a node cannot serve a request.
 const REFUSAL_TIME: Timestamp = MS;
 const OBJECT_COUNT: f64 = 20_000.0;
-/// Clients wait this long, and ask once more a moment later.
 const CLIENT_TIMEOUT: Timestamp = 2_500 * MS;
 const CLIENT_RETRY_DELAY: Timestamp = 500 * MS;
-/// The virtual clock begins here: 0 would mean that nodes started long ago.
+/// Start of the simulation. It is not 0, because an endpoint with the start time 0 counts as warm.
 const START_TIME: Timestamp = 1_000 * SECOND;
 
-/// How a fleet begins to use nodes that have just started.
+/// How a fleet limits the load of nodes that have just started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlowStartPolicy {
-    /// As it ships: by the fleet's share of what a cold node admit.
+    /// As in production: each front uses its share of a cold node's capacity.
     FleetShare,
-    /// Each front goes by what the node admit as if it were alone: not taken.
+    /// Each front uses a cold node's whole capacity; for comparison only.
     PerFront,
-    /// ColdFleet nodes are taken for warm: not taken.
+    /// Cold nodes are treated as warm; for comparison only.
     Disabled,
 }
 
-/// What came of it.
+/// Load on the nodes and service of the clients during a cold start.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ColdStartResult {
-    /// Nodes that fell, of all caches and parents.
+    /// Caches and parents that failed from overload.
     #[serde(rename = "fell")]
     pub failed_nodes: usize,
-    /// The most that one node was sent, over what it admit.
+    /// Highest load of a node that was warming up, as a multiple of the load at which it fails.
     pub worst_load: f64,
-    /// Shares of first tries that were served by their clients' time in the first 5 s, and in the last 5 s.
+    /// Fraction of the requests of the first 5 s that were served; repeated requests do not count.
     pub served_first: f64,
-    /// See above.
+    /// The same for the last 5 s.
     pub served_last: f64,
-    /// Attempts for each request that was asked.
+    /// Mean number of attempts per request; a repeated request counts as a request of its own.
     #[serde(rename = "attempts")]
     pub attempts_per_request: f64,
-    /// Fetches from the origin in the worst second.
+    /// Most fetches from the origin within any second.
     #[serde(rename = "origin_most")]
     pub max_origin_fetches_per_s: usize,
 }
 
-/// A fleet and its nodes.
+/// A fleet with its nodes and the load of its clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdFleet {
-    /// Fronts of one location, and its caches; one parent for four of them.
+    /// Number of fronts.
     pub fronts: u32,
-    /// Caches.
+    /// Number of caches; there is one parent for every four, and at least two.
     pub caches: u32,
-    /// Share of what warm caches can do that is asked.
+    /// Client load as a fraction of the capacity of the warm caches.
     pub load: f64,
-    /// Seconds.
+    /// Simulated time, in seconds.
     pub seconds: u64,
-    /// All follows from it.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -84,6 +88,7 @@
     failed: bool,
 }
 
+/// An event of the simulation.
 enum Scheduled {
     ClientRequest(u32, u64, bool),
     Timer(u32, u64),
@@ -103,7 +108,7 @@
     nodes: BTreeMap<u64, Node>,
     routers: Vec<Router>,
     open_requests: HashMap<(u32, RequestId), OpenRequest>,
-    /// Attempts that are out, with their node.
+    /// The node and start time of each attempt in flight.
     attempts_in_flight: HashMap<(u32, RequestId, u16), (u64, Timestamp)>,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
     scheduled: HashMap<u64, Scheduled>,
@@ -111,6 +116,7 @@
     now: Timestamp,
     end_time: Timestamp,
     rng: Rng,
+    /// Served requests and all requests of the first and of the last 5 s, without repeated ones.
     served_and_total: [(u64, u64); 2],
     requests: u64,
     attempts: u64,
@@ -164,7 +170,7 @@
         }
     }
 
-    /// Plays it.
+    /// Simulates the cold start.
     pub fn simulate(&self, policy: SlowStartPolicy) -> ColdStartResult {
         let started = if policy == SlowStartPolicy::Disabled {
             0
@@ -320,7 +326,7 @@
         );
     }
 
-    /// A request has its final answer; one that was not served is asked once more, elsewhere.
+    /// Records the result of a request. The client repeats an unserved first try at a random front.
     fn finish_request(&mut self, front: u32, id: RequestId, served: bool) {
         let Some(open) = self.open_requests.remove(&(front, id)) else {
             return;
@@ -411,7 +417,7 @@
         );
     }
 
-    /// What a node makes of a request; `None`: it is the origin.
+    /// Duration and outcome of a request at a cache or parent; `None` if `id` is neither.
     fn process_at_node(
         &mut self,
         id: u64,
@@ -456,7 +462,7 @@
                 (ORIGIN_TIME, FillNote::FilledByOrigin)
             }
         };
-        // A fill that asks a parent holds none of its slots for long: what it is sent counts all the same.
+        // A fill occupies a slot of the parent only briefly; it still counts as an arrival.
         if let Some(node) = self.nodes.get_mut(&fill.source.0) {
             node.in_flight = node.in_flight.saturating_sub(1);
         }
@@ -464,7 +470,8 @@
         Some((duration + fill_duration, Status::Ok, note))
     }
 
-    /// One more request at a node, which falls if it is too much: how long it duration. `None`: no such node; `Some(None)`: it fell.
+    /// Counts a request at a node and returns how long it takes; `Some(None)` if the node has failed or fails from this request,
+    /// `None` if `id` is neither a cache nor a parent.
     fn admit(&mut self, id: u64) -> Option<Option<Timestamp>> {
         let (now, settings) = (self.now, &self.settings);
         let node = self.nodes.get_mut(&id)?;
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Large fleets on a virtual clock: the project's cores, as they ship, against modelled services.
+//! Emulates large fleets on a virtual clock: the production policy modules run against models of the list service, cache nodes
+//! and parents. A run is determined by its seed.
 //!
-//! The list service is a queue that is slower the more it is asked: it spends its time on calls whose callers have gone as well.
-//! Cache nodes count the connections that come to them. All follows from a seed.
+//! The list service is modelled as a queue with a fixed service time; it also serves calls whose callers have timed out.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -16,7 +16,7 @@
 pub use list_service::{CallPolicy, Outage, OutageResult};
 pub use plot::{draw, Line};
 
-/// A moment or span on the virtual clock, in microseconds.
+/// A time or duration on the virtual clock, in microseconds.
 pub type Timestamp = u64;
-/// A second.
+/// One second on the virtual clock.
 pub const SECOND: Timestamp = 1_000_000;
--- a/emulator/src/list_service.rs
+++ b/emulator/src/list_service.rs
@@ -1,4 +1,4 @@
-//! Calls on a list service that fails for a time and returns with room for so many.
+//! Simulates the calls of a fleet to a list service that fails at first and then has a limited capacity.
 use crate::rng::Rng;
 use crate::{Timestamp, SECOND};
 use cranesill_startup::{CallBudget, CallEnd, CallSchedule, FleetPosition};
@@ -6,24 +6,24 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// How a front decides when it calls again.
+/// How a front schedules its calls to the list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallPolicy {
-    /// The core without a budget: after a fifth of a second, for ever.
+    /// The production schedule without a budget: a call 200 ms after each failure.
     NoBudget,
-    /// The core with a budget of calls a second and a longest wait.
+    /// The production schedule with a call budget for the fleet.
     Budget {
-        /// Calls a second of the whole fleet.
+        /// Calls per second of the whole fleet.
         calls_per_s: u32,
-        /// The longest wait of one front, in microseconds.
+        /// The longest wait of one front between two calls.
         max_wait: Timestamp,
     },
-    /// Twice as long after each failure, up to a longest wait, all in step: not taken.
+    /// Exponential backoff without jitter; for comparison only.
     Backoff {
         /// The longest wait, in microseconds.
         max_wait: Timestamp,
     },
-    /// The same, each wait at random between none and all of it: not taken.
+    /// Exponential backoff with full jitter; for comparison only.
     JitteredBackoff {
         /// The longest wait, in microseconds.
         max_wait: Timestamp,
@@ -31,7 +31,7 @@
 }
 
 impl CallPolicy {
-    /// Its name in results.
+    /// The name of the policy in results and plots.
     pub fn name(&self) -> String {
         let s = |span: &Timestamp| *span as f64 / SECOND as f64;
         match self {
@@ -48,45 +48,45 @@
     }
 }
 
-/// What happens: all fronts start at 0 while the service closes each call at once; it returns.
+/// An outage: all fronts start at time 0, and the list service closes each call until it recovers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Outage {
-    /// Fronts.
+    /// Number of fronts in the fleet.
     pub fronts: u32,
-    /// When it returns.
+    /// When the list service recovers.
     pub restored_at: Timestamp,
-    /// Calls that it can serve in a second from then on.
+    /// Calls per second that the recovered service can serve.
     pub capacity_per_s: u32,
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// What was seen.
+/// Load on the list service, and the time until the fronts are served.
 #[derive(Clone, Debug, Serialize)]
 pub struct OutageResult {
-    /// Calls a second while it failed, from the fourth second on.
+    /// Mean calls per second during the outage, from 4 s after the start on.
     #[serde(rename = "calls_a_second")]
     pub calls_per_s: f64,
-    /// In the worst second, and in the worst tenth of one, from then on.
+    /// Most calls within any second of that period.
     pub worst_second: usize,
-    /// The same for a tenth of a second.
+    /// Most calls within any 100 ms of that period.
     pub worst_100_ms: usize,
-    /// Seconds after its return until so many in a hundred are served; absent: not within ten minutes.
+    /// Seconds from the recovery until half of the fronts are served; `None` if that takes longer than the simulated time.
     pub half_served_s: Option<f64>,
-    /// The same for 99 in a hundred.
+    /// The same for 99 % of the fronts.
     #[serde(rename = "most_served_s")]
     pub served_99_percent_s: Option<f64>,
-    /// The same for all.
+    /// The same for all fronts.
     pub all_served_s: Option<f64>,
-    /// Calls after its return that it spent its time on in vain.
+    /// Calls that the recovered service processed after the caller had timed out.
     #[serde(rename = "in_vain")]
     pub wasted_calls: usize,
-    /// The most calls that waited for it at once.
+    /// The most calls in the queue of the service.
     #[serde(rename = "queue_most")]
     pub max_queue_length: usize,
 }
 
-/// Calls of one front.
+/// The call schedule of one front.
 enum Caller {
     Schedule(CallSchedule),
     Backoff {
@@ -96,7 +96,9 @@
     },
 }
 
+/// First wait of the exponential backoff.
 const FIRST_WAIT: Timestamp = SECOND / 5;
+/// Time after which a front with exponential backoff ends an unanswered call.
 const CALL_TIMEOUT: Timestamp = SECOND / 2;
 
 impl Caller {
@@ -128,21 +130,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    /// A front calls.
+    /// A front starts a call.
     Call(usize),
-    /// A front gives its call up, which was its nth.
+    /// A call of a front times out; the second value is the number of the call.
     CallTimeout(usize, u32),
-    /// The service has done with a call.
+    /// The service finishes processing a call; the second value is the number of the call.
     CallServed(usize, u32),
 }
 
-/// A call that takes that long to be closed again.
+/// Time after which the failing service closes a call.
 const CLOSE_DELAY: Timestamp = 2_000;
-/// It is not looked further.
 const MAX_SIMULATED_TIME: Timestamp = 600 * SECOND;
 
 impl Outage {
-    /// Plays it with fronts that go this way.
+    /// Simulates the outage with fronts that follow `policy`.
     pub fn simulate(&self, policy: CallPolicy) -> OutageResult {
         let mut rng = Rng(self.seed);
         let n = self.fronts as usize;
@@ -247,7 +248,7 @@
                         waiting[front] = false;
                         served.push(now);
                     } else {
-                        // It was given up: the service did not know.
+                        // The service does not notice that the caller has timed out.
                         wasted_calls += 1;
                     }
                     busy = !queue.is_empty();
@@ -285,7 +286,7 @@
     }
 }
 
-/// The most of these in any window; they are in order.
+/// The largest number of `times`, which are sorted, within any window of the given length.
 pub(crate) fn max_in_window(times: &[Timestamp], window: Timestamp) -> usize {
     let (mut max, mut from) = (0, 0);
     for (index, now) in times.iter().enumerate() {
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `cranesill-emulator`.
+//! Command line of the fleet emulator.
 use bpaf::{construct, long, Parser};
 use cranesill_emulator::{
     draw, simulate_connections, CallPolicy, ColdFleet, ConnectPolicy, Line, Outage,
@@ -19,58 +19,63 @@
     out: Option<PathBuf>,
 }
 
-/// Caches of the location that is all cold; the requests that are asked there follow from them, not from the fronts.
+/// Caches of the cold-start simulation. The load is a fraction of their capacity and does not depend on the number of fronts.
 const COLD_CACHES: u32 = 20;
-/// Fronts at most: a run takes seconds.
+/// Bounds the duration of a run.
 const MAX_FRONTS: u32 = 20_000;
 
 fn parse_fleet_sizes(text: String) -> Result<Vec<u32>, String> {
     let one = |word: &str| {
-        let n: u32 = word
-            .parse()
-            .map_err(|_| format!("no number of fronts: {word}"))?;
+        let n: u32 = word.parse().map_err(|_| {
+            format!("invalid fleet size \"{word}\": expected a whole number of fronts")
+        })?;
         Some(n)
             .filter(|n| (1..=MAX_FRONTS).contains(n))
-            .ok_or(format!("{n} fronts: 1 to {MAX_FRONTS}"))
+            .ok_or(format!(
+                "fleet size {n} is outside of 1 to {MAX_FRONTS} fronts"
+            ))
     };
     text.split(',').map(one).collect()
 }
 
 fn cold_start() -> impl Parser<Options> {
     let fronts = long("fronts")
-        .help("Sizes of the fleet, with commas")
+        .help("Fleet sizes, separated by commas")
         .argument::<String>("N,N,...")
         .fallback("60,100,300,1000,3000,10000".into())
         .parse(parse_fleet_sizes);
     let nodes = long("nodes")
-        .help("Cache nodes")
+        .help("Number of cache nodes")
         .argument::<u64>("N")
         .fallback(200)
         .guard(|n| (1..=10_000).contains(n), "1 to 10000 nodes");
     let list_capacity_per_s = long("room")
-        .help("Calls a second that the list service can serve once it is back")
+        .help("Calls per second that the list service can serve after its recovery")
         .argument::<u32>("N")
         .fallback(200)
         .guard(
             |n| (1..=1_000_000).contains(n),
-            "1 to 1000000 calls a second",
+            "1 to 1000000 calls per second",
         );
     let outage_s = long("back-s")
-        .help("Seconds for which it fails at first")
+        .help("Duration of the list service outage after the start, in seconds")
         .argument::<u64>("S")
         .fallback(30)
         .guard(|s| (5..=300).contains(s), "5 to 300 seconds");
     let requests_per_s = long("asked")
-        .help("Requests a second that each front is asked")
+        .help("Client requests per second at each front")
         .argument::<f64>("N")
         .fallback(100.0)
         .guard(
             |n| (0.1..=100_000.0).contains(n),
-            "0.1 to 100000 requests a second",
+            "0.1 to 100000 requests per second",
         );
-    let seed = long("seed").help("Seed").argument::<u64>("N").fallback(1);
+    let seed = long("seed")
+        .help("Seed of the random numbers")
+        .argument::<u64>("N")
+        .fallback(1);
     let out = long("out")
-        .help("A folder for results and plots")
+        .help("Directory for the results and plots")
         .argument::<PathBuf>("DIR")
         .optional();
     construct!(Options {
@@ -83,7 +88,7 @@
         out
     })
     .to_options()
-    .descr("A fleet starts at one moment while the list service fails, and it returns")
+    .descr("Simulate the simultaneous start of a fleet during an outage of the list service")
     .command("cold-start")
 }
 
@@ -234,7 +239,7 @@
 fn main() -> ExitCode {
     let options = cold_start()
         .to_options()
-        .descr("Large fleets of cranesill on a virtual clock")
+        .descr("Emulate large fleets of cranesill fronts on a virtual clock")
         .run();
     match run(&options) {
         Ok(()) => ExitCode::SUCCESS,
--- a/emulator/src/plot.rs
+++ b/emulator/src/plot.rs
@@ -1,11 +1,11 @@
-//! Plots of results against the size of a fleet.
+//! Plots results over the fleet size.
 use plotters::prelude::*;
 use std::path::Path;
 
-/// One line of a plot: a name, and values by fleet size.
+/// One line of a plot: its name, and points of fleet size and value.
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// Draws lines on scales of powers of ten into an SVG file.
+/// Writes an SVG file with the lines on logarithmic axes. Points with a value of 0 are left out.
 pub fn draw(file: &Path, title: &str, unit: &str, lines: &[Line]) -> Result<(), String> {
     let all_points = || {
         lines
@@ -20,7 +20,10 @@
         (min * 0.8, max * 1.3)
     };
     if all_points().next().is_none() {
-        return Err(format!("{title}: nothing to draw"));
+        return Err(format!(
+            "cannot plot \"{title}\" to {}: no value is greater than 0",
+            file.display()
+        ));
     }
     let ((x0, x1), (y0, y1)) = (range(|p| p.0), range(|p| p.1));
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
--- a/emulator/src/rng.rs
+++ b/emulator/src/rng.rs
@@ -1,6 +1,6 @@
-//! Random numbers from a seed.
+//! Pseudo-random numbers.
 
-/// A row of them.
+/// A pseudo-random number generator; the field is its state, initially the seed.
 pub struct Rng(pub u64);
 
 impl Rng {
@@ -8,12 +8,12 @@
         cranesill_startup::rng::next_u64(&mut self.0)
     }
 
-    /// From 0 to 1.
+    /// A number of at least 0 and less than 1.
     pub fn uniform(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Below `n`.
+    /// A number less than `n`; 0 if `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next() % n.max(1)
     }
--- a/emulator/tests/cold.rs
+++ b/emulator/tests/cold.rs
@@ -1,4 +1,4 @@
-//! What must hold for any seed, and how growth looks.
+//! Bounds on the load of the list service and the nodes during a start of the whole fleet.
 use cranesill_emulator::{
     simulate_connections, CallPolicy, ColdFleet, ConnectPolicy, Outage, SlowStartPolicy, SECOND,
 };
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn a_thousand_seeds_keep_the_budget_and_are_all_served_within_the_bound() {
+fn calls_stay_within_the_budget_and_all_fronts_are_served_within_the_bound_for_1000_seeds() {
     for seed in 0..1_000 {
         let outage = Outage {
             fronts: 40,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_service_with_room_for_few_is_kept_down_without_a_budget_and_not_with_one() {
+fn a_call_budget_lets_a_service_with_little_capacity_recover() {
     let outage = Outage {
         fronts: 3_000,
         restored_at: 10 * SECOND,
@@ -53,18 +53,18 @@
         with.all_served_s.is_some_and(|s| s < 90.0) && with.wasted_calls < 600,
         "{with:?}"
     );
-    // Doubling in step is no way out: all come at the same moments.
-    let step = outage.simulate(CallPolicy::Backoff {
+    // With exponential backoff without jitter the calls arrive in bursts.
+    let backoff = outage.simulate(CallPolicy::Backoff {
         max_wait: 60 * SECOND,
     });
     assert!(
-        step.wasted_calls > 10 * with.wasted_calls.max(1),
-        "{step:?}"
+        backoff.wasted_calls > 10 * with.wasted_calls.max(1),
+        "{backoff:?}"
     );
 }
 
 #[test]
-fn connections_to_one_node_follow_the_budget_and_not_the_fleet() {
+fn connections_per_second_to_one_node_do_not_grow_with_the_fleet() {
     for fronts in [100, 300, 1_000] {
         let ramp = simulate_connections(
             fronts,
@@ -76,7 +76,7 @@
             1,
         );
         let demand = simulate_connections(fronts, 200, 100.0, ConnectPolicy::OnDemand, 1);
-        // Those that each front uses at once come on top: two of two hundred.
+        // Each front connects to two of the 200 nodes immediately, outside of the ramp.
         let early = fronts as usize / 100 * 3 + 8;
         assert!(ramp.worst_second <= 20 + early, "{fronts}: {ramp:?}");
         assert!(
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn all_fronts_and_all_nodes_cold_at_one_moment_push_nobody_over_and_serve_on_whatever_the_fleet() {
+fn a_cold_start_of_all_fronts_and_nodes_overloads_no_node_and_serves_clients_for_any_fleet_size() {
     let simulate = |fronts: u32, seed: u64, policy: SlowStartPolicy| {
         ColdFleet {
             fronts,
@@ -114,7 +114,7 @@
             "seed {seed}, {fronts} fronts: {found:?}"
         );
     }
-    // What was not taken: the guard is found to be gone.
+    // The test detects that the slow start is missing or ignores the size of the fleet.
     let (alone, warm) = (
         simulate(400, 1, SlowStartPolicy::PerFront),
         simulate(400, 1, SlowStartPolicy::Disabled),
