--- a/standins/src/acme/authority.rs
+++ b/standins/src/acme/authority.rs
@@ -8,9 +8,9 @@
 
 const ACME: &str = "urn:ietf:params:acme:error:";
 /// Nonces that are remembered as given out; the oldest are forgotten first.
-const NONCES_MOST: usize = 10_000;
+const MAX_NONCES: usize = 10_000;
 /// Orders and authorizations are good for this long, in seconds.
-const EXPIRES: u64 = 7 * 86_400;
+const ORDER_LIFETIME_S: u64 = 7 * 86_400;
 
 /// A request, as HTTP brought it.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
     pub body: Vec<u8>,
 }
 
-/// An answer.
+/// An response.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     /// Status code.
@@ -68,9 +68,9 @@
     pub lose_orders: bool,
     /// What is wrong with chains.
     pub wrong_chain: Option<WrongChain>,
-    /// Connections end without an answer.
+    /// Connections end without an response.
     pub vanished: bool,
-    /// A pause before each byte of an answer, in milliseconds.
+    /// A pause before each byte of an response, in milliseconds.
     pub slow_ms: u64,
     /// Answers stop in the middle.
     pub cut: bool,
@@ -91,7 +91,7 @@
 struct Order {
     account: u64,
     names: Vec<String>,
-    auths: Vec<u64>,
+    authorizations: Vec<u64>,
     expires: u64,
     /// `pending` and `ready` follow from the authorizations; these do not.
     state: Option<&'static str>,
@@ -100,22 +100,22 @@
     error: Value,
 }
 
-struct Auth {
+struct Authorization {
     account: u64,
     name: String,
     token: String,
     state: &'static str,
     expires: u64,
     /// The challenge that was begun: its type, state and error.
-    begun: Option<(&'static str, &'static str, Value)>,
+    started_challenge: Option<(&'static str, &'static str, Value)>,
 }
 
 struct Issued {
     account: u64,
     chain: String,
     serial: String,
-    from: u64,
-    until: u64,
+    not_before: u64,
+    not_after: u64,
     revoked: bool,
 }
 
@@ -151,17 +151,17 @@
     pub external: BTreeMap<String, Vec<u8>>,
     accounts: BTreeMap<u64, Account>,
     orders: BTreeMap<u64, Order>,
-    auths: BTreeMap<u64, Auth>,
+    authorizations: BTreeMap<u64, Authorization>,
     issued: BTreeMap<u64, Issued>,
     nonces: BTreeSet<u64>,
     checks: Vec<Check>,
-    last: u64,
+    last_id: u64,
     rng: u64,
     /// Requests answered, by the first step of their path.
     pub request_counts: BTreeMap<String, u64>,
 }
 
-type Answer = Result<Response, Response>;
+type ResponseResult = Result<Response, Response>;
 
 fn problem(status: u16, kind: &str, detail: &str) -> Response {
     let body = json!({"type": format!("{ACME}{kind}"), "detail": detail, "status": status});
@@ -217,11 +217,11 @@
             external: BTreeMap::new(),
             accounts: BTreeMap::new(),
             orders: BTreeMap::new(),
-            auths: BTreeMap::new(),
+            authorizations: BTreeMap::new(),
             issued: BTreeMap::new(),
             nonces: BTreeSet::new(),
             checks: Vec::new(),
-            last: 0,
+            last_id: 0,
             rng: seed | 1,
             request_counts: BTreeMap::new(),
         }
@@ -261,35 +261,37 @@
     }
 
     /// A challenge was looked at.
-    pub fn checked(&mut self, check: &Check, shown: Result<(), String>) {
+    pub fn checked(&mut self, check: &Check, result: Result<(), String>) {
         let unprovable = self.faults.unprovable.contains(&check.name);
         let Some(auth) = self
-            .auths
+            .authorizations
             .get_mut(&check.auth)
             .filter(|a| a.state == "pending")
         else {
             return;
         };
-        let shown = if unprovable {
+        let result = if unprovable {
             Err("told to".into())
         } else {
-            shown
+            result
         };
-        match shown {
+        match result {
             Ok(()) => {
-                (auth.state, auth.begun) = ("valid", Some((check.kind, "valid", Value::Null)))
+                (auth.state, auth.started_challenge) =
+                    ("valid", Some((check.kind, "valid", Value::Null)))
             }
-            Err(why) => {
+            Err(reason) => {
                 let error =
-                    json!({"type": format!("{ACME}connection"), "detail": why, "status": 400});
-                (auth.state, auth.begun) = ("invalid", Some((check.kind, "invalid", error)));
+                    json!({"type": format!("{ACME}connection"), "detail": reason, "status": 400});
+                (auth.state, auth.started_challenge) =
+                    ("invalid", Some((check.kind, "invalid", error)));
             }
         }
     }
 
-    fn number(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     fn random(&mut self) -> u64 {
@@ -304,7 +306,7 @@
     fn nonce(&mut self) -> String {
         let nonce = self.random();
         self.nonces.insert(nonce);
-        if self.nonces.len() > NONCES_MOST {
+        if self.nonces.len() > MAX_NONCES {
             self.nonces.pop_first();
         }
         encode(nonce.to_be_bytes())
@@ -320,13 +322,13 @@
             .map(str::to_string)
             .collect::<Vec<_>>();
         *self.request_counts.entry(path[0].clone()).or_default() += 1;
-        let mut answer = if self.faults.down {
+        let mut response = if self.faults.down {
             problem(503, "serverInternal", "told to be down")
         } else {
             self.route(now, request, &path).unwrap_or_else(|e| e)
         };
-        if matches!(answer.status, 429 | 503) {
-            answer.fields.extend(
+        if matches!(response.status, 429 | 503) {
+            response.fields.extend(
                 self.faults
                     .retry_after
                     .map(|s| ("Retry-After", s.to_string())),
@@ -334,22 +336,22 @@
         }
         if request.method != "GET" {
             let nonce = self.nonce();
-            answer.fields.push(("Replay-Nonce", nonce));
+            response.fields.push(("Replay-Nonce", nonce));
         }
         let directory = self.directory();
-        answer
+        response
             .fields
             .push(("Link", format!("<{directory}>;rel=\"index\"")));
         if self.faults.malformed {
-            answer.body = br#"{"status": "pending", "authorizations": [[[[{"#.to_vec();
+            response.body = br#"{"status": "pending", "authorizations": [[[[{"#.to_vec();
         }
-        answer
+        response
     }
 
-    fn route(&mut self, now: u64, request: &Request, path: &[String]) -> Answer {
+    fn route(&mut self, now: u64, request: &Request, path: &[String]) -> ResponseResult {
         let path: Vec<&str> = path.iter().map(String::as_str).collect();
         match (request.method.as_str(), &path[..]) {
-            ("GET", ["directory"]) => Ok(self.list()),
+            ("GET", ["directory"]) => Ok(self.directory_response()),
             ("HEAD", ["nonce"]) => Ok(Response {
                 status: 200,
                 ..Response::default()
@@ -362,8 +364,8 @@
             ("POST", ["account", "new"]) => self.new_account(request),
             ("POST", ["revoke"]) => self.revoke(request),
             ("POST", _) => {
-                let (account, payload) = self.signed(request)?;
-                self.posted(now, account, &path, &payload)
+                let (account, payload) = self.authenticate(request)?;
+                self.route_post(now, account, &path, &payload)
             }
             _ => Err(problem(405, "malformed", "no such method here")),
         }
@@ -376,7 +378,7 @@
         )
     }
 
-    fn list(&self) -> Response {
+    fn directory_response(&self) -> Response {
         ok(
             200,
             json!({"newNonce": self.url("nonce"), "newAccount": self.url("account/new"),
@@ -388,7 +390,7 @@
     }
 
     /// Form, nonce and URL of a signed request (sections 6.2 to 6.5).
-    fn envelope(&mut self, request: &Request) -> Result<Jws, Response> {
+    fn parse_signed(&mut self, request: &Request) -> Result<Jws, Response> {
         if request.content_type != "application/jose+json" {
             return Err(problem(
                 415,
@@ -417,24 +419,24 @@
         Ok(jws)
     }
 
-    fn verified(jws: &Jws, jwk: &Value) -> Result<(), Response> {
+    fn verify_signature(jws: &Jws, jwk: &Value) -> Result<(), Response> {
         match jws.verifies(jwk) {
             Ok(true) => Ok(()),
             Ok(false) => Err(problem(400, "malformed", "the signature does not verify")),
             Err(kind) => {
-                let mut answer = problem(400, kind, "the algorithm does not fit the key");
-                let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+                let mut response = problem(400, kind, "the algorithm does not fit the key");
+                let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
                 let mut body = body;
                 body["algorithms"] = json!(["ES256", "ES384", "EdDSA", "RS256"]);
-                answer.body = body.to_string().into_bytes();
-                Err(answer)
+                response.body = body.to_string().into_bytes();
+                Err(response)
             }
         }
     }
 
     /// The account that signed a request, by its URL, and the payload.
-    fn signed(&mut self, request: &Request) -> Result<(u64, Vec<u8>), Response> {
-        let jws = self.envelope(request)?;
+    fn authenticate(&mut self, request: &Request) -> Result<(u64, Vec<u8>), Response> {
+        let jws = self.parse_signed(request)?;
         let prefix = format!("{}/account/", self.base);
         let kid = jws.header["kid"]
             .as_str()
@@ -443,40 +445,40 @@
         let unknown = || problem(400, "accountDoesNotExist", "no such account");
         let number = number.ok_or_else(unknown)?;
         let account = self.accounts.get(&number).ok_or_else(unknown)?;
-        Self::verified(&jws, &account.jwk)?;
+        Self::verify_signature(&jws, &account.jwk)?;
         if !account.active {
             return Err(problem(401, "unauthorized", "the account is deactivated"));
         }
         Ok((number, jws.payload))
     }
 
-    fn new_account(&mut self, request: &Request) -> Answer {
-        let jws = self.envelope(request)?;
+    fn new_account(&mut self, request: &Request) -> ResponseResult {
+        let jws = self.parse_signed(request)?;
         let jwk = jws.header["jwk"].clone();
-        Self::verified(&jws, &jwk)?;
-        let wanted: Value = serde_json::from_slice(&jws.payload)
+        Self::verify_signature(&jws, &jwk)?;
+        let payload: Value = serde_json::from_slice(&jws.payload)
             .map_err(|_| problem(400, "malformed", "the payload is no JSON"))?;
-        let print =
+        let key_thumbprint =
             thumbprint(&jwk).ok_or_else(|| problem(400, "badPublicKey", "a key that is none"))?;
-        let same = |(_, a): &(&u64, &Account)| thumbprint(&a.jwk).as_ref() == Some(&print);
+        let same = |(_, a): &(&u64, &Account)| thumbprint(&a.jwk).as_ref() == Some(&key_thumbprint);
         if let Some((number, _)) = self.accounts.iter().find(same) {
-            return Ok(self.account(200, *number));
+            return Ok(self.account_response(200, *number));
         }
-        if wanted["onlyReturnExisting"] == json!(true) {
+        if payload["onlyReturnExisting"] == json!(true) {
             return Err(problem(
                 400,
                 "accountDoesNotExist",
                 "no account with this key",
             ));
         }
-        if wanted["termsOfServiceAgreed"] != json!(true) {
+        if payload["termsOfServiceAgreed"] != json!(true) {
             return Err(problem(
                 403,
                 "userActionRequired",
                 "the terms are not agreed to",
             ));
         }
-        let contacts = wanted["contact"].as_array().cloned().unwrap_or_default();
+        let contacts = payload["contact"].as_array().cloned().unwrap_or_default();
         if contacts
             .iter()
             .any(|c| !c.as_str().is_some_and(|c| c.starts_with("mailto:")))
@@ -484,22 +486,22 @@
             return Err(problem(400, "unsupportedContact", "only mailto"));
         }
         if !self.external.is_empty() {
-            let refused = |why| problem(403, "externalAccountRequired", why);
-            let binding = Jws::read(&wanted["externalAccountBinding"])
-                .ok_or_else(|| refused("no binding"))?;
+            let rejected = |why| problem(403, "externalAccountRequired", why);
+            let binding = Jws::from_json(&payload["externalAccountBinding"])
+                .ok_or_else(|| rejected("no binding"))?;
             let kid = binding.header["kid"].as_str().unwrap_or("");
             let key = self
                 .external
                 .get(kid)
-                .ok_or_else(|| refused("an unknown external account"))?;
+                .ok_or_else(|| rejected("an unknown external account"))?;
             let bound: Value = serde_json::from_slice(&binding.payload).unwrap_or_default();
             let url = format!("{}/account/new", self.base);
             let fits = bound == jwk && binding.header["url"].as_str() == Some(&url);
             if !binding.verifies_hmac(key) || !fits || binding.header.get("nonce").is_some() {
-                return Err(refused("the binding does not verify"));
+                return Err(rejected("the binding does not verify"));
             }
         }
-        let number = self.number();
+        let number = self.next_id();
         self.accounts.insert(
             number,
             Account {
@@ -508,10 +510,10 @@
                 active: true,
             },
         );
-        Ok(self.account(201, number))
+        Ok(self.account_response(201, number))
     }
 
-    fn account(&self, status: u16, number: u64) -> Response {
+    fn account_response(&self, status: u16, number: u64) -> Response {
         let account = &self.accounts[&number];
         let state = if account.active {
             "valid"
@@ -520,54 +522,60 @@
         };
         let url = self.url(&format!("account/{number}"));
         let orders = format!("{url}/orders");
-        let mut answer = ok(
+        let mut response = ok(
             status,
             json!({"status": state, "contact": account.contacts, "orders": orders}),
         );
-        answer.fields.push(("Location", url));
-        answer
+        response.fields.push(("Location", url));
+        response
     }
 
-    fn posted(&mut self, now: u64, account: u64, path: &[&str], payload: &[u8]) -> Answer {
-        let missing = || problem(404, "malformed", "no such thing");
-        let number = |text: &str| text.parse::<u64>().map_err(|_| missing());
-        let wanted: Value = match payload {
+    fn route_post(
+        &mut self,
+        now: u64,
+        account: u64,
+        path: &[&str],
+        payload: &[u8],
+    ) -> ResponseResult {
+        let not_found = || problem(404, "malformed", "no such thing");
+        let number = |text: &str| text.parse::<u64>().map_err(|_| not_found());
+        let payload: Value = match payload {
             // POST-as-GET (section 6.3).
             [] => Value::Null,
             _ => serde_json::from_slice(payload)
                 .map_err(|_| problem(400, "malformed", "the payload is no JSON"))?,
         };
         match path {
-            ["order", "new"] => self.new_order(now, account, &wanted),
+            ["order", "new"] => self.new_order(now, account, &payload),
             ["order", n] => {
                 let n = number(n)?;
-                self.mine(account, n)?;
-                Ok(self.order(now, 200, n))
+                self.check_order_owner(account, n)?;
+                Ok(self.order_response(now, 200, n))
             }
             ["order", n, "finalize"] => {
                 let n = number(n)?;
-                self.mine(account, n)?;
-                self.finalize(now, n, &wanted)
+                self.check_order_owner(account, n)?;
+                self.finalize(now, n, &payload)
             }
             ["authz", n] => {
                 let n = number(n)?;
                 let auth = self
-                    .auths
+                    .authorizations
                     .get_mut(&n)
                     .filter(|a| a.account == account)
-                    .ok_or_else(missing)?;
-                if wanted["status"] == "deactivated" {
+                    .ok_or_else(not_found)?;
+                if payload["status"] == "deactivated" {
                     auth.state = "deactivated";
                 }
-                Ok(ok(200, self.auth(now, n)))
+                Ok(ok(200, self.authorization(now, n)))
             }
-            ["challenge", n, kind] => self.challenge(now, account, number(n)?, kind, &wanted),
+            ["challenge", n, kind] => self.challenge(now, account, number(n)?, kind, &payload),
             ["cert", n] => {
                 let found = self
                     .issued
                     .get(&number(n)?)
                     .filter(|c| c.account == account);
-                let chain = found.ok_or_else(missing)?.chain.clone();
+                let chain = found.ok_or_else(not_found)?.chain.clone();
                 let fields = vec![(
                     "Content-Type",
                     "application/pem-certificate-chain".to_string(),
@@ -578,26 +586,28 @@
                     body: chain.into_bytes(),
                 })
             }
-            ["key-change"] => self.key_change(account, &wanted),
+            ["key-change"] => self.key_change(account, &payload),
             ["account", n] if number(n)? == account => {
                 if let Some(found) = self.accounts.get_mut(&account) {
-                    if let Some(contacts) = wanted.get("contact") {
+                    if let Some(contacts) = payload.get("contact") {
                         found.contacts = contacts.clone();
                     }
-                    found.active &= wanted["status"] != "deactivated";
+                    found.active &= payload["status"] != "deactivated";
                 }
-                Ok(self.account(200, account))
+                Ok(self.account_response(200, account))
             }
             ["account", n, "orders"] if number(n)? == account => {
-                let mine = self.orders.iter().filter(|(_, o)| o.account == account);
-                let urls: Vec<_> = mine.map(|(n, _)| self.url(&format!("order/{n}"))).collect();
+                let owned = self.orders.iter().filter(|(_, o)| o.account == account);
+                let urls: Vec<_> = owned
+                    .map(|(n, _)| self.url(&format!("order/{n}")))
+                    .collect();
                 Ok(ok(200, json!({"orders": urls})))
             }
-            _ => Err(missing()),
+            _ => Err(not_found()),
         }
     }
 
-    fn mine(&self, account: u64, order: u64) -> Result<(), Response> {
+    fn check_order_owner(&self, account: u64, order: u64) -> Result<(), Response> {
         let found = self
             .orders
             .get(&order)
@@ -607,8 +617,8 @@
             .ok_or_else(|| problem(404, "malformed", "no such order"))
     }
 
-    fn new_order(&mut self, now: u64, account: u64, wanted: &Value) -> Answer {
-        let all = wanted["identifiers"]
+    fn new_order(&mut self, now: u64, account: u64, payload: &Value) -> ResponseResult {
+        let all = payload["identifiers"]
             .as_array()
             .cloned()
             .unwrap_or_default();
@@ -633,11 +643,11 @@
                 json!({"type": format!("{ACME}rejectedIdentifier"), "detail": "told to refuse it",
                        "identifier": {"type": "dns", "value": n}})
             };
-            let mut answer = problem(403, "rejectedIdentifier", "names that can't be had");
-            let mut body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+            let mut response = problem(403, "rejectedIdentifier", "names that can't be had");
+            let mut body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
             body["subproblems"] = refused.iter().map(sub).collect();
-            answer.body = body.to_string().into_bytes();
-            return Err(answer);
+            response.body = body.to_string().into_bytes();
+            return Err(response);
         }
         if let Some(left) = &mut self.faults.orders_left {
             if *left == 0 {
@@ -645,30 +655,30 @@
             }
             *left -= 1;
         }
-        let expires = now + EXPIRES;
-        let mut auths = Vec::new();
+        let expires = now + ORDER_LIFETIME_S;
+        let mut authorizations = Vec::new();
         for name in &names {
-            let number = self.number();
+            let number = self.next_id();
             let token = encode([self.random().to_be_bytes(), self.random().to_be_bytes()].concat());
             let name = name.to_ascii_lowercase();
-            self.auths.insert(
+            self.authorizations.insert(
                 number,
-                Auth {
+                Authorization {
                     account,
                     name,
                     token,
                     state: "pending",
                     expires,
-                    begun: None,
+                    started_challenge: None,
                 },
             );
-            auths.push(number);
+            authorizations.push(number);
         }
-        let number = self.number();
+        let number = self.next_id();
         let order = Order {
             account,
             names: names.iter().map(|n| n.to_ascii_lowercase()).collect(),
-            auths,
+            authorizations,
             expires,
             state: None,
             certificate: None,
@@ -676,16 +686,20 @@
             error: Value::Null,
         };
         self.orders.insert(number, order);
-        Ok(self.order(now, 201, number))
+        Ok(self.order_response(now, 201, number))
     }
 
     /// Walks an order on and tells how it stands (section 7.1.6).
-    fn order(&mut self, now: u64, status: u16, number: u64) -> Response {
+    fn order_response(&mut self, now: u64, status: u16, number: u64) -> Response {
         if self.orders[&number].state == Some("processing") && !self.faults.stuck {
-            self.issue(now, number);
+            self.issue_certificate(now, number);
         }
         let order = &self.orders[&number];
-        let states: Vec<_> = order.auths.iter().map(|a| self.auths[a].state).collect();
+        let states: Vec<_> = order
+            .authorizations
+            .iter()
+            .map(|a| self.authorizations[a].state)
+            .collect();
         let state = match order.state {
             Some(state) => state,
             None if now > order.expires
@@ -701,38 +715,38 @@
             .iter()
             .map(|n| json!({"type": "dns", "value": n}))
             .collect();
-        let auths: Vec<_> = order
-            .auths
+        let authorizations: Vec<_> = order
+            .authorizations
             .iter()
             .map(|a| self.url(&format!("authz/{a}")))
             .collect();
         let mut body = json!({"status": state, "expires": rfc3339(order.expires), "identifiers": names,
-            "authorizations": auths, "finalize": self.url(&format!("order/{number}/finalize"))});
+            "authorizations": authorizations, "finalize": self.url(&format!("order/{number}/finalize"))});
         if let Some(cert) = order.certificate {
             body["certificate"] = self.url(&format!("cert/{cert}")).into();
         }
         if !order.error.is_null() {
             body["error"] = order.error.clone();
         }
-        let mut answer = ok(status, body);
-        answer
+        let mut response = ok(status, body);
+        response
             .fields
             .push(("Location", self.url(&format!("order/{number}"))));
         if state == "processing" {
-            answer.fields.push(("Retry-After", "1".into()));
+            response.fields.push(("Retry-After", "1".into()));
         }
-        answer
+        response
     }
 
-    fn finalize(&mut self, now: u64, number: u64, wanted: &Value) -> Answer {
+    fn finalize(&mut self, now: u64, number: u64, payload: &Value) -> ResponseResult {
         let state: Value =
-            serde_json::from_slice(&self.order(now, 200, number).body).unwrap_or_default();
+            serde_json::from_slice(&self.order_response(now, 200, number).body).unwrap_or_default();
         if state["status"] != "ready" {
             return Err(problem(403, "orderNotReady", "the order is not ready"));
         }
-        let csr = wanted["csr"].as_str().and_then(decode).unwrap_or_default();
+        let csr = payload["csr"].as_str().and_then(decode).unwrap_or_default();
         let bad = |why: &str| problem(400, "badCSR", why);
-        let names = Issuer::asked(&csr).map_err(|why| bad(&why))?;
+        let names = Issuer::requested_names(&csr).map_err(|why| bad(&why))?;
         let order = self
             .orders
             .get_mut(&number)
@@ -744,45 +758,48 @@
         // It is issued when it is looked at next: clients have to wait for that.
         let order = &self.orders[&number];
         let names = order.names.clone();
-        let auths: Vec<_> = order
-            .auths
+        let authorizations: Vec<_> = order
+            .authorizations
             .iter()
             .map(|a| self.url(&format!("authz/{a}")))
             .collect();
-        let mut answer = ok(
+        let mut response = ok(
             200,
-            json!({"status": "processing", "authorizations": auths,
+            json!({"status": "processing", "authorizations": authorizations,
                    "identifiers": names.iter().map(|n| json!({"type": "dns", "value": n})).collect::<Vec<_>>(),
                    "finalize": self.url(&format!("order/{number}/finalize"))}),
         );
-        answer
+        response
             .fields
             .push(("Location", self.url(&format!("order/{number}"))));
-        answer.fields.push(("Retry-After", "1".into()));
-        Ok(answer)
+        response.fields.push(("Retry-After", "1".into()));
+        Ok(response)
     }
 
-    fn issue(&mut self, now: u64, number: u64) {
+    fn issue_certificate(&mut self, now: u64, number: u64) {
         let (csr, account) = (
             self.orders[&number].csr.clone(),
             self.orders[&number].account,
         );
         let wrong = self.faults.wrong_chain;
-        let (from, until) = match wrong {
+        let (not_before, not_after) = match wrong {
             Some(WrongChain::Expired) => (
                 now.saturating_sub(2 * self.lifetime),
                 now.saturating_sub(self.lifetime),
             ),
             _ => (now.saturating_sub(60), now + self.lifetime),
         };
-        let made = self
-            .issuer
-            .chain(&csr, from, until, wrong == Some(WrongChain::OtherKey));
-        let cert = self.number();
+        let issued = self.issuer.chain(
+            &csr,
+            not_before,
+            not_after,
+            wrong == Some(WrongChain::OtherKey),
+        );
+        let cert = self.next_id();
         let Some(order) = self.orders.get_mut(&number) else {
             return;
         };
-        match made {
+        match issued {
             Ok((chain, serial)) => {
                 (order.state, order.certificate) = (Some("valid"), Some(cert));
                 self.issued.insert(
@@ -791,29 +808,29 @@
                         account,
                         chain,
                         serial,
-                        from,
-                        until,
+                        not_before,
+                        not_after,
                         revoked: false,
                     },
                 );
             }
-            Err(why) => {
+            Err(reason) => {
                 order.state = Some("invalid");
-                order.error = json!({"type": format!("{ACME}badCSR"), "detail": why});
+                order.error = json!({"type": format!("{ACME}badCSR"), "detail": reason});
             }
         }
     }
 
-    fn auth(&self, now: u64, number: u64) -> Value {
-        let auth = &self.auths[&number];
+    fn authorization(&self, now: u64, number: u64) -> Value {
+        let auth = &self.authorizations[&number];
         let state = if now > auth.expires && auth.state == "pending" {
             "expired"
         } else {
             auth.state
         };
         let challenge = |kind: &'static str| {
-            let (status, error) = match &auth.begun {
-                Some((begun, status, error)) if *begun == kind => (*status, error.clone()),
+            let (status, error) = match &auth.started_challenge {
+                Some((started, status, error)) if *started == kind => (*status, error.clone()),
                 _ => ("pending", Value::Null),
             };
             let mut found = json!({"type": kind, "status": status, "token": auth.token,
@@ -834,21 +851,21 @@
         account: u64,
         number: u64,
         kind: &str,
-        wanted: &Value,
-    ) -> Answer {
-        let missing = || problem(404, "malformed", "no such challenge");
+        payload: &Value,
+    ) -> ResponseResult {
+        let not_found = || problem(404, "malformed", "no such challenge");
         let kind = ["http-01", "tls-alpn-01"]
             .into_iter()
             .find(|k| *k == kind)
-            .ok_or_else(missing)?;
+            .ok_or_else(not_found)?;
         let auth = self
-            .auths
+            .authorizations
             .get(&number)
             .filter(|a| a.account == account)
-            .ok_or_else(missing)?;
-        if wanted.is_object() && auth.state == "pending" && auth.begun.is_none() {
-            let print = thumbprint(&self.accounts[&account].jwk).unwrap_or_default();
-            let authorization = format!("{}.{print}", auth.token);
+            .ok_or_else(not_found)?;
+        if payload.is_object() && auth.state == "pending" && auth.started_challenge.is_none() {
+            let key_thumbprint = thumbprint(&self.accounts[&account].jwk).unwrap_or_default();
+            let authorization = format!("{}.{key_thumbprint}", auth.token);
             let (name, token) = (auth.name.clone(), auth.token.clone());
             self.checks.push(Check {
                 auth: number,
@@ -857,12 +874,12 @@
                 token,
                 authorization,
             });
-            self.auths
+            self.authorizations
                 .get_mut(&number)
                 .into_iter()
-                .for_each(|a| a.begun = Some((kind, "processing", Value::Null)));
+                .for_each(|a| a.started_challenge = Some((kind, "processing", Value::Null)));
         }
-        let body = self.auth(now, number);
+        let body = self.authorization(now, number);
         let found = body["challenges"]
             .as_array()
             .into_iter()
@@ -873,11 +890,11 @@
     }
 
     /// RFC 8555, section 7.3.5.
-    fn key_change(&mut self, account: u64, wanted: &Value) -> Answer {
+    fn key_change(&mut self, account: u64, payload: &Value) -> ResponseResult {
         let bad = |why: &str| problem(400, "malformed", why);
-        let inner = Jws::read(wanted).ok_or_else(|| bad("no inner JWS"))?;
+        let inner = Jws::from_json(payload).ok_or_else(|| bad("no inner JWS"))?;
         let jwk = inner.header["jwk"].clone();
-        Self::verified(&inner, &jwk)?;
+        Self::verify_signature(&inner, &jwk)?;
         let claims: Value =
             serde_json::from_slice(&inner.payload).map_err(|_| bad("the claims are no JSON"))?;
         let url = format!("{}/key-change", self.base);
@@ -890,22 +907,26 @@
         {
             return Err(bad("the claims name another account or key"));
         }
-        let print = thumbprint(&jwk);
-        if self.accounts.values().any(|a| thumbprint(&a.jwk) == print) {
+        let key_thumbprint = thumbprint(&jwk);
+        if self
+            .accounts
+            .values()
+            .any(|a| thumbprint(&a.jwk) == key_thumbprint)
+        {
             return Err(problem(409, "malformed", "the key belongs to an account"));
         }
         self.accounts
             .get_mut(&account)
             .into_iter()
             .for_each(|a| a.jwk = jwk.clone());
-        Ok(self.account(200, account))
+        Ok(self.account_response(200, account))
     }
 
     /// Section 7.6: by the account that it was issued to.
-    fn revoke(&mut self, request: &Request) -> Answer {
-        let (account, payload) = self.signed(request)?;
-        let wanted: Value = serde_json::from_slice(&payload).unwrap_or_default();
-        let der = wanted["certificate"]
+    fn revoke(&mut self, request: &Request) -> ResponseResult {
+        let (account, payload) = self.authenticate(request)?;
+        let payload: Value = serde_json::from_slice(&payload).unwrap_or_default();
+        let der = payload["certificate"]
             .as_str()
             .and_then(decode)
             .unwrap_or_default();
@@ -917,7 +938,7 @@
             .iter()
             .map(|b| format!("{b:02x}"))
             .collect();
-        if wanted
+        if payload
             .get("reason")
             .is_some_and(|r| !matches!(r.as_u64(), Some(0..=6 | 8..=10)))
         {
@@ -939,7 +960,7 @@
     }
 
     /// RFC 9773, section 4.2.
-    fn renewal(&self, id: &str) -> Answer {
+    fn renewal(&self, id: &str) -> ResponseResult {
         let serial = id
             .split_once('.')
             .and_then(|(_, s)| decode(s))
@@ -948,19 +969,19 @@
         let found = self.issued.values().find(|c| c.serial == serial);
         let found = found.ok_or_else(|| problem(404, "malformed", "no such certificate"))?;
         let (start, end) = match (found.revoked, self.window) {
-            (true, _) => (found.from, found.from + 1),
-            (_, Some((start, end))) => (found.from + start, found.from + end),
+            (true, _) => (found.not_before, found.not_before + 1),
+            (_, Some((start, end))) => (found.not_before + start, found.not_before + end),
             _ => (
-                found.from + (found.until - found.from) * 2 / 3,
-                found.from + (found.until - found.from) * 3 / 4,
+                found.not_before + (found.not_after - found.not_before) * 2 / 3,
+                found.not_before + (found.not_after - found.not_before) * 3 / 4,
             ),
         };
-        let mut answer = ok(
+        let mut response = ok(
             200,
             json!({"suggestedWindow": {"start": rfc3339(start), "end": rfc3339(end)}}),
         );
-        answer.fields.push(("Retry-After", "21600".into()));
-        Ok(answer)
+        response.fields.push(("Retry-After", "21600".into()));
+        Ok(response)
     }
 }
 
--- a/standins/src/acme/authority/tests.rs
+++ b/standins/src/acme/authority/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn moments_are_written_as_rfc_3339_wants_them() {
+fn times_are_formatted_as_in_rfc_3339() {
     for (wall, text) in [
         (0, "1970-01-01T00:00:00Z"),
         (951_782_400, "2000-02-29T00:00:00Z"),
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_is_not_signed_rightly_gets_a_problem_and_a_nonce() {
+fn requests_without_a_valid_signature_get_a_problem_and_a_nonce() {
     let mut authority = Authority::new("https://a".into(), 7);
     let post = |body: &str, content_type: &str| Request {
         method: "POST".into(),
@@ -29,9 +29,9 @@
             400,
         ),
     ] {
-        let answer = authority.handle(0, &post(body, content_type));
-        assert_eq!(answer.status, status);
-        assert!(answer.fields.iter().any(|(n, _)| *n == "Replay-Nonce"));
+        let response = authority.handle(0, &post(body, content_type));
+        assert_eq!(response.status, status);
+        assert!(response.fields.iter().any(|(n, _)| *n == "Replay-Nonce"));
     }
     let get = Request {
         method: "GET".into(),
--- a/standins/src/acme/jws.rs
+++ b/standins/src/acme/jws.rs
@@ -16,45 +16,46 @@
 pub struct Jws {
     pub header: Value,
     pub payload: Vec<u8>,
-    input: String,
+    signing_input: String,
     signature: Vec<u8>,
 }
 
 impl Jws {
     pub fn parse(body: &[u8]) -> Option<Jws> {
         let value: Value = serde_json::from_slice(body).ok()?;
-        Self::read(&value)
+        Self::from_json(&value)
     }
 
-    pub fn read(value: &Value) -> Option<Jws> {
-        let part = |name: &str| value[name].as_str();
+    pub fn from_json(value: &Value) -> Option<Jws> {
+        let field = |name: &str| value[name].as_str();
         // Neither unprotected headers nor several signatures (section 6.2).
         if value.get("header").is_some() || value.get("signatures").is_some() {
             return None;
         }
-        let (protected, payload) = (part("protected")?, part("payload")?);
+        let (protected, payload) = (field("protected")?, field("payload")?);
         Some(Jws {
             header: serde_json::from_slice(&decode(protected)?).ok()?,
             payload: decode(payload)?,
-            input: format!("{protected}.{payload}"),
-            signature: decode(part("signature")?)?,
+            signing_input: format!("{protected}.{payload}"),
+            signature: decode(field("signature")?)?,
         })
     }
 
     /// Whether the public key (a JWK) made the signature, under the algorithm that belongs to that key.
     pub fn verifies(&self, jwk: &Value) -> Result<bool, &'static str> {
-        let number = |name: &str| jwk[name].as_str().and_then(decode);
-        let kind = (
+        let member = |name: &str| jwk[name].as_str().and_then(decode);
+        let key_type = (
             jwk["kty"].as_str().unwrap_or(""),
             jwk["crv"].as_str().unwrap_or(""),
         );
         let alg = self.header["alg"].as_str().unwrap_or("");
         let check = |algorithm: &'static dyn sig::VerificationAlgorithm, key: Vec<u8>| {
             let key = sig::UnparsedPublicKey::new(algorithm, key);
-            key.verify(self.input.as_bytes(), &self.signature).is_ok()
+            key.verify(self.signing_input.as_bytes(), &self.signature)
+                .is_ok()
         };
-        let point = || Some([vec![4], number("x")?, number("y")?].concat());
-        match (alg, kind) {
+        let point = || Some([vec![4], member("x")?, member("y")?].concat());
+        match (alg, key_type) {
             ("ES256", ("EC", "P-256")) => {
                 Ok(point().is_some_and(|p| check(&sig::ECDSA_P256_SHA256_FIXED, p)))
             }
@@ -62,13 +63,13 @@
                 Ok(point().is_some_and(|p| check(&sig::ECDSA_P384_SHA384_FIXED, p)))
             }
             ("EdDSA", ("OKP", "Ed25519")) => {
-                Ok(number("x").is_some_and(|x| check(&sig::ED25519, x)))
+                Ok(member("x").is_some_and(|x| check(&sig::ED25519, x)))
             }
-            ("RS256", ("RSA", _)) => Ok(number("n").zip(number("e")).is_some_and(|(n, e)| {
+            ("RS256", ("RSA", _)) => Ok(member("n").zip(member("e")).is_some_and(|(n, e)| {
                 let key = sig::RsaPublicKeyComponents { n, e };
                 key.verify(
                     &sig::RSA_PKCS1_2048_8192_SHA256,
-                    self.input.as_bytes(),
+                    self.signing_input.as_bytes(),
                     &self.signature,
                 )
                 .is_ok()
@@ -80,8 +81,8 @@
     /// Whether an HMAC key made the signature (RFC 8555, section 7.3.4).
     pub fn verifies_hmac(&self, key: &[u8]) -> bool {
         let key = ring::hmac::Key::new(ring::hmac::HMAC_SHA256, key);
-        let hs = self.header["alg"].as_str() == Some("HS256");
-        hs && ring::hmac::verify(&key, self.input.as_bytes(), &self.signature).is_ok()
+        let is_hs256 = self.header["alg"].as_str() == Some("HS256");
+        is_hs256 && ring::hmac::verify(&key, self.signing_input.as_bytes(), &self.signature).is_ok()
     }
 }
 
--- a/standins/src/acme/server.rs
+++ b/standins/src/acme/server.rs
@@ -1,6 +1,6 @@
 //! The authority on HTTPS, on loopback.
 use super::authority::{Authority, Faults, Request, Response};
-use super::validate::look;
+use super::validate::validate;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::{ServerConfig, ServerConnection, StreamOwned};
@@ -11,12 +11,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Connections at once; one more is closed.
-const CONNECTIONS_MOST: usize = 64;
-const REQUEST_MOST: usize = 256 * 1024;
+const MAX_CONNECTIONS: usize = 64;
+const MAX_REQUEST_BYTES: usize = 256 * 1024;
 /// A connection ends after this long without a byte.
-const SILENCE_MOST: Duration = Duration::from_secs(10);
-/// An answer that never ends does end here: bounded in bytes, so that no test hangs.
-const ENDLESS: usize = 16 << 20;
+const IO_TIMEOUT: Duration = Duration::from_secs(10);
+/// An response that never ends does end here: bounded in bytes, so that no test hangs.
+const MAX_ENDLESS_BYTES: usize = 16 << 20;
 
 struct Shared {
     authority: Mutex<Authority>,
@@ -24,7 +24,7 @@
     http_port: u16,
     tls_port: u16,
     stop: AtomicBool,
-    open: AtomicUsize,
+    connections: AtomicUsize,
 }
 
 impl Shared {
@@ -39,7 +39,7 @@
     shared: Arc<Shared>,
     /// Where it listens.
     pub address: SocketAddr,
-    accepting: Option<std::thread::JoinHandle<()>>,
+    accept_thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Server {
@@ -53,33 +53,33 @@
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
         let mut authority = Authority::new(format!("https://{address}"), seed);
-        let (key, chain) = authority.issuer.own();
-        let bad = |e: &dyn std::fmt::Display| io::Error::other(e.to_string());
+        let (key, chain) = authority.issuer.server_identity();
+        let other = |e: &dyn std::fmt::Display| io::Error::other(e.to_string());
         let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(chain.as_bytes()).collect();
-        let key = PrivateKeyDer::from_pem_slice(key.as_bytes()).map_err(|e| bad(&e))?;
+        let key = PrivateKeyDer::from_pem_slice(key.as_bytes()).map_err(|e| other(&e))?;
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let config = ServerConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .map_err(|e| bad(&e))?
+            .map_err(|e| other(&e))?
             .with_no_client_auth()
-            .with_single_cert(chain.map_err(|e| bad(&e))?, key)
-            .map_err(|e| bad(&e))?;
+            .with_single_cert(chain.map_err(|e| other(&e))?, key)
+            .map_err(|e| other(&e))?;
         let shared = Arc::new(Shared {
             authority: Mutex::new(authority),
             config: Arc::new(config),
             http_port,
             tls_port,
             stop: AtomicBool::new(false),
-            open: AtomicUsize::new(0),
+            connections: AtomicUsize::new(0),
         });
-        let accepting = {
+        let accept_thread = {
             let shared = Arc::clone(&shared);
             std::thread::spawn(move || accept(&shared, &listener))
         };
         Ok(Server {
             shared,
             address,
-            accepting: Some(accepting),
+            accept_thread: Some(accept_thread),
         })
     }
 
@@ -104,7 +104,7 @@
         self.shared.stop.store(true, Ordering::SeqCst);
         // Wakes the accepting thread; it may have ended already.
         drop(TcpStream::connect(self.address));
-        self.accepting.take().map(std::thread::JoinHandle::join);
+        self.accept_thread.take().map(std::thread::JoinHandle::join);
     }
 }
 
@@ -114,51 +114,57 @@
             return;
         }
         let Ok(socket) = socket else { continue };
-        if shared.open.fetch_add(1, Ordering::SeqCst) >= CONNECTIONS_MOST {
-            shared.open.fetch_sub(1, Ordering::SeqCst);
+        if shared.connections.fetch_add(1, Ordering::SeqCst) >= MAX_CONNECTIONS {
+            shared.connections.fetch_sub(1, Ordering::SeqCst);
             continue;
         }
         let shared = Arc::clone(shared);
         std::thread::spawn(move || {
             // A client that breaks off is its own affair.
-            let _ = converse(&shared, socket);
-            shared.open.fetch_sub(1, Ordering::SeqCst);
+            let _ = serve_connection(&shared, socket);
+            shared.connections.fetch_sub(1, Ordering::SeqCst);
         });
     }
 }
 
-fn converse(shared: &Arc<Shared>, socket: TcpStream) -> io::Result<()> {
+fn serve_connection(shared: &Arc<Shared>, socket: TcpStream) -> io::Result<()> {
     if shared.authority().faults.vanished {
         return Ok(());
     }
-    socket.set_read_timeout(Some(SILENCE_MOST))?;
-    socket.set_write_timeout(Some(SILENCE_MOST))?;
+    socket.set_read_timeout(Some(IO_TIMEOUT))?;
+    socket.set_write_timeout(Some(IO_TIMEOUT))?;
     socket.set_nodelay(true)?;
     let connection = ServerConnection::new(Arc::clone(&shared.config)).map_err(io::Error::other)?;
     let mut stream = StreamOwned::new(connection, socket);
-    let request = read(&mut stream)?;
+    let request = read_request(&mut stream)?;
     let wall = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_secs();
-    let (answer, checks, faults, now) = {
+    let (response, checks, faults, now) = {
         let mut authority = shared.authority();
-        let answer = if request.path == "/manage" && request.method == "POST" {
+        let response = if request.path == "/manage" && request.method == "POST" {
             manage(&mut authority, &request.body)
         } else {
             authority.handle(wall, &request)
         };
         let now = wall.saturating_add_signed(authority.clock);
-        (answer, authority.checks(), authority.faults.clone(), now)
+        (response, authority.checks(), authority.faults.clone(), now)
     };
     for check in checks {
         let shared = Arc::clone(shared);
         std::thread::spawn(move || {
-            let shown = look(&check, shared.http_port, shared.tls_port);
-            shared.authority().checked(&check, shown);
+            let result = validate(&check, shared.http_port, shared.tls_port);
+            shared.authority().checked(&check, result);
         });
     }
-    write(&mut stream, &answer, &faults, now, request.method == "HEAD")?;
+    write_response(
+        &mut stream,
+        &response,
+        &faults,
+        now,
+        request.method == "HEAD",
+    )?;
     stream.conn.send_close_notify();
     stream.flush()
 }
@@ -168,7 +174,7 @@
 fn manage(authority: &mut Authority, body: &[u8]) -> Response {
     #[derive(serde::Deserialize)]
     #[serde(deny_unknown_fields)]
-    struct Told {
+    struct Command {
         #[serde(default)]
         faults: Faults,
         clock: Option<i64>,
@@ -177,8 +183,8 @@
         #[serde(default)]
         forget_accounts: bool,
     }
-    let told: Told = match serde_json::from_slice(body) {
-        Ok(told) => told,
+    let command: Command = match serde_json::from_slice(body) {
+        Ok(command) => command,
         Err(e) => {
             return Response {
                 status: 400,
@@ -187,11 +193,11 @@
             }
         }
     };
-    authority.faults = told.faults;
-    authority.clock = told.clock.unwrap_or(authority.clock);
-    authority.lifetime = told.lifetime.unwrap_or(authority.lifetime);
-    authority.window = told.window.or(authority.window);
-    if told.forget_accounts {
+    authority.faults = command.faults;
+    authority.clock = command.clock.unwrap_or(authority.clock);
+    authority.lifetime = command.lifetime.unwrap_or(authority.lifetime);
+    authority.window = command.window.or(authority.window);
+    if command.forget_accounts {
         authority.forget_accounts();
     }
     Response {
@@ -201,18 +207,18 @@
     }
 }
 
-fn read(stream: &mut impl Read) -> io::Result<Request> {
+fn read_request(stream: &mut impl Read) -> io::Result<Request> {
     let (mut input, mut chunk) = (Vec::new(), [0; 4096]);
-    let bad = || io::Error::from(io::ErrorKind::InvalidData);
+    let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     loop {
         let n = stream.read(&mut chunk)?;
-        if n == 0 || input.len() + n > REQUEST_MOST {
-            return Err(bad());
+        if n == 0 || input.len() + n > MAX_REQUEST_BYTES {
+            return Err(invalid());
         }
         input.extend_from_slice(&chunk[..n]);
         let mut fields = [httparse::EMPTY_HEADER; 64];
         let mut head = httparse::Request::new(&mut fields);
-        let httparse::Status::Complete(used) = head.parse(&input).map_err(|_| bad())? else {
+        let httparse::Status::Complete(used) = head.parse(&input).map_err(|_| invalid())? else {
             continue;
         };
         let field = |name: &str| {
@@ -228,7 +234,7 @@
         let length = if length.is_empty() {
             0
         } else {
-            length.parse().map_err(|_| bad())?
+            length.parse().map_err(|_| invalid())?
         };
         if input.len() - used >= length {
             return Ok(Request {
@@ -241,30 +247,30 @@
     }
 }
 
-fn write(
+fn write_response(
     stream: &mut impl Write,
-    answer: &Response,
+    response: &Response,
     faults: &Faults,
     now: u64,
-    headless: bool,
+    is_head: bool,
 ) -> io::Result<()> {
     let date = httpdate::fmt_http_date(UNIX_EPOCH + Duration::from_secs(now));
     let mut head = format!(
         "HTTP/1.1 {} -\r\nDate: {date}\r\nConnection: close\r\n",
-        answer.status
+        response.status
     );
-    for (name, value) in &answer.fields {
+    for (name, value) in &response.fields {
         head += &format!("{name}: {value}\r\n");
     }
     if faults.endless {
         stream.write_all(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes())?;
         let chunk = [b"1000\r\n".to_vec(), vec![b' '; 4096], b"\r\n".to_vec()].concat();
-        return (0..ENDLESS / 4096).try_for_each(|_| stream.write_all(&chunk));
+        return (0..MAX_ENDLESS_BYTES / 4096).try_for_each(|_| stream.write_all(&chunk));
     }
-    head += &format!("Content-Length: {}\r\n\r\n", answer.body.len());
+    head += &format!("Content-Length: {}\r\n\r\n", response.body.len());
     let mut bytes = head.into_bytes();
-    if !headless {
-        bytes.extend(&answer.body);
+    if !is_head {
+        bytes.extend(&response.body);
     }
     if faults.cut {
         bytes.truncate(bytes.len() * 2 / 3);
--- a/standins/src/acme/validate.rs
+++ b/standins/src/acme/validate.rs
@@ -12,30 +12,31 @@
 use x509_parser::prelude::FromDer;
 
 /// A look ends after this long.
-const LOOK_MOST: Duration = Duration::from_secs(5);
-const BODY_MOST: usize = 8 * 1024;
+const VALIDATION_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_RESPONSE_BYTES: usize = 8 * 1024;
 
 fn connect(port: u16) -> Result<TcpStream, String> {
     let at = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
-    let socket = TcpStream::connect_timeout(&at, LOOK_MOST).map_err(|e| format!("connect: {e}"))?;
+    let socket =
+        TcpStream::connect_timeout(&at, VALIDATION_TIMEOUT).map_err(|e| format!("connect: {e}"))?;
     socket
-        .set_read_timeout(Some(LOOK_MOST))
+        .set_read_timeout(Some(VALIDATION_TIMEOUT))
         .map_err(|e| e.to_string())?;
     socket
-        .set_write_timeout(Some(LOOK_MOST))
+        .set_write_timeout(Some(VALIDATION_TIMEOUT))
         .map_err(|e| e.to_string())?;
     Ok(socket)
 }
 
 /// Looks at a challenge.
-pub fn look(check: &Check, http_port: u16, tls_port: u16) -> Result<(), String> {
+pub fn validate(check: &Check, http_port: u16, tls_port: u16) -> Result<(), String> {
     match check.kind {
-        "http-01" => http(check, http_port),
-        _ => tls_alpn(check, tls_port),
+        "http-01" => validate_http(check, http_port),
+        _ => validate_tls_alpn(check, tls_port),
     }
 }
 
-fn http(check: &Check, port: u16) -> Result<(), String> {
+fn validate_http(check: &Check, port: u16) -> Result<(), String> {
     let mut socket = connect(port)?;
     let request = format!(
         "GET /.well-known/acme-challenge/{} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\nAccept: */*\r\n\r\n",
@@ -44,34 +45,34 @@
     socket
         .write_all(request.as_bytes())
         .map_err(|e| format!("write: {e}"))?;
-    let (mut answer, mut chunk) = (Vec::new(), [0; 1024]);
-    let deadline = Instant::now() + LOOK_MOST;
-    while answer.len() < BODY_MOST && Instant::now() < deadline {
+    let (mut response, mut chunk) = (Vec::new(), [0; 1024]);
+    let deadline = Instant::now() + VALIDATION_TIMEOUT;
+    while response.len() < MAX_RESPONSE_BYTES && Instant::now() < deadline {
         match socket.read(&mut chunk).map_err(|e| format!("read: {e}"))? {
             0 => break,
-            n => answer.extend_from_slice(&chunk[..n]),
+            n => response.extend_from_slice(&chunk[..n]),
         }
     }
     let mut fields = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut fields);
-    let used = match head.parse(&answer) {
+    let used = match head.parse(&response) {
         Ok(httparse::Status::Complete(used)) if head.code == Some(200) => used,
         Ok(_) => return Err(format!("status {:?}", head.code)),
         Err(e) => return Err(format!("no answer: {e}")),
     };
-    let shown = String::from_utf8_lossy(&answer[used..])
+    let found = String::from_utf8_lossy(&response[used..])
         .trim_end()
         .to_string();
-    (shown == check.authorization)
+    (found == check.authorization)
         .then_some(())
         .ok_or_else(|| "another key authorization is shown".into())
 }
 
 /// Takes any certificate: what it holds is looked at afterwards.
 #[derive(Debug)]
-struct Any(Arc<CryptoProvider>);
+struct AcceptAnyCertificate(Arc<CryptoProvider>);
 
-impl Any {
+impl AcceptAnyCertificate {
     /// Whether the certificate's key made the signature. Not by the library's own way, which knows nothing of the
     /// critical extension.
     fn verify(
@@ -80,26 +81,27 @@
         cert: &CertificateDer<'_>,
         dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, rustls::Error> {
-        let bad = || rustls::Error::InvalidCertificate(rustls::CertificateError::BadSignature);
+        let invalid = || rustls::Error::InvalidCertificate(rustls::CertificateError::BadSignature);
         let (_, cert) =
-            x509_parser::certificate::X509Certificate::from_der(cert).map_err(|_| bad())?;
+            x509_parser::certificate::X509Certificate::from_der(cert).map_err(|_| invalid())?;
         let key = cert.public_key().subject_public_key.data.as_ref();
-        let known = self
+        let algorithms = self
             .0
             .signature_verification_algorithms
             .mapping
             .iter()
             .find(|(s, _)| *s == dss.scheme);
-        let made = known.is_some_and(|(_, all)| {
+        let verified = algorithms.is_some_and(|(_, all)| {
             all.iter()
                 .any(|a| a.verify_signature(key, message, dss.signature()).is_ok())
         });
-        made.then(HandshakeSignatureValid::assertion)
-            .ok_or_else(bad)
+        verified
+            .then(HandshakeSignatureValid::assertion)
+            .ok_or_else(invalid)
     }
 }
 
-impl ServerCertVerifier for Any {
+impl ServerCertVerifier for AcceptAnyCertificate {
     fn verify_server_cert(
         &self,
         _: &CertificateDer<'_>,
@@ -134,13 +136,13 @@
     }
 }
 
-fn tls_alpn(check: &Check, port: u16) -> Result<(), String> {
+fn validate_tls_alpn(check: &Check, port: u16) -> Result<(), String> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut config = ClientConfig::builder_with_provider(Arc::clone(&provider))
         .with_safe_default_protocol_versions()
         .map_err(|e| e.to_string())?
         .dangerous()
-        .with_custom_certificate_verifier(Arc::new(Any(provider)))
+        .with_custom_certificate_verifier(Arc::new(AcceptAnyCertificate(provider)))
         .with_no_client_auth();
     config.alpn_protocols = vec![b"acme-tls/1".to_vec()];
     let name = ServerName::try_from(check.name.clone()).map_err(|e| e.to_string())?;
@@ -162,10 +164,10 @@
         .ok_or("no certificate")?;
     let (_, cert) = x509_parser::certificate::X509Certificate::from_der(leaf)
         .map_err(|_| "no certificate".to_string())?;
-    let (mut names, mut shown) = (Vec::new(), None);
+    let (mut names, mut found) = (Vec::new(), None);
     for extension in cert.extensions() {
         if extension.oid.to_id_string() == "1.3.6.1.5.5.7.1.31" {
-            shown = extension.critical.then(|| extension.value.to_vec());
+            found = extension.critical.then(|| extension.value.to_vec());
         }
         if let ParsedExtension::SubjectAlternativeName(san) = extension.parsed_extension() {
             names.extend(san.general_names.iter().map(|n| match n {
@@ -179,8 +181,8 @@
     }
     let digest = ring::digest::digest(&ring::digest::SHA256, check.authorization.as_bytes());
     // An octet string of 32 bytes (RFC 8737, section 3).
-    let wanted = [&[4, 32][..], digest.as_ref()].concat();
-    (shown == Some(wanted))
+    let expected = [&[4, 32][..], digest.as_ref()].concat();
+    (found == Some(expected))
         .then_some(())
         .ok_or_else(|| "another key authorization is shown".into())
 }
--- a/standins/src/cache_node.rs
+++ b/standins/src/cache_node.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const RECORD_MOST: usize = 2_048;
-const STRING_MOST: usize = 1 << 20;
+const MAX_RECORD_BYTES: usize = 2_048;
+const MAX_STRING_BYTES: usize = 1 << 20;
 
 /// Unix milliseconds.
 pub fn unix_ms() -> u64 {
@@ -36,11 +36,11 @@
         lock(&self.tags).insert(item.into(), tags.iter().map(|t| t.to_string()).collect());
     }
 
-    fn fetch(&self, item: &str) -> Copy {
+    fn fetch(&self, item: &str) -> CachedCopy {
         self.fetches.fetch_add(1, Ordering::SeqCst);
         // Given out after the moment that it is dated by, never before.
         let born = unix_ms();
-        Copy {
+        CachedCopy {
             born,
             tags: lock(&self.tags).get(item).cloned().unwrap_or_default(),
         }
@@ -48,31 +48,31 @@
 }
 
 #[derive(Clone, Debug)]
-struct Copy {
+struct CachedCopy {
     born: u64,
     tags: Vec<String>,
 }
 
 #[derive(Clone, Default)]
-struct Held {
-    copies: HashMap<(String, String), Copy>,
-    ledger: u64,
+struct Store {
+    copies: HashMap<(String, String), CachedCopy>,
+    log_identity: u64,
     applied: u64,
     /// It was asked how it stands and said that it holds nothing: what was purged before does not concern it.
-    said_empty: bool,
+    reported_empty: bool,
 }
 
 struct Shared {
     origin: Arc<Origin>,
-    held: Mutex<Held>,
-    disk: bool,
+    store: Mutex<Store>,
+    has_disk: bool,
     /// The main store itself: it never misses.
-    main: bool,
+    is_origin: bool,
     alive: AtomicBool,
     /// Counts lives: what was begun in an earlier one is not gone on with.
-    life: AtomicU64,
-    lies: AtomicBool,
-    late_ms: AtomicU64,
+    generation: AtomicU64,
+    serve_stale: AtomicBool,
+    delay_ms: AtomicU64,
     sockets: Mutex<Vec<TcpStream>>,
     /// Batches that left something out.
     gaps: AtomicU64,
@@ -88,26 +88,26 @@
 impl CacheNode {
     /// A box that fetches from an origin; with a disk it keeps what it has over a death.
     pub fn start(origin: Arc<Origin>, disk: bool) -> io::Result<CacheNode> {
-        Self::begin(origin, disk, false)
+        Self::start_node(origin, disk, false)
     }
 
     /// The main store, as a member that never misses.
     pub fn start_origin(origin: Arc<Origin>) -> io::Result<CacheNode> {
-        Self::begin(origin, false, true)
+        Self::start_node(origin, false, true)
     }
 
-    fn begin(origin: Arc<Origin>, disk: bool, main: bool) -> io::Result<CacheNode> {
+    fn start_node(origin: Arc<Origin>, disk: bool, is_origin: bool) -> io::Result<CacheNode> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             origin,
-            held: Mutex::default(),
-            disk,
-            main,
+            store: Mutex::default(),
+            has_disk: disk,
+            is_origin,
             alive: AtomicBool::new(true),
-            life: AtomicU64::new(0),
-            lies: AtomicBool::new(false),
-            late_ms: AtomicU64::new(0),
+            generation: AtomicU64::new(0),
+            serve_stale: AtomicBool::new(false),
+            delay_ms: AtomicU64::new(0),
             sockets: Mutex::default(),
             gaps: AtomicU64::new(0),
         });
@@ -120,9 +120,9 @@
     /// Dies: its connections are reset or closed, what it held is gone unless it has a disk.
     pub fn kill(&self) {
         self.shared.alive.store(false, Ordering::SeqCst);
-        self.shared.life.fetch_add(1, Ordering::SeqCst);
-        if !self.shared.disk {
-            *lock(&self.shared.held) = Held::default();
+        self.shared.generation.fetch_add(1, Ordering::SeqCst);
+        if !self.shared.has_disk {
+            *lock(&self.shared.store) = Store::default();
         }
         for socket in lock(&self.shared.sockets).drain(..) {
             // It may be closed already.
@@ -136,18 +136,18 @@
     }
 
     /// Answers from what it has, whatever age it is asked for, or no longer.
-    pub fn set_serve_stale(&self, lies: bool) {
-        self.shared.lies.store(lies, Ordering::SeqCst);
+    pub fn set_serve_stale(&self, serve_stale: bool) {
+        self.shared.serve_stale.store(serve_stale, Ordering::SeqCst);
     }
 
     /// Waits so long before each answer.
     pub fn set_delay_ms(&self, ms: u64) {
-        self.shared.late_ms.store(ms, Ordering::SeqCst);
+        self.shared.delay_ms.store(ms, Ordering::SeqCst);
     }
 
     /// Everything up to this number is carried out.
     pub fn applied(&self) -> u64 {
-        lock(&self.shared.held).applied
+        lock(&self.shared.store).applied
     }
 
     /// Batches that left something out between what was carried out and what they brought.
@@ -168,21 +168,21 @@
         let shared = Arc::clone(shared);
         let thread = std::thread::Builder::new().stack_size(128 * 1024);
         // Out of threads is as good as a closed connection here.
-        let _ = thread.spawn(move || converse(&shared, socket));
+        let _ = thread.spawn(move || serve_connection(&shared, socket));
     }
 }
 
-fn converse(shared: &Shared, socket: TcpStream) -> Option<()> {
-    let life = shared.life.load(Ordering::SeqCst);
+fn serve_connection(shared: &Shared, socket: TcpStream) -> Option<()> {
+    let generation = shared.generation.load(Ordering::SeqCst);
     socket.set_nodelay(true).ok()?;
     let mut input = BufReader::new(socket);
     loop {
-        let words = command(&mut input)?;
-        let late = shared.late_ms.load(Ordering::SeqCst);
-        if late > 0 {
-            std::thread::sleep(Duration::from_millis(late));
+        let words = read_command(&mut input)?;
+        let delay_ms = shared.delay_ms.load(Ordering::SeqCst);
+        if delay_ms > 0 {
+            std::thread::sleep(Duration::from_millis(delay_ms));
         }
-        if shared.life.load(Ordering::SeqCst) != life {
+        if shared.generation.load(Ordering::SeqCst) != generation {
             return None;
         }
         let text = |i: usize| {
@@ -209,7 +209,7 @@
     }
 }
 
-fn command(input: &mut BufReader<TcpStream>) -> Option<Vec<Vec<u8>>> {
+fn read_command(input: &mut BufReader<TcpStream>) -> Option<Vec<Vec<u8>>> {
     fn number(input: &mut BufReader<TcpStream>) -> Option<usize> {
         let mut line = String::new();
         input.read_line(&mut line).ok().filter(|n| *n > 1)?;
@@ -217,7 +217,7 @@
             .trim_end()
             .parse()
             .ok()
-            .filter(|n| *n <= STRING_MOST)
+            .filter(|n| *n <= MAX_STRING_BYTES)
     }
     let mut words = Vec::new();
     for _ in 0..number(input)? {
@@ -252,24 +252,24 @@
         .and_then(|o| o.parse().ok())
         .unwrap_or(0);
     let now = unix_ms();
-    let held = lock(&shared.held).copies.get(&key).cloned();
-    let lies = shared.lies.load(Ordering::SeqCst);
-    let good = held.filter(|copy| lies || oldest == 0 || now <= copy.born + oldest);
-    let (copy, tell) = match good {
+    let cached = lock(&shared.store).copies.get(&key).cloned();
+    let serve_stale = shared.serve_stale.load(Ordering::SeqCst);
+    let usable = cached.filter(|copy| serve_stale || oldest == 0 || now <= copy.born + oldest);
+    let (copy, source) = match usable {
         Some(copy) => (copy, "local"),
         // Told of no source it is asked for what it holds alone.
-        None if !shared.main && field(fields, "from").is_none() => {
+        None if !shared.is_origin && field(fields, "from").is_none() => {
             return ("NONE", "tell=not_there".into(), String::new())
         }
         None => {
             let copy = shared.origin.fetch(&key.1);
-            lock(&shared.held).copies.insert(key, copy.clone());
+            lock(&shared.store).copies.insert(key, copy.clone());
             (copy, "pulled")
         }
     };
     let tags = copy.tags.join(";");
     let fields = format!(
-        "ver=4be0c1927d55a6f3,born={},tell={tell},tags={tags}",
+        "ver=4be0c1927d55a6f3,born={},tell={source},tags={tags}",
         copy.born
     );
     ("HIT", fields, format!("born={} tags={tags}", copy.born))
@@ -277,37 +277,37 @@
 
 /// Carries a batch out and tells how the box stands.
 fn purge(shared: &Shared, fields: &str, body: &[u8]) -> Option<String> {
-    let ledger = u64::from_str_radix(field(fields, "ledger")?, 16).ok()?;
+    let log_identity = u64::from_str_radix(field(fields, "ledger")?, 16).ok()?;
     let number = |name| field(fields, name).and_then(|n| n.parse::<u64>().ok());
     let (after, upto) = (number("after")?, number("upto")?);
-    let mut held = lock(&shared.held);
+    let mut store = lock(&shared.store);
     if upto > 0 {
-        if held.ledger != ledger {
-            (held.ledger, held.applied) = (ledger, 0);
+        if store.log_identity != log_identity {
+            (store.log_identity, store.applied) = (log_identity, 0);
         }
         // Without a copy nothing has to be carried out that came before.
-        if std::mem::take(&mut held.said_empty) || held.copies.is_empty() {
-            held.applied = held.applied.max(after);
+        if std::mem::take(&mut store.reported_empty) || store.copies.is_empty() {
+            store.applied = store.applied.max(after);
         }
-        if after > held.applied && !held.copies.is_empty() {
+        if after > store.applied && !store.copies.is_empty() {
             shared.gaps.fetch_add(1, Ordering::SeqCst);
         }
         let mut rest = body;
         while !rest.is_empty() {
-            let (record, used) = record(rest)?;
+            let (record, used) = parse_record(rest)?;
             rest = &rest[used..];
-            held.copies.retain(|(key, item), copy| {
-                copy.born >= record.at || !record.concerns(key, item, copy)
+            store.copies.retain(|(key, item), copy| {
+                copy.born >= record.at || !record.matches(key, item, copy)
             });
         }
-        held.applied = held.applied.max(upto);
+        store.applied = store.applied.max(upto);
     }
-    let empty = held.copies.is_empty() && upto == 0;
-    held.said_empty |= empty;
+    let empty = store.copies.is_empty() && upto == 0;
+    store.reported_empty |= empty;
     let empty = u8::from(empty);
     Some(format!(
         "ledger={:016x},upto={},empty={empty}",
-        held.ledger, held.applied
+        store.log_identity, store.applied
     ))
 }
 
@@ -319,32 +319,33 @@
 }
 
 impl Record {
-    fn concerns(&self, key: &str, item: &str, copy: &Copy) -> bool {
+    fn matches(&self, key: &str, item: &str, copy: &CachedCopy) -> bool {
         match self.kind {
             0 => item == format!("{:016x}", self.number),
             // A box is not told of groups: it lets all go.
             1 => true,
             2 => copy.tags.contains(&self.text),
-            _ => matches(self.text.as_bytes(), key.as_bytes()),
+            _ => pattern_matches(self.text.as_bytes(), key.as_bytes()),
         }
     }
 }
 
 /// Stars and question marks; other wildcards match all, which is on the safe side.
-fn matches(pattern: &[u8], text: &[u8]) -> bool {
+fn pattern_matches(pattern: &[u8], text: &[u8]) -> bool {
     match (pattern.first(), text.first()) {
         (None, None) => true,
         (Some(b'['), _) | (Some(b'{'), _) => true,
         (Some(b'*'), _) => {
-            matches(&pattern[1..], text) || !text.is_empty() && matches(pattern, &text[1..])
+            pattern_matches(&pattern[1..], text)
+                || !text.is_empty() && pattern_matches(pattern, &text[1..])
         }
-        (Some(b'?'), Some(_)) => matches(&pattern[1..], &text[1..]),
-        (Some(a), Some(b)) if a == b => matches(&pattern[1..], &text[1..]),
+        (Some(b'?'), Some(_)) => pattern_matches(&pattern[1..], &text[1..]),
+        (Some(a), Some(b)) if a == b => pattern_matches(&pattern[1..], &text[1..]),
         _ => false,
     }
 }
 
-fn crc(bytes: &[u8]) -> u32 {
+fn crc32(bytes: &[u8]) -> u32 {
     !bytes.iter().fold(!0u32, |mut crc, byte| {
         crc ^= u32::from(*byte);
         for _ in 0..8 {
@@ -355,11 +356,13 @@
 }
 
 /// The first record, and its length in bytes; `None`: it is not as the protocol page has it.
-fn record(bytes: &[u8]) -> Option<(Record, usize)> {
+fn parse_record(bytes: &[u8]) -> Option<(Record, usize)> {
     let size = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
-    let payload = bytes.get(8..8 + size).filter(|_| size <= RECORD_MOST)?;
-    let told = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
-    if crc(&[&bytes[..4], payload].concat()) != told {
+    let payload = bytes
+        .get(8..8 + size)
+        .filter(|_| size <= MAX_RECORD_BYTES)?;
+    let checksum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
+    if crc32(&[&bytes[..4], payload].concat()) != checksum {
         return None;
     }
     let at = u64::from_le_bytes(payload.get(8..16)?.try_into().ok()?);
