--- a/standins/src/acme/authority.rs
+++ b/standins/src/acme/authority.rs
@@ -1,4 +1,4 @@
-//! The authority without sockets: what each request means, by RFC 8555.
+//! The authority without I/O: processes requests as RFC 8555 defines them.
 use super::issue::Issuer;
 use super::jws::{decode, encode, thumbprint, Jws};
 use serde::Deserialize;
@@ -7,78 +7,78 @@
 use x509_parser::prelude::FromDer;
 
 const ACME: &str = "urn:ietf:params:acme:error:";
-/// Nonces that are remembered as given out; the oldest are forgotten first.
+/// Unused nonces that are accepted; beyond that, one is discarded for each new one.
 const MAX_NONCES: usize = 10_000;
-/// Orders and authorizations are good for this long, in seconds.
+/// Time until an order and its authorizations expire.
 const ORDER_LIFETIME_S: u64 = 7 * 86_400;
 
-/// A request, as HTTP brought it.
+/// An HTTP request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Method.
+    /// The HTTP method, in upper case.
     pub method: String,
-    /// Path with query.
+    /// Path and query of the request target.
     pub path: String,
-    /// `Content-Type`.
+    /// Value of the `Content-Type` field; empty if there is none.
     pub content_type: String,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// An response.
+/// An HTTP response.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Fields beside those of the message itself.
+    /// Header fields, without `Date`, `Connection` and the fields that frame the body.
     pub fields: Vec<(&'static str, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// A chain that nobody can use.
+/// Ways in which an issued chain is unusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WrongChain {
-    /// For another key.
+    /// The certificate has another public key than the signing request.
     OtherKey,
-    /// It has ended.
+    /// The certificate has expired.
     Expired,
 }
 
-/// What the authority does wrong, or otherwise than at best.
+/// Faults that the authority injects.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Names that no order may hold (`rejectedIdentifier`).
+    /// Names for which orders are rejected with `rejectedIdentifier`.
     pub refuse: BTreeSet<String>,
-    /// Names whose challenges fail, whatever is shown.
+    /// Names whose challenges fail, whatever the validation finds.
     pub unprovable: BTreeSet<String>,
-    /// Orders that are still taken before all are answered `rateLimited`.
+    /// Number of orders to accept before further ones are rejected with `rateLimited`; `None` for no limit.
     pub orders_left: Option<u32>,
-    /// `Retry-After` with `rateLimited` and 503, in seconds.
+    /// Value of `Retry-After` in responses with the status 429 or 503, in seconds.
     pub retry_after: Option<u64>,
-    /// All is answered 503.
+    /// Every request gets the status 503.
     pub down: bool,
-    /// So many signed requests are answered `badNonce`.
+    /// Number of signed requests to reject with `badNonce`.
     pub bad_nonces: u32,
-    /// Orders stay in `processing`.
+    /// Finalized orders stay in the state `processing`.
     pub stuck: bool,
-    /// Orders that were made are not known any more.
+    /// Existing orders are reported as not found.
     pub lose_orders: bool,
-    /// What is wrong with chains.
+    /// Defect of the chains that are issued.
     pub wrong_chain: Option<WrongChain>,
-    /// Connections end without an response.
+    /// Connections are closed without a response.
     pub vanished: bool,
-    /// A pause before each byte of an response, in milliseconds.
+    /// Pause after each byte of a response, in milliseconds.
     pub slow_ms: u64,
-    /// Answers stop in the middle.
+    /// Responses are truncated.
     pub cut: bool,
-    /// Answers never end.
+    /// Responses have a body of excessive length.
     pub endless: bool,
-    /// Answers are no JSON.
+    /// Bodies of responses are not valid JSON.
     pub malformed: bool,
-    /// URLs lead to another place.
+    /// Base URL that replaces the authority's own in the URLs that it returns.
     pub elsewhere: Option<String>,
 }
 
@@ -93,7 +93,7 @@
     names: Vec<String>,
     authorizations: Vec<u64>,
     expires: u64,
-    /// `pending` and `ready` follow from the authorizations; these do not.
+    /// State after finalization; before that, the state follows from the authorizations.
     state: Option<&'static str>,
     certificate: Option<u64>,
     csr: Vec<u8>,
@@ -106,7 +106,7 @@
     token: String,
     state: &'static str,
     expires: u64,
-    /// The challenge that was begun: its type, state and error.
+    /// Type, state and error of the challenge that the client has started.
     started_challenge: Option<(&'static str, &'static str, Value)>,
 }
 
@@ -119,35 +119,36 @@
     revoked: bool,
 }
 
-/// A challenge that has to be looked at.
+/// A challenge that is to be validated.
 #[derive(Clone, Debug)]
 pub struct Check {
-    /// Of the authorization.
+    /// Number of the authorization.
     pub auth: u64,
-    /// `http-01` or `tls-alpn-01`.
+    /// Challenge type: `http-01` or `tls-alpn-01`.
     pub kind: &'static str,
-    /// The name.
+    /// DNS name to validate.
     pub name: String,
-    /// The token.
+    /// Token of the challenge.
     pub token: String,
-    /// What has to be shown.
+    /// Key authorization that the client must present.
     pub authorization: String,
 }
 
-/// The authority.
+/// State of a test authority.
 pub struct Authority {
     base: String,
-    /// Its keys.
+    /// Keys and certificates of the CA.
     pub issuer: Issuer,
-    /// What it does wrong.
+    /// Faults to inject.
     pub faults: Faults,
-    /// Seconds that a certificate lives.
+    /// Validity period of issued certificates, in seconds.
     pub lifetime: u64,
-    /// Seconds by which its clock is moved.
+    /// Offset of the authority's clock, in seconds.
     pub clock: i64,
-    /// Windows that it names for renewal, in seconds from a certificate's start.
+    /// Renewal window that it suggests, as offsets from a certificate's start in seconds; by default two thirds to three quarters
+    /// of the validity period.
     pub window: Option<(u64, u64)>,
-    /// External accounts that it knows; if there are any, one is required.
+    /// HMAC keys of external accounts by key id; if there are any, new accounts must be bound to one.
     pub external: BTreeMap<String, Vec<u8>>,
     accounts: BTreeMap<u64, Account>,
     orders: BTreeMap<u64, Order>,
@@ -157,7 +158,7 @@
     checks: Vec<Check>,
     last_id: u64,
     rng: u64,
-    /// Requests answered, by the first step of their path.
+    /// Number of requests by the first segment of their path.
     pub request_counts: BTreeMap<String, u64>,
 }
 
@@ -182,10 +183,10 @@
     }
 }
 
-/// Seconds since the Unix epoch as RFC 3339 wants them.
+/// Formats seconds since the Unix epoch as an RFC 3339 date and time.
 fn rfc3339(wall: u64) -> String {
     let (days, rest) = (wall / 86_400, wall % 86_400);
-    // Civil date from days, by the usual shift to years that begin in March.
+    // Conversion of days to a civil date, with years that begin in March.
     let z = days + 719_468;
     let (era, doe) = (z / 146_097, z % 146_097);
     let yoe = (doe - doe / 1_460 + doe / 36_524 - doe / 146_096) / 365;
@@ -205,7 +206,7 @@
 }
 
 impl Authority {
-    /// An authority at a base URL without a slash at its end. `seed`: of its tokens and nonces.
+    /// Creates an authority; `base` is its base URL without a trailing slash, `seed` determines tokens and nonces.
     pub fn new(base: String, seed: u64) -> Self {
         Authority {
             base,
@@ -227,22 +228,22 @@
         }
     }
 
-    /// URL of its directory.
+    /// URL of the ACME directory.
     pub fn directory(&self) -> String {
         format!("{}/directory", self.base)
     }
 
-    /// Moves its place: the port is known once it listens.
+    /// Sets the base URL, without a trailing slash.
     pub fn set_base(&mut self, base: String) {
         self.base = base;
     }
 
-    /// Forgets all accounts.
+    /// Deletes all accounts.
     pub fn forget_accounts(&mut self) {
         self.accounts.clear();
     }
 
-    /// Certificates issued so far: serial, names' order is not kept, and whether it is revoked.
+    /// Serial number, in hexadecimal, and revocation status of each issued certificate.
     pub fn issued(&self) -> Vec<(String, bool)> {
         self.issued
             .values()
@@ -250,17 +251,17 @@
             .collect()
     }
 
-    /// Orders made so far.
+    /// Number of orders created.
     pub fn orders(&self) -> usize {
         self.orders.len()
     }
 
-    /// Challenges to be looked at; each has to be answered by [`Authority::checked`].
+    /// Takes the challenges that are to be validated; the caller passes each result to [`Authority::checked`].
     pub fn checks(&mut self) -> Vec<Check> {
         std::mem::take(&mut self.checks)
     }
 
-    /// A challenge was looked at.
+    /// Records the result of a validation.
     pub fn checked(&mut self, check: &Check, result: Result<(), String>) {
         let unprovable = self.faults.unprovable.contains(&check.name);
         let Some(auth) = self
@@ -312,7 +313,7 @@
         encode(nonce.to_be_bytes())
     }
 
-    /// Answers a request at a second of the wall clock.
+    /// Processes a request; `wall` is the time in seconds since the Unix epoch.
     pub fn handle(&mut self, wall: u64, request: &Request) -> Response {
         let now = wall.saturating_add_signed(self.clock);
         let path = request
@@ -389,7 +390,7 @@
         )
     }
 
-    /// Form, nonce and URL of a signed request (sections 6.2 to 6.5).
+    /// Parses a signed request and checks its format, nonce and URL (RFC 8555, sections 6.2 to 6.5).
     fn parse_signed(&mut self, request: &Request) -> Result<Jws, Response> {
         if request.content_type != "application/jose+json" {
             return Err(problem(
@@ -434,7 +435,7 @@
         }
     }
 
-    /// The account that signed a request, by its URL, and the payload.
+    /// Verifies a request signed by an account; returns the account and the payload.
     fn authenticate(&mut self, request: &Request) -> Result<(u64, Vec<u8>), Response> {
         let jws = self.parse_signed(request)?;
         let prefix = format!("{}/account/", self.base);
@@ -540,7 +541,7 @@
         let not_found = || problem(404, "malformed", "no such thing");
         let number = |text: &str| text.parse::<u64>().map_err(|_| not_found());
         let payload: Value = match payload {
-            // POST-as-GET (section 6.3).
+            // POST-as-GET (RFC 8555, section 6.3).
             [] => Value::Null,
             _ => serde_json::from_slice(payload)
                 .map_err(|_| problem(400, "malformed", "the payload is no JSON"))?,
@@ -689,7 +690,7 @@
         Ok(self.order_response(now, 201, number))
     }
 
-    /// Walks an order on and tells how it stands (section 7.1.6).
+    /// Issues the certificate if the order is due for it, and returns the order object (RFC 8555, section 7.1.6).
     fn order_response(&mut self, now: u64, status: u16, number: u64) -> Response {
         if self.orders[&number].state == Some("processing") && !self.faults.stuck {
             self.issue_certificate(now, number);
@@ -755,7 +756,7 @@
             return Err(bad("the names are not those of the order"));
         }
         (order.csr, order.state) = (csr, Some("processing"));
-        // It is issued when it is looked at next: clients have to wait for that.
+        // The certificate is issued at the next request for the order, so that clients have to poll.
         let order = &self.orders[&number];
         let names = order.names.clone();
         let authorizations: Vec<_> = order
@@ -889,7 +890,7 @@
         Ok(ok(200, found.unwrap_or_default()))
     }
 
-    /// RFC 8555, section 7.3.5.
+    /// Changes the key of an account (RFC 8555, section 7.3.5).
     fn key_change(&mut self, account: u64, payload: &Value) -> ResponseResult {
         let bad = |why: &str| problem(400, "malformed", why);
         let inner = Jws::from_json(payload).ok_or_else(|| bad("no inner JWS"))?;
@@ -922,7 +923,7 @@
         Ok(self.account_response(200, account))
     }
 
-    /// Section 7.6: by the account that it was issued to.
+    /// Revokes a certificate at the request of the account that it was issued to (RFC 8555, section 7.6).
     fn revoke(&mut self, request: &Request) -> ResponseResult {
         let (account, payload) = self.authenticate(request)?;
         let payload: Value = serde_json::from_slice(&payload).unwrap_or_default();
@@ -959,7 +960,7 @@
         })
     }
 
-    /// RFC 9773, section 4.2.
+    /// Returns the renewal information of a certificate (RFC 9773, section 4.2).
     fn renewal(&self, id: &str) -> ResponseResult {
         let serial = id
             .split_once('.')
--- a/standins/src/acme/issue.rs
+++ b/standins/src/acme/issue.rs
@@ -1,11 +1,11 @@
-//! Root, intermediate and leaves.
+//! Root, intermediate and leaf certificates.
 use rcgen::{
     BasicConstraints, CertificateParams, CertificateSigningRequestParams, DnType,
     ExtendedKeyUsagePurpose, IsCa, KeyPair, KeyUsagePurpose, SanType,
 };
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A certificate authority's keys: a root and an intermediate under it.
+/// Root and intermediate CA that issue the certificates.
 pub struct Issuer {
     root_pem: String,
     root: rcgen::Issuer<'static, KeyPair>,
@@ -23,7 +23,7 @@
     params.distinguished_name.push(DnType::CommonName, name);
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-    // From long ago to far ahead: the clock of a test may stand anywhere.
+    // Valid at any time to which a test may set its clock.
     (params.not_before, params.not_after) = (date(0), date(4_000_000_000));
     params
 }
@@ -35,18 +35,21 @@
 }
 
 impl Issuer {
-    /// New keys. Panics if the library can't make them.
+    /// Creates a CA with new keys. Panics if key generation or signing fails.
     pub fn new() -> Self {
-        let key = KeyPair::generate().expect("a root key");
+        let key = KeyPair::generate().expect("cannot generate the root key");
         let params = ca_params("Stand-in Root");
-        let root_pem = params.self_signed(&key).expect("a root").pem();
+        let root_pem = params
+            .self_signed(&key)
+            .expect("cannot sign the root certificate")
+            .pem();
         let root = rcgen::Issuer::new(params, key);
-        let key = KeyPair::generate().expect("an intermediate key");
+        let key = KeyPair::generate().expect("cannot generate the intermediate key");
         let mut params = ca_params("Stand-in Intermediate");
         params.use_authority_key_identifier_extension = true;
         let intermediate_pem = params
             .signed_by(&key, &root)
-            .expect("an intermediate")
+            .expect("cannot sign the intermediate certificate")
             .pem();
         let intermediate = rcgen::Issuer::new(params, key);
         let start = SystemTime::now()
@@ -61,24 +64,27 @@
         }
     }
 
-    /// The root, in PEM.
+    /// The root certificate, in PEM.
     pub fn root(&self) -> &str {
         &self.root_pem
     }
 
-    /// A key and a certificate for the authority's own HTTPS, in PEM.
+    /// Private key and certificate for the authority's HTTPS server, in PEM. Panics if key generation or signing fails.
     pub fn server_identity(&mut self) -> (String, String) {
-        let key = KeyPair::generate().expect("a key");
-        let mut params = CertificateParams::new(vec!["localhost".into()]).expect("a name");
+        let key = KeyPair::generate().expect("cannot generate the server key");
+        let mut params =
+            CertificateParams::new(vec!["localhost".into()]).expect("invalid server name");
         params
             .subject_alt_names
             .push(SanType::IpAddress([127, 0, 0, 1].into()));
         (params.not_before, params.not_after) = (date(0), date(4_000_000_000));
-        let cert = params.signed_by(&key, &self.root).expect("a certificate");
+        let cert = params
+            .signed_by(&key, &self.root)
+            .expect("cannot sign the server certificate");
         (key.serialize_pem(), cert.pem())
     }
 
-    /// Names in a signing request (DER), in lower case and order; the error says what is wrong with it.
+    /// DNS names of a signing request (DER), in lower case, sorted and without duplicates.
     pub fn requested_names(csr: &[u8]) -> Result<Vec<String>, String> {
         let request =
             CertificateSigningRequestParams::from_der(&csr.into()).map_err(|e| e.to_string())?;
@@ -94,8 +100,9 @@
         Ok(names)
     }
 
-    /// A chain for a signing request, leaf first, without the root; it holds from one second to another. `other`:
-    /// for a key that nobody asked for.
+    /// Issues a certificate for a signing request (DER). Returns the chain in PEM, leaf first and without the root, and the
+    /// serial number in hexadecimal. The validity period is in seconds since the Unix epoch; `other_key` replaces the key of
+    /// the request by a new one.
     pub fn chain(
         &mut self,
         csr: &[u8],
--- a/standins/src/acme/jws.rs
+++ b/standins/src/acme/jws.rs
@@ -1,4 +1,4 @@
-//! Verifies flattened JWS (RFC 7515; RFC 8555, section 6.2).
+//! Parses and verifies JWS in the flattened JSON serialization (RFC 7515; RFC 8555, section 6.2).
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use ring::signature as sig;
@@ -12,7 +12,7 @@
     URL_SAFE_NO_PAD.decode(text).ok()
 }
 
-/// A JWS whose form is right; its signature is not verified yet.
+/// A well-formed JWS whose signature is not verified yet.
 pub struct Jws {
     pub header: Value,
     pub payload: Vec<u8>,
@@ -28,7 +28,7 @@
 
     pub fn from_json(value: &Value) -> Option<Jws> {
         let field = |name: &str| value[name].as_str();
-        // Neither unprotected headers nor several signatures (section 6.2).
+        // ACME excludes unprotected headers and multiple signatures (RFC 8555, section 6.2).
         if value.get("header").is_some() || value.get("signatures").is_some() {
             return None;
         }
@@ -41,7 +41,8 @@
         })
     }
 
-    /// Whether the public key (a JWK) made the signature, under the algorithm that belongs to that key.
+    /// Whether the signature verifies with a public key (JWK). The error is the ACME problem type for an algorithm that is not
+    /// supported or does not fit the key.
     pub fn verifies(&self, jwk: &Value) -> Result<bool, &'static str> {
         let member = |name: &str| jwk[name].as_str().and_then(decode);
         let key_type = (
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Whether an HMAC key made the signature (RFC 8555, section 7.3.4).
+    /// Whether the signature is an HS256 MAC by this key (RFC 8555, section 7.3.4).
     pub fn verifies_hmac(&self, key: &[u8]) -> bool {
         let key = ring::hmac::Key::new(ring::hmac::HMAC_SHA256, key);
         let is_hs256 = self.header["alg"].as_str() == Some("HS256");
@@ -86,7 +87,7 @@
     }
 }
 
-/// The thumbprint of a JWK (RFC 7638), in base64url; `None`: it lacks a member.
+/// Thumbprint of a JWK (RFC 7638) in base64url; `None` if the key type is not supported or a member is missing.
 pub fn thumbprint(jwk: &Value) -> Option<String> {
     let names: &[&str] = match jwk["kty"].as_str()? {
         "EC" => &["crv", "kty", "x", "y"],
--- a/standins/src/acme/mod.rs
+++ b/standins/src/acme/mod.rs
@@ -1,7 +1,7 @@
-//! An ACME authority (RFC 8555, RFC 8737, RFC 9773), as strict as a public one.
+//! A test ACME authority (RFC 8555, RFC 8737, RFC 9773) that checks requests as strictly as a public one.
 //!
-//! [`Authority`] is its core: requests go in, answers come out, time is told. [`Server`] puts it on HTTPS and really
-//! looks at challenges, on loopback. [`Faults`] are what it can be told to do wrong.
+//! [`Authority`] processes requests without I/O; the caller supplies the time. [`Server`] serves it over HTTPS and validates
+//! challenges on loopback. [`Faults`] lists the faults that tests can inject.
 mod authority;
 mod issue;
 mod jws;
--- a/standins/src/acme/server.rs
+++ b/standins/src/acme/server.rs
@@ -1,4 +1,4 @@
-//! The authority on HTTPS, on loopback.
+//! HTTPS server of the test authority.
 use super::authority::{Authority, Faults, Request, Response};
 use super::validate::validate;
 use rustls::pki_types::pem::PemObject;
@@ -10,12 +10,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Connections at once; one more is closed.
+/// Open connections; further ones are closed.
 const MAX_CONNECTIONS: usize = 64;
 const MAX_REQUEST_BYTES: usize = 256 * 1024;
-/// A connection ends after this long without a byte.
+/// Timeout of each read from and write to a client.
 const IO_TIMEOUT: Duration = Duration::from_secs(10);
-/// An response that never ends does end here: bounded in bytes, so that no test hangs.
+/// Bounds the body of an "endless" response, so that no test hangs.
 const MAX_ENDLESS_BYTES: usize = 16 << 20;
 
 struct Shared {
@@ -29,21 +29,22 @@
 
 impl Shared {
     fn authority(&self) -> MutexGuard<'_, Authority> {
-        // A panic elsewhere has been told there.
+        // The thread that panicked reports the panic; the state stays usable.
         self.authority.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
-/// A running authority; it ends when this is dropped.
+/// A running authority, which is stopped when this is dropped.
 pub struct Server {
     shared: Arc<Shared>,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     accept_thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Server {
-    /// Listens on an address; challenges are looked at on the two ports of loopback. `seed`: of tokens and nonces.
+    /// Starts an authority on an address. It validates challenges on `http_port` and `tls_port` of loopback; `seed` determines
+    /// tokens and nonces.
     pub fn start(
         listen: SocketAddr,
         http_port: u16,
@@ -83,17 +84,17 @@
         })
     }
 
-    /// The authority, to look into it or to tell it what to do wrong.
+    /// Locks the authority, to inspect it or to inject faults.
     pub fn authority(&self) -> MutexGuard<'_, Authority> {
         self.shared.authority()
     }
 
-    /// The root of its HTTPS and of what it issues, in PEM.
+    /// Root certificate of the HTTPS server and of the issued certificates, in PEM.
     pub fn root(&self) -> String {
         self.authority().issuer.root().to_string()
     }
 
-    /// URL of its directory.
+    /// URL of the ACME directory.
     pub fn directory(&self) -> String {
         self.authority().directory()
     }
@@ -102,7 +103,7 @@
 impl Drop for Server {
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::SeqCst);
-        // Wakes the accepting thread; it may have ended already.
+        // The connection unblocks the accept thread; it fails if the thread has ended.
         drop(TcpStream::connect(self.address));
         self.accept_thread.take().map(std::thread::JoinHandle::join);
     }
@@ -120,7 +121,7 @@
         }
         let shared = Arc::clone(shared);
         std::thread::spawn(move || {
-            // A client that breaks off is its own affair.
+            // Errors of one connection do not concern the server.
             let _ = serve_connection(&shared, socket);
             shared.connections.fetch_sub(1, Ordering::SeqCst);
         });
@@ -169,8 +170,8 @@
     stream.flush()
 }
 
-/// Tells the authority what to do wrong: a JSON object of [`Faults`], with `clock` and `lifetime` beside, in
-/// seconds. What is not named is as it should be.
+/// Processes a `/manage` request, whose body is a JSON object. `faults` replaces all injected [`Faults`]; `clock`, `lifetime` (in
+/// seconds) and `window` keep their values if they are absent; `forget_accounts` deletes all accounts.
 fn manage(authority: &mut Authority, body: &[u8]) -> Response {
     #[derive(serde::Deserialize)]
     #[serde(deny_unknown_fields)]
--- a/standins/src/acme/validate.rs
+++ b/standins/src/acme/validate.rs
@@ -1,4 +1,4 @@
-//! Looks at challenges on loopback (RFC 8555, section 8.3; RFC 8737, section 3).
+//! Validates challenges on loopback (RFC 8555, section 8.3; RFC 8737, section 3).
 use super::authority::Check;
 use rustls::client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier};
 use rustls::crypto::CryptoProvider;
@@ -11,7 +11,7 @@
 use x509_parser::extensions::{GeneralName, ParsedExtension};
 use x509_parser::prelude::FromDer;
 
-/// A look ends after this long.
+/// Timeout of the connection and of each read and write; also bounds reading a whole HTTP response.
 const VALIDATION_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_RESPONSE_BYTES: usize = 8 * 1024;
 
@@ -28,7 +28,7 @@
     Ok(socket)
 }
 
-/// Looks at a challenge.
+/// Validates a challenge; the error says what failed.
 pub fn validate(check: &Check, http_port: u16, tls_port: u16) -> Result<(), String> {
     match check.kind {
         "http-01" => validate_http(check, http_port),
@@ -68,13 +68,13 @@
         .ok_or_else(|| "another key authorization is shown".into())
 }
 
-/// Takes any certificate: what it holds is looked at afterwards.
+/// Accepts any certificate; its contents are checked after the handshake.
 #[derive(Debug)]
 struct AcceptAnyCertificate(Arc<CryptoProvider>);
 
 impl AcceptAnyCertificate {
-    /// Whether the certificate's key made the signature. Not by the library's own way, which knows nothing of the
-    /// critical extension.
+    /// Verifies a handshake signature by the certificate's key. The verification of the TLS library would reject the critical
+    /// extension of the challenge.
     fn verify(
         &self,
         message: &[u8],
@@ -180,7 +180,7 @@
         return Err("the certificate does not name just the name".into());
     }
     let digest = ring::digest::digest(&ring::digest::SHA256, check.authorization.as_bytes());
-    // An octet string of 32 bytes (RFC 8737, section 3).
+    // DER encoding of an octet string of 32 bytes (RFC 8737, section 3).
     let expected = [&[4, 32][..], digest.as_ref()].concat();
     (found == Some(expected))
         .then_some(())
--- a/standins/src/cache_node.rs
+++ b/standins/src/cache_node.rs
@@ -1,5 +1,5 @@
-//! Cache boxes that hold tagged objects and speak of purges (the project's own protocol page), stale on purpose where
-//! told so: they lie, they are late, they die with and without their disk.
+//! Cache nodes of the cache protocol that hold tagged objects and apply purges. Tests can make a node serve stale copies, delay
+//! its responses, and kill it with or without loss of its copies.
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 const MAX_RECORD_BYTES: usize = 2_048;
 const MAX_STRING_BYTES: usize = 1 << 20;
 
-/// Unix milliseconds.
+/// Milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -22,23 +22,23 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// What boxes fetch from: the tags of each object now, and how often it was asked.
+/// The origin from which cache nodes fetch: the current tags of each object, and the number of fetches.
 #[derive(Default)]
 pub struct Origin {
     tags: Mutex<HashMap<String, Vec<String>>>,
-    /// Fetches that reached it.
+    /// Number of fetches.
     pub fetches: AtomicU64,
 }
 
 impl Origin {
-    /// Gives an object other tags from now on.
+    /// Replaces the tags of an object; copies that were fetched before keep theirs.
     pub fn tag(&self, item: &str, tags: &[&str]) {
         lock(&self.tags).insert(item.into(), tags.iter().map(|t| t.to_string()).collect());
     }
 
     fn fetch(&self, item: &str) -> CachedCopy {
         self.fetches.fetch_add(1, Ordering::SeqCst);
-        // Given out after the moment that it is dated by, never before.
+        // Taken before the tags are read: a copy must never be dated later than its contents.
         let born = unix_ms();
         CachedCopy {
             born,
@@ -58,7 +58,7 @@
     copies: HashMap<(String, String), CachedCopy>,
     log_identity: u64,
     applied: u64,
-    /// It was asked how it stands and said that it holds nothing: what was purged before does not concern it.
+    /// The node has reported that it has no copies, so that earlier purges do not apply to it.
     reported_empty: bool,
 }
 
@@ -66,32 +66,32 @@
     origin: Arc<Origin>,
     store: Mutex<Store>,
     has_disk: bool,
-    /// The main store itself: it never misses.
+    /// The node is the origin itself, which never responds with a miss.
     is_origin: bool,
     alive: AtomicBool,
-    /// Counts lives: what was begun in an earlier one is not gone on with.
+    /// Increases when the node is killed; connections of an earlier generation end.
     generation: AtomicU64,
     serve_stale: AtomicBool,
     delay_ms: AtomicU64,
     sockets: Mutex<Vec<TcpStream>>,
-    /// Batches that left something out.
+    /// Purge batches that began after the node's last applied purge.
     gaps: AtomicU64,
 }
 
-/// A box.
+/// A cache node, or the origin as an endpoint.
 pub struct CacheNode {
-    /// Where it listens, dead or alive.
+    /// Address of the node; a killed node keeps it.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl CacheNode {
-    /// A box that fetches from an origin; with a disk it keeps what it has over a death.
+    /// Starts a cache node that fetches from `origin`; with a disk it keeps its copies when it is killed.
     pub fn start(origin: Arc<Origin>, disk: bool) -> io::Result<CacheNode> {
         Self::start_node(origin, disk, false)
     }
 
-    /// The main store, as a member that never misses.
+    /// Starts a node that acts as the origin and never responds with a miss.
     pub fn start_origin(origin: Arc<Origin>) -> io::Result<CacheNode> {
         Self::start_node(origin, false, true)
     }
@@ -117,7 +117,7 @@
         Ok(CacheNode { address, shared })
     }
 
-    /// Dies: its connections are reset or closed, what it held is gone unless it has a disk.
+    /// Kills the node: its connections are closed, and its copies are lost unless it has a disk.
     pub fn kill(&self) {
         self.shared.alive.store(false, Ordering::SeqCst);
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
@@ -125,32 +125,32 @@
             *lock(&self.shared.store) = Store::default();
         }
         for socket in lock(&self.shared.sockets).drain(..) {
-            // It may be closed already.
+            // The peer may have closed the connection.
             let _ = socket.shutdown(Shutdown::Both);
         }
     }
 
-    /// Comes back, at the same address.
+    /// Restarts the node at the same address.
     pub fn restart(&self) {
         self.shared.alive.store(true, Ordering::SeqCst);
     }
 
-    /// Answers from what it has, whatever age it is asked for, or no longer.
+    /// Sets whether the node serves copies that are older than the maximum age of the request.
     pub fn set_serve_stale(&self, serve_stale: bool) {
         self.shared.serve_stale.store(serve_stale, Ordering::SeqCst);
     }
 
-    /// Waits so long before each answer.
+    /// Sets the delay of each response, in milliseconds.
     pub fn set_delay_ms(&self, ms: u64) {
         self.shared.delay_ms.store(ms, Ordering::SeqCst);
     }
 
-    /// Everything up to this number is carried out.
+    /// Number of the last purge up to which all purges are applied.
     pub fn applied(&self) -> u64 {
         lock(&self.shared.store).applied
     }
 
-    /// Batches that left something out between what was carried out and what they brought.
+    /// Number of purge batches that began after the node's last applied purge.
     pub fn gaps(&self) -> u64 {
         self.shared.gaps.load(Ordering::SeqCst)
     }
@@ -167,7 +167,7 @@
         lock(&shared.sockets).push(copy);
         let shared = Arc::clone(shared);
         let thread = std::thread::Builder::new().stack_size(128 * 1024);
-        // Out of threads is as good as a closed connection here.
+        // If no thread can be started, the connection is closed.
         let _ = thread.spawn(move || serve_connection(&shared, socket));
     }
 }
@@ -237,7 +237,7 @@
         .map(|(_, v)| v)
 }
 
-/// The answer to a request: word, fields, body. The body tells of the copy.
+/// Processes a fetch; returns the status, the fields and the body of the response. The body describes the copy.
 fn fetch(shared: &Shared, fields: &str) -> (&'static str, String, String) {
     let item = field(fields, "item").unwrap_or("").to_string();
     let key = (
@@ -257,7 +257,7 @@
     let usable = cached.filter(|copy| serve_stale || oldest == 0 || now <= copy.born + oldest);
     let (copy, source) = match usable {
         Some(copy) => (copy, "local"),
-        // Told of no source it is asked for what it holds alone.
+        // A request without a fill source only checks the cache.
         None if !shared.is_origin && field(fields, "from").is_none() => {
             return ("NONE", "tell=not_there".into(), String::new())
         }
@@ -275,7 +275,7 @@
     ("HIT", fields, format!("born={} tags={tags}", copy.born))
 }
 
-/// Carries a batch out and tells how the box stands.
+/// Applies a batch of purges and returns the fields of the response; `None` for a malformed batch.
 fn purge(shared: &Shared, fields: &str, body: &[u8]) -> Option<String> {
     let log_identity = u64::from_str_radix(field(fields, "ledger")?, 16).ok()?;
     let number = |name| field(fields, name).and_then(|n| n.parse::<u64>().ok());
@@ -285,7 +285,7 @@
         if store.log_identity != log_identity {
             (store.log_identity, store.applied) = (log_identity, 0);
         }
-        // Without a copy nothing has to be carried out that came before.
+        // An empty node can skip the purges before the batch.
         if std::mem::take(&mut store.reported_empty) || store.copies.is_empty() {
             store.applied = store.applied.max(after);
         }
@@ -322,7 +322,7 @@
     fn matches(&self, key: &str, item: &str, copy: &CachedCopy) -> bool {
         match self.kind {
             0 => item == format!("{:016x}", self.number),
-            // A box is not told of groups: it lets all go.
+            // The protocol does not tell a node the group of an object, so every copy matches.
             1 => true,
             2 => copy.tags.contains(&self.text),
             _ => pattern_matches(self.text.as_bytes(), key.as_bytes()),
@@ -330,7 +330,7 @@
     }
 }
 
-/// Stars and question marks; other wildcards match all, which is on the safe side.
+/// Matches `*` and `?`. From a character class or alternative on any text matches, so that too much is purged, not too little.
 fn pattern_matches(pattern: &[u8], text: &[u8]) -> bool {
     match (pattern.first(), text.first()) {
         (None, None) => true,
@@ -355,7 +355,7 @@
     })
 }
 
-/// The first record, and its length in bytes; `None`: it is not as the protocol page has it.
+/// Parses the first record of a batch and returns it with its length in bytes; `None` if it is malformed.
 fn parse_record(bytes: &[u8]) -> Option<(Record, usize)> {
     let size = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let payload = bytes
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Outside systems as this project plays them, written from their public specifications: for tests, benches and
-//! examples alone, never for what ships. They share no code with what they test.
+//! Test servers for external systems, written from the specifications of their protocols. They are used by tests, benchmarks
+//! and examples only and share no code with the programs under test.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
