--- a/front/examples/measure-boxes.rs
+++ b/front/examples/measure-boxes.rs
@@ -17,32 +17,37 @@
     control: PathBuf,
     listen: SocketAddr,
     _folder: tempfile::TempDir,
-    _feed: TcpListener,
+    _list_service: TcpListener,
 }
 
 impl Front {
-    fn start(boxes: &[CacheNode], main: &CacheNode, purges: Value) -> Front {
+    fn start(caches: &[CacheNode], origin: &CacheNode, purges: Value) -> Front {
         let folder = tempfile::tempdir().unwrap();
-        let feed = TcpListener::bind("127.0.0.1:0").unwrap();
+        let list_service = TcpListener::bind("127.0.0.1:0").unwrap();
         let listen = TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
             .unwrap();
         let mut config: Value = serde_json::from_str(include_str!("config.json")).unwrap();
         config["listen"] = listen.to_string().into();
-        config["feed"] = feed.local_addr().unwrap().to_string().into();
+        config["feed"] = list_service.local_addr().unwrap().to_string().into();
         config["limits"]["sockets"] = 16_384.into();
-        let member = |id: usize, at: String, zone: &str, kind: &str| {
+        let endpoint = |id: usize, at: String, zone: &str, kind: &str| {
             json!({"instanceId": format!("s-{id:08x}"), "hostPort": at, "zone": zone, "machineType": kind,
                    "cell": 0, "lifecycle": "in_service", "weight": 8, "startedAtMs": 0})
         };
-        let mut all: Vec<Value> = boxes
+        let mut instances: Vec<Value> = caches
             .iter()
             .enumerate()
-            .map(|(i, b)| member(0x100 + i, b.address.to_string(), "edge-1", "small-box"))
+            .map(|(i, node)| endpoint(0x100 + i, node.address.to_string(), "edge-1", "small-box"))
             .collect();
-        all.push(member(0x31, main.address.to_string(), "east-hub", "origin"));
-        config["known"]["events"][0]["members"]["instances"] = all.into();
+        instances.push(endpoint(
+            0x31,
+            origin.address.to_string(),
+            "east-hub",
+            "origin",
+        ));
+        config["known"]["events"][0]["members"]["instances"] = instances.into();
         let control = folder.path().join("control");
         let mut purges = purges;
         purges["file"] = folder.path().join("purges").display().to_string().into();
@@ -79,18 +84,18 @@
             control,
             listen,
             _folder: folder,
-            _feed: feed,
+            _list_service: list_service,
         }
     }
 
-    fn ask(&self, word: &str, args: Value) -> Value {
+    fn command(&self, word: &str, args: Value) -> Value {
         let mut socket = UnixStream::connect(&self.control).unwrap();
         socket
             .write_all(format!("{}\n", json!({"word": word, "args": args})).as_bytes())
             .unwrap();
-        let mut answer = String::new();
-        BufReader::new(socket).read_line(&mut answer).unwrap();
-        serde_json::from_str(&answer).unwrap()
+        let mut response = String::new();
+        BufReader::new(socket).read_line(&mut response).unwrap();
+        serde_json::from_str(&response).unwrap()
     }
 }
 
@@ -101,46 +106,47 @@
     }
 }
 
-fn delays(count: usize) {
+fn measure_confirmation_delay(count: usize) {
     let origin = Arc::new(Origin::default());
-    let boxes: Vec<_> = (0..count)
+    let caches: Vec<_> = (0..count)
         .map(|_| CacheNode::start(Arc::clone(&origin), true).unwrap())
         .collect();
-    let main = CacheNode::start_origin(Arc::clone(&origin)).unwrap();
-    let on = json!({"kinds": ["small-box"], "connections_most": count, "per_s": 1_000_000});
-    let front = Front::start(&boxes, &main, json!({"boxes": on}));
-    let wait = |n: u64| {
-        front.ask(
+    let origin_node = CacheNode::start_origin(Arc::clone(&origin)).unwrap();
+    let confirmations =
+        json!({"kinds": ["small-box"], "connections_most": count, "per_s": 1_000_000});
+    let front = Front::start(&caches, &origin_node, json!({"boxes": confirmations}));
+    let purge_and_wait = |n: u64| {
+        front.command(
             "purge",
             json!({"tag": format!("t{n}"), "id": n.to_string(), "wait_s": 60}),
         )
     };
-    assert!(wait(0)["ok"].is_object());
+    assert!(purge_and_wait(0)["ok"].is_object());
     let rounds = if count > 500 { 30 } else { 100 };
-    let mut spans: Vec<_> = (1..=rounds)
+    let mut delays_us: Vec<_> = (1..=rounds)
         .map(|n| {
-            let begun = Instant::now();
-            let answer = wait(n);
-            assert!(answer["ok"].is_object(), "{answer}");
-            begun.elapsed().as_micros()
+            let started = Instant::now();
+            let response = purge_and_wait(n);
+            assert!(response["ok"].is_object(), "{response}");
+            started.elapsed().as_micros()
         })
         .collect();
-    spans.sort_unstable();
-    let at = |share: f64| spans[((spans.len() - 1) as f64 * share) as usize];
+    delays_us.sort_unstable();
+    let quantile = |share: f64| delays_us[((delays_us.len() - 1) as f64 * share) as usize];
     println!(
         "{count} boxes: p50 {} us, p99 {} us, max {} us",
-        at(0.5),
-        at(0.99),
-        at(1.0)
+        quantile(0.5),
+        quantile(0.99),
+        quantile(1.0)
     );
     if count == 10 {
-        let begun = Instant::now();
+        let started = Instant::now();
         let threads: Vec<_> = (0..8)
             .map(|t| {
                 let control = front.control.clone();
                 std::thread::spawn(move || {
                     let mut socket = UnixStream::connect(control).unwrap();
-                    let mut answers = BufReader::new(socket.try_clone().unwrap());
+                    let mut responses = BufReader::new(socket.try_clone().unwrap());
                     for n in 0..500 {
                         let args = json!({"object": format!("{n:016x}"), "id": format!("{t}-{n}")});
                         socket
@@ -148,7 +154,7 @@
                                 format!("{}\n", json!({"word": "purge", "args": args})).as_bytes(),
                             )
                             .unwrap();
-                        answers.read_line(&mut String::new()).unwrap();
+                        responses.read_line(&mut String::new()).unwrap();
                     }
                 })
             })
@@ -156,7 +162,7 @@
         threads.into_iter().for_each(|t| t.join().unwrap());
         println!(
             "purges a second, each kept before it is answered: {:.0}",
-            4_000.0 / begun.elapsed().as_secs_f64()
+            4_000.0 / started.elapsed().as_secs_f64()
         );
     }
 }
@@ -196,31 +202,31 @@
     Some(frame[5] == 1)
 }
 
-fn everything(shield: Option<u32>) {
+fn measure_purge_of_everything(shield: Option<u32>) {
     let origin = Arc::new(Origin::default());
-    let boxes: Vec<_> = (0..6)
+    let caches: Vec<_> = (0..6)
         .map(|_| CacheNode::start(Arc::clone(&origin), true).unwrap())
         .collect();
-    let main = CacheNode::start_origin(Arc::clone(&origin)).unwrap();
+    let origin_node = CacheNode::start_origin(Arc::clone(&origin)).unwrap();
     let mut purges = json!({});
     if let Some(shield) = shield {
         purges["shield_per_s"] = shield.into();
     }
-    let front = Front::start(&boxes, &main, purges);
-    let run = |span: Duration| {
+    let front = Front::start(&caches, &origin_node, purges);
+    let send_requests = |duration: Duration| {
         let threads: Vec<_> = (0..16u64)
             .map(|t| {
                 let at = front.listen;
                 std::thread::spawn(move || {
-                    let (mut socket, begun) = (TcpStream::connect(at).unwrap(), Instant::now());
-                    let (mut served, mut all, mut stream) = (0u64, 0u64, 0);
-                    while begun.elapsed() < span {
+                    let (mut socket, started) = (TcpStream::connect(at).unwrap(), Instant::now());
+                    let (mut served, mut total, mut stream) = (0u64, 0u64, 0);
+                    while started.elapsed() < duration {
                         stream += 1;
                         let item = (u64::from(stream) * 16 + t) % 4_000;
                         served += u64::from(request(&mut socket, stream, item) == Some(true));
-                        all += 1;
+                        total += 1;
                     }
-                    (served, all)
+                    (served, total)
                 })
             })
             .collect();
@@ -229,21 +235,25 @@
             .map(|t| t.join().unwrap())
             .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     };
-    run(Duration::from_secs(2));
+    send_requests(Duration::from_secs(2));
     let before = origin.fetches.load(Ordering::SeqCst);
-    let answer = front.ask("purge", json!({"pattern": "*", "all": true, "id": "all"}));
-    assert!(answer["ok"].is_object(), "{answer}");
-    let (served, all) = run(Duration::from_secs(1));
-    let first = origin.fetches.load(Ordering::SeqCst) - before;
-    let (later, of) = run(Duration::from_secs(2));
+    let response = front.command("purge", json!({"pattern": "*", "all": true, "id": "all"}));
+    assert!(response["ok"].is_object(), "{response}");
+    let (served, total) = send_requests(Duration::from_secs(1));
+    let fetches = origin.fetches.load(Ordering::SeqCst) - before;
+    let (later_served, later_total) = send_requests(Duration::from_secs(2));
     println!(
-        "purge of everything, shield {shield:?}: {first} fetches in the first second, served {served} of {all}; then {later} of {of}"
+        "purge of everything, shield {shield:?}: {fetches} fetches in the first second, served {served} of {total}; then {later_served} of {later_total}"
     );
 }
 
 fn main() {
     if std::env::args().all(|a| a != "shield") {
-        [10, 100, 1_000].into_iter().for_each(delays);
+        [10, 100, 1_000]
+            .into_iter()
+            .for_each(measure_confirmation_delay);
     }
-    [None, Some(500)].into_iter().for_each(everything);
+    [None, Some(500)]
+        .into_iter()
+        .for_each(measure_purge_of_everything);
 }
--- a/front/examples/toy.rs
+++ b/front/examples/toy.rs
@@ -19,29 +19,30 @@
         .unwrap_or_else(|| "front/examples/config.json".into());
     let config: Value = serde_json::from_str(&std::fs::read_to_string(&file)?)?;
     let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
-    let feed = TcpListener::bind(text(&config["feed"]))?;
+    let list_listener = TcpListener::bind(text(&config["feed"]))?;
     thread::spawn(move || {
-        feed.incoming()
+        list_listener
+            .incoming()
             .flatten()
-            .for_each(|to| drop(thread::spawn(|| tell(to))))
+            .for_each(|stream| drop(thread::spawn(|| serve_list(stream))))
     });
-    for member in config["known"]["events"][0]["members"]["instances"]
+    for endpoint in config["known"]["events"][0]["members"]["instances"]
         .as_array()
         .into_iter()
         .flatten()
     {
-        let listener = TcpListener::bind(text(&member["hostPort"]))?;
+        let listener = TcpListener::bind(text(&endpoint["hostPort"]))?;
         let name = format!(
             "{} {}",
-            text(&member["machineType"]),
-            text(&member["instanceId"])
+            text(&endpoint["machineType"]),
+            text(&endpoint["instanceId"])
         );
         // What this member holds. The toy's cache "fills" by remembering what it was asked for.
-        let held = Arc::new(Mutex::new(HashSet::new()));
+        let cached = Arc::new(Mutex::new(HashSet::new()));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (held, name) = (Arc::clone(&held), name.clone());
-                thread::spawn(move || serve(&name, stream, &held));
+                let (cached, name) = (Arc::clone(&cached), name.clone());
+                thread::spawn(move || serve_endpoint(&name, stream, &cached));
             }
         });
     }
@@ -50,18 +51,18 @@
         .as_array()
         .cloned()
         .unwrap_or_default();
-    let of = |write: bool| {
-        let found = classes
+    let first_class = |write: bool| {
+        let class = classes
             .iter()
             .enumerate()
             .find(|(i, _)| writes[*i].as_bool().unwrap_or(false) == write);
-        found
+        class
             .map(|(_, class)| text(&class["name"]))
             .unwrap_or_default()
     };
     let front = text(&config["listen"]);
-    ask(&front, &of(false), "", &[1, 2])?;
-    ask(&front, &of(true), "one small thing", &[3])?;
+    send_requests(&front, &first_class(false), "", &[1, 2])?;
+    send_requests(&front, &first_class(true), "one small thing", &[3])?;
     println!("the feed and the members stay until this is interrupted");
     loop {
         thread::park();
@@ -69,23 +70,27 @@
 }
 
 /// The feed has nothing new, once a second.
-fn tell(mut to: TcpStream) -> io::Result<()> {
-    let mut last = [0; 8];
-    to.read_exact(&mut last)?;
+fn serve_list(mut stream: TcpStream) -> io::Result<()> {
+    let mut last_event = [0; 8];
+    stream.read_exact(&mut last_event)?;
     loop {
-        let number = [&9u32.to_be_bytes()[..], &last, &[0]].concat();
-        to.write_all(&number)?;
+        let frame = [&9u32.to_be_bytes()[..], &last_event, &[0]].concat();
+        stream.write_all(&frame)?;
         thread::sleep(Duration::from_secs(1));
     }
 }
 
 /// Answers commands: arrays of bulk strings.
-fn serve(name: &str, stream: TcpStream, held: &Mutex<HashSet<String>>) -> io::Result<()> {
+fn serve_endpoint(
+    name: &str,
+    stream: TcpStream,
+    cached: &Mutex<HashSet<String>>,
+) -> io::Result<()> {
     let mut input = BufReader::new(stream);
     loop {
-        let count = number(&mut input)?;
+        let count = read_length(&mut input)?;
         let words = (0..count)
-            .map(|_| string(&mut input))
+            .map(|_| read_string(&mut input))
             .collect::<io::Result<Vec<_>>>()?;
         println!("{name:>22} is told: {}", words.join(" "));
         let [verb, id, fields, body] = &words[..] else {
@@ -98,17 +103,18 @@
             .split(',')
             .find(|f| f.starts_with("item="))
             .unwrap_or_default();
-        let known = !held.lock().unwrap().insert(item.to_string());
-        let note = if known { "local" } else { "pulled" };
-        let told = format!(
-            "ver=00ab,born=0,tell={note},waited=0,meter=load_share:0.1;concurrent:1;x1:0.0"
+        let was_cached = !cached.lock().unwrap().insert(item.to_string());
+        let source = if was_cached { "local" } else { "pulled" };
+        let fields = format!(
+            "ver=00ab,born=0,tell={source},waited=0,meter=load_share:0.1;concurrent:1;x1:0.0"
         );
-        let answer = if body.is_empty() {
+        let response_body = if body.is_empty() {
             format!("the bytes of {item}")
         } else {
             format!("done: {body}")
         };
-        let parts = [id, "HIT", &told, &answer].map(|p| format!("${}\r\n{p}\r\n", p.len()));
+        let parts =
+            [id, "HIT", &fields, &response_body].map(|p| format!("${}\r\n{p}\r\n", p.len()));
         input
             .get_mut()
             .write_all(format!("*4\r\n{}", parts.concat()).as_bytes())?;
@@ -116,7 +122,7 @@
 }
 
 /// The number of a line such as `*4`.
-fn number(input: &mut impl BufRead) -> io::Result<usize> {
+fn read_length(input: &mut impl BufRead) -> io::Result<usize> {
     let mut line = String::new();
     input.read_line(&mut line)?;
     let digits = line.get(1..).unwrap_or_default().trim_end();
@@ -125,15 +131,15 @@
         .map_err(|_| io::ErrorKind::UnexpectedEof.into())
 }
 
-fn string(input: &mut impl BufRead) -> io::Result<String> {
-    let mut bytes = vec![0; number(input)? + 2];
+fn read_string(input: &mut impl BufRead) -> io::Result<String> {
+    let mut bytes = vec![0; read_length(input)? + 2];
     input.read_exact(&mut bytes)?;
     bytes.truncate(bytes.len() - 2);
     String::from_utf8(bytes).map_err(|_| io::ErrorKind::InvalidData.into())
 }
 
 /// A client: one request on each stream, one after another.
-fn ask(front: &str, class: &str, body: &str, streams: &[u32]) -> io::Result<()> {
+fn send_requests(front: &str, class: &str, body: &str, streams: &[u32]) -> io::Result<()> {
     let mut front = TcpStream::connect(front)?;
     for stream in streams {
         let txn = format!(
