--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What a newcomer needs; .ci/run is what a landing must pass.
+# Common development commands. .ci/run holds the checks that a merge must pass.
 CONFIG ?= front/examples/config.json
 
 .PHONY: build test lint run check toy ci
@@ -27,7 +27,7 @@
 ci:
 	.ci/run
 
-# Long measurements; their figures stand in docs/design.
+# Long measurements; their results are in docs/design.
 .PHONY: measure-tls measure-planner
 measure-tls: build
 	cargo run --release --locked -p cranesill-front --example measure-tls
@@ -47,7 +47,7 @@
 measure-daily: build
 	cargo run --release --locked -p cranesill-front --example measure-daily
 
-# One front beside 200, 800 and 3,200 cache nodes.
+# Resources of one front with 200, 800 and 3,200 cache nodes.
 .PHONY: measure-scale
 measure-scale: build
 	cargo run --release --locked -p cranesill-front --example measure-scale
@@ -59,7 +59,7 @@
 	cargo run --release --locked -p cranesill-front --example measure-startup -- 60 - peers
 	cargo run --release --locked -p cranesill-front --example measure-startup -- 300 - peers
 
-# Cold start of 300 processes with clients, nodes and the list service: without settings and with those of deploy/fleet.json.
+# Cold start of 300 and of 100 processes with clients, nodes and the list service, without settings and with deploy/fleet.json.
 .PHONY: rig-300
 rig-300: build
 	cargo build --release --locked -p cranesill-front --example measure-cold
@@ -68,7 +68,7 @@
 	target/release/examples/measure-cold 100 150 10
 	target/release/examples/measure-cold 100 150 10 deploy/fleet.json
 
-# Faults by the dice on several processes, more seeds than the tests take.
+# Random faults on several processes, with more seeds than the tests use.
 .PHONY: rig-seeds
 rig-seeds:
 	CRANESILL_SEEDS=$$(seq -s, 1 40) cargo test --locked -p cranesill-front --test partial dice
--- a/front/examples/measure-boxes.rs
+++ b/front/examples/measure-boxes.rs
@@ -1,6 +1,6 @@
-//! Measures the delay from a command to the last box's confirmation, with 10, 100 and 1,000 stand-in boxes, purges a
-//! second, and the load on the stand-in origin after a purge of everything with and without the shield. `make
-//! measure-boxes` runs it; the figures stand in `docs/design/purges.md`.
+//! Measures the delay from a purge command to the confirmation of the last cache node, with 10, 100 and 1,000 test cache nodes,
+//! the rate of purge commands, and the load on the test origin after a purge of everything, with and without the shield.
+//! `make measure-boxes` runs it; the results are in `docs/design/purges.md`.
 use cranesill_standins::cache_node::{CacheNode, Origin};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -134,7 +134,7 @@
     delays_us.sort_unstable();
     let quantile = |share: f64| delays_us[((delays_us.len() - 1) as f64 * share) as usize];
     println!(
-        "{count} boxes: p50 {} us, p99 {} us, max {} us",
+        "{count} cache nodes: purge confirmed by all after p50 {} us, p99 {} us, max {} us",
         quantile(0.5),
         quantile(0.99),
         quantile(1.0)
@@ -161,13 +161,13 @@
             .collect();
         threads.into_iter().for_each(|t| t.join().unwrap());
         println!(
-            "purges a second, each kept before it is answered: {:.0}",
+            "purges per second, each persisted before its response: {:.0}",
             4_000.0 / started.elapsed().as_secs_f64()
         );
     }
 }
 
-/// One request; whether it was served.
+/// Sends one request; returns whether it was served, or `None` if the connection failed.
 fn request(socket: &mut TcpStream, stream: u32, item: u64) -> Option<bool> {
     static LAST: AtomicU64 = AtomicU64::new(1);
     let (txn, item) = (
--- a/front/examples/toy.rs
+++ b/front/examples/toy.rs
@@ -1,6 +1,6 @@
-//! A toy surrounding for a front, to try it with a configuration: the control feed, all members that it names (caches,
-//! parents and the origin) on loopback, and a client that asks twice for one object of the first class that may be repeated,
-//! and once for something of the class that runs at the origin.
+//! A local environment to try a front with a configuration file: a list service, all endpoints of the configuration (caches,
+//! parents and the origin) on loopback, and a client that requests one object of the first read class twice and sends one
+//! request of the first write class.
 //!
 //!     cargo run --release --bin cranesill -- serve front/examples/config.json   # in one terminal
 //!     cargo run --release --example toy                                         # in another
@@ -37,7 +37,7 @@
             text(&endpoint["machineType"]),
             text(&endpoint["instanceId"])
         );
-        // What this member holds. The toy's cache "fills" by remembering what it was asked for.
+        // Objects that the endpoint has in its cache; every fetched object is added.
         let cached = Arc::new(Mutex::new(HashSet::new()));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -63,13 +63,13 @@
     let front = text(&config["listen"]);
     send_requests(&front, &first_class(false), "", &[1, 2])?;
     send_requests(&front, &first_class(true), "one small thing", &[3])?;
-    println!("the feed and the members stay until this is interrupted");
+    println!("list service and endpoints are running; press Ctrl-C to stop them");
     loop {
         thread::park();
     }
 }
 
-/// The feed has nothing new, once a second.
+/// Acts as the list service: reports once a second that there are no new events.
 fn serve_list(mut stream: TcpStream) -> io::Result<()> {
     let mut last_event = [0; 8];
     stream.read_exact(&mut last_event)?;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Answers commands: arrays of bulk strings.
+/// Serves the commands of a connection, which are arrays of bulk strings.
 fn serve_endpoint(
     name: &str,
     stream: TcpStream,
@@ -92,7 +92,7 @@
         let words = (0..count)
             .map(|_| read_string(&mut input))
             .collect::<io::Result<Vec<_>>>()?;
-        println!("{name:>22} is told: {}", words.join(" "));
+        println!("{name:>22} received: {}", words.join(" "));
         let [verb, id, fields, body] = &words[..] else {
             continue;
         };
@@ -121,7 +121,7 @@
     }
 }
 
-/// The number of a line such as `*4`.
+/// Reads a line such as `*4` or `$12` and returns its number.
 fn read_length(input: &mut impl BufRead) -> io::Result<usize> {
     let mut line = String::new();
     input.read_line(&mut line)?;
@@ -138,7 +138,7 @@
     String::from_utf8(bytes).map_err(|_| io::ErrorKind::InvalidData.into())
 }
 
-/// A client: one request on each stream, one after another.
+/// Acts as a client: sends one request on each stream, one after another.
 fn send_requests(front: &str, class: &str, body: &str, streams: &[u32]) -> io::Result<()> {
     let mut front = TcpStream::connect(front)?;
     for stream in streams {
@@ -176,7 +176,7 @@
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
         front.read_exact(&mut frame)?;
         println!(
-            "  client is told: {class} on stream {stream}: {}",
+            "  client received the response to {class} on stream {stream}: {}",
             frame[5..].escape_ascii()
         );
     }
