--- a/front/examples/measure-tls.rs
+++ b/front/examples/measure-tls.rs
@@ -15,10 +15,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const SPAN: Duration = Duration::from_secs(4);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
 const NAME: &str = "front1.example";
 
-fn port() -> u16 {
+fn free_port() -> u16 {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -27,18 +27,18 @@
 }
 
 /// A cache that answers everything.
-fn cache() -> SocketAddr {
+fn start_cache() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for socket in listener.incoming().map_while(Result::ok) {
-            std::thread::spawn(move || serve(socket));
+            std::thread::spawn(move || serve_cache(socket));
         }
     });
     at
 }
 
-fn serve(socket: TcpStream) -> Option<()> {
+fn serve_cache(socket: TcpStream) -> Option<()> {
     socket.set_nodelay(true).ok()?;
     let mut input = BufReader::new(socket);
     let body = "x".repeat(2_000);
@@ -74,27 +74,27 @@
     control: PathBuf,
     issuer: Mutex<Issuer>,
     _folder: tempfile::TempDir,
-    _feed: TcpListener,
+    _list_service: TcpListener,
 }
 
 impl Front {
     fn start(tls: Value) -> Front {
         let folder = tempfile::tempdir().unwrap();
-        let feed = TcpListener::bind("127.0.0.1:0").unwrap();
+        let list_service = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut config: Value = serde_json::from_str(include_str!("config.json")).unwrap();
-        config["listen"] = format!("127.0.0.1:{}", port()).into();
-        config["feed"] = feed.local_addr().unwrap().to_string().into();
-        let members = config["known"]["events"][0]["members"]["instances"]
+        config["listen"] = format!("127.0.0.1:{}", free_port()).into();
+        config["feed"] = list_service.local_addr().unwrap().to_string().into();
+        let instances = config["known"]["events"][0]["members"]["instances"]
             .as_array_mut()
             .unwrap();
-        members
+        instances
             .iter_mut()
-            .for_each(|m| m["hostPort"] = cache().to_string().into());
+            .for_each(|instance| instance["hostPort"] = start_cache().to_string().into());
         let control = folder.path().join("control");
-        let secure: SocketAddr = ([127, 0, 0, 1], port()).into();
+        let tls_address: SocketAddr = ([127, 0, 0, 1], free_port()).into();
         let mut settings = json!({"control": {"path": control}, "tls": tls,
                                   "certs": {"certificates": [{"names": [NAME]}]}});
-        settings["tls"]["listen"] = secure.to_string().into();
+        settings["tls"]["listen"] = tls_address.to_string().into();
         let write = |name: &str, value: &Value| {
             let path = folder.path().join(name);
             std::fs::write(&path, value.to_string()).unwrap();
@@ -125,29 +125,29 @@
         let front = Front {
             child,
             plain,
-            tls: secure,
+            tls: tls_address,
             control,
             issuer: Mutex::new(Issuer::new()),
             _folder: folder,
-            _feed: feed,
+            _list_service: list_service,
         };
         while !front.control.exists() {
             std::thread::yield_now();
         }
-        front.import();
+        front.import_new_certificate();
         front
     }
 
-    fn ask(&self, word: Value) -> Value {
+    fn command(&self, word: Value) -> Value {
         let mut socket = UnixStream::connect(&self.control).unwrap();
         socket.write_all(format!("{word}\n").as_bytes()).unwrap();
-        let mut answer = String::new();
-        BufReader::new(socket).read_line(&mut answer).unwrap();
-        serde_json::from_str(&answer).unwrap()
+        let mut response = String::new();
+        BufReader::new(socket).read_line(&mut response).unwrap();
+        serde_json::from_str(&response).unwrap()
     }
 
     /// Gives the front a new key and certificate.
-    fn import(&self) {
+    fn import_new_certificate(&self) {
         let key = cranesill_certs::Key::Order(vec![NAME.into()], None);
         let Ok(cranesill_certs::exchange::Made::Order(key, csr)) =
             cranesill_certs::exchange::make_key(&key)
@@ -160,12 +160,12 @@
             .unwrap()
             .chain(&csr, 0, 3_000_000_000, false)
             .unwrap();
-        let answer =
-            self.ask(json!({"word": "certs-import", "args": {"key": key, "chain": chain}}));
-        assert!(answer["ok"].is_string(), "{answer}");
+        let response =
+            self.command(json!({"word": "certs-import", "args": {"key": key, "chain": chain}}));
+        assert!(response["ok"].is_string(), "{response}");
     }
 
-    fn config(&self, resume: bool) -> Arc<ClientConfig> {
+    fn client_config(&self, resume: bool) -> Arc<ClientConfig> {
         let mut roots = RootCertStore::empty();
         let root = self.issuer.lock().unwrap().root().to_string();
         roots
@@ -184,7 +184,7 @@
     }
 
     /// CPU that the front has used, in microseconds; resident memory in bytes.
-    fn used(&self) -> (u64, u64) {
+    fn cpu_us_and_memory_bytes(&self) -> (u64, u64) {
         let read = |name: &str| {
             std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap()
         };
@@ -203,10 +203,10 @@
     }
 }
 
-trait Wire: Read + Write + Send {}
-impl<T: Read + Write + Send> Wire for T {}
+trait Transport: Read + Write + Send {}
+impl<T: Read + Write + Send> Transport for T {}
 
-fn secure(at: SocketAddr, config: &Arc<ClientConfig>) -> std::io::Result<Box<dyn Wire>> {
+fn connect_tls(at: SocketAddr, config: &Arc<ClientConfig>) -> std::io::Result<Box<dyn Transport>> {
     let mut socket = TcpStream::connect(at)?;
     socket.set_nodelay(true)?;
     socket.set_read_timeout(Some(Duration::from_secs(10)))?;
@@ -218,14 +218,14 @@
     Ok(Box::new(StreamOwned::new(connection, socket)))
 }
 
-fn plain(at: SocketAddr) -> std::io::Result<Box<dyn Wire>> {
+fn connect_plain(at: SocketAddr) -> std::io::Result<Box<dyn Transport>> {
     let socket = TcpStream::connect(at)?;
     socket.set_nodelay(true)?;
     Ok(Box::new(socket))
 }
 
-/// One request and its answer. The numbers of requests are never repeated in a run.
-fn request(wire: &mut dyn Wire, stream: u32) -> std::io::Result<bool> {
+/// One request and its response. The numbers of requests are never repeated in a run.
+fn request(transport: &mut dyn Transport, stream: u32) -> std::io::Result<bool> {
     static LAST: AtomicU32 = AtomicU32::new(1);
     let txn = format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed));
     let fields = [
@@ -247,206 +247,218 @@
         &stream.to_be_bytes(),
     ]
     .concat();
-    wire.write_all(&[head, payload].concat())?;
+    transport.write_all(&[head, payload].concat())?;
     let mut length = [0; 4];
-    wire.read_exact(&mut length)?;
+    transport.read_exact(&mut length)?;
     let mut frame = vec![0; u32::from_be_bytes(length) as usize];
-    wire.read_exact(&mut frame)?;
+    transport.read_exact(&mut frame)?;
     Ok(frame[5] == 1)
 }
 
-/// What some closed-loop clients saw: spans of all requests in microseconds, in order, and how many failed.
+/// What some closed-loop clients saw: latencies_us of all requests in microseconds, in order, and how many failed.
 #[derive(Default)]
-struct Seen {
-    spans: Vec<u64>,
+struct Results {
+    latencies_us: Vec<u64>,
     failed: u64,
 }
 
-impl Seen {
-    fn at(&self, share: f64) -> u64 {
-        self.spans
-            .get((self.spans.len() as f64 * share) as usize)
+impl Results {
+    fn quantile(&self, share: f64) -> u64 {
+        self.latencies_us
+            .get((self.latencies_us.len() as f64 * share) as usize)
             .copied()
             .unwrap_or(0)
     }
 }
 
 /// `n` clients, each with one request at a time and a pause between, until told to stop.
-fn clients(
+fn start_clients(
     n: usize,
     pause: Duration,
     stop: &Arc<AtomicBool>,
-    connect: impl Fn() -> std::io::Result<Box<dyn Wire>>,
-) -> Vec<std::thread::JoinHandle<Seen>> {
-    let wires: Vec<_> = (0..n).map(|_| connect().unwrap()).collect();
-    wires
+    connect: impl Fn() -> std::io::Result<Box<dyn Transport>>,
+) -> Vec<std::thread::JoinHandle<Results>> {
+    let transports: Vec<_> = (0..n).map(|_| connect().unwrap()).collect();
+    transports
         .into_iter()
-        .map(|mut wire| {
+        .map(|mut transport| {
             let stop = Arc::clone(stop);
             std::thread::spawn(move || {
-                let mut seen = Seen::default();
+                let mut results = Results::default();
                 for stream in 1.. {
                     if stop.load(Ordering::Relaxed) {
                         break;
                     }
-                    let begun = Instant::now();
-                    let good = request(&mut *wire, stream);
-                    seen.spans.push(begun.elapsed().as_micros() as u64);
-                    seen.failed += u64::from(!matches!(good, Ok(true)));
-                    if good.is_err() {
+                    let started = Instant::now();
+                    let response = request(&mut *transport, stream);
+                    results
+                        .latencies_us
+                        .push(started.elapsed().as_micros() as u64);
+                    results.failed += u64::from(!matches!(response, Ok(true)));
+                    if response.is_err() {
                         break;
                     }
                     std::thread::sleep(pause);
                 }
-                seen
+                results
             })
         })
         .collect()
 }
 
-fn gather(threads: Vec<std::thread::JoinHandle<Seen>>) -> Seen {
-    let mut all = Seen::default();
-    for seen in threads.into_iter().map(|t| t.join().unwrap()) {
-        all.spans.extend(seen.spans);
-        all.failed += seen.failed;
+fn collect_results(threads: Vec<std::thread::JoinHandle<Results>>) -> Results {
+    let mut all = Results::default();
+    for results in threads.into_iter().map(|t| t.join().unwrap()) {
+        all.latencies_us.extend(results.latencies_us);
+        all.failed += results.failed;
     }
-    all.spans.sort_unstable();
+    all.latencies_us.sort_unstable();
     all
 }
 
-fn requests(front: &Front) {
-    let config = front.config(true);
+fn measure_requests(front: &Front) {
+    let config = front.client_config(true);
     // Alternating, so that what else the machine does falls on both.
     for round in 0..3 {
-        for over in ["plain", "TLS"] {
+        for transport_name in ["plain", "TLS"] {
             let stop = Arc::default();
-            let before = front.used().0;
-            let threads = match over {
-                "plain" => clients(16, Duration::ZERO, &stop, || plain(front.plain)),
-                _ => clients(16, Duration::ZERO, &stop, || secure(front.tls, &config)),
+            let before = front.cpu_us_and_memory_bytes().0;
+            let threads = match transport_name {
+                "plain" => start_clients(16, Duration::ZERO, &stop, || connect_plain(front.plain)),
+                _ => start_clients(16, Duration::ZERO, &stop, || {
+                    connect_tls(front.tls, &config)
+                }),
             };
-            std::thread::sleep(SPAN);
+            std::thread::sleep(MEASUREMENT_TIME);
             stop.store(true, Ordering::Relaxed);
-            let seen = gather(threads);
-            let cpu = (front.used().0 - before) as f64 / seen.spans.len() as f64;
+            let results = collect_results(threads);
+            let cpu = (front.cpu_us_and_memory_bytes().0 - before) as f64
+                / results.latencies_us.len() as f64;
             println!(
-                "round {round} {over:5}: {:.0} requests/s, CPU {cpu:.1} us each, p50 {} us, p99 {} us, failed {}",
-                seen.spans.len() as f64 / SPAN.as_secs_f64(),
-                seen.at(0.5),
-                seen.at(0.99),
-                seen.failed
+                "round {round} {transport_name:5}: {:.0} requests/s, CPU {cpu:.1} us each, p50 {} us, p99 {} us, failed {}",
+                results.latencies_us.len() as f64 / MEASUREMENT_TIME.as_secs_f64(),
+                results.quantile(0.5),
+                results.quantile(0.99),
+                results.failed
             );
         }
     }
 }
 
-fn handshakes(front: &Front) {
+fn measure_handshakes(front: &Front) {
     for (kind, resume) in [("full", false), ("resumed", true)] {
         let stop = Arc::new(AtomicBool::new(false));
-        let before = front.used().0;
+        let before = front.cpu_us_and_memory_bytes().0;
         let threads: Vec<_> = (0..4)
             .map(|_| {
-                let (stop, config, at) = (Arc::clone(&stop), front.config(resume), front.tls);
+                let (stop, config, address) =
+                    (Arc::clone(&stop), front.client_config(resume), front.tls);
                 std::thread::spawn(move || {
                     let mut done = 0u64;
                     while !stop.load(Ordering::Relaxed) {
                         // One request, so that a ticket is read.
-                        let good = secure(at, &config).and_then(|mut wire| request(&mut *wire, 1));
-                        done += u64::from(good.is_ok());
+                        let response = connect_tls(address, &config)
+                            .and_then(|mut transport| request(&mut *transport, 1));
+                        done += u64::from(response.is_ok());
                     }
                     done
                 })
             })
             .collect();
-        std::thread::sleep(SPAN);
+        std::thread::sleep(MEASUREMENT_TIME);
         stop.store(true, Ordering::Relaxed);
         let done: u64 = threads.into_iter().map(|t| t.join().unwrap()).sum();
-        let cpu = (front.used().0 - before) as f64 / done as f64;
-        let counts = front.ask(json!({"word": "tls"}));
+        let cpu = (front.cpu_us_and_memory_bytes().0 - before) as f64 / done as f64;
+        let counts = front.command(json!({"word": "tls"}));
         println!(
             "{kind} handshakes with one request: {:.0}/s, CPU {cpu:.0} us each, one core would do {:.0}/s ({} resumed so far)",
-            done as f64 / SPAN.as_secs_f64(),
+            done as f64 / MEASUREMENT_TIME.as_secs_f64(),
             1e6 / cpu,
             counts["ok"]["resumed"]
         );
     }
 }
 
-fn memory(front: &Front) {
-    let config = front.config(false);
-    for (over, tls) in [("plain", false), ("TLS", true)] {
-        let before = front.used().1;
-        let wires: Vec<_> = (0..400)
+fn measure_memory(front: &Front) {
+    let config = front.client_config(false);
+    for (transport_name, tls) in [("plain", false), ("TLS", true)] {
+        let before = front.cpu_us_and_memory_bytes().1;
+        let transports: Vec<_> = (0..400)
             .map(|_| {
-                let mut wire = if tls {
-                    secure(front.tls, &config)
+                let mut transport = if tls {
+                    connect_tls(front.tls, &config)
                 } else {
-                    plain(front.plain)
+                    connect_plain(front.plain)
                 }
                 .unwrap();
-                assert!(request(&mut *wire, 1).unwrap());
-                wire
+                assert!(request(&mut *transport, 1).unwrap());
+                transport
             })
             .collect();
         println!(
-            "{over}: {} bytes for each of 400 idle connections",
-            (front.used().1 - before.min(front.used().1)) / 400
+            "{transport_name}: {} bytes for each of 400 idle connections",
+            (front.cpu_us_and_memory_bytes().1 - before.min(front.cpu_us_and_memory_bytes().1))
+                / 400
         );
-        drop(wires);
+        drop(transports);
         std::thread::sleep(Duration::from_millis(600));
     }
 }
 
-fn key_changes(front: &Front) {
-    let (stop, config) = (Arc::default(), front.config(true));
-    let threads = clients(100, Duration::from_millis(20), &stop, || {
-        secure(front.tls, &config)
+fn measure_key_changes(front: &Front) {
+    let (stop, config) = (Arc::default(), front.client_config(true));
+    let threads = start_clients(100, Duration::from_millis(20), &stop, || {
+        connect_tls(front.tls, &config)
     });
     std::thread::sleep(Duration::from_secs(2));
     for _ in 0..100 {
-        front.import();
+        front.import_new_certificate();
         std::thread::sleep(Duration::from_millis(50));
     }
     stop.store(true, Ordering::Relaxed);
-    let changed = gather(threads);
+    let with_key_changes = collect_results(threads);
     let stop = Arc::default();
-    let threads = clients(100, Duration::from_millis(20), &stop, || {
-        secure(front.tls, &config)
+    let threads = start_clients(100, Duration::from_millis(20), &stop, || {
+        connect_tls(front.tls, &config)
     });
     std::thread::sleep(Duration::from_secs(7));
     stop.store(true, Ordering::Relaxed);
-    let calm = gather(threads);
-    for (what, seen) in [("100 key changes", changed), ("none", calm)] {
+    let without_key_changes = collect_results(threads);
+    for (what, results) in [
+        ("100 key changes", with_key_changes),
+        ("none", without_key_changes),
+    ] {
         println!(
             "{what}: {} requests on 100 connections, failed {}, p50 {} us, p99 {} us, longest {} us",
-            seen.spans.len(),
-            seen.failed,
-            seen.at(0.5),
-            seen.at(0.99),
-            seen.spans.last().copied().unwrap_or(0)
+            results.latencies_us.len(),
+            results.failed,
+            results.quantile(0.5),
+            results.quantile(0.99),
+            results.latencies_us.last().copied().unwrap_or(0)
         );
     }
 }
 
-fn flood(front: &Front) {
-    let config = front.config(false);
+fn measure_flood(front: &Front) {
+    let config = front.client_config(false);
     for kind in ["none", "garbage", "half", "full", "none"] {
-        let (stop, over) = (Arc::default(), Arc::new(AtomicBool::new(false)));
-        let usual = clients(16, Duration::from_millis(2), &stop, || {
-            secure(front.tls, &config)
+        let (stop, stop_attack) = (Arc::default(), Arc::new(AtomicBool::new(false)));
+        let clients = start_clients(16, Duration::from_millis(2), &stop, || {
+            connect_tls(front.tls, &config)
         });
         let attackers: Vec<_> = (0..4)
             .map(|_| {
-                let (over, config, at) = (Arc::clone(&over), Arc::clone(&config), front.tls);
+                let (stop_attack, config, address) =
+                    (Arc::clone(&stop_attack), Arc::clone(&config), front.tls);
                 std::thread::spawn(move || {
-                    let (mut tried, mut held) = (0u64, Vec::new());
-                    while !over.load(Ordering::Relaxed) && kind != "none" {
-                        tried += 1;
+                    let (mut attempts, mut open_sockets) = (0u64, Vec::new());
+                    while !stop_attack.load(Ordering::Relaxed) && kind != "none" {
+                        attempts += 1;
                         if kind == "full" {
-                            drop(secure(at, &config));
+                            drop(connect_tls(address, &config));
                             continue;
                         }
-                        let Ok(mut socket) = TcpStream::connect(at) else {
+                        let Ok(mut socket) = TcpStream::connect(address) else {
                             continue;
                         };
                         let bytes: &[u8] = if kind == "half" {
@@ -456,61 +468,63 @@
                         };
                         let _ = socket.write_all(bytes);
                         if kind == "half" {
-                            held.push(socket);
-                            if held.len() > 500 {
-                                held.clear();
+                            open_sockets.push(socket);
+                            if open_sockets.len() > 500 {
+                                open_sockets.clear();
                             }
                         }
                     }
-                    tried
+                    attempts
                 })
             })
             .collect();
-        let before = front.used().0;
+        let before = front.cpu_us_and_memory_bytes().0;
         std::thread::sleep(Duration::from_millis(500));
         // A new client in the midst of it.
-        let begun = Instant::now();
-        let fresh = secure(front.tls, &config).is_ok();
-        let new = begun.elapsed().as_millis();
-        std::thread::sleep(SPAN);
+        let started = Instant::now();
+        let connected = connect_tls(front.tls, &config).is_ok();
+        let handshake_ms = started.elapsed().as_millis();
+        std::thread::sleep(MEASUREMENT_TIME);
         stop.store(true, Ordering::Relaxed);
-        let cpu = (front.used().0 - before) as f64 / 1e6 / begun.elapsed().as_secs_f64();
-        over.store(true, Ordering::Relaxed);
-        let seen = gather(usual);
-        let tried: u64 = attackers.into_iter().map(|a| a.join().unwrap()).sum();
+        let cpu = (front.cpu_us_and_memory_bytes().0 - before) as f64
+            / 1e6
+            / started.elapsed().as_secs_f64();
+        stop_attack.store(true, Ordering::Relaxed);
+        let results = collect_results(clients);
+        let attempts: u64 = attackers.into_iter().map(|a| a.join().unwrap()).sum();
         println!(
-            "flood {kind:7}: {tried} tried; usual p50 {} us, p99 {} us, failed {}; a new one: {fresh} after {new} ms; core {:.0} %",
-            seen.at(0.5),
-            seen.at(0.99),
-            seen.failed,
+            "flood {kind:7}: {attempts} tried; usual p50 {} us, p99 {} us, failed {}; a new one: {connected} after {handshake_ms} ms; core {:.0} %",
+            results.quantile(0.5),
+            results.quantile(0.99),
+            results.failed,
             cpu * 100.0
         );
     }
 }
 
-fn log_cost() {
+fn measure_disabled_log_event() {
     use tracing_subscriber::layer::SubscriberExt;
     let subscriber =
         tracing_subscriber::registry().with(tracing_subscriber::filter::LevelFilter::INFO);
     tracing::subscriber::set_global_default(subscriber).unwrap();
-    let begun = Instant::now();
+    let started = Instant::now();
     for i in 0..50_000_000u64 {
         tracing::debug!(i, member = "s-1", "attempt");
     }
     println!(
         "an event of the log that is not written: {:.2} ns",
-        begun.elapsed().as_nanos() as f64 / 5e7
+        started.elapsed().as_nanos() as f64 / 5e7
     );
 }
 
 fn main() {
-    log_cost();
-    let open = Front::start(json!({"core_percent": 100, "handshakes_most": 512}));
-    requests(&open);
-    handshakes(&open);
-    drop(open);
-    let usual = Front::start(json!({}));
-    memory(&usual);
-    key_changes(&usual);
-    flood(&usual);
+    measure_disabled_log_event();
+    let with_high_limits = Front::start(json!({"core_percent": 100, "handshakes_most": 512}));
+    measure_requests(&with_high_limits);
+    measure_handshakes(&with_high_limits);
+    drop(with_high_limits);
+    let with_defaults = Front::start(json!({}));
+    measure_memory(&with_defaults);
+    measure_key_changes(&with_defaults);
+    measure_flood(&with_defaults);
 }
