--- a/front/examples/measure-tls.rs
+++ b/front/examples/measure-tls.rs
@@ -1,5 +1,5 @@
-//! Measures the TLS listener of a release build on loopback: handshakes, requests over TLS beside plain ones, memory
-//! of idle connections, changes of key under load, floods. `make measure-tls` runs it; the figures stand in
+//! Measures the TLS listener of a release build on loopback: handshakes, requests over TLS compared with plain TCP, memory of
+//! idle connections, certificate changes under load, and floods of connections. `make measure-tls` runs it; the results are in
 //! `docs/design/certs.md`.
 use cranesill_standins::acme::Issuer;
 use rustls::pki_types::pem::PemObject;
@@ -26,7 +26,7 @@
         .port()
 }
 
-/// A cache that answers everything.
+/// Starts a cache that responds to every fetch with a hit.
 fn start_cache() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -146,7 +146,7 @@
         serde_json::from_str(&response).unwrap()
     }
 
-    /// Gives the front a new key and certificate.
+    /// Issues a certificate for a new key and imports both into the front.
     fn import_new_certificate(&self) {
         let key = cranesill_certs::Key::Order(vec![NAME.into()], None);
         let Ok(cranesill_certs::exchange::Made::Order(key, csr)) =
@@ -183,7 +183,7 @@
         Arc::new(config)
     }
 
-    /// CPU that the front has used, in microseconds; resident memory in bytes.
+    /// CPU time that the front has used, in microseconds, and its resident memory in bytes.
     fn cpu_us_and_memory_bytes(&self) -> (u64, u64) {
         let read = |name: &str| {
             std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap()
@@ -224,7 +224,7 @@
     Ok(Box::new(socket))
 }
 
-/// One request and its response. The numbers of requests are never repeated in a run.
+/// Sends one request and returns whether it was served. Each request of a run has its own transaction id.
 fn request(transport: &mut dyn Transport, stream: u32) -> std::io::Result<bool> {
     static LAST: AtomicU32 = AtomicU32::new(1);
     let txn = format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed));
@@ -255,7 +255,7 @@
     Ok(frame[5] == 1)
 }
 
-/// What some closed-loop clients saw: latencies_us of all requests in microseconds, in order, and how many failed.
+/// Results of closed-loop clients: the latencies of all requests, sorted once the clients have ended, and the number of failures.
 #[derive(Default)]
 struct Results {
     latencies_us: Vec<u64>,
@@ -271,7 +271,7 @@
     }
 }
 
-/// `n` clients, each with one request at a time and a pause between, until told to stop.
+/// Starts `n` clients, each with one request at a time and a pause after it, which run until `stop` is set.
 fn start_clients(
     n: usize,
     pause: Duration,
@@ -318,7 +318,7 @@
 
 fn measure_requests(front: &Front) {
     let config = front.client_config(true);
-    // Alternating, so that what else the machine does falls on both.
+    // Rounds alternate, so that other load on the machine affects both transports.
     for round in 0..3 {
         for transport_name in ["plain", "TLS"] {
             let stop = Arc::default();
@@ -356,7 +356,7 @@
                 std::thread::spawn(move || {
                     let mut done = 0u64;
                     while !stop.load(Ordering::Relaxed) {
-                        // One request, so that a ticket is read.
+                        // The client receives the session ticket only while it reads a response.
                         let response = connect_tls(address, &config)
                             .and_then(|mut transport| request(&mut *transport, 1));
                         done += u64::from(response.is_ok());
@@ -371,7 +371,7 @@
         let cpu = (front.cpu_us_and_memory_bytes().0 - before) as f64 / done as f64;
         let counts = front.command(json!({"word": "tls"}));
         println!(
-            "{kind} handshakes with one request: {:.0}/s, CPU {cpu:.0} us each, one core would do {:.0}/s ({} resumed so far)",
+            "{kind} handshakes with one request: {:.0}/s, CPU {cpu:.0} us each, {:.0}/s per core ({} resumed so far)",
             done as f64 / MEASUREMENT_TIME.as_secs_f64(),
             1e6 / cpu,
             counts["ok"]["resumed"]
@@ -426,10 +426,10 @@
     let without_key_changes = collect_results(threads);
     for (what, results) in [
         ("100 key changes", with_key_changes),
-        ("none", without_key_changes),
+        ("no key changes", without_key_changes),
     ] {
         println!(
-            "{what}: {} requests on 100 connections, failed {}, p50 {} us, p99 {} us, longest {} us",
+            "{what}: {} requests on 100 connections, failed {}, p50 {} us, p99 {} us, max {} us",
             results.latencies_us.len(),
             results.failed,
             results.quantile(0.5),
@@ -480,7 +480,7 @@
             .collect();
         let before = front.cpu_us_and_memory_bytes().0;
         std::thread::sleep(Duration::from_millis(500));
-        // A new client in the midst of it.
+        // A new client connects during the flood.
         let started = Instant::now();
         let connected = connect_tls(front.tls, &config).is_ok();
         let handshake_ms = started.elapsed().as_millis();
@@ -493,7 +493,7 @@
         let results = collect_results(clients);
         let attempts: u64 = attackers.into_iter().map(|a| a.join().unwrap()).sum();
         println!(
-            "flood {kind:7}: {attempts} tried; usual p50 {} us, p99 {} us, failed {}; a new one: {connected} after {handshake_ms} ms; core {:.0} %",
+            "flood {kind:7}: {attempts} connection attempts; clients p50 {} us, p99 {} us, failed {}; new client connected: {connected} after {handshake_ms} ms; CPU {:.0} %",
             results.quantile(0.5),
             results.quantile(0.99),
             results.failed,
@@ -512,7 +512,7 @@
         tracing::debug!(i, member = "s-1", "attempt");
     }
     println!(
-        "an event of the log that is not written: {:.2} ns",
+        "log event below the log level: {:.2} ns",
         started.elapsed().as_nanos() as f64 / 5e7
     );
 }
