--- a/emulator/src/cache_nodes.rs
+++ b/emulator/src/cache_nodes.rs
@@ -67,7 +67,7 @@
                     SlowStart::new(position, connections_per_s.into(), Timestamp::MAX);
                 let admission = Admission::Staggered(Group {
                     kind: 0,
-                    near: true,
+                    same_zone: true,
                 });
                 let list = (0..nodes)
                     .map(|node| ListedEndpoint {
--- a/leases/tests/simulation.rs
+++ b/leases/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets: a log whose leader changes, clocks that drift, messages that are lost, duplicated and delayed, fronts
-//! that are stopped and killed. The verdict rests on the operations that the resource admitted.
+//! Simulates a fleet with leader changes, clock drift, lost, duplicated and delayed messages, and suspended and killed
+//! fronts. Guards against concurrent operations under a lease, decreasing tokens, and leases that stay without a holder.
 use cranesill_leases::{
     Action, Command, FencingCheck, FencingToken, LeaseHolder, LeaseId, LeaseManager, LeaseTable,
     Outcome, Timestamp,
@@ -13,11 +13,11 @@
 const FRONTS: u32 = 6;
 const LEASES: LeaseId = 4;
 const REPLICAS: usize = 3;
-/// Faults end at this point, and the run a while later.
+/// End of the random faults. The remaining time is for the recovery.
 const FAULTS_END: Timestamp = 40 * SECOND;
 const RUN_END: Timestamp = 60 * SECOND;
-/// After the faults each lease is held again within this time: the duration of a grant that nobody renews, one more
-/// that a new leader counts, and the waits of those who request it.
+/// Time after the faults within which each lease must be held again: the rest of an abandoned grant, another lease duration
+/// after a leader change, and the delay until the next request.
 const MAX_RECOVERY: Timestamp = 2 * LEASE_DURATION + LEASE_DURATION;
 
 struct Rng(u64);
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy)]
 struct Clock {
     offset: Timestamp,
-    /// In ten-thousandths.
+    /// Relative drift, in ten-thousandths.
     drift: i64,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// A front that is cut off from the log, though not from the resource.
+/// A network partition between a front and the log. The resource stays reachable.
 #[derive(Clone, Copy, Default)]
 struct Partition {
     until: Timestamp,
@@ -69,7 +69,7 @@
     loses_outcomes: bool,
 }
 
-/// Messages in order of their arrival; the number keeps those of one moment apart.
+/// Messages in order of their arrival time, with a unique number for messages that arrive at the same time.
 type Queue<T> = BTreeMap<(Timestamp, u64), T>;
 
 fn pop_arrived<T>(queue: &mut Queue<T>, now: Timestamp) -> Option<T> {
@@ -87,7 +87,7 @@
     stopped_until: Option<Timestamp>,
     partition: Partition,
     inbox: Queue<Outcome>,
-    /// The first sequence number of this incarnation.
+    /// The initial sequence number of the current incarnation.
     sequence: u64,
 }
 
@@ -99,11 +99,11 @@
     token: FencingToken,
     started_at: Timestamp,
     ended_at: Timestamp,
-    /// The front was stopped between the authorization and the operation.
+    /// Whether the front was suspended between the authorization and the operation.
     delayed: bool,
 }
 
-/// An operation that reaches the resource later.
+/// An operation of a suspended front, which reaches the resource when the front resumes.
 struct DelayedOperation {
     resumes_at: Timestamp,
     operation: Operation,
@@ -114,12 +114,12 @@
     clock: Clock,
 }
 
-/// What a run has produced.
+/// The results of a run.
 #[derive(Default)]
 struct Observations {
     operations: Vec<Operation>,
     rejected: u64,
-    hand_overs: u64,
+    handovers: u64,
 }
 
 struct Simulation {
@@ -130,9 +130,9 @@
     managers: Vec<SimulatedManager>,
     table: LeaseTable,
     checks: Vec<FencingCheck>,
-    /// Proposals on their way to the leader.
+    /// Proposals in flight to the leader.
     proposals: Queue<Command>,
-    /// Commands that the leader has accepted and that are not committed yet.
+    /// Commands accepted by the leader and not committed yet.
     uncommitted: Queue<Command>,
     leader: Option<usize>,
     next_leader_change: Timestamp,
@@ -141,16 +141,16 @@
     observations: Observations,
 }
 
-/// Each front prefers another lease and starts with it.
+/// Returns the leases that a front competes for, starting with its preferred one.
 fn wanted(front: u32, now: Timestamp) -> Vec<(LeaseId, Timestamp)> {
-    let place = |lease: LeaseId| u64::from((front + u32::from(lease)) % FRONTS);
+    let rank = |lease: LeaseId| u64::from((front + u32::from(lease)) % FRONTS);
     (0..LEASES)
-        .map(|lease| (lease, now + place(lease) * 50 * MS))
+        .map(|lease| (lease, now + rank(lease) * 50 * MS))
         .collect()
 }
 
 impl Simulation {
-    /// `max_drift` is how far each clock may be off, in ten-thousandths.
+    /// Creates a fleet whose clocks drift by at most `max_drift` ten-thousandths.
     fn new(seed: u64, max_drift: u64) -> Self {
         let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
         let front = |number| {
@@ -205,7 +205,7 @@
         self.observations
     }
 
-    fn faulty(&self) -> bool {
+    fn faults_active(&self) -> bool {
         self.now < FAULTS_END
     }
 
@@ -214,15 +214,15 @@
         self.last_message
     }
 
-    /// A leader is lost, or after a while without one another is elected.
+    /// Removes the leader at random times, and elects another one after a delay.
     fn change_leader(&mut self) {
-        if self.now >= self.next_leader_change || !self.faulty() && self.leader.is_none() {
+        if self.now >= self.next_leader_change || !self.faults_active() && self.leader.is_none() {
             match self.leader.take() {
                 Some(leader) => self.lose_leader(leader),
                 None => self.elect_leader(),
             }
         }
-        if !self.faulty() && self.leader.is_some() {
+        if !self.faults_active() && self.leader.is_some() {
             self.next_leader_change = Timestamp::MAX;
         }
     }
@@ -230,7 +230,7 @@
     fn lose_leader(&mut self, leader: usize) {
         self.managers[leader].manager.set_leader(false);
         self.next_leader_change = self.now + self.rng.below(2 * SECOND);
-        // What was not committed is lost with its leader.
+        // Uncommitted commands are lost with their leader.
         self.uncommitted.clear();
     }
 
@@ -238,13 +238,13 @@
         let leader = self.rng.below(REPLICAS as u64) as usize;
         self.leader = Some(leader);
         self.managers[leader].manager.set_leader(true);
-        self.next_leader_change = match self.faulty() {
+        self.next_leader_change = match self.faults_active() {
             true => self.now + SECOND + self.rng.below(12 * SECOND),
             false => Timestamp::MAX,
         };
     }
 
-    /// Proposals that arrive without a leader are lost.
+    /// Moves arrived proposals to the leader's log. They are lost if there is no leader.
     fn accept_proposals(&mut self) {
         while let Some(command) = pop_arrived(&mut self.proposals, self.now) {
             if self.leader.is_none() {
@@ -269,7 +269,7 @@
             };
             let granted = (0..LEASES)
                 .filter(|lease| token(&self.table, *lease) > before[usize::from(*lease)]);
-            self.observations.hand_overs += granted.count() as u64;
+            self.observations.handovers += granted.count() as u64;
             self.broadcast(outcome);
         }
     }
@@ -277,8 +277,8 @@
     fn broadcast(&mut self, outcome: Outcome) {
         for front in 0..self.fronts.len() {
             let partition = self.fronts[front].partition;
-            let cut_off = self.now < partition.until && partition.loses_outcomes;
-            if self.faulty() && (self.rng.one_in(12) || cut_off) {
+            let loses_message = self.now < partition.until && partition.loses_outcomes;
+            if self.faults_active() && (self.rng.one_in(12) || loses_message) {
                 continue;
             }
             let message = self.next_message();
@@ -303,11 +303,11 @@
             return;
         }
         self.start_partition(front);
-        let here = self.fronts[front].clock.read(self.now);
-        if self.faulty() && self.rng.one_in(6_000) {
-            self.restart(front, here);
+        let local_now = self.fronts[front].clock.read(self.now);
+        if self.faults_active() && self.rng.one_in(6_000) {
+            self.restart(front, local_now);
         }
-        let actions = self.poll_holder(front, here);
+        let actions = self.poll_holder(front, local_now);
         for action in actions {
             if let Action::Propose(command) = action {
                 self.propose(front, command);
@@ -315,20 +315,20 @@
         }
         for lease in 0..LEASES {
             if self.rng.one_in(20) {
-                self.operate(front, here, lease);
+                self.operate(front, local_now, lease);
             }
         }
     }
 
     fn is_stopped(&mut self, front: usize) -> bool {
-        let faulty = self.faulty();
+        let faults_active = self.faults_active();
         let state = &mut self.fronts[front];
-        if faulty && state.stopped_until.is_none() && self.rng.one_in(2_500) {
+        if faults_active && state.stopped_until.is_none() && self.rng.one_in(2_500) {
             state.stopped_until = Some(self.now + self.rng.below(3 * LEASE_DURATION));
         }
         if state
             .stopped_until
-            .is_some_and(|until| self.now < until && faulty)
+            .is_some_and(|until| self.now < until && faults_active)
         {
             return true;
         }
@@ -338,7 +338,7 @@
 
     fn start_partition(&mut self, front: usize) {
         let reachable = self.now >= self.fronts[front].partition.until;
-        if self.faulty() && reachable && self.rng.one_in(1_500) {
+        if self.faults_active() && reachable && self.rng.one_in(1_500) {
             self.fronts[front].partition = Partition {
                 until: self.now + self.rng.below(3 * LEASE_DURATION),
                 loses_proposals: !self.rng.one_in(3),
@@ -347,46 +347,46 @@
         }
     }
 
-    /// A killed front holds nothing when it starts again, and continues its sequence numbers.
-    fn restart(&mut self, front: usize, here: Timestamp) {
+    /// Restarts a killed front, which holds no lease and uses higher sequence numbers than before.
+    fn restart(&mut self, front: usize, local_now: Timestamp) {
         let state = &mut self.fronts[front];
         state.sequence += 1_000_000;
         state.holder = LeaseHolder::new(
             state.number,
             LEASE_DURATION,
             state.sequence,
-            wanted(state.number, here),
+            wanted(state.number, local_now),
         );
         state.inbox.clear();
     }
 
-    fn poll_holder(&mut self, front: usize, here: Timestamp) -> Vec<Action> {
-        let faulty = self.faulty();
+    fn poll_holder(&mut self, front: usize, local_now: Timestamp) -> Vec<Action> {
+        let faults_active = self.faults_active();
         let state = &mut self.fronts[front];
         let mut actions = Vec::new();
         while let Some(outcome) = pop_arrived(&mut state.inbox, self.now) {
-            actions.extend(state.holder.apply(here, outcome));
+            actions.extend(state.holder.apply(local_now, outcome));
         }
-        actions.extend(state.holder.poll(here));
-        if faulty && self.rng.one_in(4_000) {
+        actions.extend(state.holder.poll(local_now));
+        if faults_active && self.rng.one_in(4_000) {
             let lease = self.rng.below(LEASES.into()) as LeaseId;
-            actions.extend(state.holder.record_failure(here, lease));
+            actions.extend(state.holder.record_failure(local_now, lease));
         }
         actions
     }
 
-    /// A proposal may be lost, duplicated or delayed for long.
+    /// Sends a proposal, which may be lost, duplicated or delayed.
     fn propose(&mut self, front: usize, command: Command) {
         let partition = self.fronts[front].partition;
-        if self.faulty() && self.now < partition.until && partition.loses_proposals {
+        if self.faults_active() && self.now < partition.until && partition.loses_proposals {
             return;
         }
-        let copies = match self.faulty() {
+        let copies = match self.faults_active() {
             true => [1, 1, 1, 1, 1, 1, 1, 0, 1, 2][self.rng.below(10) as usize],
             false => 1,
         };
         for _ in 0..copies {
-            let delay = if self.faulty() && self.rng.one_in(100) {
+            let delay = if self.faults_active() && self.rng.one_in(100) {
                 self.rng.below(20 * SECOND)
             } else {
                 0
@@ -397,11 +397,14 @@
         }
     }
 
-    /// Starts an operation under a lease, if it is authorized. Some fronts are stopped just before it.
-    fn operate(&mut self, front: usize, here: Timestamp, lease: LeaseId) {
-        let takes = 10 * MS + self.rng.below(400 * MS);
+    /// Starts an operation under a lease if it is authorized. Some fronts are suspended after the authorization.
+    fn operate(&mut self, front: usize, local_now: Timestamp, lease: LeaseId) {
+        let duration = 10 * MS + self.rng.below(400 * MS);
         let state = &mut self.fronts[front];
-        let Ok(token) = state.holder.authorize(here, lease, here + takes) else {
+        let Ok(token) = state
+            .holder
+            .authorize(local_now, lease, local_now + duration)
+        else {
             return;
         };
         state.holder.record_success(lease);
@@ -410,13 +413,13 @@
             front: state.number,
             token,
             started_at: self.now,
-            ended_at: state.clock.true_time(here + takes),
+            ended_at: state.clock.true_time(local_now + duration),
             delayed: false,
         };
         if self.now < FAULTS_END && self.rng.one_in(200) {
             let resumes_at = self.now + self.rng.below(2 * LEASE_DURATION);
             state.stopped_until = Some(resumes_at);
-            let ended_at = resumes_at + takes;
+            let ended_at = resumes_at + duration;
             let operation = Operation {
                 started_at: resumes_at,
                 ended_at,
@@ -431,7 +434,7 @@
             self.observations.operations.push(operation);
         } else {
             panic!(
-                "seed {}: an operation in time was rejected: {operation:?}",
+                "seed {}: an operation within its lease was rejected: {operation:?}",
                 self.seed
             );
         }
@@ -453,14 +456,14 @@
     }
 }
 
-/// Breaches of the guarantees in a run.
+/// Checks the invariants of all leases after a run.
 fn check(seed: u64, observations: &Observations) -> Result<(), String> {
     for lease in 0..LEASES {
-        let of_lease = observations
+        let in_lease = observations
             .operations
             .iter()
             .filter(|operation| operation.lease == lease);
-        let operations: Vec<_> = of_lease.collect();
+        let operations: Vec<_> = in_lease.collect();
         check_tokens(seed, &operations)?;
         check_overlaps(seed, &operations)?;
         check_recovery(seed, lease, &operations)?;
@@ -481,7 +484,7 @@
     Ok(())
 }
 
-/// Operations that started when they were authorized never overlap with those of another front.
+/// Checks that operations that were not delayed never overlap with those of another front.
 fn check_overlaps(seed: u64, operations: &[&Operation]) -> Result<(), String> {
     let in_time: Vec<_> = operations
         .iter()
@@ -489,7 +492,9 @@
         .collect();
     for pair in in_time.windows(2) {
         if pair[0].front != pair[1].front && pair[1].started_at < pair[0].ended_at {
-            return Err(format!("seed {seed}: two fronts act at once: {pair:?}"));
+            return Err(format!(
+                "seed {seed}: concurrent operations of two fronts: {pair:?}"
+            ));
         }
     }
     Ok(())
@@ -500,38 +505,40 @@
     let recovered = operations
         .iter()
         .any(|operation| recovery.contains(&operation.started_at));
-    let lasting = operations
+    let held_at_end = operations
         .iter()
         .any(|operation| operation.started_at > RUN_END - SECOND);
-    if !recovered || !lasting {
-        return Err(format!("seed {seed}: lease {lease} is not held again"));
+    if !recovered || !held_at_end {
+        return Err(format!(
+            "seed {seed}: lease {lease} is not held after the faults"
+        ));
     }
     Ok(())
 }
 
 #[test]
-fn under_any_fault_one_front_acts_at_a_time_under_growing_tokens_and_each_lease_is_held_again() {
-    let (mut hand_overs, mut rejected, mut operations) = (0, 0, 0);
+fn at_most_one_front_acts_under_a_lease_and_every_lease_recovers_from_faults() {
+    let (mut handovers, mut rejected, mut operations) = (0, 0, 0);
     for seed in 0..200 {
-        // Any two clocks drift apart by less than ten in a thousand.
+        // Two clocks drift apart by at most 98 ten-thousandths, which is within the bound.
         let observations = Simulation::new(seed, 49).run();
         check(seed, &observations).unwrap();
-        hand_overs += observations.hand_overs;
+        handovers += observations.handovers;
         rejected += observations.rejected;
         operations += observations.operations.len();
     }
     println!(
-        "{hand_overs} hand-overs, {operations} operations, {rejected} rejected by their token"
+        "{handovers} handovers, {operations} operations, {rejected} rejected by the fencing check"
     );
     assert!(
-        hand_overs > 2_000 && rejected > 20 && operations > 100_000,
-        "{hand_overs} {rejected} {operations}"
+        handovers > 2_000 && rejected > 20 && operations > 100_000,
+        "{handovers} handovers, {operations} operations, {rejected} rejected"
     );
 }
 
 #[test]
-fn clocks_that_drift_beyond_the_bound_break_exclusion_and_the_checker_or_the_tokens_notice() {
-    // Ten times the bound: the guarantee for clocks within it does not hold for these, and the checker sees it.
+fn clock_drift_beyond_the_bound_is_detected_as_a_violation() {
+    // With drift far beyond the bound, mutual exclusion fails, and the checks must detect it.
     let broken = (0..60).filter(|seed| {
         let run = std::panic::catch_unwind(|| Simulation::new(*seed, 900).run());
         run.map_or(true, |observations| check(*seed, &observations).is_err())
--- a/purges/src/shield/tests.rs
+++ b/purges/src/shield/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn no_more_than_the_rate_passes_over_any_duration_and_high_priorities_come_first() {
+fn the_rate_is_never_exceeded_and_high_priority_requests_pass_first() {
     let mut shield = Shield::new(0, 100.0);
     let (mut high, mut low) = (0, 0);
     for step in 0..100_000u64 {
-        // Ten seconds of requests at both priorities, as after a purge of everything.
+        // 10 s of requests: 1,000 per second at the lowest priority and 100 per second at the highest.
         let now = step * 100;
         if step % 10 == 0 {
             low += u32::from(shield.try_pass(now, 0.0));
@@ -17,12 +17,12 @@
     assert!(high + low <= 1_100, "{high} {low}");
     assert!(
         high >= 990,
-        "the highest priority gets nearly all that it asks for: {high} {low}"
+        "nearly all requests of the highest priority pass: {high} {low}"
     );
 }
 
 #[test]
-fn retry_after_is_long_enough() {
+fn a_request_passes_after_its_retry_after() {
     let mut shield = Shield::new(0, 10.0);
     while shield.try_pass(0, 0.0) {}
     let wait = shield.retry_after(0.0);
