--- a/front/examples/measure-cold.rs
+++ b/front/examples/measure-cold.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const S: Duration = Duration::from_secs(1);
+const SECOND: Duration = Duration::from_secs(1);
 /// The level of service is counted over so much time.
 const WINDOW: Duration = Duration::from_millis(250);
 
@@ -23,58 +23,62 @@
         let text = std::fs::read_to_string(file).unwrap_or_else(|e| panic!("{file}: {e}"));
         serde_json::from_str(&text).unwrap_or_else(|e| panic!("{file}: {e}"))
     });
-    let beside = std::env::current_exe()
+    let program = std::env::current_exe()
         .ok()
         .and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
-    let binary: PathBuf = beside.expect("the program lies beside its examples");
+    let binary: PathBuf = program.expect("the program lies beside its examples");
     let base: Value =
         serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
-    let shape = Shape {
+    let size = Shape {
         fronts,
         caches,
         parents: 2.max(caches / 30),
         sides: 0,
     };
-    let mut stage = Stage::start(&binary, shape, &base, settings.as_ref(), 1);
-    stage.asks.pause = Duration::from_millis(pause as u64);
-    stage.asks.objects = 5_000;
-    let began = stage.history.now();
-    let clients = stage.clients(1);
-    std::thread::sleep(10 * S);
-    let end = stage.history.now();
-    let first = first_served(&stage, fronts, began);
-    let cold = dials(&stage, caches, began, end);
-    let before = level(&stage, end - 3 * S, end, |_| true);
-    let dead: Vec<usize> = (0..fronts).filter(|n| n % 10 < 7).collect();
-    let live = |front: usize| front % 10 >= 7;
-    let live_before = level(&stage, end - 3 * S, end, live);
-    stage.kill(&dead);
-    std::thread::sleep(S);
-    let back = stage.history.now();
-    stage.restart(&dead);
-    let listening = stage.history.now();
-    std::thread::sleep(10 * S);
-    let after = stage.history.now();
+    let mut cluster = Stage::start(&binary, size, &base, settings.as_ref(), 1);
+    cluster.asks.pause = Duration::from_millis(pause as u64);
+    cluster.asks.objects = 5_000;
+    let started = cluster.history.now();
+    let clients = cluster.clients(1);
+    std::thread::sleep(10 * SECOND);
+    let killed_at = cluster.history.now();
+    let first_served_s = first_served_s(&cluster, fronts, started);
+    let cold_connections = max_connections(&cluster, caches, started, killed_at);
+    let served_before = served_per_s(&cluster, killed_at - 3 * SECOND, killed_at, |_| true);
+    let killed: Vec<usize> = (0..fronts).filter(|n| n % 10 < 7).collect();
+    let survives = |front: usize| front % 10 >= 7;
+    let survivors_before = served_per_s(&cluster, killed_at - 3 * SECOND, killed_at, survives);
+    cluster.kill(&killed);
+    std::thread::sleep(SECOND);
+    let restarted_at = cluster.history.now();
+    cluster.restart(&killed);
+    let listening_at = cluster.history.now();
+    std::thread::sleep(10 * SECOND);
+    let end = cluster.history.now();
     clients.end();
-    let returned =
-        windows(back, after).find(|at| level(&stage, *at, *at + WINDOW, |_| true) >= 0.95 * before);
-    let worst_live = windows(end, after)
-        .map(|at| level(&stage, at, at + WINDOW, live))
+    let recovered_at = windows(restarted_at, end)
+        .find(|at| served_per_s(&cluster, *at, *at + WINDOW, |_| true) >= 0.95 * served_before);
+    let survivors_worst = windows(killed_at, end)
+        .map(|at| served_per_s(&cluster, at, at + WINDOW, survives))
         .fold(f64::MAX, f64::min);
-    let found = json!({
+    let results = json!({
         "fronts": fronts, "caches": caches, "settings": settings.map(|s| s["startup"].clone()),
-        "first_served_s": quantiles(first),
-        "connections_at_one_cache": cold,
-        "connections_at_one_cache_after_the_kill": dials(&stage, caches, back, after),
-        "served_a_second": before.round(),
-        "all_listen_again_s": (listening - back).as_secs_f64(),
-        "level_again_s": returned.map(|at| (at + WINDOW - back).as_secs_f64()),
-        "level_again_since_all_listen_s": returned.map(|at| (at + WINDOW).saturating_sub(listening).as_secs_f64()),
-        "live_fronts_served_a_second": {"before": live_before.round(), "worst_quarter_second": worst_live.round()},
-        "breaches": stage.breaches().len(),
+        "first_served_s": quantiles(first_served_s),
+        "connections_at_one_cache": cold_connections,
+        "connections_at_one_cache_after_the_kill": max_connections(&cluster, caches, restarted_at, end),
+        "served_a_second": served_before.round(),
+        "all_listen_again_s": (listening_at - restarted_at).as_secs_f64(),
+        "level_again_s": recovered_at.map(|at| (at + WINDOW - restarted_at).as_secs_f64()),
+        "level_again_since_all_listen_s": recovered_at.map(|at| (at + WINDOW).saturating_sub(listening_at).as_secs_f64()),
+        "live_fronts_served_a_second": {"before": survivors_before.round(), "worst_quarter_second": survivors_worst.round()},
+        "breaches": cluster.breaches().len(),
     });
-    println!("{found}");
-    assert!(stage.fleet.dead().is_empty(), "{:#?}", stage.fleet.dead());
+    println!("{results}");
+    assert!(
+        cluster.fleet.dead().is_empty(),
+        "{:#?}",
+        cluster.fleet.dead()
+    );
 }
 
 fn windows(from: Duration, to: Duration) -> impl Iterator<Item = Duration> {
@@ -84,18 +88,23 @@
 }
 
 /// Requests served a second by these fronts.
-fn level(stage: &Stage, from: Duration, to: Duration, of: impl Fn(usize) -> bool) -> f64 {
-    let served = stage
+fn served_per_s(
+    cluster: &Stage,
+    from: Duration,
+    to: Duration,
+    includes: impl Fn(usize) -> bool,
+) -> f64 {
+    let served = cluster
         .history
-        .moments(|seen| matches!(seen, Seen::Answered(front, _, 1) if of(*front)));
+        .moments(|seen| matches!(seen, Seen::Answered(front, _, 1) if includes(*front)));
     served.iter().filter(|at| (from..to).contains(at)).count() as f64 / (to - from).as_secs_f64()
 }
 
-fn first_served(stage: &Stage, fronts: usize, began: Duration) -> Vec<f64> {
+fn first_served_s(cluster: &Stage, fronts: usize, started: Duration) -> Vec<f64> {
     let mut first = vec![f64::INFINITY; fronts];
-    for (at, seen) in stage.history.all() {
+    for (at, seen) in cluster.history.all() {
         if let Seen::Answered(front, _, 1) = seen {
-            first[front] = first[front].min((at.saturating_sub(began)).as_secs_f64());
+            first[front] = first[front].min((at.saturating_sub(started)).as_secs_f64());
         }
     }
     first.sort_by(f64::total_cmp);
@@ -103,25 +112,25 @@
 }
 
 fn quantiles(sorted: Vec<f64>) -> Value {
-    let at = |share: f64| sorted[((sorted.len() - 1) as f64 * share) as usize];
-    json!({"half": at(0.5), "99_in_100": at(0.99), "all": at(1.0)})
+    let quantile = |share: f64| sorted[((sorted.len() - 1) as f64 * share) as usize];
+    json!({"half": quantile(0.5), "99_in_100": quantile(0.99), "all": quantile(1.0)})
 }
 
 /// Connections that came to the cache with the most of them in any second and in any tenth of one, and to all in the mean.
-fn dials(stage: &Stage, caches: usize, from: Duration, to: Duration) -> Value {
-    let of = |place: usize, span: Duration| {
-        let id = stage.nodes.all[place].0;
-        stage
+fn max_connections(cluster: &Stage, caches: usize, from: Duration, to: Duration) -> Value {
+    let max_at = |index: usize, window: Duration| {
+        let id = cluster.nodes.all[index].0;
+        cluster
             .history
-            .most(from, to, span, |seen| *seen == Seen::Dialled(id))
+            .most(from, to, window, |seen| *seen == Seen::Dialled(id))
             .0
     };
-    let total = stage
+    let total = cluster
         .history
         .moments(|seen| matches!(seen, Seen::Dialled(_)));
     json!({
-        "worst_second": (0..caches).map(|place| of(place, S)).max(),
-        "worst_100_ms": (0..caches).map(|place| of(place, S / 10)).max(),
+        "worst_second": (0..caches).map(|index| max_at(index, SECOND)).max(),
+        "worst_100_ms": (0..caches).map(|index| max_at(index, SECOND / 10)).max(),
         "all_nodes": total.iter().filter(|at| (from..to).contains(at)).count(),
     })
 }
--- a/front/examples/measure-daily.rs
+++ b/front/examples/measure-daily.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-const CALLS: usize = 400;
+const CALLS_PER_COMMAND: usize = 400;
 const REPLACEMENTS: usize = 100;
 
 /// Memory in KB and descriptors of a process.
-fn held(process: &Process) -> (u64, usize) {
+fn memory_kb_and_descriptors(process: &Process) -> (u64, usize) {
     let folder = format!("/proc/{}", process.front.id());
     let status = std::fs::read_to_string(format!("{folder}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -27,81 +27,86 @@
 }
 
 fn main() {
-    let stage = Stage::new(|_| {});
-    stage
+    let front = Stage::new(|_| {});
+    front
         .caches
         .iter()
-        .chain([&stage.origin])
-        .for_each(|member| drop(answering(member)));
-    let platform = Held::new(&stage.config);
-    let (mut old, mut ops) = platform.start();
-    let (over, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
+        .chain([&front.origin])
+        .for_each(|endpoint| drop(answering(endpoint)));
+    let service_manager = Held::new(&front.config);
+    let (mut old, mut ops) = service_manager.start();
+    let (stop, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
     let clients = load(
-        platform.listener.local_addr().unwrap(),
-        &over,
+        service_manager.listener.local_addr().unwrap(),
+        &stop,
         &failures,
         32,
     );
     // Warm: connections are made and the members known.
     while figures(ops)["handled.page-bits.passed"] < 10_000 {}
     let before = figures(ops)["handled.page-bits.passed"];
-    let began = Instant::now();
+    let started = Instant::now();
     for word in ["health", "counters"] {
-        let mut took: Vec<_> = (0..CALLS)
+        let mut latencies_us: Vec<_> = (0..CALLS_PER_COMMAND)
             .map(|_| {
-                let began = Instant::now();
+                let started = Instant::now();
                 assert!(call(ops, word).starts_with("+OK"));
-                began.elapsed().as_micros()
+                started.elapsed().as_micros()
             })
             .collect();
-        took.sort_unstable();
-        let of = |share: usize| took[(CALLS * share / 100).min(CALLS - 1)];
+        latencies_us.sort_unstable();
+        let percentile = |percent: usize| {
+            latencies_us[(CALLS_PER_COMMAND * percent / 100).min(CALLS_PER_COMMAND - 1)]
+        };
         println!(
             "{word}: p50 {} us, p99 {} us, max {} us",
-            of(50),
-            of(99),
-            of(100)
+            percentile(50),
+            percentile(99),
+            percentile(100)
         );
     }
     let served = figures(ops)["handled.page-bits.passed"] - before;
     println!(
         "beside {:.0} requests a second",
-        served as f64 / began.elapsed().as_secs_f64()
+        served as f64 / started.elapsed().as_secs_f64()
     );
-    let (mut most, mut ends) = ((0, 0), Vec::new());
+    let (mut max, mut end_times_ms) = ((0, 0), Vec::new());
     for _ in 0..REPLACEMENTS {
-        let (new, new_ops) = platform.start();
+        let (new, new_ops) = service_manager.start();
         until(&new.log, "waits for another process");
-        let began = Instant::now();
+        let started = Instant::now();
         old.signal("-TERM");
         until(&new.log, "accepts clients");
-        let both = [held(&old), held(&new)];
-        most = (
-            most.0.max(both[0].0 + both[1].0),
-            most.1.max(both[0].1 + both[1].1),
+        let both = [
+            memory_kb_and_descriptors(&old),
+            memory_kb_and_descriptors(&new),
+        ];
+        max = (
+            max.0.max(both[0].0 + both[1].0),
+            max.1.max(both[0].1 + both[1].1),
         );
         assert!(old.front.wait().unwrap().success());
-        ends.push(began.elapsed().as_millis());
+        end_times_ms.push(started.elapsed().as_millis());
         (old, ops) = (new, new_ops);
     }
     assert!(call(ops, "health").starts_with("+OK"));
-    over.store(true, Ordering::SeqCst);
-    let answered: u32 = clients
+    stop.store(true, Ordering::SeqCst);
+    let responses: u32 = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .sum();
-    ends.sort_unstable();
+    end_times_ms.sort_unstable();
     println!(
-        "{REPLACEMENTS} replacements beside {answered} answers: {} met a closed door",
+        "{REPLACEMENTS} replacements beside {responses} responses: {} met a closed door",
         failures.lock().unwrap().len()
     );
     println!(
         "the old process ends after {} ms (median), {} ms at most",
-        ends[REPLACEMENTS / 2],
-        ends[REPLACEMENTS - 1]
+        end_times_ms[REPLACEMENTS / 2],
+        end_times_ms[REPLACEMENTS - 1]
     );
     println!(
         "both processes together: {} KB and {} descriptors at most",
-        most.0, most.1
+        max.0, max.1
     );
 }
--- a/front/examples/measure-scale.rs
+++ b/front/examples/measure-scale.rs
@@ -12,23 +12,23 @@
 use std::time::{Duration, Instant};
 
 /// Cache nodes of each run; the first is the size that the others are compared with.
-const SIZES: [usize; 3] = [200, 800, 3_200];
+const CACHE_COUNTS: [usize; 3] = [200, 800, 3_200];
 /// Fronts that share the cache nodes, and the weight of all cache nodes together: beside one front a node carries at
 /// least one request, of 900 fronts none has a share of a whole one.
 const FLEETS: [(u32, usize); 2] = [(1, 3_200), (900, 6_400)];
 const PARENTS: usize = 4;
 /// Weight of all parents together over that of all cache nodes.
-const PARENTS_SHARE: f64 = 0.5;
-const LOAD_LASTS: Duration = Duration::from_secs(10);
+const PARENT_WEIGHT_RATIO: f64 = 0.5;
+const LOAD_DURATION: Duration = Duration::from_secs(10);
 /// Pause between two looks at the process, each with one change of the list.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-const ANSWER_TAKES: Duration = Duration::from_millis(30);
+const RESPONSE_DELAY: Duration = Duration::from_millis(30);
 /// Clients with one request at a time, and their pause: about 150 requests a second.
 const CLIENTS: usize = 16;
 const CLIENT_PAUSE: Duration = Duration::from_millis(74);
-const OBJECTS: u64 = 20_000;
+const DEFAULT_OBJECTS: u64 = 20_000;
 /// The event that the configuration holds.
-const KNOWN_EVENT: u64 = 1;
+const INITIAL_EVENT: u64 = 1;
 
 /// What one front needed in one run.
 struct Usage {
@@ -37,51 +37,51 @@
     descriptors: f64,
     connections: f64,
     list_kb: f64,
-    asked: usize,
+    requests: usize,
     served: usize,
 }
 
 impl Usage {
-    fn share_served(&self) -> f64 {
-        self.served as f64 / self.asked.max(1) as f64
+    fn served_fraction(&self) -> f64 {
+        self.served as f64 / self.requests.max(1) as f64
     }
 
-    /// The bounds of growth over `usual` beside `nodes` cache nodes: what, the figure, its bound, and whether it holds.
-    fn rows(&self, usual: &Usage, nodes: usize) -> [(&'static str, f64, f64, bool); 6] {
+    /// The bounds of growth over `baseline` beside `nodes` cache nodes: what, the figure, its bound, and whether it holds.
+    fn bounds(&self, baseline: &Usage, nodes: usize) -> [(&'static str, f64, f64, bool); 6] {
         let thousands = nodes as f64 / 1_000.0;
-        let most = |what, figure: f64, bound: f64| (what, figure, bound, figure <= bound);
-        let least = usual.share_served() * 0.85;
+        let at_most = |name, value: f64, bound: f64| (name, value, bound, value <= bound);
+        let min_served = baseline.served_fraction() * 0.85;
         [
-            most(
+            at_most(
                 "CPU seconds",
                 self.cpu_s,
-                1.4 * usual.cpu_s + 0.02 + 0.03 * thousands,
+                1.4 * baseline.cpu_s + 0.02 + 0.03 * thousands,
             ),
-            most(
+            at_most(
                 "peak memory, MB",
                 self.peak_memory_mb,
-                1.5 * usual.peak_memory_mb + 8.0 + 4.0 * thousands,
+                1.5 * baseline.peak_memory_mb + 8.0 + 4.0 * thousands,
             ),
-            most(
+            at_most(
                 "descriptors",
                 self.descriptors,
-                2.0 * usual.descriptors + 40.0,
+                2.0 * baseline.descriptors + 40.0,
             ),
-            most(
+            at_most(
                 "connections made",
                 self.connections,
-                2.5 * usual.connections + 40.0,
+                2.5 * baseline.connections + 40.0,
             ),
-            most(
+            at_most(
                 "list bytes, KB",
                 self.list_kb,
-                2.0 * usual.list_kb + 64.0 + 500.0 * thousands,
+                2.0 * baseline.list_kb + 64.0 + 500.0 * thousands,
             ),
             (
                 "share served",
-                self.share_served(),
-                least,
-                self.share_served() >= least,
+                self.served_fraction(),
+                min_served,
+                self.served_fraction() >= min_served,
             ),
         ]
     }
@@ -103,9 +103,9 @@
             .map(|place| 0x101 + place as u32)
             .collect();
         let nodes = Nodes::new(&history, &ids, &["book-car"]);
-        (0..ids.len()).for_each(|place| nodes.set(place, Mood::Answers(ANSWER_TAKES)));
+        (0..ids.len()).for_each(|place| nodes.set(place, Mood::Answers(RESPONSE_DELAY)));
         let cache_weight = (capacity / caches) as u32;
-        let parent_weight = (capacity as f64 * PARENTS_SHARE) as u32 / PARENTS as u32;
+        let parent_weight = (capacity as f64 * PARENT_WEIGHT_RATIO) as u32 / PARENTS as u32;
         let listed: Vec<Listed> = ids
             .iter()
             .enumerate()
@@ -129,10 +129,10 @@
         let addresses = nodes.all.iter().map(|(_, at)| *at).collect();
         let list = ListService::with_doors(&history, Mode::Serves, vec![addresses]);
         let config = configuration(&nodes, &listed, &list, fronts);
-        let beside = std::env::current_exe()
+        let program = std::env::current_exe()
             .ok()
             .and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
-        let binary: PathBuf = beside.expect("the program lies beside its examples");
+        let binary: PathBuf = program.expect("the program lies beside its examples");
         let fleet = Fleet::start(&binary, 1, None, |_| config.clone());
         Run {
             history,
@@ -145,7 +145,7 @@
 
     /// Loads the front while the list changes: one cache node after another drains and comes back.
     fn measure(mut self, objects: u64) -> Usage {
-        let asks = Asks {
+        let load = Asks {
             read: "page-bits".into(),
             write: "book-car".into(),
             objects,
@@ -156,9 +156,9 @@
         let addresses = Arc::new(Mutex::new(vec![Some(self.fleet.address(0))]));
         let process = format!("/proc/{}", self.fleet.process_id(0).expect("it runs"));
         self.list.tell(Event::Nodes(true, self.listed.clone()));
-        let clients = Clients::begin(&self.history, &addresses, &asks, 1);
-        let (began, mut descriptors, mut changes) = (Instant::now(), 0, 0);
-        while began.elapsed() < LOAD_LASTS {
+        let clients = Clients::begin(&self.history, &addresses, &load, 1);
+        let (started, mut descriptors, mut changes) = (Instant::now(), 0, 0);
+        while started.elapsed() < LOAD_DURATION {
             std::thread::sleep(SAMPLE_INTERVAL);
             descriptors = descriptors
                 .max(std::fs::read_dir(format!("{process}/fd")).map_or(0, Iterator::count));
@@ -187,7 +187,7 @@
             descriptors: descriptors as f64,
             connections: count(|seen| matches!(seen, Seen::Dialled(_))) as f64,
             list_kb: list_bytes as f64 / 1_000.0,
-            asked: count(|seen| matches!(seen, Seen::Asked { .. })),
+            requests: count(|seen| matches!(seen, Seen::Asked { .. })),
             served: count(|seen| matches!(seen, Seen::Answered(_, _, 1))),
         }
     }
@@ -199,15 +199,16 @@
     let settings = &mut config["settings"];
     settings["nInstances"] = fronts.into();
     settings["familyInfo"]["seatsByZone"] = json!([0, fronts]);
-    let name = |key: &str, at: u8| settings[key][usize::from(at)].clone();
-    let member = |one: &Listed| {
-        json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": nodes.all[one.place].1.to_string(),
-               "zone": name("zones", one.zone), "machineType": name("kinds", one.kind), "cell": 0,
-               "lifecycle": "in_service", "weight": one.weight, "startedAtMs": 0})
+    let name = |key: &str, index: u8| settings[key][usize::from(index)].clone();
+    let instance = |node: &Listed| {
+        json!({"instanceId": format!("s-{:08x}", node.id), "hostPort": nodes.all[node.place].1.to_string(),
+               "zone": name("zones", node.zone), "machineType": name("kinds", node.kind), "cell": 0,
+               "lifecycle": "in_service", "weight": node.weight, "startedAtMs": 0})
     };
-    let all: Vec<Value> = listed.iter().map(member).collect();
-    let members = json!({"generation": 1, "reset": true, "instances": all});
-    config["known"] = json!({"n": KNOWN_EVENT, "events": [{"n": KNOWN_EVENT, "members": members}]});
+    let instances: Vec<Value> = listed.iter().map(instance).collect();
+    let members = json!({"generation": 1, "reset": true, "instances": instances});
+    config["known"] =
+        json!({"n": INITIAL_EVENT, "events": [{"n": INITIAL_EVENT, "members": members}]});
     config["listen"] = "127.0.0.1:0".into();
     config["feed"] = list.address.to_string().into();
     config
@@ -236,24 +237,25 @@
     let objects = std::env::args()
         .nth(1)
         .and_then(|text| text.parse().ok())
-        .unwrap_or(OBJECTS);
+        .unwrap_or(DEFAULT_OBJECTS);
     let mut exceeded = 0;
     for (fronts, capacity) in FLEETS {
         println!("shares of one front of {fronts}, {objects} objects");
-        let mut usual: Option<Usage> = None;
-        for caches in SIZES {
+        let mut baseline: Option<Usage> = None;
+        for caches in CACHE_COUNTS {
             let usage = Run::start(caches, fronts, capacity).measure(objects);
             println!(
                 "  {caches} cache nodes: served {} of {}",
-                usage.served, usage.asked
+                usage.served, usage.requests
             );
-            for (what, figure, bound, holds) in usage.rows(usual.as_ref().unwrap_or(&usage), caches)
+            for (name, value, bound, holds) in
+                usage.bounds(baseline.as_ref().unwrap_or(&usage), caches)
             {
                 let verdict = if holds { "holds" } else { "EXCEEDED" };
-                println!("    {what:<18} {figure:>9.3}  bound {bound:>9.3}  {verdict}");
+                println!("    {name:<18} {value:>9.3}  bound {bound:>9.3}  {verdict}");
                 exceeded += usize::from(!holds);
             }
-            usual.get_or_insert(usage);
+            baseline.get_or_insert(usage);
         }
     }
     if exceeded > 0 {
--- a/front/examples/measure-startup.rs
+++ b/front/examples/measure-startup.rs
@@ -7,43 +7,43 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const S: Duration = Duration::from_secs(1);
+const SECOND: Duration = Duration::from_secs(1);
 
 fn main() {
-    let mut words = std::env::args().skip(1);
-    let count: usize = words
+    let mut arguments = std::env::args().skip(1);
+    let count: usize = arguments
         .next()
         .map_or(60, |n| n.parse().expect("a number of processes"));
-    let beside = || {
+    let default_program = || {
         std::env::current_exe()
             .expect("a path")
             .parent()
             .and_then(|p| Some(p.parent()?.join("cranesill")))
     };
-    let program = words
+    let program = arguments
         .next()
-        .filter(|word| word != "-")
+        .filter(|argument| argument != "-")
         .map(PathBuf::from)
-        .or_else(beside)
+        .or_else(default_program)
         .expect("a program");
     let history = History::default();
     let list = ListService::with_doors(&history, Mode::Closes, vec![Vec::new(); count]);
     let base: Value = serde_json::from_str(include_str!("config.json")).expect("an example");
-    let mode = words.next();
+    let mode = arguments.next();
     let peers = mode.as_deref() == Some("peers");
-    let ask: Vec<_> = (0..count)
+    let peer_addresses: Vec<_> = (0..count)
         .map(|n| format!("127.99.{}.1:2{n:04}", count % 250))
         .collect();
     let listen = format!("127.99.{}.1:2{{nnnn}}", count % 250);
-    let budget = match mode.as_deref() {
+    let settings = match mode.as_deref() {
         Some("no-budget") => None,
         Some("peers") => Some(
             json!({"startup": {"calls_per_s": 10, "wait_most_ms": 60_000, "list": "main",
-            "peers": {"listen": listen, "ask": ask}}}),
+            "peers": {"listen": listen, "ask": peer_addresses}}}),
         ),
         _ => Some(json!({"startup": {"calls_per_s": 10}})),
     };
-    let mut fleet = Fleet::start(&program, count, budget.as_ref(), |n| {
+    let mut fleet = Fleet::start(&program, count, settings.as_ref(), |n| {
         let mut config = base.clone();
         config["listen"] = "127.0.0.1:0".into();
         config["feed"] = list.doors[n].to_string().into();
@@ -53,69 +53,70 @@
         config
     });
     let call = |seen: &Seen| *seen == Seen::Call;
-    let first = if peers {
+    let first_call = if peers {
         history.now()
     } else {
         history.until("first calls", count, call)
     };
-    std::thread::sleep(30 * S);
-    let (from, back) = (first + 4 * S, history.now());
+    std::thread::sleep(30 * SECOND);
+    let (from, restored_at) = (first_call + 4 * SECOND, history.now());
     list.tell(Event::Purge(1, 1));
     list.set(Mode::Serves);
-    let told =
+    let has_events =
         |n: usize| history.count(|seen| matches!(seen, Seen::Told(front, _) if *front == n)) > 0;
-    let taken = |n: usize| fleet.log(n).contains("the list is taken from peers");
+    let has_peer_list = |n: usize| fleet.log(n).contains("the list is taken from peers");
     let mut missing: Vec<usize> = if peers {
         (0..count).collect()
     } else {
         Vec::new()
     };
-    let mut half = None;
+    let mut half_after = None;
     while !missing.is_empty() {
-        missing.retain(|n| !told(*n) && !taken(*n));
-        half = half.or_else(|| (missing.len() <= count / 2).then(|| history.now() - back));
-        std::thread::sleep(S / 20);
+        missing.retain(|n| !has_events(*n) && !has_peer_list(*n));
+        half_after = half_after
+            .or_else(|| (missing.len() <= count / 2).then(|| history.now() - restored_at));
+        std::thread::sleep(SECOND / 20);
     }
     if peers {
         let calls = history
             .moments(call)
             .iter()
-            .filter(|at| **at >= back)
+            .filter(|at| **at >= restored_at)
             .count();
-        let all = history.now() - back;
+        let all_after = history.now() - restored_at;
         println!(
-            "{count} processes hold the list after its return: half {half:?}, all {all:?}, for {calls} calls"
+            "{count} processes hold the list after its return: half {half_after:?}, all {all_after:?}, for {calls} calls"
         );
     }
-    let made = history
+    let call_count = history
         .moments(call)
         .iter()
-        .filter(|at| (from..back).contains(at))
+        .filter(|at| (from..restored_at).contains(at))
         .count();
-    let (second, _) = history.most(from, back, S, call);
-    let (tenth, _) = history.most(from, back, S / 10, call);
-    let mean = made as f64 / (back - from).as_secs_f64();
-    let early = history
+    let (worst_second, _) = history.most(from, restored_at, SECOND, call);
+    let (worst_100_ms, _) = history.most(from, restored_at, SECOND / 10, call);
+    let mean = call_count as f64 / (restored_at - from).as_secs_f64();
+    let early_calls = history
         .moments(call)
         .iter()
-        .filter(|at| **at < first + 4 * S)
+        .filter(|at| **at < first_call + 4 * SECOND)
         .count();
-    println!("in the first 4 s {early} calls; from then on:");
-    println!("{count} processes: {mean:.1} calls a second, {second} in the worst second, {tenth} in the worst 100 ms");
+    println!("in the first 4 s {early_calls} calls; from then on:");
+    println!("{count} processes: {mean:.1} calls a second, {worst_second} in the worst second, {worst_100_ms} in the worst 100 ms");
     let served = |seen: &Seen| matches!(seen, Seen::Served(_));
-    let all = history.until("fronts that are served", count, served);
-    let mut took: Vec<_> = history
+    let all_served_at = history.until("fronts that are served", count, served);
+    let mut served_after: Vec<_> = history
         .moments(served)
         .into_iter()
-        .map(|at| at.saturating_sub(back))
+        .map(|at| at.saturating_sub(restored_at))
         .collect();
-    took.sort_unstable();
-    let part = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
+    served_after.sort_unstable();
+    let quantile = |share: f64| served_after[((served_after.len() - 1) as f64 * share) as usize];
     println!(
         "served after its return: half {:?}, 99 in a hundred {:?}, all {:?}",
-        part(0.5),
-        part(0.99),
-        all - back
+        quantile(0.5),
+        quantile(0.99),
+        all_served_at - restored_at
     );
     assert!(fleet.dead().is_empty(), "no process ended by itself");
 }
