--- a/front/examples/measure-cold.rs
+++ b/front/examples/measure-cold.rs
@@ -1,34 +1,36 @@
-//! A cold start and a kill of seven in ten, of so many processes with so many cache nodes: connections that come to a node, when
-//! each front serves first, and how long the level of service takes to return.
+//! Measures a cold start of a fleet and the kill and restart of 70 % of its fronts: connections per cache node, the time until
+//! each front serves its first request, and the time until the rate of served requests recovers.
 //!
-//! `measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]`: each front is asked one request at a time with this pause between them;
-//! SETTINGS is a file of the daemon's own. Prints one JSON object.
+//! `measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]`: each front receives one request at a time with this pause in between; SETTINGS
+//! is a settings file of the daemon. Prints one JSON object.
 use cranesill_rig::{Seen, Shape, Stage};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// The level of service is counted over so much time.
+/// Interval over which the rate of served requests is measured after the kill.
 const WINDOW: Duration = Duration::from_millis(250);
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let number = |n: usize| arguments.get(n).and_then(|a| a.parse::<usize>().ok());
     let (Some(fronts), Some(caches), Some(pause)) = (number(0), number(1), number(2)) else {
-        eprintln!("measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]");
+        eprintln!("usage: measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]");
         std::process::exit(2);
     };
     let settings: Option<Value> = arguments.get(3).map(|file| {
-        let text = std::fs::read_to_string(file).unwrap_or_else(|e| panic!("{file}: {e}"));
-        serde_json::from_str(&text).unwrap_or_else(|e| panic!("{file}: {e}"))
+        let text = std::fs::read_to_string(file)
+            .unwrap_or_else(|e| panic!("cannot read the settings file {file}: {e}"));
+        serde_json::from_str(&text)
+            .unwrap_or_else(|e| panic!("the settings file {file} is not valid JSON: {e}"))
     });
     let program = std::env::current_exe()
         .ok()
         .and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
-    let binary: PathBuf = program.expect("the program lies beside its examples");
+    let binary: PathBuf = program.expect("cannot determine the path of the cranesill binary");
     let base: Value =
-        serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
+        serde_json::from_str(include_str!("config.json")).expect("config.json is not valid JSON");
     let size = Shape {
         fronts,
         caches,
@@ -87,7 +89,7 @@
         .take_while(move |at| *at + WINDOW <= to)
 }
 
-/// Requests served a second by these fronts.
+/// Requests served per second by the fronts for which `includes` holds.
 fn served_per_s(
     cluster: &Stage,
     from: Duration,
@@ -100,6 +102,7 @@
     served.iter().filter(|at| (from..to).contains(at)).count() as f64 / (to - from).as_secs_f64()
 }
 
+/// Time from `started` to the first served request of each front, in seconds, sorted.
 fn first_served_s(cluster: &Stage, fronts: usize, started: Duration) -> Vec<f64> {
     let mut first = vec![f64::INFINITY; fronts];
     for (at, seen) in cluster.history.all() {
@@ -116,7 +119,7 @@
     json!({"half": quantile(0.5), "99_in_100": quantile(0.99), "all": quantile(1.0)})
 }
 
-/// Connections that came to the cache with the most of them in any second and in any tenth of one, and to all in the mean.
+/// Most connections to one cache within any second and any 100 ms, and the number of connections to all nodes.
 fn max_connections(cluster: &Stage, caches: usize, from: Duration, to: Duration) -> Value {
     let max_at = |index: usize, window: Duration| {
         let id = cluster.nodes.all[index].0;
--- a/front/examples/measure-daily.rs
+++ b/front/examples/measure-daily.rs
@@ -1,6 +1,6 @@
-//! Measures daily use on loopback: how long `health` and `counters` take at full load, what a hundred replacements under
-//! load cost clients, and the memory and descriptors of both processes together. `make measure-daily` runs it; the figures
-//! stand in `docs/design/daily.md`.
+//! Measures routine operations on loopback: the latency of `health` and `counters` under full load, failed client requests
+//! during 100 replacements of the process, and the memory and descriptors of both processes together. `make measure-daily` runs it;
+//! the results are in `docs/design/daily.md`.
 #[path = "../tests/common/mod.rs"]
 mod common;
 use common::desk::*;
@@ -12,7 +12,7 @@
 const CALLS_PER_COMMAND: usize = 400;
 const REPLACEMENTS: usize = 100;
 
-/// Memory in KB and descriptors of a process.
+/// Resident memory in KB and number of open descriptors of a process.
 fn memory_kb_and_descriptors(process: &Process) -> (u64, usize) {
     let folder = format!("/proc/{}", process.front.id());
     let status = std::fs::read_to_string(format!("{folder}/status")).unwrap_or_default();
@@ -42,7 +42,7 @@
         &failures,
         32,
     );
-    // Warm: connections are made and the members known.
+    // Warm up until connections are open and every endpoint has been used.
     while figures(ops)["handled.page-bits.passed"] < 10_000 {}
     let before = figures(ops)["handled.page-bits.passed"];
     let started = Instant::now();
@@ -67,7 +67,7 @@
     }
     let served = figures(ops)["handled.page-bits.passed"] - before;
     println!(
-        "beside {:.0} requests a second",
+        "under a load of {:.0} requests per second",
         served as f64 / started.elapsed().as_secs_f64()
     );
     let (mut max, mut end_times_ms) = ((0, 0), Vec::new());
@@ -97,11 +97,11 @@
         .sum();
     end_times_ms.sort_unstable();
     println!(
-        "{REPLACEMENTS} replacements beside {responses} responses: {} met a closed door",
+        "{REPLACEMENTS} replacements with {responses} successful requests: {} requests failed",
         failures.lock().unwrap().len()
     );
     println!(
-        "the old process ends after {} ms (median), {} ms at most",
+        "the old process exits after {} ms (median), {} ms at most",
         end_times_ms[REPLACEMENTS / 2],
         end_times_ms[REPLACEMENTS - 1]
     );
--- a/front/examples/measure-scale.rs
+++ b/front/examples/measure-scale.rs
@@ -1,8 +1,9 @@
-//! Measures what one front needs beside 200, 800 and 3,200 cache nodes: the load of the front and the capacity of all
-//! cache nodes together stay the same, also with the shares of one front of 900. `make measure-scale` runs it; the
-//! figures stand in `docs/design/fleet.md`.
+//! Measures the resources of one front with 200, 800 and 3,200 cache nodes, alone and as one of 900 fronts. The load of the front
+//! and the total capacity of the cache nodes are the same in each run. `make measure-scale` runs it; the results are in
+//! `docs/design/fleet.md`.
 //!
-//! `measure-scale [OBJECTS]`: how many objects clients ask for, all alike. The run ends with 1 if a bound is exceeded.
+//! `measure-scale [OBJECTS]`: number of objects that clients request, with equal probability. Exits with status 1 if a bound is
+//! exceeded.
 use cranesill_rig::{
     Asks, Clients, Event, Fleet, History, ListService, Listed, Mode, Mood, Nodes, Seen, State,
 };
@@ -11,26 +12,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Cache nodes of each run; the first is the size that the others are compared with.
+/// Number of cache nodes of each run; the first run is the baseline of the bounds.
 const CACHE_COUNTS: [usize; 3] = [200, 800, 3_200];
-/// Fronts that share the cache nodes, and the weight of all cache nodes together: beside one front a node carries at
-/// least one request, of 900 fronts none has a share of a whole one.
+/// Number of fronts that share the cache nodes, and the total weight of the cache nodes. A single front can use at least one slot of
+/// each node; one of 900 fronts has a share of less than one slot.
 const FLEETS: [(u32, usize); 2] = [(1, 3_200), (900, 6_400)];
 const PARENTS: usize = 4;
-/// Weight of all parents together over that of all cache nodes.
+/// Total weight of the parents as a fraction of that of the cache nodes.
 const PARENT_WEIGHT_RATIO: f64 = 0.5;
 const LOAD_DURATION: Duration = Duration::from_secs(10);
-/// Pause between two looks at the process, each with one change of the list.
+/// Interval of the samples; each sample also changes the state of a node in the list.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 const RESPONSE_DELAY: Duration = Duration::from_millis(30);
-/// Clients with one request at a time, and their pause: about 150 requests a second.
+/// Closed-loop clients; with their pause they send about 150 requests per second.
 const CLIENTS: usize = 16;
 const CLIENT_PAUSE: Duration = Duration::from_millis(74);
 const DEFAULT_OBJECTS: u64 = 20_000;
-/// The event that the configuration holds.
+/// Number of the event in the initial snapshot of the configuration.
 const INITIAL_EVENT: u64 = 1;
 
-/// What one front needed in one run.
+/// Resources and results of one front in one run.
 struct Usage {
     cpu_s: f64,
     peak_memory_mb: f64,
@@ -46,7 +47,7 @@
         self.served as f64 / self.requests.max(1) as f64
     }
 
-    /// The bounds of growth over `baseline` beside `nodes` cache nodes: what, the figure, its bound, and whether it holds.
+    /// Bounds relative to `baseline` for a run with `nodes` cache nodes: name, measured value, bound, and whether the bound holds.
     fn bounds(&self, baseline: &Usage, nodes: usize) -> [(&'static str, f64, f64, bool); 6] {
         let thousands = nodes as f64 / 1_000.0;
         let at_most = |name, value: f64, bound: f64| (name, value, bound, value <= bound);
@@ -68,17 +69,17 @@
                 2.0 * baseline.descriptors + 40.0,
             ),
             at_most(
-                "connections made",
+                "connections opened",
                 self.connections,
                 2.5 * baseline.connections + 40.0,
             ),
             at_most(
-                "list bytes, KB",
+                "list data, KB",
                 self.list_kb,
                 2.0 * baseline.list_kb + 64.0 + 500.0 * thousands,
             ),
             (
-                "share served",
+                "fraction served",
                 self.served_fraction(),
                 min_served,
                 self.served_fraction() >= min_served,
@@ -87,7 +88,7 @@
     }
 }
 
-/// One front with its nodes, its list service and its clients.
+/// A front with its nodes, list service and clients.
 struct Run {
     history: History,
     nodes: Nodes,
@@ -132,7 +133,7 @@
         let program = std::env::current_exe()
             .ok()
             .and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
-        let binary: PathBuf = program.expect("the program lies beside its examples");
+        let binary: PathBuf = program.expect("cannot determine the path of the cranesill binary");
         let fleet = Fleet::start(&binary, 1, None, |_| config.clone());
         Run {
             history,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Loads the front while the list changes: one cache node after another drains and comes back.
+    /// Runs the load while one cache node after another is drained and made ready again in the list.
     fn measure(mut self, objects: u64) -> Usage {
         let load = Asks {
             read: "page-bits".into(),
@@ -154,7 +155,10 @@
             limit: Duration::from_millis(2_500),
         };
         let addresses = Arc::new(Mutex::new(vec![Some(self.fleet.address(0))]));
-        let process = format!("/proc/{}", self.fleet.process_id(0).expect("it runs"));
+        let process = format!(
+            "/proc/{}",
+            self.fleet.process_id(0).expect("the front is not running")
+        );
         self.list.tell(Event::Nodes(true, self.listed.clone()));
         let clients = Clients::begin(&self.history, &addresses, &load, 1);
         let (started, mut descriptors, mut changes) = (Instant::now(), 0, 0);
@@ -195,7 +199,7 @@
 
 fn configuration(nodes: &Nodes, listed: &[Listed], list: &ListService, fronts: u32) -> Value {
     let mut config: Value =
-        serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
+        serde_json::from_str(include_str!("config.json")).expect("config.json is not valid JSON");
     let settings = &mut config["settings"];
     settings["nInstances"] = fronts.into();
     settings["familyInfo"]["seatsByZone"] = json!([0, fronts]);
@@ -214,10 +218,10 @@
     config
 }
 
-/// Processor time of a process, of all of its threads.
+/// CPU time of all threads of a process, in seconds.
 fn cpu_seconds(process: &str) -> f64 {
     let tasks = std::fs::read_dir(format!("{process}/task"))
-        .expect("it runs")
+        .expect("cannot list the threads of the front")
         .flatten();
     let nanoseconds = |task: std::fs::DirEntry| -> Option<f64> {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
@@ -227,10 +231,11 @@
 }
 
 fn peak_memory_mb(process: &str) -> f64 {
-    let status = std::fs::read_to_string(format!("{process}/status")).expect("it runs");
+    let status = std::fs::read_to_string(format!("{process}/status"))
+        .expect("cannot read the status of the front");
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let kb = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
-    kb.expect("a figure in KB") / 1_024.0
+    kb.expect("no VmHWM in KB in the status of the front") / 1_024.0
 }
 
 fn main() {
@@ -240,7 +245,7 @@
         .unwrap_or(DEFAULT_OBJECTS);
     let mut exceeded = 0;
     for (fronts, capacity) in FLEETS {
-        println!("shares of one front of {fronts}, {objects} objects");
+        println!("one of {fronts} fronts, {objects} objects");
         let mut baseline: Option<Usage> = None;
         for caches in CACHE_COUNTS {
             let usage = Run::start(caches, fronts, capacity).measure(objects);
--- a/front/examples/measure-startup.rs
+++ b/front/examples/measure-startup.rs
@@ -1,7 +1,8 @@
-//! Measures what a fleet of processes asks of a list service that closes at once for 30 s and then serves:
-//! `measure-startup [COUNT [PROGRAM [no-budget | peers]]]`, by default 60 processes of the program beside this one (`-`) with a budget;
-//! with `peers` they hold the list for one another as well. `make measure-startup` runs it with 60 and 300; the figures
-//! stand in `docs/design/startup.md`.
+//! Measures the load of a fleet on a list service that closes every connection for 30 s and then serves.
+//!
+//! `measure-startup [COUNT [PROGRAM [no-budget | peers]]]`: number of processes, by default 60; the program, by default (`-`) the
+//! one of the same build; and the mode, by default with a call budget. With `peers` the fronts also obtain the list from each
+//! other. `make measure-startup` runs it with 60 and 300 processes; the results are in `docs/design/startup.md`.
 use cranesill_rig::{Event, Fleet, History, ListService, Mode, Seen};
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -11,12 +12,12 @@
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
-    let count: usize = arguments
-        .next()
-        .map_or(60, |n| n.parse().expect("a number of processes"));
+    let count: usize = arguments.next().map_or(60, |n| {
+        n.parse().expect("COUNT is not a number of processes")
+    });
     let default_program = || {
         std::env::current_exe()
-            .expect("a path")
+            .expect("cannot determine the path of this program")
             .parent()
             .and_then(|p| Some(p.parent()?.join("cranesill")))
     };
@@ -25,10 +26,11 @@
         .filter(|argument| argument != "-")
         .map(PathBuf::from)
         .or_else(default_program)
-        .expect("a program");
+        .expect("cannot determine the path of the cranesill binary");
     let history = History::default();
     let list = ListService::with_doors(&history, Mode::Closes, vec![Vec::new(); count]);
-    let base: Value = serde_json::from_str(include_str!("config.json")).expect("an example");
+    let base: Value =
+        serde_json::from_str(include_str!("config.json")).expect("config.json is not valid JSON");
     let mode = arguments.next();
     let peers = mode.as_deref() == Some("peers");
     let peer_addresses: Vec<_> = (0..count)
@@ -85,7 +87,7 @@
             .count();
         let all_after = history.now() - restored_at;
         println!(
-            "{count} processes hold the list after its return: half {half_after:?}, all {all_after:?}, for {calls} calls"
+            "{count} processes have the list after the recovery of the service: half {half_after:?}, all {all_after:?}, with {calls} calls"
         );
     }
     let call_count = history
@@ -101,8 +103,8 @@
         .iter()
         .filter(|at| **at < first_call + 4 * SECOND)
         .count();
-    println!("in the first 4 s {early_calls} calls; from then on:");
-    println!("{count} processes: {mean:.1} calls a second, {worst_second} in the worst second, {worst_100_ms} in the worst 100 ms");
+    println!("{early_calls} calls in the first 4 s; after that:");
+    println!("{count} processes: {mean:.1} calls per second, {worst_second} in the worst second, {worst_100_ms} in the worst 100 ms");
     let served = |seen: &Seen| matches!(seen, Seen::Served(_));
     let all_served_at = history.until("fronts that are served", count, served);
     let mut served_after: Vec<_> = history
@@ -113,10 +115,13 @@
     served_after.sort_unstable();
     let quantile = |share: f64| served_after[((served_after.len() - 1) as f64 * share) as usize];
     println!(
-        "served after its return: half {:?}, 99 in a hundred {:?}, all {:?}",
+        "subscribed after the recovery of the service: half {:?}, 99 % {:?}, all {:?}",
         quantile(0.5),
         quantile(0.99),
         all_served_at - restored_at
     );
-    assert!(fleet.dead().is_empty(), "no process ended by itself");
+    assert!(
+        fleet.dead().is_empty(),
+        "a process exited during the measurement"
+    );
 }
