--- a/certs/tests/common/mod.rs
+++ b/certs/tests/common/mod.rs
@@ -1,15 +1,15 @@
-//! A client, an authority and a folder on virtual clocks: what the client asks for is carried out here, and each
-//! thing that takes time comes back as an event later on.
+//! Simulates the driver of an ACME client, an authority and a folder on virtual clocks. Results of actions arrive as events
+//! after a delay.
 #![allow(dead_code)]
 use cranesill_certs::disk::{self, Files};
-use cranesill_certs::exchange::{make_key, Made};
-use cranesill_certs::http::Answer;
-use cranesill_certs::messages::{Loud, Note};
-use cranesill_certs::order::Way;
-use cranesill_certs::planner::Plan;
-use cranesill_certs::renewal::{Ranked, Rule};
+use cranesill_certs::exchange::{generate_key, GeneratedKey};
+use cranesill_certs::http::Response;
+use cranesill_certs::messages::{Level, LogEntry};
+use cranesill_certs::order::ChallengeType;
+use cranesill_certs::planner::PlannerSettings;
+use cranesill_certs::renewal::{HashRanking, Rule};
 use cranesill_certs::{
-    Action, Challenge, Client, Event, Identity, Method, Micros, Moment, Settings, Timestamp, SECOND,
+    Action, Challenge, Client, Clocks, Event, Identity, Method, Micros, Settings, Timestamp, SECOND,
 };
 use cranesill_standins::acme::{Authority, Request};
 use std::cell::RefCell;
@@ -21,15 +21,15 @@
 pub const DAY: u64 = 24 * HOUR;
 pub const START: u64 = 1_800_000_000;
 
-/// A folder in memory that loses what was not synced, and can be killed at any of its steps.
+/// A folder in memory that loses unsynced data in a power loss, and can fail from any file operation on.
 #[derive(Default)]
 pub struct Disk {
-    /// What would be there after a loss of power.
-    kept: BTreeMap<String, Vec<u8>>,
-    /// What is there now: names to contents, with whether those are synced.
+    /// Files after a power loss.
+    durable: BTreeMap<String, Vec<u8>>,
+    /// Current files: content, and whether it is synced.
     live: BTreeMap<String, (Vec<u8>, bool)>,
     pub steps: usize,
-    /// At this step it is killed: that step and all after it do nothing.
+    /// File operations after this number fail.
     pub kill_at: Option<usize>,
     pub full: bool,
 }
@@ -43,18 +43,18 @@
         Ok(())
     }
 
-    /// Power is lost: what was not synced is gone or torn.
+    /// Simulates a power loss: unsynced files are lost or truncated.
     pub fn lose_power(&mut self) {
         self.live = self
-            .kept
+            .durable
             .iter()
             .map(|(n, b)| (n.clone(), (b.clone(), true)))
             .collect();
         self.kill_at = None;
     }
 
-    pub fn put(&mut self, name: &str, bytes: &[u8]) {
-        self.kept.insert(name.into(), bytes.to_vec());
+    pub fn insert_file(&mut self, name: &str, bytes: &[u8]) {
+        self.durable.insert(name.into(), bytes.to_vec());
         self.live.insert(name.into(), (bytes.to_vec(), true));
     }
 
@@ -98,7 +98,7 @@
 
     fn sync_folder(&mut self) -> io::Result<()> {
         self.step()?;
-        // Half of what was not synced is what a loss of power leaves of it.
+        // A power loss truncates unsynced files to half of their length.
         let torn = |(bytes, synced): &(Vec<u8>, bool)| {
             if *synced {
                 bytes.clone()
@@ -106,7 +106,7 @@
                 bytes[..bytes.len() / 2].to_vec()
             }
         };
-        self.kept = self
+        self.durable = self
             .live
             .iter()
             .map(|(n, f)| (n.clone(), torn(f)))
@@ -122,64 +122,64 @@
         Ok(self.names())
     }
 
-    fn mine(&self) -> &str {
+    fn writer_id(&self) -> &str {
         "me"
     }
 }
 
-pub fn plan() -> Plan {
-    Plan {
+pub fn planner_settings() -> PlannerSettings {
+    PlannerSettings {
         rule: Rule {
             renew_percent: 67,
             jitter_percent: 5,
         },
         warn_percent: 85,
-        orders_most: 20,
-        window: 3 * HOUR * SECOND,
-        at_once: 2,
+        max_orders: 20,
+        order_window: 3 * HOUR * SECOND,
+        max_concurrent_orders: 2,
     }
 }
 
-pub fn ranked(me: &str, fronts: &[&str]) -> Ranked {
+pub fn ranking(me: &str, fronts: &[&str]) -> HashRanking {
     let fronts = fronts.iter().map(|f| f.to_string()).collect();
-    Ranked {
-        me: me.into(),
+    HashRanking {
+        front_name: me.into(),
         fronts,
-        takeover: HOUR * SECOND,
+        takeover_delay: HOUR * SECOND,
     }
 }
 
-/// The authority, seen from all fronts of a test.
+/// Shared by all fronts of a test.
 pub type Shared<T> = Rc<RefCell<T>>;
 
-pub struct World {
+pub struct Simulation {
     pub now: Timestamp,
-    /// What the machine's clock shows beyond the true one, in seconds.
-    pub off: i64,
+    /// Offset of the wall clock from the true time.
+    pub clock_offset_s: i64,
     pub client: Client,
     pub authority: Shared<Authority>,
     pub disk: Option<Shared<Disk>>,
-    pub shown: Vec<Challenge>,
+    pub published: Vec<Challenge>,
     pub served: BTreeMap<String, Vec<Identity>>,
-    pub notes: Vec<(u64, Note)>,
+    pub log: Vec<(u64, LogEntry)>,
     pub replies: Vec<Result<String, String>>,
     pub fresh_tickets: u32,
     events: Vec<(Timestamp, u64, Event)>,
-    seen: u64,
-    /// Actions carried out; at `kill_at` nothing more is.
+    event_count: u64,
+    /// Number of actions carried out. At `kill_at` the process stops.
     pub actions: usize,
     pub kill_at: Option<usize>,
     names: Vec<Vec<String>>,
     settings: Settings,
-    me: (String, Vec<String>),
-    pub plan: Plan,
-    /// Requests by the first step of their path.
-    pub asked: HashMap<String, usize>,
+    identity: (String, Vec<String>),
+    pub planner_settings: PlannerSettings,
+    /// Number of requests by the first path segment.
+    pub requests: HashMap<String, usize>,
 }
 
-/// How long an exchange, and anything else, takes.
-const EXCHANGE: Micros = 50_000;
-const LOCAL: Micros = 1_000;
+/// Duration of an exchange with the authority, and of any other action.
+const EXCHANGE_TIME: Micros = 50_000;
+const LOCAL_TIME: Micros = 1_000;
 
 pub fn authority() -> Shared<Authority> {
     Rc::new(RefCell::new(Authority::new(
@@ -192,12 +192,12 @@
     Rc::default()
 }
 
-impl World {
+impl Simulation {
     pub fn new(
         authority: &Shared<Authority>,
         disk: Option<&Shared<Disk>>,
         names: &[&[&str]],
-    ) -> World {
+    ) -> Simulation {
         Self::front("n1", &["n1"], authority, disk, names)
     }
 
@@ -207,7 +207,7 @@
         authority: &Shared<Authority>,
         disk: Option<&Shared<Disk>>,
         names: &[&[&str]],
-    ) -> World {
+    ) -> Simulation {
         let names: Vec<Vec<String>> = names
             .iter()
             .map(|n| n.iter().map(|n| n.to_string()).collect())
@@ -216,50 +216,58 @@
             directory_url: authority.borrow().directory(),
             contacts: vec!["mailto:ops@example.org".into()],
             external: None,
-            way: Way::Http,
+            challenge_type: ChallengeType::Http,
             shared: fronts.len() > 1,
         };
-        let mut world = World {
+        let mut sim = Simulation {
             now: 5 * SECOND,
-            off: 0,
-            client: Client::new(Some(settings.clone()), plan(), Box::new(ranked(me, fronts))),
+            clock_offset_s: 0,
+            client: Client::new(
+                Some(settings.clone()),
+                planner_settings(),
+                Box::new(ranking(me, fronts)),
+            ),
             authority: Rc::clone(authority),
             disk: disk.cloned(),
-            shown: vec![],
+            published: vec![],
             served: BTreeMap::new(),
-            notes: vec![],
+            log: vec![],
             replies: vec![],
             fresh_tickets: 0,
             events: vec![],
-            seen: 0,
+            event_count: 0,
             actions: 0,
             kill_at: None,
             names,
             settings,
-            me: (me.into(), fronts.iter().map(|f| f.to_string()).collect()),
-            plan: plan(),
-            asked: HashMap::new(),
+            identity: (me.into(), fronts.iter().map(|f| f.to_string()).collect()),
+            planner_settings: planner_settings(),
+            requests: HashMap::new(),
         };
-        world.begin();
-        world
+        sim.begin();
+        sim
     }
 
-    /// The program starts: nothing is left but the folder.
+    /// Starts the process: only the content of the folder is left.
     fn begin(&mut self) {
-        let fronts: Vec<&str> = self.me.1.iter().map(String::as_str).collect();
-        let turns = || Box::new(ranked(&self.me.0, &fronts));
-        let mut client = Client::new(Some(self.settings.clone()), self.plan, turns());
+        let fronts: Vec<&str> = self.identity.1.iter().map(String::as_str).collect();
+        let new_ranking = || Box::new(ranking(&self.identity.0, &fronts));
+        let mut client = Client::new(
+            Some(self.settings.clone()),
+            self.planner_settings,
+            new_ranking(),
+        );
         let mut out = Vec::new();
         client.handle(
-            self.moment(),
-            Event::Configure(self.plan, turns(), self.names.clone()),
+            self.clocks(),
+            Event::Configure(self.planner_settings, new_ranking(), self.names.clone()),
             &mut out,
         );
         let loaded = match &self.disk {
             Some(disk) => disk::load(&mut *disk.borrow_mut()).unwrap(),
             None => disk::Loaded::default(),
         };
-        client.handle(self.moment(), Event::Start(Box::new(loaded)), &mut out);
+        client.handle(self.clocks(), Event::Start(Box::new(loaded)), &mut out);
         self.client = client;
         self.carry_out(out);
     }
@@ -268,36 +276,39 @@
         if let Some(disk) = &self.disk {
             disk.borrow_mut().lose_power();
         }
-        (self.events, self.shown, self.served) = (vec![], vec![], BTreeMap::new());
+        (self.events, self.published, self.served) = (vec![], vec![], BTreeMap::new());
         self.kill_at = None;
         self.begin();
     }
 
-    pub fn with(&mut self, change: impl Fn(&mut Settings)) {
+    pub fn restart_with(&mut self, change: impl Fn(&mut Settings)) {
         change(&mut self.settings);
         self.restart();
     }
 
-    pub fn true_wall(&self) -> u64 {
+    pub fn true_unix_time(&self) -> u64 {
         START + self.now / SECOND
     }
 
-    pub fn moment(&self) -> Moment {
-        Moment {
+    pub fn clocks(&self) -> Clocks {
+        Clocks {
             now: self.now,
-            wall: self.true_wall().saturating_add_signed(self.off),
+            wall: self
+                .true_unix_time()
+                .saturating_add_signed(self.clock_offset_s),
         }
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.client.handle(self.moment(), event, &mut out);
+        self.client.handle(self.clocks(), event, &mut out);
         self.carry_out(out);
     }
 
-    fn later(&mut self, after: Micros, event: Event) {
-        self.seen += 1;
-        self.events.push((self.now + after, self.seen, event));
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.event_count += 1;
+        self.events
+            .push((self.now + after, self.event_count, event));
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
@@ -307,54 +318,57 @@
             }
             self.actions += 1;
             match action {
-                Action::Ask(task, ask) => {
-                    let answer = self.ask(&ask);
-                    self.later(EXCHANGE, Event::Answered(task, answer));
+                Action::Request(task, request) => {
+                    let response = self.exchange(&request);
+                    self.schedule(EXCHANGE_TIME, Event::Response(task, response));
                 }
-                Action::MakeKey(task, key) => {
-                    let event = match make_key(&key) {
-                        Ok(Made::Order(pem, csr)) => Event::Key(task, Ok((pem, csr))),
-                        Ok(Made::Account(key)) => Event::AccountKey(task, Ok(key)),
+                Action::GenerateKey(task, key) => {
+                    let event = match generate_key(&key) {
+                        Ok(GeneratedKey::Order(pem, csr)) => Event::OrderKey(task, Ok((pem, csr))),
+                        Ok(GeneratedKey::Account(key)) => Event::AccountKey(task, Ok(key)),
                         Err(e) => panic!("{e}"),
                     };
-                    self.later(LOCAL, event);
+                    self.schedule(LOCAL_TIME, event);
                 }
                 Action::Save(task, what) => {
                     let done = match &self.disk {
                         Some(disk) => disk::save(&mut *disk.borrow_mut(), &what),
                         None => Ok(()),
                     };
-                    self.later(LOCAL, Event::Done(task, done));
+                    self.schedule(LOCAL_TIME, Event::Done(task, done));
                 }
                 Action::Publish(task, challenge) => {
-                    self.shown.push(challenge);
-                    self.later(LOCAL, Event::Done(task, Ok(())));
+                    self.published.push(challenge);
+                    self.schedule(LOCAL_TIME, Event::Done(task, Ok(())));
                 }
-                Action::Withdraw(challenge) => self.shown.retain(|c| *c != challenge),
+                Action::Withdraw(challenge) => self.published.retain(|c| *c != challenge),
                 Action::Reread(task, id) => {
                     let found = self
                         .disk
                         .as_ref()
                         .and_then(|d| disk::reread(&mut *d.borrow_mut(), &id));
-                    self.later(LOCAL, Event::Reread(task, found.map(Box::new)));
+                    self.schedule(LOCAL_TIME, Event::Reread(task, found.map(Box::new)));
                 }
                 Action::Serve(id, all, fresh) => {
                     self.fresh_tickets += u32::from(fresh);
                     self.served.insert(id, all);
                 }
-                Action::Reply(_, answer) => self.replies.push(answer),
-                Action::Tell(note) => {
-                    let at = self.true_wall();
-                    self.notes.push((at, note));
+                Action::Reply(_, response) => self.replies.push(response),
+                Action::Log(note) => {
+                    let at = self.true_unix_time();
+                    self.log.push((at, note));
                 }
             }
         }
     }
 
-    fn ask(&mut self, ask: &cranesill_certs::Ask) -> Result<Answer, String> {
-        assert_eq!(ask.url.host, "ca.example", "nothing may be sent elsewhere");
+    fn exchange(&mut self, request: &cranesill_certs::Request) -> Result<Response, String> {
+        assert_eq!(
+            request.url.host, "ca.example",
+            "a request was sent to another host"
+        );
         let mut authority = self.authority.borrow_mut();
-        let first = ask
+        let first = request
             .url
             .path
             .trim_matches('/')
@@ -362,16 +376,16 @@
             .next()
             .unwrap_or("")
             .to_string();
-        *self.asked.entry(first).or_default() += 1;
+        *self.requests.entry(first).or_default() += 1;
         if authority.faults.vanished {
             return Err("connection refused".into());
         }
-        let method = match ask.method {
+        let method = match request.method {
             Method::Get => "GET",
             Method::Head => "HEAD",
             Method::Post => "POST",
         };
-        let body = ask
+        let body = request
             .sign
             .as_ref()
             .map(|s| s.body().unwrap())
@@ -379,59 +393,62 @@
             .into_bytes();
         let request = Request {
             method: method.into(),
-            path: ask.url.path.clone(),
+            path: request.url.path.clone(),
             content_type: "application/jose+json".into(),
             body,
         };
         let wall = START + self.now / SECOND;
-        let answer = authority.handle(wall, &request);
+        let response = authority.handle(wall, &request);
         for check in authority.checks() {
-            let shown = self.shown.iter().any(|c| {
+            let published = self.published.iter().any(|c| {
                 c.name == check.name
                     && c.token == check.token
                     && c.authorization == check.authorization
             });
             authority.checked(
                 &check,
-                if shown {
+                if published {
                     Ok(())
                 } else {
-                    Err("nothing is shown".into())
+                    Err("no challenge response is published".into())
                 },
             );
         }
         let field = |name: &str| {
-            answer
+            response
                 .fields
                 .iter()
                 .find(|(n, _)| n.eq_ignore_ascii_case(name))
                 .map(|(_, v)| v.clone())
         };
-        Ok(Answer {
-            status: answer.status,
+        Ok(Response {
+            status: response.status,
             nonce: field("replay-nonce"),
             location: field("location"),
             retry_after: field("retry-after").and_then(|v| v.parse().ok()),
             date: Some(wall.saturating_add_signed(authority.clock)),
-            body: answer.body,
+            body: response.body,
         })
     }
 
-    /// Lets seconds pass.
+    /// Advances the time.
     pub fn run(&mut self, seconds: u64) {
         self.run_while(seconds, |_| true);
     }
 
-    /// Lets seconds pass for as long as something holds.
-    pub fn run_while(&mut self, seconds: u64, holds: impl Fn(&World) -> bool) -> bool {
+    /// Advances the time while `holds` returns true. Returns whether it became false.
+    pub fn run_while(&mut self, seconds: u64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let until = self.now + seconds * SECOND;
         let mut ticked = false;
         loop {
             if !holds(self) {
                 return true;
             }
-            let tick = self.client.next(self.moment()).max(self.now);
-            assert!(tick > self.now || !ticked, "the client would spin");
+            let tick = self.client.next(self.clocks()).max(self.now);
+            assert!(
+                tick > self.now || !ticked,
+                "two ticks in a row at the same time"
+            );
             let event = self
                 .events
                 .iter()
@@ -448,38 +465,40 @@
                 _ => Event::Tick,
             };
             ticked = matches!(event, Event::Tick);
-            self.tell(event);
+            self.handle(event);
         }
     }
 
-    /// Whether something that holds by the true clock is served for a name.
-    pub fn good(&self, name: &str) -> bool {
-        let wall = self.true_wall();
+    /// Whether a certificate that is valid by the true time is served for a name.
+    pub fn has_valid(&self, name: &str) -> bool {
+        let wall = self.true_unix_time();
         self.served
             .values()
             .flatten()
-            .any(|i| i.covers(name) && i.holds(wall))
+            .any(|i| i.covers(name) && i.is_valid_at(wall))
     }
 
-    pub fn loud(&self, kind: &str) -> usize {
-        self.notes
+    /// Number of log entries of a kind with level `Warn` or `Error`.
+    pub fn warnings(&self, kind: &str) -> usize {
+        self.log
             .iter()
-            .filter(|(_, n)| n.kind == kind && n.loud >= Loud::Warn)
+            .filter(|(_, n)| n.kind == kind && n.level >= Level::Warn)
             .count()
     }
 
-    pub fn story(&self) -> String {
-        let line = |(at, n): &(u64, Note)| {
+    /// The last log entries, for assertion messages.
+    pub fn recent_log(&self) -> String {
+        let line = |(at, n): &(u64, LogEntry)| {
             format!(
                 "{} {:?} {} {}: {}",
                 at - START,
-                n.loud,
+                n.level,
                 n.kind,
                 n.name,
                 n.text
             )
         };
-        self.notes
+        self.log
             .iter()
             .rev()
             .take(25)
--- a/front/examples/measure-tls.rs
+++ b/front/examples/measure-tls.rs
@@ -148,11 +148,11 @@
 
     /// Issues a certificate for a new key and imports both into the front.
     fn import_new_certificate(&self) {
-        let key = cranesill_certs::Key::Order(vec![NAME.into()], None);
-        let Ok(cranesill_certs::exchange::Made::Order(key, csr)) =
-            cranesill_certs::exchange::make_key(&key)
+        let key = cranesill_certs::KeyRequest::Order(vec![NAME.into()], None);
+        let Ok(cranesill_certs::exchange::GeneratedKey::Order(key, csr)) =
+            cranesill_certs::exchange::generate_key(&key)
         else {
-            panic!()
+            panic!("cannot generate a key and signing request")
         };
         let (chain, _) = self
             .issuer
