--- a/Makefile
+++ b/Makefile
@@ -71,7 +71,7 @@
 # Random faults on several processes, with more seeds than the tests use.
 .PHONY: rig-seeds
 rig-seeds:
-	CRANESILL_SEEDS=$$(seq -s, 1 40) cargo test --locked -p cranesill-front --test partial dice
+	CRANESILL_SEEDS=$$(seq -s, 1 40) cargo test --locked -p cranesill-front --test fleet_faults random_faults
 
 .PHONY: emulate
 emulate:
--- a/front/examples/measure-cold.rs
+++ b/front/examples/measure-cold.rs
@@ -3,7 +3,7 @@
 //!
 //! `measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]`: each front receives one request at a time with this pause in between; SETTINGS
 //! is a settings file of the daemon. Prints one JSON object.
-use cranesill_rig::{Seen, Shape, Stage};
+use cranesill_rig::{ClusterSize, Observation, TestCluster};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -31,17 +31,17 @@
     let binary: PathBuf = program.expect("cannot determine the path of the cranesill binary");
     let base: Value =
         serde_json::from_str(include_str!("config.json")).expect("config.json is not valid JSON");
-    let size = Shape {
+    let size = ClusterSize {
         fronts,
         caches,
         parents: 2.max(caches / 30),
-        sides: 0,
+        link_groups: 0,
     };
-    let mut cluster = Stage::start(&binary, size, &base, settings.as_ref(), 1);
-    cluster.asks.pause = Duration::from_millis(pause as u64);
-    cluster.asks.objects = 5_000;
+    let mut cluster = TestCluster::start(&binary, size, &base, settings.as_ref(), 1);
+    cluster.load.pause = Duration::from_millis(pause as u64);
+    cluster.load.objects = 5_000;
     let started = cluster.history.now();
-    let clients = cluster.clients(1);
+    let clients = cluster.start_clients(1);
     std::thread::sleep(10 * SECOND);
     let killed_at = cluster.history.now();
     let first_served_s = first_served_s(&cluster, fronts, started);
@@ -57,7 +57,7 @@
     let listening_at = cluster.history.now();
     std::thread::sleep(10 * SECOND);
     let end = cluster.history.now();
-    clients.end();
+    clients.stop();
     let recovered_at = windows(restarted_at, end)
         .find(|at| served_per_s(&cluster, *at, *at + WINDOW, |_| true) >= 0.95 * served_before);
     let survivors_worst = windows(killed_at, end)
@@ -73,13 +73,13 @@
         "level_again_s": recovered_at.map(|at| (at + WINDOW - restarted_at).as_secs_f64()),
         "level_again_since_all_listen_s": recovered_at.map(|at| (at + WINDOW).saturating_sub(listening_at).as_secs_f64()),
         "live_fronts_served_a_second": {"before": survivors_before.round(), "worst_quarter_second": survivors_worst.round()},
-        "breaches": cluster.breaches().len(),
+        "breaches": cluster.violations().len(),
     });
     println!("{results}");
     assert!(
-        cluster.fleet.dead().is_empty(),
+        cluster.fleet.exited().is_empty(),
         "{:#?}",
-        cluster.fleet.dead()
+        cluster.fleet.exited()
     );
 }
 
@@ -91,22 +91,22 @@
 
 /// Requests served per second by the fronts for which `includes` holds.
 fn served_per_s(
-    cluster: &Stage,
+    cluster: &TestCluster,
     from: Duration,
     to: Duration,
     includes: impl Fn(usize) -> bool,
 ) -> f64 {
-    let served = cluster
-        .history
-        .moments(|seen| matches!(seen, Seen::Answered(front, _, 1) if includes(*front)));
+    let served = cluster.history.timestamps(
+        |seen| matches!(seen, Observation::ClientResponse(front, _, 1) if includes(*front)),
+    );
     served.iter().filter(|at| (from..to).contains(at)).count() as f64 / (to - from).as_secs_f64()
 }
 
 /// Time from `started` to the first served request of each front, in seconds, sorted.
-fn first_served_s(cluster: &Stage, fronts: usize, started: Duration) -> Vec<f64> {
+fn first_served_s(cluster: &TestCluster, fronts: usize, started: Duration) -> Vec<f64> {
     let mut first = vec![f64::INFINITY; fronts];
-    for (at, seen) in cluster.history.all() {
-        if let Seen::Answered(front, _, 1) = seen {
+    for (at, seen) in cluster.history.observations() {
+        if let Observation::ClientResponse(front, _, 1) = seen {
             first[front] = first[front].min((at.saturating_sub(started)).as_secs_f64());
         }
     }
@@ -120,17 +120,17 @@
 }
 
 /// Most connections to one cache within any second and any 100 ms, and the number of connections to all nodes.
-fn max_connections(cluster: &Stage, caches: usize, from: Duration, to: Duration) -> Value {
+fn max_connections(cluster: &TestCluster, caches: usize, from: Duration, to: Duration) -> Value {
     let max_at = |index: usize, window: Duration| {
         let id = cluster.nodes.all[index].0;
         cluster
             .history
-            .most(from, to, window, |seen| *seen == Seen::Dialled(id))
+            .max_in_window(from, to, window, |seen| *seen == Observation::Accepted(id))
             .0
     };
     let total = cluster
         .history
-        .moments(|seen| matches!(seen, Seen::Dialled(_)));
+        .timestamps(|seen| matches!(seen, Observation::Accepted(_)));
     json!({
         "worst_second": (0..caches).map(|index| max_at(index, SECOND)).max(),
         "worst_100_ms": (0..caches).map(|index| max_at(index, SECOND / 10)).max(),
--- a/front/examples/measure-daily.rs
+++ b/front/examples/measure-daily.rs
@@ -3,7 +3,7 @@
 //! the results are in `docs/design/daily.md`.
 #[path = "../tests/common/mod.rs"]
 mod common;
-use common::desk::*;
+use common::operations::*;
 use common::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 /// Resident memory in KB and number of open descriptors of a process.
 fn memory_kb_and_descriptors(process: &Process) -> (u64, usize) {
-    let folder = format!("/proc/{}", process.front.id());
+    let folder = format!("/proc/{}", process.child.id());
     let status = std::fs::read_to_string(format!("{folder}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kb = line
@@ -27,30 +27,30 @@
 }
 
 fn main() {
-    let front = Stage::new(|_| {});
+    let front = TestFront::new(|_| {});
     front
         .caches
         .iter()
         .chain([&front.origin])
-        .for_each(|endpoint| drop(answering(endpoint)));
-    let service_manager = Held::new(&front.config);
+        .for_each(|endpoint| drop(serve_hits(endpoint)));
+    let service_manager = InheritedListener::new(&front.config);
     let (mut old, mut ops) = service_manager.start();
     let (stop, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
-    let clients = load(
+    let clients = start_load(
         service_manager.listener.local_addr().unwrap(),
         &stop,
         &failures,
         32,
     );
     // Warm up until connections are open and every endpoint has been used.
-    while figures(ops)["handled.page-bits.passed"] < 10_000 {}
-    let before = figures(ops)["handled.page-bits.passed"];
+    while counters(ops)["handled.page-bits.passed"] < 10_000 {}
+    let before = counters(ops)["handled.page-bits.passed"];
     let started = Instant::now();
     for word in ["health", "counters"] {
         let mut latencies_us: Vec<_> = (0..CALLS_PER_COMMAND)
             .map(|_| {
                 let started = Instant::now();
-                assert!(call(ops, word).starts_with("+OK"));
+                assert!(operator_command(ops, word).starts_with("+OK"));
                 started.elapsed().as_micros()
             })
             .collect();
@@ -65,7 +65,7 @@
             percentile(100)
         );
     }
-    let served = figures(ops)["handled.page-bits.passed"] - before;
+    let served = counters(ops)["handled.page-bits.passed"] - before;
     println!(
         "under a load of {:.0} requests per second",
         served as f64 / started.elapsed().as_secs_f64()
@@ -73,10 +73,10 @@
     let (mut max, mut end_times_ms) = ((0, 0), Vec::new());
     for _ in 0..REPLACEMENTS {
         let (new, new_ops) = service_manager.start();
-        until(&new.log, "waits for another process");
+        wait_for_line(&new.log, "waits for another process");
         let started = Instant::now();
         old.signal("-TERM");
-        until(&new.log, "accepts clients");
+        wait_for_line(&new.log, "accepts clients");
         let both = [
             memory_kb_and_descriptors(&old),
             memory_kb_and_descriptors(&new),
@@ -85,11 +85,11 @@
             max.0.max(both[0].0 + both[1].0),
             max.1.max(both[0].1 + both[1].1),
         );
-        assert!(old.front.wait().unwrap().success());
+        assert!(old.child.wait().unwrap().success());
         end_times_ms.push(started.elapsed().as_millis());
         (old, ops) = (new, new_ops);
     }
-    assert!(call(ops, "health").starts_with("+OK"));
+    assert!(operator_command(ops, "health").starts_with("+OK"));
     stop.store(true, Ordering::SeqCst);
     let responses: u32 = clients
         .into_iter()
--- a/front/examples/measure-scale.rs
+++ b/front/examples/measure-scale.rs
@@ -5,7 +5,8 @@
 //! `measure-scale [OBJECTS]`: number of objects that clients request, with equal probability. Exits with status 1 if a bound is
 //! exceeded.
 use cranesill_rig::{
-    Asks, Clients, Event, Fleet, History, ListService, Listed, Mode, Mood, Nodes, Seen, State,
+    Behavior, ClientLoad, Clients, Event, Fleet, History, ListService, ListedNode, Nodes,
+    Observation, ServiceMode, State,
 };
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -94,7 +95,7 @@
     nodes: Nodes,
     list: ListService,
     fleet: Fleet,
-    listed: Vec<Listed>,
+    listed: Vec<ListedNode>,
 }
 
 impl Run {
@@ -104,10 +105,10 @@
             .map(|place| 0x101 + place as u32)
             .collect();
         let nodes = Nodes::new(&history, &ids, &["book-car"]);
-        (0..ids.len()).for_each(|place| nodes.set(place, Mood::Answers(RESPONSE_DELAY)));
+        (0..ids.len()).for_each(|place| nodes.set(place, Behavior::Respond(RESPONSE_DELAY)));
         let cache_weight = (capacity / caches) as u32;
         let parent_weight = (capacity as f64 * PARENT_WEIGHT_RATIO) as u32 / PARENTS as u32;
-        let listed: Vec<Listed> = ids
+        let listed: Vec<ListedNode> = ids
             .iter()
             .enumerate()
             .map(|(place, id)| {
@@ -116,8 +117,8 @@
                     _ if place < caches + PARENTS => (0, 1, parent_weight),
                     _ => (0, 2, 1),
                 };
-                Listed {
-                    place,
+                ListedNode {
+                    index: place,
                     id: *id,
                     state: State::Ready,
                     zone,
@@ -128,7 +129,7 @@
             })
             .collect();
         let addresses = nodes.all.iter().map(|(_, at)| *at).collect();
-        let list = ListService::with_doors(&history, Mode::Serves, vec![addresses]);
+        let list = ListService::with_addresses(&history, ServiceMode::Serve, vec![addresses]);
         let config = configuration(&nodes, &listed, &list, fronts);
         let program = std::env::current_exe()
             .ok()
@@ -146,21 +147,21 @@
 
     /// Runs the load while one cache node after another is drained and made ready again in the list.
     fn measure(mut self, objects: u64) -> Usage {
-        let load = Asks {
-            read: "page-bits".into(),
-            write: "book-car".into(),
+        let load = ClientLoad {
+            read_class: "page-bits".into(),
+            write_class: "book-car".into(),
             objects,
-            at_once: CLIENTS,
+            connections_per_front: CLIENTS,
             pause: CLIENT_PAUSE,
-            limit: Duration::from_millis(2_500),
+            timeout: Duration::from_millis(2_500),
         };
         let addresses = Arc::new(Mutex::new(vec![Some(self.fleet.address(0))]));
         let process = format!(
             "/proc/{}",
             self.fleet.process_id(0).expect("the front is not running")
         );
-        self.list.tell(Event::Nodes(true, self.listed.clone()));
-        let clients = Clients::begin(&self.history, &addresses, &load, 1);
+        self.list.publish(Event::Nodes(true, self.listed.clone()));
+        let clients = Clients::start(&self.history, &addresses, &load, 1);
         let (started, mut descriptors, mut changes) = (Instant::now(), 0, 0);
         while started.elapsed() < LOAD_DURATION {
             std::thread::sleep(SAMPLE_INTERVAL);
@@ -172,11 +173,11 @@
             } else {
                 State::Ready
             };
-            self.list.tell(Event::Nodes(false, vec![*node]));
+            self.list.publish(Event::Nodes(false, vec![*node]));
             changes += 1;
         }
-        clients.end();
-        assert!(self.fleet.dead().is_empty(), "{:#?}", self.fleet.dead());
+        clients.stop();
+        assert!(self.fleet.exited().is_empty(), "{:#?}", self.fleet.exited());
         let addresses: Vec<_> = self.nodes.all.iter().map(|(_, at)| *at).collect();
         let list_bytes: usize = self
             .list
@@ -184,28 +185,28 @@
             .iter()
             .map(|event| event.frame(0, &addresses).len())
             .sum();
-        let count = |of: fn(&Seen) -> bool| self.history.count(of);
+        let count = |of: fn(&Observation) -> bool| self.history.count(of);
         Usage {
             cpu_s: cpu_seconds(&process),
             peak_memory_mb: peak_memory_mb(&process),
             descriptors: descriptors as f64,
-            connections: count(|seen| matches!(seen, Seen::Dialled(_))) as f64,
+            connections: count(|seen| matches!(seen, Observation::Accepted(_))) as f64,
             list_kb: list_bytes as f64 / 1_000.0,
-            requests: count(|seen| matches!(seen, Seen::Asked { .. })),
-            served: count(|seen| matches!(seen, Seen::Answered(_, _, 1))),
+            requests: count(|seen| matches!(seen, Observation::ClientRequest { .. })),
+            served: count(|seen| matches!(seen, Observation::ClientResponse(_, _, 1))),
         }
     }
 }
 
-fn configuration(nodes: &Nodes, listed: &[Listed], list: &ListService, fronts: u32) -> Value {
+fn configuration(nodes: &Nodes, listed: &[ListedNode], list: &ListService, fronts: u32) -> Value {
     let mut config: Value =
         serde_json::from_str(include_str!("config.json")).expect("config.json is not valid JSON");
     let settings = &mut config["settings"];
     settings["nInstances"] = fronts.into();
     settings["familyInfo"]["seatsByZone"] = json!([0, fronts]);
     let name = |key: &str, index: u8| settings[key][usize::from(index)].clone();
-    let instance = |node: &Listed| {
-        json!({"instanceId": format!("s-{:08x}", node.id), "hostPort": nodes.all[node.place].1.to_string(),
+    let instance = |node: &ListedNode| {
+        json!({"instanceId": format!("s-{:08x}", node.id), "hostPort": nodes.all[node.index].1.to_string(),
                "zone": name("zones", node.zone), "machineType": name("kinds", node.kind), "cell": 0,
                "lifecycle": "in_service", "weight": node.weight, "startedAtMs": 0})
     };
--- a/front/examples/measure-startup.rs
+++ b/front/examples/measure-startup.rs
@@ -3,7 +3,7 @@
 //! `measure-startup [COUNT [PROGRAM [no-budget | peers]]]`: number of processes, by default 60; the program, by default (`-`) the
 //! one of the same build; and the mode, by default with a call budget. With `peers` the fronts also obtain the list from each
 //! other. `make measure-startup` runs it with 60 and 300 processes; the results are in `docs/design/startup.md`.
-use cranesill_rig::{Event, Fleet, History, ListService, Mode, Seen};
+use cranesill_rig::{Event, Fleet, History, ListService, Observation, ServiceMode};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -28,7 +28,7 @@
         .or_else(default_program)
         .expect("cannot determine the path of the cranesill binary");
     let history = History::default();
-    let list = ListService::with_doors(&history, Mode::Closes, vec![Vec::new(); count]);
+    let list = ListService::with_addresses(&history, ServiceMode::Close, vec![Vec::new(); count]);
     let base: Value =
         serde_json::from_str(include_str!("config.json")).expect("config.json is not valid JSON");
     let mode = arguments.next();
@@ -48,24 +48,25 @@
     let mut fleet = Fleet::start(&program, count, settings.as_ref(), |n| {
         let mut config = base.clone();
         config["listen"] = "127.0.0.1:0".into();
-        config["feed"] = list.doors[n].to_string().into();
+        config["feed"] = list.addresses[n].to_string().into();
         config["seed"] = format!("{:x}", 0x7d03_u64 + n as u64).into();
         config["settings"]["nInstances"] = count.into();
         config["settings"]["index"] = n.into();
         config
     });
-    let call = |seen: &Seen| *seen == Seen::Call;
+    let call = |seen: &Observation| *seen == Observation::Call;
     let first_call = if peers {
         history.now()
     } else {
-        history.until("first calls", count, call)
+        history.wait_for("first calls", count, call)
     };
     std::thread::sleep(30 * SECOND);
     let (from, restored_at) = (first_call + 4 * SECOND, history.now());
-    list.tell(Event::Purge(1, 1));
-    list.set(Mode::Serves);
-    let has_events =
-        |n: usize| history.count(|seen| matches!(seen, Seen::Told(front, _) if *front == n)) > 0;
+    list.publish(Event::Purge(1, 1));
+    list.set(ServiceMode::Serve);
+    let has_events = |n: usize| {
+        history.count(|seen| matches!(seen, Observation::EventSent(front, _) if *front == n)) > 0
+    };
     let has_peer_list = |n: usize| fleet.log(n).contains("the list is taken from peers");
     let mut missing: Vec<usize> = if peers {
         (0..count).collect()
@@ -81,7 +82,7 @@
     }
     if peers {
         let calls = history
-            .moments(call)
+            .timestamps(call)
             .iter()
             .filter(|at| **at >= restored_at)
             .count();
@@ -91,24 +92,24 @@
         );
     }
     let call_count = history
-        .moments(call)
+        .timestamps(call)
         .iter()
         .filter(|at| (from..restored_at).contains(at))
         .count();
-    let (worst_second, _) = history.most(from, restored_at, SECOND, call);
-    let (worst_100_ms, _) = history.most(from, restored_at, SECOND / 10, call);
+    let (worst_second, _) = history.max_in_window(from, restored_at, SECOND, call);
+    let (worst_100_ms, _) = history.max_in_window(from, restored_at, SECOND / 10, call);
     let mean = call_count as f64 / (restored_at - from).as_secs_f64();
     let early_calls = history
-        .moments(call)
+        .timestamps(call)
         .iter()
         .filter(|at| **at < first_call + 4 * SECOND)
         .count();
     println!("{early_calls} calls in the first 4 s; after that:");
     println!("{count} processes: {mean:.1} calls per second, {worst_second} in the worst second, {worst_100_ms} in the worst 100 ms");
-    let served = |seen: &Seen| matches!(seen, Seen::Served(_));
-    let all_served_at = history.until("fronts that are served", count, served);
+    let served = |seen: &Observation| matches!(seen, Observation::Subscribed(_));
+    let all_served_at = history.wait_for("fronts that are served", count, served);
     let mut served_after: Vec<_> = history
-        .moments(served)
+        .timestamps(served)
         .into_iter()
         .map(|at| at.saturating_sub(restored_at))
         .collect();
@@ -121,7 +122,7 @@
         all_served_at - restored_at
     );
     assert!(
-        fleet.dead().is_empty(),
+        fleet.exited().is_empty(),
         "a process exited during the measurement"
     );
 }
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet_purges.rs
@@ -1,5 +1,5 @@
-//! The story of a fleet: three fronts, six boxes, purges by tag and pattern while boxes and a front are killed. No answer
-//! is from an older copy than it may be.
+//! Three fronts and six cache nodes: no response comes from a purged copy while nodes and a front are killed during purges by tag
+//! and pattern.
 mod common;
 use common::*;
 use cranesill_standins::cache_node::{unix_ms, CacheNode, Origin};
@@ -10,13 +10,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-const LEASE: u64 = 1_000;
-const GRACE: u64 = 500;
+const LEASE_MS: u64 = 1_000;
+const GRACE_MS: u64 = 500;
 const OBJECTS: u64 = 24;
 const REQUESTS: u32 = 20_000;
 const TAGS: [&str; 3] = ["vitara", "blue", "winter"];
 
-fn front(folder: &Path, boxes: &[CacheNode], origin: &CacheNode, purges: &Value) -> Stage {
+fn start_front(
+    folder: &Path,
+    boxes: &[CacheNode],
+    origin: &CacheNode,
+    purges: &Value,
+) -> TestFront {
     std::fs::create_dir_all(folder).unwrap();
     let mut purges = purges.clone();
     purges["file"] = folder.join("purges").display().to_string().into();
@@ -24,9 +29,9 @@
     let settings = json!({"control": {"path": folder.join("control")}, "purges": purges});
     let file = folder.join("daemon.json");
     std::fs::write(&file, settings.to_string()).unwrap();
-    let stage = Stage::with(
+    let setup = TestFront::with(
         |config| {
-            let member = |id: u32, at: String, zone: &str, kind: &str| {
+            let instance = |id: u32, at: String, zone: &str, kind: &str| {
                 json!({"instanceId": format!("s-{id:08x}"), "hostPort": at, "zone": zone, "machineType": kind,
                        "cell": 0, "lifecycle": "in_service", "weight": 8, "startedAtMs": 0})
             };
@@ -34,7 +39,7 @@
                 .iter()
                 .enumerate()
                 .map(|(i, b)| {
-                    member(
+                    instance(
                         0x41 + i as u32,
                         b.address.to_string(),
                         "edge-1",
@@ -42,7 +47,7 @@
                     )
                 })
                 .collect();
-            all.push(member(
+            all.push(instance(
                 0x31,
                 origin.address.to_string(),
                 "east-hub",
@@ -52,8 +57,8 @@
         },
         Some(&file),
     );
-    until(&stage.log, "control socket");
-    stage
+    wait_for_line(&setup.log, "control socket");
+    setup
 }
 
 fn run(folder: &Path, arguments: &[&str]) -> (i32, String) {
@@ -75,15 +80,15 @@
 }
 
 struct Purged {
-    at: u64,
-    /// When it was answered: a front was told by then.
-    told: u64,
+    at_ms: u64,
+    /// Time at which the purge command was answered; the writer has the purge by then.
+    confirmed_ms: u64,
     tag: Option<&'static str>,
     prefix: String,
 }
 
 impl Purged {
-    fn concerns(&self, item: &str, tags: &str) -> bool {
+    fn matches(&self, item: &str, tags: &str) -> bool {
         match self.tag {
             Some(tag) => tags.split(';').any(|t| t == tag),
             None => item.starts_with(&self.prefix),
@@ -92,7 +97,7 @@
 }
 
 #[test]
-fn no_answer_is_stale_while_boxes_and_a_front_are_killed_during_purges() {
+fn no_response_is_stale_while_nodes_and_a_front_are_killed_during_purges() {
     let root = tempfile::tempdir().unwrap();
     let folders: Vec<PathBuf> = (0..3).map(|i| root.path().join(format!("n{i}"))).collect();
     let origin = Arc::new(Origin::default());
@@ -108,10 +113,10 @@
         .port();
     let at = format!("127.0.0.1:{port}");
     let writes = json!({"serve": at, "boxes": {"kinds": ["small-box"], "connections_most": 8}});
-    let follows = json!({"follow": {"address": at, "lease_ms": LEASE}});
+    let follows = json!({"follow": {"address": at, "lease_ms": LEASE_MS}});
     let mut fronts: Vec<_> = (0..3)
         .map(|i| {
-            front(
+            start_front(
                 &folders[i],
                 &boxes,
                 &main,
@@ -125,19 +130,19 @@
         .collect::<Vec<_>>();
     let addresses = Arc::new(addresses);
     let purged: Arc<Mutex<Vec<Purged>>> = Arc::default();
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..3)
         .map(|i| {
-            let (addresses, purged, over) = (
+            let (addresses, purged, stop) = (
                 Arc::clone(&addresses),
                 Arc::clone(&purged),
-                Arc::clone(&over),
+                Arc::clone(&stop),
             );
             std::thread::spawn(move || {
                 let (mut answered, mut refused, mut client) = (0u32, 0u32, None::<Client>);
                 let mut rng = 7 + i as u64;
                 let mut stream = 0;
-                // The front that is killed again and again answers what it can.
+                // The front that is killed repeatedly answers fewer requests.
                 while stream < REQUESTS / 2 {
                     stream += 1;
                     rng = rng
@@ -156,55 +161,55 @@
                         std::thread::yield_now();
                         continue;
                     };
-                    // Ids are new over all fronts.
+                    // Transaction ids are unique over all fronts.
                     let txn = format!("{:016x}", (u64::from(stream) << 8) | i as u64);
                     if connected
-                        .try_ask(stream, "page-bits", &[("item", &item), ("txn", &txn)])
+                        .try_request(stream, "page-bits", &[("item", &item), ("txn", &txn)])
                         .is_err()
                     {
                         continue;
                     }
-                    let Some(told) = connected.hear() else {
+                    let Some(response) = connected.receive() else {
                         continue;
                     };
                     client = Some(connected);
-                    let Some((_, rest)) = told.split_once("born=") else {
+                    let Some((_, rest)) = response.split_once("born=") else {
                         refused += 1;
                         continue;
                     };
                     answered += 1;
-                    let (born, tags) = rest.split_once(" tags=").unwrap();
-                    let born: u64 = born.parse().unwrap();
-                    // The writer knows at once; those that follow by their lease.
-                    let slack = if i == 0 { GRACE } else { LEASE + GRACE };
+                    let (created_ms, tags) = rest.split_once(" tags=").unwrap();
+                    let created_ms: u64 = created_ms.parse().unwrap();
+                    // The writer applies a purge immediately, followers within their lease.
+                    let slack = if i == 0 { GRACE_MS } else { LEASE_MS + GRACE_MS };
                     for p in purged
                         .lock()
                         .unwrap()
                         .iter()
-                        .filter(|p| p.told + slack < sent)
+                        .filter(|p| p.confirmed_ms + slack < sent)
                     {
-                        let stale = born < p.at && p.concerns(&item, tags);
+                        let stale = created_ms < p.at_ms && p.matches(&item, tags);
                         assert!(
                             !stale,
-                            "front {i} sent {sent}: {item} of {born} ({tags}), purged at {}",
-                            p.at
+                            "front {i}, request at {sent}: copy of {item} from {created_ms} ({tags}), purged at {}",
+                            p.at_ms
                         );
                     }
                 }
-                over.store(true, Ordering::SeqCst);
+                stop.store(true, Ordering::SeqCst);
                 (answered, refused)
             })
         })
         .collect();
     let mut round = 0u64;
-    while !over.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
         round += 1;
         let (tag, prefix) = if round.is_multiple_of(3) {
             (None, item(round % OBJECTS)[..14].to_string())
         } else {
             (Some(TAGS[round as usize % 3]), String::new())
         };
-        // Tags change with the version.
+        // Each version of an object has other tags.
         let n = round % OBJECTS;
         origin.tag(&item(n), &[TAGS[(n + round) as usize % 3], "any"]);
         let pattern = format!("page-bits/{prefix}*");
@@ -212,7 +217,7 @@
             Some(tag) => run(&folders[0], &["purge", "--tag", tag]),
             None => run(&folders[0], &["purge", "--pattern", &pattern]),
         };
-        let told = unix_ms();
+        let confirmed_ms = unix_ms();
         assert_eq!(code, 0, "{text}");
         let number = serde_json::from_str::<Value>(&text).unwrap()["number"]
             .as_u64()
@@ -222,8 +227,8 @@
             .as_u64()
             .unwrap();
         purged.lock().unwrap().push(Purged {
-            at,
-            told,
+            at_ms: at,
+            confirmed_ms,
             tag,
             prefix,
         });
@@ -235,9 +240,9 @@
             _ => boxes[which].set_delay_ms(round % 7),
         }
         if round % 10 == 5 {
-            // A front is killed outright and comes back with its file.
+            // Restart a follower with its purge file.
             fronts[2].kill();
-            fronts[2] = front(&folders[2], &boxes, &main, &follows);
+            fronts[2] = start_front(&folders[2], &boxes, &main, &follows);
             *addresses[2].lock().unwrap() = fronts[2].address;
         }
     }
@@ -245,9 +250,9 @@
     let answered: u32 = counts.iter().map(|c| c.0).sum();
     assert!(
         answered >= REQUESTS * 9 / 10,
-        "{counts:?} in {round} rounds"
+        "too few responses: {counts:?} in {round} rounds"
     );
-    // Once the faults end every box confirms everything.
+    // After the faults every node confirms all purges.
     boxes.iter().for_each(|b| {
         b.restart();
         b.set_serve_stale(false);
@@ -261,7 +266,7 @@
         boxes.iter().map(CacheNode::gaps).collect::<Vec<_>>()
     );
     println!(
-        "{answered} answered, {counts:?}, {round} rounds, {} fetches",
+        "{answered} responses {counts:?}, {round} rounds, {} fetches",
         origin.fetches.load(Ordering::SeqCst)
     );
 }
--- a/rig/src/link.rs
+++ b/rig/src/link.rs
@@ -1,8 +1,8 @@
-//! A link between two processes under the test's hand: a relay of TCP connections whose two directions are held apart.
+//! Network link of a test: a TCP relay whose two directions are controlled separately.
 //!
-//! What a network cut does to an open connection is done here by holding its bytes: they come later, in order, once the link
-//! heals, as retransmitted ones do. A connection that is begun while the link is cut comes up and says nothing, since the
-//! system accepts it for the relay; one that is refused meets no listener.
+//! A cut link holds the bytes of open connections and delivers them in order once it is healed, like retransmissions after a
+//! network outage. New connections through a cut link are accepted and transfer nothing; while the link refuses connections it has
+//! no listener.
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,195 +10,199 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a relay looks whether the test has said something else.
-const TURN: Duration = Duration::from_millis(5);
-/// Bytes that one read takes at most.
-const CHUNK: usize = 16 * 1024;
+/// How often a relay checks for a new setting.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Size of a read.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What one direction of a link does.
+/// How one direction of a link transmits bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Bytes pass as they come.
+pub enum Transmission {
+    /// Passes bytes without delay.
     Pass,
-    /// Nothing passes, and nobody is told.
+    /// Passes nothing and keeps connections open.
     Cut,
-    /// Bytes come this much later.
-    Late(Duration),
-    /// So many bytes a second pass.
-    Slow(u64),
+    /// Delays bytes by this duration.
+    Delay(Duration),
+    /// Passes this many bytes per second.
+    Throttle(u64),
 }
 
-/// The two directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Ways {
-    /// From who called to who was called.
-    there: Way,
-    back: Way,
+struct Directions {
+    /// From the connecting to the accepting side.
+    forward: Transmission,
+    backward: Transmission,
 }
 
-/// A link to one address. Who is to use it is given its own address in that one's place.
+/// Link to one address. The side that uses it connects to the link's address instead.
 pub struct Link {
-    /// Where it is called.
+    /// Address of the link itself.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 struct Shared {
     to: SocketAddr,
-    ways: Mutex<Ways>,
-    /// Nobody listens.
-    refuses: AtomicBool,
-    over: AtomicBool,
-    /// Connections of an older age are reset.
-    age: AtomicU64,
+    directions: Mutex<Directions>,
+    /// Whether the link has no listener.
+    refusing: AtomicBool,
+    stop: AtomicBool,
+    /// Incremented by a reset; connections of an earlier generation are reset.
+    generation: AtomicU64,
 }
 
 impl Link {
-    /// A link that passes all to `to`.
+    /// Creates a link to `to` that passes all bytes.
     pub fn new(to: SocketAddr) -> Self {
-        let listener = TcpListener::bind(crate::own_address()).expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let ways = Mutex::new(Ways {
-            there: Way::Pass,
-            back: Way::Pass,
+        let listener = TcpListener::bind(crate::unique_address()).expect("bind a loopback port");
+        let address = listener.local_addr().expect("address of a bound listener");
+        let directions = Mutex::new(Directions {
+            forward: Transmission::Pass,
+            backward: Transmission::Pass,
         });
-        let (refuses, over, age) = (
+        let (refusing, stop, generation) = (
             AtomicBool::new(false),
             AtomicBool::new(false),
             AtomicU64::new(0),
         );
         let shared = Arc::new(Shared {
             to,
-            ways,
-            refuses,
-            over,
-            age,
+            directions,
+            refusing,
+            stop,
+            generation,
         });
-        let own = Arc::clone(&shared);
-        thread::spawn(move || listen(listener, address, &own));
+        let thread_shared = Arc::clone(&shared);
+        thread::spawn(move || listen(listener, address, &thread_shared));
         Link { address, shared }
     }
 
-    /// From now on each direction does this: `there` from who called to who was called, `back` the other way.
-    pub fn set(&self, there: Way, back: Way) {
-        *self.shared.ways.lock().expect("no holder panics") = Ways { there, back };
+    /// Sets both directions: `forward` is from the connecting to the accepting side, `backward` the opposite one.
+    pub fn set(&self, forward: Transmission, backward: Transmission) {
+        *self.shared.directions.lock().expect("lock poisoned") = Directions { forward, backward };
     }
 
-    /// Both directions pass again, and calls are accepted.
+    /// Restores both directions and accepts connections.
     pub fn heal(&self) {
-        self.set(Way::Pass, Way::Pass);
+        self.set(Transmission::Pass, Transmission::Pass);
         self.refuse(false);
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset(&self) {
-        self.shared.age.fetch_add(1, Ordering::SeqCst);
+        self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Calls are refused from now on, or no longer. Open connections stay.
-    pub fn refuse(&self, refuses: bool) {
-        self.shared.refuses.store(refuses, Ordering::SeqCst);
+    /// Sets whether new connections are refused. Open connections are unaffected.
+    pub fn refuse(&self, refusing: bool) {
+        self.shared.refusing.store(refusing, Ordering::SeqCst);
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
+        self.shared.stop.store(true, Ordering::SeqCst);
     }
 }
 
 fn listen(first: TcpListener, address: SocketAddr, shared: &Arc<Shared>) {
     let mut listener = Some(first);
-    while !shared.over.load(Ordering::SeqCst) {
-        if shared.refuses.load(Ordering::SeqCst) {
+    while !shared.stop.load(Ordering::SeqCst) {
+        if shared.refusing.load(Ordering::SeqCst) {
             listener = None;
-            thread::sleep(TURN);
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let Some(here) = listener.as_ref() else {
+        let Some(socket) = listener.as_ref() else {
             listener = TcpListener::bind(address).ok();
             continue;
         };
-        here.set_nonblocking(true).expect("a socket");
-        match here.accept() {
+        socket
+            .set_nonblocking(true)
+            .expect("set the listener non-blocking");
+        match socket.accept() {
             Ok((caller, _)) => {
                 let shared = Arc::clone(shared);
                 thread::spawn(move || relay(caller, &shared));
             }
-            Err(_) => thread::sleep(TURN),
+            Err(_) => thread::sleep(POLL_INTERVAL),
         }
     }
 }
 
-/// Relays one connection until it ends on either side, or is reset.
+/// Relays one connection until either side closes it or the link resets it.
 fn relay(caller: TcpStream, shared: &Arc<Shared>) {
-    // Nobody there: the caller's connection ends, as it would have without a link.
+    // The target does not listen: end the connection, as without a link.
     let Ok(called) = TcpStream::connect(shared.to) else {
         return reset(&caller);
     };
-    let age = shared.age.load(Ordering::SeqCst);
-    let pump = |from: &TcpStream, to: &TcpStream, there: bool| {
+    let generation = shared.generation.load(Ordering::SeqCst);
+    let spawn_direction = |from: &TcpStream, to: &TcpStream, forward: bool| {
         let (Ok(from), Ok(to), shared) = (from.try_clone(), to.try_clone(), Arc::clone(shared))
         else {
             return;
         };
         thread::spawn(move || {
-            if pass(&from, &to, there, age, &shared).is_err() {
+            if relay_direction(&from, &to, forward, generation, &shared).is_err() {
                 reset(&from);
                 reset(&to);
             }
         });
     };
-    pump(&caller, &called, true);
-    pump(&called, &caller, false);
+    spawn_direction(&caller, &called, true);
+    spawn_direction(&called, &caller, false);
 }
 
 fn reset(socket: &TcpStream) {
-    // It may be gone already.
+    // The other side may have closed it already.
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
     let _ = socket.shutdown(Shutdown::Both);
 }
 
-/// Passes bytes one way. An error: the connection is to be reset.
-fn pass(
+/// Relays one direction of a connection. An error means that the connection has to be reset.
+fn relay_direction(
     mut from: &TcpStream,
     mut to: &TcpStream,
-    there: bool,
-    age: u64,
+    forward: bool,
+    generation: u64,
     shared: &Shared,
 ) -> io::Result<()> {
     from.set_nonblocking(false)?;
     to.set_nonblocking(false)?;
-    from.set_read_timeout(Some(TURN))?;
-    let mut chunk = vec![0; CHUNK];
-    let goes_on = || {
-        let over = shared.over.load(Ordering::SeqCst) || shared.age.load(Ordering::SeqCst) != age;
-        if over {
+    from.set_read_timeout(Some(POLL_INTERVAL))?;
+    let mut chunk = vec![0; CHUNK_BYTES];
+    let check_open = || {
+        let stop = shared.stop.load(Ordering::SeqCst)
+            || shared.generation.load(Ordering::SeqCst) != generation;
+        if stop {
             Err(io::Error::from(io::ErrorKind::ConnectionReset))
         } else {
             Ok(())
         }
     };
-    let way = || {
-        let ways = *shared.ways.lock().expect("no holder panics");
-        if there {
-            ways.there
+    let transmission = || {
+        let directions = *shared.directions.lock().expect("lock poisoned");
+        if forward {
+            directions.forward
         } else {
-            ways.back
+            directions.backward
         }
     };
     loop {
-        goes_on()?;
-        let now = way();
-        let most = match now {
-            Way::Cut => {
-                thread::sleep(TURN);
+        check_open()?;
+        let now = transmission();
+        let max_bytes = match now {
+            Transmission::Cut => {
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            Way::Slow(rate) => ((rate as f64 * TURN.as_secs_f64()) as usize).clamp(1, CHUNK),
-            Way::Pass | Way::Late(_) => CHUNK,
+            Transmission::Throttle(rate) => {
+                ((rate as f64 * POLL_INTERVAL.as_secs_f64()) as usize).clamp(1, CHUNK_BYTES)
+            }
+            Transmission::Pass | Transmission::Delay(_) => CHUNK_BYTES,
         };
-        let n = match from.read(&mut chunk[..most]) {
+        let n = match from.read(&mut chunk[..max_bytes]) {
             Ok(0) => return to.shutdown(Shutdown::Write),
             Ok(n) => n,
             Err(e)
@@ -211,27 +215,27 @@
             }
             Err(e) => return Err(e),
         };
-        // The test may have said something else while this waited for bytes: what counts is what the link does once they are
-        // here. What is not passed when it is cut is held.
+        // The setting may have changed during the read; the one that is in effect now counts. Bytes read before a cut are held.
         let now = loop {
-            match way() {
-                Way::Cut => thread::sleep(TURN),
+            match transmission() {
+                Transmission::Cut => thread::sleep(POLL_INTERVAL),
                 now => break now,
             }
-            goes_on()?;
+            check_open()?;
         };
         match now {
-            Way::Late(span) => {
-                // What comes behind waits as well, so all of it is late by this at least.
-                let due = Instant::now() + span;
-                while Instant::now() < due && shared.age.load(Ordering::SeqCst) == age {
-                    thread::sleep(TURN);
+            Transmission::Delay(delay) => {
+                // Later bytes wait behind these, so the delay is a lower bound for all of them.
+                let due = Instant::now() + delay;
+                while Instant::now() < due && shared.generation.load(Ordering::SeqCst) == generation
+                {
+                    thread::sleep(POLL_INTERVAL);
                 }
             }
-            Way::Slow(rate) => {
+            Transmission::Throttle(rate) => {
                 thread::sleep(Duration::from_secs_f64(n as f64 / rate.max(1) as f64))
             }
-            Way::Pass | Way::Cut => {}
+            Transmission::Pass | Transmission::Cut => {}
         }
         to.write_all(&chunk[..n])?;
     }
