--- a/certs/tests/exchange.rs
+++ b/certs/tests/exchange.rs
@@ -103,7 +103,7 @@
     );
     assert!(why.unwrap_err().contains("invalid peer certificate"));
     assert_eq!(
-        server.authority().seen.len(),
+        server.authority().request_counts.len(),
         0,
         "the authority received a request"
     );
--- a/front/examples/measure-cold.rs
+++ b/front/examples/measure-cold.rs
@@ -1,83 +1,85 @@
-//! A cold start and a kill of seven in ten, of so many processes with so many cache nodes: connections that come to a node, when
-//! each front serves first, and how long the level of service takes to return.
+//! Measures a cold start of a fleet and the kill and restart of 70 % of its fronts: connections per cache node, the time until
+//! each front serves its first request, and the time until the rate of served requests recovers.
 //!
-//! `measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]`: each front is asked one request at a time with this pause between them;
-//! SETTINGS is a file of the daemon's own. Prints one JSON object.
+//! `measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]`: each front receives one request at a time with this pause in between; SETTINGS
+//! is a settings file of the daemon. Prints one JSON object.
 use cranesill_rig::{ClusterSize, Observation, TestCluster};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::time::Duration;
 
-const S: Duration = Duration::from_secs(1);
-/// The level of service is counted over so much time.
+const SECOND: Duration = Duration::from_secs(1);
+/// Interval over which the rate of served requests is measured after the kill.
 const WINDOW: Duration = Duration::from_millis(250);
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let number = |n: usize| arguments.get(n).and_then(|a| a.parse::<usize>().ok());
     let (Some(fronts), Some(caches), Some(pause)) = (number(0), number(1), number(2)) else {
-        eprintln!("measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]");
+        eprintln!("usage: measure-cold FRONTS CACHES PAUSE_MS [SETTINGS]");
         std::process::exit(2);
     };
     let settings: Option<Value> = arguments.get(3).map(|file| {
-        let text = std::fs::read_to_string(file).unwrap_or_else(|e| panic!("{file}: {e}"));
-        serde_json::from_str(&text).unwrap_or_else(|e| panic!("{file}: {e}"))
+        let text = std::fs::read_to_string(file)
+            .unwrap_or_else(|e| panic!("cannot read the settings file {file}: {e}"));
+        serde_json::from_str(&text)
+            .unwrap_or_else(|e| panic!("the settings file {file} is not valid JSON: {e}"))
     });
-    let beside = std::env::current_exe()
+    let program = std::env::current_exe()
         .ok()
         .and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
-    let binary: PathBuf = beside.expect("the program lies beside its examples");
+    let binary: PathBuf = program.expect("cannot determine the path of the cranesill binary");
     let base: Value =
-        serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
-    let shape = ClusterSize {
+        serde_json::from_str(include_str!("config.json")).expect("config.json is not valid JSON");
+    let size = ClusterSize {
         fronts,
         caches,
         parents: 2.max(caches / 30),
         link_groups: 0,
     };
-    let mut stage = TestCluster::start(&binary, shape, &base, settings.as_ref(), 1);
-    stage.load.pause = Duration::from_millis(pause as u64);
-    stage.load.objects = 5_000;
-    let began = stage.history.now();
-    let clients = stage.start_clients(1);
-    std::thread::sleep(10 * S);
-    let end = stage.history.now();
-    let first = first_served(&stage, fronts, began);
-    let cold = dials(&stage, caches, began, end);
-    let before = level(&stage, end - 3 * S, end, |_| true);
-    let dead: Vec<usize> = (0..fronts).filter(|n| n % 10 < 7).collect();
-    let live = |front: usize| front % 10 >= 7;
-    let live_before = level(&stage, end - 3 * S, end, live);
-    stage.kill(&dead);
-    std::thread::sleep(S);
-    let back = stage.history.now();
-    stage.restart(&dead);
-    let listening = stage.history.now();
-    std::thread::sleep(10 * S);
-    let after = stage.history.now();
+    let mut cluster = TestCluster::start(&binary, size, &base, settings.as_ref(), 1);
+    cluster.load.pause = Duration::from_millis(pause as u64);
+    cluster.load.objects = 5_000;
+    let started = cluster.history.now();
+    let clients = cluster.start_clients(1);
+    std::thread::sleep(10 * SECOND);
+    let killed_at = cluster.history.now();
+    let first_served_s = first_served_s(&cluster, fronts, started);
+    let cold_connections = max_connections(&cluster, caches, started, killed_at);
+    let served_before = served_per_s(&cluster, killed_at - 3 * SECOND, killed_at, |_| true);
+    let killed: Vec<usize> = (0..fronts).filter(|n| n % 10 < 7).collect();
+    let survives = |front: usize| front % 10 >= 7;
+    let survivors_before = served_per_s(&cluster, killed_at - 3 * SECOND, killed_at, survives);
+    cluster.kill(&killed);
+    std::thread::sleep(SECOND);
+    let restarted_at = cluster.history.now();
+    cluster.restart(&killed);
+    let listening_at = cluster.history.now();
+    std::thread::sleep(10 * SECOND);
+    let end = cluster.history.now();
     clients.stop();
-    let returned =
-        windows(back, after).find(|at| level(&stage, *at, *at + WINDOW, |_| true) >= 0.95 * before);
-    let worst_live = windows(end, after)
-        .map(|at| level(&stage, at, at + WINDOW, live))
+    let recovered_at = windows(restarted_at, end)
+        .find(|at| served_per_s(&cluster, *at, *at + WINDOW, |_| true) >= 0.95 * served_before);
+    let survivors_worst = windows(killed_at, end)
+        .map(|at| served_per_s(&cluster, at, at + WINDOW, survives))
         .fold(f64::MAX, f64::min);
-    let found = json!({
+    let results = json!({
         "fronts": fronts, "caches": caches, "settings": settings.map(|s| s["startup"].clone()),
-        "first_served_s": quantiles(first),
-        "connections_at_one_cache": cold,
-        "connections_at_one_cache_after_the_kill": dials(&stage, caches, back, after),
-        "served_a_second": before.round(),
-        "all_listen_again_s": (listening - back).as_secs_f64(),
-        "level_again_s": returned.map(|at| (at + WINDOW - back).as_secs_f64()),
-        "level_again_since_all_listen_s": returned.map(|at| (at + WINDOW).saturating_sub(listening).as_secs_f64()),
-        "live_fronts_served_a_second": {"before": live_before.round(), "worst_quarter_second": worst_live.round()},
-        "breaches": stage.violations().len(),
+        "first_served_s": quantiles(first_served_s),
+        "connections_at_one_cache": cold_connections,
+        "connections_at_one_cache_after_the_kill": max_connections(&cluster, caches, restarted_at, end),
+        "served_a_second": served_before.round(),
+        "all_listen_again_s": (listening_at - restarted_at).as_secs_f64(),
+        "level_again_s": recovered_at.map(|at| (at + WINDOW - restarted_at).as_secs_f64()),
+        "level_again_since_all_listen_s": recovered_at.map(|at| (at + WINDOW).saturating_sub(listening_at).as_secs_f64()),
+        "live_fronts_served_a_second": {"before": survivors_before.round(), "worst_quarter_second": survivors_worst.round()},
+        "breaches": cluster.violations().len(),
     });
-    println!("{found}");
+    println!("{results}");
     assert!(
-        stage.fleet.exited().is_empty(),
+        cluster.fleet.exited().is_empty(),
         "{:#?}",
-        stage.fleet.exited()
+        cluster.fleet.exited()
     );
 }
 
@@ -87,19 +89,25 @@
         .take_while(move |at| *at + WINDOW <= to)
 }
 
-/// Requests served a second by these fronts.
-fn level(stage: &TestCluster, from: Duration, to: Duration, of: impl Fn(usize) -> bool) -> f64 {
-    let served = stage
-        .history
-        .timestamps(|seen| matches!(seen, Observation::ClientResponse(front, _, 1) if of(*front)));
+/// Requests served per second by the fronts for which `includes` holds.
+fn served_per_s(
+    cluster: &TestCluster,
+    from: Duration,
+    to: Duration,
+    includes: impl Fn(usize) -> bool,
+) -> f64 {
+    let served = cluster.history.timestamps(
+        |seen| matches!(seen, Observation::ClientResponse(front, _, 1) if includes(*front)),
+    );
     served.iter().filter(|at| (from..to).contains(at)).count() as f64 / (to - from).as_secs_f64()
 }
 
-fn first_served(stage: &TestCluster, fronts: usize, began: Duration) -> Vec<f64> {
+/// Time from `started` to the first served request of each front, in seconds, sorted.
+fn first_served_s(cluster: &TestCluster, fronts: usize, started: Duration) -> Vec<f64> {
     let mut first = vec![f64::INFINITY; fronts];
-    for (at, seen) in stage.history.observations() {
+    for (at, seen) in cluster.history.observations() {
         if let Observation::ClientResponse(front, _, 1) = seen {
-            first[front] = first[front].min((at.saturating_sub(began)).as_secs_f64());
+            first[front] = first[front].min((at.saturating_sub(started)).as_secs_f64());
         }
     }
     first.sort_by(f64::total_cmp);
@@ -107,25 +115,25 @@
 }
 
 fn quantiles(sorted: Vec<f64>) -> Value {
-    let at = |share: f64| sorted[((sorted.len() - 1) as f64 * share) as usize];
-    json!({"half": at(0.5), "99_in_100": at(0.99), "all": at(1.0)})
+    let quantile = |share: f64| sorted[((sorted.len() - 1) as f64 * share) as usize];
+    json!({"half": quantile(0.5), "99_in_100": quantile(0.99), "all": quantile(1.0)})
 }
 
-/// Connections that came to the cache with the most of them in any second and in any tenth of one, and to all in the mean.
-fn dials(stage: &TestCluster, caches: usize, from: Duration, to: Duration) -> Value {
-    let of = |place: usize, span: Duration| {
-        let id = stage.nodes.all[place].0;
-        stage
+/// Most connections to one cache within any second and any 100 ms, and the number of connections to all nodes.
+fn max_connections(cluster: &TestCluster, caches: usize, from: Duration, to: Duration) -> Value {
+    let max_at = |index: usize, window: Duration| {
+        let id = cluster.nodes.all[index].0;
+        cluster
             .history
-            .max_in_window(from, to, span, |seen| *seen == Observation::Accepted(id))
+            .max_in_window(from, to, window, |seen| *seen == Observation::Accepted(id))
             .0
     };
-    let total = stage
+    let total = cluster
         .history
         .timestamps(|seen| matches!(seen, Observation::Accepted(_)));
     json!({
-        "worst_second": (0..caches).map(|place| of(place, S)).max(),
-        "worst_100_ms": (0..caches).map(|place| of(place, S / 10)).max(),
+        "worst_second": (0..caches).map(|index| max_at(index, SECOND)).max(),
+        "worst_100_ms": (0..caches).map(|index| max_at(index, SECOND / 10)).max(),
         "all_nodes": total.iter().filter(|at| (from..to).contains(at)).count(),
     })
 }
--- a/front/examples/measure-daily.rs
+++ b/front/examples/measure-daily.rs
@@ -1,6 +1,6 @@
-//! Measures daily use on loopback: how long `health` and `counters` take at full load, what a hundred replacements under
-//! load cost clients, and the memory and descriptors of both processes together. `make measure-daily` runs it; the figures
-//! stand in `docs/design/daily.md`.
+//! Measures routine operations on loopback: the latency of `health` and `counters` under full load, failed client requests
+//! during 100 replacements of the process, and the memory and descriptors of both processes together. `make measure-daily` runs it;
+//! the results are in `docs/design/daily.md`.
 #[path = "../tests/common/mod.rs"]
 mod common;
 use common::operations::*;
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-const CALLS: usize = 400;
+const CALLS_PER_COMMAND: usize = 400;
 const REPLACEMENTS: usize = 100;
 
-/// Memory in KB and descriptors of a process.
-fn held(process: &Process) -> (u64, usize) {
+/// Resident memory in KB and number of open descriptors of a process.
+fn memory_kb_and_descriptors(process: &Process) -> (u64, usize) {
     let folder = format!("/proc/{}", process.child.id());
     let status = std::fs::read_to_string(format!("{folder}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -27,81 +27,86 @@
 }
 
 fn main() {
-    let stage = TestFront::new(|_| {});
-    stage
+    let front = TestFront::new(|_| {});
+    front
         .caches
         .iter()
-        .chain([&stage.origin])
-        .for_each(|member| drop(serve_hits(member)));
-    let platform = InheritedListener::new(&stage.config);
-    let (mut old, mut ops) = platform.start();
-    let (over, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
+        .chain([&front.origin])
+        .for_each(|endpoint| drop(serve_hits(endpoint)));
+    let service_manager = InheritedListener::new(&front.config);
+    let (mut old, mut ops) = service_manager.start();
+    let (stop, failures) = (Arc::new(AtomicBool::new(false)), Arc::default());
     let clients = start_load(
-        platform.listener.local_addr().unwrap(),
-        &over,
+        service_manager.listener.local_addr().unwrap(),
+        &stop,
         &failures,
         32,
     );
-    // Warm: connections are made and the members known.
+    // Warm up until connections are open and every endpoint has been used.
     while counters(ops)["handled.page-bits.passed"] < 10_000 {}
     let before = counters(ops)["handled.page-bits.passed"];
-    let began = Instant::now();
+    let started = Instant::now();
     for word in ["health", "counters"] {
-        let mut took: Vec<_> = (0..CALLS)
+        let mut latencies_us: Vec<_> = (0..CALLS_PER_COMMAND)
             .map(|_| {
-                let began = Instant::now();
+                let started = Instant::now();
                 assert!(operator_command(ops, word).starts_with("+OK"));
-                began.elapsed().as_micros()
+                started.elapsed().as_micros()
             })
             .collect();
-        took.sort_unstable();
-        let of = |share: usize| took[(CALLS * share / 100).min(CALLS - 1)];
+        latencies_us.sort_unstable();
+        let percentile = |percent: usize| {
+            latencies_us[(CALLS_PER_COMMAND * percent / 100).min(CALLS_PER_COMMAND - 1)]
+        };
         println!(
             "{word}: p50 {} us, p99 {} us, max {} us",
-            of(50),
-            of(99),
-            of(100)
+            percentile(50),
+            percentile(99),
+            percentile(100)
         );
     }
     let served = counters(ops)["handled.page-bits.passed"] - before;
     println!(
-        "beside {:.0} requests a second",
-        served as f64 / began.elapsed().as_secs_f64()
+        "under a load of {:.0} requests per second",
+        served as f64 / started.elapsed().as_secs_f64()
     );
-    let (mut most, mut ends) = ((0, 0), Vec::new());
+    let (mut max, mut end_times_ms) = ((0, 0), Vec::new());
     for _ in 0..REPLACEMENTS {
-        let (new, new_ops) = platform.start();
+        let (new, new_ops) = service_manager.start();
         wait_for_line(&new.log, "waits for another process");
-        let began = Instant::now();
+        let started = Instant::now();
         old.signal("-TERM");
         wait_for_line(&new.log, "accepts clients");
-        let both = [held(&old), held(&new)];
-        most = (
-            most.0.max(both[0].0 + both[1].0),
-            most.1.max(both[0].1 + both[1].1),
+        let both = [
+            memory_kb_and_descriptors(&old),
+            memory_kb_and_descriptors(&new),
+        ];
+        max = (
+            max.0.max(both[0].0 + both[1].0),
+            max.1.max(both[0].1 + both[1].1),
         );
         assert!(old.child.wait().unwrap().success());
-        ends.push(began.elapsed().as_millis());
+        end_times_ms.push(started.elapsed().as_millis());
         (old, ops) = (new, new_ops);
     }
     assert!(operator_command(ops, "health").starts_with("+OK"));
-    over.store(true, Ordering::SeqCst);
-    let answered: u32 = clients
+    stop.store(true, Ordering::SeqCst);
+    let responses: u32 = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .sum();
-    ends.sort_unstable();
+    end_times_ms.sort_unstable();
     println!(
-        "{REPLACEMENTS} replacements beside {answered} answers: {} met a closed door",
+        "{REPLACEMENTS} replacements with {responses} successful requests: {} requests failed",
         failures.lock().unwrap().len()
     );
     println!(
-        "the old process ends after {} ms (median), {} ms at most",
-        ends[REPLACEMENTS / 2],
-        ends[REPLACEMENTS - 1]
+        "the old process exits after {} ms (median), {} ms at most",
+        end_times_ms[REPLACEMENTS / 2],
+        end_times_ms[REPLACEMENTS - 1]
     );
     println!(
         "both processes together: {} KB and {} descriptors at most",
-        most.0, most.1
+        max.0, max.1
     );
 }
--- a/front/examples/measure-scale.rs
+++ b/front/examples/measure-scale.rs
@@ -1,8 +1,9 @@
-//! Measures what one front needs beside 200, 800 and 3,200 cache nodes: the load of the front and the capacity of all
-//! cache nodes together stay the same, also with the shares of one front of 900. `make measure-scale` runs it; the
-//! figures stand in `docs/design/fleet.md`.
+//! Measures the resources of one front with 200, 800 and 3,200 cache nodes, alone and as one of 900 fronts. The load of the front
+//! and the total capacity of the cache nodes are the same in each run. `make measure-scale` runs it; the results are in
+//! `docs/design/fleet.md`.
 //!
-//! `measure-scale [OBJECTS]`: how many objects clients ask for, all alike. The run ends with 1 if a bound is exceeded.
+//! `measure-scale [OBJECTS]`: number of objects that clients request, with equal probability. Exits with status 1 if a bound is
+//! exceeded.
 use cranesill_rig::{
     Behavior, ClientLoad, Clients, Event, Fleet, History, ListService, ListedNode, Nodes,
     Observation, ServiceMode, State,
@@ -12,83 +13,83 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Cache nodes of each run; the first is the size that the others are compared with.
-const SIZES: [usize; 3] = [200, 800, 3_200];
-/// Fronts that share the cache nodes, and the weight of all cache nodes together: beside one front a node carries at
-/// least one request, of 900 fronts none has a share of a whole one.
+/// Number of cache nodes of each run; the first run is the baseline of the bounds.
+const CACHE_COUNTS: [usize; 3] = [200, 800, 3_200];
+/// Number of fronts that share the cache nodes, and the total weight of the cache nodes. A single front can use at least one slot of
+/// each node; one of 900 fronts has a share of less than one slot.
 const FLEETS: [(u32, usize); 2] = [(1, 3_200), (900, 6_400)];
 const PARENTS: usize = 4;
-/// Weight of all parents together over that of all cache nodes.
-const PARENTS_SHARE: f64 = 0.5;
-const LOAD_LASTS: Duration = Duration::from_secs(10);
-/// Pause between two looks at the process, each with one change of the list.
+/// Total weight of the parents as a fraction of that of the cache nodes.
+const PARENT_WEIGHT_RATIO: f64 = 0.5;
+const LOAD_DURATION: Duration = Duration::from_secs(10);
+/// Interval of the samples; each sample also changes the state of a node in the list.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-const ANSWER_TAKES: Duration = Duration::from_millis(30);
-/// Clients with one request at a time, and their pause: about 150 requests a second.
+const RESPONSE_DELAY: Duration = Duration::from_millis(30);
+/// Closed-loop clients; with their pause they send about 150 requests per second.
 const CLIENTS: usize = 16;
 const CLIENT_PAUSE: Duration = Duration::from_millis(74);
-const OBJECTS: u64 = 20_000;
-/// The event that the configuration holds.
-const KNOWN_EVENT: u64 = 1;
+const DEFAULT_OBJECTS: u64 = 20_000;
+/// Number of the event in the initial snapshot of the configuration.
+const INITIAL_EVENT: u64 = 1;
 
-/// What one front needed in one run.
+/// Resources and results of one front in one run.
 struct Usage {
     cpu_s: f64,
     peak_memory_mb: f64,
     descriptors: f64,
     connections: f64,
     list_kb: f64,
-    asked: usize,
+    requests: usize,
     served: usize,
 }
 
 impl Usage {
-    fn share_served(&self) -> f64 {
-        self.served as f64 / self.asked.max(1) as f64
+    fn served_fraction(&self) -> f64 {
+        self.served as f64 / self.requests.max(1) as f64
     }
 
-    /// The bounds of growth over `usual` beside `nodes` cache nodes: what, the figure, its bound, and whether it holds.
-    fn rows(&self, usual: &Usage, nodes: usize) -> [(&'static str, f64, f64, bool); 6] {
+    /// Bounds relative to `baseline` for a run with `nodes` cache nodes: name, measured value, bound, and whether the bound holds.
+    fn bounds(&self, baseline: &Usage, nodes: usize) -> [(&'static str, f64, f64, bool); 6] {
         let thousands = nodes as f64 / 1_000.0;
-        let most = |what, figure: f64, bound: f64| (what, figure, bound, figure <= bound);
-        let least = usual.share_served() * 0.85;
+        let at_most = |name, value: f64, bound: f64| (name, value, bound, value <= bound);
+        let min_served = baseline.served_fraction() * 0.85;
         [
-            most(
+            at_most(
                 "CPU seconds",
                 self.cpu_s,
-                1.4 * usual.cpu_s + 0.02 + 0.03 * thousands,
+                1.4 * baseline.cpu_s + 0.02 + 0.03 * thousands,
             ),
-            most(
+            at_most(
                 "peak memory, MB",
                 self.peak_memory_mb,
-                1.5 * usual.peak_memory_mb + 8.0 + 4.0 * thousands,
+                1.5 * baseline.peak_memory_mb + 8.0 + 4.0 * thousands,
             ),
-            most(
+            at_most(
                 "descriptors",
                 self.descriptors,
-                2.0 * usual.descriptors + 40.0,
+                2.0 * baseline.descriptors + 40.0,
             ),
-            most(
-                "connections made",
+            at_most(
+                "connections opened",
                 self.connections,
-                2.5 * usual.connections + 40.0,
+                2.5 * baseline.connections + 40.0,
             ),
-            most(
-                "list bytes, KB",
+            at_most(
+                "list data, KB",
                 self.list_kb,
-                2.0 * usual.list_kb + 64.0 + 500.0 * thousands,
+                2.0 * baseline.list_kb + 64.0 + 500.0 * thousands,
             ),
             (
-                "share served",
-                self.share_served(),
-                least,
-                self.share_served() >= least,
+                "fraction served",
+                self.served_fraction(),
+                min_served,
+                self.served_fraction() >= min_served,
             ),
         ]
     }
 }
 
-/// One front with its nodes, its list service and its clients.
+/// A front with its nodes, list service and clients.
 struct Run {
     history: History,
     nodes: Nodes,
@@ -104,9 +105,9 @@
             .map(|place| 0x101 + place as u32)
             .collect();
         let nodes = Nodes::new(&history, &ids, &["book-car"]);
-        (0..ids.len()).for_each(|place| nodes.set(place, Behavior::Respond(ANSWER_TAKES)));
+        (0..ids.len()).for_each(|place| nodes.set(place, Behavior::Respond(RESPONSE_DELAY)));
         let cache_weight = (capacity / caches) as u32;
-        let parent_weight = (capacity as f64 * PARENTS_SHARE) as u32 / PARENTS as u32;
+        let parent_weight = (capacity as f64 * PARENT_WEIGHT_RATIO) as u32 / PARENTS as u32;
         let listed: Vec<ListedNode> = ids
             .iter()
             .enumerate()
@@ -130,10 +131,10 @@
         let addresses = nodes.all.iter().map(|(_, at)| *at).collect();
         let list = ListService::with_addresses(&history, ServiceMode::Serve, vec![addresses]);
         let config = configuration(&nodes, &listed, &list, fronts);
-        let beside = std::env::current_exe()
+        let program = std::env::current_exe()
             .ok()
             .and_then(|me| Some(me.parent()?.parent()?.join("cranesill")));
-        let binary: PathBuf = beside.expect("the program lies beside its examples");
+        let binary: PathBuf = program.expect("cannot determine the path of the cranesill binary");
         let fleet = Fleet::start(&binary, 1, None, |_| config.clone());
         Run {
             history,
@@ -144,9 +145,9 @@
         }
     }
 
-    /// Loads the front while the list changes: one cache node after another drains and comes back.
+    /// Runs the load while one cache node after another is drained and made ready again in the list.
     fn measure(mut self, objects: u64) -> Usage {
-        let asks = ClientLoad {
+        let load = ClientLoad {
             read_class: "page-bits".into(),
             write_class: "book-car".into(),
             objects,
@@ -155,11 +156,14 @@
             timeout: Duration::from_millis(2_500),
         };
         let addresses = Arc::new(Mutex::new(vec![Some(self.fleet.address(0))]));
-        let process = format!("/proc/{}", self.fleet.process_id(0).expect("it runs"));
+        let process = format!(
+            "/proc/{}",
+            self.fleet.process_id(0).expect("the front is not running")
+        );
         self.list.publish(Event::Nodes(true, self.listed.clone()));
-        let clients = Clients::start(&self.history, &addresses, &asks, 1);
-        let (began, mut descriptors, mut changes) = (Instant::now(), 0, 0);
-        while began.elapsed() < LOAD_LASTS {
+        let clients = Clients::start(&self.history, &addresses, &load, 1);
+        let (started, mut descriptors, mut changes) = (Instant::now(), 0, 0);
+        while started.elapsed() < LOAD_DURATION {
             std::thread::sleep(SAMPLE_INTERVAL);
             descriptors = descriptors
                 .max(std::fs::read_dir(format!("{process}/fd")).map_or(0, Iterator::count));
@@ -188,7 +192,7 @@
             descriptors: descriptors as f64,
             connections: count(|seen| matches!(seen, Observation::Accepted(_))) as f64,
             list_kb: list_bytes as f64 / 1_000.0,
-            asked: count(|seen| matches!(seen, Observation::ClientRequest { .. })),
+            requests: count(|seen| matches!(seen, Observation::ClientRequest { .. })),
             served: count(|seen| matches!(seen, Observation::ClientResponse(_, _, 1))),
         }
     }
@@ -196,28 +200,29 @@
 
 fn configuration(nodes: &Nodes, listed: &[ListedNode], list: &ListService, fronts: u32) -> Value {
     let mut config: Value =
-        serde_json::from_str(include_str!("config.json")).expect("an example is JSON");
+        serde_json::from_str(include_str!("config.json")).expect("config.json is not valid JSON");
     let settings = &mut config["settings"];
     settings["nInstances"] = fronts.into();
     settings["familyInfo"]["seatsByZone"] = json!([0, fronts]);
-    let name = |key: &str, at: u8| settings[key][usize::from(at)].clone();
-    let member = |one: &ListedNode| {
-        json!({"instanceId": format!("s-{:08x}", one.id), "hostPort": nodes.all[one.index].1.to_string(),
-               "zone": name("zones", one.zone), "machineType": name("kinds", one.kind), "cell": 0,
-               "lifecycle": "in_service", "weight": one.weight, "startedAtMs": 0})
+    let name = |key: &str, index: u8| settings[key][usize::from(index)].clone();
+    let instance = |node: &ListedNode| {
+        json!({"instanceId": format!("s-{:08x}", node.id), "hostPort": nodes.all[node.index].1.to_string(),
+               "zone": name("zones", node.zone), "machineType": name("kinds", node.kind), "cell": 0,
+               "lifecycle": "in_service", "weight": node.weight, "startedAtMs": 0})
     };
-    let all: Vec<Value> = listed.iter().map(member).collect();
-    let members = json!({"generation": 1, "reset": true, "instances": all});
-    config["known"] = json!({"n": KNOWN_EVENT, "events": [{"n": KNOWN_EVENT, "members": members}]});
+    let instances: Vec<Value> = listed.iter().map(instance).collect();
+    let members = json!({"generation": 1, "reset": true, "instances": instances});
+    config["known"] =
+        json!({"n": INITIAL_EVENT, "events": [{"n": INITIAL_EVENT, "members": members}]});
     config["listen"] = "127.0.0.1:0".into();
     config["feed"] = list.address.to_string().into();
     config
 }
 
-/// Processor time of a process, of all of its threads.
+/// CPU time of all threads of a process, in seconds.
 fn cpu_seconds(process: &str) -> f64 {
     let tasks = std::fs::read_dir(format!("{process}/task"))
-        .expect("it runs")
+        .expect("cannot list the threads of the front")
         .flatten();
     let nanoseconds = |task: std::fs::DirEntry| -> Option<f64> {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
@@ -227,34 +232,36 @@
 }
 
 fn peak_memory_mb(process: &str) -> f64 {
-    let status = std::fs::read_to_string(format!("{process}/status")).expect("it runs");
+    let status = std::fs::read_to_string(format!("{process}/status"))
+        .expect("cannot read the status of the front");
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let kb = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
-    kb.expect("a figure in KB") / 1_024.0
+    kb.expect("no VmHWM in KB in the status of the front") / 1_024.0
 }
 
 fn main() {
     let objects = std::env::args()
         .nth(1)
         .and_then(|text| text.parse().ok())
-        .unwrap_or(OBJECTS);
+        .unwrap_or(DEFAULT_OBJECTS);
     let mut exceeded = 0;
     for (fronts, capacity) in FLEETS {
-        println!("shares of one front of {fronts}, {objects} objects");
-        let mut usual: Option<Usage> = None;
-        for caches in SIZES {
+        println!("one of {fronts} fronts, {objects} objects");
+        let mut baseline: Option<Usage> = None;
+        for caches in CACHE_COUNTS {
             let usage = Run::start(caches, fronts, capacity).measure(objects);
             println!(
                 "  {caches} cache nodes: served {} of {}",
-                usage.served, usage.asked
+                usage.served, usage.requests
             );
-            for (what, figure, bound, holds) in usage.rows(usual.as_ref().unwrap_or(&usage), caches)
+            for (name, value, bound, holds) in
+                usage.bounds(baseline.as_ref().unwrap_or(&usage), caches)
             {
                 let verdict = if holds { "holds" } else { "EXCEEDED" };
-                println!("    {what:<18} {figure:>9.3}  bound {bound:>9.3}  {verdict}");
+                println!("    {name:<18} {value:>9.3}  bound {bound:>9.3}  {verdict}");
                 exceeded += usize::from(!holds);
             }
-            usual.get_or_insert(usage);
+            baseline.get_or_insert(usage);
         }
     }
     if exceeded > 0 {
--- a/standins/src/boxes.rs
+++ b/standins/src/cache_node.rs
@@ -1,5 +1,5 @@
-//! Cache boxes that hold tagged objects and speak of purges (the project's own protocol page), stale on purpose where
-//! told so: they lie, they are late, they die with and without their disk.
+//! Cache nodes of the cache protocol that hold tagged objects and apply purges. Tests can make a node serve stale copies, delay
+//! its responses, and kill it with or without loss of its copies.
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,11 +7,11 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const RECORD_MOST: usize = 2_048;
-const STRING_MOST: usize = 1 << 20;
+const MAX_RECORD_BYTES: usize = 2_048;
+const MAX_STRING_BYTES: usize = 1 << 20;
 
-/// Unix milliseconds.
-pub fn wall() -> u64 {
+/// Milliseconds since the Unix epoch.
+pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -22,25 +22,25 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// What boxes fetch from: the tags of each object now, and how often it was asked.
+/// The origin from which cache nodes fetch: the current tags of each object, and the number of fetches.
 #[derive(Default)]
 pub struct Origin {
     tags: Mutex<HashMap<String, Vec<String>>>,
-    /// Fetches that reached it.
+    /// Number of fetches.
     pub fetches: AtomicU64,
 }
 
 impl Origin {
-    /// Gives an object other tags from now on.
+    /// Replaces the tags of an object; copies that were fetched before keep theirs.
     pub fn tag(&self, item: &str, tags: &[&str]) {
         lock(&self.tags).insert(item.into(), tags.iter().map(|t| t.to_string()).collect());
     }
 
-    fn fetch(&self, item: &str) -> Copy {
+    fn fetch(&self, item: &str) -> CachedCopy {
         self.fetches.fetch_add(1, Ordering::SeqCst);
-        // Given out after the moment that it is dated by, never before.
-        let born = wall();
-        Copy {
+        // Taken before the tags are read: a copy must never be dated later than its contents.
+        let born = unix_ms();
+        CachedCopy {
             born,
             tags: lock(&self.tags).get(item).cloned().unwrap_or_default(),
         }
@@ -48,109 +48,109 @@
 }
 
 #[derive(Clone, Debug)]
-struct Copy {
+struct CachedCopy {
     born: u64,
     tags: Vec<String>,
 }
 
 #[derive(Clone, Default)]
-struct Held {
-    copies: HashMap<(String, String), Copy>,
-    ledger: u64,
+struct Store {
+    copies: HashMap<(String, String), CachedCopy>,
+    log_identity: u64,
     applied: u64,
-    /// It was asked how it stands and said that it holds nothing: what was purged before does not concern it.
-    said_empty: bool,
+    /// The node has reported that it has no copies, so that earlier purges do not apply to it.
+    reported_empty: bool,
 }
 
 struct Shared {
     origin: Arc<Origin>,
-    held: Mutex<Held>,
-    disk: bool,
-    /// The main store itself: it never misses.
-    main: bool,
+    store: Mutex<Store>,
+    has_disk: bool,
+    /// The node is the origin itself, which never responds with a miss.
+    is_origin: bool,
     alive: AtomicBool,
-    /// Counts lives: what was begun in an earlier one is not gone on with.
-    life: AtomicU64,
-    lies: AtomicBool,
-    late_ms: AtomicU64,
+    /// Increases when the node is killed; connections of an earlier generation end.
+    generation: AtomicU64,
+    serve_stale: AtomicBool,
+    delay_ms: AtomicU64,
     sockets: Mutex<Vec<TcpStream>>,
-    /// Batches that left something out.
+    /// Purge batches that began after the node's last applied purge.
     gaps: AtomicU64,
 }
 
-/// A box.
-pub struct TaggedBox {
-    /// Where it listens, dead or alive.
+/// A cache node, or the origin as an endpoint.
+pub struct CacheNode {
+    /// Address of the node; a killed node keeps it.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl TaggedBox {
-    /// A box that fetches from an origin; with a disk it keeps what it has over a death.
-    pub fn start(origin: Arc<Origin>, disk: bool) -> io::Result<TaggedBox> {
-        Self::begin(origin, disk, false)
+impl CacheNode {
+    /// Starts a cache node that fetches from `origin`; with a disk it keeps its copies when it is killed.
+    pub fn start(origin: Arc<Origin>, disk: bool) -> io::Result<CacheNode> {
+        Self::start_node(origin, disk, false)
     }
 
-    /// The main store, as a member that never misses.
-    pub fn main(origin: Arc<Origin>) -> io::Result<TaggedBox> {
-        Self::begin(origin, false, true)
+    /// Starts a node that acts as the origin and never responds with a miss.
+    pub fn start_origin(origin: Arc<Origin>) -> io::Result<CacheNode> {
+        Self::start_node(origin, false, true)
     }
 
-    fn begin(origin: Arc<Origin>, disk: bool, main: bool) -> io::Result<TaggedBox> {
+    fn start_node(origin: Arc<Origin>, disk: bool, is_origin: bool) -> io::Result<CacheNode> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             origin,
-            held: Mutex::default(),
-            disk,
-            main,
+            store: Mutex::default(),
+            has_disk: disk,
+            is_origin,
             alive: AtomicBool::new(true),
-            life: AtomicU64::new(0),
-            lies: AtomicBool::new(false),
-            late_ms: AtomicU64::new(0),
+            generation: AtomicU64::new(0),
+            serve_stale: AtomicBool::new(false),
+            delay_ms: AtomicU64::new(0),
             sockets: Mutex::default(),
             gaps: AtomicU64::new(0),
         });
         let accepting = Arc::clone(&shared);
         let thread = std::thread::Builder::new().stack_size(128 * 1024);
         thread.spawn(move || accept(&accepting, &listener))?;
-        Ok(TaggedBox { address, shared })
+        Ok(CacheNode { address, shared })
     }
 
-    /// Dies: its connections are reset or closed, what it held is gone unless it has a disk.
+    /// Kills the node: its connections are closed, and its copies are lost unless it has a disk.
     pub fn kill(&self) {
         self.shared.alive.store(false, Ordering::SeqCst);
-        self.shared.life.fetch_add(1, Ordering::SeqCst);
-        if !self.shared.disk {
-            *lock(&self.shared.held) = Held::default();
+        self.shared.generation.fetch_add(1, Ordering::SeqCst);
+        if !self.shared.has_disk {
+            *lock(&self.shared.store) = Store::default();
         }
         for socket in lock(&self.shared.sockets).drain(..) {
-            // It may be closed already.
+            // The peer may have closed the connection.
             let _ = socket.shutdown(Shutdown::Both);
         }
     }
 
-    /// Comes back, at the same address.
-    pub fn revive(&self) {
+    /// Restarts the node at the same address.
+    pub fn restart(&self) {
         self.shared.alive.store(true, Ordering::SeqCst);
     }
 
-    /// Answers from what it has, whatever age it is asked for, or no longer.
-    pub fn lie(&self, lies: bool) {
-        self.shared.lies.store(lies, Ordering::SeqCst);
+    /// Sets whether the node serves copies that are older than the maximum age of the request.
+    pub fn set_serve_stale(&self, serve_stale: bool) {
+        self.shared.serve_stale.store(serve_stale, Ordering::SeqCst);
     }
 
-    /// Waits so long before each answer.
-    pub fn late(&self, ms: u64) {
-        self.shared.late_ms.store(ms, Ordering::SeqCst);
+    /// Sets the delay of each response, in milliseconds.
+    pub fn set_delay_ms(&self, ms: u64) {
+        self.shared.delay_ms.store(ms, Ordering::SeqCst);
     }
 
-    /// Everything up to this number is carried out.
+    /// Number of the last purge up to which all purges are applied.
     pub fn applied(&self) -> u64 {
-        lock(&self.shared.held).applied
+        lock(&self.shared.store).applied
     }
 
-    /// Batches that left something out between what was carried out and what they brought.
+    /// Number of purge batches that began after the node's last applied purge.
     pub fn gaps(&self) -> u64 {
         self.shared.gaps.load(Ordering::SeqCst)
     }
@@ -167,22 +167,22 @@
         lock(&shared.sockets).push(copy);
         let shared = Arc::clone(shared);
         let thread = std::thread::Builder::new().stack_size(128 * 1024);
-        // Out of threads is as good as a closed connection here.
-        let _ = thread.spawn(move || converse(&shared, socket));
+        // If no thread can be started, the connection is closed.
+        let _ = thread.spawn(move || serve_connection(&shared, socket));
     }
 }
 
-fn converse(shared: &Shared, socket: TcpStream) -> Option<()> {
-    let life = shared.life.load(Ordering::SeqCst);
+fn serve_connection(shared: &Shared, socket: TcpStream) -> Option<()> {
+    let generation = shared.generation.load(Ordering::SeqCst);
     socket.set_nodelay(true).ok()?;
     let mut input = BufReader::new(socket);
     loop {
-        let words = command(&mut input)?;
-        let late = shared.late_ms.load(Ordering::SeqCst);
-        if late > 0 {
-            std::thread::sleep(Duration::from_millis(late));
+        let words = read_command(&mut input)?;
+        let delay_ms = shared.delay_ms.load(Ordering::SeqCst);
+        if delay_ms > 0 {
+            std::thread::sleep(Duration::from_millis(delay_ms));
         }
-        if shared.life.load(Ordering::SeqCst) != life {
+        if shared.generation.load(Ordering::SeqCst) != generation {
             return None;
         }
         let text = |i: usize| {
@@ -209,7 +209,7 @@
     }
 }
 
-fn command(input: &mut BufReader<TcpStream>) -> Option<Vec<Vec<u8>>> {
+fn read_command(input: &mut BufReader<TcpStream>) -> Option<Vec<Vec<u8>>> {
     fn number(input: &mut BufReader<TcpStream>) -> Option<usize> {
         let mut line = String::new();
         input.read_line(&mut line).ok().filter(|n| *n > 1)?;
@@ -217,7 +217,7 @@
             .trim_end()
             .parse()
             .ok()
-            .filter(|n| *n <= STRING_MOST)
+            .filter(|n| *n <= MAX_STRING_BYTES)
     }
     let mut words = Vec::new();
     for _ in 0..number(input)? {
@@ -237,7 +237,7 @@
         .map(|(_, v)| v)
 }
 
-/// The answer to a request: word, fields, body. The body tells of the copy.
+/// Processes a fetch; returns the status, the fields and the body of the response. The body describes the copy.
 fn fetch(shared: &Shared, fields: &str) -> (&'static str, String, String) {
     let item = field(fields, "item").unwrap_or("").to_string();
     let key = (
@@ -251,63 +251,63 @@
     let oldest: u64 = field(fields, "oldest")
         .and_then(|o| o.parse().ok())
         .unwrap_or(0);
-    let now = wall();
-    let held = lock(&shared.held).copies.get(&key).cloned();
-    let lies = shared.lies.load(Ordering::SeqCst);
-    let good = held.filter(|copy| lies || oldest == 0 || now <= copy.born + oldest);
-    let (copy, tell) = match good {
+    let now = unix_ms();
+    let cached = lock(&shared.store).copies.get(&key).cloned();
+    let serve_stale = shared.serve_stale.load(Ordering::SeqCst);
+    let usable = cached.filter(|copy| serve_stale || oldest == 0 || now <= copy.born + oldest);
+    let (copy, source) = match usable {
         Some(copy) => (copy, "local"),
-        // Told of no source it is asked for what it holds alone.
-        None if !shared.main && field(fields, "from").is_none() => {
+        // A request without a fill source only checks the cache.
+        None if !shared.is_origin && field(fields, "from").is_none() => {
             return ("NONE", "tell=not_there".into(), String::new())
         }
         None => {
             let copy = shared.origin.fetch(&key.1);
-            lock(&shared.held).copies.insert(key, copy.clone());
+            lock(&shared.store).copies.insert(key, copy.clone());
             (copy, "pulled")
         }
     };
     let tags = copy.tags.join(";");
     let fields = format!(
-        "ver=4be0c1927d55a6f3,born={},tell={tell},tags={tags}",
+        "ver=4be0c1927d55a6f3,born={},tell={source},tags={tags}",
         copy.born
     );
     ("HIT", fields, format!("born={} tags={tags}", copy.born))
 }
 
-/// Carries a batch out and tells how the box stands.
+/// Applies a batch of purges and returns the fields of the response; `None` for a malformed batch.
 fn purge(shared: &Shared, fields: &str, body: &[u8]) -> Option<String> {
-    let ledger = u64::from_str_radix(field(fields, "ledger")?, 16).ok()?;
+    let log_identity = u64::from_str_radix(field(fields, "ledger")?, 16).ok()?;
     let number = |name| field(fields, name).and_then(|n| n.parse::<u64>().ok());
     let (after, upto) = (number("after")?, number("upto")?);
-    let mut held = lock(&shared.held);
+    let mut store = lock(&shared.store);
     if upto > 0 {
-        if held.ledger != ledger {
-            (held.ledger, held.applied) = (ledger, 0);
+        if store.log_identity != log_identity {
+            (store.log_identity, store.applied) = (log_identity, 0);
         }
-        // Without a copy nothing has to be carried out that came before.
-        if std::mem::take(&mut held.said_empty) || held.copies.is_empty() {
-            held.applied = held.applied.max(after);
+        // An empty node can skip the purges before the batch.
+        if std::mem::take(&mut store.reported_empty) || store.copies.is_empty() {
+            store.applied = store.applied.max(after);
         }
-        if after > held.applied && !held.copies.is_empty() {
+        if after > store.applied && !store.copies.is_empty() {
             shared.gaps.fetch_add(1, Ordering::SeqCst);
         }
         let mut rest = body;
         while !rest.is_empty() {
-            let (record, used) = record(rest)?;
+            let (record, used) = parse_record(rest)?;
             rest = &rest[used..];
-            held.copies.retain(|(key, item), copy| {
-                copy.born >= record.at || !record.concerns(key, item, copy)
+            store.copies.retain(|(key, item), copy| {
+                copy.born >= record.at || !record.matches(key, item, copy)
             });
         }
-        held.applied = held.applied.max(upto);
+        store.applied = store.applied.max(upto);
     }
-    let empty = held.copies.is_empty() && upto == 0;
-    held.said_empty |= empty;
+    let empty = store.copies.is_empty() && upto == 0;
+    store.reported_empty |= empty;
     let empty = u8::from(empty);
     Some(format!(
         "ledger={:016x},upto={},empty={empty}",
-        held.ledger, held.applied
+        store.log_identity, store.applied
     ))
 }
 
@@ -319,32 +319,33 @@
 }
 
 impl Record {
-    fn concerns(&self, key: &str, item: &str, copy: &Copy) -> bool {
+    fn matches(&self, key: &str, item: &str, copy: &CachedCopy) -> bool {
         match self.kind {
             0 => item == format!("{:016x}", self.number),
-            // A box is not told of groups: it lets all go.
+            // The protocol does not tell a node the group of an object, so every copy matches.
             1 => true,
             2 => copy.tags.contains(&self.text),
-            _ => matches(self.text.as_bytes(), key.as_bytes()),
+            _ => pattern_matches(self.text.as_bytes(), key.as_bytes()),
         }
     }
 }
 
-/// Stars and question marks; other wildcards match all, which is on the safe side.
-fn matches(pattern: &[u8], text: &[u8]) -> bool {
+/// Matches `*` and `?`. From a character class or alternative on any text matches, so that too much is purged, not too little.
+fn pattern_matches(pattern: &[u8], text: &[u8]) -> bool {
     match (pattern.first(), text.first()) {
         (None, None) => true,
         (Some(b'['), _) | (Some(b'{'), _) => true,
         (Some(b'*'), _) => {
-            matches(&pattern[1..], text) || !text.is_empty() && matches(pattern, &text[1..])
+            pattern_matches(&pattern[1..], text)
+                || !text.is_empty() && pattern_matches(pattern, &text[1..])
         }
-        (Some(b'?'), Some(_)) => matches(&pattern[1..], &text[1..]),
-        (Some(a), Some(b)) if a == b => matches(&pattern[1..], &text[1..]),
+        (Some(b'?'), Some(_)) => pattern_matches(&pattern[1..], &text[1..]),
+        (Some(a), Some(b)) if a == b => pattern_matches(&pattern[1..], &text[1..]),
         _ => false,
     }
 }
 
-fn crc(bytes: &[u8]) -> u32 {
+fn crc32(bytes: &[u8]) -> u32 {
     !bytes.iter().fold(!0u32, |mut crc, byte| {
         crc ^= u32::from(*byte);
         for _ in 0..8 {
@@ -354,12 +355,14 @@
     })
 }
 
-/// The first record, and its length in bytes; `None`: it is not as the protocol page has it.
-fn record(bytes: &[u8]) -> Option<(Record, usize)> {
+/// Parses the first record of a batch and returns it with its length in bytes; `None` if it is malformed.
+fn parse_record(bytes: &[u8]) -> Option<(Record, usize)> {
     let size = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
-    let payload = bytes.get(8..8 + size).filter(|_| size <= RECORD_MOST)?;
-    let told = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
-    if crc(&[&bytes[..4], payload].concat()) != told {
+    let payload = bytes
+        .get(8..8 + size)
+        .filter(|_| size <= MAX_RECORD_BYTES)?;
+    let checksum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
+    if crc32(&[&bytes[..4], payload].concat()) != checksum {
         return None;
     }
     let at = u64::from_le_bytes(payload.get(8..16)?.try_into().ok()?);
